--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -3,7 +3,7 @@
 import static lilaclever.PolicyState.NEVER;
 
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.PolicyState.Call;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Message;
@@ -75,14 +75,14 @@
         long aim = message.messageClass.aimMicros();
         double usual = limit.answerTime > 0 ? ANSWER_TIMES * limit.answerTime : aim;
         double time = Math.max(LEAST_PART_OF_AIM * aim, usual) * limit.timeoutFactor;
-        Repeat repeat = message.messageClass.repeat();
-        if (repeat == Repeat.UNSAFE) {
+        RepeatSafety repeat = message.messageClass.repeat();
+        if (repeat == RepeatSafety.UNSAFE) {
             return (long) Math.max(time * UNSAFE_TIMES, SHORTEST);
         }
         // Where calls are lost everywhere, the last slot is worth more than a call that is likely lost.
         boolean lastSlot = state.slotsInUse + 1 >= state.settings.limits().slots();
         time *= transientFailures.callsOftenLost() && lastSlot ? LAST_SLOT_PART : 1;
-        if (repeat == Repeat.KEYED && !message.mayHaveRun) {
+        if (repeat == RepeatSafety.KEYED && !message.mayHaveRun) {
             time = Math.min(time, WINDOW_PART * message.messageClass.repeatWindowMicros());
         }
         return (long) Math.max(time, SHORTEST);
@@ -117,7 +117,7 @@
 
     private long overdueAfter(Call call) {
         double usual = Math.max(state.usualAnswerTime, call.endpoint.limit.answerTime);
-        boolean unsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == Repeat.UNSAFE);
+        boolean unsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (unsafe
                         ? Math.max(UNSAFE_LEAST_OVERDUE, UNSAFE_OVERDUE_TIMES * usual)
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -22,7 +22,7 @@
     List<Action> decide(long nowMicros, List<Event> events);
 
     /** What a further attempt of a message may do at its destination. */
-    enum Repeat {
+    enum RepeatSafety {
         /** Any number of attempts is harmless. */
         SAFE,
         /** A repeat is dropped by the endpoints of the {@link Group} for a while. */
@@ -31,7 +31,7 @@
         UNSAFE
     }
 
-    /** Which endpoints of a destination remember the key of a {@link Repeat#KEYED} message. */
+    /** Which endpoints of a destination remember the key of a {@link RepeatSafety#KEYED} message. */
     enum Group {
         ALL,
         ZONE,
@@ -97,7 +97,7 @@
             long aimMicros,
             long deadlineMicros,
             double worth,
-            Repeat repeat,
+            RepeatSafety repeat,
             Group group,
             long repeatWindowMicros,
             boolean ordered,
@@ -108,7 +108,7 @@
                 long aimMicros,
                 long deadlineMicros,
                 double worth,
-                Repeat repeat,
+                RepeatSafety repeat,
                 Group group,
                 long repeatWindowMicros,
                 boolean ordered) {
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -321,9 +321,9 @@
     /** Whether the client may come again with the message: no attempt may have run, or a repeat does no harm. */
     private static boolean isHarmlessToRefuse(Message message) {
         boolean mayRun = message.mayHaveRun || message.inFlightTo != null;
-        Repeat repeat = message.messageClass.repeat();
-        boolean keyedEverywhere = repeat == Repeat.KEYED && message.messageClass.group() == Group.ALL;
-        return !mayRun || repeat == Repeat.SAFE || keyedEverywhere;
+        RepeatSafety repeat = message.messageClass.repeat();
+        boolean keyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == Group.ALL;
+        return !mayRun || repeat == RepeatSafety.SAFE || keyedEverywhere;
     }
 
     /** Marks a message as answered, and forgets it as soon as no attempt is in flight. */
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.DecisionModule.MessageClass;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.DestinationQueue;
 import lilaclever.PolicyState.Endpoint;
@@ -162,14 +162,14 @@
     /** Worth of a message at an endpoint for the time that it takes a slot, in worth per microsecond. */
     double rank(Message message, Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
-        Repeat repeat = message.messageClass.repeat();
+        RepeatSafety repeat = message.messageClass.repeat();
         double worth = worthNow(message);
-        if (message.mayHaveRun && repeat == Repeat.KEYED) {
+        if (message.mayHaveRun && repeat == RepeatSafety.KEYED) {
             worth *= FACTOR_IN_WINDOW;
         }
-        if ((endpoint.inOutage || endpoint.timingOut) && repeat != Repeat.SAFE && !message.mayHaveRun) {
+        if ((endpoint.inOutage || endpoint.timingOut) && repeat != RepeatSafety.SAFE && !message.mayHaveRun) {
             // A call that fails may have run. Try a failing endpoint with what can be repeated.
-            worth *= repeat == Repeat.UNSAFE ? FACTOR_IF_UNSAFE : FACTOR_IF_KEYED;
+            worth *= repeat == RepeatSafety.UNSAFE ? FACTOR_IF_UNSAFE : FACTOR_IF_KEYED;
         }
         return worth / Math.max(LEAST_SLOT_TIME, limit.answerTime > 0 ? limit.answerTime : state.usualAnswerTime);
     }
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.PolicyState.Message;
 
 /**
@@ -19,7 +19,7 @@
 
     /** Whether repeats of the message are bound to a window: it is keyed and may have run. */
     boolean hasWindow(Message message) {
-        return message.mayHaveRun && message.messageClass.repeat() == Repeat.KEYED;
+        return message.mayHaveRun && message.messageClass.repeat() == RepeatSafety.KEYED;
     }
 
     /**
@@ -34,7 +34,7 @@
 
     /** Whether no attempt may follow, at whatever time. */
     boolean isExhausted(Message message) {
-        boolean unsafe = message.mayHaveRun && message.messageClass.repeat() == Repeat.UNSAFE;
+        boolean unsafe = message.mayHaveRun && message.messageClass.repeat() == RepeatSafety.UNSAFE;
         return message.attempts >= state.settings.limits().maxAttempts() || unsafe;
     }
 
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Group;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.Weights;
 
 /** Turns the settings of a HELLO into a relay. Keys that are not known are skipped. */
@@ -127,10 +127,10 @@
     private List<DecisionModule.MessageClass> messageClasses(SettingsReader family) throws WireException {
         List<DecisionModule.MessageClass> classes = new ArrayList<>();
         for (SettingsReader c : children("requestClasses")) {
-            Repeat repeat = switch (c.text("repeat", "non_idempotent")) {
-                case "read_like" -> Repeat.SAFE;
-                case "idempotency_key" -> Repeat.KEYED;
-                case "non_idempotent" -> Repeat.UNSAFE;
+            RepeatSafety repeat = switch (c.text("repeat", "non_idempotent")) {
+                case "read_like" -> RepeatSafety.SAFE;
+                case "idempotency_key" -> RepeatSafety.KEYED;
+                case "non_idempotent" -> RepeatSafety.UNSAFE;
                 default -> throw c.bad("repeat", "unknown value");
             };
             Group group = switch (c.text("group", "all")) {
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -521,7 +521,7 @@
 
     private int unsafeClass() throws ConfigurationException {
         for (int i = 0; i < settings.classes().size(); i++) {
-            if (settings.classes().get(i).repeat() == DecisionModule.Repeat.UNSAFE) {
+            if (settings.classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE) {
                 return i;
             }
         }
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -25,7 +25,7 @@
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.Prior;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.Report;
 import lilaclever.DecisionModule.Rules;
 import lilaclever.DecisionModule.Settings;
@@ -144,11 +144,11 @@
 
     private static List<MessageClass> classes(int factor) {
         return List.of(
-                new MessageClass(2 * S, 20 * S * factor, 1, Repeat.SAFE, Group.ALL, 0, false, 0.2, true),
-                new MessageClass(S, 15 * S * factor, 2, Repeat.KEYED, Group.ALL, 5 * S, false),
-                new MessageClass(2 * S, 20 * S * factor, 3, Repeat.UNSAFE, Group.ALL, 0, true),
-                new MessageClass(2 * S, 12 * S * factor, 1, Repeat.KEYED, Group.ZONE, 3 * S, true, 0.1, false),
-                new MessageClass(400 * MS, 2 * S * factor, 0.5, Repeat.SAFE, Group.ALL, 0, true));
+                new MessageClass(2 * S, 20 * S * factor, 1, RepeatSafety.SAFE, Group.ALL, 0, false, 0.2, true),
+                new MessageClass(S, 15 * S * factor, 2, RepeatSafety.KEYED, Group.ALL, 5 * S, false),
+                new MessageClass(2 * S, 20 * S * factor, 3, RepeatSafety.UNSAFE, Group.ALL, 0, true),
+                new MessageClass(2 * S, 12 * S * factor, 1, RepeatSafety.KEYED, Group.ZONE, 3 * S, true, 0.1, false),
+                new MessageClass(400 * MS, 2 * S * factor, 0.5, RepeatSafety.SAFE, Group.ALL, 0, true));
     }
 
     /** Plays the whole sequence and gives the digest of all actions with their times. */
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -13,7 +13,7 @@
 import lilaclever.DecisionModule.Group;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.Settings;
 
 /**
@@ -208,10 +208,10 @@
         if (m.outAt != null) {
             breach(now, "effect", a.id() + " has two attempts out");
         }
-        if (m.mayHaveRun && m.kind.repeat() == Repeat.UNSAFE) {
+        if (m.mayHaveRun && m.kind.repeat() == RepeatSafety.UNSAFE) {
             breach(now, "effect", a.id() + " may have run and is unsafe");
         }
-        if (m.mayHaveRun && m.kind.repeat() == Repeat.KEYED) {
+        if (m.mayHaveRun && m.kind.repeat() == RepeatSafety.KEYED) {
             if (now - m.riskAt > m.kind.repeatWindowMicros()) {
                 breach(now, "effect", a.id() + " is repeated after its window");
             }
@@ -267,8 +267,8 @@
         boolean mayRun = m.mayHaveRun || m.outAt != null;
         if (refused
                 && mayRun
-                && (m.kind.repeat() == Repeat.UNSAFE
-                        || m.kind.repeat() == Repeat.KEYED && m.kind.group() != Group.ALL)) {
+                && (m.kind.repeat() == RepeatSafety.UNSAFE
+                        || m.kind.repeat() == RepeatSafety.KEYED && m.kind.group() != Group.ALL)) {
             breach(now, "effect", id + " may have run and is refused");
         }
         m.over = true;
