--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -25,14 +25,14 @@
     enum RepeatSafety {
         /** Any number of attempts is harmless. */
         SAFE,
-        /** A repeat is dropped by the endpoints of the {@link Group} for a while. */
+        /** A repeat is dropped by the endpoints of the {@link KeyScope} for a while. */
         KEYED,
         /** A second attempt is allowed only when the earlier ones are known not to have run. */
         UNSAFE
     }
 
     /** Which endpoints of a destination remember the key of a {@link RepeatSafety#KEYED} message. */
-    enum Group {
+    enum KeyScope {
         ALL,
         ZONE,
         DESTINATION
@@ -98,7 +98,7 @@
             long deadlineMicros,
             double worth,
             RepeatSafety repeat,
-            Group group,
+            KeyScope group,
             long repeatWindowMicros,
             boolean ordered,
             double lateShare,
@@ -109,7 +109,7 @@
                 long deadlineMicros,
                 double worth,
                 RepeatSafety repeat,
-                Group group,
+                KeyScope group,
                 long repeatWindowMicros,
                 boolean ordered) {
             this(aimMicros, deadlineMicros, worth, repeat, group, repeatWindowMicros, ordered, 0, false);
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -322,7 +322,7 @@
     private static boolean isHarmlessToRefuse(Message message) {
         boolean mayRun = message.mayHaveRun || message.inFlightTo != null;
         RepeatSafety repeat = message.messageClass.repeat();
-        boolean keyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == Group.ALL;
+        boolean keyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == KeyScope.ALL;
         return !mayRun || repeat == RepeatSafety.SAFE || keyedEverywhere;
     }
 
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -2,7 +2,7 @@
 
 import static lilaclever.PolicyState.NEVER;
 
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.PolicyState.Endpoint;
 import lilaclever.PolicyState.Message;
 
@@ -68,6 +68,6 @@
     }
 
     private static boolean remembersKey(Message message, Endpoint endpoint) {
-        return message.messageClass.group() != Group.ZONE || endpoint.zone == message.mayHaveRunZone;
+        return message.messageClass.group() != KeyScope.ZONE || endpoint.zone == message.mayHaveRunZone;
     }
 }
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.DecisionModule;
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.Weights;
 
@@ -133,10 +133,10 @@
                 case "non_idempotent" -> RepeatSafety.UNSAFE;
                 default -> throw c.bad("repeat", "unknown value");
             };
-            Group group = switch (c.text("group", "all")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                case "cell" -> Group.DESTINATION;
+            KeyScope group = switch (c.text("group", "all")) {
+                case "all" -> KeyScope.ALL;
+                case "zone" -> KeyScope.ZONE;
+                case "cell" -> KeyScope.DESTINATION;
                 default -> throw c.bad("group", "unknown value");
             };
             classes.add(new DecisionModule.MessageClass(
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -294,7 +294,7 @@
                         deadline,
                         s.real("worth", worth, 0, MOST),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
-                        DecisionModule.Group.ALL,
+                        DecisionModule.KeyScope.ALL,
                         s.time("window", 5 * SECOND, 0, HOUR),
                         false,
                         s.share("late", late, 1),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -18,7 +18,7 @@
 import lilaclever.DecisionModule.Ending;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.Kind;
 import lilaclever.DecisionModule.Limits;
 import lilaclever.DecisionModule.ListingKind;
@@ -144,11 +144,11 @@
 
     private static List<MessageClass> classes(int factor) {
         return List.of(
-                new MessageClass(2 * S, 20 * S * factor, 1, RepeatSafety.SAFE, Group.ALL, 0, false, 0.2, true),
-                new MessageClass(S, 15 * S * factor, 2, RepeatSafety.KEYED, Group.ALL, 5 * S, false),
-                new MessageClass(2 * S, 20 * S * factor, 3, RepeatSafety.UNSAFE, Group.ALL, 0, true),
-                new MessageClass(2 * S, 12 * S * factor, 1, RepeatSafety.KEYED, Group.ZONE, 3 * S, true, 0.1, false),
-                new MessageClass(400 * MS, 2 * S * factor, 0.5, RepeatSafety.SAFE, Group.ALL, 0, true));
+                new MessageClass(2 * S, 20 * S * factor, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false, 0.2, true),
+                new MessageClass(S, 15 * S * factor, 2, RepeatSafety.KEYED, KeyScope.ALL, 5 * S, false),
+                new MessageClass(2 * S, 20 * S * factor, 3, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                new MessageClass(2 * S, 12 * S * factor, 1, RepeatSafety.KEYED, KeyScope.ZONE, 3 * S, true, 0.1, false),
+                new MessageClass(400 * MS, 2 * S * factor, 0.5, RepeatSafety.SAFE, KeyScope.ALL, 0, true));
     }
 
     /** Plays the whole sequence and gives the digest of all actions with their times. */
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -7,7 +7,7 @@
 import lilaclever.DecisionModule.Ending;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.Kind;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
@@ -62,10 +62,10 @@
                 true,
                 0.1,
                 List.of(
-                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.SAFE, Group.ALL, 0, false),
-                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, Group.ALL, 5 * S, false),
-                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.UNSAFE, Group.ALL, 0, true),
-                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, Group.ZONE, 5 * S, false)),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, KeyScope.ALL, 5 * S, false),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, KeyScope.ZONE, 5 * S, false)),
                 List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5)),
                 List.of(new DecisionModule.Tenant(0.5, 5), new DecisionModule.Tenant(0.5, 5)),
                 new DecisionModule.Limits(maxAttempts, maxOpen, slots, true, false, false, 1, S, 5 * S, true, 2 * S),
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -10,7 +10,7 @@
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.Ending;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.RepeatSafety;
@@ -215,7 +215,7 @@
             if (now - m.riskAt > m.kind.repeatWindowMicros()) {
                 breach(now, "effect", a.id() + " is repeated after its window");
             }
-            if (m.kind.group() == Group.ZONE && h.zone != m.riskZone) {
+            if (m.kind.group() == KeyScope.ZONE && h.zone != m.riskZone) {
                 breach(now, "effect", a.id() + " is repeated outside its group");
             }
         }
@@ -268,7 +268,7 @@
         if (refused
                 && mayRun
                 && (m.kind.repeat() == RepeatSafety.UNSAFE
-                        || m.kind.repeat() == RepeatSafety.KEYED && m.kind.group() != Group.ALL)) {
+                        || m.kind.repeat() == RepeatSafety.KEYED && m.kind.group() != KeyScope.ALL)) {
             breach(now, "effect", id + " may have run and is refused");
         }
         m.over = true;
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -28,7 +28,7 @@
                 1 / 3.0,
                 new long[] {1, 1},
                 new DecisionModule.MessageClass(
-                        aim * S, deadline * S, 1, repeat, DecisionModule.Group.ALL, 5 * S, false, late, true));
+                        aim * S, deadline * S, 1, repeat, DecisionModule.KeyScope.ALL, 5 * S, false, late, true));
     }
 
     private void taken(int n, int messageClass, long at) {
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -113,7 +113,7 @@
 
     private static DecisionModule.Settings settings() {
         DecisionModule.MessageClass payment = new DecisionModule.MessageClass(
-                SECOND, 20 * SECOND, 1, DecisionModule.RepeatSafety.UNSAFE, DecisionModule.Group.ALL, 0, false);
+                SECOND, 20 * SECOND, 1, DecisionModule.RepeatSafety.UNSAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
                 1,
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -74,7 +74,7 @@
 
     private static DecisionModule.Settings settings(int mostHeld) {
         DecisionModule.MessageClass repeatable = new DecisionModule.MessageClass(
-                SECOND, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.Group.ALL, 0, false);
+                SECOND, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
                 FLEET,
