--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -39,7 +39,7 @@
     }
 
     /** What the weight in a listing means. */
-    enum Weights {
+    enum WeightMeaning {
         NONE,
         EXACT,
         ROUGH
@@ -181,7 +181,7 @@
             int zones,
             long roundMicros,
             boolean askForList,
-            Weights weights,
+            WeightMeaning weights,
             boolean reports,
             double overShareWorth,
             List<MessageClass> classes,
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -8,7 +8,7 @@
 import lilaclever.DecisionModule.Kind;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.WeightMeaning;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.DestinationQueue;
 import lilaclever.PolicyState.Endpoint;
@@ -93,10 +93,10 @@
     }
 
     private void takeRate(DestinationLimit limit, double weight) {
-        Weights weights = state.settings.weights();
-        if (weights != Weights.NONE && weight > 0 && !limit.rateReported) {
+        WeightMeaning weights = state.settings.weights();
+        if (weights != WeightMeaning.NONE && weight > 0 && !limit.rateReported) {
             // A rough figure may be half too high; what the destination reports itself is better.
-            limit.toldRate = weight / (weights == Weights.ROUGH ? MOST_ROUGH_FACTOR : 1);
+            limit.toldRate = weight / (weights == WeightMeaning.ROUGH ? MOST_ROUGH_FACTOR : 1);
         }
     }
 
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -12,7 +12,7 @@
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.RepeatSafety;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.WeightMeaning;
 
 /** Turns the settings of a HELLO into a relay. Keys that are not known are skipped. */
 public final class SettingsReader {
@@ -71,10 +71,10 @@
         for (SettingsReader t : children("tenants")) {
             tenants.add(new DecisionModule.Tenant(t.real("portion", 0), t.real("quotaPerS", 0)));
         }
-        Weights weights = switch (text("weights", "off")) {
-            case "off" -> Weights.NONE;
-            case "nominal" -> Weights.EXACT;
-            default -> Weights.ROUGH;
+        WeightMeaning weights = switch (text("weights", "off")) {
+            case "off" -> WeightMeaning.NONE;
+            case "nominal" -> WeightMeaning.EXACT;
+            default -> WeightMeaning.ROUGH;
         };
         return new DecisionModule.Settings(
                 whole("me", 0),
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -45,7 +45,7 @@
                 1,
                 fleet.roundMicros(),
                 false,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 false,
                 OVER_SHARE_WORTH,
                 classes,
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -30,7 +30,7 @@
 import lilaclever.DecisionModule.Rules;
 import lilaclever.DecisionModule.Settings;
 import lilaclever.DecisionModule.Tenant;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.WeightMeaning;
 
 /**
  * A seeded sequence of events for one decision module, with hosts that answer well, refuse, fail or hang for a while.
@@ -110,7 +110,7 @@
     private Settings settings() {
         int relays = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
         int slots = relays > 16 ? 2 + random.nextInt(4) : 2 + random.nextInt(12);
-        Weights weights = Weights.values()[(int) (seed / 2 % 3)];
+        WeightMeaning weights = WeightMeaning.values()[(int) (seed / 2 % 3)];
         Limits limits = limits(MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)], slots, 20 + random.nextInt(60));
         return new Settings(
                 0,
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -18,7 +18,7 @@
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.Settings;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.WeightMeaning;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
 
@@ -41,7 +41,7 @@
         return new Entry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
     }
 
-    private static Settings withWeights(Weights weights) {
+    private static Settings withWeights(WeightMeaning weights) {
         Settings s = Rig.settings(4, 50, 6, false);
         return new Settings(
                 s.self(),
@@ -144,16 +144,16 @@
 
     @Test
     void weightsAreRatesUntilTheDestinationReportsItself() {
-        use(withWeights(Weights.EXACT));
+        use(withWeights(WeightMeaning.EXACT));
         list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(6, fixture.limit.toldRate);
-        use(withWeights(Weights.ROUGH));
+        use(withWeights(WeightMeaning.ROUGH));
         list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(4, fixture.limit.toldRate, "it may be half too high");
         fixture.limit.rateReported = true;
         list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
         assertEquals(4, fixture.limit.toldRate);
-        use(withWeights(Weights.NONE));
+        use(withWeights(WeightMeaning.NONE));
         list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(0, fixture.limit.toldRate);
     }
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -58,7 +58,7 @@
                 2,
                 5 * MS,
                 ask,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 true,
                 0.1,
                 List.of(
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -121,7 +121,7 @@
                 1,
                 ROUND,
                 false,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 false,
                 0.1,
                 List.of(payment),
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -82,7 +82,7 @@
                 1,
                 ROUND,
                 false,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 false,
                 0.1,
                 List.of(repeatable),
