--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -42,7 +42,7 @@
     enum WeightMeaning {
         NONE,
         EXACT,
-        ROUGH
+        APPROXIMATE
     }
 
     /** How a destination's endpoints come and go in the list. */
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -74,7 +74,7 @@
         WeightMeaning weights = switch (text("weights", "off")) {
             case "off" -> WeightMeaning.NONE;
             case "nominal" -> WeightMeaning.EXACT;
-            default -> WeightMeaning.ROUGH;
+            default -> WeightMeaning.APPROXIMATE;
         };
         return new DecisionModule.Settings(
                 whole("me", 0),
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -147,7 +147,7 @@
         use(withWeights(WeightMeaning.EXACT));
         list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(6, fixture.limit.toldRate);
-        use(withWeights(WeightMeaning.ROUGH));
+        use(withWeights(WeightMeaning.APPROXIMATE));
         list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(4, fixture.limit.toldRate, "it may be half too high");
         fixture.limit.rateReported = true;
