--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -2,7 +2,7 @@
 
 import java.util.LinkedHashSet;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.Endpoint;
 
 /** Which idle connections to endpoints there are, as far as the module can know, and which of them are kept. */
@@ -34,7 +34,7 @@
     }
 
     /** A call has come back; its connection is idle now unless the ending says that there is none. */
-    void onCallEnded(Endpoint endpoint, Ending ending) {
+    void onCallEnded(Endpoint endpoint, AttemptResult ending) {
         boolean closed = switch (ending) {
             case NO_CONNECTION, NO_ROOM, RESET, NOT_SENT -> true;
             default -> false;
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -61,7 +61,7 @@
     }
 
     /** How an attempt or a probe ended. */
-    enum Ending {
+    enum AttemptResult {
         DELIVERED(false),
         ERROR(false),
         FULL(true),
@@ -79,7 +79,7 @@
 
         private final boolean neverRan;
 
-        Ending(boolean neverRan) {
+        AttemptResult(boolean neverRan) {
             this.neverRan = neverRan;
         }
 
@@ -262,7 +262,7 @@
                 String id,
                 String host,
                 int attempt,
-                Ending ending,
+                AttemptResult ending,
                 long elapsedMicros,
                 long waitMicros,
                 boolean noSlot,
@@ -271,7 +271,7 @@
                 implements Event {}
 
         /** A probe ended. */
-        record Probed(String host, Ending ending, long elapsedMicros, Report report) implements Event {}
+        record Probed(String host, AttemptResult ending, long elapsedMicros, Report report) implements Event {}
 
         /** A timer of {@link Action.Wake} has come. */
         record Timer(long token) implements Event {}
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -224,13 +224,13 @@
             keyOrder.pause(message);
             checkAt(message.orderedKey.pausedUntil, message);
         }
-        if (message.finished || event.over() || event.ending() == Ending.DELIVERED) {
+        if (message.finished || event.over() || event.ending() == AttemptResult.DELIVERED) {
             finish(message);
-        } else if (event.ending() == Ending.REJECTED) {
+        } else if (event.ending() == AttemptResult.REJECTED) {
             // The design: a permanent failure ends a row at once.
             state.actions.add(new Action.Fail(message.id));
             finish(message);
-        } else if (event.ending() == Ending.WITHHELD && !endpoint.active) {
+        } else if (event.ending() == AttemptResult.WITHHELD && !endpoint.active) {
             // Its endpoint is leaving and got nothing: another may have it now.
             state.enqueue(message);
         } else {
@@ -249,7 +249,7 @@
             dispatch.end(call);
             connections.onCallEnded(endpoint, event.ending());
         }
-        if (event.ending() == Ending.DELIVERED) {
+        if (event.ending() == AttemptResult.DELIVERED) {
             endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAt);
         }
         limits.onReport(endpoint.limit, event.report());
@@ -258,7 +258,7 @@
             call.outcomeSeen = true;
             learn(endpoint, event);
         }
-        if (event.ending() == Ending.WITHHELD) {
+        if (event.ending() == AttemptResult.WITHHELD) {
             message.attempts--;
         }
     }
@@ -281,8 +281,8 @@
     }
 
     /** Remembers the first attempt that may have taken effect without being known to. */
-    private static void noteRisk(Message message, Endpoint endpoint, Ending ending) {
-        boolean mayHaveRun = !ending.neverRan() && ending != Ending.DELIVERED;
+    private static void noteRisk(Message message, Endpoint endpoint, AttemptResult ending) {
+        boolean mayHaveRun = !ending.neverRan() && ending != AttemptResult.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
             message.mayHaveRun = true;
             message.mayHaveRunSince = message.sentAt;
@@ -291,8 +291,8 @@
     }
 
     /** Whether an attempt with this ending may still be running at its endpoint. */
-    private static boolean wasGivenUp(Ending ending) {
-        return ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELED;
+    private static boolean wasGivenUp(AttemptResult ending) {
+        return ending == AttemptResult.TIMED_OUT || ending == AttemptResult.RESET || ending == AttemptResult.CANCELED;
     }
 
     /** The next try after a pause; or the end, at once, if none can come. */
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 
@@ -81,22 +81,22 @@
     }
 
     /** A call failed hard, {@code elapsed} microseconds after it was sent. */
-    void onFailure(DestinationLimit limit, Endpoint endpoint, Ending reported, long elapsed) {
+    void onFailure(DestinationLimit limit, Endpoint endpoint, AttemptResult reported, long elapsed) {
         // What was given up for want of an answer has timed out too.
-        Ending ending = reported == Ending.CANCELED ? Ending.TIMED_OUT : reported;
+        AttemptResult ending = reported == AttemptResult.CANCELED ? AttemptResult.TIMED_OUT : reported;
         noteTrouble(limit);
         endpoint.failuresInRow++;
         // One that has no room for a connection is there; if it says only that for long, it may be shut.
         boolean isThere =
-                ending == Ending.NO_ROOM && (endpoint.failingSince == 0 || transientFailures.isBrief(endpoint));
+                ending == AttemptResult.NO_ROOM && (endpoint.failingSince == 0 || transientFailures.isBrief(endpoint));
         if (!isThere) {
             count(limit, endpoint);
         }
         avoid(endpoint);
-        if (ending == Ending.TIMED_OUT) {
+        if (ending == AttemptResult.TIMED_OUT) {
             onTimeout(limit, endpoint);
         }
-        if (ending == Ending.NO_CONNECTION) {
+        if (ending == AttemptResult.NO_CONNECTION) {
             connections.onConnectFailed(endpoint);
         }
         if (slowStart.isActive(endpoint) && endpoint.failureShare >= UNHEALTHY_SHARE) {
@@ -138,17 +138,17 @@
         endpoint.timingOut |= endpoint.failuresInRow > 1 || !transientFailures.callsOftenLost();
     }
 
-    private boolean isTurnedAway(Ending ending, long elapsed) {
+    private boolean isTurnedAway(AttemptResult ending, long elapsed) {
         boolean early = elapsed < CONNECT_PART * state.settings.limits().connectTimeoutMicros();
-        return ending == Ending.NO_ROOM || ending == Ending.NO_CONNECTION && early;
+        return ending == AttemptResult.NO_ROOM || ending == AttemptResult.NO_CONNECTION && early;
     }
 
-    private void noteRefusedConnection(Endpoint endpoint, Ending ending) {
+    private void noteRefusedConnection(Endpoint endpoint, AttemptResult ending) {
         // One that took a call just now and turns the next away is full, not down: a busy one must not be left alone
         // for it. In an outage this ends with the fourth failure in a row, or three seconds in.
         boolean busy = transientFailures.isBriefSince(endpoint.lastDeliveredSentAt)
                 && endpoint.failuresInRow < FAILURES_IN_ROW;
-        endpoint.refusingConnections |= state.largeFleet && ending == Ending.NO_CONNECTION && !busy;
+        endpoint.refusingConnections |= state.largeFleet && ending == AttemptResult.NO_CONNECTION && !busy;
     }
 
     private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import lilaclever.DecisionModule;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
@@ -196,8 +196,8 @@
         int attempt = f.number("n");
         long note = f.whole("note");
         boolean over = f.bool("terminal");
-        Ending ending = f.choice("status", ENDINGS);
-        long wait = ending == Ending.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
+        AttemptResult ending = f.choice("status", ENDINGS);
+        long wait = ending == AttemptResult.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
         return new Event.Outcome(
                 id,
                 host,
@@ -205,7 +205,7 @@
                 ending,
                 elapsed,
                 wait,
-                ending == Ending.NOT_SENT && note == 1,
+                ending == AttemptResult.NOT_SENT && note == 1,
                 over,
                 f.report("serverStats"));
     }
@@ -216,23 +216,23 @@
         return new Event.Probed(host, f.choice("status", ENDINGS), elapsed, f.report("serverStats"));
     }
 
-    private static final Map<String, Ending> ENDINGS = Map.of(
+    private static final Map<String, AttemptResult> ENDINGS = Map.of(
             "Ok",
-            Ending.DELIVERED,
+            AttemptResult.DELIVERED,
             "Failed",
-            Ending.ERROR,
+            AttemptResult.ERROR,
             "QueueFull",
-            Ending.FULL,
+            AttemptResult.FULL,
             "TimedOut",
-            Ending.TIMED_OUT,
+            AttemptResult.TIMED_OUT,
             "ConnectError",
-            Ending.NO_CONNECTION,
+            AttemptResult.NO_CONNECTION,
             "ResetByPeer",
-            Ending.RESET,
+            AttemptResult.RESET,
             "Canceled",
-            Ending.CANCELED,
+            AttemptResult.CANCELED,
             "Ignored",
-            Ending.NOT_SENT);
+            AttemptResult.NOT_SENT);
 
     private String line() throws IOException {
         String text = in.readLine();
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
 import lilaclever.identity.DuplicateCheck;
 import lilaclever.identity.IdempotencyWindows;
@@ -376,11 +376,11 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.WITHHELD, 0, false, false));
+        List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.WITHHELD, 0, false, false));
     }
 
     /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
-    public void outcome(Call call, Message m, Ending ending, long waitMicros, boolean noSlot, boolean over) {
+    public void outcome(Call call, Message m, AttemptResult ending, long waitMicros, boolean noSlot, boolean over) {
         if (m.out != call) {
             return;
         }
@@ -402,13 +402,13 @@
                 now - call.startedAt,
                 waitMicros,
                 noSlot,
-                over || ending == Ending.DELIVERED,
+                over || ending == AttemptResult.DELIVERED,
                 null));
-        m.attempts -= ending == Ending.WITHHELD ? 1 : 0;
+        m.attempts -= ending == AttemptResult.WITHHELD ? 1 : 0;
         if (m.over) {
             return;
         }
-        if (ending == Ending.DELIVERED) {
+        if (ending == AttemptResult.DELIVERED) {
             counters.add(Name.DELIVERED);
             end(m, FinalStatus.of(Kind.DELIVERED));
         } else if (over) {
@@ -419,7 +419,7 @@
     }
 
     /** A probe has ended. Loop thread. */
-    public void probed(String host, Ending ending, long elapsedMicros) {
+    public void probed(String host, AttemptResult ending, long elapsedMicros) {
         events.add(new Event.Probed(host, ending, elapsedMicros, null));
     }
 
@@ -624,7 +624,7 @@
             counters.holds(m == null || m.out == null, a.id() + " has one attempt out at most");
             counters.holds(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = m == null ? 0 : m.attempts++;
-            events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, m == null, null));
+            events.add(new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, m == null, null));
             return;
         }
         Call call = starting.get(a.host());
@@ -667,7 +667,7 @@
         calls.add(call);
         if (!written) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
@@ -696,7 +696,7 @@
         if (call.started) {
             call.endpoint.deliverer().giveUp(call);
         } else {
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
         }
     }
 
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -15,7 +15,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
@@ -66,7 +66,7 @@
         String host;
         long sentAt;
         long endsAt;
-        Ending ending;
+        AttemptResult ending;
         long waitMicros;
         Report report;
         final List<String> ids = new ArrayList<>();
@@ -222,7 +222,7 @@
         for (Flight flight : flights) {
             int place = flight.ids.indexOf(cancel.id());
             if (place >= 0 && flight.attempts.get(place) == cancel.attempt()) {
-                flight.ending = Ending.CANCELED;
+                flight.ending = AttemptResult.CANCELED;
                 // The outcome of a cancelled call comes at once, or after some rounds.
                 flight.endsAt = now + (1 + random.nextInt(3) * 20) * 5 * MS;
             }
@@ -234,43 +234,43 @@
         Entry entry = listed.get(flight.host);
         long base = (15 + 40 * entry.destination()) * MS;
         flight.endsAt = now + base / 2 + (long) (base * random.nextDouble());
-        flight.ending = Ending.DELIVERED;
+        flight.ending = AttemptResult.DELIVERED;
         boolean reports = entry.destination() % 2 == 0;
         flight.report = reports ? new Report(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
         switch (condition) {
-            case REFUSES_SILENTLY -> fate(flight, Ending.FULL, 10 * MS, 0);
-            case REFUSES_WITH_SHORT_WAIT -> fate(flight, Ending.FULL, 10 * MS, 300 * MS);
-            case REFUSES_WITH_LONG_WAIT -> fate(flight, Ending.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
-            case CONNECTS_FAIL -> fate(flight, Ending.NO_CONNECTION, 5 * MS, 0);
-            case CONNECTS_TIME_OUT -> fate(flight, Ending.NO_CONNECTION, S / 2, 0);
+            case REFUSES_SILENTLY -> fate(flight, AttemptResult.FULL, 10 * MS, 0);
+            case REFUSES_WITH_SHORT_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 300 * MS);
+            case REFUSES_WITH_LONG_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
+            case CONNECTS_FAIL -> fate(flight, AttemptResult.NO_CONNECTION, 5 * MS, 0);
+            case CONNECTS_TIME_OUT -> fate(flight, AttemptResult.NO_CONNECTION, S / 2, 0);
             case NO_ROOM_FOR_CONNECTIONS -> {
                 if (random.nextInt(3) > 0) {
-                    fate(flight, random.nextBoolean() ? Ending.NO_ROOM : Ending.NO_CONNECTION, 5 * MS, 0);
+                    fate(flight, random.nextBoolean() ? AttemptResult.NO_ROOM : AttemptResult.NO_CONNECTION, 5 * MS, 0);
                 }
             }
-            case ERRORS -> fate(flight, Ending.ERROR, 10 * MS, 0);
+            case ERRORS -> fate(flight, AttemptResult.ERROR, 10 * MS, 0);
             case HALF_FAIL -> {
                 if (random.nextBoolean()) {
-                    fate(flight, Ending.ERROR, 10 * MS, random.nextInt(8) == 0 ? 200 * MS : 0);
+                    fate(flight, AttemptResult.ERROR, 10 * MS, random.nextInt(8) == 0 ? 200 * MS : 0);
                 }
             }
             case MOST_FAIL -> {
                 if (random.nextInt(5) > 0) {
-                    fate(flight, Ending.ERROR, 10 * MS, 0);
+                    fate(flight, AttemptResult.ERROR, 10 * MS, 0);
                 }
             }
             case HANGS -> flight.endsAt = Long.MAX_VALUE;
             case SLOW -> flight.endsAt = now + 8 * (flight.endsAt - now);
-            case RESETS -> fate(flight, Ending.RESET, 30 * MS, 0);
+            case RESETS -> fate(flight, AttemptResult.RESET, 30 * MS, 0);
             case ANYTHING -> {
-                Ending any = Ending.values()[random.nextInt(Ending.values().length)];
-                fate(flight, any, 20 * MS, any == Ending.FULL ? random.nextInt(3) * 900 * MS : 0);
+                AttemptResult any = AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
+                fate(flight, any, 20 * MS, any == AttemptResult.FULL ? random.nextInt(3) * 900 * MS : 0);
             }
             default -> limitRate(flight, entry);
         }
     }
 
-    private void fate(Flight flight, Ending ending, long after, long waitMicros) {
+    private void fate(Flight flight, AttemptResult ending, long after, long waitMicros) {
         flight.ending = ending;
         flight.endsAt = now + after;
         flight.waitMicros = waitMicros;
@@ -280,7 +280,7 @@
     private void limitRate(Flight flight, Entry entry) {
         long gap = now - lastTaken.getOrDefault(entry.destination(), 0L);
         if (gap < 50 * MS && seed % 2 == 0 && random.nextInt(4) == 0) {
-            fate(flight, Ending.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
+            fate(flight, AttemptResult.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
             flight.report = new Report(0, 6);
         } else {
             lastTaken.put(entry.destination(), now);
@@ -292,7 +292,7 @@
             boolean answered = flight.endsAt <= now;
             for (int i = flight.ids.size() - 1; i >= 0; i--) {
                 if (answered || flight.dropsAt.get(i) <= now) {
-                    answer(events, flight, i, answered ? flight.ending : Ending.TIMED_OUT);
+                    answer(events, flight, i, answered ? flight.ending : AttemptResult.TIMED_OUT);
                     flight.ids.remove(i);
                     flight.attempts.remove(i);
                     flight.dropsAt.remove(i);
@@ -304,13 +304,13 @@
         }
     }
 
-    private void answer(List<Event> events, Flight flight, int place, Ending ending) {
+    private void answer(List<Event> events, Flight flight, int place, AttemptResult ending) {
         String id = flight.ids.get(place);
-        boolean over = ending == Ending.DELIVERED || random.nextInt(200) == 0;
+        boolean over = ending == AttemptResult.DELIVERED || random.nextInt(200) == 0;
         if (over) {
             open.remove(id);
         }
-        if (ending == Ending.WITHHELD) {
+        if (ending == AttemptResult.WITHHELD) {
             attempts.merge(id, -1, Integer::sum);
         }
         events.add(new Event.Outcome(
@@ -319,10 +319,10 @@
                 flight.attempts.get(place),
                 ending,
                 now - flight.sentAt,
-                ending == Ending.TIMED_OUT ? 0 : flight.waitMicros,
-                ending == Ending.NOT_SENT,
+                ending == AttemptResult.TIMED_OUT ? 0 : flight.waitMicros,
+                ending == AttemptResult.NOT_SENT,
                 over,
-                ending == Ending.TIMED_OUT ? null : flight.report));
+                ending == AttemptResult.TIMED_OUT ? null : flight.report));
     }
 
     private void arrivals(List<Event> events) {
@@ -365,7 +365,7 @@
             events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
         }
         if (random.nextInt(1_000) == 0) {
-            events.add(new Event.Probed("h0-0", Ending.DELIVERED, MS, null));
+            events.add(new Event.Probed("h0-0", AttemptResult.DELIVERED, MS, null));
             events.add(new Event.Heard(1, new byte[0]));
         }
         if (seed % 6 == 0 && now == end - 4 * S) {
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
@@ -96,7 +96,7 @@
         assertTrue(isReady(endpoint));
         fixture.call(fixture.message(SAFE), endpoint);
         assertTrue(isNeverReady(endpoint));
-        parts.connections.onCallEnded(endpoint, Ending.DELIVERED);
+        parts.connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         assertTrue(isReady(endpoint));
     }
 
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.Endpoint;
 import lilaclever.PolicyState.Message;
 import org.junit.jupiter.api.Test;
@@ -109,7 +109,7 @@
         Endpoint warm = fixture.endpoint();
         warm.callsInFlight = 1;
         assertEquals(otherZone, chosen(message), "both cost one call; the first of them");
-        parts.connections.onCallEnded(warm, Ending.DELIVERED);
+        parts.connections.onCallEnded(warm, AttemptResult.DELIVERED);
         assertEquals(warm, chosen(message));
         message.lastEndpoint = warm;
         assertEquals(warm, chosen(message), "half a call for being the last one is less than a connect");
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.Random;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
@@ -52,16 +52,16 @@
                 boolean lost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
                 if (late || !lost && random.nextInt(12) == 0) {
                     out.remove(call);
-                    Ending ending = late ? Ending.TIMED_OUT : Ending.values()[random.nextInt(Ending.values().length)];
+                    AttemptResult ending = late ? AttemptResult.TIMED_OUT : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
                     events.add(new Event.Outcome(
                             call.id,
                             call.host,
                             call.attempt,
                             ending,
                             rig.now - call.sentAt,
-                            ending == Ending.FULL ? random.nextInt(3) * 700 * MS : 0,
-                            ending == Ending.NOT_SENT,
-                            ending == Ending.DELIVERED,
+                            ending == AttemptResult.FULL ? random.nextInt(3) * 700 * MS : 0,
+                            ending == AttemptResult.NOT_SENT,
+                            ending == AttemptResult.DELIVERED,
                             random.nextBoolean() ? new Report(random.nextDouble(), random.nextInt(9)) : null));
                 }
             }
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -4,7 +4,7 @@
 import java.util.Arrays;
 import java.util.List;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
@@ -119,13 +119,13 @@
         return id;
     }
 
-    Rig outcome(String id, String host, int attempt, Ending ending) {
+    Rig outcome(String id, String host, int attempt, AttemptResult ending) {
         return outcome(id, host, attempt, ending, 0);
     }
 
-    Rig outcome(String id, String host, int attempt, Ending ending, long wait) {
+    Rig outcome(String id, String host, int attempt, AttemptResult ending, long wait) {
         return round(
-                new Event.Outcome(id, host, attempt, ending, 100 * MS, wait, false, ending == Ending.DELIVERED, null));
+                new Event.Outcome(id, host, attempt, ending, 100 * MS, wait, false, ending == AttemptResult.DELIVERED, null));
     }
 
     /** Hosts of the sends among the last actions, in order. */
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.MessageClass;
@@ -177,22 +177,22 @@
         }
         slots--;
         boolean ran = !e.ending().neverRan();
-        if (ran && e.ending() != Ending.DELIVERED && !m.mayHaveRun) {
+        if (ran && e.ending() != AttemptResult.DELIVERED && !m.mayHaveRun) {
             m.mayHaveRun = true;
             m.riskAt = m.sentAt;
             m.riskZone = hosts.get(m.outAt).zone;
         }
-        m.attempts -= e.ending() == Ending.WITHHELD ? 1 : 0; // it was none
+        m.attempts -= e.ending() == AttemptResult.WITHHELD ? 1 : 0; // it was none
         if (e.waitMicros() > 0) {
             waits.merge(limit(m.outAt), now + e.waitMicros(), Math::max);
         }
         if (m.key != null
-                && (e.ending() == Ending.TIMED_OUT || e.ending() == Ending.RESET || e.ending() == Ending.CANCELED)) {
+                && (e.ending() == AttemptResult.TIMED_OUT || e.ending() == AttemptResult.RESET || e.ending() == AttemptResult.CANCELED)) {
             keyRest.put(m.key, now + settings.rules().orderPauseMicros());
             keyRestOwner.put(m.key, m);
         }
         m.outAt = null;
-        m.over |= e.over() || e.ending() == Ending.DELIVERED;
+        m.over |= e.over() || e.ending() == AttemptResult.DELIVERED;
     }
 
     private void send(long now, Action.Send a, Set<String> waitsNow) {
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -200,9 +200,9 @@
     // ---- calls ------------------------------------------------------------------------------------------
     @Override
     public void start(Call call) {
-        DecisionModule.Ending ending = call.endpoint.destination() < firstDown
-                ? DecisionModule.Ending.DELIVERED
-                : DecisionModule.Ending.NO_CONNECTION;
+        DecisionModule.AttemptResult ending = call.endpoint.destination() < firstDown
+                ? DecisionModule.AttemptResult.DELIVERED
+                : DecisionModule.AttemptResult.NO_CONNECTION;
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(message -> core.outcome(call, message, ending, 0, false, false)));
     }
@@ -215,7 +215,7 @@
     public void giveUp(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(
-                message -> core.outcome(call, message, DecisionModule.Ending.NO_CONNECTION, 0, false, false)));
+                message -> core.outcome(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
     }
 
     @Override
@@ -225,7 +225,7 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        core.post(() -> core.probed(endpoint.host(), DecisionModule.Ending.NO_CONNECTION, 0));
+        core.post(() -> core.probed(endpoint.host(), DecisionModule.AttemptResult.NO_CONNECTION, 0));
     }
 
     @Override
