--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -122,8 +122,8 @@
     }
 
     /** A kind of destination: whether each endpoint has a limit of its own, and messages in a call at most. */
-    record Kind(boolean ownLimits, int batch) {
-        public Kind {
+    record EndpointKind(boolean ownLimits, int batch) {
+        public EndpointKind {
             require(batch > 0, "kinds.batch must be above 0");
         }
     }
@@ -185,7 +185,7 @@
             boolean reports,
             double overShareWorth,
             List<MessageClass> classes,
-            List<Kind> kinds,
+            List<EndpointKind> kinds,
             List<Tenant> tenants,
             Limits limits,
             Rules rules) {
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Kind;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.WeightMeaning;
@@ -104,7 +104,7 @@
         DestinationQueue queue = state.queues.computeIfAbsent(entry.destination(), d -> new DestinationQueue());
         boolean known =
                 entry.kind() >= 0 && entry.kind() < state.settings.kinds().size();
-        Kind kind = known ? state.settings.kinds().get(entry.kind()) : new Kind(false, 1);
+        EndpointKind kind = known ? state.settings.kinds().get(entry.kind()) : new EndpointKind(false, 1);
         if (queue.sharedLimit == null || kind.ownLimits()) {
             queue.sharedLimit = new DestinationLimit();
         }
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -65,7 +65,7 @@
         SettingsReader limits = child("limits");
         SettingsReader rules = child("rules");
         SettingsReader report = child("report");
-        List<DecisionModule.Kind> kinds = kinds(family);
+        List<DecisionModule.EndpointKind> kinds = kinds(family);
         List<DecisionModule.MessageClass> classes = messageClasses(family);
         List<DecisionModule.Tenant> tenants = new ArrayList<>();
         for (SettingsReader t : children("tenants")) {
@@ -112,12 +112,12 @@
                         rules.time("orderPauseS")));
     }
 
-    private static List<DecisionModule.Kind> kinds(SettingsReader family) throws WireException {
-        List<DecisionModule.Kind> kinds = new ArrayList<>();
+    private static List<DecisionModule.EndpointKind> kinds(SettingsReader family) throws WireException {
+        List<DecisionModule.EndpointKind> kinds = new ArrayList<>();
         JsonArray own = family.array("ownLimits");
         JsonArray batch = family.array("kindBatch");
         for (int i = 0; i < Math.max(own.size(), batch.size()); i++) {
-            kinds.add(new DecisionModule.Kind(
+            kinds.add(new DecisionModule.EndpointKind(
                     i < own.size() && own.get(i).getAsBoolean(),
                     i < batch.size() ? batch.get(i).getAsInt() : 1));
         }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -53,10 +53,10 @@
     private Deadlines.Key firstAnswerDue;
 
     /** What the settings call kinds and zones, in order, and what they say of each kind. */
-    public record Names(List<String> kinds, List<String> zones, List<DecisionModule.Kind> ofKinds) {
-        private static final DecisionModule.Kind UNKNOWN = new DecisionModule.Kind(false, 1);
+    public record Names(List<String> kinds, List<String> zones, List<DecisionModule.EndpointKind> ofKinds) {
+        private static final DecisionModule.EndpointKind UNKNOWN = new DecisionModule.EndpointKind(false, 1);
 
-        DecisionModule.Kind kind(int index) {
+        DecisionModule.EndpointKind kind(int index) {
             return index >= 0 && index < ofKinds.size() ? ofKinds.get(index) : UNKNOWN;
         }
     }
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -19,7 +19,7 @@
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
-import lilaclever.DecisionModule.Kind;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.Limits;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
@@ -123,7 +123,7 @@
                 true,
                 0.1,
                 classes(1),
-                List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5), new Kind(true, 3)),
+                List.of(new EndpointKind(false, 1), new EndpointKind(true, 1), new EndpointKind(false, 5), new EndpointKind(true, 3)),
                 List.of(new Tenant(0.5, 5), new Tenant(0.5, 2)),
                 limits,
                 new Rules(
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -8,7 +8,7 @@
 import lilaclever.DecisionModule.Entry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
-import lilaclever.DecisionModule.Kind;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
@@ -66,7 +66,7 @@
                         new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, KeyScope.ALL, 5 * S, false),
                         new MessageClass(2 * S, 20 * S, 1, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
                         new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, KeyScope.ZONE, 5 * S, false)),
-                List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5)),
+                List.of(new EndpointKind(false, 1), new EndpointKind(true, 1), new EndpointKind(false, 5)),
                 List.of(new DecisionModule.Tenant(0.5, 5), new DecisionModule.Tenant(0.5, 5)),
                 new DecisionModule.Limits(maxAttempts, maxOpen, slots, true, false, false, 1, S, 5 * S, true, 2 * S),
                 new DecisionModule.Rules(20 * MS, 10 * S, S, 0.2, 10 * S, 2.5, 3 * S, 100 * MS));
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -125,7 +125,7 @@
                 false,
                 0.1,
                 List.of(payment),
-                List.of(new DecisionModule.Kind(false, 1)),
+                List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(8, 200, 20, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
                 new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -86,7 +86,7 @@
                 false,
                 0.1,
                 List.of(repeatable),
-                List.of(new DecisionModule.Kind(false, 1)),
+                List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(
                         MAX_ATTEMPTS, mostHeld, SLOTS, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
