--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -122,7 +122,7 @@
     }
 
     /** A kind of destination: whether each endpoint has a limit of its own, and messages in a call at most. */
-    record EndpointKind(boolean ownLimits, int batch) {
+    record EndpointKind(boolean limitPerEndpoint, int batch) {
         public EndpointKind {
             require(batch > 0, "kinds.batch must be above 0");
         }
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -105,7 +105,7 @@
         boolean known =
                 entry.kind() >= 0 && entry.kind() < state.settings.kinds().size();
         EndpointKind kind = known ? state.settings.kinds().get(entry.kind()) : new EndpointKind(false, 1);
-        if (queue.sharedLimit == null || kind.ownLimits()) {
+        if (queue.sharedLimit == null || kind.limitPerEndpoint()) {
             queue.sharedLimit = new DestinationLimit();
         }
         DestinationLimit limit = queue.sharedLimit;
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -263,7 +263,7 @@
                         e.destination(),
                         e.zone(),
                         settings.kinds().get(e.kind()).batch(),
-                        settings.kinds().get(e.kind()).ownLimits(),
+                        settings.kinds().get(e.kind()).limitPerEndpoint(),
                         deliverer));
     }
 }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -206,7 +206,7 @@
                         endpoint.destination(),
                         zone,
                         names.kind(kind).batch(),
-                        names.kind(kind).ownLimits(),
+                        names.kind(kind).limitPerEndpoint(),
                         deliverer));
     }
 
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -153,7 +153,7 @@
             h.destination = entry.destination();
             h.zone = entry.zone();
             h.own = entry.kind() < settings.kinds().size()
-                    && settings.kinds().get(entry.kind()).ownLimits();
+                    && settings.kinds().get(entry.kind()).limitPerEndpoint();
             h.goneAt = entry.presence() == Presence.ACTIVE ? Long.MAX_VALUE : Math.min(h.goneAt, now);
         }
     }
