--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -122,9 +122,9 @@
     }
 
     /** A kind of destination: whether each endpoint has a limit of its own, and messages in a call at most. */
-    record EndpointKind(boolean limitPerEndpoint, int batch) {
+    record EndpointKind(boolean limitPerEndpoint, int maxBatchSize) {
         public EndpointKind {
-            require(batch > 0, "kinds.batch must be above 0");
+            require(maxBatchSize > 0, "kinds.batch must be above 0");
         }
     }
 
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -110,7 +110,7 @@
         }
         DestinationLimit limit = queue.sharedLimit;
         int number = known ? entry.kind() : 0;
-        Endpoint endpoint = new Endpoint(entry.host(), queue, limit, entry.zone(), number, kind.batch());
+        Endpoint endpoint = new Endpoint(entry.host(), queue, limit, entry.zone(), number, kind.maxBatchSize());
         endpoint.trialPause = OutageDetection.FIRST_TRIAL_PAUSE;
         takeOverHealth(endpoint);
         endpoints.put(entry.host(), endpoint);
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -262,7 +262,7 @@
                         e.host(),
                         e.destination(),
                         e.zone(),
-                        settings.kinds().get(e.kind()).batch(),
+                        settings.kinds().get(e.kind()).maxBatchSize(),
                         settings.kinds().get(e.kind()).limitPerEndpoint(),
                         deliverer));
     }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -205,7 +205,7 @@
                         endpoint.address(),
                         endpoint.destination(),
                         zone,
-                        names.kind(kind).batch(),
+                        names.kind(kind).maxBatchSize(),
                         names.kind(kind).limitPerEndpoint(),
                         deliverer));
     }
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -202,7 +202,7 @@
         int attempt = attempts.merge(send.id(), 1, Integer::sum) - 1;
         int kind = listed.get(send.host()).kind();
         boolean known = kind >= 0 && kind < settings.kinds().size();
-        int batch = known ? settings.kinds().get(kind).batch() : 1;
+        int batch = known ? settings.kinds().get(kind).maxBatchSize() : 1;
         Flight flight = batch > 1 ? batches.get(send.host()) : null;
         if (flight == null || flight.ids.size() >= batch) {
             flight = new Flight();
