--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -71,7 +71,7 @@
 
     /** Whether so many messages are open that one is to be refused. */
     boolean isNearlyFull() {
-        return state.openMessages > NEARLY_FULL * state.settings.limits().maxOpen();
+        return state.openMessages > NEARLY_FULL * state.settings.limits().maxOpenMessages();
     }
 
     /**
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -134,7 +134,7 @@
     /** What this relay may do. Slots are calls out at once; {@code maxOpen} counts messages held. */
     record Limits(
             int maxAttempts,
-            int maxOpen,
+            int maxOpenMessages,
             int slots,
             boolean cancel,
             boolean probing,
@@ -146,7 +146,7 @@
             long maxComeBackMicros) {
         public Limits {
             require(slots > 0, "limits.slots must be above 0");
-            require(maxOpen > 0, "limits.maxOpen must be above 0");
+            require(maxOpenMessages > 0, "limits.maxOpen must be above 0");
             require(maxAttempts > 0, "limits.maxAttempts must be above 0");
         }
     }
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -71,7 +71,7 @@
     private static JsonObject limits(DecisionModule.Limits l) {
         JsonObject o = new JsonObject();
         o.addProperty("maxAttempts", l.maxAttempts());
-        o.addProperty("openCap", l.maxOpen());
+        o.addProperty("openCap", l.maxOpenMessages());
         o.addProperty("cancel", l.cancel());
         o.addProperty("probing", l.probing());
         o.addProperty("streamsPerConn", l.callsPerConnection());
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -198,7 +198,7 @@
         DecisionModule.Limits l = s.limits();
         DecisionModule.Limits limits = new DecisionModule.Limits(
                 attempts,
-                l.maxOpen(),
+                l.maxOpenMessages(),
                 l.slots(),
                 l.cancel(),
                 l.probing(),
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -257,7 +257,7 @@
         if (ruling instanceof DuplicateCheck.Clash<Message, FinalStatus>) {
             return clash(m);
         }
-        if (closing || held.size() >= settings.limits().maxOpen()) {
+        if (closing || held.size() >= settings.limits().maxOpenMessages()) {
             turnDown(m, new FinalStatus(Kind.REFUSED, COME_BACK, "no room"));
             return m;
         }
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -131,7 +131,7 @@
                 s.tenants(),
                 new DecisionModule.Limits(
                         l.maxAttempts(),
-                        l.maxOpen(),
+                        l.maxOpenMessages(),
                         l.slots(),
                         false,
                         l.probing(),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -362,7 +362,7 @@
         if (random.nextInt(3_000) == 0) {
             Limits old = settings.limits();
             int maxAttempts = MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)];
-            events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
+            events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpenMessages())));
         }
         if (random.nextInt(1_000) == 0) {
             events.add(new Event.Probed("h0-0", AttemptResult.DELIVERED, MS, null));
