--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -96,7 +96,7 @@
      */
     long cancelOverdue(int wanted) {
         long next = NEVER;
-        int left = state.settings.limits().cancel() ? wanted : 0;
+        int left = state.settings.limits().mayCancel() ? wanted : 0;
         for (Call call : state.calls) {
             left -= call.cancelled ? 1 : 0;
         }
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -136,7 +136,7 @@
             int maxAttempts,
             int maxOpenMessages,
             int slots,
-            boolean cancel,
+            boolean mayCancel,
             boolean probing,
             boolean peers,
             int callsPerConnection,
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -72,7 +72,7 @@
         JsonObject o = new JsonObject();
         o.addProperty("maxAttempts", l.maxAttempts());
         o.addProperty("openCap", l.maxOpenMessages());
-        o.addProperty("cancel", l.cancel());
+        o.addProperty("cancel", l.mayCancel());
         o.addProperty("probing", l.probing());
         o.addProperty("streamsPerConn", l.callsPerConnection());
         o.addProperty("connectTimeoutS", l.connectTimeoutMicros() / 1e6);
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -200,7 +200,7 @@
                 attempts,
                 l.maxOpenMessages(),
                 l.slots(),
-                l.cancel(),
+                l.mayCancel(),
                 l.probing(),
                 l.peers(),
                 l.callsPerConnection(),
