--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -137,7 +137,7 @@
             int maxOpenMessages,
             int slots,
             boolean mayCancel,
-            boolean probing,
+            boolean mayProbe,
             boolean peers,
             int callsPerConnection,
             long connectTimeoutMicros,
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -73,7 +73,7 @@
         o.addProperty("maxAttempts", l.maxAttempts());
         o.addProperty("openCap", l.maxOpenMessages());
         o.addProperty("cancel", l.mayCancel());
-        o.addProperty("probing", l.probing());
+        o.addProperty("probing", l.mayProbe());
         o.addProperty("streamsPerConn", l.callsPerConnection());
         o.addProperty("connectTimeoutS", l.connectTimeoutMicros() / 1e6);
         o.addProperty("keepaliveS", l.keepAliveMicros() / 1e6);
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -201,7 +201,7 @@
                 l.maxOpenMessages(),
                 l.slots(),
                 l.mayCancel(),
-                l.probing(),
+                l.mayProbe(),
                 l.peers(),
                 l.callsPerConnection(),
                 l.connectTimeoutMicros(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -134,7 +134,7 @@
                         l.maxOpenMessages(),
                         l.slots(),
                         false,
-                        l.probing(),
+                        l.mayProbe(),
                         l.peers(),
                         l.callsPerConnection(),
                         l.connectTimeoutMicros(),
