--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -138,7 +138,7 @@
             int slots,
             boolean mayCancel,
             boolean mayProbe,
-            boolean peers,
+            boolean mayMessagePeers,
             int callsPerConnection,
             long connectTimeoutMicros,
             long keepAliveMicros,
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -202,7 +202,7 @@
                 l.slots(),
                 l.mayCancel(),
                 l.mayProbe(),
-                l.peers(),
+                l.mayMessagePeers(),
                 l.callsPerConnection(),
                 l.connectTimeoutMicros(),
                 l.keepAliveMicros(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -135,7 +135,7 @@
                         l.slots(),
                         false,
                         l.mayProbe(),
-                        l.peers(),
+                        l.mayMessagePeers(),
                         l.callsPerConnection(),
                         l.connectTimeoutMicros(),
                         l.keepAliveMicros(),
