--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -98,7 +98,7 @@
 
     /** After how long a refused client should come again: when its destination will have room; 0: no advice. */
     long comeBackAfter(DestinationQueue queue) {
-        if (!state.settings.limits().comeBack()) {
+        if (!state.settings.limits().sendsRetryAfter()) {
             return 0;
         }
         long wait = NEVER;
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -142,7 +142,7 @@
             int callsPerConnection,
             long connectTimeoutMicros,
             long keepAliveMicros,
-            boolean comeBack,
+            boolean sendsRetryAfter,
             long maxComeBackMicros) {
         public Limits {
             require(slots > 0, "limits.slots must be above 0");
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -77,7 +77,7 @@
         o.addProperty("streamsPerConn", l.callsPerConnection());
         o.addProperty("connectTimeoutS", l.connectTimeoutMicros() / 1e6);
         o.addProperty("keepaliveS", l.keepAliveMicros() / 1e6);
-        o.addProperty("retryAfter", l.comeBack());
+        o.addProperty("retryAfter", l.sendsRetryAfter());
         o.addProperty("maxRetryAfterS", l.maxComeBackMicros() / 1e6);
         return o;
     }
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -206,7 +206,7 @@
                 l.callsPerConnection(),
                 l.connectTimeoutMicros(),
                 l.keepAliveMicros(),
-                l.comeBack(),
+                l.sendsRetryAfter(),
                 l.maxComeBackMicros());
         return new Config(
                 name,
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -139,7 +139,7 @@
                         l.callsPerConnection(),
                         l.connectTimeoutMicros(),
                         l.keepAliveMicros(),
-                        l.comeBack(),
+                        l.sendsRetryAfter(),
                         l.maxComeBackMicros()),
                 s.rules());
     }
