--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -107,7 +107,7 @@
                 wait = Math.min(wait, roomAfter(endpoint));
             }
         }
-        return Math.min(wait, state.settings.limits().maxComeBackMicros());
+        return Math.min(wait, state.settings.limits().maxRetryAfterMicros());
     }
 
     private long roomAfter(Endpoint endpoint) {
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -143,7 +143,7 @@
             long connectTimeoutMicros,
             long keepAliveMicros,
             boolean sendsRetryAfter,
-            long maxComeBackMicros) {
+            long maxRetryAfterMicros) {
         public Limits {
             require(slots > 0, "limits.slots must be above 0");
             require(maxOpenMessages > 0, "limits.maxOpen must be above 0");
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -78,7 +78,7 @@
         o.addProperty("connectTimeoutS", l.connectTimeoutMicros() / 1e6);
         o.addProperty("keepaliveS", l.keepAliveMicros() / 1e6);
         o.addProperty("retryAfter", l.sendsRetryAfter());
-        o.addProperty("maxRetryAfterS", l.maxComeBackMicros() / 1e6);
+        o.addProperty("maxRetryAfterS", l.maxRetryAfterMicros() / 1e6);
         return o;
     }
 
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -207,7 +207,7 @@
                 l.connectTimeoutMicros(),
                 l.keepAliveMicros(),
                 l.sendsRetryAfter(),
-                l.maxComeBackMicros());
+                l.maxRetryAfterMicros());
         return new Config(
                 name,
                 listen,
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -140,7 +140,7 @@
                         l.connectTimeoutMicros(),
                         l.keepAliveMicros(),
                         l.sendsRetryAfter(),
-                        l.maxComeBackMicros()),
+                        l.maxRetryAfterMicros()),
                 s.rules());
     }
 }
