--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -154,7 +154,7 @@
     /** Figures of the rules that a relay must keep. */
     record Rules(
             long answerSlackMicros,
-            long askWithinMicros,
+            long watchWithinMicros,
             long drainGraceMicros,
             double coldFrom,
             long rampMicros,
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -69,7 +69,7 @@
     private void askLater() {
         askAt = state.settings.askForList() ? state.now + (long) (askPause * state.randomFactor()) : NEVER;
         // Half the time after which the rules take a forwarder that does not ask as told, spread included.
-        long longest = Math.min(LAST_ASK_PAUSE, state.settings.rules().askWithinMicros() / 3);
+        long longest = Math.min(LAST_ASK_PAUSE, state.settings.rules().watchWithinMicros() / 3);
         askPause = Math.min(askPause * 2, longest);
     }
 
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -85,7 +85,7 @@
     private static JsonObject rules(DecisionModule.Rules r) {
         JsonObject o = new JsonObject();
         o.addProperty("answerSlackS", r.answerSlackMicros() / 1e6);
-        o.addProperty("askWithinS", r.askWithinMicros() / 1e6);
+        o.addProperty("askWithinS", r.watchWithinMicros() / 1e6);
         o.addProperty("drainGraceS", r.drainGraceMicros() / 1e6);
         o.addProperty("coldFrom", r.coldFrom());
         o.addProperty("rampTimeS", r.rampMicros() / 1e6);
