--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -156,7 +156,7 @@
             long answerSlackMicros,
             long watchWithinMicros,
             long drainGraceMicros,
-            double coldFrom,
+            double initialCapacityShare,
             long rampMicros,
             double tipMultiple,
             long overloadMicros,
@@ -169,7 +169,7 @@
                             && orderPauseMicros >= 0
                             && answerSlackMicros >= 0,
                     "rules: times must not be negative");
-            require(coldFrom > 0 && tipMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
+            require(initialCapacityShare > 0 && tipMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
         }
     }
 
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -64,7 +64,7 @@
     private double budget(DestinationLimit limit, long age, boolean surelyOut) {
         Rules rules = state.settings.rules();
         double warmed = Math.min(1.0, age / (double) Math.max(1, rules.rampMicros()));
-        double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * warmed;
+        double warmth = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * warmed;
         double part = BUDGET_PART * rules.tipMultiple() * warmth;
         // Pauses grow by 1 / part of what it lasted: the first is so long that a third try is past its end.
         double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_PAUSE;
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -87,7 +87,7 @@
         o.addProperty("answerSlackS", r.answerSlackMicros() / 1e6);
         o.addProperty("askWithinS", r.watchWithinMicros() / 1e6);
         o.addProperty("drainGraceS", r.drainGraceMicros() / 1e6);
-        o.addProperty("coldFrom", r.coldFrom());
+        o.addProperty("coldFrom", r.initialCapacityShare());
         o.addProperty("rampTimeS", r.rampMicros() / 1e6);
         o.addProperty("tipMultiple", r.tipMultiple());
         o.addProperty("overloadForS", r.overloadMicros() / 1e6);
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -265,8 +265,8 @@
         private void count(int r, long now) {
             sent.add(new long[] {now, told.contains(r) ? 1 : 0});
             sent.removeIf(x -> x[0] <= now - rules.overloadMicros());
-            double warm = rules.coldFrom()
-                    + (1 - rules.coldFrom()) * Math.min(1, (now - backAt) / (double) rules.rampMicros());
+            double warm = rules.initialCapacityShare()
+                    + (1 - rules.initialCapacityShare()) * Math.min(1, (now - backAt) / (double) rules.rampMicros());
             double budget = rules.tipMultiple() * CAPACITY * warm * rules.overloadMicros() / S;
             long knowing = sent.stream().filter(x -> x[1] == 1).count();
             if (sent.size() > budget + 2 * Math.sqrt(budget) + 2 && knowing >= 2 * sent.size() / 3.0) {
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -283,7 +283,7 @@
         long sent = r.sends.stream().filter(t -> t > Math.max(from, r.at)).count();
         double since = (double) (now - r.at) / settings.rules().rampMicros();
         double present = r.capacity
-                * (settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * since);
+                * (settings.rules().initialCapacityShare() + (1 - settings.rules().initialCapacityShare()) * since);
         double most =
                 settings.rules().tipMultiple() * present * settings.rules().overloadMicros() / 1e6 + SLACK_CALLS;
         if (sent > most && !r.broken) {
