--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -158,7 +158,7 @@
             long drainGraceMicros,
             double initialCapacityShare,
             long rampMicros,
-            double tipMultiple,
+            double overloadMultiple,
             long overloadMicros,
             long orderPauseMicros) {
         public Rules {
@@ -169,7 +169,7 @@
                             && orderPauseMicros >= 0
                             && answerSlackMicros >= 0,
                     "rules: times must not be negative");
-            require(initialCapacityShare > 0 && tipMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
+            require(initialCapacityShare > 0 && overloadMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
         }
     }
 
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -65,7 +65,7 @@
         Rules rules = state.settings.rules();
         double warmed = Math.min(1.0, age / (double) Math.max(1, rules.rampMicros()));
         double warmth = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * warmed;
-        double part = BUDGET_PART * rules.tipMultiple() * warmth;
+        double part = BUDGET_PART * rules.overloadMultiple() * warmth;
         // Pauses grow by 1 / part of what it lasted: the first is so long that a third try is past its end.
         double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_PAUSE;
         double alone = SECOND / Math.max(shortest, limit.failingFor);
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -89,7 +89,7 @@
         o.addProperty("drainGraceS", r.drainGraceMicros() / 1e6);
         o.addProperty("coldFrom", r.initialCapacityShare());
         o.addProperty("rampTimeS", r.rampMicros() / 1e6);
-        o.addProperty("tipMultiple", r.tipMultiple());
+        o.addProperty("tipMultiple", r.overloadMultiple());
         o.addProperty("overloadForS", r.overloadMicros() / 1e6);
         return o;
     }
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -285,7 +285,7 @@
         double present = r.capacity
                 * (settings.rules().initialCapacityShare() + (1 - settings.rules().initialCapacityShare()) * since);
         double most =
-                settings.rules().tipMultiple() * present * settings.rules().overloadMicros() / 1e6 + SLACK_CALLS;
+                settings.rules().overloadMultiple() * present * settings.rules().overloadMicros() / 1e6 + SLACK_CALLS;
         if (sent > most && !r.broken) {
             r.broken = true;
             breach(now, "fail-back", limit + " is sent " + sent + " calls, more than " + most);
