--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -159,13 +159,13 @@
             double initialCapacityShare,
             long rampMicros,
             double overloadMultiple,
-            long overloadMicros,
+            long overloadWindowMicros,
             long orderPauseMicros) {
         public Rules {
             require(
                     drainGraceMicros >= 0
                             && rampMicros >= 0
-                            && overloadMicros >= 0
+                            && overloadWindowMicros >= 0
                             && orderPauseMicros >= 0
                             && answerSlackMicros >= 0,
                     "rules: times must not be negative");
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -144,7 +144,7 @@
     private void spreadReopening(DestinationLimit limit) {
         limit.failingFor = Math.max(LEAST_OUTAGE, limit.waitUntil - limit.failingSince);
         double pause =
-                SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadMicros());
+                SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadWindowMicros());
         limit.reopensAt = limit.waitUntil + (long) (state.random.nextDouble() * pause);
     }
 
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -90,7 +90,7 @@
         o.addProperty("coldFrom", r.initialCapacityShare());
         o.addProperty("rampTimeS", r.rampMicros() / 1e6);
         o.addProperty("tipMultiple", r.overloadMultiple());
-        o.addProperty("overloadForS", r.overloadMicros() / 1e6);
+        o.addProperty("overloadForS", r.overloadWindowMicros() / 1e6);
         return o;
     }
 
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -264,10 +264,10 @@
 
         private void count(int r, long now) {
             sent.add(new long[] {now, told.contains(r) ? 1 : 0});
-            sent.removeIf(x -> x[0] <= now - rules.overloadMicros());
+            sent.removeIf(x -> x[0] <= now - rules.overloadWindowMicros());
             double warm = rules.initialCapacityShare()
                     + (1 - rules.initialCapacityShare()) * Math.min(1, (now - backAt) / (double) rules.rampMicros());
-            double budget = rules.overloadMultiple() * CAPACITY * warm * rules.overloadMicros() / S;
+            double budget = rules.overloadMultiple() * CAPACITY * warm * rules.overloadWindowMicros() / S;
             long knowing = sent.stream().filter(x -> x[1] == 1).count();
             if (sent.size() > budget + 2 * Math.sqrt(budget) + 2 && knowing >= 2 * sent.size() / 3.0) {
                 breaches.add(sent.size() + " calls, " + knowing + " by relays that were told, for a budget of "
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -279,13 +279,13 @@
         if (now < r.at || now > r.at + settings.rules().rampMicros()) {
             return;
         }
-        long from = now - settings.rules().overloadMicros();
+        long from = now - settings.rules().overloadWindowMicros();
         long sent = r.sends.stream().filter(t -> t > Math.max(from, r.at)).count();
         double since = (double) (now - r.at) / settings.rules().rampMicros();
         double present = r.capacity
                 * (settings.rules().initialCapacityShare() + (1 - settings.rules().initialCapacityShare()) * since);
         double most =
-                settings.rules().overloadMultiple() * present * settings.rules().overloadMicros() / 1e6 + SLACK_CALLS;
+                settings.rules().overloadMultiple() * present * settings.rules().overloadWindowMicros() / 1e6 + SLACK_CALLS;
         if (sent > most && !r.broken) {
             r.broken = true;
             breach(now, "fail-back", limit + " is sent " + sent + " calls, more than " + most);
