--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -176,7 +176,7 @@
     /** All that a relay is told at its start. {@code askForList}: changes come only after {@link Action.Watch}. */
     record Settings(
             int self,
-            int relays,
+            int forwarders,
             int zone,
             int zones,
             long roundMicros,
@@ -191,7 +191,7 @@
             Rules rules) {
         public Settings {
             require(!classes.isEmpty(), "classes must not be empty");
-            require(relays > 0, "relays must be above 0");
+            require(forwarders > 0, "relays must be above 0");
         }
     }
 
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -158,7 +158,7 @@
     }
 
     private void detect(DestinationLimit limit, Endpoint endpoint) {
-        int seenByEach = Math.max(1, FAILURES_IN_FLEET / state.settings.relays());
+        int seenByEach = Math.max(1, FAILURES_IN_FLEET / state.settings.forwarders());
         int needed = transientFailures.callsOftenLost() ? FAILURES_IN_ROW : Math.min(FAILURES_IN_ROW, seenByEach);
         if (limit.severalFail && limit.failuresInRow >= needed) {
             limit.endpoints.stream().filter(each -> each.failuresInRow > 0).forEach(this::beginOutage);
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -55,7 +55,7 @@
     PolicyState(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.largeFleet = settings.relays() > LARGE_FLEET;
+        this.largeFleet = settings.forwarders() > LARGE_FLEET;
     }
 
     /** Draws a random factor from 0.5 to 1.5. */
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -68,7 +68,7 @@
 
     /** This forwarder's even share of a limit, calls a second: of its told rate, or a guess where none is told. */
     double evenShare(DestinationLimit limit) {
-        int forwarders = state.settings.relays();
+        int forwarders = state.settings.forwarders();
         double guess = Math.max(UNTOLD_RATE / forwarders, PART_OF_MEAN * usual(allDestinations) / state.queues.size());
         return limit.toldRate > 0 ? limit.toldRate / forwarders : guess;
     }
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -39,7 +39,7 @@
     private static JsonObject settings(Scenario s, DecisionModule.Settings t) {
         JsonObject o = new JsonObject();
         o.addProperty("me", t.self());
-        o.addProperty("groupSize", t.relays());
+        o.addProperty("groupSize", t.forwarders());
         o.addProperty("az", 0);
         o.addProperty("roundS", t.roundMicros() / 1e6);
         o.addProperty("discovery", "push");
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -219,7 +219,7 @@
                 sockets,
                 new DecisionModule.Settings(
                         s.self(),
-                        s.relays(),
+                        s.forwarders(),
                         s.zone(),
                         s.zones(),
                         s.roundMicros(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -118,7 +118,7 @@
         DecisionModule.Limits l = s.limits();
         return new DecisionModule.Settings(
                 s.self(),
-                s.relays(),
+                s.forwarders(),
                 s.zone(),
                 s.zones(),
                 s.roundMicros(),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -99,7 +99,7 @@
         this.random = new Random(seed);
         this.settings = settings();
         this.module = DecisionModule.create(settings, seed);
-        this.arrivalsPerSecond = settings.relays() > 16 ? 1 + random.nextInt(6) : 4 + random.nextInt(30);
+        this.arrivalsPerSecond = settings.forwarders() > 16 ? 1 + random.nextInt(6) : 4 + random.nextInt(30);
         try {
             this.digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -376,7 +376,7 @@
     private Event renewed(List<MessageClass> classes, Limits limits) {
         settings = new Settings(
                 settings.self(),
-                settings.relays(),
+                settings.forwarders(),
                 settings.zone(),
                 settings.zones(),
                 settings.roundMicros(),
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -45,7 +45,7 @@
         Settings s = Rig.settings(4, 50, 6, false);
         return new Settings(
                 s.self(),
-                s.relays(),
+                s.forwarders(),
                 s.zone(),
                 s.zones(),
                 s.roundMicros(),
