--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -180,7 +180,7 @@
             int zone,
             int zones,
             long roundMicros,
-            boolean askForList,
+            boolean mustWatchList,
             WeightMeaning weights,
             boolean reports,
             double overShareWorth,
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -46,7 +46,7 @@
     void onListing(Event.Listing listing) {
         if (!started) {
             started = true;
-            askAt = state.settings.askForList() ? state.now : NEVER;
+            askAt = state.settings.mustWatchList() ? state.now : NEVER;
         }
         if (listing.kind() == ListingKind.REFUSED) {
             askLater();
@@ -67,7 +67,7 @@
 
     /** The directory may be busy with every forwarder's call: ask later and later, spread by chance. */
     private void askLater() {
-        askAt = state.settings.askForList() ? state.now + (long) (askPause * state.randomFactor()) : NEVER;
+        askAt = state.settings.mustWatchList() ? state.now + (long) (askPause * state.randomFactor()) : NEVER;
         // Half the time after which the rules take a forwarder that does not ask as told, spread included.
         long longest = Math.min(LAST_ASK_PAUSE, state.settings.rules().watchWithinMicros() / 3);
         askPause = Math.min(askPause * 2, longest);
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -223,7 +223,7 @@
                         s.zone(),
                         s.zones(),
                         s.roundMicros(),
-                        s.askForList(),
+                        s.mustWatchList(),
                         s.weights(),
                         s.reports(),
                         s.overShareWorth(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -122,7 +122,7 @@
                 s.zone(),
                 s.zones(),
                 s.roundMicros(),
-                s.askForList(),
+                s.mustWatchList(),
                 s.weights(),
                 s.reports(),
                 s.overShareWorth(),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -380,7 +380,7 @@
                 settings.zone(),
                 settings.zones(),
                 settings.roundMicros(),
-                settings.askForList(),
+                settings.mustWatchList(),
                 settings.weights(),
                 settings.reports(),
                 settings.overShareWorth(),
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -49,7 +49,7 @@
                 s.zone(),
                 s.zones(),
                 s.roundMicros(),
-                s.askForList(),
+                s.mustWatchList(),
                 weights,
                 s.reports(),
                 s.overShareWorth(),
