--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -181,7 +181,7 @@
             int zones,
             long roundMicros,
             boolean mustWatchList,
-            WeightMeaning weights,
+            WeightMeaning weightMeaning,
             boolean reports,
             double overShareWorth,
             List<MessageClass> classes,
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -93,7 +93,7 @@
     }
 
     private void takeRate(DestinationLimit limit, double weight) {
-        WeightMeaning weights = state.settings.weights();
+        WeightMeaning weights = state.settings.weightMeaning();
         if (weights != WeightMeaning.NONE && weight > 0 && !limit.rateReported) {
             // A rough figure may be half too high; what the destination reports itself is better.
             limit.toldRate = weight / (weights == WeightMeaning.APPROXIMATE ? MOST_ROUGH_FACTOR : 1);
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -224,7 +224,7 @@
                         s.zones(),
                         s.roundMicros(),
                         s.mustWatchList(),
-                        s.weights(),
+                        s.weightMeaning(),
                         s.reports(),
                         s.overShareWorth(),
                         table.classes(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -123,7 +123,7 @@
                 s.zones(),
                 s.roundMicros(),
                 s.mustWatchList(),
-                s.weights(),
+                s.weightMeaning(),
                 s.reports(),
                 s.overShareWorth(),
                 s.classes(),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -381,7 +381,7 @@
                 settings.zones(),
                 settings.roundMicros(),
                 settings.mustWatchList(),
-                settings.weights(),
+                settings.weightMeaning(),
                 settings.reports(),
                 settings.overShareWorth(),
                 classes,
