--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -182,7 +182,7 @@
             long roundMicros,
             boolean mustWatchList,
             WeightMeaning weightMeaning,
-            boolean reports,
+            boolean limitReports,
             double overShareWorth,
             List<MessageClass> classes,
             List<EndpointKind> kinds,
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -225,7 +225,7 @@
                         s.roundMicros(),
                         s.mustWatchList(),
                         s.weightMeaning(),
-                        s.reports(),
+                        s.limitReports(),
                         s.overShareWorth(),
                         table.classes(),
                         s.kinds(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -124,7 +124,7 @@
                 s.roundMicros(),
                 s.mustWatchList(),
                 s.weightMeaning(),
-                s.reports(),
+                s.limitReports(),
                 s.overShareWorth(),
                 s.classes(),
                 s.kinds(),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -382,7 +382,7 @@
                 settings.roundMicros(),
                 settings.mustWatchList(),
                 settings.weightMeaning(),
-                settings.reports(),
+                settings.limitReports(),
                 settings.overShareWorth(),
                 classes,
                 settings.kinds(),
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -51,7 +51,7 @@
                 s.roundMicros(),
                 s.mustWatchList(),
                 weights,
-                s.reports(),
+                s.limitReports(),
                 s.overShareWorth(),
                 s.classes(),
                 s.kinds(),
