--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -183,7 +183,7 @@
             boolean mustWatchList,
             WeightMeaning weightMeaning,
             boolean limitReports,
-            double overShareWorth,
+            double overQuotaWorthFactor,
             List<MessageClass> classes,
             List<EndpointKind> kinds,
             List<Tenant> tenants,
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -164,7 +164,7 @@
         message.acceptedAt = state.now - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
         message.deadline = state.now + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
-        message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overShareWorth() : 1);
+        message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
         if (kind.ordered() && event.key() != null) {
             keyOrder.add(message, event.key());
         }
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -44,7 +44,7 @@
         o.addProperty("roundS", t.roundMicros() / 1e6);
         o.addProperty("discovery", "push");
         o.addProperty("weights", "off");
-        o.addProperty("overShareWorth", t.overShareWorth());
+        o.addProperty("overShareWorth", t.overQuotaWorthFactor());
         JsonArray shapes = new JsonArray(), zones = new JsonArray(), batch = new JsonArray(), own = new JsonArray();
         for (PartnerKind k : s.kinds()) {
             shapes.add(k.name());
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -226,7 +226,7 @@
                         s.mustWatchList(),
                         s.weightMeaning(),
                         s.limitReports(),
-                        s.overShareWorth(),
+                        s.overQuotaWorthFactor(),
                         table.classes(),
                         s.kinds(),
                         s.tenants(),
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -125,7 +125,7 @@
                 s.mustWatchList(),
                 s.weightMeaning(),
                 s.limitReports(),
-                s.overShareWorth(),
+                s.overQuotaWorthFactor(),
                 s.classes(),
                 s.kinds(),
                 s.tenants(),
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -383,7 +383,7 @@
                 settings.mustWatchList(),
                 settings.weightMeaning(),
                 settings.limitReports(),
-                settings.overShareWorth(),
+                settings.overQuotaWorthFactor(),
                 classes,
                 settings.kinds(),
                 settings.tenants(),
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -52,7 +52,7 @@
                 s.mustWatchList(),
                 weights,
                 s.limitReports(),
-                s.overShareWorth(),
+                s.overQuotaWorthFactor(),
                 s.classes(),
                 s.kinds(),
                 s.tenants(),
