--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -202,7 +202,7 @@
     }
 
     /** One endpoint in a listing. */
-    record Entry(
+    record EndpointEntry(
             String host, int destination, int zone, int kind, Presence presence, double weight, long sinceMicros) {}
 
     /** What a destination told of its limit: share of the allowance left, and calls a second; 0 where unknown. */
@@ -214,7 +214,7 @@
     /** What has happened. */
     sealed interface Event {
         /** News of the list of endpoints. */
-        record Listing(ListingKind kind, long version, List<Entry> entries) implements Event {}
+        record Listing(ListingKind kind, long version, List<EndpointEntry> entries) implements Event {}
 
         /**
          * A new message; {@code key} is null where the class keeps no order. {@code prior} is null but for one that
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -3,7 +3,7 @@
 import static lilaclever.PolicyState.NEVER;
 
 import java.util.Map;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.ListingKind;
@@ -73,7 +73,7 @@
         askPause = Math.min(askPause * 2, longest);
     }
 
-    private void take(Entry entry) {
+    private void take(EndpointEntry entry) {
         Endpoint endpoint = endpoints.get(entry.host());
         if (endpoint != null && endpoint.queue != state.queues.get(entry.destination())) {
             // It serves another destination now, and is a new endpoint there. Calls in flight keep the old one.
@@ -100,7 +100,7 @@
         }
     }
 
-    private Endpoint add(Entry entry) {
+    private Endpoint add(EndpointEntry entry) {
         DestinationQueue queue = state.queues.computeIfAbsent(entry.destination(), d -> new DestinationQueue());
         boolean known =
                 entry.kind() >= 0 && entry.kind() < state.settings.kinds().size();
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -22,7 +22,7 @@
     private static final int MARK_INHERITED = 16;
 
     private final BufferedReader in;
-    private final Map<Integer, List<Entry>> lists = new LinkedHashMap<>();
+    private final Map<Integer, List<EndpointEntry>> lists = new LinkedHashMap<>();
     private long lineNumber;
 
     /** One relay from its start on, with its events of this batch. */
@@ -120,7 +120,7 @@
             throw new WireException(lineNumber, "slot", "not from 0 to " + (LISTS - 1));
         }
         int count = f.number("members");
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String text = line();
             if (text == null) {
@@ -136,7 +136,7 @@
             String host = item.text("host");
             double weight = item.real("powerHint");
             int dest = item.number("dest");
-            entries.add(new Entry(host, dest, item.number("az"), kind, presence, weight, since));
+            entries.add(new EndpointEntry(host, dest, item.number("az"), kind, presence, weight, since));
         }
         lists.put(slot, List.copyOf(entries));
     }
@@ -158,7 +158,7 @@
         if (kind == ListingKind.REFUSED) {
             return new Event.Listing(kind, version, List.of());
         }
-        List<Entry> entries;
+        List<EndpointEntry> entries;
         try {
             entries = lists.get(Integer.parseInt(slot));
         } catch (NumberFormatException e) {
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -190,7 +190,7 @@
     private Core.Listed listed(EndpointList.Endpoint endpoint) {
         int kind = names.kinds().indexOf(endpoint.type());
         int zone = Math.max(0, names.zones().indexOf(endpoint.zone()));
-        DecisionModule.Entry entry = new DecisionModule.Entry(
+        DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
                 endpoint.name(),
                 endpoint.destination(),
                 zone,
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -37,11 +37,11 @@
     private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - micros();
 
     /** An endpoint as the directory lists it. */
-    public record Listed(DecisionModule.Entry entry, Call.Endpoint endpoint) {
+    public record Listed(DecisionModule.EndpointEntry entry, Call.Endpoint endpoint) {
         /** The same endpoint with another presence. */
         public Listed withPresence(DecisionModule.Presence presence) {
             return new Listed(
-                    new DecisionModule.Entry(
+                    new DecisionModule.EndpointEntry(
                             entry.host(),
                             entry.destination(),
                             entry.zone(),
@@ -316,7 +316,7 @@
             all.forEach(x -> old.remove(x.entry().host()));
             old.values().forEach(x -> x.deliverer().closeIdle(x));
         }
-        List<DecisionModule.Entry> entries = new ArrayList<>();
+        List<DecisionModule.EndpointEntry> entries = new ArrayList<>();
         for (Listed x : all) {
             entries.add(x.entry());
             Call.Endpoint before = endpoints.put(x.entry().host(), x.endpoint());
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -16,7 +16,7 @@
 import java.util.TreeSet;
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.EndpointKind;
@@ -82,7 +82,7 @@
     private final Map<String, Integer> attempts = new HashMap<>();
     private final List<String> open = new ArrayList<>();
     private final List<Flight> flights = new ArrayList<>();
-    private final Map<String, Entry> listed = new HashMap<>();
+    private final Map<String, EndpointEntry> listed = new HashMap<>();
     private final Map<String, Condition> conditions = new HashMap<>();
     private final Map<Integer, Long> lastTaken = new HashMap<>();
     final Set<String> kindsOfActions = new TreeSet<>();
@@ -231,7 +231,7 @@
 
     private void decideFate(Flight flight) {
         Condition condition = conditions.getOrDefault(flight.host, Condition.WELL);
-        Entry entry = listed.get(flight.host);
+        EndpointEntry entry = listed.get(flight.host);
         long base = (15 + 40 * entry.destination()) * MS;
         flight.endsAt = now + base / 2 + (long) (base * random.nextDouble());
         flight.ending = AttemptResult.DELIVERED;
@@ -277,7 +277,7 @@
     }
 
     /** A destination that is well takes a call each 50 ms or so, and refuses what comes closer together. */
-    private void limitRate(Flight flight, Entry entry) {
+    private void limitRate(Flight flight, EndpointEntry entry) {
         long gap = now - lastTaken.getOrDefault(entry.destination(), 0L);
         if (gap < 50 * MS && seed % 2 == 0 && random.nextInt(4) == 0) {
             fate(flight, AttemptResult.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
@@ -353,7 +353,7 @@
     private void rareEvents(List<Event> events, long end) {
         if (random.nextInt(700) == 0) {
             ListingKind kind = ListingKind.values()[random.nextInt(4)];
-            List<Entry> entries = kind == ListingKind.REFUSED ? List.of() : entries(true);
+            List<EndpointEntry> entries = kind == ListingKind.REFUSED ? List.of() : entries(true);
             events.add(new Event.Listing(kind, names, entries));
         }
         if (random.nextInt(500) == 0 && !open.isEmpty()) {
@@ -414,8 +414,8 @@
         }
     }
 
-    private List<Entry> entries(boolean changing) {
-        List<Entry> entries = new ArrayList<>();
+    private List<EndpointEntry> entries(boolean changing) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int destination = 0; destination < DESTINATIONS; destination++) {
             for (int host = 0; host < 3; host++) {
                 if (changing ? random.nextInt(3) > 0 : host < 2) {
@@ -427,13 +427,13 @@
         return entries;
     }
 
-    private Entry entry(int destination, int host, boolean changing) {
+    private EndpointEntry entry(int destination, int host, boolean changing) {
         Presence presence = changing && random.nextInt(4) == 0
                 ? Presence.values()[random.nextInt(Presence.values().length)]
                 : Presence.ACTIVE;
         // The third host of each destination moves to the next one at times; kinds go with the destination.
         int serves = host == 2 && random.nextInt(6) == 0 ? (destination + 1) % DESTINATIONS : destination;
         int kind = seed % 8 == 2 && serves == 0 ? settings.kinds().size() : serves;
-        return new Entry("h" + destination + "-" + host, serves, host % 2, kind, presence, 3 + serves, 0);
+        return new EndpointEntry("h" + destination + "-" + host, serves, host % 2, kind, presence, 3 + serves, 0);
     }
 }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -17,7 +17,7 @@
 import java.util.Map;
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -317,7 +317,7 @@
     // ---- drains and lists ----
     @Test
     void aLeavingHostGetsNothingNew() {
-        rig.list(ListingKind.CHANGES, new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
+        rig.list(ListingKind.CHANGES, new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
         rig.submit(SAFE, 1);
         assertEquals(List.of(), rig.sentTo());
         rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0));
@@ -383,7 +383,7 @@
     /** One message for each of so many destinations, all handed in and sent in one round; then what is out hangs. */
     private List<String> sentTogether(int slots, int messageClass) {
         rig = new Rig(Rig.settings(slots, 100, 6, false));
-        Entry[] entries = new Entry[10];
+        EndpointEntry[] entries = new EndpointEntry[10];
         for (int d = 0; d < entries.length; d++) {
             entries[d] = Rig.entry("h" + d, d, 0, 0);
         }
@@ -782,19 +782,19 @@
         }
         tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, ending));
         answerAll(tries, 10 * S, ending);
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0), new Entry("a1", 1, 0, 0, old, 1, 0));
+        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0), new EndpointEntry("a1", 1, 0, 0, old, 1, 0));
         assertTrue(rig.sentTo().size() <= 1, rig.sentTo().toString());
     }
 
     @Test
     void aReplacedHostIsUsedOnlyOnceListedAndTheOldOneNoMore() {
         rig = new Rig(Rig.settings(10, 400, 12, false, 200));
-        DecisionModule.Entry[] many = new DecisionModule.Entry[300];
+        DecisionModule.EndpointEntry[] many = new DecisionModule.EndpointEntry[300];
         for (int i = 0; i < many.length; i++) {
             many[i] = Rig.entry("h" + i, i, i % 2, 0);
         }
         rig.list(ListingKind.REMEMBERED, many);
-        rig.list(ListingKind.CHANGES, new DecisionModule.Entry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
+        rig.list(ListingKind.CHANGES, new DecisionModule.EndpointEntry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
         String id = rig.submit(SAFE, 7);
         assertFalse(rig.sent(id), "its only host has gone");
         rig.list(ListingKind.CHANGES, Rig.entry("new", 7, 1, 0));
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -33,12 +33,12 @@
         directory = new EndpointDirectory(fixture.state, endpoints);
     }
 
-    private void list(ListingKind kind, Entry... entries) {
+    private void list(ListingKind kind, EndpointEntry... entries) {
         directory.onListing(new Event.Listing(kind, 1, List.of(entries)));
     }
 
-    private static Entry leaving(String host, int destination) {
-        return new Entry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
+    private static EndpointEntry leaving(String host, int destination) {
+        return new EndpointEntry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
     }
 
     private static Settings withWeights(WeightMeaning weights) {
@@ -145,16 +145,16 @@
     @Test
     void weightsAreRatesUntilTheDestinationReportsItself() {
         use(withWeights(WeightMeaning.EXACT));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(6, fixture.limit.toldRate);
         use(withWeights(WeightMeaning.APPROXIMATE));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(4, fixture.limit.toldRate, "it may be half too high");
         fixture.limit.rateReported = true;
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
         assertEquals(4, fixture.limit.toldRate);
         use(withWeights(WeightMeaning.NONE));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(0, fixture.limit.toldRate);
     }
 
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -97,15 +97,15 @@
         return rig;
     }
 
-    private static Entry[] entries(Random random, boolean changing) {
-        List<Entry> entries = new ArrayList<>();
+    private static EndpointEntry[] entries(Random random, boolean changing) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int h = 0; h < HOSTS.length; h++) {
             if (!changing || random.nextBoolean()) {
                 Presence presence = changing ? Presence.values()[random.nextInt(3)] : Presence.ACTIVE;
-                entries.add(new Entry(HOSTS[h], h % 3, h / 3, h % 3, presence, 1 + h, 0));
+                entries.add(new EndpointEntry(HOSTS[h], h % 3, h / 3, h % 3, presence, 1 + h, 0));
             }
         }
-        return entries.toArray(new Entry[0]);
+        return entries.toArray(new EndpointEntry[0]);
     }
 
     @ParameterizedTest
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.EndpointKind;
@@ -81,8 +81,8 @@
         checker = new RuleChecker(settings);
     }
 
-    static Entry entry(String host, int destination, int zone, int kind) {
-        return new Entry(host, destination, zone, kind, Presence.ACTIVE, 1, 0);
+    static EndpointEntry entry(String host, int destination, int zone, int kind) {
+        return new EndpointEntry(host, destination, zone, kind, Presence.ACTIVE, 1, 0);
     }
 
     Rig round(Event... events) {
@@ -92,7 +92,7 @@
         return this;
     }
 
-    Rig list(ListingKind kind, Entry... entries) {
+    Rig list(ListingKind kind, EndpointEntry... entries) {
         return round(new Event.Listing(kind, 1, List.of(entries)));
     }
 
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -148,7 +148,7 @@
                 }
             });
         }
-        for (DecisionModule.Entry entry : e.entries()) {
+        for (DecisionModule.EndpointEntry entry : e.entries()) {
             HostSeen h = hosts.computeIfAbsent(entry.host(), k -> new HostSeen());
             h.destination = entry.destination();
             h.zone = entry.zone();
--- a/src/test/java/lilaclever/RuleCheckerTest.java
+++ b/src/test/java/lilaclever/RuleCheckerTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -145,7 +145,7 @@
     @Test
     void findsASendToADrainedHost() {
         take("m", Rig.SAFE);
-        events(new Event.Listing(ListingKind.CHANGES, 2, List.of(new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
+        events(new Event.Listing(ListingKind.CHANGES, 2, List.of(new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
         now += S + 1;
         send("m", "a1");
         assertBreach("drain");
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -107,7 +107,7 @@
 
     private Core.Listed listed(String name, Presence presence) {
         return new Core.Listed(
-                new DecisionModule.Entry(name, DESTINATION, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(name, DESTINATION, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, "127.0.0.1:9", DESTINATION, 0, 1, false, deliverer));
     }
 
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -102,7 +102,7 @@
     private Core.Listed listed(int destination, DecisionModule.Presence presence) {
         String host = "endpoint-" + destination;
         return new Core.Listed(
-                new DecisionModule.Entry(host, destination, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(host, destination, 0, 0, presence, 1, 0),
                 new Call.Endpoint(host, "127.0.0.1:9", destination, 0, 1, false, this));
     }
 
