--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -206,7 +206,7 @@
             String host, int destination, int zone, int kind, Presence presence, double weight, long sinceMicros) {}
 
     /** What a destination told of its limit: share of the allowance left, and calls a second; 0 where unknown. */
-    record Report(double left, double perSecond) {}
+    record LimitReport(double left, double perSecond) {}
 
     /** Attempts of an earlier life, maybe none; if one may have run: where and when the first of these was sent. */
     record Prior(int attempts, boolean mayHaveRun, String riskHost, int riskZone, long riskAtMicros) {}
@@ -267,11 +267,11 @@
                 long waitMicros,
                 boolean noSlot,
                 boolean over,
-                Report report)
+                LimitReport report)
                 implements Event {}
 
         /** A probe ended. */
-        record Probed(String host, AttemptResult ending, long elapsedMicros, Report report) implements Event {}
+        record Probed(String host, AttemptResult ending, long elapsedMicros, LimitReport report) implements Event {}
 
         /** A timer of {@link Action.Wake} has come. */
         record Timer(long token) implements Event {}
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -4,7 +4,7 @@
 import static lilaclever.PolicyState.NEVER;
 import static lilaclever.PolicyState.SECOND;
 
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 
@@ -70,7 +70,7 @@
     }
 
     /** Takes over what a destination reports of its limit, if it does; {@code report} may be null. */
-    void onReport(DestinationLimit limit, Report report) {
+    void onReport(DestinationLimit limit, LimitReport report) {
         if (report != null && report.perSecond() > 0) {
             limit.toldRate = report.perSecond();
             limit.rateReported = true;
@@ -95,7 +95,7 @@
     }
 
     /** A call was refused as full, with a wait told (microseconds, 0 for none) and maybe a report (else null). */
-    void onRefused(DestinationLimit limit, Endpoint endpoint, long waitMicros, Report report) {
+    void onRefused(DestinationLimit limit, Endpoint endpoint, long waitMicros, LimitReport report) {
         countAsOutage(limit, report);
         if (state.now >= limit.throttledUntil) {
             limit.throttledRate = PART_OF_RECENT * limit.recentRate / PART_OF_RATE;
@@ -122,7 +122,7 @@
      * second refusal in a row, or the first with nothing left, sets the pace of an outage. Few forwarders see each
      * destination often enough to tell an outage by its length.
      */
-    private void countAsOutage(DestinationLimit limit, Report report) {
+    private void countAsOutage(DestinationLimit limit, LimitReport report) {
         limit.exhausted = report != null && report.perSecond() > 0 && report.left() <= 0;
         if (limit.exhausted) {
             limit.refusalsAsOutage += 2;
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -13,7 +13,7 @@
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 
 /** Reads batches of events off the wire. */
 final class WireReader {
@@ -365,7 +365,7 @@
             }
         }
 
-        Report report(String field) throws WireException {
+        LimitReport report(String field) throws WireException {
             String part = optional(field);
             if (part == null) {
                 return null;
@@ -388,7 +388,7 @@
                     limit = value;
                 }
             }
-            return new Report(left, limit);
+            return new LimitReport(left, limit);
         }
     }
 }
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -26,7 +26,7 @@
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.Prior;
 import lilaclever.DecisionModule.RepeatSafety;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.Rules;
 import lilaclever.DecisionModule.Settings;
 import lilaclever.DecisionModule.Tenant;
@@ -68,7 +68,7 @@
         long endsAt;
         AttemptResult ending;
         long waitMicros;
-        Report report;
+        LimitReport report;
         final List<String> ids = new ArrayList<>();
         final List<Integer> attempts = new ArrayList<>();
         final List<Long> dropsAt = new ArrayList<>();
@@ -236,7 +236,7 @@
         flight.endsAt = now + base / 2 + (long) (base * random.nextDouble());
         flight.ending = AttemptResult.DELIVERED;
         boolean reports = entry.destination() % 2 == 0;
-        flight.report = reports ? new Report(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
+        flight.report = reports ? new LimitReport(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
         switch (condition) {
             case REFUSES_SILENTLY -> fate(flight, AttemptResult.FULL, 10 * MS, 0);
             case REFUSES_WITH_SHORT_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 300 * MS);
@@ -281,7 +281,7 @@
         long gap = now - lastTaken.getOrDefault(entry.destination(), 0L);
         if (gap < 50 * MS && seed % 2 == 0 && random.nextInt(4) == 0) {
             fate(flight, AttemptResult.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
-            flight.report = new Report(0, 6);
+            flight.report = new LimitReport(0, 6);
         } else {
             lastTaken.put(entry.destination(), now);
         }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -731,7 +731,7 @@
                             300 * MS,
                             false,
                             false,
-                            new DecisionModule.Report(left, 10)));
+                            new DecisionModule.LimitReport(left, 10)));
                 }
             }
         }
@@ -767,7 +767,7 @@
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         String id = rig.submit(SAFE, 1);
         rig.round(
-                new Event.Outcome(id, "a1", 0, AttemptResult.FULL, 5 * MS, 0, false, false, new DecisionModule.Report(0, 10)));
+                new Event.Outcome(id, "a1", 0, AttemptResult.FULL, 5 * MS, 0, false, false, new DecisionModule.LimitReport(0, 10)));
         assertTrue(pauseUntilSent(id, 19 * S) >= 100 / (0.7 * 10) * S, "no more than 0.7 of the even share");
     }
 
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
@@ -150,7 +150,7 @@
 
     @Test
     void withNothingLeftTheFleetKeepsToPartOfTheRate() {
-        Report exhausted = new Report(0, 2);
+        LimitReport exhausted = new LimitReport(0, 2);
         limits.onReport(limit, exhausted);
         limits.onRefused(limit, endpoint, 0, exhausted);
         limit.lastSentAt = fixture.state.now;
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -18,7 +18,7 @@
 import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -30,7 +30,7 @@
     private static final double MESSAGES_PER_SECOND = 4;
     private static final long TICK = 20 * MS;
     /** A rate limit of 3 a second of which plenty is left. */
-    private static final Report PLENTY = new Report(0.7, 3);
+    private static final LimitReport PLENTY = new LimitReport(0.7, 3);
 
     private final List<DecisionModule> relays = new ArrayList<>();
     private final List<List<Event>> inbox = new ArrayList<>();
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -16,7 +16,7 @@
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -62,7 +62,7 @@
                             ending == AttemptResult.FULL ? random.nextInt(3) * 700 * MS : 0,
                             ending == AttemptResult.NOT_SENT,
                             ending == AttemptResult.DELIVERED,
-                            random.nextBoolean() ? new Report(random.nextDouble(), random.nextInt(9)) : null));
+                            random.nextBoolean() ? new LimitReport(random.nextDouble(), random.nextInt(9)) : null));
                 }
             }
             if (random.nextInt(8) == 0 && rig.checker.open().size() < 20) {
