--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -209,7 +209,7 @@
     record LimitReport(double left, double perSecond) {}
 
     /** Attempts of an earlier life, maybe none; if one may have run: where and when the first of these was sent. */
-    record Prior(int attempts, boolean mayHaveRun, String riskHost, int riskZone, long riskAtMicros) {}
+    record PriorAttempts(int attempts, boolean mayHaveRun, String riskHost, int riskZone, long riskAtMicros) {}
 
     /** What has happened. */
     sealed interface Event {
@@ -229,7 +229,7 @@
                 boolean again,
                 boolean inherited,
                 long budgetMicros,
-                Prior prior)
+                PriorAttempts prior)
                 implements Event {
             /** A message that no attempt was made for. */
             public Submit(
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -172,7 +172,7 @@
     }
 
     /** Takes over what an earlier process did with a message, and ends it if no attempt may follow. */
-    private void resume(Message message, Prior prior) {
+    private void resume(Message message, PriorAttempts prior) {
         message.attempts = prior.attempts();
         message.mayHaveRun = prior.mayHaveRun();
         message.mayHaveRunSince = prior.riskAtMicros();
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -24,7 +24,7 @@
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Prior;
+import lilaclever.DecisionModule.PriorAttempts;
 import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.Rules;
@@ -336,7 +336,7 @@
             String key = random.nextInt(3) == 0 ? null : "k" + destination + "-" + random.nextInt(3);
             long deadline = settings.classes().get(kind).deadlineMicros();
             long budget = random.nextInt(6) == 0 ? 50 * MS + random.nextInt((int) S) : deadline;
-            Prior prior = random.nextInt(25) == 0 ? prior() : null;
+            PriorAttempts prior = random.nextInt(25) == 0 ? prior() : null;
             attempts.put(id, prior == null ? 0 : prior.attempts());
             open.add(id);
             events.add(new Event.Submit(
@@ -344,10 +344,10 @@
         }
     }
 
-    private Prior prior() {
+    private PriorAttempts prior() {
         boolean mayHaveRun = random.nextBoolean();
         int before = mayHaveRun ? 1 + random.nextInt(3) : random.nextInt(3);
-        return new Prior(before, mayHaveRun, "h0-0", random.nextInt(2), now - random.nextInt((int) (4 * S)));
+        return new PriorAttempts(before, mayHaveRun, "h0-0", random.nextInt(2), now - random.nextInt((int) (4 * S)));
     }
 
     private void rareEvents(List<Event> events, long end) {
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -971,7 +971,7 @@
                 false,
                 false,
                 20 * S,
-                new DecisionModule.Prior(attempts, mayHaveRun, "a1", 0, rig.now - riskAgo));
+                new DecisionModule.PriorAttempts(attempts, mayHaveRun, "a1", 0, rig.now - riskAgo));
     }
 
     @Test
@@ -996,7 +996,7 @@
         List<Event> found = new ArrayList<>();
         for (int i = 0; i < 49; i++) {
             found.add(new Event.Submit(
-                    "r" + i, SAFE, 1, 0, null, false, false, 20 * S, new DecisionModule.Prior(0, false, "", 0, 0)));
+                    "r" + i, SAFE, 1, 0, null, false, false, 20 * S, new DecisionModule.PriorAttempts(0, false, "", 0, 0)));
         }
         rig.round(found.toArray(Event[]::new));
         assertEquals(
