--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -249,7 +249,7 @@
          * Other settings hold from now on. A class keeps its number, new ones follow behind; all that is not of classes
          * and attempts is as before.
          */
-        record Renewed(Settings settings) implements Event {}
+        record SettingsChanged(Settings settings) implements Event {}
 
         /** The program ends: by the given time all calls that were started must have come back. */
         record Stopping(long untilMicros) implements Event {}
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -113,7 +113,7 @@
             finish(messages.get(e.id()));
         } else if (event instanceof Event.Stopping e) {
             state.stopAt = e.untilMicros();
-        } else if (event instanceof Event.Renewed e) {
+        } else if (event instanceof Event.SettingsChanged e) {
             onRenewed(e);
         } else if (event instanceof Event.Timer) {
             wakeAt = wakeAt <= state.now ? NEVER : wakeAt;
@@ -129,7 +129,7 @@
         }
     }
 
-    private void onRenewed(Event.Renewed event) {
+    private void onRenewed(Event.SettingsChanged event) {
         state.settings = event.settings();
         int maxAttempts = state.settings.limits().maxAttempts();
         messages.values().stream()
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -425,7 +425,7 @@
 
     /** Other classes and attempts hold from now on, for what is handed in after this. Loop thread. */
     public void renew(DecisionModule.Settings renewed) {
-        events.add(new Event.Renewed(renewed));
+        events.add(new Event.SettingsChanged(renewed));
     }
 
     /** Takes nothing new from now on, and starts no call that could be out at the given time. Loop thread. */
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -389,7 +389,7 @@
                 settings.tenants(),
                 limits,
                 settings.rules());
-        return new Event.Renewed(settings);
+        return new Event.SettingsChanged(settings);
     }
 
     /** Hosts change how they answer: those of one destination, one of its hosts, or at times all others' hosts. */
