--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -262,7 +262,7 @@
                 String id,
                 String host,
                 int attempt,
-                AttemptResult ending,
+                AttemptResult result,
                 long elapsedMicros,
                 long waitMicros,
                 boolean noSlot,
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -219,18 +219,18 @@
         }
         Endpoint endpoint = message.inFlightTo;
         endAttempt(message, event);
-        noteRisk(message, endpoint, event.ending());
-        if (message.orderedKey != null && wasGivenUp(event.ending())) {
+        noteRisk(message, endpoint, event.result());
+        if (message.orderedKey != null && wasGivenUp(event.result())) {
             keyOrder.pause(message);
             checkAt(message.orderedKey.pausedUntil, message);
         }
-        if (message.finished || event.over() || event.ending() == AttemptResult.DELIVERED) {
+        if (message.finished || event.over() || event.result() == AttemptResult.DELIVERED) {
             finish(message);
-        } else if (event.ending() == AttemptResult.REJECTED) {
+        } else if (event.result() == AttemptResult.REJECTED) {
             // The design: a permanent failure ends a row at once.
             state.actions.add(new Action.Fail(message.id));
             finish(message);
-        } else if (event.ending() == AttemptResult.WITHHELD && !endpoint.active) {
+        } else if (event.result() == AttemptResult.WITHHELD && !endpoint.active) {
             // Its endpoint is leaving and got nothing: another may have it now.
             state.enqueue(message);
         } else {
@@ -247,9 +247,9 @@
         call.outcomesDue--;
         if (call.outcomesDue == 0) {
             dispatch.end(call);
-            connections.onCallEnded(endpoint, event.ending());
+            connections.onCallEnded(endpoint, event.result());
         }
-        if (event.ending() == AttemptResult.DELIVERED) {
+        if (event.result() == AttemptResult.DELIVERED) {
             endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAt);
         }
         limits.onReport(endpoint.limit, event.report());
@@ -258,7 +258,7 @@
             call.outcomeSeen = true;
             learn(endpoint, event);
         }
-        if (event.ending() == AttemptResult.WITHHELD) {
+        if (event.result() == AttemptResult.WITHHELD) {
             message.attempts--;
         }
     }
@@ -266,7 +266,7 @@
     /** What a call tells of its limit and endpoint, by the first outcome of its messages. */
     private void learn(Endpoint endpoint, Event.Outcome event) {
         DestinationLimit limit = endpoint.limit;
-        switch (event.ending()) {
+        switch (event.result()) {
             case DELIVERED -> {
                 rates.onDelivered(limit, endpoint);
                 timeouts.onDelivered(limit, event.elapsedMicros());
@@ -275,7 +275,7 @@
             }
             case FULL -> limits.onRefused(limit, endpoint, event.waitMicros(), event.report());
             case ERROR, TIMED_OUT, RESET, NO_CONNECTION, NO_ROOM, CANCELED ->
-                outages.onFailure(limit, endpoint, event.ending(), event.elapsedMicros());
+                outages.onFailure(limit, endpoint, event.result(), event.elapsedMicros());
             default -> {}
         }
     }
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -236,7 +236,7 @@
             due.remove(r);
             List<Event> batch = List.copyOf(events.get(r));
             events.get(r).clear();
-            if (batch.stream().anyMatch(e -> e instanceof Event.Outcome o && o.ending() != AttemptResult.DELIVERED)) {
+            if (batch.stream().anyMatch(e -> e instanceof Event.Outcome o && o.result() != AttemptResult.DELIVERED)) {
                 told.add(r);
             }
             for (Action action : fleet.get(r).decide(now, batch)) {
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -176,23 +176,23 @@
             return;
         }
         slots--;
-        boolean ran = !e.ending().neverRan();
-        if (ran && e.ending() != AttemptResult.DELIVERED && !m.mayHaveRun) {
+        boolean ran = !e.result().neverRan();
+        if (ran && e.result() != AttemptResult.DELIVERED && !m.mayHaveRun) {
             m.mayHaveRun = true;
             m.riskAt = m.sentAt;
             m.riskZone = hosts.get(m.outAt).zone;
         }
-        m.attempts -= e.ending() == AttemptResult.WITHHELD ? 1 : 0; // it was none
+        m.attempts -= e.result() == AttemptResult.WITHHELD ? 1 : 0; // it was none
         if (e.waitMicros() > 0) {
             waits.merge(limit(m.outAt), now + e.waitMicros(), Math::max);
         }
         if (m.key != null
-                && (e.ending() == AttemptResult.TIMED_OUT || e.ending() == AttemptResult.RESET || e.ending() == AttemptResult.CANCELED)) {
+                && (e.result() == AttemptResult.TIMED_OUT || e.result() == AttemptResult.RESET || e.result() == AttemptResult.CANCELED)) {
             keyRest.put(m.key, now + settings.rules().orderPauseMicros());
             keyRestOwner.put(m.key, m);
         }
         m.outAt = null;
-        m.over |= e.over() || e.ending() == AttemptResult.DELIVERED;
+        m.over |= e.over() || e.result() == AttemptResult.DELIVERED;
     }
 
     private void send(long now, Action.Send a, Set<String> waitsNow) {
