--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -264,7 +264,7 @@
                 int attempt,
                 AttemptResult result,
                 long elapsedMicros,
-                long waitMicros,
+                long retryAfterMicros,
                 boolean noSlot,
                 boolean over,
                 LimitReport report)
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -253,7 +253,7 @@
             endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAt);
         }
         limits.onReport(endpoint.limit, event.report());
-        limits.onWait(endpoint.limit, event.waitMicros());
+        limits.onWait(endpoint.limit, event.retryAfterMicros());
         if (!call.outcomeSeen) {
             call.outcomeSeen = true;
             learn(endpoint, event);
@@ -273,7 +273,7 @@
                 limits.onDelivered(limit);
                 outages.onDelivered(limit, endpoint);
             }
-            case FULL -> limits.onRefused(limit, endpoint, event.waitMicros(), event.report());
+            case FULL -> limits.onRefused(limit, endpoint, event.retryAfterMicros(), event.report());
             case ERROR, TIMED_OUT, RESET, NO_CONNECTION, NO_ROOM, CANCELED ->
                 outages.onFailure(limit, endpoint, event.result(), event.elapsedMicros());
             default -> {}
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -183,8 +183,8 @@
             m.riskZone = hosts.get(m.outAt).zone;
         }
         m.attempts -= e.result() == AttemptResult.WITHHELD ? 1 : 0; // it was none
-        if (e.waitMicros() > 0) {
-            waits.merge(limit(m.outAt), now + e.waitMicros(), Math::max);
+        if (e.retryAfterMicros() > 0) {
+            waits.merge(limit(m.outAt), now + e.retryAfterMicros(), Math::max);
         }
         if (m.key != null
                 && (e.result() == AttemptResult.TIMED_OUT || e.result() == AttemptResult.RESET || e.result() == AttemptResult.CANCELED)) {
