--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -266,7 +266,7 @@
                 long elapsedMicros,
                 long retryAfterMicros,
                 boolean noSlot,
-                boolean over,
+                boolean finished,
                 LimitReport report)
                 implements Event {}
 
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -224,7 +224,7 @@
             keyOrder.pause(message);
             checkAt(message.orderedKey.pausedUntil, message);
         }
-        if (message.finished || event.over() || event.result() == AttemptResult.DELIVERED) {
+        if (message.finished || event.finished() || event.result() == AttemptResult.DELIVERED) {
             finish(message);
         } else if (event.result() == AttemptResult.REJECTED) {
             // The design: a permanent failure ends a row at once.
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -192,7 +192,7 @@
             keyRestOwner.put(m.key, m);
         }
         m.outAt = null;
-        m.over |= e.over() || e.result() == AttemptResult.DELIVERED;
+        m.over |= e.finished() || e.result() == AttemptResult.DELIVERED;
     }
 
     private void send(long now, Action.Send a, Set<String> waitsNow) {
