--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -271,7 +271,7 @@
                 implements Event {}
 
         /** A probe ended. */
-        record Probed(String host, AttemptResult ending, long elapsedMicros, LimitReport report) implements Event {}
+        record ProbeEnded(String host, AttemptResult ending, long elapsedMicros, LimitReport report) implements Event {}
 
         /** A timer of {@link Action.Wake} has come. */
         record Timer(long token) implements Event {}
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -213,7 +213,7 @@
     private static Event probed(Fields f) throws WireException {
         String host = f.text("host");
         long elapsed = f.time("elapsedS");
-        return new Event.Probed(host, f.choice("status", ENDINGS), elapsed, f.report("serverStats"));
+        return new Event.ProbeEnded(host, f.choice("status", ENDINGS), elapsed, f.report("serverStats"));
     }
 
     private static final Map<String, AttemptResult> ENDINGS = Map.of(
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -420,7 +420,7 @@
 
     /** A probe has ended. Loop thread. */
     public void probed(String host, AttemptResult ending, long elapsedMicros) {
-        events.add(new Event.Probed(host, ending, elapsedMicros, null));
+        events.add(new Event.ProbeEnded(host, ending, elapsedMicros, null));
     }
 
     /** Other classes and attempts hold from now on, for what is handed in after this. Loop thread. */
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -365,7 +365,7 @@
             events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpenMessages())));
         }
         if (random.nextInt(1_000) == 0) {
-            events.add(new Event.Probed("h0-0", AttemptResult.DELIVERED, MS, null));
+            events.add(new Event.ProbeEnded("h0-0", AttemptResult.DELIVERED, MS, null));
             events.add(new Event.Heard(1, new byte[0]));
         }
         if (seed % 6 == 0 && now == end - 4 * S) {
