--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -280,7 +280,7 @@
         record Withdrawn(String id) implements Event {}
 
         /** Another relay has told something. */
-        record Heard(int from, byte[] content) implements Event {}
+        record PeerMessage(int from, byte[] content) implements Event {}
     }
 
     /** What the host program must do. */
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -105,7 +105,7 @@
             case "REMINDER" -> new Event.Timer(f.whole("ctx"));
             case "ABORTED" -> new Event.Withdrawn(f.text("msgId"));
             case "PROBED" -> probed(f);
-            case "HEARD" -> new Event.Heard(f.number("from"), f.bytes("content"));
+            case "HEARD" -> new Event.PeerMessage(f.number("from"), f.bytes("content"));
             default -> null; // STARTED: streams only, which no class of this family has
         };
         Life life = batch.lives().computeIfAbsent(name, n -> new Life(relay, new ArrayList<>()));
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -366,7 +366,7 @@
         }
         if (random.nextInt(1_000) == 0) {
             events.add(new Event.ProbeEnded("h0-0", AttemptResult.DELIVERED, MS, null));
-            events.add(new Event.Heard(1, new byte[0]));
+            events.add(new Event.PeerMessage(1, new byte[0]));
         }
         if (seed % 6 == 0 && now == end - 4 * S) {
             events.add(new Event.Stopping(end));
