--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -17,7 +17,7 @@
     /** Hard failures in a row that mean an outage. */
     private static final int FAILURES_IN_ROW = 4;
     /** The same by all forwarders together: many forwarders see fewer each. */
-    private static final int FAILURES_IN_FLEET = PolicyState.LARGE_FLEET;
+    private static final int FAILURES_IN_FLEET = PolicyState.LARGE_FLEET_THRESHOLD;
     /** Weight of one outcome in the share that fails. */
     private static final double OUTCOME_WEIGHT = 0.1;
     /** Share failing from which an endpoint is in an outage: half, and chance. */
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -24,7 +24,7 @@
     /** Microseconds in a second. */
     static final double SECOND = 1_000_000;
     /** Fleets of more forwarders than this are large. */
-    static final int LARGE_FLEET = 16;
+    static final int LARGE_FLEET_THRESHOLD = 16;
     /** Range of a random factor: what failed or was refused together comes again apart (the design's). */
     private static final double LEAST_FACTOR = 0.5, MOST_FACTOR = 1.5;
 
@@ -55,7 +55,7 @@
     PolicyState(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.largeFleet = settings.forwarders() > LARGE_FLEET;
+        this.largeFleet = settings.forwarders() > LARGE_FLEET_THRESHOLD;
     }
 
     /** Draws a random factor from 0.5 to 1.5. */
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -13,7 +13,7 @@
 
 /** State for tests of single parts of the decision module: one destination, its endpoints and messages. */
 final class PolicyFixture {
-    /** Above {@link PolicyState#LARGE_FLEET}. */
+    /** Above {@link PolicyState#LARGE_FLEET_THRESHOLD}. */
     static final int LARGE = 200;
 
     final PolicyState state;
