--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -164,7 +164,7 @@
      */
     private long throttledFor(DestinationLimit limit) {
         if (state.largeFleet) {
-            return (long) (QUIET_SPAN * state.randomFactor());
+            return (long) (QUIET_SPAN * state.jitterFactor());
         }
         double rate = Math.max(limit.throttledRate, assuredRate(limit));
         return (long) Math.max(QUIET_SPAN, 2 * SECOND / rate);
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -67,7 +67,7 @@
 
     /** The directory may be busy with every forwarder's call: ask later and later, spread by chance. */
     private void askLater() {
-        askAt = state.settings.mustWatchList() ? state.now + (long) (askPause * state.randomFactor()) : NEVER;
+        askAt = state.settings.mustWatchList() ? state.now + (long) (askPause * state.jitterFactor()) : NEVER;
         // Half the time after which the rules take a forwarder that does not ask as told, spread included.
         long longest = Math.min(LAST_ASK_PAUSE, state.settings.rules().watchWithinMicros() / 3);
         askPause = Math.min(askPause * 2, longest);
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -126,7 +126,7 @@
     private void avoid(Endpoint endpoint) {
         if (endpoint.failuresInRow > 1) {
             int doublings = Math.min(endpoint.failuresInRow - 2, MOST_DOUBLINGS);
-            endpoint.avoidUntil = state.now + (long) ((FIRST_AVOIDANCE << doublings) * state.randomFactor());
+            endpoint.avoidUntil = state.now + (long) ((FIRST_AVOIDANCE << doublings) * state.jitterFactor());
         }
     }
 
@@ -153,7 +153,7 @@
 
     private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
         long longer = state.largeFleet ? state.now - limit.failingSince : 0;
-        long until = state.now + (long) (longer * state.randomFactor());
+        long until = state.now + (long) (longer * state.jitterFactor());
         endpoint.avoidUntil = Math.max(endpoint.avoidUntil, until);
     }
 
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -59,7 +59,7 @@
     }
 
     /** Draws a random factor from 0.5 to 1.5. */
-    double randomFactor() {
+    double jitterFactor() {
         return LEAST_FACTOR + (MOST_FACTOR - LEAST_FACTOR) * random.nextDouble();
     }
 
--- a/src/test/java/lilaclever/PolicyStateTest.java
+++ b/src/test/java/lilaclever/PolicyStateTest.java
@@ -17,7 +17,7 @@
     @Test
     void randomFactorsFillTheDesignsRange() {
         DoubleSummaryStatistics factors =
-                DoubleStream.generate(fixture.state::randomFactor).limit(1_000).summaryStatistics();
+                DoubleStream.generate(fixture.state::jitterFactor).limit(1_000).summaryStatistics();
         assertTrue(factors.getMin() >= 0.5 && factors.getMin() < 0.51, "" + factors);
         assertTrue(factors.getMax() <= 1.5 && factors.getMax() > 1.49, "" + factors);
     }
