--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -81,7 +81,7 @@
     Message leastWorth() {
         Message least = null;
         double lowest = 0;
-        for (DestinationQueue queue : state.queuesWaiting) {
+        for (DestinationQueue queue : state.nonEmptyQueues) {
             double rate =
                     queue.endpoints.stream().mapToDouble(this::expectedRate).sum();
             double crowding = 1 + queue.waiting.size() / (1 + SHORT_QUEUE_SECONDS * rate);
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -40,7 +40,7 @@
     /** The best candidate of each destination that messages wait for, in the order in which they began to wait. */
     List<SendCandidate> candidates() {
         List<SendCandidate> candidates = new ArrayList<>();
-        for (DestinationQueue queue : state.queuesWaiting) {
+        for (DestinationQueue queue : state.nonEmptyQueues) {
             queue.nextCheckAt = NEVER;
             SendCandidate candidate = selection.select(queue);
             if (candidate != null) {
@@ -68,7 +68,7 @@
                 candidates.add(following);
             }
         }
-        long next = state.queuesWaiting.stream()
+        long next = state.nonEmptyQueues.stream()
                 .mapToLong(queue -> queue.nextCheckAt)
                 .min()
                 .orElse(NEVER);
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -35,7 +35,7 @@
     /** By destination, in the order first heard of. */
     final Map<Integer, DestinationQueue> queues = new LinkedHashMap<>();
     /** Queues with messages that wait, and calls that are in flight: work follows these, not all that is known. */
-    final LinkedHashSet<DestinationQueue> queuesWaiting = new LinkedHashSet<>();
+    final LinkedHashSet<DestinationQueue> nonEmptyQueues = new LinkedHashSet<>();
 
     final LinkedHashSet<Call> calls = new LinkedHashSet<>();
     Settings settings;
@@ -66,14 +66,14 @@
     /** Has a message wait at the end of its destination's queue. */
     void enqueue(Message message) {
         message.queue.waiting.add(message);
-        queuesWaiting.add(message.queue);
+        nonEmptyQueues.add(message.queue);
     }
 
     /** Takes a message out of its destination's queue. */
     void dequeue(Message message) {
         message.queue.waiting.remove(message);
         if (message.queue.waiting.isEmpty()) {
-            queuesWaiting.remove(message.queue);
+            nonEmptyQueues.remove(message.queue);
         }
     }
 
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -66,7 +66,7 @@
         assertEquals(List.of(worthMore.id, first.id, second.id, third.id), sent());
         assertEquals(
                 List.of(worthLess),
-                List.copyOf(fixture.state.queuesWaiting.iterator().next().waiting));
+                List.copyOf(fixture.state.nonEmptyQueues.iterator().next().waiting));
         assertEquals(4, fixture.state.slotsInUse);
         assertEquals(3, endpoint.callsInFlight);
     }
--- a/src/test/java/lilaclever/PolicyStateTest.java
+++ b/src/test/java/lilaclever/PolicyStateTest.java
@@ -28,9 +28,9 @@
         Message second = fixture.message(SAFE);
         assertEquals(List.of(first, second), List.copyOf(fixture.queue.waiting));
         fixture.state.dequeue(first);
-        assertTrue(fixture.state.queuesWaiting.contains(fixture.queue));
+        assertTrue(fixture.state.nonEmptyQueues.contains(fixture.queue));
         fixture.state.dequeue(second);
-        assertTrue(fixture.state.queuesWaiting.isEmpty());
+        assertTrue(fixture.state.nonEmptyQueues.isEmpty());
     }
 
     @Test
