--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -62,8 +62,8 @@
             return false;
         }
         double quota = quota(tenant);
-        double tokens = tenantTokens[tenant] + (state.now - tenantUpdatedAt[tenant]) / SECOND * quota;
-        tenantUpdatedAt[tenant] = state.now;
+        double tokens = tenantTokens[tenant] + (state.nowMicros - tenantUpdatedAt[tenant]) / SECOND * quota;
+        tenantUpdatedAt[tenant] = state.nowMicros;
         tokens = Math.min(tokens, BURST_SECONDS * quota);
         tenantTokens[tenant] = tokens >= 1 ? tokens - 1 : tokens;
         return tokens < 1;
@@ -112,7 +112,7 @@
 
     private long roomAfter(Endpoint endpoint) {
         double rate = Math.max(limits.assuredRate(endpoint.limit), expectedRate(endpoint));
-        long readyAfter = Math.max(0, availability.readyAt(endpoint) - state.now);
+        long readyAfter = Math.max(0, availability.readyAt(endpoint) - state.nowMicros);
         return readyAfter + (long) (endpoint.queue.waiting.size() / rate * SECOND);
     }
 
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -78,7 +78,7 @@
     /** One call: the selected message, and where calls carry several, others of its queue that may go along. */
     private void startCall(Message message, Endpoint endpoint) {
         Call call = new Call();
-        call.sentAt = state.now;
+        call.sentAt = state.nowMicros;
         call.endpoint = endpoint;
         endpoint.calls.add(call);
         state.calls.add(call);
@@ -89,8 +89,8 @@
         state.slotsInUse++;
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
-        endpoint.limit.lastSentAt = state.now;
-        endpoint.lastSentAt = state.now;
+        endpoint.limit.lastSentAt = state.nowMicros;
+        endpoint.lastSentAt = state.nowMicros;
         connections.onSend(endpoint);
     }
 
@@ -113,11 +113,11 @@
         message.inFlightTo = endpoint;
         message.call = call;
         call.messages.add(message);
-        message.sentAt = state.now;
+        message.sentAt = state.nowMicros;
         message.lastEndpoint = endpoint;
         call.outcomesDue++;
         // A connection that comes up late must not carry it past its window.
-        long timeoutAt = state.now + timeouts.timeout(message, endpoint.limit);
+        long timeoutAt = state.nowMicros + timeouts.timeout(message, endpoint.limit);
         long dropAt = Math.min(Math.min(message.deadline, timeoutAt), retries.windowEnd(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAt));
     }
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -105,7 +105,7 @@
                 continue;
             }
             long overdueAt = call.sentAt + overdueAfter(call);
-            if (overdueAt > state.now) {
+            if (overdueAt > state.nowMicros) {
                 next = Math.min(next, overdueAt);
             } else {
                 cancel(call);
--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -21,7 +21,7 @@
     /** Whether a call to the endpoint finds an idle connection; forgets those that were idle for too long. */
     boolean isWarm(Endpoint endpoint) {
         long keepAlive = state.settings.limits().keepAliveMicros();
-        while (!endpoint.idleSince.isEmpty() && endpoint.idleSince.peekFirst() + keepAlive <= state.now) {
+        while (!endpoint.idleSince.isEmpty() && endpoint.idleSince.peekFirst() + keepAlive <= state.nowMicros) {
             endpoint.idleSince.removeFirst();
         }
         return !endpoint.idleSince.isEmpty();
@@ -40,7 +40,7 @@
             default -> false;
         };
         if (!closed) {
-            endpoint.idleSince.addLast(state.now);
+            endpoint.idleSince.addLast(state.nowMicros);
             freed.add(endpoint);
         }
     }
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -83,12 +83,12 @@
 
     @Override
     public List<Action> decide(long nowMicros, List<Event> events) {
-        state.now = nowMicros;
+        state.nowMicros = nowMicros;
         state.actions = new ArrayList<>();
         for (Event event : events) {
             read(event);
         }
-        if (directory.askAt() <= state.now) {
+        if (directory.askAt() <= state.nowMicros) {
             state.actions.add(new Action.Watch(true));
             directory.onAsked();
         }
@@ -116,15 +116,15 @@
         } else if (event instanceof Event.SettingsChanged e) {
             onRenewed(e);
         } else if (event instanceof Event.Timer) {
-            wakeAt = wakeAt <= state.now ? NEVER : wakeAt;
+            wakeAt = wakeAt <= state.nowMicros ? NEVER : wakeAt;
         }
     }
 
     /** Asks for a timer at that time, a round from now at the earliest, unless one comes by then. */
     private void wakeFor(long time) {
-        long next = Math.max(time, state.now + state.settings.roundMicros());
-        if (next < NEVER && (next < wakeAt || wakeAt <= state.now)) {
-            state.actions.add(new Action.Wake(next - state.now, 0));
+        long next = Math.max(time, state.nowMicros + state.settings.roundMicros());
+        if (next < NEVER && (next < wakeAt || wakeAt <= state.nowMicros)) {
+            state.actions.add(new Action.Wake(next - state.nowMicros, 0));
             wakeAt = next;
         }
     }
@@ -161,8 +161,8 @@
     private Message message(Event.Submit event) {
         MessageClass kind = state.settings.classes().get(event.messageClass());
         Message message = new Message(event.id(), kind);
-        message.acceptedAt = state.now - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
-        message.deadline = state.now + event.budgetMicros();
+        message.acceptedAt = state.nowMicros - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
+        message.deadline = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
         message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
         if (kind.ordered() && event.key() != null) {
@@ -178,7 +178,7 @@
         message.mayHaveRunSince = prior.riskAtMicros();
         message.mayHaveRunZone = prior.riskZone();
         message.resumed = true;
-        if (retries.isExhausted(message) || state.now >= retries.windowEnd(message)) {
+        if (retries.isExhausted(message) || state.nowMicros >= retries.windowEnd(message)) {
             end(message);
         } else if (retries.hasWindow(message)) {
             checkAt(retries.windowEnd(message), message);
@@ -187,7 +187,7 @@
 
     /** Ends messages whose deadline or window is over. */
     private void endOverdue() {
-        while (!dues.isEmpty() && dues.peek().at() <= state.now) {
+        while (!dues.isEmpty() && dues.peek().at() <= state.nowMicros) {
             check(dues.poll().message());
         }
     }
@@ -198,10 +198,10 @@
         if (message.finished) {
             keyOrder.forget(message);
         } else if (message.inFlightTo == null) {
-            if (message.deadline - state.now <= CallTimeouts.SHORTEST || state.now >= retries.windowEnd(message)) {
+            if (message.deadline - state.nowMicros <= CallTimeouts.SHORTEST || state.nowMicros >= retries.windowEnd(message)) {
                 end(message);
             }
-        } else if (state.now >= latestAnswerAt) {
+        } else if (state.nowMicros >= latestAnswerAt) {
             end(message);
         } else {
             checkAt(latestAnswerAt, message);
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -81,8 +81,8 @@
     /** Keeps a told wait, microseconds from now; 0 or less is none. */
     void onWait(DestinationLimit limit, long waitMicros) {
         if (waitMicros > 0) {
-            limit.waitUntil = Math.max(limit.waitUntil, state.now + waitMicros);
-            limit.shortWaitAt = waitMicros < SHUT_WAIT ? state.now : limit.shortWaitAt;
+            limit.waitUntil = Math.max(limit.waitUntil, state.nowMicros + waitMicros);
+            limit.shortWaitAt = waitMicros < SHUT_WAIT ? state.nowMicros : limit.shortWaitAt;
         }
     }
 
@@ -97,7 +97,7 @@
     /** A call was refused as full, with a wait told (microseconds, 0 for none) and maybe a report (else null). */
     void onRefused(DestinationLimit limit, Endpoint endpoint, long waitMicros, LimitReport report) {
         countAsOutage(limit, report);
-        if (state.now >= limit.throttledUntil) {
+        if (state.nowMicros >= limit.throttledUntil) {
             limit.throttledRate = PART_OF_RECENT * limit.recentRate / PART_OF_RATE;
             limit.rateCeiling = Math.max(PART_OF_RECENT * limit.recentRate, MOST_THROTTLED_RATE);
         }
@@ -111,10 +111,10 @@
         } else if (slowStart.isActive(endpoint)) {
             slowStart.setBack(endpoint);
         }
-        if (state.now - limit.reducedAt >= REDUCTION_SPAN) {
+        if (state.nowMicros - limit.reducedAt >= REDUCTION_SPAN) {
             reduceRate(limit, endpoint);
         }
-        limit.throttledUntil = state.now + throttledFor(limit);
+        limit.throttledUntil = state.nowMicros + throttledFor(limit);
     }
 
     /**
@@ -133,7 +133,7 @@
 
     /** Refusals alone, none with a short wait, or a wait longer than any rate asks for: it is shut. */
     private boolean isShut(DestinationLimit limit, long waitMicros) {
-        boolean forLong = limit.refusals >= SHUT_REFUSALS && state.now - limit.failingSince >= SHUT_SPAN;
+        boolean forLong = limit.refusals >= SHUT_REFUSALS && state.nowMicros - limit.failingSince >= SHUT_SPAN;
         return waitMicros >= SHUT_WAIT || forLong && limit.shortWaitAt < limit.failingSince;
     }
 
@@ -149,7 +149,7 @@
     }
 
     private void reduceRate(DestinationLimit limit, Endpoint endpoint) {
-        limit.reducedAt = state.now;
+        limit.reducedAt = state.nowMicros;
         rates.decay(limit, endpoint);
         double most = limit.toldRate > 0 ? Math.min(limit.toldRate, MOST_THROTTLED_RATE) : MOST_THROTTLED_RATE;
         double least = assuredRate(limit);
@@ -189,11 +189,11 @@
 
     /** Calls a second that a limit gets after a refusal; {@link PolicyState#NEVER} on the ordinary path. */
     double allowedRate(DestinationLimit limit) {
-        if (state.now < limit.throttledUntil) {
+        if (state.nowMicros < limit.throttledUntil) {
             return Math.min(MOST_THROTTLED_RATE, limit.throttledRate);
         }
         // What waited must not come at once when it is no longer throttled: it would be refused again.
-        long after = state.now - limit.throttledUntil;
+        long after = state.nowMicros - limit.throttledUntil;
         return limit.rateCeiling == 0 || after > CEILING_SPAN
                 ? NEVER
                 : limit.rateCeiling * Math.pow(CEILING_GROWTH, after / SECOND);
@@ -210,7 +210,7 @@
         if (rate >= NEVER) {
             return LONG_AGO;
         }
-        long free = state.now < limit.throttledUntil ? limit.throttledUntil : NEVER;
+        long free = state.nowMicros < limit.throttledUntil ? limit.throttledUntil : NEVER;
         return Math.min(free, limit.lastSentAt + (long) (SECOND / rate));
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -92,7 +92,7 @@
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
             boolean latest = call.sentAt > endpoint.lastDeliveredSentAt;
-            if (state.usualAnswerTime > 0 && latest && state.now - call.sentAt > slow) {
+            if (state.usualAnswerTime > 0 && latest && state.nowMicros - call.sentAt > slow) {
                 return true;
             }
         }
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -46,7 +46,7 @@
     void onListing(Event.Listing listing) {
         if (!started) {
             started = true;
-            askAt = state.settings.mustWatchList() ? state.now : NEVER;
+            askAt = state.settings.mustWatchList() ? state.nowMicros : NEVER;
         }
         if (listing.kind() == ListingKind.REFUSED) {
             askLater();
@@ -62,12 +62,12 @@
         endpoints
                 .values()
                 .removeIf(each ->
-                        !each.active && each.callsInFlight == 0 && each.limit.waitUntil <= state.now && detach(each));
+                        !each.active && each.callsInFlight == 0 && each.limit.waitUntil <= state.nowMicros && detach(each));
     }
 
     /** The directory may be busy with every forwarder's call: ask later and later, spread by chance. */
     private void askLater() {
-        askAt = state.settings.mustWatchList() ? state.now + (long) (askPause * state.jitterFactor()) : NEVER;
+        askAt = state.settings.mustWatchList() ? state.nowMicros + (long) (askPause * state.jitterFactor()) : NEVER;
         // Half the time after which the rules take a forwarder that does not ask as told, spread included.
         long longest = Math.min(LAST_ASK_PAUSE, state.settings.rules().watchWithinMicros() / 3);
         askPause = Math.min(askPause * 2, longest);
@@ -130,7 +130,7 @@
             // A new host is no way round an outage, whatever it looked like, even if the old one has left the list:
             // all forwarders hear of it at once, and would send what they hold.
             endpoint.refusingConnections = true;
-            endpoint.lastSentAt = state.now;
+            endpoint.lastSentAt = state.nowMicros;
         }
     }
 
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -62,7 +62,7 @@
     SendCandidate select(DestinationQueue queue) {
         List<Endpoint> ready = new ArrayList<>();
         long soonest = findReady(queue, ready);
-        if (soonest > state.now && soonest < NEVER) {
+        if (soonest > state.nowMicros && soonest < NEVER) {
             noteHopeless(queue, soonest);
         }
         return best(queue, ready);
@@ -73,8 +73,8 @@
         long soonest = NEVER;
         for (Endpoint endpoint : queue.endpoints) {
             long at = endpoint.active ? availability.readyAt(endpoint) : NEVER;
-            soonest = Math.min(soonest, endpoint.callsInFlight > 0 ? state.now : at);
-            if (at <= state.now) {
+            soonest = Math.min(soonest, endpoint.callsInFlight > 0 ? state.nowMicros : at);
+            if (at <= state.nowMicros) {
                 ready.add(endpoint);
             } else {
                 queue.nextCheckAt = Math.min(queue.nextCheckAt, at);
@@ -112,7 +112,7 @@
             if (ready.isEmpty() || considered >= MOST_MESSAGES_CONSIDERED) {
                 break;
             }
-            if (message.notBefore > state.now) {
+            if (message.notBefore > state.nowMicros) {
                 queue.nextCheckAt = Math.min(queue.nextCheckAt, message.notBefore);
                 continue;
             }
@@ -181,7 +181,7 @@
     private double worthNow(Message message) {
         MessageClass kind = message.messageClass;
         long aim = kind.aimMicros();
-        double late = (state.now - message.acceptedAt - aim) / (double) Math.max(1, aim);
+        double late = (state.nowMicros - message.acceptedAt - aim) / (double) Math.max(1, aim);
         if (late < 0) {
             return message.worth * (1 + PREFERENCE_AT_AIM * (1 + late));
         }
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -74,8 +74,8 @@
 
     /** Notes that a limit has just refused or failed: since when it does, and a new spread of the pace. */
     void noteTrouble(DestinationLimit limit) {
-        limit.failingSince = limit.failingSince == 0 ? state.now : limit.failingSince;
-        limit.failingFor = state.now - limit.failingSince;
+        limit.failingSince = limit.failingSince == 0 ? state.nowMicros : limit.failingSince;
+        limit.failingFor = state.nowMicros - limit.failingSince;
         // A burst that was refused together comes again apart.
         limit.paceSpread = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
@@ -103,7 +103,7 @@
             slowStart.begin(endpoint);
         }
         boolean turnedAway = isTurnedAway(ending, elapsed);
-        endpoint.failingSince = endpoint.failingSince == 0 ? state.now : endpoint.failingSince;
+        endpoint.failingSince = endpoint.failingSince == 0 ? state.nowMicros : endpoint.failingSince;
         transientFailures.onFailure(endpoint, turnedAway);
         noteRefusedConnection(endpoint, ending);
         if (turnedAway) {
@@ -126,7 +126,7 @@
     private void avoid(Endpoint endpoint) {
         if (endpoint.failuresInRow > 1) {
             int doublings = Math.min(endpoint.failuresInRow - 2, MOST_DOUBLINGS);
-            endpoint.avoidUntil = state.now + (long) ((FIRST_AVOIDANCE << doublings) * state.jitterFactor());
+            endpoint.avoidUntil = state.nowMicros + (long) ((FIRST_AVOIDANCE << doublings) * state.jitterFactor());
         }
     }
 
@@ -152,8 +152,8 @@
     }
 
     private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
-        long longer = state.largeFleet ? state.now - limit.failingSince : 0;
-        long until = state.now + (long) (longer * state.jitterFactor());
+        long longer = state.largeFleet ? state.nowMicros - limit.failingSince : 0;
+        long until = state.nowMicros + (long) (longer * state.jitterFactor());
         endpoint.avoidUntil = Math.max(endpoint.avoidUntil, until);
     }
 
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -40,7 +40,7 @@
     final LinkedHashSet<Call> calls = new LinkedHashSet<>();
     Settings settings;
     /** The time of the present round. */
-    long now;
+    long nowMicros;
     /** When all calls must have come back, as the program ends. */
     long stopAt = NEVER;
     /** What the host program must do; a new list for each round. */
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -48,13 +48,13 @@
 
     /** Brings the means of a limit to the present time; {@code endpoint} is the one whose outcome has come. */
     void decay(DestinationLimit limit, Endpoint endpoint) {
-        double past = limit.ratesUpdatedAt == 0 ? 0 : state.now - limit.ratesUpdatedAt;
+        double past = limit.ratesUpdatedAt == 0 ? 0 : state.nowMicros - limit.ratesUpdatedAt;
         limit.recentRate *= Math.exp(-past / RECENT_MEMORY);
         if (isUsual(endpoint)) {
             limit.usualRate *= Math.exp(-past / USUAL_MEMORY);
             limit.usualUnseen *= Math.exp(-past / USUAL_MEMORY);
         }
-        limit.ratesUpdatedAt = state.now;
+        limit.ratesUpdatedAt = state.nowMicros;
     }
 
     private boolean isUsual(Endpoint endpoint) {
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -41,11 +41,11 @@
     /** Sets the pause after an attempt: the design's step times a random factor. */
     void pause(Message message) {
         int step = Math.max(0, Math.min(message.attempts, STEPS.length) - 1);
-        message.notBefore = state.now + (long) (STEPS[step] * state.jitterFactor());
+        message.notBefore = state.nowMicros + (long) (STEPS[step] * state.jitterFactor());
         if (hasWindow(message)) {
             // A pause past the window would lose the message: come as late as a connection may still come up.
             long latest = windowEnd(message) - state.settings.limits().connectTimeoutMicros();
-            message.notBefore = state.now < latest ? Math.min(message.notBefore, latest) : message.notBefore;
+            message.notBefore = state.nowMicros < latest ? Math.min(message.notBefore, latest) : message.notBefore;
         }
     }
 
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -35,24 +35,24 @@
         return isDue(message)
                 && endpoint.queue == message.queue
                 && endpoint.active
-                && state.now >= endpoint.limit.waitUntil
+                && state.nowMicros >= endpoint.limit.waitUntil
                 && keyOrder.permits(message)
                 && endsBeforeTheProgram(message, endpoint)
                 && isHarmless(message, endpoint)
-                && availability.readyAt(endpoint) <= state.now;
+                && availability.readyAt(endpoint) <= state.nowMicros;
     }
 
     private boolean isDue(Message message) {
         return !message.finished
                 && message.inFlightTo == null
                 && message.attempts < state.settings.limits().maxAttempts()
-                && state.now >= message.notBefore
-                && message.deadline - state.now >= CallTimeouts.SHORTEST;
+                && state.nowMicros >= message.notBefore
+                && message.deadline - state.nowMicros >= CallTimeouts.SHORTEST;
     }
 
     /** A call that the end of the program could cut may have run: what can't come back in time stays here. */
     private boolean endsBeforeTheProgram(Message message, Endpoint endpoint) {
-        return state.stopAt >= NEVER || state.now + timeouts.timeout(message, endpoint.limit) <= state.stopAt;
+        return state.stopAt >= NEVER || state.nowMicros + timeouts.timeout(message, endpoint.limit) <= state.stopAt;
     }
 
     /** Whether an earlier attempt of the message, if one may have run, allows a further one at this endpoint. */
@@ -62,7 +62,7 @@
         }
         return switch (message.messageClass.repeat()) {
             case SAFE -> true;
-            case KEYED -> state.now < retries.windowEnd(message) && remembersKey(message, endpoint);
+            case KEYED -> state.nowMicros < retries.windowEnd(message) && remembersKey(message, endpoint);
             case UNSAFE -> false;
         };
     }
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -21,7 +21,7 @@
 
     /** How long ago the endpoint's slow start began, microseconds; only where it has had one. */
     long age(Endpoint endpoint) {
-        return state.now - endpoint.slowStartFrom;
+        return state.nowMicros - endpoint.slowStartFrom;
     }
 
     /** When the endpoint's slow start ends, microseconds on the module's clock. */
@@ -31,7 +31,7 @@
 
     /** Begins slow start, or begins it anew. */
     void begin(Endpoint endpoint) {
-        endpoint.slowStartFrom = state.now;
+        endpoint.slowStartFrom = state.nowMicros;
     }
 
     /** Halves the age of a slow start: the endpoint takes less than was thought. */
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -35,7 +35,7 @@
 
     /** Whether a time, in microseconds, lies less than three seconds back. */
     boolean isBriefSince(long time) {
-        return state.now - time < LONGEST;
+        return state.nowMicros - time < LONGEST;
     }
 
     /** Counts a delivery; the endpoint's {@code failingSince} still tells of the row of failures that it ends. */
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -76,16 +76,16 @@
         fixture.endpoint();
         Message message = fixture.message(SAFE);
         Message shortOfTime = fixture.message(SAFE);
-        shortOfTime.deadline = fixture.state.now + S;
+        shortOfTime.deadline = fixture.state.nowMicros + S;
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.now - 4 * S;
+        repeated.mayHaveRunSince = fixture.state.nowMicros - 4 * S;
         dispatch();
         assertEquals(
                 List.of(
-                        new Action.Send(repeated.id, "e0", fixture.state.now + 995 * MS),
-                        new Action.Send(message.id, "e0", fixture.state.now + 2 * S),
-                        new Action.Send(shortOfTime.id, "e0", fixture.state.now + S)),
+                        new Action.Send(repeated.id, "e0", fixture.state.nowMicros + 995 * MS),
+                        new Action.Send(message.id, "e0", fixture.state.nowMicros + 2 * S),
+                        new Action.Send(shortOfTime.id, "e0", fixture.state.nowMicros + S)),
                 fixture.state.actions);
     }
 
@@ -117,8 +117,8 @@
     void theNextLookIsWhenSomethingMayGo() {
         Endpoint endpoint = fixture.endpoint();
         fixture.message(SAFE);
-        endpoint.avoidUntil = fixture.state.now + 300 * MS;
-        assertEquals(fixture.state.now + 300 * MS, dispatch());
+        endpoint.avoidUntil = fixture.state.nowMicros + 300 * MS;
+        assertEquals(fixture.state.nowMicros + 300 * MS, dispatch());
         assertEquals(List.of(), sent());
     }
 
@@ -129,7 +129,7 @@
         fixture.call(hanging, endpoint);
         fixture.state.slotsInUse = 4;
         messageFor(elsewhere(1), 1);
-        assertEquals(fixture.state.now + 400 * MS, dispatch());
+        assertEquals(fixture.state.nowMicros + 400 * MS, dispatch());
         fixture.later(400 * MS);
         dispatch();
         assertEquals(List.of(new Action.Cancel(hanging.id, 0)), fixture.state.actions);
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -73,7 +73,7 @@
     @Test
     void whereCallsAreLostTheLastSlotGetsLess() {
         for (int i = 0; i < 2; i++) {
-            endpoint.failingSince = fixture.state.now;
+            endpoint.failingSince = fixture.state.nowMicros;
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
@@ -92,7 +92,7 @@
         for (Message message : List.of(first, unsafe, second)) {
             fixture.call(message, endpoint);
         }
-        assertEquals(fixture.state.now + 800 * MS, timeouts.cancelOverdue(1), "eight times 100 ms");
+        assertEquals(fixture.state.nowMicros + 800 * MS, timeouts.cancelOverdue(1), "eight times 100 ms");
         fixture.later(800 * MS);
         timeouts.cancelOverdue(1);
         assertEquals(List.of(new Action.Cancel(first.id, 0)), fixture.state.actions);
@@ -101,7 +101,7 @@
         assertTrue(fixture.state.actions.isEmpty(), "the slot asked for is about to be free");
         long next = timeouts.cancelOverdue(3);
         assertEquals(List.of(new Action.Cancel(second.id, 0)), fixture.state.actions);
-        assertEquals(fixture.state.now - 801 * MS + 2_400 * MS, next, "24 times for the unsafe one");
+        assertEquals(fixture.state.nowMicros - 801 * MS + 2_400 * MS, next, "24 times for the unsafe one");
     }
 
     @Test
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -45,7 +45,7 @@
     @Test
     void onTheOrdinaryPathThereIsNoRate() {
         assertEquals(PolicyState.NEVER, limits.allowedRate(limit));
-        assertTrue(limits.readyAt(limit) <= fixture.state.now);
+        assertTrue(limits.readyAt(limit) <= fixture.state.nowMicros);
     }
 
     @Test
@@ -53,7 +53,7 @@
         limits.onWait(limit, 2 * S);
         limits.onWait(limit, S);
         limits.onWait(limit, 0);
-        assertEquals(fixture.state.now + 2 * S, limits.readyAt(limit));
+        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit));
     }
 
     @Test
@@ -61,8 +61,8 @@
         take(50);
         refuse(0);
         assertEquals(10, limits.allowedRate(limit));
-        limit.lastSentAt = fixture.state.now;
-        assertEquals(fixture.state.now + 100 * MS, limits.readyAt(limit));
+        limit.lastSentAt = fixture.state.nowMicros;
+        assertEquals(fixture.state.nowMicros + 100 * MS, limits.readyAt(limit));
         fixture.later(5 * S - 1);
         assertEquals(10, limits.allowedRate(limit));
         fixture.later(1);
@@ -153,13 +153,13 @@
         LimitReport exhausted = new LimitReport(0, 2);
         limits.onReport(limit, exhausted);
         limits.onRefused(limit, endpoint, 0, exhausted);
-        limit.lastSentAt = fixture.state.now;
+        limit.lastSentAt = fixture.state.nowMicros;
         assertEquals(2, limit.refusalsAsOutage);
-        assertEquals(fixture.state.now + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
+        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
         limit.throttledUntil = 0;
         limit.rateCeiling = 0;
         // An even share is 1 a second; the pace of an outage is 0.425 of two calls a second.
-        assertEquals(fixture.state.now + (long) (S / 0.7), limits.readyAt(limit), 1);
+        assertEquals(fixture.state.nowMicros + (long) (S / 0.7), limits.readyAt(limit), 1);
         limits.onDelivered(limit);
         assertFalse(limit.exhausted);
     }
@@ -171,14 +171,14 @@
         DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
         Endpoint there = large.endpoint();
         inFleet.onRefused(large.limit, there, 0, null);
-        long first = large.limit.throttledUntil - large.state.now;
+        long first = large.limit.throttledUntil - large.state.nowMicros;
         assertTrue(first >= 2_500 * MS && first <= 7_500 * MS, "throttled for " + first);
         large.later(10 * S);
         inFleet.onRefused(large.limit, there, 0, null);
-        large.limit.lastSentAt = large.state.now;
+        large.limit.lastSentAt = large.state.nowMicros;
         large.limit.throttledUntil = 0;
         large.limit.rateCeiling = 0;
-        long pause = inFleet.readyAt(large.limit) - large.state.now;
+        long pause = inFleet.readyAt(large.limit) - large.state.nowMicros;
         // Failing for 10 s, of which a cold destination's part is 0.425, spread by a factor from 1 to 2.
         assertTrue(pause >= 10 * S / 0.425 - 1 && pause <= 20 * S / 0.425, "pause " + pause);
     }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -18,7 +18,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private long readyIn(Endpoint which) {
-        return parts.availability.readyAt(which) - fixture.state.now;
+        return parts.availability.readyAt(which) - fixture.state.nowMicros;
     }
 
     private boolean isReady(Endpoint which) {
@@ -51,7 +51,7 @@
     void aToldWaitAndAvoidanceAreBothKept() {
         parts.limits.onWait(fixture.limit, S);
         assertEquals(S, readyIn(endpoint));
-        endpoint.avoidUntil = fixture.state.now + 2 * S;
+        endpoint.avoidUntil = fixture.state.nowMicros + 2 * S;
         assertEquals(2 * S, readyIn(endpoint));
     }
 
@@ -68,7 +68,7 @@
     void afterATrialThePauseOfTheOutageIsKept() {
         endpoint.trialPause = 500 * MS;
         endpoint.inOutage = true;
-        endpoint.lastSentAt = fixture.state.now;
+        endpoint.lastSentAt = fixture.state.nowMicros;
         // A cold destination's part, 0.425, of an even share of 0.75 calls a second.
         assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second for one that was out only now");
         fixture.limit.failingFor = 60 * S;
@@ -84,13 +84,13 @@
         Endpoint cold = large.endpoint();
         large.limit.failingFor = 60 * S;
         inFleet.slowStart.begin(cold);
-        cold.lastSentAt = large.state.now;
-        assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.now, "not a call in 141 s");
+        cold.lastSentAt = large.state.nowMicros;
+        assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.nowMicros, "not a call in 141 s");
     }
 
     @Test
     void whereConnectionsAreScarceAFurtherCallNeedsAnIdleOne() {
-        endpoint.failingSince = fixture.state.now;
+        endpoint.failingSince = fixture.state.nowMicros;
         parts.transientFailures.onFailure(endpoint, true);
         parts.transientFailures.onDelivered(endpoint);
         assertTrue(isReady(endpoint));
@@ -120,7 +120,7 @@
         assertTrue(isReady(endpoint));
         fixture.later(1);
         assertTrue(isNeverReady(endpoint), "over four times the usual");
-        endpoint.lastDeliveredSentAt = fixture.state.now - 100 * MS;
+        endpoint.lastDeliveredSentAt = fixture.state.nowMicros - 100 * MS;
         assertTrue(isReady(endpoint));
     }
 
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -84,7 +84,7 @@
     @Test
     void anEndpointThatToldAWaitIsRememberedUntilItIsOver() {
         list(ListingKind.ALL, entry("a", 1, 0, 0));
-        endpoints.get("a").limit.waitUntil = fixture.state.now + S;
+        endpoints.get("a").limit.waitUntil = fixture.state.nowMicros + S;
         list(ListingKind.ALL);
         assertEquals(Set.of("a"), endpoints.keySet());
         fixture.later(S);
@@ -124,7 +124,7 @@
         Endpoint first = endpoints.get("a");
         first.inOutage = true;
         first.slowStartFrom = 7;
-        first.lastSentAt = fixture.state.now - 3;
+        first.lastSentAt = fixture.state.nowMicros - 3;
         list(ListingKind.CHANGES, entry("b", 1, 0, 0));
         Endpoint second = endpoints.get("b");
         assertTrue(second.inOutage);
@@ -136,10 +136,10 @@
     @Test
     void inALargeFleetANewEndpointIsNoWayRoundAnOutage() {
         use(Rig.settings(4, 50, 6, false, PolicyFixture.LARGE));
-        fixture.limit.failingSince = fixture.state.now - S;
+        fixture.limit.failingSince = fixture.state.nowMicros - S;
         list(ListingKind.ALL, entry("a", 1, 0, 0));
         assertTrue(endpoints.get("a").refusingConnections);
-        assertEquals(fixture.state.now, endpoints.get("a").lastSentAt);
+        assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAt);
     }
 
     @Test
@@ -162,18 +162,18 @@
     void thePlatformIsAskedOnceAndLaterAndLaterWhereItRefuses() {
         use(Rig.settings(4, 50, 6, true));
         list(ListingKind.REMEMBERED);
-        assertEquals(fixture.state.now, directory.askAt());
+        assertEquals(fixture.state.nowMicros, directory.askAt());
         directory.onAsked();
         assertEquals(PolicyState.NEVER, directory.askAt());
         // Half a minute and more of refusals: 0.4 s, doubled up to a third of the 10 s that the rules allow.
         for (long pause : new long[] {400 * MS, 800 * MS, 1_600 * MS, 3_200 * MS, 10 * S / 3, 10 * S / 3}) {
             list(ListingKind.REFUSED);
-            long after = directory.askAt() - fixture.state.now;
+            long after = directory.askAt() - fixture.state.nowMicros;
             assertTrue(after >= pause / 2 && after <= pause * 3 / 2, after + " for " + pause);
         }
         list(ListingKind.CHANGES);
         list(ListingKind.REFUSED);
-        assertTrue(directory.askAt() - fixture.state.now <= 600 * MS, "an answer ends the row");
+        assertTrue(directory.askAt() - fixture.state.nowMicros <= 600 * MS, "an answer ends the row");
     }
 
     @Test
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -71,7 +71,7 @@
         fixture.message(KEYED);
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.now;
+        repeated.mayHaveRunSince = fixture.state.nowMicros;
         assertEquals(repeated, selected());
     }
 
@@ -121,10 +121,10 @@
     void theQueueIsLookedAtAgainWhenSomethingMayGo() {
         fixture.queue.nextCheckAt = PolicyState.NEVER;
         Message message = fixture.message(SAFE);
-        message.notBefore = fixture.state.now + 300 * MS;
+        message.notBefore = fixture.state.nowMicros + 300 * MS;
         assertNull(selection.select(fixture.queue));
         assertEquals(message.notBefore, fixture.queue.nextCheckAt);
-        endpoint.avoidUntil = fixture.state.now + 200 * MS;
+        endpoint.avoidUntil = fixture.state.nowMicros + 200 * MS;
         assertNull(selection.select(fixture.queue));
         assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAt);
     }
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -34,7 +34,7 @@
 
     private void deliver(Endpoint at) {
         outages.onDelivered(fixture.limit, at);
-        at.lastDeliveredSentAt = fixture.state.now;
+        at.lastDeliveredSentAt = fixture.state.nowMicros;
     }
 
     @ParameterizedTest
@@ -109,7 +109,7 @@
         assertEquals(0, endpoint.avoidUntil);
         for (long longest : new long[] {750 * MS, 1_500 * MS, 3 * S, 3 * S}) {
             fail(endpoint, AttemptResult.ERROR, 1);
-            long pause = endpoint.avoidUntil - fixture.state.now;
+            long pause = endpoint.avoidUntil - fixture.state.nowMicros;
             assertTrue(pause >= longest / 3 && pause <= longest, pause + " of at most " + longest);
         }
     }
@@ -162,7 +162,7 @@
         assertTrue(first.inOutage);
         assertTrue(large.limit.paceSpread > 1 && large.limit.paceSpread < 2, "spread by chance");
         Endpoint second = large.endpoint();
-        second.lastDeliveredSentAt = large.state.now - S;
+        second.lastDeliveredSentAt = large.state.nowMicros - S;
         inFleet.onFailure(large.limit, second, AttemptResult.NO_CONNECTION, 10 * MS);
         assertFalse(second.refusingConnections, "it took a call a second ago: it is busy");
         large.later(3 * S);
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -23,7 +23,7 @@
         Message message = fixture.message(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
-        message.mayHaveRunSince = fixture.state.now;
+        message.mayHaveRunSince = fixture.state.nowMicros;
         return message;
     }
 
@@ -36,7 +36,7 @@
         long most = 0;
         for (int i = 0; i < 200; i++) {
             retries.pause(message);
-            long pause = message.notBefore - fixture.state.now;
+            long pause = message.notBefore - fixture.state.nowMicros;
             least = Math.min(least, pause);
             most = Math.max(most, pause);
         }
@@ -75,7 +75,7 @@
     void onlyAKeyedMessageThatMayHaveRunHasAWindow() {
         assertEquals(Long.MAX_VALUE, retries.windowEnd(fixture.message(KEYED)));
         assertEquals(Long.MAX_VALUE, retries.windowEnd(mayHaveRun(SAFE)));
-        assertEquals(fixture.state.now + 5 * S - 5 * MS, retries.windowEnd(mayHaveRun(KEYED)));
+        assertEquals(fixture.state.nowMicros + 5 * S - 5 * MS, retries.windowEnd(mayHaveRun(KEYED)));
     }
 
     @Test
--- a/src/test/java/lilaclever/SlowStartTest.java
+++ b/src/test/java/lilaclever/SlowStartTest.java
@@ -22,7 +22,7 @@
     @Test
     void itLastsAsLongAsTheRulesSay() {
         slowStart.begin(endpoint);
-        assertEquals(fixture.state.now + 10 * S, slowStart.endsAt(endpoint));
+        assertEquals(fixture.state.nowMicros + 10 * S, slowStart.endsAt(endpoint));
         fixture.later(10 * S - 1);
         assertTrue(slowStart.isActive(endpoint));
         fixture.later(1);
