--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -112,7 +112,7 @@
         } else if (event instanceof Event.Withdrawn e && messages.containsKey(e.id())) {
             finish(messages.get(e.id()));
         } else if (event instanceof Event.Stopping e) {
-            state.stopAt = e.untilMicros();
+            state.stopAtMicros = e.untilMicros();
         } else if (event instanceof Event.SettingsChanged e) {
             onRenewed(e);
         } else if (event instanceof Event.Timer) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -42,7 +42,7 @@
     /** The time of the present round. */
     long nowMicros;
     /** When all calls must have come back, as the program ends. */
-    long stopAt = NEVER;
+    long stopAtMicros = NEVER;
     /** What the host program must do; a new list for each round. */
     List<Action> actions = new ArrayList<>();
     /** Calls in flight, each in one of the slots of the settings. */
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -103,7 +103,7 @@
 
     @Test
     void notIfTheEndOfTheProgramCouldCutItsCall() {
-        fixture.state.stopAt = fixture.state.nowMicros + 2 * S;
+        fixture.state.stopAtMicros = fixture.state.nowMicros + 2 * S;
         assertTrue(rules.permit(fixture.message(SAFE), endpoint), "2 s for its call");
         assertFalse(rules.permit(fixture.message(UNSAFE), endpoint), "4 s for its call");
     }
