--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -53,9 +53,9 @@
     void onDelivered(DestinationLimit limit, long elapsed) {
         limit.answerTime =
                 limit.answerTime == 0 ? elapsed : limit.answerTime + ANSWER_WEIGHT * (elapsed - limit.answerTime);
-        double usual = state.usualAnswerTime;
+        double usual = state.overallMeanAnswerMicros;
         double bounded = usual == 0 ? elapsed : Math.min(elapsed, slowAnswerTime());
-        state.usualAnswerTime += (usual == 0 ? 1 : ANSWER_WEIGHT_OF_ALL) * (bounded - usual);
+        state.overallMeanAnswerMicros += (usual == 0 ? 1 : ANSWER_WEIGHT_OF_ALL) * (bounded - usual);
         boolean prompt = elapsed < PROMPT_TIMES * limit.answerTime;
         limit.timeoutFactor = prompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENED_PART);
     }
@@ -67,7 +67,7 @@
 
     /** A call or a mean answer above this time is slow beside the usual, microseconds; 0 while none is known. */
     double slowAnswerTime() {
-        return SLOW_TIMES * state.usualAnswerTime;
+        return SLOW_TIMES * state.overallMeanAnswerMicros;
     }
 
     /** How long a call of the message may take if it is sent now, microseconds. */
@@ -116,7 +116,7 @@
     }
 
     private long overdueAfter(Call call) {
-        double usual = Math.max(state.usualAnswerTime, call.endpoint.limit.answerTime);
+        double usual = Math.max(state.overallMeanAnswerMicros, call.endpoint.limit.answerTime);
         boolean unsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (unsafe
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -92,11 +92,11 @@
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
             boolean latest = call.sentAt > endpoint.lastDeliveredSentAt;
-            if (state.usualAnswerTime > 0 && latest && state.nowMicros - call.sentAt > slow) {
+            if (state.overallMeanAnswerMicros > 0 && latest && state.nowMicros - call.sentAt > slow) {
                 return true;
             }
         }
-        boolean slowAnswers = state.usualAnswerTime > 0 && endpoint.limit.answerTime > slow;
+        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.answerTime > slow;
         return endpoint.inOutage || endpoint.timingOut || slowAnswers;
     }
 }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -127,7 +127,7 @@
     @Test
     void slowAnswersStallToo() {
         fixture.call(fixture.message(SAFE), endpoint);
-        fixture.state.usualAnswerTime = 100 * MS;
+        fixture.state.overallMeanAnswerMicros = 100 * MS;
         fixture.limit.answerTime = 401 * MS;
         assertTrue(isNeverReady(endpoint));
     }
