--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -97,7 +97,7 @@
     /** Limits count calls, so what goes along is free; only a trial, which may fail all, goes alone. */
     private void addOthers(Call call) {
         for (Message message : List.copyOf(call.endpoint.queue.waiting)) {
-            if (call.outcomesDue >= call.endpoint.batch) {
+            if (call.pendingOutcomes >= call.endpoint.batch) {
                 break;
             }
             if (rules.permit(message, call.endpoint)) {
@@ -115,7 +115,7 @@
         call.messages.add(message);
         message.sentAt = state.nowMicros;
         message.lastEndpoint = endpoint;
-        call.outcomesDue++;
+        call.pendingOutcomes++;
         // A connection that comes up late must not carry it past its window.
         long timeoutAt = state.nowMicros + timeouts.timeout(message, endpoint.limit);
         long dropAt = Math.min(Math.min(message.deadline, timeoutAt), retries.windowEnd(message));
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -244,8 +244,8 @@
         Call call = message.call;
         message.inFlightTo = null;
         message.call = null;
-        call.outcomesDue--;
-        if (call.outcomesDue == 0) {
+        call.pendingOutcomes--;
+        if (call.pendingOutcomes == 0) {
             dispatch.end(call);
             connections.onCallEnded(endpoint, event.result());
         }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -90,7 +90,7 @@
         /** The host program was asked to give it up. */
         boolean cancelled;
         /** Messages whose outcome has not come yet. */
-        int outcomesDue;
+        int pendingOutcomes;
 
         long sentAt;
         /** The outcome of one of its messages has come; those of the others tell nothing new of the endpoint. */
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -99,8 +99,8 @@
         dispatch();
         assertEquals(List.of(first.id, second.id, third.id, fourth.id), sent());
         assertEquals(2, fixture.state.slotsInUse);
-        assertEquals(3, first.call.outcomesDue);
-        assertEquals(1, fourth.call.outcomesDue);
+        assertEquals(3, first.call.pendingOutcomes);
+        assertEquals(1, fourth.call.pendingOutcomes);
     }
 
     @Test
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -65,7 +65,7 @@
         Call call = new Call();
         call.endpoint = endpoint;
         call.sentAt = state.nowMicros;
-        call.outcomesDue = 1;
+        call.pendingOutcomes = 1;
         call.messages.add(message);
         state.dequeue(message);
         message.call = call;
