--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -78,7 +78,7 @@
     /** One call: the selected message, and where calls carry several, others of its queue that may go along. */
     private void startCall(Message message, Endpoint endpoint) {
         Call call = new Call();
-        call.sentAt = state.nowMicros;
+        call.sentAtMicros = state.nowMicros;
         call.endpoint = endpoint;
         endpoint.calls.add(call);
         state.calls.add(call);
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -104,7 +104,7 @@
             if (left <= 0 || call.cancelled) {
                 continue;
             }
-            long overdueAt = call.sentAt + overdueAfter(call);
+            long overdueAt = call.sentAtMicros + overdueAfter(call);
             if (overdueAt > state.nowMicros) {
                 next = Math.min(next, overdueAt);
             } else {
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -91,8 +91,8 @@
         double slow = timeouts.slowAnswerTime();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
-            boolean latest = call.sentAt > endpoint.lastDeliveredSentAt;
-            if (state.overallMeanAnswerMicros > 0 && latest && state.nowMicros - call.sentAt > slow) {
+            boolean latest = call.sentAtMicros > endpoint.lastDeliveredSentAt;
+            if (state.overallMeanAnswerMicros > 0 && latest && state.nowMicros - call.sentAtMicros > slow) {
                 return true;
             }
         }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -92,7 +92,7 @@
         /** Messages whose outcome has not come yet. */
         int pendingOutcomes;
 
-        long sentAt;
+        long sentAtMicros;
         /** The outcome of one of its messages has come; those of the others tell nothing new of the endpoint. */
         boolean outcomeSeen;
     }
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -64,7 +64,7 @@
     Call call(Message message, Endpoint endpoint) {
         Call call = new Call();
         call.endpoint = endpoint;
-        call.sentAt = state.nowMicros;
+        call.sentAtMicros = state.nowMicros;
         call.pendingOutcomes = 1;
         call.messages.add(message);
         state.dequeue(message);
