--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -105,10 +105,10 @@
         boolean known =
                 entry.kind() >= 0 && entry.kind() < state.settings.kinds().size();
         EndpointKind kind = known ? state.settings.kinds().get(entry.kind()) : new EndpointKind(false, 1);
-        if (queue.sharedLimit == null || kind.limitPerEndpoint()) {
-            queue.sharedLimit = new DestinationLimit();
+        if (queue.latestLimit == null || kind.limitPerEndpoint()) {
+            queue.latestLimit = new DestinationLimit();
         }
-        DestinationLimit limit = queue.sharedLimit;
+        DestinationLimit limit = queue.latestLimit;
         int number = known ? entry.kind() : 0;
         Endpoint endpoint = new Endpoint(entry.host(), queue, limit, entry.zone(), number, kind.maxBatchSize());
         endpoint.trialPause = OutageDetection.FIRST_TRIAL_PAUSE;
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -111,7 +111,7 @@
         final LinkedHashSet<Message> waiting = new LinkedHashSet<>();
         final List<Endpoint> endpoints = new ArrayList<>();
         /** The limit of all endpoints, or of the latest one where endpoints are routes with limits of their own. */
-        DestinationLimit sharedLimit;
+        DestinationLimit latestLimit;
         /** When a message of this queue may be able to go that can't now. */
         long nextCheckAt;
     }
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -34,12 +34,12 @@
     /** An endpoint of a destination of its own, that takes calls of so many messages. */
     private Endpoint elsewhere(int batch) {
         DestinationQueue queue = new DestinationQueue();
-        queue.sharedLimit = new DestinationLimit();
-        Endpoint endpoint = new Endpoint("other", queue, queue.sharedLimit, 0, 0, batch);
+        queue.latestLimit = new DestinationLimit();
+        Endpoint endpoint = new Endpoint("other", queue, queue.latestLimit, 0, 0, batch);
         endpoint.active = true;
         endpoint.trialPause = S;
         queue.endpoints.add(endpoint);
-        queue.sharedLimit.endpoints.add(endpoint);
+        queue.latestLimit.endpoints.add(endpoint);
         fixture.state.queues.put(2, queue);
         return endpoint;
     }
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -35,7 +35,7 @@
         state.nowMicros = 1000 * S;
         queue = new DestinationQueue();
         limit = new DestinationLimit();
-        queue.sharedLimit = limit;
+        queue.latestLimit = limit;
         state.queues.put(1, queue);
     }
 
