--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -41,7 +41,7 @@
     List<SendCandidate> candidates() {
         List<SendCandidate> candidates = new ArrayList<>();
         for (DestinationQueue queue : state.nonEmptyQueues) {
-            queue.nextCheckAt = NEVER;
+            queue.nextCheckAtMicros = NEVER;
             SendCandidate candidate = selection.select(queue);
             if (candidate != null) {
                 candidates.add(candidate);
@@ -69,7 +69,7 @@
             }
         }
         long next = state.nonEmptyQueues.stream()
-                .mapToLong(queue -> queue.nextCheckAt)
+                .mapToLong(queue -> queue.nextCheckAtMicros)
                 .min()
                 .orElse(NEVER);
         return candidates.isEmpty() ? next : Math.min(next, timeouts.cancelOverdue(candidates.size()));
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -77,7 +77,7 @@
             if (at <= state.nowMicros) {
                 ready.add(endpoint);
             } else {
-                queue.nextCheckAt = Math.min(queue.nextCheckAt, at);
+                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, at);
             }
         }
         return soonest;
@@ -113,7 +113,7 @@
                 break;
             }
             if (message.notBefore > state.nowMicros) {
-                queue.nextCheckAt = Math.min(queue.nextCheckAt, message.notBefore);
+                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, message.notBefore);
                 continue;
             }
             considered++;
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -113,7 +113,7 @@
         /** The limit of all endpoints, or of the latest one where endpoints are routes with limits of their own. */
         DestinationLimit latestLimit;
         /** When a message of this queue may be able to go that can't now. */
-        long nextCheckAt;
+        long nextCheckAtMicros;
     }
 
     /** A message that has no final answer yet, or whose call is still in flight. */
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -23,7 +23,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private Message selected() {
-        fixture.queue.nextCheckAt = PolicyState.NEVER;
+        fixture.queue.nextCheckAtMicros = PolicyState.NEVER;
         return selection.select(fixture.queue).message();
     }
 
@@ -119,14 +119,14 @@
 
     @Test
     void theQueueIsLookedAtAgainWhenSomethingMayGo() {
-        fixture.queue.nextCheckAt = PolicyState.NEVER;
+        fixture.queue.nextCheckAtMicros = PolicyState.NEVER;
         Message message = fixture.message(SAFE);
         message.notBefore = fixture.state.nowMicros + 300 * MS;
         assertNull(selection.select(fixture.queue));
-        assertEquals(message.notBefore, fixture.queue.nextCheckAt);
+        assertEquals(message.notBefore, fixture.queue.nextCheckAtMicros);
         endpoint.avoidUntil = fixture.state.nowMicros + 200 * MS;
         assertNull(selection.select(fixture.queue));
-        assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAt);
+        assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAtMicros);
     }
 
     @Test
