--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -161,7 +161,7 @@
     private Message message(Event.Submit event) {
         MessageClass kind = state.settings.classes().get(event.messageClass());
         Message message = new Message(event.id(), kind);
-        message.acceptedAt = state.nowMicros - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
+        message.acceptedAtMicros = state.nowMicros - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
         message.deadline = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
         message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -181,7 +181,7 @@
     private double worthNow(Message message) {
         MessageClass kind = message.messageClass;
         long aim = kind.aimMicros();
-        double late = (state.nowMicros - message.acceptedAt - aim) / (double) Math.max(1, aim);
+        double late = (state.nowMicros - message.acceptedAtMicros - aim) / (double) Math.max(1, aim);
         if (late < 0) {
             return message.worth * (1 + PREFERENCE_AT_AIM * (1 + late));
         }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -126,7 +126,7 @@
 
         String key;
         double worth;
-        long acceptedAt, deadline;
+        long acceptedAtMicros, deadline;
         /** The end of the pause before its next attempt. */
         long notBefore;
 
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -33,7 +33,7 @@
 
     private Message aged(int messageClass, long micros) {
         Message message = fixture.message(messageClass);
-        message.acceptedAt -= micros;
+        message.acceptedAtMicros -= micros;
         message.deadline -= micros;
         return message;
     }
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -54,7 +54,7 @@
         Message message = new Message("m" + names++, kind);
         message.queue = queue;
         message.worth = kind.worth();
-        message.acceptedAt = state.nowMicros;
+        message.acceptedAtMicros = state.nowMicros;
         message.deadline = state.nowMicros + kind.deadlineMicros();
         state.enqueue(message);
         return message;
