--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -149,7 +149,7 @@
                 return;
             }
         }
-        checkAt(message.deadline - CallTimeouts.SHORTEST, message);
+        checkAt(message.deadlineMicros - CallTimeouts.SHORTEST, message);
         if (admission.isNearlyFull()) {
             Message least = admission.leastWorth();
             if (least != null) {
@@ -162,7 +162,7 @@
         MessageClass kind = state.settings.classes().get(event.messageClass());
         Message message = new Message(event.id(), kind);
         message.acceptedAtMicros = state.nowMicros - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
-        message.deadline = state.nowMicros + event.budgetMicros();
+        message.deadlineMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
         message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
         if (kind.ordered() && event.key() != null) {
@@ -194,11 +194,11 @@
 
     private void check(Message message) {
         // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
-        long latestAnswerAt = message.deadline + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerAt = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.forget(message);
         } else if (message.inFlightTo == null) {
-            if (message.deadline - state.nowMicros <= CallTimeouts.SHORTEST || state.nowMicros >= retries.windowEnd(message)) {
+            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.SHORTEST || state.nowMicros >= retries.windowEnd(message)) {
                 end(message);
             }
         } else if (state.nowMicros >= latestAnswerAt) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -126,7 +126,7 @@
 
         String key;
         double worth;
-        long acceptedAtMicros, deadline;
+        long acceptedAtMicros, deadlineMicros;
         /** The end of the pause before its next attempt. */
         long notBefore;
 
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -52,7 +52,7 @@
     /** Whether an attempt may follow after the pause, in time and within the window. */
     boolean canTryAgain(Message message) {
         return !isExhausted(message)
-                && message.notBefore <= message.deadline - CallTimeouts.SHORTEST
+                && message.notBefore <= message.deadlineMicros - CallTimeouts.SHORTEST
                 && message.notBefore < windowEnd(message);
     }
 }
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -34,7 +34,7 @@
     private Message aged(int messageClass, long micros) {
         Message message = fixture.message(messageClass);
         message.acceptedAtMicros -= micros;
-        message.deadline -= micros;
+        message.deadlineMicros -= micros;
         return message;
     }
 
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -56,7 +56,7 @@
     @Test
     void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
         Message message = fixture.message(SAFE);
-        message.notBefore = message.deadline - CallTimeouts.SHORTEST;
+        message.notBefore = message.deadlineMicros - CallTimeouts.SHORTEST;
         assertTrue(retries.canTryAgain(message));
         message.notBefore++;
         assertFalse(retries.canTryAgain(message));
