--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -112,8 +112,8 @@
             if (ready.isEmpty() || considered >= MOST_MESSAGES_CONSIDERED) {
                 break;
             }
-            if (message.notBefore > state.nowMicros) {
-                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, message.notBefore);
+            if (message.notBeforeMicros > state.nowMicros) {
+                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, message.notBeforeMicros);
                 continue;
             }
             considered++;
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -128,7 +128,7 @@
         double worth;
         long acceptedAtMicros, deadlineMicros;
         /** The end of the pause before its next attempt. */
-        long notBefore;
+        long notBeforeMicros;
 
         int attempts;
         /** Where its attempt is in flight; null while it waits. */
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -41,18 +41,18 @@
     /** Sets the pause after an attempt: the design's step times a random factor. */
     void pause(Message message) {
         int step = Math.max(0, Math.min(message.attempts, STEPS.length) - 1);
-        message.notBefore = state.nowMicros + (long) (STEPS[step] * state.jitterFactor());
+        message.notBeforeMicros = state.nowMicros + (long) (STEPS[step] * state.jitterFactor());
         if (hasWindow(message)) {
             // A pause past the window would lose the message: come as late as a connection may still come up.
             long latest = windowEnd(message) - state.settings.limits().connectTimeoutMicros();
-            message.notBefore = state.nowMicros < latest ? Math.min(message.notBefore, latest) : message.notBefore;
+            message.notBeforeMicros = state.nowMicros < latest ? Math.min(message.notBeforeMicros, latest) : message.notBeforeMicros;
         }
     }
 
     /** Whether an attempt may follow after the pause, in time and within the window. */
     boolean canTryAgain(Message message) {
         return !isExhausted(message)
-                && message.notBefore <= message.deadlineMicros - CallTimeouts.SHORTEST
-                && message.notBefore < windowEnd(message);
+                && message.notBeforeMicros <= message.deadlineMicros - CallTimeouts.SHORTEST
+                && message.notBeforeMicros < windowEnd(message);
     }
 }
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -46,7 +46,7 @@
         return !message.finished
                 && message.inFlightTo == null
                 && message.attempts < state.settings.limits().maxAttempts()
-                && state.nowMicros >= message.notBefore
+                && state.nowMicros >= message.notBeforeMicros
                 && message.deadlineMicros - state.nowMicros >= CallTimeouts.SHORTEST;
     }
 
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -121,9 +121,9 @@
     void theQueueIsLookedAtAgainWhenSomethingMayGo() {
         fixture.queue.nextCheckAtMicros = PolicyState.NEVER;
         Message message = fixture.message(SAFE);
-        message.notBefore = fixture.state.nowMicros + 300 * MS;
+        message.notBeforeMicros = fixture.state.nowMicros + 300 * MS;
         assertNull(selection.select(fixture.queue));
-        assertEquals(message.notBefore, fixture.queue.nextCheckAtMicros);
+        assertEquals(message.notBeforeMicros, fixture.queue.nextCheckAtMicros);
         endpoint.avoidUntil = fixture.state.nowMicros + 200 * MS;
         assertNull(selection.select(fixture.queue));
         assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAtMicros);
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -36,7 +36,7 @@
         long most = 0;
         for (int i = 0; i < 200; i++) {
             retries.pause(message);
-            long pause = message.notBefore - fixture.state.nowMicros;
+            long pause = message.notBeforeMicros - fixture.state.nowMicros;
             least = Math.min(least, pause);
             most = Math.max(most, pause);
         }
@@ -56,9 +56,9 @@
     @Test
     void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
         Message message = fixture.message(SAFE);
-        message.notBefore = message.deadlineMicros - CallTimeouts.SHORTEST;
+        message.notBeforeMicros = message.deadlineMicros - CallTimeouts.SHORTEST;
         assertTrue(retries.canTryAgain(message));
-        message.notBefore++;
+        message.notBeforeMicros++;
         assertFalse(retries.canTryAgain(message));
     }
 
@@ -84,7 +84,7 @@
         message.attempts = 5;
         fixture.later(3 * S);
         retries.pause(message);
-        assertEquals(message.mayHaveRunSince + 4 * S - 5 * MS, message.notBefore);
+        assertEquals(message.mayHaveRunSince + 4 * S - 5 * MS, message.notBeforeMicros);
         assertTrue(retries.canTryAgain(message));
         fixture.later(S);
         retries.pause(message);
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -40,7 +40,7 @@
     @Test
     void notBeforeItsPauseIsOver() {
         Message message = fixture.message(SAFE);
-        message.notBefore = fixture.state.nowMicros + 1;
+        message.notBeforeMicros = fixture.state.nowMicros + 1;
         assertFalse(rules.permit(message, endpoint));
         fixture.later(1);
         assertTrue(rules.permit(message, endpoint));
