--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -110,7 +110,7 @@
         Endpoint endpoint = call.endpoint;
         state.dequeue(message);
         message.attempts++;
-        message.inFlightTo = endpoint;
+        message.inFlightEndpoint = endpoint;
         message.call = call;
         call.messages.add(message);
         message.sentAt = state.nowMicros;
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -133,7 +133,7 @@
         state.settings = event.settings();
         int maxAttempts = state.settings.limits().maxAttempts();
         messages.values().stream()
-                .filter(message -> message.inFlightTo == null && message.attempts >= maxAttempts)
+                .filter(message -> message.inFlightEndpoint == null && message.attempts >= maxAttempts)
                 .toList()
                 .forEach(this::end);
     }
@@ -197,7 +197,7 @@
         long latestAnswerAt = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.forget(message);
-        } else if (message.inFlightTo == null) {
+        } else if (message.inFlightEndpoint == null) {
             if (message.deadlineMicros - state.nowMicros <= CallTimeouts.SHORTEST || state.nowMicros >= retries.windowEnd(message)) {
                 end(message);
             }
@@ -214,10 +214,10 @@
 
     private void onOutcome(Event.Outcome event) {
         Message message = messages.get(event.id());
-        if (message == null || message.inFlightTo == null || event.attempt() != message.attempts - 1) {
+        if (message == null || message.inFlightEndpoint == null || event.attempt() != message.attempts - 1) {
             return;
         }
-        Endpoint endpoint = message.inFlightTo;
+        Endpoint endpoint = message.inFlightEndpoint;
         endAttempt(message, event);
         noteRisk(message, endpoint, event.result());
         if (message.orderedKey != null && wasGivenUp(event.result())) {
@@ -240,9 +240,9 @@
 
     /** Takes the message out of its call, and learns what the outcome tells of the endpoint. */
     private void endAttempt(Message message, Event.Outcome event) {
-        Endpoint endpoint = message.inFlightTo;
+        Endpoint endpoint = message.inFlightEndpoint;
         Call call = message.call;
-        message.inFlightTo = null;
+        message.inFlightEndpoint = null;
         message.call = null;
         call.pendingOutcomes--;
         if (call.pendingOutcomes == 0) {
@@ -320,7 +320,7 @@
 
     /** Whether the client may come again with the message: no attempt may have run, or a repeat does no harm. */
     private static boolean isHarmlessToRefuse(Message message) {
-        boolean mayRun = message.mayHaveRun || message.inFlightTo != null;
+        boolean mayRun = message.mayHaveRun || message.inFlightEndpoint != null;
         RepeatSafety repeat = message.messageClass.repeat();
         boolean keyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == KeyScope.ALL;
         return !mayRun || repeat == RepeatSafety.SAFE || keyedEverywhere;
@@ -333,7 +333,7 @@
             state.openMessages--;
             state.dequeue(message);
         }
-        if (message.inFlightTo == null) {
+        if (message.inFlightEndpoint == null) {
             messages.remove(message.id);
             keyOrder.remove(message);
         }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -132,7 +132,7 @@
 
         int attempts;
         /** Where its attempt is in flight; null while it waits. */
-        Endpoint inFlightTo;
+        Endpoint inFlightEndpoint;
 
         Endpoint lastEndpoint;
         Call call;
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -44,7 +44,7 @@
 
     private boolean isDue(Message message) {
         return !message.finished
-                && message.inFlightTo == null
+                && message.inFlightEndpoint == null
                 && message.attempts < state.settings.limits().maxAttempts()
                 && state.nowMicros >= message.notBeforeMicros
                 && message.deadlineMicros - state.nowMicros >= CallTimeouts.SHORTEST;
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -69,7 +69,7 @@
         call.messages.add(message);
         state.dequeue(message);
         message.call = call;
-        message.inFlightTo = endpoint;
+        message.inFlightEndpoint = endpoint;
         message.sentAt = state.nowMicros;
         message.attempts++;
         endpoint.calls.add(call);
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -60,7 +60,7 @@
         Message message = fixture.message(SAFE);
         fixture.call(message, endpoint);
         assertFalse(rules.permit(message, endpoint));
-        message.inFlightTo = null;
+        message.inFlightEndpoint = null;
         assertTrue(rules.permit(message, endpoint));
         message.finished = true;
         assertFalse(rules.permit(message, endpoint));
