--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -113,7 +113,7 @@
         message.inFlightEndpoint = endpoint;
         message.call = call;
         call.messages.add(message);
-        message.sentAt = state.nowMicros;
+        message.sentAtMicros = state.nowMicros;
         message.lastEndpoint = endpoint;
         call.pendingOutcomes++;
         // A connection that comes up late must not carry it past its window.
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -250,7 +250,7 @@
             connections.onCallEnded(endpoint, event.result());
         }
         if (event.result() == AttemptResult.DELIVERED) {
-            endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAt);
+            endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAtMicros);
         }
         limits.onReport(endpoint.limit, event.report());
         limits.onWait(endpoint.limit, event.retryAfterMicros());
@@ -285,7 +285,7 @@
         boolean mayHaveRun = !ending.neverRan() && ending != AttemptResult.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
             message.mayHaveRun = true;
-            message.mayHaveRunSince = message.sentAt;
+            message.mayHaveRunSince = message.sentAtMicros;
             message.mayHaveRunZone = endpoint.zone;
         }
     }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -136,7 +136,7 @@
 
         Endpoint lastEndpoint;
         Call call;
-        long sentAt;
+        long sentAtMicros;
         /** An attempt may have taken effect; the first of these was sent at that time to that zone. */
         boolean mayHaveRun;
 
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -70,7 +70,7 @@
         state.dequeue(message);
         message.call = call;
         message.inFlightEndpoint = endpoint;
-        message.sentAt = state.nowMicros;
+        message.sentAtMicros = state.nowMicros;
         message.attempts++;
         endpoint.calls.add(call);
         endpoint.callsInFlight++;
