--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -175,7 +175,7 @@
     private void resume(Message message, PriorAttempts prior) {
         message.attempts = prior.attempts();
         message.mayHaveRun = prior.mayHaveRun();
-        message.mayHaveRunSince = prior.riskAtMicros();
+        message.uncertainSentAtMicros = prior.riskAtMicros();
         message.mayHaveRunZone = prior.riskZone();
         message.resumed = true;
         if (retries.isExhausted(message) || state.nowMicros >= retries.windowEnd(message)) {
@@ -285,7 +285,7 @@
         boolean mayHaveRun = !ending.neverRan() && ending != AttemptResult.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
             message.mayHaveRun = true;
-            message.mayHaveRunSince = message.sentAtMicros;
+            message.uncertainSentAtMicros = message.sentAtMicros;
             message.mayHaveRunZone = endpoint.zone;
         }
     }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -140,7 +140,7 @@
         /** An attempt may have taken effect; the first of these was sent at that time to that zone. */
         boolean mayHaveRun;
 
-        long mayHaveRunSince;
+        long uncertainSentAtMicros;
         int mayHaveRunZone;
         /** Its final answer was given. */
         boolean finished;
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -28,7 +28,7 @@
      */
     long windowEnd(Message message) {
         return hasWindow(message)
-                ? message.mayHaveRunSince + message.messageClass.repeatWindowMicros() - state.settings.roundMicros()
+                ? message.uncertainSentAtMicros + message.messageClass.repeatWindowMicros() - state.settings.roundMicros()
                 : Long.MAX_VALUE;
     }
 
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -79,7 +79,7 @@
         shortOfTime.deadlineMicros = fixture.state.nowMicros + S;
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.nowMicros - 4 * S;
+        repeated.uncertainSentAtMicros = fixture.state.nowMicros - 4 * S;
         dispatch();
         assertEquals(
                 List.of(
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -71,7 +71,7 @@
         fixture.message(KEYED);
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.nowMicros;
+        repeated.uncertainSentAtMicros = fixture.state.nowMicros;
         assertEquals(repeated, selected());
     }
 
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -23,7 +23,7 @@
         Message message = fixture.message(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
-        message.mayHaveRunSince = fixture.state.nowMicros;
+        message.uncertainSentAtMicros = fixture.state.nowMicros;
         return message;
     }
 
@@ -84,7 +84,7 @@
         message.attempts = 5;
         fixture.later(3 * S);
         retries.pause(message);
-        assertEquals(message.mayHaveRunSince + 4 * S - 5 * MS, message.notBeforeMicros);
+        assertEquals(message.uncertainSentAtMicros + 4 * S - 5 * MS, message.notBeforeMicros);
         assertTrue(retries.canTryAgain(message));
         fixture.later(S);
         retries.pause(message);
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -27,7 +27,7 @@
         Message message = fixture.message(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
-        message.mayHaveRunSince = fixture.state.nowMicros;
+        message.uncertainSentAtMicros = fixture.state.nowMicros;
         return message;
     }
 
