--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -83,7 +83,7 @@
         endpoint.calls.add(call);
         state.calls.add(call);
         attempt(message, call);
-        if (endpoint.batch > 1 && !endpoint.inOutage) {
+        if (endpoint.maxBatchSize > 1 && !endpoint.inOutage) {
             addOthers(call);
         }
         state.slotsInUse++;
@@ -97,7 +97,7 @@
     /** Limits count calls, so what goes along is free; only a trial, which may fail all, goes alone. */
     private void addOthers(Call call) {
         for (Message message : List.copyOf(call.endpoint.queue.waiting)) {
-            if (call.pendingOutcomes >= call.endpoint.batch) {
+            if (call.pendingOutcomes >= call.endpoint.maxBatchSize) {
                 break;
             }
             if (rules.permit(message, call.endpoint)) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -158,7 +158,7 @@
         final String host;
         final DestinationQueue queue;
         final DestinationLimit limit;
-        final int zone, kind, batch;
+        final int zone, kind, maxBatchSize;
         /** Since when each idle connection to it has been idle, the longest first. */
         final ArrayDeque<Long> idleSince = new ArrayDeque<>();
 
@@ -197,7 +197,7 @@
             this.limit = limit;
             this.zone = zone;
             this.kind = kind;
-            this.batch = batch;
+            this.maxBatchSize = batch;
         }
     }
 
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -114,8 +114,8 @@
     void aKindThatTheSettingsDoNotNameIsAPlainOne() {
         list(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
         assertEquals(0, endpoints.get("a").kind);
-        assertEquals(1, endpoints.get("b").batch);
-        assertEquals(5, endpoints.get("c").batch);
+        assertEquals(1, endpoints.get("b").maxBatchSize);
+        assertEquals(5, endpoints.get("c").maxBatchSize);
     }
 
     @Test
