--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -54,7 +54,7 @@
         }
         long healthyAt = endpoint.lastSentAt + (long) (SECOND / rate);
         // The pace of slow start is at its slowest now: at its end the endpoint is free.
-        boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.refusingConnections;
+        boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
         long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAt(endpoint)) : healthyAt;
         return Math.max(limitReadyAt, readyAt);
     }
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -129,7 +129,7 @@
         if (state.largeFleet && endpoint.limit.failingSince > 0) {
             // A new host is no way round an outage, whatever it looked like, even if the old one has left the list:
             // all forwarders hear of it at once, and would send what they hold.
-            endpoint.refusingConnections = true;
+            endpoint.connectsFailing = true;
             endpoint.lastSentAt = state.nowMicros;
         }
     }
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -55,10 +55,10 @@
         limit.failingSince = 0;
         limit.failuresInRow = 0;
         limit.severalFail = false;
-        boolean connectsFailedLong = endpoint.refusingConnections && !transientFailures.isBrief(endpoint);
+        boolean connectsFailedLong = endpoint.connectsFailing && !transientFailures.isBrief(endpoint);
         boolean returned = endpoint.inOutage || connectsFailedLong;
         endpoint.failuresInRow = 0;
-        endpoint.refusingConnections = false;
+        endpoint.connectsFailing = false;
         endpoint.timingOut = false;
         transientFailures.onDelivered(endpoint);
         endpoint.failingSince = 0;
@@ -148,7 +148,7 @@
         // for it. In an outage this ends with the fourth failure in a row, or three seconds in.
         boolean busy = transientFailures.isBriefSince(endpoint.lastDeliveredSentAt)
                 && endpoint.failuresInRow < FAILURES_IN_ROW;
-        endpoint.refusingConnections |= state.largeFleet && ending == AttemptResult.NO_CONNECTION && !busy;
+        endpoint.connectsFailing |= state.largeFleet && ending == AttemptResult.NO_CONNECTION && !busy;
     }
 
     private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -168,7 +168,7 @@
         /** Its last calls ran into their time-out. */
         boolean timingOut;
         /** Its connects fail in a large fleet: calls keep to the pace of an outage. */
-        boolean refusingConnections;
+        boolean connectsFailing;
 
         int callsInFlight;
         long lastSentAt = LONG_AGO;
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -34,7 +34,7 @@
         DestinationLimit limit = endpoint.limit;
         long active =
                 Math.max(1, limit.endpoints.stream().filter(each -> each.active).count());
-        if (endpoint.inOutage || endpoint.refusingConnections) {
+        if (endpoint.inOutage || endpoint.connectsFailing) {
             double rate = budget(limit, 0, isSurelyOut(endpoint)) / active;
             return Math.min(SECOND / endpoint.trialPause, rate) / limit.paceSpread;
         }
@@ -43,7 +43,7 @@
 
     private boolean isSurelyOut(Endpoint endpoint) {
         boolean severalOut = state.largeFleet && endpoint.limit.severalFail && !transientFailures.callsOftenLost();
-        return endpoint.refusingConnections || severalOut;
+        return endpoint.connectsFailing || severalOut;
     }
 
     /** Calls a second for a limit that is in an outage. */
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -138,7 +138,7 @@
         use(Rig.settings(4, 50, 6, false, PolicyFixture.LARGE));
         fixture.limit.failingSince = fixture.state.nowMicros - S;
         list(ListingKind.ALL, entry("a", 1, 0, 0));
-        assertTrue(endpoints.get("a").refusingConnections);
+        assertTrue(endpoints.get("a").connectsFailing);
         assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAt);
     }
 
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -164,9 +164,9 @@
         Endpoint second = large.endpoint();
         second.lastDeliveredSentAt = large.state.nowMicros - S;
         inFleet.onFailure(large.limit, second, AttemptResult.NO_CONNECTION, 10 * MS);
-        assertFalse(second.refusingConnections, "it took a call a second ago: it is busy");
+        assertFalse(second.connectsFailing, "it took a call a second ago: it is busy");
         large.later(3 * S);
         inFleet.onFailure(large.limit, second, AttemptResult.NO_CONNECTION, 10 * MS);
-        assertTrue(second.refusingConnections);
+        assertTrue(second.connectsFailing);
     }
 }
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -75,11 +75,11 @@
     void aSureOutageInALargeFleetIsTakenForALongOne() {
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         Endpoint out = large.endpoint();
-        out.refusingConnections = true;
+        out.connectsFailing = true;
         out.trialPause = S / 2;
         double firstPause = 20 * 0.425 / (1 + 1 / 0.425);
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
-        out.refusingConnections = false;
+        out.connectsFailing = false;
         out.inOutage = true;
         large.limit.severalFail = true;
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
