--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -90,7 +90,7 @@
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
         endpoint.limit.lastSentAt = state.nowMicros;
-        endpoint.lastSentAt = state.nowMicros;
+        endpoint.lastSentAtMicros = state.nowMicros;
         connections.onSend(endpoint);
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -52,7 +52,7 @@
         if (rate >= NEVER) {
             return limitReadyAt;
         }
-        long healthyAt = endpoint.lastSentAt + (long) (SECOND / rate);
+        long healthyAt = endpoint.lastSentAtMicros + (long) (SECOND / rate);
         // The pace of slow start is at its slowest now: at its end the endpoint is free.
         boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
         long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAt(endpoint)) : healthyAt;
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -124,13 +124,13 @@
         for (Endpoint each : endpoint.limit.endpoints) {
             endpoint.inOutage |= each.inOutage;
             endpoint.slowStartFrom = Math.max(endpoint.slowStartFrom, each.slowStartFrom);
-            endpoint.lastSentAt = Math.max(endpoint.lastSentAt, each.lastSentAt);
+            endpoint.lastSentAtMicros = Math.max(endpoint.lastSentAtMicros, each.lastSentAtMicros);
         }
         if (state.largeFleet && endpoint.limit.failingSince > 0) {
             // A new host is no way round an outage, whatever it looked like, even if the old one has left the list:
             // all forwarders hear of it at once, and would send what they hold.
             endpoint.connectsFailing = true;
-            endpoint.lastSentAt = state.nowMicros;
+            endpoint.lastSentAtMicros = state.nowMicros;
         }
     }
 
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -171,7 +171,7 @@
         boolean connectsFailing;
 
         int callsInFlight;
-        long lastSentAt = LONG_AGO;
+        long lastSentAtMicros = LONG_AGO;
         /** When the latest call that was delivered had been sent. */
         long lastDeliveredSentAt = LONG_AGO;
 
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -68,7 +68,7 @@
     void afterATrialThePauseOfTheOutageIsKept() {
         endpoint.trialPause = 500 * MS;
         endpoint.inOutage = true;
-        endpoint.lastSentAt = fixture.state.nowMicros;
+        endpoint.lastSentAtMicros = fixture.state.nowMicros;
         // A cold destination's part, 0.425, of an even share of 0.75 calls a second.
         assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second for one that was out only now");
         fixture.limit.failingFor = 60 * S;
@@ -84,7 +84,7 @@
         Endpoint cold = large.endpoint();
         large.limit.failingFor = 60 * S;
         inFleet.slowStart.begin(cold);
-        cold.lastSentAt = large.state.nowMicros;
+        cold.lastSentAtMicros = large.state.nowMicros;
         assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.nowMicros, "not a call in 141 s");
     }
 
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -124,12 +124,12 @@
         Endpoint first = endpoints.get("a");
         first.inOutage = true;
         first.slowStartFrom = 7;
-        first.lastSentAt = fixture.state.nowMicros - 3;
+        first.lastSentAtMicros = fixture.state.nowMicros - 3;
         list(ListingKind.CHANGES, entry("b", 1, 0, 0));
         Endpoint second = endpoints.get("b");
         assertTrue(second.inOutage);
         assertEquals(7, second.slowStartFrom);
-        assertEquals(first.lastSentAt, second.lastSentAt);
+        assertEquals(first.lastSentAtMicros, second.lastSentAtMicros);
         assertEquals(OutageDetection.FIRST_TRIAL_PAUSE, second.trialPause);
     }
 
@@ -139,7 +139,7 @@
         fixture.limit.failingSince = fixture.state.nowMicros - S;
         list(ListingKind.ALL, entry("a", 1, 0, 0));
         assertTrue(endpoints.get("a").connectsFailing);
-        assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAt);
+        assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAtMicros);
     }
 
     @Test
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -75,7 +75,7 @@
         endpoint.calls.add(call);
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
-        endpoint.lastSentAt = state.nowMicros;
+        endpoint.lastSentAtMicros = state.nowMicros;
         endpoint.limit.lastSentAt = state.nowMicros;
         state.calls.add(call);
         state.slotsInUse++;
