--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -250,7 +250,7 @@
             connections.onCallEnded(endpoint, event.result());
         }
         if (event.result() == AttemptResult.DELIVERED) {
-            endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAtMicros);
+            endpoint.lastDeliveredSentAtMicros = Math.max(endpoint.lastDeliveredSentAtMicros, message.sentAtMicros);
         }
         limits.onReport(endpoint.limit, event.report());
         limits.onWait(endpoint.limit, event.retryAfterMicros());
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -91,7 +91,7 @@
         double slow = timeouts.slowAnswerTime();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
-            boolean latest = call.sentAtMicros > endpoint.lastDeliveredSentAt;
+            boolean latest = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
             if (state.overallMeanAnswerMicros > 0 && latest && state.nowMicros - call.sentAtMicros > slow) {
                 return true;
             }
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -146,7 +146,7 @@
     private void noteRefusedConnection(Endpoint endpoint, AttemptResult ending) {
         // One that took a call just now and turns the next away is full, not down: a busy one must not be left alone
         // for it. In an outage this ends with the fourth failure in a row, or three seconds in.
-        boolean busy = transientFailures.isBriefSince(endpoint.lastDeliveredSentAt)
+        boolean busy = transientFailures.isBriefSince(endpoint.lastDeliveredSentAtMicros)
                 && endpoint.failuresInRow < FAILURES_IN_ROW;
         endpoint.connectsFailing |= state.largeFleet && ending == AttemptResult.NO_CONNECTION && !busy;
     }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -173,7 +173,7 @@
         int callsInFlight;
         long lastSentAtMicros = LONG_AGO;
         /** When the latest call that was delivered had been sent. */
-        long lastDeliveredSentAt = LONG_AGO;
+        long lastDeliveredSentAtMicros = LONG_AGO;
 
         int failuresInRow;
         /** Moving share of outcomes that are hard failures, 0 to 1. */
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -120,7 +120,7 @@
         assertTrue(isReady(endpoint));
         fixture.later(1);
         assertTrue(isNeverReady(endpoint), "over four times the usual");
-        endpoint.lastDeliveredSentAt = fixture.state.nowMicros - 100 * MS;
+        endpoint.lastDeliveredSentAtMicros = fixture.state.nowMicros - 100 * MS;
         assertTrue(isReady(endpoint));
     }
 
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -34,7 +34,7 @@
 
     private void deliver(Endpoint at) {
         outages.onDelivered(fixture.limit, at);
-        at.lastDeliveredSentAt = fixture.state.nowMicros;
+        at.lastDeliveredSentAtMicros = fixture.state.nowMicros;
     }
 
     @ParameterizedTest
@@ -162,7 +162,7 @@
         assertTrue(first.inOutage);
         assertTrue(large.limit.paceSpread > 1 && large.limit.paceSpread < 2, "spread by chance");
         Endpoint second = large.endpoint();
-        second.lastDeliveredSentAt = large.state.nowMicros - S;
+        second.lastDeliveredSentAtMicros = large.state.nowMicros - S;
         inFleet.onFailure(large.limit, second, AttemptResult.NO_CONNECTION, 10 * MS);
         assertFalse(second.connectsFailing, "it took a call a second ago: it is busy");
         large.later(3 * S);
