--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -126,7 +126,7 @@
     private void avoid(Endpoint endpoint) {
         if (endpoint.failuresInRow > 1) {
             int doublings = Math.min(endpoint.failuresInRow - 2, MOST_DOUBLINGS);
-            endpoint.avoidUntil = state.nowMicros + (long) ((FIRST_AVOIDANCE << doublings) * state.jitterFactor());
+            endpoint.avoidUntilMicros = state.nowMicros + (long) ((FIRST_AVOIDANCE << doublings) * state.jitterFactor());
         }
     }
 
@@ -154,7 +154,7 @@
     private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
         long longer = state.largeFleet ? state.nowMicros - limit.failingSince : 0;
         long until = state.nowMicros + (long) (longer * state.jitterFactor());
-        endpoint.avoidUntil = Math.max(endpoint.avoidUntil, until);
+        endpoint.avoidUntilMicros = Math.max(endpoint.avoidUntilMicros, until);
     }
 
     private void detect(DestinationLimit limit, Endpoint endpoint) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -179,7 +179,7 @@
         /** Moving share of outcomes that are hard failures, 0 to 1. */
         double failureShare;
         /** It is passed over until then. */
-        long avoidUntil;
+        long avoidUntilMicros;
         /** The first failure since the last delivery; 0 where there is none. */
         long failingSince;
         /** Index of the kind of failure seen last, in the statistics of transient failures. */
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -117,7 +117,7 @@
     void theNextLookIsWhenSomethingMayGo() {
         Endpoint endpoint = fixture.endpoint();
         fixture.message(SAFE);
-        endpoint.avoidUntil = fixture.state.nowMicros + 300 * MS;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 300 * MS;
         assertEquals(fixture.state.nowMicros + 300 * MS, dispatch());
         assertEquals(List.of(), sent());
     }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -51,7 +51,7 @@
     void aToldWaitAndAvoidanceAreBothKept() {
         parts.limits.onWait(fixture.limit, S);
         assertEquals(S, readyIn(endpoint));
-        endpoint.avoidUntil = fixture.state.nowMicros + 2 * S;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * S;
         assertEquals(2 * S, readyIn(endpoint));
     }
 
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -124,9 +124,9 @@
         message.notBeforeMicros = fixture.state.nowMicros + 300 * MS;
         assertNull(selection.select(fixture.queue));
         assertEquals(message.notBeforeMicros, fixture.queue.nextCheckAtMicros);
-        endpoint.avoidUntil = fixture.state.nowMicros + 200 * MS;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 200 * MS;
         assertNull(selection.select(fixture.queue));
-        assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAtMicros);
+        assertEquals(endpoint.avoidUntilMicros, fixture.queue.nextCheckAtMicros);
     }
 
     @Test
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -106,10 +106,10 @@
     @Test
     void fromTheSecondFailureOnAnEndpointIsAvoidedForAWhile() {
         fail(endpoint, AttemptResult.ERROR, 1);
-        assertEquals(0, endpoint.avoidUntil);
+        assertEquals(0, endpoint.avoidUntilMicros);
         for (long longest : new long[] {750 * MS, 1_500 * MS, 3 * S, 3 * S}) {
             fail(endpoint, AttemptResult.ERROR, 1);
-            long pause = endpoint.avoidUntil - fixture.state.nowMicros;
+            long pause = endpoint.avoidUntilMicros - fixture.state.nowMicros;
             assertTrue(pause >= longest / 3 && pause <= longest, pause + " of at most " + longest);
         }
     }
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -130,7 +130,7 @@
 
     @Test
     void notToAnEndpointThatTakesNoCall() {
-        endpoint.avoidUntil = fixture.state.nowMicros + 1;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 1;
         assertFalse(rules.permit(fixture.message(SAFE), endpoint));
     }
 }
