--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -61,7 +61,7 @@
         endpoint.connectsFailing = false;
         endpoint.timingOut = false;
         transientFailures.onDelivered(endpoint);
-        endpoint.failingSince = 0;
+        endpoint.failingSinceMicros = 0;
         endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
         if (returned) {
             // Back from an outage, or from connects that failed for long: it is cold now.
@@ -88,7 +88,7 @@
         endpoint.failuresInRow++;
         // One that has no room for a connection is there; if it says only that for long, it may be shut.
         boolean isThere =
-                ending == AttemptResult.NO_ROOM && (endpoint.failingSince == 0 || transientFailures.isBrief(endpoint));
+                ending == AttemptResult.NO_ROOM && (endpoint.failingSinceMicros == 0 || transientFailures.isBrief(endpoint));
         if (!isThere) {
             count(limit, endpoint);
         }
@@ -103,7 +103,7 @@
             slowStart.begin(endpoint);
         }
         boolean turnedAway = isTurnedAway(ending, elapsed);
-        endpoint.failingSince = endpoint.failingSince == 0 ? state.nowMicros : endpoint.failingSince;
+        endpoint.failingSinceMicros = endpoint.failingSinceMicros == 0 ? state.nowMicros : endpoint.failingSinceMicros;
         transientFailures.onFailure(endpoint, turnedAway);
         noteRefusedConnection(endpoint, ending);
         if (turnedAway) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -181,7 +181,7 @@
         /** It is passed over until then. */
         long avoidUntilMicros;
         /** The first failure since the last delivery; 0 where there is none. */
-        long failingSince;
+        long failingSinceMicros;
         /** Index of the kind of failure seen last, in the statistics of transient failures. */
         int failureCause;
 
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -30,7 +30,7 @@
 
     /** Whether the endpoint's row of failures is still short enough to be transient. */
     boolean isBrief(Endpoint endpoint) {
-        return isBriefSince(endpoint.failingSince);
+        return isBriefSince(endpoint.failingSinceMicros);
     }
 
     /** Whether a time, in microseconds, lies less than three seconds back. */
@@ -40,7 +40,7 @@
 
     /** Counts a delivery; the endpoint's {@code failingSince} still tells of the row of failures that it ends. */
     void onDelivered(Endpoint endpoint) {
-        if (endpoint.failingSince > 0 && isBrief(endpoint)) {
+        if (endpoint.failingSinceMicros > 0 && isBrief(endpoint)) {
             shares[endpoint.failureCause] += WEIGHT * (1 - shares[endpoint.failureCause]);
         }
     }
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -73,7 +73,7 @@
     @Test
     void whereCallsAreLostTheLastSlotGetsLess() {
         for (int i = 0; i < 2; i++) {
-            endpoint.failingSince = fixture.state.nowMicros;
+            endpoint.failingSinceMicros = fixture.state.nowMicros;
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -90,7 +90,7 @@
 
     @Test
     void whereConnectionsAreScarceAFurtherCallNeedsAnIdleOne() {
-        endpoint.failingSince = fixture.state.nowMicros;
+        endpoint.failingSinceMicros = fixture.state.nowMicros;
         parts.transientFailures.onFailure(endpoint, true);
         parts.transientFailures.onDelivered(endpoint);
         assertTrue(isReady(endpoint));
--- a/src/test/java/lilaclever/TransientFailuresTest.java
+++ b/src/test/java/lilaclever/TransientFailuresTest.java
@@ -14,11 +14,11 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private void failure(boolean turnedAway, long lastsMicros) {
-        endpoint.failingSince = fixture.state.nowMicros;
+        endpoint.failingSinceMicros = fixture.state.nowMicros;
         failures.onFailure(endpoint, turnedAway);
         fixture.later(lastsMicros);
         failures.onDelivered(endpoint);
-        endpoint.failingSince = 0;
+        endpoint.failingSinceMicros = 0;
     }
 
     @Test
@@ -50,7 +50,7 @@
         failure(false, 4 * S);
         failure(false, 4 * S);
         assertFalse(failures.callsOftenLost());
-        endpoint.failingSince = fixture.state.nowMicros - 3 * S;
+        endpoint.failingSinceMicros = fixture.state.nowMicros - 3 * S;
         assertFalse(failures.isBrief(endpoint));
         failures.onFailure(endpoint, true);
         failures.onFailure(endpoint, true);
