--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -69,7 +69,7 @@
             slowStart.begin(endpoint);
             endpoint.failureShare = Math.min(endpoint.failureShare, UNHEALTHY_SHARE);
         }
-        endpoint.trialPause = FIRST_TRIAL_PAUSE;
+        endpoint.trialIntervalMicros = FIRST_TRIAL_PAUSE;
     }
 
     /** Notes that a limit has just refused or failed: since when it does, and a new spread of the pace. */
@@ -169,8 +169,8 @@
 
     /** Begins an outage of the endpoint, or goes on with it; the pause between trial calls grows by half. */
     void beginOutage(Endpoint endpoint) {
-        long longer = endpoint.trialPause * (endpoint.inOutage ? 3 : 2) / 2;
-        endpoint.trialPause = Math.min(LAST_TRIAL_PAUSE, longer);
+        long longer = endpoint.trialIntervalMicros * (endpoint.inOutage ? 3 : 2) / 2;
+        endpoint.trialIntervalMicros = Math.min(LAST_TRIAL_PAUSE, longer);
         endpoint.inOutage = true;
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -187,7 +187,7 @@
 
         boolean inOutage;
         /** Pause between trial calls in an outage. */
-        long trialPause;
+        long trialIntervalMicros;
         /** Start of slow start; 0 where it never came back from an outage. */
         long slowStartFrom;
 
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -37,7 +37,7 @@
         queue.latestLimit = new DestinationLimit();
         Endpoint endpoint = new Endpoint("other", queue, queue.latestLimit, 0, 0, batch);
         endpoint.active = true;
-        endpoint.trialPause = S;
+        endpoint.trialIntervalMicros = S;
         queue.endpoints.add(endpoint);
         queue.latestLimit.endpoints.add(endpoint);
         fixture.state.queues.put(2, queue);
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -57,7 +57,7 @@
 
     @Test
     void inAnOutageOneTrialIsInFlightAtATime() {
-        endpoint.trialPause = S;
+        endpoint.trialIntervalMicros = S;
         endpoint.inOutage = true;
         assertTrue(isReady(endpoint));
         fixture.call(fixture.message(SAFE), endpoint);
@@ -66,14 +66,14 @@
 
     @Test
     void afterATrialThePauseOfTheOutageIsKept() {
-        endpoint.trialPause = 500 * MS;
+        endpoint.trialIntervalMicros = 500 * MS;
         endpoint.inOutage = true;
         endpoint.lastSentAtMicros = fixture.state.nowMicros;
         // A cold destination's part, 0.425, of an even share of 0.75 calls a second.
         assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second for one that was out only now");
         fixture.limit.failingFor = 60 * S;
         assertEquals(S / (0.425 * 0.75), readyIn(endpoint), 1);
-        endpoint.trialPause = 4 * S;
+        endpoint.trialIntervalMicros = 4 * S;
         assertEquals(4 * S, readyIn(endpoint), "the pause between trials");
     }
 
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -130,7 +130,7 @@
         assertTrue(second.inOutage);
         assertEquals(7, second.slowStartFrom);
         assertEquals(first.lastSentAtMicros, second.lastSentAtMicros);
-        assertEquals(OutageDetection.FIRST_TRIAL_PAUSE, second.trialPause);
+        assertEquals(OutageDetection.FIRST_TRIAL_PAUSE, second.trialIntervalMicros);
     }
 
     @Test
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -77,7 +77,7 @@
 
     @Test
     void anEndpointThatFailsIsTriedWithWhatCanBeRepeated() {
-        endpoint.trialPause = S;
+        endpoint.trialIntervalMicros = S;
         endpoint.inOutage = true;
         fixture.message(UNSAFE);
         fixture.message(KEYED);
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -92,15 +92,15 @@
 
     @Test
     void trialPausesGrowToTwoSeconds() {
-        endpoint.trialPause = OutageDetection.FIRST_TRIAL_PAUSE;
+        endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_PAUSE;
         outages.beginOutage(endpoint);
-        assertEquals(500 * MS, endpoint.trialPause);
+        assertEquals(500 * MS, endpoint.trialIntervalMicros);
         outages.beginOutage(endpoint);
-        assertEquals(750 * MS, endpoint.trialPause);
+        assertEquals(750 * MS, endpoint.trialIntervalMicros);
         for (int i = 0; i < 5; i++) {
             outages.beginOutage(endpoint);
         }
-        assertEquals(2 * S, endpoint.trialPause);
+        assertEquals(2 * S, endpoint.trialIntervalMicros);
     }
 
     @Test
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -30,7 +30,7 @@
     void inAnOutageItGetsItsPartOfAColdDestinationsBudget() {
         fixture.limit.toldRate = 8;
         endpoint.inOutage = true;
-        endpoint.trialPause = S / 2;
+        endpoint.trialIntervalMicros = S / 2;
         assertEquals(0.85 * 2.5 * 0.2 * 4, pace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
         assertEquals(0.85 * 2.5 * 0.2 * 4, pace.inOutage(fixture.limit), 1e-9);
         fixture.endpoint();
@@ -43,7 +43,7 @@
     void trialCallsKeepToTheirPause() {
         fixture.limit.toldRate = 8;
         endpoint.inOutage = true;
-        endpoint.trialPause = 2 * S;
+        endpoint.trialIntervalMicros = 2 * S;
         assertEquals(0.5, pace.callsPerSecond(endpoint), 1e-9);
     }
 
@@ -63,7 +63,7 @@
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         Endpoint out = large.endpoint();
         out.inOutage = true;
-        out.trialPause = S / 2;
+        out.trialIntervalMicros = S / 2;
         RecoveryPace inFleet = pace(large, new SlowStart(large.state));
         large.limit.failingFor = 10 * S;
         assertEquals(0.425 / 10, inFleet.callsPerSecond(out), 1e-9);
@@ -76,7 +76,7 @@
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         Endpoint out = large.endpoint();
         out.connectsFailing = true;
-        out.trialPause = S / 2;
+        out.trialIntervalMicros = S / 2;
         double firstPause = 20 * 0.425 / (1 + 1 / 0.425);
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
         out.connectsFailing = false;
