--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -123,7 +123,7 @@
     private void takeOverHealth(Endpoint endpoint) {
         for (Endpoint each : endpoint.limit.endpoints) {
             endpoint.inOutage |= each.inOutage;
-            endpoint.slowStartFrom = Math.max(endpoint.slowStartFrom, each.slowStartFrom);
+            endpoint.slowStartAtMicros = Math.max(endpoint.slowStartAtMicros, each.slowStartAtMicros);
             endpoint.lastSentAtMicros = Math.max(endpoint.lastSentAtMicros, each.lastSentAtMicros);
         }
         if (state.largeFleet && endpoint.limit.failingSince > 0) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -189,7 +189,7 @@
         /** Pause between trial calls in an outage. */
         long trialIntervalMicros;
         /** Start of slow start; 0 where it never came back from an outage. */
-        long slowStartFrom;
+        long slowStartAtMicros;
 
         Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int batch) {
             this.host = host;
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -15,27 +15,27 @@
 
     /** Whether the endpoint is in slow start now. */
     boolean isActive(Endpoint endpoint) {
-        return endpoint.slowStartFrom > 0
+        return endpoint.slowStartAtMicros > 0
                 && age(endpoint) < state.settings.rules().rampMicros();
     }
 
     /** How long ago the endpoint's slow start began, microseconds; only where it has had one. */
     long age(Endpoint endpoint) {
-        return state.nowMicros - endpoint.slowStartFrom;
+        return state.nowMicros - endpoint.slowStartAtMicros;
     }
 
     /** When the endpoint's slow start ends, microseconds on the module's clock. */
     long endsAt(Endpoint endpoint) {
-        return endpoint.slowStartFrom + state.settings.rules().rampMicros();
+        return endpoint.slowStartAtMicros + state.settings.rules().rampMicros();
     }
 
     /** Begins slow start, or begins it anew. */
     void begin(Endpoint endpoint) {
-        endpoint.slowStartFrom = state.nowMicros;
+        endpoint.slowStartAtMicros = state.nowMicros;
     }
 
     /** Halves the age of a slow start: the endpoint takes less than was thought. */
     void setBack(Endpoint endpoint) {
-        endpoint.slowStartFrom += age(endpoint) / 2;
+        endpoint.slowStartAtMicros += age(endpoint) / 2;
     }
 }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -123,12 +123,12 @@
         list(ListingKind.ALL, entry("a", 1, 0, 0));
         Endpoint first = endpoints.get("a");
         first.inOutage = true;
-        first.slowStartFrom = 7;
+        first.slowStartAtMicros = 7;
         first.lastSentAtMicros = fixture.state.nowMicros - 3;
         list(ListingKind.CHANGES, entry("b", 1, 0, 0));
         Endpoint second = endpoints.get("b");
         assertTrue(second.inOutage);
-        assertEquals(7, second.slowStartFrom);
+        assertEquals(7, second.slowStartAtMicros);
         assertEquals(first.lastSentAtMicros, second.lastSentAtMicros);
         assertEquals(OutageDetection.FIRST_TRIAL_PAUSE, second.trialIntervalMicros);
     }
