--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -89,7 +89,7 @@
         state.slotsInUse++;
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
-        endpoint.limit.lastSentAt = state.nowMicros;
+        endpoint.limit.lastSentAtMicros = state.nowMicros;
         endpoint.lastSentAtMicros = state.nowMicros;
         connections.onSend(endpoint);
     }
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -211,7 +211,7 @@
             return LONG_AGO;
         }
         long free = state.nowMicros < limit.throttledUntil ? limit.throttledUntil : NEVER;
-        return Math.min(free, limit.lastSentAt + (long) (SECOND / rate));
+        return Math.min(free, limit.lastSentAtMicros + (long) (SECOND / rate));
     }
 
     private long readyInOutage(DestinationLimit limit) {
@@ -222,6 +222,6 @@
         if (limit.exhausted) {
             rate = Math.min(rate, PART_IF_EXHAUSTED * rates.evenShare(limit));
         }
-        return rate >= NEVER ? LONG_AGO : limit.lastSentAt + (long) (SECOND / rate);
+        return rate >= NEVER ? LONG_AGO : limit.lastSentAtMicros + (long) (SECOND / rate);
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -205,7 +205,7 @@
     static final class DestinationLimit {
         final List<Endpoint> endpoints = new ArrayList<>();
         int callsInFlight;
-        long lastSentAt = LONG_AGO;
+        long lastSentAtMicros = LONG_AGO;
         /** End of the wait that it told; nothing is sent before. */
         long waitUntil;
         /** A spread time after a long told wait; nothing is sent before. */
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -61,7 +61,7 @@
         take(50);
         refuse(0);
         assertEquals(10, limits.allowedRate(limit));
-        limit.lastSentAt = fixture.state.nowMicros;
+        limit.lastSentAtMicros = fixture.state.nowMicros;
         assertEquals(fixture.state.nowMicros + 100 * MS, limits.readyAt(limit));
         fixture.later(5 * S - 1);
         assertEquals(10, limits.allowedRate(limit));
@@ -153,7 +153,7 @@
         LimitReport exhausted = new LimitReport(0, 2);
         limits.onReport(limit, exhausted);
         limits.onRefused(limit, endpoint, 0, exhausted);
-        limit.lastSentAt = fixture.state.nowMicros;
+        limit.lastSentAtMicros = fixture.state.nowMicros;
         assertEquals(2, limit.refusalsAsOutage);
         assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
         limit.throttledUntil = 0;
@@ -175,7 +175,7 @@
         assertTrue(first >= 2_500 * MS && first <= 7_500 * MS, "throttled for " + first);
         large.later(10 * S);
         inFleet.onRefused(large.limit, there, 0, null);
-        large.limit.lastSentAt = large.state.nowMicros;
+        large.limit.lastSentAtMicros = large.state.nowMicros;
         large.limit.throttledUntil = 0;
         large.limit.rateCeiling = 0;
         long pause = inFleet.readyAt(large.limit) - large.state.nowMicros;
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -76,7 +76,7 @@
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
         endpoint.lastSentAtMicros = state.nowMicros;
-        endpoint.limit.lastSentAt = state.nowMicros;
+        endpoint.limit.lastSentAtMicros = state.nowMicros;
         state.calls.add(call);
         state.slotsInUse++;
         return call;
