--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -81,7 +81,7 @@
     /** Keeps a told wait, microseconds from now; 0 or less is none. */
     void onWait(DestinationLimit limit, long waitMicros) {
         if (waitMicros > 0) {
-            limit.waitUntil = Math.max(limit.waitUntil, state.nowMicros + waitMicros);
+            limit.retryAfterUntilMicros = Math.max(limit.retryAfterUntilMicros, state.nowMicros + waitMicros);
             limit.shortWaitAt = waitMicros < SHUT_WAIT ? state.nowMicros : limit.shortWaitAt;
         }
     }
@@ -142,10 +142,10 @@
      * lasted. Holds for any fleet at a told time; a lone forwarder hardly waits.
      */
     private void spreadReopening(DestinationLimit limit) {
-        limit.failingFor = Math.max(LEAST_OUTAGE, limit.waitUntil - limit.failingSince);
+        limit.failingFor = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSince);
         double pause =
                 SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadWindowMicros());
-        limit.reopensAt = limit.waitUntil + (long) (state.random.nextDouble() * pause);
+        limit.reopensAt = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * pause);
     }
 
     private void reduceRate(DestinationLimit limit, Endpoint endpoint) {
@@ -201,7 +201,7 @@
 
     /** When the limit takes a further call, microseconds: after its told wait, and at its pace after refusals. */
     long readyAt(DestinationLimit limit) {
-        long waitOver = Math.max(limit.waitUntil, limit.reopensAt);
+        long waitOver = Math.max(limit.retryAfterUntilMicros, limit.reopensAt);
         return Math.max(waitOver, Math.max(readyAfterThrottling(limit), readyInOutage(limit)));
     }
 
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -62,7 +62,7 @@
         endpoints
                 .values()
                 .removeIf(each ->
-                        !each.active && each.callsInFlight == 0 && each.limit.waitUntil <= state.nowMicros && detach(each));
+                        !each.active && each.callsInFlight == 0 && each.limit.retryAfterUntilMicros <= state.nowMicros && detach(each));
     }
 
     /** The directory may be busy with every forwarder's call: ask later and later, spread by chance. */
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -207,7 +207,7 @@
         int callsInFlight;
         long lastSentAtMicros = LONG_AGO;
         /** End of the wait that it told; nothing is sent before. */
-        long waitUntil;
+        long retryAfterUntilMicros;
         /** A spread time after a long told wait; nothing is sent before. */
         long reopensAt;
         /** It refused as full: calls keep to {@link #throttledRate} until then. */
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -35,7 +35,7 @@
         return isDue(message)
                 && endpoint.queue == message.queue
                 && endpoint.active
-                && state.nowMicros >= endpoint.limit.waitUntil
+                && state.nowMicros >= endpoint.limit.retryAfterUntilMicros
                 && keyOrder.permits(message)
                 && endsBeforeTheProgram(message, endpoint)
                 && isHarmless(message, endpoint)
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -84,7 +84,7 @@
     @Test
     void anEndpointThatToldAWaitIsRememberedUntilItIsOver() {
         list(ListingKind.ALL, entry("a", 1, 0, 0));
-        endpoints.get("a").limit.waitUntil = fixture.state.nowMicros + S;
+        endpoints.get("a").limit.retryAfterUntilMicros = fixture.state.nowMicros + S;
         list(ListingKind.ALL);
         assertEquals(Set.of("a"), endpoints.keySet());
         fixture.later(S);
