--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -145,7 +145,7 @@
         limit.failingFor = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSince);
         double pause =
                 SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadWindowMicros());
-        limit.reopensAt = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * pause);
+        limit.resumeAtMicros = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * pause);
     }
 
     private void reduceRate(DestinationLimit limit, Endpoint endpoint) {
@@ -201,7 +201,7 @@
 
     /** When the limit takes a further call, microseconds: after its told wait, and at its pace after refusals. */
     long readyAt(DestinationLimit limit) {
-        long waitOver = Math.max(limit.retryAfterUntilMicros, limit.reopensAt);
+        long waitOver = Math.max(limit.retryAfterUntilMicros, limit.resumeAtMicros);
         return Math.max(waitOver, Math.max(readyAfterThrottling(limit), readyInOutage(limit)));
     }
 
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -209,7 +209,7 @@
         /** End of the wait that it told; nothing is sent before. */
         long retryAfterUntilMicros;
         /** A spread time after a long told wait; nothing is sent before. */
-        long reopensAt;
+        long resumeAtMicros;
         /** It refused as full: calls keep to {@link #throttledRate} until then. */
         long throttledUntil;
 
