--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -97,7 +97,7 @@
     /** A call was refused as full, with a wait told (microseconds, 0 for none) and maybe a report (else null). */
     void onRefused(DestinationLimit limit, Endpoint endpoint, long waitMicros, LimitReport report) {
         countAsOutage(limit, report);
-        if (state.nowMicros >= limit.throttledUntil) {
+        if (state.nowMicros >= limit.throttledUntilMicros) {
             limit.throttledRate = PART_OF_RECENT * limit.recentRate / PART_OF_RATE;
             limit.rateCeiling = Math.max(PART_OF_RECENT * limit.recentRate, MOST_THROTTLED_RATE);
         }
@@ -114,7 +114,7 @@
         if (state.nowMicros - limit.reducedAt >= REDUCTION_SPAN) {
             reduceRate(limit, endpoint);
         }
-        limit.throttledUntil = state.nowMicros + throttledFor(limit);
+        limit.throttledUntilMicros = state.nowMicros + throttledFor(limit);
     }
 
     /**
@@ -189,11 +189,11 @@
 
     /** Calls a second that a limit gets after a refusal; {@link PolicyState#NEVER} on the ordinary path. */
     double allowedRate(DestinationLimit limit) {
-        if (state.nowMicros < limit.throttledUntil) {
+        if (state.nowMicros < limit.throttledUntilMicros) {
             return Math.min(MOST_THROTTLED_RATE, limit.throttledRate);
         }
         // What waited must not come at once when it is no longer throttled: it would be refused again.
-        long after = state.nowMicros - limit.throttledUntil;
+        long after = state.nowMicros - limit.throttledUntilMicros;
         return limit.rateCeiling == 0 || after > CEILING_SPAN
                 ? NEVER
                 : limit.rateCeiling * Math.pow(CEILING_GROWTH, after / SECOND);
@@ -210,7 +210,7 @@
         if (rate >= NEVER) {
             return LONG_AGO;
         }
-        long free = state.nowMicros < limit.throttledUntil ? limit.throttledUntil : NEVER;
+        long free = state.nowMicros < limit.throttledUntilMicros ? limit.throttledUntilMicros : NEVER;
         return Math.min(free, limit.lastSentAtMicros + (long) (SECOND / rate));
     }
 
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -211,7 +211,7 @@
         /** A spread time after a long told wait; nothing is sent before. */
         long resumeAtMicros;
         /** It refused as full: calls keep to {@link #throttledRate} until then. */
-        long throttledUntil;
+        long throttledUntilMicros;
 
         double throttledRate;
         /** Rate kept to for a while after it was throttled, growing; 0 where it never was. */
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -156,7 +156,7 @@
         limit.lastSentAtMicros = fixture.state.nowMicros;
         assertEquals(2, limit.refusalsAsOutage);
         assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
-        limit.throttledUntil = 0;
+        limit.throttledUntilMicros = 0;
         limit.rateCeiling = 0;
         // An even share is 1 a second; the pace of an outage is 0.425 of two calls a second.
         assertEquals(fixture.state.nowMicros + (long) (S / 0.7), limits.readyAt(limit), 1);
@@ -171,12 +171,12 @@
         DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
         Endpoint there = large.endpoint();
         inFleet.onRefused(large.limit, there, 0, null);
-        long first = large.limit.throttledUntil - large.state.nowMicros;
+        long first = large.limit.throttledUntilMicros - large.state.nowMicros;
         assertTrue(first >= 2_500 * MS && first <= 7_500 * MS, "throttled for " + first);
         large.later(10 * S);
         inFleet.onRefused(large.limit, there, 0, null);
         large.limit.lastSentAtMicros = large.state.nowMicros;
-        large.limit.throttledUntil = 0;
+        large.limit.throttledUntilMicros = 0;
         large.limit.rateCeiling = 0;
         long pause = inFleet.readyAt(large.limit) - large.state.nowMicros;
         // Failing for 10 s, of which a cold destination's part is 0.425, spread by a factor from 1 to 2.
