--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -77,7 +77,7 @@
         limit.failingSince = limit.failingSince == 0 ? state.nowMicros : limit.failingSince;
         limit.failingFor = state.nowMicros - limit.failingSince;
         // A burst that was refused together comes again apart.
-        limit.paceSpread = state.largeFleet ? 1 + state.random.nextDouble() : 1;
+        limit.outageRateDivisor = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
 
     /** A call failed hard, {@code elapsed} microseconds after it was sent. */
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -221,7 +221,7 @@
         /** When a refusal last reduced the rate. */
         long reducedAt = LONG_AGO;
         /** Random divisor of the pace in an outage, so that forwarders come at different times. */
-        double paceSpread = 1;
+        double outageRateDivisor = 1;
         /** The rate that the list or the destination has told for all forwarders together; 0 where not told. */
         double toldRate;
         /** Share of its allowance that is left, as reported. */
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -36,7 +36,7 @@
                 Math.max(1, limit.endpoints.stream().filter(each -> each.active).count());
         if (endpoint.inOutage || endpoint.connectsFailing) {
             double rate = budget(limit, 0, isSurelyOut(endpoint)) / active;
-            return Math.min(SECOND / endpoint.trialIntervalMicros, rate) / limit.paceSpread;
+            return Math.min(SECOND / endpoint.trialIntervalMicros, rate) / limit.outageRateDivisor;
         }
         return slowStart.isActive(endpoint) ? budget(limit, slowStart.age(endpoint), false) / active : NEVER;
     }
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -160,7 +160,7 @@
         Endpoint first = large.endpoint();
         inFleet.onFailure(large.limit, first, AttemptResult.ERROR, 10 * MS);
         assertTrue(first.inOutage);
-        assertTrue(large.limit.paceSpread > 1 && large.limit.paceSpread < 2, "spread by chance");
+        assertTrue(large.limit.outageRateDivisor > 1 && large.limit.outageRateDivisor < 2, "spread by chance");
         Endpoint second = large.endpoint();
         second.lastDeliveredSentAtMicros = large.state.nowMicros - S;
         inFleet.onFailure(large.limit, second, AttemptResult.NO_CONNECTION, 10 * MS);
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -35,7 +35,7 @@
         assertEquals(0.85 * 2.5 * 0.2 * 4, pace.inOutage(fixture.limit), 1e-9);
         fixture.endpoint();
         assertEquals(0.85 * 2.5 * 0.2 * 2, pace.callsPerSecond(endpoint), 1e-9, "two endpoints share it");
-        fixture.limit.paceSpread = 1.5;
+        fixture.limit.outageRateDivisor = 1.5;
         assertEquals(0.85 * 2.5 * 0.2 * 2 / 1.5, pace.callsPerSecond(endpoint), 1e-9, "spread by chance");
     }
 
