--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -72,7 +72,7 @@
     /** Takes over what a destination reports of its limit, if it does; {@code report} may be null. */
     void onReport(DestinationLimit limit, LimitReport report) {
         if (report != null && report.perSecond() > 0) {
-            limit.toldRate = report.perSecond();
+            limit.announcedRate = report.perSecond();
             limit.rateReported = true;
             limit.allowanceLeft = report.left();
         }
@@ -151,7 +151,7 @@
     private void reduceRate(DestinationLimit limit, Endpoint endpoint) {
         limit.reducedAt = state.nowMicros;
         rates.decay(limit, endpoint);
-        double most = limit.toldRate > 0 ? Math.min(limit.toldRate, MOST_THROTTLED_RATE) : MOST_THROTTLED_RATE;
+        double most = limit.announcedRate > 0 ? Math.min(limit.announcedRate, MOST_THROTTLED_RATE) : MOST_THROTTLED_RATE;
         double least = assuredRate(limit);
         // What was taken bounds it from below: with few messages to send it says little of the room.
         double reduced = Math.max(PART_OF_RATE * limit.throttledRate, PART_OF_RECENT * limit.recentRate);
@@ -180,7 +180,7 @@
     }
 
     private static double firstShares(DestinationLimit limit) {
-        if (limit.toldRate <= 0) {
+        if (limit.announcedRate <= 0) {
             return SHARES_IF_UNTOLD;
         }
         // Nothing at all left: refused calls use up the limit, and any more keep it at nothing.
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -96,7 +96,7 @@
         WeightMeaning weights = state.settings.weightMeaning();
         if (weights != WeightMeaning.NONE && weight > 0 && !limit.rateReported) {
             // A rough figure may be half too high; what the destination reports itself is better.
-            limit.toldRate = weight / (weights == WeightMeaning.APPROXIMATE ? MOST_ROUGH_FACTOR : 1);
+            limit.announcedRate = weight / (weights == WeightMeaning.APPROXIMATE ? MOST_ROUGH_FACTOR : 1);
         }
     }
 
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -223,7 +223,7 @@
         /** Random divisor of the pace in an outage, so that forwarders come at different times. */
         double outageRateDivisor = 1;
         /** The rate that the list or the destination has told for all forwarders together; 0 where not told. */
-        double toldRate;
+        double announcedRate;
         /** Share of its allowance that is left, as reported. */
         double allowanceLeft;
         /** The destination itself has reported its rate. */
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -70,6 +70,6 @@
     double evenShare(DestinationLimit limit) {
         int forwarders = state.settings.forwarders();
         double guess = Math.max(UNTOLD_RATE / forwarders, PART_OF_MEAN * usual(allDestinations) / state.queues.size());
-        return limit.toldRate > 0 ? limit.toldRate / forwarders : guess;
+        return limit.announcedRate > 0 ? limit.announcedRate / forwarders : guess;
     }
 }
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -90,7 +90,7 @@
 
     @Test
     void theAssuredRateFallsByQuartersToAnEvenShare() {
-        limit.toldRate = 0.1;
+        limit.announcedRate = 0.1;
         limit.allowanceLeft = 0.5;
         assertEquals(0.5, limits.assuredRate(limit));
         limit.refusals = 2;
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -146,16 +146,16 @@
     void weightsAreRatesUntilTheDestinationReportsItself() {
         use(withWeights(WeightMeaning.EXACT));
         list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
-        assertEquals(6, fixture.limit.toldRate);
+        assertEquals(6, fixture.limit.announcedRate);
         use(withWeights(WeightMeaning.APPROXIMATE));
         list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
-        assertEquals(4, fixture.limit.toldRate, "it may be half too high");
+        assertEquals(4, fixture.limit.announcedRate, "it may be half too high");
         fixture.limit.rateReported = true;
         list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
-        assertEquals(4, fixture.limit.toldRate);
+        assertEquals(4, fixture.limit.announcedRate);
         use(withWeights(WeightMeaning.NONE));
         list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
-        assertEquals(0, fixture.limit.toldRate);
+        assertEquals(0, fixture.limit.announcedRate);
     }
 
     @Test
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -28,7 +28,7 @@
 
     @Test
     void inAnOutageItGetsItsPartOfAColdDestinationsBudget() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         endpoint.inOutage = true;
         endpoint.trialIntervalMicros = S / 2;
         assertEquals(0.85 * 2.5 * 0.2 * 4, pace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
@@ -41,7 +41,7 @@
 
     @Test
     void trialCallsKeepToTheirPause() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         endpoint.inOutage = true;
         endpoint.trialIntervalMicros = 2 * S;
         assertEquals(0.5, pace.callsPerSecond(endpoint), 1e-9);
@@ -49,7 +49,7 @@
 
     @Test
     void inSlowStartTheBudgetGrowsWithTheWarmth() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         slowStart.begin(endpoint);
         fixture.later(5 * S);
         assertEquals(0.85 * 2.5 * 0.6 * 4, pace.callsPerSecond(endpoint), 1e-9);
