--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -233,7 +233,7 @@
 
         double recentRate, usualRate;
         /** The part of the usual rate's memory that nothing has filled yet, 0 to 1. */
-        double usualUnseen = 1;
+        double usualRateUnfilled = 1;
 
         long ratesUpdatedAt;
         /** Mean time of a delivered call; 0 while there was none. */
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -52,7 +52,7 @@
         limit.recentRate *= Math.exp(-past / RECENT_MEMORY);
         if (isUsual(endpoint)) {
             limit.usualRate *= Math.exp(-past / USUAL_MEMORY);
-            limit.usualUnseen *= Math.exp(-past / USUAL_MEMORY);
+            limit.usualRateUnfilled *= Math.exp(-past / USUAL_MEMORY);
         }
         limit.ratesUpdatedAt = state.nowMicros;
     }
@@ -63,7 +63,7 @@
 
     /** Calls a second usually taken: the mean of what was seen, as the memory is empty at first. */
     double usual(DestinationLimit limit) {
-        return limit.usualRate / Math.max(LEAST_FILLED, 1 - limit.usualUnseen);
+        return limit.usualRate / Math.max(LEAST_FILLED, 1 - limit.usualRateUnfilled);
     }
 
     /** This forwarder's even share of a limit, calls a second: of its told rate, or a guess where none is told. */
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -99,7 +99,7 @@
         fixture.message(SAFE);
         assertEquals(2 * S, admission.comeBackAfter(fixture.queue), "at half a call a second: the most that is told");
         fixture.limit.usualRate = 10;
-        fixture.limit.usualUnseen = 0;
+        fixture.limit.usualRateUnfilled = 0;
         assertEquals(400 * MS, admission.comeBackAfter(fixture.queue), "at ten calls a second");
     }
 
