--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -51,12 +51,12 @@
 
     /** Learns the time of a delivered call, microseconds. */
     void onDelivered(DestinationLimit limit, long elapsed) {
-        limit.answerTime =
-                limit.answerTime == 0 ? elapsed : limit.answerTime + ANSWER_WEIGHT * (elapsed - limit.answerTime);
+        limit.meanAnswerMicros =
+                limit.meanAnswerMicros == 0 ? elapsed : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsed - limit.meanAnswerMicros);
         double usual = state.overallMeanAnswerMicros;
         double bounded = usual == 0 ? elapsed : Math.min(elapsed, slowAnswerTime());
         state.overallMeanAnswerMicros += (usual == 0 ? 1 : ANSWER_WEIGHT_OF_ALL) * (bounded - usual);
-        boolean prompt = elapsed < PROMPT_TIMES * limit.answerTime;
+        boolean prompt = elapsed < PROMPT_TIMES * limit.meanAnswerMicros;
         limit.timeoutFactor = prompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENED_PART);
     }
 
@@ -73,7 +73,7 @@
     /** How long a call of the message may take if it is sent now, microseconds. */
     long timeout(Message message, DestinationLimit limit) {
         long aim = message.messageClass.aimMicros();
-        double usual = limit.answerTime > 0 ? ANSWER_TIMES * limit.answerTime : aim;
+        double usual = limit.meanAnswerMicros > 0 ? ANSWER_TIMES * limit.meanAnswerMicros : aim;
         double time = Math.max(LEAST_PART_OF_AIM * aim, usual) * limit.timeoutFactor;
         RepeatSafety repeat = message.messageClass.repeat();
         if (repeat == RepeatSafety.UNSAFE) {
@@ -116,7 +116,7 @@
     }
 
     private long overdueAfter(Call call) {
-        double usual = Math.max(state.overallMeanAnswerMicros, call.endpoint.limit.answerTime);
+        double usual = Math.max(state.overallMeanAnswerMicros, call.endpoint.limit.meanAnswerMicros);
         boolean unsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (unsafe
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -96,7 +96,7 @@
                 return true;
             }
         }
-        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.answerTime > slow;
+        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.meanAnswerMicros > slow;
         return endpoint.inOutage || endpoint.timingOut || slowAnswers;
     }
 }
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -171,7 +171,7 @@
             // A call that fails may have run. Try a failing endpoint with what can be repeated.
             worth *= repeat == RepeatSafety.UNSAFE ? FACTOR_IF_UNSAFE : FACTOR_IF_KEYED;
         }
-        return worth / Math.max(LEAST_SLOT_TIME, limit.answerTime > 0 ? limit.answerTime : state.overallMeanAnswerMicros);
+        return worth / Math.max(LEAST_SLOT_TIME, limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
     }
 
     /**
