--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -54,7 +54,7 @@
     void onDelivered(DestinationLimit limit, Endpoint endpoint) {
         limit.failingSince = 0;
         limit.failuresInRow = 0;
-        limit.severalFail = false;
+        limit.severalEndpointsFailing = false;
         boolean connectsFailedLong = endpoint.connectsFailing && !transientFailures.isBrief(endpoint);
         boolean returned = endpoint.inOutage || connectsFailedLong;
         endpoint.failuresInRow = 0;
@@ -117,7 +117,7 @@
     }
 
     private void count(DestinationLimit limit, Endpoint endpoint) {
-        limit.severalFail |= limit.failuresInRow > 0 && limit.lastFailedEndpoint != endpoint;
+        limit.severalEndpointsFailing |= limit.failuresInRow > 0 && limit.lastFailedEndpoint != endpoint;
         limit.lastFailedEndpoint = endpoint;
         limit.failuresInRow++;
         endpoint.failureShare += OUTCOME_WEIGHT * (1 - endpoint.failureShare);
@@ -160,7 +160,7 @@
     private void detect(DestinationLimit limit, Endpoint endpoint) {
         int seenByEach = Math.max(1, FAILURES_IN_FLEET / state.settings.forwarders());
         int needed = transientFailures.callsOftenLost() ? FAILURES_IN_ROW : Math.min(FAILURES_IN_ROW, seenByEach);
-        if (limit.severalFail && limit.failuresInRow >= needed) {
+        if (limit.severalEndpointsFailing && limit.failuresInRow >= needed) {
             limit.endpoints.stream().filter(each -> each.failuresInRow > 0).forEach(this::beginOutage);
         } else if (endpoint.failuresInRow >= needed || endpoint.failureShare >= OUTAGE_SHARE) {
             beginOutage(endpoint);
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -244,7 +244,7 @@
         int failuresInRow;
         Endpoint lastFailedEndpoint;
         /** Several of its endpoints failed with no delivery between. */
-        boolean severalFail;
+        boolean severalEndpointsFailing;
         /** Refusals as full in a row; a delivery halves it. */
         int refusals;
         /** Refusals in a row that may be those of an outage; above one, calls keep to an outage's pace. */
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -42,7 +42,7 @@
     }
 
     private boolean isSurelyOut(Endpoint endpoint) {
-        boolean severalOut = state.largeFleet && endpoint.limit.severalFail && !transientFailures.callsOftenLost();
+        boolean severalOut = state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
         return endpoint.connectsFailing || severalOut;
     }
 
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -81,7 +81,7 @@
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
         out.connectsFailing = false;
         out.inOutage = true;
-        large.limit.severalFail = true;
+        large.limit.severalEndpointsFailing = true;
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
     }
 }
