--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -91,7 +91,7 @@
         limit.throttledRate += RATE_GAIN;
         limit.refusalsAsOutage = 0;
         limit.exhausted = false;
-        limit.refusals /= 2;
+        limit.recentRefusals /= 2;
     }
 
     /** A call was refused as full, with a wait told (microseconds, 0 for none) and maybe a report (else null). */
@@ -102,7 +102,7 @@
             limit.rateCeiling = Math.max(PART_OF_RECENT * limit.recentRate, MOST_THROTTLED_RATE);
         }
         outages.noteTrouble(limit);
-        limit.refusals++;
+        limit.recentRefusals++;
         if (isShut(limit, waitMicros)) {
             limit.endpoints.forEach(outages::beginOutage);
             if (waitMicros >= SHUT_WAIT) {
@@ -133,7 +133,7 @@
 
     /** Refusals alone, none with a short wait, or a wait longer than any rate asks for: it is shut. */
     private boolean isShut(DestinationLimit limit, long waitMicros) {
-        boolean forLong = limit.refusals >= SHUT_REFUSALS && state.nowMicros - limit.failingSince >= SHUT_SPAN;
+        boolean forLong = limit.recentRefusals >= SHUT_REFUSALS && state.nowMicros - limit.failingSince >= SHUT_SPAN;
         return waitMicros >= SHUT_WAIT || forLong && limit.shortWaitAt < limit.failingSince;
     }
 
@@ -173,7 +173,7 @@
     /** Calls a second that a throttled limit surely has for this forwarder: if all keep to it, they stay within it. */
     double assuredRate(DestinationLimit limit) {
         double share = rates.evenShare(limit);
-        int quarterings = Math.min(Math.max(0, limit.refusals - 1), MOST_QUARTERINGS);
+        int quarterings = Math.min(Math.max(0, limit.recentRefusals - 1), MOST_QUARTERINGS);
         double least = Math.min(FIRST_LEAST_RATE, firstShares(limit) * share) / (1 << 2 * quarterings);
         least = Math.max(least, Math.max(LEAST_RATE, Math.min(share, FIRST_LEAST_RATE)));
         return Math.max(LEAST_PART_OF_USUAL * rates.usual(limit), least);
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -246,7 +246,7 @@
         /** Several of its endpoints failed with no delivery between. */
         boolean severalEndpointsFailing;
         /** Refusals as full in a row; a delivery halves it. */
-        int refusals;
+        int recentRefusals;
         /** Refusals in a row that may be those of an outage; above one, calls keep to an outage's pace. */
         int refusalsAsOutage;
         /** The first failure or refusal since the last delivery; 0 where there is none. */
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -93,11 +93,11 @@
         limit.announcedRate = 0.1;
         limit.allowanceLeft = 0.5;
         assertEquals(0.5, limits.assuredRate(limit));
-        limit.refusals = 2;
+        limit.recentRefusals = 2;
         assertEquals(0.125, limits.assuredRate(limit));
-        limit.refusals = 3;
+        limit.recentRefusals = 3;
         assertEquals(0.05, limits.assuredRate(limit), "half of 0.1");
-        limit.refusals = 0;
+        limit.recentRefusals = 0;
         limit.allowanceLeft = 0;
         assertEquals(0.1, limits.assuredRate(limit), "two shares where the allowance is used up");
     }
@@ -108,7 +108,7 @@
         SlowStart start = new SlowStart(large.state);
         DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
         assertEquals(0.02, inFleet.assuredRate(large.limit), "ten shares of 1.5 a second are 0.015");
-        large.limit.refusals = 9;
+        large.limit.recentRefusals = 9;
         assertEquals(0.02, inFleet.assuredRate(large.limit));
     }
 
