--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -89,7 +89,7 @@
     /** A call was delivered: the rate of a throttled limit grows, and refusals in a row end. */
     void onDelivered(DestinationLimit limit) {
         limit.throttledRate += RATE_GAIN;
-        limit.refusalsAsOutage = 0;
+        limit.suspectedOutageRefusals = 0;
         limit.exhausted = false;
         limit.recentRefusals /= 2;
     }
@@ -125,9 +125,9 @@
     private void countAsOutage(DestinationLimit limit, LimitReport report) {
         limit.exhausted = report != null && report.perSecond() > 0 && report.left() <= 0;
         if (limit.exhausted) {
-            limit.refusalsAsOutage += 2;
+            limit.suspectedOutageRefusals += 2;
         } else if (state.largeFleet) {
-            limit.refusalsAsOutage++;
+            limit.suspectedOutageRefusals++;
         }
     }
 
@@ -216,7 +216,7 @@
 
     private long readyInOutage(DestinationLimit limit) {
         double rate = NEVER;
-        if (limit.refusalsAsOutage >= REFUSALS_AS_OUTAGE) {
+        if (limit.suspectedOutageRefusals >= REFUSALS_AS_OUTAGE) {
             rate = recoveryPace.inOutage(limit) / limit.outageRateDivisor;
         }
         if (limit.exhausted) {
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -248,7 +248,7 @@
         /** Refusals as full in a row; a delivery halves it. */
         int recentRefusals;
         /** Refusals in a row that may be those of an outage; above one, calls keep to an outage's pace. */
-        int refusalsAsOutage;
+        int suspectedOutageRefusals;
         /** The first failure or refusal since the last delivery; 0 where there is none. */
         long failingSince;
         /** From there to the latest one; it stays when a delivery ends the row. */
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -154,7 +154,7 @@
         limits.onReport(limit, exhausted);
         limits.onRefused(limit, endpoint, 0, exhausted);
         limit.lastSentAtMicros = fixture.state.nowMicros;
-        assertEquals(2, limit.refusalsAsOutage);
+        assertEquals(2, limit.suspectedOutageRefusals);
         assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
         limit.throttledUntilMicros = 0;
         limit.rateCeiling = 0;
