--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -133,8 +133,8 @@
 
     /** Refusals alone, none with a short wait, or a wait longer than any rate asks for: it is shut. */
     private boolean isShut(DestinationLimit limit, long waitMicros) {
-        boolean forLong = limit.recentRefusals >= SHUT_REFUSALS && state.nowMicros - limit.failingSince >= SHUT_SPAN;
-        return waitMicros >= SHUT_WAIT || forLong && limit.shortWaitAt < limit.failingSince;
+        boolean forLong = limit.recentRefusals >= SHUT_REFUSALS && state.nowMicros - limit.failingSinceMicros >= SHUT_SPAN;
+        return waitMicros >= SHUT_WAIT || forLong && limit.shortWaitAt < limit.failingSinceMicros;
     }
 
     /**
@@ -142,7 +142,7 @@
      * lasted. Holds for any fleet at a told time; a lone forwarder hardly waits.
      */
     private void spreadReopening(DestinationLimit limit) {
-        limit.failingFor = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSince);
+        limit.failingFor = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSinceMicros);
         double pause =
                 SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadWindowMicros());
         limit.resumeAtMicros = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * pause);
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -126,7 +126,7 @@
             endpoint.slowStartAtMicros = Math.max(endpoint.slowStartAtMicros, each.slowStartAtMicros);
             endpoint.lastSentAtMicros = Math.max(endpoint.lastSentAtMicros, each.lastSentAtMicros);
         }
-        if (state.largeFleet && endpoint.limit.failingSince > 0) {
+        if (state.largeFleet && endpoint.limit.failingSinceMicros > 0) {
             // A new host is no way round an outage, whatever it looked like, even if the old one has left the list:
             // all forwarders hear of it at once, and would send what they hold.
             endpoint.connectsFailing = true;
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -52,7 +52,7 @@
 
     /** A call was delivered: failures in a row end, and so does an outage. */
     void onDelivered(DestinationLimit limit, Endpoint endpoint) {
-        limit.failingSince = 0;
+        limit.failingSinceMicros = 0;
         limit.failuresInRow = 0;
         limit.severalEndpointsFailing = false;
         boolean connectsFailedLong = endpoint.connectsFailing && !transientFailures.isBrief(endpoint);
@@ -74,8 +74,8 @@
 
     /** Notes that a limit has just refused or failed: since when it does, and a new spread of the pace. */
     void noteTrouble(DestinationLimit limit) {
-        limit.failingSince = limit.failingSince == 0 ? state.nowMicros : limit.failingSince;
-        limit.failingFor = state.nowMicros - limit.failingSince;
+        limit.failingSinceMicros = limit.failingSinceMicros == 0 ? state.nowMicros : limit.failingSinceMicros;
+        limit.failingFor = state.nowMicros - limit.failingSinceMicros;
         // A burst that was refused together comes again apart.
         limit.outageRateDivisor = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
@@ -152,7 +152,7 @@
     }
 
     private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
-        long longer = state.largeFleet ? state.nowMicros - limit.failingSince : 0;
+        long longer = state.largeFleet ? state.nowMicros - limit.failingSinceMicros : 0;
         long until = state.nowMicros + (long) (longer * state.jitterFactor());
         endpoint.avoidUntilMicros = Math.max(endpoint.avoidUntilMicros, until);
     }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -250,7 +250,7 @@
         /** Refusals in a row that may be those of an outage; above one, calls keep to an outage's pace. */
         int suspectedOutageRefusals;
         /** The first failure or refusal since the last delivery; 0 where there is none. */
-        long failingSince;
+        long failingSinceMicros;
         /** From there to the latest one; it stays when a delivery ends the row. */
         long failingFor;
     }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -136,7 +136,7 @@
     @Test
     void inALargeFleetANewEndpointIsNoWayRoundAnOutage() {
         use(Rig.settings(4, 50, 6, false, PolicyFixture.LARGE));
-        fixture.limit.failingSince = fixture.state.nowMicros - S;
+        fixture.limit.failingSinceMicros = fixture.state.nowMicros - S;
         list(ListingKind.ALL, entry("a", 1, 0, 0));
         assertTrue(endpoints.get("a").connectsFailing);
         assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAtMicros);
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -75,7 +75,7 @@
         assertFalse(endpoint.inOutage);
         assertTrue(slowStart.isActive(endpoint));
         assertTrue(endpoint.failureShare <= 0.5);
-        assertEquals(0, fixture.limit.failingSince);
+        assertEquals(0, fixture.limit.failingSinceMicros);
     }
 
     @Test
