--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -142,7 +142,7 @@
      * lasted. Holds for any fleet at a told time; a lone forwarder hardly waits.
      */
     private void spreadReopening(DestinationLimit limit) {
-        limit.failingFor = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSinceMicros);
+        limit.failingForMicros = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSinceMicros);
         double pause =
                 SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadWindowMicros());
         limit.resumeAtMicros = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * pause);
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -75,7 +75,7 @@
     /** Notes that a limit has just refused or failed: since when it does, and a new spread of the pace. */
     void noteTrouble(DestinationLimit limit) {
         limit.failingSinceMicros = limit.failingSinceMicros == 0 ? state.nowMicros : limit.failingSinceMicros;
-        limit.failingFor = state.nowMicros - limit.failingSinceMicros;
+        limit.failingForMicros = state.nowMicros - limit.failingSinceMicros;
         // A burst that was refused together comes again apart.
         limit.outageRateDivisor = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -252,6 +252,6 @@
         /** The first failure or refusal since the last delivery; 0 where there is none. */
         long failingSinceMicros;
         /** From there to the latest one; it stays when a delivery ends the row. */
-        long failingFor;
+        long failingForMicros;
     }
 }
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -117,7 +117,7 @@
         refuse(4 * S);
         assertTrue(endpoint.inOutage);
         assertTrue(limit.resumeAtMicros >= limit.retryAfterUntilMicros && limit.resumeAtMicros < limit.retryAfterUntilMicros + 20 * S);
-        assertEquals(8 * S, limit.failingFor, "an outage is taken to last that long at the least");
+        assertEquals(8 * S, limit.failingForMicros, "an outage is taken to last that long at the least");
     }
 
     @Test
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -71,7 +71,7 @@
         endpoint.lastSentAtMicros = fixture.state.nowMicros;
         // A cold destination's part, 0.425, of an even share of 0.75 calls a second.
         assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second for one that was out only now");
-        fixture.limit.failingFor = 60 * S;
+        fixture.limit.failingForMicros = 60 * S;
         assertEquals(S / (0.425 * 0.75), readyIn(endpoint), 1);
         endpoint.trialIntervalMicros = 4 * S;
         assertEquals(4 * S, readyIn(endpoint), "the pause between trials");
@@ -82,7 +82,7 @@
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         PolicyParts inFleet = new PolicyParts(large.state);
         Endpoint cold = large.endpoint();
-        large.limit.failingFor = 60 * S;
+        large.limit.failingForMicros = 60 * S;
         inFleet.slowStart.begin(cold);
         cold.lastSentAtMicros = large.state.nowMicros;
         assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.nowMicros, "not a call in 141 s");
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -65,9 +65,9 @@
         out.inOutage = true;
         out.trialIntervalMicros = S / 2;
         RecoveryPace inFleet = pace(large, new SlowStart(large.state));
-        large.limit.failingFor = 10 * S;
+        large.limit.failingForMicros = 10 * S;
         assertEquals(0.425 / 10, inFleet.callsPerSecond(out), 1e-9);
-        large.limit.failingFor = 0;
+        large.limit.failingForMicros = 0;
         assertEquals(0.425 * 2, inFleet.callsPerSecond(out), 1e-9, "half a second at the least");
     }
 
