--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -151,7 +151,7 @@
         }
         checkAt(message.deadlineMicros - CallTimeouts.SHORTEST, message);
         if (admission.isNearlyFull()) {
-            Message least = admission.leastWorth();
+            Message least = admission.leastValuable();
             if (least != null) {
                 end(least);
             }
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -48,14 +48,14 @@
 
     @Test
     void theLeastWorthIsRefusedAndOfEqualOnesTheLatest() {
-        assertNull(admission.leastWorth());
+        assertNull(admission.leastValuable());
         fixture.message(SAFE);
         Message latest = fixture.message(SAFE);
-        assertEquals(latest, admission.leastWorth());
+        assertEquals(latest, admission.leastValuable());
         Message low = fixture.message(SAFE);
         low.worth = 0.1;
         fixture.message(SAFE);
-        assertEquals(low, admission.leastWorth());
+        assertEquals(low, admission.leastValuable());
     }
 
     @Test
@@ -64,11 +64,11 @@
         fixture.message(SAFE).mayHaveRun = true;
         Message resumed = fixture.message(SAFE);
         resumed.resumed = true;
-        assertEquals(fresh, admission.leastWorth());
+        assertEquals(fresh, admission.leastValuable());
         fixture.state.dequeue(fresh);
-        assertTrue(admission.leastWorth().mayHaveRun, "a factor, not a rule");
-        fixture.state.dequeue(admission.leastWorth());
-        assertNull(admission.leastWorth());
+        assertTrue(admission.leastValuable().mayHaveRun, "a factor, not a rule");
+        fixture.state.dequeue(admission.leastValuable());
+        assertNull(admission.leastValuable());
     }
 
     @Test
@@ -81,13 +81,13 @@
         alone.queue = other;
         fixture.state.enqueue(alone);
         fixture.message(SAFE);
-        assertTrue(admission.leastWorth().queue == crowded.queue);
+        assertTrue(admission.leastValuable().queue == crowded.queue);
         Endpoint endpoint = fixture.endpoint();
         for (int i = 0; i < 100; i++) {
             fixture.later(100 * MS);
             parts.rates.onDelivered(fixture.limit, endpoint);
         }
-        assertEquals(alone, admission.leastWorth(), "the other destination soon takes its two messages");
+        assertEquals(alone, admission.leastValuable(), "the other destination soon takes its two messages");
     }
 
     @Test
