--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -97,7 +97,7 @@
     }
 
     /** After how long a refused client should come again: when its destination will have room; 0: no advice. */
-    long comeBackAfter(DestinationQueue queue) {
+    long retryAfterMicros(DestinationQueue queue) {
         if (!state.settings.limits().sendsRetryAfter()) {
             return 0;
         }
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -311,7 +311,7 @@
     /** The one place that gives a message up: refused where that is harmless, else failed. */
     private void end(Message message) {
         if (isHarmlessToRefuse(message)) {
-            state.actions.add(new Action.Refuse(message.id, admission.comeBackAfter(message.queue)));
+            state.actions.add(new Action.Refuse(message.id, admission.retryAfterMicros(message.queue)));
         } else {
             state.actions.add(new Action.Fail(message.id));
         }
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -93,19 +93,19 @@
     @Test
     void aRefusedClientComesAgainWhenThereWillBeRoom() {
         fixture.endpoint();
-        assertEquals(0, admission.comeBackAfter(fixture.queue), "nothing waits");
+        assertEquals(0, admission.retryAfterMicros(fixture.queue), "nothing waits");
         parts.limits.onWait(fixture.limit, 300 * MS);
-        assertEquals(300 * MS, admission.comeBackAfter(fixture.queue));
+        assertEquals(300 * MS, admission.retryAfterMicros(fixture.queue));
         fixture.message(SAFE);
-        assertEquals(2 * S, admission.comeBackAfter(fixture.queue), "at half a call a second: the most that is told");
+        assertEquals(2 * S, admission.retryAfterMicros(fixture.queue), "at half a call a second: the most that is told");
         fixture.limit.usualRate = 10;
         fixture.limit.usualRateUnfilled = 0;
-        assertEquals(400 * MS, admission.comeBackAfter(fixture.queue), "at ten calls a second");
+        assertEquals(400 * MS, admission.retryAfterMicros(fixture.queue), "at ten calls a second");
     }
 
     @Test
     void whereNoEndpointIsListedItIsTheMostThatIsTold() {
         fixture.endpoint().active = false;
-        assertEquals(2 * S, admission.comeBackAfter(fixture.queue));
+        assertEquals(2 * S, admission.retryAfterMicros(fixture.queue));
     }
 }
