--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -123,7 +123,7 @@
     }
 
     /** Frees the slot of a call, once the outcomes of all its messages have come. */
-    void end(Call call) {
+    void releaseSlot(Call call) {
         Endpoint endpoint = call.endpoint;
         state.slotsInUse--;
         endpoint.callsInFlight--;
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -246,7 +246,7 @@
         message.call = null;
         call.pendingOutcomes--;
         if (call.pendingOutcomes == 0) {
-            dispatch.end(call);
+            dispatch.releaseSlot(call);
             connections.onCallEnded(endpoint, event.result());
         }
         if (event.result() == AttemptResult.DELIVERED) {
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -140,7 +140,7 @@
         Endpoint endpoint = fixture.endpoint();
         Message message = fixture.message(SAFE);
         dispatch();
-        parts.dispatch.end(message.call);
+        parts.dispatch.releaseSlot(message.call);
         assertEquals(0, fixture.state.slotsInUse);
         assertEquals(0, endpoint.callsInFlight);
         assertEquals(0, fixture.limit.callsInFlight);
