--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -14,7 +14,7 @@
  */
 final class CallTimeouts {
     /** Shortest time-out, microseconds; a message with less time left than this is given up, as no call ends sooner. */
-    static final long SHORTEST = 60_000;
+    static final long MIN_TIMEOUT_MICROS = 60_000;
 
     /** Weight of one answer in the mean answer time of a limit. */
     private static final double ANSWER_WEIGHT = 0.1;
@@ -77,7 +77,7 @@
         double time = Math.max(LEAST_PART_OF_AIM * aim, usual) * limit.timeoutFactor;
         RepeatSafety repeat = message.messageClass.repeat();
         if (repeat == RepeatSafety.UNSAFE) {
-            return (long) Math.max(time * UNSAFE_TIMES, SHORTEST);
+            return (long) Math.max(time * UNSAFE_TIMES, MIN_TIMEOUT_MICROS);
         }
         // Where calls are lost everywhere, the last slot is worth more than a call that is likely lost.
         boolean lastSlot = state.slotsInUse + 1 >= state.settings.limits().slots();
@@ -85,7 +85,7 @@
         if (repeat == RepeatSafety.KEYED && !message.mayHaveRun) {
             time = Math.min(time, WINDOW_PART * message.messageClass.repeatWindowMicros());
         }
-        return (long) Math.max(time, SHORTEST);
+        return (long) Math.max(time, MIN_TIMEOUT_MICROS);
     }
 
     /**
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -149,7 +149,7 @@
                 return;
             }
         }
-        checkAt(message.deadlineMicros - CallTimeouts.SHORTEST, message);
+        checkAt(message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
             Message least = admission.leastValuable();
             if (least != null) {
@@ -198,7 +198,7 @@
         if (message.finished) {
             keyOrder.forget(message);
         } else if (message.inFlightEndpoint == null) {
-            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.SHORTEST || state.nowMicros >= retries.windowEnd(message)) {
+            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.windowEnd(message)) {
                 end(message);
             }
         } else if (state.nowMicros >= latestAnswerAt) {
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -56,7 +56,7 @@
     @Test
     void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
         Message message = fixture.message(SAFE);
-        message.notBeforeMicros = message.deadlineMicros - CallTimeouts.SHORTEST;
+        message.notBeforeMicros = message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS;
         assertTrue(retries.canTryAgain(message));
         message.notBeforeMicros++;
         assertFalse(retries.canTryAgain(message));
