--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -54,7 +54,7 @@
         limit.meanAnswerMicros =
                 limit.meanAnswerMicros == 0 ? elapsed : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsed - limit.meanAnswerMicros);
         double usual = state.overallMeanAnswerMicros;
-        double bounded = usual == 0 ? elapsed : Math.min(elapsed, slowAnswerTime());
+        double bounded = usual == 0 ? elapsed : Math.min(elapsed, slowAnswerMicros());
         state.overallMeanAnswerMicros += (usual == 0 ? 1 : ANSWER_WEIGHT_OF_ALL) * (bounded - usual);
         boolean prompt = elapsed < PROMPT_TIMES * limit.meanAnswerMicros;
         limit.timeoutFactor = prompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENED_PART);
@@ -66,7 +66,7 @@
     }
 
     /** A call or a mean answer above this time is slow beside the usual, microseconds; 0 while none is known. */
-    double slowAnswerTime() {
+    double slowAnswerMicros() {
         return SLOW_TIMES * state.overallMeanAnswerMicros;
     }
 
