--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -117,7 +117,7 @@
         message.lastEndpoint = endpoint;
         call.pendingOutcomes++;
         // A connection that comes up late must not carry it past its window.
-        long timeoutAt = state.nowMicros + timeouts.timeout(message, endpoint.limit);
+        long timeoutAt = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
         long dropAt = Math.min(Math.min(message.deadlineMicros, timeoutAt), retries.windowEnd(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAt));
     }
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -71,7 +71,7 @@
     }
 
     /** How long a call of the message may take if it is sent now, microseconds. */
-    long timeout(Message message, DestinationLimit limit) {
+    long timeoutMicros(Message message, DestinationLimit limit) {
         long aim = message.messageClass.aimMicros();
         double usual = limit.meanAnswerMicros > 0 ? ANSWER_TIMES * limit.meanAnswerMicros : aim;
         double time = Math.max(LEAST_PART_OF_AIM * aim, usual) * limit.timeoutFactor;
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -52,7 +52,7 @@
 
     /** A call that the end of the program could cut may have run: what can't come back in time stays here. */
     private boolean endsBeforeTheProgram(Message message, Endpoint endpoint) {
-        return state.stopAtMicros >= NEVER || state.nowMicros + timeouts.timeout(message, endpoint.limit) <= state.stopAtMicros;
+        return state.stopAtMicros >= NEVER || state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit) <= state.stopAtMicros;
     }
 
     /** Whether an earlier attempt of the message, if one may have run, allows a further one at this endpoint. */
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -22,7 +22,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private long timeout(int messageClass) {
-        return timeouts.timeout(fixture.message(messageClass), fixture.limit);
+        return timeouts.timeoutMicros(fixture.message(messageClass), fixture.limit);
     }
 
     @Test
@@ -46,7 +46,7 @@
         assertEquals(2_500 * MS, timeout(KEYED));
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        assertEquals(12 * S, timeouts.timeout(repeated, fixture.limit));
+        assertEquals(12 * S, timeouts.timeoutMicros(repeated, fixture.limit));
     }
 
     @Test
