--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -19,7 +19,7 @@
     }
 
     /** Whether a call to the endpoint finds an idle connection; forgets those that were idle for too long. */
-    boolean isWarm(Endpoint endpoint) {
+    boolean hasIdleConnection(Endpoint endpoint) {
         long keepAlive = state.settings.limits().keepAliveMicros();
         while (!endpoint.idleSince.isEmpty() && endpoint.idleSince.peekFirst() + keepAlive <= state.nowMicros) {
             endpoint.idleSince.removeFirst();
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -70,7 +70,7 @@
             return false;
         }
         boolean connectionsScarce = transientFailures.connectsTurnedAwayMoreThanAssumed(endpoint);
-        return endpoint.inOutage || connectionsScarce && !connections.isWarm(endpoint);
+        return endpoint.inOutage || connectionsScarce && !connections.hasIdleConnection(endpoint);
     }
 
     private boolean stalledHaveSlot() {
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -155,7 +155,7 @@
     private double cost(Message message, Endpoint endpoint) {
         return endpoint.callsInFlight
                 + (endpoint.zone == state.settings.zone() ? 0 : OTHER_ZONE_COST)
-                + (connections.isWarm(endpoint) ? 0 : CONNECT_COST)
+                + (connections.hasIdleConnection(endpoint) ? 0 : CONNECT_COST)
                 + (message.lastEndpoint == endpoint ? SAME_ENDPOINT_COST : 0);
     }
 
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -22,16 +22,16 @@
 
     @Test
     void aConnectionIsIdleUntilItIsUsedOrTooOld() {
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
         connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
-        assertTrue(connections.isWarm(endpoint));
+        assertTrue(connections.hasIdleConnection(endpoint));
         connections.onSend(endpoint);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
         connections.onCallEnded(endpoint, AttemptResult.FULL);
         fixture.later(5 * S - 1);
-        assertTrue(connections.isWarm(endpoint));
+        assertTrue(connections.hasIdleConnection(endpoint));
         fixture.later(1);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @ParameterizedTest
@@ -40,14 +40,14 @@
             names = {"NO_CONNECTION", "NO_ROOM", "RESET", "NOT_SENT"})
     void theseEndingsLeaveNoConnection(AttemptResult ending) {
         connections.onCallEnded(endpoint, ending);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @Test
     void afterAFailedConnectNoneIsLeft() {
         connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.onConnectFailed(endpoint);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @Test
@@ -55,7 +55,7 @@
         connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(), fixture.state.actions);
-        assertTrue(connections.isWarm(endpoint));
+        assertTrue(connections.hasIdleConnection(endpoint));
     }
 
     @Test
@@ -71,7 +71,7 @@
         connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(new Action.CloseIdle(endpoint.host)), fixture.state.actions);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @Test
