--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -51,7 +51,7 @@
     }
 
     /** The endpoint has turned a connect away: connections to its kind are scarce from now on. */
-    void onTurnedAway(Endpoint endpoint) {
+    void onConnectRejected(Endpoint endpoint) {
         scarce[endpoint.kind] = true;
     }
 
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -107,7 +107,7 @@
         transientFailures.onFailure(endpoint, turnedAway);
         noteRefusedConnection(endpoint, ending);
         if (turnedAway) {
-            connections.onTurnedAway(endpoint);
+            connections.onConnectRejected(endpoint);
             if (isThere || transientFailures.connectsOftenTurnedAway(endpoint)) {
                 avoidForAsLong(limit, endpoint);
                 return;
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -60,7 +60,7 @@
 
     @Test
     void whereConnectionsAreScarceNoneIsKeptThatNothingWaitsFor() {
-        connections.onTurnedAway(endpoint);
+        connections.onConnectRejected(endpoint);
         fixture.message(SAFE);
         connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.closeUnused();
