--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -88,7 +88,7 @@
         for (Event event : events) {
             read(event);
         }
-        if (directory.askAt() <= state.nowMicros) {
+        if (directory.watchAtMicros() <= state.nowMicros) {
             state.actions.add(new Action.Watch(true));
             directory.onAsked();
         }
@@ -96,7 +96,7 @@
         List<SendCandidate> candidates = dispatch.candidates();
         selection.hopeless().forEach(this::end);
         selection.clearHopeless();
-        long next = Math.min(dispatch.send(candidates), directory.askAt());
+        long next = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
         wakeFor(dues.isEmpty() ? next : Math.min(next, dues.peek().at()));
         return state.actions;
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -33,7 +33,7 @@
     }
 
     /** When the platform is to be asked for changes, microseconds; {@link PolicyState#NEVER} if it need not be. */
-    long askAt() {
+    long watchAtMicros() {
         return askAt;
     }
 
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -162,24 +162,24 @@
     void thePlatformIsAskedOnceAndLaterAndLaterWhereItRefuses() {
         use(Rig.settings(4, 50, 6, true));
         list(ListingKind.REMEMBERED);
-        assertEquals(fixture.state.nowMicros, directory.askAt());
+        assertEquals(fixture.state.nowMicros, directory.watchAtMicros());
         directory.onAsked();
-        assertEquals(PolicyState.NEVER, directory.askAt());
+        assertEquals(PolicyState.NEVER, directory.watchAtMicros());
         // Half a minute and more of refusals: 0.4 s, doubled up to a third of the 10 s that the rules allow.
         for (long pause : new long[] {400 * MS, 800 * MS, 1_600 * MS, 3_200 * MS, 10 * S / 3, 10 * S / 3}) {
             list(ListingKind.REFUSED);
-            long after = directory.askAt() - fixture.state.nowMicros;
+            long after = directory.watchAtMicros() - fixture.state.nowMicros;
             assertTrue(after >= pause / 2 && after <= pause * 3 / 2, after + " for " + pause);
         }
         list(ListingKind.CHANGES);
         list(ListingKind.REFUSED);
-        assertTrue(directory.askAt() - fixture.state.nowMicros <= 600 * MS, "an answer ends the row");
+        assertTrue(directory.watchAtMicros() - fixture.state.nowMicros <= 600 * MS, "an answer ends the row");
     }
 
     @Test
     void whereChangesComeUnaskedNothingIsAsked() {
         list(ListingKind.REMEMBERED);
         list(ListingKind.REFUSED);
-        assertEquals(PolicyState.NEVER, directory.askAt());
+        assertEquals(PolicyState.NEVER, directory.watchAtMicros());
     }
 }
