--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -90,7 +90,7 @@
         }
         if (directory.watchAtMicros() <= state.nowMicros) {
             state.actions.add(new Action.Watch(true));
-            directory.onAsked();
+            directory.onWatchRequested();
         }
         endOverdue();
         List<SendCandidate> candidates = dispatch.candidates();
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -38,7 +38,7 @@
     }
 
     /** Notes that the platform is being asked. */
-    void onAsked() {
+    void onWatchRequested() {
         askAt = NEVER;
     }
 
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -163,7 +163,7 @@
         use(Rig.settings(4, 50, 6, true));
         list(ListingKind.REMEMBERED);
         assertEquals(fixture.state.nowMicros, directory.watchAtMicros());
-        directory.onAsked();
+        directory.onWatchRequested();
         assertEquals(PolicyState.NEVER, directory.watchAtMicros());
         // Half a minute and more of refusals: 0.4 s, doubled up to a third of the 10 s that the rules allow.
         for (long pause : new long[] {400 * MS, 800 * MS, 1_600 * MS, 3_200 * MS, 10 * S / 3, 10 * S / 3}) {
