--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -94,7 +94,7 @@
         }
         endOverdue();
         List<SendCandidate> candidates = dispatch.candidates();
-        selection.hopeless().forEach(this::end);
+        selection.undeliverable().forEach(this::end);
         selection.clearHopeless();
         long next = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -96,11 +96,11 @@
     }
 
     /** Messages without a chance left, noted since {@link #clearHopeless}: the caller ends them. */
-    List<Message> hopeless() {
+    List<Message> undeliverable() {
         return hopeless;
     }
 
-    /** Forgets the messages of {@link #hopeless}. */
+    /** Forgets the messages of {@link #undeliverable}. */
     void clearHopeless() {
         hopeless.clear();
     }
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -135,11 +135,11 @@
         fixture.message(SAFE);
         parts.limits.onWait(fixture.limit, 2 * S);
         assertNull(selection.select(fixture.queue));
-        assertEquals(List.of(shortOfTime), selection.hopeless());
+        assertEquals(List.of(shortOfTime), selection.undeliverable());
         selection.clearHopeless();
         endpoint.callsInFlight = 1;
         assertNull(selection.select(fixture.queue));
-        assertTrue(selection.hopeless().isEmpty());
+        assertTrue(selection.undeliverable().isEmpty());
     }
 
     @Test
