--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -95,7 +95,7 @@
         endOverdue();
         List<SendCandidate> candidates = dispatch.candidates();
         selection.undeliverable().forEach(this::end);
-        selection.clearHopeless();
+        selection.clearUndeliverable();
         long next = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
         wakeFor(dues.isEmpty() ? next : Math.min(next, dues.peek().at()));
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -95,13 +95,13 @@
         }
     }
 
-    /** Messages without a chance left, noted since {@link #clearHopeless}: the caller ends them. */
+    /** Messages without a chance left, noted since {@link #clearUndeliverable}: the caller ends them. */
     List<Message> undeliverable() {
         return hopeless;
     }
 
     /** Forgets the messages of {@link #undeliverable}. */
-    void clearHopeless() {
+    void clearUndeliverable() {
         hopeless.clear();
     }
 
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -136,7 +136,7 @@
         parts.limits.onWait(fixture.limit, 2 * S);
         assertNull(selection.select(fixture.queue));
         assertEquals(List.of(shortOfTime), selection.undeliverable());
-        selection.clearHopeless();
+        selection.clearUndeliverable();
         endpoint.callsInFlight = 1;
         assertNull(selection.select(fixture.queue));
         assertTrue(selection.undeliverable().isEmpty());
