--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -196,7 +196,7 @@
         // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
         long latestAnswerAt = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
-            keyOrder.forget(message);
+            keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
             if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.windowEnd(message)) {
                 end(message);
--- a/src/main/java/lilaclever/KeyOrder.java
+++ b/src/main/java/lilaclever/KeyOrder.java
@@ -46,11 +46,11 @@
         if (message.orderedKey != null) {
             message.orderedKey.messages.remove(message);
         }
-        forget(message);
+        removeIfUnused(message);
     }
 
     /** Forgets the message's key if nothing of it is left and its pause is over. */
-    void forget(Message message) {
+    void removeIfUnused(Message message) {
         OrderedKey key = message.orderedKey;
         if (key != null && key.messages.isEmpty() && key.pausedUntil <= state.nowMicros) {
             keys.remove(message.key, key);
