--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -111,7 +111,7 @@
         DestinationLimit limit = queue.latestLimit;
         int number = known ? entry.kind() : 0;
         Endpoint endpoint = new Endpoint(entry.host(), queue, limit, entry.zone(), number, kind.maxBatchSize());
-        endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_PAUSE;
+        endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
         takeOverHealth(endpoint);
         endpoints.put(entry.host(), endpoint);
         queue.endpoints.add(endpoint);
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -11,7 +11,7 @@
  */
 final class OutageDetection {
     /** First pause between trial calls in an outage, microseconds. */
-    static final long FIRST_TRIAL_PAUSE = 500_000;
+    static final long FIRST_TRIAL_INTERVAL_MICROS = 500_000;
     /** Longest pause between trial calls in an outage, microseconds. */
     private static final long LAST_TRIAL_PAUSE = 2_000_000;
     /** Hard failures in a row that mean an outage. */
@@ -69,7 +69,7 @@
             slowStart.begin(endpoint);
             endpoint.failureShare = Math.min(endpoint.failureShare, UNHEALTHY_SHARE);
         }
-        endpoint.trialIntervalMicros = FIRST_TRIAL_PAUSE;
+        endpoint.trialIntervalMicros = FIRST_TRIAL_INTERVAL_MICROS;
     }
 
     /** Notes that a limit has just refused or failed: since when it does, and a new spread of the pace. */
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -67,7 +67,7 @@
         double warmth = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * warmed;
         double part = BUDGET_PART * rules.overloadMultiple() * warmth;
         // Pauses grow by 1 / part of what it lasted: the first is so long that a third try is past its end.
-        double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_PAUSE;
+        double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
         double alone = SECOND / Math.max(shortest, limit.failingForMicros);
         return part * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), alone);
     }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -130,7 +130,7 @@
         assertTrue(second.inOutage);
         assertEquals(7, second.slowStartAtMicros);
         assertEquals(first.lastSentAtMicros, second.lastSentAtMicros);
-        assertEquals(OutageDetection.FIRST_TRIAL_PAUSE, second.trialIntervalMicros);
+        assertEquals(OutageDetection.FIRST_TRIAL_INTERVAL_MICROS, second.trialIntervalMicros);
     }
 
     @Test
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -92,7 +92,7 @@
 
     @Test
     void trialPausesGrowToTwoSeconds() {
-        endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_PAUSE;
+        endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
         outages.beginOutage(endpoint);
         assertEquals(500 * MS, endpoint.trialIntervalMicros);
         outages.beginOutage(endpoint);
