--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -104,7 +104,7 @@
         outages.noteTrouble(limit);
         limit.recentRefusals++;
         if (isShut(limit, waitMicros)) {
-            limit.endpoints.forEach(outages::beginOutage);
+            limit.endpoints.forEach(outages::beginOrContinueOutage);
             if (waitMicros >= SHUT_WAIT) {
                 spreadReopening(limit);
             }
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -161,14 +161,14 @@
         int seenByEach = Math.max(1, FAILURES_IN_FLEET / state.settings.forwarders());
         int needed = transientFailures.callsOftenLost() ? FAILURES_IN_ROW : Math.min(FAILURES_IN_ROW, seenByEach);
         if (limit.severalEndpointsFailing && limit.failuresInRow >= needed) {
-            limit.endpoints.stream().filter(each -> each.failuresInRow > 0).forEach(this::beginOutage);
+            limit.endpoints.stream().filter(each -> each.failuresInRow > 0).forEach(this::beginOrContinueOutage);
         } else if (endpoint.failuresInRow >= needed || endpoint.failureShare >= OUTAGE_SHARE) {
-            beginOutage(endpoint);
+            beginOrContinueOutage(endpoint);
         }
     }
 
     /** Begins an outage of the endpoint, or goes on with it; the pause between trial calls grows by half. */
-    void beginOutage(Endpoint endpoint) {
+    void beginOrContinueOutage(Endpoint endpoint) {
         long longer = endpoint.trialIntervalMicros * (endpoint.inOutage ? 3 : 2) / 2;
         endpoint.trialIntervalMicros = Math.min(LAST_TRIAL_PAUSE, longer);
         endpoint.inOutage = true;
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -93,12 +93,12 @@
     @Test
     void trialPausesGrowToTwoSeconds() {
         endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
-        outages.beginOutage(endpoint);
+        outages.beginOrContinueOutage(endpoint);
         assertEquals(500 * MS, endpoint.trialIntervalMicros);
-        outages.beginOutage(endpoint);
+        outages.beginOrContinueOutage(endpoint);
         assertEquals(750 * MS, endpoint.trialIntervalMicros);
         for (int i = 0; i < 5; i++) {
-            outages.beginOutage(endpoint);
+            outages.beginOrContinueOutage(endpoint);
         }
         assertEquals(2 * S, endpoint.trialIntervalMicros);
     }
