--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -217,7 +217,7 @@
     private long readyInOutage(DestinationLimit limit) {
         double rate = NEVER;
         if (limit.suspectedOutageRefusals >= REFUSALS_AS_OUTAGE) {
-            rate = recoveryPace.inOutage(limit) / limit.outageRateDivisor;
+            rate = recoveryPace.outageRate(limit) / limit.outageRateDivisor;
         }
         if (limit.exhausted) {
             rate = Math.min(rate, PART_IF_EXHAUSTED * rates.evenShare(limit));
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -47,7 +47,7 @@
     }
 
     /** Calls a second for a limit that is in an outage. */
-    double inOutage(DestinationLimit limit) {
+    double outageRate(DestinationLimit limit) {
         return budget(limit, 0, false);
     }
 
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -32,7 +32,7 @@
         endpoint.inOutage = true;
         endpoint.trialIntervalMicros = S / 2;
         assertEquals(0.85 * 2.5 * 0.2 * 4, pace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
-        assertEquals(0.85 * 2.5 * 0.2 * 4, pace.inOutage(fixture.limit), 1e-9);
+        assertEquals(0.85 * 2.5 * 0.2 * 4, pace.outageRate(fixture.limit), 1e-9);
         fixture.endpoint();
         assertEquals(0.85 * 2.5 * 0.2 * 2, pace.callsPerSecond(endpoint), 1e-9, "two endpoints share it");
         fixture.limit.outageRateDivisor = 1.5;
