--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -144,7 +144,7 @@
     private void spreadReopening(DestinationLimit limit) {
         limit.failingForMicros = Math.max(LEAST_OUTAGE, limit.retryAfterUntilMicros - limit.failingSinceMicros);
         double pause =
-                SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadWindowMicros());
+                SECOND / recoveryPace.recoveryRate(limit, state.settings.rules().overloadWindowMicros());
         limit.resumeAtMicros = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * pause);
     }
 
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -52,7 +52,7 @@
     }
 
     /** Calls a second for a limit that came back so many microseconds ago. */
-    double afterReturn(DestinationLimit limit, long age) {
+    double recoveryRate(DestinationLimit limit, long age) {
         return budget(limit, age, false);
     }
 
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -53,7 +53,7 @@
         slowStart.begin(endpoint);
         fixture.later(5 * S);
         assertEquals(0.85 * 2.5 * 0.6 * 4, pace.callsPerSecond(endpoint), 1e-9);
-        assertEquals(pace.callsPerSecond(endpoint), pace.afterReturn(fixture.limit, 5 * S));
+        assertEquals(pace.callsPerSecond(endpoint), pace.recoveryRate(fixture.limit, 5 * S));
         fixture.later(5 * S);
         assertEquals(PolicyState.NEVER, pace.callsPerSecond(endpoint), "and then it is over");
     }
