--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -118,7 +118,7 @@
         call.pendingOutcomes++;
         // A connection that comes up late must not carry it past its window.
         long timeoutAt = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
-        long dropAt = Math.min(Math.min(message.deadlineMicros, timeoutAt), retries.windowEnd(message));
+        long dropAt = Math.min(Math.min(message.deadlineMicros, timeoutAt), retries.repeatWindowEndMicros(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAt));
     }
 
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -178,10 +178,10 @@
         message.uncertainSentAtMicros = prior.riskAtMicros();
         message.mayHaveRunZone = prior.riskZone();
         message.resumed = true;
-        if (retries.isExhausted(message) || state.nowMicros >= retries.windowEnd(message)) {
+        if (retries.isExhausted(message) || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
             end(message);
         } else if (retries.hasWindow(message)) {
-            checkAt(retries.windowEnd(message), message);
+            checkAt(retries.repeatWindowEndMicros(message), message);
         }
     }
 
@@ -198,7 +198,7 @@
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
-            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.windowEnd(message)) {
+            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
                 end(message);
             }
         } else if (state.nowMicros >= latestAnswerAt) {
@@ -299,7 +299,7 @@
     private void retry(Message message) {
         retries.pause(message);
         if (retries.hasWindow(message)) {
-            checkAt(retries.windowEnd(message), message);
+            checkAt(retries.repeatWindowEndMicros(message), message);
         }
         if (retries.canTryAgain(message)) {
             state.enqueue(message);
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -89,7 +89,7 @@
      */
     private void noteHopeless(DestinationQueue queue, long soonest) {
         for (Message message : queue.waiting) {
-            if (soonest > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonest >= retries.windowEnd(message)) {
+            if (soonest > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonest >= retries.repeatWindowEndMicros(message)) {
                 hopeless.add(message);
             }
         }
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -26,7 +26,7 @@
      * Until when a repeat is dropped by those who had the first, microseconds on the module's clock, less a round;
      * {@link Long#MAX_VALUE} where there is no window.
      */
-    long windowEnd(Message message) {
+    long repeatWindowEndMicros(Message message) {
         return hasWindow(message)
                 ? message.uncertainSentAtMicros + message.messageClass.repeatWindowMicros() - state.settings.roundMicros()
                 : Long.MAX_VALUE;
@@ -44,7 +44,7 @@
         message.notBeforeMicros = state.nowMicros + (long) (STEPS[step] * state.jitterFactor());
         if (hasWindow(message)) {
             // A pause past the window would lose the message: come as late as a connection may still come up.
-            long latest = windowEnd(message) - state.settings.limits().connectTimeoutMicros();
+            long latest = repeatWindowEndMicros(message) - state.settings.limits().connectTimeoutMicros();
             message.notBeforeMicros = state.nowMicros < latest ? Math.min(message.notBeforeMicros, latest) : message.notBeforeMicros;
         }
     }
@@ -53,6 +53,6 @@
     boolean canTryAgain(Message message) {
         return !isExhausted(message)
                 && message.notBeforeMicros <= message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS
-                && message.notBeforeMicros < windowEnd(message);
+                && message.notBeforeMicros < repeatWindowEndMicros(message);
     }
 }
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -62,7 +62,7 @@
         }
         return switch (message.messageClass.repeat()) {
             case SAFE -> true;
-            case KEYED -> state.nowMicros < retries.windowEnd(message) && remembersKey(message, endpoint);
+            case KEYED -> state.nowMicros < retries.repeatWindowEndMicros(message) && remembersKey(message, endpoint);
             case UNSAFE -> false;
         };
     }
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -73,9 +73,9 @@
 
     @Test
     void onlyAKeyedMessageThatMayHaveRunHasAWindow() {
-        assertEquals(Long.MAX_VALUE, retries.windowEnd(fixture.message(KEYED)));
-        assertEquals(Long.MAX_VALUE, retries.windowEnd(mayHaveRun(SAFE)));
-        assertEquals(fixture.state.nowMicros + 5 * S - 5 * MS, retries.windowEnd(mayHaveRun(KEYED)));
+        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(fixture.message(KEYED)));
+        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(mayHaveRun(SAFE)));
+        assertEquals(fixture.state.nowMicros + 5 * S - 5 * MS, retries.repeatWindowEndMicros(mayHaveRun(KEYED)));
     }
 
     @Test
