--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -297,7 +297,7 @@
 
     /** The next try after a pause; or the end, at once, if none can come. */
     private void retry(Message message) {
-        retries.pause(message);
+        retries.scheduleRetry(message);
         if (retries.hasWindow(message)) {
             checkAt(retries.repeatWindowEndMicros(message), message);
         }
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -39,7 +39,7 @@
     }
 
     /** Sets the pause after an attempt: the design's step times a random factor. */
-    void pause(Message message) {
+    void scheduleRetry(Message message) {
         int step = Math.max(0, Math.min(message.attempts, STEPS.length) - 1);
         message.notBeforeMicros = state.nowMicros + (long) (STEPS[step] * state.jitterFactor());
         if (hasWindow(message)) {
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -35,7 +35,7 @@
         long least = Long.MAX_VALUE;
         long most = 0;
         for (int i = 0; i < 200; i++) {
-            retries.pause(message);
+            retries.scheduleRetry(message);
             long pause = message.notBeforeMicros - fixture.state.nowMicros;
             least = Math.min(least, pause);
             most = Math.max(most, pause);
@@ -83,11 +83,11 @@
         Message message = mayHaveRun(KEYED);
         message.attempts = 5;
         fixture.later(3 * S);
-        retries.pause(message);
+        retries.scheduleRetry(message);
         assertEquals(message.uncertainSentAtMicros + 4 * S - 5 * MS, message.notBeforeMicros);
         assertTrue(retries.canTryAgain(message));
         fixture.later(S);
-        retries.pause(message);
+        retries.scheduleRetry(message);
         assertFalse(retries.canTryAgain(message), "the step is longer than what is left of the window");
     }
 }
