--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -301,7 +301,7 @@
         if (retries.hasWindow(message)) {
             checkAt(retries.repeatWindowEndMicros(message), message);
         }
-        if (retries.canTryAgain(message)) {
+        if (retries.canRetry(message)) {
             state.enqueue(message);
         } else {
             end(message);
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -48,18 +48,18 @@
     void theLimitOfAttemptsEndsIt() {
         Message message = fixture.message(SAFE);
         message.attempts = 5;
-        assertTrue(retries.canTryAgain(message));
+        assertTrue(retries.canRetry(message));
         message.attempts = 6;
-        assertFalse(retries.canTryAgain(message));
+        assertFalse(retries.canRetry(message));
     }
 
     @Test
     void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
         Message message = fixture.message(SAFE);
         message.notBeforeMicros = message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS;
-        assertTrue(retries.canTryAgain(message));
+        assertTrue(retries.canRetry(message));
         message.notBeforeMicros++;
-        assertFalse(retries.canTryAgain(message));
+        assertFalse(retries.canRetry(message));
     }
 
     @Test
@@ -68,7 +68,7 @@
         assertFalse(retries.isExhausted(mayHaveRun(SAFE)));
         Message never = fixture.message(UNSAFE);
         never.attempts = 1;
-        assertTrue(retries.canTryAgain(never));
+        assertTrue(retries.canRetry(never));
     }
 
     @Test
@@ -85,9 +85,9 @@
         fixture.later(3 * S);
         retries.scheduleRetry(message);
         assertEquals(message.uncertainSentAtMicros + 4 * S - 5 * MS, message.notBeforeMicros);
-        assertTrue(retries.canTryAgain(message));
+        assertTrue(retries.canRetry(message));
         fixture.later(S);
         retries.scheduleRetry(message);
-        assertFalse(retries.canTryAgain(message), "the step is longer than what is left of the window");
+        assertFalse(retries.canRetry(message), "the step is longer than what is left of the window");
     }
 }
