--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -38,7 +38,7 @@
             double rate = budget(limit, 0, isSurelyOut(endpoint)) / active;
             return Math.min(SECOND / endpoint.trialIntervalMicros, rate) / limit.outageRateDivisor;
         }
-        return slowStart.isActive(endpoint) ? budget(limit, slowStart.age(endpoint), false) / active : NEVER;
+        return slowStart.isActive(endpoint) ? budget(limit, slowStart.ageMicros(endpoint), false) / active : NEVER;
     }
 
     private boolean isSurelyOut(Endpoint endpoint) {
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -16,11 +16,11 @@
     /** Whether the endpoint is in slow start now. */
     boolean isActive(Endpoint endpoint) {
         return endpoint.slowStartAtMicros > 0
-                && age(endpoint) < state.settings.rules().rampMicros();
+                && ageMicros(endpoint) < state.settings.rules().rampMicros();
     }
 
     /** How long ago the endpoint's slow start began, microseconds; only where it has had one. */
-    long age(Endpoint endpoint) {
+    long ageMicros(Endpoint endpoint) {
         return state.nowMicros - endpoint.slowStartAtMicros;
     }
 
@@ -36,6 +36,6 @@
 
     /** Halves the age of a slow start: the endpoint takes less than was thought. */
     void setBack(Endpoint endpoint) {
-        endpoint.slowStartAtMicros += age(endpoint) / 2;
+        endpoint.slowStartAtMicros += ageMicros(endpoint) / 2;
     }
 }
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -145,7 +145,7 @@
         slowStart.begin(endpoint);
         fixture.later(4 * S);
         refuse(0);
-        assertEquals(2 * S, slowStart.age(endpoint));
+        assertEquals(2 * S, slowStart.ageMicros(endpoint));
     }
 
     @Test
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -150,7 +150,7 @@
         fixture.later(5 * S);
         endpoint.failureShare = 0.5;
         outages.onFailure(fixture.limit, endpoint, AttemptResult.ERROR, 10 * MS);
-        assertEquals(0, slowStart.age(endpoint));
+        assertEquals(0, slowStart.ageMicros(endpoint));
     }
 
     @Test
