--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -109,7 +109,7 @@
                 spreadReopening(limit);
             }
         } else if (slowStart.isActive(endpoint)) {
-            slowStart.setBack(endpoint);
+            slowStart.halveAge(endpoint);
         }
         if (state.nowMicros - limit.reducedAt >= REDUCTION_SPAN) {
             reduceRate(limit, endpoint);
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -35,7 +35,7 @@
     }
 
     /** Halves the age of a slow start: the endpoint takes less than was thought. */
-    void setBack(Endpoint endpoint) {
+    void halveAge(Endpoint endpoint) {
         endpoint.slowStartAtMicros += ageMicros(endpoint) / 2;
     }
 }
--- a/src/test/java/lilaclever/SlowStartTest.java
+++ b/src/test/java/lilaclever/SlowStartTest.java
@@ -33,7 +33,7 @@
     void aSetBackHalvesItsAge() {
         slowStart.begin(endpoint);
         fixture.later(6 * S);
-        slowStart.setBack(endpoint);
+        slowStart.halveAge(endpoint);
         assertEquals(3 * S, slowStart.ageMicros(endpoint));
         fixture.later(5 * S);
         assertTrue(slowStart.isActive(endpoint), "11 s after its start it has 2 s left");
