--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -108,7 +108,7 @@
         noteRefusedConnection(endpoint, ending);
         if (turnedAway) {
             connections.onConnectRejected(endpoint);
-            if (isThere || transientFailures.connectsOftenTurnedAway(endpoint)) {
+            if (isThere || transientFailures.connectsOftenRejected(endpoint)) {
                 avoidForAsLong(limit, endpoint);
                 return;
             }
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -55,7 +55,7 @@
      * Endpoints of this kind take few connections: failed connects soon turned into deliveries. There one is no outage,
      * and is tried again as pauses allow. May hurt for seconds where such a kind goes down.
      */
-    boolean connectsOftenTurnedAway(Endpoint endpoint) {
+    boolean connectsOftenRejected(Endpoint endpoint) {
         return shares[endpoint.kind] > OFTEN;
     }
 
--- a/src/test/java/lilaclever/TransientFailuresTest.java
+++ b/src/test/java/lilaclever/TransientFailuresTest.java
@@ -23,7 +23,7 @@
 
     @Test
     void atFirstConnectsMayBeTurnedAwayAndCallsAreNotLost() {
-        assertTrue(failures.connectsOftenTurnedAway(endpoint));
+        assertTrue(failures.connectsOftenRejected(endpoint));
         assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
         assertFalse(failures.callsOftenLost());
     }
@@ -54,6 +54,6 @@
         assertFalse(failures.isBrief(endpoint));
         failures.onFailure(endpoint, true);
         failures.onFailure(endpoint, true);
-        assertFalse(failures.connectsOftenTurnedAway(endpoint), "0.45 times 0.7 twice");
+        assertFalse(failures.connectsOftenRejected(endpoint), "0.45 times 0.7 twice");
     }
 }
