--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -69,7 +69,7 @@
         if (endpoint.callsInFlight == 0) {
             return false;
         }
-        boolean connectionsScarce = transientFailures.connectsTurnedAwayMoreThanAssumed(endpoint);
+        boolean connectionsScarce = transientFailures.connectsRejectedMoreThanAssumed(endpoint);
         return endpoint.inOutage || connectionsScarce && !connections.hasIdleConnection(endpoint);
     }
 
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -60,7 +60,7 @@
     }
 
     /** Connects turned away by endpoints of this kind were transient more often than assumed at first. */
-    boolean connectsTurnedAwayMoreThanAssumed(Endpoint endpoint) {
+    boolean connectsRejectedMoreThanAssumed(Endpoint endpoint) {
         return shares[endpoint.kind] > FIRST_GUESS;
     }
 
--- a/src/test/java/lilaclever/TransientFailuresTest.java
+++ b/src/test/java/lilaclever/TransientFailuresTest.java
@@ -24,7 +24,7 @@
     @Test
     void atFirstConnectsMayBeTurnedAwayAndCallsAreNotLost() {
         assertTrue(failures.connectsOftenRejected(endpoint));
-        assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
+        assertFalse(failures.connectsRejectedMoreThanAssumed(endpoint));
         assertFalse(failures.callsOftenLost());
     }
 
@@ -34,13 +34,13 @@
         assertFalse(failures.callsOftenLost(), "one is at the bound of 0.3, not above");
         failure(false, 100 * MS);
         assertTrue(failures.callsOftenLost());
-        assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint), "they say nothing of connects");
+        assertFalse(failures.connectsRejectedMoreThanAssumed(endpoint), "they say nothing of connects");
     }
 
     @Test
     void connectsCountApart() {
         failure(true, 100 * MS);
-        assertTrue(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
+        assertTrue(failures.connectsRejectedMoreThanAssumed(endpoint));
         failure(true, 100 * MS);
         assertFalse(failures.callsOftenLost());
     }
