--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -253,7 +253,7 @@
             endpoint.lastDeliveredSentAtMicros = Math.max(endpoint.lastDeliveredSentAtMicros, message.sentAtMicros);
         }
         limits.onReport(endpoint.limit, event.report());
-        limits.onWait(endpoint.limit, event.retryAfterMicros());
+        limits.onRetryAfter(endpoint.limit, event.retryAfterMicros());
         if (!call.outcomeSeen) {
             call.outcomeSeen = true;
             learn(endpoint, event);
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -79,7 +79,7 @@
     }
 
     /** Keeps a told wait, microseconds from now; 0 or less is none. */
-    void onWait(DestinationLimit limit, long waitMicros) {
+    void onRetryAfter(DestinationLimit limit, long waitMicros) {
         if (waitMicros > 0) {
             limit.retryAfterUntilMicros = Math.max(limit.retryAfterUntilMicros, state.nowMicros + waitMicros);
             limit.shortWaitAt = waitMicros < SHUT_WAIT ? state.nowMicros : limit.shortWaitAt;
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -94,7 +94,7 @@
     void aRefusedClientComesAgainWhenThereWillBeRoom() {
         fixture.endpoint();
         assertEquals(0, admission.retryAfterMicros(fixture.queue), "nothing waits");
-        parts.limits.onWait(fixture.limit, 300 * MS);
+        parts.limits.onRetryAfter(fixture.limit, 300 * MS);
         assertEquals(300 * MS, admission.retryAfterMicros(fixture.queue));
         fixture.message(SAFE);
         assertEquals(2 * S, admission.retryAfterMicros(fixture.queue), "at half a call a second: the most that is told");
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -29,7 +29,7 @@
     }
 
     private void refuse(long waitMicros) {
-        limits.onWait(limit, waitMicros);
+        limits.onRetryAfter(limit, waitMicros);
         limits.onRefused(limit, endpoint, waitMicros, null);
     }
 
@@ -50,9 +50,9 @@
 
     @Test
     void aToldWaitIsKeptAndNeverShortened() {
-        limits.onWait(limit, 2 * S);
-        limits.onWait(limit, S);
-        limits.onWait(limit, 0);
+        limits.onRetryAfter(limit, 2 * S);
+        limits.onRetryAfter(limit, S);
+        limits.onRetryAfter(limit, 0);
         assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit));
     }
 
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -49,7 +49,7 @@
 
     @Test
     void aToldWaitAndAvoidanceAreBothKept() {
-        parts.limits.onWait(fixture.limit, S);
+        parts.limits.onRetryAfter(fixture.limit, S);
         assertEquals(S, readyIn(endpoint));
         endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * S;
         assertEquals(2 * S, readyIn(endpoint));
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -133,7 +133,7 @@
     void whatCannotGoInTimeIsHopelessUnlessACallIsInFlight() {
         Message shortOfTime = aged(SAFE, 19 * S);
         fixture.message(SAFE);
-        parts.limits.onWait(fixture.limit, 2 * S);
+        parts.limits.onRetryAfter(fixture.limit, 2 * S);
         assertNull(selection.select(fixture.queue));
         assertEquals(List.of(shortOfTime), selection.undeliverable());
         selection.clearUndeliverable();
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -76,7 +76,7 @@
     @Test
     void notToADrainingEndpointAndNotDuringAToldWait() {
         Message message = fixture.message(SAFE);
-        parts.limits.onWait(fixture.limit, S);
+        parts.limits.onRetryAfter(fixture.limit, S);
         assertFalse(rules.permit(message, endpoint));
         fixture.later(S);
         assertTrue(rules.permit(message, endpoint));
