--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -112,7 +112,7 @@
 
     private long roomAfter(Endpoint endpoint) {
         double rate = Math.max(limits.assuredRate(endpoint.limit), expectedRate(endpoint));
-        long readyAfter = Math.max(0, availability.readyAt(endpoint) - state.nowMicros);
+        long readyAfter = Math.max(0, availability.readyAtMicros(endpoint) - state.nowMicros);
         return readyAfter + (long) (endpoint.queue.waiting.size() / rate * SECOND);
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -43,7 +43,7 @@
      * When the endpoint takes a further call, microseconds on the module's clock: after its limit's wait and at its
      * pace, and at its own after an outage. {@link PolicyState#NEVER} while that hangs on a call that is in flight.
      */
-    long readyAt(Endpoint endpoint) {
+    long readyAtMicros(Endpoint endpoint) {
         if (!hasSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveSlot()) {
             return NEVER;
         }
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -72,7 +72,7 @@
     private long findReady(DestinationQueue queue, List<Endpoint> ready) {
         long soonest = NEVER;
         for (Endpoint endpoint : queue.endpoints) {
-            long at = endpoint.active ? availability.readyAt(endpoint) : NEVER;
+            long at = endpoint.active ? availability.readyAtMicros(endpoint) : NEVER;
             soonest = Math.min(soonest, endpoint.callsInFlight > 0 ? state.nowMicros : at);
             if (at <= state.nowMicros) {
                 ready.add(endpoint);
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -39,7 +39,7 @@
                 && keyOrder.permits(message)
                 && endsBeforeTheProgram(message, endpoint)
                 && isHarmless(message, endpoint)
-                && availability.readyAt(endpoint) <= state.nowMicros;
+                && availability.readyAtMicros(endpoint) <= state.nowMicros;
     }
 
     private boolean isDue(Message message) {
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -18,7 +18,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private long readyIn(Endpoint which) {
-        return parts.availability.readyAt(which) - fixture.state.nowMicros;
+        return parts.availability.readyAtMicros(which) - fixture.state.nowMicros;
     }
 
     private boolean isReady(Endpoint which) {
@@ -26,7 +26,7 @@
     }
 
     private boolean isNeverReady(Endpoint which) {
-        return parts.availability.readyAt(which) == PolicyState.NEVER;
+        return parts.availability.readyAtMicros(which) == PolicyState.NEVER;
     }
 
     /** An endpoint with a limit of its own. */
@@ -85,7 +85,7 @@
         large.limit.failingForMicros = 60 * S;
         inFleet.slowStart.begin(cold);
         cold.lastSentAtMicros = large.state.nowMicros;
-        assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.nowMicros, "not a call in 141 s");
+        assertEquals(10 * S, inFleet.availability.readyAtMicros(cold) - large.state.nowMicros, "not a call in 141 s");
     }
 
     @Test
