--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -200,7 +200,7 @@
     }
 
     /** When the limit takes a further call, microseconds: after its told wait, and at its pace after refusals. */
-    long readyAt(DestinationLimit limit) {
+    long readyAtMicros(DestinationLimit limit) {
         long waitOver = Math.max(limit.retryAfterUntilMicros, limit.resumeAtMicros);
         return Math.max(waitOver, Math.max(readyAfterThrottling(limit), readyInOutage(limit)));
     }
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -47,7 +47,7 @@
         if (!hasSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveSlot()) {
             return NEVER;
         }
-        long limitReadyAt = Math.max(limits.readyAt(endpoint.limit), endpoint.avoidUntilMicros);
+        long limitReadyAt = Math.max(limits.readyAtMicros(endpoint.limit), endpoint.avoidUntilMicros);
         double rate = recoveryPace.callsPerSecond(endpoint);
         if (rate >= NEVER) {
             return limitReadyAt;
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -45,7 +45,7 @@
     @Test
     void onTheOrdinaryPathThereIsNoRate() {
         assertEquals(PolicyState.NEVER, limits.allowedRate(limit));
-        assertTrue(limits.readyAt(limit) <= fixture.state.nowMicros);
+        assertTrue(limits.readyAtMicros(limit) <= fixture.state.nowMicros);
     }
 
     @Test
@@ -53,7 +53,7 @@
         limits.onRetryAfter(limit, 2 * S);
         limits.onRetryAfter(limit, S);
         limits.onRetryAfter(limit, 0);
-        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit));
+        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAtMicros(limit));
     }
 
     @Test
@@ -62,7 +62,7 @@
         refuse(0);
         assertEquals(10, limits.allowedRate(limit));
         limit.lastSentAtMicros = fixture.state.nowMicros;
-        assertEquals(fixture.state.nowMicros + 100 * MS, limits.readyAt(limit));
+        assertEquals(fixture.state.nowMicros + 100 * MS, limits.readyAtMicros(limit));
         fixture.later(5 * S - 1);
         assertEquals(10, limits.allowedRate(limit));
         fixture.later(1);
@@ -155,11 +155,11 @@
         limits.onRefused(limit, endpoint, 0, exhausted);
         limit.lastSentAtMicros = fixture.state.nowMicros;
         assertEquals(2, limit.suspectedOutageRefusals);
-        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
+        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAtMicros(limit), "throttled to half a call a second");
         limit.throttledUntilMicros = 0;
         limit.rateCeiling = 0;
         // An even share is 1 a second; the pace of an outage is 0.425 of two calls a second.
-        assertEquals(fixture.state.nowMicros + (long) (S / 0.7), limits.readyAt(limit), 1);
+        assertEquals(fixture.state.nowMicros + (long) (S / 0.7), limits.readyAtMicros(limit), 1);
         limits.onDelivered(limit);
         assertFalse(limit.exhausted);
     }
@@ -178,7 +178,7 @@
         large.limit.lastSentAtMicros = large.state.nowMicros;
         large.limit.throttledUntilMicros = 0;
         large.limit.rateCeiling = 0;
-        long pause = inFleet.readyAt(large.limit) - large.state.nowMicros;
+        long pause = inFleet.readyAtMicros(large.limit) - large.state.nowMicros;
         // Failing for 10 s, of which a cold destination's part is 0.425, spread by a factor from 1 to 2.
         assertTrue(pause >= 10 * S / 0.425 - 1 && pause <= 20 * S / 0.425, "pause " + pause);
     }
