--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -55,7 +55,7 @@
         long healthyAt = endpoint.lastSentAtMicros + (long) (SECOND / rate);
         // The pace of slow start is at its slowest now: at its end the endpoint is free.
         boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
-        long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAt(endpoint)) : healthyAt;
+        long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAtMicros(endpoint)) : healthyAt;
         return Math.max(limitReadyAt, readyAt);
     }
 
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -25,7 +25,7 @@
     }
 
     /** When the endpoint's slow start ends, microseconds on the module's clock. */
-    long endsAt(Endpoint endpoint) {
+    long endsAtMicros(Endpoint endpoint) {
         return endpoint.slowStartAtMicros + state.settings.rules().rampMicros();
     }
 
--- a/src/test/java/lilaclever/SlowStartTest.java
+++ b/src/test/java/lilaclever/SlowStartTest.java
@@ -22,7 +22,7 @@
     @Test
     void itLastsAsLongAsTheRulesSay() {
         slowStart.begin(endpoint);
-        assertEquals(fixture.state.nowMicros + 10 * S, slowStart.endsAt(endpoint));
+        assertEquals(fixture.state.nowMicros + 10 * S, slowStart.endsAtMicros(endpoint));
         fixture.later(10 * S - 1);
         assertTrue(slowStart.isActive(endpoint));
         fixture.later(1);
