--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -63,16 +63,16 @@
             if (rules.permit(best.message(), best.endpoint())) {
                 startCall(best.message(), best.endpoint());
             }
-            SendCandidate following = selection.select(best.message().queue);
-            if (following != null) {
-                candidates.add(following);
+            SendCandidate nextCandidate = selection.select(best.message().queue);
+            if (nextCandidate != null) {
+                candidates.add(nextCandidate);
             }
         }
-        long next = state.nonEmptyQueues.stream()
+        long nextCheckMicros = state.nonEmptyQueues.stream()
                 .mapToLong(queue -> queue.nextCheckAtMicros)
                 .min()
                 .orElse(NEVER);
-        return candidates.isEmpty() ? next : Math.min(next, timeouts.cancelOverdue(candidates.size()));
+        return candidates.isEmpty() ? nextCheckMicros : Math.min(nextCheckMicros, timeouts.cancelOverdue(candidates.size()));
     }
 
     /** One call: the selected message, and where calls carry several, others of its queue that may go along. */
@@ -82,9 +82,9 @@
         call.endpoint = endpoint;
         endpoint.calls.add(call);
         state.calls.add(call);
-        attempt(message, call);
+        startAttempt(message, call);
         if (endpoint.maxBatchSize > 1 && !endpoint.inOutage) {
-            addOthers(call);
+            fillBatch(call);
         }
         state.slotsInUse++;
         endpoint.callsInFlight++;
@@ -95,18 +95,18 @@
     }
 
     /** Limits count calls, so what goes along is free; only a trial, which may fail all, goes alone. */
-    private void addOthers(Call call) {
+    private void fillBatch(Call call) {
         for (Message message : List.copyOf(call.endpoint.queue.waiting)) {
             if (call.pendingOutcomes >= call.endpoint.maxBatchSize) {
                 break;
             }
             if (rules.permit(message, call.endpoint)) {
-                attempt(message, call);
+                startAttempt(message, call);
             }
         }
     }
 
-    private void attempt(Message message, Call call) {
+    private void startAttempt(Message message, Call call) {
         Endpoint endpoint = call.endpoint;
         state.dequeue(message);
         message.attempts++;
@@ -117,9 +117,9 @@
         message.lastEndpoint = endpoint;
         call.pendingOutcomes++;
         // A connection that comes up late must not carry it past its window.
-        long timeoutAt = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
-        long dropAt = Math.min(Math.min(message.deadlineMicros, timeoutAt), retries.repeatWindowEndMicros(message));
-        state.actions.add(new Action.Send(message.id, endpoint.host, dropAt));
+        long timeoutAtMicros = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
+        long dropAtMicros = Math.min(Math.min(message.deadlineMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
+        state.actions.add(new Action.Send(message.id, endpoint.host, dropAtMicros));
     }
 
     /** Frees the slot of a call, once the outcomes of all its messages have come. */
--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -9,50 +9,50 @@
 final class ConnectionReuse {
     private final PolicyState state;
     /** Kinds of destination that have turned this forwarder away for want of room for a connection. */
-    private final boolean[] scarce;
+    private final boolean[] scarceByKind;
     /** Endpoints that a call came back from in this round, and nothing went to since. */
-    private final LinkedHashSet<Endpoint> freed = new LinkedHashSet<>();
+    private final LinkedHashSet<Endpoint> idleThisRound = new LinkedHashSet<>();
 
     ConnectionReuse(PolicyState state) {
         this.state = state;
-        this.scarce = new boolean[Math.max(1, state.settings.kinds().size())];
+        this.scarceByKind = new boolean[Math.max(1, state.settings.kinds().size())];
     }
 
     /** Whether a call to the endpoint finds an idle connection; forgets those that were idle for too long. */
     boolean hasIdleConnection(Endpoint endpoint) {
-        long keepAlive = state.settings.limits().keepAliveMicros();
-        while (!endpoint.idleSince.isEmpty() && endpoint.idleSince.peekFirst() + keepAlive <= state.nowMicros) {
-            endpoint.idleSince.removeFirst();
+        long keepAliveMicros = state.settings.limits().keepAliveMicros();
+        while (!endpoint.idleSinceMicros.isEmpty() && endpoint.idleSinceMicros.peekFirst() + keepAliveMicros <= state.nowMicros) {
+            endpoint.idleSinceMicros.removeFirst();
         }
-        return !endpoint.idleSince.isEmpty();
+        return !endpoint.idleSinceMicros.isEmpty();
     }
 
     /** A call goes out and takes the connection that was idle for the shortest time. */
     void onSend(Endpoint endpoint) {
-        endpoint.idleSince.pollLast();
-        freed.remove(endpoint);
+        endpoint.idleSinceMicros.pollLast();
+        idleThisRound.remove(endpoint);
     }
 
     /** A call has come back; its connection is idle now unless the ending says that there is none. */
-    void onCallEnded(Endpoint endpoint, AttemptResult ending) {
-        boolean closed = switch (ending) {
+    void onCallEnded(Endpoint endpoint, AttemptResult result) {
+        boolean closed = switch (result) {
             case NO_CONNECTION, NO_ROOM, RESET, NOT_SENT -> true;
             default -> false;
         };
         if (!closed) {
-            endpoint.idleSince.addLast(state.nowMicros);
-            freed.add(endpoint);
+            endpoint.idleSinceMicros.addLast(state.nowMicros);
+            idleThisRound.add(endpoint);
         }
     }
 
     /** No connection to the endpoint came about: those that were idle are taken to be gone. */
     void onConnectFailed(Endpoint endpoint) {
-        endpoint.idleSince.clear();
+        endpoint.idleSinceMicros.clear();
     }
 
     /** The endpoint has turned a connect away: connections to its kind are scarce from now on. */
     void onConnectRejected(Endpoint endpoint) {
-        scarce[endpoint.kind] = true;
+        scarceByKind[endpoint.kind] = true;
     }
 
     /**
@@ -62,14 +62,14 @@
      * fleet, as what each learns alone comes late. Costs handshakes.
      */
     void closeUnused() {
-        freed.forEach(this::closeUnused);
-        freed.clear();
+        idleThisRound.forEach(this::closeUnused);
+        idleThisRound.clear();
     }
 
     private void closeUnused(Endpoint endpoint) {
-        if (state.largeFleet || scarce[endpoint.kind] && endpoint.queue.waiting.isEmpty()) {
+        if (state.largeFleet || scarceByKind[endpoint.kind] && endpoint.queue.waiting.isEmpty()) {
             state.actions.add(new Action.CloseIdle(endpoint.host));
-            endpoint.idleSince.clear();
+            endpoint.idleSinceMicros.clear();
         }
     }
 }
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -195,8 +195,8 @@
         }
     }
 
-    private static void require(boolean good, String problem) {
-        if (!good) {
+    private static void require(boolean isValid, String problem) {
+        if (!isValid) {
             throw new IllegalArgumentException(problem);
         }
     }
@@ -206,10 +206,10 @@
             String host, int destination, int zone, int kind, Presence presence, double weight, long sinceMicros) {}
 
     /** What a destination told of its limit: share of the allowance left, and calls a second; 0 where unknown. */
-    record LimitReport(double left, double perSecond) {}
+    record LimitReport(double allowanceLeft, double callsPerSecond) {}
 
     /** Attempts of an earlier life, maybe none; if one may have run: where and when the first of these was sent. */
-    record PriorAttempts(int attempts, boolean mayHaveRun, String riskHost, int riskZone, long riskAtMicros) {}
+    record PriorAttempts(int attempts, boolean mayHaveRun, String uncertainHost, int uncertainZone, long uncertainSentAtMicros) {}
 
     /** What has happened. */
     sealed interface Event {
@@ -226,10 +226,10 @@
                 int destination,
                 int tenant,
                 String key,
-                boolean again,
+                boolean resubmitted,
                 boolean inherited,
                 long budgetMicros,
-                PriorAttempts prior)
+                PriorAttempts priorAttempts)
                 implements Event {
             /** A message that no attempt was made for. */
             public Submit(
@@ -238,10 +238,10 @@
                     int destination,
                     int tenant,
                     String key,
-                    boolean again,
+                    boolean resubmitted,
                     boolean inherited,
                     long budgetMicros) {
-                this(id, messageClass, destination, tenant, key, again, inherited, budgetMicros, null);
+                this(id, messageClass, destination, tenant, key, resubmitted, inherited, budgetMicros, null);
             }
         }
 
@@ -271,7 +271,7 @@
                 implements Event {}
 
         /** A probe ended. */
-        record ProbeEnded(String host, AttemptResult ending, long elapsedMicros, LimitReport report) implements Event {}
+        record ProbeEnded(String host, AttemptResult result, long elapsedMicros, LimitReport report) implements Event {}
 
         /** A timer of {@link Action.Wake} has come. */
         record Timer(long token) implements Event {}
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -15,7 +15,7 @@
 import lilaclever.PolicyState.Message;
 import lilaclever.PolicyState.OrderedKey;
 import lilaclever.PolicyState.SendCandidate;
-import lilaclever.PolicyState.TimedCheck;
+import lilaclever.PolicyState.ScheduledCheck;
 
 /**
  * The entry to all decisions: reads the events of a round, follows each message from its submission to its final
@@ -33,7 +33,7 @@
  * </ul>
  *
  * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send passes
- * {@link SendRules#permit}, every message that is given up ends in {@link #end}.
+ * {@link SendRules#permit}, every message that is given up ends in {@link #giveUp}.
  */
 final class DeliveryPolicy implements DecisionModule {
     private final PolicyState state;
@@ -52,12 +52,12 @@
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
     private final Map<String, OrderedKey> lines = new LinkedHashMap<>();
     /** Messages to look at again, by time; each open message has an entry, so none is forgotten. */
-    private final PriorityQueue<TimedCheck> dues =
-            new PriorityQueue<>(Comparator.comparingLong(TimedCheck::at).thenComparingLong(TimedCheck::order));
+    private final PriorityQueue<ScheduledCheck> dues =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
 
     private long checksAdded;
     /** When the host program gives the next timer, microseconds. */
-    private long wakeAt = NEVER;
+    private long wakeAtMicros = NEVER;
 
     /** Makes a module that knows no endpoint yet; {@code seed} starts its random numbers. */
     DeliveryPolicy(Settings settings, long seed) {
@@ -86,23 +86,23 @@
         state.nowMicros = nowMicros;
         state.actions = new ArrayList<>();
         for (Event event : events) {
-            read(event);
+            handle(event);
         }
         if (directory.watchAtMicros() <= state.nowMicros) {
             state.actions.add(new Action.Watch(true));
             directory.onWatchRequested();
         }
-        endOverdue();
+        giveUpOverdue();
         List<SendCandidate> candidates = dispatch.candidates();
-        selection.undeliverable().forEach(this::end);
+        selection.undeliverable().forEach(this::giveUp);
         selection.clearUndeliverable();
-        long next = Math.min(dispatch.send(candidates), directory.watchAtMicros());
+        long nextMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
-        wakeFor(dues.isEmpty() ? next : Math.min(next, dues.peek().at()));
+        requestTimer(dues.isEmpty() ? nextMicros : Math.min(nextMicros, dues.peek().atMicros()));
         return state.actions;
     }
 
-    private void read(Event event) {
+    private void handle(Event event) {
         if (event instanceof Event.Listing e) {
             directory.onListing(e);
         } else if (event instanceof Event.Submit e) {
@@ -114,58 +114,58 @@
         } else if (event instanceof Event.Stopping e) {
             state.stopAtMicros = e.untilMicros();
         } else if (event instanceof Event.SettingsChanged e) {
-            onRenewed(e);
+            onSettingsChanged(e);
         } else if (event instanceof Event.Timer) {
-            wakeAt = wakeAt <= state.nowMicros ? NEVER : wakeAt;
+            wakeAtMicros = wakeAtMicros <= state.nowMicros ? NEVER : wakeAtMicros;
         }
     }
 
     /** Asks for a timer at that time, a round from now at the earliest, unless one comes by then. */
-    private void wakeFor(long time) {
-        long next = Math.max(time, state.nowMicros + state.settings.roundMicros());
-        if (next < NEVER && (next < wakeAt || wakeAt <= state.nowMicros)) {
-            state.actions.add(new Action.Wake(next - state.nowMicros, 0));
-            wakeAt = next;
+    private void requestTimer(long timeMicros) {
+        long nextMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
+        if (nextMicros < NEVER && (nextMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
+            state.actions.add(new Action.Wake(nextMicros - state.nowMicros, 0));
+            wakeAtMicros = nextMicros;
         }
     }
 
-    private void onRenewed(Event.SettingsChanged event) {
+    private void onSettingsChanged(Event.SettingsChanged event) {
         state.settings = event.settings();
         int maxAttempts = state.settings.limits().maxAttempts();
         messages.values().stream()
                 .filter(message -> message.inFlightEndpoint == null && message.attempts >= maxAttempts)
                 .toList()
-                .forEach(this::end);
+                .forEach(this::giveUp);
     }
 
     private void onSubmit(Event.Submit event) {
-        Message message = message(event);
+        Message message = newMessage(event);
         messages.put(message.id, message);
         state.openMessages++;
         state.enqueue(message);
-        if (event.prior() != null) {
-            resume(message, event.prior());
+        if (event.priorAttempts() != null) {
+            resume(message, event.priorAttempts());
             if (message.finished) {
                 return;
             }
         }
-        checkAt(message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
+        scheduleCheck(message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
-            Message least = admission.leastValuable();
-            if (least != null) {
-                end(least);
+            Message leastValuable = admission.leastValuable();
+            if (leastValuable != null) {
+                giveUp(leastValuable);
             }
         }
     }
 
-    private Message message(Event.Submit event) {
-        MessageClass kind = state.settings.classes().get(event.messageClass());
-        Message message = new Message(event.id(), kind);
-        message.acceptedAtMicros = state.nowMicros - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
+    private Message newMessage(Event.Submit event) {
+        MessageClass messageClass = state.settings.classes().get(event.messageClass());
+        Message message = new Message(event.id(), messageClass);
+        message.acceptedAtMicros = state.nowMicros - Math.max(0, messageClass.deadlineMicros() - event.budgetMicros());
         message.deadlineMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
-        message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
-        if (kind.ordered() && event.key() != null) {
+        message.worth = messageClass.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
+        if (messageClass.ordered() && event.key() != null) {
             keyOrder.add(message, event.key());
         }
         return message;
@@ -175,41 +175,41 @@
     private void resume(Message message, PriorAttempts prior) {
         message.attempts = prior.attempts();
         message.mayHaveRun = prior.mayHaveRun();
-        message.uncertainSentAtMicros = prior.riskAtMicros();
-        message.mayHaveRunZone = prior.riskZone();
+        message.uncertainSentAtMicros = prior.uncertainSentAtMicros();
+        message.uncertainZone = prior.uncertainZone();
         message.resumed = true;
         if (retries.isExhausted(message) || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
-            end(message);
-        } else if (retries.hasWindow(message)) {
-            checkAt(retries.repeatWindowEndMicros(message), message);
+            giveUp(message);
+        } else if (retries.hasRepeatWindow(message)) {
+            scheduleCheck(retries.repeatWindowEndMicros(message), message);
         }
     }
 
     /** Ends messages whose deadline or window is over. */
-    private void endOverdue() {
-        while (!dues.isEmpty() && dues.peek().at() <= state.nowMicros) {
+    private void giveUpOverdue() {
+        while (!dues.isEmpty() && dues.peek().atMicros() <= state.nowMicros) {
             check(dues.poll().message());
         }
     }
 
     private void check(Message message) {
         // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
-        long latestAnswerAt = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerMicros = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
             if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
-                end(message);
+                giveUp(message);
             }
-        } else if (state.nowMicros >= latestAnswerAt) {
-            end(message);
+        } else if (state.nowMicros >= latestAnswerMicros) {
+            giveUp(message);
         } else {
-            checkAt(latestAnswerAt, message);
+            scheduleCheck(latestAnswerMicros, message);
         }
     }
 
-    private void checkAt(long time, Message message) {
-        dues.add(new TimedCheck(time, checksAdded++, message));
+    private void scheduleCheck(long timeMicros, Message message) {
+        dues.add(new ScheduledCheck(timeMicros, checksAdded++, message));
     }
 
     private void onOutcome(Event.Outcome event) {
@@ -219,10 +219,10 @@
         }
         Endpoint endpoint = message.inFlightEndpoint;
         endAttempt(message, event);
-        noteRisk(message, endpoint, event.result());
-        if (message.orderedKey != null && wasGivenUp(event.result())) {
+        noteUncertainAttempt(message, endpoint, event.result());
+        if (message.orderedKey != null && mayStillBeRunning(event.result())) {
             keyOrder.pause(message);
-            checkAt(message.orderedKey.pausedUntil, message);
+            scheduleCheck(message.orderedKey.pausedUntilMicros, message);
         }
         if (message.finished || event.finished() || event.result() == AttemptResult.DELIVERED) {
             finish(message);
@@ -254,9 +254,9 @@
         }
         limits.onReport(endpoint.limit, event.report());
         limits.onRetryAfter(endpoint.limit, event.retryAfterMicros());
-        if (!call.outcomeSeen) {
-            call.outcomeSeen = true;
-            learn(endpoint, event);
+        if (!call.outcomeReported) {
+            call.outcomeReported = true;
+            updateState(endpoint, event);
         }
         if (event.result() == AttemptResult.WITHHELD) {
             message.attempts--;
@@ -264,7 +264,7 @@
     }
 
     /** What a call tells of its limit and endpoint, by the first outcome of its messages. */
-    private void learn(Endpoint endpoint, Event.Outcome event) {
+    private void updateState(Endpoint endpoint, Event.Outcome event) {
         DestinationLimit limit = endpoint.limit;
         switch (event.result()) {
             case DELIVERED -> {
@@ -281,36 +281,36 @@
     }
 
     /** Remembers the first attempt that may have taken effect without being known to. */
-    private static void noteRisk(Message message, Endpoint endpoint, AttemptResult ending) {
-        boolean mayHaveRun = !ending.neverRan() && ending != AttemptResult.DELIVERED;
+    private static void noteUncertainAttempt(Message message, Endpoint endpoint, AttemptResult result) {
+        boolean mayHaveRun = !result.neverRan() && result != AttemptResult.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
             message.mayHaveRun = true;
             message.uncertainSentAtMicros = message.sentAtMicros;
-            message.mayHaveRunZone = endpoint.zone;
+            message.uncertainZone = endpoint.zone;
         }
     }
 
     /** Whether an attempt with this ending may still be running at its endpoint. */
-    private static boolean wasGivenUp(AttemptResult ending) {
-        return ending == AttemptResult.TIMED_OUT || ending == AttemptResult.RESET || ending == AttemptResult.CANCELED;
+    private static boolean mayStillBeRunning(AttemptResult result) {
+        return result == AttemptResult.TIMED_OUT || result == AttemptResult.RESET || result == AttemptResult.CANCELED;
     }
 
     /** The next try after a pause; or the end, at once, if none can come. */
     private void retry(Message message) {
         retries.scheduleRetry(message);
-        if (retries.hasWindow(message)) {
-            checkAt(retries.repeatWindowEndMicros(message), message);
+        if (retries.hasRepeatWindow(message)) {
+            scheduleCheck(retries.repeatWindowEndMicros(message), message);
         }
         if (retries.canRetry(message)) {
             state.enqueue(message);
         } else {
-            end(message);
+            giveUp(message);
         }
     }
 
     /** The one place that gives a message up: refused where that is harmless, else failed. */
-    private void end(Message message) {
-        if (isHarmlessToRefuse(message)) {
+    private void giveUp(Message message) {
+        if (isSafeToRefuse(message)) {
             state.actions.add(new Action.Refuse(message.id, admission.retryAfterMicros(message.queue)));
         } else {
             state.actions.add(new Action.Fail(message.id));
@@ -319,11 +319,11 @@
     }
 
     /** Whether the client may come again with the message: no attempt may have run, or a repeat does no harm. */
-    private static boolean isHarmlessToRefuse(Message message) {
-        boolean mayRun = message.mayHaveRun || message.inFlightEndpoint != null;
+    private static boolean isSafeToRefuse(Message message) {
+        boolean mayHaveEffect = message.mayHaveRun || message.inFlightEndpoint != null;
         RepeatSafety repeat = message.messageClass.repeat();
-        boolean keyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == KeyScope.ALL;
-        return !mayRun || repeat == RepeatSafety.SAFE || keyedEverywhere;
+        boolean isKeyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == KeyScope.ALL;
+        return !mayHaveEffect || repeat == RepeatSafety.SAFE || isKeyedEverywhere;
     }
 
     /** Marks a message as answered, and forgets it as soon as no attempt is in flight. */
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
 import static lilaclever.PolicyState.NEVER;
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
 import lilaclever.PolicyState.Call;
 import lilaclever.PolicyState.DestinationLimit;
@@ -10,9 +10,9 @@
 /** When an endpoint takes a further call: as its limit, its health and the slots that calls to it may occupy allow. */
 final class EndpointAvailability {
     /** Part of the slots that calls to one limit may occupy: one that hangs leaves room for the rest. */
-    private static final double SLOT_PART_OF_LIMIT = 0.6;
+    private static final double MAX_SLOT_SHARE_OF_LIMIT = 0.6;
     /** Part of the slots that calls to all stalled endpoints together may occupy. */
-    private static final double SLOT_PART_OF_STALLED = 0.3;
+    private static final double MAX_SLOT_SHARE_OF_STALLED = 0.3;
 
     private final PolicyState state;
     private final SlowStart slowStart;
@@ -44,24 +44,24 @@
      * pace, and at its own after an outage. {@link PolicyState#NEVER} while that hangs on a call that is in flight.
      */
     long readyAtMicros(Endpoint endpoint) {
-        if (!hasSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveSlot()) {
+        if (!hasFreeSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveFreeSlot()) {
             return NEVER;
         }
-        long limitReadyAt = Math.max(limits.readyAtMicros(endpoint.limit), endpoint.avoidUntilMicros);
+        long limitReadyMicros = Math.max(limits.readyAtMicros(endpoint.limit), endpoint.avoidUntilMicros);
         double rate = recoveryPace.callsPerSecond(endpoint);
         if (rate >= NEVER) {
-            return limitReadyAt;
+            return limitReadyMicros;
         }
-        long healthyAt = endpoint.lastSentAtMicros + (long) (SECOND / rate);
+        long atRateMicros = endpoint.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate);
         // The pace of slow start is at its slowest now: at its end the endpoint is free.
-        boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
-        long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAtMicros(endpoint)) : healthyAt;
-        return Math.max(limitReadyAt, readyAt);
+        boolean onlySlowStart = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
+        long endpointReadyMicros = onlySlowStart ? Math.min(atRateMicros, slowStart.endsAtMicros(endpoint)) : atRateMicros;
+        return Math.max(limitReadyMicros, endpointReadyMicros);
     }
 
-    private boolean hasSlot(DestinationLimit limit) {
+    private boolean hasFreeSlot(DestinationLimit limit) {
         int slots = state.settings.limits().slots();
-        return limit.callsInFlight < Math.max(1, (int) Math.ceil(SLOT_PART_OF_LIMIT * slots));
+        return limit.callsInFlight < Math.max(1, (int) Math.ceil(MAX_SLOT_SHARE_OF_LIMIT * slots));
     }
 
     /** A call is in flight whose outcome decides: a trial in an outage, or a connect where few are taken. */
@@ -73,13 +73,13 @@
         return endpoint.inOutage || connectionsScarce && !connections.hasIdleConnection(endpoint);
     }
 
-    private boolean stalledHaveSlot() {
+    private boolean stalledHaveFreeSlot() {
         int stalled = 0;
         for (Call call : state.calls) {
             stalled += isStalled(call.endpoint) ? 1 : 0;
         }
         int slots = state.settings.limits().slots();
-        return stalled < Math.max(1, (int) (SLOT_PART_OF_STALLED * slots));
+        return stalled < Math.max(1, (int) (MAX_SLOT_SHARE_OF_STALLED * slots));
     }
 
     /**
@@ -88,15 +88,15 @@
      * rest; measured against the forwarder's usual answer time, so where all are slow none is stalled.
      */
     private boolean isStalled(Endpoint endpoint) {
-        double slow = timeouts.slowAnswerMicros();
+        double slowMicros = timeouts.slowAnswerMicros();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
-            boolean latest = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
-            if (state.overallMeanAnswerMicros > 0 && latest && state.nowMicros - call.sentAtMicros > slow) {
+            boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
+            if (state.overallMeanAnswerMicros > 0 && sentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
                 return true;
             }
         }
-        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.meanAnswerMicros > slow;
+        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.meanAnswerMicros > slowMicros;
         return endpoint.inOutage || endpoint.timingOut || slowAnswers;
     }
 }
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -18,15 +18,15 @@
  */
 final class EndpointSelection {
     /** Messages looked at for one send: bounds the work of a long queue. */
-    private static final int MOST_MESSAGES_CONSIDERED = 500;
+    private static final int MAX_MESSAGES_CONSIDERED = 500;
     /** What a message at the end of its aim is preferred by over a fresh one. */
-    private static final double PREFERENCE_AT_AIM = 0.5;
+    private static final double BONUS_AT_AIM = 0.5;
     /** Factor on the worth of a keyed message that may have run: its window is running, and later is too late. */
-    private static final double FACTOR_IN_WINDOW = 4;
+    private static final double REPEAT_WORTH_FACTOR = 4;
     /** Factors on the worth of messages that a failing call may lose, at endpoints that fail or hang. */
-    private static final double FACTOR_IF_UNSAFE = 0.01, FACTOR_IF_KEYED = 0.5;
+    private static final double UNSAFE_WORTH_FACTOR = 0.01, KEYED_WORTH_FACTOR = 0.5;
     /** Least time that a call is taken to occupy a slot, microseconds. */
-    private static final long LEAST_SLOT_TIME = 1_000;
+    private static final long MIN_SLOT_MICROS = 1_000;
     /** Costs of an endpoint, in calls that are in flight there: in another zone, ... */
     private static final double OTHER_ZONE_COST = 1;
     /** ... without an idle connection, ... */
@@ -40,7 +40,7 @@
     private final EndpointAvailability availability;
     private final SendRules rules;
     /** Waiting messages that were found to have no chance left, until they are taken out. */
-    private final List<Message> hopeless = new ArrayList<>();
+    private final List<Message> undeliverable = new ArrayList<>();
 
     EndpointSelection(
             PolicyState state,
@@ -61,55 +61,55 @@
      */
     SendCandidate select(DestinationQueue queue) {
         List<Endpoint> ready = new ArrayList<>();
-        long soonest = findReady(queue, ready);
-        if (soonest > state.nowMicros && soonest < NEVER) {
-            noteHopeless(queue, soonest);
+        long soonestMicros = findReady(queue, ready);
+        if (soonestMicros > state.nowMicros && soonestMicros < NEVER) {
+            collectUndeliverable(queue, soonestMicros);
         }
         return best(queue, ready);
     }
 
     /** Collects endpoints that take a call now; gives the time from which one does or may turn out to do. */
     private long findReady(DestinationQueue queue, List<Endpoint> ready) {
-        long soonest = NEVER;
+        long soonestMicros = NEVER;
         for (Endpoint endpoint : queue.endpoints) {
-            long at = endpoint.active ? availability.readyAtMicros(endpoint) : NEVER;
-            soonest = Math.min(soonest, endpoint.callsInFlight > 0 ? state.nowMicros : at);
-            if (at <= state.nowMicros) {
+            long readyAtMicros = endpoint.active ? availability.readyAtMicros(endpoint) : NEVER;
+            soonestMicros = Math.min(soonestMicros, endpoint.callsInFlight > 0 ? state.nowMicros : readyAtMicros);
+            if (readyAtMicros <= state.nowMicros) {
                 ready.add(endpoint);
             } else {
-                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, at);
+                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, readyAtMicros);
             }
         }
-        return soonest;
+        return soonestMicros;
     }
 
     /**
      * Nothing may go before {@code soonest}, and no call is in flight whose outcome could change that: clients of
      * messages whose time is up by then are told now, and may find a forwarder that is not throttled.
      */
-    private void noteHopeless(DestinationQueue queue, long soonest) {
+    private void collectUndeliverable(DestinationQueue queue, long soonestMicros) {
         for (Message message : queue.waiting) {
-            if (soonest > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonest >= retries.repeatWindowEndMicros(message)) {
-                hopeless.add(message);
+            if (soonestMicros > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonestMicros >= retries.repeatWindowEndMicros(message)) {
+                undeliverable.add(message);
             }
         }
     }
 
     /** Messages without a chance left, noted since {@link #clearUndeliverable}: the caller ends them. */
     List<Message> undeliverable() {
-        return hopeless;
+        return undeliverable;
     }
 
-    /** Forgets the messages of {@link #undeliverable}. */
+    /** Forgets the messages of {@link #undeliverablerable}. */
     void clearUndeliverable() {
-        hopeless.clear();
+        undeliverable.clear();
     }
 
     private SendCandidate best(DestinationQueue queue, List<Endpoint> ready) {
         SendCandidate best = null;
         int considered = 0;
         for (Message message : queue.waiting) {
-            if (ready.isEmpty() || considered >= MOST_MESSAGES_CONSIDERED) {
+            if (ready.isEmpty() || considered >= MAX_MESSAGES_CONSIDERED) {
                 break;
             }
             if (message.notBeforeMicros > state.nowMicros) {
@@ -138,15 +138,15 @@
     /** The endpoint of least cost that the message may go to; the first of equal ones, null if there is none. */
     Endpoint choose(Message message, List<Endpoint> ready) {
         Endpoint best = null;
-        double least = 0;
+        double lowestCost = 0;
         for (Endpoint endpoint : ready) {
             if (!rules.permit(message, endpoint)) {
                 continue;
             }
             double cost = cost(message, endpoint);
-            if (best == null || cost < least) {
+            if (best == null || cost < lowestCost) {
                 best = endpoint;
-                least = cost;
+                lowestCost = cost;
             }
         }
         return best;
@@ -163,29 +163,29 @@
     double rank(Message message, Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
         RepeatSafety repeat = message.messageClass.repeat();
-        double worth = worthNow(message);
+        double worth = currentWorth(message);
         if (message.mayHaveRun && repeat == RepeatSafety.KEYED) {
-            worth *= FACTOR_IN_WINDOW;
+            worth *= REPEAT_WORTH_FACTOR;
         }
         if ((endpoint.inOutage || endpoint.timingOut) && repeat != RepeatSafety.SAFE && !message.mayHaveRun) {
             // A call that fails may have run. Try a failing endpoint with what can be repeated.
-            worth *= repeat == RepeatSafety.UNSAFE ? FACTOR_IF_UNSAFE : FACTOR_IF_KEYED;
+            worth *= repeat == RepeatSafety.UNSAFE ? UNSAFE_WORTH_FACTOR : KEYED_WORTH_FACTOR;
         }
-        return worth / Math.max(LEAST_SLOT_TIME, limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
+        return worth / Math.max(MIN_SLOT_MICROS, limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
     }
 
     /**
      * What a message is worth if it goes now, and a little more the closer its aim is. Where more waits than goes, what
      * is late already must not make all that is fresh late too.
      */
-    private double worthNow(Message message) {
-        MessageClass kind = message.messageClass;
-        long aim = kind.aimMicros();
-        double late = (state.nowMicros - message.acceptedAtMicros - aim) / (double) Math.max(1, aim);
-        if (late < 0) {
-            return message.worth * (1 + PREFERENCE_AT_AIM * (1 + late));
+    private double currentWorth(Message message) {
+        MessageClass messageClass = message.messageClass;
+        long aimMicros = messageClass.aimMicros();
+        double lateness = (state.nowMicros - message.acceptedAtMicros - aimMicros) / (double) Math.max(1, aimMicros);
+        if (lateness < 0) {
+            return message.worth * (1 + BONUS_AT_AIM * (1 + lateness));
         }
-        double rest = kind.halves() ? Math.pow(0.5, late) : 1 - late * aim / Math.max(1, kind.deadlineMicros() - aim);
-        return message.worth * Math.max(kind.lateShare(), rest);
+        double remainingShare = messageClass.halves() ? Math.pow(0.5, lateness) : 1 - lateness * aimMicros / Math.max(1, messageClass.deadlineMicros() - aimMicros);
+        return message.worth * Math.max(messageClass.lateShare(), remainingShare);
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -22,11 +22,11 @@
     /** A time in the past that lies before all others, microseconds. */
     static final long LONG_AGO = Long.MIN_VALUE / 4;
     /** Microseconds in a second. */
-    static final double SECOND = 1_000_000;
+    static final double MICROS_PER_SECOND = 1_000_000;
     /** Fleets of more forwarders than this are large. */
     static final int LARGE_FLEET_THRESHOLD = 16;
     /** Range of a random factor: what failed or was refused together comes again apart (the design's). */
-    private static final double LEAST_FACTOR = 0.5, MOST_FACTOR = 1.5;
+    private static final double MIN_JITTER_FACTOR = 0.5, MAX_JITTER_FACTOR = 1.5;
 
     /** So many forwarders that each sees a destination too seldom to tell an outage by itself. */
     final boolean largeFleet;
@@ -60,7 +60,7 @@
 
     /** Draws a random factor from 0.5 to 1.5. */
     double jitterFactor() {
-        return LEAST_FACTOR + (MOST_FACTOR - LEAST_FACTOR) * random.nextDouble();
+        return MIN_JITTER_FACTOR + (MAX_JITTER_FACTOR - MIN_JITTER_FACTOR) * random.nextDouble();
     }
 
     /** Has a message wait at the end of its destination's queue. */
@@ -78,7 +78,7 @@
     }
 
     /** A message to look at again at a time; {@code order} keeps equal times in the order in which they were added. */
-    record TimedCheck(long at, long order, Message message) {}
+    record ScheduledCheck(long atMicros, long sequence, Message message) {}
 
     /** A message that may go to an endpoint now; the highest rank goes first. */
     record SendCandidate(Message message, Endpoint endpoint, double rank) {}
@@ -88,20 +88,20 @@
         final List<Message> messages = new ArrayList<>(1);
         Endpoint endpoint;
         /** The host program was asked to give it up. */
-        boolean cancelled;
+        boolean cancelRequested;
         /** Messages whose outcome has not come yet. */
         int pendingOutcomes;
 
         long sentAtMicros;
         /** The outcome of one of its messages has come; those of the others tell nothing new of the endpoint. */
-        boolean outcomeSeen;
+        boolean outcomeReported;
     }
 
     /** The messages of one key, in the order accepted. */
     static final class OrderedKey {
         final ArrayDeque<Message> messages = new ArrayDeque<>();
         /** Until then only {@link #pauseExempt} may be sent: an attempt that was given up may still be running. */
-        long pausedUntil;
+        long pausedUntilMicros;
 
         Message pauseExempt;
     }
@@ -141,7 +141,7 @@
         boolean mayHaveRun;
 
         long uncertainSentAtMicros;
-        int mayHaveRunZone;
+        int uncertainZone;
         /** Its final answer was given. */
         boolean finished;
         /** It was accepted by an earlier process. */
@@ -160,7 +160,7 @@
         final DestinationLimit limit;
         final int zone, kind, maxBatchSize;
         /** Since when each idle connection to it has been idle, the longest first. */
-        final ArrayDeque<Long> idleSince = new ArrayDeque<>();
+        final ArrayDeque<Long> idleSinceMicros = new ArrayDeque<>();
 
         final LinkedHashSet<Call> calls = new LinkedHashSet<>();
         /** Listed, and not being drained. */
@@ -175,7 +175,7 @@
         /** When the latest call that was delivered had been sent. */
         long lastDeliveredSentAtMicros = LONG_AGO;
 
-        int failuresInRow;
+        int consecutiveFailures;
         /** Moving share of outcomes that are hard failures, 0 to 1. */
         double failureShare;
         /** It is passed over until then. */
@@ -183,7 +183,7 @@
         /** The first failure since the last delivery; 0 where there is none. */
         long failingSinceMicros;
         /** Index of the kind of failure seen last, in the statistics of transient failures. */
-        int failureCause;
+        int lastFailureCategory;
 
         boolean inOutage;
         /** Pause between trial calls in an outage. */
@@ -191,13 +191,13 @@
         /** Start of slow start; 0 where it never came back from an outage. */
         long slowStartAtMicros;
 
-        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int batch) {
+        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int maxBatchSize) {
             this.host = host;
             this.queue = queue;
             this.limit = limit;
             this.zone = zone;
             this.kind = kind;
-            this.maxBatchSize = batch;
+            this.maxBatchSize = maxBatchSize;
         }
     }
 
@@ -217,9 +217,9 @@
         /** Rate kept to for a while after it was throttled, growing; 0 where it never was. */
         double rateCeiling;
         /** When it last told a wait that is too short to mean that it is shut. */
-        long shortWaitAt = LONG_AGO;
+        long shortRetryAfterAtMicros = LONG_AGO;
         /** When a refusal last reduced the rate. */
-        long reducedAt = LONG_AGO;
+        long rateReducedAtMicros = LONG_AGO;
         /** Random divisor of the pace in an outage, so that forwarders come at different times. */
         double outageRateDivisor = 1;
         /** The rate that the list or the destination has told for all forwarders together; 0 where not told. */
@@ -235,13 +235,13 @@
         /** The part of the usual rate's memory that nothing has filled yet, 0 to 1. */
         double usualRateUnfilled = 1;
 
-        long ratesUpdatedAt;
+        long ratesUpdatedAtMicros;
         /** Mean time of a delivered call; 0 while there was none. */
         double meanAnswerMicros;
         /** Factor on the time-out of its calls, at least 1. */
         double timeoutFactor = 1;
 
-        int failuresInRow;
+        int consecutiveFailures;
         Endpoint lastFailedEndpoint;
         /** Several of its endpoints failed with no delivery between. */
         boolean severalEndpointsFailing;
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
 import static lilaclever.PolicyState.NEVER;
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
 import lilaclever.DecisionModule.Rules;
 import lilaclever.PolicyState.DestinationLimit;
@@ -13,9 +13,9 @@
  */
 final class RecoveryPace {
     /** Part of the budget that is used: the rest is for chance and for other forwarders' calls. */
-    private static final double BUDGET_PART = 0.85;
+    private static final double BUDGET_SHARE = 0.85;
     /** How long all but few outages last where this forwarder can't know it, microseconds. */
-    private static final long LONG_OUTAGE = 20_000_000;
+    private static final long LONG_OUTAGE_MICROS = 20_000_000;
 
     private final PolicyState state;
     private final SlowStart slowStart;
@@ -35,15 +35,15 @@
         long active =
                 Math.max(1, limit.endpoints.stream().filter(each -> each.active).count());
         if (endpoint.inOutage || endpoint.connectsFailing) {
-            double rate = budget(limit, 0, isSurelyOut(endpoint)) / active;
-            return Math.min(SECOND / endpoint.trialIntervalMicros, rate) / limit.outageRateDivisor;
+            double rate = budget(limit, 0, isCertainlyInOutage(endpoint)) / active;
+            return Math.min(MICROS_PER_SECOND / endpoint.trialIntervalMicros, rate) / limit.outageRateDivisor;
         }
         return slowStart.isActive(endpoint) ? budget(limit, slowStart.ageMicros(endpoint), false) / active : NEVER;
     }
 
-    private boolean isSurelyOut(Endpoint endpoint) {
-        boolean severalOut = state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
-        return endpoint.connectsFailing || severalOut;
+    private boolean isCertainlyInOutage(Endpoint endpoint) {
+        boolean severalInOutage = state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
+        return endpoint.connectsFailing || severalInOutage;
     }
 
     /** Calls a second for a limit that is in an outage. */
@@ -52,8 +52,8 @@
     }
 
     /** Calls a second for a limit that came back so many microseconds ago. */
-    double recoveryRate(DestinationLimit limit, long age) {
-        return budget(limit, age, false);
+    double recoveryRate(DestinationLimit limit, long ageMicros) {
+        return budget(limit, ageMicros, false);
     }
 
     /**
@@ -61,14 +61,14 @@
      * failure share it. They are no more than the forwarders, and than the messages since the outage began: the rate
      * times its length. So each has one part in that length of the rate, known or not.
      */
-    private double budget(DestinationLimit limit, long age, boolean surelyOut) {
+    private double budget(DestinationLimit limit, long ageMicros, boolean certainlyInOutage) {
         Rules rules = state.settings.rules();
-        double warmed = Math.min(1.0, age / (double) Math.max(1, rules.rampMicros()));
-        double warmth = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * warmed;
-        double part = BUDGET_PART * rules.overloadMultiple() * warmth;
+        double rampShare = Math.min(1.0, ageMicros / (double) Math.max(1, rules.rampMicros()));
+        double capacityShare = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * rampShare;
+        double budgetFactor = BUDGET_SHARE * rules.overloadMultiple() * capacityShare;
         // Pauses grow by 1 / part of what it lasted: the first is so long that a third try is past its end.
-        double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
-        double alone = SECOND / Math.max(shortest, limit.failingForMicros);
-        return part * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), alone);
+        double minLengthMicros = certainlyInOutage ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor) : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
+        double oneCallRate = MICROS_PER_SECOND / Math.max(minLengthMicros, limit.failingForMicros);
+        return budgetFactor * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), oneCallRate);
     }
 }
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -9,7 +9,7 @@
  */
 final class RetrySchedule {
     /** Pauses between tries, microseconds: the design's four steps; the last one repeats. */
-    private static final long[] STEPS = {200_000, 600_000, 2_400_000, 6_000_000};
+    private static final long[] DELAYS_MICROS = {200_000, 600_000, 2_400_000, 6_000_000};
 
     private final PolicyState state;
 
@@ -18,7 +18,7 @@
     }
 
     /** Whether repeats of the message are bound to a window: it is keyed and may have run. */
-    boolean hasWindow(Message message) {
+    boolean hasRepeatWindow(Message message) {
         return message.mayHaveRun && message.messageClass.repeat() == RepeatSafety.KEYED;
     }
 
@@ -27,25 +27,25 @@
      * {@link Long#MAX_VALUE} where there is no window.
      */
     long repeatWindowEndMicros(Message message) {
-        return hasWindow(message)
+        return hasRepeatWindow(message)
                 ? message.uncertainSentAtMicros + message.messageClass.repeatWindowMicros() - state.settings.roundMicros()
                 : Long.MAX_VALUE;
     }
 
     /** Whether no attempt may follow, at whatever time. */
     boolean isExhausted(Message message) {
-        boolean unsafe = message.mayHaveRun && message.messageClass.repeat() == RepeatSafety.UNSAFE;
-        return message.attempts >= state.settings.limits().maxAttempts() || unsafe;
+        boolean isUnsafeToRepeat = message.mayHaveRun && message.messageClass.repeat() == RepeatSafety.UNSAFE;
+        return message.attempts >= state.settings.limits().maxAttempts() || isUnsafeToRepeat;
     }
 
     /** Sets the pause after an attempt: the design's step times a random factor. */
     void scheduleRetry(Message message) {
-        int step = Math.max(0, Math.min(message.attempts, STEPS.length) - 1);
-        message.notBeforeMicros = state.nowMicros + (long) (STEPS[step] * state.jitterFactor());
-        if (hasWindow(message)) {
+        int step = Math.max(0, Math.min(message.attempts, DELAYS_MICROS.length) - 1);
+        message.notBeforeMicros = state.nowMicros + (long) (DELAYS_MICROS[step] * state.jitterFactor());
+        if (hasRepeatWindow(message)) {
             // A pause past the window would lose the message: come as late as a connection may still come up.
-            long latest = repeatWindowEndMicros(message) - state.settings.limits().connectTimeoutMicros();
-            message.notBeforeMicros = state.nowMicros < latest ? Math.min(message.notBeforeMicros, latest) : message.notBeforeMicros;
+            long latestMicros = repeatWindowEndMicros(message) - state.settings.limits().connectTimeoutMicros();
+            message.notBeforeMicros = state.nowMicros < latestMicros ? Math.min(message.notBeforeMicros, latestMicros) : message.notBeforeMicros;
         }
     }
 
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -37,8 +37,8 @@
                 && endpoint.active
                 && state.nowMicros >= endpoint.limit.retryAfterUntilMicros
                 && keyOrder.permits(message)
-                && endsBeforeTheProgram(message, endpoint)
-                && isHarmless(message, endpoint)
+                && endsBeforeShutdown(message, endpoint)
+                && isRepeatAllowed(message, endpoint)
                 && availability.readyAtMicros(endpoint) <= state.nowMicros;
     }
 
@@ -51,12 +51,12 @@
     }
 
     /** A call that the end of the program could cut may have run: what can't come back in time stays here. */
-    private boolean endsBeforeTheProgram(Message message, Endpoint endpoint) {
+    private boolean endsBeforeShutdown(Message message, Endpoint endpoint) {
         return state.stopAtMicros >= NEVER || state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit) <= state.stopAtMicros;
     }
 
     /** Whether an earlier attempt of the message, if one may have run, allows a further one at this endpoint. */
-    private boolean isHarmless(Message message, Endpoint endpoint) {
+    private boolean isRepeatAllowed(Message message, Endpoint endpoint) {
         if (!message.mayHaveRun) {
             return true;
         }
@@ -68,6 +68,6 @@
     }
 
     private static boolean remembersKey(Message message, Endpoint endpoint) {
-        return message.messageClass.group() != KeyScope.ZONE || endpoint.zone == message.mayHaveRunZone;
+        return message.messageClass.group() != KeyScope.ZONE || endpoint.zone == message.uncertainZone;
     }
 }
