--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -53,9 +53,9 @@
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
         limit.meanAnswerMicros =
                 limit.meanAnswerMicros == 0 ? elapsedMicros : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanAnswerMicros);
-        double meanMicros = state.overallMeanAnswerMicros;
+        double meanMicros = state.overallMeanResponseMicros;
         double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowAnswerMicros());
-        state.overallMeanAnswerMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
+        state.overallMeanResponseMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
         boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanAnswerMicros;
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
     }
@@ -67,7 +67,7 @@
 
     /** A call or a mean answer above this time is slow beside the usual, microseconds; 0 while none is known. */
     double slowAnswerMicros() {
-        return SLOW_MULTIPLE * state.overallMeanAnswerMicros;
+        return SLOW_MULTIPLE * state.overallMeanResponseMicros;
     }
 
     /** How long a call of the message may take if it is sent now, microseconds. */
@@ -116,7 +116,7 @@
     }
 
     private long overdueAfterMicros(Call call) {
-        double usualMicros = Math.max(state.overallMeanAnswerMicros, call.endpoint.limit.meanAnswerMicros);
+        double usualMicros = Math.max(state.overallMeanResponseMicros, call.endpoint.limit.meanAnswerMicros);
         boolean hasUnsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (hasUnsafe
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -92,11 +92,11 @@
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
             boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
-            if (state.overallMeanAnswerMicros > 0 && sentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
+            if (state.overallMeanResponseMicros > 0 && sentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
                 return true;
             }
         }
-        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.meanAnswerMicros > slowMicros;
+        boolean slowAnswers = state.overallMeanResponseMicros > 0 && endpoint.limit.meanAnswerMicros > slowMicros;
         return endpoint.inOutage || endpoint.timingOut || slowAnswers;
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -50,7 +50,7 @@
     /** Messages without a final answer. */
     int openMessages;
     /** Mean time of a delivered call over all destinations; 0 while there was none. */
-    double overallMeanAnswerMicros;
+    double overallMeanResponseMicros;
 
     PolicyState(Settings settings, long seed) {
         this.settings = settings;
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -66,7 +66,7 @@
     void oneSlowDestinationHardlyMovesTheUsualAnswerTime() {
         timeouts.onDelivered(fixture.limit, 100 * MS);
         timeouts.onDelivered(fixture.limit, 10 * S);
-        assertEquals(107_500, fixture.state.overallMeanAnswerMicros, 1, "a fortieth of three times 100 ms");
+        assertEquals(107_500, fixture.state.overallMeanResponseMicros, 1, "a fortieth of three times 100 ms");
         assertEquals(430_000, timeouts.slowAnswerMicros(), 4);
     }
 
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -127,7 +127,7 @@
     @Test
     void slowAnswersStallToo() {
         fixture.call(fixture.message(SAFE), endpoint);
-        fixture.state.overallMeanAnswerMicros = 100 * MS;
+        fixture.state.overallMeanResponseMicros = 100 * MS;
         fixture.limit.meanAnswerMicros = 401 * MS;
         assertTrue(isNeverReady(endpoint));
     }
