--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -51,12 +51,12 @@
 
     /** Learns the time of a delivered call, microseconds. */
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
-        limit.meanAnswerMicros =
-                limit.meanAnswerMicros == 0 ? elapsedMicros : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanAnswerMicros);
+        limit.meanResponseMicros =
+                limit.meanResponseMicros == 0 ? elapsedMicros : limit.meanResponseMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
         double meanMicros = state.overallMeanResponseMicros;
         double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowAnswerMicros());
         state.overallMeanResponseMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
-        boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanAnswerMicros;
+        boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanResponseMicros;
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
     }
 
@@ -73,7 +73,7 @@
     /** How long a call of the message may take if it is sent now, microseconds. */
     long timeoutMicros(Message message, DestinationLimit limit) {
         long aimMicros = message.messageClass.aimMicros();
-        double usualMicros = limit.meanAnswerMicros > 0 ? TIMEOUT_MULTIPLE * limit.meanAnswerMicros : aimMicros;
+        double usualMicros = limit.meanResponseMicros > 0 ? TIMEOUT_MULTIPLE * limit.meanResponseMicros : aimMicros;
         double timeMicros = Math.max(MIN_SHARE_OF_AIM * aimMicros, usualMicros) * limit.timeoutFactor;
         RepeatSafety repeat = message.messageClass.repeat();
         if (repeat == RepeatSafety.UNSAFE) {
@@ -116,7 +116,7 @@
     }
 
     private long overdueAfterMicros(Call call) {
-        double usualMicros = Math.max(state.overallMeanResponseMicros, call.endpoint.limit.meanAnswerMicros);
+        double usualMicros = Math.max(state.overallMeanResponseMicros, call.endpoint.limit.meanResponseMicros);
         boolean hasUnsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (hasUnsafe
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -96,7 +96,7 @@
                 return true;
             }
         }
-        boolean slowAnswers = state.overallMeanResponseMicros > 0 && endpoint.limit.meanAnswerMicros > slowMicros;
+        boolean slowAnswers = state.overallMeanResponseMicros > 0 && endpoint.limit.meanResponseMicros > slowMicros;
         return endpoint.inOutage || endpoint.timingOut || slowAnswers;
     }
 }
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -171,7 +171,7 @@
             // A call that fails may have run. Try a failing endpoint with what can be repeated.
             worth *= repeat == RepeatSafety.UNSAFE ? UNSAFE_WORTH_FACTOR : KEYED_WORTH_FACTOR;
         }
-        return worth / Math.max(MIN_SLOT_MICROS, limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanResponseMicros);
+        return worth / Math.max(MIN_SLOT_MICROS, limit.meanResponseMicros > 0 ? limit.meanResponseMicros : state.overallMeanResponseMicros);
     }
 
     /**
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -237,7 +237,7 @@
 
         long ratesUpdatedAtMicros;
         /** Mean time of a delivered call; 0 while there was none. */
-        double meanAnswerMicros;
+        double meanResponseMicros;
         /** Factor on the time-out of its calls, at least 1. */
         double timeoutFactor = 1;
 
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -128,7 +128,7 @@
     void slowAnswersStallToo() {
         fixture.call(fixture.message(SAFE), endpoint);
         fixture.state.overallMeanResponseMicros = 100 * MS;
-        fixture.limit.meanAnswerMicros = 401 * MS;
+        fixture.limit.meanResponseMicros = 401 * MS;
         assertTrue(isNeverReady(endpoint));
     }
 }
