--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -118,7 +118,7 @@
         call.pendingOutcomes++;
         // A connection that comes up late must not carry it past its window.
         long timeoutAtMicros = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
-        long dropAtMicros = Math.min(Math.min(message.deadlineMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
+        long dropAtMicros = Math.min(Math.min(message.deadlineAtMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAtMicros));
     }
 
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -149,7 +149,7 @@
                 return;
             }
         }
-        scheduleCheck(message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
+        scheduleCheck(message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
             Message leastValuable = admission.leastValuable();
             if (leastValuable != null) {
@@ -162,7 +162,7 @@
         MessageClass messageClass = state.settings.classes().get(event.messageClass());
         Message message = new Message(event.id(), messageClass);
         message.acceptedAtMicros = state.nowMicros - Math.max(0, messageClass.deadlineMicros() - event.budgetMicros());
-        message.deadlineMicros = state.nowMicros + event.budgetMicros();
+        message.deadlineAtMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
         message.worth = messageClass.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
         if (messageClass.ordered() && event.key() != null) {
@@ -194,11 +194,11 @@
 
     private void check(Message message) {
         // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
-        long latestAnswerMicros = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerMicros = message.deadlineAtMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
-            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
+            if (message.deadlineAtMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
                 giveUp(message);
             }
         } else if (state.nowMicros >= latestAnswerMicros) {
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -89,7 +89,7 @@
      */
     private void collectUndeliverable(DestinationQueue queue, long soonestMicros) {
         for (Message message : queue.waiting) {
-            if (soonestMicros > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonestMicros >= retries.repeatWindowEndMicros(message)) {
+            if (soonestMicros > message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonestMicros >= retries.repeatWindowEndMicros(message)) {
                 undeliverable.add(message);
             }
         }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -126,7 +126,7 @@
 
         String key;
         double worth;
-        long acceptedAtMicros, deadlineMicros;
+        long acceptedAtMicros, deadlineAtMicros;
         /** The end of the pause before its next attempt. */
         long notBeforeMicros;
 
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -52,7 +52,7 @@
     /** Whether an attempt may follow after the pause, in time and within the window. */
     boolean canRetry(Message message) {
         return !isExhausted(message)
-                && message.notBeforeMicros <= message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS
+                && message.notBeforeMicros <= message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS
                 && message.notBeforeMicros < repeatWindowEndMicros(message);
     }
 }
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -47,7 +47,7 @@
                 && message.inFlightEndpoint == null
                 && message.attempts < state.settings.limits().maxAttempts()
                 && state.nowMicros >= message.notBeforeMicros
-                && message.deadlineMicros - state.nowMicros >= CallTimeouts.MIN_TIMEOUT_MICROS;
+                && message.deadlineAtMicros - state.nowMicros >= CallTimeouts.MIN_TIMEOUT_MICROS;
     }
 
     /** A call that the end of the program could cut may have run: what can't come back in time stays here. */
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -34,7 +34,7 @@
     private Message aged(int messageClass, long micros) {
         Message message = fixture.message(messageClass);
         message.acceptedAtMicros -= micros;
-        message.deadlineMicros -= micros;
+        message.deadlineAtMicros -= micros;
         return message;
     }
 
