--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -158,7 +158,7 @@
         final String host;
         final DestinationQueue queue;
         final DestinationLimit limit;
-        final int zone, kind, maxBatchSize;
+        final int zone, kindIndex, maxBatchSize;
         /** Since when each idle connection to it has been idle, the longest first. */
         final ArrayDeque<Long> idleSinceMicros = new ArrayDeque<>();
 
@@ -196,7 +196,7 @@
             this.queue = queue;
             this.limit = limit;
             this.zone = zone;
-            this.kind = kind;
+            this.kindIndex = kind;
             this.maxBatchSize = maxBatchSize;
         }
     }
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -47,7 +47,7 @@
 
     /** Counts a failure, by now part of the endpoint's row; {@code turnedAway}: a connect that found a host there. */
     void onFailure(Endpoint endpoint, boolean connectRejected) {
-        endpoint.lastFailureCategory = connectRejected ? endpoint.kind : shares.length - 1;
+        endpoint.lastFailureCategory = connectRejected ? endpoint.kindIndex : shares.length - 1;
         shares[endpoint.lastFailureCategory] *= isBrief(endpoint) ? 1 : 1 - SERIES_WEIGHT;
     }
 
@@ -56,12 +56,12 @@
      * and is tried again as pauses allow. May hurt for seconds where such a kind goes down.
      */
     boolean connectsOftenRejected(Endpoint endpoint) {
-        return shares[endpoint.kind] > OFTEN_SHARE;
+        return shares[endpoint.kindIndex] > OFTEN_SHARE;
     }
 
     /** Connects turned away by endpoints of this kind were transient more often than assumed at first. */
     boolean connectsRejectedMoreThanAssumed(Endpoint endpoint) {
-        return shares[endpoint.kind] > INITIAL_SHARE;
+        return shares[endpoint.kindIndex] > INITIAL_SHARE;
     }
 
     /** Most failures are transient: calls are lost everywhere, and a single failure tells nothing. */
