--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -54,7 +54,7 @@
         limit.meanResponseMicros =
                 limit.meanResponseMicros == 0 ? elapsedMicros : limit.meanResponseMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
         double meanMicros = state.overallMeanResponseMicros;
-        double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowAnswerMicros());
+        double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowResponseMicros());
         state.overallMeanResponseMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
         boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanResponseMicros;
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
@@ -66,7 +66,7 @@
     }
 
     /** A call or a mean answer above this time is slow beside the usual, microseconds; 0 while none is known. */
-    double slowAnswerMicros() {
+    double slowResponseMicros() {
         return SLOW_MULTIPLE * state.overallMeanResponseMicros;
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -88,7 +88,7 @@
      * rest; measured against the forwarder's usual answer time, so where all are slow none is stalled.
      */
     private boolean isStalled(Endpoint endpoint) {
-        double slowMicros = timeouts.slowAnswerMicros();
+        double slowMicros = timeouts.slowResponseMicros();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
             boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -67,7 +67,7 @@
         timeouts.onDelivered(fixture.limit, 100 * MS);
         timeouts.onDelivered(fixture.limit, 10 * S);
         assertEquals(107_500, fixture.state.overallMeanResponseMicros, 1, "a fortieth of three times 100 ms");
-        assertEquals(430_000, timeouts.slowAnswerMicros(), 4);
+        assertEquals(430_000, timeouts.slowResponseMicros(), 4);
     }
 
     @Test
