--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -78,7 +78,7 @@
      * The waiting message that is worth least where most waits for the rate that its destination takes; of equal ones
      * the latest. Never one of an earlier process; null if there is no other.
      */
-    Message leastValuable() {
+    Message leastWorthMessage() {
         Message leastValuable = null;
         double lowestWorth = 0;
         for (DestinationQueue queue : state.nonEmptyQueues) {
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -151,7 +151,7 @@
         }
         scheduleCheck(message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
-            Message leastValuable = admission.leastValuable();
+            Message leastValuable = admission.leastWorthMessage();
             if (leastValuable != null) {
                 giveUp(leastValuable);
             }
