--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -79,7 +79,7 @@
      * the latest. Never one of an earlier process; null if there is no other.
      */
     Message leastWorthMessage() {
-        Message leastValuable = null;
+        Message leastWorthMessage = null;
         double lowestWorth = 0;
         for (DestinationQueue queue : state.nonEmptyQueues) {
             double rate =
@@ -87,13 +87,13 @@
             double backlogFactor = 1 + queue.waiting.size() / (1 + HALF_WORTH_QUEUE_SECONDS * rate);
             for (Message message : queue.waiting) {
                 double worth = message.worth / backlogFactor * (message.mayHaveRun ? UNCERTAIN_WORTH_FACTOR : 1);
-                if (!message.resumed && (leastValuable == null || worth <= lowestWorth)) {
-                    leastValuable = message;
+                if (!message.resumed && (leastWorthMessage == null || worth <= lowestWorth)) {
+                    leastWorthMessage = message;
                     lowestWorth = worth;
                 }
             }
         }
-        return leastValuable;
+        return leastWorthMessage;
     }
 
     /** After how long a refused client should come again: when its destination will have room; 0: no advice. */
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -68,11 +68,11 @@
                 candidates.add(nextCandidate);
             }
         }
-        long nextCheckMicros = state.nonEmptyQueues.stream()
+        long nextCheckAtMicros = state.nonEmptyQueues.stream()
                 .mapToLong(queue -> queue.nextCheckAtMicros)
                 .min()
                 .orElse(NEVER);
-        return candidates.isEmpty() ? nextCheckMicros : Math.min(nextCheckMicros, timeouts.cancelOverdue(candidates.size()));
+        return candidates.isEmpty() ? nextCheckAtMicros : Math.min(nextCheckAtMicros, timeouts.cancelOverdue(candidates.size()));
     }
 
     /** One call: the selected message, and where calls carry several, others of its queue that may go along. */
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -17,9 +17,9 @@
     static final long MIN_TIMEOUT_MICROS = 60_000;
 
     /** Weight of one answer in the mean answer time of a limit. */
-    private static final double ANSWER_WEIGHT = 0.1;
+    private static final double RESPONSE_WEIGHT = 0.1;
     /** Weight of one answer in the mean over all destinations. */
-    private static final double OVERALL_ANSWER_WEIGHT = ANSWER_WEIGHT / 4;
+    private static final double OVERALL_RESPONSE_WEIGHT = RESPONSE_WEIGHT / 4;
     /** Endpoints so many times slower than the forwarder's usual answer are slow. */
     private static final double SLOW_MULTIPLE = 4;
     /** An answer within so many times the usual ends a longer time-out; a slower one shortens it by a part. */
@@ -52,10 +52,10 @@
     /** Learns the time of a delivered call, microseconds. */
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
         limit.meanResponseMicros =
-                limit.meanResponseMicros == 0 ? elapsedMicros : limit.meanResponseMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
+                limit.meanResponseMicros == 0 ? elapsedMicros : limit.meanResponseMicros + RESPONSE_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
         double meanMicros = state.overallMeanResponseMicros;
         double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowResponseMicros());
-        state.overallMeanResponseMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
+        state.overallMeanResponseMicros += (meanMicros == 0 ? 1 : OVERALL_RESPONSE_WEIGHT) * (boundedMicros - meanMicros);
         boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanResponseMicros;
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
     }
@@ -95,7 +95,7 @@
      * is only slow. Gives the time at which to look again, microseconds.
      */
     long cancelOverdue(int wanted) {
-        long nextCheckMicros = NEVER;
+        long nextCheckAtMicros = NEVER;
         int remaining = state.settings.limits().mayCancel() ? wanted : 0;
         for (Call call : state.calls) {
             remaining -= call.cancelRequested ? 1 : 0;
@@ -106,13 +106,13 @@
             }
             long overdueAtMicros = call.sentAtMicros + overdueAfterMicros(call);
             if (overdueAtMicros > state.nowMicros) {
-                nextCheckMicros = Math.min(nextCheckMicros, overdueAtMicros);
+                nextCheckAtMicros = Math.min(nextCheckAtMicros, overdueAtMicros);
             } else {
                 cancel(call);
                 remaining--;
             }
         }
-        return nextCheckMicros;
+        return nextCheckAtMicros;
     }
 
     private long overdueAfterMicros(Call call) {
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -96,9 +96,9 @@
         List<SendCandidate> candidates = dispatch.candidates();
         selection.undeliverable().forEach(this::giveUp);
         selection.clearUndeliverable();
-        long nextMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
+        long nextCheckAtMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
-        requestTimer(dues.isEmpty() ? nextMicros : Math.min(nextMicros, dues.peek().atMicros()));
+        requestTimer(dues.isEmpty() ? nextCheckAtMicros : Math.min(nextCheckAtMicros, dues.peek().atMicros()));
         return state.actions;
     }
 
@@ -122,10 +122,10 @@
 
     /** Asks for a timer at that time, a round from now at the earliest, unless one comes by then. */
     private void requestTimer(long timeMicros) {
-        long nextMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
-        if (nextMicros < NEVER && (nextMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
-            state.actions.add(new Action.Wake(nextMicros - state.nowMicros, 0));
-            wakeAtMicros = nextMicros;
+        long timerAtMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
+        if (timerAtMicros < NEVER && (timerAtMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
+            state.actions.add(new Action.Wake(timerAtMicros - state.nowMicros, 0));
+            wakeAtMicros = timerAtMicros;
         }
     }
 
@@ -151,9 +151,9 @@
         }
         scheduleCheck(message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
-            Message leastValuable = admission.leastWorthMessage();
-            if (leastValuable != null) {
-                giveUp(leastValuable);
+            Message leastWorthMessage = admission.leastWorthMessage();
+            if (leastWorthMessage != null) {
+                giveUp(leastWorthMessage);
             }
         }
     }
@@ -194,17 +194,17 @@
 
     private void check(Message message) {
         // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
-        long latestAnswerMicros = message.deadlineAtMicros + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerAtMicros = message.deadlineAtMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
             if (message.deadlineAtMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
                 giveUp(message);
             }
-        } else if (state.nowMicros >= latestAnswerMicros) {
+        } else if (state.nowMicros >= latestAnswerAtMicros) {
             giveUp(message);
         } else {
-            scheduleCheck(latestAnswerMicros, message);
+            scheduleCheck(latestAnswerAtMicros, message);
         }
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -91,12 +91,12 @@
         double slowMicros = timeouts.slowResponseMicros();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones come back says nothing of the endpoint.
-            boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
-            if (state.overallMeanResponseMicros > 0 && sentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
+            boolean isSentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
+            if (state.overallMeanResponseMicros > 0 && isSentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
                 return true;
             }
         }
-        boolean slowAnswers = state.overallMeanResponseMicros > 0 && endpoint.limit.meanResponseMicros > slowMicros;
-        return endpoint.inOutage || endpoint.timingOut || slowAnswers;
+        boolean hasSlowResponses = state.overallMeanResponseMicros > 0 && endpoint.limit.meanResponseMicros > slowMicros;
+        return endpoint.inOutage || endpoint.timingOut || hasSlowResponses;
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -191,12 +191,12 @@
         /** Start of slow start; 0 where it never came back from an outage. */
         long slowStartAtMicros;
 
-        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int maxBatchSize) {
+        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kindIndex, int maxBatchSize) {
             this.host = host;
             this.queue = queue;
             this.limit = limit;
             this.zone = zone;
-            this.kindIndex = kind;
+            this.kindIndex = kindIndex;
             this.maxBatchSize = maxBatchSize;
         }
     }
