--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -9,17 +9,17 @@
 import lilaclever.PolicyState.Message;
 
 /**
- * Admission under load: which tenants send beyond their quota, which message is refused when there is hardly room for
- * more, and when a client whose message was refused should come again.
+ * Admission control: tenant quotas, the message that is refused when there is hardly capacity for more, and the
+ * retry-after period of refused messages.
  */
 final class Admission {
-    /** Part of the messages that may be open at which one is refused, so that none is turned away unseen. */
+    /** Share of the most open messages above which one is refused, before the host program rejects new ones unseen. */
     private static final double NEARLY_FULL = 0.95;
-    /** Messages of a tenant beyond its quota that pass at once, seconds of its quota. */
+    /** Size of a tenant's token bucket, in seconds of its quota. */
     private static final double BURST_SECONDS = 3;
-    /** Factor on the worth of a message that may have run: refusing it would be a failure. */
+    /** Factor on the value of a message with an uncertain attempt: giving it up may be a failure, not a refusal. */
     private static final double FACTOR_IF_MAY_HAVE_RUN = 4;
-    /** Seconds of a destination's expected rate that may wait before its messages count for clearly less. */
+    /** Queue length, in seconds at the destination's expected rate, that halves the value of its messages. */
     private static final double SHORT_QUEUE_SECONDS = 10;
 
     private final PolicyState state;
@@ -27,9 +27,9 @@
     private final RecoveryPace recoveryPace;
     private final DestinationLimits limits;
     private final EndpointAvailability availability;
-    /** Token buckets of the tenants: messages that are left, and when that was worked out, microseconds. */
+    /** Tokens left in each tenant's bucket; one is one message. */
     private final double[] tenantTokens;
-
+    /** When each bucket was last refilled. */
     private final long[] tenantUpdatedAt;
 
     Admission(
@@ -56,7 +56,7 @@
         return settings.quotaPerSecond();
     }
 
-    /** Counts a message of the tenant; true if it is beyond its quota. A tenant not in the settings has none. */
+    /** Counts a message of the tenant; true if it exceeds the quota. A tenant not in the settings has no quota. */
     boolean isOverQuota(int tenant) {
         if (tenant < 0 || tenant >= tenantTokens.length) {
             return false;
@@ -69,14 +69,15 @@
         return tokens < 1;
     }
 
-    /** Whether so many messages are open that one is to be refused. */
+    /** Whether so many messages are open that one must be refused. */
     boolean isNearlyFull() {
         return state.openMessages > NEARLY_FULL * state.settings.limits().maxOpen();
     }
 
     /**
-     * The waiting message that is worth least where most waits for the rate that its destination takes; of equal ones
-     * the latest. Never one of an earlier process; null if there is no other.
+     * Returns the waiting message of least value, which is lower the longer its destination's queue is for the rate
+     * that the destination accepts; the last of several equal ones. Messages accepted before a restart are exempt; null
+     * if there are no others.
      */
     Message leastWorth() {
         Message least = null;
@@ -96,7 +97,7 @@
         return least;
     }
 
-    /** After how long a refused client should come again: when its destination will have room; 0: no advice. */
+    /** Retry-after period for a refused message: until its destination has capacity again; 0: no advice. */
     long comeBackAfter(DestinationQueue queue) {
         if (!state.settings.limits().comeBack()) {
             return 0;
@@ -116,7 +117,7 @@
         return readyAfter + (long) (endpoint.queue.waiting.size() / rate * SECOND);
     }
 
-    /** Calls a second that an endpoint is likely to take. */
+    /** Calls a second that an endpoint is expected to accept. */
     private double expectedRate(Endpoint endpoint) {
         double allowed = Math.min(limits.allowedRate(endpoint.limit), recoveryPace.callsPerSecond(endpoint));
         return Math.min(rates.usual(endpoint.limit), allowed);
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -13,7 +13,7 @@
 import lilaclever.PolicyState.Message;
 import lilaclever.PolicyState.SendCandidate;
 
-/** Sends what may go, the highest rank first, while slots are free; and keeps the books of calls in flight. */
+/** Sends candidates by descending rank while slots are free, and keeps track of calls in flight. */
 final class CallDispatch {
     private final PolicyState state;
     private final CallTimeouts timeouts;
@@ -37,7 +37,9 @@
         this.selection = selection;
     }
 
-    /** The best candidate of each destination that messages wait for, in the order in which they began to wait. */
+    /**
+     * Returns the best candidate of each destination with waiting messages, in the order in which they began to wait.
+     */
     List<SendCandidate> candidates() {
         List<SendCandidate> candidates = new ArrayList<>();
         for (DestinationQueue queue : state.queuesWaiting) {
@@ -51,15 +53,15 @@
     }
 
     /**
-     * Sends the candidates and those that follow them, the highest rank first, until slots or candidates are used up;
-     * gives the time to look again, microseconds.
+     * Sends the candidates by descending rank, each followed by the next one of its destination, until slots or
+     * candidates are used up. Returns when to try again, in microseconds.
      */
     long send(List<SendCandidate> candidates) {
         while (!candidates.isEmpty()
                 && state.slotsInUse < state.settings.limits().slots()) {
             SendCandidate best = Collections.max(candidates, Comparator.comparingDouble(SendCandidate::rank));
             candidates.remove(best);
-            // What went since it was selected may have taken its part of the slots.
+            // Calls sent since it was selected may have used up its share of the slots.
             if (rules.permit(best.message(), best.endpoint())) {
                 startCall(best.message(), best.endpoint());
             }
@@ -75,7 +77,7 @@
         return candidates.isEmpty() ? next : Math.min(next, timeouts.cancelOverdue(candidates.size()));
     }
 
-    /** One call: the selected message, and where calls carry several, others of its queue that may go along. */
+    /** Starts a call with the message and, where calls may carry several, others of its queue. */
     private void startCall(Message message, Endpoint endpoint) {
         Call call = new Call();
         call.sentAt = state.now;
@@ -94,7 +96,9 @@
         connections.onSend(endpoint);
     }
 
-    /** Limits count calls, so what goes along is free; only a trial, which may fail all, goes alone. */
+    /**
+     * Adds waiting messages to the call, which is free as limits count calls. Trial calls, which often fail, get none.
+     */
     private void addOthers(Call call) {
         for (Message message : List.copyOf(call.endpoint.queue.waiting)) {
             if (call.outcomesDue >= call.endpoint.batch) {
@@ -116,13 +120,13 @@
         message.sentAt = state.now;
         message.lastEndpoint = endpoint;
         call.outcomesDue++;
-        // A connection that comes up late must not carry it past its window.
+        // A connection that is established late must not carry the message after its repeat window.
         long timeoutAt = state.now + timeouts.timeout(message, endpoint.limit);
         long dropAt = Math.min(Math.min(message.deadline, timeoutAt), retries.windowEnd(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAt));
     }
 
-    /** Frees the slot of a call, once the outcomes of all its messages have come. */
+    /** Frees the slot of a call after the outcomes of all its messages were reported. */
     void end(Call call) {
         Endpoint endpoint = call.endpoint;
         state.slotsInUse--;
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -9,36 +9,36 @@
 import lilaclever.PolicyState.Message;
 
 /**
- * How long a call may take, from the usual answer time of its limit and the aim of its message; and which calls are
- * given up earlier because all slots are taken.
+ * Time-outs of calls, from the mean response time at their limit and the aim of their message; and which calls are
+ * given up earlier because all slots are in use.
  */
 final class CallTimeouts {
-    /** Shortest time-out, microseconds; a message with less time left than this is given up, as no call ends sooner. */
+    /** Shortest time-out; a message with less time left is given up, as no call would end in time. */
     static final long SHORTEST = 60_000;
 
-    /** Weight of one answer in the mean answer time of a limit. */
+    /** Weight of one call in the mean response time of a limit. */
     private static final double ANSWER_WEIGHT = 0.1;
-    /** Weight of one answer in the mean over all destinations. */
+    /** Weight of one call in the mean response time over all destinations. */
     private static final double ANSWER_WEIGHT_OF_ALL = ANSWER_WEIGHT / 4;
-    /** Endpoints so many times slower than the forwarder's usual answer are slow. */
+    /** A response time is slow from this multiple of the mean over all destinations. */
     private static final double SLOW_TIMES = 4;
-    /** An answer within so many times the usual ends a longer time-out; a slower one shortens it by a part. */
+    /** A call within this multiple of the mean resets the time-out factor; a slower one multiplies it by the second. */
     private static final double PROMPT_TIMES = 2, SHORTENED_PART = 0.7;
-    /** The time-out of a call, as a multiple of the usual answer time of its limit ... */
+    /** Time-out of a call, as a multiple of the mean response time at its limit. */
     private static final double ANSWER_TIMES = 6;
-    /** ... and at the least this part of the aim. */
+    /** Shortest time-out, as a share of the aim. */
     private static final double LEAST_PART_OF_AIM = 0.5;
-    /** Each time-out in a row doubles the next, up to so many times. */
+    /** Consecutive time-outs double the next one, up to this factor. */
     private static final double MOST_FACTOR = 4;
-    /** An unsafe message is lost by a time-out, so it may take so many times as long. */
+    /** Factor on the time-out of unsafe messages, as a time-out makes them fail. */
     private static final double UNSAFE_TIMES = 2;
-    /** Part of that for a call that takes the last slot, where calls are lost everywhere. */
+    /** Factor on the time-out of a call in the last slot, where calls are often lost at all destinations. */
     private static final double LAST_SLOT_PART = 0.6;
-    /** Part of its window that a keyed message's first attempt may take, so that a repeat fits in. */
+    /** Share of the repeat window that a keyed message's first attempt may take, so that a repeat fits in. */
     private static final double WINDOW_PART = 0.5;
-    /** With all slots taken, a call is given up after so many times the usual answer time ... */
+    /** With all slots in use, a call is given up after this multiple of the mean response time ... */
     private static final double OVERDUE_TIMES = 8, UNSAFE_OVERDUE_TIMES = 24;
-    /** ... and not before so long, microseconds. */
+    /** ... but not before this time. */
     private static final long LEAST_OVERDUE = 400_000, UNSAFE_LEAST_OVERDUE = 1_000_000;
 
     private final PolicyState state;
@@ -49,7 +49,7 @@
         this.transientFailures = transientFailures;
     }
 
-    /** Learns the time of a delivered call, microseconds. */
+    /** Updates the means and the time-out factor with the response time of a delivered call. */
     void onDelivered(DestinationLimit limit, long elapsed) {
         limit.answerTime =
                 limit.answerTime == 0 ? elapsed : limit.answerTime + ANSWER_WEIGHT * (elapsed - limit.answerTime);
@@ -60,17 +60,17 @@
         limit.timeoutFactor = prompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENED_PART);
     }
 
-    /** Doubles the time-out of a limit's calls: all are slow. */
+    /** Doubles the time-out of a limit's calls, up to a maximum. */
     void lengthen(DestinationLimit limit) {
         limit.timeoutFactor = Math.min(MOST_FACTOR, limit.timeoutFactor * 2);
     }
 
-    /** A call or a mean answer above this time is slow beside the usual, microseconds; 0 while none is known. */
+    /** Response time above which a call or a mean is slow, microseconds; 0 before the first delivery. */
     double slowAnswerTime() {
         return SLOW_TIMES * state.usualAnswerTime;
     }
 
-    /** How long a call of the message may take if it is sent now, microseconds. */
+    /** Time-out of a call with the message if it is sent now, microseconds. */
     long timeout(Message message, DestinationLimit limit) {
         long aim = message.messageClass.aimMicros();
         double usual = limit.answerTime > 0 ? ANSWER_TIMES * limit.answerTime : aim;
@@ -79,7 +79,7 @@
         if (repeat == Repeat.UNSAFE) {
             return (long) Math.max(time * UNSAFE_TIMES, SHORTEST);
         }
-        // Where calls are lost everywhere, the last slot is worth more than a call that is likely lost.
+        // Where calls are often lost at all destinations, a free last slot is worth more than a call likely to be lost.
         boolean lastSlot = state.slotsInUse + 1 >= state.settings.limits().slots();
         time *= transientFailures.callsOftenLost() && lastSlot ? LAST_SLOT_PART : 1;
         if (repeat == Repeat.KEYED && !message.mayHaveRun) {
@@ -89,10 +89,10 @@
     }
 
     /**
-     * All slots are taken, and so many messages could go: calls in flight for far longer than usual are given up, at
-     * most as many as could be used. Guards against endpoints that hang at several destinations at once: each would
-     * occupy a slot for a whole time-out, a hundred times what another message needs. May lose an unsafe message that
-     * is only slow. Gives the time at which to look again, microseconds.
+     * Gives up calls in flight for far longer than usual, because all slots are in use; at most as many as messages
+     * that could be sent instead, {@code wanted}. Otherwise endpoints that hang at several destinations at once would
+     * each occupy a slot for a whole time-out, a hundred times what another message needs. An unsafe message whose call
+     * is merely slow may fail by it. Returns when to check again, in microseconds.
      */
     long cancelOverdue(int wanted) {
         long next = NEVER;
--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -5,12 +5,12 @@
 import lilaclever.DecisionModule.Ending;
 import lilaclever.PolicyState.Endpoint;
 
-/** Which idle connections to endpoints there are, as far as the module can know, and which of them are kept. */
+/** Tracks idle connections to endpoints, as far as the module can know them, and decides which are closed. */
 final class ConnectionReuse {
     private final PolicyState state;
-    /** Kinds of destination that have turned this forwarder away for want of room for a connection. */
+    /** By endpoint kind: whether an endpoint has rejected a connection of this forwarder. */
     private final boolean[] scarce;
-    /** Endpoints that a call came back from in this round, and nothing went to since. */
+    /** Endpoints at which a call ended in this round, and to which none was sent since. */
     private final LinkedHashSet<Endpoint> freed = new LinkedHashSet<>();
 
     ConnectionReuse(PolicyState state) {
@@ -18,7 +18,7 @@
         this.scarce = new boolean[Math.max(1, state.settings.kinds().size())];
     }
 
-    /** Whether a call to the endpoint finds an idle connection; forgets those that were idle for too long. */
+    /** Whether a call to the endpoint would find an idle connection; forgets those that have expired. */
     boolean isWarm(Endpoint endpoint) {
         long keepAlive = state.settings.limits().keepAliveMicros();
         while (!endpoint.idleSince.isEmpty() && endpoint.idleSince.peekFirst() + keepAlive <= state.now) {
@@ -27,13 +27,13 @@
         return !endpoint.idleSince.isEmpty();
     }
 
-    /** A call goes out and takes the connection that was idle for the shortest time. */
+    /** A call is being sent: it uses the connection that was idle for the shortest time. */
     void onSend(Endpoint endpoint) {
         endpoint.idleSince.pollLast();
         freed.remove(endpoint);
     }
 
-    /** A call has come back; its connection is idle now unless the ending says that there is none. */
+    /** A call ended: its connection is idle now unless the result means that there is none. */
     void onCallEnded(Endpoint endpoint, Ending ending) {
         boolean closed = switch (ending) {
             case NO_CONNECTION, NO_ROOM, RESET, NOT_SENT -> true;
@@ -45,21 +45,21 @@
         }
     }
 
-    /** No connection to the endpoint came about: those that were idle are taken to be gone. */
+    /** A connect to the endpoint failed: its idle connections are assumed to be closed. */
     void onConnectFailed(Endpoint endpoint) {
         endpoint.idleSince.clear();
     }
 
-    /** The endpoint has turned a connect away: connections to its kind are scarce from now on. */
+    /** The endpoint rejected a connect: connections to its kind are scarce from now on. */
     void onTurnedAway(Endpoint endpoint) {
         scarce[endpoint.kind] = true;
     }
 
     /**
-     * Closes connections that nothing was sent on at the end of the round in which they became idle. Idle connections
-     * fill what an endpoint takes from all forwarders, and one that has its own there never hears of those that got
-     * none. So none is kept at a kind that has once turned this forwarder away for want of room, and none in a large
-     * fleet, as what each learns alone comes late. Costs handshakes.
+     * At the end of a round, closes the connections that became idle in it and weren't used again. Idle connections use
+     * up the number that an endpoint accepts from all forwarders, and a forwarder that has one doesn't notice that
+     * others get none. So none is kept to an endpoint kind that has ever rejected a connection of this forwarder, and
+     * none in a large fleet, where each forwarder would notice too late. This costs extra handshakes.
      */
     void closeUnused() {
         freed.forEach(this::closeUnused);
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -3,78 +3,103 @@
 import java.util.List;
 
 /**
- * One relay's decisions: what to send where and when, and how each message ends.
+ * The delivery decisions of one forwarder: which message is sent to which endpoint and when, and the final status of
+ * each message.
  *
- * <p>The host program owns the clock, the network and the messages' contents. It tells the relay what has happened
- * ({@link Event}) and carries out what comes back ({@link Action}) in the order given. A relay does no I/O, starts
- * no thread and reads no clock; it must be used from one thread at a time. The same settings, seed and events give
- * the same actions. All times are whole microseconds, on any clock that only goes forward.
- * Settings that make no sense are an {@link IllegalArgumentException} that names the setting.
+ * <p>The host program owns the clock, the network and the contents of messages. It reports what has happened as
+ * {@link Event}s and carries out the returned {@link Action}s in order. The module does no I/O, starts no threads,
+ * reads no clock and isn't thread-safe. It is deterministic: the same settings, seed and events give the same actions.
+ *
+ * <p>Durations and instants are whole microseconds; instants are read from any monotonic clock. Rates are per second.
+ * Destinations, zones, forwarders, tenants, message classes and endpoint kinds are numbers; those of tenants, message
+ * classes and endpoint kinds are indexes into the lists of {@link Settings}. Invalid settings cause an
+ * {@link IllegalArgumentException} that names the setting.
  */
 public interface DecisionModule {
 
-    /** Makes a relay that knows no destination yet; feed it a {@link Event.Listing} first. */
+    /** Creates a module that knows no endpoints; its first event should be an {@link Event.Listing}. */
     static DecisionModule create(Settings settings, long seed) {
         return new DeliveryPolicy(settings, seed);
     }
 
-    /** Takes the events that came in since the last call and gives the actions that take effect now. */
+    /** Handles the events since the previous call, in order, and returns the actions to carry out now. */
     List<Action> decide(long nowMicros, List<Event> events);
 
-    /** What a further attempt of a message may do at its destination. */
+    /** Whether a message may be sent again after an attempt that may have taken effect. */
     enum Repeat {
-        /** Any number of attempts is harmless. */
+        /** Any number of attempts is harmless, as for a read. */
         SAFE,
-        /** A repeat is dropped by the endpoints of the {@link Group} for a while. */
+        /** The message has an idempotency key: endpoints of the {@link Group} drop repeats in the repeat window. */
         KEYED,
-        /** A second attempt is allowed only when the earlier ones are known not to have run. */
+        /** Another attempt is allowed only if all earlier ones are known to have had no effect. */
         UNSAFE
     }
 
-    /** Which endpoints of a destination remember the key of a {@link Repeat#KEYED} message. */
+    /** Which endpoints remember the idempotency key of a {@link Repeat#KEYED} message, and so drop its repeats. */
     enum Group {
+        /** All endpoints; a message that the client submits again is recognised too. */
         ALL,
+        /** Endpoints of the destination in the zone that the first attempt was sent to. */
         ZONE,
+        /** All endpoints of the destination. */
         DESTINATION
     }
 
-    /** What the weight in a listing means. */
+    /** What {@link Entry#weight} says of the call rate that the endpoint's limit accepts. */
     enum Weights {
+        /** Nothing. */
         NONE,
+        /** It is the rate, in calls a second. */
         EXACT,
+        /** It is an estimate of the rate, in calls a second, and may be too high. */
         ROUGH
     }
 
-    /** How a destination's endpoints come and go in the list. */
+    /** Status of an endpoint in the endpoint list. */
     enum Presence {
+        /** May be sent calls. */
         ACTIVE,
+        /** Draining: gets no new calls. */
         LEAVING,
+        /** Removed from the list. */
         LEFT
     }
 
-    /** What a listing holds. */
+    /** What an {@link Event.Listing} contains. */
     enum ListingKind {
+        /** Entries that changed since the previous listing. */
         CHANGES,
+        /** The complete list. */
         ALL,
+        /** The complete list as the host program stored it, which may be out of date. */
         REMEMBERED,
+        /** Nothing: the directory refused the request. */
         REFUSED
     }
 
-    /** How an attempt or a probe ended. */
+    /** Result of an attempt or a probe. */
     enum Ending {
         DELIVERED(false),
+        /** The endpoint answered with an error that may be temporary. */
         ERROR(false),
+        /** The endpoint refused the call because a rate limit or a queue is full. */
         FULL(true),
         TIMED_OUT(false),
         NO_CONNECTION(true),
+        /** The connection was lost before the answer came. */
         RESET(false),
+        /** The call was given up on {@link Action.Cancel}. */
         CANCELED(false),
+        /** The call was not sent to the endpoint. */
         NOT_SENT(true),
-        /** Not written, since a wait was told after it was decided: that attempt was none. */
+        /**
+         * The call was not written because a retry-after or a drain was received after the decision to send it; it
+         * doesn't count as an attempt.
+         */
         WITHHELD(true),
-        /** Its endpoint answered that it has no room for a further connection. */
+        /** The endpoint refused the connection because it has too many. */
         NO_ROOM(true),
-        /** Turned down for good: no further attempt of this message can succeed. */
+        /** Refused permanently: no further attempt of this message can succeed. */
         REJECTED(true);
 
         private final boolean neverRan;
@@ -83,15 +108,25 @@
             this.neverRan = neverRan;
         }
 
-        /** True if this ending proves that the attempt had no effect. */
+        /** Whether this result proves that the attempt had no effect at the endpoint. */
         public boolean neverRan() {
             return neverRan;
         }
     }
 
     /**
-     * A class of messages: when it is wanted, what it is worth and how it may be repeated. After the aim its worth
-     * falls to {@code lateShare}: by half with each further aim, or evenly up to the deadline.
+     * Timing, value and repeat rules of a class of messages. The value of a message falls once it is older than the
+     * aim.
+     *
+     * @param aimMicros age up to which a message keeps its full value
+     * @param deadlineMicros age at which a message must have its final status
+     * @param worth value of a message up to that age, relative to other classes
+     * @param repeat whether a message may be sent again
+     * @param group which endpoints remember a message's idempotency key
+     * @param repeatWindowMicros how long endpoints remember a message's idempotency key, from its first attempt
+     * @param ordered whether messages with the same key are sent one at a time, in the order accepted
+     * @param lateShare share of its value that a late message keeps at the least, 0 to 1
+     * @param halves whether the value halves with each further aim; else it falls evenly, to 0 at the deadline
      */
     record MessageClass(
             long aimMicros,
@@ -103,7 +138,7 @@
             boolean ordered,
             double lateShare,
             boolean halves) {
-        /** A class whose worth falls evenly after the aim, to nothing at the deadline. */
+        /** Creates a class whose value falls evenly after the aim, to nothing at the deadline. */
         public MessageClass(
                 long aimMicros,
                 long deadlineMicros,
@@ -121,17 +156,42 @@
         }
     }
 
-    /** A kind of destination: whether each endpoint has a limit of its own, and messages in a call at most. */
+    /**
+     * An endpoint kind.
+     *
+     * @param limitPerEndpoint whether each endpoint has a rate limit of its own; else a destination's endpoints share
+     *     one
+     * @param maxBatchSize most messages that one call may carry
+     */
     record Kind(boolean ownLimits, int batch) {
         public Kind {
-            require(batch > 0, "kinds.batch must be above 0");
+            require(batch > 0, "kinds.maxBatchSize must be above 0");
         }
     }
 
-    /** A tenant and the messages a second, over all relays, that are within its share. */
+    /**
+     * A client organisation with a quota.
+     *
+     * @param share its share of the whole load, 0 to 1; not used by the module
+     * @param quotaPerSecond messages a second within its quota
+     */
     record Tenant(double share, double quotaPerSecond) {}
 
-    /** What this relay may do. Slots are calls out at once; {@code maxOpen} counts messages held. */
+    /**
+     * Limits on what this forwarder may do.
+     *
+     * @param maxAttempts most attempts per message
+     * @param maxOpenMessages most messages without a final status
+     * @param slots most calls in flight
+     * @param mayCancel whether calls may be given up before their time-out
+     * @param mayProbe whether {@link Action.Probe} is allowed
+     * @param mayMessagePeers whether {@link Action.Tell} is allowed
+     * @param callsPerConnection most concurrent calls on one connection
+     * @param connectTimeoutMicros time-out of a connect
+     * @param keepAliveMicros time after which an idle connection is closed
+     * @param sendsRetryAfter whether refusals give clients a retry-after period
+     * @param maxRetryAfterMicros longest retry-after period given to clients
+     */
     record Limits(
             int maxAttempts,
             int maxOpen,
@@ -146,12 +206,23 @@
             long maxComeBackMicros) {
         public Limits {
             require(slots > 0, "limits.slots must be above 0");
-            require(maxOpen > 0, "limits.maxOpen must be above 0");
+            require(maxOpen > 0, "limits.maxOpenMessages must be above 0");
             require(maxAttempts > 0, "limits.maxAttempts must be above 0");
         }
     }
 
-    /** Figures of the rules that a relay must keep. */
+    /**
+     * Parameters of the delivery rules that a forwarder must keep.
+     *
+     * @param answerSlackMicros time after its deadline by which a message must have its final status
+     * @param watchWithinMicros time after which a forwarder counts as informed of a list change, watching or not
+     * @param drainGraceMicros time after an endpoint was listed as draining within which calls may still reach it
+     * @param initialCapacityShare share of its usual rate that a destination takes just after an outage, above 0
+     * @param rampMicros time from the end of an outage until a destination takes its usual rate again
+     * @param overloadMultiple multiple of the rate that a recovering destination takes, above which it fails again
+     * @param overloadWindowMicros time over which that rate is measured
+     * @param orderPauseMicros how long an ordered key is paused after an attempt that may still be running
+     */
     record Rules(
             long answerSlackMicros,
             long askWithinMicros,
@@ -173,7 +244,22 @@
         }
     }
 
-    /** All that a relay is told at its start. {@code askForList}: changes come only after {@link Action.Watch}. */
+    /**
+     * Settings of one forwarder.
+     *
+     * @param self number of this forwarder
+     * @param forwarders number of forwarders in the fleet
+     * @param zone number of the zone of this forwarder
+     * @param zones number of zones
+     * @param roundMicros least time between two calls of {@link DecisionModule#decide}
+     * @param mustWatchList whether changes of the endpoint list are sent only after {@link Action.Watch}
+     * @param weightMeaning meaning of the weights in the endpoint list
+     * @param limitReports whether destinations report their limits with outcomes
+     * @param overQuotaWorthFactor factor on the value of messages beyond their tenant's quota
+     * @param classes message classes, by number
+     * @param kinds endpoint kinds, by number
+     * @param tenants tenants, by number
+     */
     record Settings(
             int self,
             int relays,
@@ -191,7 +277,7 @@
             Rules rules) {
         public Settings {
             require(!classes.isEmpty(), "classes must not be empty");
-            require(relays > 0, "relays must be above 0");
+            require(relays > 0, "forwarders must be above 0");
         }
     }
 
@@ -201,24 +287,47 @@
         }
     }
 
-    /** One endpoint in a listing. */
+    /**
+     * One endpoint of the endpoint list.
+     *
+     * @param host name of the endpoint, unique in the list
+     * @param kind index of its endpoint kind; an index out of range means the default kind
+     * @param weight see {@link Settings#weights}
+     * @param sinceMicros when it got its present status
+     */
     record Entry(
             String host, int destination, int zone, int kind, Presence presence, double weight, long sinceMicros) {}
 
-    /** What a destination told of its limit: share of the allowance left, and calls a second; 0 where unknown. */
+    /**
+     * A destination's own report of its rate limit.
+     *
+     * @param allowanceLeft share of the allowance that is left, 0 to 1
+     * @param callsPerSecond calls a second that it accepts from all forwarders together; 0 where unknown
+     */
     record Report(double left, double perSecond) {}
 
-    /** Attempts of an earlier life, maybe none; if one may have run: where and when the first of these was sent. */
+    /**
+     * Attempts of a message before the program was restarted. An attempt is uncertain if it may have taken effect but
+     * isn't known to have; the last three components are of the first such attempt.
+     *
+     * @param attempts number of attempts, possibly 0
+     * @param mayHaveRun whether an attempt was uncertain
+     */
     record Prior(int attempts, boolean mayHaveRun, String riskHost, int riskZone, long riskAtMicros) {}
 
-    /** What has happened. */
+    /** Something that has happened outside the module. */
     sealed interface Event {
-        /** News of the list of endpoints. */
+        /** The endpoint list or changes of it, or a refused request for it. */
         record Listing(ListingKind kind, long version, List<Entry> entries) implements Event {}
 
         /**
-         * A new message; {@code key} is null where the class keeps no order. {@code prior} is null but for one that
-         * the host program took on before it was restarted.
+         * A new message, or a pending one after a restart of the host program.
+         *
+         * @param key ordering key; null if the message has none
+         * @param resubmitted whether the client submitted it before; not used by the module
+         * @param inherited whether it was accepted before a restart; not used by the module
+         * @param budgetMicros time left until its deadline
+         * @param priorAttempts null unless the message was accepted before a restart
          */
         record Submit(
                 String id,
@@ -231,7 +340,7 @@
                 long budgetMicros,
                 Prior prior)
                 implements Event {
-            /** A message that no attempt was made for. */
+            /** Creates the event for a message without earlier attempts. */
             public Submit(
                     String id,
                     int messageClass,
@@ -246,17 +355,24 @@
         }
 
         /**
-         * Other settings hold from now on. A class keeps its number, new ones follow behind; all that is not of classes
-         * and attempts is as before.
+         * New settings apply from now on. Only message classes and the maximum number of attempts may differ; existing
+         * classes keep their numbers, and new ones are added at the end.
          */
         record Renewed(Settings settings) implements Event {}
 
-        /** The program ends: by the given time all calls that were started must have come back. */
+        /** The program is stopping: every call must have ended by the given time. */
         record Stopping(long untilMicros) implements Event {}
 
         /**
-         * An attempt ended. {@code over}: the message is finished; {@code noSlot}: it was not sent for want of one;
-         * {@code waitMicros}: how long nothing may go there from now on, whatever the ending; 0: no wait.
+         * An attempt ended.
+         *
+         * @param attempt number of the attempt, from 0
+         * @param elapsedMicros time since the call was sent
+         * @param retryAfterMicros how long nothing may be sent to the endpoint's limit, whatever the result; 0: no
+         *     delay
+         * @param noSlot whether the call was not sent for lack of a free slot
+         * @param finished whether the message needs no further attempt or answer
+         * @param report null if the destination reported nothing
          */
         record Outcome(
                 String id,
@@ -270,52 +386,55 @@
                 Report report)
                 implements Event {}
 
-        /** A probe ended. */
+        /** A probe ended; {@code report} is null if the destination reported nothing. */
         record Probed(String host, Ending ending, long elapsedMicros, Report report) implements Event {}
 
-        /** A timer of {@link Action.Wake} has come. */
+        /** A timer set by {@link Action.Wake} expired. */
         record Timer(long token) implements Event {}
 
         /** The client has withdrawn the message. */
         record Withdrawn(String id) implements Event {}
 
-        /** Another relay has told something. */
+        /** Another forwarder has sent something. */
         record Heard(int from, byte[] content) implements Event {}
     }
 
-    /** What the host program must do. */
+    /** Something that the host program must do. */
     sealed interface Action {
-        /** Start an attempt and drop it at the given time. */
+        /**
+         * Start an attempt of a message, and give it up at the given time. Attempts to one host in the same list of
+         * actions may share a call, up to {@link Kind#batch} messages.
+         */
         record Send(String id, String host, long dropAtMicros) implements Action {}
 
-        /** End the message; the client may come again, best after the given time (0: no advice). */
+        /** Refuse the message; its client may submit it again, best after the given time (0: no advice). */
         record Refuse(String id, long comeBackMicros) implements Action {}
 
-        /** End the message; nothing is promised. */
+        /** Report the message as failed; it may have taken effect. */
         record Fail(String id) implements Action {}
 
-        /** Stop waiting for an attempt. */
+        /** Give up an attempt in flight; its outcome is still reported. */
         record Cancel(String id, int attempt) implements Action {}
 
-        /** Close idle connections to a host. */
+        /** Close all idle connections to a host. */
         record CloseIdle(String host) implements Action {}
 
-        /** Give a {@link Event.Timer} after this time. */
+        /** Send an {@link Event.Timer} with this token after the given time. */
         record Wake(long afterMicros, long token) implements Action {}
 
-        /** Ask for changes of the list from now on. */
+        /** Start or stop watching the endpoint list for changes. */
         record Watch(boolean on) implements Action {}
 
-        /** Ask for the whole list once. */
+        /** Fetch the complete endpoint list once. */
         record FetchList() implements Action {}
 
-        /** Check a host. */
+        /** Probe a host without sending a message. */
         record Probe(String host) implements Action {}
 
-        /** Tell another relay something; -1 tells all. */
+        /** Send something to another forwarder; -1 sends it to all. */
         record Tell(int to, byte[] content) implements Action {}
 
-        /** A line for the log. */
+        /** Write a line to the log. */
         record Log(String text) implements Action {}
     }
 }
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -18,22 +18,23 @@
 import lilaclever.PolicyState.TimedCheck;
 
 /**
- * The entry to all decisions: reads the events of a round, follows each message from its submission to its final
- * answer, and gives the round's actions. What is decided on the way stands in a class for each job:
+ * The implementation of the decision module: handles the events of a round, follows each message from its submission to
+ * its final status and returns the actions of the round. The individual decisions are made by these classes:
  *
  * <ul>
  *   <li>{@link EndpointDirectory}: which endpoints there are;
- *   <li>{@link Admission}: quotas, and which message is refused under load;
- *   <li>{@link EndpointSelection}, {@link CallDispatch}: which message goes next, and where;
- *   <li>{@link SendRules}, {@link KeyOrder}: what every send must pass;
- *   <li>{@link RetrySchedule}: when a message is tried again;
- *   <li>{@link EndpointAvailability}: when an endpoint takes a call, from {@link DestinationLimits} (rate limits and
- *       told waits), {@link OutageDetection}, {@link TransientFailures}, {@link RecoveryPace} and {@link SlowStart};
- *   <li>{@link CallTimeouts}, {@link ConnectionReuse}, {@link RateEstimates}: times, connections and rates.
+ *   <li>{@link Admission}: tenant quotas, and which message is refused under load;
+ *   <li>{@link EndpointSelection}, {@link CallDispatch}: which message is sent next, and to which endpoint;
+ *   <li>{@link SendRules}, {@link KeyOrder}: conditions that every send must satisfy;
+ *   <li>{@link RetrySchedule}: when a message is retried;
+ *   <li>{@link EndpointAvailability}: when an endpoint may get a call, from {@link DestinationLimits} (rate limits and
+ *       retry-after periods), {@link OutageDetection}, {@link TransientFailures}, {@link RecoveryPace} and
+ *       {@link SlowStart};
+ *   <li>{@link CallTimeouts}, {@link ConnectionReuse}, {@link RateEstimates}: time-outs, connections and rates.
  * </ul>
  *
- * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send passes
- * {@link SendRules#permit}, every message that is given up ends in {@link #end}.
+ * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send is checked by
+ * {@link SendRules#permit}; every message that is given up goes through {@link #end}.
  */
 final class DeliveryPolicy implements DecisionModule {
     private final PolicyState state;
@@ -48,18 +49,21 @@
     private final CallDispatch dispatch;
     private final Admission admission;
     private final EndpointDirectory directory;
+    /** Messages without a final status or with a call in flight, by id. */
     private final Map<String, Message> messages = new LinkedHashMap<>();
+    /** Endpoints by host. */
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
+    /** Ordered keys with messages, or paused. */
     private final Map<String, OrderedKey> lines = new LinkedHashMap<>();
-    /** Messages to look at again, by time; each open message has an entry, so none is forgotten. */
+    /** Scheduled checks by time; every open message has one, so that none is missed at its deadline. */
     private final PriorityQueue<TimedCheck> dues =
             new PriorityQueue<>(Comparator.comparingLong(TimedCheck::at).thenComparingLong(TimedCheck::order));
 
     private long checksAdded;
-    /** When the host program gives the next timer, microseconds. */
+    /** When the next timer event is due. */
     private long wakeAt = NEVER;
 
-    /** Makes a module that knows no endpoint yet; {@code seed} starts its random numbers. */
+    /** Creates a module that knows no endpoints; {@code seed} is that of its random numbers. */
     DeliveryPolicy(Settings settings, long seed) {
         state = new PolicyState(settings, seed);
         SlowStart slowStart = new SlowStart(state);
@@ -120,7 +124,7 @@
         }
     }
 
-    /** Asks for a timer at that time, a round from now at the earliest, unless one comes by then. */
+    /** Requests a timer at the given time, but not within one round, unless one is due before. */
     private void wakeFor(long time) {
         long next = Math.max(time, state.now + state.settings.roundMicros());
         if (next < NEVER && (next < wakeAt || wakeAt <= state.now)) {
@@ -171,7 +175,7 @@
         return message;
     }
 
-    /** Takes over what an earlier process did with a message, and ends it if no attempt may follow. */
+    /** Restores the attempts made before a restart, and gives the message up if no further attempt is allowed. */
     private void resume(Message message, Prior prior) {
         message.attempts = prior.attempts();
         message.mayHaveRun = prior.mayHaveRun();
@@ -185,7 +189,7 @@
         }
     }
 
-    /** Ends messages whose deadline or window is over. */
+    /** Gives up messages whose deadline or repeat window has passed. */
     private void endOverdue() {
         while (!dues.isEmpty() && dues.peek().at() <= state.now) {
             check(dues.poll().message());
@@ -193,7 +197,7 @@
     }
 
     private void check(Message message) {
-        // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
+        // A call's outcome should be reported by the deadline; if it isn't, give the message up within the slack.
         long latestAnswerAt = message.deadline + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.forget(message);
@@ -227,18 +231,18 @@
         if (message.finished || event.over() || event.ending() == Ending.DELIVERED) {
             finish(message);
         } else if (event.ending() == Ending.REJECTED) {
-            // The design: a permanent failure ends a row at once.
+            // A permanent failure ends a series of attempts at once.
             state.actions.add(new Action.Fail(message.id));
             finish(message);
         } else if (event.ending() == Ending.WITHHELD && !endpoint.active) {
-            // Its endpoint is leaving and got nothing: another may have it now.
+            // The endpoint is draining and received nothing: another one may get the message without delay.
             state.enqueue(message);
         } else {
             retry(message);
         }
     }
 
-    /** Takes the message out of its call, and learns what the outcome tells of the endpoint. */
+    /** Removes the message from its call, and updates the state of the endpoint and its limit. */
     private void endAttempt(Message message, Event.Outcome event) {
         Endpoint endpoint = message.inFlightTo;
         Call call = message.call;
@@ -263,7 +267,7 @@
         }
     }
 
-    /** What a call tells of its limit and endpoint, by the first outcome of its messages. */
+    /** Updates the state of a limit and endpoint from the first outcome of a call. */
     private void learn(Endpoint endpoint, Event.Outcome event) {
         DestinationLimit limit = endpoint.limit;
         switch (event.ending()) {
@@ -280,7 +284,7 @@
         }
     }
 
-    /** Remembers the first attempt that may have taken effect without being known to. */
+    /** Records the message's first uncertain attempt. */
     private static void noteRisk(Message message, Endpoint endpoint, Ending ending) {
         boolean mayHaveRun = !ending.neverRan() && ending != Ending.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
@@ -290,12 +294,12 @@
         }
     }
 
-    /** Whether an attempt with this ending may still be running at its endpoint. */
+    /** Whether an attempt with this result may still be running at its endpoint. */
     private static boolean wasGivenUp(Ending ending) {
         return ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELED;
     }
 
-    /** The next try after a pause; or the end, at once, if none can come. */
+    /** Schedules the next attempt after a delay, or gives the message up at once if none is possible. */
     private void retry(Message message) {
         retries.pause(message);
         if (retries.hasWindow(message)) {
@@ -308,7 +312,7 @@
         }
     }
 
-    /** The one place that gives a message up: refused where that is harmless, else failed. */
+    /** The only place where a message is given up: refuses it if that is safe, else fails it. */
     private void end(Message message) {
         if (isHarmlessToRefuse(message)) {
             state.actions.add(new Action.Refuse(message.id, admission.comeBackAfter(message.queue)));
@@ -318,7 +322,7 @@
         finish(message);
     }
 
-    /** Whether the client may come again with the message: no attempt may have run, or a repeat does no harm. */
+    /** Whether the client may submit the message again: no attempt may have taken effect, or a repeat is harmless. */
     private static boolean isHarmlessToRefuse(Message message) {
         boolean mayRun = message.mayHaveRun || message.inFlightTo != null;
         Repeat repeat = message.messageClass.repeat();
@@ -326,7 +330,7 @@
         return !mayRun || repeat == Repeat.SAFE || keyedEverywhere;
     }
 
-    /** Marks a message as answered, and forgets it as soon as no attempt is in flight. */
+    /** Marks a message as finished, and removes it once no attempt is in flight. */
     private void finish(Message message) {
         if (!message.finished) {
             message.finished = true;
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -9,45 +9,46 @@
 import lilaclever.PolicyState.Endpoint;
 
 /**
- * Rate limits of destinations: told waits, the pace after a refusal as full (ten calls a second at most, until five
- * quiet seconds have passed), and telling a limit that is reached from a destination that is shut.
+ * Rate limits of destinations: retry-after periods, the throttled rate after a call was refused as full (at most ten
+ * calls a second, until five seconds without a refusal have passed), and distinguishing an exceeded limit from an
+ * unavailable destination.
  */
 final class DestinationLimits {
-    /** Calls a second at most to a limit that has refused as full (the design's). */
+    /** Highest rate to a throttled limit, calls a second. */
     private static final double MOST_THROTTLED_RATE = 10;
-    /** A limit is no longer throttled after so long without a refusal, microseconds (the design's). */
+    /** A limit is no longer throttled after this time without a refusal. */
     private static final long QUIET_SPAN = 5_000_000;
-    /** Slowest rate of a throttled limit, calls a second: a quarter of the first by each refusal in a row ... */
+    /** Lowest rate of a throttled limit, calls a second: at first this; divided by four by each further refusal ... */
     private static final double FIRST_LEAST_RATE = 0.5;
-    /** ... to an even share of the limit, and to this in the end. */
+    /** ... down to an even share of the limit, but no less than this. */
     private static final double LEAST_RATE = 0.02;
-    /** Most refusals in a row that divide the slowest rate by four. */
+    /** Most refusals that divide the lowest rate by four. */
     private static final int MOST_QUARTERINGS = 6;
-    /** The first slowest rate, in even shares: where the allowance is used up, and where no rate is told. */
+    /** Initial lowest rate, in even shares: if the allowance is used up, and if no rate is announced. */
     private static final double SHARES_IF_EXHAUSTED = 2, SHARES_IF_UNTOLD = 10;
-    /** Part of the told rate that the fleet keeps to while nothing of the allowance is left: so it fills again. */
+    /** Share of the announced rate that the fleet uses while nothing of the allowance is left, so that it refills. */
     private static final double PART_IF_EXHAUSTED = 0.7;
-    /** The slowest rate is no less than this part of the usual one: a limit may shrink, but seldom to nothing. */
+    /** Lower bound of the lowest rate, as a share of the usual rate: limits are seldom lowered to nearly nothing. */
     private static final double LEAST_PART_OF_USUAL = 0.5;
-    /** A refusal lowers the rate to this part of what was lately taken ... */
+    /** A refusal lowers the throttled rate to this share of the recent rate ... */
     private static final double PART_OF_RECENT = 0.8;
-    /** ... or of a rate that was not used up. */
+    /** ... or to this share of the throttled rate, if that wasn't used up. */
     private static final double PART_OF_RATE = 0.6;
-    /** Rate gained by a call delivered while throttled, calls a second: finds lost room again in a few seconds. */
+    /** Increase of the throttled rate by each delivered call, calls a second: recovers lost rate in a few seconds. */
     private static final double RATE_GAIN = 0.2;
-    /** Growth, in a second, of the rate that is kept to after a limit was throttled. */
+    /** Growth per second of the rate ceiling that applies after a limit was throttled. */
     private static final double CEILING_GROWTH = 1.1;
-    /** How long that rate is kept to, microseconds. */
+    /** How long the rate ceiling applies. */
     private static final long CEILING_SPAN = 15_000_000;
-    /** Refusals within this time lower the rate once, microseconds: they are one piece of news. */
+    /** Refusals within this time lower the rate only once, as they have the same cause. */
     private static final long REDUCTION_SPAN = 500_000;
-    /** Limits are in calls a second, so room comes back within about that; a longer wait means shut, microseconds. */
+    /** A retry-after from this length means unavailable; limits are per second, so their capacity returns sooner. */
     private static final long SHUT_WAIT = 2_500_000;
-    /** So many refusals in a row, over so many microseconds, mean shut rather than over the limit. */
+    /** So many refusals, over at least this time, mean unavailable rather than over the limit. */
     private static final long SHUT_REFUSALS = 4, SHUT_SPAN = 2_000_000;
-    /** How long an outage lasts at the least where this forwarder can't know it, microseconds. */
+    /** Assumed least length of an outage whose length this forwarder can't know. */
     private static final long LEAST_OUTAGE = 8_000_000;
-    /** Refusals, counted as those of an outage, from which calls keep to an outage's pace. */
+    /** Refusals counted as due to an outage from which calls are limited to the rate of an outage. */
     private static final int REFUSALS_AS_OUTAGE = 2;
 
     private final PolicyState state;
@@ -69,7 +70,7 @@
         this.recoveryPace = recoveryPace;
     }
 
-    /** Takes over what a destination reports of its limit, if it does; {@code report} may be null. */
+    /** Records a destination's report of its limit; {@code report} may be null. */
     void onReport(DestinationLimit limit, Report report) {
         if (report != null && report.perSecond() > 0) {
             limit.toldRate = report.perSecond();
@@ -78,7 +79,7 @@
         }
     }
 
-    /** Keeps a told wait, microseconds from now; 0 or less is none. */
+    /** Records a retry-after period, in microseconds from now; 0 or less is none. */
     void onWait(DestinationLimit limit, long waitMicros) {
         if (waitMicros > 0) {
             limit.waitUntil = Math.max(limit.waitUntil, state.now + waitMicros);
@@ -86,7 +87,7 @@
         }
     }
 
-    /** A call was delivered: the rate of a throttled limit grows, and refusals in a row end. */
+    /** A call was delivered: the throttled rate grows, and the counts of refusals are reset or halved. */
     void onDelivered(DestinationLimit limit) {
         limit.throttledRate += RATE_GAIN;
         limit.refusalsAsOutage = 0;
@@ -94,7 +95,7 @@
         limit.refusals /= 2;
     }
 
-    /** A call was refused as full, with a wait told (microseconds, 0 for none) and maybe a report (else null). */
+    /** A call was refused as full, with a retry-after period (0 for none) and a report of the limit (may be null). */
     void onRefused(DestinationLimit limit, Endpoint endpoint, long waitMicros, Report report) {
         countAsOutage(limit, report);
         if (state.now >= limit.throttledUntil) {
@@ -118,9 +119,10 @@
     }
 
     /**
-     * A full queue, a limit used up by refused calls and a shut one look alike to a forwarder that comes by once: the
-     * second refusal in a row, or the first with nothing left, sets the pace of an outage. Few forwarders see each
-     * destination often enough to tell an outage by its length.
+     * A full queue, a limit used up by refused calls and an unavailable destination look alike to a forwarder that
+     * calls only once: the second consecutive refusal, or the first with nothing left of the allowance, limits calls to
+     * the rate of an outage. The forwarders of a small fleet see each destination often enough to detect an outage by
+     * its length.
      */
     private void countAsOutage(DestinationLimit limit, Report report) {
         limit.exhausted = report != null && report.perSecond() > 0 && report.left() <= 0;
@@ -131,15 +133,16 @@
         }
     }
 
-    /** Refusals alone, none with a short wait, or a wait longer than any rate asks for: it is shut. */
+    /** Whether there were only refusals for some time, none with a short retry-after, or the retry-after is long. */
     private boolean isShut(DestinationLimit limit, long waitMicros) {
         boolean forLong = limit.refusals >= SHUT_REFUSALS && state.now - limit.failingSince >= SHUT_SPAN;
         return waitMicros >= SHUT_WAIT || forLong && limit.shortWaitAt < limit.failingSince;
     }
 
     /**
-     * It told all forwarders when it opens, and they must not all come then. What one saw of it is short of what it
-     * lasted. Holds for any fleet at a told time; a lone forwarder hardly waits.
+     * The destination told all forwarders when it will be available again, and they must not all call it at that time.
+     * What one forwarder has seen of the outage is shorter than its length. Applies to fleets of any size; a single
+     * forwarder hardly waits.
      */
     private void spreadReopening(DestinationLimit limit) {
         limit.failingFor = Math.max(LEAST_OUTAGE, limit.waitUntil - limit.failingSince);
@@ -153,14 +156,15 @@
         rates.decay(limit, endpoint);
         double most = limit.toldRate > 0 ? Math.min(limit.toldRate, MOST_THROTTLED_RATE) : MOST_THROTTLED_RATE;
         double least = assuredRate(limit);
-        // What was taken bounds it from below: with few messages to send it says little of the room.
+        // The recent rate is a lower bound: while few messages are sent, the throttled rate says little of the limit.
         double reduced = Math.max(PART_OF_RATE * limit.throttledRate, PART_OF_RECENT * limit.recentRate);
         limit.throttledRate = Math.max(least, Math.min(most, reduced));
     }
 
     /**
-     * Quiet seconds in which nothing could be sent say nothing: a limit is throttled for two calls at its rate. For one
-     * forwarder of a large fleet, which sends seldom, that is far longer than a burst.
+     * How long a limit is throttled from now: for at least two calls at its rate, as time without refusals means
+     * nothing if nothing could be sent. Not so in a large fleet, where each forwarder sends seldom, and that would be
+     * far longer than a burst.
      */
     private long throttledFor(DestinationLimit limit) {
         if (state.largeFleet) {
@@ -170,7 +174,7 @@
         return (long) Math.max(QUIET_SPAN, 2 * SECOND / rate);
     }
 
-    /** Calls a second that a throttled limit surely has for this forwarder: if all keep to it, they stay within it. */
+    /** Calls a second that a throttled limit is sure to accept from each forwarder, even if all send at this rate. */
     double assuredRate(DestinationLimit limit) {
         double share = rates.evenShare(limit);
         int quarterings = Math.min(Math.max(0, limit.refusals - 1), MOST_QUARTERINGS);
@@ -183,23 +187,23 @@
         if (limit.toldRate <= 0) {
             return SHARES_IF_UNTOLD;
         }
-        // Nothing at all left: refused calls use up the limit, and any more keep it at nothing.
+        // Nothing left means that refused calls use up the limit too, and more of them would keep it at nothing.
         return limit.allowanceLeft > 0 ? NEVER : SHARES_IF_EXHAUSTED;
     }
 
-    /** Calls a second that a limit gets after a refusal; {@link PolicyState#NEVER} on the ordinary path. */
+    /** Calls a second that a limit may get after a refusal; {@link PolicyState#NEVER} if it isn't restricted. */
     double allowedRate(DestinationLimit limit) {
         if (state.now < limit.throttledUntil) {
             return Math.min(MOST_THROTTLED_RATE, limit.throttledRate);
         }
-        // What waited must not come at once when it is no longer throttled: it would be refused again.
+        // Messages that waited must not all be sent when throttling ends: they would be refused again.
         long after = state.now - limit.throttledUntil;
         return limit.rateCeiling == 0 || after > CEILING_SPAN
                 ? NEVER
                 : limit.rateCeiling * Math.pow(CEILING_GROWTH, after / SECOND);
     }
 
-    /** When the limit takes a further call, microseconds: after its told wait, and at its pace after refusals. */
+    /** When the limit may get another call, microseconds: after the retry-after period, at the rate after refusals. */
     long readyAt(DestinationLimit limit) {
         long waitOver = Math.max(limit.waitUntil, limit.reopensAt);
         return Math.max(waitOver, Math.max(readyAfterThrottling(limit), readyInOutage(limit)));
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -7,11 +7,11 @@
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 
-/** When an endpoint takes a further call: as its limit, its health and the slots that calls to it may occupy allow. */
+/** When an endpoint may get another call: by its limit, its health and its share of the slots. */
 final class EndpointAvailability {
-    /** Part of the slots that calls to one limit may occupy: one that hangs leaves room for the rest. */
+    /** Share of the slots that calls to one limit may use, so that a hanging one leaves slots for the others. */
     private static final double SLOT_PART_OF_LIMIT = 0.6;
-    /** Part of the slots that calls to all stalled endpoints together may occupy. */
+    /** Share of the slots that calls to all stalled endpoints together may use. */
     private static final double SLOT_PART_OF_STALLED = 0.3;
 
     private final PolicyState state;
@@ -40,8 +40,9 @@
     }
 
     /**
-     * When the endpoint takes a further call, microseconds on the module's clock: after its limit's wait and at its
-     * pace, and at its own after an outage. {@link PolicyState#NEVER} while that hangs on a call that is in flight.
+     * When the endpoint may get another call, microseconds on the module's clock: after the retry-after period and at
+     * the rate of its limit, and at the recovery rate in and after an outage. {@link PolicyState#NEVER} while that
+     * depends on a call in flight.
      */
     long readyAt(Endpoint endpoint) {
         if (!hasSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveSlot()) {
@@ -53,7 +54,7 @@
             return limitReadyAt;
         }
         long healthyAt = endpoint.lastSentAt + (long) (SECOND / rate);
-        // The pace of slow start is at its slowest now: at its end the endpoint is free.
+        // The rate of slow start only grows, and at its end the endpoint is unrestricted.
         boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.refusingConnections;
         long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAt(endpoint)) : healthyAt;
         return Math.max(limitReadyAt, readyAt);
@@ -64,7 +65,7 @@
         return limit.callsInFlight < Math.max(1, (int) Math.ceil(SLOT_PART_OF_LIMIT * slots));
     }
 
-    /** A call is in flight whose outcome decides: a trial in an outage, or a connect where few are taken. */
+    /** Whether to await the outcome of a call in flight: a trial in an outage, or a connect where few are accepted. */
     private boolean awaitsOutcome(Endpoint endpoint) {
         if (endpoint.callsInFlight == 0) {
             return false;
@@ -83,14 +84,15 @@
     }
 
     /**
-     * Calls here occupy slots and deliver little: an outage, a time-out, slow answers, or a call in flight for long.
-     * All such endpoints share a part of the slots. Guards against several that hang or crawl at once and starve the
-     * rest; measured against the forwarder's usual answer time, so where all are slow none is stalled.
+     * Whether calls to the endpoint use slots but deliver little: it is in an outage, times out, answers slowly or has
+     * had a call in flight for long. All such endpoints share a part of the slots, so that several that hang or are
+     * slow at once don't starve the others. Slow is relative to the mean over all destinations: if all are slow, none
+     * is stalled.
      */
     private boolean isStalled(Endpoint endpoint) {
         double slow = timeouts.slowAnswerTime();
         for (Call call : endpoint.calls) {
-            // A call that hangs while later ones come back says nothing of the endpoint.
+            // A call that hangs while later ones are delivered says nothing of the endpoint.
             boolean latest = call.sentAt > endpoint.lastDeliveredSentAt;
             if (state.usualAnswerTime > 0 && latest && state.now - call.sentAt > slow) {
                 return true;
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -13,11 +13,11 @@
 import lilaclever.PolicyState.DestinationQueue;
 import lilaclever.PolicyState.Endpoint;
 
-/** The list of endpoints as the platform has told it, and when the platform is asked for changes of it. */
+/** The endpoint list as received from the directory, and when to request changes of it. */
 final class EndpointDirectory {
-    /** A rough rate in the list is at most so many times the true one. */
+    /** Divisor of approximate rates in the list, which are at most this multiple of the true ones. */
     private static final double MOST_ROUGH_FACTOR = 1.5;
-    /** Pause before asking again after a refusal, microseconds; doubled by each. */
+    /** Shortest and longest delay before another watch request after a refused one; each refusal doubles the delay. */
     private static final long FIRST_ASK_PAUSE = 400_000, LAST_ASK_PAUSE = 4_000_000;
 
     private final PolicyState state;
@@ -26,23 +26,23 @@
     private long askAt = NEVER;
     private long askPause = FIRST_ASK_PAUSE;
 
-    /** {@code endpoints}: where endpoints are remembered by host while they are listed or calls are in flight there. */
+    /** {@code endpoints} holds the endpoints that are listed or have calls in flight, by host; it is updated here. */
     EndpointDirectory(PolicyState state, Map<String, Endpoint> endpoints) {
         this.state = state;
         this.endpoints = endpoints;
     }
 
-    /** When the platform is to be asked for changes, microseconds; {@link PolicyState#NEVER} if it need not be. */
+    /** When to request changes of the list, microseconds; {@link PolicyState#NEVER} if that isn't necessary. */
     long askAt() {
         return askAt;
     }
 
-    /** Notes that the platform is being asked. */
+    /** Changes of the list are being requested. */
     void onAsked() {
         askAt = NEVER;
     }
 
-    /** Takes over news of the list, or that the platform has refused to tell it. */
+    /** Applies a list or changes of it, or schedules another request if the directory refused one. */
     void onListing(Event.Listing listing) {
         if (!started) {
             started = true;
@@ -58,17 +58,17 @@
             endpoints.values().forEach(endpoint -> endpoint.active = false);
         }
         listing.entries().forEach(this::take);
-        // A route that is listed again soon must still know its wait.
+        // An endpoint that is listed again within its retry-after period must keep it.
         endpoints
                 .values()
                 .removeIf(each ->
                         !each.active && each.callsInFlight == 0 && each.limit.waitUntil <= state.now && detach(each));
     }
 
-    /** The directory may be busy with every forwarder's call: ask later and later, spread by chance. */
+    /** Schedules another request with exponential backoff and jitter: all forwarders may be requesting at once. */
     private void askLater() {
         askAt = state.settings.askForList() ? state.now + (long) (askPause * state.randomFactor()) : NEVER;
-        // Half the time after which the rules take a forwarder that does not ask as told, spread included.
+        // With jitter, at most half the time after which the rules treat a forwarder that doesn't ask as informed.
         long longest = Math.min(LAST_ASK_PAUSE, state.settings.rules().askWithinMicros() / 3);
         askPause = Math.min(askPause * 2, longest);
     }
@@ -76,7 +76,7 @@
     private void take(Entry entry) {
         Endpoint endpoint = endpoints.get(entry.host());
         if (endpoint != null && endpoint.queue != state.queues.get(entry.destination())) {
-            // It serves another destination now, and is a new endpoint there. Calls in flight keep the old one.
+            // The host now serves another destination, as a new endpoint. Calls in flight keep the old one.
             detach(endpoint);
             endpoints.remove(entry.host());
             endpoint = null;
@@ -95,7 +95,7 @@
     private void takeRate(DestinationLimit limit, double weight) {
         Weights weights = state.settings.weights();
         if (weights != Weights.NONE && weight > 0 && !limit.rateReported) {
-            // A rough figure may be half too high; what the destination reports itself is better.
+            // An approximate rate may be too high by half; one that the destination reports itself takes precedence.
             limit.toldRate = weight / (weights == Weights.ROUGH ? MOST_ROUGH_FACTOR : 1);
         }
     }
@@ -119,7 +119,7 @@
         return endpoint;
     }
 
-    /** A new endpoint starts with the outage, slow start and pace of the others of its limit. */
+    /** Gives a new endpoint the outage, slow start and last send time of the others of its limit. */
     private void takeOverHealth(Endpoint endpoint) {
         for (Endpoint each : endpoint.limit.endpoints) {
             endpoint.inOutage |= each.inOutage;
@@ -127,14 +127,14 @@
             endpoint.lastSentAt = Math.max(endpoint.lastSentAt, each.lastSentAt);
         }
         if (state.largeFleet && endpoint.limit.failingSince > 0) {
-            // A new host is no way round an outage, whatever it looked like, even if the old one has left the list:
-            // all forwarders hear of it at once, and would send what they hold.
+            // A new host doesn't end an outage of the destination, even if the old one has left the list: all
+            // forwarders learn of it at once, and would send all pending messages.
             endpoint.refusingConnections = true;
             endpoint.lastSentAt = state.now;
         }
     }
 
-    /** Takes an endpoint out of its destination. */
+    /** Removes an endpoint from its destination and limit. */
     private static boolean detach(Endpoint endpoint) {
         endpoint.active = false;
         return endpoint.queue.endpoints.remove(endpoint) && endpoint.limit.endpoints.remove(endpoint);
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -13,25 +13,26 @@
 import lilaclever.PolicyState.SendCandidate;
 
 /**
- * Which message of a destination goes next, and to which of its endpoints: the one that is worth most for the time that
- * it takes a slot, to the endpoint with the fewest calls, in the own zone and with an idle connection if possible.
+ * Which message of a destination is sent next, and to which of its endpoints: the message of the highest value for the
+ * time that it uses a slot, to the endpoint with the fewest calls, preferably in the own zone and with an idle
+ * connection.
  */
 final class EndpointSelection {
-    /** Messages looked at for one send: bounds the work of a long queue. */
+    /** Most messages considered for one send: bounds the work for a long queue. */
     private static final int MOST_MESSAGES_CONSIDERED = 500;
-    /** What a message at the end of its aim is preferred by over a fresh one. */
+    /** Share by which the value of a message at its aim exceeds that of a new one. */
     private static final double PREFERENCE_AT_AIM = 0.5;
-    /** Factor on the worth of a keyed message that may have run: its window is running, and later is too late. */
+    /** Factor on the value of a keyed message with an uncertain attempt, since its repeat window is passing. */
     private static final double FACTOR_IN_WINDOW = 4;
-    /** Factors on the worth of messages that a failing call may lose, at endpoints that fail or hang. */
+    /** Factors on the value of messages that a failed call may lose, at endpoints that fail or time out. */
     private static final double FACTOR_IF_UNSAFE = 0.01, FACTOR_IF_KEYED = 0.5;
-    /** Least time that a call is taken to occupy a slot, microseconds. */
+    /** Shortest time that a call is assumed to use a slot. */
     private static final long LEAST_SLOT_TIME = 1_000;
-    /** Costs of an endpoint, in calls that are in flight there: in another zone, ... */
+    /** Cost of an endpoint in another zone, in calls in flight. */
     private static final double OTHER_ZONE_COST = 1;
-    /** ... without an idle connection, ... */
+    /** Cost of an endpoint without an idle connection, in calls in flight. */
     private static final double CONNECT_COST = 0.75;
-    /** ... and where the message's last attempt went. */
+    /** Cost of the endpoint of the message's last attempt, in calls in flight. */
     private static final double SAME_ENDPOINT_COST = 0.5;
 
     private final PolicyState state;
@@ -39,7 +40,7 @@
     private final RetrySchedule retries;
     private final EndpointAvailability availability;
     private final SendRules rules;
-    /** Waiting messages that were found to have no chance left, until they are taken out. */
+    /** Waiting messages that can't be delivered in time, until the caller has given them up. */
     private final List<Message> hopeless = new ArrayList<>();
 
     EndpointSelection(
@@ -56,8 +57,9 @@
     }
 
     /**
-     * Selects what may go from the queue now; null if nothing may. Lowers the queue's {@code nextCheckAt} to the time
-     * from which something may that can't now, and notes messages for which that is too late.
+     * Selects the message of the queue to send now and its endpoint; null if none can be sent. Lowers the queue's
+     * {@link DestinationQueue#nextCheckAt} to the time at which one may become sendable, and collects the messages for
+     * which that is too late.
      */
     SendCandidate select(DestinationQueue queue) {
         List<Endpoint> ready = new ArrayList<>();
@@ -68,7 +70,7 @@
         return best(queue, ready);
     }
 
-    /** Collects endpoints that take a call now; gives the time from which one does or may turn out to do. */
+    /** Collects the endpoints that may get a call now; returns from when one may, or may turn out to. */
     private long findReady(DestinationQueue queue, List<Endpoint> ready) {
         long soonest = NEVER;
         for (Endpoint endpoint : queue.endpoints) {
@@ -84,8 +86,9 @@
     }
 
     /**
-     * Nothing may go before {@code soonest}, and no call is in flight whose outcome could change that: clients of
-     * messages whose time is up by then are told now, and may find a forwarder that is not throttled.
+     * Collects the messages that expire before {@code soonestMicros}, before which nothing may be sent; no call is in
+     * flight whose outcome could change that. Their clients are answered now, and may find a forwarder that isn't
+     * throttled.
      */
     private void noteHopeless(DestinationQueue queue, long soonest) {
         for (Message message : queue.waiting) {
@@ -95,12 +98,12 @@
         }
     }
 
-    /** Messages without a chance left, noted since {@link #clearHopeless}: the caller ends them. */
+    /** Returns the undeliverable messages found since {@link #clearHopeless}; the caller gives them up. */
     List<Message> hopeless() {
         return hopeless;
     }
 
-    /** Forgets the messages of {@link #hopeless}. */
+    /** Clears the collected undeliverable messages. */
     void clearHopeless() {
         hopeless.clear();
     }
@@ -125,7 +128,7 @@
         return best;
     }
 
-    /** The message as a candidate if it may go and ranks higher than {@code best}, which may be null; else that. */
+    /** Returns the message as a candidate if it can be sent and ranks higher than {@code best}; else {@code best}. */
     private SendCandidate better(Message message, List<Endpoint> ready, SendCandidate best) {
         Endpoint endpoint = choose(message, ready);
         if (endpoint == null) {
@@ -135,7 +138,7 @@
         return best == null || rank > best.rank() ? new SendCandidate(message, endpoint, rank) : best;
     }
 
-    /** The endpoint of least cost that the message may go to; the first of equal ones, null if there is none. */
+    /** Returns the endpoint of lowest cost that the message may be sent to; the first of equal ones, or null. */
     Endpoint choose(Message message, List<Endpoint> ready) {
         Endpoint best = null;
         double least = 0;
@@ -159,7 +162,7 @@
                 + (message.lastEndpoint == endpoint ? SAME_ENDPOINT_COST : 0);
     }
 
-    /** Worth of a message at an endpoint for the time that it takes a slot, in worth per microsecond. */
+    /** Value of sending a message to an endpoint now, per microsecond that the call is expected to use a slot. */
     double rank(Message message, Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
         Repeat repeat = message.messageClass.repeat();
@@ -168,15 +171,15 @@
             worth *= FACTOR_IN_WINDOW;
         }
         if ((endpoint.inOutage || endpoint.timingOut) && repeat != Repeat.SAFE && !message.mayHaveRun) {
-            // A call that fails may have run. Try a failing endpoint with what can be repeated.
+            // A failed call may have taken effect: prefer messages that can be repeated for a failing endpoint.
             worth *= repeat == Repeat.UNSAFE ? FACTOR_IF_UNSAFE : FACTOR_IF_KEYED;
         }
         return worth / Math.max(LEAST_SLOT_TIME, limit.answerTime > 0 ? limit.answerTime : state.usualAnswerTime);
     }
 
     /**
-     * What a message is worth if it goes now, and a little more the closer its aim is. Where more waits than goes, what
-     * is late already must not make all that is fresh late too.
+     * Value of a message if it is sent now, with a bonus that grows until its aim. Where more messages wait than can be
+     * sent, those already late must not make all new ones late too.
      */
     private double worthNow(Message message) {
         MessageClass kind = message.messageClass;
--- a/src/main/java/lilaclever/KeyOrder.java
+++ b/src/main/java/lilaclever/KeyOrder.java
@@ -5,20 +5,20 @@
 import lilaclever.PolicyState.OrderedKey;
 
 /**
- * The order of messages of one key, in classes that keep one: only the first of a key is sent, and after an attempt
- * that was given up no other for a while, as that attempt may still be running.
+ * Order of messages with the same key, in ordered classes: only the first one of a key may be sent, and after an
+ * attempt was given up no other one for some time, as that attempt may still be running.
  */
 final class KeyOrder {
     private final PolicyState state;
     private final Map<String, OrderedKey> keys;
 
-    /** {@code keys}: where keys are remembered while messages of theirs are open or their pause lasts. */
+    /** {@code keys} holds the keys that have open messages or are paused; it is updated here. */
     KeyOrder(PolicyState state, Map<String, OrderedKey> keys) {
         this.state = state;
         this.keys = keys;
     }
 
-    /** Puts a message behind all others of its key. */
+    /** Adds a message behind all others of its key. */
     void add(Message message, String key) {
         message.orderedKey = keys.computeIfAbsent(key, k -> new OrderedKey());
         message.orderedKey.messages.add(message);
@@ -41,7 +41,7 @@
         message.orderedKey.pauseExempt = message;
     }
 
-    /** Takes a finished message out of its key, if it has one. */
+    /** Removes a finished message from its key, if it has one. */
     void remove(Message message) {
         if (message.orderedKey != null) {
             message.orderedKey.messages.remove(message);
@@ -49,7 +49,7 @@
         forget(message);
     }
 
-    /** Forgets the message's key if nothing of it is left and its pause is over. */
+    /** Removes the message's key if it has no messages left and its pause is over. */
     void forget(Message message) {
         OrderedKey key = message.orderedKey;
         if (key != null && key.messages.isEmpty() && key.pausedUntil <= state.now) {
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -5,28 +5,28 @@
 import lilaclever.PolicyState.Endpoint;
 
 /**
- * The circuit breaker: tells an outage of an endpoint from single failures, and ends it with a delivery. Health is the
- * endpoint's, as one may be bad alone; failures at several of a limit, nothing delivered between, speak of all. May
- * hurt where all endpoints fail with successes between.
+ * Circuit breaker: distinguishes an outage of an endpoint from single failures, and ends it at the first delivery. Each
+ * endpoint has its own health, as one may fail alone; failures at several endpoints of a limit without a delivery in
+ * between count for all of these. May be slow to detect that all endpoints fail if there are deliveries in between.
  */
 final class OutageDetection {
-    /** First pause between trial calls in an outage, microseconds. */
+    /** First interval between trial calls in an outage. */
     static final long FIRST_TRIAL_PAUSE = 500_000;
-    /** Longest pause between trial calls in an outage, microseconds. */
+    /** Longest interval between trial calls in an outage. */
     private static final long LAST_TRIAL_PAUSE = 2_000_000;
-    /** Hard failures in a row that mean an outage. */
+    /** Consecutive hard failures that mean an outage. */
     private static final int FAILURES_IN_ROW = 4;
-    /** The same by all forwarders together: many forwarders see fewer each. */
+    /** The same seen by all forwarders together; in a large fleet each sees fewer. */
     private static final int FAILURES_IN_FLEET = PolicyState.LARGE_FLEET;
-    /** Weight of one outcome in the share that fails. */
+    /** Weight of one outcome in the share of failures. */
     private static final double OUTCOME_WEIGHT = 0.1;
-    /** Share failing from which an endpoint is in an outage: half, and chance. */
+    /** Share of failures that means an outage: half, plus random variation. */
     private static final double OUTAGE_SHARE = 0.65;
-    /** Share failing from which slow start begins anew, and the most that is remembered after an outage. */
+    /** Share of failures from which slow start begins again, and the highest one retained after an outage. */
     private static final double UNHEALTHY_SHARE = 0.5;
-    /** A connect that fails before this part of its time-out was turned away; later, nothing was there. */
+    /** A connect that fails before this share of its time-out was rejected by the host; later, there was no host. */
     private static final double CONNECT_PART = 0.9;
-    /** An endpoint is passed over for so long after the second hard failure, microseconds; each further doubles it. */
+    /** How long an endpoint gets no calls after the second consecutive hard failure; each further one doubles it. */
     private static final long FIRST_AVOIDANCE = 500_000;
 
     private static final int MOST_DOUBLINGS = 2;
@@ -50,7 +50,7 @@
         this.connections = connections;
     }
 
-    /** A call was delivered: failures in a row end, and so does an outage. */
+    /** A call was delivered: resets the counts of consecutive failures and ends an outage. */
     void onDelivered(DestinationLimit limit, Endpoint endpoint) {
         limit.failingSince = 0;
         limit.failuresInRow = 0;
@@ -64,7 +64,7 @@
         endpoint.failingSince = 0;
         endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
         if (returned) {
-            // Back from an outage, or from connects that failed for long: it is cold now.
+            // It recovered from an outage or a long series of failed connects, and hasn't its full capacity yet.
             endpoint.inOutage = false;
             slowStart.begin(endpoint);
             endpoint.failureShare = Math.min(endpoint.failureShare, UNHEALTHY_SHARE);
@@ -72,21 +72,22 @@
         endpoint.trialPause = FIRST_TRIAL_PAUSE;
     }
 
-    /** Notes that a limit has just refused or failed: since when it does, and a new spread of the pace. */
+    /** Records a refusal or failure: since when the limit has trouble, and a new random divisor of its outage rate. */
     void noteTrouble(DestinationLimit limit) {
         limit.failingSince = limit.failingSince == 0 ? state.now : limit.failingSince;
         limit.failingFor = state.now - limit.failingSince;
-        // A burst that was refused together comes again apart.
+        // Spreads the retries of a burst that was refused at once.
         limit.paceSpread = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
 
-    /** A call failed hard, {@code elapsed} microseconds after it was sent. */
+    /** A call failed hard, the given time after it was sent. */
     void onFailure(DestinationLimit limit, Endpoint endpoint, Ending reported, long elapsed) {
-        // What was given up for want of an answer has timed out too.
+        // A call that was cancelled because no answer came has timed out as well.
         Ending ending = reported == Ending.CANCELED ? Ending.TIMED_OUT : reported;
         noteTrouble(limit);
         endpoint.failuresInRow++;
-        // One that has no room for a connection is there; if it says only that for long, it may be shut.
+        // An endpoint that answers that it has too many connections is running; if it answers only that for long, it
+        // may be in an outage.
         boolean isThere =
                 ending == Ending.NO_ROOM && (endpoint.failingSince == 0 || transientFailures.isBrief(endpoint));
         if (!isThere) {
@@ -132,7 +133,8 @@
 
     private void onTimeout(DestinationLimit limit, Endpoint endpoint) {
         if (endpoint.failuresInRow > 1) {
-            // All are slow: wait longer. A part that hangs while others answer must not hold slots longer.
+            // All calls are slow: wait longer. If only some hang while others are answered, they must not use slots
+            // longer.
             timeouts.lengthen(limit);
         }
         endpoint.timingOut |= endpoint.failuresInRow > 1 || !transientFailures.callsOftenLost();
@@ -144,8 +146,9 @@
     }
 
     private void noteRefusedConnection(Endpoint endpoint, Ending ending) {
-        // One that took a call just now and turns the next away is full, not down: a busy one must not be left alone
-        // for it. In an outage this ends with the fourth failure in a row, or three seconds in.
+        // An endpoint that accepted a call just now and rejects the next connect is full, not down: a busy one must
+        // still get calls. In an outage this exemption ends with the fourth consecutive failure, or after three
+        // seconds.
         boolean busy = transientFailures.isBriefSince(endpoint.lastDeliveredSentAt)
                 && endpoint.failuresInRow < FAILURES_IN_ROW;
         endpoint.refusingConnections |= state.largeFleet && ending == Ending.NO_CONNECTION && !busy;
@@ -167,7 +170,7 @@
         }
     }
 
-    /** Begins an outage of the endpoint, or goes on with it; the pause between trial calls grows by half. */
+    /** Begins an outage of the endpoint, or continues it and lengthens the interval between trial calls by half. */
     void beginOutage(Endpoint endpoint) {
         long longer = endpoint.trialPause * (endpoint.inOutage ? 3 : 2) / 2;
         endpoint.trialPause = Math.min(LAST_TRIAL_PAUSE, longer);
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -12,44 +12,45 @@
 import lilaclever.DecisionModule.Settings;
 
 /**
- * What the parts of the decision module share: the settings in force, the present time, the random numbers, what waits
- * and what is in flight; and the types of what is remembered of messages, calls, endpoints and limits. It decides
- * nothing. Times are microseconds on the module's clock, rates are calls a second.
+ * State shared by the classes of the decision module: the current settings and time, the random numbers, the queues and
+ * the calls in flight; and the types that hold the state of messages, calls, endpoints and limits. It makes no
+ * decisions. Instants are on the module's clock, rates are calls a second.
  */
 final class PolicyState {
-    /** A time that never comes, microseconds; as a rate: unlimited. */
+    /** As an instant in microseconds: never; as a rate: unlimited. */
     static final long NEVER = Long.MAX_VALUE / 4;
-    /** A time in the past that lies before all others, microseconds. */
+    /** An instant before all others, microseconds. */
     static final long LONG_AGO = Long.MIN_VALUE / 4;
-    /** Microseconds in a second. */
     static final double SECOND = 1_000_000;
-    /** Fleets of more forwarders than this are large. */
+    /** A fleet with more forwarders than this is large. */
     static final int LARGE_FLEET = 16;
-    /** Range of a random factor: what failed or was refused together comes again apart (the design's). */
+    /** Range of the jitter factor, which spreads the retries of what failed or was refused at the same time. */
     private static final double LEAST_FACTOR = 0.5, MOST_FACTOR = 1.5;
 
-    /** So many forwarders that each sees a destination too seldom to tell an outage by itself. */
+    /** Whether there are so many forwarders that each calls a destination too seldom to detect an outage by itself. */
     final boolean largeFleet;
-    /** All chance of the module; the order of the draws is part of its behaviour. */
+    /** The only source of randomness in the module; the order of draws is part of its behaviour. */
     final SplittableRandom random;
-    /** By destination, in the order first heard of. */
+    /** By destination, in the order in which destinations became known. */
     final Map<Integer, DestinationQueue> queues = new LinkedHashMap<>();
-    /** Queues with messages that wait, and calls that are in flight: work follows these, not all that is known. */
+    /**
+     * Queues with waiting messages. A round iterates over these and over calls in flight, not over all destinations.
+     */
     final LinkedHashSet<DestinationQueue> queuesWaiting = new LinkedHashSet<>();
-
+    /** Calls in flight. */
     final LinkedHashSet<Call> calls = new LinkedHashSet<>();
     Settings settings;
-    /** The time of the present round. */
+    /** Time of the current round. */
     long now;
-    /** When all calls must have come back, as the program ends. */
+    /** When every call must have ended, since the program is stopping. */
     long stopAt = NEVER;
-    /** What the host program must do; a new list for each round. */
+    /** Actions of the current round; a new list for each round. */
     List<Action> actions = new ArrayList<>();
-    /** Calls in flight, each in one of the slots of the settings. */
+    /** Number of calls in flight; each uses one slot. */
     int slotsInUse;
-    /** Messages without a final answer. */
+    /** Number of messages without a final status. */
     int openMessages;
-    /** Mean time of a delivered call over all destinations; 0 while there was none. */
+    /** Mean response time of delivered calls over all destinations; 0 before the first. */
     double usualAnswerTime;
 
     PolicyState(Settings settings, long seed) {
@@ -58,18 +59,18 @@
         this.largeFleet = settings.relays() > LARGE_FLEET;
     }
 
-    /** Draws a random factor from 0.5 to 1.5. */
+    /** Draws a jitter factor from 0.5 to 1.5. */
     double randomFactor() {
         return LEAST_FACTOR + (MOST_FACTOR - LEAST_FACTOR) * random.nextDouble();
     }
 
-    /** Has a message wait at the end of its destination's queue. */
+    /** Adds a message to the end of its destination's queue. */
     void enqueue(Message message) {
         message.queue.waiting.add(message);
         queuesWaiting.add(message.queue);
     }
 
-    /** Takes a message out of its destination's queue. */
+    /** Removes a message from its destination's queue. */
     void dequeue(Message message) {
         message.queue.waiting.remove(message);
         if (message.queue.waiting.isEmpty()) {
@@ -77,74 +78,75 @@
         }
     }
 
-    /** A message to look at again at a time; {@code order} keeps equal times in the order in which they were added. */
+    /** A scheduled check of a message; {@code sequence} keeps checks at equal times in the order added. */
     record TimedCheck(long at, long order, Message message) {}
 
-    /** A message that may go to an endpoint now; the highest rank goes first. */
+    /** A message that may be sent to an endpoint now; candidates are sent by descending rank. */
     record SendCandidate(Message message, Endpoint endpoint, double rank) {}
 
-    /** A call that is in flight, with the messages that it carries. */
+    /** A call in flight, with the messages that it carries. */
     static final class Call {
         final List<Message> messages = new ArrayList<>(1);
         Endpoint endpoint;
-        /** The host program was asked to give it up. */
+        /** The host program was told to give it up. */
         boolean cancelled;
-        /** Messages whose outcome has not come yet. */
+        /** Number of its messages whose outcome hasn't been reported yet. */
         int outcomesDue;
 
         long sentAt;
-        /** The outcome of one of its messages has come; those of the others tell nothing new of the endpoint. */
+        /** An outcome of it was reported; those of its other messages say nothing new of the endpoint. */
         boolean outcomeSeen;
     }
 
-    /** The messages of one key, in the order accepted. */
+    /** Ordered key: its messages in the order accepted. */
     static final class OrderedKey {
         final ArrayDeque<Message> messages = new ArrayDeque<>();
-        /** Until then only {@link #pauseExempt} may be sent: an attempt that was given up may still be running. */
+        /** Until then only {@link #pauseExempt} may be sent, as an attempt that was given up may still be running. */
         long pausedUntil;
 
         Message pauseExempt;
     }
 
-    /** A destination: the messages that wait for it, and its endpoints. */
+    /** A destination: its waiting messages and its endpoints. */
     static final class DestinationQueue {
         final LinkedHashSet<Message> waiting = new LinkedHashSet<>();
         final List<Endpoint> endpoints = new ArrayList<>();
-        /** The limit of all endpoints, or of the latest one where endpoints are routes with limits of their own. */
+        /** The limit that all endpoints share; where each has its own, that of the endpoint added last. */
         DestinationLimit sharedLimit;
-        /** When a message of this queue may be able to go that can't now. */
+        /** Earliest time at which a message of this queue that can't be sent now may become sendable. */
         long nextCheckAt;
     }
 
-    /** A message that has no final answer yet, or whose call is still in flight. */
+    /** A message that has no final status yet, or whose call is still in flight. */
     static final class Message {
         final String id;
         final MessageClass messageClass;
         DestinationQueue queue;
-        /** Null where the class keeps no order. */
+        /** Null if the message isn't ordered. */
         OrderedKey orderedKey;
 
         String key;
         double worth;
         long acceptedAt, deadline;
-        /** The end of the pause before its next attempt. */
+        /** End of the delay before its next attempt. */
         long notBefore;
 
         int attempts;
-        /** Where its attempt is in flight; null while it waits. */
+        /** Endpoint of the attempt in flight; null if there is none. */
         Endpoint inFlightTo;
 
         Endpoint lastEndpoint;
         Call call;
         long sentAt;
-        /** An attempt may have taken effect; the first of these was sent at that time to that zone. */
+        /** An attempt is uncertain: it may have taken effect, but isn't known to have. */
         boolean mayHaveRun;
-
+        /** When the first uncertain attempt was sent. */
         long mayHaveRunSince;
+        /** Zone of the endpoint of the first uncertain attempt. */
         int mayHaveRunZone;
-        /** Its final answer was given. */
+        /** It has its final status. */
         boolean finished;
-        /** It was accepted by an earlier process. */
+        /** It was accepted before a restart. */
         boolean resumed;
 
         Message(String id, MessageClass messageClass) {
@@ -153,42 +155,42 @@
         }
     }
 
-    /** A host that serves a destination. */
+    /** A host that accepts calls for a destination. */
     static final class Endpoint {
         final String host;
         final DestinationQueue queue;
         final DestinationLimit limit;
         final int zone, kind, batch;
-        /** Since when each idle connection to it has been idle, the longest first. */
+        /** Since when each idle connection to it has been idle, the oldest first. */
         final ArrayDeque<Long> idleSince = new ArrayDeque<>();
 
         final LinkedHashSet<Call> calls = new LinkedHashSet<>();
-        /** Listed, and not being drained. */
+        /** Listed and not draining. */
         boolean active;
-        /** Its last calls ran into their time-out. */
+        /** Its last calls timed out. */
         boolean timingOut;
-        /** Its connects fail in a large fleet: calls keep to the pace of an outage. */
+        /** Connects to it fail, in a large fleet: calls are limited to the rate of an outage. */
         boolean refusingConnections;
 
         int callsInFlight;
         long lastSentAt = LONG_AGO;
-        /** When the latest call that was delivered had been sent. */
+        /** Latest time at which a call was sent that was later delivered. */
         long lastDeliveredSentAt = LONG_AGO;
 
         int failuresInRow;
-        /** Moving share of outcomes that are hard failures, 0 to 1. */
+        /** Moving average share of hard failures among outcomes, 0 to 1. */
         double failureShare;
-        /** It is passed over until then. */
+        /** It gets no calls until then. */
         long avoidUntil;
-        /** The first failure since the last delivery; 0 where there is none. */
+        /** Time of the first failure since the last delivery; 0 if there is none. */
         long failingSince;
-        /** Index of the kind of failure seen last, in the statistics of transient failures. */
+        /** Category of the last failure, an index into the statistics of {@link TransientFailures}. */
         int failureCause;
 
         boolean inOutage;
-        /** Pause between trial calls in an outage. */
+        /** Interval between trial calls in an outage. */
         long trialPause;
-        /** Start of slow start; 0 where it never came back from an outage. */
+        /** Start of the last slow start; 0 if there was none. */
         long slowStartFrom;
 
         Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int batch) {
@@ -201,57 +203,57 @@
         }
     }
 
-    /** What takes so many calls a second: a destination, or one endpoint where endpoints are routes apart. */
+    /** A rate limit and what is known of it: of a destination, or of one endpoint where each has its own. */
     static final class DestinationLimit {
         final List<Endpoint> endpoints = new ArrayList<>();
         int callsInFlight;
         long lastSentAt = LONG_AGO;
-        /** End of the wait that it told; nothing is sent before. */
+        /** End of the retry-after period; nothing is sent before. */
         long waitUntil;
-        /** A spread time after a long told wait; nothing is sent before. */
+        /** A random time after a long retry-after period; nothing is sent before. */
         long reopensAt;
-        /** It refused as full: calls keep to {@link #throttledRate} until then. */
+        /** It refused a call as full: calls are limited to {@link #throttledRate} until then. */
         long throttledUntil;
 
         double throttledRate;
-        /** Rate kept to for a while after it was throttled, growing; 0 where it never was. */
+        /** Initial value of a growing rate limit for some time after it was throttled; 0 if it never was. */
         double rateCeiling;
-        /** When it last told a wait that is too short to mean that it is shut. */
+        /** When it last sent a retry-after that is too short to mean that it is unavailable. */
         long shortWaitAt = LONG_AGO;
-        /** When a refusal last reduced the rate. */
+        /** When a refusal last reduced its throttled rate. */
         long reducedAt = LONG_AGO;
-        /** Random divisor of the pace in an outage, so that forwarders come at different times. */
+        /** Random divisor of the rate in an outage, so that forwarders call at different times. */
         double paceSpread = 1;
-        /** The rate that the list or the destination has told for all forwarders together; 0 where not told. */
+        /** Rate that it accepts from all forwarders, by the endpoint list or its own report; 0 if unknown. */
         double toldRate;
-        /** Share of its allowance that is left, as reported. */
+        /** Share of its allowance that is left, by its last report. */
         double allowanceLeft;
-        /** The destination itself has reported its rate. */
+        /** The destination has reported its rate, which then takes precedence over the endpoint list. */
         boolean rateReported;
-        /** Its last refusal came with nothing left of its allowance. */
+        /** Its last refusal reported that nothing is left of its allowance. */
         boolean exhausted;
 
         double recentRate, usualRate;
-        /** The part of the usual rate's memory that nothing has filled yet, 0 to 1. */
+        /** Weight of the time before the first sample in the usual rate, 0 to 1. */
         double usualUnseen = 1;
 
         long ratesUpdatedAt;
-        /** Mean time of a delivered call; 0 while there was none. */
+        /** Mean response time of delivered calls; 0 before the first. */
         double answerTime;
-        /** Factor on the time-out of its calls, at least 1. */
+        /** Factor on the time-out of calls, at least 1. */
         double timeoutFactor = 1;
 
         int failuresInRow;
         Endpoint lastFailedEndpoint;
-        /** Several of its endpoints failed with no delivery between. */
+        /** Several of its endpoints have failed since the last delivery. */
         boolean severalFail;
-        /** Refusals as full in a row; a delivery halves it. */
+        /** Number of refusals as full; each delivery halves it. */
         int refusals;
-        /** Refusals in a row that may be those of an outage; above one, calls keep to an outage's pace. */
+        /** Consecutive refusals that may be due to an outage; above one, calls are limited to the rate of an outage. */
         int refusalsAsOutage;
-        /** The first failure or refusal since the last delivery; 0 where there is none. */
+        /** Time of the first failure or refusal since the last delivery; 0 if there is none. */
         long failingSince;
-        /** From there to the latest one; it stays when a delivery ends the row. */
+        /** Time from the first to the latest failure or refusal; a delivery doesn't reset it. */
         long failingFor;
     }
 }
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -6,25 +6,25 @@
 import lilaclever.PolicyState.Endpoint;
 
 /**
- * Estimates of what a limit takes from this forwarder, in calls a second: lately, usually, and as an even share of the
- * whole fleet's rate. Means decay exponentially; the usual rate stands still while the endpoint is in an outage or in
- * slow start, as what it takes then is not usual.
+ * Estimates of the rate that a limit accepts from this forwarder, in calls a second: the recent rate, the usual rate
+ * and an even share of the fleet's rate. The means decay exponentially; the usual rate isn't updated while the endpoint
+ * is in an outage or in slow start, as its rate isn't the usual one then.
  */
 final class RateEstimates {
-    /** Memory of the recent rate, microseconds: a few of the spans in which limits are counted. */
+    /** Decay time of the recent rate: a few of the periods over which limits are counted. */
     private static final double RECENT_MEMORY = 2_000_000;
-    /** Memory of the usual rate, microseconds: long beside a burst, short beside a day. */
+    /** Decay time of the usual rate: long compared with a burst, short compared with a day. */
     private static final double USUAL_MEMORY = 15_000_000;
-    /** Least part of the usual rate's memory that counts as filled. */
+    /** Lower bound of the weight of samples by which the usual rate is divided, for the time just after the start. */
     private static final double LEAST_FILLED = 0.1;
-    /** Rate that a limit which tells none is taken to have for all forwarders together, calls a second. */
+    /** Rate that a limit is assumed to accept from all forwarders together if none is announced, calls a second. */
     private static final double UNTOLD_RATE = 1.5;
-    /** The share where no rate is told: at least this part of the mean rate over all destinations. */
+    /** Lower bound of an even share if no rate is announced, as a share of the mean rate over all destinations. */
     private static final double PART_OF_MEAN = 0.25;
 
     private final PolicyState state;
     private final SlowStart slowStart;
-    /** All destinations together: their mean is a guess for one that nothing is known of. */
+    /** All destinations together; their mean rate is the estimate for one that nothing is known of. */
     private final DestinationLimit allDestinations = new DestinationLimit();
 
     RateEstimates(PolicyState state, SlowStart slowStart) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Brings the means of a limit to the present time; {@code endpoint} is the one whose outcome has come. */
+    /** Decays the means of a limit to the current time; {@code endpoint} is the one whose outcome was reported. */
     void decay(DestinationLimit limit, Endpoint endpoint) {
         double past = limit.ratesUpdatedAt == 0 ? 0 : state.now - limit.ratesUpdatedAt;
         limit.recentRate *= Math.exp(-past / RECENT_MEMORY);
@@ -61,12 +61,12 @@
         return !endpoint.inOutage && !slowStart.isActive(endpoint);
     }
 
-    /** Calls a second usually taken: the mean of what was seen, as the memory is empty at first. */
+    /** Usual rate, calls a second; corrected for the time before the first sample. */
     double usual(DestinationLimit limit) {
         return limit.usualRate / Math.max(LEAST_FILLED, 1 - limit.usualUnseen);
     }
 
-    /** This forwarder's even share of a limit, calls a second: of its told rate, or a guess where none is told. */
+    /** This forwarder's even share of a limit's announced rate, calls a second; an estimate if none is announced. */
     double evenShare(DestinationLimit limit) {
         int forwarders = state.settings.relays();
         double guess = Math.max(UNTOLD_RATE / forwarders, PART_OF_MEAN * usual(allDestinations) / state.queues.size());
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -8,13 +8,13 @@
 import lilaclever.PolicyState.Endpoint;
 
 /**
- * The pace of trial calls in an outage and of calls in slow start, so that the whole fleet stays within the budget that
- * the settings' rules give a destination that comes back cold.
+ * Rate of trial calls in an outage and of calls in slow start, such that the whole fleet stays within the rate that the
+ * rules in the settings allow for a recovering destination.
  */
 final class RecoveryPace {
-    /** Part of the budget that is used: the rest is for chance and for other forwarders' calls. */
+    /** Share of the budget that is used; the rest is for random variation and for other forwarders' calls. */
     private static final double BUDGET_PART = 0.85;
-    /** How long all but few outages last where this forwarder can't know it, microseconds. */
+    /** Assumed length of an outage whose length this forwarder can't know; all but few are shorter. */
     private static final long LONG_OUTAGE = 20_000_000;
 
     private final PolicyState state;
@@ -29,7 +29,7 @@
         this.transientFailures = transientFailures;
     }
 
-    /** Calls a second that an endpoint may get in an outage and in slow start; {@link PolicyState#NEVER} otherwise. */
+    /** Calls a second that an endpoint may get in an outage or in slow start; {@link PolicyState#NEVER} otherwise. */
     double callsPerSecond(Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
         long active =
@@ -51,22 +51,24 @@
         return budget(limit, 0, false);
     }
 
-    /** Calls a second for a limit that came back so many microseconds ago. */
+    /** Calls a second for a limit that recovered the given time ago. */
     double afterReturn(DestinationLimit limit, long age) {
         return budget(limit, age, false);
     }
 
     /**
-     * This forwarder's part of what a destination that came back so long ago can be sent. All forwarders that saw a
-     * failure share it. They are no more than the forwarders, and than the messages since the outage began: the rate
-     * times its length. So each has one part in that length of the rate, known or not.
+     * This forwarder's share, in calls a second, of the rate allowed for a destination that recovered the given time
+     * ago. It is shared by all forwarders that saw a failure. Their number is at most that of the fleet, and at most
+     * that of the messages since the outage began, which is the rate times the length of the outage. So one call in
+     * that length is always within a forwarder's share, whether the rate is known or not.
      */
     private double budget(DestinationLimit limit, long age, boolean surelyOut) {
         Rules rules = state.settings.rules();
         double warmed = Math.min(1.0, age / (double) Math.max(1, rules.rampMicros()));
         double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * warmed;
         double part = BUDGET_PART * rules.tipMultiple() * warmth;
-        // Pauses grow by 1 / part of what it lasted: the first is so long that a third try is past its end.
+        // The interval between trials is the length of the outage so far divided by budgetFactor; a first one of this
+        // length makes the third trial come after the end of a long outage.
         double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_PAUSE;
         double alone = SECOND / Math.max(shortest, limit.failingFor);
         return part * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), alone);
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -4,11 +4,11 @@
 import lilaclever.PolicyState.Message;
 
 /**
- * When a message is tried again: the design's growing pauses, spread by chance, up to the limit of attempts, the
- * message's deadline and, for a keyed message that may have run, the end of its repeat window.
+ * When a message is retried: after growing delays with jitter, up to the maximum number of attempts, the message's
+ * deadline and, for a keyed message with an uncertain attempt, the end of its repeat window.
  */
 final class RetrySchedule {
-    /** Pauses between tries, microseconds: the design's four steps; the last one repeats. */
+    /** Delay after each attempt, before jitter; the last one repeats. */
     private static final long[] STEPS = {200_000, 600_000, 2_400_000, 6_000_000};
 
     private final PolicyState state;
@@ -17,14 +17,14 @@
         this.state = state;
     }
 
-    /** Whether repeats of the message are bound to a window: it is keyed and may have run. */
+    /** Whether repeats of the message are restricted to the repeat window: it is keyed and has an uncertain attempt. */
     boolean hasWindow(Message message) {
         return message.mayHaveRun && message.messageClass.repeat() == Repeat.KEYED;
     }
 
     /**
-     * Until when a repeat is dropped by those who had the first, microseconds on the module's clock, less a round;
-     * {@link Long#MAX_VALUE} where there is no window.
+     * Until when endpoints recognise a repeat of the first uncertain attempt, less one round, in microseconds on the
+     * module's clock; {@link Long#MAX_VALUE} if repeats aren't restricted.
      */
     long windowEnd(Message message) {
         return hasWindow(message)
@@ -32,24 +32,24 @@
                 : Long.MAX_VALUE;
     }
 
-    /** Whether no attempt may follow, at whatever time. */
+    /** Whether no further attempt is allowed at any time. */
     boolean isExhausted(Message message) {
         boolean unsafe = message.mayHaveRun && message.messageClass.repeat() == Repeat.UNSAFE;
         return message.attempts >= state.settings.limits().maxAttempts() || unsafe;
     }
 
-    /** Sets the pause after an attempt: the design's step times a random factor. */
+    /** Sets the delay before the next attempt. */
     void pause(Message message) {
         int step = Math.max(0, Math.min(message.attempts, STEPS.length) - 1);
         message.notBefore = state.now + (long) (STEPS[step] * state.randomFactor());
         if (hasWindow(message)) {
-            // A pause past the window would lose the message: come as late as a connection may still come up.
+            // A delay past the window would lose the message: retry while there is still time for a connect.
             long latest = windowEnd(message) - state.settings.limits().connectTimeoutMicros();
             message.notBefore = state.now < latest ? Math.min(message.notBefore, latest) : message.notBefore;
         }
     }
 
-    /** Whether an attempt may follow after the pause, in time and within the window. */
+    /** Whether another attempt is allowed after the delay, in time for the deadline and the repeat window. */
     boolean canTryAgain(Message message) {
         return !isExhausted(message)
                 && message.notBefore <= message.deadline - CallTimeouts.SHORTEST
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -7,8 +7,8 @@
 import lilaclever.PolicyState.Message;
 
 /**
- * What every send must pass, whoever proposes it: the message's state and attempts, its deadline, told waits, drains,
- * the order of its key, the end of the program, and whether a repeat is harmless there.
+ * Conditions that every send must satisfy: the message's state, attempts and deadline, retry-after periods, drains, the
+ * order of its key, the shutdown of the program, and whether a repeat is allowed at that endpoint.
  */
 final class SendRules {
     private final PolicyState state;
@@ -50,12 +50,12 @@
                 && message.deadline - state.now >= CallTimeouts.SHORTEST;
     }
 
-    /** A call that the end of the program could cut may have run: what can't come back in time stays here. */
+    /** A call cut off by shutdown may have taken effect, so one that may not end in time isn't started. */
     private boolean endsBeforeTheProgram(Message message, Endpoint endpoint) {
         return state.stopAt >= NEVER || state.now + timeouts.timeout(message, endpoint.limit) <= state.stopAt;
     }
 
-    /** Whether an earlier attempt of the message, if one may have run, allows a further one at this endpoint. */
+    /** Whether the message has no uncertain attempt, or another attempt at this endpoint is allowed nevertheless. */
     private boolean isHarmless(Message message, Endpoint endpoint) {
         if (!message.mayHaveRun) {
             return true;
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -3,8 +3,8 @@
 import lilaclever.PolicyState.Endpoint;
 
 /**
- * Slow start of endpoints that came back from an outage: for the time that the settings' rules give, an endpoint is
- * cold and gets less than it usually takes. How much that is, {@link RecoveryPace} says.
+ * Slow start of endpoints that recovered from an outage: for the ramp time in the settings, an endpoint gets fewer
+ * calls than usual. {@link RecoveryPace} determines the rate.
  */
 final class SlowStart {
     private final PolicyState state;
@@ -19,7 +19,7 @@
                 && age(endpoint) < state.settings.rules().rampMicros();
     }
 
-    /** How long ago the endpoint's slow start began, microseconds; only where it has had one. */
+    /** Time since the endpoint's slow start began, microseconds; only valid if it has had one. */
     long age(Endpoint endpoint) {
         return state.now - endpoint.slowStartFrom;
     }
@@ -29,12 +29,12 @@
         return endpoint.slowStartFrom + state.settings.rules().rampMicros();
     }
 
-    /** Begins slow start, or begins it anew. */
+    /** Begins or restarts slow start. */
     void begin(Endpoint endpoint) {
         endpoint.slowStartFrom = state.now;
     }
 
-    /** Halves the age of a slow start: the endpoint takes less than was thought. */
+    /** Halves the age of a slow start, as the endpoint accepts less than expected. */
     void setBack(Endpoint endpoint) {
         endpoint.slowStartFrom += age(endpoint) / 2;
     }
