--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -410,7 +410,7 @@
         /** Refuse the message; its client may submit it again, best after the given time (0: no advice). */
         record Refuse(String id, long comeBackMicros) implements Action {}
 
-        /** Report the message as failed; it may have taken effect. */
+        /** Report the message as failed; it may or may not have taken effect. */
         record Fail(String id) implements Action {}
 
         /** Give up an attempt in flight; its outcome is still reported. */
