--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
 import static lilaclever.PolicyState.NEVER;
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
 import lilaclever.DecisionModule.Tenant;
 import lilaclever.PolicyState.DestinationQueue;
@@ -14,13 +14,13 @@
  */
 final class Admission {
     /** Share of the most open messages above which one is refused, before the host program rejects new ones unseen. */
-    private static final double NEARLY_FULL = 0.95;
+    private static final double NEARLY_FULL_SHARE = 0.95;
     /** Size of a tenant's token bucket, in seconds of its quota. */
     private static final double BURST_SECONDS = 3;
     /** Factor on the value of a message with an uncertain attempt: giving it up may be a failure, not a refusal. */
-    private static final double FACTOR_IF_MAY_HAVE_RUN = 4;
+    private static final double UNCERTAIN_WORTH_FACTOR = 4;
     /** Queue length, in seconds at the destination's expected rate, that halves the value of its messages. */
-    private static final double SHORT_QUEUE_SECONDS = 10;
+    private static final double HALF_WORTH_QUEUE_SECONDS = 10;
 
     private final PolicyState state;
     private final RateEstimates rates;
@@ -30,7 +30,7 @@
     /** Tokens left in each tenant's bucket; one is one message. */
     private final double[] tenantTokens;
     /** When each bucket was last refilled. */
-    private final long[] tenantUpdatedAt;
+    private final long[] tenantUpdatedAtMicros;
 
     Admission(
             PolicyState state,
@@ -45,7 +45,7 @@
         this.availability = availability;
         int tenants = state.settings.tenants().size();
         this.tenantTokens = new double[tenants];
-        this.tenantUpdatedAt = new long[tenants];
+        this.tenantUpdatedAtMicros = new long[tenants];
         for (int tenant = 0; tenant < tenants; tenant++) {
             tenantTokens[tenant] = BURST_SECONDS * quota(tenant);
         }
@@ -62,8 +62,8 @@
             return false;
         }
         double quota = quota(tenant);
-        double tokens = tenantTokens[tenant] + (state.now - tenantUpdatedAt[tenant]) / SECOND * quota;
-        tenantUpdatedAt[tenant] = state.now;
+        double tokens = tenantTokens[tenant] + (state.nowMicros - tenantUpdatedAtMicros[tenant]) / MICROS_PER_SECOND * quota;
+        tenantUpdatedAtMicros[tenant] = state.nowMicros;
         tokens = Math.min(tokens, BURST_SECONDS * quota);
         tenantTokens[tenant] = tokens >= 1 ? tokens - 1 : tokens;
         return tokens < 1;
@@ -71,7 +71,7 @@
 
     /** Whether so many messages are open that one must be refused. */
     boolean isNearlyFull() {
-        return state.openMessages > NEARLY_FULL * state.settings.limits().maxOpen();
+        return state.openMessages > NEARLY_FULL_SHARE * state.settings.limits().maxOpenMessages();
     }
 
     /**
@@ -79,47 +79,47 @@
      * that the destination accepts; the last of several equal ones. Messages accepted before a restart are exempt; null
      * if there are no others.
      */
-    Message leastWorth() {
-        Message least = null;
-        double lowest = 0;
-        for (DestinationQueue queue : state.queuesWaiting) {
+    Message leastValuable() {
+        Message leastValuable = null;
+        double lowestWorth = 0;
+        for (DestinationQueue queue : state.nonEmptyQueues) {
             double rate =
                     queue.endpoints.stream().mapToDouble(this::expectedRate).sum();
-            double crowding = 1 + queue.waiting.size() / (1 + SHORT_QUEUE_SECONDS * rate);
+            double backlogFactor = 1 + queue.waiting.size() / (1 + HALF_WORTH_QUEUE_SECONDS * rate);
             for (Message message : queue.waiting) {
-                double worth = message.worth / crowding * (message.mayHaveRun ? FACTOR_IF_MAY_HAVE_RUN : 1);
-                if (!message.resumed && (least == null || worth <= lowest)) {
-                    least = message;
-                    lowest = worth;
+                double worth = message.worth / backlogFactor * (message.mayHaveRun ? UNCERTAIN_WORTH_FACTOR : 1);
+                if (!message.resumed && (leastValuable == null || worth <= lowestWorth)) {
+                    leastValuable = message;
+                    lowestWorth = worth;
                 }
             }
         }
-        return least;
+        return leastValuable;
     }
 
     /** Retry-after period for a refused message: until its destination has capacity again; 0: no advice. */
-    long comeBackAfter(DestinationQueue queue) {
-        if (!state.settings.limits().comeBack()) {
+    long retryAfterMicros(DestinationQueue queue) {
+        if (!state.settings.limits().sendsRetryAfter()) {
             return 0;
         }
-        long wait = NEVER;
+        long waitMicros = NEVER;
         for (Endpoint endpoint : queue.endpoints) {
             if (endpoint.active) {
-                wait = Math.min(wait, roomAfter(endpoint));
+                waitMicros = Math.min(waitMicros, capacityAfterMicros(endpoint));
             }
         }
-        return Math.min(wait, state.settings.limits().maxComeBackMicros());
+        return Math.min(waitMicros, state.settings.limits().maxRetryAfterMicros());
     }
 
-    private long roomAfter(Endpoint endpoint) {
+    private long capacityAfterMicros(Endpoint endpoint) {
         double rate = Math.max(limits.assuredRate(endpoint.limit), expectedRate(endpoint));
-        long readyAfter = Math.max(0, availability.readyAt(endpoint) - state.now);
-        return readyAfter + (long) (endpoint.queue.waiting.size() / rate * SECOND);
+        long readyAfterMicros = Math.max(0, availability.readyAtMicros(endpoint) - state.nowMicros);
+        return readyAfterMicros + (long) (endpoint.queue.waiting.size() / rate * MICROS_PER_SECOND);
     }
 
     /** Calls a second that an endpoint is expected to accept. */
     private double expectedRate(Endpoint endpoint) {
-        double allowed = Math.min(limits.allowedRate(endpoint.limit), recoveryPace.callsPerSecond(endpoint));
-        return Math.min(rates.usual(endpoint.limit), allowed);
+        double allowedRate = Math.min(limits.allowedRate(endpoint.limit), recoveryPace.callsPerSecond(endpoint));
+        return Math.min(rates.usual(endpoint.limit), allowedRate);
     }
 }
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -42,8 +42,8 @@
      */
     List<SendCandidate> candidates() {
         List<SendCandidate> candidates = new ArrayList<>();
-        for (DestinationQueue queue : state.queuesWaiting) {
-            queue.nextCheckAt = NEVER;
+        for (DestinationQueue queue : state.nonEmptyQueues) {
+            queue.nextCheckAtMicros = NEVER;
             SendCandidate candidate = selection.select(queue);
             if (candidate != null) {
                 candidates.add(candidate);
@@ -65,69 +65,69 @@
             if (rules.permit(best.message(), best.endpoint())) {
                 startCall(best.message(), best.endpoint());
             }
-            SendCandidate following = selection.select(best.message().queue);
-            if (following != null) {
-                candidates.add(following);
+            SendCandidate nextCandidate = selection.select(best.message().queue);
+            if (nextCandidate != null) {
+                candidates.add(nextCandidate);
             }
         }
-        long next = state.queuesWaiting.stream()
-                .mapToLong(queue -> queue.nextCheckAt)
+        long nextCheckMicros = state.nonEmptyQueues.stream()
+                .mapToLong(queue -> queue.nextCheckAtMicros)
                 .min()
                 .orElse(NEVER);
-        return candidates.isEmpty() ? next : Math.min(next, timeouts.cancelOverdue(candidates.size()));
+        return candidates.isEmpty() ? nextCheckMicros : Math.min(nextCheckMicros, timeouts.cancelOverdue(candidates.size()));
     }
 
     /** Starts a call with the message and, where calls may carry several, others of its queue. */
     private void startCall(Message message, Endpoint endpoint) {
         Call call = new Call();
-        call.sentAt = state.now;
+        call.sentAtMicros = state.nowMicros;
         call.endpoint = endpoint;
         endpoint.calls.add(call);
         state.calls.add(call);
-        attempt(message, call);
-        if (endpoint.batch > 1 && !endpoint.inOutage) {
-            addOthers(call);
+        startAttempt(message, call);
+        if (endpoint.maxBatchSize > 1 && !endpoint.inOutage) {
+            fillBatch(call);
         }
         state.slotsInUse++;
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
-        endpoint.limit.lastSentAt = state.now;
-        endpoint.lastSentAt = state.now;
+        endpoint.limit.lastSentAtMicros = state.nowMicros;
+        endpoint.lastSentAtMicros = state.nowMicros;
         connections.onSend(endpoint);
     }
 
     /**
      * Adds waiting messages to the call, which is free as limits count calls. Trial calls, which often fail, get none.
      */
-    private void addOthers(Call call) {
+    private void fillBatch(Call call) {
         for (Message message : List.copyOf(call.endpoint.queue.waiting)) {
-            if (call.outcomesDue >= call.endpoint.batch) {
+            if (call.pendingOutcomes >= call.endpoint.maxBatchSize) {
                 break;
             }
             if (rules.permit(message, call.endpoint)) {
-                attempt(message, call);
+                startAttempt(message, call);
             }
         }
     }
 
-    private void attempt(Message message, Call call) {
+    private void startAttempt(Message message, Call call) {
         Endpoint endpoint = call.endpoint;
         state.dequeue(message);
         message.attempts++;
-        message.inFlightTo = endpoint;
+        message.inFlightEndpoint = endpoint;
         message.call = call;
         call.messages.add(message);
-        message.sentAt = state.now;
+        message.sentAtMicros = state.nowMicros;
         message.lastEndpoint = endpoint;
-        call.outcomesDue++;
+        call.pendingOutcomes++;
         // A connection that is established late must not carry the message after its repeat window.
-        long timeoutAt = state.now + timeouts.timeout(message, endpoint.limit);
-        long dropAt = Math.min(Math.min(message.deadline, timeoutAt), retries.windowEnd(message));
-        state.actions.add(new Action.Send(message.id, endpoint.host, dropAt));
+        long timeoutAtMicros = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
+        long dropAtMicros = Math.min(Math.min(message.deadlineMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
+        state.actions.add(new Action.Send(message.id, endpoint.host, dropAtMicros));
     }
 
     /** Frees the slot of a call after the outcomes of all its messages were reported. */
-    void end(Call call) {
+    void releaseSlot(Call call) {
         Endpoint endpoint = call.endpoint;
         state.slotsInUse--;
         endpoint.callsInFlight--;
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -26,17 +26,17 @@
     List<Action> decide(long nowMicros, List<Event> events);
 
     /** Whether a message may be sent again after an attempt that may have taken effect. */
-    enum Repeat {
+    enum RepeatSafety {
         /** Any number of attempts is harmless, as for a read. */
         SAFE,
-        /** The message has an idempotency key: endpoints of the {@link Group} drop repeats in the repeat window. */
+        /** The message has an idempotency key: endpoints of the {@link KeyScope} drop repeats in the repeat window. */
         KEYED,
         /** Another attempt is allowed only if all earlier ones are known to have had no effect. */
         UNSAFE
     }
 
-    /** Which endpoints remember the idempotency key of a {@link Repeat#KEYED} message, and so drop its repeats. */
-    enum Group {
+    /** Which endpoints remember the idempotency key of a {@link RepeatSafety#KEYED} message, and so drop its repeats. */
+    enum KeyScope {
         /** All endpoints; a message that the client submits again is recognised too. */
         ALL,
         /** Endpoints of the destination in the zone that the first attempt was sent to. */
@@ -45,14 +45,14 @@
         DESTINATION
     }
 
-    /** What {@link Entry#weight} says of the call rate that the endpoint's limit accepts. */
-    enum Weights {
+    /** What {@link EndpointEntry#weight} says of the call rate that the endpoint's limit accepts. */
+    enum WeightMeaning {
         /** Nothing. */
         NONE,
         /** It is the rate, in calls a second. */
         EXACT,
         /** It is an estimate of the rate, in calls a second, and may be too high. */
-        ROUGH
+        APPROXIMATE
     }
 
     /** Status of an endpoint in the endpoint list. */
@@ -78,7 +78,7 @@
     }
 
     /** Result of an attempt or a probe. */
-    enum Ending {
+    enum AttemptResult {
         DELIVERED(false),
         /** The endpoint answered with an error that may be temporary. */
         ERROR(false),
@@ -104,7 +104,7 @@
 
         private final boolean neverRan;
 
-        Ending(boolean neverRan) {
+        AttemptResult(boolean neverRan) {
             this.neverRan = neverRan;
         }
 
@@ -132,8 +132,8 @@
             long aimMicros,
             long deadlineMicros,
             double worth,
-            Repeat repeat,
-            Group group,
+            RepeatSafety repeat,
+            KeyScope group,
             long repeatWindowMicros,
             boolean ordered,
             double lateShare,
@@ -143,8 +143,8 @@
                 long aimMicros,
                 long deadlineMicros,
                 double worth,
-                Repeat repeat,
-                Group group,
+                RepeatSafety repeat,
+                KeyScope group,
                 long repeatWindowMicros,
                 boolean ordered) {
             this(aimMicros, deadlineMicros, worth, repeat, group, repeatWindowMicros, ordered, 0, false);
@@ -163,9 +163,9 @@
      *     one
      * @param maxBatchSize most messages that one call may carry
      */
-    record Kind(boolean ownLimits, int batch) {
-        public Kind {
-            require(batch > 0, "kinds.maxBatchSize must be above 0");
+    record EndpointKind(boolean limitPerEndpoint, int maxBatchSize) {
+        public EndpointKind {
+            require(maxBatchSize > 0, "kinds.maxBatchSize must be above 0");
         }
     }
 
@@ -194,19 +194,19 @@
      */
     record Limits(
             int maxAttempts,
-            int maxOpen,
+            int maxOpenMessages,
             int slots,
-            boolean cancel,
-            boolean probing,
-            boolean peers,
+            boolean mayCancel,
+            boolean mayProbe,
+            boolean mayMessagePeers,
             int callsPerConnection,
             long connectTimeoutMicros,
             long keepAliveMicros,
-            boolean comeBack,
-            long maxComeBackMicros) {
+            boolean sendsRetryAfter,
+            long maxRetryAfterMicros) {
         public Limits {
             require(slots > 0, "limits.slots must be above 0");
-            require(maxOpen > 0, "limits.maxOpenMessages must be above 0");
+            require(maxOpenMessages > 0, "limits.maxOpenMessages must be above 0");
             require(maxAttempts > 0, "limits.maxAttempts must be above 0");
         }
     }
@@ -225,22 +225,22 @@
      */
     record Rules(
             long answerSlackMicros,
-            long askWithinMicros,
+            long watchWithinMicros,
             long drainGraceMicros,
-            double coldFrom,
+            double initialCapacityShare,
             long rampMicros,
-            double tipMultiple,
-            long overloadMicros,
+            double overloadMultiple,
+            long overloadWindowMicros,
             long orderPauseMicros) {
         public Rules {
             require(
                     drainGraceMicros >= 0
                             && rampMicros >= 0
-                            && overloadMicros >= 0
+                            && overloadWindowMicros >= 0
                             && orderPauseMicros >= 0
                             && answerSlackMicros >= 0,
                     "rules: times must not be negative");
-            require(coldFrom > 0 && tipMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
+            require(initialCapacityShare > 0 && overloadMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
         }
     }
 
@@ -262,27 +262,27 @@
      */
     record Settings(
             int self,
-            int relays,
+            int forwarders,
             int zone,
             int zones,
             long roundMicros,
-            boolean askForList,
-            Weights weights,
-            boolean reports,
-            double overShareWorth,
+            boolean mustWatchList,
+            WeightMeaning weightMeaning,
+            boolean limitReports,
+            double overQuotaWorthFactor,
             List<MessageClass> classes,
-            List<Kind> kinds,
+            List<EndpointKind> kinds,
             List<Tenant> tenants,
             Limits limits,
             Rules rules) {
         public Settings {
             require(!classes.isEmpty(), "classes must not be empty");
-            require(relays > 0, "forwarders must be above 0");
+            require(forwarders > 0, "forwarders must be above 0");
         }
     }
 
-    private static void require(boolean good, String problem) {
-        if (!good) {
+    private static void require(boolean isValid, String problem) {
+        if (!isValid) {
             throw new IllegalArgumentException(problem);
         }
     }
@@ -292,10 +292,10 @@
      *
      * @param host name of the endpoint, unique in the list
      * @param kind index of its endpoint kind; an index out of range means the default kind
-     * @param weight see {@link Settings#weights}
+     * @param weight see {@link Settings#weightMeaning}
      * @param sinceMicros when it got its present status
      */
-    record Entry(
+    record EndpointEntry(
             String host, int destination, int zone, int kind, Presence presence, double weight, long sinceMicros) {}
 
     /**
@@ -304,7 +304,7 @@
      * @param allowanceLeft share of the allowance that is left, 0 to 1
      * @param callsPerSecond calls a second that it accepts from all forwarders together; 0 where unknown
      */
-    record Report(double left, double perSecond) {}
+    record LimitReport(double allowanceLeft, double callsPerSecond) {}
 
     /**
      * Attempts of a message before the program was restarted. An attempt is uncertain if it may have taken effect but
@@ -313,12 +313,12 @@
      * @param attempts number of attempts, possibly 0
      * @param mayHaveRun whether an attempt was uncertain
      */
-    record Prior(int attempts, boolean mayHaveRun, String riskHost, int riskZone, long riskAtMicros) {}
+    record PriorAttempts(int attempts, boolean mayHaveRun, String uncertainHost, int uncertainZone, long uncertainSentAtMicros) {}
 
     /** Something that has happened outside the module. */
     sealed interface Event {
         /** The endpoint list or changes of it, or a refused request for it. */
-        record Listing(ListingKind kind, long version, List<Entry> entries) implements Event {}
+        record Listing(ListingKind kind, long version, List<EndpointEntry> entries) implements Event {}
 
         /**
          * A new message, or a pending one after a restart of the host program.
@@ -335,10 +335,10 @@
                 int destination,
                 int tenant,
                 String key,
-                boolean again,
+                boolean resubmitted,
                 boolean inherited,
                 long budgetMicros,
-                Prior prior)
+                PriorAttempts priorAttempts)
                 implements Event {
             /** Creates the event for a message without earlier attempts. */
             public Submit(
@@ -347,10 +347,10 @@
                     int destination,
                     int tenant,
                     String key,
-                    boolean again,
+                    boolean resubmitted,
                     boolean inherited,
                     long budgetMicros) {
-                this(id, messageClass, destination, tenant, key, again, inherited, budgetMicros, null);
+                this(id, messageClass, destination, tenant, key, resubmitted, inherited, budgetMicros, null);
             }
         }
 
@@ -358,7 +358,7 @@
          * New settings apply from now on. Only message classes and the maximum number of attempts may differ; existing
          * classes keep their numbers, and new ones are added at the end.
          */
-        record Renewed(Settings settings) implements Event {}
+        record SettingsChanged(Settings settings) implements Event {}
 
         /** The program is stopping: every call must have ended by the given time. */
         record Stopping(long untilMicros) implements Event {}
@@ -378,16 +378,16 @@
                 String id,
                 String host,
                 int attempt,
-                Ending ending,
+                AttemptResult result,
                 long elapsedMicros,
-                long waitMicros,
+                long retryAfterMicros,
                 boolean noSlot,
-                boolean over,
-                Report report)
+                boolean finished,
+                LimitReport report)
                 implements Event {}
 
         /** A probe ended; {@code report} is null if the destination reported nothing. */
-        record Probed(String host, Ending ending, long elapsedMicros, Report report) implements Event {}
+        record ProbeEnded(String host, AttemptResult result, long elapsedMicros, LimitReport report) implements Event {}
 
         /** A timer set by {@link Action.Wake} expired. */
         record Timer(long token) implements Event {}
@@ -396,14 +396,14 @@
         record Withdrawn(String id) implements Event {}
 
         /** Another forwarder has sent something. */
-        record Heard(int from, byte[] content) implements Event {}
+        record PeerMessage(int from, byte[] content) implements Event {}
     }
 
     /** Something that the host program must do. */
     sealed interface Action {
         /**
          * Start an attempt of a message, and give it up at the given time. Attempts to one host in the same list of
-         * actions may share a call, up to {@link Kind#batch} messages.
+         * actions may share a call, up to {@link EndpointKind#maxBatchSize} messages.
          */
         record Send(String id, String host, long dropAtMicros) implements Action {}
 
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -15,7 +15,7 @@
 import lilaclever.PolicyState.Message;
 import lilaclever.PolicyState.OrderedKey;
 import lilaclever.PolicyState.SendCandidate;
-import lilaclever.PolicyState.TimedCheck;
+import lilaclever.PolicyState.ScheduledCheck;
 
 /**
  * The implementation of the decision module: handles the events of a round, follows each message from its submission to
@@ -34,7 +34,7 @@
  * </ul>
  *
  * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send is checked by
- * {@link SendRules#permit}; every message that is given up goes through {@link #end}.
+ * {@link SendRules#permit}; every message that is given up goes through {@link #giveUp}.
  */
 final class DeliveryPolicy implements DecisionModule {
     private final PolicyState state;
@@ -56,12 +56,12 @@
     /** Ordered keys with messages, or paused. */
     private final Map<String, OrderedKey> lines = new LinkedHashMap<>();
     /** Scheduled checks by time; every open message has one, so that none is missed at its deadline. */
-    private final PriorityQueue<TimedCheck> dues =
-            new PriorityQueue<>(Comparator.comparingLong(TimedCheck::at).thenComparingLong(TimedCheck::order));
+    private final PriorityQueue<ScheduledCheck> dues =
+            new PriorityQueue<>(Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
 
     private long checksAdded;
     /** When the next timer event is due. */
-    private long wakeAt = NEVER;
+    private long wakeAtMicros = NEVER;
 
     /** Creates a module that knows no endpoints; {@code seed} is that of its random numbers. */
     DeliveryPolicy(Settings settings, long seed) {
@@ -87,26 +87,26 @@
 
     @Override
     public List<Action> decide(long nowMicros, List<Event> events) {
-        state.now = nowMicros;
+        state.nowMicros = nowMicros;
         state.actions = new ArrayList<>();
         for (Event event : events) {
-            read(event);
+            handle(event);
         }
-        if (directory.askAt() <= state.now) {
+        if (directory.watchAtMicros() <= state.nowMicros) {
             state.actions.add(new Action.Watch(true));
-            directory.onAsked();
+            directory.onWatchRequested();
         }
-        endOverdue();
+        giveUpOverdue();
         List<SendCandidate> candidates = dispatch.candidates();
-        selection.hopeless().forEach(this::end);
-        selection.clearHopeless();
-        long next = Math.min(dispatch.send(candidates), directory.askAt());
+        selection.undeliverable().forEach(this::giveUp);
+        selection.clearUndeliverable();
+        long nextMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
-        wakeFor(dues.isEmpty() ? next : Math.min(next, dues.peek().at()));
+        requestTimer(dues.isEmpty() ? nextMicros : Math.min(nextMicros, dues.peek().atMicros()));
         return state.actions;
     }
 
-    private void read(Event event) {
+    private void handle(Event event) {
         if (event instanceof Event.Listing e) {
             directory.onListing(e);
         } else if (event instanceof Event.Submit e) {
@@ -116,125 +116,125 @@
         } else if (event instanceof Event.Withdrawn e && messages.containsKey(e.id())) {
             finish(messages.get(e.id()));
         } else if (event instanceof Event.Stopping e) {
-            state.stopAt = e.untilMicros();
-        } else if (event instanceof Event.Renewed e) {
-            onRenewed(e);
+            state.stopAtMicros = e.untilMicros();
+        } else if (event instanceof Event.SettingsChanged e) {
+            onSettingsChanged(e);
         } else if (event instanceof Event.Timer) {
-            wakeAt = wakeAt <= state.now ? NEVER : wakeAt;
+            wakeAtMicros = wakeAtMicros <= state.nowMicros ? NEVER : wakeAtMicros;
         }
     }
 
     /** Requests a timer at the given time, but not within one round, unless one is due before. */
-    private void wakeFor(long time) {
-        long next = Math.max(time, state.now + state.settings.roundMicros());
-        if (next < NEVER && (next < wakeAt || wakeAt <= state.now)) {
-            state.actions.add(new Action.Wake(next - state.now, 0));
-            wakeAt = next;
+    private void requestTimer(long timeMicros) {
+        long nextMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
+        if (nextMicros < NEVER && (nextMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
+            state.actions.add(new Action.Wake(nextMicros - state.nowMicros, 0));
+            wakeAtMicros = nextMicros;
         }
     }
 
-    private void onRenewed(Event.Renewed event) {
+    private void onSettingsChanged(Event.SettingsChanged event) {
         state.settings = event.settings();
         int maxAttempts = state.settings.limits().maxAttempts();
         messages.values().stream()
-                .filter(message -> message.inFlightTo == null && message.attempts >= maxAttempts)
+                .filter(message -> message.inFlightEndpoint == null && message.attempts >= maxAttempts)
                 .toList()
-                .forEach(this::end);
+                .forEach(this::giveUp);
     }
 
     private void onSubmit(Event.Submit event) {
-        Message message = message(event);
+        Message message = newMessage(event);
         messages.put(message.id, message);
         state.openMessages++;
         state.enqueue(message);
-        if (event.prior() != null) {
-            resume(message, event.prior());
+        if (event.priorAttempts() != null) {
+            resume(message, event.priorAttempts());
             if (message.finished) {
                 return;
             }
         }
-        checkAt(message.deadline - CallTimeouts.SHORTEST, message);
+        scheduleCheck(message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
-            Message least = admission.leastWorth();
-            if (least != null) {
-                end(least);
+            Message leastValuable = admission.leastValuable();
+            if (leastValuable != null) {
+                giveUp(leastValuable);
             }
         }
     }
 
-    private Message message(Event.Submit event) {
-        MessageClass kind = state.settings.classes().get(event.messageClass());
-        Message message = new Message(event.id(), kind);
-        message.acceptedAt = state.now - Math.max(0, kind.deadlineMicros() - event.budgetMicros());
-        message.deadline = state.now + event.budgetMicros();
+    private Message newMessage(Event.Submit event) {
+        MessageClass messageClass = state.settings.classes().get(event.messageClass());
+        Message message = new Message(event.id(), messageClass);
+        message.acceptedAtMicros = state.nowMicros - Math.max(0, messageClass.deadlineMicros() - event.budgetMicros());
+        message.deadlineMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
-        message.worth = kind.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overShareWorth() : 1);
-        if (kind.ordered() && event.key() != null) {
+        message.worth = messageClass.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
+        if (messageClass.ordered() && event.key() != null) {
             keyOrder.add(message, event.key());
         }
         return message;
     }
 
     /** Restores the attempts made before a restart, and gives the message up if no further attempt is allowed. */
-    private void resume(Message message, Prior prior) {
+    private void resume(Message message, PriorAttempts prior) {
         message.attempts = prior.attempts();
         message.mayHaveRun = prior.mayHaveRun();
-        message.mayHaveRunSince = prior.riskAtMicros();
-        message.mayHaveRunZone = prior.riskZone();
+        message.uncertainSentAtMicros = prior.uncertainSentAtMicros();
+        message.uncertainZone = prior.uncertainZone();
         message.resumed = true;
-        if (retries.isExhausted(message) || state.now >= retries.windowEnd(message)) {
-            end(message);
-        } else if (retries.hasWindow(message)) {
-            checkAt(retries.windowEnd(message), message);
+        if (retries.isExhausted(message) || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
+            giveUp(message);
+        } else if (retries.hasRepeatWindow(message)) {
+            scheduleCheck(retries.repeatWindowEndMicros(message), message);
         }
     }
 
     /** Gives up messages whose deadline or repeat window has passed. */
-    private void endOverdue() {
-        while (!dues.isEmpty() && dues.peek().at() <= state.now) {
+    private void giveUpOverdue() {
+        while (!dues.isEmpty() && dues.peek().atMicros() <= state.nowMicros) {
             check(dues.poll().message());
         }
     }
 
     private void check(Message message) {
         // A call's outcome should be reported by the deadline; if it isn't, give the message up within the slack.
-        long latestAnswerAt = message.deadline + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerMicros = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
-            keyOrder.forget(message);
-        } else if (message.inFlightTo == null) {
-            if (message.deadline - state.now <= CallTimeouts.SHORTEST || state.now >= retries.windowEnd(message)) {
-                end(message);
+            keyOrder.removeIfUnused(message);
+        } else if (message.inFlightEndpoint == null) {
+            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
+                giveUp(message);
             }
-        } else if (state.now >= latestAnswerAt) {
-            end(message);
+        } else if (state.nowMicros >= latestAnswerMicros) {
+            giveUp(message);
         } else {
-            checkAt(latestAnswerAt, message);
+            scheduleCheck(latestAnswerMicros, message);
         }
     }
 
-    private void checkAt(long time, Message message) {
-        dues.add(new TimedCheck(time, checksAdded++, message));
+    private void scheduleCheck(long timeMicros, Message message) {
+        dues.add(new ScheduledCheck(timeMicros, checksAdded++, message));
     }
 
     private void onOutcome(Event.Outcome event) {
         Message message = messages.get(event.id());
-        if (message == null || message.inFlightTo == null || event.attempt() != message.attempts - 1) {
+        if (message == null || message.inFlightEndpoint == null || event.attempt() != message.attempts - 1) {
             return;
         }
-        Endpoint endpoint = message.inFlightTo;
+        Endpoint endpoint = message.inFlightEndpoint;
         endAttempt(message, event);
-        noteRisk(message, endpoint, event.ending());
-        if (message.orderedKey != null && wasGivenUp(event.ending())) {
+        noteUncertainAttempt(message, endpoint, event.result());
+        if (message.orderedKey != null && mayStillBeRunning(event.result())) {
             keyOrder.pause(message);
-            checkAt(message.orderedKey.pausedUntil, message);
+            scheduleCheck(message.orderedKey.pausedUntilMicros, message);
         }
-        if (message.finished || event.over() || event.ending() == Ending.DELIVERED) {
+        if (message.finished || event.finished() || event.result() == AttemptResult.DELIVERED) {
             finish(message);
-        } else if (event.ending() == Ending.REJECTED) {
+        } else if (event.result() == AttemptResult.REJECTED) {
             // A permanent failure ends a series of attempts at once.
             state.actions.add(new Action.Fail(message.id));
             finish(message);
-        } else if (event.ending() == Ending.WITHHELD && !endpoint.active) {
+        } else if (event.result() == AttemptResult.WITHHELD && !endpoint.active) {
             // The endpoint is draining and received nothing: another one may get the message without delay.
             state.enqueue(message);
         } else {
@@ -244,78 +244,78 @@
 
     /** Removes the message from its call, and updates the state of the endpoint and its limit. */
     private void endAttempt(Message message, Event.Outcome event) {
-        Endpoint endpoint = message.inFlightTo;
+        Endpoint endpoint = message.inFlightEndpoint;
         Call call = message.call;
-        message.inFlightTo = null;
+        message.inFlightEndpoint = null;
         message.call = null;
-        call.outcomesDue--;
-        if (call.outcomesDue == 0) {
-            dispatch.end(call);
-            connections.onCallEnded(endpoint, event.ending());
+        call.pendingOutcomes--;
+        if (call.pendingOutcomes == 0) {
+            dispatch.releaseSlot(call);
+            connections.onCallEnded(endpoint, event.result());
         }
-        if (event.ending() == Ending.DELIVERED) {
-            endpoint.lastDeliveredSentAt = Math.max(endpoint.lastDeliveredSentAt, message.sentAt);
+        if (event.result() == AttemptResult.DELIVERED) {
+            endpoint.lastDeliveredSentAtMicros = Math.max(endpoint.lastDeliveredSentAtMicros, message.sentAtMicros);
         }
         limits.onReport(endpoint.limit, event.report());
-        limits.onWait(endpoint.limit, event.waitMicros());
-        if (!call.outcomeSeen) {
-            call.outcomeSeen = true;
-            learn(endpoint, event);
+        limits.onRetryAfter(endpoint.limit, event.retryAfterMicros());
+        if (!call.outcomeReported) {
+            call.outcomeReported = true;
+            updateState(endpoint, event);
         }
-        if (event.ending() == Ending.WITHHELD) {
+        if (event.result() == AttemptResult.WITHHELD) {
             message.attempts--;
         }
     }
 
     /** Updates the state of a limit and endpoint from the first outcome of a call. */
-    private void learn(Endpoint endpoint, Event.Outcome event) {
+    private void updateState(Endpoint endpoint, Event.Outcome event) {
         DestinationLimit limit = endpoint.limit;
-        switch (event.ending()) {
+        switch (event.result()) {
             case DELIVERED -> {
                 rates.onDelivered(limit, endpoint);
                 timeouts.onDelivered(limit, event.elapsedMicros());
                 limits.onDelivered(limit);
                 outages.onDelivered(limit, endpoint);
             }
-            case FULL -> limits.onRefused(limit, endpoint, event.waitMicros(), event.report());
+            case FULL -> limits.onRefused(limit, endpoint, event.retryAfterMicros(), event.report());
             case ERROR, TIMED_OUT, RESET, NO_CONNECTION, NO_ROOM, CANCELED ->
-                outages.onFailure(limit, endpoint, event.ending(), event.elapsedMicros());
+                outages.onFailure(limit, endpoint, event.result(), event.elapsedMicros());
             default -> {}
         }
     }
 
     /** Records the message's first uncertain attempt. */
-    private static void noteRisk(Message message, Endpoint endpoint, Ending ending) {
-        boolean mayHaveRun = !ending.neverRan() && ending != Ending.DELIVERED;
+    private static void noteUncertainAttempt(Message message, Endpoint endpoint, AttemptResult result) {
+        boolean mayHaveRun = !result.neverRan() && result != AttemptResult.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
             message.mayHaveRun = true;
-            message.mayHaveRunSince = message.sentAt;
-            message.mayHaveRunZone = endpoint.zone;
+            message.uncertainSentAtMicros = message.sentAtMicros;
+            message.uncertainZone = endpoint.zone;
         }
     }
 
     /** Whether an attempt with this result may still be running at its endpoint. */
-    private static boolean wasGivenUp(Ending ending) {
-        return ending == Ending.TIMED_OUT || ending == Ending.RESET || ending == Ending.CANCELED;
+    private static boolean mayStillBeRunning(AttemptResult result) {
+        return result == AttemptResult.TIMED_OUT || result == AttemptResult.RESET || result == AttemptResult.CANCELED;
     }
 
     /** Schedules the next attempt after a delay, or gives the message up at once if none is possible. */
     private void retry(Message message) {
-        retries.pause(message);
-        if (retries.hasWindow(message)) {
-            checkAt(retries.windowEnd(message), message);
+        retries.scheduleRetry(message);
+        if (retries.hasRepeatWindow(message)) {
+            scheduleCheck(retries.repeatWindowEndMicros(message), message);
         }
-        if (retries.canTryAgain(message)) {
+        if (retries.canRetry(message)) {
             state.enqueue(message);
         } else {
-            end(message);
+            giveUp(message);
         }
     }
 
     /** The only place where a message is given up: refuses it if that is safe, else fails it. */
-    private void end(Message message) {
-        if (isHarmlessToRefuse(message)) {
-            state.actions.add(new Action.Refuse(message.id, admission.comeBackAfter(message.queue)));
+    private void giveUp(Message message) {
+        if (isSafeToRefuse(message)) {
+            state.actions.add(new Action.Refuse(message.id, admission.retryAfterMicros(message.queue)));
         } else {
             state.actions.add(new Action.Fail(message.id));
         }
@@ -323,11 +323,11 @@
     }
 
     /** Whether the client may submit the message again: no attempt may have taken effect, or a repeat is harmless. */
-    private static boolean isHarmlessToRefuse(Message message) {
-        boolean mayRun = message.mayHaveRun || message.inFlightTo != null;
-        Repeat repeat = message.messageClass.repeat();
-        boolean keyedEverywhere = repeat == Repeat.KEYED && message.messageClass.group() == Group.ALL;
-        return !mayRun || repeat == Repeat.SAFE || keyedEverywhere;
+    private static boolean isSafeToRefuse(Message message) {
+        boolean mayHaveEffect = message.mayHaveRun || message.inFlightEndpoint != null;
+        RepeatSafety repeat = message.messageClass.repeat();
+        boolean isKeyedEverywhere = repeat == RepeatSafety.KEYED && message.messageClass.group() == KeyScope.ALL;
+        return !mayHaveEffect || repeat == RepeatSafety.SAFE || isKeyedEverywhere;
     }
 
     /** Marks a message as finished, and removes it once no attempt is in flight. */
@@ -337,7 +337,7 @@
             state.openMessages--;
             state.dequeue(message);
         }
-        if (message.inFlightTo == null) {
+        if (message.inFlightEndpoint == null) {
             messages.remove(message.id);
             keyOrder.remove(message);
         }
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -2,9 +2,9 @@
 
 import static lilaclever.PolicyState.LONG_AGO;
 import static lilaclever.PolicyState.NEVER;
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 
@@ -15,41 +15,41 @@
  */
 final class DestinationLimits {
     /** Highest rate to a throttled limit, calls a second. */
-    private static final double MOST_THROTTLED_RATE = 10;
+    private static final double MAX_THROTTLED_RATE = 10;
     /** A limit is no longer throttled after this time without a refusal. */
-    private static final long QUIET_SPAN = 5_000_000;
+    private static final long THROTTLING_MICROS = 5_000_000;
     /** Lowest rate of a throttled limit, calls a second: at first this; divided by four by each further refusal ... */
-    private static final double FIRST_LEAST_RATE = 0.5;
+    private static final double FIRST_MIN_RATE = 0.5;
     /** ... down to an even share of the limit, but no less than this. */
-    private static final double LEAST_RATE = 0.02;
+    private static final double FINAL_MIN_RATE = 0.02;
     /** Most refusals that divide the lowest rate by four. */
-    private static final int MOST_QUARTERINGS = 6;
+    private static final int MAX_QUARTERINGS = 6;
     /** Initial lowest rate, in even shares: if the allowance is used up, and if no rate is announced. */
-    private static final double SHARES_IF_EXHAUSTED = 2, SHARES_IF_UNTOLD = 10;
+    private static final double EXHAUSTED_SHARES = 2, UNANNOUNCED_SHARES = 10;
     /** Share of the announced rate that the fleet uses while nothing of the allowance is left, so that it refills. */
-    private static final double PART_IF_EXHAUSTED = 0.7;
+    private static final double EXHAUSTED_RATE_FACTOR = 0.7;
     /** Lower bound of the lowest rate, as a share of the usual rate: limits are seldom lowered to nearly nothing. */
-    private static final double LEAST_PART_OF_USUAL = 0.5;
+    private static final double MIN_SHARE_OF_USUAL_RATE = 0.5;
     /** A refusal lowers the throttled rate to this share of the recent rate ... */
-    private static final double PART_OF_RECENT = 0.8;
+    private static final double REDUCED_SHARE_OF_RECENT_RATE = 0.8;
     /** ... or to this share of the throttled rate, if that wasn't used up. */
-    private static final double PART_OF_RATE = 0.6;
+    private static final double REDUCED_SHARE_OF_THROTTLED_RATE = 0.6;
     /** Increase of the throttled rate by each delivered call, calls a second: recovers lost rate in a few seconds. */
-    private static final double RATE_GAIN = 0.2;
+    private static final double RATE_GAIN_PER_DELIVERY = 0.2;
     /** Growth per second of the rate ceiling that applies after a limit was throttled. */
-    private static final double CEILING_GROWTH = 1.1;
+    private static final double CEILING_GROWTH_PER_SECOND = 1.1;
     /** How long the rate ceiling applies. */
-    private static final long CEILING_SPAN = 15_000_000;
+    private static final long CEILING_MICROS = 15_000_000;
     /** Refusals within this time lower the rate only once, as they have the same cause. */
-    private static final long REDUCTION_SPAN = 500_000;
+    private static final long MIN_REDUCTION_INTERVAL_MICROS = 500_000;
     /** A retry-after from this length means unavailable; limits are per second, so their capacity returns sooner. */
-    private static final long SHUT_WAIT = 2_500_000;
+    private static final long LONG_RETRY_AFTER_MICROS = 2_500_000;
     /** So many refusals, over at least this time, mean unavailable rather than over the limit. */
-    private static final long SHUT_REFUSALS = 4, SHUT_SPAN = 2_000_000;
+    private static final long UNAVAILABLE_REFUSALS = 4, UNAVAILABLE_MICROS = 2_000_000;
     /** Assumed least length of an outage whose length this forwarder can't know. */
-    private static final long LEAST_OUTAGE = 8_000_000;
+    private static final long MIN_OUTAGE_MICROS = 8_000_000;
     /** Refusals counted as due to an outage from which calls are limited to the rate of an outage. */
-    private static final int REFUSALS_AS_OUTAGE = 2;
+    private static final int SUSPECTED_OUTAGE_REFUSALS = 2;
 
     private final PolicyState state;
     private final RateEstimates rates;
@@ -71,51 +71,51 @@
     }
 
     /** Records a destination's report of its limit; {@code report} may be null. */
-    void onReport(DestinationLimit limit, Report report) {
-        if (report != null && report.perSecond() > 0) {
-            limit.toldRate = report.perSecond();
+    void onReport(DestinationLimit limit, LimitReport report) {
+        if (report != null && report.callsPerSecond() > 0) {
+            limit.announcedRate = report.callsPerSecond();
             limit.rateReported = true;
-            limit.allowanceLeft = report.left();
+            limit.allowanceLeft = report.allowanceLeft();
         }
     }
 
     /** Records a retry-after period, in microseconds from now; 0 or less is none. */
-    void onWait(DestinationLimit limit, long waitMicros) {
-        if (waitMicros > 0) {
-            limit.waitUntil = Math.max(limit.waitUntil, state.now + waitMicros);
-            limit.shortWaitAt = waitMicros < SHUT_WAIT ? state.now : limit.shortWaitAt;
+    void onRetryAfter(DestinationLimit limit, long retryAfterMicros) {
+        if (retryAfterMicros > 0) {
+            limit.retryAfterUntilMicros = Math.max(limit.retryAfterUntilMicros, state.nowMicros + retryAfterMicros);
+            limit.shortRetryAfterAtMicros = retryAfterMicros < LONG_RETRY_AFTER_MICROS ? state.nowMicros : limit.shortRetryAfterAtMicros;
         }
     }
 
     /** A call was delivered: the throttled rate grows, and the counts of refusals are reset or halved. */
     void onDelivered(DestinationLimit limit) {
-        limit.throttledRate += RATE_GAIN;
-        limit.refusalsAsOutage = 0;
+        limit.throttledRate += RATE_GAIN_PER_DELIVERY;
+        limit.suspectedOutageRefusals = 0;
         limit.exhausted = false;
-        limit.refusals /= 2;
+        limit.recentRefusals /= 2;
     }
 
     /** A call was refused as full, with a retry-after period (0 for none) and a report of the limit (may be null). */
-    void onRefused(DestinationLimit limit, Endpoint endpoint, long waitMicros, Report report) {
-        countAsOutage(limit, report);
-        if (state.now >= limit.throttledUntil) {
-            limit.throttledRate = PART_OF_RECENT * limit.recentRate / PART_OF_RATE;
-            limit.rateCeiling = Math.max(PART_OF_RECENT * limit.recentRate, MOST_THROTTLED_RATE);
+    void onRefused(DestinationLimit limit, Endpoint endpoint, long retryAfterMicros, LimitReport report) {
+        countSuspectedOutage(limit, report);
+        if (state.nowMicros >= limit.throttledUntilMicros) {
+            limit.throttledRate = REDUCED_SHARE_OF_RECENT_RATE * limit.recentRate / REDUCED_SHARE_OF_THROTTLED_RATE;
+            limit.rateCeiling = Math.max(REDUCED_SHARE_OF_RECENT_RATE * limit.recentRate, MAX_THROTTLED_RATE);
         }
-        outages.noteTrouble(limit);
-        limit.refusals++;
-        if (isShut(limit, waitMicros)) {
-            limit.endpoints.forEach(outages::beginOutage);
-            if (waitMicros >= SHUT_WAIT) {
-                spreadReopening(limit);
+        outages.noteRefusalOrFailure(limit);
+        limit.recentRefusals++;
+        if (isUnavailable(limit, retryAfterMicros)) {
+            limit.endpoints.forEach(outages::beginOrContinueOutage);
+            if (retryAfterMicros >= LONG_RETRY_AFTER_MICROS) {
+                spreadResumption(limit);
             }
         } else if (slowStart.isActive(endpoint)) {
-            slowStart.setBack(endpoint);
+            slowStart.halveAge(endpoint);
         }
-        if (state.now - limit.reducedAt >= REDUCTION_SPAN) {
+        if (state.nowMicros - limit.rateReducedAtMicros >= MIN_REDUCTION_INTERVAL_MICROS) {
             reduceRate(limit, endpoint);
         }
-        limit.throttledUntil = state.now + throttledFor(limit);
+        limit.throttledUntilMicros = state.nowMicros + throttlingMicros(limit);
     }
 
     /**
@@ -124,19 +124,19 @@
      * the rate of an outage. The forwarders of a small fleet see each destination often enough to detect an outage by
      * its length.
      */
-    private void countAsOutage(DestinationLimit limit, Report report) {
-        limit.exhausted = report != null && report.perSecond() > 0 && report.left() <= 0;
+    private void countSuspectedOutage(DestinationLimit limit, LimitReport report) {
+        limit.exhausted = report != null && report.callsPerSecond() > 0 && report.allowanceLeft() <= 0;
         if (limit.exhausted) {
-            limit.refusalsAsOutage += 2;
+            limit.suspectedOutageRefusals += 2;
         } else if (state.largeFleet) {
-            limit.refusalsAsOutage++;
+            limit.suspectedOutageRefusals++;
         }
     }
 
     /** Whether there were only refusals for some time, none with a short retry-after, or the retry-after is long. */
-    private boolean isShut(DestinationLimit limit, long waitMicros) {
-        boolean forLong = limit.refusals >= SHUT_REFUSALS && state.now - limit.failingSince >= SHUT_SPAN;
-        return waitMicros >= SHUT_WAIT || forLong && limit.shortWaitAt < limit.failingSince;
+    private boolean isUnavailable(DestinationLimit limit, long retryAfterMicros) {
+        boolean forLong = limit.recentRefusals >= UNAVAILABLE_REFUSALS && state.nowMicros - limit.failingSinceMicros >= UNAVAILABLE_MICROS;
+        return retryAfterMicros >= LONG_RETRY_AFTER_MICROS || forLong && limit.shortRetryAfterAtMicros < limit.failingSinceMicros;
     }
 
     /**
@@ -144,21 +144,21 @@
      * What one forwarder has seen of the outage is shorter than its length. Applies to fleets of any size; a single
      * forwarder hardly waits.
      */
-    private void spreadReopening(DestinationLimit limit) {
-        limit.failingFor = Math.max(LEAST_OUTAGE, limit.waitUntil - limit.failingSince);
-        double pause =
-                SECOND / recoveryPace.afterReturn(limit, state.settings.rules().overloadMicros());
-        limit.reopensAt = limit.waitUntil + (long) (state.random.nextDouble() * pause);
+    private void spreadResumption(DestinationLimit limit) {
+        limit.failingForMicros = Math.max(MIN_OUTAGE_MICROS, limit.retryAfterUntilMicros - limit.failingSinceMicros);
+        double intervalMicros =
+                MICROS_PER_SECOND / recoveryPace.recoveryRate(limit, state.settings.rules().overloadWindowMicros());
+        limit.resumeAtMicros = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * intervalMicros);
     }
 
     private void reduceRate(DestinationLimit limit, Endpoint endpoint) {
-        limit.reducedAt = state.now;
+        limit.rateReducedAtMicros = state.nowMicros;
         rates.decay(limit, endpoint);
-        double most = limit.toldRate > 0 ? Math.min(limit.toldRate, MOST_THROTTLED_RATE) : MOST_THROTTLED_RATE;
-        double least = assuredRate(limit);
+        double maxRate = limit.announcedRate > 0 ? Math.min(limit.announcedRate, MAX_THROTTLED_RATE) : MAX_THROTTLED_RATE;
+        double minRate = assuredRate(limit);
         // The recent rate is a lower bound: while few messages are sent, the throttled rate says little of the limit.
-        double reduced = Math.max(PART_OF_RATE * limit.throttledRate, PART_OF_RECENT * limit.recentRate);
-        limit.throttledRate = Math.max(least, Math.min(most, reduced));
+        double reducedRate = Math.max(REDUCED_SHARE_OF_THROTTLED_RATE * limit.throttledRate, REDUCED_SHARE_OF_RECENT_RATE * limit.recentRate);
+        limit.throttledRate = Math.max(minRate, Math.min(maxRate, reducedRate));
     }
 
     /**
@@ -166,66 +166,66 @@
      * nothing if nothing could be sent. Not so in a large fleet, where each forwarder sends seldom, and that would be
      * far longer than a burst.
      */
-    private long throttledFor(DestinationLimit limit) {
+    private long throttlingMicros(DestinationLimit limit) {
         if (state.largeFleet) {
-            return (long) (QUIET_SPAN * state.randomFactor());
+            return (long) (THROTTLING_MICROS * state.jitterFactor());
         }
         double rate = Math.max(limit.throttledRate, assuredRate(limit));
-        return (long) Math.max(QUIET_SPAN, 2 * SECOND / rate);
+        return (long) Math.max(THROTTLING_MICROS, 2 * MICROS_PER_SECOND / rate);
     }
 
     /** Calls a second that a throttled limit is sure to accept from each forwarder, even if all send at this rate. */
     double assuredRate(DestinationLimit limit) {
         double share = rates.evenShare(limit);
-        int quarterings = Math.min(Math.max(0, limit.refusals - 1), MOST_QUARTERINGS);
-        double least = Math.min(FIRST_LEAST_RATE, firstShares(limit) * share) / (1 << 2 * quarterings);
-        least = Math.max(least, Math.max(LEAST_RATE, Math.min(share, FIRST_LEAST_RATE)));
-        return Math.max(LEAST_PART_OF_USUAL * rates.usual(limit), least);
+        int quarterings = Math.min(Math.max(0, limit.recentRefusals - 1), MAX_QUARTERINGS);
+        double minRate = Math.min(FIRST_MIN_RATE, firstEvenShares(limit) * share) / (1 << 2 * quarterings);
+        minRate = Math.max(minRate, Math.max(FINAL_MIN_RATE, Math.min(share, FIRST_MIN_RATE)));
+        return Math.max(MIN_SHARE_OF_USUAL_RATE * rates.usual(limit), minRate);
     }
 
-    private static double firstShares(DestinationLimit limit) {
-        if (limit.toldRate <= 0) {
-            return SHARES_IF_UNTOLD;
+    private static double firstEvenShares(DestinationLimit limit) {
+        if (limit.announcedRate <= 0) {
+            return UNANNOUNCED_SHARES;
         }
         // Nothing left means that refused calls use up the limit too, and more of them would keep it at nothing.
-        return limit.allowanceLeft > 0 ? NEVER : SHARES_IF_EXHAUSTED;
+        return limit.allowanceLeft > 0 ? NEVER : EXHAUSTED_SHARES;
     }
 
     /** Calls a second that a limit may get after a refusal; {@link PolicyState#NEVER} if it isn't restricted. */
     double allowedRate(DestinationLimit limit) {
-        if (state.now < limit.throttledUntil) {
-            return Math.min(MOST_THROTTLED_RATE, limit.throttledRate);
+        if (state.nowMicros < limit.throttledUntilMicros) {
+            return Math.min(MAX_THROTTLED_RATE, limit.throttledRate);
         }
         // Messages that waited must not all be sent when throttling ends: they would be refused again.
-        long after = state.now - limit.throttledUntil;
-        return limit.rateCeiling == 0 || after > CEILING_SPAN
+        long sinceMicros = state.nowMicros - limit.throttledUntilMicros;
+        return limit.rateCeiling == 0 || sinceMicros > CEILING_MICROS
                 ? NEVER
-                : limit.rateCeiling * Math.pow(CEILING_GROWTH, after / SECOND);
+                : limit.rateCeiling * Math.pow(CEILING_GROWTH_PER_SECOND, sinceMicros / MICROS_PER_SECOND);
     }
 
     /** When the limit may get another call, microseconds: after the retry-after period, at the rate after refusals. */
-    long readyAt(DestinationLimit limit) {
-        long waitOver = Math.max(limit.waitUntil, limit.reopensAt);
-        return Math.max(waitOver, Math.max(readyAfterThrottling(limit), readyInOutage(limit)));
+    long readyAtMicros(DestinationLimit limit) {
+        long retryAfterOverMicros = Math.max(limit.retryAfterUntilMicros, limit.resumeAtMicros);
+        return Math.max(retryAfterOverMicros, Math.max(readyAfterThrottlingMicros(limit), readyInOutageMicros(limit)));
     }
 
-    private long readyAfterThrottling(DestinationLimit limit) {
+    private long readyAfterThrottlingMicros(DestinationLimit limit) {
         double rate = allowedRate(limit);
         if (rate >= NEVER) {
             return LONG_AGO;
         }
-        long free = state.now < limit.throttledUntil ? limit.throttledUntil : NEVER;
-        return Math.min(free, limit.lastSentAt + (long) (SECOND / rate));
+        long unthrottledMicros = state.nowMicros < limit.throttledUntilMicros ? limit.throttledUntilMicros : NEVER;
+        return Math.min(unthrottledMicros, limit.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate));
     }
 
-    private long readyInOutage(DestinationLimit limit) {
+    private long readyInOutageMicros(DestinationLimit limit) {
         double rate = NEVER;
-        if (limit.refusalsAsOutage >= REFUSALS_AS_OUTAGE) {
-            rate = recoveryPace.inOutage(limit) / limit.paceSpread;
+        if (limit.suspectedOutageRefusals >= SUSPECTED_OUTAGE_REFUSALS) {
+            rate = recoveryPace.outageRate(limit) / limit.outageRateDivisor;
         }
         if (limit.exhausted) {
-            rate = Math.min(rate, PART_IF_EXHAUSTED * rates.evenShare(limit));
+            rate = Math.min(rate, EXHAUSTED_RATE_FACTOR * rates.evenShare(limit));
         }
-        return rate >= NEVER ? LONG_AGO : limit.lastSentAt + (long) (SECOND / rate);
+        return rate >= NEVER ? LONG_AGO : limit.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate);
     }
 }
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
 import static lilaclever.PolicyState.NEVER;
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
 import lilaclever.PolicyState.Call;
 import lilaclever.PolicyState.DestinationLimit;
@@ -10,9 +10,9 @@
 /** When an endpoint may get another call: by its limit, its health and its share of the slots. */
 final class EndpointAvailability {
     /** Share of the slots that calls to one limit may use, so that a hanging one leaves slots for the others. */
-    private static final double SLOT_PART_OF_LIMIT = 0.6;
+    private static final double MAX_SLOT_SHARE_OF_LIMIT = 0.6;
     /** Share of the slots that calls to all stalled endpoints together may use. */
-    private static final double SLOT_PART_OF_STALLED = 0.3;
+    private static final double MAX_SLOT_SHARE_OF_STALLED = 0.3;
 
     private final PolicyState state;
     private final SlowStart slowStart;
@@ -44,25 +44,25 @@
      * the rate of its limit, and at the recovery rate in and after an outage. {@link PolicyState#NEVER} while that
      * depends on a call in flight.
      */
-    long readyAt(Endpoint endpoint) {
-        if (!hasSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveSlot()) {
+    long readyAtMicros(Endpoint endpoint) {
+        if (!hasFreeSlot(endpoint.limit) || awaitsOutcome(endpoint) || isStalled(endpoint) && !stalledHaveFreeSlot()) {
             return NEVER;
         }
-        long limitReadyAt = Math.max(limits.readyAt(endpoint.limit), endpoint.avoidUntil);
+        long limitReadyMicros = Math.max(limits.readyAtMicros(endpoint.limit), endpoint.avoidUntilMicros);
         double rate = recoveryPace.callsPerSecond(endpoint);
         if (rate >= NEVER) {
-            return limitReadyAt;
+            return limitReadyMicros;
         }
-        long healthyAt = endpoint.lastSentAt + (long) (SECOND / rate);
+        long atRateMicros = endpoint.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate);
         // The rate of slow start only grows, and at its end the endpoint is unrestricted.
-        boolean slowStartOnly = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.refusingConnections;
-        long readyAt = slowStartOnly ? Math.min(healthyAt, slowStart.endsAt(endpoint)) : healthyAt;
-        return Math.max(limitReadyAt, readyAt);
+        boolean onlySlowStart = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
+        long endpointReadyMicros = onlySlowStart ? Math.min(atRateMicros, slowStart.endsAtMicros(endpoint)) : atRateMicros;
+        return Math.max(limitReadyMicros, endpointReadyMicros);
     }
 
-    private boolean hasSlot(DestinationLimit limit) {
+    private boolean hasFreeSlot(DestinationLimit limit) {
         int slots = state.settings.limits().slots();
-        return limit.callsInFlight < Math.max(1, (int) Math.ceil(SLOT_PART_OF_LIMIT * slots));
+        return limit.callsInFlight < Math.max(1, (int) Math.ceil(MAX_SLOT_SHARE_OF_LIMIT * slots));
     }
 
     /** Whether to await the outcome of a call in flight: a trial in an outage, or a connect where few are accepted. */
@@ -70,17 +70,17 @@
         if (endpoint.callsInFlight == 0) {
             return false;
         }
-        boolean connectionsScarce = transientFailures.connectsTurnedAwayMoreThanAssumed(endpoint);
-        return endpoint.inOutage || connectionsScarce && !connections.isWarm(endpoint);
+        boolean connectionsScarce = transientFailures.connectsRejectedMoreThanAssumed(endpoint);
+        return endpoint.inOutage || connectionsScarce && !connections.hasIdleConnection(endpoint);
     }
 
-    private boolean stalledHaveSlot() {
+    private boolean stalledHaveFreeSlot() {
         int stalled = 0;
         for (Call call : state.calls) {
             stalled += isStalled(call.endpoint) ? 1 : 0;
         }
         int slots = state.settings.limits().slots();
-        return stalled < Math.max(1, (int) (SLOT_PART_OF_STALLED * slots));
+        return stalled < Math.max(1, (int) (MAX_SLOT_SHARE_OF_STALLED * slots));
     }
 
     /**
@@ -90,15 +90,15 @@
      * is stalled.
      */
     private boolean isStalled(Endpoint endpoint) {
-        double slow = timeouts.slowAnswerTime();
+        double slowMicros = timeouts.slowAnswerMicros();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones are delivered says nothing of the endpoint.
-            boolean latest = call.sentAt > endpoint.lastDeliveredSentAt;
-            if (state.usualAnswerTime > 0 && latest && state.now - call.sentAt > slow) {
+            boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
+            if (state.overallMeanAnswerMicros > 0 && sentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
                 return true;
             }
         }
-        boolean slowAnswers = state.usualAnswerTime > 0 && endpoint.limit.answerTime > slow;
+        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.meanAnswerMicros > slowMicros;
         return endpoint.inOutage || endpoint.timingOut || slowAnswers;
     }
 }
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.DecisionModule.MessageClass;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.DestinationQueue;
 import lilaclever.PolicyState.Endpoint;
@@ -19,15 +19,15 @@
  */
 final class EndpointSelection {
     /** Most messages considered for one send: bounds the work for a long queue. */
-    private static final int MOST_MESSAGES_CONSIDERED = 500;
+    private static final int MAX_MESSAGES_CONSIDERED = 500;
     /** Share by which the value of a message at its aim exceeds that of a new one. */
-    private static final double PREFERENCE_AT_AIM = 0.5;
+    private static final double BONUS_AT_AIM = 0.5;
     /** Factor on the value of a keyed message with an uncertain attempt, since its repeat window is passing. */
-    private static final double FACTOR_IN_WINDOW = 4;
+    private static final double REPEAT_WORTH_FACTOR = 4;
     /** Factors on the value of messages that a failed call may lose, at endpoints that fail or time out. */
-    private static final double FACTOR_IF_UNSAFE = 0.01, FACTOR_IF_KEYED = 0.5;
+    private static final double UNSAFE_WORTH_FACTOR = 0.01, KEYED_WORTH_FACTOR = 0.5;
     /** Shortest time that a call is assumed to use a slot. */
-    private static final long LEAST_SLOT_TIME = 1_000;
+    private static final long MIN_SLOT_MICROS = 1_000;
     /** Cost of an endpoint in another zone, in calls in flight. */
     private static final double OTHER_ZONE_COST = 1;
     /** Cost of an endpoint without an idle connection, in calls in flight. */
@@ -41,7 +41,7 @@
     private final EndpointAvailability availability;
     private final SendRules rules;
     /** Waiting messages that can't be delivered in time, until the caller has given them up. */
-    private final List<Message> hopeless = new ArrayList<>();
+    private final List<Message> undeliverable = new ArrayList<>();
 
     EndpointSelection(
             PolicyState state,
@@ -58,31 +58,31 @@
 
     /**
      * Selects the message of the queue to send now and its endpoint; null if none can be sent. Lowers the queue's
-     * {@link DestinationQueue#nextCheckAt} to the time at which one may become sendable, and collects the messages for
+     * {@link DestinationQueue#nextCheckAtMicros} to the time at which one may become sendable, and collects the messages for
      * which that is too late.
      */
     SendCandidate select(DestinationQueue queue) {
         List<Endpoint> ready = new ArrayList<>();
-        long soonest = findReady(queue, ready);
-        if (soonest > state.now && soonest < NEVER) {
-            noteHopeless(queue, soonest);
+        long soonestMicros = findReady(queue, ready);
+        if (soonestMicros > state.nowMicros && soonestMicros < NEVER) {
+            collectUndeliverable(queue, soonestMicros);
         }
         return best(queue, ready);
     }
 
     /** Collects the endpoints that may get a call now; returns from when one may, or may turn out to. */
     private long findReady(DestinationQueue queue, List<Endpoint> ready) {
-        long soonest = NEVER;
+        long soonestMicros = NEVER;
         for (Endpoint endpoint : queue.endpoints) {
-            long at = endpoint.active ? availability.readyAt(endpoint) : NEVER;
-            soonest = Math.min(soonest, endpoint.callsInFlight > 0 ? state.now : at);
-            if (at <= state.now) {
+            long readyAtMicros = endpoint.active ? availability.readyAtMicros(endpoint) : NEVER;
+            soonestMicros = Math.min(soonestMicros, endpoint.callsInFlight > 0 ? state.nowMicros : readyAtMicros);
+            if (readyAtMicros <= state.nowMicros) {
                 ready.add(endpoint);
             } else {
-                queue.nextCheckAt = Math.min(queue.nextCheckAt, at);
+                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, readyAtMicros);
             }
         }
-        return soonest;
+        return soonestMicros;
     }
 
     /**
@@ -90,33 +90,33 @@
      * flight whose outcome could change that. Their clients are answered now, and may find a forwarder that isn't
      * throttled.
      */
-    private void noteHopeless(DestinationQueue queue, long soonest) {
+    private void collectUndeliverable(DestinationQueue queue, long soonestMicros) {
         for (Message message : queue.waiting) {
-            if (soonest > message.deadline - CallTimeouts.SHORTEST || soonest >= retries.windowEnd(message)) {
-                hopeless.add(message);
+            if (soonestMicros > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonestMicros >= retries.repeatWindowEndMicros(message)) {
+                undeliverable.add(message);
             }
         }
     }
 
-    /** Returns the undeliverable messages found since {@link #clearHopeless}; the caller gives them up. */
-    List<Message> hopeless() {
-        return hopeless;
+    /** Returns the undeliverable messages found since {@link #clearUndeliverable}; the caller gives them up. */
+    List<Message> undeliverable() {
+        return undeliverable;
     }
 
     /** Clears the collected undeliverable messages. */
-    void clearHopeless() {
-        hopeless.clear();
+    void clearUndeliverable() {
+        undeliverable.clear();
     }
 
     private SendCandidate best(DestinationQueue queue, List<Endpoint> ready) {
         SendCandidate best = null;
         int considered = 0;
         for (Message message : queue.waiting) {
-            if (ready.isEmpty() || considered >= MOST_MESSAGES_CONSIDERED) {
+            if (ready.isEmpty() || considered >= MAX_MESSAGES_CONSIDERED) {
                 break;
             }
-            if (message.notBefore > state.now) {
-                queue.nextCheckAt = Math.min(queue.nextCheckAt, message.notBefore);
+            if (message.notBeforeMicros > state.nowMicros) {
+                queue.nextCheckAtMicros = Math.min(queue.nextCheckAtMicros, message.notBeforeMicros);
                 continue;
             }
             considered++;
@@ -141,15 +141,15 @@
     /** Returns the endpoint of lowest cost that the message may be sent to; the first of equal ones, or null. */
     Endpoint choose(Message message, List<Endpoint> ready) {
         Endpoint best = null;
-        double least = 0;
+        double lowestCost = 0;
         for (Endpoint endpoint : ready) {
             if (!rules.permit(message, endpoint)) {
                 continue;
             }
             double cost = cost(message, endpoint);
-            if (best == null || cost < least) {
+            if (best == null || cost < lowestCost) {
                 best = endpoint;
-                least = cost;
+                lowestCost = cost;
             }
         }
         return best;
@@ -158,37 +158,37 @@
     private double cost(Message message, Endpoint endpoint) {
         return endpoint.callsInFlight
                 + (endpoint.zone == state.settings.zone() ? 0 : OTHER_ZONE_COST)
-                + (connections.isWarm(endpoint) ? 0 : CONNECT_COST)
+                + (connections.hasIdleConnection(endpoint) ? 0 : CONNECT_COST)
                 + (message.lastEndpoint == endpoint ? SAME_ENDPOINT_COST : 0);
     }
 
     /** Value of sending a message to an endpoint now, per microsecond that the call is expected to use a slot. */
     double rank(Message message, Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
-        Repeat repeat = message.messageClass.repeat();
-        double worth = worthNow(message);
-        if (message.mayHaveRun && repeat == Repeat.KEYED) {
-            worth *= FACTOR_IN_WINDOW;
+        RepeatSafety repeat = message.messageClass.repeat();
+        double worth = currentWorth(message);
+        if (message.mayHaveRun && repeat == RepeatSafety.KEYED) {
+            worth *= REPEAT_WORTH_FACTOR;
         }
-        if ((endpoint.inOutage || endpoint.timingOut) && repeat != Repeat.SAFE && !message.mayHaveRun) {
+        if ((endpoint.inOutage || endpoint.timingOut) && repeat != RepeatSafety.SAFE && !message.mayHaveRun) {
             // A failed call may have taken effect: prefer messages that can be repeated for a failing endpoint.
-            worth *= repeat == Repeat.UNSAFE ? FACTOR_IF_UNSAFE : FACTOR_IF_KEYED;
+            worth *= repeat == RepeatSafety.UNSAFE ? UNSAFE_WORTH_FACTOR : KEYED_WORTH_FACTOR;
         }
-        return worth / Math.max(LEAST_SLOT_TIME, limit.answerTime > 0 ? limit.answerTime : state.usualAnswerTime);
+        return worth / Math.max(MIN_SLOT_MICROS, limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
     }
 
     /**
      * Value of a message if it is sent now, with a bonus that grows until its aim. Where more messages wait than can be
      * sent, those already late must not make all new ones late too.
      */
-    private double worthNow(Message message) {
-        MessageClass kind = message.messageClass;
-        long aim = kind.aimMicros();
-        double late = (state.now - message.acceptedAt - aim) / (double) Math.max(1, aim);
-        if (late < 0) {
-            return message.worth * (1 + PREFERENCE_AT_AIM * (1 + late));
+    private double currentWorth(Message message) {
+        MessageClass messageClass = message.messageClass;
+        long aimMicros = messageClass.aimMicros();
+        double lateness = (state.nowMicros - message.acceptedAtMicros - aimMicros) / (double) Math.max(1, aimMicros);
+        if (lateness < 0) {
+            return message.worth * (1 + BONUS_AT_AIM * (1 + lateness));
         }
-        double rest = kind.halves() ? Math.pow(0.5, late) : 1 - late * aim / Math.max(1, kind.deadlineMicros() - aim);
-        return message.worth * Math.max(kind.lateShare(), rest);
+        double remainingShare = messageClass.halves() ? Math.pow(0.5, lateness) : 1 - lateness * aimMicros / Math.max(1, messageClass.deadlineMicros() - aimMicros);
+        return message.worth * Math.max(messageClass.lateShare(), remainingShare);
     }
 }
--- a/src/main/java/lilaclever/KeyOrder.java
+++ b/src/main/java/lilaclever/KeyOrder.java
@@ -31,13 +31,13 @@
         if (key == null) {
             return true;
         }
-        boolean paused = key.pauseExempt != message && state.now < key.pausedUntil;
-        return key.messages.peek() == message && !paused;
+        boolean isPaused = key.pauseExempt != message && state.nowMicros < key.pausedUntilMicros;
+        return key.messages.peek() == message && !isPaused;
     }
 
     /** Pauses the key of a message whose attempt was given up, for all others of the key. */
     void pause(Message message) {
-        message.orderedKey.pausedUntil = state.now + state.settings.rules().orderPauseMicros();
+        message.orderedKey.pausedUntilMicros = state.nowMicros + state.settings.rules().orderPauseMicros();
         message.orderedKey.pauseExempt = message;
     }
 
@@ -46,13 +46,13 @@
         if (message.orderedKey != null) {
             message.orderedKey.messages.remove(message);
         }
-        forget(message);
+        removeIfUnused(message);
     }
 
     /** Removes the message's key if it has no messages left and its pause is over. */
-    void forget(Message message) {
+    void removeIfUnused(Message message) {
         OrderedKey key = message.orderedKey;
-        if (key != null && key.messages.isEmpty() && key.pausedUntil <= state.now) {
+        if (key != null && key.messages.isEmpty() && key.pausedUntilMicros <= state.nowMicros) {
             keys.remove(message.key, key);
         }
     }
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 
@@ -11,25 +11,25 @@
  */
 final class OutageDetection {
     /** First interval between trial calls in an outage. */
-    static final long FIRST_TRIAL_PAUSE = 500_000;
+    static final long FIRST_TRIAL_INTERVAL_MICROS = 500_000;
     /** Longest interval between trial calls in an outage. */
-    private static final long LAST_TRIAL_PAUSE = 2_000_000;
+    private static final long MAX_TRIAL_INTERVAL_MICROS = 2_000_000;
     /** Consecutive hard failures that mean an outage. */
-    private static final int FAILURES_IN_ROW = 4;
+    private static final int OUTAGE_FAILURES = 4;
     /** The same seen by all forwarders together; in a large fleet each sees fewer. */
-    private static final int FAILURES_IN_FLEET = PolicyState.LARGE_FLEET;
+    private static final int OUTAGE_FAILURES_IN_FLEET = PolicyState.LARGE_FLEET_THRESHOLD;
     /** Weight of one outcome in the share of failures. */
     private static final double OUTCOME_WEIGHT = 0.1;
     /** Share of failures that means an outage: half, plus random variation. */
-    private static final double OUTAGE_SHARE = 0.65;
+    private static final double OUTAGE_FAILURE_SHARE = 0.65;
     /** Share of failures from which slow start begins again, and the highest one retained after an outage. */
-    private static final double UNHEALTHY_SHARE = 0.5;
+    private static final double UNHEALTHY_FAILURE_SHARE = 0.5;
     /** A connect that fails before this share of its time-out was rejected by the host; later, there was no host. */
-    private static final double CONNECT_PART = 0.9;
+    private static final double REJECTION_SHARE_OF_TIMEOUT = 0.9;
     /** How long an endpoint gets no calls after the second consecutive hard failure; each further one doubles it. */
-    private static final long FIRST_AVOIDANCE = 500_000;
+    private static final long FIRST_AVOIDANCE_MICROS = 500_000;
 
-    private static final int MOST_DOUBLINGS = 2;
+    private static final int MAX_AVOIDANCE_DOUBLINGS = 2;
 
     private final PolicyState state;
     private final SlowStart slowStart;
@@ -52,128 +52,128 @@
 
     /** A call was delivered: resets the counts of consecutive failures and ends an outage. */
     void onDelivered(DestinationLimit limit, Endpoint endpoint) {
-        limit.failingSince = 0;
-        limit.failuresInRow = 0;
-        limit.severalFail = false;
-        boolean connectsFailedLong = endpoint.refusingConnections && !transientFailures.isBrief(endpoint);
-        boolean returned = endpoint.inOutage || connectsFailedLong;
-        endpoint.failuresInRow = 0;
-        endpoint.refusingConnections = false;
+        limit.failingSinceMicros = 0;
+        limit.consecutiveFailures = 0;
+        limit.severalEndpointsFailing = false;
+        boolean connectsFailedLong = endpoint.connectsFailing && !transientFailures.isBrief(endpoint);
+        boolean hasRecovered = endpoint.inOutage || connectsFailedLong;
+        endpoint.consecutiveFailures = 0;
+        endpoint.connectsFailing = false;
         endpoint.timingOut = false;
         transientFailures.onDelivered(endpoint);
-        endpoint.failingSince = 0;
+        endpoint.failingSinceMicros = 0;
         endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
-        if (returned) {
+        if (hasRecovered) {
             // It recovered from an outage or a long series of failed connects, and hasn't its full capacity yet.
             endpoint.inOutage = false;
             slowStart.begin(endpoint);
-            endpoint.failureShare = Math.min(endpoint.failureShare, UNHEALTHY_SHARE);
+            endpoint.failureShare = Math.min(endpoint.failureShare, UNHEALTHY_FAILURE_SHARE);
         }
-        endpoint.trialPause = FIRST_TRIAL_PAUSE;
+        endpoint.trialIntervalMicros = FIRST_TRIAL_INTERVAL_MICROS;
     }
 
     /** Records a refusal or failure: since when the limit has trouble, and a new random divisor of its outage rate. */
-    void noteTrouble(DestinationLimit limit) {
-        limit.failingSince = limit.failingSince == 0 ? state.now : limit.failingSince;
-        limit.failingFor = state.now - limit.failingSince;
+    void noteRefusalOrFailure(DestinationLimit limit) {
+        limit.failingSinceMicros = limit.failingSinceMicros == 0 ? state.nowMicros : limit.failingSinceMicros;
+        limit.failingForMicros = state.nowMicros - limit.failingSinceMicros;
         // Spreads the retries of a burst that was refused at once.
-        limit.paceSpread = state.largeFleet ? 1 + state.random.nextDouble() : 1;
+        limit.outageRateDivisor = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
 
     /** A call failed hard, the given time after it was sent. */
-    void onFailure(DestinationLimit limit, Endpoint endpoint, Ending reported, long elapsed) {
+    void onFailure(DestinationLimit limit, Endpoint endpoint, AttemptResult reported, long elapsedMicros) {
         // A call that was cancelled because no answer came has timed out as well.
-        Ending ending = reported == Ending.CANCELED ? Ending.TIMED_OUT : reported;
-        noteTrouble(limit);
-        endpoint.failuresInRow++;
+        AttemptResult result = reported == AttemptResult.CANCELED ? AttemptResult.TIMED_OUT : reported;
+        noteRefusalOrFailure(limit);
+        endpoint.consecutiveFailures++;
         // An endpoint that answers that it has too many connections is running; if it answers only that for long, it
         // may be in an outage.
-        boolean isThere =
-                ending == Ending.NO_ROOM && (endpoint.failingSince == 0 || transientFailures.isBrief(endpoint));
-        if (!isThere) {
-            count(limit, endpoint);
+        boolean isReachable =
+                result == AttemptResult.NO_ROOM && (endpoint.failingSinceMicros == 0 || transientFailures.isBrief(endpoint));
+        if (!isReachable) {
+            countFailure(limit, endpoint);
         }
         avoid(endpoint);
-        if (ending == Ending.TIMED_OUT) {
+        if (result == AttemptResult.TIMED_OUT) {
             onTimeout(limit, endpoint);
         }
-        if (ending == Ending.NO_CONNECTION) {
+        if (result == AttemptResult.NO_CONNECTION) {
             connections.onConnectFailed(endpoint);
         }
-        if (slowStart.isActive(endpoint) && endpoint.failureShare >= UNHEALTHY_SHARE) {
+        if (slowStart.isActive(endpoint) && endpoint.failureShare >= UNHEALTHY_FAILURE_SHARE) {
             slowStart.begin(endpoint);
         }
-        boolean turnedAway = isTurnedAway(ending, elapsed);
-        endpoint.failingSince = endpoint.failingSince == 0 ? state.now : endpoint.failingSince;
-        transientFailures.onFailure(endpoint, turnedAway);
-        noteRefusedConnection(endpoint, ending);
-        if (turnedAway) {
-            connections.onTurnedAway(endpoint);
-            if (isThere || transientFailures.connectsOftenTurnedAway(endpoint)) {
-                avoidForAsLong(limit, endpoint);
+        boolean connectRejected = isConnectRejected(result, elapsedMicros);
+        endpoint.failingSinceMicros = endpoint.failingSinceMicros == 0 ? state.nowMicros : endpoint.failingSinceMicros;
+        transientFailures.onFailure(endpoint, connectRejected);
+        noteFailedConnect(endpoint, result);
+        if (connectRejected) {
+            connections.onConnectRejected(endpoint);
+            if (isReachable || transientFailures.connectsOftenRejected(endpoint)) {
+                avoidForOutageLength(limit, endpoint);
                 return;
             }
         }
-        detect(limit, endpoint);
+        detectOutage(limit, endpoint);
     }
 
-    private void count(DestinationLimit limit, Endpoint endpoint) {
-        limit.severalFail |= limit.failuresInRow > 0 && limit.lastFailedEndpoint != endpoint;
+    private void countFailure(DestinationLimit limit, Endpoint endpoint) {
+        limit.severalEndpointsFailing |= limit.consecutiveFailures > 0 && limit.lastFailedEndpoint != endpoint;
         limit.lastFailedEndpoint = endpoint;
-        limit.failuresInRow++;
+        limit.consecutiveFailures++;
         endpoint.failureShare += OUTCOME_WEIGHT * (1 - endpoint.failureShare);
     }
 
     private void avoid(Endpoint endpoint) {
-        if (endpoint.failuresInRow > 1) {
-            int doublings = Math.min(endpoint.failuresInRow - 2, MOST_DOUBLINGS);
-            endpoint.avoidUntil = state.now + (long) ((FIRST_AVOIDANCE << doublings) * state.randomFactor());
+        if (endpoint.consecutiveFailures > 1) {
+            int doublings = Math.min(endpoint.consecutiveFailures - 2, MAX_AVOIDANCE_DOUBLINGS);
+            endpoint.avoidUntilMicros = state.nowMicros + (long) ((FIRST_AVOIDANCE_MICROS << doublings) * state.jitterFactor());
         }
     }
 
     private void onTimeout(DestinationLimit limit, Endpoint endpoint) {
-        if (endpoint.failuresInRow > 1) {
+        if (endpoint.consecutiveFailures > 1) {
             // All calls are slow: wait longer. If only some hang while others are answered, they must not use slots
             // longer.
             timeouts.lengthen(limit);
         }
-        endpoint.timingOut |= endpoint.failuresInRow > 1 || !transientFailures.callsOftenLost();
+        endpoint.timingOut |= endpoint.consecutiveFailures > 1 || !transientFailures.callsOftenLost();
     }
 
-    private boolean isTurnedAway(Ending ending, long elapsed) {
-        boolean early = elapsed < CONNECT_PART * state.settings.limits().connectTimeoutMicros();
-        return ending == Ending.NO_ROOM || ending == Ending.NO_CONNECTION && early;
+    private boolean isConnectRejected(AttemptResult result, long elapsedMicros) {
+        boolean isEarly = elapsedMicros < REJECTION_SHARE_OF_TIMEOUT * state.settings.limits().connectTimeoutMicros();
+        return result == AttemptResult.NO_ROOM || result == AttemptResult.NO_CONNECTION && isEarly;
     }
 
-    private void noteRefusedConnection(Endpoint endpoint, Ending ending) {
+    private void noteFailedConnect(Endpoint endpoint, AttemptResult result) {
         // An endpoint that accepted a call just now and rejects the next connect is full, not down: a busy one must
         // still get calls. In an outage this exemption ends with the fourth consecutive failure, or after three
         // seconds.
-        boolean busy = transientFailures.isBriefSince(endpoint.lastDeliveredSentAt)
-                && endpoint.failuresInRow < FAILURES_IN_ROW;
-        endpoint.refusingConnections |= state.largeFleet && ending == Ending.NO_CONNECTION && !busy;
+        boolean isBusy = transientFailures.isRecent(endpoint.lastDeliveredSentAtMicros)
+                && endpoint.consecutiveFailures < OUTAGE_FAILURES;
+        endpoint.connectsFailing |= state.largeFleet && result == AttemptResult.NO_CONNECTION && !isBusy;
     }
 
-    private void avoidForAsLong(DestinationLimit limit, Endpoint endpoint) {
-        long longer = state.largeFleet ? state.now - limit.failingSince : 0;
-        long until = state.now + (long) (longer * state.randomFactor());
-        endpoint.avoidUntil = Math.max(endpoint.avoidUntil, until);
+    private void avoidForOutageLength(DestinationLimit limit, Endpoint endpoint) {
+        long outageMicros = state.largeFleet ? state.nowMicros - limit.failingSinceMicros : 0;
+        long untilMicros = state.nowMicros + (long) (outageMicros * state.jitterFactor());
+        endpoint.avoidUntilMicros = Math.max(endpoint.avoidUntilMicros, untilMicros);
     }
 
-    private void detect(DestinationLimit limit, Endpoint endpoint) {
-        int seenByEach = Math.max(1, FAILURES_IN_FLEET / state.settings.relays());
-        int needed = transientFailures.callsOftenLost() ? FAILURES_IN_ROW : Math.min(FAILURES_IN_ROW, seenByEach);
-        if (limit.severalFail && limit.failuresInRow >= needed) {
-            limit.endpoints.stream().filter(each -> each.failuresInRow > 0).forEach(this::beginOutage);
-        } else if (endpoint.failuresInRow >= needed || endpoint.failureShare >= OUTAGE_SHARE) {
-            beginOutage(endpoint);
+    private void detectOutage(DestinationLimit limit, Endpoint endpoint) {
+        int seenByEach = Math.max(1, OUTAGE_FAILURES_IN_FLEET / state.settings.forwarders());
+        int failuresNeeded = transientFailures.callsOftenLost() ? OUTAGE_FAILURES : Math.min(OUTAGE_FAILURES, seenByEach);
+        if (limit.severalEndpointsFailing && limit.consecutiveFailures >= failuresNeeded) {
+            limit.endpoints.stream().filter(each -> each.consecutiveFailures > 0).forEach(this::beginOrContinueOutage);
+        } else if (endpoint.consecutiveFailures >= failuresNeeded || endpoint.failureShare >= OUTAGE_FAILURE_SHARE) {
+            beginOrContinueOutage(endpoint);
         }
     }
 
     /** Begins an outage of the endpoint, or continues it and lengthens the interval between trial calls by half. */
-    void beginOutage(Endpoint endpoint) {
-        long longer = endpoint.trialPause * (endpoint.inOutage ? 3 : 2) / 2;
-        endpoint.trialPause = Math.min(LAST_TRIAL_PAUSE, longer);
+    void beginOrContinueOutage(Endpoint endpoint) {
+        long longerMicros = endpoint.trialIntervalMicros * (endpoint.inOutage ? 3 : 2) / 2;
+        endpoint.trialIntervalMicros = Math.min(MAX_TRIAL_INTERVAL_MICROS, longerMicros);
         endpoint.inOutage = true;
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -21,11 +21,11 @@
     static final long NEVER = Long.MAX_VALUE / 4;
     /** An instant before all others, microseconds. */
     static final long LONG_AGO = Long.MIN_VALUE / 4;
-    static final double SECOND = 1_000_000;
+    static final double MICROS_PER_SECOND = 1_000_000;
     /** A fleet with more forwarders than this is large. */
-    static final int LARGE_FLEET = 16;
+    static final int LARGE_FLEET_THRESHOLD = 16;
     /** Range of the jitter factor, which spreads the retries of what failed or was refused at the same time. */
-    private static final double LEAST_FACTOR = 0.5, MOST_FACTOR = 1.5;
+    private static final double MIN_JITTER_FACTOR = 0.5, MAX_JITTER_FACTOR = 1.5;
 
     /** Whether there are so many forwarders that each calls a destination too seldom to detect an outage by itself. */
     final boolean largeFleet;
@@ -34,14 +34,14 @@
     /** By destination, in the order in which destinations became known. */
     final Map<Integer, DestinationQueue> queues = new LinkedHashMap<>();
     /** Queues with waiting messages; a round works through these, not through all destinations. */
-    final LinkedHashSet<DestinationQueue> queuesWaiting = new LinkedHashSet<>();
+    final LinkedHashSet<DestinationQueue> nonEmptyQueues = new LinkedHashSet<>();
     /** Calls in flight. */
     final LinkedHashSet<Call> calls = new LinkedHashSet<>();
     Settings settings;
     /** Time of the current round. */
-    long now;
+    long nowMicros;
     /** When every call must have ended, since the program is stopping. */
-    long stopAt = NEVER;
+    long stopAtMicros = NEVER;
     /** Actions of the current round; a new list for each round. */
     List<Action> actions = new ArrayList<>();
     /** Number of calls in flight; each uses one slot. */
@@ -49,35 +49,35 @@
     /** Number of messages without a final status. */
     int openMessages;
     /** Mean response time of delivered calls over all destinations; 0 before the first. */
-    double usualAnswerTime;
+    double overallMeanAnswerMicros;
 
     PolicyState(Settings settings, long seed) {
         this.settings = settings;
         this.random = new SplittableRandom(seed);
-        this.largeFleet = settings.relays() > LARGE_FLEET;
+        this.largeFleet = settings.forwarders() > LARGE_FLEET_THRESHOLD;
     }
 
     /** Draws a jitter factor from 0.5 to 1.5. */
-    double randomFactor() {
-        return LEAST_FACTOR + (MOST_FACTOR - LEAST_FACTOR) * random.nextDouble();
+    double jitterFactor() {
+        return MIN_JITTER_FACTOR + (MAX_JITTER_FACTOR - MIN_JITTER_FACTOR) * random.nextDouble();
     }
 
     /** Adds a message to the end of its destination's queue. */
     void enqueue(Message message) {
         message.queue.waiting.add(message);
-        queuesWaiting.add(message.queue);
+        nonEmptyQueues.add(message.queue);
     }
 
     /** Removes a message from its destination's queue. */
     void dequeue(Message message) {
         message.queue.waiting.remove(message);
         if (message.queue.waiting.isEmpty()) {
-            queuesWaiting.remove(message.queue);
+            nonEmptyQueues.remove(message.queue);
         }
     }
 
     /** A scheduled check of a message; {@code sequence} keeps checks at equal times in the order added. */
-    record TimedCheck(long at, long order, Message message) {}
+    record ScheduledCheck(long atMicros, long sequence, Message message) {}
 
     /** A message that may be sent to an endpoint now; candidates are sent by descending rank. */
     record SendCandidate(Message message, Endpoint endpoint, double rank) {}
@@ -87,20 +87,20 @@
         final List<Message> messages = new ArrayList<>(1);
         Endpoint endpoint;
         /** The host program was told to give it up. */
-        boolean cancelled;
+        boolean cancelRequested;
         /** Number of its messages whose outcome hasn't been reported yet. */
-        int outcomesDue;
+        int pendingOutcomes;
 
-        long sentAt;
+        long sentAtMicros;
         /** An outcome of it was reported; those of its other messages say nothing new of the endpoint. */
-        boolean outcomeSeen;
+        boolean outcomeReported;
     }
 
     /** Ordered key: its messages in the order accepted. */
     static final class OrderedKey {
         final ArrayDeque<Message> messages = new ArrayDeque<>();
         /** Until then only {@link #pauseExempt} may be sent, as an attempt that was given up may still be running. */
-        long pausedUntil;
+        long pausedUntilMicros;
 
         Message pauseExempt;
     }
@@ -110,9 +110,9 @@
         final LinkedHashSet<Message> waiting = new LinkedHashSet<>();
         final List<Endpoint> endpoints = new ArrayList<>();
         /** The limit that all endpoints share; where each has its own, that of the endpoint added last. */
-        DestinationLimit sharedLimit;
+        DestinationLimit latestLimit;
         /** Earliest time at which a message of this queue that can't be sent now may become sendable. */
-        long nextCheckAt;
+        long nextCheckAtMicros;
     }
 
     /** A message that has no final status yet, or whose call is still in flight. */
@@ -125,23 +125,23 @@
 
         String key;
         double worth;
-        long acceptedAt, deadline;
+        long acceptedAtMicros, deadlineMicros;
         /** End of the delay before its next attempt. */
-        long notBefore;
+        long notBeforeMicros;
 
         int attempts;
         /** Endpoint of the attempt in flight; null if there is none. */
-        Endpoint inFlightTo;
+        Endpoint inFlightEndpoint;
 
         Endpoint lastEndpoint;
         Call call;
-        long sentAt;
+        long sentAtMicros;
         /** An attempt is uncertain: it may have taken effect, but isn't known to have. */
         boolean mayHaveRun;
         /** When the first uncertain attempt was sent. */
-        long mayHaveRunSince;
+        long uncertainSentAtMicros;
         /** Zone of the endpoint of the first uncertain attempt. */
-        int mayHaveRunZone;
+        int uncertainZone;
         /** It has its final status. */
         boolean finished;
         /** It was accepted before a restart. */
@@ -158,9 +158,9 @@
         final String host;
         final DestinationQueue queue;
         final DestinationLimit limit;
-        final int zone, kind, batch;
+        final int zone, kind, maxBatchSize;
         /** Since when each idle connection to it has been idle, the oldest first. */
-        final ArrayDeque<Long> idleSince = new ArrayDeque<>();
+        final ArrayDeque<Long> idleSinceMicros = new ArrayDeque<>();
 
         final LinkedHashSet<Call> calls = new LinkedHashSet<>();
         /** Listed and not draining. */
@@ -168,36 +168,36 @@
         /** Its last calls timed out. */
         boolean timingOut;
         /** Connects to it fail, in a large fleet: calls are limited to the rate of an outage. */
-        boolean refusingConnections;
+        boolean connectsFailing;
 
         int callsInFlight;
-        long lastSentAt = LONG_AGO;
+        long lastSentAtMicros = LONG_AGO;
         /** Latest time at which a call was sent that was later delivered. */
-        long lastDeliveredSentAt = LONG_AGO;
+        long lastDeliveredSentAtMicros = LONG_AGO;
 
-        int failuresInRow;
+        int consecutiveFailures;
         /** Moving average share of hard failures among outcomes, 0 to 1. */
         double failureShare;
         /** It gets no calls until then. */
-        long avoidUntil;
+        long avoidUntilMicros;
         /** Time of the first failure since the last delivery; 0 if there is none. */
-        long failingSince;
+        long failingSinceMicros;
         /** Category of the last failure, an index into the statistics of {@link TransientFailures}. */
-        int failureCause;
+        int lastFailureCategory;
 
         boolean inOutage;
         /** Interval between trial calls in an outage. */
-        long trialPause;
+        long trialIntervalMicros;
         /** Start of the last slow start; 0 if there was none. */
-        long slowStartFrom;
+        long slowStartAtMicros;
 
-        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int batch) {
+        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int maxBatchSize) {
             this.host = host;
             this.queue = queue;
             this.limit = limit;
             this.zone = zone;
             this.kind = kind;
-            this.batch = batch;
+            this.maxBatchSize = maxBatchSize;
         }
     }
 
@@ -205,25 +205,25 @@
     static final class DestinationLimit {
         final List<Endpoint> endpoints = new ArrayList<>();
         int callsInFlight;
-        long lastSentAt = LONG_AGO;
+        long lastSentAtMicros = LONG_AGO;
         /** End of the retry-after period; nothing is sent before. */
-        long waitUntil;
+        long retryAfterUntilMicros;
         /** A random time after a long retry-after period; nothing is sent before. */
-        long reopensAt;
+        long resumeAtMicros;
         /** It refused a call as full: calls are limited to {@link #throttledRate} until then. */
-        long throttledUntil;
+        long throttledUntilMicros;
 
         double throttledRate;
         /** Initial value of a growing rate limit for some time after it was throttled; 0 if it never was. */
         double rateCeiling;
         /** When it last sent a retry-after that is too short to mean that it is unavailable. */
-        long shortWaitAt = LONG_AGO;
+        long shortRetryAfterAtMicros = LONG_AGO;
         /** When a refusal last reduced its throttled rate. */
-        long reducedAt = LONG_AGO;
+        long rateReducedAtMicros = LONG_AGO;
         /** Random divisor of the rate in an outage, so that forwarders call at different times. */
-        double paceSpread = 1;
+        double outageRateDivisor = 1;
         /** Rate that it accepts from all forwarders, by the endpoint list or its own report; 0 if unknown. */
-        double toldRate;
+        double announcedRate;
         /** Share of its allowance that is left, by its last report. */
         double allowanceLeft;
         /** The destination has reported its rate, which then takes precedence over the endpoint list. */
@@ -233,25 +233,25 @@
 
         double recentRate, usualRate;
         /** Weight of the time before the first sample in the usual rate, 0 to 1. */
-        double usualUnseen = 1;
+        double usualRateUnfilled = 1;
 
-        long ratesUpdatedAt;
+        long ratesUpdatedAtMicros;
         /** Mean response time of delivered calls; 0 before the first. */
-        double answerTime;
+        double meanAnswerMicros;
         /** Factor on the time-out of calls, at least 1. */
         double timeoutFactor = 1;
 
-        int failuresInRow;
+        int consecutiveFailures;
         Endpoint lastFailedEndpoint;
         /** Several of its endpoints have failed since the last delivery. */
-        boolean severalFail;
+        boolean severalEndpointsFailing;
         /** Number of refusals as full; each delivery halves it. */
-        int refusals;
+        int recentRefusals;
         /** Consecutive refusals that may be due to an outage; above one, calls are limited to the rate of an outage. */
-        int refusalsAsOutage;
+        int suspectedOutageRefusals;
         /** Time of the first failure or refusal since the last delivery; 0 if there is none. */
-        long failingSince;
+        long failingSinceMicros;
         /** Time from the first to the latest failure or refusal; a delivery doesn't reset it. */
-        long failingFor;
+        long failingForMicros;
     }
 }
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
@@ -12,15 +12,15 @@
  */
 final class RateEstimates {
     /** Decay time of the recent rate: a few of the periods over which limits are counted. */
-    private static final double RECENT_MEMORY = 2_000_000;
+    private static final double RECENT_DECAY_MICROS = 2_000_000;
     /** Decay time of the usual rate: long compared with a burst, short compared with a day. */
-    private static final double USUAL_MEMORY = 15_000_000;
+    private static final double USUAL_DECAY_MICROS = 15_000_000;
     /** Lower bound of the weight of samples by which the usual rate is divided, for the time just after the start. */
-    private static final double LEAST_FILLED = 0.1;
+    private static final double MIN_FILLED_SHARE = 0.1;
     /** Rate that a limit is assumed to accept from all forwarders together if none is announced, calls a second. */
-    private static final double UNTOLD_RATE = 1.5;
+    private static final double DEFAULT_FLEET_RATE = 1.5;
     /** Lower bound of an even share if no rate is announced, as a share of the mean rate over all destinations. */
-    private static final double PART_OF_MEAN = 0.25;
+    private static final double MIN_SHARE_OF_MEAN = 0.25;
 
     private final PolicyState state;
     private final SlowStart slowStart;
@@ -40,21 +40,21 @@
 
     private void count(DestinationLimit limit, Endpoint endpoint) {
         decay(limit, endpoint);
-        limit.recentRate += SECOND / RECENT_MEMORY;
+        limit.recentRate += MICROS_PER_SECOND / RECENT_DECAY_MICROS;
         if (isUsual(endpoint)) {
-            limit.usualRate += SECOND / USUAL_MEMORY;
+            limit.usualRate += MICROS_PER_SECOND / USUAL_DECAY_MICROS;
         }
     }
 
     /** Decays the means of a limit to the current time; {@code endpoint} is the one whose outcome was reported. */
     void decay(DestinationLimit limit, Endpoint endpoint) {
-        double past = limit.ratesUpdatedAt == 0 ? 0 : state.now - limit.ratesUpdatedAt;
-        limit.recentRate *= Math.exp(-past / RECENT_MEMORY);
+        double elapsedMicros = limit.ratesUpdatedAtMicros == 0 ? 0 : state.nowMicros - limit.ratesUpdatedAtMicros;
+        limit.recentRate *= Math.exp(-elapsedMicros / RECENT_DECAY_MICROS);
         if (isUsual(endpoint)) {
-            limit.usualRate *= Math.exp(-past / USUAL_MEMORY);
-            limit.usualUnseen *= Math.exp(-past / USUAL_MEMORY);
+            limit.usualRate *= Math.exp(-elapsedMicros / USUAL_DECAY_MICROS);
+            limit.usualRateUnfilled *= Math.exp(-elapsedMicros / USUAL_DECAY_MICROS);
         }
-        limit.ratesUpdatedAt = state.now;
+        limit.ratesUpdatedAtMicros = state.nowMicros;
     }
 
     private boolean isUsual(Endpoint endpoint) {
@@ -63,13 +63,13 @@
 
     /** Usual rate, calls a second; corrected for the time before the first sample. */
     double usual(DestinationLimit limit) {
-        return limit.usualRate / Math.max(LEAST_FILLED, 1 - limit.usualUnseen);
+        return limit.usualRate / Math.max(MIN_FILLED_SHARE, 1 - limit.usualRateUnfilled);
     }
 
     /** This forwarder's even share of a limit's announced rate, calls a second; an estimate if none is announced. */
     double evenShare(DestinationLimit limit) {
-        int forwarders = state.settings.relays();
-        double guess = Math.max(UNTOLD_RATE / forwarders, PART_OF_MEAN * usual(allDestinations) / state.queues.size());
-        return limit.toldRate > 0 ? limit.toldRate / forwarders : guess;
+        int forwarders = state.settings.forwarders();
+        double estimate = Math.max(DEFAULT_FLEET_RATE / forwarders, MIN_SHARE_OF_MEAN * usual(allDestinations) / state.queues.size());
+        return limit.announcedRate > 0 ? limit.announcedRate / forwarders : estimate;
     }
 }
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
 import static lilaclever.PolicyState.NEVER;
-import static lilaclever.PolicyState.SECOND;
+import static lilaclever.PolicyState.MICROS_PER_SECOND;
 
 import lilaclever.DecisionModule.Rules;
 import lilaclever.PolicyState.DestinationLimit;
@@ -13,9 +13,9 @@
  */
 final class RecoveryPace {
     /** Share of the budget that is used; the rest is for random variation and for other forwarders' calls. */
-    private static final double BUDGET_PART = 0.85;
+    private static final double BUDGET_SHARE = 0.85;
     /** Assumed length of an outage whose length this forwarder can't know; all but few are shorter. */
-    private static final long LONG_OUTAGE = 20_000_000;
+    private static final long LONG_OUTAGE_MICROS = 20_000_000;
 
     private final PolicyState state;
     private final SlowStart slowStart;
@@ -34,26 +34,26 @@
         DestinationLimit limit = endpoint.limit;
         long active =
                 Math.max(1, limit.endpoints.stream().filter(each -> each.active).count());
-        if (endpoint.inOutage || endpoint.refusingConnections) {
-            double rate = budget(limit, 0, isSurelyOut(endpoint)) / active;
-            return Math.min(SECOND / endpoint.trialPause, rate) / limit.paceSpread;
+        if (endpoint.inOutage || endpoint.connectsFailing) {
+            double rate = budget(limit, 0, isCertainlyInOutage(endpoint)) / active;
+            return Math.min(MICROS_PER_SECOND / endpoint.trialIntervalMicros, rate) / limit.outageRateDivisor;
         }
-        return slowStart.isActive(endpoint) ? budget(limit, slowStart.age(endpoint), false) / active : NEVER;
+        return slowStart.isActive(endpoint) ? budget(limit, slowStart.ageMicros(endpoint), false) / active : NEVER;
     }
 
-    private boolean isSurelyOut(Endpoint endpoint) {
-        boolean severalOut = state.largeFleet && endpoint.limit.severalFail && !transientFailures.callsOftenLost();
-        return endpoint.refusingConnections || severalOut;
+    private boolean isCertainlyInOutage(Endpoint endpoint) {
+        boolean severalInOutage = state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
+        return endpoint.connectsFailing || severalInOutage;
     }
 
     /** Calls a second for a limit that is in an outage. */
-    double inOutage(DestinationLimit limit) {
+    double outageRate(DestinationLimit limit) {
         return budget(limit, 0, false);
     }
 
     /** Calls a second for a limit that recovered the given time ago. */
-    double afterReturn(DestinationLimit limit, long age) {
-        return budget(limit, age, false);
+    double recoveryRate(DestinationLimit limit, long ageMicros) {
+        return budget(limit, ageMicros, false);
     }
 
     /**
@@ -62,15 +62,15 @@
      * that of the messages since the outage began, which is the rate times the length of the outage. So one call in
      * that length is always within a forwarder's share, whether the rate is known or not.
      */
-    private double budget(DestinationLimit limit, long age, boolean surelyOut) {
+    private double budget(DestinationLimit limit, long ageMicros, boolean certainlyInOutage) {
         Rules rules = state.settings.rules();
-        double warmed = Math.min(1.0, age / (double) Math.max(1, rules.rampMicros()));
-        double warmth = rules.coldFrom() + (1 - rules.coldFrom()) * warmed;
-        double part = BUDGET_PART * rules.tipMultiple() * warmth;
+        double rampShare = Math.min(1.0, ageMicros / (double) Math.max(1, rules.rampMicros()));
+        double capacityShare = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * rampShare;
+        double budgetFactor = BUDGET_SHARE * rules.overloadMultiple() * capacityShare;
         // The interval between trials is the length of the outage so far divided by budgetFactor; a first one of this
         // length makes the third trial come after the end of a long outage.
-        double shortest = surelyOut ? LONG_OUTAGE * part / (1 + 1 / part) : OutageDetection.FIRST_TRIAL_PAUSE;
-        double alone = SECOND / Math.max(shortest, limit.failingFor);
-        return part * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), alone);
+        double minLengthMicros = certainlyInOutage ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor) : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
+        double oneCallRate = MICROS_PER_SECOND / Math.max(minLengthMicros, limit.failingForMicros);
+        return budgetFactor * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), oneCallRate);
     }
 }
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -2,7 +2,7 @@
 
 import static lilaclever.PolicyState.NEVER;
 
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.PolicyState.Endpoint;
 import lilaclever.PolicyState.Message;
 
@@ -35,39 +35,39 @@
         return isDue(message)
                 && endpoint.queue == message.queue
                 && endpoint.active
-                && state.now >= endpoint.limit.waitUntil
+                && state.nowMicros >= endpoint.limit.retryAfterUntilMicros
                 && keyOrder.permits(message)
-                && endsBeforeTheProgram(message, endpoint)
-                && isHarmless(message, endpoint)
-                && availability.readyAt(endpoint) <= state.now;
+                && endsBeforeShutdown(message, endpoint)
+                && isRepeatAllowed(message, endpoint)
+                && availability.readyAtMicros(endpoint) <= state.nowMicros;
     }
 
     private boolean isDue(Message message) {
         return !message.finished
-                && message.inFlightTo == null
+                && message.inFlightEndpoint == null
                 && message.attempts < state.settings.limits().maxAttempts()
-                && state.now >= message.notBefore
-                && message.deadline - state.now >= CallTimeouts.SHORTEST;
+                && state.nowMicros >= message.notBeforeMicros
+                && message.deadlineMicros - state.nowMicros >= CallTimeouts.MIN_TIMEOUT_MICROS;
     }
 
     /** A call cut off by shutdown may have taken effect, so one that may not end in time isn't started. */
-    private boolean endsBeforeTheProgram(Message message, Endpoint endpoint) {
-        return state.stopAt >= NEVER || state.now + timeouts.timeout(message, endpoint.limit) <= state.stopAt;
+    private boolean endsBeforeShutdown(Message message, Endpoint endpoint) {
+        return state.stopAtMicros >= NEVER || state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit) <= state.stopAtMicros;
     }
 
     /** Whether the message has no uncertain attempt, or another attempt at this endpoint is allowed nevertheless. */
-    private boolean isHarmless(Message message, Endpoint endpoint) {
+    private boolean isRepeatAllowed(Message message, Endpoint endpoint) {
         if (!message.mayHaveRun) {
             return true;
         }
         return switch (message.messageClass.repeat()) {
             case SAFE -> true;
-            case KEYED -> state.now < retries.windowEnd(message) && remembersKey(message, endpoint);
+            case KEYED -> state.nowMicros < retries.repeatWindowEndMicros(message) && remembersKey(message, endpoint);
             case UNSAFE -> false;
         };
     }
 
     private static boolean remembersKey(Message message, Endpoint endpoint) {
-        return message.messageClass.group() != Group.ZONE || endpoint.zone == message.mayHaveRunZone;
+        return message.messageClass.group() != KeyScope.ZONE || endpoint.zone == message.uncertainZone;
     }
 }
--- a/src/main/java/lilaclever/SlowStart.java
+++ b/src/main/java/lilaclever/SlowStart.java
@@ -15,27 +15,27 @@
 
     /** Whether the endpoint is in slow start now. */
     boolean isActive(Endpoint endpoint) {
-        return endpoint.slowStartFrom > 0
-                && age(endpoint) < state.settings.rules().rampMicros();
+        return endpoint.slowStartAtMicros > 0
+                && ageMicros(endpoint) < state.settings.rules().rampMicros();
     }
 
     /** Time since the endpoint's slow start began, microseconds; only valid if it has had one. */
-    long age(Endpoint endpoint) {
-        return state.now - endpoint.slowStartFrom;
+    long ageMicros(Endpoint endpoint) {
+        return state.nowMicros - endpoint.slowStartAtMicros;
     }
 
     /** When the endpoint's slow start ends, microseconds on the module's clock. */
-    long endsAt(Endpoint endpoint) {
-        return endpoint.slowStartFrom + state.settings.rules().rampMicros();
+    long endsAtMicros(Endpoint endpoint) {
+        return endpoint.slowStartAtMicros + state.settings.rules().rampMicros();
     }
 
     /** Begins or restarts slow start. */
     void begin(Endpoint endpoint) {
-        endpoint.slowStartFrom = state.now;
+        endpoint.slowStartAtMicros = state.nowMicros;
     }
 
     /** Halves the age of a slow start, as the endpoint accepts less than expected. */
-    void setBack(Endpoint endpoint) {
-        endpoint.slowStartFrom += age(endpoint) / 2;
+    void halveAge(Endpoint endpoint) {
+        endpoint.slowStartAtMicros += ageMicros(endpoint) / 2;
     }
 }
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -10,9 +10,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.DecisionModule;
-import lilaclever.DecisionModule.Group;
-import lilaclever.DecisionModule.Repeat;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.KeyScope;
+import lilaclever.DecisionModule.RepeatSafety;
+import lilaclever.DecisionModule.WeightMeaning;
 
 /** Turns the settings of a HELLO into a relay. Keys that are not known are skipped. */
 public final class SettingsReader {
@@ -65,16 +65,16 @@
         SettingsReader limits = child("limits");
         SettingsReader rules = child("rules");
         SettingsReader report = child("report");
-        List<DecisionModule.Kind> kinds = kinds(family);
+        List<DecisionModule.EndpointKind> kinds = kinds(family);
         List<DecisionModule.MessageClass> classes = messageClasses(family);
         List<DecisionModule.Tenant> tenants = new ArrayList<>();
         for (SettingsReader t : children("tenants")) {
             tenants.add(new DecisionModule.Tenant(t.real("portion", 0), t.real("quotaPerS", 0)));
         }
-        Weights weights = switch (text("weights", "off")) {
-            case "off" -> Weights.NONE;
-            case "nominal" -> Weights.EXACT;
-            default -> Weights.ROUGH;
+        WeightMeaning weights = switch (text("weights", "off")) {
+            case "off" -> WeightMeaning.NONE;
+            case "nominal" -> WeightMeaning.EXACT;
+            default -> WeightMeaning.APPROXIMATE;
         };
         return new DecisionModule.Settings(
                 whole("me", 0),
@@ -112,12 +112,12 @@
                         rules.time("orderPauseS")));
     }
 
-    private static List<DecisionModule.Kind> kinds(SettingsReader family) throws WireException {
-        List<DecisionModule.Kind> kinds = new ArrayList<>();
+    private static List<DecisionModule.EndpointKind> kinds(SettingsReader family) throws WireException {
+        List<DecisionModule.EndpointKind> kinds = new ArrayList<>();
         JsonArray own = family.array("ownLimits");
         JsonArray batch = family.array("kindBatch");
         for (int i = 0; i < Math.max(own.size(), batch.size()); i++) {
-            kinds.add(new DecisionModule.Kind(
+            kinds.add(new DecisionModule.EndpointKind(
                     i < own.size() && own.get(i).getAsBoolean(),
                     i < batch.size() ? batch.get(i).getAsInt() : 1));
         }
@@ -127,16 +127,16 @@
     private List<DecisionModule.MessageClass> messageClasses(SettingsReader family) throws WireException {
         List<DecisionModule.MessageClass> classes = new ArrayList<>();
         for (SettingsReader c : children("requestClasses")) {
-            Repeat repeat = switch (c.text("repeat", "non_idempotent")) {
-                case "read_like" -> Repeat.SAFE;
-                case "idempotency_key" -> Repeat.KEYED;
-                case "non_idempotent" -> Repeat.UNSAFE;
+            RepeatSafety repeat = switch (c.text("repeat", "non_idempotent")) {
+                case "read_like" -> RepeatSafety.SAFE;
+                case "idempotency_key" -> RepeatSafety.KEYED;
+                case "non_idempotent" -> RepeatSafety.UNSAFE;
                 default -> throw c.bad("repeat", "unknown value");
             };
-            Group group = switch (c.text("group", "all")) {
-                case "all" -> Group.ALL;
-                case "zone" -> Group.ZONE;
-                case "cell" -> Group.DESTINATION;
+            KeyScope group = switch (c.text("group", "all")) {
+                case "all" -> KeyScope.ALL;
+                case "zone" -> KeyScope.ZONE;
+                case "cell" -> KeyScope.DESTINATION;
                 default -> throw c.bad("group", "unknown value");
             };
             classes.add(new DecisionModule.MessageClass(
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -8,12 +8,12 @@
 import java.util.List;
 import java.util.Map;
 import lilaclever.DecisionModule;
-import lilaclever.DecisionModule.Ending;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.AttemptResult;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 
 /** Reads batches of events off the wire. */
 final class WireReader {
@@ -22,7 +22,7 @@
     private static final int MARK_INHERITED = 16;
 
     private final BufferedReader in;
-    private final Map<Integer, List<Entry>> lists = new LinkedHashMap<>();
+    private final Map<Integer, List<EndpointEntry>> lists = new LinkedHashMap<>();
     private long lineNumber;
 
     /** One relay from its start on, with its events of this batch. */
@@ -105,7 +105,7 @@
             case "REMINDER" -> new Event.Timer(f.whole("ctx"));
             case "ABORTED" -> new Event.Withdrawn(f.text("msgId"));
             case "PROBED" -> probed(f);
-            case "HEARD" -> new Event.Heard(f.number("from"), f.bytes("content"));
+            case "HEARD" -> new Event.PeerMessage(f.number("from"), f.bytes("content"));
             default -> null; // STARTED: streams only, which no class of this family has
         };
         Life life = batch.lives().computeIfAbsent(name, n -> new Life(relay, new ArrayList<>()));
@@ -120,7 +120,7 @@
             throw new WireException(lineNumber, "slot", "not from 0 to " + (LISTS - 1));
         }
         int count = f.number("members");
-        List<Entry> entries = new ArrayList<>();
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String text = line();
             if (text == null) {
@@ -136,7 +136,7 @@
             String host = item.text("host");
             double weight = item.real("powerHint");
             int dest = item.number("dest");
-            entries.add(new Entry(host, dest, item.number("az"), kind, presence, weight, since));
+            entries.add(new EndpointEntry(host, dest, item.number("az"), kind, presence, weight, since));
         }
         lists.put(slot, List.copyOf(entries));
     }
@@ -158,7 +158,7 @@
         if (kind == ListingKind.REFUSED) {
             return new Event.Listing(kind, version, List.of());
         }
-        List<Entry> entries;
+        List<EndpointEntry> entries;
         try {
             entries = lists.get(Integer.parseInt(slot));
         } catch (NumberFormatException e) {
@@ -196,8 +196,8 @@
         int attempt = f.number("n");
         long note = f.whole("note");
         boolean over = f.bool("terminal");
-        Ending ending = f.choice("status", ENDINGS);
-        long wait = ending == Ending.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
+        AttemptResult ending = f.choice("status", ENDINGS);
+        long wait = ending == AttemptResult.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
         return new Event.Outcome(
                 id,
                 host,
@@ -205,7 +205,7 @@
                 ending,
                 elapsed,
                 wait,
-                ending == Ending.NOT_SENT && note == 1,
+                ending == AttemptResult.NOT_SENT && note == 1,
                 over,
                 f.report("serverStats"));
     }
@@ -213,26 +213,26 @@
     private static Event probed(Fields f) throws WireException {
         String host = f.text("host");
         long elapsed = f.time("elapsedS");
-        return new Event.Probed(host, f.choice("status", ENDINGS), elapsed, f.report("serverStats"));
+        return new Event.ProbeEnded(host, f.choice("status", ENDINGS), elapsed, f.report("serverStats"));
     }
 
-    private static final Map<String, Ending> ENDINGS = Map.of(
+    private static final Map<String, AttemptResult> ENDINGS = Map.of(
             "Ok",
-            Ending.DELIVERED,
+            AttemptResult.DELIVERED,
             "Failed",
-            Ending.ERROR,
+            AttemptResult.ERROR,
             "QueueFull",
-            Ending.FULL,
+            AttemptResult.FULL,
             "TimedOut",
-            Ending.TIMED_OUT,
+            AttemptResult.TIMED_OUT,
             "ConnectError",
-            Ending.NO_CONNECTION,
+            AttemptResult.NO_CONNECTION,
             "ResetByPeer",
-            Ending.RESET,
+            AttemptResult.RESET,
             "Canceled",
-            Ending.CANCELED,
+            AttemptResult.CANCELED,
             "Ignored",
-            Ending.NOT_SENT);
+            AttemptResult.NOT_SENT);
 
     private String line() throws IOException {
         String text = in.readLine();
@@ -365,7 +365,7 @@
             }
         }
 
-        Report report(String field) throws WireException {
+        LimitReport report(String field) throws WireException {
             String part = optional(field);
             if (part == null) {
                 return null;
@@ -388,7 +388,7 @@
                     limit = value;
                 }
             }
-            return new Report(left, limit);
+            return new LimitReport(left, limit);
         }
     }
 }
--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeMap;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.lab.audit.Breach.Rule;
 import lilaclever.lab.model.MessageClass;
 import org.HdrHistogram.Histogram;
@@ -193,7 +193,7 @@
         s.noticed = status;
         if (status.equals("deferred")
                 && riskAt(number) >= 0
-                && classes.get(s.messageClass).terms().repeat() == Repeat.UNSAFE) {
+                && classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(
                     Rule.REPEAT,
                     at,
@@ -273,10 +273,10 @@
             risk = i >= s.earlier && !a.neverRan && risk < 0 ? a.at : risk;
         }
         MessageClass c = classes.get(s.messageClass);
-        Repeat repeat = c.terms().repeat();
+        RepeatSafety repeat = c.terms().repeat();
         if (risk >= 0
-                && (repeat == Repeat.UNSAFE
-                        || repeat == Repeat.KEYED && at > risk + c.terms().repeatWindowMicros() + SLACK)) {
+                && (repeat == RepeatSafety.UNSAFE
+                        || repeat == RepeatSafety.KEYED && at > risk + c.terms().repeatWindowMicros() + SLACK)) {
             breach(
                     Rule.REPEAT,
                     at,
@@ -336,7 +336,7 @@
             s.deliveredAt = at;
             count("delivered");
             latencies.get(s.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - s.firstAt)));
-        } else if (classes.get(s.messageClass).terms().repeat() == Repeat.UNSAFE) {
+        } else if (classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(Rule.REPEAT, at, classes.get(s.messageClass).name() + " " + number + " has taken effect twice", s);
         }
     }
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -231,7 +231,7 @@
                     20,
                     0.5,
                     1,
-                    DecisionModule.Repeat.KEYED));
+                    DecisionModule.RepeatSafety.KEYED));
             classes.add(messageClass(
                     file.section("class status-update"),
                     "status-update",
@@ -242,7 +242,7 @@
                     6,
                     0,
                     1,
-                    DecisionModule.Repeat.SAFE));
+                    DecisionModule.RepeatSafety.SAFE));
             classes.add(messageClass(
                     file.section("class payment"),
                     "payment",
@@ -253,10 +253,10 @@
                     28,
                     0.5,
                     3,
-                    DecisionModule.Repeat.UNSAFE));
+                    DecisionModule.RepeatSafety.UNSAFE));
         }
         for (Section s : sections) {
-            classes.add(messageClass(s, s.which(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.Repeat.UNSAFE));
+            classes.add(messageClass(s, s.which(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
         }
         double sum = classes.stream().mapToDouble(MessageClass::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
@@ -278,7 +278,7 @@
             long deadlineS,
             double late,
             double worth,
-            DecisionModule.Repeat repeat)
+            DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
         long aim = s.time("aim", aimMs * MS, MS, HOUR);
         long deadline = s.time("deadline", deadlineS * SECOND, 10 * MS, HOUR);
@@ -293,8 +293,8 @@
                         aim,
                         deadline,
                         s.real("worth", worth, 0, MOST),
-                        s.choice("repeat", DecisionModule.Repeat.class, repeat),
-                        DecisionModule.Group.ALL,
+                        s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
+                        DecisionModule.KeyScope.ALL,
                         s.time("window", 5 * SECOND, 0, HOUR),
                         false,
                         s.share("late", late, 1),
--- a/src/main/java/lilaclever/lab/sockets/Agent.java
+++ b/src/main/java/lilaclever/lab/sockets/Agent.java
@@ -28,7 +28,7 @@
     private static final int MOST_CHANGES = 4_096;
     private static final long MOST_WAIT = 60_000;
 
-    private record Change(long version, List<DecisionModule.Entry> entries) {}
+    private record Change(long version, List<DecisionModule.EndpointEntry> entries) {}
 
     private static final class Watch {
         final Wire wire;
@@ -44,15 +44,15 @@
     private final World world;
     private final RealTime time;
     private final ServerSocket server;
-    private final Function<DecisionModule.Entry, String> address;
+    private final Function<DecisionModule.EndpointEntry, String> address;
     private final long wallMillis = System.currentTimeMillis();
-    private final Map<String, DecisionModule.Entry> list = new LinkedHashMap<>();
+    private final Map<String, DecisionModule.EndpointEntry> list = new LinkedHashMap<>();
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private final List<Watch> watches = new ArrayList<>();
     private final List<Wire> wires = new ArrayList<>();
     private long version;
 
-    Agent(World world, RealTime time, Function<DecisionModule.Entry, String> address) throws IOException {
+    Agent(World world, RealTime time, Function<DecisionModule.EndpointEntry, String> address) throws IOException {
         this.world = world;
         this.time = time;
         this.address = address;
@@ -75,7 +75,7 @@
 
     // ---- what it is told --------------------------------------------------------------------------------
     /** The whole list, as a forwarder's start has it. */
-    void set(List<DecisionModule.Entry> all, long now) {
+    void set(List<DecisionModule.EndpointEntry> all, long now) {
         list.clear();
         all.forEach(e -> list.put(e.host(), e));
         changes.clear();
@@ -83,9 +83,9 @@
     }
 
     /** Changes, for whoever watches and whoever asks later. */
-    void change(long now, List<DecisionModule.Entry> entries) {
+    void change(long now, List<DecisionModule.EndpointEntry> entries) {
         version = now;
-        for (DecisionModule.Entry e : entries) {
+        for (DecisionModule.EndpointEntry e : entries) {
             if (e.presence() == Presence.LEFT) {
                 list.remove(e.host());
             } else {
@@ -106,9 +106,9 @@
         return list(true, list.values());
     }
 
-    private JsonObject list(boolean whole, Iterable<DecisionModule.Entry> entries) {
+    private JsonObject list(boolean whole, Iterable<DecisionModule.EndpointEntry> entries) {
         JsonArray all = new JsonArray();
-        for (DecisionModule.Entry e : entries) {
+        for (DecisionModule.EndpointEntry e : entries) {
             JsonObject o = new JsonObject();
             o.addProperty("name", e.host());
             o.addProperty("address", address.apply(e));
@@ -177,7 +177,7 @@
             answer(watch.wire, "200 OK", known().toString());
             return;
         }
-        Map<String, DecisionModule.Entry> changed = new LinkedHashMap<>();
+        Map<String, DecisionModule.EndpointEntry> changed = new LinkedHashMap<>();
         for (Change c : changes) {
             if (c.version() > watch.after) {
                 c.entries().forEach(e -> changed.put(e.host(), e));
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -39,12 +39,12 @@
     private static JsonObject settings(Scenario s, DecisionModule.Settings t) {
         JsonObject o = new JsonObject();
         o.addProperty("me", t.self());
-        o.addProperty("groupSize", t.relays());
+        o.addProperty("groupSize", t.forwarders());
         o.addProperty("az", 0);
         o.addProperty("roundS", t.roundMicros() / 1e6);
         o.addProperty("discovery", "push");
         o.addProperty("weights", "off");
-        o.addProperty("overShareWorth", t.overShareWorth());
+        o.addProperty("overShareWorth", t.overQuotaWorthFactor());
         JsonArray shapes = new JsonArray(), zones = new JsonArray(), batch = new JsonArray(), own = new JsonArray();
         for (PartnerKind k : s.kinds()) {
             shapes.add(k.name());
@@ -71,26 +71,26 @@
     private static JsonObject limits(DecisionModule.Limits l) {
         JsonObject o = new JsonObject();
         o.addProperty("maxAttempts", l.maxAttempts());
-        o.addProperty("openCap", l.maxOpen());
-        o.addProperty("cancel", l.cancel());
-        o.addProperty("probing", l.probing());
+        o.addProperty("openCap", l.maxOpenMessages());
+        o.addProperty("cancel", l.mayCancel());
+        o.addProperty("probing", l.mayProbe());
         o.addProperty("streamsPerConn", l.callsPerConnection());
         o.addProperty("connectTimeoutS", l.connectTimeoutMicros() / 1e6);
         o.addProperty("keepaliveS", l.keepAliveMicros() / 1e6);
-        o.addProperty("retryAfter", l.comeBack());
-        o.addProperty("maxRetryAfterS", l.maxComeBackMicros() / 1e6);
+        o.addProperty("retryAfter", l.sendsRetryAfter());
+        o.addProperty("maxRetryAfterS", l.maxRetryAfterMicros() / 1e6);
         return o;
     }
 
     private static JsonObject rules(DecisionModule.Rules r) {
         JsonObject o = new JsonObject();
         o.addProperty("answerSlackS", r.answerSlackMicros() / 1e6);
-        o.addProperty("askWithinS", r.askWithinMicros() / 1e6);
+        o.addProperty("askWithinS", r.watchWithinMicros() / 1e6);
         o.addProperty("drainGraceS", r.drainGraceMicros() / 1e6);
-        o.addProperty("coldFrom", r.coldFrom());
+        o.addProperty("coldFrom", r.initialCapacityShare());
         o.addProperty("rampTimeS", r.rampMicros() / 1e6);
-        o.addProperty("tipMultiple", r.tipMultiple());
-        o.addProperty("overloadForS", r.overloadMicros() / 1e6);
+        o.addProperty("tipMultiple", r.overloadMultiple());
+        o.addProperty("overloadForS", r.overloadWindowMicros() / 1e6);
         return o;
     }
 
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -114,7 +114,7 @@
 
     // ---- lives ------------------------------------------------------------------------------------------
     @Override
-    public void start(List<DecisionModule.Entry> known, long version, boolean first) {
+    public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
         int mine = ++life;
         agent.set(known, version);
         try {
@@ -243,9 +243,9 @@
     }
 
     @Override
-    public void listing(long version, List<DecisionModule.Entry> changes) {
+    public void listing(long version, List<DecisionModule.EndpointEntry> changes) {
         agent.change(version, changes);
-        for (DecisionModule.Entry e : changes) {
+        for (DecisionModule.EndpointEntry e : changes) {
             if (e.presence() == Presence.LEFT) {
                 listeners.remove(e.host(), number);
             }
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Set;
 import lilaclever.DecisionModule;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.lab.model.Partner;
 import lilaclever.lab.model.Partner.Answer;
 import lilaclever.lab.world.Fault;
@@ -109,7 +109,7 @@
             later(world.now() + world.network(), () -> arrive(call, state, partner, connected));
         } else if (!state.closed) {
             attemptsOver(call, "withheld", true);
-            end(call, state, Ending.WITHHELD, wait, connected);
+            end(call, state, AttemptResult.WITHHELD, wait, connected);
         }
     }
 
@@ -122,7 +122,7 @@
         String host = call.endpoint.host();
         if (!connected && partner.hosts().contains(host) && !partner.isOut(world.now())) {
             // Too many connections: the partner says that it has no room, and closes.
-            later(world.now() + world.network(), () -> end(call, state, Ending.NO_ROOM, 0, false));
+            later(world.now() + world.network(), () -> end(call, state, AttemptResult.NO_ROOM, 0, false));
             attemptsOver(call, "full", true);
             return;
         }
@@ -131,7 +131,7 @@
         switch (answer.status()) {
             case NO_CONNECTION -> {
                 attemptsOver(call, "no connection", true);
-                later(world.now() + world.network(), () -> end(call, state, Ending.NO_CONNECTION, 0, false));
+                later(world.now() + world.network(), () -> end(call, state, AttemptResult.NO_CONNECTION, 0, false));
             }
             case FULL -> {
                 attemptsOver(call, "full", true);
@@ -142,12 +142,12 @@
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
                     later(
                             world.now() + world.network(),
-                            () -> end(call, state, Ending.FULL, deaf ? 0 : answer.waitMicros(), true));
+                            () -> end(call, state, AttemptResult.FULL, deaf ? 0 : answer.waitMicros(), true));
                 });
             }
             case ERROR -> {
                 attemptsOver(call, "error", false);
-                later(answer.atMicros() + world.network(), () -> end(call, state, Ending.ERROR, 0, true));
+                later(answer.atMicros() + world.network(), () -> end(call, state, AttemptResult.ERROR, 0, true));
             }
             case DELIVERED -> world.at(answer.atMicros(), () -> delivered(call, state, partner, answer));
             default -> {} // nothing comes back
@@ -161,7 +161,7 @@
             return;
         }
         call.messages.forEach(m -> world.onProcessed(m.id(), true));
-        later(world.now() + world.network(), () -> end(call, state, Ending.DELIVERED, 0, true));
+        later(world.now() + world.network(), () -> end(call, state, AttemptResult.DELIVERED, 0, true));
     }
 
     private void attemptsOver(Call call, String how, boolean neverRan) {
@@ -169,7 +169,7 @@
     }
 
     /** The call's answer is here. */
-    private void end(Call call, CallState state, Ending ending, long wait, boolean keeps) {
+    private void end(Call call, CallState state, AttemptResult ending, long wait, boolean keeps) {
         if (state.closed || dead) {
             return;
         }
@@ -178,7 +178,7 @@
         if (wait > 0) {
             waits.told(call.endpoint, world.now() + wait);
         }
-        if (ending != Ending.DELIVERED && ending != Ending.WITHHELD) {
+        if (ending != AttemptResult.DELIVERED && ending != AttemptResult.WITHHELD) {
             world.partner(call.endpoint.destination()).heardFailure(number, world.now());
         }
         if (keeps) {
@@ -205,7 +205,7 @@
         world.partner(call.endpoint.destination()).heardFailure(number, world.now());
         world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
-        Ending ending = state.arrived && world.fault() != Fault.RESENDS ? Ending.TIMED_OUT : Ending.NO_CONNECTION;
+        AttemptResult ending = state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
         core.post(() -> messages.forEach(m -> core.outcome(call, m, ending, 0, false, false)));
     }
@@ -215,7 +215,7 @@
         CallState state = (CallState) call.attachment;
         if (!state.closed && !state.written) {
             attemptsOver(call, "withheld", true);
-            end(call, state, Ending.WITHHELD, 0, false);
+            end(call, state, AttemptResult.WITHHELD, 0, false);
         }
     }
 
@@ -231,20 +231,20 @@
         Partner partner = world.partner(endpoint.destination());
         later(sent + 2 * world.network(), () -> {
             Answer answer = partner.call(endpoint.host(), number, new long[] {PROBE_WORK}, world.now());
-            Ending ending = switch (answer.status()) {
-                case DELIVERED -> Ending.DELIVERED;
-                case FULL -> Ending.FULL;
-                case ERROR -> Ending.ERROR;
-                case NO_CONNECTION -> Ending.NO_CONNECTION;
-                default -> Ending.TIMED_OUT;
+            AttemptResult ending = switch (answer.status()) {
+                case DELIVERED -> AttemptResult.DELIVERED;
+                case FULL -> AttemptResult.FULL;
+                case ERROR -> AttemptResult.ERROR;
+                case NO_CONNECTION -> AttemptResult.NO_CONNECTION;
+                default -> AttemptResult.TIMED_OUT;
             };
-            long at = ending == Ending.TIMED_OUT
+            long at = ending == AttemptResult.TIMED_OUT
                     ? sent + settings.limits().connectTimeoutMicros()
                     : Math.min(
                             answer.atMicros() + world.network(),
                             sent + settings.limits().connectTimeoutMicros());
             later(at, () -> {
-                if (ending != Ending.DELIVERED) {
+                if (ending != AttemptResult.DELIVERED) {
                     partner.heardFailure(number, world.now());
                 }
                 core.post(() -> core.probed(endpoint.host(), ending, world.now() - sent));
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -82,7 +82,7 @@
 
     // ---- lives ------------------------------------------------------------------------------------------
     @Override
-    public void start(List<DecisionModule.Entry> known, long version, boolean first) {
+    public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
         if (!first) {
             later(world.now() + START, () -> begin(world.endpoints(), world.directoryVersion()));
         } else {
@@ -90,7 +90,7 @@
         }
     }
 
-    private void begin(List<DecisionModule.Entry> known, long version) {
+    private void begin(List<DecisionModule.EndpointEntry> known, long version) {
         try {
             journal = new SegmentedJournal(
                     disk,
@@ -249,12 +249,12 @@
 
     // ---- the directory ----------------------------------------------------------------------------------
     @Override
-    public void listing(long version, List<DecisionModule.Entry> changes) {
+    public void listing(long version, List<DecisionModule.EndpointEntry> changes) {
         List<Core.Listed> entries = changes.stream().map(this::listed).toList();
         core.post(() -> core.listing(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
-    private Core.Listed listed(DecisionModule.Entry e) {
+    private Core.Listed listed(DecisionModule.EndpointEntry e) {
         return new Core.Listed(
                 e,
                 new Call.Endpoint(
@@ -262,8 +262,8 @@
                         e.host(),
                         e.destination(),
                         e.zone(),
-                        settings.kinds().get(e.kind()).batch(),
-                        settings.kinds().get(e.kind()).ownLimits(),
+                        settings.kinds().get(e.kind()).maxBatchSize(),
+                        settings.kinds().get(e.kind()).limitPerEndpoint(),
                         deliverer));
     }
 }
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -22,7 +22,7 @@
     private final Auditor auditor;
     private final RandomStream random;
     private final List<ForwarderHandle> forwarders;
-    private final Map<String, DecisionModule.Entry> entries = new LinkedHashMap<>();
+    private final Map<String, DecisionModule.EndpointEntry> entries = new LinkedHashMap<>();
     /** By forwarder: when the latest news arrives, and until when none does; microseconds. */
     private final long[] latestNewsAt, silentUntil;
 
@@ -48,12 +48,12 @@
     }
 
     /** The list as it is now. */
-    List<DecisionModule.Entry> entries() {
+    List<DecisionModule.EndpointEntry> entries() {
         return List.copyOf(entries.values());
     }
 
     /** The entry of that endpoint; null if it is not in the list. */
-    DecisionModule.Entry entry(String host) {
+    DecisionModule.EndpointEntry entry(String host) {
         return entries.get(host);
     }
 
@@ -68,12 +68,12 @@
     }
 
     /** A new endpoint of that partner. Nobody is told yet. */
-    DecisionModule.Entry addEndpoint(Partner partner) {
+    DecisionModule.EndpointEntry addEndpoint(Partner partner) {
         String host = "s-" + partner.destination() + "-" + hostCount++;
         partner.add(host);
         int kind = scenario.kinds().indexOf(partner.kind());
-        DecisionModule.Entry entry =
-                new DecisionModule.Entry(host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.now());
+        DecisionModule.EndpointEntry entry =
+                new DecisionModule.EndpointEntry(host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.now());
         entries.put(host, entry);
         return entry;
     }
@@ -99,18 +99,18 @@
 
     /** A forwarder has read the whole list. */
     void onReady(int forwarder) {
-        for (DecisionModule.Entry entry : entries.values()) {
+        for (DecisionModule.EndpointEntry entry : entries.values()) {
             recordHeard(forwarder, entry);
         }
     }
 
-    private void recordHeard(int forwarder, DecisionModule.Entry entry) {
+    private void recordHeard(int forwarder, DecisionModule.EndpointEntry entry) {
         auditor.told(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.now());
     }
 
-    private DecisionModule.Entry change(String host, Presence presence) {
-        DecisionModule.Entry before = entries.get(host);
-        DecisionModule.Entry changed = new DecisionModule.Entry(
+    private DecisionModule.EndpointEntry change(String host, Presence presence) {
+        DecisionModule.EndpointEntry before = entries.get(host);
+        DecisionModule.EndpointEntry changed = new DecisionModule.EndpointEntry(
                 host,
                 before.destination(),
                 before.zone(),
@@ -127,7 +127,7 @@
     }
 
     /** Entries have changed: each forwarder is told in its own time, in the order of changes. */
-    private void tell(List<DecisionModule.Entry> changed) {
+    private void tell(List<DecisionModule.EndpointEntry> changed) {
         long newVersion = ++version;
         for (ForwarderHandle forwarder : forwarders) {
             int number = forwarder.number();
@@ -138,12 +138,12 @@
         }
     }
 
-    private void deliver(ForwarderHandle forwarder, long newVersion, List<DecisionModule.Entry> changed) {
+    private void deliver(ForwarderHandle forwarder, long newVersion, List<DecisionModule.EndpointEntry> changed) {
         if (!forwarder.isUp()) {
             return; // it gets the whole list when it starts
         }
         boolean dropsDrains = fault == Fault.IGNORES_DRAINS;
-        List<DecisionModule.Entry> delivered = changed.stream()
+        List<DecisionModule.EndpointEntry> delivered = changed.stream()
                 .filter(e -> !dropsDrains || e.presence() == Presence.ACTIVE)
                 .toList();
         forwarder.listing(newVersion, delivered);
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -79,7 +79,7 @@
     }
 
     private void drain(String host, long drainsFor) {
-        DecisionModule.Entry entry = directory.entry(host);
+        DecisionModule.EndpointEntry entry = directory.entry(host);
         if (entry != null && entry.presence() == Presence.ACTIVE) {
             directory.replaceEndpoint(host, partners.get(entry.destination()), drainsFor);
         }
--- a/src/main/java/lilaclever/lab/world/ForwarderHandle.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderHandle.java
@@ -31,7 +31,7 @@
      * Starts it with the directory's list; {@code first} if it has not lived before. It tells {@link World#onReady}
      * once it serves.
      */
-    void start(List<DecisionModule.Entry> known, long version, boolean first);
+    void start(List<DecisionModule.EndpointEntry> known, long version, boolean first);
 
     /** Kills it without warning. */
     void kill();
@@ -45,5 +45,5 @@
     void handIn(String id, Arrival arrival, long leftMicros);
 
     /** The directory tells changes. */
-    void listing(long version, List<DecisionModule.Entry> changes);
+    void listing(long version, List<DecisionModule.EndpointEntry> changes);
 }
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -33,8 +33,8 @@
 
     /** Those of the forwarder with that number. */
     DecisionModule.Settings of(int number) {
-        List<DecisionModule.Kind> kinds = scenario.kinds().stream()
-                .map(k -> new DecisionModule.Kind(false, k.batch()))
+        List<DecisionModule.EndpointKind> kinds = scenario.kinds().stream()
+                .map(k -> new DecisionModule.EndpointKind(false, k.batch()))
                 .toList();
         List<DecisionModule.MessageClass> classes =
                 scenario.classes().stream().map(MessageClass::terms).toList();
@@ -45,7 +45,7 @@
                 1,
                 fleet.roundMicros(),
                 false,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 false,
                 OVER_SHARE_WORTH,
                 classes,
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -123,7 +123,7 @@
     }
 
     /** The directory's list as it is now. */
-    public List<DecisionModule.Entry> endpoints() {
+    public List<DecisionModule.EndpointEntry> endpoints() {
         return directory.entries();
     }
 
@@ -187,7 +187,7 @@
 
     /** A forwarder has closed an idle connection. */
     public void disconnect(String host, int forwarder) {
-        DecisionModule.Entry entry = directory.entry(host);
+        DecisionModule.EndpointEntry entry = directory.entry(host);
         if (entry != null) {
             partner(entry.destination()).disconnect(host, forwarder);
         }
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -198,16 +198,16 @@
         DecisionModule.Limits l = s.limits();
         DecisionModule.Limits limits = new DecisionModule.Limits(
                 attempts,
-                l.maxOpen(),
+                l.maxOpenMessages(),
                 l.slots(),
-                l.cancel(),
-                l.probing(),
-                l.peers(),
+                l.mayCancel(),
+                l.mayProbe(),
+                l.mayMessagePeers(),
                 l.callsPerConnection(),
                 l.connectTimeoutMicros(),
                 l.keepAliveMicros(),
-                l.comeBack(),
-                l.maxComeBackMicros());
+                l.sendsRetryAfter(),
+                l.maxRetryAfterMicros());
         return new Config(
                 name,
                 listen,
@@ -219,14 +219,14 @@
                 sockets,
                 new DecisionModule.Settings(
                         s.self(),
-                        s.relays(),
+                        s.forwarders(),
                         s.zone(),
                         s.zones(),
                         s.roundMicros(),
-                        s.askForList(),
-                        s.weights(),
-                        s.reports(),
-                        s.overShareWorth(),
+                        s.mustWatchList(),
+                        s.weightMeaning(),
+                        s.limitReports(),
+                        s.overQuotaWorthFactor(),
                         table.classes(),
                         s.kinds(),
                         s.tenants(),
@@ -521,7 +521,7 @@
 
     private int unsafeClass() throws ConfigurationException {
         for (int i = 0; i < settings.classes().size(); i++) {
-            if (settings.classes().get(i).repeat() == DecisionModule.Repeat.UNSAFE) {
+            if (settings.classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE) {
                 return i;
             }
         }
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -158,7 +158,7 @@
                 "",
                 "sizes",
                 config.settings().limits().slots() + " slots, "
-                        + config.settings().limits().maxOpen() + " held, " + config.sockets() + " sockets: "
+                        + config.settings().limits().maxOpenMessages() + " held, " + config.sockets() + " sockets: "
                         + config.mostClients(mail != null, operator.mllpConnections()) + " for clients, "
                         + config.mostIdle() + " idle to endpoints");
         Logs.info("", "serves", config.name() + " serves at " + forwarder.addresses);
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -182,7 +182,7 @@
     private int unsafeClass(Section hl7, boolean needed) throws ConfigurationException {
         List<DecisionModule.MessageClass> classes = config.settings().classes();
         for (int i = 0; i < classes.size(); i++) {
-            if (classes.get(i).repeat() == DecisionModule.Repeat.UNSAFE) {
+            if (classes.get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE) {
                 return i;
             }
         }
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -76,7 +76,7 @@
         }
         List<Long> windows = new ArrayList<>();
         for (int i = 0; i < config.classNames().size(); i++) {
-            boolean unsafe = config.settings().classes().get(i).repeat() == DecisionModule.Repeat.UNSAFE;
+            boolean unsafe = config.settings().classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE;
             windows.add(s.time("window-" + config.classNames().get(i), unsafe ? 24 * HOUR : HOUR, SECOND, 240 * HOUR));
         }
         return new IdentitySettings(
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -53,10 +53,10 @@
     private Deadlines.Key firstAnswerDue;
 
     /** What the settings call kinds and zones, in order, and what they say of each kind. */
-    public record Names(List<String> kinds, List<String> zones, List<DecisionModule.Kind> ofKinds) {
-        private static final DecisionModule.Kind UNKNOWN = new DecisionModule.Kind(false, 1);
+    public record Names(List<String> kinds, List<String> zones, List<DecisionModule.EndpointKind> ofKinds) {
+        private static final DecisionModule.EndpointKind UNKNOWN = new DecisionModule.EndpointKind(false, 1);
 
-        DecisionModule.Kind kind(int index) {
+        DecisionModule.EndpointKind kind(int index) {
             return index >= 0 && index < ofKinds.size() ? ofKinds.get(index) : UNKNOWN;
         }
     }
@@ -190,7 +190,7 @@
     private Core.Listed listed(EndpointList.Endpoint endpoint) {
         int kind = names.kinds().indexOf(endpoint.type());
         int zone = Math.max(0, names.zones().indexOf(endpoint.zone()));
-        DecisionModule.Entry entry = new DecisionModule.Entry(
+        DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
                 endpoint.name(),
                 endpoint.destination(),
                 zone,
@@ -205,8 +205,8 @@
                         endpoint.address(),
                         endpoint.destination(),
                         zone,
-                        names.kind(kind).batch(),
-                        names.kind(kind).ownLimits(),
+                        names.kind(kind).maxBatchSize(),
+                        names.kind(kind).limitPerEndpoint(),
                         deliverer));
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.log.Logs;
 import lilaclever.routing.Call;
 import lilaclever.routing.Core;
@@ -107,8 +107,8 @@
                 all(
                         call,
                         saysDelivered(several, status)
-                                ? Ending.DELIVERED
-                                : written ? Ending.RESET : Ending.NO_CONNECTION,
+                                ? AttemptResult.DELIVERED
+                                : written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION,
                         false,
                         false);
             }
@@ -120,7 +120,7 @@
 
             @Override
             public void withheld() {
-                all(call, Ending.WITHHELD, false, false);
+                all(call, AttemptResult.WITHHELD, false, false);
             }
 
             @Override
@@ -166,7 +166,7 @@
             out.headers().put(DEADLINE, waitOf(call, rest)); // written anew with the body, or not at all
             if (out.exchange().replaceBody(many(rest))) {
                 call.leftOut(m);
-                core.post(() -> outcome(call, m, Ending.NOT_SENT, false, false));
+                core.post(() -> outcome(call, m, AttemptResult.NOT_SENT, false, false));
             }
         }
     }
@@ -194,20 +194,20 @@
                 if (several) {
                     each(call, body);
                 } else {
-                    all(call, Ending.DELIVERED, false, false);
+                    all(call, AttemptResult.DELIVERED, false, false);
                 }
             }
             case 429, 503 -> {
                 boolean noSlot = "1".equals(headers.get("x-no-slot"));
                 all(
                         call,
-                        noSlot ? Ending.NOT_SENT : noRoom(call, status, headers) ? Ending.NO_ROOM : Ending.FULL,
+                        noSlot ? AttemptResult.NOT_SENT : noRoom(call, status, headers) ? AttemptResult.NO_ROOM : AttemptResult.FULL,
                         noSlot,
                         false);
             }
-            case 504, 413, 400 -> all(call, Ending.NOT_SENT, false, false);
-            case 410 -> all(call, Ending.NOT_SENT, false, true);
-            default -> all(call, Ending.ERROR, false, false);
+            case 504, 413, 400 -> all(call, AttemptResult.NOT_SENT, false, false);
+            case 410 -> all(call, AttemptResult.NOT_SENT, false, true);
+            default -> all(call, AttemptResult.ERROR, false, false);
         }
     }
 
@@ -230,16 +230,16 @@
                 SeveralAnswer.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.of(m.id()) != null));
         if (answer.isEmpty()) {
             core.counters().add(Counters.Name.SPOILT_ANSWERS);
-            all(call, Ending.RESET, false, false);
+            all(call, AttemptResult.RESET, false, false);
             return;
         }
         for (Message m : List.copyOf(call.messages)) {
             switch (answer.get().of(m.id())) {
-                case ACCEPTED -> outcome(call, m, Ending.DELIVERED, false, false);
-                case DEFERRED -> outcome(call, m, Ending.FULL, false, false);
-                case EXPIRED -> outcome(call, m, Ending.NOT_SENT, false, true);
-                case NO_MORE -> outcome(call, m, Ending.NOT_SENT, false, false);
-                default -> outcome(call, m, Ending.ERROR, false, false);
+                case ACCEPTED -> outcome(call, m, AttemptResult.DELIVERED, false, false);
+                case DEFERRED -> outcome(call, m, AttemptResult.FULL, false, false);
+                case EXPIRED -> outcome(call, m, AttemptResult.NOT_SENT, false, true);
+                case NO_MORE -> outcome(call, m, AttemptResult.NOT_SENT, false, false);
+                default -> outcome(call, m, AttemptResult.ERROR, false, false);
             }
         }
     }
@@ -267,12 +267,12 @@
         }
     }
 
-    private void all(Call call, Ending ending, boolean noSlot, boolean over) {
+    private void all(Call call, AttemptResult ending, boolean noSlot, boolean over) {
         List.copyOf(call.messages).forEach(m -> outcome(call, m, ending, noSlot, over));
     }
 
     /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
-    private void outcome(Call call, Message m, Ending ending, boolean noSlot, boolean over) {
+    private void outcome(Call call, Message m, AttemptResult ending, boolean noSlot, boolean over) {
         core.outcome(call, m, ending, waits.left(call.endpoint, core.now()), noSlot, over);
     }
 
@@ -284,7 +284,7 @@
     @Override
     public void giveUp(Call call) {
         if (!(call.attachment instanceof Out out)) { // its start has failed
-            core.post(() -> all(call, Ending.NO_CONNECTION, false, false));
+            core.post(() -> all(call, AttemptResult.NO_CONNECTION, false, false));
             return;
         }
         // The slot is free once the other side has seen the close: a call in this same turn would find none.
@@ -293,8 +293,8 @@
                 .giveUp(() -> all(
                         call,
                         delivered
-                                ? Ending.DELIVERED
-                                : out.exchange().isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
+                                ? AttemptResult.DELIVERED
+                                : out.exchange().isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
                         false,
                         false));
     }
@@ -302,7 +302,7 @@
     @Override
     public void withdraw(Call call) {
         if (call.attachment instanceof Out out && out.exchange().withdraw()) {
-            core.post(() -> all(call, Ending.WITHHELD, false, false));
+            core.post(() -> all(call, AttemptResult.WITHHELD, false, false));
         }
     }
 
@@ -324,32 +324,32 @@
                 .at(
                         started + probeMicros,
                         () -> exchange[0].giveUp(() -> probed(
-                                endpoint, exchange[0].isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION, started)));
+                                endpoint, exchange[0].isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION, started)));
         exchange[0] = client.send(
                 owner(endpoint), endpoint.address(), "GET", "/health/live", Map.of(), NOTHING, new Heedful(endpoint) {
                     @Override
                     public void answered(int status, Map<String, String> headers, byte[] body) {
-                        end(status == 200 ? Ending.DELIVERED : status == 503 ? Ending.FULL : Ending.ERROR);
+                        end(status == 200 ? AttemptResult.DELIVERED : status == 503 ? AttemptResult.FULL : AttemptResult.ERROR);
                     }
 
                     @Override
                     public void broke(boolean written, int status) {
-                        end(written ? Ending.RESET : Ending.NO_CONNECTION);
+                        end(written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION);
                     }
 
                     @Override
                     public void withheld() {
-                        end(Ending.WITHHELD);
+                        end(AttemptResult.WITHHELD);
                     }
 
-                    private void end(Ending ending) {
+                    private void end(AttemptResult ending) {
                         core.deadlines().cancel(late);
                         probed(endpoint, ending, started);
                     }
                 });
     }
 
-    private void probed(Call.Endpoint endpoint, Ending ending, long started) {
+    private void probed(Call.Endpoint endpoint, AttemptResult ending, long started) {
         core.probed(endpoint.host(), ending, core.now() - started);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -194,7 +194,7 @@
         // Among others a message without a key is written with a '-' in its place.
         check(
                 key == null
-                        ? known.all().get(number).repeat() != DecisionModule.Repeat.KEYED
+                        ? known.all().get(number).repeat() != DecisionModule.RepeatSafety.KEYED
                         : Figures.isWord(key) && !key.equals("-"),
                 "Idempotency-Key: " + (key == null ? "missing" : "not a key"));
         String retry = headers.getOrDefault("req-retry", "");
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Set;
 import lilaclever.DecisionModule;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.routing.Call;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
@@ -80,7 +80,7 @@
                 String host = route.host(address);
                 protocols.put(host, route.protocol());
                 core.add(new Core.Listed(
-                        new DecisionModule.Entry(
+                        new DecisionModule.EndpointEntry(
                                 host, route.destination(), zone, -1, DecisionModule.Presence.ACTIVE, 1, 0),
                         new Call.Endpoint(host, address, route.destination(), zone, 1, false, this)));
             }
@@ -100,7 +100,7 @@
             mail = Mail.decode(call.messages.get(0).submission.body());
         } catch (IllegalArgumentException e) {
             // Handed in by a front that knows no envelopes: no attempt can ever succeed.
-            core.outcome(call, call.messages.get(0), Ending.REJECTED, 0, false, false);
+            core.outcome(call, call.messages.get(0), AttemptResult.REJECTED, 0, false, false);
             return;
         }
         Session idle = null;
@@ -117,14 +117,14 @@
     @Override
     public void giveUp(Call call) {
         if (call.attachment instanceof Session session && session.call == call) {
-            session.end(session.written ? Ending.TIMED_OUT : Ending.NO_CONNECTION, "");
+            session.end(session.written ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION, "");
         }
     }
 
     @Override
     public void withdraw(Call call) {
         if (call.attachment instanceof Session session && session.call == call && session.connection == null) {
-            session.end(Ending.WITHHELD, "");
+            session.end(AttemptResult.WITHHELD, "");
         }
     }
 
@@ -142,9 +142,9 @@
                 chain,
                 up -> {
                     up.closeSilently();
-                    core.post(() -> core.probed(endpoint.host(), Ending.DELIVERED, core.now() - started));
+                    core.post(() -> core.probed(endpoint.host(), AttemptResult.DELIVERED, core.now() - started));
                 },
-                problem -> core.post(() -> core.probed(endpoint.host(), Ending.NO_CONNECTION, core.now() - started)));
+                problem -> core.post(() -> core.probed(endpoint.host(), AttemptResult.NO_CONNECTION, core.now() - started)));
     }
 
     /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
@@ -182,7 +182,7 @@
             core.counters().add(Counters.Name.CONNECTIONS);
             connectBy = core.deadlines().at(core.now() + connectMicros, () -> {
                 connecting.run();
-                end(Ending.NO_CONNECTION, "");
+                end(AttemptResult.NO_CONNECTION, "");
             });
             connecting = transport.connect(
                     Transport.address(endpoint.address()),
@@ -191,7 +191,7 @@
                         sessions.set(up, this); // before the greeting can be read
                         core.post(() -> connected(up));
                     },
-                    problem -> core.post(() -> end(Ending.NO_CONNECTION, "")));
+                    problem -> core.post(() -> end(AttemptResult.NO_CONNECTION, "")));
         }
 
         private void connected(Connection<?> up) {
@@ -200,7 +200,7 @@
             if (call == null) {
                 close();
             } else if (!core.activeEndpoints().mayReceive(endpoint)) {
-                end(Ending.WITHHELD, "");
+                end(AttemptResult.WITHHELD, "");
             } else if (!up.isOpen()) {
                 closed();
             } else {
@@ -225,7 +225,7 @@
             }
             Reply reply = Reply.parse(line);
             if (reply == null || expected.isEmpty() || ++lines > MOST_LINES) {
-                end(written ? Ending.ERROR : Ending.NO_CONNECTION, "");
+                end(written ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION, "");
                 return;
             }
             Step step = expected.peek();
@@ -269,9 +269,9 @@
 
         private void refused(Step step, Reply reply) {
             boolean odd = reply.code() < 400 || reply.code() > 599;
-            Ending ending = odd
-                    ? written ? Ending.ERROR : Ending.NO_CONNECTION
-                    : reply.permanent() ? Ending.REJECTED : Ending.FULL;
+            AttemptResult ending = odd
+                    ? written ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION
+                    : reply.permanent() ? AttemptResult.REJECTED : AttemptResult.FULL;
             if (step != Step.GREETING) {
                 Transport.write(connection, "QUIT\r\n", () -> {}, () -> {});
             }
@@ -282,7 +282,7 @@
             Call done = call;
             call = null;
             pool.giveBack(endpoint.host(), connection, core.now());
-            tell(done, Ending.DELIVERED, reply.code() + " " + reply.text());
+            tell(done, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
         }
 
         private void transaction() {
@@ -300,7 +300,7 @@
             }
             int length = mail.content().length();
             if (mostBytes > 0 && length > mostBytes) {
-                end(Ending.REJECTED, "552 5.3.4 larger than the server's limit of " + mostBytes);
+                end(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + mostBytes);
                 return;
             }
             String from = "MAIL FROM:<" + mail.reversePath() + '>' + (size ? " SIZE=" + length : "")
@@ -329,12 +329,12 @@
             if (call == null) {
                 close();
             } else if (connection != null) {
-                end(written ? Ending.RESET : Ending.NO_CONNECTION, "");
+                end(written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION, "");
             }
         }
 
         /** Ends the call; the connection's state is not certain any more, so it goes too. */
-        private void end(Ending ending, String said) {
+        private void end(AttemptResult ending, String said) {
             Call done = call;
             call = null;
             core.deadlines().cancel(connectBy);
@@ -344,7 +344,7 @@
             }
         }
 
-        private void tell(Call done, Ending ending, String said) {
+        private void tell(Call done, AttemptResult ending, String said) {
             for (Message m : List.copyOf(done.messages)) {
                 m.lastWord = said;
                 core.outcome(done, m, ending, 0, false, false);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
 import lilaclever.identity.DuplicateCheck;
 import lilaclever.identity.IdempotencyWindows;
@@ -37,11 +37,11 @@
     private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - micros();
 
     /** An endpoint as the directory lists it. */
-    public record Listed(DecisionModule.Entry entry, Call.Endpoint endpoint) {
+    public record Listed(DecisionModule.EndpointEntry entry, Call.Endpoint endpoint) {
         /** The same endpoint with another presence. */
         public Listed withPresence(DecisionModule.Presence presence) {
             return new Listed(
-                    new DecisionModule.Entry(
+                    new DecisionModule.EndpointEntry(
                             entry.host(),
                             entry.destination(),
                             entry.zone(),
@@ -257,7 +257,7 @@
         if (ruling instanceof DuplicateCheck.Clash<Message, FinalStatus>) {
             return clash(m);
         }
-        if (closing || held.size() >= settings.limits().maxOpen()) {
+        if (closing || held.size() >= settings.limits().maxOpenMessages()) {
             turnDown(m, new FinalStatus(Kind.REFUSED, COME_BACK, "no room"));
             return m;
         }
@@ -316,7 +316,7 @@
             all.forEach(x -> old.remove(x.entry().host()));
             old.values().forEach(x -> x.deliverer().closeIdle(x));
         }
-        List<DecisionModule.Entry> entries = new ArrayList<>();
+        List<DecisionModule.EndpointEntry> entries = new ArrayList<>();
         for (Listed x : all) {
             entries.add(x.entry());
             Call.Endpoint before = endpoints.put(x.entry().host(), x.endpoint());
@@ -376,11 +376,11 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.WITHHELD, 0, false, false));
+        List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.WITHHELD, 0, false, false));
     }
 
     /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
-    public void outcome(Call call, Message m, Ending ending, long waitMicros, boolean noSlot, boolean over) {
+    public void outcome(Call call, Message m, AttemptResult ending, long waitMicros, boolean noSlot, boolean over) {
         if (m.out != call) {
             return;
         }
@@ -402,13 +402,13 @@
                 now - call.startedAt,
                 waitMicros,
                 noSlot,
-                over || ending == Ending.DELIVERED,
+                over || ending == AttemptResult.DELIVERED,
                 null));
-        m.attempts -= ending == Ending.WITHHELD ? 1 : 0;
+        m.attempts -= ending == AttemptResult.WITHHELD ? 1 : 0;
         if (m.over) {
             return;
         }
-        if (ending == Ending.DELIVERED) {
+        if (ending == AttemptResult.DELIVERED) {
             counters.add(Name.DELIVERED);
             end(m, FinalStatus.of(Kind.DELIVERED));
         } else if (over) {
@@ -419,13 +419,13 @@
     }
 
     /** A probe has ended. Loop thread. */
-    public void probed(String host, Ending ending, long elapsedMicros) {
-        events.add(new Event.Probed(host, ending, elapsedMicros, null));
+    public void probed(String host, AttemptResult ending, long elapsedMicros) {
+        events.add(new Event.ProbeEnded(host, ending, elapsedMicros, null));
     }
 
     /** Other classes and attempts hold from now on, for what is handed in after this. Loop thread. */
     public void renew(DecisionModule.Settings renewed) {
-        events.add(new Event.Renewed(renewed));
+        events.add(new Event.SettingsChanged(renewed));
     }
 
     /** Takes nothing new from now on, and starts no call that could be out at the given time. Loop thread. */
@@ -624,7 +624,7 @@
             counters.holds(m == null || m.out == null, a.id() + " has one attempt out at most");
             counters.holds(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = m == null ? 0 : m.attempts++;
-            events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, m == null, null));
+            events.add(new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, m == null, null));
             return;
         }
         Call call = starting.get(a.host());
@@ -667,7 +667,7 @@
         calls.add(call);
         if (!written) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
@@ -696,7 +696,7 @@
         if (call.started) {
             call.endpoint.deliverer().giveUp(call);
         } else {
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
         }
     }
 
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -48,14 +48,14 @@
 
     @Test
     void theLeastWorthIsRefusedAndOfEqualOnesTheLatest() {
-        assertNull(admission.leastWorth());
+        assertNull(admission.leastValuable());
         fixture.message(SAFE);
         Message latest = fixture.message(SAFE);
-        assertEquals(latest, admission.leastWorth());
+        assertEquals(latest, admission.leastValuable());
         Message low = fixture.message(SAFE);
         low.worth = 0.1;
         fixture.message(SAFE);
-        assertEquals(low, admission.leastWorth());
+        assertEquals(low, admission.leastValuable());
     }
 
     @Test
@@ -64,11 +64,11 @@
         fixture.message(SAFE).mayHaveRun = true;
         Message resumed = fixture.message(SAFE);
         resumed.resumed = true;
-        assertEquals(fresh, admission.leastWorth());
+        assertEquals(fresh, admission.leastValuable());
         fixture.state.dequeue(fresh);
-        assertTrue(admission.leastWorth().mayHaveRun, "a factor, not a rule");
-        fixture.state.dequeue(admission.leastWorth());
-        assertNull(admission.leastWorth());
+        assertTrue(admission.leastValuable().mayHaveRun, "a factor, not a rule");
+        fixture.state.dequeue(admission.leastValuable());
+        assertNull(admission.leastValuable());
     }
 
     @Test
@@ -81,31 +81,31 @@
         alone.queue = other;
         fixture.state.enqueue(alone);
         fixture.message(SAFE);
-        assertTrue(admission.leastWorth().queue == crowded.queue);
+        assertTrue(admission.leastValuable().queue == crowded.queue);
         Endpoint endpoint = fixture.endpoint();
         for (int i = 0; i < 100; i++) {
             fixture.later(100 * MS);
             parts.rates.onDelivered(fixture.limit, endpoint);
         }
-        assertEquals(alone, admission.leastWorth(), "the other destination soon takes its two messages");
+        assertEquals(alone, admission.leastValuable(), "the other destination soon takes its two messages");
     }
 
     @Test
     void aRefusedClientComesAgainWhenThereWillBeRoom() {
         fixture.endpoint();
-        assertEquals(0, admission.comeBackAfter(fixture.queue), "nothing waits");
-        parts.limits.onWait(fixture.limit, 300 * MS);
-        assertEquals(300 * MS, admission.comeBackAfter(fixture.queue));
+        assertEquals(0, admission.retryAfterMicros(fixture.queue), "nothing waits");
+        parts.limits.onRetryAfter(fixture.limit, 300 * MS);
+        assertEquals(300 * MS, admission.retryAfterMicros(fixture.queue));
         fixture.message(SAFE);
-        assertEquals(2 * S, admission.comeBackAfter(fixture.queue), "at half a call a second: the most that is told");
+        assertEquals(2 * S, admission.retryAfterMicros(fixture.queue), "at half a call a second: the most that is told");
         fixture.limit.usualRate = 10;
-        fixture.limit.usualUnseen = 0;
-        assertEquals(400 * MS, admission.comeBackAfter(fixture.queue), "at ten calls a second");
+        fixture.limit.usualRateUnfilled = 0;
+        assertEquals(400 * MS, admission.retryAfterMicros(fixture.queue), "at ten calls a second");
     }
 
     @Test
     void whereNoEndpointIsListedItIsTheMostThatIsTold() {
         fixture.endpoint().active = false;
-        assertEquals(2 * S, admission.comeBackAfter(fixture.queue));
+        assertEquals(2 * S, admission.retryAfterMicros(fixture.queue));
     }
 }
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -34,12 +34,12 @@
     /** An endpoint of a destination of its own, that takes calls of so many messages. */
     private Endpoint elsewhere(int batch) {
         DestinationQueue queue = new DestinationQueue();
-        queue.sharedLimit = new DestinationLimit();
-        Endpoint endpoint = new Endpoint("other", queue, queue.sharedLimit, 0, 0, batch);
+        queue.latestLimit = new DestinationLimit();
+        Endpoint endpoint = new Endpoint("other", queue, queue.latestLimit, 0, 0, batch);
         endpoint.active = true;
-        endpoint.trialPause = S;
+        endpoint.trialIntervalMicros = S;
         queue.endpoints.add(endpoint);
-        queue.sharedLimit.endpoints.add(endpoint);
+        queue.latestLimit.endpoints.add(endpoint);
         fixture.state.queues.put(2, queue);
         return endpoint;
     }
@@ -66,7 +66,7 @@
         assertEquals(List.of(worthMore.id, first.id, second.id, third.id), sent());
         assertEquals(
                 List.of(worthLess),
-                List.copyOf(fixture.state.queuesWaiting.iterator().next().waiting));
+                List.copyOf(fixture.state.nonEmptyQueues.iterator().next().waiting));
         assertEquals(4, fixture.state.slotsInUse);
         assertEquals(3, endpoint.callsInFlight);
     }
@@ -76,16 +76,16 @@
         fixture.endpoint();
         Message message = fixture.message(SAFE);
         Message shortOfTime = fixture.message(SAFE);
-        shortOfTime.deadline = fixture.state.now + S;
+        shortOfTime.deadlineMicros = fixture.state.nowMicros + S;
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.now - 4 * S;
+        repeated.uncertainSentAtMicros = fixture.state.nowMicros - 4 * S;
         dispatch();
         assertEquals(
                 List.of(
-                        new Action.Send(repeated.id, "e0", fixture.state.now + 995 * MS),
-                        new Action.Send(message.id, "e0", fixture.state.now + 2 * S),
-                        new Action.Send(shortOfTime.id, "e0", fixture.state.now + S)),
+                        new Action.Send(repeated.id, "e0", fixture.state.nowMicros + 995 * MS),
+                        new Action.Send(message.id, "e0", fixture.state.nowMicros + 2 * S),
+                        new Action.Send(shortOfTime.id, "e0", fixture.state.nowMicros + S)),
                 fixture.state.actions);
     }
 
@@ -99,8 +99,8 @@
         dispatch();
         assertEquals(List.of(first.id, second.id, third.id, fourth.id), sent());
         assertEquals(2, fixture.state.slotsInUse);
-        assertEquals(3, first.call.outcomesDue);
-        assertEquals(1, fourth.call.outcomesDue);
+        assertEquals(3, first.call.pendingOutcomes);
+        assertEquals(1, fourth.call.pendingOutcomes);
     }
 
     @Test
@@ -117,8 +117,8 @@
     void theNextLookIsWhenSomethingMayGo() {
         Endpoint endpoint = fixture.endpoint();
         fixture.message(SAFE);
-        endpoint.avoidUntil = fixture.state.now + 300 * MS;
-        assertEquals(fixture.state.now + 300 * MS, dispatch());
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 300 * MS;
+        assertEquals(fixture.state.nowMicros + 300 * MS, dispatch());
         assertEquals(List.of(), sent());
     }
 
@@ -129,7 +129,7 @@
         fixture.call(hanging, endpoint);
         fixture.state.slotsInUse = 4;
         messageFor(elsewhere(1), 1);
-        assertEquals(fixture.state.now + 400 * MS, dispatch());
+        assertEquals(fixture.state.nowMicros + 400 * MS, dispatch());
         fixture.later(400 * MS);
         dispatch();
         assertEquals(List.of(new Action.Cancel(hanging.id, 0)), fixture.state.actions);
@@ -140,7 +140,7 @@
         Endpoint endpoint = fixture.endpoint();
         Message message = fixture.message(SAFE);
         dispatch();
-        parts.dispatch.end(message.call);
+        parts.dispatch.releaseSlot(message.call);
         assertEquals(0, fixture.state.slotsInUse);
         assertEquals(0, endpoint.callsInFlight);
         assertEquals(0, fixture.limit.callsInFlight);
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -22,7 +22,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private long timeout(int messageClass) {
-        return timeouts.timeout(fixture.message(messageClass), fixture.limit);
+        return timeouts.timeoutMicros(fixture.message(messageClass), fixture.limit);
     }
 
     @Test
@@ -36,17 +36,17 @@
         timeouts.onDelivered(fixture.limit, 100 * MS);
         assertEquals(S, timeout(SAFE));
         timeouts.onDelivered(fixture.limit, 10_100 * MS);
-        assertEquals(1_100 * MS, (long) fixture.limit.answerTime, "a tenth of the new answer");
+        assertEquals(1_100 * MS, (long) fixture.limit.meanAnswerMicros, "a tenth of the new answer");
         assertEquals(6_600 * MS, timeout(SAFE));
     }
 
     @Test
     void aKeyedMessagesFirstAttemptLeavesHalfItsWindow() {
-        fixture.limit.answerTime = 2 * S;
+        fixture.limit.meanAnswerMicros = 2 * S;
         assertEquals(2_500 * MS, timeout(KEYED));
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        assertEquals(12 * S, timeouts.timeout(repeated, fixture.limit));
+        assertEquals(12 * S, timeouts.timeoutMicros(repeated, fixture.limit));
     }
 
     @Test
@@ -66,14 +66,14 @@
     void oneSlowDestinationHardlyMovesTheUsualAnswerTime() {
         timeouts.onDelivered(fixture.limit, 100 * MS);
         timeouts.onDelivered(fixture.limit, 10 * S);
-        assertEquals(107_500, fixture.state.usualAnswerTime, 1, "a fortieth of three times 100 ms");
-        assertEquals(430_000, timeouts.slowAnswerTime(), 4);
+        assertEquals(107_500, fixture.state.overallMeanAnswerMicros, 1, "a fortieth of three times 100 ms");
+        assertEquals(430_000, timeouts.slowAnswerMicros(), 4);
     }
 
     @Test
     void whereCallsAreLostTheLastSlotGetsLess() {
         for (int i = 0; i < 2; i++) {
-            endpoint.failingSince = fixture.state.now;
+            endpoint.failingSinceMicros = fixture.state.nowMicros;
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
@@ -92,7 +92,7 @@
         for (Message message : List.of(first, unsafe, second)) {
             fixture.call(message, endpoint);
         }
-        assertEquals(fixture.state.now + 800 * MS, timeouts.cancelOverdue(1), "eight times 100 ms");
+        assertEquals(fixture.state.nowMicros + 800 * MS, timeouts.cancelOverdue(1), "eight times 100 ms");
         fixture.later(800 * MS);
         timeouts.cancelOverdue(1);
         assertEquals(List.of(new Action.Cancel(first.id, 0)), fixture.state.actions);
@@ -101,7 +101,7 @@
         assertTrue(fixture.state.actions.isEmpty(), "the slot asked for is about to be free");
         long next = timeouts.cancelOverdue(3);
         assertEquals(List.of(new Action.Cancel(second.id, 0)), fixture.state.actions);
-        assertEquals(fixture.state.now - 801 * MS + 2_400 * MS, next, "24 times for the unsafe one");
+        assertEquals(fixture.state.nowMicros - 801 * MS + 2_400 * MS, next, "24 times for the unsafe one");
     }
 
     @Test
@@ -118,29 +118,29 @@
         DecisionModule.Limits l = s.limits();
         return new DecisionModule.Settings(
                 s.self(),
-                s.relays(),
+                s.forwarders(),
                 s.zone(),
                 s.zones(),
                 s.roundMicros(),
-                s.askForList(),
-                s.weights(),
-                s.reports(),
-                s.overShareWorth(),
+                s.mustWatchList(),
+                s.weightMeaning(),
+                s.limitReports(),
+                s.overQuotaWorthFactor(),
                 s.classes(),
                 s.kinds(),
                 s.tenants(),
                 new DecisionModule.Limits(
                         l.maxAttempts(),
-                        l.maxOpen(),
+                        l.maxOpenMessages(),
                         l.slots(),
                         false,
-                        l.probing(),
-                        l.peers(),
+                        l.mayProbe(),
+                        l.mayMessagePeers(),
                         l.callsPerConnection(),
                         l.connectTimeoutMicros(),
                         l.keepAliveMicros(),
-                        l.comeBack(),
-                        l.maxComeBackMicros()),
+                        l.sendsRetryAfter(),
+                        l.maxRetryAfterMicros()),
                 s.rules());
     }
 }
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -8,7 +8,7 @@
 
 import java.util.List;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -22,56 +22,56 @@
 
     @Test
     void aConnectionIsIdleUntilItIsUsedOrTooOld() {
-        assertFalse(connections.isWarm(endpoint));
-        connections.onCallEnded(endpoint, Ending.DELIVERED);
-        assertTrue(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
+        connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
+        assertTrue(connections.hasIdleConnection(endpoint));
         connections.onSend(endpoint);
-        assertFalse(connections.isWarm(endpoint));
-        connections.onCallEnded(endpoint, Ending.FULL);
+        assertFalse(connections.hasIdleConnection(endpoint));
+        connections.onCallEnded(endpoint, AttemptResult.FULL);
         fixture.later(5 * S - 1);
-        assertTrue(connections.isWarm(endpoint));
+        assertTrue(connections.hasIdleConnection(endpoint));
         fixture.later(1);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Ending.class,
+            value = AttemptResult.class,
             names = {"NO_CONNECTION", "NO_ROOM", "RESET", "NOT_SENT"})
-    void theseEndingsLeaveNoConnection(Ending ending) {
+    void theseEndingsLeaveNoConnection(AttemptResult ending) {
         connections.onCallEnded(endpoint, ending);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @Test
     void afterAFailedConnectNoneIsLeft() {
-        connections.onCallEnded(endpoint, Ending.DELIVERED);
+        connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.onConnectFailed(endpoint);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @Test
     void aSmallFleetKeepsItsConnections() {
-        connections.onCallEnded(endpoint, Ending.DELIVERED);
+        connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(), fixture.state.actions);
-        assertTrue(connections.isWarm(endpoint));
+        assertTrue(connections.hasIdleConnection(endpoint));
     }
 
     @Test
     void whereConnectionsAreScarceNoneIsKeptThatNothingWaitsFor() {
-        connections.onTurnedAway(endpoint);
+        connections.onConnectRejected(endpoint);
         fixture.message(SAFE);
-        connections.onCallEnded(endpoint, Ending.DELIVERED);
+        connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(), fixture.state.actions, "a message waits for the destination");
         fixture.state.dequeue(fixture.queue.waiting.iterator().next());
         connections.closeUnused();
         assertEquals(List.of(), fixture.state.actions, "only in the round in which the call came back");
-        connections.onCallEnded(endpoint, Ending.DELIVERED);
+        connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(new Action.CloseIdle(endpoint.host)), fixture.state.actions);
-        assertFalse(connections.isWarm(endpoint));
+        assertFalse(connections.hasIdleConnection(endpoint));
     }
 
     @Test
@@ -80,8 +80,8 @@
         ConnectionReuse reuse = new ConnectionReuse(large.state);
         Endpoint first = large.endpoint();
         Endpoint second = large.endpoint();
-        reuse.onCallEnded(first, Ending.DELIVERED);
-        reuse.onCallEnded(second, Ending.DELIVERED);
+        reuse.onCallEnded(first, AttemptResult.DELIVERED);
+        reuse.onCallEnded(second, AttemptResult.DELIVERED);
         reuse.onSend(first);
         reuse.closeUnused();
         assertEquals(List.of(new Action.CloseIdle(second.host)), large.state.actions);
