--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -15,22 +15,22 @@
 import java.util.Set;
 import java.util.TreeSet;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.AttemptResult;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Group;
-import lilaclever.DecisionModule.Kind;
+import lilaclever.DecisionModule.KeyScope;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.Limits;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Prior;
-import lilaclever.DecisionModule.Repeat;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.PriorAttempts;
+import lilaclever.DecisionModule.RepeatSafety;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.Rules;
 import lilaclever.DecisionModule.Settings;
 import lilaclever.DecisionModule.Tenant;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.WeightMeaning;
 
 /**
  * A seeded sequence of events for one decision module, with hosts that answer well, refuse, fail or hang for a while.
@@ -66,9 +66,9 @@
         String host;
         long sentAt;
         long endsAt;
-        Ending ending;
+        AttemptResult ending;
         long waitMicros;
-        Report report;
+        LimitReport report;
         final List<String> ids = new ArrayList<>();
         final List<Integer> attempts = new ArrayList<>();
         final List<Long> dropsAt = new ArrayList<>();
@@ -82,7 +82,7 @@
     private final Map<String, Integer> attempts = new HashMap<>();
     private final List<String> open = new ArrayList<>();
     private final List<Flight> flights = new ArrayList<>();
-    private final Map<String, Entry> listed = new HashMap<>();
+    private final Map<String, EndpointEntry> listed = new HashMap<>();
     private final Map<String, Condition> conditions = new HashMap<>();
     private final Map<Integer, Long> lastTaken = new HashMap<>();
     final Set<String> kindsOfActions = new TreeSet<>();
@@ -99,7 +99,7 @@
         this.random = new Random(seed);
         this.settings = settings();
         this.module = DecisionModule.create(settings, seed);
-        this.arrivalsPerSecond = settings.relays() > 16 ? 1 + random.nextInt(6) : 4 + random.nextInt(30);
+        this.arrivalsPerSecond = settings.forwarders() > 16 ? 1 + random.nextInt(6) : 4 + random.nextInt(30);
         try {
             this.digest = MessageDigest.getInstance("SHA-256");
         } catch (NoSuchAlgorithmException e) {
@@ -110,7 +110,7 @@
     private Settings settings() {
         int relays = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
         int slots = relays > 16 ? 2 + random.nextInt(4) : 2 + random.nextInt(12);
-        Weights weights = Weights.values()[(int) (seed / 2 % 3)];
+        WeightMeaning weights = WeightMeaning.values()[(int) (seed / 2 % 3)];
         Limits limits = limits(MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)], slots, 20 + random.nextInt(60));
         return new Settings(
                 0,
@@ -123,7 +123,7 @@
                 true,
                 0.1,
                 classes(1),
-                List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5), new Kind(true, 3)),
+                List.of(new EndpointKind(false, 1), new EndpointKind(true, 1), new EndpointKind(false, 5), new EndpointKind(true, 3)),
                 List.of(new Tenant(0.5, 5), new Tenant(0.5, 2)),
                 limits,
                 new Rules(
@@ -144,11 +144,11 @@
 
     private static List<MessageClass> classes(int factor) {
         return List.of(
-                new MessageClass(2 * S, 20 * S * factor, 1, Repeat.SAFE, Group.ALL, 0, false, 0.2, true),
-                new MessageClass(S, 15 * S * factor, 2, Repeat.KEYED, Group.ALL, 5 * S, false),
-                new MessageClass(2 * S, 20 * S * factor, 3, Repeat.UNSAFE, Group.ALL, 0, true),
-                new MessageClass(2 * S, 12 * S * factor, 1, Repeat.KEYED, Group.ZONE, 3 * S, true, 0.1, false),
-                new MessageClass(400 * MS, 2 * S * factor, 0.5, Repeat.SAFE, Group.ALL, 0, true));
+                new MessageClass(2 * S, 20 * S * factor, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false, 0.2, true),
+                new MessageClass(S, 15 * S * factor, 2, RepeatSafety.KEYED, KeyScope.ALL, 5 * S, false),
+                new MessageClass(2 * S, 20 * S * factor, 3, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                new MessageClass(2 * S, 12 * S * factor, 1, RepeatSafety.KEYED, KeyScope.ZONE, 3 * S, true, 0.1, false),
+                new MessageClass(400 * MS, 2 * S * factor, 0.5, RepeatSafety.SAFE, KeyScope.ALL, 0, true));
     }
 
     /** Plays the whole sequence and gives the digest of all actions with their times. */
@@ -202,7 +202,7 @@
         int attempt = attempts.merge(send.id(), 1, Integer::sum) - 1;
         int kind = listed.get(send.host()).kind();
         boolean known = kind >= 0 && kind < settings.kinds().size();
-        int batch = known ? settings.kinds().get(kind).batch() : 1;
+        int batch = known ? settings.kinds().get(kind).maxBatchSize() : 1;
         Flight flight = batch > 1 ? batches.get(send.host()) : null;
         if (flight == null || flight.ids.size() >= batch) {
             flight = new Flight();
@@ -222,7 +222,7 @@
         for (Flight flight : flights) {
             int place = flight.ids.indexOf(cancel.id());
             if (place >= 0 && flight.attempts.get(place) == cancel.attempt()) {
-                flight.ending = Ending.CANCELED;
+                flight.ending = AttemptResult.CANCELED;
                 // The outcome of a cancelled call comes at once, or after some rounds.
                 flight.endsAt = now + (1 + random.nextInt(3) * 20) * 5 * MS;
             }
@@ -231,57 +231,57 @@
 
     private void decideFate(Flight flight) {
         Condition condition = conditions.getOrDefault(flight.host, Condition.WELL);
-        Entry entry = listed.get(flight.host);
+        EndpointEntry entry = listed.get(flight.host);
         long base = (15 + 40 * entry.destination()) * MS;
         flight.endsAt = now + base / 2 + (long) (base * random.nextDouble());
-        flight.ending = Ending.DELIVERED;
+        flight.ending = AttemptResult.DELIVERED;
         boolean reports = entry.destination() % 2 == 0;
-        flight.report = reports ? new Report(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
+        flight.report = reports ? new LimitReport(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
         switch (condition) {
-            case REFUSES_SILENTLY -> fate(flight, Ending.FULL, 10 * MS, 0);
-            case REFUSES_WITH_SHORT_WAIT -> fate(flight, Ending.FULL, 10 * MS, 300 * MS);
-            case REFUSES_WITH_LONG_WAIT -> fate(flight, Ending.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
-            case CONNECTS_FAIL -> fate(flight, Ending.NO_CONNECTION, 5 * MS, 0);
-            case CONNECTS_TIME_OUT -> fate(flight, Ending.NO_CONNECTION, S / 2, 0);
+            case REFUSES_SILENTLY -> fate(flight, AttemptResult.FULL, 10 * MS, 0);
+            case REFUSES_WITH_SHORT_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 300 * MS);
+            case REFUSES_WITH_LONG_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
+            case CONNECTS_FAIL -> fate(flight, AttemptResult.NO_CONNECTION, 5 * MS, 0);
+            case CONNECTS_TIME_OUT -> fate(flight, AttemptResult.NO_CONNECTION, S / 2, 0);
             case NO_ROOM_FOR_CONNECTIONS -> {
                 if (random.nextInt(3) > 0) {
-                    fate(flight, random.nextBoolean() ? Ending.NO_ROOM : Ending.NO_CONNECTION, 5 * MS, 0);
+                    fate(flight, random.nextBoolean() ? AttemptResult.NO_ROOM : AttemptResult.NO_CONNECTION, 5 * MS, 0);
                 }
             }
-            case ERRORS -> fate(flight, Ending.ERROR, 10 * MS, 0);
+            case ERRORS -> fate(flight, AttemptResult.ERROR, 10 * MS, 0);
             case HALF_FAIL -> {
                 if (random.nextBoolean()) {
-                    fate(flight, Ending.ERROR, 10 * MS, random.nextInt(8) == 0 ? 200 * MS : 0);
+                    fate(flight, AttemptResult.ERROR, 10 * MS, random.nextInt(8) == 0 ? 200 * MS : 0);
                 }
             }
             case MOST_FAIL -> {
                 if (random.nextInt(5) > 0) {
-                    fate(flight, Ending.ERROR, 10 * MS, 0);
+                    fate(flight, AttemptResult.ERROR, 10 * MS, 0);
                 }
             }
             case HANGS -> flight.endsAt = Long.MAX_VALUE;
             case SLOW -> flight.endsAt = now + 8 * (flight.endsAt - now);
-            case RESETS -> fate(flight, Ending.RESET, 30 * MS, 0);
+            case RESETS -> fate(flight, AttemptResult.RESET, 30 * MS, 0);
             case ANYTHING -> {
-                Ending any = Ending.values()[random.nextInt(Ending.values().length)];
-                fate(flight, any, 20 * MS, any == Ending.FULL ? random.nextInt(3) * 900 * MS : 0);
+                AttemptResult any = AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
+                fate(flight, any, 20 * MS, any == AttemptResult.FULL ? random.nextInt(3) * 900 * MS : 0);
             }
             default -> limitRate(flight, entry);
         }
     }
 
-    private void fate(Flight flight, Ending ending, long after, long waitMicros) {
+    private void fate(Flight flight, AttemptResult ending, long after, long waitMicros) {
         flight.ending = ending;
         flight.endsAt = now + after;
         flight.waitMicros = waitMicros;
     }
 
     /** A destination that is well takes a call each 50 ms or so, and refuses what comes closer together. */
-    private void limitRate(Flight flight, Entry entry) {
+    private void limitRate(Flight flight, EndpointEntry entry) {
         long gap = now - lastTaken.getOrDefault(entry.destination(), 0L);
         if (gap < 50 * MS && seed % 2 == 0 && random.nextInt(4) == 0) {
-            fate(flight, Ending.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
-            flight.report = new Report(0, 6);
+            fate(flight, AttemptResult.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
+            flight.report = new LimitReport(0, 6);
         } else {
             lastTaken.put(entry.destination(), now);
         }
@@ -292,7 +292,7 @@
             boolean answered = flight.endsAt <= now;
             for (int i = flight.ids.size() - 1; i >= 0; i--) {
                 if (answered || flight.dropsAt.get(i) <= now) {
-                    answer(events, flight, i, answered ? flight.ending : Ending.TIMED_OUT);
+                    answer(events, flight, i, answered ? flight.ending : AttemptResult.TIMED_OUT);
                     flight.ids.remove(i);
                     flight.attempts.remove(i);
                     flight.dropsAt.remove(i);
@@ -304,13 +304,13 @@
         }
     }
 
-    private void answer(List<Event> events, Flight flight, int place, Ending ending) {
+    private void answer(List<Event> events, Flight flight, int place, AttemptResult ending) {
         String id = flight.ids.get(place);
-        boolean over = ending == Ending.DELIVERED || random.nextInt(200) == 0;
+        boolean over = ending == AttemptResult.DELIVERED || random.nextInt(200) == 0;
         if (over) {
             open.remove(id);
         }
-        if (ending == Ending.WITHHELD) {
+        if (ending == AttemptResult.WITHHELD) {
             attempts.merge(id, -1, Integer::sum);
         }
         events.add(new Event.Outcome(
@@ -319,10 +319,10 @@
                 flight.attempts.get(place),
                 ending,
                 now - flight.sentAt,
-                ending == Ending.TIMED_OUT ? 0 : flight.waitMicros,
-                ending == Ending.NOT_SENT,
+                ending == AttemptResult.TIMED_OUT ? 0 : flight.waitMicros,
+                ending == AttemptResult.NOT_SENT,
                 over,
-                ending == Ending.TIMED_OUT ? null : flight.report));
+                ending == AttemptResult.TIMED_OUT ? null : flight.report));
     }
 
     private void arrivals(List<Event> events) {
@@ -336,7 +336,7 @@
             String key = random.nextInt(3) == 0 ? null : "k" + destination + "-" + random.nextInt(3);
             long deadline = settings.classes().get(kind).deadlineMicros();
             long budget = random.nextInt(6) == 0 ? 50 * MS + random.nextInt((int) S) : deadline;
-            Prior prior = random.nextInt(25) == 0 ? prior() : null;
+            PriorAttempts prior = random.nextInt(25) == 0 ? prior() : null;
             attempts.put(id, prior == null ? 0 : prior.attempts());
             open.add(id);
             events.add(new Event.Submit(
@@ -344,16 +344,16 @@
         }
     }
 
-    private Prior prior() {
+    private PriorAttempts prior() {
         boolean mayHaveRun = random.nextBoolean();
         int before = mayHaveRun ? 1 + random.nextInt(3) : random.nextInt(3);
-        return new Prior(before, mayHaveRun, "h0-0", random.nextInt(2), now - random.nextInt((int) (4 * S)));
+        return new PriorAttempts(before, mayHaveRun, "h0-0", random.nextInt(2), now - random.nextInt((int) (4 * S)));
     }
 
     private void rareEvents(List<Event> events, long end) {
         if (random.nextInt(700) == 0) {
             ListingKind kind = ListingKind.values()[random.nextInt(4)];
-            List<Entry> entries = kind == ListingKind.REFUSED ? List.of() : entries(true);
+            List<EndpointEntry> entries = kind == ListingKind.REFUSED ? List.of() : entries(true);
             events.add(new Event.Listing(kind, names, entries));
         }
         if (random.nextInt(500) == 0 && !open.isEmpty()) {
@@ -362,11 +362,11 @@
         if (random.nextInt(3_000) == 0) {
             Limits old = settings.limits();
             int maxAttempts = MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)];
-            events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
+            events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpenMessages())));
         }
         if (random.nextInt(1_000) == 0) {
-            events.add(new Event.Probed("h0-0", Ending.DELIVERED, MS, null));
-            events.add(new Event.Heard(1, new byte[0]));
+            events.add(new Event.ProbeEnded("h0-0", AttemptResult.DELIVERED, MS, null));
+            events.add(new Event.PeerMessage(1, new byte[0]));
         }
         if (seed % 6 == 0 && now == end - 4 * S) {
             events.add(new Event.Stopping(end));
@@ -376,20 +376,20 @@
     private Event renewed(List<MessageClass> classes, Limits limits) {
         settings = new Settings(
                 settings.self(),
-                settings.relays(),
+                settings.forwarders(),
                 settings.zone(),
                 settings.zones(),
                 settings.roundMicros(),
-                settings.askForList(),
-                settings.weights(),
-                settings.reports(),
-                settings.overShareWorth(),
+                settings.mustWatchList(),
+                settings.weightMeaning(),
+                settings.limitReports(),
+                settings.overQuotaWorthFactor(),
                 classes,
                 settings.kinds(),
                 settings.tenants(),
                 limits,
                 settings.rules());
-        return new Event.Renewed(settings);
+        return new Event.SettingsChanged(settings);
     }
 
     /** Hosts change how they answer: those of one destination, one of its hosts, or at times all others' hosts. */
@@ -414,8 +414,8 @@
         }
     }
 
-    private List<Entry> entries(boolean changing) {
-        List<Entry> entries = new ArrayList<>();
+    private List<EndpointEntry> entries(boolean changing) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int destination = 0; destination < DESTINATIONS; destination++) {
             for (int host = 0; host < 3; host++) {
                 if (changing ? random.nextInt(3) > 0 : host < 2) {
@@ -427,13 +427,13 @@
         return entries;
     }
 
-    private Entry entry(int destination, int host, boolean changing) {
+    private EndpointEntry entry(int destination, int host, boolean changing) {
         Presence presence = changing && random.nextInt(4) == 0
                 ? Presence.values()[random.nextInt(Presence.values().length)]
                 : Presence.ACTIVE;
         // The third host of each destination moves to the next one at times; kinds go with the destination.
         int serves = host == 2 && random.nextInt(6) == 0 ? (destination + 1) % DESTINATIONS : destination;
         int kind = seed % 8 == 2 && serves == 0 ? settings.kinds().size() : serves;
-        return new Entry("h" + destination + "-" + host, serves, host % 2, kind, presence, 3 + serves, 0);
+        return new EndpointEntry("h" + destination + "-" + host, serves, host % 2, kind, presence, 3 + serves, 0);
     }
 }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -16,8 +16,8 @@
 import java.util.List;
 import java.util.Map;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.AttemptResult;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -61,7 +61,7 @@
         long[] steps = {200 * MS, 600 * MS, 2400 * MS, 6 * S};
         String id = rig.submit(SAFE, 1);
         for (int i = 0; i < steps.length; i++) {
-            rig.outcome(id, "a1", i, Ending.FULL);
+            rig.outcome(id, "a1", i, AttemptResult.FULL);
             long pause = pauseUntilSent(id, 16 * S);
             assertTrue(pause >= steps[i] / 2, "pause " + i + " was " + pause);
             // From the second refusal in a row on, the pace of an outage may add to the step.
@@ -77,7 +77,7 @@
             relay.decide(0, List.of(new Event.Listing(ListingKind.ALL, 1, List.of(Rig.entry("a1", 1, 0, 0)))));
             relay.decide(S, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * S)));
             for (Action a : relay.decide(
-                    S, List.of(new Event.Outcome("m", "a1", 0, Ending.NOT_SENT, 1, 0, true, false, null)))) {
+                    S, List.of(new Event.Outcome("m", "a1", 0, AttemptResult.NOT_SENT, 1, 0, true, false, null)))) {
                 if (a instanceof Action.Wake w) {
                     pauses.add(w.afterMicros());
                 }
@@ -89,7 +89,7 @@
     @Test
     void aRefusalHoldsToTenASecondUntilFiveQuietSeconds() {
         String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.FULL);
+        rig.outcome(first, "a1", 0, AttemptResult.FULL);
         rig.pass(S);
         int sent = 0;
         for (int i = 0; i < 200; i++) {
@@ -98,7 +98,7 @@
             for (Action a : rig.actions) {
                 if (a instanceof Action.Send s) {
                     sent++;
-                    rig.outcome(s.id(), "a1", s.id().equals(first) ? 1 : 0, Ending.DELIVERED);
+                    rig.outcome(s.id(), "a1", s.id().equals(first) ? 1 : 0, AttemptResult.DELIVERED);
                 }
             }
             assertTrue(id != null);
@@ -109,9 +109,9 @@
     @Test
     void theHoldEndsAfterFiveQuietSecondsAndItsRoofLater() {
         String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.FULL);
+        rig.outcome(first, "a1", 0, AttemptResult.FULL);
         assertTrue(pauseUntilSent(first, 4 * S) > 0);
-        rig.outcome(first, "a1", 1, Ending.DELIVERED);
+        rig.outcome(first, "a1", 1, AttemptResult.DELIVERED);
         rig.pass(6 * S);
         assertTrue(fiveAtOnce() < 5, "what waited must not come at once");
         rig.pass(16 * S);
@@ -127,8 +127,8 @@
                 at.add(id);
             }
         }
-        at.forEach(id -> rig.outcome(id, "a1", 0, Ending.DELIVERED));
-        answerAll(new HashMap<>(), S, Ending.DELIVERED);
+        at.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.DELIVERED));
+        answerAll(new HashMap<>(), S, AttemptResult.DELIVERED);
         return at.size();
     }
 
@@ -144,7 +144,7 @@
         String fresh = rig.submit(SAFE, 1);
         List<String> order = new ArrayList<>();
         for (String id = out; id != null; ) {
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
+            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
             id = null;
             for (String next : List.of(late, near, fresh)) {
                 id = rig.sent(next) ? next : id;
@@ -157,7 +157,7 @@
     @Test
     void aToldWaitStopsEveryMessageToTheDestination() {
         String id = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, Ending.FULL, 1500 * MS);
+        rig.outcome(id, "a1", 0, AttemptResult.FULL, 1500 * MS);
         String other = rig.submit(SAFE, 1);
         rig.pass(1490 * MS);
         assertEquals(List.of(), rig.sentTo());
@@ -172,7 +172,7 @@
     void aWithheldCallIsNoAttemptAndTellsTheWait() {
         String id = rig.submit(UNSAFE, 1);
         for (int i = 0; i < 8; i++) { // more often than a message may be attempted
-            rig.outcome(id, "a1", 0, Ending.WITHHELD, 500 * MS);
+            rig.outcome(id, "a1", 0, AttemptResult.WITHHELD, 500 * MS);
             rig.pass(490 * MS);
             assertEquals(List.of(), rig.sentTo());
             rig.pass(600 * MS);
@@ -185,8 +185,8 @@
     void aWaitToldWithAnyOutcomeBinds() {
         String id = rig.submit(SAFE, 1);
         String other = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, Ending.DELIVERED, 1500 * MS);
-        rig.outcome(other, "a1", 0, Ending.ERROR, 0);
+        rig.outcome(id, "a1", 0, AttemptResult.DELIVERED, 1500 * MS);
+        rig.outcome(other, "a1", 0, AttemptResult.ERROR, 0);
         rig.submit(SAFE, 1);
         rig.pass(1490 * MS);
         assertEquals(List.of(), rig.sentTo());
@@ -197,7 +197,7 @@
         rig.list(ListingKind.CHANGES, Rig.entry("b2", 2, 0, 1));
         String id = rig.submit(SAFE, 2);
         String host = rig.sentTo().get(0);
-        rig.outcome(id, host, 0, Ending.FULL, 2 * S);
+        rig.outcome(id, host, 0, AttemptResult.FULL, 2 * S);
         rig.submit(SAFE, 2);
         assertEquals(List.of(host.equals("b1") ? "b2" : "b1"), rig.sentTo());
     }
@@ -205,7 +205,7 @@
     @Test
     void aRouteTakenOffAndListedAgainKeepsItsWait() {
         String id = rig.submit(SAFE, 2);
-        rig.outcome(id, "b1", 0, Ending.FULL, 3 * S);
+        rig.outcome(id, "b1", 0, AttemptResult.FULL, 3 * S);
         rig.list(ListingKind.ALL);
         rig.list(ListingKind.ALL, Rig.entry("b1", 2, 0, 1));
         rig.pass(2900 * MS);
@@ -216,7 +216,7 @@
     void endsAtTheAttemptLimit() {
         String id = rig.submit(SAFE, 1);
         for (int i = 0; i < 6; i++) {
-            rig.outcome(id, "a1", i, Ending.NOT_SENT);
+            rig.outcome(id, "a1", i, AttemptResult.NOT_SENT);
             if (i < 5) {
                 assertTrue(pauseUntilSent(id, 12 * S) > 0 || rig.now > 1019 * S);
             }
@@ -227,9 +227,9 @@
     // ---- outcomes by repeat class ----
     @ParameterizedTest
     @EnumSource(
-            value = Ending.class,
+            value = AttemptResult.class,
             names = {"FULL", "NO_CONNECTION", "NOT_SENT"})
-    void whatNeverRanIsRepeatedInEachClass(Ending ending) {
+    void whatNeverRanIsRepeatedInEachClass(AttemptResult ending) {
         for (int c : new int[] {SAFE, KEYED, UNSAFE, ZONED}) {
             rig = Rig.started();
             String id = rig.submit(c, 1, "k");
@@ -242,9 +242,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Ending.class,
+            value = AttemptResult.class,
             names = {"ERROR", "TIMED_OUT", "RESET", "CANCELED"})
-    void whatMayHaveRunIsRepeatedUnlessUnsafe(Ending ending) {
+    void whatMayHaveRunIsRepeatedUnlessUnsafe(AttemptResult ending) {
         for (int c : new int[] {SAFE, KEYED, ZONED}) {
             rig = Rig.started();
             String id = rig.submit(c, 1, "k");
@@ -262,7 +262,7 @@
     @Test
     void aKeyedMessageEndsWithItsWindow() {
         String id = rig.submit(KEYED, 1);
-        rig.outcome(id, "a1", 0, Ending.ERROR);
+        rig.outcome(id, "a1", 0, AttemptResult.ERROR);
         rig.round(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("b1", 2, 0, 1))));
         rig.pass(5100 * MS);
         assertTrue(rig.refused(id), "all endpoints drop repeats, so a refusal is harmless");
@@ -271,7 +271,7 @@
     @Test
     void aZonedMessageIsNotRefusedOnceItMayHaveRun() {
         String id = rig.submit(ZONED, 1);
-        rig.outcome(id, "a1", 0, Ending.ERROR);
+        rig.outcome(id, "a1", 0, AttemptResult.ERROR);
         rig.round(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("a2", 1, 1, 0))));
         rig.pass(5100 * MS);
         assertTrue(rig.failed(id));
@@ -309,7 +309,7 @@
     @Test
     void whatIsWithdrawnIsPassedOver() {
         String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Withdrawn(id)).outcome(id, "a1", 0, Ending.ERROR).pass(S);
+        rig.round(new Event.Withdrawn(id)).outcome(id, "a1", 0, AttemptResult.ERROR).pass(S);
         assertEquals(List.of(), rig.sentTo());
         rig.round(new Event.Withdrawn("unknown"), new Event.Timer(5));
     }
@@ -317,7 +317,7 @@
     // ---- drains and lists ----
     @Test
     void aLeavingHostGetsNothingNew() {
-        rig.list(ListingKind.CHANGES, new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
+        rig.list(ListingKind.CHANGES, new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
         rig.submit(SAFE, 1);
         assertEquals(List.of(), rig.sentTo());
         rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0));
@@ -355,11 +355,11 @@
         String second = rig.submit(UNSAFE, 1, "k");
         String other = rig.submit(UNSAFE, 1, "other");
         assertTrue(rig.sent(other));
-        rig.outcome(first, "a1", 0, Ending.FULL);
+        rig.outcome(first, "a1", 0, AttemptResult.FULL);
         rig.pass(5 * MS);
         assertFalse(rig.sent(second));
         assertTrue(pauseUntilSent(first, 5 * S) > 0);
-        rig.outcome(first, "a1", 1, Ending.DELIVERED);
+        rig.outcome(first, "a1", 1, AttemptResult.DELIVERED);
         assertTrue(rig.sent(second) || pauseUntilSent(second, 5 * S) > 0);
     }
 
@@ -367,7 +367,7 @@
     void aKeyRestsAfterATimeOut() {
         String first = rig.submit(UNSAFE, 1, "k");
         String second = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(first, "a1", 0, Ending.TIMED_OUT);
+        rig.outcome(first, "a1", 0, AttemptResult.TIMED_OUT);
         assertTrue(pauseUntilSent(second, 5 * S) >= 100 * MS);
     }
 
@@ -383,7 +383,7 @@
     /** One message for each of so many destinations, all handed in and sent in one round; then what is out hangs. */
     private List<String> sentTogether(int slots, int messageClass) {
         rig = new Rig(Rig.settings(slots, 100, 6, false));
-        Entry[] entries = new Entry[10];
+        EndpointEntry[] entries = new EndpointEntry[10];
         for (int d = 0; d < entries.length; d++) {
             entries[d] = Rig.entry("h" + d, d, 0, 0);
         }
@@ -391,7 +391,7 @@
         for (int i = 0; i < 10; i++) {
             String id = rig.submit(SAFE, 9);
             rig.now += 50 * MS;
-            rig.outcome(id, "h9", 0, Ending.DELIVERED); // what is usual
+            rig.outcome(id, "h9", 0, AttemptResult.DELIVERED); // what is usual
         }
         List<String> ids = new ArrayList<>();
         Event[] submits = new Event[6];
@@ -408,18 +408,18 @@
         for (int i = 0; i < 40; i++) {
             String id = rig.submit(SAFE, 1);
             rig.now += 50 * MS; // twenty a second, for two seconds
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
+            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
         }
         String ill = rig.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            rig.outcome(ill, "a1", i, Ending.ERROR);
+            rig.outcome(ill, "a1", i, AttemptResult.ERROR);
             pauseUntilSent(ill, 20 * S);
         }
-        rig.outcome(ill, "a1", 4, Ending.DELIVERED);
+        rig.outcome(ill, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
             rig.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * S, Ending.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * S, AttemptResult.DELIVERED);
         // 0.85 x 2.5 x 0.2 of twenty a second at first, a little more as it warms.
         assertTrue(sent >= 14 && sent <= 26, "sent " + sent + " in two seconds of a return");
     }
@@ -429,18 +429,18 @@
         for (int i = 0; i < 200; i++) {
             String id = rig.submit(SAFE, 2);
             rig.now += 10 * MS; // a hundred a second to the other one
-            rig.outcome(id, "b1", 0, Ending.DELIVERED);
+            rig.outcome(id, "b1", 0, AttemptResult.DELIVERED);
         }
         String ill = rig.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            rig.outcome(ill, "a1", i, Ending.ERROR);
+            rig.outcome(ill, "a1", i, AttemptResult.ERROR);
             pauseUntilSent(ill, 20 * S);
         }
-        rig.outcome(ill, "a1", 4, Ending.DELIVERED);
+        rig.outcome(ill, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
             rig.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * S, Ending.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * S, AttemptResult.DELIVERED);
         // 0.85 x 2.5 x 0.2 of a quarter of fifty a second at first, a little more as it warms.
         assertTrue(sent >= 8 && sent <= 18, "sent " + sent + " in two seconds of a return");
     }
@@ -472,7 +472,7 @@
         rig.now += 2 * S;
         Event[] ends = new Event[6];
         for (int d = 0; d < ends.length; d++) {
-            ends[d] = new Event.Outcome(ids.get(d), "h" + d, 0, Ending.TIMED_OUT, 2 * S, 0, false, false, null);
+            ends[d] = new Event.Outcome(ids.get(d), "h" + d, 0, AttemptResult.TIMED_OUT, 2 * S, 0, false, false, null);
         }
         rig.round(ends);
         rig.now += 400 * MS; // all six may go again now, each to one that hung
@@ -490,7 +490,7 @@
     void severalHangingDestinationsTogetherLeaveSlotsForTheRest() {
         rig.list(ListingKind.CHANGES, Rig.entry("d1", 4, 0, 0), Rig.entry("e1", 5, 0, 0));
         String well = rig.submit(SAFE, 2);
-        rig.outcome(well, "b1", 0, Ending.DELIVERED);
+        rig.outcome(well, "b1", 0, AttemptResult.DELIVERED);
         int open = 0;
         for (int i = 0; i < 3; i++) {
             for (int dest : new int[] {1, 4, 5}) {
@@ -507,15 +507,15 @@
     @Test
     void aLongToldWaitIsReadAsShutAndItsEndAsAReturn() {
         List<String> ids = List.of(rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1));
-        rig.outcome(ids.get(0), "a1", 0, Ending.FULL, 6 * S);
-        rig.outcome(ids.get(1), "a1", 0, Ending.FULL, 6 * S);
-        rig.outcome(ids.get(2), "a1", 0, Ending.FULL, 6 * S);
+        rig.outcome(ids.get(0), "a1", 0, AttemptResult.FULL, 6 * S);
+        rig.outcome(ids.get(1), "a1", 0, AttemptResult.FULL, 6 * S);
+        rig.outcome(ids.get(2), "a1", 0, AttemptResult.FULL, 6 * S);
         rig.pass(10 * S);
         assertEquals(1, rig.sentTo().size(), "one trial after the wait, not all that waits");
     }
 
     /** Lets time pass; every send comes back with this ending a round later. Gives the number of sends. */
-    private int answerAll(Map<String, Integer> tries, long micros, Ending ending) {
+    private int answerAll(Map<String, Integer> tries, long micros, AttemptResult ending) {
         int sent = 0;
         for (long until = rig.now + micros; rig.now < until; ) {
             rig.now += 5 * MS;
@@ -542,13 +542,13 @@
                 rig.submit(SAFE, 1),
                 rig.submit(SAFE, 1),
                 rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, Ending.NO_CONNECTION));
+        ids.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.NO_CONNECTION));
         Map<String, Integer> tries = new HashMap<>();
         ids.forEach(id -> tries.put(id, 1));
-        int sent = answerAll(tries, 6 * S, Ending.DELIVERED);
+        int sent = answerAll(tries, 6 * S, AttemptResult.DELIVERED);
         assertEquals(5, sent, "one trial and no ramp: once a call is taken, what waits goes");
         rig.submit(SAFE, 1);
-        rig.outcome(((Action.Send) rig.actions.get(0)).id(), "a1", 0, Ending.DELIVERED);
+        rig.outcome(((Action.Send) rig.actions.get(0)).id(), "a1", 0, AttemptResult.DELIVERED);
         assertTrue(rig.actions.stream().anyMatch(Action.CloseIdle.class::isInstance), rig.actions.toString());
     }
 
@@ -558,13 +558,13 @@
         rig = new Rig(Rig.settings(10, 50, 12, false, 14));
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0), Rig.entry("c1", 3, 0, 0), Rig.entry("b1", 2, 0, 1));
         for (int i = 0; i < 20; i++) {
-            rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).pass(100 * MS);
+            rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).pass(100 * MS);
         }
         assertTrue(rig.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), rig.actions.toString());
-        rig.outcome(rig.submit(SAFE, 3), "c1", 0, Ending.NO_CONNECTION);
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED);
+        rig.outcome(rig.submit(SAFE, 3), "c1", 0, AttemptResult.NO_CONNECTION);
+        rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED);
         assertTrue(rig.actions.contains(new Action.CloseIdle("a1")), rig.actions.toString());
-        rig.outcome(rig.submit(SAFE, 2), "b1", 0, Ending.DELIVERED);
+        rig.outcome(rig.submit(SAFE, 2), "b1", 0, AttemptResult.DELIVERED);
         assertTrue(
                 rig.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), "of another kind nothing is known");
     }
@@ -576,20 +576,20 @@
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         Map<String, Integer> tries = new HashMap<>();
         String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.NO_CONNECTION);
+        rig.outcome(first, "a1", 0, AttemptResult.NO_CONNECTION);
         tries.put(first, 1);
-        answerAll(tries, 12 * S, Ending.NO_CONNECTION); // down: a failed connect is no sign of a full table any more
+        answerAll(tries, 12 * S, AttemptResult.NO_CONNECTION); // down: a failed connect is no sign of a full table any more
         rig.pass(60 * S);
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).pass(15 * S); // back, and warm
+        rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).pass(15 * S); // back, and warm
         List<String> ids = List.of(
                 rig.submit(SAFE, 1),
                 rig.submit(SAFE, 1),
                 rig.submit(SAFE, 1),
                 rig.submit(SAFE, 1),
                 rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, Ending.NO_ROOM));
+        ids.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.NO_ROOM));
         ids.forEach(id -> tries.put(id, 1));
-        assertEquals(5, answerAll(tries, 3 * S, Ending.DELIVERED), "all that waits goes once there is room");
+        assertEquals(5, answerAll(tries, 3 * S, AttemptResult.DELIVERED), "all that waits goes once there is room");
     }
 
     /** Guards against a fleet whose idle connections fill an endpoint that takes few: one each is enough for that. */
@@ -597,7 +597,7 @@
     void inALargeFleetNoConnectionIsKeptIdle() {
         rig = new Rig(Rig.settings(10, 50, 12, false, 200));
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED);
+        rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED);
         assertTrue(rig.actions.contains(new Action.CloseIdle("a1")), rig.actions.toString());
     }
 
@@ -607,7 +607,7 @@
         rig = new Rig(Rig.settings(10, 50, 12, false, 200));
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         String id = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, Ending.FULL);
+        rig.outcome(id, "a1", 0, AttemptResult.FULL);
         rig.pass(2 * S);
         assertTrue(!rig.sent(id), "not while what others sent is still over the limit");
         rig.pass(6 * S);
@@ -620,8 +620,8 @@
         String id = rig.submit(KEYED, 1);
         long first = rig.now;
         for (int attempt = 0; rig.checker.open().contains(id); attempt++) {
-            rig.outcome(id, "a1", attempt, Ending.ERROR);
-            rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED); // it is well otherwise
+            rig.outcome(id, "a1", attempt, AttemptResult.ERROR);
+            rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED); // it is well otherwise
             while (!rig.sent(id) && rig.checker.open().contains(id)) {
                 rig.pass(5 * MS);
             }
@@ -645,11 +645,11 @@
         int sent = 0;
         List<String> open = new ArrayList<>(rig.checker.open());
         for (String id : open.subList(0, 6)) {
-            rig.outcome(id, "a1", 0, Ending.NO_CONNECTION);
+            rig.outcome(id, "a1", 0, AttemptResult.NO_CONNECTION);
             tries.merge(id, 1, Integer::sum);
         }
-        sent = answerAll(tries, 8 * S, Ending.NO_CONNECTION);
-        int later = answerAll(tries, 8 * S, Ending.NO_CONNECTION);
+        sent = answerAll(tries, 8 * S, AttemptResult.NO_CONNECTION);
+        int later = answerAll(tries, 8 * S, AttemptResult.NO_CONNECTION);
         assertTrue(later <= 8, "trials only: " + sent + " then " + later);
     }
 
@@ -661,9 +661,9 @@
         for (int i = 0; i < 6; i++) {
             tries.put(rig.submit(SAFE, 1), 1);
         }
-        tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, Ending.ERROR));
-        answerAll(tries, 5 * S, Ending.ERROR);
-        int later = answerAll(tries, 10 * S, Ending.ERROR);
+        tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.ERROR));
+        answerAll(tries, 5 * S, AttemptResult.ERROR);
+        int later = answerAll(tries, 10 * S, AttemptResult.ERROR);
         assertTrue(later <= 2, "hundreds of relays may have seen it: " + later + " trials in ten seconds");
     }
 
@@ -676,12 +676,12 @@
             if (!rig.sent(id)) {
                 pauseUntilSent(id, 30 * S);
             }
-            rig.outcome(id, "a1", 0, Ending.TIMED_OUT);
+            rig.outcome(id, "a1", 0, AttemptResult.TIMED_OUT);
             assertTrue(pauseUntilSent(id, 3 * S) > 0);
-            rig.outcome(id, "a1", 1, Ending.DELIVERED);
+            rig.outcome(id, "a1", 1, AttemptResult.DELIVERED);
         }
         String lost = rig.submit(SAFE, 3);
-        rig.outcome(lost, "c1", 0, Ending.TIMED_OUT);
+        rig.outcome(lost, "c1", 0, AttemptResult.TIMED_OUT);
         assertTrue(rig.sent(rig.submit(SAFE, 3)), "one lost call tells nothing of its endpoint");
     }
 
@@ -690,7 +690,7 @@
         rig = new Rig(Rig.settings(10, 50, 12, false, 200));
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(id, "a1", 0, Ending.NO_CONNECTION, S, 0, false, false, null));
+        rig.round(new Event.Outcome(id, "a1", 0, AttemptResult.NO_CONNECTION, S, 0, false, false, null));
         String other = rig.submit(SAFE, 1);
         rig.pass(300 * MS);
         assertFalse(rig.sent(other) || rig.sent(id), "nothing was there: trials only");
@@ -699,7 +699,7 @@
     @Test
     void whatCanNoLongerBeSentInTimeIsAnsweredAtOnce() {
         String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.FULL, 30 * S);
+        rig.outcome(first, "a1", 0, AttemptResult.FULL, 30 * S);
         assertTrue(rig.refused(first), "the told wait outlasts its time");
         String next = rig.submit(SAFE, 1);
         assertTrue(rig.refused(next), "so it does for one that comes later");
@@ -726,12 +726,12 @@
                             s.id(),
                             "a1",
                             tries.merge(s.id(), 1, Integer::sum) - 1,
-                            Ending.FULL,
+                            AttemptResult.FULL,
                             5 * MS,
                             300 * MS,
                             false,
                             false,
-                            new DecisionModule.Report(left, 10)));
+                            new DecisionModule.LimitReport(left, 10)));
                 }
             }
         }
@@ -752,11 +752,11 @@
         for (int i = 0; i < 10; i++) {
             String id = rig.submit(SAFE, 1);
             assertTrue(rig.sent(id) || pauseUntilSent(id, 2 * S) > 0, "call " + i);
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
+            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
             rig.pass(500 * MS);
         }
         String turned = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(turned, "a1", 0, Ending.NO_CONNECTION, 20 * MS, 0, false, false, null));
+        rig.round(new Event.Outcome(turned, "a1", 0, AttemptResult.NO_CONNECTION, 20 * MS, 0, false, false, null));
         assertTrue(pauseUntilSent(turned, S) > 0, "its table was full, as deliveries before and after tell");
     }
 
@@ -767,13 +767,13 @@
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         String id = rig.submit(SAFE, 1);
         rig.round(
-                new Event.Outcome(id, "a1", 0, Ending.FULL, 5 * MS, 0, false, false, new DecisionModule.Report(0, 10)));
+                new Event.Outcome(id, "a1", 0, AttemptResult.FULL, 5 * MS, 0, false, false, new DecisionModule.LimitReport(0, 10)));
         assertTrue(pauseUntilSent(id, 19 * S) >= 100 / (0.7 * 10) * S, "no more than 0.7 of the even share");
     }
 
     @ParameterizedTest
     @CsvSource({"ERROR,ACTIVE", "NO_CONNECTION,ACTIVE", "NO_CONNECTION,LEFT", "ERROR,LEFT"})
-    void aNewHostOfADestinationInOutageIsNoWayRoundIt(Ending ending, Presence old) {
+    void aNewHostOfADestinationInOutageIsNoWayRoundIt(AttemptResult ending, Presence old) {
         rig = new Rig(Rig.settings(10, 50, 12, false, 50));
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         Map<String, Integer> tries = new HashMap<>();
@@ -782,19 +782,19 @@
         }
         tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, ending));
         answerAll(tries, 10 * S, ending);
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0), new Entry("a1", 1, 0, 0, old, 1, 0));
+        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0), new EndpointEntry("a1", 1, 0, 0, old, 1, 0));
         assertTrue(rig.sentTo().size() <= 1, rig.sentTo().toString());
     }
 
     @Test
     void aReplacedHostIsUsedOnlyOnceListedAndTheOldOneNoMore() {
         rig = new Rig(Rig.settings(10, 400, 12, false, 200));
-        DecisionModule.Entry[] many = new DecisionModule.Entry[300];
+        DecisionModule.EndpointEntry[] many = new DecisionModule.EndpointEntry[300];
         for (int i = 0; i < many.length; i++) {
             many[i] = Rig.entry("h" + i, i, i % 2, 0);
         }
         rig.list(ListingKind.REMEMBERED, many);
-        rig.list(ListingKind.CHANGES, new DecisionModule.Entry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
+        rig.list(ListingKind.CHANGES, new DecisionModule.EndpointEntry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
         String id = rig.submit(SAFE, 7);
         assertFalse(rig.sent(id), "its only host has gone");
         rig.list(ListingKind.CHANGES, Rig.entry("new", 7, 1, 0));
@@ -810,18 +810,18 @@
             String id = rig.submit(SAFE, 1);
             if (rig.sent(id)) {
                 tries.put(id, 1);
-                rig.outcome(id, "a1", 0, Ending.FULL, i == 0 ? 0 : 300 * MS);
+                rig.outcome(id, "a1", 0, AttemptResult.FULL, i == 0 ? 0 : 300 * MS);
             }
         }
-        int first = answerAll(tries, 5 * S, Ending.FULL);
-        int later = answerAll(tries, 10 * S, Ending.FULL);
+        int first = answerAll(tries, 5 * S, AttemptResult.FULL);
+        int later = answerAll(tries, 10 * S, AttemptResult.FULL);
         assertTrue(later <= 2, "first " + first + ", later " + later);
     }
 
     @Test
     void anOutageGetsFewTrialsAndAReturnStaysInItsBudget() {
         List<String> ids = List.of(rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, Ending.ERROR));
+        ids.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.ERROR));
         rig.pass(4 * S);
         assertEquals(1, rig.sentTo().size(), "one trial, whose outcome is still to come");
         rig.now += MS;
@@ -833,7 +833,7 @@
                         .id(),
                 "a1",
                 1,
-                Ending.DELIVERED);
+                AttemptResult.DELIVERED);
         rig.checker.returned("a1", rig.now, 4);
         for (int i = 0; i < 600; i++) {
             rig.now += 5 * MS;
@@ -846,7 +846,7 @@
                 if (a instanceof Action.Send s) {
                     rig.now += MS;
                     for (int n = 0; n < 3; n++) {
-                        rig.outcome(s.id(), "a1", n, Ending.DELIVERED);
+                        rig.outcome(s.id(), "a1", n, AttemptResult.DELIVERED);
                     }
                 }
             }
@@ -870,7 +870,7 @@
                     .toList()) {
                 int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
                 taken += s.host().equals("a2") ? 1 : 0;
-                rig.outcome(s.id(), s.host(), n, s.host().equals("a2") ? Ending.DELIVERED : Ending.NO_CONNECTION);
+                rig.outcome(s.id(), s.host(), n, s.host().equals("a2") ? AttemptResult.DELIVERED : AttemptResult.NO_CONNECTION);
             }
         }
         assertTrue(taken >= 15, "taken " + taken + " of 20");
@@ -883,14 +883,14 @@
             String id = rig.submit(SAFE, 1);
             taken += rig.sent(id) ? 1 : 0;
             if (rig.sent(id)) {
-                rig.outcome(id, "a1", 0, i % 5 < 2 ? Ending.RESET : Ending.DELIVERED);
+                rig.outcome(id, "a1", 0, i % 5 < 2 ? AttemptResult.RESET : AttemptResult.DELIVERED);
             }
             rig.pass(300 * MS);
             for (Action.Send s : rig.actions.stream()
                     .filter(Action.Send.class::isInstance)
                     .map(Action.Send.class::cast)
                     .toList()) {
-                rig.outcome(s.id(), "a1", 1, Ending.DELIVERED);
+                rig.outcome(s.id(), "a1", 1, AttemptResult.DELIVERED);
             }
         }
         assertTrue(taken >= 60, "sent at once " + taken + " of 100");
@@ -901,7 +901,7 @@
         rig = new Rig(Rig.settings(2, 50, 6, false));
         rig.list(ListingKind.REMEMBERED, Rig.entry("c1", 3, 0, 2));
         String first = rig.submit(SAFE, 3);
-        rig.outcome(first, "c1", 0, Ending.FULL);
+        rig.outcome(first, "c1", 0, AttemptResult.FULL);
         for (int i = 0; i < 4; i++) {
             rig.submit(SAFE, 3);
         }
@@ -927,7 +927,7 @@
     void whatIsFinishedIsForgotten() throws ReflectiveOperationException {
         for (int i = 0; i < 300; i++) {
             String id = rig.submit(UNSAFE, 1, "key" + i);
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
+            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
             rig.list(ListingKind.ALL, Rig.entry("a1", 1, 0, 0), Rig.entry("gone" + i, 2, 0, 1));
         }
         for (String name : List.of("messages", "lines")) {
@@ -941,7 +941,7 @@
     @Test
     void aKeyThatRestedIsForgotten() throws ReflectiveOperationException {
         String id = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(id, "a1", 0, Ending.TIMED_OUT);
+        rig.outcome(id, "a1", 0, AttemptResult.TIMED_OUT);
         rig.pass(2 * S);
         assertEquals(0, ((Map<?, ?>) field("lines")).size());
     }
@@ -971,7 +971,7 @@
                 false,
                 false,
                 20 * S,
-                new DecisionModule.Prior(attempts, mayHaveRun, "a1", 0, rig.now - riskAgo));
+                new DecisionModule.PriorAttempts(attempts, mayHaveRun, "a1", 0, rig.now - riskAgo));
     }
 
     @Test
@@ -996,7 +996,7 @@
         List<Event> found = new ArrayList<>();
         for (int i = 0; i < 49; i++) {
             found.add(new Event.Submit(
-                    "r" + i, SAFE, 1, 0, null, false, false, 20 * S, new DecisionModule.Prior(0, false, "", 0, 0)));
+                    "r" + i, SAFE, 1, 0, null, false, false, 20 * S, new DecisionModule.PriorAttempts(0, false, "", 0, 0)));
         }
         rig.round(found.toArray(Event[]::new));
         assertEquals(
@@ -1017,7 +1017,7 @@
     @Test
     void aPermanentRefusalEndsTheMessageAtOnce() {
         String id = rig.submit(SAFE, 1);
-        assertTrue(rig.outcome(id, "a1", 0, Ending.REJECTED).failed(id));
+        assertTrue(rig.outcome(id, "a1", 0, AttemptResult.REJECTED).failed(id));
     }
 
     @Test
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
@@ -29,7 +29,7 @@
     }
 
     private void refuse(long waitMicros) {
-        limits.onWait(limit, waitMicros);
+        limits.onRetryAfter(limit, waitMicros);
         limits.onRefused(limit, endpoint, waitMicros, null);
     }
 
@@ -45,15 +45,15 @@
     @Test
     void onTheOrdinaryPathThereIsNoRate() {
         assertEquals(PolicyState.NEVER, limits.allowedRate(limit));
-        assertTrue(limits.readyAt(limit) <= fixture.state.now);
+        assertTrue(limits.readyAtMicros(limit) <= fixture.state.nowMicros);
     }
 
     @Test
     void aToldWaitIsKeptAndNeverShortened() {
-        limits.onWait(limit, 2 * S);
-        limits.onWait(limit, S);
-        limits.onWait(limit, 0);
-        assertEquals(fixture.state.now + 2 * S, limits.readyAt(limit));
+        limits.onRetryAfter(limit, 2 * S);
+        limits.onRetryAfter(limit, S);
+        limits.onRetryAfter(limit, 0);
+        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAtMicros(limit));
     }
 
     @Test
@@ -61,8 +61,8 @@
         take(50);
         refuse(0);
         assertEquals(10, limits.allowedRate(limit));
-        limit.lastSentAt = fixture.state.now;
-        assertEquals(fixture.state.now + 100 * MS, limits.readyAt(limit));
+        limit.lastSentAtMicros = fixture.state.nowMicros;
+        assertEquals(fixture.state.nowMicros + 100 * MS, limits.readyAtMicros(limit));
         fixture.later(5 * S - 1);
         assertEquals(10, limits.allowedRate(limit));
         fixture.later(1);
@@ -90,14 +90,14 @@
 
     @Test
     void theAssuredRateFallsByQuartersToAnEvenShare() {
-        limit.toldRate = 0.1;
+        limit.announcedRate = 0.1;
         limit.allowanceLeft = 0.5;
         assertEquals(0.5, limits.assuredRate(limit));
-        limit.refusals = 2;
+        limit.recentRefusals = 2;
         assertEquals(0.125, limits.assuredRate(limit));
-        limit.refusals = 3;
+        limit.recentRefusals = 3;
         assertEquals(0.05, limits.assuredRate(limit), "half of 0.1");
-        limit.refusals = 0;
+        limit.recentRefusals = 0;
         limit.allowanceLeft = 0;
         assertEquals(0.1, limits.assuredRate(limit), "two shares where the allowance is used up");
     }
@@ -108,7 +108,7 @@
         SlowStart start = new SlowStart(large.state);
         DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
         assertEquals(0.02, inFleet.assuredRate(large.limit), "ten shares of 1.5 a second are 0.015");
-        large.limit.refusals = 9;
+        large.limit.recentRefusals = 9;
         assertEquals(0.02, inFleet.assuredRate(large.limit));
     }
 
@@ -116,8 +116,8 @@
     void aLongWaitMeansThatAllIsShutAndItsEndIsSpread() {
         refuse(4 * S);
         assertTrue(endpoint.inOutage);
-        assertTrue(limit.reopensAt >= limit.waitUntil && limit.reopensAt < limit.waitUntil + 20 * S);
-        assertEquals(8 * S, limit.failingFor, "an outage is taken to last that long at the least");
+        assertTrue(limit.resumeAtMicros >= limit.retryAfterUntilMicros && limit.resumeAtMicros < limit.retryAfterUntilMicros + 20 * S);
+        assertEquals(8 * S, limit.failingForMicros, "an outage is taken to last that long at the least");
     }
 
     @Test
@@ -145,21 +145,21 @@
         slowStart.begin(endpoint);
         fixture.later(4 * S);
         refuse(0);
-        assertEquals(2 * S, slowStart.age(endpoint));
+        assertEquals(2 * S, slowStart.ageMicros(endpoint));
     }
 
     @Test
     void withNothingLeftTheFleetKeepsToPartOfTheRate() {
-        Report exhausted = new Report(0, 2);
+        LimitReport exhausted = new LimitReport(0, 2);
         limits.onReport(limit, exhausted);
         limits.onRefused(limit, endpoint, 0, exhausted);
-        limit.lastSentAt = fixture.state.now;
-        assertEquals(2, limit.refusalsAsOutage);
-        assertEquals(fixture.state.now + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
-        limit.throttledUntil = 0;
+        limit.lastSentAtMicros = fixture.state.nowMicros;
+        assertEquals(2, limit.suspectedOutageRefusals);
+        assertEquals(fixture.state.nowMicros + 2 * S, limits.readyAtMicros(limit), "throttled to half a call a second");
+        limit.throttledUntilMicros = 0;
         limit.rateCeiling = 0;
         // An even share is 1 a second; the pace of an outage is 0.425 of two calls a second.
-        assertEquals(fixture.state.now + (long) (S / 0.7), limits.readyAt(limit), 1);
+        assertEquals(fixture.state.nowMicros + (long) (S / 0.7), limits.readyAtMicros(limit), 1);
         limits.onDelivered(limit);
         assertFalse(limit.exhausted);
     }
@@ -171,14 +171,14 @@
         DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
         Endpoint there = large.endpoint();
         inFleet.onRefused(large.limit, there, 0, null);
-        long first = large.limit.throttledUntil - large.state.now;
+        long first = large.limit.throttledUntilMicros - large.state.nowMicros;
         assertTrue(first >= 2_500 * MS && first <= 7_500 * MS, "throttled for " + first);
         large.later(10 * S);
         inFleet.onRefused(large.limit, there, 0, null);
-        large.limit.lastSentAt = large.state.now;
-        large.limit.throttledUntil = 0;
+        large.limit.lastSentAtMicros = large.state.nowMicros;
+        large.limit.throttledUntilMicros = 0;
         large.limit.rateCeiling = 0;
-        long pause = inFleet.readyAt(large.limit) - large.state.now;
+        long pause = inFleet.readyAtMicros(large.limit) - large.state.nowMicros;
         // Failing for 10 s, of which a cold destination's part is 0.425, spread by a factor from 1 to 2.
         assertTrue(pause >= 10 * S / 0.425 - 1 && pause <= 20 * S / 0.425, "pause " + pause);
     }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
@@ -18,7 +18,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private long readyIn(Endpoint which) {
-        return parts.availability.readyAt(which) - fixture.state.now;
+        return parts.availability.readyAtMicros(which) - fixture.state.nowMicros;
     }
 
     private boolean isReady(Endpoint which) {
@@ -26,7 +26,7 @@
     }
 
     private boolean isNeverReady(Endpoint which) {
-        return parts.availability.readyAt(which) == PolicyState.NEVER;
+        return parts.availability.readyAtMicros(which) == PolicyState.NEVER;
     }
 
     /** An endpoint with a limit of its own. */
@@ -49,15 +49,15 @@
 
     @Test
     void aToldWaitAndAvoidanceAreBothKept() {
-        parts.limits.onWait(fixture.limit, S);
+        parts.limits.onRetryAfter(fixture.limit, S);
         assertEquals(S, readyIn(endpoint));
-        endpoint.avoidUntil = fixture.state.now + 2 * S;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * S;
         assertEquals(2 * S, readyIn(endpoint));
     }
 
     @Test
     void inAnOutageOneTrialIsInFlightAtATime() {
-        endpoint.trialPause = S;
+        endpoint.trialIntervalMicros = S;
         endpoint.inOutage = true;
         assertTrue(isReady(endpoint));
         fixture.call(fixture.message(SAFE), endpoint);
@@ -66,14 +66,14 @@
 
     @Test
     void afterATrialThePauseOfTheOutageIsKept() {
-        endpoint.trialPause = 500 * MS;
+        endpoint.trialIntervalMicros = 500 * MS;
         endpoint.inOutage = true;
-        endpoint.lastSentAt = fixture.state.now;
+        endpoint.lastSentAtMicros = fixture.state.nowMicros;
         // A cold destination's part, 0.425, of an even share of 0.75 calls a second.
         assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second for one that was out only now");
-        fixture.limit.failingFor = 60 * S;
+        fixture.limit.failingForMicros = 60 * S;
         assertEquals(S / (0.425 * 0.75), readyIn(endpoint), 1);
-        endpoint.trialPause = 4 * S;
+        endpoint.trialIntervalMicros = 4 * S;
         assertEquals(4 * S, readyIn(endpoint), "the pause between trials");
     }
 
@@ -82,21 +82,21 @@
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         PolicyParts inFleet = new PolicyParts(large.state);
         Endpoint cold = large.endpoint();
-        large.limit.failingFor = 60 * S;
+        large.limit.failingForMicros = 60 * S;
         inFleet.slowStart.begin(cold);
-        cold.lastSentAt = large.state.now;
-        assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.now, "not a call in 141 s");
+        cold.lastSentAtMicros = large.state.nowMicros;
+        assertEquals(10 * S, inFleet.availability.readyAtMicros(cold) - large.state.nowMicros, "not a call in 141 s");
     }
 
     @Test
     void whereConnectionsAreScarceAFurtherCallNeedsAnIdleOne() {
-        endpoint.failingSince = fixture.state.now;
+        endpoint.failingSinceMicros = fixture.state.nowMicros;
         parts.transientFailures.onFailure(endpoint, true);
         parts.transientFailures.onDelivered(endpoint);
         assertTrue(isReady(endpoint));
         fixture.call(fixture.message(SAFE), endpoint);
         assertTrue(isNeverReady(endpoint));
-        parts.connections.onCallEnded(endpoint, Ending.DELIVERED);
+        parts.connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         assertTrue(isReady(endpoint));
     }
 
@@ -120,15 +120,15 @@
         assertTrue(isReady(endpoint));
         fixture.later(1);
         assertTrue(isNeverReady(endpoint), "over four times the usual");
-        endpoint.lastDeliveredSentAt = fixture.state.now - 100 * MS;
+        endpoint.lastDeliveredSentAtMicros = fixture.state.nowMicros - 100 * MS;
         assertTrue(isReady(endpoint));
     }
 
     @Test
     void slowAnswersStallToo() {
         fixture.call(fixture.message(SAFE), endpoint);
-        fixture.state.usualAnswerTime = 100 * MS;
-        fixture.limit.answerTime = 401 * MS;
+        fixture.state.overallMeanAnswerMicros = 100 * MS;
+        fixture.limit.meanAnswerMicros = 401 * MS;
         assertTrue(isNeverReady(endpoint));
     }
 }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -13,12 +13,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.Settings;
-import lilaclever.DecisionModule.Weights;
+import lilaclever.DecisionModule.WeightMeaning;
 import lilaclever.PolicyState.Endpoint;
 import org.junit.jupiter.api.Test;
 
@@ -33,26 +33,26 @@
         directory = new EndpointDirectory(fixture.state, endpoints);
     }
 
-    private void list(ListingKind kind, Entry... entries) {
+    private void list(ListingKind kind, EndpointEntry... entries) {
         directory.onListing(new Event.Listing(kind, 1, List.of(entries)));
     }
 
-    private static Entry leaving(String host, int destination) {
-        return new Entry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
+    private static EndpointEntry leaving(String host, int destination) {
+        return new EndpointEntry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
     }
 
-    private static Settings withWeights(Weights weights) {
+    private static Settings withWeights(WeightMeaning weights) {
         Settings s = Rig.settings(4, 50, 6, false);
         return new Settings(
                 s.self(),
-                s.relays(),
+                s.forwarders(),
                 s.zone(),
                 s.zones(),
                 s.roundMicros(),
-                s.askForList(),
+                s.mustWatchList(),
                 weights,
-                s.reports(),
-                s.overShareWorth(),
+                s.limitReports(),
+                s.overQuotaWorthFactor(),
                 s.classes(),
                 s.kinds(),
                 s.tenants(),
@@ -84,7 +84,7 @@
     @Test
     void anEndpointThatToldAWaitIsRememberedUntilItIsOver() {
         list(ListingKind.ALL, entry("a", 1, 0, 0));
-        endpoints.get("a").limit.waitUntil = fixture.state.now + S;
+        endpoints.get("a").limit.retryAfterUntilMicros = fixture.state.nowMicros + S;
         list(ListingKind.ALL);
         assertEquals(Set.of("a"), endpoints.keySet());
         fixture.later(S);
@@ -114,8 +114,8 @@
     void aKindThatTheSettingsDoNotNameIsAPlainOne() {
         list(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
         assertEquals(0, endpoints.get("a").kind);
-        assertEquals(1, endpoints.get("b").batch);
-        assertEquals(5, endpoints.get("c").batch);
+        assertEquals(1, endpoints.get("b").maxBatchSize);
+        assertEquals(5, endpoints.get("c").maxBatchSize);
     }
 
     @Test
@@ -123,63 +123,63 @@
         list(ListingKind.ALL, entry("a", 1, 0, 0));
         Endpoint first = endpoints.get("a");
         first.inOutage = true;
-        first.slowStartFrom = 7;
-        first.lastSentAt = fixture.state.now - 3;
+        first.slowStartAtMicros = 7;
+        first.lastSentAtMicros = fixture.state.nowMicros - 3;
         list(ListingKind.CHANGES, entry("b", 1, 0, 0));
         Endpoint second = endpoints.get("b");
         assertTrue(second.inOutage);
-        assertEquals(7, second.slowStartFrom);
-        assertEquals(first.lastSentAt, second.lastSentAt);
-        assertEquals(OutageDetection.FIRST_TRIAL_PAUSE, second.trialPause);
+        assertEquals(7, second.slowStartAtMicros);
+        assertEquals(first.lastSentAtMicros, second.lastSentAtMicros);
+        assertEquals(OutageDetection.FIRST_TRIAL_INTERVAL_MICROS, second.trialIntervalMicros);
     }
 
     @Test
     void inALargeFleetANewEndpointIsNoWayRoundAnOutage() {
         use(Rig.settings(4, 50, 6, false, PolicyFixture.LARGE));
-        fixture.limit.failingSince = fixture.state.now - S;
+        fixture.limit.failingSinceMicros = fixture.state.nowMicros - S;
         list(ListingKind.ALL, entry("a", 1, 0, 0));
-        assertTrue(endpoints.get("a").refusingConnections);
-        assertEquals(fixture.state.now, endpoints.get("a").lastSentAt);
+        assertTrue(endpoints.get("a").connectsFailing);
+        assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAtMicros);
     }
 
     @Test
     void weightsAreRatesUntilTheDestinationReportsItself() {
-        use(withWeights(Weights.EXACT));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
-        assertEquals(6, fixture.limit.toldRate);
-        use(withWeights(Weights.ROUGH));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
-        assertEquals(4, fixture.limit.toldRate, "it may be half too high");
+        use(withWeights(WeightMeaning.EXACT));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        assertEquals(6, fixture.limit.announcedRate);
+        use(withWeights(WeightMeaning.APPROXIMATE));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        assertEquals(4, fixture.limit.announcedRate, "it may be half too high");
         fixture.limit.rateReported = true;
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
-        assertEquals(4, fixture.limit.toldRate);
-        use(withWeights(Weights.NONE));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
-        assertEquals(0, fixture.limit.toldRate);
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
+        assertEquals(4, fixture.limit.announcedRate);
+        use(withWeights(WeightMeaning.NONE));
+        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        assertEquals(0, fixture.limit.announcedRate);
     }
 
     @Test
     void thePlatformIsAskedOnceAndLaterAndLaterWhereItRefuses() {
         use(Rig.settings(4, 50, 6, true));
         list(ListingKind.REMEMBERED);
-        assertEquals(fixture.state.now, directory.askAt());
-        directory.onAsked();
-        assertEquals(PolicyState.NEVER, directory.askAt());
+        assertEquals(fixture.state.nowMicros, directory.watchAtMicros());
+        directory.onWatchRequested();
+        assertEquals(PolicyState.NEVER, directory.watchAtMicros());
         // Half a minute and more of refusals: 0.4 s, doubled up to a third of the 10 s that the rules allow.
         for (long pause : new long[] {400 * MS, 800 * MS, 1_600 * MS, 3_200 * MS, 10 * S / 3, 10 * S / 3}) {
             list(ListingKind.REFUSED);
-            long after = directory.askAt() - fixture.state.now;
+            long after = directory.watchAtMicros() - fixture.state.nowMicros;
             assertTrue(after >= pause / 2 && after <= pause * 3 / 2, after + " for " + pause);
         }
         list(ListingKind.CHANGES);
         list(ListingKind.REFUSED);
-        assertTrue(directory.askAt() - fixture.state.now <= 600 * MS, "an answer ends the row");
+        assertTrue(directory.watchAtMicros() - fixture.state.nowMicros <= 600 * MS, "an answer ends the row");
     }
 
     @Test
     void whereChangesComeUnaskedNothingIsAsked() {
         list(ListingKind.REMEMBERED);
         list(ListingKind.REFUSED);
-        assertEquals(PolicyState.NEVER, directory.askAt());
+        assertEquals(PolicyState.NEVER, directory.watchAtMicros());
     }
 }
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.List;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.PolicyState.Endpoint;
 import lilaclever.PolicyState.Message;
 import org.junit.jupiter.api.Test;
@@ -23,7 +23,7 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private Message selected() {
-        fixture.queue.nextCheckAt = PolicyState.NEVER;
+        fixture.queue.nextCheckAtMicros = PolicyState.NEVER;
         return selection.select(fixture.queue).message();
     }
 
@@ -33,8 +33,8 @@
 
     private Message aged(int messageClass, long micros) {
         Message message = fixture.message(messageClass);
-        message.acceptedAt -= micros;
-        message.deadline -= micros;
+        message.acceptedAtMicros -= micros;
+        message.deadlineMicros -= micros;
         return message;
     }
 
@@ -71,13 +71,13 @@
         fixture.message(KEYED);
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.now;
+        repeated.uncertainSentAtMicros = fixture.state.nowMicros;
         assertEquals(repeated, selected());
     }
 
     @Test
     void anEndpointThatFailsIsTriedWithWhatCanBeRepeated() {
-        endpoint.trialPause = S;
+        endpoint.trialIntervalMicros = S;
         endpoint.inOutage = true;
         fixture.message(UNSAFE);
         fixture.message(KEYED);
@@ -90,9 +90,9 @@
     @Test
     void whatIsSoonerDoneRanksHigher() {
         Message message = fixture.message(SAFE);
-        fixture.limit.answerTime = 100 * MS;
+        fixture.limit.meanAnswerMicros = 100 * MS;
         double prompt = selection.rank(message, endpoint);
-        fixture.limit.answerTime = 200 * MS;
+        fixture.limit.meanAnswerMicros = 200 * MS;
         assertEquals(prompt / 2, selection.rank(message, endpoint), prompt / 1_000);
     }
 
@@ -109,7 +109,7 @@
         Endpoint warm = fixture.endpoint();
         warm.callsInFlight = 1;
         assertEquals(otherZone, chosen(message), "both cost one call; the first of them");
-        parts.connections.onCallEnded(warm, Ending.DELIVERED);
+        parts.connections.onCallEnded(warm, AttemptResult.DELIVERED);
         assertEquals(warm, chosen(message));
         message.lastEndpoint = warm;
         assertEquals(warm, chosen(message), "half a call for being the last one is less than a connect");
@@ -119,27 +119,27 @@
 
     @Test
     void theQueueIsLookedAtAgainWhenSomethingMayGo() {
-        fixture.queue.nextCheckAt = PolicyState.NEVER;
+        fixture.queue.nextCheckAtMicros = PolicyState.NEVER;
         Message message = fixture.message(SAFE);
-        message.notBefore = fixture.state.now + 300 * MS;
+        message.notBeforeMicros = fixture.state.nowMicros + 300 * MS;
         assertNull(selection.select(fixture.queue));
-        assertEquals(message.notBefore, fixture.queue.nextCheckAt);
-        endpoint.avoidUntil = fixture.state.now + 200 * MS;
+        assertEquals(message.notBeforeMicros, fixture.queue.nextCheckAtMicros);
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 200 * MS;
         assertNull(selection.select(fixture.queue));
-        assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAt);
+        assertEquals(endpoint.avoidUntilMicros, fixture.queue.nextCheckAtMicros);
     }
 
     @Test
     void whatCannotGoInTimeIsHopelessUnlessACallIsInFlight() {
         Message shortOfTime = aged(SAFE, 19 * S);
         fixture.message(SAFE);
-        parts.limits.onWait(fixture.limit, 2 * S);
+        parts.limits.onRetryAfter(fixture.limit, 2 * S);
         assertNull(selection.select(fixture.queue));
-        assertEquals(List.of(shortOfTime), selection.hopeless());
-        selection.clearHopeless();
+        assertEquals(List.of(shortOfTime), selection.undeliverable());
+        selection.clearUndeliverable();
         endpoint.callsInFlight = 1;
         assertNull(selection.select(fixture.queue));
-        assertTrue(selection.hopeless().isEmpty());
+        assertTrue(selection.undeliverable().isEmpty());
     }
 
     @Test
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -15,10 +15,10 @@
 import java.util.Random;
 import java.util.Set;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
@@ -30,7 +30,7 @@
     private static final double MESSAGES_PER_SECOND = 4;
     private static final long TICK = 20 * MS;
     /** A rate limit of 3 a second of which plenty is left. */
-    private static final Report PLENTY = new Report(0.7, 3);
+    private static final LimitReport PLENTY = new LimitReport(0.7, 3);
 
     private final List<DecisionModule> relays = new ArrayList<>();
     private final List<List<Event>> inbox = new ArrayList<>();
@@ -41,7 +41,7 @@
     private int bySeen;
     private int byOthers;
 
-    private void play(long from, long to, Ending ending, long opensAt, boolean outage) {
+    private void play(long from, long to, AttemptResult ending, long opensAt, boolean outage) {
         Random random = new Random(from + seed);
         for (long now = from; now < to; now += TICK) {
             if (random.nextDouble() < MESSAGES_PER_SECOND * TICK / S) {
@@ -71,17 +71,17 @@
                                         attempts.merge(s.id(), 1, Integer::sum) - 1,
                                         ending,
                                         20 * MS,
-                                        ending == Ending.FULL ? Math.max(0, opensAt - now) : 0,
+                                        ending == AttemptResult.FULL ? Math.max(0, opensAt - now) : 0,
                                         false,
                                         false,
-                                        ending == Ending.FULL ? PLENTY : null));
+                                        ending == AttemptResult.FULL ? PLENTY : null));
                     }
                 }
             }
         }
     }
 
-    private void outage(Ending ending, boolean tells, int hosts, long length) {
+    private void outage(AttemptResult ending, boolean tells, int hosts, long length) {
         for (seed = 0; seed < 3; seed++) {
             relays.clear();
             inbox.clear();
@@ -114,22 +114,22 @@
      */
     @ParameterizedTest
     @EnumSource(
-            value = Ending.class,
+            value = AttemptResult.class,
             names = {"FULL", "NO_CONNECTION"})
-    void aReturnIsNotPushedByThoseThatSawTheOutage(Ending ending) {
+    void aReturnIsNotPushedByThoseThatSawTheOutage(AttemptResult ending) {
         outage(ending, false, 1, 20 * S);
     }
 
     /** Failed connects at both hosts are not tried again at the message's own pace, however short the outage is. */
     @Test
     void aShortOutageOfAllHostsIsNotPushedEither() {
-        outage(Ending.NO_CONNECTION, false, 2, 6 * S);
+        outage(AttemptResult.NO_CONNECTION, false, 2, 6 * S);
     }
 
     /** Errors at both hosts, none taken between: no relay needs a third look within seconds. */
     @Test
     void errorsAtAllHostsAreAnOutageToAll() {
-        outage(Ending.ERROR, false, 2, 8 * S);
+        outage(AttemptResult.ERROR, false, 2, 8 * S);
         assertTrue(2 * bySeen < byOthers, bySeen + " by relays that saw the outage, " + byOthers + " by others");
     }
 
@@ -151,7 +151,7 @@
                     if (action instanceof Action.Send s) {
                         sends.add(now - 1000 * S);
                         next.add(new Event.Outcome(
-                                id, s.host(), attempt++, Ending.NO_CONNECTION, 20 * MS, 0, false, false, null));
+                                id, s.host(), attempt++, AttemptResult.NO_CONNECTION, 20 * MS, 0, false, false, null));
                     }
                 }
                 events = next;
@@ -170,7 +170,7 @@
     /** A shut destination tells every relay when it opens: they do not all come then. */
     @Test
     void theEndOfAToldWaitIsNotMetByAll() {
-        outage(Ending.FULL, true, 1, 20 * S);
+        outage(AttemptResult.FULL, true, 1, 20 * S);
     }
 
     /**
@@ -183,7 +183,7 @@
         for (long seed = 1; seed <= 5; seed++) {
             ColdReturn day = new ColdReturn(size, seed);
             day.play(1000 * S, 1030 * S, null);
-            day.play(1030 * S, (1030 + outageSeconds) * S, Ending.NO_CONNECTION);
+            day.play(1030 * S, (1030 + outageSeconds) * S, AttemptResult.NO_CONNECTION);
             day.play((1030 + outageSeconds) * S, (1045 + outageSeconds) * S, null);
             assertEquals(List.of(), day.breaches, "seed " + seed);
         }
@@ -216,7 +216,7 @@
         }
 
         /** {@code wrong}: how each call ends; null where it is well, or warms up. */
-        void play(long from, long to, Ending wrong) {
+        void play(long from, long to, AttemptResult wrong) {
             outAt = wrong != null ? from : outAt;
             backAt = wrong == null && outAt > 0 ? from : Long.MAX_VALUE;
             for (long now = from; now < to; now += TICK) {
@@ -232,18 +232,18 @@
             }
         }
 
-        private void round(int r, long now, Ending wrong) {
+        private void round(int r, long now, AttemptResult wrong) {
             due.remove(r);
             List<Event> batch = List.copyOf(events.get(r));
             events.get(r).clear();
-            if (batch.stream().anyMatch(e -> e instanceof Event.Outcome o && o.ending() != Ending.DELIVERED)) {
+            if (batch.stream().anyMatch(e -> e instanceof Event.Outcome o && o.result() != AttemptResult.DELIVERED)) {
                 told.add(r);
             }
             for (Action action : fleet.get(r).decide(now, batch)) {
                 if (action instanceof Action.Wake w) {
                     due.merge(r, now + w.afterMicros(), Math::min);
                 } else if (action instanceof Action.Send s) {
-                    Ending ending = wrong == null ? Ending.DELIVERED : wrong;
+                    AttemptResult ending = wrong == null ? AttemptResult.DELIVERED : wrong;
                     events.get(r)
                             .add(new Event.Outcome(
                                     s.id(),
@@ -253,7 +253,7 @@
                                     20 * MS,
                                     0,
                                     false,
-                                    ending == Ending.DELIVERED,
+                                    ending == AttemptResult.DELIVERED,
                                     null));
                     if (now >= backAt) {
                         count(r, now);
@@ -264,10 +264,10 @@
 
         private void count(int r, long now) {
             sent.add(new long[] {now, told.contains(r) ? 1 : 0});
-            sent.removeIf(x -> x[0] <= now - rules.overloadMicros());
-            double warm = rules.coldFrom()
-                    + (1 - rules.coldFrom()) * Math.min(1, (now - backAt) / (double) rules.rampMicros());
-            double budget = rules.tipMultiple() * CAPACITY * warm * rules.overloadMicros() / S;
+            sent.removeIf(x -> x[0] <= now - rules.overloadWindowMicros());
+            double warm = rules.initialCapacityShare()
+                    + (1 - rules.initialCapacityShare()) * Math.min(1, (now - backAt) / (double) rules.rampMicros());
+            double budget = rules.overloadMultiple() * CAPACITY * warm * rules.overloadWindowMicros() / S;
             long knowing = sent.stream().filter(x -> x[1] == 1).count();
             if (sent.size() > budget + 2 * Math.sqrt(budget) + 2 && knowing >= 2 * sent.size() / 3.0) {
                 breaches.add(sent.size() + " calls, " + knowing + " by relays that were told, for a budget of "
--- a/src/test/java/lilaclever/KeyOrderTest.java
+++ b/src/test/java/lilaclever/KeyOrderTest.java
@@ -57,7 +57,7 @@
         order.remove(message);
         assertEquals(Set.of("a"), keys.keySet());
         fixture.later(100 * MS);
-        order.forget(message);
+        order.removeIfUnused(message);
         assertEquals(Set.of(), keys.keySet());
     }
 
@@ -66,7 +66,7 @@
         Message old = message("a");
         order.remove(old);
         Message fresh = message("a");
-        order.forget(old);
+        order.removeIfUnused(old);
         assertEquals(fresh.orderedKey, keys.get("a"));
     }
 }
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -13,7 +13,7 @@
 
 /** State for tests of single parts of the decision module: one destination, its endpoints and messages. */
 final class PolicyFixture {
-    /** Above {@link PolicyState#LARGE_FLEET}. */
+    /** Above {@link PolicyState#LARGE_FLEET_THRESHOLD}. */
     static final int LARGE = 200;
 
     final PolicyState state;
@@ -32,10 +32,10 @@
 
     PolicyFixture(Settings settings) {
         state = new PolicyState(settings, 1);
-        state.now = 1000 * S;
+        state.nowMicros = 1000 * S;
         queue = new DestinationQueue();
         limit = new DestinationLimit();
-        queue.sharedLimit = limit;
+        queue.latestLimit = limit;
         state.queues.put(1, queue);
     }
 
@@ -54,8 +54,8 @@
         Message message = new Message("m" + names++, kind);
         message.queue = queue;
         message.worth = kind.worth();
-        message.acceptedAt = state.now;
-        message.deadline = state.now + kind.deadlineMicros();
+        message.acceptedAtMicros = state.nowMicros;
+        message.deadlineMicros = state.nowMicros + kind.deadlineMicros();
         state.enqueue(message);
         return message;
     }
@@ -64,19 +64,19 @@
     Call call(Message message, Endpoint endpoint) {
         Call call = new Call();
         call.endpoint = endpoint;
-        call.sentAt = state.now;
-        call.outcomesDue = 1;
+        call.sentAtMicros = state.nowMicros;
+        call.pendingOutcomes = 1;
         call.messages.add(message);
         state.dequeue(message);
         message.call = call;
-        message.inFlightTo = endpoint;
-        message.sentAt = state.now;
+        message.inFlightEndpoint = endpoint;
+        message.sentAtMicros = state.nowMicros;
         message.attempts++;
         endpoint.calls.add(call);
         endpoint.callsInFlight++;
         endpoint.limit.callsInFlight++;
-        endpoint.lastSentAt = state.now;
-        endpoint.limit.lastSentAt = state.now;
+        endpoint.lastSentAtMicros = state.nowMicros;
+        endpoint.limit.lastSentAtMicros = state.nowMicros;
         state.calls.add(call);
         state.slotsInUse++;
         return call;
@@ -84,7 +84,7 @@
 
     /** Starts a round, so many microseconds later, with no actions yet. */
     void later(long micros) {
-        state.now += micros;
+        state.nowMicros += micros;
         state.actions = new ArrayList<>();
     }
 }
--- a/src/test/java/lilaclever/PolicyStateTest.java
+++ b/src/test/java/lilaclever/PolicyStateTest.java
@@ -17,7 +17,7 @@
     @Test
     void randomFactorsFillTheDesignsRange() {
         DoubleSummaryStatistics factors =
-                DoubleStream.generate(fixture.state::randomFactor).limit(1_000).summaryStatistics();
+                DoubleStream.generate(fixture.state::jitterFactor).limit(1_000).summaryStatistics();
         assertTrue(factors.getMin() >= 0.5 && factors.getMin() < 0.51, "" + factors);
         assertTrue(factors.getMax() <= 1.5 && factors.getMax() > 1.49, "" + factors);
     }
@@ -28,9 +28,9 @@
         Message second = fixture.message(SAFE);
         assertEquals(List.of(first, second), List.copyOf(fixture.queue.waiting));
         fixture.state.dequeue(first);
-        assertTrue(fixture.state.queuesWaiting.contains(fixture.queue));
+        assertTrue(fixture.state.nonEmptyQueues.contains(fixture.queue));
         fixture.state.dequeue(second);
-        assertTrue(fixture.state.queuesWaiting.isEmpty());
+        assertTrue(fixture.state.nonEmptyQueues.isEmpty());
     }
 
     @Test
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -11,12 +11,12 @@
 import java.util.Map;
 import java.util.Random;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.AttemptResult;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Report;
+import lilaclever.DecisionModule.LimitReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -52,17 +52,17 @@
                 boolean lost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
                 if (late || !lost && random.nextInt(12) == 0) {
                     out.remove(call);
-                    Ending ending = late ? Ending.TIMED_OUT : Ending.values()[random.nextInt(Ending.values().length)];
+                    AttemptResult ending = late ? AttemptResult.TIMED_OUT : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
                     events.add(new Event.Outcome(
                             call.id,
                             call.host,
                             call.attempt,
                             ending,
                             rig.now - call.sentAt,
-                            ending == Ending.FULL ? random.nextInt(3) * 700 * MS : 0,
-                            ending == Ending.NOT_SENT,
-                            ending == Ending.DELIVERED,
-                            random.nextBoolean() ? new Report(random.nextDouble(), random.nextInt(9)) : null));
+                            ending == AttemptResult.FULL ? random.nextInt(3) * 700 * MS : 0,
+                            ending == AttemptResult.NOT_SENT,
+                            ending == AttemptResult.DELIVERED,
+                            random.nextBoolean() ? new LimitReport(random.nextDouble(), random.nextInt(9)) : null));
                 }
             }
             if (random.nextInt(8) == 0 && rig.checker.open().size() < 20) {
@@ -97,15 +97,15 @@
         return rig;
     }
 
-    private static Entry[] entries(Random random, boolean changing) {
-        List<Entry> entries = new ArrayList<>();
+    private static EndpointEntry[] entries(Random random, boolean changing) {
+        List<EndpointEntry> entries = new ArrayList<>();
         for (int h = 0; h < HOSTS.length; h++) {
             if (!changing || random.nextBoolean()) {
                 Presence presence = changing ? Presence.values()[random.nextInt(3)] : Presence.ACTIVE;
-                entries.add(new Entry(HOSTS[h], h % 3, h / 3, h % 3, presence, 1 + h, 0));
+                entries.add(new EndpointEntry(HOSTS[h], h % 3, h / 3, h % 3, presence, 1 + h, 0));
             }
         }
-        return entries.toArray(new Entry[0]);
+        return entries.toArray(new EndpointEntry[0]);
     }
 
     @ParameterizedTest
--- a/src/test/java/lilaclever/RateEstimatesTest.java
+++ b/src/test/java/lilaclever/RateEstimatesTest.java
@@ -60,7 +60,7 @@
 
     @Test
     void aToldRateIsSharedEvenly() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         assertEquals(4, rates.evenShare(fixture.limit), "of two forwarders");
     }
 
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -28,32 +28,32 @@
 
     @Test
     void inAnOutageItGetsItsPartOfAColdDestinationsBudget() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         endpoint.inOutage = true;
-        endpoint.trialPause = S / 2;
+        endpoint.trialIntervalMicros = S / 2;
         assertEquals(0.85 * 2.5 * 0.2 * 4, pace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
-        assertEquals(0.85 * 2.5 * 0.2 * 4, pace.inOutage(fixture.limit), 1e-9);
+        assertEquals(0.85 * 2.5 * 0.2 * 4, pace.outageRate(fixture.limit), 1e-9);
         fixture.endpoint();
         assertEquals(0.85 * 2.5 * 0.2 * 2, pace.callsPerSecond(endpoint), 1e-9, "two endpoints share it");
-        fixture.limit.paceSpread = 1.5;
+        fixture.limit.outageRateDivisor = 1.5;
         assertEquals(0.85 * 2.5 * 0.2 * 2 / 1.5, pace.callsPerSecond(endpoint), 1e-9, "spread by chance");
     }
 
     @Test
     void trialCallsKeepToTheirPause() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         endpoint.inOutage = true;
-        endpoint.trialPause = 2 * S;
+        endpoint.trialIntervalMicros = 2 * S;
         assertEquals(0.5, pace.callsPerSecond(endpoint), 1e-9);
     }
 
     @Test
     void inSlowStartTheBudgetGrowsWithTheWarmth() {
-        fixture.limit.toldRate = 8;
+        fixture.limit.announcedRate = 8;
         slowStart.begin(endpoint);
         fixture.later(5 * S);
         assertEquals(0.85 * 2.5 * 0.6 * 4, pace.callsPerSecond(endpoint), 1e-9);
-        assertEquals(pace.callsPerSecond(endpoint), pace.afterReturn(fixture.limit, 5 * S));
+        assertEquals(pace.callsPerSecond(endpoint), pace.recoveryRate(fixture.limit, 5 * S));
         fixture.later(5 * S);
         assertEquals(PolicyState.NEVER, pace.callsPerSecond(endpoint), "and then it is over");
     }
@@ -63,11 +63,11 @@
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         Endpoint out = large.endpoint();
         out.inOutage = true;
-        out.trialPause = S / 2;
+        out.trialIntervalMicros = S / 2;
         RecoveryPace inFleet = pace(large, new SlowStart(large.state));
-        large.limit.failingFor = 10 * S;
+        large.limit.failingForMicros = 10 * S;
         assertEquals(0.425 / 10, inFleet.callsPerSecond(out), 1e-9);
-        large.limit.failingFor = 0;
+        large.limit.failingForMicros = 0;
         assertEquals(0.425 * 2, inFleet.callsPerSecond(out), 1e-9, "half a second at the least");
     }
 
@@ -75,13 +75,13 @@
     void aSureOutageInALargeFleetIsTakenForALongOne() {
         PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
         Endpoint out = large.endpoint();
-        out.refusingConnections = true;
-        out.trialPause = S / 2;
+        out.connectsFailing = true;
+        out.trialIntervalMicros = S / 2;
         double firstPause = 20 * 0.425 / (1 + 1 / 0.425);
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
-        out.refusingConnections = false;
+        out.connectsFailing = false;
         out.inOutage = true;
-        large.limit.severalFail = true;
+        large.limit.severalEndpointsFailing = true;
         assertEquals(0.425 / firstPause, pace(large, new SlowStart(large.state)).callsPerSecond(out), 1e-9);
     }
 }
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -23,7 +23,7 @@
         Message message = fixture.message(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
-        message.mayHaveRunSince = fixture.state.now;
+        message.uncertainSentAtMicros = fixture.state.nowMicros;
         return message;
     }
 
@@ -35,8 +35,8 @@
         long least = Long.MAX_VALUE;
         long most = 0;
         for (int i = 0; i < 200; i++) {
-            retries.pause(message);
-            long pause = message.notBefore - fixture.state.now;
+            retries.scheduleRetry(message);
+            long pause = message.notBeforeMicros - fixture.state.nowMicros;
             least = Math.min(least, pause);
             most = Math.max(most, pause);
         }
@@ -48,18 +48,18 @@
     void theLimitOfAttemptsEndsIt() {
         Message message = fixture.message(SAFE);
         message.attempts = 5;
-        assertTrue(retries.canTryAgain(message));
+        assertTrue(retries.canRetry(message));
         message.attempts = 6;
-        assertFalse(retries.canTryAgain(message));
+        assertFalse(retries.canRetry(message));
     }
 
     @Test
     void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
         Message message = fixture.message(SAFE);
-        message.notBefore = message.deadline - CallTimeouts.SHORTEST;
-        assertTrue(retries.canTryAgain(message));
-        message.notBefore++;
-        assertFalse(retries.canTryAgain(message));
+        message.notBeforeMicros = message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS;
+        assertTrue(retries.canRetry(message));
+        message.notBeforeMicros++;
+        assertFalse(retries.canRetry(message));
     }
 
     @Test
@@ -68,14 +68,14 @@
         assertFalse(retries.isExhausted(mayHaveRun(SAFE)));
         Message never = fixture.message(UNSAFE);
         never.attempts = 1;
-        assertTrue(retries.canTryAgain(never));
+        assertTrue(retries.canRetry(never));
     }
 
     @Test
     void onlyAKeyedMessageThatMayHaveRunHasAWindow() {
-        assertEquals(Long.MAX_VALUE, retries.windowEnd(fixture.message(KEYED)));
-        assertEquals(Long.MAX_VALUE, retries.windowEnd(mayHaveRun(SAFE)));
-        assertEquals(fixture.state.now + 5 * S - 5 * MS, retries.windowEnd(mayHaveRun(KEYED)));
+        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(fixture.message(KEYED)));
+        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(mayHaveRun(SAFE)));
+        assertEquals(fixture.state.nowMicros + 5 * S - 5 * MS, retries.repeatWindowEndMicros(mayHaveRun(KEYED)));
     }
 
     @Test
@@ -83,11 +83,11 @@
         Message message = mayHaveRun(KEYED);
         message.attempts = 5;
         fixture.later(3 * S);
-        retries.pause(message);
-        assertEquals(message.mayHaveRunSince + 4 * S - 5 * MS, message.notBefore);
-        assertTrue(retries.canTryAgain(message));
+        retries.scheduleRetry(message);
+        assertEquals(message.uncertainSentAtMicros + 4 * S - 5 * MS, message.notBeforeMicros);
+        assertTrue(retries.canRetry(message));
         fixture.later(S);
-        retries.pause(message);
-        assertFalse(retries.canTryAgain(message), "the step is longer than what is left of the window");
+        retries.scheduleRetry(message);
+        assertFalse(retries.canRetry(message), "the step is longer than what is left of the window");
     }
 }
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -4,15 +4,15 @@
 import java.util.Arrays;
 import java.util.List;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.AttemptResult;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Group;
-import lilaclever.DecisionModule.Kind;
+import lilaclever.DecisionModule.KeyScope;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.Settings;
 
 /** A relay under test with its checker: hands in events, keeps the actions of the last round. */
@@ -58,15 +58,15 @@
                 2,
                 5 * MS,
                 ask,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 true,
                 0.1,
                 List.of(
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.SAFE, Group.ALL, 0, false),
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.KEYED, Group.ALL, 5 * S, false),
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.UNSAFE, Group.ALL, 0, true),
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.KEYED, Group.ZONE, 5 * S, false)),
-                List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5)),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, KeyScope.ALL, 5 * S, false),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                        new MessageClass(2 * S, 20 * S, 1, RepeatSafety.KEYED, KeyScope.ZONE, 5 * S, false)),
+                List.of(new EndpointKind(false, 1), new EndpointKind(true, 1), new EndpointKind(false, 5)),
                 List.of(new DecisionModule.Tenant(0.5, 5), new DecisionModule.Tenant(0.5, 5)),
                 new DecisionModule.Limits(maxAttempts, maxOpen, slots, true, false, false, 1, S, 5 * S, true, 2 * S),
                 new DecisionModule.Rules(20 * MS, 10 * S, S, 0.2, 10 * S, 2.5, 3 * S, 100 * MS));
@@ -81,8 +81,8 @@
         checker = new RuleChecker(settings);
     }
 
-    static Entry entry(String host, int destination, int zone, int kind) {
-        return new Entry(host, destination, zone, kind, Presence.ACTIVE, 1, 0);
+    static EndpointEntry entry(String host, int destination, int zone, int kind) {
+        return new EndpointEntry(host, destination, zone, kind, Presence.ACTIVE, 1, 0);
     }
 
     Rig round(Event... events) {
@@ -92,7 +92,7 @@
         return this;
     }
 
-    Rig list(ListingKind kind, Entry... entries) {
+    Rig list(ListingKind kind, EndpointEntry... entries) {
         return round(new Event.Listing(kind, 1, List.of(entries)));
     }
 
@@ -119,13 +119,13 @@
         return id;
     }
 
-    Rig outcome(String id, String host, int attempt, Ending ending) {
+    Rig outcome(String id, String host, int attempt, AttemptResult ending) {
         return outcome(id, host, attempt, ending, 0);
     }
 
-    Rig outcome(String id, String host, int attempt, Ending ending, long wait) {
+    Rig outcome(String id, String host, int attempt, AttemptResult ending, long wait) {
         return round(
-                new Event.Outcome(id, host, attempt, ending, 100 * MS, wait, false, ending == Ending.DELIVERED, null));
+                new Event.Outcome(id, host, attempt, ending, 100 * MS, wait, false, ending == AttemptResult.DELIVERED, null));
     }
 
     /** Hosts of the sends among the last actions, in order. */
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.Set;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
+import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
-import lilaclever.DecisionModule.Group;
+import lilaclever.DecisionModule.KeyScope;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.Repeat;
+import lilaclever.DecisionModule.RepeatSafety;
 import lilaclever.DecisionModule.Settings;
 
 /**
@@ -148,12 +148,12 @@
                 }
             });
         }
-        for (DecisionModule.Entry entry : e.entries()) {
+        for (DecisionModule.EndpointEntry entry : e.entries()) {
             HostSeen h = hosts.computeIfAbsent(entry.host(), k -> new HostSeen());
             h.destination = entry.destination();
             h.zone = entry.zone();
             h.own = entry.kind() < settings.kinds().size()
-                    && settings.kinds().get(entry.kind()).ownLimits();
+                    && settings.kinds().get(entry.kind()).limitPerEndpoint();
             h.goneAt = entry.presence() == Presence.ACTIVE ? Long.MAX_VALUE : Math.min(h.goneAt, now);
         }
     }
@@ -176,23 +176,23 @@
             return;
         }
         slots--;
-        boolean ran = !e.ending().neverRan();
-        if (ran && e.ending() != Ending.DELIVERED && !m.mayHaveRun) {
+        boolean ran = !e.result().neverRan();
+        if (ran && e.result() != AttemptResult.DELIVERED && !m.mayHaveRun) {
             m.mayHaveRun = true;
             m.riskAt = m.sentAt;
             m.riskZone = hosts.get(m.outAt).zone;
         }
-        m.attempts -= e.ending() == Ending.WITHHELD ? 1 : 0; // it was none
-        if (e.waitMicros() > 0) {
-            waits.merge(limit(m.outAt), now + e.waitMicros(), Math::max);
+        m.attempts -= e.result() == AttemptResult.WITHHELD ? 1 : 0; // it was none
+        if (e.retryAfterMicros() > 0) {
+            waits.merge(limit(m.outAt), now + e.retryAfterMicros(), Math::max);
         }
         if (m.key != null
-                && (e.ending() == Ending.TIMED_OUT || e.ending() == Ending.RESET || e.ending() == Ending.CANCELED)) {
+                && (e.result() == AttemptResult.TIMED_OUT || e.result() == AttemptResult.RESET || e.result() == AttemptResult.CANCELED)) {
             keyRest.put(m.key, now + settings.rules().orderPauseMicros());
             keyRestOwner.put(m.key, m);
         }
         m.outAt = null;
-        m.over |= e.over() || e.ending() == Ending.DELIVERED;
+        m.over |= e.finished() || e.result() == AttemptResult.DELIVERED;
     }
 
     private void send(long now, Action.Send a, Set<String> waitsNow) {
@@ -208,14 +208,14 @@
         if (m.outAt != null) {
             breach(now, "effect", a.id() + " has two attempts out");
         }
-        if (m.mayHaveRun && m.kind.repeat() == Repeat.UNSAFE) {
+        if (m.mayHaveRun && m.kind.repeat() == RepeatSafety.UNSAFE) {
             breach(now, "effect", a.id() + " may have run and is unsafe");
         }
-        if (m.mayHaveRun && m.kind.repeat() == Repeat.KEYED) {
+        if (m.mayHaveRun && m.kind.repeat() == RepeatSafety.KEYED) {
             if (now - m.riskAt > m.kind.repeatWindowMicros()) {
                 breach(now, "effect", a.id() + " is repeated after its window");
             }
-            if (m.kind.group() == Group.ZONE && h.zone != m.riskZone) {
+            if (m.kind.group() == KeyScope.ZONE && h.zone != m.riskZone) {
                 breach(now, "effect", a.id() + " is repeated outside its group");
             }
         }
@@ -267,8 +267,8 @@
         boolean mayRun = m.mayHaveRun || m.outAt != null;
         if (refused
                 && mayRun
-                && (m.kind.repeat() == Repeat.UNSAFE
-                        || m.kind.repeat() == Repeat.KEYED && m.kind.group() != Group.ALL)) {
+                && (m.kind.repeat() == RepeatSafety.UNSAFE
+                        || m.kind.repeat() == RepeatSafety.KEYED && m.kind.group() != KeyScope.ALL)) {
             breach(now, "effect", id + " may have run and is refused");
         }
         m.over = true;
@@ -279,13 +279,13 @@
         if (now < r.at || now > r.at + settings.rules().rampMicros()) {
             return;
         }
-        long from = now - settings.rules().overloadMicros();
+        long from = now - settings.rules().overloadWindowMicros();
         long sent = r.sends.stream().filter(t -> t > Math.max(from, r.at)).count();
         double since = (double) (now - r.at) / settings.rules().rampMicros();
         double present = r.capacity
-                * (settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * since);
+                * (settings.rules().initialCapacityShare() + (1 - settings.rules().initialCapacityShare()) * since);
         double most =
-                settings.rules().tipMultiple() * present * settings.rules().overloadMicros() / 1e6 + SLACK_CALLS;
+                settings.rules().overloadMultiple() * present * settings.rules().overloadWindowMicros() / 1e6 + SLACK_CALLS;
         if (sent > most && !r.broken) {
             r.broken = true;
             breach(now, "fail-back", limit + " is sent " + sent + " calls, more than " + most);
--- a/src/test/java/lilaclever/RuleCheckerTest.java
+++ b/src/test/java/lilaclever/RuleCheckerTest.java
@@ -7,8 +7,8 @@
 
 import java.util.List;
 import lilaclever.DecisionModule.Action;
-import lilaclever.DecisionModule.Ending;
-import lilaclever.DecisionModule.Entry;
+import lilaclever.DecisionModule.AttemptResult;
+import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
@@ -46,8 +46,8 @@
         act(new Action.Send(id, host, now + S));
     }
 
-    private void outcome(String id, int attempt, Ending ending, long wait) {
-        events(new Event.Outcome(id, "a1", attempt, ending, 1, wait, false, ending == Ending.DELIVERED, null));
+    private void outcome(String id, int attempt, AttemptResult ending, long wait) {
+        events(new Event.Outcome(id, "a1", attempt, ending, 1, wait, false, ending == AttemptResult.DELIVERED, null));
     }
 
     private void assertBreach(String rule) {
@@ -61,7 +61,7 @@
     void allowsADelivery() {
         take("m", Rig.UNSAFE);
         send("m", "a1");
-        outcome("m", 0, Ending.DELIVERED, 0);
+        outcome("m", 0, AttemptResult.DELIVERED, 0);
         now += 30 * S;
         act();
         assertEquals(List.of(), checker.breaches());
@@ -101,7 +101,7 @@
     void findsAnUnsafeRepeat() {
         take("m", Rig.UNSAFE);
         send("m", "a1");
-        outcome("m", 0, Ending.ERROR, 0);
+        outcome("m", 0, AttemptResult.ERROR, 0);
         send("m", "a1");
         assertBreach("effect");
     }
@@ -118,7 +118,7 @@
     void findsAKeyedRepeatAfterItsWindow() {
         take("m", Rig.KEYED);
         send("m", "a1");
-        outcome("m", 0, Ending.TIMED_OUT, 0);
+        outcome("m", 0, AttemptResult.TIMED_OUT, 0);
         now += 5 * S + 1;
         send("m", "a1");
         assertBreach("effect");
@@ -128,7 +128,7 @@
     void findsAKeyedRepeatOutsideItsGroup() {
         take("m", Rig.ZONED);
         send("m", "a1");
-        outcome("m", 0, Ending.ERROR, 0);
+        outcome("m", 0, AttemptResult.ERROR, 0);
         send("m", "a2");
         assertBreach("effect");
     }
@@ -137,7 +137,7 @@
     void findsAZonedRefusal() {
         take("m", Rig.ZONED);
         send("m", "a1");
-        outcome("m", 0, Ending.ERROR, 0);
+        outcome("m", 0, AttemptResult.ERROR, 0);
         act(new Action.Refuse("m", 0));
         assertBreach("effect");
     }
@@ -145,7 +145,7 @@
     @Test
     void findsASendToADrainedHost() {
         take("m", Rig.SAFE);
-        events(new Event.Listing(ListingKind.CHANGES, 2, List.of(new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
+        events(new Event.Listing(ListingKind.CHANGES, 2, List.of(new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
         now += S + 1;
         send("m", "a1");
         assertBreach("drain");
@@ -165,7 +165,7 @@
         take("m", Rig.SAFE);
         take("n", Rig.SAFE);
         send("m", "a1");
-        outcome("m", 0, Ending.FULL, 500 * MS);
+        outcome("m", 0, AttemptResult.FULL, 500 * MS);
         now += 499 * MS;
         send("n", "a2");
         assertBreach("wait");
@@ -184,7 +184,7 @@
         take("m", Rig.UNSAFE);
         take("n", Rig.UNSAFE);
         send("m", "a1");
-        outcome("m", 0, Ending.TIMED_OUT, 0);
+        outcome("m", 0, AttemptResult.TIMED_OUT, 0);
         act(new Action.Fail("m"));
         now += 99 * MS;
         send("n", "a1");
@@ -196,7 +196,7 @@
         take("m", Rig.SAFE);
         for (int i = 0; i < 3; i++) {
             send("m", "a1");
-            outcome("m", i, Ending.FULL, 0);
+            outcome("m", i, AttemptResult.FULL, 0);
         }
         assertBreach("attempts");
     }
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -27,7 +27,7 @@
         Message message = fixture.message(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
-        message.mayHaveRunSince = fixture.state.now;
+        message.uncertainSentAtMicros = fixture.state.nowMicros;
         return message;
     }
 
@@ -40,7 +40,7 @@
     @Test
     void notBeforeItsPauseIsOver() {
         Message message = fixture.message(SAFE);
-        message.notBefore = fixture.state.now + 1;
+        message.notBeforeMicros = fixture.state.nowMicros + 1;
         assertFalse(rules.permit(message, endpoint));
         fixture.later(1);
         assertTrue(rules.permit(message, endpoint));
@@ -49,7 +49,7 @@
     @Test
     void notWithLessTimeThanTheShortestCall() {
         Message message = fixture.message(SAFE);
-        message.deadline = fixture.state.now + 60 * MS;
+        message.deadlineMicros = fixture.state.nowMicros + 60 * MS;
         assertTrue(rules.permit(message, endpoint));
         fixture.later(1);
         assertFalse(rules.permit(message, endpoint));
@@ -60,7 +60,7 @@
         Message message = fixture.message(SAFE);
         fixture.call(message, endpoint);
         assertFalse(rules.permit(message, endpoint));
-        message.inFlightTo = null;
+        message.inFlightEndpoint = null;
         assertTrue(rules.permit(message, endpoint));
         message.finished = true;
         assertFalse(rules.permit(message, endpoint));
@@ -76,7 +76,7 @@
     @Test
     void notToADrainingEndpointAndNotDuringAToldWait() {
         Message message = fixture.message(SAFE);
-        parts.limits.onWait(fixture.limit, S);
+        parts.limits.onRetryAfter(fixture.limit, S);
         assertFalse(rules.permit(message, endpoint));
         fixture.later(S);
         assertTrue(rules.permit(message, endpoint));
@@ -103,7 +103,7 @@
 
     @Test
     void notIfTheEndOfTheProgramCouldCutItsCall() {
-        fixture.state.stopAt = fixture.state.now + 2 * S;
+        fixture.state.stopAtMicros = fixture.state.nowMicros + 2 * S;
         assertTrue(rules.permit(fixture.message(SAFE), endpoint), "2 s for its call");
         assertFalse(rules.permit(fixture.message(UNSAFE), endpoint), "4 s for its call");
     }
@@ -130,7 +130,7 @@
 
     @Test
     void notToAnEndpointThatTakesNoCall() {
-        endpoint.avoidUntil = fixture.state.now + 1;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 1;
         assertFalse(rules.permit(fixture.message(SAFE), endpoint));
     }
 }
--- a/src/test/java/lilaclever/SlowStartTest.java
+++ b/src/test/java/lilaclever/SlowStartTest.java
@@ -22,7 +22,7 @@
     @Test
     void itLastsAsLongAsTheRulesSay() {
         slowStart.begin(endpoint);
-        assertEquals(fixture.state.now + 10 * S, slowStart.endsAt(endpoint));
+        assertEquals(fixture.state.nowMicros + 10 * S, slowStart.endsAtMicros(endpoint));
         fixture.later(10 * S - 1);
         assertTrue(slowStart.isActive(endpoint));
         fixture.later(1);
@@ -33,8 +33,8 @@
     void aSetBackHalvesItsAge() {
         slowStart.begin(endpoint);
         fixture.later(6 * S);
-        slowStart.setBack(endpoint);
-        assertEquals(3 * S, slowStart.age(endpoint));
+        slowStart.halveAge(endpoint);
+        assertEquals(3 * S, slowStart.ageMicros(endpoint));
         fixture.later(5 * S);
         assertTrue(slowStart.isActive(endpoint), "11 s after its start it has 2 s left");
     }
--- a/src/test/java/lilaclever/TransientFailuresTest.java
+++ b/src/test/java/lilaclever/TransientFailuresTest.java
@@ -14,17 +14,17 @@
     private final Endpoint endpoint = fixture.endpoint();
 
     private void failure(boolean turnedAway, long lastsMicros) {
-        endpoint.failingSince = fixture.state.now;
+        endpoint.failingSinceMicros = fixture.state.nowMicros;
         failures.onFailure(endpoint, turnedAway);
         fixture.later(lastsMicros);
         failures.onDelivered(endpoint);
-        endpoint.failingSince = 0;
+        endpoint.failingSinceMicros = 0;
     }
 
     @Test
     void atFirstConnectsMayBeTurnedAwayAndCallsAreNotLost() {
-        assertTrue(failures.connectsOftenTurnedAway(endpoint));
-        assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
+        assertTrue(failures.connectsOftenRejected(endpoint));
+        assertFalse(failures.connectsRejectedMoreThanAssumed(endpoint));
         assertFalse(failures.callsOftenLost());
     }
 
@@ -34,13 +34,13 @@
         assertFalse(failures.callsOftenLost(), "one is at the bound of 0.3, not above");
         failure(false, 100 * MS);
         assertTrue(failures.callsOftenLost());
-        assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint), "they say nothing of connects");
+        assertFalse(failures.connectsRejectedMoreThanAssumed(endpoint), "they say nothing of connects");
     }
 
     @Test
     void connectsCountApart() {
         failure(true, 100 * MS);
-        assertTrue(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
+        assertTrue(failures.connectsRejectedMoreThanAssumed(endpoint));
         failure(true, 100 * MS);
         assertFalse(failures.callsOftenLost());
     }
@@ -50,10 +50,10 @@
         failure(false, 4 * S);
         failure(false, 4 * S);
         assertFalse(failures.callsOftenLost());
-        endpoint.failingSince = fixture.state.now - 3 * S;
+        endpoint.failingSinceMicros = fixture.state.nowMicros - 3 * S;
         assertFalse(failures.isBrief(endpoint));
         failures.onFailure(endpoint, true);
         failures.onFailure(endpoint, true);
-        assertFalse(failures.connectsOftenTurnedAway(endpoint), "0.45 times 0.7 twice");
+        assertFalse(failures.connectsOftenRejected(endpoint), "0.45 times 0.7 twice");
     }
 }
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -17,18 +17,18 @@
 
     private final Auditor auditor = new Auditor(
             List.of(
-                    of("order", DecisionModule.Repeat.KEYED, 4, 20, 0.5),
-                    of("status", DecisionModule.Repeat.SAFE, 1, 6, 0),
-                    of("payment", DecisionModule.Repeat.UNSAFE, 4, 28, 0.5)),
+                    of("order", DecisionModule.RepeatSafety.KEYED, 4, 20, 0.5),
+                    of("status", DecisionModule.RepeatSafety.SAFE, 1, 6, 0),
+                    of("payment", DecisionModule.RepeatSafety.UNSAFE, 4, 28, 0.5)),
             S / 2);
 
-    private static MessageClass of(String name, DecisionModule.Repeat repeat, long aim, long deadline, double late) {
+    private static MessageClass of(String name, DecisionModule.RepeatSafety repeat, long aim, long deadline, double late) {
         return new MessageClass(
                 name,
                 1 / 3.0,
                 new long[] {1, 1},
                 new DecisionModule.MessageClass(
-                        aim * S, deadline * S, 1, repeat, DecisionModule.Group.ALL, 5 * S, false, late, true));
+                        aim * S, deadline * S, 1, repeat, DecisionModule.KeyScope.ALL, 5 * S, false, late, true));
     }
 
     private void taken(int n, int messageClass, long at) {
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -142,7 +142,7 @@
 
     private Core.Listed listed(String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
         return new Core.Listed(
-                new DecisionModule.Entry(name, GROUP, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(name, GROUP, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, endpoint.address(), GROUP, 0, 1, false, deliverer));
     }
 
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -107,13 +107,13 @@
 
     private Core.Listed listed(String name, Presence presence) {
         return new Core.Listed(
-                new DecisionModule.Entry(name, DESTINATION, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(name, DESTINATION, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, "127.0.0.1:9", DESTINATION, 0, 1, false, deliverer));
     }
 
     private static DecisionModule.Settings settings() {
         DecisionModule.MessageClass payment = new DecisionModule.MessageClass(
-                SECOND, 20 * SECOND, 1, DecisionModule.Repeat.UNSAFE, DecisionModule.Group.ALL, 0, false);
+                SECOND, 20 * SECOND, 1, DecisionModule.RepeatSafety.UNSAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
                 1,
@@ -121,11 +121,11 @@
                 1,
                 ROUND,
                 false,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 false,
                 0.1,
                 List.of(payment),
-                List.of(new DecisionModule.Kind(false, 1)),
+                List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(8, 200, 20, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
                 new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -105,7 +105,7 @@
 
     private static Core.Listed listed(String name, Presence presence, String address) {
         return new Core.Listed(
-                new DecisionModule.Entry(name, 1, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(name, 1, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, address, 1, 0, 1, false, null));
     }
 
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -63,7 +63,7 @@
 
     private static Core.Listed listed(String name, Presence presence, String address, int group) {
         return new Core.Listed(
-                new DecisionModule.Entry(name, group, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(name, group, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, address, group, 0, 1, false, null));
     }
 
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -74,7 +74,7 @@
 
     private static DecisionModule.Settings settings(int mostHeld) {
         DecisionModule.MessageClass repeatable = new DecisionModule.MessageClass(
-                SECOND, DAY, 1, DecisionModule.Repeat.SAFE, DecisionModule.Group.ALL, 0, false);
+                SECOND, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
                 FLEET,
@@ -82,11 +82,11 @@
                 1,
                 ROUND,
                 false,
-                DecisionModule.Weights.NONE,
+                DecisionModule.WeightMeaning.NONE,
                 false,
                 0.1,
                 List.of(repeatable),
-                List.of(new DecisionModule.Kind(false, 1)),
+                List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(
                         MAX_ATTEMPTS, mostHeld, SLOTS, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
@@ -102,7 +102,7 @@
     private Core.Listed listed(int destination, DecisionModule.Presence presence) {
         String host = "endpoint-" + destination;
         return new Core.Listed(
-                new DecisionModule.Entry(host, destination, 0, 0, presence, 1, 0),
+                new DecisionModule.EndpointEntry(host, destination, 0, 0, presence, 1, 0),
                 new Call.Endpoint(host, "127.0.0.1:9", destination, 0, 1, false, this));
     }
 
@@ -200,9 +200,9 @@
     // ---- calls ------------------------------------------------------------------------------------------
     @Override
     public void start(Call call) {
-        DecisionModule.Ending ending = call.endpoint.destination() < firstDown
-                ? DecisionModule.Ending.DELIVERED
-                : DecisionModule.Ending.NO_CONNECTION;
+        DecisionModule.AttemptResult ending = call.endpoint.destination() < firstDown
+                ? DecisionModule.AttemptResult.DELIVERED
+                : DecisionModule.AttemptResult.NO_CONNECTION;
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(message -> core.outcome(call, message, ending, 0, false, false)));
     }
@@ -215,7 +215,7 @@
     public void giveUp(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(
-                message -> core.outcome(call, message, DecisionModule.Ending.NO_CONNECTION, 0, false, false)));
+                message -> core.outcome(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
     }
 
     @Override
@@ -225,7 +225,7 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        core.post(() -> core.probed(endpoint.host(), DecisionModule.Ending.NO_CONNECTION, 0));
+        core.post(() -> core.probed(endpoint.host(), DecisionModule.AttemptResult.NO_CONNECTION, 0));
     }
 
     @Override
