--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.PolicyState.NEVER;
 import static lilaclever.PolicyState.MICROS_PER_SECOND;
+import static lilaclever.PolicyState.NEVER;
 
 import lilaclever.DecisionModule.Tenant;
 import lilaclever.PolicyState.DestinationQueue;
@@ -62,7 +62,8 @@
             return false;
         }
         double quota = quota(tenant);
-        double tokens = tenantTokens[tenant] + (state.nowMicros - tenantUpdatedAtMicros[tenant]) / MICROS_PER_SECOND * quota;
+        double tokens =
+                tenantTokens[tenant] + (state.nowMicros - tenantUpdatedAtMicros[tenant]) / MICROS_PER_SECOND * quota;
         tenantUpdatedAtMicros[tenant] = state.nowMicros;
         tokens = Math.min(tokens, BURST_SECONDS * quota);
         tenantTokens[tenant] = tokens >= 1 ? tokens - 1 : tokens;
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -74,7 +74,9 @@
                 .mapToLong(queue -> queue.nextCheckAtMicros)
                 .min()
                 .orElse(NEVER);
-        return candidates.isEmpty() ? nextCheckMicros : Math.min(nextCheckMicros, timeouts.cancelOverdue(candidates.size()));
+        return candidates.isEmpty()
+                ? nextCheckMicros
+                : Math.min(nextCheckMicros, timeouts.cancelOverdue(candidates.size()));
     }
 
     /** Starts a call with the message and, where calls may carry several, others of its queue. */
@@ -122,7 +124,8 @@
         call.pendingOutcomes++;
         // A connection that is established late must not carry the message after its repeat window.
         long timeoutAtMicros = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
-        long dropAtMicros = Math.min(Math.min(message.deadlineMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
+        long dropAtMicros =
+                Math.min(Math.min(message.deadlineMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAtMicros));
     }
 
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -51,8 +51,9 @@
 
     /** Updates the means and the time-out factor with the response time of a delivered call. */
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
-        limit.meanAnswerMicros =
-                limit.meanAnswerMicros == 0 ? elapsedMicros : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanAnswerMicros);
+        limit.meanAnswerMicros = limit.meanAnswerMicros == 0
+                ? elapsedMicros
+                : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanAnswerMicros);
         double meanMicros = state.overallMeanAnswerMicros;
         double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowAnswerMicros());
         state.overallMeanAnswerMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
@@ -117,7 +118,8 @@
 
     private long overdueAfterMicros(Call call) {
         double usualMicros = Math.max(state.overallMeanAnswerMicros, call.endpoint.limit.meanAnswerMicros);
-        boolean hasUnsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
+        boolean hasUnsafe =
+                call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (hasUnsafe
                         ? Math.max(UNSAFE_MIN_OVERDUE_MICROS, UNSAFE_OVERDUE_MULTIPLE * usualMicros)
--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -21,7 +21,8 @@
     /** Whether a call to the endpoint would find an idle connection; forgets those that have expired. */
     boolean hasIdleConnection(Endpoint endpoint) {
         long keepAliveMicros = state.settings.limits().keepAliveMicros();
-        while (!endpoint.idleSinceMicros.isEmpty() && endpoint.idleSinceMicros.peekFirst() + keepAliveMicros <= state.nowMicros) {
+        while (!endpoint.idleSinceMicros.isEmpty()
+                && endpoint.idleSinceMicros.peekFirst() + keepAliveMicros <= state.nowMicros) {
             endpoint.idleSinceMicros.removeFirst();
         }
         return !endpoint.idleSinceMicros.isEmpty();
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -35,7 +35,9 @@
         UNSAFE
     }
 
-    /** Which endpoints remember the idempotency key of a {@link RepeatSafety#KEYED} message, and so drop its repeats. */
+    /**
+     * Which endpoints remember the idempotency key of a {@link RepeatSafety#KEYED} message, and so drop its repeats.
+     */
     enum KeyScope {
         /** All endpoints; a message that the client submits again is recognised too. */
         ALL,
@@ -240,7 +242,9 @@
                             && orderPauseMicros >= 0
                             && answerSlackMicros >= 0,
                     "rules: times must not be negative");
-            require(initialCapacityShare > 0 && overloadMultiple > 0, "rules: coldFrom and tipMultiple must be above 0");
+            require(
+                    initialCapacityShare > 0 && overloadMultiple > 0,
+                    "rules: coldFrom and tipMultiple must be above 0");
         }
     }
 
@@ -313,7 +317,8 @@
      * @param attempts number of attempts, possibly 0
      * @param mayHaveRun whether an attempt was uncertain
      */
-    record PriorAttempts(int attempts, boolean mayHaveRun, String uncertainHost, int uncertainZone, long uncertainSentAtMicros) {}
+    record PriorAttempts(
+            int attempts, boolean mayHaveRun, String uncertainHost, int uncertainZone, long uncertainSentAtMicros) {}
 
     /** Something that has happened outside the module. */
     sealed interface Event {
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -14,8 +14,8 @@
 import lilaclever.PolicyState.Endpoint;
 import lilaclever.PolicyState.Message;
 import lilaclever.PolicyState.OrderedKey;
-import lilaclever.PolicyState.SendCandidate;
 import lilaclever.PolicyState.ScheduledCheck;
+import lilaclever.PolicyState.SendCandidate;
 
 /**
  * The implementation of the decision module: handles the events of a round, follows each message from its submission to
@@ -56,8 +56,8 @@
     /** Ordered keys with messages, or paused. */
     private final Map<String, OrderedKey> lines = new LinkedHashMap<>();
     /** Scheduled checks by time; every open message has one, so that none is missed at its deadline. */
-    private final PriorityQueue<ScheduledCheck> dues =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
+    private final PriorityQueue<ScheduledCheck> dues = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
 
     private long checksAdded;
     /** When the next timer event is due. */
@@ -102,7 +102,8 @@
         selection.clearUndeliverable();
         long nextMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
-        requestTimer(dues.isEmpty() ? nextMicros : Math.min(nextMicros, dues.peek().atMicros()));
+        requestTimer(
+                dues.isEmpty() ? nextMicros : Math.min(nextMicros, dues.peek().atMicros()));
         return state.actions;
     }
 
@@ -168,7 +169,8 @@
         message.acceptedAtMicros = state.nowMicros - Math.max(0, messageClass.deadlineMicros() - event.budgetMicros());
         message.deadlineMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
-        message.worth = messageClass.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
+        message.worth = messageClass.worth()
+                * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
         if (messageClass.ordered() && event.key() != null) {
             keyOrder.add(message, event.key());
         }
@@ -198,11 +200,13 @@
 
     private void check(Message message) {
         // A call's outcome should be reported by the deadline; if it isn't, give the message up within the slack.
-        long latestAnswerMicros = message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerMicros =
+                message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
-            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
+            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS
+                    || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
                 giveUp(message);
             }
         } else if (state.nowMicros >= latestAnswerMicros) {
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
 import static lilaclever.PolicyState.LONG_AGO;
-import static lilaclever.PolicyState.NEVER;
 import static lilaclever.PolicyState.MICROS_PER_SECOND;
+import static lilaclever.PolicyState.NEVER;
 
 import lilaclever.DecisionModule.LimitReport;
 import lilaclever.PolicyState.DestinationLimit;
@@ -83,7 +83,8 @@
     void onRetryAfter(DestinationLimit limit, long retryAfterMicros) {
         if (retryAfterMicros > 0) {
             limit.retryAfterUntilMicros = Math.max(limit.retryAfterUntilMicros, state.nowMicros + retryAfterMicros);
-            limit.shortRetryAfterAtMicros = retryAfterMicros < LONG_RETRY_AFTER_MICROS ? state.nowMicros : limit.shortRetryAfterAtMicros;
+            limit.shortRetryAfterAtMicros =
+                    retryAfterMicros < LONG_RETRY_AFTER_MICROS ? state.nowMicros : limit.shortRetryAfterAtMicros;
         }
     }
 
@@ -135,8 +136,10 @@
 
     /** Whether there were only refusals for some time, none with a short retry-after, or the retry-after is long. */
     private boolean isUnavailable(DestinationLimit limit, long retryAfterMicros) {
-        boolean forLong = limit.recentRefusals >= UNAVAILABLE_REFUSALS && state.nowMicros - limit.failingSinceMicros >= UNAVAILABLE_MICROS;
-        return retryAfterMicros >= LONG_RETRY_AFTER_MICROS || forLong && limit.shortRetryAfterAtMicros < limit.failingSinceMicros;
+        boolean forLong = limit.recentRefusals >= UNAVAILABLE_REFUSALS
+                && state.nowMicros - limit.failingSinceMicros >= UNAVAILABLE_MICROS;
+        return retryAfterMicros >= LONG_RETRY_AFTER_MICROS
+                || forLong && limit.shortRetryAfterAtMicros < limit.failingSinceMicros;
     }
 
     /**
@@ -146,18 +149,20 @@
      */
     private void spreadResumption(DestinationLimit limit) {
         limit.failingForMicros = Math.max(MIN_OUTAGE_MICROS, limit.retryAfterUntilMicros - limit.failingSinceMicros);
-        double intervalMicros =
-                MICROS_PER_SECOND / recoveryPace.recoveryRate(limit, state.settings.rules().overloadWindowMicros());
+        double intervalMicros = MICROS_PER_SECOND
+                / recoveryPace.recoveryRate(limit, state.settings.rules().overloadWindowMicros());
         limit.resumeAtMicros = limit.retryAfterUntilMicros + (long) (state.random.nextDouble() * intervalMicros);
     }
 
     private void reduceRate(DestinationLimit limit, Endpoint endpoint) {
         limit.rateReducedAtMicros = state.nowMicros;
         rates.decay(limit, endpoint);
-        double maxRate = limit.announcedRate > 0 ? Math.min(limit.announcedRate, MAX_THROTTLED_RATE) : MAX_THROTTLED_RATE;
+        double maxRate =
+                limit.announcedRate > 0 ? Math.min(limit.announcedRate, MAX_THROTTLED_RATE) : MAX_THROTTLED_RATE;
         double minRate = assuredRate(limit);
         // The recent rate is a lower bound: while few messages are sent, the throttled rate says little of the limit.
-        double reducedRate = Math.max(REDUCED_SHARE_OF_THROTTLED_RATE * limit.throttledRate, REDUCED_SHARE_OF_RECENT_RATE * limit.recentRate);
+        double reducedRate = Math.max(
+                REDUCED_SHARE_OF_THROTTLED_RATE * limit.throttledRate, REDUCED_SHARE_OF_RECENT_RATE * limit.recentRate);
         limit.throttledRate = Math.max(minRate, Math.min(maxRate, reducedRate));
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.PolicyState.NEVER;
 import static lilaclever.PolicyState.MICROS_PER_SECOND;
+import static lilaclever.PolicyState.NEVER;
 
 import lilaclever.PolicyState.Call;
 import lilaclever.PolicyState.DestinationLimit;
@@ -56,7 +56,8 @@
         long atRateMicros = endpoint.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate);
         // The rate of slow start only grows, and at its end the endpoint is unrestricted.
         boolean onlySlowStart = slowStart.isActive(endpoint) && !endpoint.inOutage && !endpoint.connectsFailing;
-        long endpointReadyMicros = onlySlowStart ? Math.min(atRateMicros, slowStart.endsAtMicros(endpoint)) : atRateMicros;
+        long endpointReadyMicros =
+                onlySlowStart ? Math.min(atRateMicros, slowStart.endsAtMicros(endpoint)) : atRateMicros;
         return Math.max(limitReadyMicros, endpointReadyMicros);
     }
 
@@ -94,7 +95,9 @@
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones are delivered says nothing of the endpoint.
             boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
-            if (state.overallMeanAnswerMicros > 0 && sentSinceLastDelivered && state.nowMicros - call.sentAtMicros > slowMicros) {
+            if (state.overallMeanAnswerMicros > 0
+                    && sentSinceLastDelivered
+                    && state.nowMicros - call.sentAtMicros > slowMicros) {
                 return true;
             }
         }
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -4,8 +4,8 @@
 
 import java.util.Map;
 import lilaclever.DecisionModule.EndpointEntry;
-import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.EndpointKind;
+import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.WeightMeaning;
@@ -61,15 +61,20 @@
         // An endpoint that is listed again within its retry-after period must keep it.
         endpoints
                 .values()
-                .removeIf(each ->
-                        !each.active && each.callsInFlight == 0 && each.limit.retryAfterUntilMicros <= state.nowMicros && detach(each));
+                .removeIf(each -> !each.active
+                        && each.callsInFlight == 0
+                        && each.limit.retryAfterUntilMicros <= state.nowMicros
+                        && detach(each));
     }
 
     /** Schedules another request with exponential backoff and jitter: all forwarders may be requesting at once. */
     private void retryWatchLater() {
-        watchAtMicros = state.settings.mustWatchList() ? state.nowMicros + (long) (watchRetryMicros * state.jitterFactor()) : NEVER;
+        watchAtMicros = state.settings.mustWatchList()
+                ? state.nowMicros + (long) (watchRetryMicros * state.jitterFactor())
+                : NEVER;
         // With jitter, at most half the time after which the rules treat a forwarder that doesn't ask as informed.
-        long longestMicros = Math.min(MAX_WATCH_RETRY_MICROS, state.settings.rules().watchWithinMicros() / 3);
+        long longestMicros =
+                Math.min(MAX_WATCH_RETRY_MICROS, state.settings.rules().watchWithinMicros() / 3);
         watchRetryMicros = Math.min(watchRetryMicros * 2, longestMicros);
     }
 
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -58,8 +58,8 @@
 
     /**
      * Selects the message of the queue to send now and its endpoint; null if none can be sent. Lowers the queue's
-     * {@link DestinationQueue#nextCheckAtMicros} to the time at which one may become sendable, and collects the messages for
-     * which that is too late.
+     * {@link DestinationQueue#nextCheckAtMicros} to the time at which one may become sendable, and collects the
+     * messages for which that is too late.
      */
     SendCandidate select(DestinationQueue queue) {
         List<Endpoint> ready = new ArrayList<>();
@@ -92,7 +92,8 @@
      */
     private void collectUndeliverable(DestinationQueue queue, long soonestMicros) {
         for (Message message : queue.waiting) {
-            if (soonestMicros > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS || soonestMicros >= retries.repeatWindowEndMicros(message)) {
+            if (soonestMicros > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS
+                    || soonestMicros >= retries.repeatWindowEndMicros(message)) {
                 undeliverable.add(message);
             }
         }
@@ -174,7 +175,10 @@
             // A failed call may have taken effect: prefer messages that can be repeated for a failing endpoint.
             worth *= repeat == RepeatSafety.UNSAFE ? UNSAFE_WORTH_FACTOR : KEYED_WORTH_FACTOR;
         }
-        return worth / Math.max(MIN_SLOT_MICROS, limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
+        return worth
+                / Math.max(
+                        MIN_SLOT_MICROS,
+                        limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
     }
 
     /**
@@ -188,7 +192,9 @@
         if (lateness < 0) {
             return message.worth * (1 + BONUS_AT_AIM * (1 + lateness));
         }
-        double remainingShare = messageClass.halves() ? Math.pow(0.5, lateness) : 1 - lateness * aimMicros / Math.max(1, messageClass.deadlineMicros() - aimMicros);
+        double remainingShare = messageClass.halves()
+                ? Math.pow(0.5, lateness)
+                : 1 - lateness * aimMicros / Math.max(1, messageClass.deadlineMicros() - aimMicros);
         return message.worth * Math.max(messageClass.lateShare(), remainingShare);
     }
 }
--- a/src/main/java/lilaclever/KeyOrder.java
+++ b/src/main/java/lilaclever/KeyOrder.java
@@ -37,7 +37,8 @@
 
     /** Pauses the key of a message whose attempt was given up, for all others of the key. */
     void pause(Message message) {
-        message.orderedKey.pausedUntilMicros = state.nowMicros + state.settings.rules().orderPauseMicros();
+        message.orderedKey.pausedUntilMicros =
+                state.nowMicros + state.settings.rules().orderPauseMicros();
         message.orderedKey.pauseExempt = message;
     }
 
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -88,8 +88,8 @@
         endpoint.consecutiveFailures++;
         // An endpoint that answers that it has too many connections is running; if it answers only that for long, it
         // may be in an outage.
-        boolean isReachable =
-                result == AttemptResult.NO_ROOM && (endpoint.failingSinceMicros == 0 || transientFailures.isBrief(endpoint));
+        boolean isReachable = result == AttemptResult.NO_ROOM
+                && (endpoint.failingSinceMicros == 0 || transientFailures.isBrief(endpoint));
         if (!isReachable) {
             countFailure(limit, endpoint);
         }
@@ -127,7 +127,8 @@
     private void avoid(Endpoint endpoint) {
         if (endpoint.consecutiveFailures > 1) {
             int doublings = Math.min(endpoint.consecutiveFailures - 2, MAX_AVOIDANCE_DOUBLINGS);
-            endpoint.avoidUntilMicros = state.nowMicros + (long) ((FIRST_AVOIDANCE_MICROS << doublings) * state.jitterFactor());
+            endpoint.avoidUntilMicros =
+                    state.nowMicros + (long) ((FIRST_AVOIDANCE_MICROS << doublings) * state.jitterFactor());
         }
     }
 
@@ -141,7 +142,8 @@
     }
 
     private boolean isConnectRejected(AttemptResult result, long elapsedMicros) {
-        boolean isEarly = elapsedMicros < REJECTION_SHARE_OF_TIMEOUT * state.settings.limits().connectTimeoutMicros();
+        boolean isEarly = elapsedMicros
+                < REJECTION_SHARE_OF_TIMEOUT * state.settings.limits().connectTimeoutMicros();
         return result == AttemptResult.NO_ROOM || result == AttemptResult.NO_CONNECTION && isEarly;
     }
 
@@ -162,9 +164,12 @@
 
     private void detectOutage(DestinationLimit limit, Endpoint endpoint) {
         int seenByEach = Math.max(1, OUTAGE_FAILURES_IN_FLEET / state.settings.forwarders());
-        int failuresNeeded = transientFailures.callsOftenLost() ? OUTAGE_FAILURES : Math.min(OUTAGE_FAILURES, seenByEach);
+        int failuresNeeded =
+                transientFailures.callsOftenLost() ? OUTAGE_FAILURES : Math.min(OUTAGE_FAILURES, seenByEach);
         if (limit.severalEndpointsFailing && limit.consecutiveFailures >= failuresNeeded) {
-            limit.endpoints.stream().filter(each -> each.consecutiveFailures > 0).forEach(this::beginOrContinueOutage);
+            limit.endpoints.stream()
+                    .filter(each -> each.consecutiveFailures > 0)
+                    .forEach(this::beginOrContinueOutage);
         } else if (endpoint.consecutiveFailures >= failuresNeeded || endpoint.failureShare >= OUTAGE_FAILURE_SHARE) {
             beginOrContinueOutage(endpoint);
         }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -21,6 +21,7 @@
     static final long NEVER = Long.MAX_VALUE / 4;
     /** An instant before all others, microseconds. */
     static final long LONG_AGO = Long.MIN_VALUE / 4;
+
     static final double MICROS_PER_SECOND = 1_000_000;
     /** A fleet with more forwarders than this is large. */
     static final int LARGE_FLEET_THRESHOLD = 16;
@@ -37,6 +38,7 @@
     final LinkedHashSet<DestinationQueue> nonEmptyQueues = new LinkedHashSet<>();
     /** Calls in flight. */
     final LinkedHashSet<Call> calls = new LinkedHashSet<>();
+
     Settings settings;
     /** Time of the current round. */
     long nowMicros;
--- a/src/main/java/lilaclever/RateEstimates.java
+++ b/src/main/java/lilaclever/RateEstimates.java
@@ -69,7 +69,8 @@
     /** This forwarder's even share of a limit's announced rate, calls a second; an estimate if none is announced. */
     double evenShare(DestinationLimit limit) {
         int forwarders = state.settings.forwarders();
-        double estimate = Math.max(DEFAULT_FLEET_RATE / forwarders, MIN_SHARE_OF_MEAN * usual(allDestinations) / state.queues.size());
+        double estimate = Math.max(
+                DEFAULT_FLEET_RATE / forwarders, MIN_SHARE_OF_MEAN * usual(allDestinations) / state.queues.size());
         return limit.announcedRate > 0 ? limit.announcedRate / forwarders : estimate;
     }
 }
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.PolicyState.NEVER;
 import static lilaclever.PolicyState.MICROS_PER_SECOND;
+import static lilaclever.PolicyState.NEVER;
 
 import lilaclever.DecisionModule.Rules;
 import lilaclever.PolicyState.DestinationLimit;
@@ -42,7 +42,8 @@
     }
 
     private boolean isCertainlyInOutage(Endpoint endpoint) {
-        boolean severalInOutage = state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
+        boolean severalInOutage =
+                state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
         return endpoint.connectsFailing || severalInOutage;
     }
 
@@ -69,7 +70,9 @@
         double budgetFactor = BUDGET_SHARE * rules.overloadMultiple() * capacityShare;
         // The interval between trials is the length of the outage so far divided by budgetFactor; a first one of this
         // length makes the third trial come after the end of a long outage.
-        double minLengthMicros = certainlyInOutage ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor) : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
+        double minLengthMicros = certainlyInOutage
+                ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor)
+                : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
         double oneCallRate = MICROS_PER_SECOND / Math.max(minLengthMicros, limit.failingForMicros);
         return budgetFactor * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), oneCallRate);
     }
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -28,7 +28,9 @@
      */
     long repeatWindowEndMicros(Message message) {
         return hasRepeatWindow(message)
-                ? message.uncertainSentAtMicros + message.messageClass.repeatWindowMicros() - state.settings.roundMicros()
+                ? message.uncertainSentAtMicros
+                        + message.messageClass.repeatWindowMicros()
+                        - state.settings.roundMicros()
                 : Long.MAX_VALUE;
     }
 
@@ -44,8 +46,11 @@
         message.notBeforeMicros = state.nowMicros + (long) (DELAYS_MICROS[step] * state.jitterFactor());
         if (hasRepeatWindow(message)) {
             // A delay past the window would lose the message: retry while there is still time for a connect.
-            long latestMicros = repeatWindowEndMicros(message) - state.settings.limits().connectTimeoutMicros();
-            message.notBeforeMicros = state.nowMicros < latestMicros ? Math.min(message.notBeforeMicros, latestMicros) : message.notBeforeMicros;
+            long latestMicros =
+                    repeatWindowEndMicros(message) - state.settings.limits().connectTimeoutMicros();
+            message.notBeforeMicros = state.nowMicros < latestMicros
+                    ? Math.min(message.notBeforeMicros, latestMicros)
+                    : message.notBeforeMicros;
         }
     }
 
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -52,7 +52,8 @@
 
     /** A call cut off by shutdown may have taken effect, so one that may not end in time isn't started. */
     private boolean endsBeforeShutdown(Message message, Endpoint endpoint) {
-        return state.stopAtMicros >= NEVER || state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit) <= state.stopAtMicros;
+        return state.stopAtMicros >= NEVER
+                || state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit) <= state.stopAtMicros;
     }
 
     /** Whether the message has no uncertain attempt, or another attempt at this endpoint is allowed nevertheless. */
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -11,9 +11,9 @@
 import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.LimitReport;
 
 /** Reads batches of events off the wire. */
 final class WireReader {
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -205,7 +205,8 @@
         world.partner(call.endpoint.destination()).heardFailure(number, world.now());
         world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
-        AttemptResult ending = state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
+        AttemptResult ending =
+                state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
         core.post(() -> messages.forEach(m -> core.outcome(call, m, ending, 0, false, false)));
     }
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -72,8 +72,8 @@
         String host = "s-" + partner.destination() + "-" + hostCount++;
         partner.add(host);
         int kind = scenario.kinds().indexOf(partner.kind());
-        DecisionModule.EndpointEntry entry =
-                new DecisionModule.EndpointEntry(host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.now());
+        DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
+                host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.now());
         entries.put(host, entry);
         return entry;
     }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -201,7 +201,9 @@
                 boolean noSlot = "1".equals(headers.get("x-no-slot"));
                 all(
                         call,
-                        noSlot ? AttemptResult.NOT_SENT : noRoom(call, status, headers) ? AttemptResult.NO_ROOM : AttemptResult.FULL,
+                        noSlot
+                                ? AttemptResult.NOT_SENT
+                                : noRoom(call, status, headers) ? AttemptResult.NO_ROOM : AttemptResult.FULL,
                         noSlot,
                         false);
             }
@@ -324,12 +326,17 @@
                 .at(
                         started + probeMicros,
                         () -> exchange[0].giveUp(() -> probed(
-                                endpoint, exchange[0].isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION, started)));
+                                endpoint,
+                                exchange[0].isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
+                                started)));
         exchange[0] = client.send(
                 owner(endpoint), endpoint.address(), "GET", "/health/live", Map.of(), NOTHING, new Heedful(endpoint) {
                     @Override
                     public void answered(int status, Map<String, String> headers, byte[] body) {
-                        end(status == 200 ? AttemptResult.DELIVERED : status == 503 ? AttemptResult.FULL : AttemptResult.ERROR);
+                        end(
+                                status == 200
+                                        ? AttemptResult.DELIVERED
+                                        : status == 503 ? AttemptResult.FULL : AttemptResult.ERROR);
                     }
 
                     @Override
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -144,7 +144,8 @@
                     up.closeSilently();
                     core.post(() -> core.probed(endpoint.host(), AttemptResult.DELIVERED, core.now() - started));
                 },
-                problem -> core.post(() -> core.probed(endpoint.host(), AttemptResult.NO_CONNECTION, core.now() - started)));
+                problem -> core.post(
+                        () -> core.probed(endpoint.host(), AttemptResult.NO_CONNECTION, core.now() - started)));
     }
 
     /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -624,7 +624,8 @@
             counters.holds(m == null || m.out == null, a.id() + " has one attempt out at most");
             counters.holds(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = m == null ? 0 : m.attempts++;
-            events.add(new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, m == null, null));
+            events.add(
+                    new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, m == null, null));
             return;
         }
         Call call = starting.get(a.host());
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -86,8 +86,9 @@
     DecisionModule.Event.Submit submit(long nowMono, long nowWall) {
         // An attempt can't be younger than now: the clock was set back, and it may be of any age.
         long since = nowWall < riskWall ? LONG_AGO : nowWall - riskWall;
-        DecisionModule.PriorAttempts prior =
-                resumed ? new DecisionModule.PriorAttempts(attempts, mayHaveRun, riskHost, riskZone, nowMono - since) : null;
+        DecisionModule.PriorAttempts prior = resumed
+                ? new DecisionModule.PriorAttempts(attempts, mayHaveRun, riskHost, riskZone, nowMono - since)
+                : null;
         return new DecisionModule.Event.Submit(
                 id(),
                 submission.messageClass(),
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -97,7 +97,8 @@
         parts.limits.onRetryAfter(fixture.limit, 300 * MS);
         assertEquals(300 * MS, admission.retryAfterMicros(fixture.queue));
         fixture.message(SAFE);
-        assertEquals(2 * S, admission.retryAfterMicros(fixture.queue), "at half a call a second: the most that is told");
+        assertEquals(
+                2 * S, admission.retryAfterMicros(fixture.queue), "at half a call a second: the most that is told");
         fixture.limit.usualRate = 10;
         fixture.limit.usualRateUnfilled = 0;
         assertEquals(400 * MS, admission.retryAfterMicros(fixture.queue), "at ten calls a second");
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -17,16 +17,16 @@
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.EndpointEntry;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
-import lilaclever.DecisionModule.EndpointKind;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.Limits;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.PriorAttempts;
 import lilaclever.DecisionModule.RepeatSafety;
-import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.Rules;
 import lilaclever.DecisionModule.Settings;
 import lilaclever.DecisionModule.Tenant;
@@ -123,7 +123,11 @@
                 true,
                 0.1,
                 classes(1),
-                List.of(new EndpointKind(false, 1), new EndpointKind(true, 1), new EndpointKind(false, 5), new EndpointKind(true, 3)),
+                List.of(
+                        new EndpointKind(false, 1),
+                        new EndpointKind(true, 1),
+                        new EndpointKind(false, 5),
+                        new EndpointKind(true, 3)),
                 List.of(new Tenant(0.5, 5), new Tenant(0.5, 2)),
                 limits,
                 new Rules(
@@ -240,7 +244,8 @@
         switch (condition) {
             case REFUSES_SILENTLY -> fate(flight, AttemptResult.FULL, 10 * MS, 0);
             case REFUSES_WITH_SHORT_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 300 * MS);
-            case REFUSES_WITH_LONG_WAIT -> fate(flight, AttemptResult.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
+            case REFUSES_WITH_LONG_WAIT ->
+                fate(flight, AttemptResult.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
             case CONNECTS_FAIL -> fate(flight, AttemptResult.NO_CONNECTION, 5 * MS, 0);
             case CONNECTS_TIME_OUT -> fate(flight, AttemptResult.NO_CONNECTION, S / 2, 0);
             case NO_ROOM_FOR_CONNECTIONS -> {
@@ -362,7 +367,8 @@
         if (random.nextInt(3_000) == 0) {
             Limits old = settings.limits();
             int maxAttempts = MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)];
-            events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpenMessages())));
+            events.add(
+                    renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpenMessages())));
         }
         if (random.nextInt(1_000) == 0) {
             events.add(new Event.ProbeEnded("h0-0", AttemptResult.DELIVERED, MS, null));
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -309,7 +309,9 @@
     @Test
     void whatIsWithdrawnIsPassedOver() {
         String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Withdrawn(id)).outcome(id, "a1", 0, AttemptResult.ERROR).pass(S);
+        rig.round(new Event.Withdrawn(id))
+                .outcome(id, "a1", 0, AttemptResult.ERROR)
+                .pass(S);
         assertEquals(List.of(), rig.sentTo());
         rig.round(new Event.Withdrawn("unknown"), new Event.Timer(5));
     }
@@ -578,7 +580,10 @@
         String first = rig.submit(SAFE, 1);
         rig.outcome(first, "a1", 0, AttemptResult.NO_CONNECTION);
         tries.put(first, 1);
-        answerAll(tries, 12 * S, AttemptResult.NO_CONNECTION); // down: a failed connect is no sign of a full table any more
+        answerAll(
+                tries,
+                12 * S,
+                AttemptResult.NO_CONNECTION); // down: a failed connect is no sign of a full table any more
         rig.pass(60 * S);
         rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).pass(15 * S); // back, and warm
         List<String> ids = List.of(
@@ -766,8 +771,8 @@
         rig = new Rig(Rig.settings(10, 50, 12, false, 100));
         rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
         String id = rig.submit(SAFE, 1);
-        rig.round(
-                new Event.Outcome(id, "a1", 0, AttemptResult.FULL, 5 * MS, 0, false, false, new DecisionModule.LimitReport(0, 10)));
+        rig.round(new Event.Outcome(
+                id, "a1", 0, AttemptResult.FULL, 5 * MS, 0, false, false, new DecisionModule.LimitReport(0, 10)));
         assertTrue(pauseUntilSent(id, 19 * S) >= 100 / (0.7 * 10) * S, "no more than 0.7 of the even share");
     }
 
@@ -870,7 +875,11 @@
                     .toList()) {
                 int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
                 taken += s.host().equals("a2") ? 1 : 0;
-                rig.outcome(s.id(), s.host(), n, s.host().equals("a2") ? AttemptResult.DELIVERED : AttemptResult.NO_CONNECTION);
+                rig.outcome(
+                        s.id(),
+                        s.host(),
+                        n,
+                        s.host().equals("a2") ? AttemptResult.DELIVERED : AttemptResult.NO_CONNECTION);
             }
         }
         assertTrue(taken >= 15, "taken " + taken + " of 20");
@@ -996,7 +1005,15 @@
         List<Event> found = new ArrayList<>();
         for (int i = 0; i < 49; i++) {
             found.add(new Event.Submit(
-                    "r" + i, SAFE, 1, 0, null, false, false, 20 * S, new DecisionModule.PriorAttempts(0, false, "", 0, 0)));
+                    "r" + i,
+                    SAFE,
+                    1,
+                    0,
+                    null,
+                    false,
+                    false,
+                    20 * S,
+                    new DecisionModule.PriorAttempts(0, false, "", 0, 0)));
         }
         rig.round(found.toArray(Event[]::new));
         assertEquals(
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -116,7 +116,8 @@
     void aLongWaitMeansThatAllIsShutAndItsEndIsSpread() {
         refuse(4 * S);
         assertTrue(endpoint.inOutage);
-        assertTrue(limit.resumeAtMicros >= limit.retryAfterUntilMicros && limit.resumeAtMicros < limit.retryAfterUntilMicros + 20 * S);
+        assertTrue(limit.resumeAtMicros >= limit.retryAfterUntilMicros
+                && limit.resumeAtMicros < limit.retryAfterUntilMicros + 20 * S);
         assertEquals(8 * S, limit.failingForMicros, "an outage is taken to last that long at the least");
     }
 
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -14,9 +14,9 @@
 import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.EndpointEntry;
 import lilaclever.DecisionModule.Event;
+import lilaclever.DecisionModule.LimitReport;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.DecisionModule.LimitReport;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
@@ -52,7 +52,9 @@
                 boolean lost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
                 if (late || !lost && random.nextInt(12) == 0) {
                     out.remove(call);
-                    AttemptResult ending = late ? AttemptResult.TIMED_OUT : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
+                    AttemptResult ending = late
+                            ? AttemptResult.TIMED_OUT
+                            : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
                     events.add(new Event.Outcome(
                             call.id,
                             call.host,
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/Rig.java
@@ -6,9 +6,9 @@
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.EndpointEntry;
+import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.Event;
 import lilaclever.DecisionModule.KeyScope;
-import lilaclever.DecisionModule.EndpointKind;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.MessageClass;
 import lilaclever.DecisionModule.Presence;
@@ -124,8 +124,8 @@
     }
 
     Rig outcome(String id, String host, int attempt, AttemptResult ending, long wait) {
-        return round(
-                new Event.Outcome(id, host, attempt, ending, 100 * MS, wait, false, ending == AttemptResult.DELIVERED, null));
+        return round(new Event.Outcome(
+                id, host, attempt, ending, 100 * MS, wait, false, ending == AttemptResult.DELIVERED, null));
     }
 
     /** Hosts of the sends among the last actions, in order. */
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -187,7 +187,9 @@
             waits.merge(limit(m.outAt), now + e.retryAfterMicros(), Math::max);
         }
         if (m.key != null
-                && (e.result() == AttemptResult.TIMED_OUT || e.result() == AttemptResult.RESET || e.result() == AttemptResult.CANCELED)) {
+                && (e.result() == AttemptResult.TIMED_OUT
+                        || e.result() == AttemptResult.RESET
+                        || e.result() == AttemptResult.CANCELED)) {
             keyRest.put(m.key, now + settings.rules().orderPauseMicros());
             keyRestOwner.put(m.key, m);
         }
@@ -283,9 +285,11 @@
         long sent = r.sends.stream().filter(t -> t > Math.max(from, r.at)).count();
         double since = (double) (now - r.at) / settings.rules().rampMicros();
         double present = r.capacity
-                * (settings.rules().initialCapacityShare() + (1 - settings.rules().initialCapacityShare()) * since);
+                * (settings.rules().initialCapacityShare()
+                        + (1 - settings.rules().initialCapacityShare()) * since);
         double most =
-                settings.rules().overloadMultiple() * present * settings.rules().overloadWindowMicros() / 1e6 + SLACK_CALLS;
+                settings.rules().overloadMultiple() * present * settings.rules().overloadWindowMicros() / 1e6
+                        + SLACK_CALLS;
         if (sent > most && !r.broken) {
             r.broken = true;
             breach(now, "fail-back", limit + " is sent " + sent + " calls, more than " + most);
--- a/src/test/java/lilaclever/RuleCheckerTest.java
+++ b/src/test/java/lilaclever/RuleCheckerTest.java
@@ -145,7 +145,8 @@
     @Test
     void findsASendToADrainedHost() {
         take("m", Rig.SAFE);
-        events(new Event.Listing(ListingKind.CHANGES, 2, List.of(new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
+        events(new Event.Listing(
+                ListingKind.CHANGES, 2, List.of(new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
         now += S + 1;
         send("m", "a1");
         assertBreach("drain");
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -22,7 +22,8 @@
                     of("payment", DecisionModule.RepeatSafety.UNSAFE, 4, 28, 0.5)),
             S / 2);
 
-    private static MessageClass of(String name, DecisionModule.RepeatSafety repeat, long aim, long deadline, double late) {
+    private static MessageClass of(
+            String name, DecisionModule.RepeatSafety repeat, long aim, long deadline, double late) {
         return new MessageClass(
                 name,
                 1 / 3.0,
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -226,7 +226,8 @@
         List<Core.Listed> listed = new ArrayList<>();
         for (Call.Endpoint each : endpoints) {
             listed.add(new Core.Listed(
-                    new DecisionModule.EndpointEntry(each.host(), each.destination(), each.zone(), 0, presence, 1, 0), each));
+                    new DecisionModule.EndpointEntry(each.host(), each.destination(), each.zone(), 0, presence, 1, 0),
+                    each));
         }
         core.listing(DecisionModule.ListingKind.CHANGES, version, listed);
     }
