--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -17,9 +17,9 @@
     private static final double NEARLY_FULL_SHARE = 0.95;
     /** Size of a tenant's token bucket, in seconds of its quota. */
     private static final double BURST_SECONDS = 3;
-    /** Factor on the value of a message with an uncertain attempt: giving it up may be a failure, not a refusal. */
+    /** Factor on the worth of a message with an uncertain attempt: giving it up may be a failure, not a refusal. */
     private static final double UNCERTAIN_WORTH_FACTOR = 4;
-    /** Queue length, in seconds at the destination's expected rate, that halves the value of its messages. */
+    /** Queue length, in seconds at the destination's expected rate, that halves the worth of its messages. */
     private static final double HALF_WORTH_QUEUE_SECONDS = 10;
 
     private final PolicyState state;
@@ -76,12 +76,12 @@
     }
 
     /**
-     * Returns the waiting message of least value, which is lower the longer its destination's queue is for the rate
+     * Returns the waiting message of least worth, which is lower the longer its destination's queue is for the rate
      * that the destination accepts; the last of several equal ones. Messages accepted before a restart are exempt; null
      * if there are no others.
      */
-    Message leastValuable() {
-        Message leastValuable = null;
+    Message leastWorthMessage() {
+        Message leastWorthMessage = null;
         double lowestWorth = 0;
         for (DestinationQueue queue : state.nonEmptyQueues) {
             double rate =
@@ -89,13 +89,13 @@
             double backlogFactor = 1 + queue.waiting.size() / (1 + HALF_WORTH_QUEUE_SECONDS * rate);
             for (Message message : queue.waiting) {
                 double worth = message.worth / backlogFactor * (message.mayHaveRun ? UNCERTAIN_WORTH_FACTOR : 1);
-                if (!message.resumed && (leastValuable == null || worth <= lowestWorth)) {
-                    leastValuable = message;
+                if (!message.resumed && (leastWorthMessage == null || worth <= lowestWorth)) {
+                    leastWorthMessage = message;
                     lowestWorth = worth;
                 }
             }
         }
-        return leastValuable;
+        return leastWorthMessage;
     }
 
     /** Retry-after period for a refused message: until its destination has capacity again; 0: no advice. */
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -70,13 +70,13 @@
                 candidates.add(nextCandidate);
             }
         }
-        long nextCheckMicros = state.nonEmptyQueues.stream()
+        long nextCheckAtMicros = state.nonEmptyQueues.stream()
                 .mapToLong(queue -> queue.nextCheckAtMicros)
                 .min()
                 .orElse(NEVER);
         return candidates.isEmpty()
-                ? nextCheckMicros
-                : Math.min(nextCheckMicros, timeouts.cancelOverdue(candidates.size()));
+                ? nextCheckAtMicros
+                : Math.min(nextCheckAtMicros, timeouts.cancelOverdue(candidates.size()));
     }
 
     /** Starts a call with the message and, where calls may carry several, others of its queue. */
@@ -125,7 +125,7 @@
         // A connection that is established late must not carry the message after its repeat window.
         long timeoutAtMicros = state.nowMicros + timeouts.timeoutMicros(message, endpoint.limit);
         long dropAtMicros =
-                Math.min(Math.min(message.deadlineMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
+                Math.min(Math.min(message.deadlineAtMicros, timeoutAtMicros), retries.repeatWindowEndMicros(message));
         state.actions.add(new Action.Send(message.id, endpoint.host, dropAtMicros));
     }
 
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -17,9 +17,9 @@
     static final long MIN_TIMEOUT_MICROS = 60_000;
 
     /** Weight of one call in the mean response time of a limit. */
-    private static final double ANSWER_WEIGHT = 0.1;
+    private static final double RESPONSE_WEIGHT = 0.1;
     /** Weight of one call in the mean response time over all destinations. */
-    private static final double OVERALL_ANSWER_WEIGHT = ANSWER_WEIGHT / 4;
+    private static final double OVERALL_RESPONSE_WEIGHT = RESPONSE_WEIGHT / 4;
     /** A response time is slow from this multiple of the mean over all destinations. */
     private static final double SLOW_MULTIPLE = 4;
     /** A call within this multiple of the mean resets the time-out factor; a slower one multiplies it by the second. */
@@ -51,13 +51,14 @@
 
     /** Updates the means and the time-out factor with the response time of a delivered call. */
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
-        limit.meanAnswerMicros = limit.meanAnswerMicros == 0
+        limit.meanResponseMicros = limit.meanResponseMicros == 0
                 ? elapsedMicros
-                : limit.meanAnswerMicros + ANSWER_WEIGHT * (elapsedMicros - limit.meanAnswerMicros);
-        double meanMicros = state.overallMeanAnswerMicros;
-        double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowAnswerMicros());
-        state.overallMeanAnswerMicros += (meanMicros == 0 ? 1 : OVERALL_ANSWER_WEIGHT) * (boundedMicros - meanMicros);
-        boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanAnswerMicros;
+                : limit.meanResponseMicros + RESPONSE_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
+        double meanMicros = state.overallMeanResponseMicros;
+        double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowResponseMicros());
+        state.overallMeanResponseMicros +=
+                (meanMicros == 0 ? 1 : OVERALL_RESPONSE_WEIGHT) * (boundedMicros - meanMicros);
+        boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanResponseMicros;
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
     }
 
@@ -67,14 +68,14 @@
     }
 
     /** Response time above which a call or a mean is slow, microseconds; 0 before the first delivery. */
-    double slowAnswerMicros() {
-        return SLOW_MULTIPLE * state.overallMeanAnswerMicros;
+    double slowResponseMicros() {
+        return SLOW_MULTIPLE * state.overallMeanResponseMicros;
     }
 
     /** Time-out of a call with the message if it is sent now, microseconds. */
     long timeoutMicros(Message message, DestinationLimit limit) {
         long aimMicros = message.messageClass.aimMicros();
-        double usualMicros = limit.meanAnswerMicros > 0 ? TIMEOUT_MULTIPLE * limit.meanAnswerMicros : aimMicros;
+        double usualMicros = limit.meanResponseMicros > 0 ? TIMEOUT_MULTIPLE * limit.meanResponseMicros : aimMicros;
         double timeMicros = Math.max(MIN_SHARE_OF_AIM * aimMicros, usualMicros) * limit.timeoutFactor;
         RepeatSafety repeat = message.messageClass.repeat();
         if (repeat == RepeatSafety.UNSAFE) {
@@ -96,7 +97,7 @@
      * is merely slow may fail by it. Returns when to check again, in microseconds.
      */
     long cancelOverdue(int wanted) {
-        long nextCheckMicros = NEVER;
+        long nextCheckAtMicros = NEVER;
         int remaining = state.settings.limits().mayCancel() ? wanted : 0;
         for (Call call : state.calls) {
             remaining -= call.cancelRequested ? 1 : 0;
@@ -107,17 +108,17 @@
             }
             long overdueAtMicros = call.sentAtMicros + overdueAfterMicros(call);
             if (overdueAtMicros > state.nowMicros) {
-                nextCheckMicros = Math.min(nextCheckMicros, overdueAtMicros);
+                nextCheckAtMicros = Math.min(nextCheckAtMicros, overdueAtMicros);
             } else {
                 cancel(call);
                 remaining--;
             }
         }
-        return nextCheckMicros;
+        return nextCheckAtMicros;
     }
 
     private long overdueAfterMicros(Call call) {
-        double usualMicros = Math.max(state.overallMeanAnswerMicros, call.endpoint.limit.meanAnswerMicros);
+        double usualMicros = Math.max(state.overallMeanResponseMicros, call.endpoint.limit.meanResponseMicros);
         boolean hasUnsafe =
                 call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
--- a/src/main/java/lilaclever/ConnectionReuse.java
+++ b/src/main/java/lilaclever/ConnectionReuse.java
@@ -53,7 +53,7 @@
 
     /** The endpoint rejected a connect: connections to its kind are scarce from now on. */
     void onConnectRejected(Endpoint endpoint) {
-        scarceByKind[endpoint.kind] = true;
+        scarceByKind[endpoint.kindIndex] = true;
     }
 
     /**
@@ -68,7 +68,7 @@
     }
 
     private void closeUnused(Endpoint endpoint) {
-        if (state.largeFleet || scarceByKind[endpoint.kind] && endpoint.queue.waiting.isEmpty()) {
+        if (state.largeFleet || scarceByKind[endpoint.kindIndex] && endpoint.queue.waiting.isEmpty()) {
             state.actions.add(new Action.CloseIdle(endpoint.host));
             endpoint.idleSinceMicros.clear();
         }
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -117,18 +117,18 @@
     }
 
     /**
-     * Timing, value and repeat rules of a class of messages. The value of a message falls once it is older than the
-     * aim.
+     * Timing, worth and repeat rules of a class of messages. The worth of a message is what its delivery counts
+     * relative to others when not all can be sent; it falls once the message is older than the aim.
      *
-     * @param aimMicros age up to which a message keeps its full value
+     * @param aimMicros age up to which a message keeps its full worth
      * @param deadlineMicros age at which a message must have its final status
-     * @param worth value of a message up to that age, relative to other classes
+     * @param worth worth of a message up to that age
      * @param repeat whether a message may be sent again
      * @param group which endpoints remember a message's idempotency key
      * @param repeatWindowMicros how long endpoints remember a message's idempotency key, from its first attempt
      * @param ordered whether messages with the same key are sent one at a time, in the order accepted
-     * @param lateShare share of its value that a late message keeps at the least, 0 to 1
-     * @param halves whether the value halves with each further aim; else it falls evenly, to 0 at the deadline
+     * @param lateShare share of its worth that a late message keeps at the least, 0 to 1
+     * @param halves whether the worth halves with each further aim; else it falls evenly, to 0 at the deadline
      */
     record MessageClass(
             long aimMicros,
@@ -140,7 +140,7 @@
             boolean ordered,
             double lateShare,
             boolean halves) {
-        /** Creates a class whose value falls evenly after the aim, to nothing at the deadline. */
+        /** Creates a class whose worth falls evenly after the aim, to nothing at the deadline. */
         public MessageClass(
                 long aimMicros,
                 long deadlineMicros,
@@ -259,7 +259,7 @@
      * @param mustWatchList whether changes of the endpoint list are sent only after {@link Action.Watch}
      * @param weightMeaning meaning of the weights in the endpoint list
      * @param limitReports whether destinations report their limits with outcomes
-     * @param overQuotaWorthFactor factor on the value of messages beyond their tenant's quota
+     * @param overQuotaWorthFactor factor on the worth of messages beyond their tenant's quota
      * @param classes message classes, by number
      * @param kinds endpoint kinds, by number
      * @param tenants tenants, by number
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -53,9 +53,9 @@
     private final Map<String, Message> messages = new LinkedHashMap<>();
     /** Endpoints by host. */
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
-    /** Ordered keys with messages, or paused. */
+    /** Ordered keys that have messages or are paused, by key. */
     private final Map<String, OrderedKey> lines = new LinkedHashMap<>();
-    /** Scheduled checks by time; every open message has one, so that none is missed at its deadline. */
+    /** Scheduled checks of messages, by time; every open message has one, so that none is missed at its deadline. */
     private final PriorityQueue<ScheduledCheck> dues = new PriorityQueue<>(
             Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
 
@@ -100,10 +100,12 @@
         List<SendCandidate> candidates = dispatch.candidates();
         selection.undeliverable().forEach(this::giveUp);
         selection.clearUndeliverable();
-        long nextMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
+        long nextCheckAtMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
         requestTimer(
-                dues.isEmpty() ? nextMicros : Math.min(nextMicros, dues.peek().atMicros()));
+                dues.isEmpty()
+                        ? nextCheckAtMicros
+                        : Math.min(nextCheckAtMicros, dues.peek().atMicros()));
         return state.actions;
     }
 
@@ -127,10 +129,10 @@
 
     /** Requests a timer at the given time, but not within one round, unless one is due before. */
     private void requestTimer(long timeMicros) {
-        long nextMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
-        if (nextMicros < NEVER && (nextMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
-            state.actions.add(new Action.Wake(nextMicros - state.nowMicros, 0));
-            wakeAtMicros = nextMicros;
+        long timerAtMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
+        if (timerAtMicros < NEVER && (timerAtMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
+            state.actions.add(new Action.Wake(timerAtMicros - state.nowMicros, 0));
+            wakeAtMicros = timerAtMicros;
         }
     }
 
@@ -154,11 +156,11 @@
                 return;
             }
         }
-        scheduleCheck(message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
+        scheduleCheck(message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS, message);
         if (admission.isNearlyFull()) {
-            Message leastValuable = admission.leastValuable();
-            if (leastValuable != null) {
-                giveUp(leastValuable);
+            Message leastWorthMessage = admission.leastWorthMessage();
+            if (leastWorthMessage != null) {
+                giveUp(leastWorthMessage);
             }
         }
     }
@@ -167,7 +169,7 @@
         MessageClass messageClass = state.settings.classes().get(event.messageClass());
         Message message = new Message(event.id(), messageClass);
         message.acceptedAtMicros = state.nowMicros - Math.max(0, messageClass.deadlineMicros() - event.budgetMicros());
-        message.deadlineMicros = state.nowMicros + event.budgetMicros();
+        message.deadlineAtMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
         message.worth = messageClass.worth()
                 * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
@@ -200,19 +202,19 @@
 
     private void check(Message message) {
         // A call's outcome should be reported by the deadline; if it isn't, give the message up within the slack.
-        long latestAnswerMicros =
-                message.deadlineMicros + state.settings.rules().answerSlackMicros() / 2;
+        long latestAnswerAtMicros =
+                message.deadlineAtMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
-            if (message.deadlineMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS
+            if (message.deadlineAtMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS
                     || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
                 giveUp(message);
             }
-        } else if (state.nowMicros >= latestAnswerMicros) {
+        } else if (state.nowMicros >= latestAnswerAtMicros) {
             giveUp(message);
         } else {
-            scheduleCheck(latestAnswerMicros, message);
+            scheduleCheck(latestAnswerAtMicros, message);
         }
     }
 
--- a/src/main/java/lilaclever/EndpointAvailability.java
+++ b/src/main/java/lilaclever/EndpointAvailability.java
@@ -91,17 +91,18 @@
      * is stalled.
      */
     private boolean isStalled(Endpoint endpoint) {
-        double slowMicros = timeouts.slowAnswerMicros();
+        double slowMicros = timeouts.slowResponseMicros();
         for (Call call : endpoint.calls) {
             // A call that hangs while later ones are delivered says nothing of the endpoint.
-            boolean sentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
-            if (state.overallMeanAnswerMicros > 0
-                    && sentSinceLastDelivered
+            boolean isSentSinceLastDelivered = call.sentAtMicros > endpoint.lastDeliveredSentAtMicros;
+            if (state.overallMeanResponseMicros > 0
+                    && isSentSinceLastDelivered
                     && state.nowMicros - call.sentAtMicros > slowMicros) {
                 return true;
             }
         }
-        boolean slowAnswers = state.overallMeanAnswerMicros > 0 && endpoint.limit.meanAnswerMicros > slowMicros;
-        return endpoint.inOutage || endpoint.timingOut || slowAnswers;
+        boolean hasSlowResponses =
+                state.overallMeanResponseMicros > 0 && endpoint.limit.meanResponseMicros > slowMicros;
+        return endpoint.inOutage || endpoint.timingOut || hasSlowResponses;
     }
 }
--- a/src/main/java/lilaclever/EndpointSelection.java
+++ b/src/main/java/lilaclever/EndpointSelection.java
@@ -13,18 +13,18 @@
 import lilaclever.PolicyState.SendCandidate;
 
 /**
- * Which message of a destination is sent next, and to which of its endpoints: the message of the highest value for the
+ * Which message of a destination is sent next, and to which of its endpoints: the message that is worth most for the
  * time that it uses a slot, to the endpoint with the fewest calls, preferably in the own zone and with an idle
  * connection.
  */
 final class EndpointSelection {
     /** Most messages considered for one send: bounds the work for a long queue. */
     private static final int MAX_MESSAGES_CONSIDERED = 500;
-    /** Share by which the value of a message at its aim exceeds that of a new one. */
+    /** Share by which the worth of a message at its aim exceeds that of a new one. */
     private static final double BONUS_AT_AIM = 0.5;
-    /** Factor on the value of a keyed message with an uncertain attempt, since its repeat window is passing. */
+    /** Factor on the worth of a keyed message with an uncertain attempt, since its repeat window is passing. */
     private static final double REPEAT_WORTH_FACTOR = 4;
-    /** Factors on the value of messages that a failed call may lose, at endpoints that fail or time out. */
+    /** Factors on the worth of messages that a failed call may lose, at endpoints that fail or time out. */
     private static final double UNSAFE_WORTH_FACTOR = 0.01, KEYED_WORTH_FACTOR = 0.5;
     /** Shortest time that a call is assumed to use a slot. */
     private static final long MIN_SLOT_MICROS = 1_000;
@@ -92,7 +92,7 @@
      */
     private void collectUndeliverable(DestinationQueue queue, long soonestMicros) {
         for (Message message : queue.waiting) {
-            if (soonestMicros > message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS
+            if (soonestMicros > message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS
                     || soonestMicros >= retries.repeatWindowEndMicros(message)) {
                 undeliverable.add(message);
             }
@@ -163,7 +163,7 @@
                 + (message.lastEndpoint == endpoint ? SAME_ENDPOINT_COST : 0);
     }
 
-    /** Value of sending a message to an endpoint now, per microsecond that the call is expected to use a slot. */
+    /** Worth of sending a message to an endpoint now, per microsecond that the call is expected to use a slot. */
     double rank(Message message, Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
         RepeatSafety repeat = message.messageClass.repeat();
@@ -178,11 +178,11 @@
         return worth
                 / Math.max(
                         MIN_SLOT_MICROS,
-                        limit.meanAnswerMicros > 0 ? limit.meanAnswerMicros : state.overallMeanAnswerMicros);
+                        limit.meanResponseMicros > 0 ? limit.meanResponseMicros : state.overallMeanResponseMicros);
     }
 
     /**
-     * Value of a message if it is sent now, with a bonus that grows until its aim. Where more messages wait than can be
+     * Worth of a message if it is sent now, with a bonus that grows until its aim. Where more messages wait than can be
      * sent, those already late must not make all new ones late too.
      */
     private double currentWorth(Message message) {
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -134,8 +134,7 @@
 
     private void onTimeout(DestinationLimit limit, Endpoint endpoint) {
         if (endpoint.consecutiveFailures > 1) {
-            // All calls are slow: wait longer. If only some hang while others are answered, they must not use slots
-            // longer.
+            // All calls time out, so wait longer. Where only some hang, slots must not be used longer for them.
             timeouts.lengthen(limit);
         }
         endpoint.timingOut |= endpoint.consecutiveFailures > 1 || !transientFailures.callsOftenLost();
@@ -149,8 +148,7 @@
 
     private void noteFailedConnect(Endpoint endpoint, AttemptResult result) {
         // An endpoint that accepted a call just now and rejects the next connect is full, not down: a busy one must
-        // still get calls. In an outage this exemption ends with the fourth consecutive failure, or after three
-        // seconds.
+        // still get calls. In an outage this ends with the fourth consecutive failure, or after three seconds.
         boolean isBusy = transientFailures.isRecent(endpoint.lastDeliveredSentAtMicros)
                 && endpoint.consecutiveFailures < OUTAGE_FAILURES;
         endpoint.connectsFailing |= state.largeFleet && result == AttemptResult.NO_CONNECTION && !isBusy;
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -51,7 +51,7 @@
     /** Number of messages without a final status. */
     int openMessages;
     /** Mean response time of delivered calls over all destinations; 0 before the first. */
-    double overallMeanAnswerMicros;
+    double overallMeanResponseMicros;
 
     PolicyState(Settings settings, long seed) {
         this.settings = settings;
@@ -127,7 +127,7 @@
 
         String key;
         double worth;
-        long acceptedAtMicros, deadlineMicros;
+        long acceptedAtMicros, deadlineAtMicros;
         /** End of the delay before its next attempt. */
         long notBeforeMicros;
 
@@ -160,7 +160,7 @@
         final String host;
         final DestinationQueue queue;
         final DestinationLimit limit;
-        final int zone, kind, maxBatchSize;
+        final int zone, kindIndex, maxBatchSize;
         /** Since when each idle connection to it has been idle, the oldest first. */
         final ArrayDeque<Long> idleSinceMicros = new ArrayDeque<>();
 
@@ -193,12 +193,18 @@
         /** Start of the last slow start; 0 if there was none. */
         long slowStartAtMicros;
 
-        Endpoint(String host, DestinationQueue queue, DestinationLimit limit, int zone, int kind, int maxBatchSize) {
+        Endpoint(
+                String host,
+                DestinationQueue queue,
+                DestinationLimit limit,
+                int zone,
+                int kindIndex,
+                int maxBatchSize) {
             this.host = host;
             this.queue = queue;
             this.limit = limit;
             this.zone = zone;
-            this.kind = kind;
+            this.kindIndex = kindIndex;
             this.maxBatchSize = maxBatchSize;
         }
     }
@@ -239,7 +245,7 @@
 
         long ratesUpdatedAtMicros;
         /** Mean response time of delivered calls; 0 before the first. */
-        double meanAnswerMicros;
+        double meanResponseMicros;
         /** Factor on the time-out of calls, at least 1. */
         double timeoutFactor = 1;
 
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -57,7 +57,7 @@
     /** Whether another attempt is allowed after the delay, in time for the deadline and the repeat window. */
     boolean canRetry(Message message) {
         return !isExhausted(message)
-                && message.notBeforeMicros <= message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS
+                && message.notBeforeMicros <= message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS
                 && message.notBeforeMicros < repeatWindowEndMicros(message);
     }
 }
--- a/src/main/java/lilaclever/SendRules.java
+++ b/src/main/java/lilaclever/SendRules.java
@@ -47,7 +47,7 @@
                 && message.inFlightEndpoint == null
                 && message.attempts < state.settings.limits().maxAttempts()
                 && state.nowMicros >= message.notBeforeMicros
-                && message.deadlineMicros - state.nowMicros >= CallTimeouts.MIN_TIMEOUT_MICROS;
+                && message.deadlineAtMicros - state.nowMicros >= CallTimeouts.MIN_TIMEOUT_MICROS;
     }
 
     /** A call cut off by shutdown may have taken effect, so one that may not end in time isn't started. */
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -47,7 +47,7 @@
 
     /** Counts a failure of the endpoint's current series; {@code connectRejected}: a connect that the host rejected. */
     void onFailure(Endpoint endpoint, boolean connectRejected) {
-        endpoint.lastFailureCategory = connectRejected ? endpoint.kind : shares.length - 1;
+        endpoint.lastFailureCategory = connectRejected ? endpoint.kindIndex : shares.length - 1;
         shares[endpoint.lastFailureCategory] *= isBrief(endpoint) ? 1 : 1 - SERIES_WEIGHT;
     }
 
@@ -56,12 +56,12 @@
      * rejected connect isn't an outage and is just retried, so a real outage of such a kind is detected seconds late.
      */
     boolean connectsOftenRejected(Endpoint endpoint) {
-        return shares[endpoint.kind] > OFTEN_SHARE;
+        return shares[endpoint.kindIndex] > OFTEN_SHARE;
     }
 
     /** Whether rejected connects to endpoints of this kind were transient more often than initially assumed. */
     boolean connectsRejectedMoreThanAssumed(Endpoint endpoint) {
-        return shares[endpoint.kind] > INITIAL_SHARE;
+        return shares[endpoint.kindIndex] > INITIAL_SHARE;
     }
 
     /** Whether failures are often transient at all destinations, so that a single one doesn't indicate an outage. */
--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -48,14 +48,14 @@
 
     @Test
     void theLeastWorthIsRefusedAndOfEqualOnesTheLatest() {
-        assertNull(admission.leastValuable());
+        assertNull(admission.leastWorthMessage());
         fixture.message(SAFE);
         Message latest = fixture.message(SAFE);
-        assertEquals(latest, admission.leastValuable());
+        assertEquals(latest, admission.leastWorthMessage());
         Message low = fixture.message(SAFE);
         low.worth = 0.1;
         fixture.message(SAFE);
-        assertEquals(low, admission.leastValuable());
+        assertEquals(low, admission.leastWorthMessage());
     }
 
     @Test
@@ -64,11 +64,11 @@
         fixture.message(SAFE).mayHaveRun = true;
         Message resumed = fixture.message(SAFE);
         resumed.resumed = true;
-        assertEquals(fresh, admission.leastValuable());
+        assertEquals(fresh, admission.leastWorthMessage());
         fixture.state.dequeue(fresh);
-        assertTrue(admission.leastValuable().mayHaveRun, "a factor, not a rule");
-        fixture.state.dequeue(admission.leastValuable());
-        assertNull(admission.leastValuable());
+        assertTrue(admission.leastWorthMessage().mayHaveRun, "a factor, not a rule");
+        fixture.state.dequeue(admission.leastWorthMessage());
+        assertNull(admission.leastWorthMessage());
     }
 
     @Test
@@ -81,13 +81,13 @@
         alone.queue = other;
         fixture.state.enqueue(alone);
         fixture.message(SAFE);
-        assertTrue(admission.leastValuable().queue == crowded.queue);
+        assertTrue(admission.leastWorthMessage().queue == crowded.queue);
         Endpoint endpoint = fixture.endpoint();
         for (int i = 0; i < 100; i++) {
             fixture.later(100 * MS);
             parts.rates.onDelivered(fixture.limit, endpoint);
         }
-        assertEquals(alone, admission.leastValuable(), "the other destination soon takes its two messages");
+        assertEquals(alone, admission.leastWorthMessage(), "the other destination soon takes its two messages");
     }
 
     @Test
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -76,7 +76,7 @@
         fixture.endpoint();
         Message message = fixture.message(SAFE);
         Message shortOfTime = fixture.message(SAFE);
-        shortOfTime.deadlineMicros = fixture.state.nowMicros + S;
+        shortOfTime.deadlineAtMicros = fixture.state.nowMicros + S;
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
         repeated.uncertainSentAtMicros = fixture.state.nowMicros - 4 * S;
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -36,13 +36,13 @@
         timeouts.onDelivered(fixture.limit, 100 * MS);
         assertEquals(S, timeout(SAFE));
         timeouts.onDelivered(fixture.limit, 10_100 * MS);
-        assertEquals(1_100 * MS, (long) fixture.limit.meanAnswerMicros, "a tenth of the new answer");
+        assertEquals(1_100 * MS, (long) fixture.limit.meanResponseMicros, "a tenth of the new answer");
         assertEquals(6_600 * MS, timeout(SAFE));
     }
 
     @Test
     void aKeyedMessagesFirstAttemptLeavesHalfItsWindow() {
-        fixture.limit.meanAnswerMicros = 2 * S;
+        fixture.limit.meanResponseMicros = 2 * S;
         assertEquals(2_500 * MS, timeout(KEYED));
         Message repeated = fixture.message(KEYED);
         repeated.mayHaveRun = true;
@@ -66,8 +66,8 @@
     void oneSlowDestinationHardlyMovesTheUsualAnswerTime() {
         timeouts.onDelivered(fixture.limit, 100 * MS);
         timeouts.onDelivered(fixture.limit, 10 * S);
-        assertEquals(107_500, fixture.state.overallMeanAnswerMicros, 1, "a fortieth of three times 100 ms");
-        assertEquals(430_000, timeouts.slowAnswerMicros(), 4);
+        assertEquals(107_500, fixture.state.overallMeanResponseMicros, 1, "a fortieth of three times 100 ms");
+        assertEquals(430_000, timeouts.slowResponseMicros(), 4);
     }
 
     @Test
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -127,8 +127,8 @@
     @Test
     void slowAnswersStallToo() {
         fixture.call(fixture.message(SAFE), endpoint);
-        fixture.state.overallMeanAnswerMicros = 100 * MS;
-        fixture.limit.meanAnswerMicros = 401 * MS;
+        fixture.state.overallMeanResponseMicros = 100 * MS;
+        fixture.limit.meanResponseMicros = 401 * MS;
         assertTrue(isNeverReady(endpoint));
     }
 }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -113,7 +113,7 @@
     @Test
     void aKindThatTheSettingsDoNotNameIsAPlainOne() {
         list(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
-        assertEquals(0, endpoints.get("a").kind);
+        assertEquals(0, endpoints.get("a").kindIndex);
         assertEquals(1, endpoints.get("b").maxBatchSize);
         assertEquals(5, endpoints.get("c").maxBatchSize);
     }
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -34,7 +34,7 @@
     private Message aged(int messageClass, long micros) {
         Message message = fixture.message(messageClass);
         message.acceptedAtMicros -= micros;
-        message.deadlineMicros -= micros;
+        message.deadlineAtMicros -= micros;
         return message;
     }
 
@@ -90,9 +90,9 @@
     @Test
     void whatIsSoonerDoneRanksHigher() {
         Message message = fixture.message(SAFE);
-        fixture.limit.meanAnswerMicros = 100 * MS;
+        fixture.limit.meanResponseMicros = 100 * MS;
         double prompt = selection.rank(message, endpoint);
-        fixture.limit.meanAnswerMicros = 200 * MS;
+        fixture.limit.meanResponseMicros = 200 * MS;
         assertEquals(prompt / 2, selection.rank(message, endpoint), prompt / 1_000);
     }
 
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -55,7 +55,7 @@
         message.queue = queue;
         message.worth = kind.worth();
         message.acceptedAtMicros = state.nowMicros;
-        message.deadlineMicros = state.nowMicros + kind.deadlineMicros();
+        message.deadlineAtMicros = state.nowMicros + kind.deadlineMicros();
         state.enqueue(message);
         return message;
     }
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -56,7 +56,7 @@
     @Test
     void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
         Message message = fixture.message(SAFE);
-        message.notBeforeMicros = message.deadlineMicros - CallTimeouts.MIN_TIMEOUT_MICROS;
+        message.notBeforeMicros = message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS;
         assertTrue(retries.canRetry(message));
         message.notBeforeMicros++;
         assertFalse(retries.canRetry(message));
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -49,7 +49,7 @@
     @Test
     void notWithLessTimeThanTheShortestCall() {
         Message message = fixture.message(SAFE);
-        message.deadlineMicros = fixture.state.nowMicros + 60 * MS;
+        message.deadlineAtMicros = fixture.state.nowMicros + 60 * MS;
         assertTrue(rules.permit(message, endpoint));
         fixture.later(1);
         assertFalse(rules.permit(message, endpoint));
