--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -64,7 +64,7 @@
         endpoint.failingSinceMicros = 0;
         endpoint.failureShare *= 1 - OUTCOME_WEIGHT;
         if (hasRecovered) {
-            // It recovered from an outage or a long series of failed connects, and hasn't its full capacity yet.
+            // It recovered from an outage or a long series of failed connects, and doesn't have its full capacity yet.
             endpoint.inOutage = false;
             slowStart.begin(endpoint);
             endpoint.failureShare = Math.min(endpoint.failureShare, UNHEALTHY_FAILURE_SHARE);
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -42,7 +42,7 @@
     Settings settings;
     /** Time of the current round. */
     long nowMicros;
-    /** When every call must have ended, since the program is stopping. */
+    /** When every call must have ended because the program is stopping; {@link #NEVER} until it stops. */
     long stopAtMicros = NEVER;
     /** Actions of the current round; a new list for each round. */
     List<Action> actions = new ArrayList<>();
