--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -9,36 +9,36 @@
 import lilaclever.PolicyState.Message;
 
 /**
- * How long a call may take, from the usual answer time of its limit and the aim of its message; and which calls are
- * given up earlier because all slots are taken.
+ * Time-outs of calls, from the mean response time at their limit and the aim of their message; and which calls are
+ * given up earlier because all slots are in use.
  */
 final class CallTimeouts {
-    /** Shortest time-out, microseconds; a message with less time left than this is given up, as no call ends sooner. */
+    /** Shortest time-out; a message with less time left is given up, as no call would end in time. */
     static final long MIN_TIMEOUT_MICROS = 60_000;
 
-    /** Weight of one answer in the mean answer time of a limit. */
+    /** Weight of one call in the mean response time of a limit. */
     private static final double RESPONSE_WEIGHT = 0.1;
-    /** Weight of one answer in the mean over all destinations. */
+    /** Weight of one call in the mean response time over all destinations. */
     private static final double OVERALL_RESPONSE_WEIGHT = RESPONSE_WEIGHT / 4;
-    /** Endpoints so many times slower than the forwarder's usual answer are slow. */
+    /** A response time is slow from this multiple of the mean over all destinations. */
     private static final double SLOW_MULTIPLE = 4;
-    /** An answer within so many times the usual ends a longer time-out; a slower one shortens it by a part. */
+    /** A call within this multiple of the mean resets the time-out factor; a slower one multiplies it by the second. */
     private static final double PROMPT_MULTIPLE = 2, SHORTENING_FACTOR = 0.7;
-    /** The time-out of a call, as a multiple of the usual answer time of its limit ... */
+    /** Time-out of a call, as a multiple of the mean response time at its limit. */
     private static final double TIMEOUT_MULTIPLE = 6;
-    /** ... and at the least this part of the aim. */
+    /** Shortest time-out, as a share of the aim. */
     private static final double MIN_SHARE_OF_AIM = 0.5;
-    /** Each time-out in a row doubles the next, up to so many times. */
+    /** Consecutive time-outs double the next one, up to this factor. */
     private static final double MAX_TIMEOUT_FACTOR = 4;
-    /** An unsafe message is lost by a time-out, so it may take so many times as long. */
+    /** Factor on the time-out of unsafe messages, as a time-out makes them fail. */
     private static final double UNSAFE_FACTOR = 2;
-    /** Part of that for a call that takes the last slot, where calls are lost everywhere. */
+    /** Factor on the time-out of a call in the last slot, where calls are often lost at all destinations. */
     private static final double LAST_SLOT_FACTOR = 0.6;
-    /** Part of its window that a keyed message's first attempt may take, so that a repeat fits in. */
+    /** Share of the repeat window that a keyed message's first attempt may take, so that a repeat fits in. */
     private static final double MAX_SHARE_OF_WINDOW = 0.5;
-    /** With all slots taken, a call is given up after so many times the usual answer time ... */
+    /** With all slots in use, a call is given up after this multiple of the mean response time ... */
     private static final double OVERDUE_MULTIPLE = 8, UNSAFE_OVERDUE_MULTIPLE = 24;
-    /** ... and not before so long, microseconds. */
+    /** ... but not before this time. */
     private static final long MIN_OVERDUE_MICROS = 400_000, UNSAFE_MIN_OVERDUE_MICROS = 1_000_000;
 
     private final PolicyState state;
@@ -49,28 +49,30 @@
         this.transientFailures = transientFailures;
     }
 
-    /** Learns the time of a delivered call, microseconds. */
+    /** Updates the means and the time-out factor with the response time of a delivered call. */
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
-        limit.meanResponseMicros =
-                limit.meanResponseMicros == 0 ? elapsedMicros : limit.meanResponseMicros + RESPONSE_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
+        limit.meanResponseMicros = limit.meanResponseMicros == 0
+                ? elapsedMicros
+                : limit.meanResponseMicros + RESPONSE_WEIGHT * (elapsedMicros - limit.meanResponseMicros);
         double meanMicros = state.overallMeanResponseMicros;
         double boundedMicros = meanMicros == 0 ? elapsedMicros : Math.min(elapsedMicros, slowResponseMicros());
-        state.overallMeanResponseMicros += (meanMicros == 0 ? 1 : OVERALL_RESPONSE_WEIGHT) * (boundedMicros - meanMicros);
+        state.overallMeanResponseMicros +=
+                (meanMicros == 0 ? 1 : OVERALL_RESPONSE_WEIGHT) * (boundedMicros - meanMicros);
         boolean isPrompt = elapsedMicros < PROMPT_MULTIPLE * limit.meanResponseMicros;
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
     }
 
-    /** Doubles the time-out of a limit's calls: all are slow. */
+    /** Doubles the time-out of a limit's calls, up to a maximum. */
     void lengthen(DestinationLimit limit) {
         limit.timeoutFactor = Math.min(MAX_TIMEOUT_FACTOR, limit.timeoutFactor * 2);
     }
 
-    /** A call or a mean answer above this time is slow beside the usual, microseconds; 0 while none is known. */
+    /** Response time above which a call or a mean is slow, microseconds; 0 before the first delivery. */
     double slowResponseMicros() {
         return SLOW_MULTIPLE * state.overallMeanResponseMicros;
     }
 
-    /** How long a call of the message may take if it is sent now, microseconds. */
+    /** Time-out of a call with the message if it is sent now, microseconds. */
     long timeoutMicros(Message message, DestinationLimit limit) {
         long aimMicros = message.messageClass.aimMicros();
         double usualMicros = limit.meanResponseMicros > 0 ? TIMEOUT_MULTIPLE * limit.meanResponseMicros : aimMicros;
@@ -79,7 +81,7 @@
         if (repeat == RepeatSafety.UNSAFE) {
             return (long) Math.max(timeMicros * UNSAFE_FACTOR, MIN_TIMEOUT_MICROS);
         }
-        // Where calls are lost everywhere, the last slot is worth more than a call that is likely lost.
+        // Where calls are often lost at all destinations, a free last slot is worth more than a call likely to be lost.
         boolean isLastSlot = state.slotsInUse + 1 >= state.settings.limits().slots();
         timeMicros *= transientFailures.callsOftenLost() && isLastSlot ? LAST_SLOT_FACTOR : 1;
         if (repeat == RepeatSafety.KEYED && !message.mayHaveRun) {
@@ -89,10 +91,10 @@
     }
 
     /**
-     * All slots are taken, and so many messages could go: calls in flight for far longer than usual are given up, at
-     * most as many as could be used. Guards against endpoints that hang at several destinations at once: each would
-     * occupy a slot for a whole time-out, a hundred times what another message needs. May lose an unsafe message that
-     * is only slow. Gives the time at which to look again, microseconds.
+     * Gives up calls in flight for far longer than usual, because all slots are in use; at most as many as messages
+     * that could be sent instead, {@code wanted}. Otherwise endpoints that hang at several destinations at once would
+     * each occupy a slot for a whole time-out, a hundred times what another message needs. An unsafe message whose call
+     * is merely slow may fail by it. Returns when to check again, in microseconds.
      */
     long cancelOverdue(int wanted) {
         long nextCheckAtMicros = NEVER;
@@ -117,7 +119,8 @@
 
     private long overdueAfterMicros(Call call) {
         double usualMicros = Math.max(state.overallMeanResponseMicros, call.endpoint.limit.meanResponseMicros);
-        boolean hasUnsafe = call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
+        boolean hasUnsafe =
+                call.messages.stream().anyMatch(message -> message.messageClass.repeat() == RepeatSafety.UNSAFE);
         return (long)
                 (hasUnsafe
                         ? Math.max(UNSAFE_MIN_OVERDUE_MICROS, UNSAFE_OVERDUE_MULTIPLE * usualMicros)
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -14,26 +14,27 @@
 import lilaclever.PolicyState.Endpoint;
 import lilaclever.PolicyState.Message;
 import lilaclever.PolicyState.OrderedKey;
-import lilaclever.PolicyState.SendCandidate;
 import lilaclever.PolicyState.ScheduledCheck;
+import lilaclever.PolicyState.SendCandidate;
 
 /**
- * The entry to all decisions: reads the events of a round, follows each message from its submission to its final
- * answer, and gives the round's actions. What is decided on the way stands in a class for each job:
+ * The implementation of the decision module: handles the events of a round, follows each message from its submission to
+ * its final status and returns the actions of the round. The individual decisions are made by these classes:
  *
  * <ul>
  *   <li>{@link EndpointDirectory}: which endpoints there are;
- *   <li>{@link Admission}: quotas, and which message is refused under load;
- *   <li>{@link EndpointSelection}, {@link CallDispatch}: which message goes next, and where;
- *   <li>{@link SendRules}, {@link KeyOrder}: what every send must pass;
- *   <li>{@link RetrySchedule}: when a message is tried again;
- *   <li>{@link EndpointAvailability}: when an endpoint takes a call, from {@link DestinationLimits} (rate limits and
- *       told waits), {@link OutageDetection}, {@link TransientFailures}, {@link RecoveryPace} and {@link SlowStart};
- *   <li>{@link CallTimeouts}, {@link ConnectionReuse}, {@link RateEstimates}: times, connections and rates.
+ *   <li>{@link Admission}: tenant quotas, and which message is refused under load;
+ *   <li>{@link EndpointSelection}, {@link CallDispatch}: which message is sent next, and to which endpoint;
+ *   <li>{@link SendRules}, {@link KeyOrder}: conditions that every send must satisfy;
+ *   <li>{@link RetrySchedule}: when a message is retried;
+ *   <li>{@link EndpointAvailability}: when an endpoint may get a call, from {@link DestinationLimits} (rate limits and
+ *       retry-after periods), {@link OutageDetection}, {@link TransientFailures}, {@link RecoveryPace} and
+ *       {@link SlowStart};
+ *   <li>{@link CallTimeouts}, {@link ConnectionReuse}, {@link RateEstimates}: time-outs, connections and rates.
  * </ul>
  *
- * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send passes
- * {@link SendRules#permit}, every message that is given up ends in {@link #giveUp}.
+ * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send is checked by
+ * {@link SendRules#permit}; every message that is given up goes through {@link #giveUp}.
  */
 final class DeliveryPolicy implements DecisionModule {
     private final PolicyState state;
@@ -48,18 +49,21 @@
     private final CallDispatch dispatch;
     private final Admission admission;
     private final EndpointDirectory directory;
+    /** Messages without a final status or with a call in flight, by id. */
     private final Map<String, Message> messages = new LinkedHashMap<>();
+    /** Endpoints by host. */
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
+    /** Ordered keys that have messages or are paused, by key. */
     private final Map<String, OrderedKey> lines = new LinkedHashMap<>();
-    /** Messages to look at again, by time; each open message has an entry, so none is forgotten. */
-    private final PriorityQueue<ScheduledCheck> dues =
-            new PriorityQueue<>(Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
+    /** Scheduled checks of messages, by time; every open message has one, so that none is missed at its deadline. */
+    private final PriorityQueue<ScheduledCheck> dues = new PriorityQueue<>(
+            Comparator.comparingLong(ScheduledCheck::atMicros).thenComparingLong(ScheduledCheck::sequence));
 
     private long checksAdded;
-    /** When the host program gives the next timer, microseconds. */
+    /** When the next timer event is due. */
     private long wakeAtMicros = NEVER;
 
-    /** Makes a module that knows no endpoint yet; {@code seed} starts its random numbers. */
+    /** Creates a module that knows no endpoints; {@code seed} is that of its random numbers. */
     DeliveryPolicy(Settings settings, long seed) {
         state = new PolicyState(settings, seed);
         SlowStart slowStart = new SlowStart(state);
@@ -98,7 +102,10 @@
         selection.clearUndeliverable();
         long nextCheckAtMicros = Math.min(dispatch.send(candidates), directory.watchAtMicros());
         connections.closeUnused();
-        requestTimer(dues.isEmpty() ? nextCheckAtMicros : Math.min(nextCheckAtMicros, dues.peek().atMicros()));
+        requestTimer(
+                dues.isEmpty()
+                        ? nextCheckAtMicros
+                        : Math.min(nextCheckAtMicros, dues.peek().atMicros()));
         return state.actions;
     }
 
@@ -120,7 +127,7 @@
         }
     }
 
-    /** Asks for a timer at that time, a round from now at the earliest, unless one comes by then. */
+    /** Requests a timer at the given time, but not within one round, unless one is due before. */
     private void requestTimer(long timeMicros) {
         long timerAtMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
         if (timerAtMicros < NEVER && (timerAtMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
@@ -164,14 +171,15 @@
         message.acceptedAtMicros = state.nowMicros - Math.max(0, messageClass.deadlineMicros() - event.budgetMicros());
         message.deadlineAtMicros = state.nowMicros + event.budgetMicros();
         message.queue = state.queues.computeIfAbsent(event.destination(), d -> new DestinationQueue());
-        message.worth = messageClass.worth() * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
+        message.worth = messageClass.worth()
+                * (admission.isOverQuota(event.tenant()) ? state.settings.overQuotaWorthFactor() : 1);
         if (messageClass.ordered() && event.key() != null) {
             keyOrder.add(message, event.key());
         }
         return message;
     }
 
-    /** Takes over what an earlier process did with a message, and ends it if no attempt may follow. */
+    /** Restores the attempts made before a restart, and gives the message up if no further attempt is allowed. */
     private void resume(Message message, PriorAttempts prior) {
         message.attempts = prior.attempts();
         message.mayHaveRun = prior.mayHaveRun();
@@ -185,7 +193,7 @@
         }
     }
 
-    /** Ends messages whose deadline or window is over. */
+    /** Gives up messages whose deadline or repeat window has passed. */
     private void giveUpOverdue() {
         while (!dues.isEmpty() && dues.peek().atMicros() <= state.nowMicros) {
             check(dues.poll().message());
@@ -193,12 +201,14 @@
     }
 
     private void check(Message message) {
-        // The outcome of a call comes at the deadline at the latest; if it doesn't, answer within the slack.
-        long latestAnswerAtMicros = message.deadlineAtMicros + state.settings.rules().answerSlackMicros() / 2;
+        // A call's outcome should be reported by the deadline; if it isn't, give the message up within the slack.
+        long latestAnswerAtMicros =
+                message.deadlineAtMicros + state.settings.rules().answerSlackMicros() / 2;
         if (message.finished) {
             keyOrder.removeIfUnused(message);
         } else if (message.inFlightEndpoint == null) {
-            if (message.deadlineAtMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
+            if (message.deadlineAtMicros - state.nowMicros <= CallTimeouts.MIN_TIMEOUT_MICROS
+                    || state.nowMicros >= retries.repeatWindowEndMicros(message)) {
                 giveUp(message);
             }
         } else if (state.nowMicros >= latestAnswerAtMicros) {
@@ -227,18 +237,18 @@
         if (message.finished || event.finished() || event.result() == AttemptResult.DELIVERED) {
             finish(message);
         } else if (event.result() == AttemptResult.REJECTED) {
-            // The design: a permanent failure ends a row at once.
+            // A permanent failure ends a series of attempts at once.
             state.actions.add(new Action.Fail(message.id));
             finish(message);
         } else if (event.result() == AttemptResult.WITHHELD && !endpoint.active) {
-            // Its endpoint is leaving and got nothing: another may have it now.
+            // The endpoint is draining and received nothing: another one may get the message without delay.
             state.enqueue(message);
         } else {
             retry(message);
         }
     }
 
-    /** Takes the message out of its call, and learns what the outcome tells of the endpoint. */
+    /** Removes the message from its call, and updates the state of the endpoint and its limit. */
     private void endAttempt(Message message, Event.Outcome event) {
         Endpoint endpoint = message.inFlightEndpoint;
         Call call = message.call;
@@ -263,7 +273,7 @@
         }
     }
 
-    /** What a call tells of its limit and endpoint, by the first outcome of its messages. */
+    /** Updates the state of a limit and endpoint from the first outcome of a call. */
     private void updateState(Endpoint endpoint, Event.Outcome event) {
         DestinationLimit limit = endpoint.limit;
         switch (event.result()) {
@@ -280,7 +290,7 @@
         }
     }
 
-    /** Remembers the first attempt that may have taken effect without being known to. */
+    /** Records the message's first uncertain attempt. */
     private static void noteUncertainAttempt(Message message, Endpoint endpoint, AttemptResult result) {
         boolean mayHaveRun = !result.neverRan() && result != AttemptResult.DELIVERED;
         if (mayHaveRun && !message.mayHaveRun) {
@@ -290,12 +300,12 @@
         }
     }
 
-    /** Whether an attempt with this ending may still be running at its endpoint. */
+    /** Whether an attempt with this result may still be running at its endpoint. */
     private static boolean mayStillBeRunning(AttemptResult result) {
         return result == AttemptResult.TIMED_OUT || result == AttemptResult.RESET || result == AttemptResult.CANCELED;
     }
 
-    /** The next try after a pause; or the end, at once, if none can come. */
+    /** Schedules the next attempt after a delay, or gives the message up at once if none is possible. */
     private void retry(Message message) {
         retries.scheduleRetry(message);
         if (retries.hasRepeatWindow(message)) {
@@ -308,7 +318,7 @@
         }
     }
 
-    /** The one place that gives a message up: refused where that is harmless, else failed. */
+    /** The only place where a message is given up: refuses it if that is safe, else fails it. */
     private void giveUp(Message message) {
         if (isSafeToRefuse(message)) {
             state.actions.add(new Action.Refuse(message.id, admission.retryAfterMicros(message.queue)));
@@ -318,7 +328,7 @@
         finish(message);
     }
 
-    /** Whether the client may come again with the message: no attempt may have run, or a repeat does no harm. */
+    /** Whether the client may submit the message again: no attempt may have taken effect, or a repeat is harmless. */
     private static boolean isSafeToRefuse(Message message) {
         boolean mayHaveEffect = message.mayHaveRun || message.inFlightEndpoint != null;
         RepeatSafety repeat = message.messageClass.repeat();
@@ -326,7 +336,7 @@
         return !mayHaveEffect || repeat == RepeatSafety.SAFE || isKeyedEverywhere;
     }
 
-    /** Marks a message as answered, and forgets it as soon as no attempt is in flight. */
+    /** Marks a message as finished, and removes it once no attempt is in flight. */
     private void finish(Message message) {
         if (!message.finished) {
             message.finished = true;
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -1,20 +1,20 @@
 package lilaclever;
 
-import static lilaclever.PolicyState.NEVER;
 import static lilaclever.PolicyState.MICROS_PER_SECOND;
+import static lilaclever.PolicyState.NEVER;
 
 import lilaclever.DecisionModule.Rules;
 import lilaclever.PolicyState.DestinationLimit;
 import lilaclever.PolicyState.Endpoint;
 
 /**
- * The pace of trial calls in an outage and of calls in slow start, so that the whole fleet stays within the budget that
- * the settings' rules give a destination that comes back cold.
+ * Rate of trial calls in an outage and of calls in slow start, such that the whole fleet stays within the rate that the
+ * rules in the settings allow for a recovering destination.
  */
 final class RecoveryPace {
-    /** Part of the budget that is used: the rest is for chance and for other forwarders' calls. */
+    /** Share of the budget that is used; the rest is for random variation and for other forwarders' calls. */
     private static final double BUDGET_SHARE = 0.85;
-    /** How long all but few outages last where this forwarder can't know it, microseconds. */
+    /** Assumed length of an outage whose length this forwarder can't know; all but few are shorter. */
     private static final long LONG_OUTAGE_MICROS = 20_000_000;
 
     private final PolicyState state;
@@ -29,7 +29,7 @@
         this.transientFailures = transientFailures;
     }
 
-    /** Calls a second that an endpoint may get in an outage and in slow start; {@link PolicyState#NEVER} otherwise. */
+    /** Calls a second that an endpoint may get in an outage or in slow start; {@link PolicyState#NEVER} otherwise. */
     double callsPerSecond(Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
         long active =
@@ -42,7 +42,8 @@
     }
 
     private boolean isCertainlyInOutage(Endpoint endpoint) {
-        boolean severalInOutage = state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
+        boolean severalInOutage =
+                state.largeFleet && endpoint.limit.severalEndpointsFailing && !transientFailures.callsOftenLost();
         return endpoint.connectsFailing || severalInOutage;
     }
 
@@ -51,23 +52,27 @@
         return budget(limit, 0, false);
     }
 
-    /** Calls a second for a limit that came back so many microseconds ago. */
+    /** Calls a second for a limit that recovered the given time ago. */
     double recoveryRate(DestinationLimit limit, long ageMicros) {
         return budget(limit, ageMicros, false);
     }
 
     /**
-     * This forwarder's part of what a destination that came back so long ago can be sent. All forwarders that saw a
-     * failure share it. They are no more than the forwarders, and than the messages since the outage began: the rate
-     * times its length. So each has one part in that length of the rate, known or not.
+     * This forwarder's share, in calls a second, of the rate allowed for a destination that recovered the given time
+     * ago. It is shared by all forwarders that saw a failure. Their number is at most that of the fleet, and at most
+     * that of the messages since the outage began, which is the rate times the length of the outage. So one call in
+     * that length is always within a forwarder's share, whether the rate is known or not.
      */
     private double budget(DestinationLimit limit, long ageMicros, boolean certainlyInOutage) {
         Rules rules = state.settings.rules();
         double rampShare = Math.min(1.0, ageMicros / (double) Math.max(1, rules.rampMicros()));
         double capacityShare = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * rampShare;
         double budgetFactor = BUDGET_SHARE * rules.overloadMultiple() * capacityShare;
-        // Pauses grow by 1 / part of what it lasted: the first is so long that a third try is past its end.
-        double minLengthMicros = certainlyInOutage ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor) : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
+        // The interval between trials is the length of the outage so far divided by budgetFactor; a first one of this
+        // length makes the third trial come after the end of a long outage.
+        double minLengthMicros = certainlyInOutage
+                ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor)
+                : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
         double oneCallRate = MICROS_PER_SECOND / Math.max(minLengthMicros, limit.failingForMicros);
         return budgetFactor * Math.max(Math.max(rates.usual(limit), rates.evenShare(limit)), oneCallRate);
     }
