--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -1,10 +1,10 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,128 +19,128 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final TransientFailures failures = new TransientFailures(fixture.state);
     private final CallTimeouts timeouts = new CallTimeouts(fixture.state, failures);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     private long timeout(int messageClass) {
-        return timeouts.timeoutMicros(fixture.message(messageClass), fixture.limit);
+        return timeouts.timeoutMicros(fixture.addMessage(messageClass), fixture.limit);
     }
 
     @Test
-    void beforeAnyAnswerACallMayTakeItsAim() {
-        assertEquals(2 * S, timeout(SAFE));
-        assertEquals(4 * S, timeout(UNSAFE));
+    void beforeAnyAnswerTheTimeoutIsTheAimAndTwiceThatForUnsafeMessages() {
+        assertEquals(2 * SECOND, timeout(SAFE));
+        assertEquals(4 * SECOND, timeout(UNSAFE));
     }
 
     @Test
-    void afterThatItIsSixTimesTheUsualAnswerAndAtLeastHalfTheAim() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        assertEquals(S, timeout(SAFE));
-        timeouts.onDelivered(fixture.limit, 10_100 * MS);
-        assertEquals(1_100 * MS, (long) fixture.limit.meanResponseMicros, "a tenth of the new answer");
-        assertEquals(6_600 * MS, timeout(SAFE));
+    void theTimeoutIsSixTimesTheUsualAnswerTimeAndAtLeastHalfTheAim() {
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        assertEquals(SECOND, timeout(SAFE));
+        timeouts.onDelivered(fixture.limit, 10_100 * MILLISECOND);
+        assertEquals(1_100 * MILLISECOND, (long) fixture.limit.meanResponseMicros, "a tenth of the new answer");
+        assertEquals(6_600 * MILLISECOND, timeout(SAFE));
     }
 
     @Test
-    void aKeyedMessagesFirstAttemptLeavesHalfItsWindow() {
-        fixture.limit.meanResponseMicros = 2 * S;
-        assertEquals(2_500 * MS, timeout(KEYED));
-        Message repeated = fixture.message(KEYED);
+    void theFirstAttemptOfAKeyedMessageLeavesHalfItsRepeatWindow() {
+        fixture.limit.meanResponseMicros = 2 * SECOND;
+        assertEquals(2_500 * MILLISECOND, timeout(KEYED));
+        Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
-        assertEquals(12 * S, timeouts.timeoutMicros(repeated, fixture.limit));
+        assertEquals(12 * SECOND, timeouts.timeoutMicros(repeated, fixture.limit));
     }
 
     @Test
-    void timeOutsLengthenItUpToFourTimesUntilAPromptAnswer() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
+    void timedOutCallsLengthenTheTimeoutUpToFourfoldUntilAPromptAnswer() {
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
         for (int i = 0; i < 3; i++) {
             timeouts.lengthen(fixture.limit);
         }
-        assertEquals(4 * S, timeout(SAFE));
-        timeouts.onDelivered(fixture.limit, 400 * MS);
-        assertEquals(2_800 * MS, timeout(SAFE), "a slow answer takes three tenths off");
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        assertEquals(S, timeout(SAFE));
+        assertEquals(4 * SECOND, timeout(SAFE));
+        timeouts.onDelivered(fixture.limit, 400 * MILLISECOND);
+        assertEquals(2_800 * MILLISECOND, timeout(SAFE), "a slow answer takes three tenths off");
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        assertEquals(SECOND, timeout(SAFE));
     }
 
     @Test
     void oneSlowDestinationHardlyMovesTheUsualAnswerTime() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        timeouts.onDelivered(fixture.limit, 10 * S);
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        timeouts.onDelivered(fixture.limit, 10 * SECOND);
         assertEquals(107_500, fixture.state.overallMeanResponseMicros, 1, "a fortieth of three times 100 ms");
         assertEquals(430_000, timeouts.slowResponseMicros(), 4);
     }
 
     @Test
-    void whereCallsAreLostTheLastSlotGetsLess() {
+    void whereCallsAreOftenLostTheLastFreeSlotGetsAShorterTimeout() {
         for (int i = 0; i < 2; i++) {
             endpoint.failingSinceMicros = fixture.state.nowMicros;
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
-        assertEquals(2 * S, timeout(SAFE));
+        assertEquals(2 * SECOND, timeout(SAFE));
         fixture.state.slotsInUse = 3;
-        assertEquals(1_200 * MS, timeout(SAFE));
-        assertEquals(4 * S, timeout(UNSAFE));
+        assertEquals(1_200 * MILLISECOND, timeout(SAFE));
+        assertEquals(4 * SECOND, timeout(UNSAFE));
     }
 
     @Test
-    void overdueCallsAreGivenUpAsFarAsOthersCouldUseTheirSlots() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        Message first = fixture.message(SAFE);
-        Message unsafe = fixture.message(UNSAFE);
-        Message second = fixture.message(SAFE);
+    void overdueCallsAreCancelledOnlyAsFarAsSlotsAreNeeded() {
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        Message first = fixture.addMessage(SAFE);
+        Message unsafe = fixture.addMessage(UNSAFE);
+        Message second = fixture.addMessage(SAFE);
         for (Message message : List.of(first, unsafe, second)) {
-            fixture.call(message, endpoint);
+            fixture.startCall(message, endpoint);
         }
-        assertEquals(fixture.state.nowMicros + 800 * MS, timeouts.cancelOverdue(1), "eight times 100 ms");
-        fixture.later(800 * MS);
+        assertEquals(fixture.state.nowMicros + 800 * MILLISECOND, timeouts.cancelOverdue(1), "eight times 100 ms");
+        fixture.advanceClock(800 * MILLISECOND);
         timeouts.cancelOverdue(1);
         assertEquals(List.of(new Action.Cancel(first.id, 0)), fixture.state.actions);
-        fixture.later(MS);
+        fixture.advanceClock(MILLISECOND);
         timeouts.cancelOverdue(1);
         assertTrue(fixture.state.actions.isEmpty(), "the slot asked for is about to be free");
-        long next = timeouts.cancelOverdue(3);
+        long nextCheckMicros = timeouts.cancelOverdue(3);
         assertEquals(List.of(new Action.Cancel(second.id, 0)), fixture.state.actions);
-        assertEquals(fixture.state.nowMicros - 801 * MS + 2_400 * MS, next, "24 times for the unsafe one");
+        assertEquals(fixture.state.nowMicros - 801 * MILLISECOND + 2_400 * MILLISECOND, nextCheckMicros, "24 times for the unsafe one");
     }
 
     @Test
-    void nothingIsGivenUpWhereTheSettingsForbidIt() {
-        PolicyFixture forbidden = new PolicyFixture(withoutCancel());
-        forbidden.call(forbidden.message(SAFE), forbidden.endpoint());
-        forbidden.later(60 * S);
-        new CallTimeouts(forbidden.state, new TransientFailures(forbidden.state)).cancelOverdue(1);
-        assertTrue(forbidden.state.actions.isEmpty());
+    void noCallIsCancelledWhereTheSettingsForbidIt() {
+        PolicyFixture fixtureWithoutCancel = new PolicyFixture(withoutCancel());
+        fixtureWithoutCancel.startCall(fixtureWithoutCancel.addMessage(SAFE), fixtureWithoutCancel.addEndpoint());
+        fixtureWithoutCancel.advanceClock(60 * SECOND);
+        new CallTimeouts(fixtureWithoutCancel.state, new TransientFailures(fixtureWithoutCancel.state)).cancelOverdue(1);
+        assertTrue(fixtureWithoutCancel.state.actions.isEmpty());
     }
 
     private static DecisionModule.Settings withoutCancel() {
-        DecisionModule.Settings s = Rig.settings(4, 50, 6, false);
-        DecisionModule.Limits l = s.limits();
+        DecisionModule.Settings settings = DecisionModuleHarness.settings(4, 50, 6, false);
+        DecisionModule.Limits limits = settings.limits();
         return new DecisionModule.Settings(
-                s.self(),
-                s.forwarders(),
-                s.zone(),
-                s.zones(),
-                s.roundMicros(),
-                s.mustWatchList(),
-                s.weightMeaning(),
-                s.limitReports(),
-                s.overQuotaWorthFactor(),
-                s.classes(),
-                s.kinds(),
-                s.tenants(),
+                settings.self(),
+                settings.forwarders(),
+                settings.zone(),
+                settings.zones(),
+                settings.roundMicros(),
+                settings.mustWatchList(),
+                settings.weightMeaning(),
+                settings.limitReports(),
+                settings.overQuotaWorthFactor(),
+                settings.classes(),
+                settings.kinds(),
+                settings.tenants(),
                 new DecisionModule.Limits(
-                        l.maxAttempts(),
-                        l.maxOpenMessages(),
-                        l.slots(),
+                        limits.maxAttempts(),
+                        limits.maxOpenMessages(),
+                        limits.slots(),
                         false,
-                        l.mayProbe(),
-                        l.mayMessagePeers(),
-                        l.callsPerConnection(),
-                        l.connectTimeoutMicros(),
-                        l.keepAliveMicros(),
-                        l.sendsRetryAfter(),
-                        l.maxRetryAfterMicros()),
-                s.rules());
+                        limits.mayProbe(),
+                        limits.mayMessagePeers(),
+                        limits.callsPerConnection(),
+                        limits.connectTimeoutMicros(),
+                        limits.keepAliveMicros(),
+                        limits.sendsRetryAfter(),
+                        limits.maxRetryAfterMicros()),
+                settings.rules());
     }
 }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -1,11 +1,11 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
-import static lilaclever.Rig.ZONED;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
+import static lilaclever.DecisionModuleHarness.ZONED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -29,21 +29,21 @@
 
 /** Scripted cases: the design's steps and limits, each rule, each outcome for each repeat class. */
 class DeliveryPolicyTest {
-    private final Map<String, Integer> attempts = new HashMap<>();
-    private Rig rig = Rig.started();
+    private final Map<String, Integer> attemptsByMessage = new HashMap<>();
+    private DecisionModuleHarness harness = DecisionModuleHarness.withTwoDestinations();
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), rig.checker.breaches());
+        assertEquals(List.of(), harness.checker.breaches());
     }
 
     /** Microseconds until the message is sent again. */
-    private long pauseUntilSent(String id, long most) {
-        long from = rig.now;
-        while (rig.now < from + most) {
-            rig.pass(5 * MS);
-            if (rig.sent(id)) {
-                return rig.now - from;
+    private long microsUntilSent(String id, long maxMicros) {
+        long fromMicros = harness.nowMicros;
+        while (harness.nowMicros < fromMicros + maxMicros) {
+            harness.runRoundsFor(5 * MILLISECOND);
+            if (harness.wasSent(id)) {
+                return harness.nowMicros - fromMicros;
             }
         }
         return -1;
@@ -51,54 +51,54 @@
 
     // ---- the design ----
     @Test
-    void sendsAtOnceOnTheOrdinaryPath() {
-        String id = rig.submit(SAFE, 1);
-        assertTrue(rig.sent(id));
+    void aNewMessageIsSentAtOnce() {
+        String id = harness.submit(SAFE, 1);
+        assertTrue(harness.wasSent(id));
     }
 
     @Test
-    void pausesGrowByTheSteps() {
-        long[] steps = {200 * MS, 600 * MS, 2400 * MS, 6 * S};
-        String id = rig.submit(SAFE, 1);
-        for (int i = 0; i < steps.length; i++) {
-            rig.outcome(id, "a1", i, AttemptResult.FULL);
-            long pause = pauseUntilSent(id, 16 * S);
-            assertTrue(pause >= steps[i] / 2, "pause " + i + " was " + pause);
+    void retryDelaysGrowInSteps() {
+        long[] stepsMicros = {200 * MILLISECOND, 600 * MILLISECOND, 2400 * MILLISECOND, 6 * SECOND};
+        String id = harness.submit(SAFE, 1);
+        for (int i = 0; i < stepsMicros.length; i++) {
+            harness.reportOutcome(id, "a1", i, AttemptResult.FULL);
+            long delayMicros = microsUntilSent(id, 16 * SECOND);
+            assertTrue(delayMicros >= stepsMicros[i] / 2, "pause " + i + " was " + delayMicros);
             // From the second refusal in a row on, the pace of an outage may add to the step.
-            assertTrue(pause <= steps[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MS, "pause " + i + " was " + pause);
+            assertTrue(delayMicros <= stepsMicros[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MILLISECOND, "pause " + i + " was " + delayMicros);
         }
     }
 
     @Test
-    void pausesAreSpreadByChance() {
-        List<Long> pauses = new ArrayList<>();
+    void retryDelaysAreSpreadByChance() {
+        List<Long> delaysMicros = new ArrayList<>();
         for (int seed = 0; seed < 5; seed++) {
-            DecisionModule relay = DecisionModule.create(rig.settings, seed);
-            relay.decide(0, List.of(new Event.Listing(ListingKind.ALL, 1, List.of(Rig.entry("a1", 1, 0, 0)))));
-            relay.decide(S, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * S)));
-            for (Action a : relay.decide(
-                    S, List.of(new Event.Outcome("m", "a1", 0, AttemptResult.NOT_SENT, 1, 0, true, false, null)))) {
+            DecisionModule module = DecisionModule.create(harness.settings, seed);
+            module.decide(0, List.of(new Event.Listing(ListingKind.ALL, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0)))));
+            module.decide(SECOND, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * SECOND)));
+            for (Action a : module.decide(
+                    SECOND, List.of(new Event.Outcome("m", "a1", 0, AttemptResult.NOT_SENT, 1, 0, true, false, null)))) {
                 if (a instanceof Action.Wake w) {
-                    pauses.add(w.afterMicros());
+                    delaysMicros.add(w.afterMicros());
                 }
             }
         }
-        assertTrue(pauses.stream().distinct().count() > 2, pauses.toString());
+        assertTrue(delaysMicros.stream().distinct().count() > 2, delaysMicros.toString());
     }
 
     @Test
-    void aRefusalHoldsToTenASecondUntilFiveQuietSeconds() {
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, AttemptResult.FULL);
-        rig.pass(S);
+    void aRefusalLimitsCallsToTenASecond() {
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, AttemptResult.FULL);
+        harness.runRoundsFor(SECOND);
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            rig.now += 5 * MS;
-            String id = rig.submit(SAFE, 1);
-            for (Action a : rig.actions) {
+            harness.nowMicros += 5 * MILLISECOND;
+            String id = harness.submit(SAFE, 1);
+            for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
                     sent++;
-                    rig.outcome(s.id(), "a1", s.id().equals(first) ? 1 : 0, AttemptResult.DELIVERED);
+                    harness.reportOutcome(s.id(), "a1", s.id().equals(first) ? 1 : 0, AttemptResult.DELIVERED);
                 }
             }
             assertTrue(id != null);
@@ -107,121 +107,121 @@
     }
 
     @Test
-    void theHoldEndsAfterFiveQuietSecondsAndItsRoofLater() {
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, AttemptResult.FULL);
-        assertTrue(pauseUntilSent(first, 4 * S) > 0);
-        rig.outcome(first, "a1", 1, AttemptResult.DELIVERED);
-        rig.pass(6 * S);
-        assertTrue(fiveAtOnce() < 5, "what waited must not come at once");
-        rig.pass(16 * S);
-        assertEquals(5, fiveAtOnce(), "that too ends");
+    void throttlingEndsAfterFiveSecondsWithoutRefusalAndItsRateCeilingLater() {
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, AttemptResult.FULL);
+        assertTrue(microsUntilSent(first, 4 * SECOND) > 0);
+        harness.reportOutcome(first, "a1", 1, AttemptResult.DELIVERED);
+        harness.runRoundsFor(6 * SECOND);
+        assertTrue(countSentAtOnceOfFive() < 5, "what waited must not come at once");
+        harness.runRoundsFor(16 * SECOND);
+        assertEquals(5, countSentAtOnceOfFive(), "that too ends");
     }
 
     /** Hands in five; gives how many go at once, and has all of them answered. */
-    private int fiveAtOnce() {
-        List<String> at = new ArrayList<>();
+    private int countSentAtOnceOfFive() {
+        List<String> sentAtOnce = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            String id = rig.submit(SAFE, 1);
-            if (rig.sent(id)) {
-                at.add(id);
+            String id = harness.submit(SAFE, 1);
+            if (harness.wasSent(id)) {
+                sentAtOnce.add(id);
             }
         }
-        at.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.DELIVERED));
-        answerAll(new HashMap<>(), S, AttemptResult.DELIVERED);
-        return at.size();
+        sentAtOnce.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED));
+        answerAll(new HashMap<>(), SECOND, AttemptResult.DELIVERED);
+        return sentAtOnce.size();
     }
 
     @Test
-    void whatIsLateGoesAfterWhatIsFreshAndWhatIsAboutToBeLateFirst() {
-        rig = new Rig(Rig.settings(1, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String out = rig.submit(SAFE, 1);
-        String late = rig.submit(SAFE, 1);
-        rig.now += 6 * S; // three aims ago
-        String near = rig.submit(SAFE, 1);
-        rig.now += 1900 * MS; // its aim is 2 s
-        String fresh = rig.submit(SAFE, 1);
+    void messagesAboutToMissTheirAimGoFirstAndLateOnesLast() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(1, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String inFlight = harness.submit(SAFE, 1);
+        String late = harness.submit(SAFE, 1);
+        harness.nowMicros += 6 * SECOND; // three aims ago
+        String nearlyLate = harness.submit(SAFE, 1);
+        harness.nowMicros += 1900 * MILLISECOND; // its aim is 2 s
+        String onTime = harness.submit(SAFE, 1);
         List<String> order = new ArrayList<>();
-        for (String id = out; id != null; ) {
-            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
+        for (String id = inFlight; id != null; ) {
+            harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
             id = null;
-            for (String next : List.of(late, near, fresh)) {
-                id = rig.sent(next) ? next : id;
+            for (String next : List.of(late, nearlyLate, onTime)) {
+                id = harness.wasSent(next) ? next : id;
             }
             order.add(id);
         }
-        assertEquals(List.of(near, fresh, late), order.subList(0, 3));
+        assertEquals(List.of(nearlyLate, onTime, late), order.subList(0, 3));
     }
 
     @Test
-    void aToldWaitStopsEveryMessageToTheDestination() {
-        String id = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, AttemptResult.FULL, 1500 * MS);
-        String other = rig.submit(SAFE, 1);
-        rig.pass(1490 * MS);
-        assertEquals(List.of(), rig.sentTo());
-        rig.pass(5 * S);
-        assertTrue(rig.sent(other) || rig.sent(id));
+    void aRetryAfterStopsEveryMessageToTheDestination() {
+        String id = harness.submit(SAFE, 1);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.FULL, 1500 * MILLISECOND);
+        String other = harness.submit(SAFE, 1);
+        harness.runRoundsFor(1490 * MILLISECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.runRoundsFor(5 * SECOND);
+        assertTrue(harness.wasSent(other) || harness.wasSent(id));
     }
 
     /**
      * A call that was decided before the wait and not written for it was no attempt, and goes once the wait is over.
      */
     @Test
-    void aWithheldCallIsNoAttemptAndTellsTheWait() {
-        String id = rig.submit(UNSAFE, 1);
+    void aWithheldCallIsNotCountedAndIsSentAfterTheRetryAfter() {
+        String id = harness.submit(UNSAFE, 1);
         for (int i = 0; i < 8; i++) { // more often than a message may be attempted
-            rig.outcome(id, "a1", 0, AttemptResult.WITHHELD, 500 * MS);
-            rig.pass(490 * MS);
-            assertEquals(List.of(), rig.sentTo());
-            rig.pass(600 * MS);
-            assertTrue(rig.sent(id));
+            harness.reportOutcome(id, "a1", 0, AttemptResult.WITHHELD, 500 * MILLISECOND);
+            harness.runRoundsFor(490 * MILLISECOND);
+            assertEquals(List.of(), harness.hostsSentTo());
+            harness.runRoundsFor(600 * MILLISECOND);
+            assertTrue(harness.wasSent(id));
         }
     }
 
     /** A wait binds whatever else the answer that told it said. */
     @Test
-    void aWaitToldWithAnyOutcomeBinds() {
-        String id = rig.submit(SAFE, 1);
-        String other = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, AttemptResult.DELIVERED, 1500 * MS);
-        rig.outcome(other, "a1", 0, AttemptResult.ERROR, 0);
-        rig.submit(SAFE, 1);
-        rig.pass(1490 * MS);
-        assertEquals(List.of(), rig.sentTo());
+    void aRetryAfterAppliesWhateverTheOutcome() {
+        String id = harness.submit(SAFE, 1);
+        String other = harness.submit(SAFE, 1);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED, 1500 * MILLISECOND);
+        harness.reportOutcome(other, "a1", 0, AttemptResult.ERROR, 0);
+        harness.submit(SAFE, 1);
+        harness.runRoundsFor(1490 * MILLISECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
     }
 
     @Test
-    void aToldWaitOfARouteApartLeavesTheOtherRoute() {
-        rig.list(ListingKind.CHANGES, Rig.entry("b2", 2, 0, 1));
-        String id = rig.submit(SAFE, 2);
-        String host = rig.sentTo().get(0);
-        rig.outcome(id, host, 0, AttemptResult.FULL, 2 * S);
-        rig.submit(SAFE, 2);
-        assertEquals(List.of(host.equals("b1") ? "b2" : "b1"), rig.sentTo());
+    void aRetryAfterOfAnEndpointWithItsOwnLimitLeavesTheOtherUsable() {
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("b2", 2, 0, 1));
+        String id = harness.submit(SAFE, 2);
+        String host = harness.hostsSentTo().get(0);
+        harness.reportOutcome(id, host, 0, AttemptResult.FULL, 2 * SECOND);
+        harness.submit(SAFE, 2);
+        assertEquals(List.of(host.equals("b1") ? "b2" : "b1"), harness.hostsSentTo());
     }
 
     @Test
-    void aRouteTakenOffAndListedAgainKeepsItsWait() {
-        String id = rig.submit(SAFE, 2);
-        rig.outcome(id, "b1", 0, AttemptResult.FULL, 3 * S);
-        rig.list(ListingKind.ALL);
-        rig.list(ListingKind.ALL, Rig.entry("b1", 2, 0, 1));
-        rig.pass(2900 * MS);
-        assertEquals(List.of(), rig.sentTo());
+    void anEndpointRemovedAndListedAgainKeepsItsRetryAfter() {
+        String id = harness.submit(SAFE, 2);
+        harness.reportOutcome(id, "b1", 0, AttemptResult.FULL, 3 * SECOND);
+        harness.applyListing(ListingKind.ALL);
+        harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("b1", 2, 0, 1));
+        harness.runRoundsFor(2900 * MILLISECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
     }
 
     @Test
-    void endsAtTheAttemptLimit() {
-        String id = rig.submit(SAFE, 1);
+    void aMessageEndsAtTheAttemptLimit() {
+        String id = harness.submit(SAFE, 1);
         for (int i = 0; i < 6; i++) {
-            rig.outcome(id, "a1", i, AttemptResult.NOT_SENT);
+            harness.reportOutcome(id, "a1", i, AttemptResult.NOT_SENT);
             if (i < 5) {
-                assertTrue(pauseUntilSent(id, 12 * S) > 0 || rig.now > 1019 * S);
+                assertTrue(microsUntilSent(id, 12 * SECOND) > 0 || harness.nowMicros > 1019 * SECOND);
             }
         }
-        assertTrue(rig.checker.open().isEmpty());
+        assertTrue(harness.checker.openMessages().isEmpty());
     }
 
     // ---- outcomes by repeat class ----
@@ -229,14 +229,14 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"FULL", "NO_CONNECTION", "NOT_SENT"})
-    void whatNeverRanIsRepeatedInEachClass(AttemptResult ending) {
-        for (int c : new int[] {SAFE, KEYED, UNSAFE, ZONED}) {
-            rig = Rig.started();
-            String id = rig.submit(c, 1, "k");
-            rig.outcome(id, "a1", 0, ending);
-            assertFalse(rig.refused(id) || rig.failed(id));
-            assertTrue(pauseUntilSent(id, 5 * S) > 0, ending + " of class " + c);
-            assertEquals(List.of(), rig.checker.breaches());
+    void messagesThatNeverRanAreRetriedInEveryClass(AttemptResult ending) {
+        for (int messageClass : new int[] {SAFE, KEYED, UNSAFE, ZONED}) {
+            harness = DecisionModuleHarness.withTwoDestinations();
+            String id = harness.submit(messageClass, 1, "k");
+            harness.reportOutcome(id, "a1", 0, ending);
+            assertFalse(harness.wasRefused(id) || harness.hasFailed(id));
+            assertTrue(microsUntilSent(id, 5 * SECOND) > 0, ending + " of class " + messageClass);
+            assertEquals(List.of(), harness.checker.breaches());
         }
     }
 
@@ -244,292 +244,292 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"ERROR", "TIMED_OUT", "RESET", "CANCELED"})
-    void whatMayHaveRunIsRepeatedUnlessUnsafe(AttemptResult ending) {
-        for (int c : new int[] {SAFE, KEYED, ZONED}) {
-            rig = Rig.started();
-            String id = rig.submit(c, 1, "k");
-            rig.outcome(id, "a1", 0, ending);
-            long pause = pauseUntilSent(id, 4900 * MS);
-            assertTrue(pause > 0, ending + " of class " + c);
-            assertEquals(List.of(), rig.checker.breaches());
+    void messagesThatMayHaveRunAreRetriedUnlessUnsafe(AttemptResult ending) {
+        for (int messageClass : new int[] {SAFE, KEYED, ZONED}) {
+            harness = DecisionModuleHarness.withTwoDestinations();
+            String id = harness.submit(messageClass, 1, "k");
+            harness.reportOutcome(id, "a1", 0, ending);
+            long delayMicros = microsUntilSent(id, 4900 * MILLISECOND);
+            assertTrue(delayMicros > 0, ending + " of class " + messageClass);
+            assertEquals(List.of(), harness.checker.breaches());
         }
-        rig = Rig.started();
-        String id = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(id, "a1", 0, ending);
-        assertTrue(rig.failed(id));
+        harness = DecisionModuleHarness.withTwoDestinations();
+        String id = harness.submit(UNSAFE, 1, "k");
+        harness.reportOutcome(id, "a1", 0, ending);
+        assertTrue(harness.hasFailed(id));
     }
 
     @Test
-    void aKeyedMessageEndsWithItsWindow() {
-        String id = rig.submit(KEYED, 1);
-        rig.outcome(id, "a1", 0, AttemptResult.ERROR);
-        rig.round(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("b1", 2, 0, 1))));
-        rig.pass(5100 * MS);
-        assertTrue(rig.refused(id), "all endpoints drop repeats, so a refusal is harmless");
+    void aKeyedMessageIsRefusedAtTheEndOfItsRepeatWindow() {
+        String id = harness.submit(KEYED, 1);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR);
+        harness.runRound(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("b1", 2, 0, 1))));
+        harness.runRoundsFor(5100 * MILLISECOND);
+        assertTrue(harness.wasRefused(id), "all endpoints drop repeats, so a refusal is harmless");
     }
 
     @Test
-    void aZonedMessageIsNotRefusedOnceItMayHaveRun() {
-        String id = rig.submit(ZONED, 1);
-        rig.outcome(id, "a1", 0, AttemptResult.ERROR);
-        rig.round(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("a2", 1, 1, 0))));
-        rig.pass(5100 * MS);
-        assertTrue(rig.failed(id));
+    void aZonedMessageThatMayHaveRunFailsAndIsNotRefused() {
+        String id = harness.submit(ZONED, 1);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR);
+        harness.runRound(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("a2", 1, 1, 0))));
+        harness.runRoundsFor(5100 * MILLISECOND);
+        assertTrue(harness.hasFailed(id));
     }
 
     // ---- ends ----
     @Test
-    void aMessageWithNoEndpointIsRefusedInTime() {
-        String id = rig.submit(UNSAFE, 9, "k");
-        rig.pass(19_990 * MS);
-        assertTrue(rig.refused(id));
+    void aMessageWithNoEndpointIsRefusedBeforeItsDeadline() {
+        String id = harness.submit(UNSAFE, 9, "k");
+        harness.runRoundsFor(19_990 * MILLISECOND);
+        assertTrue(harness.wasRefused(id));
     }
 
     @Test
-    void aCallWithoutOutcomeAtTheDeadlineIsAnswered() {
-        String id = rig.submit(UNSAFE, 1, "k");
-        rig.pass(20 * S + 15 * MS);
-        assertTrue(rig.failed(id));
+    void aMessageWithoutAnOutcomeAtItsDeadlineFails() {
+        String id = harness.submit(UNSAFE, 1, "k");
+        harness.runRoundsFor(20 * SECOND + 15 * MILLISECOND);
+        assertTrue(harness.hasFailed(id));
     }
 
     @Test
-    void theHoldNearlyFullRefusesTheLeastWorth() {
-        rig = new Rig(Rig.settings(1, 20, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
+    void aNearlyFullForwarderRefusesMessages() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(1, 20, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         int refused = 0;
         for (int i = 0; i < 30; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
             refused +=
-                    rig.actions.stream().filter(Action.Refuse.class::isInstance).count();
+                    harness.actions.stream().filter(Action.Refuse.class::isInstance).count();
         }
-        assertTrue(rig.checker.open().size() <= 20);
-        assertEquals(30 - rig.checker.open().size(), refused);
+        assertTrue(harness.checker.openMessages().size() <= 20);
+        assertEquals(30 - harness.checker.openMessages().size(), refused);
     }
 
     @Test
-    void whatIsWithdrawnIsPassedOver() {
-        String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Withdrawn(id))
-                .outcome(id, "a1", 0, AttemptResult.ERROR)
-                .pass(S);
-        assertEquals(List.of(), rig.sentTo());
-        rig.round(new Event.Withdrawn("unknown"), new Event.Timer(5));
+    void aWithdrawnMessageIsNotRetried() {
+        String id = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Withdrawn(id))
+                .reportOutcome(id, "a1", 0, AttemptResult.ERROR)
+                .runRoundsFor(SECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.runRound(new Event.Withdrawn("unknown"), new Event.Timer(5));
     }
 
     // ---- drains and lists ----
     @Test
-    void aLeavingHostGetsNothingNew() {
-        rig.list(ListingKind.CHANGES, new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
-        rig.submit(SAFE, 1);
-        assertEquals(List.of(), rig.sentTo());
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0));
-        assertEquals(List.of("a2"), rig.sentTo());
+    void aLeavingHostGetsNoNewMessages() {
+        harness.applyListing(ListingKind.CHANGES, new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
+        harness.submit(SAFE, 1);
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0));
+        assertEquals(List.of("a2"), harness.hostsSentTo());
     }
 
     @Test
-    void aWholeListDropsWhatItDoesNotName() {
-        rig.list(ListingKind.ALL, Rig.entry("a2", 1, 0, 0));
-        rig.submit(SAFE, 1);
-        assertEquals(List.of("a2"), rig.sentTo());
+    void aWholeListRemovesEndpointsItDoesNotName() {
+        harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("a2", 1, 0, 0));
+        harness.submit(SAFE, 1);
+        assertEquals(List.of("a2"), harness.hostsSentTo());
     }
 
     @Test
-    void aRefusedWatchIsAskedAgainLaterAndLater() {
-        rig = new Rig(Rig.settings(10, 50, 6, true));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        assertTrue(rig.actions.contains(new Action.Watch(true)));
-        long last = 0;
-        for (long least : new long[] {200 * MS, 400 * MS, 800 * MS}) {
-            rig.list(ListingKind.REFUSED);
-            long from = rig.now;
+    void aRefusedWatchIsRequestedAgainWithGrowingDelays() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 6, true));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        assertTrue(harness.actions.contains(new Action.Watch(true)));
+        long requestedAfterMicros = 0;
+        for (long minDelayMicros : new long[] {200 * MILLISECOND, 400 * MILLISECOND, 800 * MILLISECOND}) {
+            harness.applyListing(ListingKind.REFUSED);
+            long fromMicros = harness.nowMicros;
             do {
-                rig.pass(5 * MS);
-            } while (!rig.actions.contains(new Action.Watch(true)) && rig.now < from + 10 * S);
-            last = rig.now - from;
-            assertTrue(last >= least && last < 10 * S, "asked after " + last);
+                harness.runRoundsFor(5 * MILLISECOND);
+            } while (!harness.actions.contains(new Action.Watch(true)) && harness.nowMicros < fromMicros + 10 * SECOND);
+            requestedAfterMicros = harness.nowMicros - fromMicros;
+            assertTrue(requestedAfterMicros >= minDelayMicros && requestedAfterMicros < 10 * SECOND, "asked after " + requestedAfterMicros);
         }
     }
 
     // ---- order ----
     @Test
-    void oneKeyGoesOneAtATimeInOrder() {
-        String first = rig.submit(UNSAFE, 1, "k");
-        String second = rig.submit(UNSAFE, 1, "k");
-        String other = rig.submit(UNSAFE, 1, "other");
-        assertTrue(rig.sent(other));
-        rig.outcome(first, "a1", 0, AttemptResult.FULL);
-        rig.pass(5 * MS);
-        assertFalse(rig.sent(second));
-        assertTrue(pauseUntilSent(first, 5 * S) > 0);
-        rig.outcome(first, "a1", 1, AttemptResult.DELIVERED);
-        assertTrue(rig.sent(second) || pauseUntilSent(second, 5 * S) > 0);
+    void messagesOfOneKeyAreSentOneAtATimeInOrder() {
+        String first = harness.submit(UNSAFE, 1, "k");
+        String second = harness.submit(UNSAFE, 1, "k");
+        String other = harness.submit(UNSAFE, 1, "other");
+        assertTrue(harness.wasSent(other));
+        harness.reportOutcome(first, "a1", 0, AttemptResult.FULL);
+        harness.runRoundsFor(5 * MILLISECOND);
+        assertFalse(harness.wasSent(second));
+        assertTrue(microsUntilSent(first, 5 * SECOND) > 0);
+        harness.reportOutcome(first, "a1", 1, AttemptResult.DELIVERED);
+        assertTrue(harness.wasSent(second) || microsUntilSent(second, 5 * SECOND) > 0);
     }
 
     @Test
-    void aKeyRestsAfterATimeOut() {
-        String first = rig.submit(UNSAFE, 1, "k");
-        String second = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(first, "a1", 0, AttemptResult.TIMED_OUT);
-        assertTrue(pauseUntilSent(second, 5 * S) >= 100 * MS);
+    void aKeyIsDelayedAfterATimeout() {
+        String first = harness.submit(UNSAFE, 1, "k");
+        String second = harness.submit(UNSAFE, 1, "k");
+        harness.reportOutcome(first, "a1", 0, AttemptResult.TIMED_OUT);
+        assertTrue(microsUntilSent(second, 5 * SECOND) >= 100 * MILLISECOND);
     }
 
     // ---- health ----
     @Test
-    void aHangingDestinationLeavesSlotsForOthers() {
+    void anUnresponsiveDestinationLeavesSlotsForOthers() {
         for (int i = 0; i < 10; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        assertTrue(rig.sent(rig.submit(SAFE, 2)));
+        assertTrue(harness.wasSent(harness.submit(SAFE, 2)));
     }
 
     /** One message for each of so many destinations, all handed in and sent in one round; then what is out hangs. */
-    private List<String> sentTogether(int slots, int messageClass) {
-        rig = new Rig(Rig.settings(slots, 100, 6, false));
+    private List<String> submitToSeveralDestinations(int slots, int messageClass) {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(slots, 100, 6, false));
         EndpointEntry[] entries = new EndpointEntry[10];
         for (int d = 0; d < entries.length; d++) {
-            entries[d] = Rig.entry("h" + d, d, 0, 0);
+            entries[d] = DecisionModuleHarness.entry("h" + d, d, 0, 0);
         }
-        rig.list(ListingKind.REMEMBERED, entries);
+        harness.applyListing(ListingKind.REMEMBERED, entries);
         for (int i = 0; i < 10; i++) {
-            String id = rig.submit(SAFE, 9);
-            rig.now += 50 * MS;
-            rig.outcome(id, "h9", 0, AttemptResult.DELIVERED); // what is usual
+            String id = harness.submit(SAFE, 9);
+            harness.nowMicros += 50 * MILLISECOND;
+            harness.reportOutcome(id, "h9", 0, AttemptResult.DELIVERED); // what is usual
         }
         List<String> ids = new ArrayList<>();
         Event[] submits = new Event[6];
         for (int d = 0; d < submits.length; d++) {
             ids.add("d" + d);
-            submits[d] = new Event.Submit("d" + d, messageClass, d, 0, null, false, false, 20 * S);
+            submits[d] = new Event.Submit("d" + d, messageClass, d, 0, null, false, false, 20 * SECOND);
         }
-        rig.round(submits);
+        harness.runRound(submits);
         return ids;
     }
 
     @Test
-    void aReturnIsFedByWhatWasUsualAlsoEarlyInTheDay() {
+    void recoveryUsesTheUsualRateEvenIfItWasMeasuredOnlyBriefly() {
         for (int i = 0; i < 40; i++) {
-            String id = rig.submit(SAFE, 1);
-            rig.now += 50 * MS; // twenty a second, for two seconds
-            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
+            String id = harness.submit(SAFE, 1);
+            harness.nowMicros += 50 * MILLISECOND; // twenty a second, for two seconds
+            harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
         }
-        String ill = rig.submit(SAFE, 1);
+        String unhealthy = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            rig.outcome(ill, "a1", i, AttemptResult.ERROR);
-            pauseUntilSent(ill, 20 * S);
+            harness.reportOutcome(unhealthy, "a1", i, AttemptResult.ERROR);
+            microsUntilSent(unhealthy, 20 * SECOND);
         }
-        rig.outcome(ill, "a1", 4, AttemptResult.DELIVERED);
+        harness.reportOutcome(unhealthy, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * S, AttemptResult.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * SECOND, AttemptResult.DELIVERED);
         // 0.85 x 2.5 x 0.2 of twenty a second at first, a little more as it warms.
         assertTrue(sent >= 14 && sent <= 26, "sent " + sent + " in two seconds of a return");
     }
 
     @Test
-    void aDestinationThatNothingIsKnownOfIsFedByTheMeanOfAll() {
+    void recoveryOfADestinationWithoutAKnownRateUsesTheMeanOfAllDestinations() {
         for (int i = 0; i < 200; i++) {
-            String id = rig.submit(SAFE, 2);
-            rig.now += 10 * MS; // a hundred a second to the other one
-            rig.outcome(id, "b1", 0, AttemptResult.DELIVERED);
+            String id = harness.submit(SAFE, 2);
+            harness.nowMicros += 10 * MILLISECOND; // a hundred a second to the other one
+            harness.reportOutcome(id, "b1", 0, AttemptResult.DELIVERED);
         }
-        String ill = rig.submit(SAFE, 1);
+        String unhealthy = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            rig.outcome(ill, "a1", i, AttemptResult.ERROR);
-            pauseUntilSent(ill, 20 * S);
+            harness.reportOutcome(unhealthy, "a1", i, AttemptResult.ERROR);
+            microsUntilSent(unhealthy, 20 * SECOND);
         }
-        rig.outcome(ill, "a1", 4, AttemptResult.DELIVERED);
+        harness.reportOutcome(unhealthy, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * S, AttemptResult.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * SECOND, AttemptResult.DELIVERED);
         // 0.85 x 2.5 x 0.2 of a quarter of fifty a second at first, a little more as it warms.
         assertTrue(sent >= 8 && sent <= 18, "sent " + sent + " in two seconds of a return");
     }
 
     @Test
-    void callsFarBeyondUsualGiveUpSlotsThatOthersCouldUse() {
+    void callsFarSlowerThanUsualAreCancelledOnlyForWaitingMessages() {
         for (int messageClass : new int[] {SAFE, UNSAFE}) {
-            sentTogether(5, messageClass);
-            assertEquals(5, rig.sentTo().size());
-            rig.pass(5 * S);
-            long given =
-                    rig.actions.stream().filter(Action.Cancel.class::isInstance).count();
-            assertEquals(1, given, "one waits: one is given up, not all five");
-            rig = Rig.started();
+            submitToSeveralDestinations(5, messageClass);
+            assertEquals(5, harness.hostsSentTo().size());
+            harness.runRoundsFor(5 * SECOND);
+            long cancelled =
+                    harness.actions.stream().filter(Action.Cancel.class::isInstance).count();
+            assertEquals(1, cancelled, "one waits: one is given up, not all five");
+            harness = DecisionModuleHarness.withTwoDestinations();
         }
     }
 
     @Test
-    void callsBeyondUsualStayWhereNobodyNeedsTheirSlots() {
-        sentTogether(10, UNSAFE);
-        assertEquals(6, rig.sentTo().size());
-        rig.pass(1900 * MS);
-        assertTrue(rig.actions.stream().noneMatch(Action.Cancel.class::isInstance));
+    void slowCallsAreNotCancelledWhereNoMessageNeedsTheirSlots() {
+        submitToSeveralDestinations(10, UNSAFE);
+        assertEquals(6, harness.hostsSentTo().size());
+        harness.runRoundsFor(1900 * MILLISECOND);
+        assertTrue(harness.actions.stream().noneMatch(Action.Cancel.class::isInstance));
     }
 
     @Test
-    void theShareOfSlotsForHangingEndpointsHoldsWithinOneRound() {
-        List<String> ids = sentTogether(20, SAFE);
-        rig.now += 2 * S;
-        Event[] ends = new Event[6];
-        for (int d = 0; d < ends.length; d++) {
-            ends[d] = new Event.Outcome(ids.get(d), "h" + d, 0, AttemptResult.TIMED_OUT, 2 * S, 0, false, false, null);
+    void theShareOfSlotsForUnresponsiveEndpointsHoldsWithinOneRound() {
+        List<String> ids = submitToSeveralDestinations(20, SAFE);
+        harness.nowMicros += 2 * SECOND;
+        Event[] outcomes = new Event[6];
+        for (int d = 0; d < outcomes.length; d++) {
+            outcomes[d] = new Event.Outcome(ids.get(d), "h" + d, 0, AttemptResult.TIMED_OUT, 2 * SECOND, 0, false, false, null);
         }
-        rig.round(ends);
-        rig.now += 400 * MS; // all six may go again now, each to one that hung
-        rig.round();
-        assertEquals(6, rig.sentTo().size(), "20 slots have room for six");
-        sentTogether(10, SAFE);
-        rig.now += 2 * S;
-        rig.round(ends);
-        rig.now += 400 * MS;
-        rig.round();
-        assertEquals(3, rig.sentTo().size(), "three of ten slots, also where all are picked in one round");
+        harness.runRound(outcomes);
+        harness.nowMicros += 400 * MILLISECOND; // all six may go again now, each to one that hung
+        harness.runRound();
+        assertEquals(6, harness.hostsSentTo().size(), "20 slots have room for six");
+        submitToSeveralDestinations(10, SAFE);
+        harness.nowMicros += 2 * SECOND;
+        harness.runRound(outcomes);
+        harness.nowMicros += 400 * MILLISECOND;
+        harness.runRound();
+        assertEquals(3, harness.hostsSentTo().size(), "three of ten slots, also where all are picked in one round");
     }
 
     @Test
-    void severalHangingDestinationsTogetherLeaveSlotsForTheRest() {
-        rig.list(ListingKind.CHANGES, Rig.entry("d1", 4, 0, 0), Rig.entry("e1", 5, 0, 0));
-        String well = rig.submit(SAFE, 2);
-        rig.outcome(well, "b1", 0, AttemptResult.DELIVERED);
-        int open = 0;
+    void severalUnresponsiveDestinationsTogetherLeaveSlotsForTheRest() {
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("d1", 4, 0, 0), DecisionModuleHarness.entry("e1", 5, 0, 0));
+        String healthy = harness.submit(SAFE, 2);
+        harness.reportOutcome(healthy, "b1", 0, AttemptResult.DELIVERED);
+        int callsInFlight = 0;
         for (int i = 0; i < 3; i++) {
-            for (int dest : new int[] {1, 4, 5}) {
-                rig.submit(SAFE, dest);
-                open += rig.sentTo().size();
-                rig.pass(500 * MS);
-                open += rig.sentTo().size();
+            for (int destination : new int[] {1, 4, 5}) {
+                harness.submit(SAFE, destination);
+                callsInFlight += harness.hostsSentTo().size();
+                harness.runRoundsFor(500 * MILLISECOND);
+                callsInFlight += harness.hostsSentTo().size();
             }
         }
-        assertTrue(open <= 5, "hanging calls hold " + open + " of 10 slots");
-        assertTrue(rig.sent(rig.submit(SAFE, 2)));
+        assertTrue(callsInFlight <= 5, "hanging calls hold " + callsInFlight + " of 10 slots");
+        assertTrue(harness.wasSent(harness.submit(SAFE, 2)));
     }
 
     @Test
-    void aLongToldWaitIsReadAsShutAndItsEndAsAReturn() {
-        List<String> ids = List.of(rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1));
-        rig.outcome(ids.get(0), "a1", 0, AttemptResult.FULL, 6 * S);
-        rig.outcome(ids.get(1), "a1", 0, AttemptResult.FULL, 6 * S);
-        rig.outcome(ids.get(2), "a1", 0, AttemptResult.FULL, 6 * S);
-        rig.pass(10 * S);
-        assertEquals(1, rig.sentTo().size(), "one trial after the wait, not all that waits");
+    void aLongRetryAfterIsTreatedAsAnOutageAndItsEndAsARecovery() {
+        List<String> ids = List.of(harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
+        harness.reportOutcome(ids.get(0), "a1", 0, AttemptResult.FULL, 6 * SECOND);
+        harness.reportOutcome(ids.get(1), "a1", 0, AttemptResult.FULL, 6 * SECOND);
+        harness.reportOutcome(ids.get(2), "a1", 0, AttemptResult.FULL, 6 * SECOND);
+        harness.runRoundsFor(10 * SECOND);
+        assertEquals(1, harness.hostsSentTo().size(), "one trial after the wait, not all that waits");
     }
 
     /** Lets time pass; every send comes back with this ending a round later. Gives the number of sends. */
-    private int answerAll(Map<String, Integer> tries, long micros, AttemptResult ending) {
+    private int answerAll(Map<String, Integer> attemptCounts, long micros, AttemptResult ending) {
         int sent = 0;
-        for (long until = rig.now + micros; rig.now < until; ) {
-            rig.now += 5 * MS;
-            rig.round();
+        for (long untilMicros = harness.nowMicros + micros; harness.nowMicros < untilMicros; ) {
+            harness.nowMicros += 5 * MILLISECOND;
+            harness.runRound();
             // What an outcome lets go is answered too.
-            List<Action> todo = new ArrayList<>(rig.actions);
-            for (int i = 0; i < todo.size(); i++) {
-                if (todo.get(i) instanceof Action.Send s) {
+            List<Action> actions = new ArrayList<>(harness.actions);
+            for (int i = 0; i < actions.size(); i++) {
+                if (actions.get(i) instanceof Action.Send s) {
                     sent++;
-                    rig.now += 5 * MS;
-                    rig.outcome(s.id(), s.host(), tries.merge(s.id(), 1, Integer::sum) - 1, ending);
-                    todo.addAll(rig.actions);
+                    harness.nowMicros += 5 * MILLISECOND;
+                    harness.reportOutcome(s.id(), s.host(), attemptCounts.merge(s.id(), 1, Integer::sum) - 1, ending);
+                    actions.addAll(harness.actions);
                 }
             }
         }
@@ -537,206 +537,206 @@
     }
 
     @Test
-    void fullConnectionTablesAreNoOutageAndIdleConnectionsAreGivenBack() {
+    void fullConnectionTablesAreNoOutageAndIdleConnectionsAreClosed() {
         List<String> ids = List.of(
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.NO_CONNECTION));
-        Map<String, Integer> tries = new HashMap<>();
-        ids.forEach(id -> tries.put(id, 1));
-        int sent = answerAll(tries, 6 * S, AttemptResult.DELIVERED);
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1));
+        ids.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.NO_CONNECTION));
+        Map<String, Integer> attemptCounts = new HashMap<>();
+        ids.forEach(id -> attemptCounts.put(id, 1));
+        int sent = answerAll(attemptCounts, 6 * SECOND, AttemptResult.DELIVERED);
         assertEquals(5, sent, "one trial and no ramp: once a call is taken, what waits goes");
-        rig.submit(SAFE, 1);
-        rig.outcome(((Action.Send) rig.actions.get(0)).id(), "a1", 0, AttemptResult.DELIVERED);
-        assertTrue(rig.actions.stream().anyMatch(Action.CloseIdle.class::isInstance), rig.actions.toString());
+        harness.submit(SAFE, 1);
+        harness.reportOutcome(((Action.Send) harness.actions.get(0)).id(), "a1", 0, AttemptResult.DELIVERED);
+        assertTrue(harness.actions.stream().anyMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
     }
 
     /** Guards against relays that have their connections and never hear of those that got none: they shut them out. */
     @Test
-    void whereAKindTakesFewConnectionsABusyRelayKeepsNoneEither() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 14));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0), Rig.entry("c1", 3, 0, 0), Rig.entry("b1", 2, 0, 1));
+    void whereAnEndpointKindTakesFewConnectionsABusyForwarderClosesIdleOnesToo() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 14));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("c1", 3, 0, 0), DecisionModuleHarness.entry("b1", 2, 0, 1));
         for (int i = 0; i < 20; i++) {
-            rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).pass(100 * MS);
+            harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).runRoundsFor(100 * MILLISECOND);
         }
-        assertTrue(rig.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), rig.actions.toString());
-        rig.outcome(rig.submit(SAFE, 3), "c1", 0, AttemptResult.NO_CONNECTION);
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED);
-        assertTrue(rig.actions.contains(new Action.CloseIdle("a1")), rig.actions.toString());
-        rig.outcome(rig.submit(SAFE, 2), "b1", 0, AttemptResult.DELIVERED);
+        assertTrue(harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
+        harness.reportOutcome(harness.submit(SAFE, 3), "c1", 0, AttemptResult.NO_CONNECTION);
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED);
+        assertTrue(harness.actions.contains(new Action.CloseIdle("a1")), harness.actions.toString());
+        harness.reportOutcome(harness.submit(SAFE, 2), "b1", 0, AttemptResult.DELIVERED);
         assertTrue(
-                rig.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), "of another kind nothing is known");
+                harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), "of another kind nothing is known");
     }
 
     /** Guards against a return at the pace of a cold partner to one that only has no room for one more connection. */
     @Test
-    void anAnswerThatThereIsNoRoomForAConnectionIsNoOutage() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 14));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, AttemptResult.NO_CONNECTION);
-        tries.put(first, 1);
+    void aConnectionRejectedForLackOfCapacityIsNoOutage() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 14));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, AttemptResult.NO_CONNECTION);
+        attemptCounts.put(first, 1);
         answerAll(
-                tries,
-                12 * S,
+                attemptCounts,
+                12 * SECOND,
                 AttemptResult.NO_CONNECTION); // down: a failed connect is no sign of a full table any more
-        rig.pass(60 * S);
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).pass(15 * S); // back, and warm
+        harness.runRoundsFor(60 * SECOND);
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED).runRoundsFor(15 * SECOND); // back, and warm
         List<String> ids = List.of(
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.NO_ROOM));
-        ids.forEach(id -> tries.put(id, 1));
-        assertEquals(5, answerAll(tries, 3 * S, AttemptResult.DELIVERED), "all that waits goes once there is room");
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1));
+        ids.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.NO_ROOM));
+        ids.forEach(id -> attemptCounts.put(id, 1));
+        assertEquals(5, answerAll(attemptCounts, 3 * SECOND, AttemptResult.DELIVERED), "all that waits goes once there is room");
     }
 
     /** Guards against a fleet whose idle connections fill an endpoint that takes few: one each is enough for that. */
     @Test
     void inALargeFleetNoConnectionIsKeptIdle() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED);
-        assertTrue(rig.actions.contains(new Action.CloseIdle("a1")), rig.actions.toString());
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED);
+        assertTrue(harness.actions.contains(new Action.CloseIdle("a1")), harness.actions.toString());
     }
 
     /** Guards against a fleet that stays away from a partner for most of a minute after one refusal by each. */
     @Test
-    void oneOfManyRelaysComesBackSoonAfterARefusal() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String id = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, AttemptResult.FULL);
-        rig.pass(2 * S);
-        assertTrue(!rig.sent(id), "not while what others sent is still over the limit");
-        rig.pass(6 * S);
-        assertTrue(rig.sent(id), "five quiet seconds, spread, are enough");
+    void aForwarderOfALargeFleetRetriesSoonAfterARefusal() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String id = harness.submit(SAFE, 1);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.FULL);
+        harness.runRoundsFor(2 * SECOND);
+        assertTrue(!harness.wasSent(id), "not while what others sent is still over the limit");
+        harness.runRoundsFor(6 * SECOND);
+        assertTrue(harness.wasSent(id), "five quiet seconds, spread, are enough");
     }
 
     /** Guards against a repeat that its connection, late to come up, carries past the window in which it is dropped. */
     @Test
-    void noAttemptOfAKeyedMessageStaysOpenPastItsWindow() {
-        String id = rig.submit(KEYED, 1);
-        long first = rig.now;
-        for (int attempt = 0; rig.checker.open().contains(id); attempt++) {
-            rig.outcome(id, "a1", attempt, AttemptResult.ERROR);
-            rig.outcome(rig.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED); // it is well otherwise
-            while (!rig.sent(id) && rig.checker.open().contains(id)) {
-                rig.pass(5 * MS);
+    void noAttemptOfAKeyedMessageStaysInFlightPastItsRepeatWindow() {
+        String id = harness.submit(KEYED, 1);
+        long firstSentMicros = harness.nowMicros;
+        for (int attempt = 0; harness.checker.openMessages().contains(id); attempt++) {
+            harness.reportOutcome(id, "a1", attempt, AttemptResult.ERROR);
+            harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED); // it is well otherwise
+            while (!harness.wasSent(id) && harness.checker.openMessages().contains(id)) {
+                harness.runRoundsFor(5 * MILLISECOND);
             }
-            for (Action action : rig.actions) {
-                assertTrue(!(action instanceof Action.Send s) || s.dropAtMicros() < first + 5 * S, action.toString());
+            for (Action action : harness.actions) {
+                assertTrue(!(action instanceof Action.Send s) || s.dropAtMicros() < firstSentMicros + 5 * SECOND, action.toString());
             }
         }
-        assertTrue(rig.now > first + 3 * S, "it was sent late enough to matter");
+        assertTrue(harness.nowMicros > firstSentMicros + 3 * SECOND, "it was sent late enough to matter");
     }
 
     @Test
-    void failedConnectsThatGoOnAreAnOutage() {
-        Map<String, Integer> tries = new HashMap<>();
+    void persistentlyFailingConnectsAreAnOutage() {
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 40; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        rig.round();
-        for (String id : List.copyOf(rig.checker.open())) {
-            tries.put(id, 0);
+        harness.runRound();
+        for (String id : List.copyOf(harness.checker.openMessages())) {
+            attemptCounts.put(id, 0);
         }
         int sent = 0;
-        List<String> open = new ArrayList<>(rig.checker.open());
-        for (String id : open.subList(0, 6)) {
-            rig.outcome(id, "a1", 0, AttemptResult.NO_CONNECTION);
-            tries.merge(id, 1, Integer::sum);
+        List<String> openMessages = new ArrayList<>(harness.checker.openMessages());
+        for (String id : openMessages.subList(0, 6)) {
+            harness.reportOutcome(id, "a1", 0, AttemptResult.NO_CONNECTION);
+            attemptCounts.merge(id, 1, Integer::sum);
         }
-        sent = answerAll(tries, 8 * S, AttemptResult.NO_CONNECTION);
-        int later = answerAll(tries, 8 * S, AttemptResult.NO_CONNECTION);
+        sent = answerAll(attemptCounts, 8 * SECOND, AttemptResult.NO_CONNECTION);
+        int later = answerAll(attemptCounts, 8 * SECOND, AttemptResult.NO_CONNECTION);
         assertTrue(later <= 8, "trials only: " + sent + " then " + later);
     }
 
     @Test
-    void inALargeFleetOneFailureTellsAndTrialsComeApartAsTheOutageLasts() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    void inALargeFleetOneFailureIsAnOutageAndTrialCallsBecomeRarer() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 6; i++) {
-            tries.put(rig.submit(SAFE, 1), 1);
+            attemptCounts.put(harness.submit(SAFE, 1), 1);
         }
-        tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.ERROR));
-        answerAll(tries, 5 * S, AttemptResult.ERROR);
-        int later = answerAll(tries, 10 * S, AttemptResult.ERROR);
+        attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR));
+        answerAll(attemptCounts, 5 * SECOND, AttemptResult.ERROR);
+        int later = answerAll(attemptCounts, 10 * SECOND, AttemptResult.ERROR);
         assertTrue(later <= 2, "hundreds of relays may have seen it: " + later + " trials in ten seconds");
     }
 
     @Test
-    void whereFailuresAreBlipsASingleOneIsNoOutage() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0), Rig.entry("c1", 3, 0, 0));
+    void whereFailuresAreTransientASingleOneIsNoOutage() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("c1", 3, 0, 0));
         for (int i = 0; i < 6; i++) {
-            String id = rig.submit(SAFE, 1);
-            if (!rig.sent(id)) {
-                pauseUntilSent(id, 30 * S);
+            String id = harness.submit(SAFE, 1);
+            if (!harness.wasSent(id)) {
+                microsUntilSent(id, 30 * SECOND);
             }
-            rig.outcome(id, "a1", 0, AttemptResult.TIMED_OUT);
-            assertTrue(pauseUntilSent(id, 3 * S) > 0);
-            rig.outcome(id, "a1", 1, AttemptResult.DELIVERED);
+            harness.reportOutcome(id, "a1", 0, AttemptResult.TIMED_OUT);
+            assertTrue(microsUntilSent(id, 3 * SECOND) > 0);
+            harness.reportOutcome(id, "a1", 1, AttemptResult.DELIVERED);
         }
-        String lost = rig.submit(SAFE, 3);
-        rig.outcome(lost, "c1", 0, AttemptResult.TIMED_OUT);
-        assertTrue(rig.sent(rig.submit(SAFE, 3)), "one lost call tells nothing of its endpoint");
+        String lost = harness.submit(SAFE, 3);
+        harness.reportOutcome(lost, "c1", 0, AttemptResult.TIMED_OUT);
+        assertTrue(harness.wasSent(harness.submit(SAFE, 3)), "one lost call tells nothing of its endpoint");
     }
 
     @Test
-    void connectsThatTimeOutAreNoCrowding() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(id, "a1", 0, AttemptResult.NO_CONNECTION, S, 0, false, false, null));
-        String other = rig.submit(SAFE, 1);
-        rig.pass(300 * MS);
-        assertFalse(rig.sent(other) || rig.sent(id), "nothing was there: trials only");
+    void connectTimeoutsAreAnOutageAndNoFullConnectionTable() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String id = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Outcome(id, "a1", 0, AttemptResult.NO_CONNECTION, SECOND, 0, false, false, null));
+        String other = harness.submit(SAFE, 1);
+        harness.runRoundsFor(300 * MILLISECOND);
+        assertFalse(harness.wasSent(other) || harness.wasSent(id), "nothing was there: trials only");
     }
 
     @Test
-    void whatCanNoLongerBeSentInTimeIsAnsweredAtOnce() {
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, AttemptResult.FULL, 30 * S);
-        assertTrue(rig.refused(first), "the told wait outlasts its time");
-        String next = rig.submit(SAFE, 1);
-        assertTrue(rig.refused(next), "so it does for one that comes later");
-        assertTrue(rig.actions.stream().anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * S));
+    void messagesThatCannotBeSentInTimeAreRefusedAtOnce() {
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, AttemptResult.FULL, 30 * SECOND);
+        assertTrue(harness.wasRefused(first), "the told wait outlasts its time");
+        String next = harness.submit(SAFE, 1);
+        assertTrue(harness.wasRefused(next), "so it does for one that comes later");
+        assertTrue(harness.actions.stream().anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * SECOND));
     }
 
     /** Calls in 4 s to a limit told as 10 a second that refuses all and reports this share left. */
-    private int triesWith(double left) {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    private int callsWithAllowanceLeft(double allowanceLeft) {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         int sent = 0;
-        for (long end = rig.now + 4 * S; rig.now < end; rig.now += 50 * MS) {
-            if (rig.checker.open().size() < 10) {
-                rig.submit(SAFE, 1);
+        for (long endMicros = harness.nowMicros + 4 * SECOND; harness.nowMicros < endMicros; harness.nowMicros += 50 * MILLISECOND) {
+            if (harness.checker.openMessages().size() < 10) {
+                harness.submit(SAFE, 1);
             } else {
-                rig.round();
+                harness.runRound();
             }
-            for (Action a : rig.actions) {
+            for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
                     sent++;
-                    rig.now += 5 * MS;
-                    rig.round(new Event.Outcome(
+                    harness.nowMicros += 5 * MILLISECOND;
+                    harness.runRound(new Event.Outcome(
                             s.id(),
                             "a1",
-                            tries.merge(s.id(), 1, Integer::sum) - 1,
+                            attemptCounts.merge(s.id(), 1, Integer::sum) - 1,
                             AttemptResult.FULL,
-                            5 * MS,
-                            300 * MS,
+                            5 * MILLISECOND,
+                            300 * MILLISECOND,
                             false,
                             false,
-                            new DecisionModule.LimitReport(left, 10)));
+                            new DecisionModule.LimitReport(allowanceLeft, 10)));
                 }
             }
         }
@@ -744,94 +744,94 @@
     }
 
     @Test
-    void aLimitWithNothingLeftAtAllIsLeftAloneSooner() {
-        int some = triesWith(0.1);
-        int none = triesWith(0);
-        assertTrue(none < some, none + " against " + some);
+    void aUsedUpAllowanceGetsFewerCallsThanOneWithSomeLeft() {
+        int callsWithSomeLeft = callsWithAllowanceLeft(0.1);
+        int callsWithNoneLeft = callsWithAllowanceLeft(0);
+        assertTrue(callsWithNoneLeft < callsWithSomeLeft, callsWithNoneLeft + " against " + callsWithSomeLeft);
     }
 
     @Test
-    void aBusyHostThatTurnsOneAwayIsNotLeftAlone() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
+    void aBusyHostThatRejectsOneConnectIsStillUsed() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         for (int i = 0; i < 10; i++) {
-            String id = rig.submit(SAFE, 1);
-            assertTrue(rig.sent(id) || pauseUntilSent(id, 2 * S) > 0, "call " + i);
-            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
-            rig.pass(500 * MS);
+            String id = harness.submit(SAFE, 1);
+            assertTrue(harness.wasSent(id) || microsUntilSent(id, 2 * SECOND) > 0, "call " + i);
+            harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
+            harness.runRoundsFor(500 * MILLISECOND);
         }
-        String turned = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(turned, "a1", 0, AttemptResult.NO_CONNECTION, 20 * MS, 0, false, false, null));
-        assertTrue(pauseUntilSent(turned, S) > 0, "its table was full, as deliveries before and after tell");
+        String rejected = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Outcome(rejected, "a1", 0, AttemptResult.NO_CONNECTION, 20 * MILLISECOND, 0, false, false, null));
+        assertTrue(microsUntilSent(rejected, SECOND) > 0, "its table was full, as deliveries before and after tell");
     }
 
     @Test
-    void manyRelaysLeaveALimitThatIsUsedUpRoomToFill() {
+    void aLargeFleetLetsAUsedUpAllowanceRefill() {
         // 100 relays, 10 calls a second: at the old pace all that wait keep it at nothing for good.
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(
-                id, "a1", 0, AttemptResult.FULL, 5 * MS, 0, false, false, new DecisionModule.LimitReport(0, 10)));
-        assertTrue(pauseUntilSent(id, 19 * S) >= 100 / (0.7 * 10) * S, "no more than 0.7 of the even share");
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String id = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Outcome(
+                id, "a1", 0, AttemptResult.FULL, 5 * MILLISECOND, 0, false, false, new DecisionModule.LimitReport(0, 10)));
+        assertTrue(microsUntilSent(id, 19 * SECOND) >= 100 / (0.7 * 10) * SECOND, "no more than 0.7 of the even share");
     }
 
     @ParameterizedTest
     @CsvSource({"ERROR,ACTIVE", "NO_CONNECTION,ACTIVE", "NO_CONNECTION,LEFT", "ERROR,LEFT"})
-    void aNewHostOfADestinationInOutageIsNoWayRoundIt(AttemptResult ending, Presence old) {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 50));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    void aNewHostDoesNotBypassTheOutageOfItsDestination(AttemptResult ending, Presence oldHostPresence) {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 50));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 4; i++) {
-            tries.put(rig.submit(SAFE, 1), 1);
+            attemptCounts.put(harness.submit(SAFE, 1), 1);
         }
-        tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, ending));
-        answerAll(tries, 10 * S, ending);
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0), new EndpointEntry("a1", 1, 0, 0, old, 1, 0));
-        assertTrue(rig.sentTo().size() <= 1, rig.sentTo().toString());
+        attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, ending));
+        answerAll(attemptCounts, 10 * SECOND, ending);
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0), new EndpointEntry("a1", 1, 0, 0, oldHostPresence, 1, 0));
+        assertTrue(harness.hostsSentTo().size() <= 1, harness.hostsSentTo().toString());
     }
 
     @Test
-    void aReplacedHostIsUsedOnlyOnceListedAndTheOldOneNoMore() {
-        rig = new Rig(Rig.settings(10, 400, 12, false, 200));
-        DecisionModule.EndpointEntry[] many = new DecisionModule.EndpointEntry[300];
-        for (int i = 0; i < many.length; i++) {
-            many[i] = Rig.entry("h" + i, i, i % 2, 0);
+    void aReplacementHostIsUsedOnceListedAndTheOldOneNoLonger() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 400, 12, false, 200));
+        DecisionModule.EndpointEntry[] entries = new DecisionModule.EndpointEntry[300];
+        for (int i = 0; i < entries.length; i++) {
+            entries[i] = DecisionModuleHarness.entry("h" + i, i, i % 2, 0);
         }
-        rig.list(ListingKind.REMEMBERED, many);
-        rig.list(ListingKind.CHANGES, new DecisionModule.EndpointEntry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
-        String id = rig.submit(SAFE, 7);
-        assertFalse(rig.sent(id), "its only host has gone");
-        rig.list(ListingKind.CHANGES, Rig.entry("new", 7, 1, 0));
-        assertEquals(List.of("new"), rig.sentTo());
+        harness.applyListing(ListingKind.REMEMBERED, entries);
+        harness.applyListing(ListingKind.CHANGES, new DecisionModule.EndpointEntry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
+        String id = harness.submit(SAFE, 7);
+        assertFalse(harness.wasSent(id), "its only host has gone");
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("new", 7, 1, 0));
+        assertEquals(List.of("new"), harness.hostsSentTo());
     }
 
     @Test
-    void refusalsInARowSlowAHeldLimitTowardsTheEvenShare() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    void consecutiveRefusalsSlowAThrottledLimitTowardsTheEvenShare() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 12; i++) {
-            String id = rig.submit(SAFE, 1);
-            if (rig.sent(id)) {
-                tries.put(id, 1);
-                rig.outcome(id, "a1", 0, AttemptResult.FULL, i == 0 ? 0 : 300 * MS);
+            String id = harness.submit(SAFE, 1);
+            if (harness.wasSent(id)) {
+                attemptCounts.put(id, 1);
+                harness.reportOutcome(id, "a1", 0, AttemptResult.FULL, i == 0 ? 0 : 300 * MILLISECOND);
             }
         }
-        int first = answerAll(tries, 5 * S, AttemptResult.FULL);
-        int later = answerAll(tries, 10 * S, AttemptResult.FULL);
+        int first = answerAll(attemptCounts, 5 * SECOND, AttemptResult.FULL);
+        int later = answerAll(attemptCounts, 10 * SECOND, AttemptResult.FULL);
         assertTrue(later <= 2, "first " + first + ", later " + later);
     }
 
     @Test
-    void anOutageGetsFewTrialsAndAReturnStaysInItsBudget() {
-        List<String> ids = List.of(rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, AttemptResult.ERROR));
-        rig.pass(4 * S);
-        assertEquals(1, rig.sentTo().size(), "one trial, whose outcome is still to come");
-        rig.now += MS;
-        rig.outcome(
-                ((Action.Send) rig.actions.stream()
+    void anOutageGetsFewTrialCallsAndARecoveryStaysWithinItsBudget() {
+        List<String> ids = List.of(harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
+        ids.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR));
+        harness.runRoundsFor(4 * SECOND);
+        assertEquals(1, harness.hostsSentTo().size(), "one trial, whose outcome is still to come");
+        harness.nowMicros += MILLISECOND;
+        harness.reportOutcome(
+                ((Action.Send) harness.actions.stream()
                                 .filter(Action.Send.class::isInstance)
                                 .findFirst()
                                 .orElseThrow())
@@ -839,19 +839,19 @@
                 "a1",
                 1,
                 AttemptResult.DELIVERED);
-        rig.checker.returned("a1", rig.now, 4);
+        harness.checker.startRecovery("a1", harness.nowMicros, 4);
         for (int i = 0; i < 600; i++) {
-            rig.now += 5 * MS;
+            harness.nowMicros += 5 * MILLISECOND;
             if (i % 20 == 0) {
-                rig.submit(SAFE, 1);
+                harness.submit(SAFE, 1);
             } else {
-                rig.round();
+                harness.runRound();
             }
-            for (Action a : rig.actions) {
+            for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
-                    rig.now += MS;
+                    harness.nowMicros += MILLISECOND;
                     for (int n = 0; n < 3; n++) {
-                        rig.outcome(s.id(), "a1", n, AttemptResult.DELIVERED);
+                        harness.reportOutcome(s.id(), "a1", n, AttemptResult.DELIVERED);
                     }
                 }
             }
@@ -859,118 +859,118 @@
     }
 
     @Test
-    void oneBadEndpointLeavesTheOtherAtFullPace() {
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0));
-        int taken = 0;
+    void aFailingEndpointLeavesTheOtherAtItsFullRate() {
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0));
+        int delivered = 0;
         for (int i = 0; i < 400; i++) {
-            rig.now += 5 * MS;
+            harness.nowMicros += 5 * MILLISECOND;
             if (i % 20 == 0) {
-                rig.submit(SAFE, 1);
+                harness.submit(SAFE, 1);
             } else {
-                rig.round();
+                harness.runRound();
             }
-            for (Action.Send s : rig.actions.stream()
+            for (Action.Send s : harness.actions.stream()
                     .filter(Action.Send.class::isInstance)
                     .map(Action.Send.class::cast)
                     .toList()) {
-                int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
-                taken += s.host().equals("a2") ? 1 : 0;
-                rig.outcome(
+                int attempt = attemptsByMessage.merge(s.id(), 1, Integer::sum) - 1;
+                delivered += s.host().equals("a2") ? 1 : 0;
+                harness.reportOutcome(
                         s.id(),
                         s.host(),
-                        n,
+                        attempt,
                         s.host().equals("a2") ? AttemptResult.DELIVERED : AttemptResult.NO_CONNECTION);
             }
         }
-        assertTrue(taken >= 15, "taken " + taken + " of 20");
+        assertTrue(delivered >= 15, "taken " + delivered + " of 20");
     }
 
     @Test
-    void aPartOfTheCallsFailingIsNoOutage() {
-        int taken = 0;
+    void aMinorityOfFailingCallsIsNoOutage() {
+        int sentAtOnce = 0;
         for (int i = 0; i < 100; i++) {
-            String id = rig.submit(SAFE, 1);
-            taken += rig.sent(id) ? 1 : 0;
-            if (rig.sent(id)) {
-                rig.outcome(id, "a1", 0, i % 5 < 2 ? AttemptResult.RESET : AttemptResult.DELIVERED);
+            String id = harness.submit(SAFE, 1);
+            sentAtOnce += harness.wasSent(id) ? 1 : 0;
+            if (harness.wasSent(id)) {
+                harness.reportOutcome(id, "a1", 0, i % 5 < 2 ? AttemptResult.RESET : AttemptResult.DELIVERED);
             }
-            rig.pass(300 * MS);
-            for (Action.Send s : rig.actions.stream()
+            harness.runRoundsFor(300 * MILLISECOND);
+            for (Action.Send s : harness.actions.stream()
                     .filter(Action.Send.class::isInstance)
                     .map(Action.Send.class::cast)
                     .toList()) {
-                rig.outcome(s.id(), "a1", 1, AttemptResult.DELIVERED);
+                harness.reportOutcome(s.id(), "a1", 1, AttemptResult.DELIVERED);
             }
         }
-        assertTrue(taken >= 60, "sent at once " + taken + " of 100");
+        assertTrue(sentAtOnce >= 60, "sent at once " + sentAtOnce + " of 100");
     }
 
     @Test
-    void messagesOfAHeldBatchedKindStillGoAlong() {
-        rig = new Rig(Rig.settings(2, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("c1", 3, 0, 2));
-        String first = rig.submit(SAFE, 3);
-        rig.outcome(first, "c1", 0, AttemptResult.FULL);
+    void messagesForAThrottledEndpointAreStillBatched() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(2, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("c1", 3, 0, 2));
+        String first = harness.submit(SAFE, 3);
+        harness.reportOutcome(first, "c1", 0, AttemptResult.FULL);
         for (int i = 0; i < 4; i++) {
-            rig.submit(SAFE, 3);
+            harness.submit(SAFE, 3);
         }
-        assertEquals(List.of(), rig.sentTo());
-        rig.pass(3 * S);
-        assertEquals(5, rig.sentTo().size());
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.runRoundsFor(3 * SECOND);
+        assertEquals(5, harness.hostsSentTo().size());
     }
 
     @Test
-    void messagesOfABatchedKindTravelInOneCall() {
-        rig = new Rig(Rig.settings(1, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("c1", 3, 0, 2));
+    void messagesForAnEndpointKindWithBatchesGoInOneCall() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(1, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("c1", 3, 0, 2));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            events.add(new Event.Submit("x" + i, SAFE, 3, 0, null, false, false, 20 * S));
+            events.add(new Event.Submit("x" + i, SAFE, 3, 0, null, false, false, 20 * SECOND));
         }
-        rig.round(events.toArray(new Event[0]));
-        assertEquals(5, rig.sentTo().size());
+        harness.runRound(events.toArray(new Event[0]));
+        assertEquals(5, harness.hostsSentTo().size());
     }
 
     // ---- memory ----
     @Test
-    void whatIsFinishedIsForgotten() throws ReflectiveOperationException {
+    void finishedMessagesAndUnlistedEndpointsAreRemovedFromMemory() throws ReflectiveOperationException {
         for (int i = 0; i < 300; i++) {
-            String id = rig.submit(UNSAFE, 1, "key" + i);
-            rig.outcome(id, "a1", 0, AttemptResult.DELIVERED);
-            rig.list(ListingKind.ALL, Rig.entry("a1", 1, 0, 0), Rig.entry("gone" + i, 2, 0, 1));
+            String id = harness.submit(UNSAFE, 1, "key" + i);
+            harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
+            harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("gone" + i, 2, 0, 1));
         }
         for (String name : List.of("messages", "lines")) {
             assertEquals(0, ((Map<?, ?>) field(name)).size(), name);
         }
         assertEquals(2, ((Map<?, ?>) field("endpoints")).size());
-        rig.pass(21 * S);
+        harness.runRoundsFor(21 * SECOND);
         assertTrue(((java.util.Collection<?>) field("dues")).isEmpty());
     }
 
     @Test
-    void aKeyThatRestedIsForgotten() throws ReflectiveOperationException {
-        String id = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(id, "a1", 0, AttemptResult.TIMED_OUT);
-        rig.pass(2 * S);
+    void aKeyIsRemovedFromMemoryAfterItsDelay() throws ReflectiveOperationException {
+        String id = harness.submit(UNSAFE, 1, "k");
+        harness.reportOutcome(id, "a1", 0, AttemptResult.TIMED_OUT);
+        harness.runRoundsFor(2 * SECOND);
         assertEquals(0, ((Map<?, ?>) field("lines")).size());
     }
 
     private Object field(String name) throws ReflectiveOperationException {
         var field = DeliveryPolicy.class.getDeclaredField(name);
         field.setAccessible(true);
-        return field.get(rig.relay);
+        return field.get(harness.module);
     }
 
     // ---- settings ----
     @Test
-    void settingsThatMakeNoSenseAreNamed() {
+    void anInvalidSettingIsNamedInTheError() {
         IllegalArgumentException e = assertThrows(
-                IllegalArgumentException.class, () -> DecisionModule.create(Rig.settings(0, 50, 6, false), 1));
+                IllegalArgumentException.class, () -> DecisionModule.create(DecisionModuleHarness.settings(0, 50, 6, false), 1));
         assertTrue(e.getMessage().contains("slots"));
     }
 
     // ---- a program that restarts or ends ----
-    private Event.Submit resumed(int messageClass, int attempts, boolean mayHaveRun, long riskAgo) {
+    private Event.Submit recoveredMessage(int messageClass, int attempts, boolean mayHaveRun, long mayHaveRunMicrosAgo) {
         return new Event.Submit(
                 "r",
                 messageClass,
@@ -979,32 +979,32 @@
                 null,
                 false,
                 false,
-                20 * S,
-                new DecisionModule.PriorAttempts(attempts, mayHaveRun, "a1", 0, rig.now - riskAgo));
+                20 * SECOND,
+                new DecisionModule.PriorAttempts(attempts, mayHaveRun, "a1", 0, harness.nowMicros - mayHaveRunMicrosAgo));
     }
 
     @Test
-    void anUnsafeMessageThatMayHaveRunInAnEarlierLifeFailsAtOnce() {
-        assertTrue(rig.round(resumed(UNSAFE, 1, true, S)).failed("r"));
-        assertTrue(rig.round(resumed(UNSAFE, 1, false, 0)).sent("r"), "one that never ran is sent");
+    void anUnsafeMessageThatMayHaveRunBeforeARestartFailsAtOnce() {
+        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, true, SECOND)).hasFailed("r"));
+        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, false, 0)).wasSent("r"), "one that never ran is sent");
     }
 
     @Test
-    void aKeyedMessageOfAnEarlierLifeKeepsItsWindow() {
-        assertTrue(rig.round(resumed(Rig.KEYED, 1, true, 4 * S)).sent("r"));
-        rig = Rig.started();
-        assertTrue(rig.round(resumed(Rig.KEYED, 1, true, 6 * S)).refused("r"));
+    void aKeyedMessageKeepsItsRepeatWindowOverARestart() {
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 4 * SECOND)).wasSent("r"));
+        harness = DecisionModuleHarness.withTwoDestinations();
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 6 * SECOND)).wasRefused("r"));
     }
 
     /**
      * What a restart found is tried, however full the hold gets: room is made by others, or by turning newcomers away.
      */
     @Test
-    void whatOutlivedAProcessIsNotGivenUpForRoom() {
-        rig.round(new Event.Listing(ListingKind.REMEMBERED, 2, List.of()));
-        List<Event> found = new ArrayList<>();
+    void recoveredMessagesAreNotRefusedForLackOfCapacity() {
+        harness.runRound(new Event.Listing(ListingKind.REMEMBERED, 2, List.of()));
+        List<Event> recovered = new ArrayList<>();
         for (int i = 0; i < 49; i++) {
-            found.add(new Event.Submit(
+            recovered.add(new Event.Submit(
                     "r" + i,
                     SAFE,
                     1,
@@ -1012,35 +1012,35 @@
                     null,
                     false,
                     false,
-                    20 * S,
+                    20 * SECOND,
                     new DecisionModule.PriorAttempts(0, false, "", 0, 0)));
         }
-        rig.round(found.toArray(Event[]::new));
+        harness.runRound(recovered.toArray(Event[]::new));
         assertEquals(
                 0,
-                rig.actions.stream().filter(a -> a instanceof Action.Refuse).count(),
+                harness.actions.stream().filter(a -> a instanceof Action.Refuse).count(),
                 "untried, with all their time left");
-        String fresh = rig.submit(SAFE, 1);
-        assertTrue(rig.refused(fresh), "the newcomer, whose client may find another forwarder");
+        String newMessage = harness.submit(SAFE, 1);
+        assertTrue(harness.wasRefused(newMessage), "the newcomer, whose client may find another forwarder");
         assertEquals(
-                1, rig.actions.stream().filter(a -> a instanceof Action.Refuse).count());
+                1, harness.actions.stream().filter(a -> a instanceof Action.Refuse).count());
     }
 
     @Test
-    void attemptsOfAnEarlierLifeCount() {
-        assertTrue(rig.round(resumed(SAFE, 6, false, 0)).refused("r"));
+    void attemptsBeforeARestartCount() {
+        assertTrue(harness.runRound(recoveredMessage(SAFE, 6, false, 0)).wasRefused("r"));
     }
 
     @Test
-    void aPermanentRefusalEndsTheMessageAtOnce() {
-        String id = rig.submit(SAFE, 1);
-        assertTrue(rig.outcome(id, "a1", 0, AttemptResult.REJECTED).failed(id));
+    void aPermanentRejectionFailsTheMessageAtOnce() {
+        String id = harness.submit(SAFE, 1);
+        assertTrue(harness.reportOutcome(id, "a1", 0, AttemptResult.REJECTED).hasFailed(id));
     }
 
     @Test
-    void nothingIsStartedThatTheEndOfTheProgramCouldCut() {
-        rig.round(new Event.Stopping(rig.now + 2 * S));
-        assertTrue(!rig.sent(rig.submit(UNSAFE, 1)), "its call may take longer than that");
-        assertTrue(rig.sent(rig.submit(SAFE, 1)), "its call is given up sooner");
+    void noCallIsStartedThatTheEndOfTheProgramCouldCutOff() {
+        harness.runRound(new Event.Stopping(harness.nowMicros + 2 * SECOND));
+        assertTrue(!harness.wasSent(harness.submit(UNSAFE, 1)), "its call may take longer than that");
+        assertTrue(harness.wasSent(harness.submit(SAFE, 1)), "its call is given up sooner");
     }
 }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,22 +15,22 @@
 class EndpointAvailabilityTest {
     private final PolicyFixture fixture = new PolicyFixture();
     private final PolicyParts parts = new PolicyParts(fixture.state);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
-    private long readyIn(Endpoint which) {
-        return parts.availability.readyAtMicros(which) - fixture.state.nowMicros;
+    private long microsUntilReady(Endpoint candidate) {
+        return parts.availability.readyAtMicros(candidate) - fixture.state.nowMicros;
     }
 
-    private boolean isReady(Endpoint which) {
-        return readyIn(which) <= 0;
+    private boolean isReady(Endpoint candidate) {
+        return microsUntilReady(candidate) <= 0;
     }
 
-    private boolean isNeverReady(Endpoint which) {
-        return parts.availability.readyAtMicros(which) == PolicyState.NEVER;
+    private boolean isNeverReady(Endpoint candidate) {
+        return parts.availability.readyAtMicros(candidate) == PolicyState.NEVER;
     }
 
     /** An endpoint with a limit of its own. */
-    private Endpoint elsewhere() {
+    private Endpoint endpointWithOwnLimit() {
         Endpoint other = new Endpoint("other", fixture.queue, new DestinationLimit(), 0, 0, 1);
         other.active = true;
         other.limit.endpoints.add(other);
@@ -38,97 +38,97 @@
     }
 
     @Test
-    void anEndpointThatIsWellIsReadyWhileItsLimitHasSlots() {
+    void aHealthyEndpointIsReadyWhileItsLimitHasSlots() {
         for (int i = 0; i < 3; i++) {
             assertTrue(isReady(endpoint));
-            fixture.call(fixture.message(SAFE), endpoint);
+            fixture.startCall(fixture.addMessage(SAFE), endpoint);
         }
         assertTrue(isNeverReady(endpoint));
-        assertTrue(isReady(elsewhere()));
+        assertTrue(isReady(endpointWithOwnLimit()));
     }
 
     @Test
-    void aToldWaitAndAvoidanceAreBothKept() {
-        parts.limits.onRetryAfter(fixture.limit, S);
-        assertEquals(S, readyIn(endpoint));
-        endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * S;
-        assertEquals(2 * S, readyIn(endpoint));
+    void aRetryAfterAndAvoidanceAreBothHonoured() {
+        parts.limits.onRetryAfter(fixture.limit, SECOND);
+        assertEquals(SECOND, microsUntilReady(endpoint));
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * SECOND;
+        assertEquals(2 * SECOND, microsUntilReady(endpoint));
     }
 
     @Test
-    void inAnOutageOneTrialIsInFlightAtATime() {
-        endpoint.trialIntervalMicros = S;
+    void inAnOutageOneTrialCallIsInFlightAtATime() {
+        endpoint.trialIntervalMicros = SECOND;
         endpoint.inOutage = true;
         assertTrue(isReady(endpoint));
-        fixture.call(fixture.message(SAFE), endpoint);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
         assertTrue(isNeverReady(endpoint));
     }
 
     @Test
-    void afterATrialThePauseOfTheOutageIsKept() {
-        endpoint.trialIntervalMicros = 500 * MS;
+    void trialCallsKeepToTheRateAndDelayOfTheOutage() {
+        endpoint.trialIntervalMicros = 500 * MILLISECOND;
         endpoint.inOutage = true;
         endpoint.lastSentAtMicros = fixture.state.nowMicros;
         // A cold destination's part, 0.425, of an even share of 0.75 calls a second.
-        assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second for one that was out only now");
-        fixture.limit.failingForMicros = 60 * S;
-        assertEquals(S / (0.425 * 0.75), readyIn(endpoint), 1);
-        endpoint.trialIntervalMicros = 4 * S;
-        assertEquals(4 * S, readyIn(endpoint), "the pause between trials");
+        assertEquals(SECOND / (0.425 * 2), microsUntilReady(endpoint), 1, "two calls a second for one that was out only now");
+        fixture.limit.failingForMicros = 60 * SECOND;
+        assertEquals(SECOND / (0.425 * 0.75), microsUntilReady(endpoint), 1);
+        endpoint.trialIntervalMicros = 4 * SECOND;
+        assertEquals(4 * SECOND, microsUntilReady(endpoint), "the pause between trials");
     }
 
     @Test
-    void slowStartEndsAtItsTime() {
-        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
-        PolicyParts inFleet = new PolicyParts(large.state);
-        Endpoint cold = large.endpoint();
-        large.limit.failingForMicros = 60 * S;
-        inFleet.slowStart.begin(cold);
-        cold.lastSentAtMicros = large.state.nowMicros;
-        assertEquals(10 * S, inFleet.availability.readyAtMicros(cold) - large.state.nowMicros, "not a call in 141 s");
+    void anEndpointIsReadyAtTheLatestWhenItsSlowStartEnds() {
+        PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
+        PolicyParts partsInFleet = new PolicyParts(fixtureOfLargeFleet.state);
+        Endpoint recovering = fixtureOfLargeFleet.addEndpoint();
+        fixtureOfLargeFleet.limit.failingForMicros = 60 * SECOND;
+        partsInFleet.slowStart.begin(recovering);
+        recovering.lastSentAtMicros = fixtureOfLargeFleet.state.nowMicros;
+        assertEquals(10 * SECOND, partsInFleet.availability.readyAtMicros(recovering) - fixtureOfLargeFleet.state.nowMicros, "not a call in 141 s");
     }
 
     @Test
-    void whereConnectionsAreScarceAFurtherCallNeedsAnIdleOne() {
+    void whereConnectionsAreScarceAFurtherCallNeedsAnIdleConnection() {
         endpoint.failingSinceMicros = fixture.state.nowMicros;
         parts.transientFailures.onFailure(endpoint, true);
         parts.transientFailures.onDelivered(endpoint);
         assertTrue(isReady(endpoint));
-        fixture.call(fixture.message(SAFE), endpoint);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
         assertTrue(isNeverReady(endpoint));
         parts.connections.onCallEnded(endpoint, AttemptResult.DELIVERED);
         assertTrue(isReady(endpoint));
     }
 
     @Test
-    void stalledEndpointsShareAPartOfTheSlots() {
-        Endpoint hanging = elsewhere();
-        hanging.timingOut = true;
-        assertTrue(isReady(hanging));
+    void stalledEndpointsShareOnePartOfTheSlots() {
+        Endpoint unresponsive = endpointWithOwnLimit();
+        unresponsive.timingOut = true;
+        assertTrue(isReady(unresponsive));
         endpoint.timingOut = true;
-        fixture.call(fixture.message(SAFE), endpoint);
-        assertTrue(isNeverReady(hanging), "their one slot is taken");
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        assertTrue(isNeverReady(unresponsive), "their one slot is taken");
         endpoint.timingOut = false;
-        assertTrue(isReady(hanging));
+        assertTrue(isReady(unresponsive));
     }
 
     @Test
-    void aCallInFlightForLongStallsItsEndpointUnlessLaterOnesCameBack() {
-        parts.timeouts.onDelivered(fixture.limit, 100 * MS);
-        fixture.call(fixture.message(SAFE), endpoint);
-        fixture.later(400 * MS);
+    void aLongCallMarksItsEndpointAsStalledUnlessLaterCallsWereDelivered() {
+        parts.timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        fixture.advanceClock(400 * MILLISECOND);
         assertTrue(isReady(endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertTrue(isNeverReady(endpoint), "over four times the usual");
-        endpoint.lastDeliveredSentAtMicros = fixture.state.nowMicros - 100 * MS;
+        endpoint.lastDeliveredSentAtMicros = fixture.state.nowMicros - 100 * MILLISECOND;
         assertTrue(isReady(endpoint));
     }
 
     @Test
-    void slowAnswersStallToo() {
-        fixture.call(fixture.message(SAFE), endpoint);
-        fixture.state.overallMeanResponseMicros = 100 * MS;
-        fixture.limit.meanResponseMicros = 401 * MS;
+    void slowAnswersMarkAnEndpointAsStalled() {
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        fixture.state.overallMeanResponseMicros = 100 * MILLISECOND;
+        fixture.limit.meanResponseMicros = 401 * MILLISECOND;
         assertTrue(isNeverReady(endpoint));
     }
 }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.entry;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -28,104 +28,104 @@
     private PolicyFixture fixture = new PolicyFixture();
     private EndpointDirectory directory = new EndpointDirectory(fixture.state, endpoints);
 
-    private void use(Settings settings) {
+    private void useSettings(Settings settings) {
         fixture = new PolicyFixture(settings);
         directory = new EndpointDirectory(fixture.state, endpoints);
     }
 
-    private void list(ListingKind kind, EndpointEntry... entries) {
+    private void applyListing(ListingKind kind, EndpointEntry... entries) {
         directory.onListing(new Event.Listing(kind, 1, List.of(entries)));
     }
 
-    private static EndpointEntry leaving(String host, int destination) {
+    private static EndpointEntry leavingEntry(String host, int destination) {
         return new EndpointEntry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
     }
 
     private static Settings withWeights(WeightMeaning weights) {
-        Settings s = Rig.settings(4, 50, 6, false);
+        Settings settings = DecisionModuleHarness.settings(4, 50, 6, false);
         return new Settings(
-                s.self(),
-                s.forwarders(),
-                s.zone(),
-                s.zones(),
-                s.roundMicros(),
-                s.mustWatchList(),
+                settings.self(),
+                settings.forwarders(),
+                settings.zone(),
+                settings.zones(),
+                settings.roundMicros(),
+                settings.mustWatchList(),
                 weights,
-                s.limitReports(),
-                s.overQuotaWorthFactor(),
-                s.classes(),
-                s.kinds(),
-                s.tenants(),
-                s.limits(),
-                s.rules());
+                settings.limitReports(),
+                settings.overQuotaWorthFactor(),
+                settings.classes(),
+                settings.kinds(),
+                settings.tenants(),
+                settings.limits(),
+                settings.rules());
     }
 
     @Test
     void changesAddAndDrainEndpoints() {
-        list(ListingKind.CHANGES, entry("a", 1, 0, 0), entry("b", 1, 1, 0));
+        applyListing(ListingKind.CHANGES, entry("a", 1, 0, 0), entry("b", 1, 1, 0));
         assertTrue(endpoints.get("a").active && endpoints.get("b").active);
         endpoints.get("a").callsInFlight = 1;
-        list(ListingKind.CHANGES, leaving("a", 1), leaving("c", 1));
+        applyListing(ListingKind.CHANGES, leavingEntry("a", 1), leavingEntry("c", 1));
         assertFalse(endpoints.get("a").active, "draining, but kept while a call is in flight");
         assertEquals(Set.of("a", "b"), endpoints.keySet(), "one that was never active is not added");
         endpoints.get("a").callsInFlight = 0;
-        list(ListingKind.CHANGES);
+        applyListing(ListingKind.CHANGES);
         assertEquals(Set.of("b"), endpoints.keySet());
         assertEquals(List.of(endpoints.get("b")), fixture.queue.endpoints);
     }
 
     @Test
-    void aWholeListEndsWhatItDoesNotName() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0));
-        list(ListingKind.ALL, entry("b", 1, 0, 0));
+    void aWholeListRemovesEndpointsItDoesNotName() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0));
+        applyListing(ListingKind.ALL, entry("b", 1, 0, 0));
         assertEquals(Set.of("b"), endpoints.keySet());
     }
 
     @Test
-    void anEndpointThatToldAWaitIsRememberedUntilItIsOver() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
-        endpoints.get("a").limit.retryAfterUntilMicros = fixture.state.nowMicros + S;
-        list(ListingKind.ALL);
+    void anUnlistedEndpointIsRetainedUntilItsRetryAfterIsOver() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
+        endpoints.get("a").limit.retryAfterUntilMicros = fixture.state.nowMicros + SECOND;
+        applyListing(ListingKind.ALL);
         assertEquals(Set.of("a"), endpoints.keySet());
-        fixture.later(S);
-        list(ListingKind.ALL);
+        fixture.advanceClock(SECOND);
+        applyListing(ListingKind.ALL);
         assertEquals(Set.of(), endpoints.keySet());
     }
 
     @Test
-    void anEndpointThatServesAnotherDestinationIsANewOne() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
-        Endpoint before = endpoints.get("a");
-        list(ListingKind.CHANGES, entry("a", 2, 0, 0));
-        assertNotSame(before, endpoints.get("a"));
-        assertFalse(before.active);
+    void anEndpointThatMovesToAnotherDestinationIsReplacedByANewOne() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
+        Endpoint previous = endpoints.get("a");
+        applyListing(ListingKind.CHANGES, entry("a", 2, 0, 0));
+        assertNotSame(previous, endpoints.get("a"));
+        assertFalse(previous.active);
         assertTrue(fixture.queue.endpoints.isEmpty());
         assertSame(fixture.state.queues.get(2), endpoints.get("a").queue);
     }
 
     @Test
-    void limitsAreSharedOrApartAsTheKindSays() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0), entry("c", 2, 0, 1), entry("d", 2, 0, 1));
+    void limitsAreSharedOrSeparateAsTheKindSays() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0), entry("c", 2, 0, 1), entry("d", 2, 0, 1));
         assertSame(endpoints.get("a").limit, endpoints.get("b").limit);
         assertNotSame(endpoints.get("c").limit, endpoints.get("d").limit);
     }
 
     @Test
-    void aKindThatTheSettingsDoNotNameIsAPlainOne() {
-        list(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
+    void anUnknownKindHasASharedLimitAndNoBatches() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
         assertEquals(0, endpoints.get("a").kindIndex);
         assertEquals(1, endpoints.get("b").maxBatchSize);
         assertEquals(5, endpoints.get("c").maxBatchSize);
     }
 
     @Test
-    void aNewEndpointOfALimitInAnOutageStartsInIt() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
+    void aNewEndpointOfALimitInAnOutageStartsInThatOutage() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
         Endpoint first = endpoints.get("a");
         first.inOutage = true;
         first.slowStartAtMicros = 7;
         first.lastSentAtMicros = fixture.state.nowMicros - 3;
-        list(ListingKind.CHANGES, entry("b", 1, 0, 0));
+        applyListing(ListingKind.CHANGES, entry("b", 1, 0, 0));
         Endpoint second = endpoints.get("b");
         assertTrue(second.inOutage);
         assertEquals(7, second.slowStartAtMicros);
@@ -134,52 +134,52 @@
     }
 
     @Test
-    void inALargeFleetANewEndpointIsNoWayRoundAnOutage() {
-        use(Rig.settings(4, 50, 6, false, PolicyFixture.LARGE));
-        fixture.limit.failingSinceMicros = fixture.state.nowMicros - S;
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
+    void inALargeFleetANewEndpointDoesNotBypassAnOutage() {
+        useSettings(DecisionModuleHarness.settings(4, 50, 6, false, PolicyFixture.LARGE_FLEET_SIZE));
+        fixture.limit.failingSinceMicros = fixture.state.nowMicros - SECOND;
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
         assertTrue(endpoints.get("a").connectsFailing);
         assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAtMicros);
     }
 
     @Test
-    void weightsAreRatesUntilTheDestinationReportsItself() {
-        use(withWeights(WeightMeaning.EXACT));
-        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+    void weightsGiveTheRateUntilTheDestinationReportsIt() {
+        useSettings(withWeights(WeightMeaning.EXACT));
+        applyListing(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(6, fixture.limit.announcedRate);
-        use(withWeights(WeightMeaning.APPROXIMATE));
-        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        useSettings(withWeights(WeightMeaning.APPROXIMATE));
+        applyListing(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(4, fixture.limit.announcedRate, "it may be half too high");
         fixture.limit.rateReported = true;
-        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
+        applyListing(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
         assertEquals(4, fixture.limit.announcedRate);
-        use(withWeights(WeightMeaning.NONE));
-        list(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        useSettings(withWeights(WeightMeaning.NONE));
+        applyListing(ListingKind.ALL, new EndpointEntry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(0, fixture.limit.announcedRate);
     }
 
     @Test
-    void thePlatformIsAskedOnceAndLaterAndLaterWhereItRefuses() {
-        use(Rig.settings(4, 50, 6, true));
-        list(ListingKind.REMEMBERED);
+    void theWatchIsRequestedOnceAndAfterRefusalsWithGrowingDelays() {
+        useSettings(DecisionModuleHarness.settings(4, 50, 6, true));
+        applyListing(ListingKind.REMEMBERED);
         assertEquals(fixture.state.nowMicros, directory.watchAtMicros());
         directory.onWatchRequested();
         assertEquals(PolicyState.NEVER, directory.watchAtMicros());
         // Half a minute and more of refusals: 0.4 s, doubled up to a third of the 10 s that the rules allow.
-        for (long pause : new long[] {400 * MS, 800 * MS, 1_600 * MS, 3_200 * MS, 10 * S / 3, 10 * S / 3}) {
-            list(ListingKind.REFUSED);
-            long after = directory.watchAtMicros() - fixture.state.nowMicros;
-            assertTrue(after >= pause / 2 && after <= pause * 3 / 2, after + " for " + pause);
+        for (long delayMicros : new long[] {400 * MILLISECOND, 800 * MILLISECOND, 1_600 * MILLISECOND, 3_200 * MILLISECOND, 10 * SECOND / 3, 10 * SECOND / 3}) {
+            applyListing(ListingKind.REFUSED);
+            long askedAfterMicros = directory.watchAtMicros() - fixture.state.nowMicros;
+            assertTrue(askedAfterMicros >= delayMicros / 2 && askedAfterMicros <= delayMicros * 3 / 2, askedAfterMicros + " for " + delayMicros);
         }
-        list(ListingKind.CHANGES);
-        list(ListingKind.REFUSED);
-        assertTrue(directory.watchAtMicros() - fixture.state.nowMicros <= 600 * MS, "an answer ends the row");
+        applyListing(ListingKind.CHANGES);
+        applyListing(ListingKind.REFUSED);
+        assertTrue(directory.watchAtMicros() - fixture.state.nowMicros <= 600 * MILLISECOND, "an answer ends the row");
     }
 
     @Test
-    void whereChangesComeUnaskedNothingIsAsked() {
-        list(ListingKind.REMEMBERED);
-        list(ListingKind.REFUSED);
+    void noWatchIsRequestedWhereChangesArePushed() {
+        applyListing(ListingKind.REMEMBERED);
+        applyListing(ListingKind.REFUSED);
         assertEquals(PolicyState.NEVER, directory.watchAtMicros());
     }
 }
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -1,10 +1,10 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,8 +19,8 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final RetrySchedule retries = new RetrySchedule(fixture.state);
 
-    private Message mayHaveRun(int messageClass) {
-        Message message = fixture.message(messageClass);
+    private Message messageThatMayHaveRun(int messageClass) {
+        Message message = fixture.addMessage(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
         message.uncertainSentAtMicros = fixture.state.nowMicros;
@@ -29,24 +29,24 @@
 
     @ParameterizedTest
     @CsvSource({"0, 200", "1, 200", "2, 600", "3, 2400", "4, 6000", "5, 6000", "60, 6000"})
-    void pausesGrowByTheDesignsStepsAndAreSpread(int attempts, long stepMillis) {
-        Message message = fixture.message(SAFE);
+    void delaysGrowInStepsAndAreSpreadByChance(int attempts, long stepMillis) {
+        Message message = fixture.addMessage(SAFE);
         message.attempts = attempts;
-        long least = Long.MAX_VALUE;
-        long most = 0;
+        long shortestMicros = Long.MAX_VALUE;
+        long longestMicros = 0;
         for (int i = 0; i < 200; i++) {
             retries.scheduleRetry(message);
-            long pause = message.notBeforeMicros - fixture.state.nowMicros;
-            least = Math.min(least, pause);
-            most = Math.max(most, pause);
+            long delayMicros = message.notBeforeMicros - fixture.state.nowMicros;
+            shortestMicros = Math.min(shortestMicros, delayMicros);
+            longestMicros = Math.max(longestMicros, delayMicros);
         }
-        assertEquals(stepMillis * 0.5, least / (double) MS, 0.05 * stepMillis);
-        assertEquals(stepMillis * 1.5, most / (double) MS, 0.05 * stepMillis);
+        assertEquals(stepMillis * 0.5, shortestMicros / (double) MILLISECOND, 0.05 * stepMillis);
+        assertEquals(stepMillis * 1.5, longestMicros / (double) MILLISECOND, 0.05 * stepMillis);
     }
 
     @Test
-    void theLimitOfAttemptsEndsIt() {
-        Message message = fixture.message(SAFE);
+    void noRetryIsAllowedAfterTheLastAttempt() {
+        Message message = fixture.addMessage(SAFE);
         message.attempts = 5;
         assertTrue(retries.canRetry(message));
         message.attempts = 6;
@@ -54,8 +54,8 @@
     }
 
     @Test
-    void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
-        Message message = fixture.message(SAFE);
+    void noRetryIsAllowedWhereTheShortestCallWouldPassTheDeadline() {
+        Message message = fixture.addMessage(SAFE);
         message.notBeforeMicros = message.deadlineAtMicros - CallTimeouts.MIN_TIMEOUT_MICROS;
         assertTrue(retries.canRetry(message));
         message.notBeforeMicros++;
@@ -64,29 +64,29 @@
 
     @Test
     void anUnsafeMessageThatMayHaveRunIsNotRepeated() {
-        assertTrue(retries.isExhausted(mayHaveRun(UNSAFE)));
-        assertFalse(retries.isExhausted(mayHaveRun(SAFE)));
-        Message never = fixture.message(UNSAFE);
-        never.attempts = 1;
-        assertTrue(retries.canRetry(never));
+        assertTrue(retries.isExhausted(messageThatMayHaveRun(UNSAFE)));
+        assertFalse(retries.isExhausted(messageThatMayHaveRun(SAFE)));
+        Message messageThatNeverRan = fixture.addMessage(UNSAFE);
+        messageThatNeverRan.attempts = 1;
+        assertTrue(retries.canRetry(messageThatNeverRan));
     }
 
     @Test
-    void onlyAKeyedMessageThatMayHaveRunHasAWindow() {
-        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(fixture.message(KEYED)));
-        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(mayHaveRun(SAFE)));
-        assertEquals(fixture.state.nowMicros + 5 * S - 5 * MS, retries.repeatWindowEndMicros(mayHaveRun(KEYED)));
+    void onlyAKeyedMessageThatMayHaveRunHasARepeatWindow() {
+        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(fixture.addMessage(KEYED)));
+        assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(messageThatMayHaveRun(SAFE)));
+        assertEquals(fixture.state.nowMicros + 5 * SECOND - 5 * MILLISECOND, retries.repeatWindowEndMicros(messageThatMayHaveRun(KEYED)));
     }
 
     @Test
-    void aPauseEndsWhileAConnectionMayStillComeUpInTheWindow() {
-        Message message = mayHaveRun(KEYED);
+    void aDelayLeavesTimeToConnectWithinTheRepeatWindow() {
+        Message message = messageThatMayHaveRun(KEYED);
         message.attempts = 5;
-        fixture.later(3 * S);
+        fixture.advanceClock(3 * SECOND);
         retries.scheduleRetry(message);
-        assertEquals(message.uncertainSentAtMicros + 4 * S - 5 * MS, message.notBeforeMicros);
+        assertEquals(message.uncertainSentAtMicros + 4 * SECOND - 5 * MILLISECOND, message.notBeforeMicros);
         assertTrue(retries.canRetry(message));
-        fixture.later(S);
+        fixture.advanceClock(SECOND);
         retries.scheduleRetry(message);
         assertFalse(retries.canRetry(message), "the step is longer than what is left of the window");
     }
