--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aRefusedClientIsToldToRetryWhenCapacityIsExpected() {
+    void theRetryAfterOfARefusalIsWhenCapacityIsExpected() {
         fixture.addEndpoint();
         assertEquals(0, admission.retryAfterMicros(fixture.queue), "nothing waits");
         parts.limits.onRetryAfter(fixture.limit, 300 * MILLISECOND);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void withoutAnActiveEndpointTheClientIsToldTheLongestRetryAfter() {
+    void withoutAnActiveEndpointTheRetryAfterIsTheLongest() {
         fixture.addEndpoint().active = false;
         assertEquals(2 * SECOND, admission.retryAfterMicros(fixture.queue));
     }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -412,12 +412,12 @@
             harness.nowMicros += 50 * MILLISECOND; // twenty a second, for two seconds
             harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
         }
-        String unhealthy = harness.submit(SAFE, 1);
+        String failing = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            harness.reportOutcome(unhealthy, "a1", i, AttemptResult.ERROR);
-            microsUntilSent(unhealthy, 20 * SECOND);
+            harness.reportOutcome(failing, "a1", i, AttemptResult.ERROR);
+            microsUntilSent(failing, 20 * SECOND);
         }
-        harness.reportOutcome(unhealthy, "a1", 4, AttemptResult.DELIVERED);
+        harness.reportOutcome(failing, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
             harness.submit(SAFE, 1);
         }
@@ -433,12 +433,12 @@
             harness.nowMicros += 10 * MILLISECOND; // a hundred a second to the other one
             harness.reportOutcome(id, "b1", 0, AttemptResult.DELIVERED);
         }
-        String unhealthy = harness.submit(SAFE, 1);
+        String failing = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            harness.reportOutcome(unhealthy, "a1", i, AttemptResult.ERROR);
-            microsUntilSent(unhealthy, 20 * SECOND);
+            harness.reportOutcome(failing, "a1", i, AttemptResult.ERROR);
+            microsUntilSent(failing, 20 * SECOND);
         }
-        harness.reportOutcome(unhealthy, "a1", 4, AttemptResult.DELIVERED);
+        harness.reportOutcome(failing, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
             harness.submit(SAFE, 1);
         }
@@ -491,8 +491,8 @@
     @Test
     void severalUnresponsiveDestinationsTogetherLeaveSlotsForTheRest() {
         harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("d1", 4, 0, 0), DecisionModuleHarness.entry("e1", 5, 0, 0));
-        String healthy = harness.submit(SAFE, 2);
-        harness.reportOutcome(healthy, "b1", 0, AttemptResult.DELIVERED);
+        String answered = harness.submit(SAFE, 2);
+        harness.reportOutcome(answered, "b1", 0, AttemptResult.DELIVERED);
         int callsInFlight = 0;
         for (int i = 0; i < 3; i++) {
             for (int destination : new int[] {1, 4, 5}) {
