--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -167,7 +167,7 @@
         assertTrue(most <= 30, most + " of 60 are sent again in one second");
     }
 
-    /** A destination that refuses all calls gives each forwarder the same time to retry: they must not all come then. */
+    /** A destination that refuses all calls gives each forwarder the same time to retry; not all may come then. */
     @Test
     void theEndOfAToldWaitIsNotMetByAll() {
         outage(Ending.FULL, true, 1, 20 * S);
