--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -20,26 +20,26 @@
     private final Admission admission = parts.admission;
 
     @Test
-    void aTenantMaySendThreeSecondsOfItsQuotaAtOnce() {
+    void aTenantMaySubmitThreeSecondsOfItsQuotaInABurst() {
         for (int i = 0; i < 15; i++) {
             assertFalse(admission.isOverQuota(0));
         }
         assertTrue(admission.isOverQuota(0));
         assertFalse(admission.isOverQuota(1), "each tenant has its own quota");
-        fixture.later(200 * MS);
+        fixture.advanceClock(200 * MILLISECOND);
         assertFalse(admission.isOverQuota(0));
         assertTrue(admission.isOverQuota(0));
     }
 
     @Test
-    void aTenantThatIsNotInTheSettingsHasNoQuota() {
+    void aTenantMissingFromTheSettingsHasNoQuota() {
         for (int i = 0; i < 100; i++) {
             assertFalse(admission.isOverQuota(-1) || admission.isOverQuota(2));
         }
     }
 
     @Test
-    void itIsNearlyFullAboveNineteenTwentieths() {
+    void theForwarderIsNearlyFullAbove95PercentOfItsOpenMessages() {
         fixture.state.openMessages = 47;
         assertFalse(admission.isNearlyFull());
         fixture.state.openMessages = 48;
@@ -47,65 +47,65 @@
     }
 
     @Test
-    void theLeastWorthIsRefusedAndOfEqualOnesTheLatest() {
+    void theMessageOfLowestWorthIsRefusedAndTheNewestOfEqualOnes() {
         assertNull(admission.leastWorth());
-        fixture.message(SAFE);
-        Message latest = fixture.message(SAFE);
-        assertEquals(latest, admission.leastWorth());
-        Message low = fixture.message(SAFE);
-        low.worth = 0.1;
-        fixture.message(SAFE);
-        assertEquals(low, admission.leastWorth());
+        fixture.addMessage(SAFE);
+        Message newest = fixture.addMessage(SAFE);
+        assertEquals(newest, admission.leastWorth());
+        Message lowWorth = fixture.addMessage(SAFE);
+        lowWorth.worth = 0.1;
+        fixture.addMessage(SAFE);
+        assertEquals(lowWorth, admission.leastWorth());
     }
 
     @Test
-    void whatMayHaveRunOrOutlivedAProcessIsKept() {
-        Message fresh = fixture.message(SAFE);
-        fixture.message(SAFE).mayHaveRun = true;
-        Message resumed = fixture.message(SAFE);
-        resumed.resumed = true;
-        assertEquals(fresh, admission.leastWorth());
-        fixture.state.dequeue(fresh);
+    void messagesThatMayHaveRunAreRefusedLastAndRecoveredOnesNever() {
+        Message untried = fixture.addMessage(SAFE);
+        fixture.addMessage(SAFE).mayHaveRun = true;
+        Message recovered = fixture.addMessage(SAFE);
+        recovered.resumed = true;
+        assertEquals(untried, admission.leastWorth());
+        fixture.state.dequeue(untried);
         assertTrue(admission.leastWorth().mayHaveRun, "it is refused later than others, not never");
         fixture.state.dequeue(admission.leastWorth());
         assertNull(admission.leastWorth());
     }
 
     @Test
-    void itIsRefusedWhereMostWaitsForTheRate() {
-        Message crowded = fixture.message(SAFE);
-        DestinationQueue other = new DestinationQueue();
-        fixture.state.queues.put(2, other);
-        Message alone = fixture.message(SAFE);
-        fixture.state.dequeue(alone);
-        alone.queue = other;
-        fixture.state.enqueue(alone);
-        fixture.message(SAFE);
-        assertTrue(admission.leastWorth().queue == crowded.queue);
-        Endpoint endpoint = fixture.endpoint();
+    void theDestinationWithTheLargestBacklogForItsRateLosesAMessage() {
+        Message inLargestBacklog = fixture.addMessage(SAFE);
+        DestinationQueue otherQueue = new DestinationQueue();
+        fixture.state.queues.put(2, otherQueue);
+        Message inOtherQueue = fixture.addMessage(SAFE);
+        fixture.state.dequeue(inOtherQueue);
+        inOtherQueue.queue = otherQueue;
+        fixture.state.enqueue(inOtherQueue);
+        fixture.addMessage(SAFE);
+        assertTrue(admission.leastWorth().queue == inLargestBacklog.queue);
+        Endpoint endpoint = fixture.addEndpoint();
         for (int i = 0; i < 100; i++) {
-            fixture.later(100 * MS);
+            fixture.advanceClock(100 * MILLISECOND);
             parts.rates.onDelivered(fixture.limit, endpoint);
         }
-        assertEquals(alone, admission.leastWorth(), "the other destination soon accepts its two messages");
+        assertEquals(inOtherQueue, admission.leastWorth(), "the other destination soon accepts its two messages");
     }
 
     @Test
-    void aRefusedClientComesAgainWhenThereWillBeRoom() {
-        fixture.endpoint();
+    void aRefusedClientIsToldToRetryWhenCapacityIsExpected() {
+        fixture.addEndpoint();
         assertEquals(0, admission.comeBackAfter(fixture.queue), "no message is waiting");
-        parts.limits.onWait(fixture.limit, 300 * MS);
-        assertEquals(300 * MS, admission.comeBackAfter(fixture.queue));
-        fixture.message(SAFE);
-        assertEquals(2 * S, admission.comeBackAfter(fixture.queue), "at half a call a second: the longest retry-after");
+        parts.limits.onWait(fixture.limit, 300 * MILLISECOND);
+        assertEquals(300 * MILLISECOND, admission.comeBackAfter(fixture.queue));
+        fixture.addMessage(SAFE);
+        assertEquals(2 * SECOND, admission.comeBackAfter(fixture.queue), "at half a call a second: the longest retry-after");
         fixture.limit.usualRate = 10;
         fixture.limit.usualUnseen = 0;
-        assertEquals(400 * MS, admission.comeBackAfter(fixture.queue), "at ten calls a second");
+        assertEquals(400 * MILLISECOND, admission.comeBackAfter(fixture.queue), "at ten calls a second");
     }
 
     @Test
-    void whereNoEndpointIsListedItIsTheMostThatIsTold() {
-        fixture.endpoint().active = false;
-        assertEquals(2 * S, admission.comeBackAfter(fixture.queue));
+    void withoutAnActiveEndpointTheClientIsToldTheLongestRetryAfter() {
+        fixture.addEndpoint().active = false;
+        assertEquals(2 * SECOND, admission.comeBackAfter(fixture.queue));
     }
 }
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,7 +24,7 @@
         return parts.dispatch.send(parts.dispatch.candidates());
     }
 
-    private List<String> sent() {
+    private List<String> idsSent() {
         return fixture.state.actions.stream()
                 .filter(Action.Send.class::isInstance)
                 .map(action -> ((Action.Send) action).id())
@@ -32,12 +32,12 @@
     }
 
     /** Adds an endpoint of another destination, which takes up to {@code batch} messages in a call. */
-    private Endpoint elsewhere(int batch) {
+    private Endpoint endpointOfOtherDestination(int batch) {
         DestinationQueue queue = new DestinationQueue();
         queue.sharedLimit = new DestinationLimit();
         Endpoint endpoint = new Endpoint("other", queue, queue.sharedLimit, 0, 0, batch);
         endpoint.active = true;
-        endpoint.trialPause = S;
+        endpoint.trialPause = SECOND;
         queue.endpoints.add(endpoint);
         queue.sharedLimit.endpoints.add(endpoint);
         fixture.state.queues.put(2, queue);
@@ -45,7 +45,7 @@
     }
 
     private Message messageFor(Endpoint endpoint, double worth) {
-        Message message = fixture.message(SAFE);
+        Message message = fixture.addMessage(SAFE);
         fixture.state.dequeue(message);
         message.queue = endpoint.queue;
         message.worth = worth;
@@ -54,16 +54,16 @@
     }
 
     @Test
-    void theMostWorthGoesFirstUntilSlotsAreUsedUp() {
-        Endpoint endpoint = fixture.endpoint();
-        Endpoint other = elsewhere(1);
-        Message first = fixture.message(SAFE);
-        Message second = fixture.message(SAFE);
+    void messagesGoInOrderOfWorthUntilSlotsAreUsedUp() {
+        Endpoint endpoint = fixture.addEndpoint();
+        Endpoint other = endpointOfOtherDestination(1);
+        Message first = fixture.addMessage(SAFE);
+        Message second = fixture.addMessage(SAFE);
         Message worthMore = messageFor(other, 2);
         Message worthLess = messageFor(other, 0.5);
-        Message third = fixture.message(SAFE);
+        Message third = fixture.addMessage(SAFE);
         dispatch();
-        assertEquals(List.of(worthMore.id, first.id, second.id, third.id), sent());
+        assertEquals(List.of(worthMore.id, first.id, second.id, third.id), idsSent());
         assertEquals(
                 List.of(worthLess),
                 List.copyOf(fixture.state.queuesWaiting.iterator().next().waiting));
@@ -72,73 +72,73 @@
     }
 
     @Test
-    void aMessageIsDroppedAtItsTimeOutOrDeadlineOrTheEndOfItsWindow() {
-        fixture.endpoint();
-        Message message = fixture.message(SAFE);
-        Message shortOfTime = fixture.message(SAFE);
-        shortOfTime.deadline = fixture.state.now + S;
-        Message repeated = fixture.message(KEYED);
+    void anAttemptIsDroppedAtItsTimeoutItsDeadlineOrTheEndOfItsRepeatWindow() {
+        fixture.addEndpoint();
+        Message message = fixture.addMessage(SAFE);
+        Message shortOfTime = fixture.addMessage(SAFE);
+        shortOfTime.deadline = fixture.state.now + SECOND;
+        Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
-        repeated.mayHaveRunSince = fixture.state.now - 4 * S;
+        repeated.mayHaveRunSince = fixture.state.now - 4 * SECOND;
         dispatch();
         assertEquals(
                 List.of(
-                        new Action.Send(repeated.id, "e0", fixture.state.now + 995 * MS),
-                        new Action.Send(message.id, "e0", fixture.state.now + 2 * S),
-                        new Action.Send(shortOfTime.id, "e0", fixture.state.now + S)),
+                        new Action.Send(repeated.id, "e0", fixture.state.now + 995 * MILLISECOND),
+                        new Action.Send(message.id, "e0", fixture.state.now + 2 * SECOND),
+                        new Action.Send(shortOfTime.id, "e0", fixture.state.now + SECOND)),
                 fixture.state.actions);
     }
 
     @Test
-    void othersOfTheQueueGoAlongInOneCall() {
-        Endpoint batching = elsewhere(3);
+    void messagesOfOneQueueAreBatchedIntoCalls() {
+        Endpoint batching = endpointOfOtherDestination(3);
         Message first = messageFor(batching, 1);
         Message second = messageFor(batching, 1);
         Message third = messageFor(batching, 1);
         Message fourth = messageFor(batching, 1);
         dispatch();
-        assertEquals(List.of(first.id, second.id, third.id, fourth.id), sent());
+        assertEquals(List.of(first.id, second.id, third.id, fourth.id), idsSent());
         assertEquals(2, fixture.state.slotsInUse);
         assertEquals(3, first.call.outcomesDue);
         assertEquals(1, fourth.call.outcomesDue);
     }
 
     @Test
-    void aTrialGoesAlone() {
-        Endpoint batching = elsewhere(3);
+    void aTrialCallCarriesOneMessage() {
+        Endpoint batching = endpointOfOtherDestination(3);
         batching.inOutage = true;
         Message first = messageFor(batching, 1);
         messageFor(batching, 1);
         dispatch();
-        assertEquals(List.of(first.id), sent());
+        assertEquals(List.of(first.id), idsSent());
     }
 
     @Test
-    void theNextLookIsWhenSomethingMayGo() {
-        Endpoint endpoint = fixture.endpoint();
-        fixture.message(SAFE);
-        endpoint.avoidUntil = fixture.state.now + 300 * MS;
-        assertEquals(fixture.state.now + 300 * MS, dispatch());
-        assertEquals(List.of(), sent());
+    void theNextCheckIsWhenAMessageMayFirstBeSent() {
+        Endpoint endpoint = fixture.addEndpoint();
+        fixture.addMessage(SAFE);
+        endpoint.avoidUntil = fixture.state.now + 300 * MILLISECOND;
+        assertEquals(fixture.state.now + 300 * MILLISECOND, dispatch());
+        assertEquals(List.of(), idsSent());
     }
 
     @Test
-    void withAllSlotsTakenCallsThatAreOverdueMakeRoom() {
-        Endpoint endpoint = fixture.endpoint();
-        Message hanging = fixture.message(SAFE);
-        fixture.call(hanging, endpoint);
+    void overdueCallsAreCancelledWhenAllSlotsAreTaken() {
+        Endpoint endpoint = fixture.addEndpoint();
+        Message unanswered = fixture.addMessage(SAFE);
+        fixture.startCall(unanswered, endpoint);
         fixture.state.slotsInUse = 4;
-        messageFor(elsewhere(1), 1);
-        assertEquals(fixture.state.now + 400 * MS, dispatch());
-        fixture.later(400 * MS);
+        messageFor(endpointOfOtherDestination(1), 1);
+        assertEquals(fixture.state.now + 400 * MILLISECOND, dispatch());
+        fixture.advanceClock(400 * MILLISECOND);
         dispatch();
-        assertEquals(List.of(new Action.Cancel(hanging.id, 0)), fixture.state.actions);
+        assertEquals(List.of(new Action.Cancel(unanswered.id, 0)), fixture.state.actions);
     }
 
     @Test
     void anEndedCallFreesItsSlot() {
-        Endpoint endpoint = fixture.endpoint();
-        Message message = fixture.message(SAFE);
+        Endpoint endpoint = fixture.addEndpoint();
+        Message message = fixture.addMessage(SAFE);
         dispatch();
         parts.dispatch.end(message.call);
         assertEquals(0, fixture.state.slotsInUse);
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -1,10 +1,10 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -19,128 +19,128 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final TransientFailures failures = new TransientFailures(fixture.state);
     private final CallTimeouts timeouts = new CallTimeouts(fixture.state, failures);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     private long timeout(int messageClass) {
-        return timeouts.timeout(fixture.message(messageClass), fixture.limit);
+        return timeouts.timeout(fixture.addMessage(messageClass), fixture.limit);
     }
 
     @Test
-    void beforeAnyAnswerACallMayTakeItsAim() {
-        assertEquals(2 * S, timeout(SAFE));
-        assertEquals(4 * S, timeout(UNSAFE));
+    void beforeAnyAnswerTheTimeoutIsTheAimAndTwiceThatForUnsafeMessages() {
+        assertEquals(2 * SECOND, timeout(SAFE));
+        assertEquals(4 * SECOND, timeout(UNSAFE));
     }
 
     @Test
-    void afterThatItIsSixTimesTheUsualAnswerAndAtLeastHalfTheAim() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        assertEquals(S, timeout(SAFE));
-        timeouts.onDelivered(fixture.limit, 10_100 * MS);
-        assertEquals(1_100 * MS, (long) fixture.limit.answerTime, "moved by a tenth towards the new answer time");
-        assertEquals(6_600 * MS, timeout(SAFE));
+    void theTimeoutIsSixTimesTheUsualAnswerTimeAndAtLeastHalfTheAim() {
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        assertEquals(SECOND, timeout(SAFE));
+        timeouts.onDelivered(fixture.limit, 10_100 * MILLISECOND);
+        assertEquals(1_100 * MILLISECOND, (long) fixture.limit.answerTime, "moved by a tenth towards the new answer time");
+        assertEquals(6_600 * MILLISECOND, timeout(SAFE));
     }
 
     @Test
-    void aKeyedMessagesFirstAttemptLeavesHalfItsWindow() {
-        fixture.limit.answerTime = 2 * S;
-        assertEquals(2_500 * MS, timeout(KEYED));
-        Message repeated = fixture.message(KEYED);
+    void theFirstAttemptOfAKeyedMessageLeavesHalfItsRepeatWindow() {
+        fixture.limit.answerTime = 2 * SECOND;
+        assertEquals(2_500 * MILLISECOND, timeout(KEYED));
+        Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
-        assertEquals(12 * S, timeouts.timeout(repeated, fixture.limit));
+        assertEquals(12 * SECOND, timeouts.timeout(repeated, fixture.limit));
     }
 
     @Test
-    void timeOutsLengthenItUpToFourTimesUntilAPromptAnswer() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
+    void timedOutCallsLengthenTheTimeoutUpToFourfoldUntilAPromptAnswer() {
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
         for (int i = 0; i < 3; i++) {
             timeouts.lengthen(fixture.limit);
         }
-        assertEquals(4 * S, timeout(SAFE));
-        timeouts.onDelivered(fixture.limit, 400 * MS);
-        assertEquals(2_800 * MS, timeout(SAFE), "a slow answer takes 30 % off");
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        assertEquals(S, timeout(SAFE));
+        assertEquals(4 * SECOND, timeout(SAFE));
+        timeouts.onDelivered(fixture.limit, 400 * MILLISECOND);
+        assertEquals(2_800 * MILLISECOND, timeout(SAFE), "a slow answer takes 30 % off");
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        assertEquals(SECOND, timeout(SAFE));
     }
 
     @Test
     void oneSlowDestinationHardlyMovesTheUsualAnswerTime() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        timeouts.onDelivered(fixture.limit, 10 * S);
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        timeouts.onDelivered(fixture.limit, 10 * SECOND);
         assertEquals(107_500, fixture.state.usualAnswerTime, 1, "moved by a fortieth of 300 ms, not of 9.9 s");
         assertEquals(430_000, timeouts.slowAnswerTime(), 4);
     }
 
     @Test
-    void whereCallsAreLostTheLastSlotGetsLess() {
+    void whereCallsAreOftenLostTheLastFreeSlotGetsAShorterTimeout() {
         for (int i = 0; i < 2; i++) {
             endpoint.failingSince = fixture.state.now;
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
-        assertEquals(2 * S, timeout(SAFE));
+        assertEquals(2 * SECOND, timeout(SAFE));
         fixture.state.slotsInUse = 3;
-        assertEquals(1_200 * MS, timeout(SAFE));
-        assertEquals(4 * S, timeout(UNSAFE));
+        assertEquals(1_200 * MILLISECOND, timeout(SAFE));
+        assertEquals(4 * SECOND, timeout(UNSAFE));
     }
 
     @Test
-    void overdueCallsAreGivenUpAsFarAsOthersCouldUseTheirSlots() {
-        timeouts.onDelivered(fixture.limit, 100 * MS);
-        Message first = fixture.message(SAFE);
-        Message unsafe = fixture.message(UNSAFE);
-        Message second = fixture.message(SAFE);
+    void overdueCallsAreCancelledOnlyAsFarAsSlotsAreNeeded() {
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        Message first = fixture.addMessage(SAFE);
+        Message unsafe = fixture.addMessage(UNSAFE);
+        Message second = fixture.addMessage(SAFE);
         for (Message message : List.of(first, unsafe, second)) {
-            fixture.call(message, endpoint);
+            fixture.startCall(message, endpoint);
         }
-        assertEquals(fixture.state.now + 800 * MS, timeouts.cancelOverdue(1), "eight times 100 ms");
-        fixture.later(800 * MS);
+        assertEquals(fixture.state.now + 800 * MILLISECOND, timeouts.cancelOverdue(1), "eight times 100 ms");
+        fixture.advanceClock(800 * MILLISECOND);
         timeouts.cancelOverdue(1);
         assertEquals(List.of(new Action.Cancel(first.id, 0)), fixture.state.actions);
-        fixture.later(MS);
+        fixture.advanceClock(MILLISECOND);
         timeouts.cancelOverdue(1);
         assertTrue(fixture.state.actions.isEmpty(), "the slot that is needed is about to be free");
-        long next = timeouts.cancelOverdue(3);
+        long nextCheckMicros = timeouts.cancelOverdue(3);
         assertEquals(List.of(new Action.Cancel(second.id, 0)), fixture.state.actions);
-        assertEquals(fixture.state.now - 801 * MS + 2_400 * MS, next, "24 times 100 ms for the unsafe message");
+        assertEquals(fixture.state.now - 801 * MILLISECOND + 2_400 * MILLISECOND, nextCheckMicros, "24 times 100 ms for the unsafe message");
     }
 
     @Test
-    void nothingIsGivenUpWhereTheSettingsForbidIt() {
-        PolicyFixture forbidden = new PolicyFixture(withoutCancel());
-        forbidden.call(forbidden.message(SAFE), forbidden.endpoint());
-        forbidden.later(60 * S);
-        new CallTimeouts(forbidden.state, new TransientFailures(forbidden.state)).cancelOverdue(1);
-        assertTrue(forbidden.state.actions.isEmpty());
+    void noCallIsCancelledWhereTheSettingsForbidIt() {
+        PolicyFixture fixtureWithoutCancel = new PolicyFixture(withoutCancel());
+        fixtureWithoutCancel.startCall(fixtureWithoutCancel.addMessage(SAFE), fixtureWithoutCancel.addEndpoint());
+        fixtureWithoutCancel.advanceClock(60 * SECOND);
+        new CallTimeouts(fixtureWithoutCancel.state, new TransientFailures(fixtureWithoutCancel.state)).cancelOverdue(1);
+        assertTrue(fixtureWithoutCancel.state.actions.isEmpty());
     }
 
     private static DecisionModule.Settings withoutCancel() {
-        DecisionModule.Settings s = Rig.settings(4, 50, 6, false);
-        DecisionModule.Limits l = s.limits();
+        DecisionModule.Settings settings = DecisionModuleHarness.settings(4, 50, 6, false);
+        DecisionModule.Limits limits = settings.limits();
         return new DecisionModule.Settings(
-                s.self(),
-                s.relays(),
-                s.zone(),
-                s.zones(),
-                s.roundMicros(),
-                s.askForList(),
-                s.weights(),
-                s.reports(),
-                s.overShareWorth(),
-                s.classes(),
-                s.kinds(),
-                s.tenants(),
+                settings.self(),
+                settings.relays(),
+                settings.zone(),
+                settings.zones(),
+                settings.roundMicros(),
+                settings.askForList(),
+                settings.weights(),
+                settings.reports(),
+                settings.overShareWorth(),
+                settings.classes(),
+                settings.kinds(),
+                settings.tenants(),
                 new DecisionModule.Limits(
-                        l.maxAttempts(),
-                        l.maxOpen(),
-                        l.slots(),
+                        limits.maxAttempts(),
+                        limits.maxOpen(),
+                        limits.slots(),
                         false,
-                        l.probing(),
-                        l.peers(),
-                        l.callsPerConnection(),
-                        l.connectTimeoutMicros(),
-                        l.keepAliveMicros(),
-                        l.comeBack(),
-                        l.maxComeBackMicros()),
-                s.rules());
+                        limits.probing(),
+                        limits.peers(),
+                        limits.callsPerConnection(),
+                        limits.connectTimeoutMicros(),
+                        limits.keepAliveMicros(),
+                        limits.comeBack(),
+                        limits.maxComeBackMicros()),
+                settings.rules());
     }
 }
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -18,19 +18,19 @@
 class ConnectionReuseTest {
     private final PolicyFixture fixture = new PolicyFixture();
     private final ConnectionReuse connections = new ConnectionReuse(fixture.state);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     @Test
-    void aConnectionIsIdleUntilItIsUsedOrTooOld() {
+    void aConnectionStaysIdleUntilItIsUsedOrTooOld() {
         assertFalse(connections.isWarm(endpoint));
         connections.onCallEnded(endpoint, Ending.DELIVERED);
         assertTrue(connections.isWarm(endpoint));
         connections.onSend(endpoint);
         assertFalse(connections.isWarm(endpoint));
         connections.onCallEnded(endpoint, Ending.FULL);
-        fixture.later(5 * S - 1);
+        fixture.advanceClock(5 * SECOND - 1);
         assertTrue(connections.isWarm(endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertFalse(connections.isWarm(endpoint));
     }
 
@@ -38,20 +38,20 @@
     @EnumSource(
             value = Ending.class,
             names = {"NO_CONNECTION", "NO_ROOM", "RESET", "NOT_SENT"})
-    void theseEndingsLeaveNoConnection(Ending ending) {
+    void attemptsThatEndWithoutAConnectionLeaveNoneIdle(Ending ending) {
         connections.onCallEnded(endpoint, ending);
         assertFalse(connections.isWarm(endpoint));
     }
 
     @Test
-    void afterAFailedConnectNoneIsLeft() {
+    void aFailedConnectRemovesTheIdleConnection() {
         connections.onCallEnded(endpoint, Ending.DELIVERED);
         connections.onConnectFailed(endpoint);
         assertFalse(connections.isWarm(endpoint));
     }
 
     @Test
-    void aSmallFleetKeepsItsConnections() {
+    void aSmallFleetKeepsIdleConnections() {
         connections.onCallEnded(endpoint, Ending.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(), fixture.state.actions);
@@ -59,9 +59,9 @@
     }
 
     @Test
-    void whereConnectionsAreScarceNoneIsKeptThatNothingWaitsFor() {
+    void whereConnectionsAreScarceAnIdleOneIsClosedIfNoMessageWaitsForIt() {
         connections.onTurnedAway(endpoint);
-        fixture.message(SAFE);
+        fixture.addMessage(SAFE);
         connections.onCallEnded(endpoint, Ending.DELIVERED);
         connections.closeUnused();
         assertEquals(List.of(), fixture.state.actions, "a message waits for the destination");
@@ -75,11 +75,11 @@
     }
 
     @Test
-    void aLargeFleetKeepsNoneButThatOfACallInTheSameRound() {
-        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
+    void aLargeFleetClosesIdleConnectionsThatAreNotReusedInTheSameRound() {
+        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
         ConnectionReuse reuse = new ConnectionReuse(large.state);
-        Endpoint first = large.endpoint();
-        Endpoint second = large.endpoint();
+        Endpoint first = large.addEndpoint();
+        Endpoint second = large.addEndpoint();
         reuse.onCallEnded(first, Ending.DELIVERED);
         reuse.onCallEnded(second, Ending.DELIVERED);
         reuse.onSend(first);
--- a/src/test/java/lilaclever/Rig.java
+++ b/src/test/java/lilaclever/DecisionModuleHarness.java
@@ -16,12 +16,12 @@
 import lilaclever.DecisionModule.Settings;
 
 /** Runs a decision module round by round: passes it events, checks its rules, and keeps the last round's actions. */
-final class Rig {
+final class DecisionModuleHarness {
     /** Microseconds in a millisecond. */
-    static final long MS = 1_000;
+    static final long MILLISECOND = 1_000;
 
     /** Microseconds in a second. */
-    static final long S = 1_000_000;
+    static final long SECOND = 1_000_000;
     /** Message classes of {@link #settings}, by index. */
     static final int SAFE = 0;
 
@@ -30,49 +30,49 @@
     static final int ZONED = 3;
 
     final Settings settings;
-    DecisionModule relay;
+    DecisionModule module;
     RuleChecker checker;
     List<Action> actions = List.of();
-    long now = 1000 * S;
-    private int names;
+    long nowMicros = 1000 * SECOND;
+    private int messagesCreated;
 
-    Rig(Settings settings) {
+    DecisionModuleHarness(Settings settings) {
         this.settings = settings;
-        this.relay = DecisionModule.create(settings, 11);
+        this.module = DecisionModule.create(settings, 11);
         this.checker = new RuleChecker(settings);
     }
 
     /** A module that knows endpoint "a1" of destination 1, and "b1" of destination 2, which has its own limit. */
-    static Rig started() {
-        Rig rig = new Rig(settings(10, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, entry("a1", 1, 0, 0), entry("b1", 2, 0, 1));
-        return rig;
+    static DecisionModuleHarness withTwoDestinations() {
+        DecisionModuleHarness harness = new DecisionModuleHarness(settings(10, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, entry("a1", 1, 0, 0), entry("b1", 2, 0, 1));
+        return harness;
     }
 
-    static Settings settings(int slots, int maxOpen, int maxAttempts, boolean ask) {
-        return settings(slots, maxOpen, maxAttempts, ask, 2);
+    static Settings settings(int slots, int maxOpen, int maxAttempts, boolean askForList) {
+        return settings(slots, maxOpen, maxAttempts, askForList, 2);
     }
 
-    static Settings settings(int slots, int maxOpen, int maxAttempts, boolean ask, int relays) {
+    static Settings settings(int slots, int maxOpen, int maxAttempts, boolean askForList, int forwarders) {
         return new Settings(
                 0,
-                relays,
+                forwarders,
                 0,
                 2,
-                5 * MS,
-                ask,
+                5 * MILLISECOND,
+                askForList,
                 DecisionModule.Weights.NONE,
                 true,
                 0.1,
                 List.of(
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.SAFE, Group.ALL, 0, false),
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.KEYED, Group.ALL, 5 * S, false),
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.UNSAFE, Group.ALL, 0, true),
-                        new MessageClass(2 * S, 20 * S, 1, Repeat.KEYED, Group.ZONE, 5 * S, false)),
+                        new MessageClass(2 * SECOND, 20 * SECOND, 1, Repeat.SAFE, Group.ALL, 0, false),
+                        new MessageClass(2 * SECOND, 20 * SECOND, 1, Repeat.KEYED, Group.ALL, 5 * SECOND, false),
+                        new MessageClass(2 * SECOND, 20 * SECOND, 1, Repeat.UNSAFE, Group.ALL, 0, true),
+                        new MessageClass(2 * SECOND, 20 * SECOND, 1, Repeat.KEYED, Group.ZONE, 5 * SECOND, false)),
                 List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5)),
                 List.of(new DecisionModule.Tenant(0.5, 5), new DecisionModule.Tenant(0.5, 5)),
-                new DecisionModule.Limits(maxAttempts, maxOpen, slots, true, false, false, 1, S, 5 * S, true, 2 * S),
-                new DecisionModule.Rules(20 * MS, 10 * S, S, 0.2, 10 * S, 2.5, 3 * S, 100 * MS));
+                new DecisionModule.Limits(maxAttempts, maxOpen, slots, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
+                new DecisionModule.Rules(20 * MILLISECOND, 10 * SECOND, SECOND, 0.2, 10 * SECOND, 2.5, 3 * SECOND, 100 * MILLISECOND));
     }
 
     /** Replaces the module by a new one without any state; outcomes of earlier calls must not be reported any more. */
@@ -80,7 +80,7 @@
         if (!checker.breaches().isEmpty()) {
             throw new AssertionError(checker.breaches());
         }
-        relay = DecisionModule.create(settings, 12);
+        module = DecisionModule.create(settings, 12);
         checker = new RuleChecker(settings);
     }
 
@@ -88,26 +88,26 @@
         return new Entry(host, destination, zone, kind, Presence.ACTIVE, 1, 0);
     }
 
-    Rig round(Event... events) {
-        List<Event> list = new ArrayList<>(Arrays.asList(events));
-        actions = relay.decide(now, list);
-        checker.round(now, list, actions);
+    DecisionModuleHarness runRound(Event... events) {
+        List<Event> eventList = new ArrayList<>(Arrays.asList(events));
+        actions = module.decide(nowMicros, eventList);
+        checker.checkRound(nowMicros, eventList, actions);
         return this;
     }
 
-    Rig list(ListingKind kind, Entry... entries) {
-        return round(new Event.Listing(kind, 1, List.of(entries)));
+    DecisionModuleHarness applyListing(ListingKind kind, Entry... entries) {
+        return runRound(new Event.Listing(kind, 1, List.of(entries)));
     }
 
     /** Runs rounds without events, one each 5 ms, and keeps the actions of all of them. */
-    Rig pass(long micros) {
-        List<Action> all = new ArrayList<>();
-        for (long end = now + micros; now < end; ) {
-            now += 5 * MS;
-            round();
-            all.addAll(actions);
+    DecisionModuleHarness runRoundsFor(long micros) {
+        List<Action> allActions = new ArrayList<>();
+        for (long endMicros = nowMicros + micros; nowMicros < endMicros; ) {
+            nowMicros += 5 * MILLISECOND;
+            runRound();
+            allActions.addAll(actions);
         }
-        actions = all;
+        actions = allActions;
         return this;
     }
 
@@ -117,37 +117,37 @@
     }
 
     String submit(int messageClass, int destination, String key) {
-        String id = "m" + names++;
-        round(new Event.Submit(id, messageClass, destination, 0, key, false, false, 20 * S));
+        String id = "m" + messagesCreated++;
+        runRound(new Event.Submit(id, messageClass, destination, 0, key, false, false, 20 * SECOND));
         return id;
     }
 
-    Rig outcome(String id, String host, int attempt, Ending ending) {
-        return outcome(id, host, attempt, ending, 0);
+    DecisionModuleHarness reportOutcome(String id, String host, int attempt, Ending ending) {
+        return reportOutcome(id, host, attempt, ending, 0);
     }
 
-    Rig outcome(String id, String host, int attempt, Ending ending, long wait) {
-        return round(
-                new Event.Outcome(id, host, attempt, ending, 100 * MS, wait, false, ending == Ending.DELIVERED, null));
+    DecisionModuleHarness reportOutcome(String id, String host, int attempt, Ending ending, long retryAfterMicros) {
+        return runRound(
+                new Event.Outcome(id, host, attempt, ending, 100 * MILLISECOND, retryAfterMicros, false, ending == Ending.DELIVERED, null));
     }
 
     /** Hosts to which the last actions send, in order. */
-    List<String> sentTo() {
+    List<String> hostsSentTo() {
         return actions.stream()
                 .filter(Action.Send.class::isInstance)
                 .map(a -> ((Action.Send) a).host())
                 .toList();
     }
 
-    boolean sent(String id) {
+    boolean wasSent(String id) {
         return actions.stream().anyMatch(a -> a instanceof Action.Send s && s.id().equals(id));
     }
 
-    boolean refused(String id) {
+    boolean wasRefused(String id) {
         return actions.stream().anyMatch(a -> a instanceof Action.Refuse s && s.id().equals(id));
     }
 
-    boolean failed(String id) {
+    boolean hasFailed(String id) {
         return actions.stream().anyMatch(a -> a instanceof Action.Fail s && s.id().equals(id));
     }
 }
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -38,40 +38,40 @@
  * same seed and the same actions give the same events.
  */
 final class DecisionSequence {
-    private static final long SPAN = 60 * S;
+    private static final long DURATION_MICROS = 60 * SECOND;
     private static final int[] FLEET_SIZES = {1, 2, 5, 16, 17, 40, 120, 1_500};
     private static final int[] MAX_ATTEMPTS = {2, 4, 6, 12};
     private static final int DESTINATIONS = 4;
 
     /** How a host answers calls for a while; chosen at random by position. */
-    private enum Condition {
-        WELL,
-        REFUSES_SILENTLY,
-        REFUSES_WITH_SHORT_WAIT,
-        REFUSES_WITH_LONG_WAIT,
+    private enum HostBehaviour {
+        HEALTHY,
+        REFUSES_WITHOUT_RETRY_AFTER,
+        REFUSES_WITH_SHORT_RETRY_AFTER,
+        REFUSES_WITH_LONG_RETRY_AFTER,
         CONNECTS_FAIL,
         CONNECTS_TIME_OUT,
         NO_ROOM_FOR_CONNECTIONS,
         ERRORS,
-        HALF_FAIL,
-        MOST_FAIL,
+        HALF_OF_CALLS_FAIL,
+        MOST_CALLS_FAIL,
         HANGS,
         SLOW,
         RESETS,
-        ANYTHING
+        RANDOM_ENDING
     }
 
     /** A call in flight with its messages; it is answered at its planned end unless attempts are dropped before. */
-    private static final class Flight {
+    private static final class CallInFlight {
         String host;
-        long sentAt;
-        long endsAt;
+        long sentAtMicros;
+        long endsAtMicros;
         Ending ending;
-        long waitMicros;
+        long retryAfterMicros;
         Report report;
         final List<String> ids = new ArrayList<>();
         final List<Integer> attempts = new ArrayList<>();
-        final List<Long> dropsAt = new ArrayList<>();
+        final List<Long> dropAtMicros = new ArrayList<>();
     }
 
     private final Random random;
@@ -80,22 +80,22 @@
     private final DecisionModule module;
     private final MessageDigest digest;
     private final Map<String, Integer> attempts = new HashMap<>();
-    private final List<String> open = new ArrayList<>();
-    private final List<Flight> flights = new ArrayList<>();
-    private final Map<String, Entry> listed = new HashMap<>();
-    private final Map<String, Condition> conditions = new HashMap<>();
-    private final Map<Integer, Long> lastTaken = new HashMap<>();
-    final Set<String> kindsOfActions = new TreeSet<>();
+    private final List<String> openMessageIds = new ArrayList<>();
+    private final List<CallInFlight> callsInFlight = new ArrayList<>();
+    private final Map<String, Entry> listedEntries = new HashMap<>();
+    private final Map<String, HostBehaviour> behaviours = new HashMap<>();
+    private final Map<Integer, Long> lastAcceptedAtMicros = new HashMap<>();
+    final Set<String> actionTypes = new TreeSet<>();
     private final double arrivalsPerSecond;
-    private long now;
-    private long wakeAt = Long.MAX_VALUE;
-    private int names;
-    int sends;
+    private long nowMicros;
+    private long wakeAtMicros = Long.MAX_VALUE;
+    private int messagesCreated;
+    int sendCount;
 
     DecisionSequence(long seed) {
         this.seed = seed;
         // For some seeds the clock starts near 0, as it may in a process.
-        this.now = seed % 9 == 4 ? S : 1000 * S;
+        this.nowMicros = seed % 9 == 4 ? SECOND : 1000 * SECOND;
         this.random = new Random(seed);
         this.settings = settings();
         this.module = DecisionModule.create(settings, seed);
@@ -108,16 +108,16 @@
     }
 
     private Settings settings() {
-        int relays = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
-        int slots = relays > 16 ? 2 + random.nextInt(4) : 2 + random.nextInt(12);
+        int forwarders = FLEET_SIZES[(int) (seed % FLEET_SIZES.length)];
+        int slots = forwarders > 16 ? 2 + random.nextInt(4) : 2 + random.nextInt(12);
         Weights weights = Weights.values()[(int) (seed / 2 % 3)];
         Limits limits = limits(MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)], slots, 20 + random.nextInt(60));
         return new Settings(
                 0,
-                relays,
+                forwarders,
                 0,
                 2,
-                5 * MS,
+                5 * MILLISECOND,
                 seed % 3 == 0,
                 weights,
                 true,
@@ -127,253 +127,253 @@
                 List.of(new Tenant(0.5, 5), new Tenant(0.5, 2)),
                 limits,
                 new Rules(
-                        20 * MS,
-                        seed % 2 == 0 ? 10 * S : 20 * S,
-                        S,
+                        20 * MILLISECOND,
+                        seed % 2 == 0 ? 10 * SECOND : 20 * SECOND,
+                        SECOND,
                         0.2,
-                        (4 + random.nextInt(8)) * S,
+                        (4 + random.nextInt(8)) * SECOND,
                         2.5,
-                        3 * S,
-                        100 * MS));
+                        3 * SECOND,
+                        100 * MILLISECOND));
     }
 
     private Limits limits(int maxAttempts, int slots, int maxOpen) {
         return new Limits(
-                maxAttempts, maxOpen, slots, seed % 5 != 0, false, false, 1, S / 2, 5 * S, seed % 7 != 0, 2 * S);
+                maxAttempts, maxOpen, slots, seed % 5 != 0, false, false, 1, SECOND / 2, 5 * SECOND, seed % 7 != 0, 2 * SECOND);
     }
 
     private static List<MessageClass> classes(int factor) {
         return List.of(
-                new MessageClass(2 * S, 20 * S * factor, 1, Repeat.SAFE, Group.ALL, 0, false, 0.2, true),
-                new MessageClass(S, 15 * S * factor, 2, Repeat.KEYED, Group.ALL, 5 * S, false),
-                new MessageClass(2 * S, 20 * S * factor, 3, Repeat.UNSAFE, Group.ALL, 0, true),
-                new MessageClass(2 * S, 12 * S * factor, 1, Repeat.KEYED, Group.ZONE, 3 * S, true, 0.1, false),
-                new MessageClass(400 * MS, 2 * S * factor, 0.5, Repeat.SAFE, Group.ALL, 0, true));
+                new MessageClass(2 * SECOND, 20 * SECOND * factor, 1, Repeat.SAFE, Group.ALL, 0, false, 0.2, true),
+                new MessageClass(SECOND, 15 * SECOND * factor, 2, Repeat.KEYED, Group.ALL, 5 * SECOND, false),
+                new MessageClass(2 * SECOND, 20 * SECOND * factor, 3, Repeat.UNSAFE, Group.ALL, 0, true),
+                new MessageClass(2 * SECOND, 12 * SECOND * factor, 1, Repeat.KEYED, Group.ZONE, 3 * SECOND, true, 0.1, false),
+                new MessageClass(400 * MILLISECOND, 2 * SECOND * factor, 0.5, Repeat.SAFE, Group.ALL, 0, true));
     }
 
     /** Runs the whole sequence and returns the digest of all actions with their times. */
-    String play() {
-        round(List.of(new Event.Listing(ListingKind.REMEMBERED, 1, entries(false))));
-        long end = now + SPAN;
-        while (now < end) {
-            now += 5 * MS;
+    String run() {
+        runRound(List.of(new Event.Listing(ListingKind.REMEMBERED, 1, entries(false))));
+        long endMicros = nowMicros + DURATION_MICROS;
+        while (nowMicros < endMicros) {
+            nowMicros += 5 * MILLISECOND;
             if (random.nextInt(400) == 0) {
-                changeConditions();
+                changeBehaviours();
             }
             List<Event> events = new ArrayList<>();
-            answers(events);
-            arrivals(events);
-            rareEvents(events, end);
-            if (wakeAt <= now) {
+            addAnswers(events);
+            addArrivals(events);
+            addRareEvents(events, endMicros);
+            if (wakeAtMicros <= nowMicros) {
                 events.add(new Event.Timer(0));
-                wakeAt = Long.MAX_VALUE;
+                wakeAtMicros = Long.MAX_VALUE;
             }
             if (!events.isEmpty() || seed % 4 == 1) {
-                round(events);
+                runRound(events);
             }
         }
         return HexFormat.of().formatHex(digest.digest(), 0, 8);
     }
 
-    private void round(List<Event> events) {
-        List<Action> actions = module.decide(now, events);
+    private void runRound(List<Event> events) {
+        List<Action> actions = module.decide(nowMicros, events);
         if (!actions.isEmpty()) {
-            digest.update((now + " " + actions + "\n").getBytes(StandardCharsets.UTF_8));
+            digest.update((nowMicros + " " + actions + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        Map<String, Flight> batches = new HashMap<>();
+        Map<String, CallInFlight> openBatches = new HashMap<>();
         for (Action action : actions) {
-            kindsOfActions.add(action.getClass().getSimpleName());
+            actionTypes.add(action.getClass().getSimpleName());
             if (action instanceof Action.Send send) {
-                onSend(send, batches);
+                onSend(send, openBatches);
             } else if (action instanceof Action.Wake wake) {
-                wakeAt = Math.min(wakeAt, now + wake.afterMicros());
+                wakeAtMicros = Math.min(wakeAtMicros, nowMicros + wake.afterMicros());
             } else if (action instanceof Action.Cancel cancel) {
                 onCancel(cancel);
             } else if (action instanceof Action.Refuse refuse) {
-                open.remove(refuse.id());
+                openMessageIds.remove(refuse.id());
             } else if (action instanceof Action.Fail fail) {
-                open.remove(fail.id());
+                openMessageIds.remove(fail.id());
             }
         }
     }
 
-    private void onSend(Action.Send send, Map<String, Flight> batches) {
-        sends++;
+    private void onSend(Action.Send send, Map<String, CallInFlight> openBatches) {
+        sendCount++;
         int attempt = attempts.merge(send.id(), 1, Integer::sum) - 1;
-        int kind = listed.get(send.host()).kind();
-        boolean known = kind >= 0 && kind < settings.kinds().size();
-        int batch = known ? settings.kinds().get(kind).batch() : 1;
-        Flight flight = batch > 1 ? batches.get(send.host()) : null;
-        if (flight == null || flight.ids.size() >= batch) {
-            flight = new Flight();
-            flight.host = send.host();
-            flight.sentAt = now;
-            decideFate(flight);
-            flights.add(flight);
-            batches.put(send.host(), flight);
+        int kind = listedEntries.get(send.host()).kind();
+        boolean kindIsKnown = kind >= 0 && kind < settings.kinds().size();
+        int batchSize = kindIsKnown ? settings.kinds().get(kind).batch() : 1;
+        CallInFlight call = batchSize > 1 ? openBatches.get(send.host()) : null;
+        if (call == null || call.ids.size() >= batchSize) {
+            call = new CallInFlight();
+            call.host = send.host();
+            call.sentAtMicros = nowMicros;
+            planAnswer(call);
+            callsInFlight.add(call);
+            openBatches.put(send.host(), call);
         }
-        flight.ids.add(send.id());
-        flight.attempts.add(attempt);
+        call.ids.add(send.id());
+        call.attempts.add(attempt);
         // At times the host program reports a dropped attempt late.
-        flight.dropsAt.add(send.dropAtMicros() + (random.nextInt(20) == 0 ? 700 * MS : 0));
+        call.dropAtMicros.add(send.dropAtMicros() + (random.nextInt(20) == 0 ? 700 * MILLISECOND : 0));
     }
 
     private void onCancel(Action.Cancel cancel) {
-        for (Flight flight : flights) {
-            int place = flight.ids.indexOf(cancel.id());
-            if (place >= 0 && flight.attempts.get(place) == cancel.attempt()) {
-                flight.ending = Ending.CANCELED;
+        for (CallInFlight call : callsInFlight) {
+            int index = call.ids.indexOf(cancel.id());
+            if (index >= 0 && call.attempts.get(index) == cancel.attempt()) {
+                call.ending = Ending.CANCELED;
                 // The outcome of a cancelled call comes in the next round, or some rounds later.
-                flight.endsAt = now + (1 + random.nextInt(3) * 20) * 5 * MS;
+                call.endsAtMicros = nowMicros + (1 + random.nextInt(3) * 20) * 5 * MILLISECOND;
             }
         }
     }
 
-    private void decideFate(Flight flight) {
-        Condition condition = conditions.getOrDefault(flight.host, Condition.WELL);
-        Entry entry = listed.get(flight.host);
-        long base = (15 + 40 * entry.destination()) * MS;
-        flight.endsAt = now + base / 2 + (long) (base * random.nextDouble());
-        flight.ending = Ending.DELIVERED;
+    private void planAnswer(CallInFlight call) {
+        HostBehaviour behaviour = behaviours.getOrDefault(call.host, HostBehaviour.HEALTHY);
+        Entry entry = listedEntries.get(call.host);
+        long baseMicros = (15 + 40 * entry.destination()) * MILLISECOND;
+        call.endsAtMicros = nowMicros + baseMicros / 2 + (long) (baseMicros * random.nextDouble());
+        call.ending = Ending.DELIVERED;
         boolean reports = entry.destination() % 2 == 0;
-        flight.report = reports ? new Report(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
-        switch (condition) {
-            case REFUSES_SILENTLY -> fate(flight, Ending.FULL, 10 * MS, 0);
-            case REFUSES_WITH_SHORT_WAIT -> fate(flight, Ending.FULL, 10 * MS, 300 * MS);
-            case REFUSES_WITH_LONG_WAIT -> fate(flight, Ending.FULL, 10 * MS, 2 * S + random.nextInt((int) (4 * S)));
-            case CONNECTS_FAIL -> fate(flight, Ending.NO_CONNECTION, 5 * MS, 0);
-            case CONNECTS_TIME_OUT -> fate(flight, Ending.NO_CONNECTION, S / 2, 0);
+        call.report = reports ? new Report(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
+        switch (behaviour) {
+            case REFUSES_WITHOUT_RETRY_AFTER -> setAnswer(call, Ending.FULL, 10 * MILLISECOND, 0);
+            case REFUSES_WITH_SHORT_RETRY_AFTER -> setAnswer(call, Ending.FULL, 10 * MILLISECOND, 300 * MILLISECOND);
+            case REFUSES_WITH_LONG_RETRY_AFTER -> setAnswer(call, Ending.FULL, 10 * MILLISECOND, 2 * SECOND + random.nextInt((int) (4 * SECOND)));
+            case CONNECTS_FAIL -> setAnswer(call, Ending.NO_CONNECTION, 5 * MILLISECOND, 0);
+            case CONNECTS_TIME_OUT -> setAnswer(call, Ending.NO_CONNECTION, SECOND / 2, 0);
             case NO_ROOM_FOR_CONNECTIONS -> {
                 if (random.nextInt(3) > 0) {
-                    fate(flight, random.nextBoolean() ? Ending.NO_ROOM : Ending.NO_CONNECTION, 5 * MS, 0);
+                    setAnswer(call, random.nextBoolean() ? Ending.NO_ROOM : Ending.NO_CONNECTION, 5 * MILLISECOND, 0);
                 }
             }
-            case ERRORS -> fate(flight, Ending.ERROR, 10 * MS, 0);
-            case HALF_FAIL -> {
+            case ERRORS -> setAnswer(call, Ending.ERROR, 10 * MILLISECOND, 0);
+            case HALF_OF_CALLS_FAIL -> {
                 if (random.nextBoolean()) {
-                    fate(flight, Ending.ERROR, 10 * MS, random.nextInt(8) == 0 ? 200 * MS : 0);
+                    setAnswer(call, Ending.ERROR, 10 * MILLISECOND, random.nextInt(8) == 0 ? 200 * MILLISECOND : 0);
                 }
             }
-            case MOST_FAIL -> {
+            case MOST_CALLS_FAIL -> {
                 if (random.nextInt(5) > 0) {
-                    fate(flight, Ending.ERROR, 10 * MS, 0);
+                    setAnswer(call, Ending.ERROR, 10 * MILLISECOND, 0);
                 }
             }
-            case HANGS -> flight.endsAt = Long.MAX_VALUE;
-            case SLOW -> flight.endsAt = now + 8 * (flight.endsAt - now);
-            case RESETS -> fate(flight, Ending.RESET, 30 * MS, 0);
-            case ANYTHING -> {
-                Ending any = Ending.values()[random.nextInt(Ending.values().length)];
-                fate(flight, any, 20 * MS, any == Ending.FULL ? random.nextInt(3) * 900 * MS : 0);
+            case HANGS -> call.endsAtMicros = Long.MAX_VALUE;
+            case SLOW -> call.endsAtMicros = nowMicros + 8 * (call.endsAtMicros - nowMicros);
+            case RESETS -> setAnswer(call, Ending.RESET, 30 * MILLISECOND, 0);
+            case RANDOM_ENDING -> {
+                Ending randomEnding = Ending.values()[random.nextInt(Ending.values().length)];
+                setAnswer(call, randomEnding, 20 * MILLISECOND, randomEnding == Ending.FULL ? random.nextInt(3) * 900 * MILLISECOND : 0);
             }
-            default -> limitRate(flight, entry);
+            default -> limitRate(call, entry);
         }
     }
 
-    private void fate(Flight flight, Ending ending, long after, long waitMicros) {
-        flight.ending = ending;
-        flight.endsAt = now + after;
-        flight.waitMicros = waitMicros;
+    private void setAnswer(CallInFlight call, Ending ending, long delayMicros, long retryAfterMicros) {
+        call.ending = ending;
+        call.endsAtMicros = nowMicros + delayMicros;
+        call.retryAfterMicros = retryAfterMicros;
     }
 
     /** A healthy destination accepts about one call in 50 ms, and refuses some calls that come closer together. */
-    private void limitRate(Flight flight, Entry entry) {
-        long gap = now - lastTaken.getOrDefault(entry.destination(), 0L);
-        if (gap < 50 * MS && seed % 2 == 0 && random.nextInt(4) == 0) {
-            fate(flight, Ending.FULL, 5 * MS, seed % 4 == 0 ? 200 * MS : 0);
-            flight.report = new Report(0, 6);
+    private void limitRate(CallInFlight call, Entry entry) {
+        long gapMicros = nowMicros - lastAcceptedAtMicros.getOrDefault(entry.destination(), 0L);
+        if (gapMicros < 50 * MILLISECOND && seed % 2 == 0 && random.nextInt(4) == 0) {
+            setAnswer(call, Ending.FULL, 5 * MILLISECOND, seed % 4 == 0 ? 200 * MILLISECOND : 0);
+            call.report = new Report(0, 6);
         } else {
-            lastTaken.put(entry.destination(), now);
+            lastAcceptedAtMicros.put(entry.destination(), nowMicros);
         }
     }
 
-    private void answers(List<Event> events) {
-        for (Flight flight : List.copyOf(flights)) {
-            boolean answered = flight.endsAt <= now;
-            for (int i = flight.ids.size() - 1; i >= 0; i--) {
-                if (answered || flight.dropsAt.get(i) <= now) {
-                    answer(events, flight, i, answered ? flight.ending : Ending.TIMED_OUT);
-                    flight.ids.remove(i);
-                    flight.attempts.remove(i);
-                    flight.dropsAt.remove(i);
+    private void addAnswers(List<Event> events) {
+        for (CallInFlight call : List.copyOf(callsInFlight)) {
+            boolean answered = call.endsAtMicros <= nowMicros;
+            for (int i = call.ids.size() - 1; i >= 0; i--) {
+                if (answered || call.dropAtMicros.get(i) <= nowMicros) {
+                    addAnswer(events, call, i, answered ? call.ending : Ending.TIMED_OUT);
+                    call.ids.remove(i);
+                    call.attempts.remove(i);
+                    call.dropAtMicros.remove(i);
                 }
             }
-            if (flight.ids.isEmpty()) {
-                flights.remove(flight);
+            if (call.ids.isEmpty()) {
+                callsInFlight.remove(call);
             }
         }
     }
 
-    private void answer(List<Event> events, Flight flight, int place, Ending ending) {
-        String id = flight.ids.get(place);
-        boolean over = ending == Ending.DELIVERED || random.nextInt(200) == 0;
-        if (over) {
-            open.remove(id);
+    private void addAnswer(List<Event> events, CallInFlight call, int index, Ending ending) {
+        String id = call.ids.get(index);
+        boolean finished = ending == Ending.DELIVERED || random.nextInt(200) == 0;
+        if (finished) {
+            openMessageIds.remove(id);
         }
         if (ending == Ending.WITHHELD) {
             attempts.merge(id, -1, Integer::sum);
         }
         events.add(new Event.Outcome(
                 id,
-                flight.host,
-                flight.attempts.get(place),
+                call.host,
+                call.attempts.get(index),
                 ending,
-                now - flight.sentAt,
-                ending == Ending.TIMED_OUT ? 0 : flight.waitMicros,
+                nowMicros - call.sentAtMicros,
+                ending == Ending.TIMED_OUT ? 0 : call.retryAfterMicros,
                 ending == Ending.NOT_SENT,
-                over,
-                ending == Ending.TIMED_OUT ? null : flight.report));
+                finished,
+                ending == Ending.TIMED_OUT ? null : call.report));
     }
 
-    private void arrivals(List<Event> events) {
+    private void addArrivals(List<Event> events) {
         // Messages come one by one, and now and then in a burst for one destination.
-        int clump = random.nextInt(2_000) == 0 ? 4 + random.nextInt(20) : 0;
+        int burstSize = random.nextInt(2_000) == 0 ? 4 + random.nextInt(20) : 0;
         int destination = random.nextInt(DESTINATIONS);
-        boolean single = random.nextDouble() < arrivalsPerSecond * 5 * MS / S;
-        for (int i = 0; i < clump + (single ? 1 : 0); i++) {
-            String id = "m" + names++;
-            int kind = random.nextInt(classes(1).size());
+        boolean singleArrives = random.nextDouble() < arrivalsPerSecond * 5 * MILLISECOND / SECOND;
+        for (int i = 0; i < burstSize + (singleArrives ? 1 : 0); i++) {
+            String id = "m" + messagesCreated++;
+            int messageClass = random.nextInt(classes(1).size());
             String key = random.nextInt(3) == 0 ? null : "k" + destination + "-" + random.nextInt(3);
-            long deadline = settings.classes().get(kind).deadlineMicros();
-            long budget = random.nextInt(6) == 0 ? 50 * MS + random.nextInt((int) S) : deadline;
+            long deadlineMicros = settings.classes().get(messageClass).deadlineMicros();
+            long budgetMicros = random.nextInt(6) == 0 ? 50 * MILLISECOND + random.nextInt((int) SECOND) : deadlineMicros;
             Prior prior = random.nextInt(25) == 0 ? prior() : null;
             attempts.put(id, prior == null ? 0 : prior.attempts());
-            open.add(id);
+            openMessageIds.add(id);
             events.add(new Event.Submit(
-                    id, kind, destination, random.nextInt(4) - 1, key, false, prior != null, budget, prior));
+                    id, messageClass, destination, random.nextInt(4) - 1, key, false, prior != null, budgetMicros, prior));
         }
     }
 
     private Prior prior() {
         boolean mayHaveRun = random.nextBoolean();
-        int before = mayHaveRun ? 1 + random.nextInt(3) : random.nextInt(3);
-        return new Prior(before, mayHaveRun, "h0-0", random.nextInt(2), now - random.nextInt((int) (4 * S)));
+        int earlierAttempts = mayHaveRun ? 1 + random.nextInt(3) : random.nextInt(3);
+        return new Prior(earlierAttempts, mayHaveRun, "h0-0", random.nextInt(2), nowMicros - random.nextInt((int) (4 * SECOND)));
     }
 
-    private void rareEvents(List<Event> events, long end) {
+    private void addRareEvents(List<Event> events, long endMicros) {
         if (random.nextInt(700) == 0) {
             ListingKind kind = ListingKind.values()[random.nextInt(4)];
             List<Entry> entries = kind == ListingKind.REFUSED ? List.of() : entries(true);
-            events.add(new Event.Listing(kind, names, entries));
+            events.add(new Event.Listing(kind, messagesCreated, entries));
         }
-        if (random.nextInt(500) == 0 && !open.isEmpty()) {
-            events.add(new Event.Withdrawn(open.remove(random.nextInt(open.size()))));
+        if (random.nextInt(500) == 0 && !openMessageIds.isEmpty()) {
+            events.add(new Event.Withdrawn(openMessageIds.remove(random.nextInt(openMessageIds.size()))));
         }
         if (random.nextInt(3_000) == 0) {
             Limits old = settings.limits();
             int maxAttempts = MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)];
-            events.add(renewed(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
+            events.add(renewedSettings(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
         }
         if (random.nextInt(1_000) == 0) {
-            events.add(new Event.Probed("h0-0", Ending.DELIVERED, MS, null));
+            events.add(new Event.Probed("h0-0", Ending.DELIVERED, MILLISECOND, null));
             events.add(new Event.Heard(1, new byte[0]));
         }
-        if (seed % 6 == 0 && now == end - 4 * S) {
-            events.add(new Event.Stopping(end));
+        if (seed % 6 == 0 && nowMicros == endMicros - 4 * SECOND) {
+            events.add(new Event.Stopping(endMicros));
         }
     }
 
-    private Event renewed(List<MessageClass> classes, Limits limits) {
+    private Event renewedSettings(List<MessageClass> classes, Limits limits) {
         settings = new Settings(
                 settings.self(),
                 settings.relays(),
@@ -393,23 +393,23 @@
     }
 
     /** Changes how hosts answer: those of one destination or one host of it, at times those of all others instead. */
-    private void changeConditions() {
-        boolean well = random.nextInt(3) == 0;
-        Condition condition = well ? Condition.WELL : Condition.values()[random.nextInt(Condition.values().length)];
-        int chosen = random.nextInt(DESTINATIONS);
-        boolean others = random.nextInt(5) == 0;
-        if (others && random.nextBoolean()) {
-            condition = Condition.HANGS;
+    private void changeBehaviours() {
+        boolean healthy = random.nextInt(3) == 0;
+        HostBehaviour behaviour = healthy ? HostBehaviour.HEALTHY : HostBehaviour.values()[random.nextInt(HostBehaviour.values().length)];
+        int chosenDestination = random.nextInt(DESTINATIONS);
+        boolean allOthers = random.nextInt(5) == 0;
+        if (allOthers && random.nextBoolean()) {
+            behaviour = HostBehaviour.HANGS;
         }
         boolean oneHost = random.nextInt(4) == 0;
         for (int destination = 0; destination < DESTINATIONS; destination++) {
-            if (others == (destination == chosen)) {
+            if (allOthers == (destination == chosenDestination)) {
                 continue;
             }
-            conditions.put("h" + destination + "-0", condition);
+            behaviours.put("h" + destination + "-0", behaviour);
             if (!oneHost) {
-                conditions.put("h" + destination + "-1", condition);
-                conditions.put("h" + destination + "-2", condition);
+                behaviours.put("h" + destination + "-1", behaviour);
+                behaviours.put("h" + destination + "-2", behaviour);
             }
         }
     }
@@ -423,7 +423,7 @@
                 }
             }
         }
-        entries.forEach(entry -> listed.put(entry.host(), entry));
+        entries.forEach(entry -> listedEntries.put(entry.host(), entry));
         return entries;
     }
 
@@ -432,8 +432,8 @@
                 ? Presence.values()[random.nextInt(Presence.values().length)]
                 : Presence.ACTIVE;
         // The third host of a destination moves to the next destination at times; its kind follows the destination.
-        int serves = host == 2 && random.nextInt(6) == 0 ? (destination + 1) % DESTINATIONS : destination;
-        int kind = seed % 8 == 2 && serves == 0 ? settings.kinds().size() : serves;
-        return new Entry("h" + destination + "-" + host, serves, host % 2, kind, presence, 3 + serves, 0);
+        int servedDestination = host == 2 && random.nextInt(6) == 0 ? (destination + 1) % DESTINATIONS : destination;
+        int kind = seed % 8 == 2 && servedDestination == 0 ? settings.kinds().size() : servedDestination;
+        return new Entry("h" + destination + "-" + host, servedDestination, host % 2, kind, presence, 3 + servedDestination, 0);
     }
 }
--- a/src/test/java/lilaclever/DecisionSequenceTest.java
+++ b/src/test/java/lilaclever/DecisionSequenceTest.java
@@ -74,22 +74,22 @@
                     54, a62f39f8d59d4e31
                     55, f8088fd47956a5e3
                     """)
-    void theActionsAreThoseRecorded(long seed, String expected) {
-        assertEquals(expected, new DecisionSequence(seed).play());
+    void theActionsMatchTheRecordedDigest(long seed, String expected) {
+        assertEquals(expected, new DecisionSequence(seed).run());
     }
 
     /** Guards against sequences that exercise too little: they must lead to every type of action and to many sends. */
     @Test
-    void theSequencesTakeAllActions() {
-        Set<String> kinds = new TreeSet<>();
-        int sent = 0;
+    void theSequencesCoverAllActionTypes() {
+        Set<String> actionTypes = new TreeSet<>();
+        int sendCount = 0;
         for (long seed = 0; seed < 8; seed++) {
             DecisionSequence sequence = new DecisionSequence(seed);
-            sequence.play();
-            kinds.addAll(sequence.kindsOfActions);
-            sent += sequence.sends;
+            sequence.run();
+            actionTypes.addAll(sequence.actionTypes);
+            sendCount += sequence.sendCount;
         }
-        assertEquals(Set.of("Cancel", "CloseIdle", "Fail", "Refuse", "Send", "Wake", "Watch"), kinds);
-        assertTrue(sent > 1_000, sent + " sends");
+        assertEquals(Set.of("Cancel", "CloseIdle", "Fail", "Refuse", "Send", "Wake", "Watch"), actionTypes);
+        assertTrue(sendCount > 1_000, sendCount + " sends");
     }
 }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -1,11 +1,11 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
-import static lilaclever.Rig.ZONED;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
+import static lilaclever.DecisionModuleHarness.ZONED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -32,21 +32,21 @@
  * restarts, and each outcome for each repeat class. {@link RuleChecker} checks every case as well.
  */
 class DeliveryPolicyTest {
-    private final Map<String, Integer> attempts = new HashMap<>();
-    private Rig rig = Rig.started();
+    private final Map<String, Integer> attemptsByMessage = new HashMap<>();
+    private DecisionModuleHarness harness = DecisionModuleHarness.withTwoDestinations();
 
     @AfterEach
     void noRuleIsBroken() {
-        assertEquals(List.of(), rig.checker.breaches());
+        assertEquals(List.of(), harness.checker.breaches());
     }
 
     /** Runs rounds until the message is sent; returns the microseconds that took, or -1 if it was not sent. */
-    private long pauseUntilSent(String id, long most) {
-        long from = rig.now;
-        while (rig.now < from + most) {
-            rig.pass(5 * MS);
-            if (rig.sent(id)) {
-                return rig.now - from;
+    private long microsUntilSent(String id, long maxMicros) {
+        long fromMicros = harness.nowMicros;
+        while (harness.nowMicros < fromMicros + maxMicros) {
+            harness.runRoundsFor(5 * MILLISECOND);
+            if (harness.wasSent(id)) {
+                return harness.nowMicros - fromMicros;
             }
         }
         return -1;
@@ -54,54 +54,54 @@
 
     // Retries, rate limits and attempts
     @Test
-    void sendsAtOnceOnTheOrdinaryPath() {
-        String id = rig.submit(SAFE, 1);
-        assertTrue(rig.sent(id));
+    void aNewMessageIsSentAtOnce() {
+        String id = harness.submit(SAFE, 1);
+        assertTrue(harness.wasSent(id));
     }
 
     @Test
-    void pausesGrowByTheSteps() {
-        long[] steps = {200 * MS, 600 * MS, 2400 * MS, 6 * S};
-        String id = rig.submit(SAFE, 1);
-        for (int i = 0; i < steps.length; i++) {
-            rig.outcome(id, "a1", i, Ending.FULL);
-            long pause = pauseUntilSent(id, 16 * S);
-            assertTrue(pause >= steps[i] / 2, "delay " + i + " was " + pause);
+    void retryDelaysGrowInSteps() {
+        long[] stepsMicros = {200 * MILLISECOND, 600 * MILLISECOND, 2400 * MILLISECOND, 6 * SECOND};
+        String id = harness.submit(SAFE, 1);
+        for (int i = 0; i < stepsMicros.length; i++) {
+            harness.reportOutcome(id, "a1", i, Ending.FULL);
+            long delayMicros = microsUntilSent(id, 16 * SECOND);
+            assertTrue(delayMicros >= stepsMicros[i] / 2, "delay " + i + " was " + delayMicros);
             // From the second refusal in a row on, the lower rate of an outage may add to the step.
-            assertTrue(pause <= steps[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MS, "delay " + i + " was " + pause);
+            assertTrue(delayMicros <= stepsMicros[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MILLISECOND, "delay " + i + " was " + delayMicros);
         }
     }
 
     @Test
-    void pausesAreSpreadByChance() {
-        List<Long> pauses = new ArrayList<>();
+    void retryDelaysAreSpreadByChance() {
+        List<Long> delaysMicros = new ArrayList<>();
         for (int seed = 0; seed < 5; seed++) {
-            DecisionModule relay = DecisionModule.create(rig.settings, seed);
-            relay.decide(0, List.of(new Event.Listing(ListingKind.ALL, 1, List.of(Rig.entry("a1", 1, 0, 0)))));
-            relay.decide(S, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * S)));
-            for (Action a : relay.decide(
-                    S, List.of(new Event.Outcome("m", "a1", 0, Ending.NOT_SENT, 1, 0, true, false, null)))) {
+            DecisionModule module = DecisionModule.create(harness.settings, seed);
+            module.decide(0, List.of(new Event.Listing(ListingKind.ALL, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0)))));
+            module.decide(SECOND, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * SECOND)));
+            for (Action a : module.decide(
+                    SECOND, List.of(new Event.Outcome("m", "a1", 0, Ending.NOT_SENT, 1, 0, true, false, null)))) {
                 if (a instanceof Action.Wake w) {
-                    pauses.add(w.afterMicros());
+                    delaysMicros.add(w.afterMicros());
                 }
             }
         }
-        assertTrue(pauses.stream().distinct().count() > 2, pauses.toString());
+        assertTrue(delaysMicros.stream().distinct().count() > 2, delaysMicros.toString());
     }
 
     @Test
-    void aRefusalHoldsToTenASecondUntilFiveQuietSeconds() {
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.FULL);
-        rig.pass(S);
+    void aRefusalLimitsCallsToTenASecond() {
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, Ending.FULL);
+        harness.runRoundsFor(SECOND);
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            rig.now += 5 * MS;
-            String id = rig.submit(SAFE, 1);
-            for (Action a : rig.actions) {
+            harness.nowMicros += 5 * MILLISECOND;
+            String id = harness.submit(SAFE, 1);
+            for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
                     sent++;
-                    rig.outcome(s.id(), "a1", s.id().equals(first) ? 1 : 0, Ending.DELIVERED);
+                    harness.reportOutcome(s.id(), "a1", s.id().equals(first) ? 1 : 0, Ending.DELIVERED);
                 }
             }
             assertTrue(id != null);
@@ -110,62 +110,62 @@
     }
 
     @Test
-    void theHoldEndsAfterFiveQuietSecondsAndItsRoofLater() {
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.FULL);
-        assertTrue(pauseUntilSent(first, 4 * S) > 0);
-        rig.outcome(first, "a1", 1, Ending.DELIVERED);
-        rig.pass(6 * S);
-        assertTrue(fiveAtOnce() < 5, "waiting messages must not all be sent at once");
-        rig.pass(16 * S);
-        assertEquals(5, fiveAtOnce(), "the rate ceiling ends as well");
+    void throttlingEndsAfterFiveSecondsWithoutRefusalAndItsRateCeilingLater() {
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, Ending.FULL);
+        assertTrue(microsUntilSent(first, 4 * SECOND) > 0);
+        harness.reportOutcome(first, "a1", 1, Ending.DELIVERED);
+        harness.runRoundsFor(6 * SECOND);
+        assertTrue(countSentAtOnceOfFive() < 5, "waiting messages must not all be sent at once");
+        harness.runRoundsFor(16 * SECOND);
+        assertEquals(5, countSentAtOnceOfFive(), "the rate ceiling ends as well");
     }
 
     /** Submits five messages, has all of them delivered, and returns how many were sent at once. */
-    private int fiveAtOnce() {
-        List<String> at = new ArrayList<>();
+    private int countSentAtOnceOfFive() {
+        List<String> sentAtOnce = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            String id = rig.submit(SAFE, 1);
-            if (rig.sent(id)) {
-                at.add(id);
+            String id = harness.submit(SAFE, 1);
+            if (harness.wasSent(id)) {
+                sentAtOnce.add(id);
             }
         }
-        at.forEach(id -> rig.outcome(id, "a1", 0, Ending.DELIVERED));
-        answerAll(new HashMap<>(), S, Ending.DELIVERED);
-        return at.size();
+        sentAtOnce.forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.DELIVERED));
+        answerAll(new HashMap<>(), SECOND, Ending.DELIVERED);
+        return sentAtOnce.size();
     }
 
     @Test
-    void whatIsLateGoesAfterWhatIsFreshAndWhatIsAboutToBeLateFirst() {
-        rig = new Rig(Rig.settings(1, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String out = rig.submit(SAFE, 1);
-        String late = rig.submit(SAFE, 1);
-        rig.now += 6 * S; // three times its aim
-        String near = rig.submit(SAFE, 1);
-        rig.now += 1900 * MS; // nearly its aim of 2 s
-        String fresh = rig.submit(SAFE, 1);
+    void messagesAboutToMissTheirAimGoFirstAndLateOnesLast() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(1, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String inFlight = harness.submit(SAFE, 1);
+        String late = harness.submit(SAFE, 1);
+        harness.nowMicros += 6 * SECOND; // three times its aim
+        String nearlyLate = harness.submit(SAFE, 1);
+        harness.nowMicros += 1900 * MILLISECOND; // nearly its aim of 2 s
+        String onTime = harness.submit(SAFE, 1);
         List<String> order = new ArrayList<>();
-        for (String id = out; id != null; ) {
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
+        for (String id = inFlight; id != null; ) {
+            harness.reportOutcome(id, "a1", 0, Ending.DELIVERED);
             id = null;
-            for (String next : List.of(late, near, fresh)) {
-                id = rig.sent(next) ? next : id;
+            for (String next : List.of(late, nearlyLate, onTime)) {
+                id = harness.wasSent(next) ? next : id;
             }
             order.add(id);
         }
-        assertEquals(List.of(near, fresh, late), order.subList(0, 3));
+        assertEquals(List.of(nearlyLate, onTime, late), order.subList(0, 3));
     }
 
     @Test
-    void aToldWaitStopsEveryMessageToTheDestination() {
-        String id = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, Ending.FULL, 1500 * MS);
-        String other = rig.submit(SAFE, 1);
-        rig.pass(1490 * MS);
-        assertEquals(List.of(), rig.sentTo());
-        rig.pass(5 * S);
-        assertTrue(rig.sent(other) || rig.sent(id));
+    void aRetryAfterStopsEveryMessageToTheDestination() {
+        String id = harness.submit(SAFE, 1);
+        harness.reportOutcome(id, "a1", 0, Ending.FULL, 1500 * MILLISECOND);
+        String other = harness.submit(SAFE, 1);
+        harness.runRoundsFor(1490 * MILLISECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.runRoundsFor(5 * SECOND);
+        assertTrue(harness.wasSent(other) || harness.wasSent(id));
     }
 
     /**
@@ -173,59 +173,59 @@
      * message is sent once the retry-after is over.
      */
     @Test
-    void aWithheldCallIsNoAttemptAndTellsTheWait() {
-        String id = rig.submit(UNSAFE, 1);
+    void aWithheldCallIsNotCountedAndIsSentAfterTheRetryAfter() {
+        String id = harness.submit(UNSAFE, 1);
         for (int i = 0; i < 8; i++) { // more than the attempts that a message may have
-            rig.outcome(id, "a1", 0, Ending.WITHHELD, 500 * MS);
-            rig.pass(490 * MS);
-            assertEquals(List.of(), rig.sentTo());
-            rig.pass(600 * MS);
-            assertTrue(rig.sent(id));
+            harness.reportOutcome(id, "a1", 0, Ending.WITHHELD, 500 * MILLISECOND);
+            harness.runRoundsFor(490 * MILLISECOND);
+            assertEquals(List.of(), harness.hostsSentTo());
+            harness.runRoundsFor(600 * MILLISECOND);
+            assertTrue(harness.wasSent(id));
         }
     }
 
     /** A retry-after must be honoured whatever the outcome that it came with, a delivery too. */
     @Test
-    void aWaitToldWithAnyOutcomeBinds() {
-        String id = rig.submit(SAFE, 1);
-        String other = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, Ending.DELIVERED, 1500 * MS);
-        rig.outcome(other, "a1", 0, Ending.ERROR, 0);
-        rig.submit(SAFE, 1);
-        rig.pass(1490 * MS);
-        assertEquals(List.of(), rig.sentTo());
+    void aRetryAfterAppliesWhateverTheOutcome() {
+        String id = harness.submit(SAFE, 1);
+        String other = harness.submit(SAFE, 1);
+        harness.reportOutcome(id, "a1", 0, Ending.DELIVERED, 1500 * MILLISECOND);
+        harness.reportOutcome(other, "a1", 0, Ending.ERROR, 0);
+        harness.submit(SAFE, 1);
+        harness.runRoundsFor(1490 * MILLISECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
     }
 
     @Test
-    void aToldWaitOfARouteApartLeavesTheOtherRoute() {
-        rig.list(ListingKind.CHANGES, Rig.entry("b2", 2, 0, 1));
-        String id = rig.submit(SAFE, 2);
-        String host = rig.sentTo().get(0);
-        rig.outcome(id, host, 0, Ending.FULL, 2 * S);
-        rig.submit(SAFE, 2);
-        assertEquals(List.of(host.equals("b1") ? "b2" : "b1"), rig.sentTo());
+    void aRetryAfterOfAnEndpointWithItsOwnLimitLeavesTheOtherUsable() {
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("b2", 2, 0, 1));
+        String id = harness.submit(SAFE, 2);
+        String host = harness.hostsSentTo().get(0);
+        harness.reportOutcome(id, host, 0, Ending.FULL, 2 * SECOND);
+        harness.submit(SAFE, 2);
+        assertEquals(List.of(host.equals("b1") ? "b2" : "b1"), harness.hostsSentTo());
     }
 
     @Test
-    void aRouteTakenOffAndListedAgainKeepsItsWait() {
-        String id = rig.submit(SAFE, 2);
-        rig.outcome(id, "b1", 0, Ending.FULL, 3 * S);
-        rig.list(ListingKind.ALL);
-        rig.list(ListingKind.ALL, Rig.entry("b1", 2, 0, 1));
-        rig.pass(2900 * MS);
-        assertEquals(List.of(), rig.sentTo());
+    void anEndpointRemovedAndListedAgainKeepsItsRetryAfter() {
+        String id = harness.submit(SAFE, 2);
+        harness.reportOutcome(id, "b1", 0, Ending.FULL, 3 * SECOND);
+        harness.applyListing(ListingKind.ALL);
+        harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("b1", 2, 0, 1));
+        harness.runRoundsFor(2900 * MILLISECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
     }
 
     @Test
-    void endsAtTheAttemptLimit() {
-        String id = rig.submit(SAFE, 1);
+    void aMessageEndsAtTheAttemptLimit() {
+        String id = harness.submit(SAFE, 1);
         for (int i = 0; i < 6; i++) {
-            rig.outcome(id, "a1", i, Ending.NOT_SENT);
+            harness.reportOutcome(id, "a1", i, Ending.NOT_SENT);
             if (i < 5) {
-                assertTrue(pauseUntilSent(id, 12 * S) > 0 || rig.now > 1019 * S);
+                assertTrue(microsUntilSent(id, 12 * SECOND) > 0 || harness.nowMicros > 1019 * SECOND);
             }
         }
-        assertTrue(rig.checker.open().isEmpty());
+        assertTrue(harness.checker.openMessages().isEmpty());
     }
 
     // Outcomes by repeat class
@@ -233,14 +233,14 @@
     @EnumSource(
             value = Ending.class,
             names = {"FULL", "NO_CONNECTION", "NOT_SENT"})
-    void whatNeverRanIsRepeatedInEachClass(Ending ending) {
-        for (int c : new int[] {SAFE, KEYED, UNSAFE, ZONED}) {
-            rig = Rig.started();
-            String id = rig.submit(c, 1, "k");
-            rig.outcome(id, "a1", 0, ending);
-            assertFalse(rig.refused(id) || rig.failed(id));
-            assertTrue(pauseUntilSent(id, 5 * S) > 0, ending + " of class " + c);
-            assertEquals(List.of(), rig.checker.breaches());
+    void messagesThatNeverRanAreRetriedInEveryClass(Ending ending) {
+        for (int messageClass : new int[] {SAFE, KEYED, UNSAFE, ZONED}) {
+            harness = DecisionModuleHarness.withTwoDestinations();
+            String id = harness.submit(messageClass, 1, "k");
+            harness.reportOutcome(id, "a1", 0, ending);
+            assertFalse(harness.wasRefused(id) || harness.hasFailed(id));
+            assertTrue(microsUntilSent(id, 5 * SECOND) > 0, ending + " of class " + messageClass);
+            assertEquals(List.of(), harness.checker.breaches());
         }
     }
 
@@ -248,290 +248,290 @@
     @EnumSource(
             value = Ending.class,
             names = {"ERROR", "TIMED_OUT", "RESET", "CANCELED"})
-    void whatMayHaveRunIsRepeatedUnlessUnsafe(Ending ending) {
-        for (int c : new int[] {SAFE, KEYED, ZONED}) {
-            rig = Rig.started();
-            String id = rig.submit(c, 1, "k");
-            rig.outcome(id, "a1", 0, ending);
-            long pause = pauseUntilSent(id, 4900 * MS);
-            assertTrue(pause > 0, ending + " of class " + c);
-            assertEquals(List.of(), rig.checker.breaches());
+    void messagesThatMayHaveRunAreRetriedUnlessUnsafe(Ending ending) {
+        for (int messageClass : new int[] {SAFE, KEYED, ZONED}) {
+            harness = DecisionModuleHarness.withTwoDestinations();
+            String id = harness.submit(messageClass, 1, "k");
+            harness.reportOutcome(id, "a1", 0, ending);
+            long delayMicros = microsUntilSent(id, 4900 * MILLISECOND);
+            assertTrue(delayMicros > 0, ending + " of class " + messageClass);
+            assertEquals(List.of(), harness.checker.breaches());
         }
-        rig = Rig.started();
-        String id = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(id, "a1", 0, ending);
-        assertTrue(rig.failed(id));
+        harness = DecisionModuleHarness.withTwoDestinations();
+        String id = harness.submit(UNSAFE, 1, "k");
+        harness.reportOutcome(id, "a1", 0, ending);
+        assertTrue(harness.hasFailed(id));
     }
 
     @Test
-    void aKeyedMessageEndsWithItsWindow() {
-        String id = rig.submit(KEYED, 1);
-        rig.outcome(id, "a1", 0, Ending.ERROR);
-        rig.round(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("b1", 2, 0, 1))));
-        rig.pass(5100 * MS);
-        assertTrue(rig.refused(id), "every endpoint drops repeats, so a refusal is harmless");
+    void aKeyedMessageIsRefusedAtTheEndOfItsRepeatWindow() {
+        String id = harness.submit(KEYED, 1);
+        harness.reportOutcome(id, "a1", 0, Ending.ERROR);
+        harness.runRound(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("b1", 2, 0, 1))));
+        harness.runRoundsFor(5100 * MILLISECOND);
+        assertTrue(harness.wasRefused(id), "every endpoint drops repeats, so a refusal is harmless");
     }
 
     @Test
-    void aZonedMessageIsNotRefusedOnceItMayHaveRun() {
-        String id = rig.submit(ZONED, 1);
-        rig.outcome(id, "a1", 0, Ending.ERROR);
-        rig.round(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("a2", 1, 1, 0))));
-        rig.pass(5100 * MS);
-        assertTrue(rig.failed(id));
+    void aZonedMessageThatMayHaveRunFailsAndIsNotRefused() {
+        String id = harness.submit(ZONED, 1);
+        harness.reportOutcome(id, "a1", 0, Ending.ERROR);
+        harness.runRound(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("a2", 1, 1, 0))));
+        harness.runRoundsFor(5100 * MILLISECOND);
+        assertTrue(harness.hasFailed(id));
     }
 
     // Final answers
     @Test
-    void aMessageWithNoEndpointIsRefusedInTime() {
-        String id = rig.submit(UNSAFE, 9, "k");
-        rig.pass(19_990 * MS);
-        assertTrue(rig.refused(id));
+    void aMessageWithNoEndpointIsRefusedBeforeItsDeadline() {
+        String id = harness.submit(UNSAFE, 9, "k");
+        harness.runRoundsFor(19_990 * MILLISECOND);
+        assertTrue(harness.wasRefused(id));
     }
 
     @Test
-    void aCallWithoutOutcomeAtTheDeadlineIsAnswered() {
-        String id = rig.submit(UNSAFE, 1, "k");
-        rig.pass(20 * S + 15 * MS);
-        assertTrue(rig.failed(id));
+    void aMessageWithoutAnOutcomeAtItsDeadlineFails() {
+        String id = harness.submit(UNSAFE, 1, "k");
+        harness.runRoundsFor(20 * SECOND + 15 * MILLISECOND);
+        assertTrue(harness.hasFailed(id));
     }
 
     @Test
-    void theHoldNearlyFullRefusesTheLeastWorth() {
-        rig = new Rig(Rig.settings(1, 20, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
+    void aNearlyFullForwarderRefusesMessages() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(1, 20, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         int refused = 0;
         for (int i = 0; i < 30; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
             refused +=
-                    rig.actions.stream().filter(Action.Refuse.class::isInstance).count();
+                    harness.actions.stream().filter(Action.Refuse.class::isInstance).count();
         }
-        assertTrue(rig.checker.open().size() <= 20);
-        assertEquals(30 - rig.checker.open().size(), refused);
+        assertTrue(harness.checker.openMessages().size() <= 20);
+        assertEquals(30 - harness.checker.openMessages().size(), refused);
     }
 
     @Test
-    void whatIsWithdrawnIsPassedOver() {
-        String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Withdrawn(id)).outcome(id, "a1", 0, Ending.ERROR).pass(S);
-        assertEquals(List.of(), rig.sentTo());
-        rig.round(new Event.Withdrawn("unknown"), new Event.Timer(5));
+    void aWithdrawnMessageIsNotRetried() {
+        String id = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Withdrawn(id)).reportOutcome(id, "a1", 0, Ending.ERROR).runRoundsFor(SECOND);
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.runRound(new Event.Withdrawn("unknown"), new Event.Timer(5));
     }
 
     // Drains and endpoint lists
     @Test
-    void aLeavingHostGetsNothingNew() {
-        rig.list(ListingKind.CHANGES, new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
-        rig.submit(SAFE, 1);
-        assertEquals(List.of(), rig.sentTo());
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0));
-        assertEquals(List.of("a2"), rig.sentTo());
+    void aLeavingHostGetsNoNewMessages() {
+        harness.applyListing(ListingKind.CHANGES, new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0));
+        harness.submit(SAFE, 1);
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0));
+        assertEquals(List.of("a2"), harness.hostsSentTo());
     }
 
     @Test
-    void aWholeListDropsWhatItDoesNotName() {
-        rig.list(ListingKind.ALL, Rig.entry("a2", 1, 0, 0));
-        rig.submit(SAFE, 1);
-        assertEquals(List.of("a2"), rig.sentTo());
+    void aWholeListRemovesEndpointsItDoesNotName() {
+        harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("a2", 1, 0, 0));
+        harness.submit(SAFE, 1);
+        assertEquals(List.of("a2"), harness.hostsSentTo());
     }
 
     @Test
-    void aRefusedWatchIsAskedAgainLaterAndLater() {
-        rig = new Rig(Rig.settings(10, 50, 6, true));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        assertTrue(rig.actions.contains(new Action.Watch(true)));
-        long last = 0;
-        for (long least : new long[] {200 * MS, 400 * MS, 800 * MS}) {
-            rig.list(ListingKind.REFUSED);
-            long from = rig.now;
+    void aRefusedWatchIsRequestedAgainWithGrowingDelays() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 6, true));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        assertTrue(harness.actions.contains(new Action.Watch(true)));
+        long requestedAfterMicros = 0;
+        for (long minDelayMicros : new long[] {200 * MILLISECOND, 400 * MILLISECOND, 800 * MILLISECOND}) {
+            harness.applyListing(ListingKind.REFUSED);
+            long fromMicros = harness.nowMicros;
             do {
-                rig.pass(5 * MS);
-            } while (!rig.actions.contains(new Action.Watch(true)) && rig.now < from + 10 * S);
-            last = rig.now - from;
-            assertTrue(last >= least && last < 10 * S, "requested after " + last);
+                harness.runRoundsFor(5 * MILLISECOND);
+            } while (!harness.actions.contains(new Action.Watch(true)) && harness.nowMicros < fromMicros + 10 * SECOND);
+            requestedAfterMicros = harness.nowMicros - fromMicros;
+            assertTrue(requestedAfterMicros >= minDelayMicros && requestedAfterMicros < 10 * SECOND, "requested after " + requestedAfterMicros);
         }
     }
 
     // Order of keys
     @Test
-    void oneKeyGoesOneAtATimeInOrder() {
-        String first = rig.submit(UNSAFE, 1, "k");
-        String second = rig.submit(UNSAFE, 1, "k");
-        String other = rig.submit(UNSAFE, 1, "other");
-        assertTrue(rig.sent(other));
-        rig.outcome(first, "a1", 0, Ending.FULL);
-        rig.pass(5 * MS);
-        assertFalse(rig.sent(second));
-        assertTrue(pauseUntilSent(first, 5 * S) > 0);
-        rig.outcome(first, "a1", 1, Ending.DELIVERED);
-        assertTrue(rig.sent(second) || pauseUntilSent(second, 5 * S) > 0);
+    void messagesOfOneKeyAreSentOneAtATimeInOrder() {
+        String first = harness.submit(UNSAFE, 1, "k");
+        String second = harness.submit(UNSAFE, 1, "k");
+        String other = harness.submit(UNSAFE, 1, "other");
+        assertTrue(harness.wasSent(other));
+        harness.reportOutcome(first, "a1", 0, Ending.FULL);
+        harness.runRoundsFor(5 * MILLISECOND);
+        assertFalse(harness.wasSent(second));
+        assertTrue(microsUntilSent(first, 5 * SECOND) > 0);
+        harness.reportOutcome(first, "a1", 1, Ending.DELIVERED);
+        assertTrue(harness.wasSent(second) || microsUntilSent(second, 5 * SECOND) > 0);
     }
 
     @Test
-    void aKeyRestsAfterATimeOut() {
-        String first = rig.submit(UNSAFE, 1, "k");
-        String second = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(first, "a1", 0, Ending.TIMED_OUT);
-        assertTrue(pauseUntilSent(second, 5 * S) >= 100 * MS);
+    void aKeyIsDelayedAfterATimeout() {
+        String first = harness.submit(UNSAFE, 1, "k");
+        String second = harness.submit(UNSAFE, 1, "k");
+        harness.reportOutcome(first, "a1", 0, Ending.TIMED_OUT);
+        assertTrue(microsUntilSent(second, 5 * SECOND) >= 100 * MILLISECOND);
     }
 
     // Outages, slots and connections
     @Test
-    void aHangingDestinationLeavesSlotsForOthers() {
+    void anUnresponsiveDestinationLeavesSlotsForOthers() {
         for (int i = 0; i < 10; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        assertTrue(rig.sent(rig.submit(SAFE, 2)));
+        assertTrue(harness.wasSent(harness.submit(SAFE, 2)));
     }
 
     /** Submits a message for each of six destinations in one round, none of which is answered; returns their ids. */
-    private List<String> sentTogether(int slots, int messageClass) {
-        rig = new Rig(Rig.settings(slots, 100, 6, false));
+    private List<String> submitToSeveralDestinations(int slots, int messageClass) {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(slots, 100, 6, false));
         Entry[] entries = new Entry[10];
         for (int d = 0; d < entries.length; d++) {
-            entries[d] = Rig.entry("h" + d, d, 0, 0);
+            entries[d] = DecisionModuleHarness.entry("h" + d, d, 0, 0);
         }
-        rig.list(ListingKind.REMEMBERED, entries);
+        harness.applyListing(ListingKind.REMEMBERED, entries);
         for (int i = 0; i < 10; i++) {
-            String id = rig.submit(SAFE, 9);
-            rig.now += 50 * MS;
-            rig.outcome(id, "h9", 0, Ending.DELIVERED); // sets the usual answer time
+            String id = harness.submit(SAFE, 9);
+            harness.nowMicros += 50 * MILLISECOND;
+            harness.reportOutcome(id, "h9", 0, Ending.DELIVERED); // sets the usual answer time
         }
         List<String> ids = new ArrayList<>();
         Event[] submits = new Event[6];
         for (int d = 0; d < submits.length; d++) {
             ids.add("d" + d);
-            submits[d] = new Event.Submit("d" + d, messageClass, d, 0, null, false, false, 20 * S);
+            submits[d] = new Event.Submit("d" + d, messageClass, d, 0, null, false, false, 20 * SECOND);
         }
-        rig.round(submits);
+        harness.runRound(submits);
         return ids;
     }
 
     @Test
-    void aReturnIsFedByWhatWasUsualAlsoEarlyInTheDay() {
+    void recoveryUsesTheUsualRateEvenIfItWasMeasuredOnlyBriefly() {
         for (int i = 0; i < 40; i++) {
-            String id = rig.submit(SAFE, 1);
-            rig.now += 50 * MS; // 20 calls a second for two seconds
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
+            String id = harness.submit(SAFE, 1);
+            harness.nowMicros += 50 * MILLISECOND; // 20 calls a second for two seconds
+            harness.reportOutcome(id, "a1", 0, Ending.DELIVERED);
         }
-        String ill = rig.submit(SAFE, 1);
+        String unhealthy = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            rig.outcome(ill, "a1", i, Ending.ERROR);
-            pauseUntilSent(ill, 20 * S);
+            harness.reportOutcome(unhealthy, "a1", i, Ending.ERROR);
+            microsUntilSent(unhealthy, 20 * SECOND);
         }
-        rig.outcome(ill, "a1", 4, Ending.DELIVERED);
+        harness.reportOutcome(unhealthy, "a1", 4, Ending.DELIVERED);
         for (int i = 0; i < 40; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * S, Ending.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * SECOND, Ending.DELIVERED);
         // At first 0.85 x 2.5 x 0.2 of 20 calls a second, then a little more as slow start goes on.
         assertTrue(sent >= 14 && sent <= 26, "sent " + sent + " in the first two seconds of recovery");
     }
 
     @Test
-    void aDestinationThatNothingIsKnownOfIsFedByTheMeanOfAll() {
+    void recoveryOfADestinationWithoutAKnownRateUsesTheMeanOfAllDestinations() {
         for (int i = 0; i < 200; i++) {
-            String id = rig.submit(SAFE, 2);
-            rig.now += 10 * MS; // 100 calls a second to the other destination
-            rig.outcome(id, "b1", 0, Ending.DELIVERED);
+            String id = harness.submit(SAFE, 2);
+            harness.nowMicros += 10 * MILLISECOND; // 100 calls a second to the other destination
+            harness.reportOutcome(id, "b1", 0, Ending.DELIVERED);
         }
-        String ill = rig.submit(SAFE, 1);
+        String unhealthy = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            rig.outcome(ill, "a1", i, Ending.ERROR);
-            pauseUntilSent(ill, 20 * S);
+            harness.reportOutcome(unhealthy, "a1", i, Ending.ERROR);
+            microsUntilSent(unhealthy, 20 * SECOND);
         }
-        rig.outcome(ill, "a1", 4, Ending.DELIVERED);
+        harness.reportOutcome(unhealthy, "a1", 4, Ending.DELIVERED);
         for (int i = 0; i < 40; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * S, Ending.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * SECOND, Ending.DELIVERED);
         // At first 0.85 x 2.5 x 0.2 of a quarter of 50 calls a second, then a little more as slow start goes on.
         assertTrue(sent >= 8 && sent <= 18, "sent " + sent + " in the first two seconds of recovery");
     }
 
     @Test
-    void callsFarBeyondUsualGiveUpSlotsThatOthersCouldUse() {
+    void callsFarSlowerThanUsualAreCancelledOnlyForWaitingMessages() {
         for (int messageClass : new int[] {SAFE, UNSAFE}) {
-            sentTogether(5, messageClass);
-            assertEquals(5, rig.sentTo().size());
-            rig.pass(5 * S);
-            long given =
-                    rig.actions.stream().filter(Action.Cancel.class::isInstance).count();
-            assertEquals(1, given, "one message waits: one call is cancelled, not all five");
-            rig = Rig.started();
+            submitToSeveralDestinations(5, messageClass);
+            assertEquals(5, harness.hostsSentTo().size());
+            harness.runRoundsFor(5 * SECOND);
+            long cancelled =
+                    harness.actions.stream().filter(Action.Cancel.class::isInstance).count();
+            assertEquals(1, cancelled, "one message waits: one call is cancelled, not all five");
+            harness = DecisionModuleHarness.withTwoDestinations();
         }
     }
 
     @Test
-    void callsBeyondUsualStayWhereNobodyNeedsTheirSlots() {
-        sentTogether(10, UNSAFE);
-        assertEquals(6, rig.sentTo().size());
-        rig.pass(1900 * MS);
-        assertTrue(rig.actions.stream().noneMatch(Action.Cancel.class::isInstance));
+    void slowCallsAreNotCancelledWhereNoMessageNeedsTheirSlots() {
+        submitToSeveralDestinations(10, UNSAFE);
+        assertEquals(6, harness.hostsSentTo().size());
+        harness.runRoundsFor(1900 * MILLISECOND);
+        assertTrue(harness.actions.stream().noneMatch(Action.Cancel.class::isInstance));
     }
 
     @Test
-    void theShareOfSlotsForHangingEndpointsHoldsWithinOneRound() {
-        List<String> ids = sentTogether(20, SAFE);
-        rig.now += 2 * S;
-        Event[] ends = new Event[6];
-        for (int d = 0; d < ends.length; d++) {
-            ends[d] = new Event.Outcome(ids.get(d), "h" + d, 0, Ending.TIMED_OUT, 2 * S, 0, false, false, null);
+    void theShareOfSlotsForUnresponsiveEndpointsHoldsWithinOneRound() {
+        List<String> ids = submitToSeveralDestinations(20, SAFE);
+        harness.nowMicros += 2 * SECOND;
+        Event[] outcomes = new Event[6];
+        for (int d = 0; d < outcomes.length; d++) {
+            outcomes[d] = new Event.Outcome(ids.get(d), "h" + d, 0, Ending.TIMED_OUT, 2 * SECOND, 0, false, false, null);
         }
-        rig.round(ends);
-        rig.now += 400 * MS; // all six may be sent again now, each to an endpoint that timed out
-        rig.round();
-        assertEquals(6, rig.sentTo().size(), "the share of 20 slots is enough for six");
-        sentTogether(10, SAFE);
-        rig.now += 2 * S;
-        rig.round(ends);
-        rig.now += 400 * MS;
-        rig.round();
-        assertEquals(3, rig.sentTo().size(), "three of ten slots, also where all are selected in one round");
+        harness.runRound(outcomes);
+        harness.nowMicros += 400 * MILLISECOND; // all six may be sent again now, each to an endpoint that timed out
+        harness.runRound();
+        assertEquals(6, harness.hostsSentTo().size(), "the share of 20 slots is enough for six");
+        submitToSeveralDestinations(10, SAFE);
+        harness.nowMicros += 2 * SECOND;
+        harness.runRound(outcomes);
+        harness.nowMicros += 400 * MILLISECOND;
+        harness.runRound();
+        assertEquals(3, harness.hostsSentTo().size(), "three of ten slots, also where all are selected in one round");
     }
 
     @Test
-    void severalHangingDestinationsTogetherLeaveSlotsForTheRest() {
-        rig.list(ListingKind.CHANGES, Rig.entry("d1", 4, 0, 0), Rig.entry("e1", 5, 0, 0));
-        String well = rig.submit(SAFE, 2);
-        rig.outcome(well, "b1", 0, Ending.DELIVERED);
-        int open = 0;
+    void severalUnresponsiveDestinationsTogetherLeaveSlotsForTheRest() {
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("d1", 4, 0, 0), DecisionModuleHarness.entry("e1", 5, 0, 0));
+        String healthy = harness.submit(SAFE, 2);
+        harness.reportOutcome(healthy, "b1", 0, Ending.DELIVERED);
+        int callsInFlight = 0;
         for (int i = 0; i < 3; i++) {
-            for (int dest : new int[] {1, 4, 5}) {
-                rig.submit(SAFE, dest);
-                open += rig.sentTo().size();
-                rig.pass(500 * MS);
-                open += rig.sentTo().size();
+            for (int destination : new int[] {1, 4, 5}) {
+                harness.submit(SAFE, destination);
+                callsInFlight += harness.hostsSentTo().size();
+                harness.runRoundsFor(500 * MILLISECOND);
+                callsInFlight += harness.hostsSentTo().size();
             }
         }
-        assertTrue(open <= 5, "unanswered calls hold " + open + " of 10 slots");
-        assertTrue(rig.sent(rig.submit(SAFE, 2)));
+        assertTrue(callsInFlight <= 5, "unanswered calls hold " + callsInFlight + " of 10 slots");
+        assertTrue(harness.wasSent(harness.submit(SAFE, 2)));
     }
 
     @Test
-    void aLongToldWaitIsReadAsShutAndItsEndAsAReturn() {
-        List<String> ids = List.of(rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1));
-        rig.outcome(ids.get(0), "a1", 0, Ending.FULL, 6 * S);
-        rig.outcome(ids.get(1), "a1", 0, Ending.FULL, 6 * S);
-        rig.outcome(ids.get(2), "a1", 0, Ending.FULL, 6 * S);
-        rig.pass(10 * S);
-        assertEquals(1, rig.sentTo().size(), "one trial call after the retry-after, not all waiting messages");
+    void aLongRetryAfterIsTreatedAsAnOutageAndItsEndAsARecovery() {
+        List<String> ids = List.of(harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
+        harness.reportOutcome(ids.get(0), "a1", 0, Ending.FULL, 6 * SECOND);
+        harness.reportOutcome(ids.get(1), "a1", 0, Ending.FULL, 6 * SECOND);
+        harness.reportOutcome(ids.get(2), "a1", 0, Ending.FULL, 6 * SECOND);
+        harness.runRoundsFor(10 * SECOND);
+        assertEquals(1, harness.hostsSentTo().size(), "one trial call after the retry-after, not all waiting messages");
     }
 
     /** Runs rounds for a while; every send ends with this ending 5 ms later. Returns the number of sends. */
-    private int answerAll(Map<String, Integer> tries, long micros, Ending ending) {
+    private int answerAll(Map<String, Integer> attemptCounts, long micros, Ending ending) {
         int sent = 0;
-        for (long until = rig.now + micros; rig.now < until; ) {
-            rig.now += 5 * MS;
-            rig.round();
+        for (long untilMicros = harness.nowMicros + micros; harness.nowMicros < untilMicros; ) {
+            harness.nowMicros += 5 * MILLISECOND;
+            harness.runRound();
             // Sends that follow from an outcome are answered too.
-            List<Action> todo = new ArrayList<>(rig.actions);
-            for (int i = 0; i < todo.size(); i++) {
-                if (todo.get(i) instanceof Action.Send s) {
+            List<Action> actions = new ArrayList<>(harness.actions);
+            for (int i = 0; i < actions.size(); i++) {
+                if (actions.get(i) instanceof Action.Send s) {
                     sent++;
-                    rig.now += 5 * MS;
-                    rig.outcome(s.id(), s.host(), tries.merge(s.id(), 1, Integer::sum) - 1, ending);
-                    todo.addAll(rig.actions);
+                    harness.nowMicros += 5 * MILLISECOND;
+                    harness.reportOutcome(s.id(), s.host(), attemptCounts.merge(s.id(), 1, Integer::sum) - 1, ending);
+                    actions.addAll(harness.actions);
                 }
             }
         }
@@ -539,21 +539,21 @@
     }
 
     @Test
-    void fullConnectionTablesAreNoOutageAndIdleConnectionsAreGivenBack() {
+    void fullConnectionTablesAreNoOutageAndIdleConnectionsAreClosed() {
         List<String> ids = List.of(
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, Ending.NO_CONNECTION));
-        Map<String, Integer> tries = new HashMap<>();
-        ids.forEach(id -> tries.put(id, 1));
-        int sent = answerAll(tries, 6 * S, Ending.DELIVERED);
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1));
+        ids.forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.NO_CONNECTION));
+        Map<String, Integer> attemptCounts = new HashMap<>();
+        ids.forEach(id -> attemptCounts.put(id, 1));
+        int sent = answerAll(attemptCounts, 6 * SECOND, Ending.DELIVERED);
         assertEquals(5, sent, "one trial call and no slow start: once a call is accepted, waiting messages go");
-        rig.submit(SAFE, 1);
-        rig.outcome(((Action.Send) rig.actions.get(0)).id(), "a1", 0, Ending.DELIVERED);
-        assertTrue(rig.actions.stream().anyMatch(Action.CloseIdle.class::isInstance), rig.actions.toString());
+        harness.submit(SAFE, 1);
+        harness.reportOutcome(((Action.Send) harness.actions.get(0)).id(), "a1", 0, Ending.DELIVERED);
+        assertTrue(harness.actions.stream().anyMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
     }
 
     /**
@@ -561,19 +561,19 @@
      * without any: a connect rejected by another endpoint of the same kind must make it close idle ones.
      */
     @Test
-    void whereAKindTakesFewConnectionsABusyRelayKeepsNoneEither() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 14));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0), Rig.entry("c1", 3, 0, 0), Rig.entry("b1", 2, 0, 1));
+    void whereAnEndpointKindTakesFewConnectionsABusyForwarderClosesIdleOnesToo() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 14));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("c1", 3, 0, 0), DecisionModuleHarness.entry("b1", 2, 0, 1));
         for (int i = 0; i < 20; i++) {
-            rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).pass(100 * MS);
+            harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).runRoundsFor(100 * MILLISECOND);
         }
-        assertTrue(rig.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), rig.actions.toString());
-        rig.outcome(rig.submit(SAFE, 3), "c1", 0, Ending.NO_CONNECTION);
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED);
-        assertTrue(rig.actions.contains(new Action.CloseIdle("a1")), rig.actions.toString());
-        rig.outcome(rig.submit(SAFE, 2), "b1", 0, Ending.DELIVERED);
+        assertTrue(harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
+        harness.reportOutcome(harness.submit(SAFE, 3), "c1", 0, Ending.NO_CONNECTION);
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED);
+        assertTrue(harness.actions.contains(new Action.CloseIdle("a1")), harness.actions.toString());
+        harness.reportOutcome(harness.submit(SAFE, 2), "b1", 0, Ending.DELIVERED);
         assertTrue(
-                rig.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), "nothing is known about other kinds");
+                harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), "nothing is known about other kinds");
     }
 
     /**
@@ -581,167 +581,167 @@
      * capacity: waiting messages would be sent too slowly.
      */
     @Test
-    void anAnswerThatThereIsNoRoomForAConnectionIsNoOutage() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 14));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.NO_CONNECTION);
-        tries.put(first, 1);
-        answerAll(tries, 12 * S, Ending.NO_CONNECTION); // an outage, so no full connection table
-        rig.pass(60 * S);
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).pass(15 * S); // recovered, and slow start is over
+    void aConnectionRejectedForLackOfCapacityIsNoOutage() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 14));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, Ending.NO_CONNECTION);
+        attemptCounts.put(first, 1);
+        answerAll(attemptCounts, 12 * SECOND, Ending.NO_CONNECTION); // an outage, so no full connection table
+        harness.runRoundsFor(60 * SECOND);
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).runRoundsFor(15 * SECOND); // recovered, and slow start is over
         List<String> ids = List.of(
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1),
-                rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, Ending.NO_ROOM));
-        ids.forEach(id -> tries.put(id, 1));
-        assertEquals(5, answerAll(tries, 3 * S, Ending.DELIVERED), "all are sent once connects are accepted");
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1),
+                harness.submit(SAFE, 1));
+        ids.forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.NO_ROOM));
+        ids.forEach(id -> attemptCounts.put(id, 1));
+        assertEquals(5, answerAll(attemptCounts, 3 * SECOND, Ending.DELIVERED), "all are sent once connects are accepted");
     }
 
     /** Guards against a large fleet that fills an endpoint's connection table with one idle connection each. */
     @Test
     void inALargeFleetNoConnectionIsKeptIdle() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED);
-        assertTrue(rig.actions.contains(new Action.CloseIdle("a1")), rig.actions.toString());
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED);
+        assertTrue(harness.actions.contains(new Action.CloseIdle("a1")), harness.actions.toString());
     }
 
     /** Guards against a fleet that avoids a partner for most of a minute after each forwarder got one refusal. */
     @Test
-    void oneOfManyRelaysComesBackSoonAfterARefusal() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String id = rig.submit(SAFE, 1);
-        rig.outcome(id, "a1", 0, Ending.FULL);
-        rig.pass(2 * S);
-        assertTrue(!rig.sent(id), "not while the calls of other forwarders may still exceed the limit");
-        rig.pass(6 * S);
-        assertTrue(rig.sent(id), "five seconds without a refusal, times a random factor, are enough");
+    void aForwarderOfALargeFleetRetriesSoonAfterARefusal() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String id = harness.submit(SAFE, 1);
+        harness.reportOutcome(id, "a1", 0, Ending.FULL);
+        harness.runRoundsFor(2 * SECOND);
+        assertTrue(!harness.wasSent(id), "not while the calls of other forwarders may still exceed the limit");
+        harness.runRoundsFor(6 * SECOND);
+        assertTrue(harness.wasSent(id), "five seconds without a refusal, times a random factor, are enough");
     }
 
     /** Guards against a repeat that a slow connect delays past the repeat window, so that it takes effect again. */
     @Test
-    void noAttemptOfAKeyedMessageStaysOpenPastItsWindow() {
-        String id = rig.submit(KEYED, 1);
-        long first = rig.now;
-        for (int attempt = 0; rig.checker.open().contains(id); attempt++) {
-            rig.outcome(id, "a1", attempt, Ending.ERROR);
-            rig.outcome(rig.submit(SAFE, 1), "a1", 0, Ending.DELIVERED); // other messages are delivered
-            while (!rig.sent(id) && rig.checker.open().contains(id)) {
-                rig.pass(5 * MS);
+    void noAttemptOfAKeyedMessageStaysInFlightPastItsRepeatWindow() {
+        String id = harness.submit(KEYED, 1);
+        long firstSentMicros = harness.nowMicros;
+        for (int attempt = 0; harness.checker.openMessages().contains(id); attempt++) {
+            harness.reportOutcome(id, "a1", attempt, Ending.ERROR);
+            harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED); // other messages are delivered
+            while (!harness.wasSent(id) && harness.checker.openMessages().contains(id)) {
+                harness.runRoundsFor(5 * MILLISECOND);
             }
-            for (Action action : rig.actions) {
-                assertTrue(!(action instanceof Action.Send s) || s.dropAtMicros() < first + 5 * S, action.toString());
+            for (Action action : harness.actions) {
+                assertTrue(!(action instanceof Action.Send s) || s.dropAtMicros() < firstSentMicros + 5 * SECOND, action.toString());
             }
         }
-        assertTrue(rig.now > first + 3 * S, "it was sent close to the end of its repeat window");
+        assertTrue(harness.nowMicros > firstSentMicros + 3 * SECOND, "it was sent close to the end of its repeat window");
     }
 
     @Test
-    void failedConnectsThatGoOnAreAnOutage() {
-        Map<String, Integer> tries = new HashMap<>();
+    void persistentlyFailingConnectsAreAnOutage() {
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 40; i++) {
-            rig.submit(SAFE, 1);
+            harness.submit(SAFE, 1);
         }
-        rig.round();
-        for (String id : List.copyOf(rig.checker.open())) {
-            tries.put(id, 0);
+        harness.runRound();
+        for (String id : List.copyOf(harness.checker.openMessages())) {
+            attemptCounts.put(id, 0);
         }
         int sent = 0;
-        List<String> open = new ArrayList<>(rig.checker.open());
-        for (String id : open.subList(0, 6)) {
-            rig.outcome(id, "a1", 0, Ending.NO_CONNECTION);
-            tries.merge(id, 1, Integer::sum);
+        List<String> openMessages = new ArrayList<>(harness.checker.openMessages());
+        for (String id : openMessages.subList(0, 6)) {
+            harness.reportOutcome(id, "a1", 0, Ending.NO_CONNECTION);
+            attemptCounts.merge(id, 1, Integer::sum);
         }
-        sent = answerAll(tries, 8 * S, Ending.NO_CONNECTION);
-        int later = answerAll(tries, 8 * S, Ending.NO_CONNECTION);
+        sent = answerAll(attemptCounts, 8 * SECOND, Ending.NO_CONNECTION);
+        int later = answerAll(attemptCounts, 8 * SECOND, Ending.NO_CONNECTION);
         assertTrue(later <= 8, "trial calls only: " + sent + " then " + later);
     }
 
     @Test
-    void inALargeFleetOneFailureTellsAndTrialsComeApartAsTheOutageLasts() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    void inALargeFleetOneFailureIsAnOutageAndTrialCallsBecomeRarer() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 6; i++) {
-            tries.put(rig.submit(SAFE, 1), 1);
+            attemptCounts.put(harness.submit(SAFE, 1), 1);
         }
-        tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, Ending.ERROR));
-        answerAll(tries, 5 * S, Ending.ERROR);
-        int later = answerAll(tries, 10 * S, Ending.ERROR);
+        attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.ERROR));
+        answerAll(attemptCounts, 5 * SECOND, Ending.ERROR);
+        int later = answerAll(attemptCounts, 10 * SECOND, Ending.ERROR);
         assertTrue(later <= 2, "hundreds of forwarders may have seen it: " + later + " trial calls in ten seconds");
     }
 
     @Test
-    void whereFailuresAreBlipsASingleOneIsNoOutage() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0), Rig.entry("c1", 3, 0, 0));
+    void whereFailuresAreTransientASingleOneIsNoOutage() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("c1", 3, 0, 0));
         for (int i = 0; i < 6; i++) {
-            String id = rig.submit(SAFE, 1);
-            if (!rig.sent(id)) {
-                pauseUntilSent(id, 30 * S);
+            String id = harness.submit(SAFE, 1);
+            if (!harness.wasSent(id)) {
+                microsUntilSent(id, 30 * SECOND);
             }
-            rig.outcome(id, "a1", 0, Ending.TIMED_OUT);
-            assertTrue(pauseUntilSent(id, 3 * S) > 0);
-            rig.outcome(id, "a1", 1, Ending.DELIVERED);
+            harness.reportOutcome(id, "a1", 0, Ending.TIMED_OUT);
+            assertTrue(microsUntilSent(id, 3 * SECOND) > 0);
+            harness.reportOutcome(id, "a1", 1, Ending.DELIVERED);
         }
-        String lost = rig.submit(SAFE, 3);
-        rig.outcome(lost, "c1", 0, Ending.TIMED_OUT);
-        assertTrue(rig.sent(rig.submit(SAFE, 3)), "one lost call does not show an outage of its endpoint");
+        String lost = harness.submit(SAFE, 3);
+        harness.reportOutcome(lost, "c1", 0, Ending.TIMED_OUT);
+        assertTrue(harness.wasSent(harness.submit(SAFE, 3)), "one lost call does not show an outage of its endpoint");
     }
 
     @Test
-    void connectsThatTimeOutAreNoCrowding() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 200));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String id = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(id, "a1", 0, Ending.NO_CONNECTION, S, 0, false, false, null));
-        String other = rig.submit(SAFE, 1);
-        rig.pass(300 * MS);
-        assertFalse(rig.sent(other) || rig.sent(id), "connects time out, so only trial calls are made");
+    void connectTimeoutsAreAnOutageAndNoFullConnectionTable() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String id = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Outcome(id, "a1", 0, Ending.NO_CONNECTION, SECOND, 0, false, false, null));
+        String other = harness.submit(SAFE, 1);
+        harness.runRoundsFor(300 * MILLISECOND);
+        assertFalse(harness.wasSent(other) || harness.wasSent(id), "connects time out, so only trial calls are made");
     }
 
     @Test
-    void whatCanNoLongerBeSentInTimeIsAnsweredAtOnce() {
-        String first = rig.submit(SAFE, 1);
-        rig.outcome(first, "a1", 0, Ending.FULL, 30 * S);
-        assertTrue(rig.refused(first), "the retry-after is longer than its time");
-        String next = rig.submit(SAFE, 1);
-        assertTrue(rig.refused(next), "so it is for a message that comes later");
-        assertTrue(rig.actions.stream().anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * S));
+    void messagesThatCannotBeSentInTimeAreRefusedAtOnce() {
+        String first = harness.submit(SAFE, 1);
+        harness.reportOutcome(first, "a1", 0, Ending.FULL, 30 * SECOND);
+        assertTrue(harness.wasRefused(first), "the retry-after is longer than its time");
+        String next = harness.submit(SAFE, 1);
+        assertTrue(harness.wasRefused(next), "so it is for a message that comes later");
+        assertTrue(harness.actions.stream().anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * SECOND));
     }
 
     /** Counts calls in 4 s to a limit that refuses all, and reports 10 calls a second and this share left. */
-    private int triesWith(double left) {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    private int callsWithAllowanceLeft(double allowanceLeft) {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         int sent = 0;
-        for (long end = rig.now + 4 * S; rig.now < end; rig.now += 50 * MS) {
-            if (rig.checker.open().size() < 10) {
-                rig.submit(SAFE, 1);
+        for (long endMicros = harness.nowMicros + 4 * SECOND; harness.nowMicros < endMicros; harness.nowMicros += 50 * MILLISECOND) {
+            if (harness.checker.openMessages().size() < 10) {
+                harness.submit(SAFE, 1);
             } else {
-                rig.round();
+                harness.runRound();
             }
-            for (Action a : rig.actions) {
+            for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
                     sent++;
-                    rig.now += 5 * MS;
-                    rig.round(new Event.Outcome(
+                    harness.nowMicros += 5 * MILLISECOND;
+                    harness.runRound(new Event.Outcome(
                             s.id(),
                             "a1",
-                            tries.merge(s.id(), 1, Integer::sum) - 1,
+                            attemptCounts.merge(s.id(), 1, Integer::sum) - 1,
                             Ending.FULL,
-                            5 * MS,
-                            300 * MS,
+                            5 * MILLISECOND,
+                            300 * MILLISECOND,
                             false,
                             false,
-                            new DecisionModule.Report(left, 10)));
+                            new DecisionModule.Report(allowanceLeft, 10)));
                 }
             }
         }
@@ -749,94 +749,94 @@
     }
 
     @Test
-    void aLimitWithNothingLeftAtAllIsLeftAloneSooner() {
-        int some = triesWith(0.1);
-        int none = triesWith(0);
-        assertTrue(none < some, none + " calls against " + some);
+    void aUsedUpAllowanceGetsFewerCallsThanOneWithSomeLeft() {
+        int callsWithSomeLeft = callsWithAllowanceLeft(0.1);
+        int callsWithNoneLeft = callsWithAllowanceLeft(0);
+        assertTrue(callsWithNoneLeft < callsWithSomeLeft, callsWithNoneLeft + " calls against " + callsWithSomeLeft);
     }
 
     @Test
-    void aBusyHostThatTurnsOneAwayIsNotLeftAlone() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
+    void aBusyHostThatRejectsOneConnectIsStillUsed() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         for (int i = 0; i < 10; i++) {
-            String id = rig.submit(SAFE, 1);
-            assertTrue(rig.sent(id) || pauseUntilSent(id, 2 * S) > 0, "call " + i);
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
-            rig.pass(500 * MS);
+            String id = harness.submit(SAFE, 1);
+            assertTrue(harness.wasSent(id) || microsUntilSent(id, 2 * SECOND) > 0, "call " + i);
+            harness.reportOutcome(id, "a1", 0, Ending.DELIVERED);
+            harness.runRoundsFor(500 * MILLISECOND);
         }
-        String turned = rig.submit(SAFE, 1);
-        rig.round(new Event.Outcome(turned, "a1", 0, Ending.NO_CONNECTION, 20 * MS, 0, false, false, null));
-        assertTrue(pauseUntilSent(turned, S) > 0, "its connection table was full, as the deliveries before show");
+        String rejected = harness.submit(SAFE, 1);
+        harness.runRound(new Event.Outcome(rejected, "a1", 0, Ending.NO_CONNECTION, 20 * MILLISECOND, 0, false, false, null));
+        assertTrue(microsUntilSent(rejected, SECOND) > 0, "its connection table was full, as the deliveries before show");
     }
 
     @Test
-    void manyRelaysLeaveALimitThatIsUsedUpRoomToFill() {
+    void aLargeFleetLetsAUsedUpAllowanceRefill() {
         // 100 forwarders share 10 calls a second: at the throttled rate they would keep it used up for good.
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        String id = rig.submit(SAFE, 1);
-        rig.round(
-                new Event.Outcome(id, "a1", 0, Ending.FULL, 5 * MS, 0, false, false, new DecisionModule.Report(0, 10)));
-        assertTrue(pauseUntilSent(id, 19 * S) >= 100 / (0.7 * 10) * S, "no more than 0.7 of the even share");
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        String id = harness.submit(SAFE, 1);
+        harness.runRound(
+                new Event.Outcome(id, "a1", 0, Ending.FULL, 5 * MILLISECOND, 0, false, false, new DecisionModule.Report(0, 10)));
+        assertTrue(microsUntilSent(id, 19 * SECOND) >= 100 / (0.7 * 10) * SECOND, "no more than 0.7 of the even share");
     }
 
     @ParameterizedTest
     @CsvSource({"ERROR,ACTIVE", "NO_CONNECTION,ACTIVE", "NO_CONNECTION,LEFT", "ERROR,LEFT"})
-    void aNewHostOfADestinationInOutageIsNoWayRoundIt(Ending ending, Presence old) {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 50));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    void aNewHostDoesNotBypassTheOutageOfItsDestination(Ending ending, Presence oldHostPresence) {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 50));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 4; i++) {
-            tries.put(rig.submit(SAFE, 1), 1);
+            attemptCounts.put(harness.submit(SAFE, 1), 1);
         }
-        tries.keySet().forEach(id -> rig.outcome(id, "a1", 0, ending));
-        answerAll(tries, 10 * S, ending);
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0), new Entry("a1", 1, 0, 0, old, 1, 0));
-        assertTrue(rig.sentTo().size() <= 1, rig.sentTo().toString());
+        attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, ending));
+        answerAll(attemptCounts, 10 * SECOND, ending);
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0), new Entry("a1", 1, 0, 0, oldHostPresence, 1, 0));
+        assertTrue(harness.hostsSentTo().size() <= 1, harness.hostsSentTo().toString());
     }
 
     @Test
-    void aReplacedHostIsUsedOnlyOnceListedAndTheOldOneNoMore() {
-        rig = new Rig(Rig.settings(10, 400, 12, false, 200));
-        DecisionModule.Entry[] many = new DecisionModule.Entry[300];
-        for (int i = 0; i < many.length; i++) {
-            many[i] = Rig.entry("h" + i, i, i % 2, 0);
+    void aReplacementHostIsUsedOnceListedAndTheOldOneNoLonger() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 400, 12, false, 200));
+        DecisionModule.Entry[] entries = new DecisionModule.Entry[300];
+        for (int i = 0; i < entries.length; i++) {
+            entries[i] = DecisionModuleHarness.entry("h" + i, i, i % 2, 0);
         }
-        rig.list(ListingKind.REMEMBERED, many);
-        rig.list(ListingKind.CHANGES, new DecisionModule.Entry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
-        String id = rig.submit(SAFE, 7);
-        assertFalse(rig.sent(id), "its only host was removed");
-        rig.list(ListingKind.CHANGES, Rig.entry("new", 7, 1, 0));
-        assertEquals(List.of("new"), rig.sentTo());
+        harness.applyListing(ListingKind.REMEMBERED, entries);
+        harness.applyListing(ListingKind.CHANGES, new DecisionModule.Entry("h7", 7, 1, 0, Presence.LEFT, 1, 0));
+        String id = harness.submit(SAFE, 7);
+        assertFalse(harness.wasSent(id), "its only host was removed");
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("new", 7, 1, 0));
+        assertEquals(List.of("new"), harness.hostsSentTo());
     }
 
     @Test
-    void refusalsInARowSlowAHeldLimitTowardsTheEvenShare() {
-        rig = new Rig(Rig.settings(10, 50, 12, false, 100));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("a1", 1, 0, 0));
-        Map<String, Integer> tries = new HashMap<>();
+    void consecutiveRefusalsSlowAThrottledLimitTowardsTheEvenShare() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
+        Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 12; i++) {
-            String id = rig.submit(SAFE, 1);
-            if (rig.sent(id)) {
-                tries.put(id, 1);
-                rig.outcome(id, "a1", 0, Ending.FULL, i == 0 ? 0 : 300 * MS);
+            String id = harness.submit(SAFE, 1);
+            if (harness.wasSent(id)) {
+                attemptCounts.put(id, 1);
+                harness.reportOutcome(id, "a1", 0, Ending.FULL, i == 0 ? 0 : 300 * MILLISECOND);
             }
         }
-        int first = answerAll(tries, 5 * S, Ending.FULL);
-        int later = answerAll(tries, 10 * S, Ending.FULL);
+        int first = answerAll(attemptCounts, 5 * SECOND, Ending.FULL);
+        int later = answerAll(attemptCounts, 10 * SECOND, Ending.FULL);
         assertTrue(later <= 2, "first " + first + ", later " + later);
     }
 
     @Test
-    void anOutageGetsFewTrialsAndAReturnStaysInItsBudget() {
-        List<String> ids = List.of(rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1), rig.submit(SAFE, 1));
-        ids.forEach(id -> rig.outcome(id, "a1", 0, Ending.ERROR));
-        rig.pass(4 * S);
-        assertEquals(1, rig.sentTo().size(), "one trial call, whose outcome is still pending");
-        rig.now += MS;
-        rig.outcome(
-                ((Action.Send) rig.actions.stream()
+    void anOutageGetsFewTrialCallsAndARecoveryStaysWithinItsBudget() {
+        List<String> ids = List.of(harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
+        ids.forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.ERROR));
+        harness.runRoundsFor(4 * SECOND);
+        assertEquals(1, harness.hostsSentTo().size(), "one trial call, whose outcome is still pending");
+        harness.nowMicros += MILLISECOND;
+        harness.reportOutcome(
+                ((Action.Send) harness.actions.stream()
                                 .filter(Action.Send.class::isInstance)
                                 .findFirst()
                                 .orElseThrow())
@@ -844,19 +844,19 @@
                 "a1",
                 1,
                 Ending.DELIVERED);
-        rig.checker.returned("a1", rig.now, 4);
+        harness.checker.startRecovery("a1", harness.nowMicros, 4);
         for (int i = 0; i < 600; i++) {
-            rig.now += 5 * MS;
+            harness.nowMicros += 5 * MILLISECOND;
             if (i % 20 == 0) {
-                rig.submit(SAFE, 1);
+                harness.submit(SAFE, 1);
             } else {
-                rig.round();
+                harness.runRound();
             }
-            for (Action a : rig.actions) {
+            for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
-                    rig.now += MS;
+                    harness.nowMicros += MILLISECOND;
                     for (int n = 0; n < 3; n++) {
-                        rig.outcome(s.id(), "a1", n, Ending.DELIVERED);
+                        harness.reportOutcome(s.id(), "a1", n, Ending.DELIVERED);
                     }
                 }
             }
@@ -864,114 +864,114 @@
     }
 
     @Test
-    void oneBadEndpointLeavesTheOtherAtFullPace() {
-        rig.list(ListingKind.CHANGES, Rig.entry("a2", 1, 0, 0));
-        int taken = 0;
+    void aFailingEndpointLeavesTheOtherAtItsFullRate() {
+        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0));
+        int delivered = 0;
         for (int i = 0; i < 400; i++) {
-            rig.now += 5 * MS;
+            harness.nowMicros += 5 * MILLISECOND;
             if (i % 20 == 0) {
-                rig.submit(SAFE, 1);
+                harness.submit(SAFE, 1);
             } else {
-                rig.round();
+                harness.runRound();
             }
-            for (Action.Send s : rig.actions.stream()
+            for (Action.Send s : harness.actions.stream()
                     .filter(Action.Send.class::isInstance)
                     .map(Action.Send.class::cast)
                     .toList()) {
-                int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
-                taken += s.host().equals("a2") ? 1 : 0;
-                rig.outcome(s.id(), s.host(), n, s.host().equals("a2") ? Ending.DELIVERED : Ending.NO_CONNECTION);
+                int attempt = attemptsByMessage.merge(s.id(), 1, Integer::sum) - 1;
+                delivered += s.host().equals("a2") ? 1 : 0;
+                harness.reportOutcome(s.id(), s.host(), attempt, s.host().equals("a2") ? Ending.DELIVERED : Ending.NO_CONNECTION);
             }
         }
-        assertTrue(taken >= 15, "delivered " + taken + " of 20");
+        assertTrue(delivered >= 15, "delivered " + delivered + " of 20");
     }
 
     @Test
-    void aPartOfTheCallsFailingIsNoOutage() {
-        int taken = 0;
+    void aMinorityOfFailingCallsIsNoOutage() {
+        int sentAtOnce = 0;
         for (int i = 0; i < 100; i++) {
-            String id = rig.submit(SAFE, 1);
-            taken += rig.sent(id) ? 1 : 0;
-            if (rig.sent(id)) {
-                rig.outcome(id, "a1", 0, i % 5 < 2 ? Ending.RESET : Ending.DELIVERED);
+            String id = harness.submit(SAFE, 1);
+            sentAtOnce += harness.wasSent(id) ? 1 : 0;
+            if (harness.wasSent(id)) {
+                harness.reportOutcome(id, "a1", 0, i % 5 < 2 ? Ending.RESET : Ending.DELIVERED);
             }
-            rig.pass(300 * MS);
-            for (Action.Send s : rig.actions.stream()
+            harness.runRoundsFor(300 * MILLISECOND);
+            for (Action.Send s : harness.actions.stream()
                     .filter(Action.Send.class::isInstance)
                     .map(Action.Send.class::cast)
                     .toList()) {
-                rig.outcome(s.id(), "a1", 1, Ending.DELIVERED);
+                harness.reportOutcome(s.id(), "a1", 1, Ending.DELIVERED);
             }
         }
-        assertTrue(taken >= 60, "sent at once " + taken + " of 100");
+        assertTrue(sentAtOnce >= 60, "sent at once " + sentAtOnce + " of 100");
     }
 
     @Test
-    void messagesOfAHeldBatchedKindStillGoAlong() {
-        rig = new Rig(Rig.settings(2, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("c1", 3, 0, 2));
-        String first = rig.submit(SAFE, 3);
-        rig.outcome(first, "c1", 0, Ending.FULL);
+    void messagesForAThrottledEndpointAreStillBatched() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(2, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("c1", 3, 0, 2));
+        String first = harness.submit(SAFE, 3);
+        harness.reportOutcome(first, "c1", 0, Ending.FULL);
         for (int i = 0; i < 4; i++) {
-            rig.submit(SAFE, 3);
+            harness.submit(SAFE, 3);
         }
-        assertEquals(List.of(), rig.sentTo());
-        rig.pass(3 * S);
-        assertEquals(5, rig.sentTo().size());
+        assertEquals(List.of(), harness.hostsSentTo());
+        harness.runRoundsFor(3 * SECOND);
+        assertEquals(5, harness.hostsSentTo().size());
     }
 
     @Test
-    void messagesOfABatchedKindTravelInOneCall() {
-        rig = new Rig(Rig.settings(1, 50, 6, false));
-        rig.list(ListingKind.REMEMBERED, Rig.entry("c1", 3, 0, 2));
+    void messagesForAnEndpointKindWithBatchesGoInOneCall() {
+        harness = new DecisionModuleHarness(DecisionModuleHarness.settings(1, 50, 6, false));
+        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("c1", 3, 0, 2));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            events.add(new Event.Submit("x" + i, SAFE, 3, 0, null, false, false, 20 * S));
+            events.add(new Event.Submit("x" + i, SAFE, 3, 0, null, false, false, 20 * SECOND));
         }
-        rig.round(events.toArray(new Event[0]));
-        assertEquals(5, rig.sentTo().size());
+        harness.runRound(events.toArray(new Event[0]));
+        assertEquals(5, harness.hostsSentTo().size());
     }
 
     // Memory
     @Test
-    void whatIsFinishedIsForgotten() throws ReflectiveOperationException {
+    void finishedMessagesAndUnlistedEndpointsAreRemovedFromMemory() throws ReflectiveOperationException {
         for (int i = 0; i < 300; i++) {
-            String id = rig.submit(UNSAFE, 1, "key" + i);
-            rig.outcome(id, "a1", 0, Ending.DELIVERED);
-            rig.list(ListingKind.ALL, Rig.entry("a1", 1, 0, 0), Rig.entry("gone" + i, 2, 0, 1));
+            String id = harness.submit(UNSAFE, 1, "key" + i);
+            harness.reportOutcome(id, "a1", 0, Ending.DELIVERED);
+            harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("gone" + i, 2, 0, 1));
         }
         for (String name : List.of("messages", "lines")) {
             assertEquals(0, ((Map<?, ?>) field(name)).size(), name);
         }
         assertEquals(2, ((Map<?, ?>) field("endpoints")).size());
-        rig.pass(21 * S);
+        harness.runRoundsFor(21 * SECOND);
         assertTrue(((java.util.Collection<?>) field("dues")).isEmpty());
     }
 
     @Test
-    void aKeyThatRestedIsForgotten() throws ReflectiveOperationException {
-        String id = rig.submit(UNSAFE, 1, "k");
-        rig.outcome(id, "a1", 0, Ending.TIMED_OUT);
-        rig.pass(2 * S);
+    void aKeyIsRemovedFromMemoryAfterItsDelay() throws ReflectiveOperationException {
+        String id = harness.submit(UNSAFE, 1, "k");
+        harness.reportOutcome(id, "a1", 0, Ending.TIMED_OUT);
+        harness.runRoundsFor(2 * SECOND);
         assertEquals(0, ((Map<?, ?>) field("lines")).size());
     }
 
     private Object field(String name) throws ReflectiveOperationException {
         var field = DeliveryPolicy.class.getDeclaredField(name);
         field.setAccessible(true);
-        return field.get(rig.relay);
+        return field.get(harness.module);
     }
 
     // Settings
     @Test
-    void settingsThatMakeNoSenseAreNamed() {
+    void anInvalidSettingIsNamedInTheError() {
         IllegalArgumentException e = assertThrows(
-                IllegalArgumentException.class, () -> DecisionModule.create(Rig.settings(0, 50, 6, false), 1));
+                IllegalArgumentException.class, () -> DecisionModule.create(DecisionModuleHarness.settings(0, 50, 6, false), 1));
         assertTrue(e.getMessage().contains("slots"));
     }
 
     // Restart and end of the program
-    private Event.Submit resumed(int messageClass, int attempts, boolean mayHaveRun, long riskAgo) {
+    private Event.Submit recoveredMessage(int messageClass, int attempts, boolean mayHaveRun, long mayHaveRunMicrosAgo) {
         return new Event.Submit(
                 "r",
                 messageClass,
@@ -980,21 +980,21 @@
                 null,
                 false,
                 false,
-                20 * S,
-                new DecisionModule.Prior(attempts, mayHaveRun, "a1", 0, rig.now - riskAgo));
+                20 * SECOND,
+                new DecisionModule.Prior(attempts, mayHaveRun, "a1", 0, harness.nowMicros - mayHaveRunMicrosAgo));
     }
 
     @Test
-    void anUnsafeMessageThatMayHaveRunInAnEarlierLifeFailsAtOnce() {
-        assertTrue(rig.round(resumed(UNSAFE, 1, true, S)).failed("r"));
-        assertTrue(rig.round(resumed(UNSAFE, 1, false, 0)).sent("r"), "a message that never ran is sent");
+    void anUnsafeMessageThatMayHaveRunBeforeARestartFailsAtOnce() {
+        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, true, SECOND)).hasFailed("r"));
+        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, false, 0)).wasSent("r"), "a message that never ran is sent");
     }
 
     @Test
-    void aKeyedMessageOfAnEarlierLifeKeepsItsWindow() {
-        assertTrue(rig.round(resumed(Rig.KEYED, 1, true, 4 * S)).sent("r"));
-        rig = Rig.started();
-        assertTrue(rig.round(resumed(Rig.KEYED, 1, true, 6 * S)).refused("r"));
+    void aKeyedMessageKeepsItsRepeatWindowOverARestart() {
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 4 * SECOND)).wasSent("r"));
+        harness = DecisionModuleHarness.withTwoDestinations();
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 6 * SECOND)).wasRefused("r"));
     }
 
     /**
@@ -1002,39 +1002,39 @@
      * among them.
      */
     @Test
-    void whatOutlivedAProcessIsNotGivenUpForRoom() {
-        rig.round(new Event.Listing(ListingKind.REMEMBERED, 2, List.of()));
-        List<Event> found = new ArrayList<>();
+    void recoveredMessagesAreNotRefusedForLackOfCapacity() {
+        harness.runRound(new Event.Listing(ListingKind.REMEMBERED, 2, List.of()));
+        List<Event> recovered = new ArrayList<>();
         for (int i = 0; i < 49; i++) {
-            found.add(new Event.Submit(
-                    "r" + i, SAFE, 1, 0, null, false, false, 20 * S, new DecisionModule.Prior(0, false, "", 0, 0)));
+            recovered.add(new Event.Submit(
+                    "r" + i, SAFE, 1, 0, null, false, false, 20 * SECOND, new DecisionModule.Prior(0, false, "", 0, 0)));
         }
-        rig.round(found.toArray(Event[]::new));
+        harness.runRound(recovered.toArray(Event[]::new));
         assertEquals(
                 0,
-                rig.actions.stream().filter(a -> a instanceof Action.Refuse).count(),
+                harness.actions.stream().filter(a -> a instanceof Action.Refuse).count(),
                 "they are untried and have all their time left");
-        String fresh = rig.submit(SAFE, 1);
-        assertTrue(rig.refused(fresh), "the new message, whose client may use another forwarder");
+        String newMessage = harness.submit(SAFE, 1);
+        assertTrue(harness.wasRefused(newMessage), "the new message, whose client may use another forwarder");
         assertEquals(
-                1, rig.actions.stream().filter(a -> a instanceof Action.Refuse).count());
+                1, harness.actions.stream().filter(a -> a instanceof Action.Refuse).count());
     }
 
     @Test
-    void attemptsOfAnEarlierLifeCount() {
-        assertTrue(rig.round(resumed(SAFE, 6, false, 0)).refused("r"));
+    void attemptsBeforeARestartCount() {
+        assertTrue(harness.runRound(recoveredMessage(SAFE, 6, false, 0)).wasRefused("r"));
     }
 
     @Test
-    void aPermanentRefusalEndsTheMessageAtOnce() {
-        String id = rig.submit(SAFE, 1);
-        assertTrue(rig.outcome(id, "a1", 0, Ending.REJECTED).failed(id));
+    void aPermanentRejectionFailsTheMessageAtOnce() {
+        String id = harness.submit(SAFE, 1);
+        assertTrue(harness.reportOutcome(id, "a1", 0, Ending.REJECTED).hasFailed(id));
     }
 
     @Test
-    void nothingIsStartedThatTheEndOfTheProgramCouldCut() {
-        rig.round(new Event.Stopping(rig.now + 2 * S));
-        assertTrue(!rig.sent(rig.submit(UNSAFE, 1)), "its call may take longer than the time left");
-        assertTrue(rig.sent(rig.submit(SAFE, 1)), "its call times out before the end");
+    void noCallIsStartedThatTheEndOfTheProgramCouldCutOff() {
+        harness.runRound(new Event.Stopping(harness.nowMicros + 2 * SECOND));
+        assertTrue(!harness.wasSent(harness.submit(UNSAFE, 1)), "its call may take longer than the time left");
+        assertTrue(harness.wasSent(harness.submit(SAFE, 1)), "its call times out before the end");
     }
 }
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
     private final RateEstimates rates = new RateEstimates(fixture.state, slowStart);
     private final DestinationLimits limits = limits(fixture, slowStart, rates);
     private final DestinationLimit limit = fixture.limit;
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     private static DestinationLimits limits(PolicyFixture fixture, SlowStart slowStart, RateEstimates rates) {
         PolicyState state = fixture.state;
@@ -28,68 +28,68 @@
         return new DestinationLimits(state, rates, slowStart, outages, recoveryPace);
     }
 
-    private void refuse(long waitMicros) {
-        limits.onWait(limit, waitMicros);
-        limits.onRefused(limit, endpoint, waitMicros, null);
+    private void refuse(long retryAfterMicros) {
+        limits.onWait(limit, retryAfterMicros);
+        limits.onRefused(limit, endpoint, retryAfterMicros, null);
     }
 
     /** Delivers calls at this rate for 30 s, so that it is both the recent and the usual rate. */
-    private void take(double perSecond) {
+    private void deliverAtRate(double perSecond) {
         for (int i = 0; i < 30 * perSecond; i++) {
-            fixture.later((long) (S / perSecond));
+            fixture.advanceClock((long) (SECOND / perSecond));
             rates.onDelivered(limit, endpoint);
             limits.onDelivered(limit);
         }
     }
 
     @Test
-    void onTheOrdinaryPathThereIsNoRate() {
+    void withoutRefusalsTheRateIsUnlimited() {
         assertEquals(PolicyState.NEVER, limits.allowedRate(limit));
         assertTrue(limits.readyAt(limit) <= fixture.state.now);
     }
 
     @Test
-    void aToldWaitIsKeptAndNeverShortened() {
-        limits.onWait(limit, 2 * S);
-        limits.onWait(limit, S);
+    void aRetryAfterIsHonouredAndNeverShortened() {
+        limits.onWait(limit, 2 * SECOND);
+        limits.onWait(limit, SECOND);
         limits.onWait(limit, 0);
-        assertEquals(fixture.state.now + 2 * S, limits.readyAt(limit));
+        assertEquals(fixture.state.now + 2 * SECOND, limits.readyAt(limit));
     }
 
     @Test
-    void aRefusalAllowsTenASecondAtMostUntilFiveQuietSeconds() {
-        take(50);
+    void aRefusalAllowsTenCallsASecondAtMostForFiveSeconds() {
+        deliverAtRate(50);
         refuse(0);
         assertEquals(10, limits.allowedRate(limit));
         limit.lastSentAt = fixture.state.now;
-        assertEquals(fixture.state.now + 100 * MS, limits.readyAt(limit));
-        fixture.later(5 * S - 1);
+        assertEquals(fixture.state.now + 100 * MILLISECOND, limits.readyAt(limit));
+        fixture.advanceClock(5 * SECOND - 1);
         assertEquals(10, limits.allowedRate(limit));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertTrue(limits.allowedRate(limit) > 30, "the rate before the refusal is its ceiling now");
-        fixture.later(16 * S);
+        fixture.advanceClock(16 * SECOND);
         assertEquals(PolicyState.NEVER, limits.allowedRate(limit), "the ceiling ends as well");
     }
 
     @Test
-    void refusalsTogetherLowerTheRateOnceAndDeliveriesRaiseIt() {
-        take(5);
+    void refusalsCloseTogetherLowerTheRateOnceAndDeliveriesRaiseIt() {
+        deliverAtRate(5);
         refuse(0);
-        double once = limits.allowedRate(limit);
-        assertEquals(4, once, 0.4, "four fifths of the rate before");
-        fixture.later(400 * MS);
+        double rateAfterOne = limits.allowedRate(limit);
+        assertEquals(4, rateAfterOne, 0.4, "four fifths of the rate before");
+        fixture.advanceClock(400 * MILLISECOND);
         refuse(0);
-        assertEquals(once, limits.allowedRate(limit));
-        fixture.later(500 * MS);
+        assertEquals(rateAfterOne, limits.allowedRate(limit));
+        fixture.advanceClock(500 * MILLISECOND);
         refuse(0);
-        double twice = limits.allowedRate(limit);
-        assertTrue(twice < once && twice > 0.5 * once, twice + " after " + once);
+        double rateAfterTwo = limits.allowedRate(limit);
+        assertTrue(rateAfterTwo < rateAfterOne && rateAfterTwo > 0.5 * rateAfterOne, rateAfterTwo + " after " + rateAfterOne);
         limits.onDelivered(limit);
-        assertEquals(twice + 0.2, limits.allowedRate(limit), 1e-9);
+        assertEquals(rateAfterTwo + 0.2, limits.allowedRate(limit), 1e-9);
     }
 
     @Test
-    void theAssuredRateFallsByQuartersToAnEvenShare() {
+    void refusalsQuarterTheAssuredRateDownToAnEvenShare() {
         limit.toldRate = 0.1;
         limit.allowanceLeft = 0.5;
         assertEquals(0.5, limits.assuredRate(limit));
@@ -103,28 +103,28 @@
     }
 
     @Test
-    void inTheLargestFleetsItIsOneCallInFiftySeconds() {
-        PolicyFixture large = new PolicyFixture(1_000);
-        SlowStart start = new SlowStart(large.state);
-        DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
-        assertEquals(0.02, inFleet.assuredRate(large.limit), "ten shares of 1.5 a second are 0.015");
-        large.limit.refusals = 9;
-        assertEquals(0.02, inFleet.assuredRate(large.limit));
+    void inTheLargestFleetsTheAssuredRateIsOneCallInFiftySeconds() {
+        PolicyFixture fixtureOfLargeFleet = new PolicyFixture(1_000);
+        SlowStart slowStartInFleet = new SlowStart(fixtureOfLargeFleet.state);
+        DestinationLimits limitsInFleet = limits(fixtureOfLargeFleet, slowStartInFleet, new RateEstimates(fixtureOfLargeFleet.state, slowStartInFleet));
+        assertEquals(0.02, limitsInFleet.assuredRate(fixtureOfLargeFleet.limit), "ten shares of 1.5 a second are 0.015");
+        fixtureOfLargeFleet.limit.refusals = 9;
+        assertEquals(0.02, limitsInFleet.assuredRate(fixtureOfLargeFleet.limit));
     }
 
     @Test
-    void aLongWaitMeansThatAllIsShutAndItsEndIsSpread() {
-        refuse(4 * S);
+    void aLongRetryAfterIsAnOutageWhoseEndIsSpreadByChance() {
+        refuse(4 * SECOND);
         assertTrue(endpoint.inOutage);
-        assertTrue(limit.reopensAt >= limit.waitUntil && limit.reopensAt < limit.waitUntil + 20 * S);
-        assertEquals(8 * S, limit.failingFor, "the shortest assumed length of an outage");
+        assertTrue(limit.reopensAt >= limit.waitUntil && limit.reopensAt < limit.waitUntil + 20 * SECOND);
+        assertEquals(8 * SECOND, limit.failingFor, "the shortest assumed length of an outage");
     }
 
     @Test
-    void refusalsForLongWithoutAShortWaitMeanShutToo() {
+    void persistentRefusalsWithoutAShortRetryAfterAreAnOutage() {
         for (int i = 0; i < 3; i++) {
             refuse(0);
-            fixture.later(S);
+            fixture.advanceClock(SECOND);
         }
         assertFalse(endpoint.inOutage);
         refuse(0);
@@ -132,54 +132,54 @@
     }
 
     @Test
-    void aShortWaitSpeaksOfTheLimit() {
+    void refusalsWithAShortRetryAfterAreNoOutage() {
         for (int i = 0; i < 6; i++) {
-            refuse(200 * MS);
-            fixture.later(S);
+            refuse(200 * MILLISECOND);
+            fixture.advanceClock(SECOND);
         }
         assertFalse(endpoint.inOutage);
     }
 
     @Test
-    void aRefusalInSlowStartSetsItBack() {
+    void aRefusalInSlowStartHalvesItsAge() {
         slowStart.begin(endpoint);
-        fixture.later(4 * S);
+        fixture.advanceClock(4 * SECOND);
         refuse(0);
-        assertEquals(2 * S, slowStart.age(endpoint));
+        assertEquals(2 * SECOND, slowStart.age(endpoint));
     }
 
     @Test
-    void withNothingLeftTheFleetKeepsToPartOfTheRate() {
+    void aUsedUpAllowanceLimitsTheFleetToPartOfTheReportedRate() {
         Report exhausted = new Report(0, 2);
         limits.onReport(limit, exhausted);
         limits.onRefused(limit, endpoint, 0, exhausted);
         limit.lastSentAt = fixture.state.now;
         assertEquals(2, limit.refusalsAsOutage);
-        assertEquals(fixture.state.now + 2 * S, limits.readyAt(limit), "throttled to half a call a second");
+        assertEquals(fixture.state.now + 2 * SECOND, limits.readyAt(limit), "throttled to half a call a second");
         limit.throttledUntil = 0;
         limit.rateCeiling = 0;
         // An even share is 1 call a second; the rate in an outage is 0.425 of two calls a second.
-        assertEquals(fixture.state.now + (long) (S / 0.7), limits.readyAt(limit), 1);
+        assertEquals(fixture.state.now + (long) (SECOND / 0.7), limits.readyAt(limit), 1);
         limits.onDelivered(limit);
         assertFalse(limit.exhausted);
     }
 
     @Test
-    void inALargeFleetTheSecondRefusalSetsThePaceOfAnOutage() {
-        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
-        SlowStart start = new SlowStart(large.state);
-        DestinationLimits inFleet = limits(large, start, new RateEstimates(large.state, start));
-        Endpoint there = large.endpoint();
-        inFleet.onRefused(large.limit, there, 0, null);
-        long first = large.limit.throttledUntil - large.state.now;
-        assertTrue(first >= 2_500 * MS && first <= 7_500 * MS, "throttled for " + first);
-        large.later(10 * S);
-        inFleet.onRefused(large.limit, there, 0, null);
-        large.limit.lastSentAt = large.state.now;
-        large.limit.throttledUntil = 0;
-        large.limit.rateCeiling = 0;
-        long pause = inFleet.readyAt(large.limit) - large.state.now;
+    void inALargeFleetTheSecondRefusalLimitsCallsToTheRateOfAnOutage() {
+        PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
+        SlowStart slowStartInFleet = new SlowStart(fixtureOfLargeFleet.state);
+        DestinationLimits limitsInFleet = limits(fixtureOfLargeFleet, slowStartInFleet, new RateEstimates(fixtureOfLargeFleet.state, slowStartInFleet));
+        Endpoint endpointInFleet = fixtureOfLargeFleet.addEndpoint();
+        limitsInFleet.onRefused(fixtureOfLargeFleet.limit, endpointInFleet, 0, null);
+        long throttledForMicros = fixtureOfLargeFleet.limit.throttledUntil - fixtureOfLargeFleet.state.now;
+        assertTrue(throttledForMicros >= 2_500 * MILLISECOND && throttledForMicros <= 7_500 * MILLISECOND, "throttled for " + throttledForMicros);
+        fixtureOfLargeFleet.advanceClock(10 * SECOND);
+        limitsInFleet.onRefused(fixtureOfLargeFleet.limit, endpointInFleet, 0, null);
+        fixtureOfLargeFleet.limit.lastSentAt = fixtureOfLargeFleet.state.now;
+        fixtureOfLargeFleet.limit.throttledUntil = 0;
+        fixtureOfLargeFleet.limit.rateCeiling = 0;
+        long delayMicros = limitsInFleet.readyAt(fixtureOfLargeFleet.limit) - fixtureOfLargeFleet.state.now;
         // A recovering destination's part, 0.425, of one call in the 10 s of the outage, divided by a factor of 1 to 2.
-        assertTrue(pause >= 10 * S / 0.425 - 1 && pause <= 20 * S / 0.425, "delay " + pause);
+        assertTrue(delayMicros >= 10 * SECOND / 0.425 - 1 && delayMicros <= 20 * SECOND / 0.425, "delay " + delayMicros);
     }
 }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -15,22 +15,22 @@
 class EndpointAvailabilityTest {
     private final PolicyFixture fixture = new PolicyFixture();
     private final PolicyParts parts = new PolicyParts(fixture.state);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
-    private long readyIn(Endpoint which) {
-        return parts.availability.readyAt(which) - fixture.state.now;
+    private long microsUntilReady(Endpoint candidate) {
+        return parts.availability.readyAt(candidate) - fixture.state.now;
     }
 
-    private boolean isReady(Endpoint which) {
-        return readyIn(which) <= 0;
+    private boolean isReady(Endpoint candidate) {
+        return microsUntilReady(candidate) <= 0;
     }
 
-    private boolean isNeverReady(Endpoint which) {
-        return parts.availability.readyAt(which) == PolicyState.NEVER;
+    private boolean isNeverReady(Endpoint candidate) {
+        return parts.availability.readyAt(candidate) == PolicyState.NEVER;
     }
 
     /** Creates an active endpoint with a limit of its own. */
-    private Endpoint elsewhere() {
+    private Endpoint endpointWithOwnLimit() {
         Endpoint other = new Endpoint("other", fixture.queue, new DestinationLimit(), 0, 0, 1);
         other.active = true;
         other.limit.endpoints.add(other);
@@ -38,97 +38,97 @@
     }
 
     @Test
-    void anEndpointThatIsWellIsReadyWhileItsLimitHasSlots() {
+    void aHealthyEndpointIsReadyWhileItsLimitHasSlots() {
         for (int i = 0; i < 3; i++) {
             assertTrue(isReady(endpoint));
-            fixture.call(fixture.message(SAFE), endpoint);
+            fixture.startCall(fixture.addMessage(SAFE), endpoint);
         }
         assertTrue(isNeverReady(endpoint));
-        assertTrue(isReady(elsewhere()));
+        assertTrue(isReady(endpointWithOwnLimit()));
     }
 
     @Test
-    void aToldWaitAndAvoidanceAreBothKept() {
-        parts.limits.onWait(fixture.limit, S);
-        assertEquals(S, readyIn(endpoint));
-        endpoint.avoidUntil = fixture.state.now + 2 * S;
-        assertEquals(2 * S, readyIn(endpoint));
+    void aRetryAfterAndAvoidanceAreBothHonoured() {
+        parts.limits.onWait(fixture.limit, SECOND);
+        assertEquals(SECOND, microsUntilReady(endpoint));
+        endpoint.avoidUntil = fixture.state.now + 2 * SECOND;
+        assertEquals(2 * SECOND, microsUntilReady(endpoint));
     }
 
     @Test
-    void inAnOutageOneTrialIsInFlightAtATime() {
-        endpoint.trialPause = S;
+    void inAnOutageOneTrialCallIsInFlightAtATime() {
+        endpoint.trialPause = SECOND;
         endpoint.inOutage = true;
         assertTrue(isReady(endpoint));
-        fixture.call(fixture.message(SAFE), endpoint);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
         assertTrue(isNeverReady(endpoint));
     }
 
     @Test
-    void afterATrialThePauseOfTheOutageIsKept() {
-        endpoint.trialPause = 500 * MS;
+    void trialCallsKeepToTheRateAndDelayOfTheOutage() {
+        endpoint.trialPause = 500 * MILLISECOND;
         endpoint.inOutage = true;
         endpoint.lastSentAt = fixture.state.now;
         // A recovering destination's part, 0.425, of an even share of 0.75 calls a second.
-        assertEquals(S / (0.425 * 2), readyIn(endpoint), 1, "two calls a second where the outage has just begun");
-        fixture.limit.failingFor = 60 * S;
-        assertEquals(S / (0.425 * 0.75), readyIn(endpoint), 1);
-        endpoint.trialPause = 4 * S;
-        assertEquals(4 * S, readyIn(endpoint), "the delay between trial calls");
+        assertEquals(SECOND / (0.425 * 2), microsUntilReady(endpoint), 1, "two calls a second where the outage has just begun");
+        fixture.limit.failingFor = 60 * SECOND;
+        assertEquals(SECOND / (0.425 * 0.75), microsUntilReady(endpoint), 1);
+        endpoint.trialPause = 4 * SECOND;
+        assertEquals(4 * SECOND, microsUntilReady(endpoint), "the delay between trial calls");
     }
 
     @Test
-    void slowStartEndsAtItsTime() {
-        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
-        PolicyParts inFleet = new PolicyParts(large.state);
-        Endpoint cold = large.endpoint();
-        large.limit.failingFor = 60 * S;
-        inFleet.slowStart.begin(cold);
-        cold.lastSentAt = large.state.now;
-        assertEquals(10 * S, inFleet.availability.readyAt(cold) - large.state.now, "not one call in 141 s");
+    void anEndpointIsReadyAtTheLatestWhenItsSlowStartEnds() {
+        PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
+        PolicyParts partsInFleet = new PolicyParts(fixtureOfLargeFleet.state);
+        Endpoint recovering = fixtureOfLargeFleet.addEndpoint();
+        fixtureOfLargeFleet.limit.failingFor = 60 * SECOND;
+        partsInFleet.slowStart.begin(recovering);
+        recovering.lastSentAt = fixtureOfLargeFleet.state.now;
+        assertEquals(10 * SECOND, partsInFleet.availability.readyAt(recovering) - fixtureOfLargeFleet.state.now, "not one call in 141 s");
     }
 
     @Test
-    void whereConnectionsAreScarceAFurtherCallNeedsAnIdleOne() {
+    void whereConnectionsAreScarceAFurtherCallNeedsAnIdleConnection() {
         endpoint.failingSince = fixture.state.now;
         parts.transientFailures.onFailure(endpoint, true);
         parts.transientFailures.onDelivered(endpoint);
         assertTrue(isReady(endpoint));
-        fixture.call(fixture.message(SAFE), endpoint);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
         assertTrue(isNeverReady(endpoint));
         parts.connections.onCallEnded(endpoint, Ending.DELIVERED);
         assertTrue(isReady(endpoint));
     }
 
     @Test
-    void stalledEndpointsShareAPartOfTheSlots() {
-        Endpoint hanging = elsewhere();
-        hanging.timingOut = true;
-        assertTrue(isReady(hanging));
+    void stalledEndpointsShareOnePartOfTheSlots() {
+        Endpoint unresponsive = endpointWithOwnLimit();
+        unresponsive.timingOut = true;
+        assertTrue(isReady(unresponsive));
         endpoint.timingOut = true;
-        fixture.call(fixture.message(SAFE), endpoint);
-        assertTrue(isNeverReady(hanging), "the one slot for stalled endpoints is taken");
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        assertTrue(isNeverReady(unresponsive), "the one slot for stalled endpoints is taken");
         endpoint.timingOut = false;
-        assertTrue(isReady(hanging));
+        assertTrue(isReady(unresponsive));
     }
 
     @Test
-    void aCallInFlightForLongStallsItsEndpointUnlessLaterOnesCameBack() {
-        parts.timeouts.onDelivered(fixture.limit, 100 * MS);
-        fixture.call(fixture.message(SAFE), endpoint);
-        fixture.later(400 * MS);
+    void aLongCallMarksItsEndpointAsStalledUnlessLaterCallsWereDelivered() {
+        parts.timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        fixture.advanceClock(400 * MILLISECOND);
         assertTrue(isReady(endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertTrue(isNeverReady(endpoint), "over four times the usual answer time");
-        endpoint.lastDeliveredSentAt = fixture.state.now - 100 * MS;
+        endpoint.lastDeliveredSentAt = fixture.state.now - 100 * MILLISECOND;
         assertTrue(isReady(endpoint));
     }
 
     @Test
-    void slowAnswersStallToo() {
-        fixture.call(fixture.message(SAFE), endpoint);
-        fixture.state.usualAnswerTime = 100 * MS;
-        fixture.limit.answerTime = 401 * MS;
+    void slowAnswersMarkAnEndpointAsStalled() {
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        fixture.state.usualAnswerTime = 100 * MILLISECOND;
+        fixture.limit.answerTime = 401 * MILLISECOND;
         assertTrue(isNeverReady(endpoint));
     }
 }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.entry;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNotSame;
@@ -28,104 +28,104 @@
     private PolicyFixture fixture = new PolicyFixture();
     private EndpointDirectory directory = new EndpointDirectory(fixture.state, endpoints);
 
-    private void use(Settings settings) {
+    private void useSettings(Settings settings) {
         fixture = new PolicyFixture(settings);
         directory = new EndpointDirectory(fixture.state, endpoints);
     }
 
-    private void list(ListingKind kind, Entry... entries) {
+    private void applyListing(ListingKind kind, Entry... entries) {
         directory.onListing(new Event.Listing(kind, 1, List.of(entries)));
     }
 
-    private static Entry leaving(String host, int destination) {
+    private static Entry leavingEntry(String host, int destination) {
         return new Entry(host, destination, 0, 0, Presence.LEAVING, 1, 0);
     }
 
     private static Settings withWeights(Weights weights) {
-        Settings s = Rig.settings(4, 50, 6, false);
+        Settings settings = DecisionModuleHarness.settings(4, 50, 6, false);
         return new Settings(
-                s.self(),
-                s.relays(),
-                s.zone(),
-                s.zones(),
-                s.roundMicros(),
-                s.askForList(),
+                settings.self(),
+                settings.relays(),
+                settings.zone(),
+                settings.zones(),
+                settings.roundMicros(),
+                settings.askForList(),
                 weights,
-                s.reports(),
-                s.overShareWorth(),
-                s.classes(),
-                s.kinds(),
-                s.tenants(),
-                s.limits(),
-                s.rules());
+                settings.reports(),
+                settings.overShareWorth(),
+                settings.classes(),
+                settings.kinds(),
+                settings.tenants(),
+                settings.limits(),
+                settings.rules());
     }
 
     @Test
     void changesAddAndDrainEndpoints() {
-        list(ListingKind.CHANGES, entry("a", 1, 0, 0), entry("b", 1, 1, 0));
+        applyListing(ListingKind.CHANGES, entry("a", 1, 0, 0), entry("b", 1, 1, 0));
         assertTrue(endpoints.get("a").active && endpoints.get("b").active);
         endpoints.get("a").callsInFlight = 1;
-        list(ListingKind.CHANGES, leaving("a", 1), leaving("c", 1));
+        applyListing(ListingKind.CHANGES, leavingEntry("a", 1), leavingEntry("c", 1));
         assertFalse(endpoints.get("a").active, "draining, but retained while a call is in flight");
         assertEquals(Set.of("a", "b"), endpoints.keySet(), "an endpoint that was never active is not added");
         endpoints.get("a").callsInFlight = 0;
-        list(ListingKind.CHANGES);
+        applyListing(ListingKind.CHANGES);
         assertEquals(Set.of("b"), endpoints.keySet());
         assertEquals(List.of(endpoints.get("b")), fixture.queue.endpoints);
     }
 
     @Test
-    void aWholeListEndsWhatItDoesNotName() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0));
-        list(ListingKind.ALL, entry("b", 1, 0, 0));
+    void aWholeListRemovesEndpointsItDoesNotName() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0));
+        applyListing(ListingKind.ALL, entry("b", 1, 0, 0));
         assertEquals(Set.of("b"), endpoints.keySet());
     }
 
     @Test
-    void anEndpointThatToldAWaitIsRememberedUntilItIsOver() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
-        endpoints.get("a").limit.waitUntil = fixture.state.now + S;
-        list(ListingKind.ALL);
+    void anUnlistedEndpointIsRetainedUntilItsRetryAfterIsOver() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
+        endpoints.get("a").limit.waitUntil = fixture.state.now + SECOND;
+        applyListing(ListingKind.ALL);
         assertEquals(Set.of("a"), endpoints.keySet());
-        fixture.later(S);
-        list(ListingKind.ALL);
+        fixture.advanceClock(SECOND);
+        applyListing(ListingKind.ALL);
         assertEquals(Set.of(), endpoints.keySet());
     }
 
     @Test
-    void anEndpointThatServesAnotherDestinationIsANewOne() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
-        Endpoint before = endpoints.get("a");
-        list(ListingKind.CHANGES, entry("a", 2, 0, 0));
-        assertNotSame(before, endpoints.get("a"));
-        assertFalse(before.active);
+    void anEndpointThatMovesToAnotherDestinationIsReplacedByANewOne() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
+        Endpoint previous = endpoints.get("a");
+        applyListing(ListingKind.CHANGES, entry("a", 2, 0, 0));
+        assertNotSame(previous, endpoints.get("a"));
+        assertFalse(previous.active);
         assertTrue(fixture.queue.endpoints.isEmpty());
         assertSame(fixture.state.queues.get(2), endpoints.get("a").queue);
     }
 
     @Test
-    void limitsAreSharedOrApartAsTheKindSays() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0), entry("c", 2, 0, 1), entry("d", 2, 0, 1));
+    void limitsAreSharedOrSeparateAsTheKindSays() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0), entry("c", 2, 0, 1), entry("d", 2, 0, 1));
         assertSame(endpoints.get("a").limit, endpoints.get("b").limit);
         assertNotSame(endpoints.get("c").limit, endpoints.get("d").limit);
     }
 
     @Test
-    void aKindThatTheSettingsDoNotNameIsAPlainOne() {
-        list(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
+    void anUnknownKindHasASharedLimitAndNoBatches() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 3), entry("b", 1, 0, -1), entry("c", 2, 0, 2));
         assertEquals(0, endpoints.get("a").kind);
         assertEquals(1, endpoints.get("b").batch);
         assertEquals(5, endpoints.get("c").batch);
     }
 
     @Test
-    void aNewEndpointOfALimitInAnOutageStartsInIt() {
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
+    void aNewEndpointOfALimitInAnOutageStartsInThatOutage() {
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
         Endpoint first = endpoints.get("a");
         first.inOutage = true;
         first.slowStartFrom = 7;
         first.lastSentAt = fixture.state.now - 3;
-        list(ListingKind.CHANGES, entry("b", 1, 0, 0));
+        applyListing(ListingKind.CHANGES, entry("b", 1, 0, 0));
         Endpoint second = endpoints.get("b");
         assertTrue(second.inOutage);
         assertEquals(7, second.slowStartFrom);
@@ -134,52 +134,52 @@
     }
 
     @Test
-    void inALargeFleetANewEndpointIsNoWayRoundAnOutage() {
-        use(Rig.settings(4, 50, 6, false, PolicyFixture.LARGE));
-        fixture.limit.failingSince = fixture.state.now - S;
-        list(ListingKind.ALL, entry("a", 1, 0, 0));
+    void inALargeFleetANewEndpointDoesNotBypassAnOutage() {
+        useSettings(DecisionModuleHarness.settings(4, 50, 6, false, PolicyFixture.LARGE_FLEET_SIZE));
+        fixture.limit.failingSince = fixture.state.now - SECOND;
+        applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
         assertTrue(endpoints.get("a").refusingConnections);
         assertEquals(fixture.state.now, endpoints.get("a").lastSentAt);
     }
 
     @Test
-    void weightsAreRatesUntilTheDestinationReportsItself() {
-        use(withWeights(Weights.EXACT));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+    void weightsGiveTheRateUntilTheDestinationReportsIt() {
+        useSettings(withWeights(Weights.EXACT));
+        applyListing(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(6, fixture.limit.toldRate);
-        use(withWeights(Weights.ROUGH));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        useSettings(withWeights(Weights.ROUGH));
+        applyListing(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(4, fixture.limit.toldRate, "it may be half too high");
         fixture.limit.rateReported = true;
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
+        applyListing(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 9, 0));
         assertEquals(4, fixture.limit.toldRate);
-        use(withWeights(Weights.NONE));
-        list(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
+        useSettings(withWeights(Weights.NONE));
+        applyListing(ListingKind.ALL, new Entry("a", 1, 0, 0, Presence.ACTIVE, 6, 0));
         assertEquals(0, fixture.limit.toldRate);
     }
 
     @Test
-    void thePlatformIsAskedOnceAndLaterAndLaterWhereItRefuses() {
-        use(Rig.settings(4, 50, 6, true));
-        list(ListingKind.REMEMBERED);
+    void theWatchIsRequestedOnceAndAfterRefusalsWithGrowingDelays() {
+        useSettings(DecisionModuleHarness.settings(4, 50, 6, true));
+        applyListing(ListingKind.REMEMBERED);
         assertEquals(fixture.state.now, directory.askAt());
         directory.onAsked();
         assertEquals(PolicyState.NEVER, directory.askAt());
         // Delays start at 0.4 s and double, up to a third of the 10 s within which the rules demand a request.
-        for (long pause : new long[] {400 * MS, 800 * MS, 1_600 * MS, 3_200 * MS, 10 * S / 3, 10 * S / 3}) {
-            list(ListingKind.REFUSED);
-            long after = directory.askAt() - fixture.state.now;
-            assertTrue(after >= pause / 2 && after <= pause * 3 / 2, after + " instead of " + pause);
+        for (long delayMicros : new long[] {400 * MILLISECOND, 800 * MILLISECOND, 1_600 * MILLISECOND, 3_200 * MILLISECOND, 10 * SECOND / 3, 10 * SECOND / 3}) {
+            applyListing(ListingKind.REFUSED);
+            long askedAfterMicros = directory.askAt() - fixture.state.now;
+            assertTrue(askedAfterMicros >= delayMicros / 2 && askedAfterMicros <= delayMicros * 3 / 2, askedAfterMicros + " instead of " + delayMicros);
         }
-        list(ListingKind.CHANGES);
-        list(ListingKind.REFUSED);
-        assertTrue(directory.askAt() - fixture.state.now <= 600 * MS, "a listing resets the delay");
+        applyListing(ListingKind.CHANGES);
+        applyListing(ListingKind.REFUSED);
+        assertTrue(directory.askAt() - fixture.state.now <= 600 * MILLISECOND, "a listing resets the delay");
     }
 
     @Test
-    void whereChangesComeUnaskedNothingIsAsked() {
-        list(ListingKind.REMEMBERED);
-        list(ListingKind.REFUSED);
+    void noWatchIsRequestedWhereChangesArePushed() {
+        applyListing(ListingKind.REMEMBERED);
+        applyListing(ListingKind.REFUSED);
         assertEquals(PolicyState.NEVER, directory.askAt());
     }
 }
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -1,10 +1,10 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -20,7 +20,7 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final PolicyParts parts = new PolicyParts(fixture.state);
     private final EndpointSelection selection = parts.selection;
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     private Message selected() {
         fixture.queue.nextCheckAt = PolicyState.NEVER;
@@ -31,10 +31,10 @@
         return selection.choose(message, fixture.queue.endpoints);
     }
 
-    private Message aged(int messageClass, long micros) {
-        Message message = fixture.message(messageClass);
-        message.acceptedAt -= micros;
-        message.deadline -= micros;
+    private Message aged(int messageClass, long ageMicros) {
+        Message message = fixture.addMessage(messageClass);
+        message.acceptedAt -= ageMicros;
+        message.deadline -= ageMicros;
         return message;
     }
 
@@ -45,68 +45,68 @@
 
     @Test
     void theFirstOfEqualMessagesGoesFirst() {
-        Message first = fixture.message(SAFE);
-        fixture.message(SAFE);
+        Message first = fixture.addMessage(SAFE);
+        fixture.addMessage(SAFE);
         assertEquals(first, selected());
     }
 
     @Test
-    void whatIsAboutToBeLateGoesFirstAndWhatIsLateLast() {
-        aged(SAFE, 15 * S);
-        aged(SAFE, S);
-        Message nearlyLate = aged(SAFE, 1_900 * MS);
-        fixture.message(SAFE);
+    void messagesAboutToMissTheirAimGoFirst() {
+        aged(SAFE, 15 * SECOND);
+        aged(SAFE, SECOND);
+        Message nearlyLate = aged(SAFE, 1_900 * MILLISECOND);
+        fixture.addMessage(SAFE);
         assertEquals(nearlyLate, selected());
     }
 
     @Test
-    void worthFallsEvenlyAfterTheAim() {
-        double fresh = selection.rank(aged(SAFE, 2 * S), endpoint);
-        assertEquals(fresh / 2, selection.rank(aged(SAFE, 11 * S), endpoint), fresh / 1_000);
-        assertEquals(0, selection.rank(aged(SAFE, 20 * S), endpoint), fresh / 1_000);
+    void worthFallsLinearlyAfterTheAim() {
+        double worthAtAim = selection.rank(aged(SAFE, 2 * SECOND), endpoint);
+        assertEquals(worthAtAim / 2, selection.rank(aged(SAFE, 11 * SECOND), endpoint), worthAtAim / 1_000);
+        assertEquals(0, selection.rank(aged(SAFE, 20 * SECOND), endpoint), worthAtAim / 1_000);
     }
 
     @Test
-    void aMessageWhoseWindowIsRunningGoesBeforeOthers() {
-        fixture.message(KEYED);
-        Message repeated = fixture.message(KEYED);
+    void aMessageWithARunningRepeatWindowGoesBeforeOthers() {
+        fixture.addMessage(KEYED);
+        Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
         repeated.mayHaveRunSince = fixture.state.now;
         assertEquals(repeated, selected());
     }
 
     @Test
-    void anEndpointThatFailsIsTriedWithWhatCanBeRepeated() {
-        endpoint.trialPause = S;
+    void aFailingEndpointIsTriedWithMessagesThatCanBeRepeated() {
+        endpoint.trialPause = SECOND;
         endpoint.inOutage = true;
-        fixture.message(UNSAFE);
-        fixture.message(KEYED);
-        Message safe = fixture.message(SAFE);
+        fixture.addMessage(UNSAFE);
+        fixture.addMessage(KEYED);
+        Message safe = fixture.addMessage(SAFE);
         assertEquals(safe, selected());
         fixture.state.dequeue(safe);
         assertEquals(KEYED, fixture.state.settings.classes().indexOf(selected().messageClass));
     }
 
     @Test
-    void whatIsSoonerDoneRanksHigher() {
-        Message message = fixture.message(SAFE);
-        fixture.limit.answerTime = 100 * MS;
-        double prompt = selection.rank(message, endpoint);
-        fixture.limit.answerTime = 200 * MS;
-        assertEquals(prompt / 2, selection.rank(message, endpoint), prompt / 1_000);
+    void aShorterAnswerTimeRanksHigher() {
+        Message message = fixture.addMessage(SAFE);
+        fixture.limit.answerTime = 100 * MILLISECOND;
+        double promptRank = selection.rank(message, endpoint);
+        fixture.limit.answerTime = 200 * MILLISECOND;
+        assertEquals(promptRank / 2, selection.rank(message, endpoint), promptRank / 1_000);
     }
 
     @Test
-    void theEndpointWithFewerCallsIsChosenThenTheOwnZoneThenAnIdleConnection() {
+    void endpointsAreChosenByCallsInFlightThenZoneThenIdleConnection() {
         Endpoint otherZone = new Endpoint("far", fixture.queue, fixture.limit, 1, 0, 1);
         otherZone.active = true;
         fixture.queue.endpoints.add(otherZone);
-        Message message = fixture.message(SAFE);
+        Message message = fixture.addMessage(SAFE);
         assertEquals(endpoint, chosen(message));
-        fixture.call(fixture.message(SAFE), endpoint);
-        fixture.call(fixture.message(SAFE), endpoint);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
+        fixture.startCall(fixture.addMessage(SAFE), endpoint);
         assertEquals(otherZone, chosen(message));
-        Endpoint warm = fixture.endpoint();
+        Endpoint warm = fixture.addEndpoint();
         warm.callsInFlight = 1;
         assertEquals(otherZone, chosen(message), "both cost as much as one call; the first is chosen");
         parts.connections.onCallEnded(warm, Ending.DELIVERED);
@@ -118,22 +118,22 @@
     }
 
     @Test
-    void theQueueIsLookedAtAgainWhenSomethingMayGo() {
+    void theQueueIsCheckedAgainWhenAMessageMayFirstBeSent() {
         fixture.queue.nextCheckAt = PolicyState.NEVER;
-        Message message = fixture.message(SAFE);
-        message.notBefore = fixture.state.now + 300 * MS;
+        Message message = fixture.addMessage(SAFE);
+        message.notBefore = fixture.state.now + 300 * MILLISECOND;
         assertNull(selection.select(fixture.queue));
         assertEquals(message.notBefore, fixture.queue.nextCheckAt);
-        endpoint.avoidUntil = fixture.state.now + 200 * MS;
+        endpoint.avoidUntil = fixture.state.now + 200 * MILLISECOND;
         assertNull(selection.select(fixture.queue));
         assertEquals(endpoint.avoidUntil, fixture.queue.nextCheckAt);
     }
 
     @Test
-    void whatCannotGoInTimeIsHopelessUnlessACallIsInFlight() {
-        Message shortOfTime = aged(SAFE, 19 * S);
-        fixture.message(SAFE);
-        parts.limits.onWait(fixture.limit, 2 * S);
+    void messagesThatCannotGoInTimeAreUndeliverableUnlessACallIsInFlight() {
+        Message shortOfTime = aged(SAFE, 19 * SECOND);
+        fixture.addMessage(SAFE);
+        parts.limits.onWait(fixture.limit, 2 * SECOND);
         assertNull(selection.select(fixture.queue));
         assertEquals(List.of(shortOfTime), selection.hopeless());
         selection.clearHopeless();
@@ -143,14 +143,14 @@
     }
 
     @Test
-    void aLongQueueIsNotLookedThroughToItsEnd() {
+    void onlyTheFirstPartOfALongQueueIsConsidered() {
         for (int i = 0; i < 500; i++) {
-            fixture.message(SAFE);
+            fixture.addMessage(SAFE);
         }
-        Message beyond = fixture.message(SAFE);
-        beyond.worth = 100;
+        Message beyondLimit = fixture.addMessage(SAFE);
+        beyondLimit.worth = 100;
         assertEquals(fixture.queue.waiting.iterator().next(), selected());
         fixture.state.dequeue(fixture.queue.waiting.iterator().next());
-        assertEquals(beyond, selected());
+        assertEquals(beyondLimit, selected());
     }
 }
--- a/src/test/java/lilaclever/KeyOrderTest.java
+++ b/src/test/java/lilaclever/KeyOrderTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.UNSAFE;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,54 +19,54 @@
     private final Map<String, OrderedKey> keys = new HashMap<>();
     private final KeyOrder order = new KeyOrder(fixture.state, keys);
 
-    private Message message(String key) {
-        Message message = fixture.message(UNSAFE);
+    private Message addMessage(String key) {
+        Message message = fixture.addMessage(UNSAFE);
         order.add(message, key);
         return message;
     }
 
     @Test
-    void onlyTheFirstOfAKeyMayGo() {
-        Message first = message("a");
-        Message second = message("a");
+    void onlyTheFirstMessageOfAKeyMayBeSent() {
+        Message first = addMessage("a");
+        Message second = addMessage("a");
         assertTrue(order.permits(first));
         assertFalse(order.permits(second));
-        assertTrue(order.permits(message("b")));
-        assertTrue(order.permits(fixture.message(UNSAFE)), "a message without a key");
+        assertTrue(order.permits(addMessage("b")));
+        assertTrue(order.permits(fixture.addMessage(UNSAFE)), "a message without a key");
         order.remove(first);
         assertTrue(order.permits(second));
     }
 
     @Test
-    void afterAnAttemptThatWasGivenUpTheOthersPause() {
-        Message first = message("a");
-        Message second = message("a");
+    void anAbandonedAttemptDelaysOtherMessagesOfItsKey() {
+        Message first = addMessage("a");
+        Message second = addMessage("a");
         order.pause(first);
         assertTrue(order.permits(first));
         order.remove(first);
-        fixture.later(100 * MS - 1);
+        fixture.advanceClock(100 * MILLISECOND - 1);
         assertFalse(order.permits(second));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertTrue(order.permits(second));
     }
 
     @Test
-    void aKeyIsForgottenWhenNothingIsLeftAndItsPauseIsOver() {
-        Message message = message("a");
+    void aKeyIsRemovedWhenItHasNoMessagesAndItsDelayIsOver() {
+        Message message = addMessage("a");
         order.pause(message);
         order.remove(message);
         assertEquals(Set.of("a"), keys.keySet());
-        fixture.later(100 * MS);
+        fixture.advanceClock(100 * MILLISECOND);
         order.forget(message);
         assertEquals(Set.of(), keys.keySet());
     }
 
     @Test
-    void anOlderKeyOfTheSameNameIsNotForgottenForANewerOne() {
-        Message old = message("a");
-        order.remove(old);
-        Message fresh = message("a");
-        order.forget(old);
-        assertEquals(fresh.orderedKey, keys.get("a"));
+    void removingAnOldKeyLeavesANewerOneOfTheSameName() {
+        Message earlier = addMessage("a");
+        order.remove(earlier);
+        Message later = addMessage("a");
+        order.forget(earlier);
+        assertEquals(later.orderedKey, keys.get("a"));
     }
 }
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -17,7 +17,7 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final SlowStart slowStart = new SlowStart(fixture.state);
     private final OutageDetection outages = detection(fixture, slowStart);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     private static OutageDetection detection(PolicyFixture fixture, SlowStart slowStart) {
         TransientFailures failures = new TransientFailures(fixture.state);
@@ -25,16 +25,16 @@
         return new OutageDetection(fixture.state, slowStart, failures, timeouts, new ConnectionReuse(fixture.state));
     }
 
-    private void fail(Endpoint at, Ending ending, int times) {
+    private void fail(Endpoint target, Ending ending, int times) {
         for (int i = 0; i < times; i++) {
-            fixture.later(100 * MS);
-            outages.onFailure(fixture.limit, at, ending, 10 * MS);
+            fixture.advanceClock(100 * MILLISECOND);
+            outages.onFailure(fixture.limit, target, ending, 10 * MILLISECOND);
         }
     }
 
-    private void deliver(Endpoint at) {
-        outages.onDelivered(fixture.limit, at);
-        at.lastDeliveredSentAt = fixture.state.now;
+    private void deliver(Endpoint target) {
+        outages.onDelivered(fixture.limit, target);
+        target.lastDeliveredSentAt = fixture.state.now;
     }
 
     @ParameterizedTest
@@ -49,7 +49,7 @@
     }
 
     @Test
-    void aDeliveryBetweenEndsTheRow() {
+    void aDeliveryBetweenFailuresEndsTheirRow() {
         for (int i = 0; i < 3; i++) {
             fail(endpoint, Ending.ERROR, 2);
             deliver(endpoint);
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void oneThatMostlyFailsIsInAnOutageToo() {
+    void anEndpointThatMostlyFailsIsInAnOutage() {
         for (int i = 0; i < 30 && !endpoint.inOutage; i++) {
             fail(endpoint, Ending.ERROR, 3);
             deliver(endpoint);
@@ -79,9 +79,9 @@
     }
 
     @Test
-    void failuresAtSeveralEndpointsOfALimitSpeakOfAllThatFailed() {
-        Endpoint second = fixture.endpoint();
-        Endpoint third = fixture.endpoint();
+    void failuresAtSeveralEndpointsOfALimitAreAnOutageOfAllThatFailed() {
+        Endpoint second = fixture.addEndpoint();
+        Endpoint third = fixture.addEndpoint();
         fail(endpoint, Ending.ERROR, 2);
         fail(second, Ending.ERROR, 1);
         assertFalse(endpoint.inOutage);
@@ -91,50 +91,50 @@
     }
 
     @Test
-    void trialPausesGrowToTwoSeconds() {
+    void delaysBetweenTrialCallsGrowToTwoSeconds() {
         endpoint.trialPause = OutageDetection.FIRST_TRIAL_PAUSE;
         outages.beginOutage(endpoint);
-        assertEquals(500 * MS, endpoint.trialPause);
+        assertEquals(500 * MILLISECOND, endpoint.trialPause);
         outages.beginOutage(endpoint);
-        assertEquals(750 * MS, endpoint.trialPause);
+        assertEquals(750 * MILLISECOND, endpoint.trialPause);
         for (int i = 0; i < 5; i++) {
             outages.beginOutage(endpoint);
         }
-        assertEquals(2 * S, endpoint.trialPause);
+        assertEquals(2 * SECOND, endpoint.trialPause);
     }
 
     @Test
     void fromTheSecondFailureOnAnEndpointIsAvoidedForAWhile() {
         fail(endpoint, Ending.ERROR, 1);
         assertEquals(0, endpoint.avoidUntil);
-        for (long longest : new long[] {750 * MS, 1_500 * MS, 3 * S, 3 * S}) {
+        for (long maxAvoidMicros : new long[] {750 * MILLISECOND, 1_500 * MILLISECOND, 3 * SECOND, 3 * SECOND}) {
             fail(endpoint, Ending.ERROR, 1);
-            long pause = endpoint.avoidUntil - fixture.state.now;
-            assertTrue(pause >= longest / 3 && pause <= longest, pause + " instead of at most " + longest);
+            long avoidMicros = endpoint.avoidUntil - fixture.state.now;
+            assertTrue(avoidMicros >= maxAvoidMicros / 3 && avoidMicros <= maxAvoidMicros, avoidMicros + " instead of at most " + maxAvoidMicros);
         }
     }
 
     @Test
-    void anEndpointWithoutRoomForConnectionsIsNotInAnOutageUntilItLasts() {
+    void rejectedConnectionsAreAnOutageOnlyIfTheyPersist() {
         fail(endpoint, Ending.NO_ROOM, 10);
         assertFalse(endpoint.inOutage);
         for (int i = 0; i < 10; i++) {
-            fixture.later(S);
-            outages.onFailure(fixture.limit, endpoint, Ending.NO_ROOM, 10 * MS);
+            fixture.advanceClock(SECOND);
+            outages.onFailure(fixture.limit, endpoint, Ending.NO_ROOM, 10 * MILLISECOND);
         }
         assertTrue(endpoint.inOutage);
     }
 
     @Test
-    void aConnectThatTimesOutFoundNothingThere() {
+    void connectTimeoutsAreAnOutage() {
         for (int i = 0; i < 4; i++) {
-            outages.onFailure(fixture.limit, endpoint, Ending.NO_CONNECTION, S);
+            outages.onFailure(fixture.limit, endpoint, Ending.NO_CONNECTION, SECOND);
         }
         assertTrue(endpoint.inOutage);
     }
 
     @Test
-    void aTimeOutMarksAnEndpointThatHangs() {
+    void aTimeoutMarksAnEndpointUntilItsNextDelivery() {
         fail(endpoint, Ending.TIMED_OUT, 1);
         assertTrue(endpoint.timingOut);
         assertEquals(1, fixture.limit.timeoutFactor);
@@ -145,28 +145,28 @@
     }
 
     @Test
-    void inSlowStartMostCallsFailingBeginsItAnew() {
+    void slowStartBeginsAnewWhenHalfOfTheCallsFail() {
         slowStart.begin(endpoint);
-        fixture.later(5 * S);
+        fixture.advanceClock(5 * SECOND);
         endpoint.failureShare = 0.5;
-        outages.onFailure(fixture.limit, endpoint, Ending.ERROR, 10 * MS);
+        outages.onFailure(fixture.limit, endpoint, Ending.ERROR, 10 * MILLISECOND);
         assertEquals(0, slowStart.age(endpoint));
     }
 
     @Test
-    void inALargeFleetOneFailureIsAnOutageAndAFailedConnectSlowsDown() {
-        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE);
-        OutageDetection inFleet = detection(large, new SlowStart(large.state));
-        Endpoint first = large.endpoint();
-        inFleet.onFailure(large.limit, first, Ending.ERROR, 10 * MS);
+    void inALargeFleetOneFailureIsAnOutageAndAFailedConnectLowersTheRate() {
+        PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
+        OutageDetection outagesInFleet = detection(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state));
+        Endpoint first = fixtureOfLargeFleet.addEndpoint();
+        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, first, Ending.ERROR, 10 * MILLISECOND);
         assertTrue(first.inOutage);
-        assertTrue(large.limit.paceSpread > 1 && large.limit.paceSpread < 2, "the rate is spread by chance");
-        Endpoint second = large.endpoint();
-        second.lastDeliveredSentAt = large.state.now - S;
-        inFleet.onFailure(large.limit, second, Ending.NO_CONNECTION, 10 * MS);
+        assertTrue(fixtureOfLargeFleet.limit.paceSpread > 1 && fixtureOfLargeFleet.limit.paceSpread < 2, "the rate is spread by chance");
+        Endpoint second = fixtureOfLargeFleet.addEndpoint();
+        second.lastDeliveredSentAt = fixtureOfLargeFleet.state.now - SECOND;
+        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, second, Ending.NO_CONNECTION, 10 * MILLISECOND);
         assertFalse(second.refusingConnections, "it accepted a call a second ago: it is busy");
-        large.later(3 * S);
-        inFleet.onFailure(large.limit, second, Ending.NO_CONNECTION, 10 * MS);
+        fixtureOfLargeFleet.advanceClock(3 * SECOND);
+        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, second, Ending.NO_CONNECTION, 10 * MILLISECOND);
         assertTrue(second.refusingConnections);
     }
 }
