--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.SECOND;
 
 import java.util.ArrayList;
 import lilaclever.DecisionModule.MessageClass;
@@ -14,25 +14,25 @@
 /** State for tests of single classes of the decision module: one destination, its endpoints and messages. */
 final class PolicyFixture {
     /** Above {@link PolicyState#LARGE_FLEET}. */
-    static final int LARGE = 200;
+    static final int LARGE_FLEET_SIZE = 200;
 
     final PolicyState state;
     final DestinationQueue queue;
     final DestinationLimit limit;
-    private int names;
+    private int namesUsed;
 
     PolicyFixture() {
         this(2);
     }
 
     /** State of one of so many forwarders, with the clock at 1,000 s. */
-    PolicyFixture(int relays) {
-        this(Rig.settings(4, 50, 6, false, relays));
+    PolicyFixture(int forwarders) {
+        this(DecisionModuleHarness.settings(4, 50, 6, false, forwarders));
     }
 
     PolicyFixture(Settings settings) {
         state = new PolicyState(settings, 1);
-        state.now = 1000 * S;
+        state.now = 1000 * SECOND;
         queue = new DestinationQueue();
         limit = new DestinationLimit();
         queue.sharedLimit = limit;
@@ -40,8 +40,8 @@
     }
 
     /** Adds an active endpoint in zone 0, of kind 0. */
-    Endpoint endpoint() {
-        Endpoint endpoint = new Endpoint("e" + names++, queue, limit, 0, 0, 1);
+    Endpoint addEndpoint() {
+        Endpoint endpoint = new Endpoint("e" + namesUsed++, queue, limit, 0, 0, 1);
         endpoint.active = true;
         queue.endpoints.add(endpoint);
         limit.endpoints.add(endpoint);
@@ -49,19 +49,19 @@
     }
 
     /** Adds a waiting message, accepted now, of a class of the settings by its index. */
-    Message message(int messageClass) {
-        MessageClass kind = state.settings.classes().get(messageClass);
-        Message message = new Message("m" + names++, kind);
+    Message addMessage(int classIndex) {
+        MessageClass messageClass = state.settings.classes().get(classIndex);
+        Message message = new Message("m" + namesUsed++, messageClass);
         message.queue = queue;
-        message.worth = kind.worth();
+        message.worth = messageClass.worth();
         message.acceptedAt = state.now;
-        message.deadline = state.now + kind.deadlineMicros();
+        message.deadline = state.now + messageClass.deadlineMicros();
         state.enqueue(message);
         return message;
     }
 
     /** Starts a call with the message, sent now. */
-    Call call(Message message, Endpoint endpoint) {
+    Call startCall(Message message, Endpoint endpoint) {
         Call call = new Call();
         call.endpoint = endpoint;
         call.sentAt = state.now;
@@ -83,7 +83,7 @@
     }
 
     /** Starts a round so many microseconds later, with no actions yet. */
-    void later(long micros) {
+    void advanceClock(long micros) {
         state.now += micros;
         state.actions = new ArrayList<>();
     }
--- a/src/test/java/lilaclever/PolicyStateTest.java
+++ b/src/test/java/lilaclever/PolicyStateTest.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.Rig.SAFE;
+import static lilaclever.DecisionModuleHarness.SAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -15,7 +15,7 @@
     private final PolicyFixture fixture = new PolicyFixture();
 
     @Test
-    void randomFactorsFillTheDesignsRange() {
+    void randomFactorsCoverTheRangeFromOneHalfToThreeHalves() {
         DoubleSummaryStatistics factors =
                 DoubleStream.generate(fixture.state::randomFactor).limit(1_000).summaryStatistics();
         assertTrue(factors.getMin() >= 0.5 && factors.getMin() < 0.51, "" + factors);
@@ -23,9 +23,9 @@
     }
 
     @Test
-    void aQueueIsLookedAtWhileMessagesWait() {
-        Message first = fixture.message(SAFE);
-        Message second = fixture.message(SAFE);
+    void aQueueIsListedAsWaitingWhileItHasMessages() {
+        Message first = fixture.addMessage(SAFE);
+        Message second = fixture.addMessage(SAFE);
         assertEquals(List.of(first, second), List.copyOf(fixture.queue.waiting));
         fixture.state.dequeue(first);
         assertTrue(fixture.state.queuesWaiting.contains(fixture.queue));
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -27,45 +27,45 @@
     private static final String[] HOSTS = {"h0", "h1", "h2", "h3", "h4", "h5"};
 
     /** A call in flight of one message. */
-    private record Out(String id, String host, int attempt, long sentAt, long dropAt) {}
+    private record CallInFlight(String id, String host, int attempt, long sentAtMicros, long dropAtMicros) {}
 
-    private final List<String> trace = new ArrayList<>();
+    private final List<String> actionTrace = new ArrayList<>();
 
-    private Rig play(long seed, int rounds) {
+    private DecisionModuleHarness run(long seed, int rounds) {
         Random random = new Random(seed);
         // Later seeds stand for forwarders of a large fleet: 2 slots, 400 forwarders.
-        Rig rig = new Rig(Rig.settings(seed > 8 ? 2 : 1 + random.nextInt(8), 20, 6, seed % 2 == 0, seed > 8 ? 400 : 2));
-        rig.list(ListingKind.REMEMBERED, entries(random, false));
-        List<Out> out = new ArrayList<>();
+        DecisionModuleHarness harness = new DecisionModuleHarness(DecisionModuleHarness.settings(seed > 8 ? 2 : 1 + random.nextInt(8), 20, 6, seed % 2 == 0, seed > 8 ? 400 : 2));
+        harness.applyListing(ListingKind.REMEMBERED, entries(random, false));
+        List<CallInFlight> callsInFlight = new ArrayList<>();
         Map<String, Integer> attempts = new LinkedHashMap<>();
         for (int i = 0; i < rounds; i++) {
-            rig.now += 5 * MS;
+            harness.nowMicros += 5 * MILLISECOND;
             if (random.nextInt(3_000) == 0) {
-                out.clear();
-                rig.restart();
-                rig.list(ListingKind.REMEMBERED, entries(random, false));
+                callsInFlight.clear();
+                harness.restart();
+                harness.applyListing(ListingKind.REMEMBERED, entries(random, false));
             }
             List<Event> events = new ArrayList<>();
-            for (Out call : List.copyOf(out)) {
-                boolean late = rig.now >= call.dropAt;
+            for (CallInFlight call : List.copyOf(callsInFlight)) {
+                boolean timedOut = harness.nowMicros >= call.dropAtMicros;
                 // For some seeds a third of the answers is lost: these attempts end when they are dropped.
-                boolean lost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
-                if (late || !lost && random.nextInt(12) == 0) {
-                    out.remove(call);
-                    Ending ending = late ? Ending.TIMED_OUT : Ending.values()[random.nextInt(Ending.values().length)];
+                boolean answerLost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
+                if (timedOut || !answerLost && random.nextInt(12) == 0) {
+                    callsInFlight.remove(call);
+                    Ending ending = timedOut ? Ending.TIMED_OUT : Ending.values()[random.nextInt(Ending.values().length)];
                     events.add(new Event.Outcome(
                             call.id,
                             call.host,
                             call.attempt,
                             ending,
-                            rig.now - call.sentAt,
-                            ending == Ending.FULL ? random.nextInt(3) * 700 * MS : 0,
+                            harness.nowMicros - call.sentAtMicros,
+                            ending == Ending.FULL ? random.nextInt(3) * 700 * MILLISECOND : 0,
                             ending == Ending.NOT_SENT,
                             ending == Ending.DELIVERED,
                             random.nextBoolean() ? new Report(random.nextDouble(), random.nextInt(9)) : null));
                 }
             }
-            if (random.nextInt(8) == 0 && rig.checker.open().size() < 20) {
+            if (random.nextInt(8) == 0 && harness.checker.openMessages().size() < 20) {
                 int kind = random.nextInt(4);
                 events.add(new Event.Submit(
                         "s" + i,
@@ -75,7 +75,7 @@
                         random.nextInt(4) == 0 ? null : "k" + random.nextInt(3),
                         false,
                         random.nextInt(20) == 0,
-                        random.nextInt(6) == 0 ? 50 * MS : (1 + random.nextInt(20)) * S));
+                        random.nextInt(6) == 0 ? 50 * MILLISECOND : (1 + random.nextInt(20)) * SECOND));
             }
             if (random.nextInt(300) == 0) {
                 ListingKind kind = ListingKind.values()[random.nextInt(4)];
@@ -83,26 +83,26 @@
                         kind, i, kind == ListingKind.REFUSED ? List.of() : List.of(entries(random, true))));
             }
             if (random.nextInt(200) == 0) {
-                rig.checker.open().stream().findFirst().ifPresent(id -> events.add(new Event.Withdrawn(id)));
+                harness.checker.openMessages().stream().findFirst().ifPresent(id -> events.add(new Event.Withdrawn(id)));
             }
-            rig.round(events.toArray(new Event[0]));
-            trace.add(rig.actions.toString());
-            for (Action action : rig.actions) {
+            harness.runRound(events.toArray(new Event[0]));
+            actionTrace.add(harness.actions.toString());
+            for (Action action : harness.actions) {
                 if (action instanceof Action.Send s) {
-                    int n = attempts.merge(s.id(), 1, Integer::sum) - 1;
-                    out.add(new Out(s.id(), s.host(), n, rig.now, s.dropAtMicros()));
+                    int attempt = attempts.merge(s.id(), 1, Integer::sum) - 1;
+                    callsInFlight.add(new CallInFlight(s.id(), s.host(), attempt, harness.nowMicros, s.dropAtMicros()));
                 }
             }
         }
-        return rig;
+        return harness;
     }
 
     private static Entry[] entries(Random random, boolean changing) {
         List<Entry> entries = new ArrayList<>();
-        for (int h = 0; h < HOSTS.length; h++) {
+        for (int hostIndex = 0; hostIndex < HOSTS.length; hostIndex++) {
             if (!changing || random.nextBoolean()) {
                 Presence presence = changing ? Presence.values()[random.nextInt(3)] : Presence.ACTIVE;
-                entries.add(new Entry(HOSTS[h], h % 3, h / 3, h % 3, presence, 1 + h, 0));
+                entries.add(new Entry(HOSTS[hostIndex], hostIndex % 3, hostIndex / 3, hostIndex % 3, presence, 1 + hostIndex, 0));
             }
         }
         return entries.toArray(new Entry[0]);
@@ -110,19 +110,19 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
-    void noRuleBreaksWhateverComes(long seed) {
-        Rig rig = play(seed, ROUNDS);
-        rig.pass(21 * S);
-        assertEquals(List.of(), rig.checker.breaches());
-        assertTrue(rig.checker.open().isEmpty());
+    void randomEventsBreakNoRule(long seed) {
+        DecisionModuleHarness harness = run(seed, ROUNDS);
+        harness.runRoundsFor(21 * SECOND);
+        assertEquals(List.of(), harness.checker.breaches());
+        assertTrue(harness.checker.openMessages().isEmpty());
     }
 
     @Test
     void theSameEventsGiveTheSameActions() {
-        play(3, 3_000);
-        List<String> first = List.copyOf(trace);
-        trace.clear();
-        play(3, 3_000);
-        assertEquals(first, trace);
+        run(3, 3_000);
+        List<String> first = List.copyOf(actionTrace);
+        actionTrace.clear();
+        run(3, 3_000);
+        assertEquals(first, actionTrace);
     }
 }
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -1,10 +1,10 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -19,8 +19,8 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final RetrySchedule retries = new RetrySchedule(fixture.state);
 
-    private Message mayHaveRun(int messageClass) {
-        Message message = fixture.message(messageClass);
+    private Message messageThatMayHaveRun(int messageClass) {
+        Message message = fixture.addMessage(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
         message.mayHaveRunSince = fixture.state.now;
@@ -29,24 +29,24 @@
 
     @ParameterizedTest
     @CsvSource({"0, 200", "1, 200", "2, 600", "3, 2400", "4, 6000", "5, 6000", "60, 6000"})
-    void pausesGrowByTheDesignsStepsAndAreSpread(int attempts, long stepMillis) {
-        Message message = fixture.message(SAFE);
+    void delaysGrowInStepsAndAreSpreadByChance(int attempts, long stepMillis) {
+        Message message = fixture.addMessage(SAFE);
         message.attempts = attempts;
-        long least = Long.MAX_VALUE;
-        long most = 0;
+        long shortestMicros = Long.MAX_VALUE;
+        long longestMicros = 0;
         for (int i = 0; i < 200; i++) {
             retries.pause(message);
-            long pause = message.notBefore - fixture.state.now;
-            least = Math.min(least, pause);
-            most = Math.max(most, pause);
+            long delayMicros = message.notBefore - fixture.state.now;
+            shortestMicros = Math.min(shortestMicros, delayMicros);
+            longestMicros = Math.max(longestMicros, delayMicros);
         }
-        assertEquals(stepMillis * 0.5, least / (double) MS, 0.05 * stepMillis);
-        assertEquals(stepMillis * 1.5, most / (double) MS, 0.05 * stepMillis);
+        assertEquals(stepMillis * 0.5, shortestMicros / (double) MILLISECOND, 0.05 * stepMillis);
+        assertEquals(stepMillis * 1.5, longestMicros / (double) MILLISECOND, 0.05 * stepMillis);
     }
 
     @Test
-    void theLimitOfAttemptsEndsIt() {
-        Message message = fixture.message(SAFE);
+    void noRetryIsAllowedAfterTheLastAttempt() {
+        Message message = fixture.addMessage(SAFE);
         message.attempts = 5;
         assertTrue(retries.canTryAgain(message));
         message.attempts = 6;
@@ -54,8 +54,8 @@
     }
 
     @Test
-    void theDeadlineEndsItWhileAShortestCallWouldNotFit() {
-        Message message = fixture.message(SAFE);
+    void noRetryIsAllowedWhereTheShortestCallWouldPassTheDeadline() {
+        Message message = fixture.addMessage(SAFE);
         message.notBefore = message.deadline - CallTimeouts.SHORTEST;
         assertTrue(retries.canTryAgain(message));
         message.notBefore++;
@@ -64,29 +64,29 @@
 
     @Test
     void anUnsafeMessageThatMayHaveRunIsNotRepeated() {
-        assertTrue(retries.isExhausted(mayHaveRun(UNSAFE)));
-        assertFalse(retries.isExhausted(mayHaveRun(SAFE)));
-        Message never = fixture.message(UNSAFE);
-        never.attempts = 1;
-        assertTrue(retries.canTryAgain(never));
+        assertTrue(retries.isExhausted(messageThatMayHaveRun(UNSAFE)));
+        assertFalse(retries.isExhausted(messageThatMayHaveRun(SAFE)));
+        Message messageThatNeverRan = fixture.addMessage(UNSAFE);
+        messageThatNeverRan.attempts = 1;
+        assertTrue(retries.canTryAgain(messageThatNeverRan));
     }
 
     @Test
-    void onlyAKeyedMessageThatMayHaveRunHasAWindow() {
-        assertEquals(Long.MAX_VALUE, retries.windowEnd(fixture.message(KEYED)));
-        assertEquals(Long.MAX_VALUE, retries.windowEnd(mayHaveRun(SAFE)));
-        assertEquals(fixture.state.now + 5 * S - 5 * MS, retries.windowEnd(mayHaveRun(KEYED)));
+    void onlyAKeyedMessageThatMayHaveRunHasARepeatWindow() {
+        assertEquals(Long.MAX_VALUE, retries.windowEnd(fixture.addMessage(KEYED)));
+        assertEquals(Long.MAX_VALUE, retries.windowEnd(messageThatMayHaveRun(SAFE)));
+        assertEquals(fixture.state.now + 5 * SECOND - 5 * MILLISECOND, retries.windowEnd(messageThatMayHaveRun(KEYED)));
     }
 
     @Test
-    void aPauseEndsWhileAConnectionMayStillComeUpInTheWindow() {
-        Message message = mayHaveRun(KEYED);
+    void aDelayLeavesTimeToConnectWithinTheRepeatWindow() {
+        Message message = messageThatMayHaveRun(KEYED);
         message.attempts = 5;
-        fixture.later(3 * S);
+        fixture.advanceClock(3 * SECOND);
         retries.pause(message);
-        assertEquals(message.mayHaveRunSince + 4 * S - 5 * MS, message.notBefore);
+        assertEquals(message.mayHaveRunSince + 4 * SECOND - 5 * MILLISECOND, message.notBefore);
         assertTrue(retries.canTryAgain(message));
-        fixture.later(S);
+        fixture.advanceClock(SECOND);
         retries.pause(message);
         assertFalse(retries.canTryAgain(message), "the step is longer than the rest of the repeat window");
     }
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -22,47 +22,47 @@
  * the capacity is.
  */
 final class RuleChecker {
-    private static final double SLACK_CALLS = 3;
+    private static final double BUDGET_TOLERANCE_CALLS = 3;
 
     private final Settings settings;
     private final List<String> breaches = new ArrayList<>();
-    private final Map<String, Seen> messages = new LinkedHashMap<>();
-    private final Map<String, HostSeen> hosts = new HashMap<>();
-    private final Map<String, List<Seen>> keys = new HashMap<>();
-    private final Map<String, Long> keyRest = new HashMap<>();
-    private final Map<String, Seen> keyRestOwner = new HashMap<>();
-    private final Map<String, Long> waits = new HashMap<>();
-    private final Map<String, Return> returns = new HashMap<>();
+    private final Map<String, TrackedMessage> messages = new LinkedHashMap<>();
+    private final Map<String, TrackedHost> hosts = new HashMap<>();
+    private final Map<String, List<TrackedMessage>> messagesByKey = new HashMap<>();
+    private final Map<String, Long> keyDelayedUntilMicros = new HashMap<>();
+    private final Map<String, TrackedMessage> keyDelayExempt = new HashMap<>();
+    private final Map<String, Long> retryAfterUntilMicros = new HashMap<>();
+    private final Map<String, Recovery> recoveries = new HashMap<>();
     private int slots;
 
-    private static final class Seen {
-        private MessageClass kind;
+    private static final class TrackedMessage {
+        private MessageClass messageClass;
         private int destination;
         private String key;
-        private long answerBy;
+        private long answerByMicros;
         private int attempts;
-        private String outAt;
-        private long sentAt;
+        private String inFlightTo;
+        private long sentAtMicros;
         private boolean mayHaveRun;
-        private long riskAt;
-        private int riskZone;
-        private boolean over;
-        private long withdrawnAt = -1;
+        private long mayHaveRunSinceMicros;
+        private int mayHaveRunZone;
+        private boolean finished;
+        private long withdrawnAtMicros = -1;
     }
 
-    private static final class HostSeen {
+    private static final class TrackedHost {
         private int destination;
         private int zone;
-        private boolean own;
-        private long goneAt = Long.MAX_VALUE;
+        private boolean ownLimit;
+        private long removedAtMicros = Long.MAX_VALUE;
     }
 
     /** A limit that recovers from an outage, and the calls sent to it. */
-    private static final class Return {
-        private double capacity;
-        private long at = Long.MAX_VALUE;
-        private boolean broken;
-        private final List<Long> sends = new ArrayList<>();
+    private static final class Recovery {
+        private double capacityPerSecond;
+        private long startMicros = Long.MAX_VALUE;
+        private boolean breachReported;
+        private final List<Long> sendTimesMicros = new ArrayList<>();
     }
 
     RuleChecker(Settings settings) {
@@ -74,10 +74,10 @@
     }
 
     /** Ids of messages that are not finished. */
-    Set<String> open() {
+    Set<String> openMessages() {
         Set<String> ids = new LinkedHashSet<>();
-        messages.forEach((id, m) -> {
-            if (!m.over) {
+        messages.forEach((id, message) -> {
+            if (!message.finished) {
                 ids.add(id);
             }
         });
@@ -85,210 +85,210 @@
     }
 
     /** From this time on, calls to the host's limit count against its capacity (calls a second after slow start). */
-    void returned(String host, long at, double capacity) {
-        Return r = returns.computeIfAbsent(limit(host), k -> new Return());
-        r.capacity = capacity;
-        r.at = at;
+    void startRecovery(String host, long startMicros, double capacityPerSecond) {
+        Recovery recovery = recoveries.computeIfAbsent(limitOf(host), k -> new Recovery());
+        recovery.capacityPerSecond = capacityPerSecond;
+        recovery.startMicros = startMicros;
     }
 
-    private String limit(String host) {
-        HostSeen h = hosts.get(host);
-        return h.own ? host : "destination " + h.destination;
+    private String limitOf(String host) {
+        TrackedHost trackedHost = hosts.get(host);
+        return trackedHost.ownLimit ? host : "destination " + trackedHost.destination;
     }
 
-    void round(long now, List<Event> events, List<Action> actions) {
+    void checkRound(long nowMicros, List<Event> events, List<Action> actions) {
         for (Event event : events) {
             if (event instanceof Event.Listing e) {
-                listing(now, e);
+                onListing(nowMicros, e);
             } else if (event instanceof Event.Submit e) {
-                submit(now, e);
+                onSubmit(nowMicros, e);
             } else if (event instanceof Event.Outcome e) {
-                outcome(now, e);
+                onOutcome(nowMicros, e);
             } else if (event instanceof Event.Withdrawn e && messages.containsKey(e.id())) {
                 // An answer in the same round crosses the withdrawal; the client ignores it.
-                messages.get(e.id()).withdrawnAt = messages.get(e.id()).over ? -1 : now;
-                messages.get(e.id()).over = true;
+                messages.get(e.id()).withdrawnAtMicros = messages.get(e.id()).finished ? -1 : nowMicros;
+                messages.get(e.id()).finished = true;
             }
         }
-        Set<String> waitsNow = new LinkedHashSet<>();
-        waits.forEach((limit, until) -> {
-            if (now < until) {
-                waitsNow.add(limit);
+        Set<String> limitsInRetryAfter = new LinkedHashSet<>();
+        retryAfterUntilMicros.forEach((limit, until) -> {
+            if (nowMicros < until) {
+                limitsInRetryAfter.add(limit);
             }
         });
         for (Action action : actions) {
             if (action instanceof Action.Send a) {
-                send(now, a, waitsNow);
+                onSend(nowMicros, a, limitsInRetryAfter);
             } else if (action instanceof Action.Refuse a) {
-                answer(now, a.id(), true);
+                onAnswer(nowMicros, a.id(), true);
             } else if (action instanceof Action.Fail a) {
-                answer(now, a.id(), false);
+                onAnswer(nowMicros, a.id(), false);
             }
         }
-        messages.forEach((id, m) -> {
-            if (!m.over && now > m.answerBy + settings.rules().answerSlackMicros()) {
-                breach(now, "lost", id + " has no answer by its deadline");
-                m.over = true;
+        messages.forEach((id, message) -> {
+            if (!message.finished && nowMicros > message.answerByMicros + settings.rules().answerSlackMicros()) {
+                breach(nowMicros, "lost", id + " has no answer by its deadline");
+                message.finished = true;
             }
         });
-        returns.forEach((limit, r) -> budget(now, limit, r));
+        recoveries.forEach((limit, r) -> checkBudget(nowMicros, limit, r));
     }
 
-    private void breach(long now, String rule, String text) {
-        breaches.add(rule + ": at " + now + " " + text);
+    private void breach(long nowMicros, String rule, String text) {
+        breaches.add(rule + ": at " + nowMicros + " " + text);
     }
 
-    private void listing(long now, Event.Listing e) {
+    private void onListing(long nowMicros, Event.Listing e) {
         if (e.kind() == DecisionModule.ListingKind.ALL || e.kind() == DecisionModule.ListingKind.REMEMBERED) {
             Set<String> named = new LinkedHashSet<>();
             e.entries().forEach(x -> named.add(x.host()));
-            hosts.forEach((host, h) -> {
+            hosts.forEach((host, trackedHost) -> {
                 if (!named.contains(host)) {
-                    h.goneAt = Math.min(h.goneAt, now);
+                    trackedHost.removedAtMicros = Math.min(trackedHost.removedAtMicros, nowMicros);
                 }
             });
         }
         for (DecisionModule.Entry entry : e.entries()) {
-            HostSeen h = hosts.computeIfAbsent(entry.host(), k -> new HostSeen());
-            h.destination = entry.destination();
-            h.zone = entry.zone();
-            h.own = entry.kind() < settings.kinds().size()
+            TrackedHost trackedHost = hosts.computeIfAbsent(entry.host(), k -> new TrackedHost());
+            trackedHost.destination = entry.destination();
+            trackedHost.zone = entry.zone();
+            trackedHost.ownLimit = entry.kind() < settings.kinds().size()
                     && settings.kinds().get(entry.kind()).ownLimits();
-            h.goneAt = entry.presence() == Presence.ACTIVE ? Long.MAX_VALUE : Math.min(h.goneAt, now);
+            trackedHost.removedAtMicros = entry.presence() == Presence.ACTIVE ? Long.MAX_VALUE : Math.min(trackedHost.removedAtMicros, nowMicros);
         }
     }
 
-    private void submit(long now, Event.Submit e) {
-        Seen m = new Seen();
-        m.kind = settings.classes().get(e.messageClass());
-        m.destination = e.destination();
-        m.key = m.kind.ordered() ? e.key() : null;
-        m.answerBy = now + e.budgetMicros();
-        messages.put(e.id(), m);
-        if (m.key != null) {
-            keys.computeIfAbsent(m.key, k -> new ArrayList<>()).add(m);
+    private void onSubmit(long nowMicros, Event.Submit e) {
+        TrackedMessage message = new TrackedMessage();
+        message.messageClass = settings.classes().get(e.messageClass());
+        message.destination = e.destination();
+        message.key = message.messageClass.ordered() ? e.key() : null;
+        message.answerByMicros = nowMicros + e.budgetMicros();
+        messages.put(e.id(), message);
+        if (message.key != null) {
+            messagesByKey.computeIfAbsent(message.key, k -> new ArrayList<>()).add(message);
         }
     }
 
-    private void outcome(long now, Event.Outcome e) {
-        Seen m = messages.get(e.id());
-        if (m == null || m.outAt == null || e.attempt() != m.attempts - 1) {
+    private void onOutcome(long nowMicros, Event.Outcome e) {
+        TrackedMessage message = messages.get(e.id());
+        if (message == null || message.inFlightTo == null || e.attempt() != message.attempts - 1) {
             return;
         }
         slots--;
-        boolean ran = !e.ending().neverRan();
-        if (ran && e.ending() != Ending.DELIVERED && !m.mayHaveRun) {
-            m.mayHaveRun = true;
-            m.riskAt = m.sentAt;
-            m.riskZone = hosts.get(m.outAt).zone;
+        boolean mayHaveEffect = !e.ending().neverRan();
+        if (mayHaveEffect && e.ending() != Ending.DELIVERED && !message.mayHaveRun) {
+            message.mayHaveRun = true;
+            message.mayHaveRunSinceMicros = message.sentAtMicros;
+            message.mayHaveRunZone = hosts.get(message.inFlightTo).zone;
         }
-        m.attempts -= e.ending() == Ending.WITHHELD ? 1 : 0; // a withheld call is no attempt
+        message.attempts -= e.ending() == Ending.WITHHELD ? 1 : 0; // a withheld call is no attempt
         if (e.waitMicros() > 0) {
-            waits.merge(limit(m.outAt), now + e.waitMicros(), Math::max);
+            retryAfterUntilMicros.merge(limitOf(message.inFlightTo), nowMicros + e.waitMicros(), Math::max);
         }
-        if (m.key != null
+        if (message.key != null
                 && (e.ending() == Ending.TIMED_OUT || e.ending() == Ending.RESET || e.ending() == Ending.CANCELED)) {
-            keyRest.put(m.key, now + settings.rules().orderPauseMicros());
-            keyRestOwner.put(m.key, m);
+            keyDelayedUntilMicros.put(message.key, nowMicros + settings.rules().orderPauseMicros());
+            keyDelayExempt.put(message.key, message);
         }
-        m.outAt = null;
-        m.over |= e.over() || e.ending() == Ending.DELIVERED;
+        message.inFlightTo = null;
+        message.finished |= e.over() || e.ending() == Ending.DELIVERED;
     }
 
-    private void send(long now, Action.Send a, Set<String> waitsNow) {
-        Seen m = messages.get(a.id());
-        HostSeen h = hosts.get(a.host());
-        if (m == null || h == null || h.destination != m.destination) {
-            breach(now, "fault", a + " names an unknown message or host, or a host of another destination");
+    private void onSend(long nowMicros, Action.Send a, Set<String> limitsInRetryAfter) {
+        TrackedMessage message = messages.get(a.id());
+        TrackedHost trackedHost = hosts.get(a.host());
+        if (message == null || trackedHost == null || trackedHost.destination != message.destination) {
+            breach(nowMicros, "fault", a + " names an unknown message or host, or a host of another destination");
             return;
         }
-        if (m.over) {
-            breach(now, "lost", a.id() + " is sent after it was finished");
+        if (message.finished) {
+            breach(nowMicros, "lost", a.id() + " is sent after it was finished");
         }
-        if (m.outAt != null) {
-            breach(now, "effect", a.id() + " has two attempts in flight");
+        if (message.inFlightTo != null) {
+            breach(nowMicros, "effect", a.id() + " has two attempts in flight");
         }
-        if (m.mayHaveRun && m.kind.repeat() == Repeat.UNSAFE) {
-            breach(now, "effect", a.id() + " is unsafe, may have run and is sent again");
+        if (message.mayHaveRun && message.messageClass.repeat() == Repeat.UNSAFE) {
+            breach(nowMicros, "effect", a.id() + " is unsafe, may have run and is sent again");
         }
-        if (m.mayHaveRun && m.kind.repeat() == Repeat.KEYED) {
-            if (now - m.riskAt > m.kind.repeatWindowMicros()) {
-                breach(now, "effect", a.id() + " is repeated after its repeat window");
+        if (message.mayHaveRun && message.messageClass.repeat() == Repeat.KEYED) {
+            if (nowMicros - message.mayHaveRunSinceMicros > message.messageClass.repeatWindowMicros()) {
+                breach(nowMicros, "effect", a.id() + " is repeated after its repeat window");
             }
-            if (m.kind.group() == Group.ZONE && h.zone != m.riskZone) {
-                breach(now, "effect", a.id() + " is repeated outside its group");
+            if (message.messageClass.group() == Group.ZONE && trackedHost.zone != message.mayHaveRunZone) {
+                breach(nowMicros, "effect", a.id() + " is repeated outside its group");
             }
         }
-        if (h.goneAt != Long.MAX_VALUE && now > h.goneAt + settings.rules().drainGraceMicros()) {
-            breach(now, "drain", a.host() + " is sent to after its drain grace period");
+        if (trackedHost.removedAtMicros != Long.MAX_VALUE && nowMicros > trackedHost.removedAtMicros + settings.rules().drainGraceMicros()) {
+            breach(nowMicros, "drain", a.host() + " is sent to after its drain grace period");
         }
-        if (waitsNow.contains(limit(a.host()))) {
-            breach(now, "wait", a.host() + " is sent to during its retry-after period");
+        if (limitsInRetryAfter.contains(limitOf(a.host()))) {
+            breach(nowMicros, "wait", a.host() + " is sent to during its retry-after period");
         }
-        if (m.attempts >= settings.limits().maxAttempts()) {
-            breach(now, "attempts", a.id() + " has no attempt left");
+        if (message.attempts >= settings.limits().maxAttempts()) {
+            breach(nowMicros, "attempts", a.id() + " has no attempt left");
         }
-        if (m.key != null) {
-            order(now, a, m);
+        if (message.key != null) {
+            checkOrder(nowMicros, a, message);
         }
-        m.attempts++;
-        m.outAt = a.host();
-        m.sentAt = now;
+        message.attempts++;
+        message.inFlightTo = a.host();
+        message.sentAtMicros = nowMicros;
         slots++;
-        Return r = returns.get(limit(a.host()));
-        if (r != null) {
-            r.sends.add(now);
+        Recovery recovery = recoveries.get(limitOf(a.host()));
+        if (recovery != null) {
+            recovery.sendTimesMicros.add(nowMicros);
         }
     }
 
-    private void order(long now, Action.Send a, Seen m) {
-        for (Seen earlier : keys.get(m.key)) {
-            if (earlier == m) {
+    private void checkOrder(long nowMicros, Action.Send a, TrackedMessage message) {
+        for (TrackedMessage earlier : messagesByKey.get(message.key)) {
+            if (earlier == message) {
                 break;
             }
-            if (!earlier.over || earlier.outAt != null) {
-                breach(now, "order", a.id() + " is sent before an earlier message of its key is finished");
+            if (!earlier.finished || earlier.inFlightTo != null) {
+                breach(nowMicros, "order", a.id() + " is sent before an earlier message of its key is finished");
             }
         }
-        if (now < keyRest.getOrDefault(m.key, 0L) && keyRestOwner.get(m.key) != m) {
-            breach(now, "order", a.id() + " is sent during the delay of its key");
+        if (nowMicros < keyDelayedUntilMicros.getOrDefault(message.key, 0L) && keyDelayExempt.get(message.key) != message) {
+            breach(nowMicros, "order", a.id() + " is sent during the delay of its key");
         }
     }
 
-    private void answer(long now, String id, boolean refused) {
-        Seen m = messages.get(id);
-        if (m == null) {
-            breach(now, "fault", id + " is unknown");
+    private void onAnswer(long nowMicros, String id, boolean refused) {
+        TrackedMessage message = messages.get(id);
+        if (message == null) {
+            breach(nowMicros, "fault", id + " is unknown");
             return;
         }
-        if (m.over && m.withdrawnAt != now) {
-            breach(now, "lost", id + " is answered twice");
+        if (message.finished && message.withdrawnAtMicros != nowMicros) {
+            breach(nowMicros, "lost", id + " is answered twice");
         }
-        boolean mayRun = m.mayHaveRun || m.outAt != null;
+        boolean mayHaveEffect = message.mayHaveRun || message.inFlightTo != null;
         if (refused
-                && mayRun
-                && (m.kind.repeat() == Repeat.UNSAFE
-                        || m.kind.repeat() == Repeat.KEYED && m.kind.group() != Group.ALL)) {
-            breach(now, "effect", id + " may have run and is refused");
+                && mayHaveEffect
+                && (message.messageClass.repeat() == Repeat.UNSAFE
+                        || message.messageClass.repeat() == Repeat.KEYED && message.messageClass.group() != Group.ALL)) {
+            breach(nowMicros, "effect", id + " may have run and is refused");
         }
-        m.over = true;
+        message.finished = true;
     }
 
     /** Calls sent in any window of a recovery must stay below multiple x present capacity x window. */
-    private void budget(long now, String limit, Return r) {
-        if (now < r.at || now > r.at + settings.rules().rampMicros()) {
+    private void checkBudget(long nowMicros, String limit, Recovery recovery) {
+        if (nowMicros < recovery.startMicros || nowMicros > recovery.startMicros + settings.rules().rampMicros()) {
             return;
         }
-        long from = now - settings.rules().overloadMicros();
-        long sent = r.sends.stream().filter(t -> t > Math.max(from, r.at)).count();
-        double since = (double) (now - r.at) / settings.rules().rampMicros();
-        double present = r.capacity
-                * (settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * since);
-        double most =
-                settings.rules().tipMultiple() * present * settings.rules().overloadMicros() / 1e6 + SLACK_CALLS;
-        if (sent > most && !r.broken) {
-            r.broken = true;
-            breach(now, "fail-back", limit + " is sent " + sent + " calls, more than " + most);
+        long fromMicros = nowMicros - settings.rules().overloadMicros();
+        long sent = recovery.sendTimesMicros.stream().filter(t -> t > Math.max(fromMicros, recovery.startMicros)).count();
+        double rampShare = (double) (nowMicros - recovery.startMicros) / settings.rules().rampMicros();
+        double presentCapacity = recovery.capacityPerSecond
+                * (settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * rampShare);
+        double maxCalls =
+                settings.rules().tipMultiple() * presentCapacity * settings.rules().overloadMicros() / 1e6 + BUDGET_TOLERANCE_CALLS;
+        if (sent > maxCalls && !recovery.breachReported) {
+            recovery.breachReported = true;
+            breach(nowMicros, "fail-back", limit + " is sent " + sent + " calls, more than " + maxCalls);
         }
     }
 }
--- a/src/test/java/lilaclever/RuleCheckerTest.java
+++ b/src/test/java/lilaclever/RuleCheckerTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -16,38 +16,38 @@
 
 /** The checker must find each kind of breach, and none in an ordinary delivery. */
 class RuleCheckerTest {
-    private final RuleChecker checker = new RuleChecker(Rig.settings(10, 50, 2, false));
-    private long now = S;
+    private final RuleChecker checker = new RuleChecker(DecisionModuleHarness.settings(10, 50, 2, false));
+    private long nowMicros = SECOND;
 
     RuleCheckerTest() {
-        events(new Event.Listing(
+        checkEvents(new Event.Listing(
                 ListingKind.ALL,
                 1,
                 List.of(
-                        Rig.entry("a1", 1, 0, 0),
-                        Rig.entry("a2", 1, 1, 0),
-                        Rig.entry("b1", 2, 0, 1),
-                        Rig.entry("b2", 2, 0, 1))));
+                        DecisionModuleHarness.entry("a1", 1, 0, 0),
+                        DecisionModuleHarness.entry("a2", 1, 1, 0),
+                        DecisionModuleHarness.entry("b1", 2, 0, 1),
+                        DecisionModuleHarness.entry("b2", 2, 0, 1))));
     }
 
-    private void events(Event... events) {
-        checker.round(now, List.of(events), List.of());
+    private void checkEvents(Event... events) {
+        checker.checkRound(nowMicros, List.of(events), List.of());
     }
 
-    private void take(String id, int messageClass) {
-        events(new Event.Submit(id, messageClass, 1, 0, "k", false, false, 20 * S));
+    private void submit(String id, int messageClass) {
+        checkEvents(new Event.Submit(id, messageClass, 1, 0, "k", false, false, 20 * SECOND));
     }
 
-    private void act(Action... actions) {
-        checker.round(now, List.of(), List.of(actions));
+    private void checkActions(Action... actions) {
+        checker.checkRound(nowMicros, List.of(), List.of(actions));
     }
 
     private void send(String id, String host) {
-        act(new Action.Send(id, host, now + S));
+        checkActions(new Action.Send(id, host, nowMicros + SECOND));
     }
 
-    private void outcome(String id, int attempt, Ending ending, long wait) {
-        events(new Event.Outcome(id, "a1", attempt, ending, 1, wait, false, ending == Ending.DELIVERED, null));
+    private void outcome(String id, int attempt, Ending ending, long retryAfterMicros) {
+        checkEvents(new Event.Outcome(id, "a1", attempt, ending, 1, retryAfterMicros, false, ending == Ending.DELIVERED, null));
     }
 
     private void assertBreach(String rule) {
@@ -58,48 +58,48 @@
     }
 
     @Test
-    void allowsADelivery() {
-        take("m", Rig.UNSAFE);
+    void aDeliveryIsNoBreach() {
+        submit("m", DecisionModuleHarness.UNSAFE);
         send("m", "a1");
         outcome("m", 0, Ending.DELIVERED, 0);
-        now += 30 * S;
-        act();
+        nowMicros += 30 * SECOND;
+        checkActions();
         assertEquals(List.of(), checker.breaches());
     }
 
     @Test
-    void findsAMessageWithoutAnswer() {
-        take("m", Rig.SAFE);
-        now += 20 * S + 21 * MS;
-        act();
+    void findsAMessageWithoutAnAnswer() {
+        submit("m", DecisionModuleHarness.SAFE);
+        nowMicros += 20 * SECOND + 21 * MILLISECOND;
+        checkActions();
         assertBreach("lost");
     }
 
     @Test
     void findsASecondAnswer() {
-        take("m", Rig.SAFE);
-        act(new Action.Refuse("m", 0), new Action.Fail("m"));
+        submit("m", DecisionModuleHarness.SAFE);
+        checkActions(new Action.Refuse("m", 0), new Action.Fail("m"));
         assertBreach("lost");
     }
 
     @Test
-    void findsASendAfterTheEnd() {
-        take("m", Rig.SAFE);
-        act(new Action.Refuse("m", 0), new Action.Send("m", "a1", now + S));
+    void findsASendOfAFinishedMessage() {
+        submit("m", DecisionModuleHarness.SAFE);
+        checkActions(new Action.Refuse("m", 0), new Action.Send("m", "a1", nowMicros + SECOND));
         assertBreach("lost");
     }
 
     @Test
     void findsTwoAttemptsAtOnce() {
-        take("m", Rig.SAFE);
+        submit("m", DecisionModuleHarness.SAFE);
         send("m", "a1");
         send("m", "a2");
         assertBreach("effect");
     }
 
     @Test
-    void findsAnUnsafeRepeat() {
-        take("m", Rig.UNSAFE);
+    void findsARepeatOfAnUnsafeMessage() {
+        submit("m", DecisionModuleHarness.UNSAFE);
         send("m", "a1");
         outcome("m", 0, Ending.ERROR, 0);
         send("m", "a1");
@@ -107,26 +107,26 @@
     }
 
     @Test
-    void findsAnUnsafeRefusal() {
-        take("m", Rig.UNSAFE);
+    void findsARefusalOfAnUnsafeMessageInFlight() {
+        submit("m", DecisionModuleHarness.UNSAFE);
         send("m", "a1");
-        act(new Action.Refuse("m", 0));
+        checkActions(new Action.Refuse("m", 0));
         assertBreach("effect");
     }
 
     @Test
-    void findsAKeyedRepeatAfterItsWindow() {
-        take("m", Rig.KEYED);
+    void findsARepeatOfAKeyedMessageAfterItsRepeatWindow() {
+        submit("m", DecisionModuleHarness.KEYED);
         send("m", "a1");
         outcome("m", 0, Ending.TIMED_OUT, 0);
-        now += 5 * S + 1;
+        nowMicros += 5 * SECOND + 1;
         send("m", "a1");
         assertBreach("effect");
     }
 
     @Test
-    void findsAKeyedRepeatOutsideItsGroup() {
-        take("m", Rig.ZONED);
+    void findsARepeatOfAKeyedMessageOutsideItsGroup() {
+        submit("m", DecisionModuleHarness.ZONED);
         send("m", "a1");
         outcome("m", 0, Ending.ERROR, 0);
         send("m", "a2");
@@ -134,66 +134,66 @@
     }
 
     @Test
-    void findsAZonedRefusal() {
-        take("m", Rig.ZONED);
+    void findsARefusalOfAZonedMessageThatMayHaveRun() {
+        submit("m", DecisionModuleHarness.ZONED);
         send("m", "a1");
         outcome("m", 0, Ending.ERROR, 0);
-        act(new Action.Refuse("m", 0));
+        checkActions(new Action.Refuse("m", 0));
         assertBreach("effect");
     }
 
     @Test
     void findsASendToADrainedHost() {
-        take("m", Rig.SAFE);
-        events(new Event.Listing(ListingKind.CHANGES, 2, List.of(new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
-        now += S + 1;
+        submit("m", DecisionModuleHarness.SAFE);
+        checkEvents(new Event.Listing(ListingKind.CHANGES, 2, List.of(new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
+        nowMicros += SECOND + 1;
         send("m", "a1");
         assertBreach("drain");
     }
 
     @Test
-    void findsASendToAHostThatAWholeListDropped() {
-        take("m", Rig.SAFE);
-        events(new Event.Listing(ListingKind.ALL, 2, List.of(Rig.entry("a2", 1, 0, 0))));
-        now += S + 1;
+    void findsASendToAHostMissingFromAWholeList() {
+        submit("m", DecisionModuleHarness.SAFE);
+        checkEvents(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("a2", 1, 0, 0))));
+        nowMicros += SECOND + 1;
         send("m", "a1");
         assertBreach("drain");
     }
 
     @Test
-    void findsASendDuringAWait() {
-        take("m", Rig.SAFE);
-        take("n", Rig.SAFE);
+    void findsASendDuringARetryAfterPeriod() {
+        submit("m", DecisionModuleHarness.SAFE);
+        submit("n", DecisionModuleHarness.SAFE);
         send("m", "a1");
-        outcome("m", 0, Ending.FULL, 500 * MS);
-        now += 499 * MS;
+        outcome("m", 0, Ending.FULL, 500 * MILLISECOND);
+        nowMicros += 499 * MILLISECOND;
         send("n", "a2");
         assertBreach("wait");
     }
 
     @Test
-    void findsAnOrderBroken() {
-        take("m", Rig.UNSAFE);
-        take("n", Rig.UNSAFE);
+    void findsASendOutOfTheOrderOfItsKey() {
+        submit("m", DecisionModuleHarness.UNSAFE);
+        submit("n", DecisionModuleHarness.UNSAFE);
         send("n", "a1");
         assertBreach("order");
     }
 
     @Test
-    void findsAKeyThatDidNotRest() {
-        take("m", Rig.UNSAFE);
-        take("n", Rig.UNSAFE);
+    void findsASendDuringTheDelayOfItsKey() {
+        submit("m", DecisionModuleHarness.UNSAFE);
+        submit("n", DecisionModuleHarness.UNSAFE);
         send("m", "a1");
         outcome("m", 0, Ending.TIMED_OUT, 0);
-        act(new Action.Fail("m"));
-        now += 99 * MS;
+        checkActions(new Action.Fail("m"));
+        nowMicros += 99 * MILLISECOND;
         send("n", "a1");
         assertBreach("order");
     }
 
     @Test
-    void findsAnAttemptTooMany() {
-        take("m", Rig.SAFE);
+    void findsAnAttemptBeyondTheLimit() {
+        submit("m", DecisionModuleHarness.SAFE);
         for (int i = 0; i < 3; i++) {
             send("m", "a1");
             outcome("m", i, Ending.FULL, 0);
@@ -202,11 +202,11 @@
     }
 
     @Test
-    void findsAReturningDestinationPushedOver() {
-        checker.returned("a1", now, 10);
+    void findsAnOverloadOfARecoveringDestination() {
+        checker.startRecovery("a1", nowMicros, 10);
         for (int i = 0; i < 19; i++) {
-            now += MS;
-            events(new Event.Submit("m" + i, Rig.SAFE, 1, 0, null, false, false, 20 * S));
+            nowMicros += MILLISECOND;
+            checkEvents(new Event.Submit("m" + i, DecisionModuleHarness.SAFE, 1, 0, null, false, false, 20 * SECOND));
             send("m" + i, "a1");
         }
         assertBreach("fail-back");
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -1,11 +1,11 @@
 package lilaclever;
 
-import static lilaclever.Rig.KEYED;
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
-import static lilaclever.Rig.SAFE;
-import static lilaclever.Rig.UNSAFE;
-import static lilaclever.Rig.ZONED;
+import static lilaclever.DecisionModuleHarness.KEYED;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.UNSAFE;
+import static lilaclever.DecisionModuleHarness.ZONED;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -21,10 +21,10 @@
     private final PolicyFixture fixture = new PolicyFixture();
     private final PolicyParts parts = new PolicyParts(fixture.state);
     private final SendRules rules = parts.rules;
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
-    private Message mayHaveRun(int messageClass) {
-        Message message = fixture.message(messageClass);
+    private Message messageThatMayHaveRun(int messageClass) {
+        Message message = fixture.addMessage(messageClass);
         message.attempts = 1;
         message.mayHaveRun = true;
         message.mayHaveRunSince = fixture.state.now;
@@ -33,32 +33,32 @@
 
     @ParameterizedTest
     @ValueSource(ints = {SAFE, KEYED, UNSAFE, ZONED})
-    void aFreshMessageMayGo(int messageClass) {
-        assertTrue(rules.permit(fixture.message(messageClass), endpoint));
+    void anUntriedMessageMayBeSent(int messageClass) {
+        assertTrue(rules.permit(fixture.addMessage(messageClass), endpoint));
     }
 
     @Test
-    void notBeforeItsPauseIsOver() {
-        Message message = fixture.message(SAFE);
+    void noMessageIsSentBeforeItsRetryDelayIsOver() {
+        Message message = fixture.addMessage(SAFE);
         message.notBefore = fixture.state.now + 1;
         assertFalse(rules.permit(message, endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertTrue(rules.permit(message, endpoint));
     }
 
     @Test
-    void notWithLessTimeThanTheShortestCall() {
-        Message message = fixture.message(SAFE);
-        message.deadline = fixture.state.now + 60 * MS;
+    void noMessageIsSentWithLessTimeLeftThanTheShortestCall() {
+        Message message = fixture.addMessage(SAFE);
+        message.deadline = fixture.state.now + 60 * MILLISECOND;
         assertTrue(rules.permit(message, endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertFalse(rules.permit(message, endpoint));
     }
 
     @Test
-    void notWhileAnAttemptIsInFlightAndNotOnceItIsFinished() {
-        Message message = fixture.message(SAFE);
-        fixture.call(message, endpoint);
+    void noMessageIsSentWhileAnAttemptIsInFlightOrOnceItIsFinished() {
+        Message message = fixture.addMessage(SAFE);
+        fixture.startCall(message, endpoint);
         assertFalse(rules.permit(message, endpoint));
         message.inFlightTo = null;
         assertTrue(rules.permit(message, endpoint));
@@ -67,34 +67,34 @@
     }
 
     @Test
-    void notAfterItsLastAttempt() {
-        Message message = fixture.message(SAFE);
+    void noMessageIsSentAfterItsLastAttempt() {
+        Message message = fixture.addMessage(SAFE);
         message.attempts = 6;
         assertFalse(rules.permit(message, endpoint));
     }
 
     @Test
-    void notToADrainingEndpointAndNotDuringAToldWait() {
-        Message message = fixture.message(SAFE);
-        parts.limits.onWait(fixture.limit, S);
+    void noMessageIsSentDuringARetryAfterOrToADrainingEndpoint() {
+        Message message = fixture.addMessage(SAFE);
+        parts.limits.onWait(fixture.limit, SECOND);
         assertFalse(rules.permit(message, endpoint));
-        fixture.later(S);
+        fixture.advanceClock(SECOND);
         assertTrue(rules.permit(message, endpoint));
         endpoint.active = false;
         assertFalse(rules.permit(message, endpoint));
     }
 
     @Test
-    void notToAnEndpointOfAnotherDestination() {
+    void noMessageIsSentToAnEndpointOfAnotherDestination() {
         Endpoint other = new Endpoint("other", new DestinationQueue(), new DestinationLimit(), 0, 0, 1);
         other.active = true;
-        assertFalse(rules.permit(fixture.message(SAFE), other));
+        assertFalse(rules.permit(fixture.addMessage(SAFE), other));
     }
 
     @Test
-    void notOutOfTheOrderOfItsKey() {
-        Message first = fixture.message(UNSAFE);
-        Message second = fixture.message(UNSAFE);
+    void noMessageIsSentOutOfTheOrderOfItsKey() {
+        Message first = fixture.addMessage(UNSAFE);
+        Message second = fixture.addMessage(UNSAFE);
         parts.keyOrder.add(first, "key");
         parts.keyOrder.add(second, "key");
         assertTrue(rules.permit(first, endpoint));
@@ -102,35 +102,35 @@
     }
 
     @Test
-    void notIfTheEndOfTheProgramCouldCutItsCall() {
-        fixture.state.stopAt = fixture.state.now + 2 * S;
-        assertTrue(rules.permit(fixture.message(SAFE), endpoint), "its call may take 2 s");
-        assertFalse(rules.permit(fixture.message(UNSAFE), endpoint), "its call may take 4 s");
+    void noMessageIsSentWhoseCallTheEndOfTheProgramCouldCutOff() {
+        fixture.state.stopAt = fixture.state.now + 2 * SECOND;
+        assertTrue(rules.permit(fixture.addMessage(SAFE), endpoint), "its call may take 2 s");
+        assertFalse(rules.permit(fixture.addMessage(UNSAFE), endpoint), "its call may take 4 s");
     }
 
     @Test
-    void whatMayHaveRunGoesAgainOnlyWhereThatIsHarmless() {
+    void messagesThatMayHaveRunAreRepeatedOnlyWhereThatIsHarmless() {
         Endpoint otherZone = new Endpoint("other", fixture.queue, fixture.limit, 1, 0, 1);
         otherZone.active = true;
-        assertTrue(rules.permit(mayHaveRun(SAFE), otherZone));
-        assertTrue(rules.permit(mayHaveRun(KEYED), otherZone));
-        assertFalse(rules.permit(mayHaveRun(UNSAFE), otherZone));
-        assertFalse(rules.permit(mayHaveRun(ZONED), otherZone));
-        assertTrue(rules.permit(mayHaveRun(ZONED), endpoint));
+        assertTrue(rules.permit(messageThatMayHaveRun(SAFE), otherZone));
+        assertTrue(rules.permit(messageThatMayHaveRun(KEYED), otherZone));
+        assertFalse(rules.permit(messageThatMayHaveRun(UNSAFE), otherZone));
+        assertFalse(rules.permit(messageThatMayHaveRun(ZONED), otherZone));
+        assertTrue(rules.permit(messageThatMayHaveRun(ZONED), endpoint));
     }
 
     @Test
-    void aKeyedMessageStaysInItsWindow() {
-        Message message = mayHaveRun(KEYED);
-        fixture.later(5 * S - 5 * MS - 1);
+    void aKeyedMessageIsRepeatedOnlyWithinItsRepeatWindow() {
+        Message message = messageThatMayHaveRun(KEYED);
+        fixture.advanceClock(5 * SECOND - 5 * MILLISECOND - 1);
         assertTrue(rules.permit(message, endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertFalse(rules.permit(message, endpoint));
     }
 
     @Test
-    void notToAnEndpointThatTakesNoCall() {
+    void noMessageIsSentToAnEndpointThatIsNotReady() {
         endpoint.avoidUntil = fixture.state.now + 1;
-        assertFalse(rules.permit(fixture.message(SAFE), endpoint));
+        assertFalse(rules.permit(fixture.addMessage(SAFE), endpoint));
     }
 }
--- a/src/test/java/lilaclever/SlowStartTest.java
+++ b/src/test/java/lilaclever/SlowStartTest.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -12,30 +12,30 @@
 class SlowStartTest {
     private final PolicyFixture fixture = new PolicyFixture();
     private final SlowStart slowStart = new SlowStart(fixture.state);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
     @Test
-    void anEndpointThatWasNeverOutIsNotInSlowStart() {
+    void anEndpointThatWasNeverInAnOutageIsNotInSlowStart() {
         assertFalse(slowStart.isActive(endpoint));
     }
 
     @Test
-    void itLastsAsLongAsTheRulesSay() {
+    void slowStartLastsAsLongAsTheRulesSay() {
         slowStart.begin(endpoint);
-        assertEquals(fixture.state.now + 10 * S, slowStart.endsAt(endpoint));
-        fixture.later(10 * S - 1);
+        assertEquals(fixture.state.now + 10 * SECOND, slowStart.endsAt(endpoint));
+        fixture.advanceClock(10 * SECOND - 1);
         assertTrue(slowStart.isActive(endpoint));
-        fixture.later(1);
+        fixture.advanceClock(1);
         assertFalse(slowStart.isActive(endpoint));
     }
 
     @Test
-    void aSetBackHalvesItsAge() {
+    void settingSlowStartBackHalvesItsAge() {
         slowStart.begin(endpoint);
-        fixture.later(6 * S);
+        fixture.advanceClock(6 * SECOND);
         slowStart.setBack(endpoint);
-        assertEquals(3 * S, slowStart.age(endpoint));
-        fixture.later(5 * S);
+        assertEquals(3 * SECOND, slowStart.age(endpoint));
+        fixture.advanceClock(5 * SECOND);
         assertTrue(slowStart.isActive(endpoint), "11 s after its beginning 2 s are left");
     }
 }
--- a/src/test/java/lilaclever/TransientFailuresTest.java
+++ b/src/test/java/lilaclever/TransientFailuresTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.Rig.MS;
-import static lilaclever.Rig.S;
+import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -11,46 +11,46 @@
 class TransientFailuresTest {
     private final PolicyFixture fixture = new PolicyFixture();
     private final TransientFailures failures = new TransientFailures(fixture.state);
-    private final Endpoint endpoint = fixture.endpoint();
+    private final Endpoint endpoint = fixture.addEndpoint();
 
-    private void failure(boolean turnedAway, long lastsMicros) {
+    private void failAndRecover(boolean connectRejected, long durationMicros) {
         endpoint.failingSince = fixture.state.now;
-        failures.onFailure(endpoint, turnedAway);
-        fixture.later(lastsMicros);
+        failures.onFailure(endpoint, connectRejected);
+        fixture.advanceClock(durationMicros);
         failures.onDelivered(endpoint);
         endpoint.failingSince = 0;
     }
 
     @Test
-    void atFirstConnectsMayBeTurnedAwayAndCallsAreNotLost() {
+    void initiallyRejectedConnectsAreTakenAsCommonAndLostCallsAsRare() {
         assertTrue(failures.connectsOftenTurnedAway(endpoint));
         assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
         assertFalse(failures.callsOftenLost());
     }
 
     @Test
-    void failuresThatSoonPassAreTransient() {
-        failure(false, 100 * MS);
+    void briefFailuresAreTransient() {
+        failAndRecover(false, 100 * MILLISECOND);
         assertFalse(failures.callsOftenLost(), "one gives the bound of 0.3, which is not above it");
-        failure(false, 100 * MS);
+        failAndRecover(false, 100 * MILLISECOND);
         assertTrue(failures.callsOftenLost());
         assertFalse(failures.connectsTurnedAwayMoreThanAssumed(endpoint), "no connect was rejected");
     }
 
     @Test
-    void connectsCountApart() {
-        failure(true, 100 * MS);
+    void rejectedConnectsAreCountedSeparately() {
+        failAndRecover(true, 100 * MILLISECOND);
         assertTrue(failures.connectsTurnedAwayMoreThanAssumed(endpoint));
-        failure(true, 100 * MS);
+        failAndRecover(true, 100 * MILLISECOND);
         assertFalse(failures.callsOftenLost());
     }
 
     @Test
-    void failuresThatLastAreNone() {
-        failure(false, 4 * S);
-        failure(false, 4 * S);
+    void lastingFailuresAreNotTransient() {
+        failAndRecover(false, 4 * SECOND);
+        failAndRecover(false, 4 * SECOND);
         assertFalse(failures.callsOftenLost());
-        endpoint.failingSince = fixture.state.now - 3 * S;
+        endpoint.failingSince = fixture.state.now - 3 * SECOND;
         assertFalse(failures.isBrief(endpoint));
         failures.onFailure(endpoint, true);
         failures.onFailure(endpoint, true);
