--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -97,7 +97,8 @@
         parts.limits.onWait(fixture.limit, 300 * MILLISECOND);
         assertEquals(300 * MILLISECOND, admission.comeBackAfter(fixture.queue));
         fixture.addMessage(SAFE);
-        assertEquals(2 * SECOND, admission.comeBackAfter(fixture.queue), "at half a call a second: the longest retry-after");
+        assertEquals(
+                2 * SECOND, admission.comeBackAfter(fixture.queue), "at half a call a second: the longest retry-after");
         fixture.limit.usualRate = 10;
         fixture.limit.usualUnseen = 0;
         assertEquals(400 * MILLISECOND, admission.comeBackAfter(fixture.queue), "at ten calls a second");
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -2,8 +2,8 @@
 
 import static lilaclever.DecisionModuleHarness.KEYED;
 import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -36,7 +36,8 @@
         timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
         assertEquals(SECOND, timeout(SAFE));
         timeouts.onDelivered(fixture.limit, 10_100 * MILLISECOND);
-        assertEquals(1_100 * MILLISECOND, (long) fixture.limit.answerTime, "moved by a tenth towards the new answer time");
+        assertEquals(
+                1_100 * MILLISECOND, (long) fixture.limit.answerTime, "moved by a tenth towards the new answer time");
         assertEquals(6_600 * MILLISECOND, timeout(SAFE));
     }
 
@@ -101,7 +102,10 @@
         assertTrue(fixture.state.actions.isEmpty(), "the slot that is needed is about to be free");
         long nextCheckMicros = timeouts.cancelOverdue(3);
         assertEquals(List.of(new Action.Cancel(second.id, 0)), fixture.state.actions);
-        assertEquals(fixture.state.now - 801 * MILLISECOND + 2_400 * MILLISECOND, nextCheckMicros, "24 times 100 ms for the unsafe message");
+        assertEquals(
+                fixture.state.now - 801 * MILLISECOND + 2_400 * MILLISECOND,
+                nextCheckMicros,
+                "24 times 100 ms for the unsafe message");
     }
 
     @Test
@@ -109,7 +113,8 @@
         PolicyFixture fixtureWithoutCancel = new PolicyFixture(withoutCancel());
         fixtureWithoutCancel.startCall(fixtureWithoutCancel.addMessage(SAFE), fixtureWithoutCancel.addEndpoint());
         fixtureWithoutCancel.advanceClock(60 * SECOND);
-        new CallTimeouts(fixtureWithoutCancel.state, new TransientFailures(fixtureWithoutCancel.state)).cancelOverdue(1);
+        new CallTimeouts(fixtureWithoutCancel.state, new TransientFailures(fixtureWithoutCancel.state))
+                .cancelOverdue(1);
         assertTrue(fixtureWithoutCancel.state.actions.isEmpty());
     }
 
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/lilaclever/DecisionModuleHarness.java
+++ b/src/test/java/lilaclever/DecisionModuleHarness.java
@@ -71,8 +71,10 @@
                         new MessageClass(2 * SECOND, 20 * SECOND, 1, Repeat.KEYED, Group.ZONE, 5 * SECOND, false)),
                 List.of(new Kind(false, 1), new Kind(true, 1), new Kind(false, 5)),
                 List.of(new DecisionModule.Tenant(0.5, 5), new DecisionModule.Tenant(0.5, 5)),
-                new DecisionModule.Limits(maxAttempts, maxOpen, slots, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
-                new DecisionModule.Rules(20 * MILLISECOND, 10 * SECOND, SECOND, 0.2, 10 * SECOND, 2.5, 3 * SECOND, 100 * MILLISECOND));
+                new DecisionModule.Limits(
+                        maxAttempts, maxOpen, slots, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
+                new DecisionModule.Rules(
+                        20 * MILLISECOND, 10 * SECOND, SECOND, 0.2, 10 * SECOND, 2.5, 3 * SECOND, 100 * MILLISECOND));
     }
 
     /** Replaces the module by a new one without any state; outcomes of earlier calls must not be reported any more. */
@@ -127,8 +129,16 @@
     }
 
     DecisionModuleHarness reportOutcome(String id, String host, int attempt, Ending ending, long retryAfterMicros) {
-        return runRound(
-                new Event.Outcome(id, host, attempt, ending, 100 * MILLISECOND, retryAfterMicros, false, ending == Ending.DELIVERED, null));
+        return runRound(new Event.Outcome(
+                id,
+                host,
+                attempt,
+                ending,
+                100 * MILLISECOND,
+                retryAfterMicros,
+                false,
+                ending == Ending.DELIVERED,
+                null));
     }
 
     /** Hosts to which the last actions send, in order. */
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -139,7 +139,17 @@
 
     private Limits limits(int maxAttempts, int slots, int maxOpen) {
         return new Limits(
-                maxAttempts, maxOpen, slots, seed % 5 != 0, false, false, 1, SECOND / 2, 5 * SECOND, seed % 7 != 0, 2 * SECOND);
+                maxAttempts,
+                maxOpen,
+                slots,
+                seed % 5 != 0,
+                false,
+                false,
+                1,
+                SECOND / 2,
+                5 * SECOND,
+                seed % 7 != 0,
+                2 * SECOND);
     }
 
     private static List<MessageClass> classes(int factor) {
@@ -147,7 +157,8 @@
                 new MessageClass(2 * SECOND, 20 * SECOND * factor, 1, Repeat.SAFE, Group.ALL, 0, false, 0.2, true),
                 new MessageClass(SECOND, 15 * SECOND * factor, 2, Repeat.KEYED, Group.ALL, 5 * SECOND, false),
                 new MessageClass(2 * SECOND, 20 * SECOND * factor, 3, Repeat.UNSAFE, Group.ALL, 0, true),
-                new MessageClass(2 * SECOND, 12 * SECOND * factor, 1, Repeat.KEYED, Group.ZONE, 3 * SECOND, true, 0.1, false),
+                new MessageClass(
+                        2 * SECOND, 12 * SECOND * factor, 1, Repeat.KEYED, Group.ZONE, 3 * SECOND, true, 0.1, false),
                 new MessageClass(400 * MILLISECOND, 2 * SECOND * factor, 0.5, Repeat.SAFE, Group.ALL, 0, true));
     }
 
@@ -240,7 +251,8 @@
         switch (behaviour) {
             case REFUSES_WITHOUT_RETRY_AFTER -> setAnswer(call, Ending.FULL, 10 * MILLISECOND, 0);
             case REFUSES_WITH_SHORT_RETRY_AFTER -> setAnswer(call, Ending.FULL, 10 * MILLISECOND, 300 * MILLISECOND);
-            case REFUSES_WITH_LONG_RETRY_AFTER -> setAnswer(call, Ending.FULL, 10 * MILLISECOND, 2 * SECOND + random.nextInt((int) (4 * SECOND)));
+            case REFUSES_WITH_LONG_RETRY_AFTER ->
+                setAnswer(call, Ending.FULL, 10 * MILLISECOND, 2 * SECOND + random.nextInt((int) (4 * SECOND)));
             case CONNECTS_FAIL -> setAnswer(call, Ending.NO_CONNECTION, 5 * MILLISECOND, 0);
             case CONNECTS_TIME_OUT -> setAnswer(call, Ending.NO_CONNECTION, SECOND / 2, 0);
             case NO_ROOM_FOR_CONNECTIONS -> {
@@ -264,7 +276,11 @@
             case RESETS -> setAnswer(call, Ending.RESET, 30 * MILLISECOND, 0);
             case RANDOM_ENDING -> {
                 Ending randomEnding = Ending.values()[random.nextInt(Ending.values().length)];
-                setAnswer(call, randomEnding, 20 * MILLISECOND, randomEnding == Ending.FULL ? random.nextInt(3) * 900 * MILLISECOND : 0);
+                setAnswer(
+                        call,
+                        randomEnding,
+                        20 * MILLISECOND,
+                        randomEnding == Ending.FULL ? random.nextInt(3) * 900 * MILLISECOND : 0);
             }
             default -> limitRate(call, entry);
         }
@@ -335,19 +351,29 @@
             int messageClass = random.nextInt(classes(1).size());
             String key = random.nextInt(3) == 0 ? null : "k" + destination + "-" + random.nextInt(3);
             long deadlineMicros = settings.classes().get(messageClass).deadlineMicros();
-            long budgetMicros = random.nextInt(6) == 0 ? 50 * MILLISECOND + random.nextInt((int) SECOND) : deadlineMicros;
+            long budgetMicros =
+                    random.nextInt(6) == 0 ? 50 * MILLISECOND + random.nextInt((int) SECOND) : deadlineMicros;
             Prior prior = random.nextInt(25) == 0 ? prior() : null;
             attempts.put(id, prior == null ? 0 : prior.attempts());
             openMessageIds.add(id);
             events.add(new Event.Submit(
-                    id, messageClass, destination, random.nextInt(4) - 1, key, false, prior != null, budgetMicros, prior));
+                    id,
+                    messageClass,
+                    destination,
+                    random.nextInt(4) - 1,
+                    key,
+                    false,
+                    prior != null,
+                    budgetMicros,
+                    prior));
         }
     }
 
     private Prior prior() {
         boolean mayHaveRun = random.nextBoolean();
         int earlierAttempts = mayHaveRun ? 1 + random.nextInt(3) : random.nextInt(3);
-        return new Prior(earlierAttempts, mayHaveRun, "h0-0", random.nextInt(2), nowMicros - random.nextInt((int) (4 * SECOND)));
+        return new Prior(
+                earlierAttempts, mayHaveRun, "h0-0", random.nextInt(2), nowMicros - random.nextInt((int) (4 * SECOND)));
     }
 
     private void addRareEvents(List<Event> events, long endMicros) {
@@ -362,7 +388,8 @@
         if (random.nextInt(3_000) == 0) {
             Limits old = settings.limits();
             int maxAttempts = MAX_ATTEMPTS[random.nextInt(MAX_ATTEMPTS.length)];
-            events.add(renewedSettings(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
+            events.add(
+                    renewedSettings(classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpen())));
         }
         if (random.nextInt(1_000) == 0) {
             events.add(new Event.Probed("h0-0", Ending.DELIVERED, MILLISECOND, null));
@@ -395,7 +422,8 @@
     /** Changes how hosts answer: those of one destination or one host of it, at times those of all others instead. */
     private void changeBehaviours() {
         boolean healthy = random.nextInt(3) == 0;
-        HostBehaviour behaviour = healthy ? HostBehaviour.HEALTHY : HostBehaviour.values()[random.nextInt(HostBehaviour.values().length)];
+        HostBehaviour behaviour =
+                healthy ? HostBehaviour.HEALTHY : HostBehaviour.values()[random.nextInt(HostBehaviour.values().length)];
         int chosenDestination = random.nextInt(DESTINATIONS);
         boolean allOthers = random.nextInt(5) == 0;
         if (allOthers && random.nextBoolean()) {
@@ -434,6 +462,7 @@
         // The third host of a destination moves to the next destination at times; its kind follows the destination.
         int servedDestination = host == 2 && random.nextInt(6) == 0 ? (destination + 1) % DESTINATIONS : destination;
         int kind = seed % 8 == 2 && servedDestination == 0 ? settings.kinds().size() : servedDestination;
-        return new Entry("h" + destination + "-" + host, servedDestination, host % 2, kind, presence, 3 + servedDestination, 0);
+        return new Entry(
+                "h" + destination + "-" + host, servedDestination, host % 2, kind, presence, 3 + servedDestination, 0);
     }
 }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -2,8 +2,8 @@
 
 import static lilaclever.DecisionModuleHarness.KEYED;
 import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static lilaclever.DecisionModuleHarness.ZONED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -68,7 +68,9 @@
             long delayMicros = microsUntilSent(id, 16 * SECOND);
             assertTrue(delayMicros >= stepsMicros[i] / 2, "delay " + i + " was " + delayMicros);
             // From the second refusal in a row on, the lower rate of an outage may add to the step.
-            assertTrue(delayMicros <= stepsMicros[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MILLISECOND, "delay " + i + " was " + delayMicros);
+            assertTrue(
+                    delayMicros <= stepsMicros[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MILLISECOND,
+                    "delay " + i + " was " + delayMicros);
         }
     }
 
@@ -77,7 +79,10 @@
         List<Long> delaysMicros = new ArrayList<>();
         for (int seed = 0; seed < 5; seed++) {
             DecisionModule module = DecisionModule.create(harness.settings, seed);
-            module.decide(0, List.of(new Event.Listing(ListingKind.ALL, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0)))));
+            module.decide(
+                    0,
+                    List.of(new Event.Listing(
+                            ListingKind.ALL, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0)))));
             module.decide(SECOND, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * SECOND)));
             for (Action a : module.decide(
                     SECOND, List.of(new Event.Outcome("m", "a1", 0, Ending.NOT_SENT, 1, 0, true, false, null)))) {
@@ -303,8 +308,9 @@
         int refused = 0;
         for (int i = 0; i < 30; i++) {
             harness.submit(SAFE, 1);
-            refused +=
-                    harness.actions.stream().filter(Action.Refuse.class::isInstance).count();
+            refused += harness.actions.stream()
+                    .filter(Action.Refuse.class::isInstance)
+                    .count();
         }
         assertTrue(harness.checker.openMessages().size() <= 20);
         assertEquals(30 - harness.checker.openMessages().size(), refused);
@@ -313,7 +319,9 @@
     @Test
     void aWithdrawnMessageIsNotRetried() {
         String id = harness.submit(SAFE, 1);
-        harness.runRound(new Event.Withdrawn(id)).reportOutcome(id, "a1", 0, Ending.ERROR).runRoundsFor(SECOND);
+        harness.runRound(new Event.Withdrawn(id))
+                .reportOutcome(id, "a1", 0, Ending.ERROR)
+                .runRoundsFor(SECOND);
         assertEquals(List.of(), harness.hostsSentTo());
         harness.runRound(new Event.Withdrawn("unknown"), new Event.Timer(5));
     }
@@ -348,7 +356,9 @@
                 harness.runRoundsFor(5 * MILLISECOND);
             } while (!harness.actions.contains(new Action.Watch(true)) && harness.nowMicros < fromMicros + 10 * SECOND);
             requestedAfterMicros = harness.nowMicros - fromMicros;
-            assertTrue(requestedAfterMicros >= minDelayMicros && requestedAfterMicros < 10 * SECOND, "requested after " + requestedAfterMicros);
+            assertTrue(
+                    requestedAfterMicros >= minDelayMicros && requestedAfterMicros < 10 * SECOND,
+                    "requested after " + requestedAfterMicros);
         }
     }
 
@@ -455,8 +465,9 @@
             submitToSeveralDestinations(5, messageClass);
             assertEquals(5, harness.hostsSentTo().size());
             harness.runRoundsFor(5 * SECOND);
-            long cancelled =
-                    harness.actions.stream().filter(Action.Cancel.class::isInstance).count();
+            long cancelled = harness.actions.stream()
+                    .filter(Action.Cancel.class::isInstance)
+                    .count();
             assertEquals(1, cancelled, "one message waits: one call is cancelled, not all five");
             harness = DecisionModuleHarness.withTwoDestinations();
         }
@@ -476,7 +487,8 @@
         harness.nowMicros += 2 * SECOND;
         Event[] outcomes = new Event[6];
         for (int d = 0; d < outcomes.length; d++) {
-            outcomes[d] = new Event.Outcome(ids.get(d), "h" + d, 0, Ending.TIMED_OUT, 2 * SECOND, 0, false, false, null);
+            outcomes[d] =
+                    new Event.Outcome(ids.get(d), "h" + d, 0, Ending.TIMED_OUT, 2 * SECOND, 0, false, false, null);
         }
         harness.runRound(outcomes);
         harness.nowMicros += 400 * MILLISECOND; // all six may be sent again now, each to an endpoint that timed out
@@ -492,7 +504,10 @@
 
     @Test
     void severalUnresponsiveDestinationsTogetherLeaveSlotsForTheRest() {
-        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("d1", 4, 0, 0), DecisionModuleHarness.entry("e1", 5, 0, 0));
+        harness.applyListing(
+                ListingKind.CHANGES,
+                DecisionModuleHarness.entry("d1", 4, 0, 0),
+                DecisionModuleHarness.entry("e1", 5, 0, 0));
         String healthy = harness.submit(SAFE, 2);
         harness.reportOutcome(healthy, "b1", 0, Ending.DELIVERED);
         int callsInFlight = 0;
@@ -563,9 +578,14 @@
     @Test
     void whereAnEndpointKindTakesFewConnectionsABusyForwarderClosesIdleOnesToo() {
         harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 14));
-        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("c1", 3, 0, 0), DecisionModuleHarness.entry("b1", 2, 0, 1));
+        harness.applyListing(
+                ListingKind.REMEMBERED,
+                DecisionModuleHarness.entry("a1", 1, 0, 0),
+                DecisionModuleHarness.entry("c1", 3, 0, 0),
+                DecisionModuleHarness.entry("b1", 2, 0, 1));
         for (int i = 0; i < 20; i++) {
-            harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).runRoundsFor(100 * MILLISECOND);
+            harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED)
+                    .runRoundsFor(100 * MILLISECOND);
         }
         assertTrue(harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
         harness.reportOutcome(harness.submit(SAFE, 3), "c1", 0, Ending.NO_CONNECTION);
@@ -573,7 +593,8 @@
         assertTrue(harness.actions.contains(new Action.CloseIdle("a1")), harness.actions.toString());
         harness.reportOutcome(harness.submit(SAFE, 2), "b1", 0, Ending.DELIVERED);
         assertTrue(
-                harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), "nothing is known about other kinds");
+                harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance),
+                "nothing is known about other kinds");
     }
 
     /**
@@ -590,7 +611,8 @@
         attemptCounts.put(first, 1);
         answerAll(attemptCounts, 12 * SECOND, Ending.NO_CONNECTION); // an outage, so no full connection table
         harness.runRoundsFor(60 * SECOND);
-        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED).runRoundsFor(15 * SECOND); // recovered, and slow start is over
+        harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, Ending.DELIVERED)
+                .runRoundsFor(15 * SECOND); // recovered, and slow start is over
         List<String> ids = List.of(
                 harness.submit(SAFE, 1),
                 harness.submit(SAFE, 1),
@@ -599,7 +621,8 @@
                 harness.submit(SAFE, 1));
         ids.forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.NO_ROOM));
         ids.forEach(id -> attemptCounts.put(id, 1));
-        assertEquals(5, answerAll(attemptCounts, 3 * SECOND, Ending.DELIVERED), "all are sent once connects are accepted");
+        assertEquals(
+                5, answerAll(attemptCounts, 3 * SECOND, Ending.DELIVERED), "all are sent once connects are accepted");
     }
 
     /** Guards against a large fleet that fills an endpoint's connection table with one idle connection each. */
@@ -636,10 +659,13 @@
                 harness.runRoundsFor(5 * MILLISECOND);
             }
             for (Action action : harness.actions) {
-                assertTrue(!(action instanceof Action.Send s) || s.dropAtMicros() < firstSentMicros + 5 * SECOND, action.toString());
+                assertTrue(
+                        !(action instanceof Action.Send s) || s.dropAtMicros() < firstSentMicros + 5 * SECOND,
+                        action.toString());
             }
         }
-        assertTrue(harness.nowMicros > firstSentMicros + 3 * SECOND, "it was sent close to the end of its repeat window");
+        assertTrue(
+                harness.nowMicros > firstSentMicros + 3 * SECOND, "it was sent close to the end of its repeat window");
     }
 
     @Test
@@ -680,7 +706,10 @@
     @Test
     void whereFailuresAreTransientASingleOneIsNoOutage() {
         harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
-        harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("c1", 3, 0, 0));
+        harness.applyListing(
+                ListingKind.REMEMBERED,
+                DecisionModuleHarness.entry("a1", 1, 0, 0),
+                DecisionModuleHarness.entry("c1", 3, 0, 0));
         for (int i = 0; i < 6; i++) {
             String id = harness.submit(SAFE, 1);
             if (!harness.wasSent(id)) {
@@ -713,7 +742,8 @@
         assertTrue(harness.wasRefused(first), "the retry-after is longer than its time");
         String next = harness.submit(SAFE, 1);
         assertTrue(harness.wasRefused(next), "so it is for a message that comes later");
-        assertTrue(harness.actions.stream().anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * SECOND));
+        assertTrue(harness.actions.stream()
+                .anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * SECOND));
     }
 
     /** Counts calls in 4 s to a limit that refuses all, and reports 10 calls a second and this share left. */
@@ -722,7 +752,9 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         Map<String, Integer> attemptCounts = new HashMap<>();
         int sent = 0;
-        for (long endMicros = harness.nowMicros + 4 * SECOND; harness.nowMicros < endMicros; harness.nowMicros += 50 * MILLISECOND) {
+        for (long endMicros = harness.nowMicros + 4 * SECOND;
+                harness.nowMicros < endMicros;
+                harness.nowMicros += 50 * MILLISECOND) {
             if (harness.checker.openMessages().size() < 10) {
                 harness.submit(SAFE, 1);
             } else {
@@ -766,8 +798,10 @@
             harness.runRoundsFor(500 * MILLISECOND);
         }
         String rejected = harness.submit(SAFE, 1);
-        harness.runRound(new Event.Outcome(rejected, "a1", 0, Ending.NO_CONNECTION, 20 * MILLISECOND, 0, false, false, null));
-        assertTrue(microsUntilSent(rejected, SECOND) > 0, "its connection table was full, as the deliveries before show");
+        harness.runRound(
+                new Event.Outcome(rejected, "a1", 0, Ending.NO_CONNECTION, 20 * MILLISECOND, 0, false, false, null));
+        assertTrue(
+                microsUntilSent(rejected, SECOND) > 0, "its connection table was full, as the deliveries before show");
     }
 
     @Test
@@ -776,8 +810,8 @@
         harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         String id = harness.submit(SAFE, 1);
-        harness.runRound(
-                new Event.Outcome(id, "a1", 0, Ending.FULL, 5 * MILLISECOND, 0, false, false, new DecisionModule.Report(0, 10)));
+        harness.runRound(new Event.Outcome(
+                id, "a1", 0, Ending.FULL, 5 * MILLISECOND, 0, false, false, new DecisionModule.Report(0, 10)));
         assertTrue(microsUntilSent(id, 19 * SECOND) >= 100 / (0.7 * 10) * SECOND, "no more than 0.7 of the even share");
     }
 
@@ -792,7 +826,10 @@
         }
         attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, ending));
         answerAll(attemptCounts, 10 * SECOND, ending);
-        harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0), new Entry("a1", 1, 0, 0, oldHostPresence, 1, 0));
+        harness.applyListing(
+                ListingKind.CHANGES,
+                DecisionModuleHarness.entry("a2", 1, 0, 0),
+                new Entry("a1", 1, 0, 0, oldHostPresence, 1, 0));
         assertTrue(harness.hostsSentTo().size() <= 1, harness.hostsSentTo().toString());
     }
 
@@ -830,7 +867,8 @@
 
     @Test
     void anOutageGetsFewTrialCallsAndARecoveryStaysWithinItsBudget() {
-        List<String> ids = List.of(harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
+        List<String> ids = List.of(
+                harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
         ids.forEach(id -> harness.reportOutcome(id, "a1", 0, Ending.ERROR));
         harness.runRoundsFor(4 * SECOND);
         assertEquals(1, harness.hostsSentTo().size(), "one trial call, whose outcome is still pending");
@@ -880,7 +918,8 @@
                     .toList()) {
                 int attempt = attemptsByMessage.merge(s.id(), 1, Integer::sum) - 1;
                 delivered += s.host().equals("a2") ? 1 : 0;
-                harness.reportOutcome(s.id(), s.host(), attempt, s.host().equals("a2") ? Ending.DELIVERED : Ending.NO_CONNECTION);
+                harness.reportOutcome(
+                        s.id(), s.host(), attempt, s.host().equals("a2") ? Ending.DELIVERED : Ending.NO_CONNECTION);
             }
         }
         assertTrue(delivered >= 15, "delivered " + delivered + " of 20");
@@ -938,7 +977,10 @@
         for (int i = 0; i < 300; i++) {
             String id = harness.submit(UNSAFE, 1, "key" + i);
             harness.reportOutcome(id, "a1", 0, Ending.DELIVERED);
-            harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("a1", 1, 0, 0), DecisionModuleHarness.entry("gone" + i, 2, 0, 1));
+            harness.applyListing(
+                    ListingKind.ALL,
+                    DecisionModuleHarness.entry("a1", 1, 0, 0),
+                    DecisionModuleHarness.entry("gone" + i, 2, 0, 1));
         }
         for (String name : List.of("messages", "lines")) {
             assertEquals(0, ((Map<?, ?>) field(name)).size(), name);
@@ -966,12 +1008,14 @@
     @Test
     void anInvalidSettingIsNamedInTheError() {
         IllegalArgumentException e = assertThrows(
-                IllegalArgumentException.class, () -> DecisionModule.create(DecisionModuleHarness.settings(0, 50, 6, false), 1));
+                IllegalArgumentException.class,
+                () -> DecisionModule.create(DecisionModuleHarness.settings(0, 50, 6, false), 1));
         assertTrue(e.getMessage().contains("slots"));
     }
 
     // Restart and end of the program
-    private Event.Submit recoveredMessage(int messageClass, int attempts, boolean mayHaveRun, long mayHaveRunMicrosAgo) {
+    private Event.Submit recoveredMessage(
+            int messageClass, int attempts, boolean mayHaveRun, long mayHaveRunMicrosAgo) {
         return new Event.Submit(
                 "r",
                 messageClass,
@@ -987,14 +1031,18 @@
     @Test
     void anUnsafeMessageThatMayHaveRunBeforeARestartFailsAtOnce() {
         assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, true, SECOND)).hasFailed("r"));
-        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, false, 0)).wasSent("r"), "a message that never ran is sent");
+        assertTrue(
+                harness.runRound(recoveredMessage(UNSAFE, 1, false, 0)).wasSent("r"),
+                "a message that never ran is sent");
     }
 
     @Test
     void aKeyedMessageKeepsItsRepeatWindowOverARestart() {
-        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 4 * SECOND)).wasSent("r"));
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 4 * SECOND))
+                .wasSent("r"));
         harness = DecisionModuleHarness.withTwoDestinations();
-        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 6 * SECOND)).wasRefused("r"));
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 6 * SECOND))
+                .wasRefused("r"));
     }
 
     /**
@@ -1007,7 +1055,15 @@
         List<Event> recovered = new ArrayList<>();
         for (int i = 0; i < 49; i++) {
             recovered.add(new Event.Submit(
-                    "r" + i, SAFE, 1, 0, null, false, false, 20 * SECOND, new DecisionModule.Prior(0, false, "", 0, 0)));
+                    "r" + i,
+                    SAFE,
+                    1,
+                    0,
+                    null,
+                    false,
+                    false,
+                    20 * SECOND,
+                    new DecisionModule.Prior(0, false, "", 0, 0)));
         }
         harness.runRound(recovered.toArray(Event[]::new));
         assertEquals(
@@ -1017,7 +1073,8 @@
         String newMessage = harness.submit(SAFE, 1);
         assertTrue(harness.wasRefused(newMessage), "the new message, whose client may use another forwarder");
         assertEquals(
-                1, harness.actions.stream().filter(a -> a instanceof Action.Refuse).count());
+                1,
+                harness.actions.stream().filter(a -> a instanceof Action.Refuse).count());
     }
 
     @Test
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -83,7 +83,9 @@
         fixture.advanceClock(500 * MILLISECOND);
         refuse(0);
         double rateAfterTwo = limits.allowedRate(limit);
-        assertTrue(rateAfterTwo < rateAfterOne && rateAfterTwo > 0.5 * rateAfterOne, rateAfterTwo + " after " + rateAfterOne);
+        assertTrue(
+                rateAfterTwo < rateAfterOne && rateAfterTwo > 0.5 * rateAfterOne,
+                rateAfterTwo + " after " + rateAfterOne);
         limits.onDelivered(limit);
         assertEquals(rateAfterTwo + 0.2, limits.allowedRate(limit), 1e-9);
     }
@@ -106,8 +108,10 @@
     void inTheLargestFleetsTheAssuredRateIsOneCallInFiftySeconds() {
         PolicyFixture fixtureOfLargeFleet = new PolicyFixture(1_000);
         SlowStart slowStartInFleet = new SlowStart(fixtureOfLargeFleet.state);
-        DestinationLimits limitsInFleet = limits(fixtureOfLargeFleet, slowStartInFleet, new RateEstimates(fixtureOfLargeFleet.state, slowStartInFleet));
-        assertEquals(0.02, limitsInFleet.assuredRate(fixtureOfLargeFleet.limit), "ten shares of 1.5 a second are 0.015");
+        DestinationLimits limitsInFleet = limits(
+                fixtureOfLargeFleet, slowStartInFleet, new RateEstimates(fixtureOfLargeFleet.state, slowStartInFleet));
+        assertEquals(
+                0.02, limitsInFleet.assuredRate(fixtureOfLargeFleet.limit), "ten shares of 1.5 a second are 0.015");
         fixtureOfLargeFleet.limit.refusals = 9;
         assertEquals(0.02, limitsInFleet.assuredRate(fixtureOfLargeFleet.limit));
     }
@@ -168,11 +172,14 @@
     void inALargeFleetTheSecondRefusalLimitsCallsToTheRateOfAnOutage() {
         PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
         SlowStart slowStartInFleet = new SlowStart(fixtureOfLargeFleet.state);
-        DestinationLimits limitsInFleet = limits(fixtureOfLargeFleet, slowStartInFleet, new RateEstimates(fixtureOfLargeFleet.state, slowStartInFleet));
+        DestinationLimits limitsInFleet = limits(
+                fixtureOfLargeFleet, slowStartInFleet, new RateEstimates(fixtureOfLargeFleet.state, slowStartInFleet));
         Endpoint endpointInFleet = fixtureOfLargeFleet.addEndpoint();
         limitsInFleet.onRefused(fixtureOfLargeFleet.limit, endpointInFleet, 0, null);
         long throttledForMicros = fixtureOfLargeFleet.limit.throttledUntil - fixtureOfLargeFleet.state.now;
-        assertTrue(throttledForMicros >= 2_500 * MILLISECOND && throttledForMicros <= 7_500 * MILLISECOND, "throttled for " + throttledForMicros);
+        assertTrue(
+                throttledForMicros >= 2_500 * MILLISECOND && throttledForMicros <= 7_500 * MILLISECOND,
+                "throttled for " + throttledForMicros);
         fixtureOfLargeFleet.advanceClock(10 * SECOND);
         limitsInFleet.onRefused(fixtureOfLargeFleet.limit, endpointInFleet, 0, null);
         fixtureOfLargeFleet.limit.lastSentAt = fixtureOfLargeFleet.state.now;
@@ -180,6 +187,7 @@
         fixtureOfLargeFleet.limit.rateCeiling = 0;
         long delayMicros = limitsInFleet.readyAt(fixtureOfLargeFleet.limit) - fixtureOfLargeFleet.state.now;
         // A recovering destination's part, 0.425, of one call in the 10 s of the outage, divided by a factor of 1 to 2.
-        assertTrue(delayMicros >= 10 * SECOND / 0.425 - 1 && delayMicros <= 20 * SECOND / 0.425, "delay " + delayMicros);
+        assertTrue(
+                delayMicros >= 10 * SECOND / 0.425 - 1 && delayMicros <= 20 * SECOND / 0.425, "delay " + delayMicros);
     }
 }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -70,7 +70,11 @@
         endpoint.inOutage = true;
         endpoint.lastSentAt = fixture.state.now;
         // A recovering destination's part, 0.425, of an even share of 0.75 calls a second.
-        assertEquals(SECOND / (0.425 * 2), microsUntilReady(endpoint), 1, "two calls a second where the outage has just begun");
+        assertEquals(
+                SECOND / (0.425 * 2),
+                microsUntilReady(endpoint),
+                1,
+                "two calls a second where the outage has just begun");
         fixture.limit.failingFor = 60 * SECOND;
         assertEquals(SECOND / (0.425 * 0.75), microsUntilReady(endpoint), 1);
         endpoint.trialPause = 4 * SECOND;
@@ -85,7 +89,10 @@
         fixtureOfLargeFleet.limit.failingFor = 60 * SECOND;
         partsInFleet.slowStart.begin(recovering);
         recovering.lastSentAt = fixtureOfLargeFleet.state.now;
-        assertEquals(10 * SECOND, partsInFleet.availability.readyAt(recovering) - fixtureOfLargeFleet.state.now, "not one call in 141 s");
+        assertEquals(
+                10 * SECOND,
+                partsInFleet.availability.readyAt(recovering) - fixtureOfLargeFleet.state.now,
+                "not one call in 141 s");
     }
 
     @Test
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -105,7 +105,8 @@
 
     @Test
     void limitsAreSharedOrSeparateAsTheKindSays() {
-        applyListing(ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0), entry("c", 2, 0, 1), entry("d", 2, 0, 1));
+        applyListing(
+                ListingKind.ALL, entry("a", 1, 0, 0), entry("b", 1, 0, 0), entry("c", 2, 0, 1), entry("d", 2, 0, 1));
         assertSame(endpoints.get("a").limit, endpoints.get("b").limit);
         assertNotSame(endpoints.get("c").limit, endpoints.get("d").limit);
     }
@@ -166,10 +167,19 @@
         directory.onAsked();
         assertEquals(PolicyState.NEVER, directory.askAt());
         // Delays start at 0.4 s and double, up to a third of the 10 s within which the rules demand a request.
-        for (long delayMicros : new long[] {400 * MILLISECOND, 800 * MILLISECOND, 1_600 * MILLISECOND, 3_200 * MILLISECOND, 10 * SECOND / 3, 10 * SECOND / 3}) {
+        for (long delayMicros : new long[] {
+            400 * MILLISECOND,
+            800 * MILLISECOND,
+            1_600 * MILLISECOND,
+            3_200 * MILLISECOND,
+            10 * SECOND / 3,
+            10 * SECOND / 3
+        }) {
             applyListing(ListingKind.REFUSED);
             long askedAfterMicros = directory.askAt() - fixture.state.now;
-            assertTrue(askedAfterMicros >= delayMicros / 2 && askedAfterMicros <= delayMicros * 3 / 2, askedAfterMicros + " instead of " + delayMicros);
+            assertTrue(
+                    askedAfterMicros >= delayMicros / 2 && askedAfterMicros <= delayMicros * 3 / 2,
+                    askedAfterMicros + " instead of " + delayMicros);
         }
         applyListing(ListingKind.CHANGES);
         applyListing(ListingKind.REFUSED);
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -2,8 +2,8 @@
 
 import static lilaclever.DecisionModuleHarness.KEYED;
 import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
 import static lilaclever.DecisionModuleHarness.SAFE;
+import static lilaclever.DecisionModuleHarness.SECOND;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -45,7 +45,8 @@
         Random random = new Random(fromMicros + seed);
         for (long nowMicros = fromMicros; nowMicros < toMicros; nowMicros += TICK_MICROS) {
             if (random.nextDouble() < MESSAGES_PER_SECOND * TICK_MICROS / SECOND) {
-                pendingEvents.get(random.nextInt(FORWARDERS))
+                pendingEvents
+                        .get(random.nextInt(FORWARDERS))
                         .add(new Event.Submit("m" + nowMicros, SAFE, 1, 0, null, false, false, 20 * SECOND));
             }
             for (int r = 0; r < FORWARDERS; r++) {
@@ -64,7 +65,8 @@
                     } else if (action instanceof Action.Send s) {
                         callsByInformed += informed.contains(r) ? 1 : 0;
                         callsByUninformed += informed.contains(r) ? 0 : 1;
-                        pendingEvents.get(r)
+                        pendingEvents
+                                .get(r)
                                 .add(new Event.Outcome(
                                         s.id(),
                                         s.host(),
@@ -98,13 +100,20 @@
             }
             int callsByInformedBefore = callsByInformed;
             int callsByUninformedBefore = callsByUninformed;
-            simulate(1000 * SECOND, 1000 * SECOND + lengthMicros, ending, sendsRetryAfter ? 1000 * SECOND + lengthMicros : 0, true);
+            simulate(
+                    1000 * SECOND,
+                    1000 * SECOND + lengthMicros,
+                    ending,
+                    sendsRetryAfter ? 1000 * SECOND + lengthMicros : 0,
+                    true);
             callsByInformed = callsByInformedBefore;
             callsByUninformed = callsByUninformedBefore;
             simulate(1000 * SECOND + lengthMicros, 1002 * SECOND + lengthMicros, ending, 0, false);
         }
         // The rule allows a factor of 2 (two thirds of the calls); 1.5 leaves a margin for chance.
-        assertTrue(callsByInformed < 1.5 * callsByUninformed, callsByInformed + " calls by forwarders that saw the outage, " + callsByUninformed + " by others");
+        assertTrue(
+                callsByInformed < 1.5 * callsByUninformed,
+                callsByInformed + " calls by forwarders that saw the outage, " + callsByUninformed + " by others");
     }
 
     /**
@@ -130,7 +139,9 @@
     @Test
     void errorsAtAllHostsAreAnOutageToEveryForwarder() {
         simulateOutage(Ending.ERROR, false, 2, 8 * SECOND);
-        assertTrue(2 * callsByInformed < callsByUninformed, callsByInformed + " calls by forwarders that saw the outage, " + callsByUninformed + " by others");
+        assertTrue(
+                2 * callsByInformed < callsByUninformed,
+                callsByInformed + " calls by forwarders that saw the outage, " + callsByUninformed + " by others");
     }
 
     /** Guards against a burst of retries by messages that failed together: their delays are spread by chance. */
@@ -138,7 +149,8 @@
     void messagesThatFailTogetherAreRetriedAtDifferentTimes() {
         List<Long> sendTimesMicros = new ArrayList<>();
         for (int r = 0; r < 60; r++) {
-            DecisionModule forwarder = DecisionModule.create(DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), r);
+            DecisionModule forwarder =
+                    DecisionModule.create(DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), r);
             long nowMicros = 1000 * SECOND + r * 10 * MILLISECOND;
             String id = "m" + r;
             int attempt = 0;
@@ -151,7 +163,15 @@
                     if (action instanceof Action.Send s) {
                         sendTimesMicros.add(nowMicros - 1000 * SECOND);
                         nextEvents.add(new Event.Outcome(
-                                id, s.host(), attempt++, Ending.NO_CONNECTION, 20 * MILLISECOND, 0, false, false, null));
+                                id,
+                                s.host(),
+                                attempt++,
+                                Ending.NO_CONNECTION,
+                                20 * MILLISECOND,
+                                0,
+                                false,
+                                false,
+                                null));
                     }
                 }
                 events = nextEvents;
@@ -162,7 +182,9 @@
             long startMicros = fromMicros;
             mostInOneSecond = Math.max(
                     mostInOneSecond,
-                    sendTimesMicros.stream().filter(t -> t >= startMicros && t < startMicros + SECOND).count());
+                    sendTimesMicros.stream()
+                            .filter(t -> t >= startMicros && t < startMicros + SECOND)
+                            .count());
         }
         assertTrue(mostInOneSecond <= 30, mostInOneSecond + " of 60 are sent again in one second");
     }
@@ -211,8 +233,8 @@
             rules = settings.rules();
             for (int r = 0; r < fleetSize; r++) {
                 forwarders.add(DecisionModule.create(settings, seed * 1000 + r));
-                pendingEvents.add(new ArrayList<>(
-                        List.of(new Event.Listing(ListingKind.REMEMBERED, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0))))));
+                pendingEvents.add(new ArrayList<>(List.of(new Event.Listing(
+                        ListingKind.REMEMBERED, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0))))));
             }
         }
 
@@ -222,8 +244,10 @@
             recoveryStartMicros = outageEnding == null && outageStartMicros > 0 ? fromMicros : Long.MAX_VALUE;
             for (long nowMicros = fromMicros; nowMicros < toMicros; nowMicros += TICK_MICROS) {
                 if (random.nextDouble() < CAPACITY_PER_SECOND * LOAD_SHARE * TICK_MICROS / SECOND) {
-                    pendingEvents.get(random.nextInt(forwarders.size()))
-                            .add(new Event.Submit("m" + messagesCreated++, SAFE, 1, 0, null, false, false, 20 * SECOND));
+                    pendingEvents
+                            .get(random.nextInt(forwarders.size()))
+                            .add(new Event.Submit(
+                                    "m" + messagesCreated++, SAFE, 1, 0, null, false, false, 20 * SECOND));
                 }
                 for (int r = 0; r < forwarders.size(); r++) {
                     if (!pendingEvents.get(r).isEmpty() || wakeAtMicros.getOrDefault(r, Long.MAX_VALUE) <= nowMicros) {
@@ -245,7 +269,8 @@
                     wakeAtMicros.merge(r, nowMicros + w.afterMicros(), Math::min);
                 } else if (action instanceof Action.Send s) {
                     Ending ending = outageEnding == null ? Ending.DELIVERED : outageEnding;
-                    pendingEvents.get(r)
+                    pendingEvents
+                            .get(r)
                             .add(new Event.Outcome(
                                     s.id(),
                                     s.host(),
@@ -267,12 +292,14 @@
             recentCalls.add(new long[] {nowMicros, informed.contains(r) ? 1 : 0});
             recentCalls.removeIf(x -> x[0] <= nowMicros - rules.overloadMicros());
             double capacityShare = rules.coldFrom()
-                    + (1 - rules.coldFrom()) * Math.min(1, (nowMicros - recoveryStartMicros) / (double) rules.rampMicros());
+                    + (1 - rules.coldFrom())
+                            * Math.min(1, (nowMicros - recoveryStartMicros) / (double) rules.rampMicros());
             double budget = rules.tipMultiple() * CAPACITY_PER_SECOND * capacityShare * rules.overloadMicros() / SECOND;
             long byInformed = recentCalls.stream().filter(x -> x[1] == 1).count();
             if (recentCalls.size() > budget + 2 * Math.sqrt(budget) + 2 && byInformed >= 2 * recentCalls.size() / 3.0) {
-                breaches.add(recentCalls.size() + " calls, " + byInformed + " by forwarders that saw the outage, for a budget of "
-                        + (int) budget + " after " + (nowMicros - recoveryStartMicros) / MILLISECOND + " ms");
+                breaches.add(recentCalls.size() + " calls, " + byInformed
+                        + " by forwarders that saw the outage, for a budget of " + (int) budget + " after "
+                        + (nowMicros - recoveryStartMicros) / MILLISECOND + " ms");
             }
         }
     }
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -110,7 +110,9 @@
         for (long maxAvoidMicros : new long[] {750 * MILLISECOND, 1_500 * MILLISECOND, 3 * SECOND, 3 * SECOND}) {
             fail(endpoint, Ending.ERROR, 1);
             long avoidMicros = endpoint.avoidUntil - fixture.state.now;
-            assertTrue(avoidMicros >= maxAvoidMicros / 3 && avoidMicros <= maxAvoidMicros, avoidMicros + " instead of at most " + maxAvoidMicros);
+            assertTrue(
+                    avoidMicros >= maxAvoidMicros / 3 && avoidMicros <= maxAvoidMicros,
+                    avoidMicros + " instead of at most " + maxAvoidMicros);
         }
     }
 
@@ -160,7 +162,9 @@
         Endpoint first = fixtureOfLargeFleet.addEndpoint();
         outagesInFleet.onFailure(fixtureOfLargeFleet.limit, first, Ending.ERROR, 10 * MILLISECOND);
         assertTrue(first.inOutage);
-        assertTrue(fixtureOfLargeFleet.limit.paceSpread > 1 && fixtureOfLargeFleet.limit.paceSpread < 2, "the rate is spread by chance");
+        assertTrue(
+                fixtureOfLargeFleet.limit.paceSpread > 1 && fixtureOfLargeFleet.limit.paceSpread < 2,
+                "the rate is spread by chance");
         Endpoint second = fixtureOfLargeFleet.addEndpoint();
         second.lastDeliveredSentAt = fixtureOfLargeFleet.state.now - SECOND;
         outagesInFleet.onFailure(fixtureOfLargeFleet.limit, second, Ending.NO_CONNECTION, 10 * MILLISECOND);
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -34,7 +34,8 @@
     private DecisionModuleHarness run(long seed, int rounds) {
         Random random = new Random(seed);
         // Later seeds stand for forwarders of a large fleet: 2 slots, 400 forwarders.
-        DecisionModuleHarness harness = new DecisionModuleHarness(DecisionModuleHarness.settings(seed > 8 ? 2 : 1 + random.nextInt(8), 20, 6, seed % 2 == 0, seed > 8 ? 400 : 2));
+        DecisionModuleHarness harness = new DecisionModuleHarness(DecisionModuleHarness.settings(
+                seed > 8 ? 2 : 1 + random.nextInt(8), 20, 6, seed % 2 == 0, seed > 8 ? 400 : 2));
         harness.applyListing(ListingKind.REMEMBERED, entries(random, false));
         List<CallInFlight> callsInFlight = new ArrayList<>();
         Map<String, Integer> attempts = new LinkedHashMap<>();
@@ -52,7 +53,8 @@
                 boolean answerLost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
                 if (timedOut || !answerLost && random.nextInt(12) == 0) {
                     callsInFlight.remove(call);
-                    Ending ending = timedOut ? Ending.TIMED_OUT : Ending.values()[random.nextInt(Ending.values().length)];
+                    Ending ending =
+                            timedOut ? Ending.TIMED_OUT : Ending.values()[random.nextInt(Ending.values().length)];
                     events.add(new Event.Outcome(
                             call.id,
                             call.host,
@@ -83,7 +85,9 @@
                         kind, i, kind == ListingKind.REFUSED ? List.of() : List.of(entries(random, true))));
             }
             if (random.nextInt(200) == 0) {
-                harness.checker.openMessages().stream().findFirst().ifPresent(id -> events.add(new Event.Withdrawn(id)));
+                harness.checker.openMessages().stream()
+                        .findFirst()
+                        .ifPresent(id -> events.add(new Event.Withdrawn(id)));
             }
             harness.runRound(events.toArray(new Event[0]));
             actionTrace.add(harness.actions.toString());
@@ -102,7 +106,8 @@
         for (int hostIndex = 0; hostIndex < HOSTS.length; hostIndex++) {
             if (!changing || random.nextBoolean()) {
                 Presence presence = changing ? Presence.values()[random.nextInt(3)] : Presence.ACTIVE;
-                entries.add(new Entry(HOSTS[hostIndex], hostIndex % 3, hostIndex / 3, hostIndex % 3, presence, 1 + hostIndex, 0));
+                entries.add(new Entry(
+                        HOSTS[hostIndex], hostIndex % 3, hostIndex / 3, hostIndex % 3, presence, 1 + hostIndex, 0));
             }
         }
         return entries.toArray(new Entry[0]);
--- a/src/test/java/lilaclever/RateEstimatesTest.java
+++ b/src/test/java/lilaclever/RateEstimatesTest.java
@@ -71,6 +71,7 @@
         double estimate = rates.evenShare(fixture.limit);
         assertEquals(2.5, estimate, 0.3, "a quarter of the mean rate of all destinations");
         fixture.state.queues.put(2, new DestinationQueue());
-        assertEquals(estimate / 2, rates.evenShare(fixture.limit), 1e-9, "the mean over two destinations is half as high");
+        assertEquals(
+                estimate / 2, rates.evenShare(fixture.limit), 1e-9, "the mean over two destinations is half as high");
     }
 }
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -31,12 +31,17 @@
         fixture.limit.toldRate = 8;
         endpoint.inOutage = true;
         endpoint.trialPause = SECOND / 2;
-        assertEquals(0.85 * 2.5 * 0.2 * 4, recoveryPace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
+        assertEquals(
+                0.85 * 2.5 * 0.2 * 4, recoveryPace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
         assertEquals(0.85 * 2.5 * 0.2 * 4, recoveryPace.inOutage(fixture.limit), 1e-9);
         fixture.addEndpoint();
         assertEquals(0.85 * 2.5 * 0.2 * 2, recoveryPace.callsPerSecond(endpoint), 1e-9, "two endpoints share it");
         fixture.limit.paceSpread = 1.5;
-        assertEquals(0.85 * 2.5 * 0.2 * 2 / 1.5, recoveryPace.callsPerSecond(endpoint), 1e-9, "the rate is spread by chance");
+        assertEquals(
+                0.85 * 2.5 * 0.2 * 2 / 1.5,
+                recoveryPace.callsPerSecond(endpoint),
+                1e-9,
+                "the rate is spread by chance");
     }
 
     @Test
@@ -64,11 +69,16 @@
         Endpoint endpointInOutage = fixtureOfLargeFleet.addEndpoint();
         endpointInOutage.inOutage = true;
         endpointInOutage.trialPause = SECOND / 2;
-        RecoveryPace recoveryPaceInFleet = recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state));
+        RecoveryPace recoveryPaceInFleet =
+                recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state));
         fixtureOfLargeFleet.limit.failingFor = 10 * SECOND;
         assertEquals(0.425 / 10, recoveryPaceInFleet.callsPerSecond(endpointInOutage), 1e-9);
         fixtureOfLargeFleet.limit.failingFor = 0;
-        assertEquals(0.425 * 2, recoveryPaceInFleet.callsPerSecond(endpointInOutage), 1e-9, "half a second is the shortest assumed length");
+        assertEquals(
+                0.425 * 2,
+                recoveryPaceInFleet.callsPerSecond(endpointInOutage),
+                1e-9,
+                "half a second is the shortest assumed length");
     }
 
     @Test
@@ -78,10 +88,18 @@
         endpointInOutage.refusingConnections = true;
         endpointInOutage.trialPause = SECOND / 2;
         double firstDelaySeconds = 20 * 0.425 / (1 + 1 / 0.425);
-        assertEquals(0.425 / firstDelaySeconds, recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state)).callsPerSecond(endpointInOutage), 1e-9);
+        assertEquals(
+                0.425 / firstDelaySeconds,
+                recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state))
+                        .callsPerSecond(endpointInOutage),
+                1e-9);
         endpointInOutage.refusingConnections = false;
         endpointInOutage.inOutage = true;
         fixtureOfLargeFleet.limit.severalFail = true;
-        assertEquals(0.425 / firstDelaySeconds, recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state)).callsPerSecond(endpointInOutage), 1e-9);
+        assertEquals(
+                0.425 / firstDelaySeconds,
+                recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state))
+                        .callsPerSecond(endpointInOutage),
+                1e-9);
     }
 }
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -126,7 +126,8 @@
             }
         }
         messages.forEach((id, message) -> {
-            if (!message.finished && nowMicros > message.answerByMicros + settings.rules().answerSlackMicros()) {
+            if (!message.finished
+                    && nowMicros > message.answerByMicros + settings.rules().answerSlackMicros()) {
                 breach(nowMicros, "lost", id + " has no answer by its deadline");
                 message.finished = true;
             }
@@ -154,7 +155,9 @@
             trackedHost.zone = entry.zone();
             trackedHost.ownLimit = entry.kind() < settings.kinds().size()
                     && settings.kinds().get(entry.kind()).ownLimits();
-            trackedHost.removedAtMicros = entry.presence() == Presence.ACTIVE ? Long.MAX_VALUE : Math.min(trackedHost.removedAtMicros, nowMicros);
+            trackedHost.removedAtMicros = entry.presence() == Presence.ACTIVE
+                    ? Long.MAX_VALUE
+                    : Math.min(trackedHost.removedAtMicros, nowMicros);
         }
     }
 
@@ -219,7 +222,8 @@
                 breach(nowMicros, "effect", a.id() + " is repeated outside its group");
             }
         }
-        if (trackedHost.removedAtMicros != Long.MAX_VALUE && nowMicros > trackedHost.removedAtMicros + settings.rules().drainGraceMicros()) {
+        if (trackedHost.removedAtMicros != Long.MAX_VALUE
+                && nowMicros > trackedHost.removedAtMicros + settings.rules().drainGraceMicros()) {
             breach(nowMicros, "drain", a.host() + " is sent to after its drain grace period");
         }
         if (limitsInRetryAfter.contains(limitOf(a.host()))) {
@@ -250,7 +254,8 @@
                 breach(nowMicros, "order", a.id() + " is sent before an earlier message of its key is finished");
             }
         }
-        if (nowMicros < keyDelayedUntilMicros.getOrDefault(message.key, 0L) && keyDelayExempt.get(message.key) != message) {
+        if (nowMicros < keyDelayedUntilMicros.getOrDefault(message.key, 0L)
+                && keyDelayExempt.get(message.key) != message) {
             breach(nowMicros, "order", a.id() + " is sent during the delay of its key");
         }
     }
@@ -268,7 +273,8 @@
         if (refused
                 && mayHaveEffect
                 && (message.messageClass.repeat() == Repeat.UNSAFE
-                        || message.messageClass.repeat() == Repeat.KEYED && message.messageClass.group() != Group.ALL)) {
+                        || message.messageClass.repeat() == Repeat.KEYED
+                                && message.messageClass.group() != Group.ALL)) {
             breach(nowMicros, "effect", id + " may have run and is refused");
         }
         message.finished = true;
@@ -276,16 +282,23 @@
 
     /** Calls sent in any window of a recovery must stay below multiple x present capacity x window. */
     private void checkBudget(long nowMicros, String limit, Recovery recovery) {
-        if (nowMicros < recovery.startMicros || nowMicros > recovery.startMicros + settings.rules().rampMicros()) {
+        if (nowMicros < recovery.startMicros
+                || nowMicros > recovery.startMicros + settings.rules().rampMicros()) {
             return;
         }
         long fromMicros = nowMicros - settings.rules().overloadMicros();
-        long sent = recovery.sendTimesMicros.stream().filter(t -> t > Math.max(fromMicros, recovery.startMicros)).count();
-        double rampShare = (double) (nowMicros - recovery.startMicros) / settings.rules().rampMicros();
+        long sent = recovery.sendTimesMicros.stream()
+                .filter(t -> t > Math.max(fromMicros, recovery.startMicros))
+                .count();
+        double rampShare =
+                (double) (nowMicros - recovery.startMicros) / settings.rules().rampMicros();
         double presentCapacity = recovery.capacityPerSecond
                 * (settings.rules().coldFrom() + (1 - settings.rules().coldFrom()) * rampShare);
-        double maxCalls =
-                settings.rules().tipMultiple() * presentCapacity * settings.rules().overloadMicros() / 1e6 + BUDGET_TOLERANCE_CALLS;
+        double maxCalls = settings.rules().tipMultiple()
+                        * presentCapacity
+                        * settings.rules().overloadMicros()
+                        / 1e6
+                + BUDGET_TOLERANCE_CALLS;
         if (sent > maxCalls && !recovery.breachReported) {
             recovery.breachReported = true;
             breach(nowMicros, "fail-back", limit + " is sent " + sent + " calls, more than " + maxCalls);
--- a/src/test/java/lilaclever/RuleCheckerTest.java
+++ b/src/test/java/lilaclever/RuleCheckerTest.java
@@ -47,7 +47,8 @@
     }
 
     private void outcome(String id, int attempt, Ending ending, long retryAfterMicros) {
-        checkEvents(new Event.Outcome(id, "a1", attempt, ending, 1, retryAfterMicros, false, ending == Ending.DELIVERED, null));
+        checkEvents(new Event.Outcome(
+                id, "a1", attempt, ending, 1, retryAfterMicros, false, ending == Ending.DELIVERED, null));
     }
 
     private void assertBreach(String rule) {
@@ -145,7 +146,8 @@
     @Test
     void findsASendToADrainedHost() {
         submit("m", DecisionModuleHarness.SAFE);
-        checkEvents(new Event.Listing(ListingKind.CHANGES, 2, List.of(new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
+        checkEvents(
+                new Event.Listing(ListingKind.CHANGES, 2, List.of(new Entry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
         nowMicros += SECOND + 1;
         send("m", "a1");
         assertBreach("drain");
