--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -91,7 +91,7 @@
     }
 
     @Test
-    void aRefusedClientIsToldToRetryWhenCapacityIsExpected() {
+    void theRetryAfterOfARefusalIsWhenCapacityIsExpected() {
         fixture.addEndpoint();
         assertEquals(0, admission.comeBackAfter(fixture.queue), "no message is waiting");
         parts.limits.onWait(fixture.limit, 300 * MILLISECOND);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void withoutAnActiveEndpointTheClientIsToldTheLongestRetryAfter() {
+    void withoutAnActiveEndpointTheRetryAfterIsTheLongest() {
         fixture.addEndpoint().active = false;
         assertEquals(2 * SECOND, admission.comeBackAfter(fixture.queue));
     }
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -76,14 +76,14 @@
 
     @Test
     void aLargeFleetClosesIdleConnectionsThatAreNotReusedInTheSameRound() {
-        PolicyFixture large = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
-        ConnectionReuse reuse = new ConnectionReuse(large.state);
-        Endpoint first = large.addEndpoint();
-        Endpoint second = large.addEndpoint();
+        PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
+        ConnectionReuse reuse = new ConnectionReuse(fixtureOfLargeFleet.state);
+        Endpoint first = fixtureOfLargeFleet.addEndpoint();
+        Endpoint second = fixtureOfLargeFleet.addEndpoint();
         reuse.onCallEnded(first, Ending.DELIVERED);
         reuse.onCallEnded(second, Ending.DELIVERED);
         reuse.onSend(first);
         reuse.closeUnused();
-        assertEquals(List.of(new Action.CloseIdle(second.host)), large.state.actions);
+        assertEquals(List.of(new Action.CloseIdle(second.host)), fixtureOfLargeFleet.state.actions);
     }
 }
--- a/src/test/java/lilaclever/DecisionModuleHarness.java
+++ b/src/test/java/lilaclever/DecisionModuleHarness.java
@@ -22,6 +22,7 @@
 
     /** Microseconds in a second. */
     static final long SECOND = 1_000_000;
+
     /** Message classes of {@link #settings}, by index. */
     static final int SAFE = 0;
 
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -55,7 +55,7 @@
         ERRORS,
         HALF_OF_CALLS_FAIL,
         MOST_CALLS_FAIL,
-        HANGS,
+        NEVER_ANSWERS,
         SLOW,
         RESETS,
         RANDOM_ENDING
@@ -271,7 +271,7 @@
                     setAnswer(call, Ending.ERROR, 10 * MILLISECOND, 0);
                 }
             }
-            case HANGS -> call.endsAtMicros = Long.MAX_VALUE;
+            case NEVER_ANSWERS -> call.endsAtMicros = Long.MAX_VALUE;
             case SLOW -> call.endsAtMicros = nowMicros + 8 * (call.endsAtMicros - nowMicros);
             case RESETS -> setAnswer(call, Ending.RESET, 30 * MILLISECOND, 0);
             case RANDOM_ENDING -> {
@@ -427,7 +427,7 @@
         int chosenDestination = random.nextInt(DESTINATIONS);
         boolean allOthers = random.nextInt(5) == 0;
         if (allOthers && random.nextBoolean()) {
-            behaviour = HostBehaviour.HANGS;
+            behaviour = HostBehaviour.NEVER_ANSWERS;
         }
         boolean oneHost = random.nextInt(4) == 0;
         for (int destination = 0; destination < DESTINATIONS; destination++) {
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -424,12 +424,12 @@
             harness.nowMicros += 50 * MILLISECOND; // 20 calls a second for two seconds
             harness.reportOutcome(id, "a1", 0, Ending.DELIVERED);
         }
-        String unhealthy = harness.submit(SAFE, 1);
+        String failing = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            harness.reportOutcome(unhealthy, "a1", i, Ending.ERROR);
-            microsUntilSent(unhealthy, 20 * SECOND);
+            harness.reportOutcome(failing, "a1", i, Ending.ERROR);
+            microsUntilSent(failing, 20 * SECOND);
         }
-        harness.reportOutcome(unhealthy, "a1", 4, Ending.DELIVERED);
+        harness.reportOutcome(failing, "a1", 4, Ending.DELIVERED);
         for (int i = 0; i < 40; i++) {
             harness.submit(SAFE, 1);
         }
@@ -445,12 +445,12 @@
             harness.nowMicros += 10 * MILLISECOND; // 100 calls a second to the other destination
             harness.reportOutcome(id, "b1", 0, Ending.DELIVERED);
         }
-        String unhealthy = harness.submit(SAFE, 1);
+        String failing = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
-            harness.reportOutcome(unhealthy, "a1", i, Ending.ERROR);
-            microsUntilSent(unhealthy, 20 * SECOND);
+            harness.reportOutcome(failing, "a1", i, Ending.ERROR);
+            microsUntilSent(failing, 20 * SECOND);
         }
-        harness.reportOutcome(unhealthy, "a1", 4, Ending.DELIVERED);
+        harness.reportOutcome(failing, "a1", 4, Ending.DELIVERED);
         for (int i = 0; i < 40; i++) {
             harness.submit(SAFE, 1);
         }
@@ -508,8 +508,8 @@
                 ListingKind.CHANGES,
                 DecisionModuleHarness.entry("d1", 4, 0, 0),
                 DecisionModuleHarness.entry("e1", 5, 0, 0));
-        String healthy = harness.submit(SAFE, 2);
-        harness.reportOutcome(healthy, "b1", 0, Ending.DELIVERED);
+        String answered = harness.submit(SAFE, 2);
+        harness.reportOutcome(answered, "b1", 0, Ending.DELIVERED);
         int callsInFlight = 0;
         for (int i = 0; i < 3; i++) {
             for (int destination : new int[] {1, 4, 5}) {
@@ -565,7 +565,7 @@
         Map<String, Integer> attemptCounts = new HashMap<>();
         ids.forEach(id -> attemptCounts.put(id, 1));
         int sent = answerAll(attemptCounts, 6 * SECOND, Ending.DELIVERED);
-        assertEquals(5, sent, "one trial call and no slow start: once a call is accepted, waiting messages go");
+        assertEquals(5, sent, "one trial call and no slow start: once a call is accepted, all are sent");
         harness.submit(SAFE, 1);
         harness.reportOutcome(((Action.Send) harness.actions.get(0)).id(), "a1", 0, Ending.DELIVERED);
         assertTrue(harness.actions.stream().anyMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -92,7 +92,7 @@
         assertEquals(
                 10 * SECOND,
                 partsInFleet.availability.readyAt(recovering) - fixtureOfLargeFleet.state.now,
-                "not one call in 141 s");
+                "at the end of slow start, not after 141 s");
     }
 
     @Test
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -49,24 +49,25 @@
                         .get(random.nextInt(FORWARDERS))
                         .add(new Event.Submit("m" + nowMicros, SAFE, 1, 0, null, false, false, 20 * SECOND));
             }
-            for (int r = 0; r < FORWARDERS; r++) {
-                if (pendingEvents.get(r).isEmpty() && wakeAtMicros.getOrDefault(r, Long.MAX_VALUE) > nowMicros) {
+            for (int forwarderIndex = 0; forwarderIndex < FORWARDERS; forwarderIndex++) {
+                if (pendingEvents.get(forwarderIndex).isEmpty()
+                        && wakeAtMicros.getOrDefault(forwarderIndex, Long.MAX_VALUE) > nowMicros) {
                     continue;
                 }
-                wakeAtMicros.remove(r);
-                List<Event> events = List.copyOf(pendingEvents.get(r));
-                pendingEvents.get(r).clear();
+                wakeAtMicros.remove(forwarderIndex);
+                List<Event> events = List.copyOf(pendingEvents.get(forwarderIndex));
+                pendingEvents.get(forwarderIndex).clear();
                 if (duringOutage && events.stream().anyMatch(e -> e instanceof Event.Outcome)) {
-                    informed.add(r);
+                    informed.add(forwarderIndex);
                 }
-                for (Action action : forwarders.get(r).decide(nowMicros, events)) {
+                for (Action action : forwarders.get(forwarderIndex).decide(nowMicros, events)) {
                     if (action instanceof Action.Wake w) {
-                        wakeAtMicros.merge(r, nowMicros + w.afterMicros(), Math::min);
+                        wakeAtMicros.merge(forwarderIndex, nowMicros + w.afterMicros(), Math::min);
                     } else if (action instanceof Action.Send s) {
-                        callsByInformed += informed.contains(r) ? 1 : 0;
-                        callsByUninformed += informed.contains(r) ? 0 : 1;
+                        callsByInformed += informed.contains(forwarderIndex) ? 1 : 0;
+                        callsByUninformed += informed.contains(forwarderIndex) ? 0 : 1;
                         pendingEvents
-                                .get(r)
+                                .get(forwarderIndex)
                                 .add(new Event.Outcome(
                                         s.id(),
                                         s.host(),
@@ -90,8 +91,9 @@
             wakeAtMicros.clear();
             attempts.clear();
             informed.clear();
-            for (int r = 0; r < FORWARDERS; r++) {
-                forwarders.add(DecisionModule.create(DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), r));
+            for (int forwarderIndex = 0; forwarderIndex < FORWARDERS; forwarderIndex++) {
+                forwarders.add(DecisionModule.create(
+                        DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), forwarderIndex));
                 pendingEvents.add(new ArrayList<>(List.of(new Event.Listing(
                         ListingKind.REMEMBERED,
                         1,
@@ -148,11 +150,11 @@
     @Test
     void messagesThatFailTogetherAreRetriedAtDifferentTimes() {
         List<Long> sendTimesMicros = new ArrayList<>();
-        for (int r = 0; r < 60; r++) {
+        for (int forwarderIndex = 0; forwarderIndex < 60; forwarderIndex++) {
             DecisionModule forwarder =
-                    DecisionModule.create(DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), r);
-            long nowMicros = 1000 * SECOND + r * 10 * MILLISECOND;
-            String id = "m" + r;
+                    DecisionModule.create(DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), forwarderIndex);
+            long nowMicros = 1000 * SECOND + forwarderIndex * 10 * MILLISECOND;
+            String id = "m" + forwarderIndex;
             int attempt = 0;
             List<Event> events = List.of(
                     new Event.Listing(ListingKind.REMEMBERED, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0))),
@@ -189,7 +191,7 @@
         assertTrue(mostInOneSecond <= 30, mostInOneSecond + " of 60 are sent again in one second");
     }
 
-    /** A destination that refuses all calls gives each forwarder the same time to retry; not all may come then. */
+    /** A destination that refuses all calls gives each forwarder the same time to retry; not all may do so then. */
     @Test
     void forwardersDoNotAllRetryWhenARetryAfterEnds() {
         simulateOutage(Ending.FULL, true, 1, 20 * SECOND);
@@ -231,8 +233,8 @@
             random = new Random(seed);
             DecisionModule.Settings settings = DecisionModuleHarness.settings(4, 50, 12, false, fleetSize);
             rules = settings.rules();
-            for (int r = 0; r < fleetSize; r++) {
-                forwarders.add(DecisionModule.create(settings, seed * 1000 + r));
+            for (int forwarderIndex = 0; forwarderIndex < fleetSize; forwarderIndex++) {
+                forwarders.add(DecisionModule.create(settings, seed * 1000 + forwarderIndex));
                 pendingEvents.add(new ArrayList<>(List.of(new Event.Listing(
                         ListingKind.REMEMBERED, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0))))));
             }
@@ -249,28 +251,29 @@
                             .add(new Event.Submit(
                                     "m" + messagesCreated++, SAFE, 1, 0, null, false, false, 20 * SECOND));
                 }
-                for (int r = 0; r < forwarders.size(); r++) {
-                    if (!pendingEvents.get(r).isEmpty() || wakeAtMicros.getOrDefault(r, Long.MAX_VALUE) <= nowMicros) {
-                        runRound(r, nowMicros, outageEnding);
+                for (int forwarderIndex = 0; forwarderIndex < forwarders.size(); forwarderIndex++) {
+                    if (!pendingEvents.get(forwarderIndex).isEmpty()
+                            || wakeAtMicros.getOrDefault(forwarderIndex, Long.MAX_VALUE) <= nowMicros) {
+                        runRound(forwarderIndex, nowMicros, outageEnding);
                     }
                 }
             }
         }
 
-        private void runRound(int r, long nowMicros, Ending outageEnding) {
-            wakeAtMicros.remove(r);
-            List<Event> newEvents = List.copyOf(pendingEvents.get(r));
-            pendingEvents.get(r).clear();
+        private void runRound(int forwarderIndex, long nowMicros, Ending outageEnding) {
+            wakeAtMicros.remove(forwarderIndex);
+            List<Event> newEvents = List.copyOf(pendingEvents.get(forwarderIndex));
+            pendingEvents.get(forwarderIndex).clear();
             if (newEvents.stream().anyMatch(e -> e instanceof Event.Outcome o && o.ending() != Ending.DELIVERED)) {
-                informed.add(r);
+                informed.add(forwarderIndex);
             }
-            for (Action action : forwarders.get(r).decide(nowMicros, newEvents)) {
+            for (Action action : forwarders.get(forwarderIndex).decide(nowMicros, newEvents)) {
                 if (action instanceof Action.Wake w) {
-                    wakeAtMicros.merge(r, nowMicros + w.afterMicros(), Math::min);
+                    wakeAtMicros.merge(forwarderIndex, nowMicros + w.afterMicros(), Math::min);
                 } else if (action instanceof Action.Send s) {
                     Ending ending = outageEnding == null ? Ending.DELIVERED : outageEnding;
                     pendingEvents
-                            .get(r)
+                            .get(forwarderIndex)
                             .add(new Event.Outcome(
                                     s.id(),
                                     s.host(),
@@ -282,14 +285,14 @@
                                     ending == Ending.DELIVERED,
                                     null));
                     if (nowMicros >= recoveryStartMicros) {
-                        checkBudget(r, nowMicros);
+                        checkBudget(forwarderIndex, nowMicros);
                     }
                 }
             }
         }
 
-        private void checkBudget(int r, long nowMicros) {
-            recentCalls.add(new long[] {nowMicros, informed.contains(r) ? 1 : 0});
+        private void checkBudget(int forwarderIndex, long nowMicros) {
+            recentCalls.add(new long[] {nowMicros, informed.contains(forwarderIndex) ? 1 : 0});
             recentCalls.removeIf(x -> x[0] <= nowMicros - rules.overloadMicros());
             double capacityShare = rules.coldFrom()
                     + (1 - rules.coldFrom())
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -25,7 +25,7 @@
         this(2);
     }
 
-    /** State of one of so many forwarders, with the clock at 1,000 s. */
+    /** State of one of {@code forwarders} forwarders, with the clock at 1,000 s. */
     PolicyFixture(int forwarders) {
         this(DecisionModuleHarness.settings(4, 50, 6, false, forwarders));
     }
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -26,7 +26,7 @@
     private static final int ROUNDS = 12_000;
     private static final String[] HOSTS = {"h0", "h1", "h2", "h3", "h4", "h5"};
 
-    /** A call in flight of one message. */
+    /** A call in flight, with its one message. */
     private record CallInFlight(String id, String host, int attempt, long sentAtMicros, long dropAtMicros) {}
 
     private final List<String> actionTrace = new ArrayList<>();
@@ -68,10 +68,10 @@
                 }
             }
             if (random.nextInt(8) == 0 && harness.checker.openMessages().size() < 20) {
-                int kind = random.nextInt(4);
+                int messageClass = random.nextInt(4);
                 events.add(new Event.Submit(
                         "s" + i,
-                        kind,
+                        messageClass,
                         random.nextInt(4),
                         random.nextInt(3) - 1,
                         random.nextInt(4) == 0 ? null : "k" + random.nextInt(3),
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -132,7 +132,7 @@
                 message.finished = true;
             }
         });
-        recoveries.forEach((limit, r) -> checkBudget(nowMicros, limit, r));
+        recoveries.forEach((limit, recovery) -> checkBudget(nowMicros, limit, recovery));
     }
 
     private void breach(long nowMicros, String rule, String text) {
