--- a/src/main/java/lilaclever/identity/Identities.java
+++ b/src/main/java/lilaclever/identity/Identities.java
@@ -49,7 +49,7 @@
         }
         return differs(content, past.content())
                 ? new DuplicateCheck.Clash<>(false)
-                : new DuplicateCheck.Again<>(past.end());
+                : new DuplicateCheck.Again<>(past.result());
     }
 
     private static boolean differs(Fingerprint a, Fingerprint b) {
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -137,7 +137,7 @@
                 line(json -> {
                     json.name("remembered").value(e.getKey());
                     json.name("until").value(instant(e.getValue().value.untilWall()));
-                    verdict(json, e.getValue().value.end());
+                    verdict(json, e.getValue().value.result());
                 });
             }
             return report.damages().isEmpty() && report.missing() == 0 ? GOOD : DAMAGED;
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -46,7 +46,7 @@
     /** An end that is remembered, under its identity. */
     static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
         out.begin(Type.REMEMBERED).text(identity);
-        end(out, p.end());
+        end(out, p.result());
         out.number(p.untilWall()).flag(p.content() != null);
         if (p.content() != null) {
             out.number(p.content().high()).number(p.content().low());
--- a/src/test/java/lilaclever/identity/IdentitiesTest.java
+++ b/src/test/java/lilaclever/identity/IdentitiesTest.java
@@ -160,7 +160,7 @@
                             : !known
                                     ? new DuplicateCheck.Fresh<>()
                                     : past.content().equals(content)
-                                            ? new DuplicateCheck.Again<>(past.end())
+                                            ? new DuplicateCheck.Again<>(past.result())
                                             : new DuplicateCheck.Clash<>(false);
                     assertEquals(should, is);
                     if (is instanceof DuplicateCheck.Fresh<String, String>) {
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -563,7 +563,7 @@
                     && !owed(journal, "stays").isOut());
             assertEquals(
                     FinalStatus.Kind.DELIVERED,
-                    journal.remembered("identity").end().kind());
+                    journal.remembered("identity").result().kind());
         }
     }
 
