--- a/src/main/java/lilaclever/identity/Identities.java
+++ b/src/main/java/lilaclever/identity/Identities.java
@@ -47,7 +47,7 @@
         if (past == null || past.untilWall() <= nowWall) {
             return new DuplicateCheck.Fresh<>();
         }
-        return differs(content, past.content())
+        return differs(content, past.fingerprint())
                 ? new DuplicateCheck.Clash<>(false)
                 : new DuplicateCheck.Again<>(past.result());
     }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -47,9 +47,9 @@
     static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
         out.begin(Type.REMEMBERED).text(identity);
         end(out, p.result());
-        out.number(p.untilWall()).flag(p.content() != null);
-        if (p.content() != null) {
-            out.number(p.content().high()).number(p.content().low());
+        out.number(p.untilWall()).flag(p.fingerprint() != null);
+        if (p.fingerprint() != null) {
+            out.number(p.fingerprint().high()).number(p.fingerprint().low());
         }
         out.end();
     }
--- a/src/test/java/lilaclever/identity/IdentitiesTest.java
+++ b/src/test/java/lilaclever/identity/IdentitiesTest.java
@@ -159,7 +159,7 @@
                                     : new DuplicateCheck.Clash<>(true)
                             : !known
                                     ? new DuplicateCheck.Fresh<>()
-                                    : past.content().equals(content)
+                                    : past.fingerprint().equals(content)
                                             ? new DuplicateCheck.Again<>(past.result())
                                             : new DuplicateCheck.Clash<>(false);
                     assertEquals(should, is);
