--- a/src/main/java/lilaclever/identity/CompletedMessage.java
+++ b/src/main/java/lilaclever/identity/CompletedMessage.java
@@ -5,6 +5,6 @@
  *
  * @param result how the message ended
  * @param fingerprint what it said; null where that is not compared
- * @param untilWall when it is forgotten, on the wall clock, microseconds
+ * @param untilWallMicros when it is forgotten, on the wall clock, microseconds
  */
-public record CompletedMessage<E>(E result, Fingerprint fingerprint, long untilWall) {}
+public record CompletedMessage<E>(E result, Fingerprint fingerprint, long untilWallMicros) {}
--- a/src/main/java/lilaclever/identity/Identities.java
+++ b/src/main/java/lilaclever/identity/Identities.java
@@ -44,7 +44,7 @@
                     : new DuplicateCheck.Joins<>(under.message());
         }
         CompletedMessage<E> past = memory.past(identity);
-        if (past == null || past.untilWall() <= nowWall) {
+        if (past == null || past.untilWallMicros() <= nowWall) {
             return new DuplicateCheck.Fresh<>();
         }
         return differs(content, past.fingerprint())
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -136,7 +136,7 @@
             for (Map.Entry<String, JournalState.Slot<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
                 line(json -> {
                     json.name("remembered").value(e.getKey());
-                    json.name("until").value(instant(e.getValue().value.untilWall()));
+                    json.name("until").value(instant(e.getValue().value.untilWallMicros()));
                     verdict(json, e.getValue().value.result());
                 });
             }
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -184,7 +184,7 @@
         forget(identity);
         Slot<CompletedMessage<FinalStatus>> slot = new Slot<>(p);
         remembered.put(identity, slot);
-        expiries.add(new Expiry(p.untilWall(), identity));
+        expiries.add(new Expiry(p.untilWallMicros(), identity));
         rest(slot, base, size);
     }
 
@@ -192,7 +192,7 @@
     void forget(String identity) {
         Slot<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
         if (slot != null) {
-            expiries.remove(new Expiry(slot.value.untilWall(), identity));
+            expiries.remove(new Expiry(slot.value.untilWallMicros(), identity));
             rest(slot, null, 0);
         }
     }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -47,7 +47,7 @@
     static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
         out.begin(Type.REMEMBERED).text(identity);
         end(out, p.result());
-        out.number(p.untilWall()).flag(p.fingerprint() != null);
+        out.number(p.untilWallMicros()).flag(p.fingerprint() != null);
         if (p.fingerprint() != null) {
             out.number(p.fingerprint().high()).number(p.fingerprint().low());
         }
--- a/src/test/java/lilaclever/identity/IdentitiesTest.java
+++ b/src/test/java/lilaclever/identity/IdentitiesTest.java
@@ -44,7 +44,7 @@
         @Override
         public void forgetSoonest() {
             all.remove(all.entrySet().stream()
-                    .min(Comparator.comparingLong(e -> e.getValue().untilWall()))
+                    .min(Comparator.comparingLong(e -> e.getValue().untilWallMicros()))
                     .orElseThrow()
                     .getKey());
         }
@@ -149,7 +149,7 @@
             String id = new Identity("p", "k" + s.identity()).text().intern(); // it is the message too
             Fingerprint content = s.other() ? B : A;
             CompletedMessage<String> past = kept.all.get(id);
-            boolean known = past != null && past.untilWall() > now;
+            boolean known = past != null && past.untilWallMicros() > now;
             switch (s.what()) {
                 case 0 -> {
                     DuplicateCheck<String, String> is = tested.rule(id, content, now);
@@ -174,7 +174,7 @@
                         tested.ended(id, held.remove(id), s.messageClass(), "end at " + now, now);
                         assertEquals(
                                 now + (s.messageClass() == 0 ? 100 : 10),
-                                kept.all.get(id).untilWall());
+                                kept.all.get(id).untilWallMicros());
                     }
                 }
                 default -> {
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -40,7 +40,7 @@
         PendingMessage m = journal.owed().iterator().next();
         assertEquals(LEFT - DOWN + error, m.deadlineWall() - now, "time left");
         assertEquals(AGE + DOWN - error, now - m.sentWall(), "age of the attempt, from which the window counts");
-        assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWall() - now, "remembered for");
+        assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWallMicros() - now, "remembered for");
     }
 
     /** Between kill and start, with the machine still up: every span goes on as if nothing had been set. */
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -84,7 +84,7 @@
         }
         if (random.applyAsInt(3) == 0) {
             journal.tidy(now);
-            remembered.values().removeIf(r -> r.untilWall() <= now);
+            remembered.values().removeIf(r -> r.untilWallMicros() <= now);
         }
     }
 
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -425,7 +425,7 @@
                     // and must believe the wall clock of the segment that it finds.
                     assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWall() + (life == 2 ? -hour : 0));
                     assertEquals(4 * hour + 1_000_000, owed(journal, "m").sentWall() + (life == 2 ? -hour : 0));
-                    assertEquals(5 * hour, journal.remembered("i").untilWall() + (life == 2 ? -hour : 0));
+                    assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
                 }
             }
         }
