--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -48,7 +48,7 @@
                 durability,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                 new SplittableRandom(1));
-        journal.attach(loop::add);
+        journal.setLoop(loop::add);
     }
 
     /** Runs what the arguments name. */
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -276,7 +276,7 @@
     // ---- durability -------------------------------------------------------------------------------------
     /** Where the loop takes tasks from other threads; before anything is written by the loop. */
     @Override
-    public void attach(Executor loop) {
+    public void setLoop(Executor loop) {
         syncer.attach(loop);
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -111,7 +111,7 @@
         counters.gauge("deadlines", deadlines::size);
         counters.gauge("owed", () -> journal.owed().size());
         counters.gauge("remembered", journal::rememberedCount);
-        journal.attach(this::post);
+        journal.setLoop(this::post);
     }
 
     // ---- what others use --------------------------------------------------------------------------------
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -13,7 +13,7 @@
  */
 public interface Journal extends AutoCloseable {
     /** Tells where tasks for the loop are taken, for what other threads of the journal have to say. */
-    void attach(Executor loop);
+    void setLoop(Executor loop);
 
     /** Takes a message on; false if there is no room for it, and then it is not taken on. */
     boolean taken(String front, Submission submission, long deadlineWall, long nowWall);
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -98,7 +98,7 @@
         List<List<String>> idsThen = new ArrayList<>();
         try (SegmentedJournal journal = Script.open(disk, MOST, new Durability(Durability.How.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
-            journal.attach(loop::add);
+            journal.setLoop(loop::add);
             Script script = new Script(disk, seed);
             script.use(journal);
             for (int turn = 0; turn < 150; turn++) {
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -34,7 +34,7 @@
     private SegmentedJournal open(Durability durability) throws IOException {
         SegmentedJournal journal =
                 new SegmentedJournal(disk, MOST, durability, Script.times(() -> clock), new SplittableRandom(3));
-        journal.attach(loop::add);
+        journal.setLoop(loop::add);
         return journal;
     }
 
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -577,7 +577,7 @@
                 Script.times(() -> clock),
                 new SplittableRandom(3))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
-            journal.attach(loop::add);
+            journal.setLoop(loop::add);
             take(journal, "m", 10);
             boolean[] told = {false};
             journal.whenDurable(() -> told[0] = true);
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -103,7 +103,7 @@
 
     private void open(Durability durability, long seed) throws IOException {
         journal = new SegmentedJournal(disk, most, durability, Script.times(() -> clock), new SplittableRandom(seed));
-        journal.attach(loop::add);
+        journal.setLoop(loop::add);
         script = new Script(disk, seed);
         script.use(journal);
     }
