--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -58,7 +58,7 @@
 
         @Override
         public void taken(String id, byte[] body) {
-            if (!journal.taken("http", submission(id, body), 99, 0)) {
+            if (!journal.recordAccepted("http", submission(id, body), 99, 0)) {
                 throw new IllegalStateException("no room");
             }
         }
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -69,7 +69,7 @@
 
     // ---- records ----------------------------------------------------------------------------------------
     @Override
-    public boolean taken(String front, Submission submission, long deadlineWall, long nowWall) {
+    public boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
         if (unwritten.isRewriting()) {
             return false; // it could not be promised to outlast the machine
         }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -528,7 +528,7 @@
             if (m.over || endedNow.contains(m.id())) {
                 continue;
             }
-            run(() -> m.journaled = journal.taken(m.front.name(), m.submission, m.deadlineWall, clock.wall()));
+            run(() -> m.journaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWall, clock.wall()));
             if (m.journaled) {
                 counters.add(Name.TAKEN);
                 trace(m, "taken", "taken on", null);
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -7,7 +7,7 @@
 
 /**
  * What the core asks of the log that outlasts the process: each record is written before its consequence. All is
- * called on the loop thread. A record that must not be missing before something happens ({@link #taken},
+ * called on the loop thread. A record that must not be missing before something happens ({@link #recordAccepted},
  * {@link #attempt}) is refused with false where it could not be written, and then nothing has happened; all others are
  * kept in mind by the journal and written as soon as it can.
  */
@@ -16,7 +16,7 @@
     void setLoop(Executor loop);
 
     /** Takes a message on; false if there is no room for it, and then it is not taken on. */
-    boolean taken(String front, Submission submission, long deadlineWall, long nowWall);
+    boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall);
 
     /** An attempt is about to be made; false if that could not be written, and then it must not be made. */
     boolean attempt(String id, String host, int zone, long wall);
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -33,7 +33,7 @@
                     new JournalClocks(() -> 0, () -> wall, clock),
                     new SplittableRandom(life))) {
                 if (life == 0) {
-                    journal.taken(
+                    journal.recordAccepted(
                             "http",
                             new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND),
                             wall + 5 * SECOND,
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -39,7 +39,7 @@
     }
 
     private static boolean take(SegmentedJournal journal, String id) {
-        return journal.taken("http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
+        return journal.recordAccepted("http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
     }
 
     private void fail(Set<SimDisk.Kind> kinds) {
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -39,7 +39,7 @@
         inspection = new Inspection(folder, new PrintStream(printed, true, StandardCharsets.UTF_8));
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 500; i++) {
-                journal.taken(
+                journal.recordAccepted(
                         "http", new Submission("m" + i, null, 1, 7, "k", new byte[] {1, 2, 3}, false, false, 5), 7, 0);
                 if (i > 1) {
                     journal.ended("m" + i);
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -31,7 +31,7 @@
 
     private void writeAndKill(SegmentedJournal journal) {
         Submission submission = new Submission("m", null, 2, 7, "key", new byte[3], false, false, LEFT);
-        journal.taken("http", submission, WALL + LEFT, WALL - AGE);
+        journal.recordAccepted("http", submission, WALL + LEFT, WALL - AGE);
         journal.attempt("m", "a", 0, WALL - AGE);
         journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL + REMEMBERED);
     }
@@ -66,13 +66,13 @@
         long[] shown = {WALL};
         SegmentedJournal journal = open(() -> shown[0], new BootClock(77, WALL - MONOTONIC));
         for (int i = 0; i < 60; i++) {
-            journal.taken("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
+            journal.recordAccepted("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.ended("x" + i);
         }
         shown[0] += step; // the next files are made under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
-            journal.taken("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
+            journal.recordAccepted("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.ended("y" + i);
         }
         try (SegmentedJournal next = open(() -> WALL + DOWN, new BootClock(77, WALL - MONOTONIC))) {
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -101,7 +101,7 @@
                 false,
                 true,
                 BUDGET);
-        if (journal.taken("http", h, next + BUDGET, now)) {
+        if (journal.recordAccepted("http", h, next + BUDGET, now)) {
             owed.put(h.id(), new PendingMessage("http", h, next + BUDGET));
         } else {
             refused++;
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -40,7 +40,7 @@
     }
 
     private static boolean take(SegmentedJournal journal, String id, int size) {
-        return journal.taken("http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
+        return journal.recordAccepted("http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
     }
 
     private static PendingMessage owed(SegmentedJournal journal, String id) {
@@ -151,7 +151,7 @@
         bytes.get(body);
         try (SegmentedJournal journal = open()) {
             take(journal, "victim", 10);
-            journal.taken("http", new Submission("evil", null, 0, 7, null, body, false, false, 28), 99, 0);
+            journal.recordAccepted("http", new Submission("evil", null, 0, 7, null, body, false, false, 28), 99, 0);
             take(journal, "last", 10);
         }
         byte[] all = disk.content(Segment.name(1));
@@ -378,7 +378,7 @@
         Submission h = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
         try (SegmentedJournal journal = open()) {
             journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
-            assertTrue(journal.taken("mllp", h, 99, 11)); // before the tidying that would have forgotten it
+            assertTrue(journal.recordAccepted("mllp", h, 99, 11)); // before the tidying that would have forgotten it
             assertNull(journal.remembered("i"));
         }
         try (SegmentedJournal journal = open()) {
@@ -413,7 +413,7 @@
             try (SegmentedJournal journal =
                     new SegmentedJournal(disk, MOST, Durability.NONE, times, new SplittableRandom(life))) {
                 if (life == 0) {
-                    journal.taken(
+                    journal.recordAccepted(
                             "http",
                             new Submission("m", null, 2, 7, null, new byte[3], false, false, 28_000_000),
                             wall + 28_000_000,
