--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -65,7 +65,7 @@
 
         @Override
         public void attempt(String id) {
-            journal.attempt(id, "endpoint-7", 0, 1);
+            journal.recordAttempt(id, "endpoint-7", 0, 1);
         }
 
         @Override
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -72,7 +72,7 @@
     private void turn(int held, Runnable durable) {
         take();
         journal.whenDurable(durable);
-        journal.attempt("message-" + next, "endpoint-7", 0, 1);
+        journal.recordAttempt("message-" + next, "endpoint-7", 0, 1);
         journal.outcome("message-" + next, true);
         journal.ended("message-" + (next - held));
         next++;
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public boolean attempt(String id, String host, int zone, long wall) {
+    public boolean recordAttempt(String id, String host, int zone, long wall) {
         // Behind an earlier change that is not written this record would hide when the message may first have run.
         if (!unwritten.writeMessage(id)) {
             return false;
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -661,7 +661,7 @@
         long wall = clock.wall();
         boolean written = true;
         for (Message m : call.messages) {
-            written &= journal.attempt(m.id(), call.endpoint.host(), call.endpoint.zone(), wall);
+            written &= journal.recordAttempt(m.id(), call.endpoint.host(), call.endpoint.zone(), wall);
             trace(m, "attempt", "sent", call);
             counters.add(Name.ATTEMPTS);
         }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -8,7 +8,7 @@
 /**
  * What the core asks of the log that outlasts the process: each record is written before its consequence. All is
  * called on the loop thread. A record that must not be missing before something happens ({@link #recordAccepted},
- * {@link #attempt}) is refused with false where it could not be written, and then nothing has happened; all others are
+ * {@link #recordAttempt}) is refused with false where it could not be written, and then nothing has happened; all others are
  * kept in mind by the journal and written as soon as it can.
  */
 public interface Journal extends AutoCloseable {
@@ -19,7 +19,7 @@
     boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall);
 
     /** An attempt is about to be made; false if that could not be written, and then it must not be made. */
-    boolean attempt(String id, String host, int zone, long wall);
+    boolean recordAttempt(String id, String host, int zone, long wall);
 
     /** An attempt has ended. */
     void outcome(String id, boolean neverRan);
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -38,7 +38,7 @@
                             new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND),
                             wall + 5 * SECOND,
                             wall);
-                    journal.attempt("m", "a", 0, wall + SECOND);
+                    journal.recordAttempt("m", "a", 0, wall + SECOND);
                 } else {
                     PendingMessage m = journal.owed().iterator().next();
                     assertEquals(1_005 * SECOND, m.deadlineWall());
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -68,7 +68,7 @@
                     : null;
             for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
                 assertTrue(take(journal, "m" + turn), kind + " " + turn);
-                assertTrue(journal.attempt("m" + turn, "a", 0, 1), kind + " " + turn);
+                assertTrue(journal.recordAttempt("m" + turn, "a", 0, 1), kind + " " + turn);
                 journal.ended("m" + turn);
                 journal.tidy(0);
                 clock += TURN;
@@ -86,12 +86,12 @@
     void anAttemptIsNotWrittenBeforeTheOutcomeOfTheOneBefore() throws IOException {
         SegmentedJournal journal = open(Durability.NONE);
         take(journal, "m");
-        journal.attempt("m", "a", 0, 100);
+        journal.recordAttempt("m", "a", 0, 100);
         fail(EnumSet.of(SimDisk.Kind.WRITE));
         journal.outcome("m", false);
         recover();
         clock += 2 * Plan.PAUSE;
-        assertTrue(journal.attempt("m", "b", 0, 5_000));
+        assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
         try (SegmentedJournal next = Script.open(SimDisk.killed(disk.ops, disk.ops.size(), 0), MOST, Durability.NONE)) {
             PendingMessage m = next.owed().iterator().next();
             assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.riskHost() + " " + m.riskWall());
@@ -224,7 +224,7 @@
         for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
             String id = "m" + turn % taken;
             if (turn == 0) {
-                assertTrue(journal.attempt(id, "a", 0, 1));
+                assertTrue(journal.recordAttempt(id, "a", 0, 1));
                 journal.whenDurable(() -> durable[0] = true);
             }
             turn(journal);
@@ -237,7 +237,7 @@
         assertTrue(durable[0]);
         assertEquals(0, journal.unwritten());
         for (int i = 0; i < taken; i++) {
-            assertTrue(journal.attempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
+            assertTrue(journal.recordAttempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
             turn(journal);
         }
         journal.close();
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -32,7 +32,7 @@
     private void writeAndKill(SegmentedJournal journal) {
         Submission submission = new Submission("m", null, 2, 7, "key", new byte[3], false, false, LEFT);
         journal.recordAccepted("http", submission, WALL + LEFT, WALL - AGE);
-        journal.attempt("m", "a", 0, WALL - AGE);
+        journal.recordAttempt("m", "a", 0, WALL - AGE);
         journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL + REMEMBERED);
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -113,7 +113,7 @@
         switch (random.applyAsInt(4)) {
             case 0 -> {
                 if (!o.isOut() && o.verdict() == null) {
-                    if (journal.attempt(id, "host-" + next % 5, 2, now)) {
+                    if (journal.recordAttempt(id, "host-" + next % 5, 2, now)) {
                         o.attempt("host-" + next % 5, 2, now);
                     } else {
                         attemptsRefused++;
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -54,11 +54,11 @@
     void aRestartFindsTheFirstAttemptThatMayHaveRun() throws IOException {
         try (SegmentedJournal journal = open()) {
             assertTrue(take(journal, "m", 10));
-            journal.attempt("m", "a", 1, 100);
+            journal.recordAttempt("m", "a", 1, 100);
             journal.outcome("m", true);
-            journal.attempt("m", "b", 2, 200);
+            journal.recordAttempt("m", "b", 2, 200);
             journal.outcome("m", false);
-            journal.attempt("m", "c", 3, 300);
+            journal.recordAttempt("m", "c", 3, 300);
         }
         for (int life = 0; life < 2; life++) {
             try (SegmentedJournal journal = open()) {
@@ -92,7 +92,7 @@
             for (int i = 0; i < 20; i++) {
                 take(journal, "m" + i, 20);
                 starts.add(disk.ops.size());
-                journal.attempt("m" + i, "a", 0, 5);
+                journal.recordAttempt("m" + i, "a", 0, 5);
             }
         }
         List<SimDisk.Op> ops = List.copyOf(disk.ops);
@@ -418,7 +418,7 @@
                             new Submission("m", null, 2, 7, null, new byte[3], false, false, 28_000_000),
                             wall + 28_000_000,
                             wall);
-                    journal.attempt("m", "a", 0, wall + 1_000_000);
+                    journal.recordAttempt("m", "a", 0, wall + 1_000_000);
                     journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hour);
                 } else {
                     // The second life is 7 s later by the machine's clock. The third has started the machine anew,
@@ -448,7 +448,7 @@
             for (int attempt = 0; attempt < 16; attempt++) {
                 for (PendingMessage o : List.copyOf(journal.owed())) {
                     assertTrue(
-                            journal.attempt(o.submission().id(), "an-endpoint", 0, 1),
+                            journal.recordAttempt(o.submission().id(), "an-endpoint", 0, 1),
                             o.submission().id());
                     journal.outcome(o.submission().id(), true);
                     journal.tidy(0);
@@ -478,7 +478,7 @@
             }
             for (int attempt = 0; attempt < 16; attempt++) {
                 for (int i = 0; i < held; i++) {
-                    assertTrue(journal.attempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
+                    assertTrue(journal.recordAttempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
                     journal.outcome("m" + i, false);
                 }
             }
@@ -511,7 +511,7 @@
             }
             for (int round = 0; round < 8; round++) {
                 for (int i = 0; i < taken; i++) {
-                    assertTrue(journal.attempt("m" + i, "host", 0, 1), round + " m" + i);
+                    assertTrue(journal.recordAttempt("m" + i, "host", 0, 1), round + " m" + i);
                     journal.outcome("m" + i, true);
                     journal.tidy(0);
                 }
@@ -535,10 +535,10 @@
             take(journal, "ends", 10);
             take(journal, "fails", 10);
             take(journal, "stays", 10);
-            journal.attempt("stays", "a", 0, 1);
+            journal.recordAttempt("stays", "a", 0, 1);
             disk.writesFail = true;
             assertFalse(take(journal, "refused", 10));
-            assertFalse(journal.attempt("fails", "a", 0, 1));
+            assertFalse(journal.recordAttempt("fails", "a", 0, 1));
             journal.ended("ends");
             journal.verdict("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
             journal.outcome("stays", false);
