--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -70,7 +70,7 @@
 
         @Override
         public void outcome(String id) {
-            journal.outcome(id, true);
+            journal.recordOutcome(id, true);
         }
 
         @Override
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -73,7 +73,7 @@
         take();
         journal.whenDurable(durable);
         journal.recordAttempt("message-" + next, "endpoint-7", 0, 1);
-        journal.outcome("message-" + next, true);
+        journal.recordOutcome("message-" + next, true);
         journal.ended("message-" + (next - held));
         next++;
         journal.tidy(0);
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void outcome(String id, boolean neverRan) {
+    public void recordOutcome(String id, boolean neverRan) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
             slot.value.outcome(neverRan);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -221,7 +221,7 @@
         }
         if (e.isOut()) {
             // The call was out when the process ended: it may have run.
-            journal.outcome(m.id(), false);
+            journal.recordOutcome(m.id(), false);
         }
         m.attempts = e.attempts();
         if (e.mayHaveRun()) {
@@ -414,7 +414,7 @@
         } else if (over) {
             end(m, FinalStatus.of(Kind.GONE));
         } else {
-            journal.outcome(m.id(), ending.neverRan());
+            journal.recordOutcome(m.id(), ending.neverRan());
         }
     }
 
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -22,7 +22,7 @@
     boolean recordAttempt(String id, String host, int zone, long wall);
 
     /** An attempt has ended. */
-    void outcome(String id, boolean neverRan);
+    void recordOutcome(String id, boolean neverRan);
 
     /** The message's end is decided and owed to its client. */
     void verdict(String id, FinalStatus verdict);
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -88,7 +88,7 @@
         take(journal, "m");
         journal.recordAttempt("m", "a", 0, 100);
         fail(EnumSet.of(SimDisk.Kind.WRITE));
-        journal.outcome("m", false);
+        journal.recordOutcome("m", false);
         recover();
         clock += 2 * Plan.PAUSE;
         assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -128,7 +128,7 @@
                     }
                 } else {
                     boolean neverRan = random.applyAsInt(2) == 0;
-                    journal.outcome(id, neverRan);
+                    journal.recordOutcome(id, neverRan);
                     o.outcome(neverRan);
                 }
             }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -55,9 +55,9 @@
         try (SegmentedJournal journal = open()) {
             assertTrue(take(journal, "m", 10));
             journal.recordAttempt("m", "a", 1, 100);
-            journal.outcome("m", true);
+            journal.recordOutcome("m", true);
             journal.recordAttempt("m", "b", 2, 200);
-            journal.outcome("m", false);
+            journal.recordOutcome("m", false);
             journal.recordAttempt("m", "c", 3, 300);
         }
         for (int life = 0; life < 2; life++) {
@@ -450,7 +450,7 @@
                     assertTrue(
                             journal.recordAttempt(o.submission().id(), "an-endpoint", 0, 1),
                             o.submission().id());
-                    journal.outcome(o.submission().id(), true);
+                    journal.recordOutcome(o.submission().id(), true);
                     journal.tidy(0);
                     assertTrue(disk.total() <= MOST);
                 }
@@ -479,7 +479,7 @@
             for (int attempt = 0; attempt < 16; attempt++) {
                 for (int i = 0; i < held; i++) {
                     assertTrue(journal.recordAttempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
-                    journal.outcome("m" + i, false);
+                    journal.recordOutcome("m" + i, false);
                 }
             }
             assertTrue(journal.copied() > 0 && disk.total() <= MOST);
@@ -512,7 +512,7 @@
             for (int round = 0; round < 8; round++) {
                 for (int i = 0; i < taken; i++) {
                     assertTrue(journal.recordAttempt("m" + i, "host", 0, 1), round + " m" + i);
-                    journal.outcome("m" + i, true);
+                    journal.recordOutcome("m" + i, true);
                     journal.tidy(0);
                 }
             }
@@ -541,7 +541,7 @@
             assertFalse(journal.recordAttempt("fails", "a", 0, 1));
             journal.ended("ends");
             journal.verdict("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
-            journal.outcome("stays", false);
+            journal.recordOutcome("stays", false);
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
             assertEquals(4, journal.unwritten());
             disk.writesFail = false;
