--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -113,7 +113,7 @@
     }
 
     @Override
-    public void verdict(String id, FinalStatus verdict) {
+    public void recordFinalStatus(String id, FinalStatus verdict) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
             slot.value.verdict(verdict);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -728,7 +728,7 @@
         if (told
                 || Identity.isShared(
                         m.submission.identity())) { // a client that is away may be owed that it was delivered
-            journal.verdict(m.id(), verdict);
+            journal.recordFinalStatus(m.id(), verdict);
         }
         if (m.out != null) {
             leave(m, m.out);
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -25,7 +25,7 @@
     void recordOutcome(String id, boolean neverRan);
 
     /** The message's end is decided and owed to its client. */
-    void verdict(String id, FinalStatus verdict);
+    void recordFinalStatus(String id, FinalStatus verdict);
 
     /** Nothing more is owed. */
     void ended(String id);
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -205,7 +205,7 @@
             turn(journal);
         }
         assertTrue(take(journal, "after"));
-        journal.verdict("m", FinalStatus.of(FinalStatus.Kind.FAILED));
+        journal.recordFinalStatus("m", FinalStatus.of(FinalStatus.Kind.FAILED));
         assertEquals(List.of("after", "m"), ids(journal));
         journal.close();
     }
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -46,7 +46,7 @@
                 }
             }
             journal.recordAttempt("m0", "lab-1", 0, 3);
-            journal.verdict("m1", new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy"));
+            journal.recordFinalStatus("m1", new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy"));
             journal.remember("a mail", FinalStatus.of(FinalStatus.Kind.DELIVERED), 3_000_000);
         }
     }
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -142,7 +142,7 @@
                     journal.remember(o.submission().identity(), past);
                     remembered.put(o.submission().identity(), past);
                 } else {
-                    journal.verdict(id, v);
+                    journal.recordFinalStatus(id, v);
                     o.verdict(v);
                 }
             }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -458,7 +458,7 @@
             assertFalse(take(journal, "more", large));
             assertEquals(0, journal.unwritten());
             for (int i = 0; i < small; i++) {
-                journal.verdict("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
+                journal.recordFinalStatus("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
             assertEquals(held, journal.owed().size());
         }
@@ -540,7 +540,7 @@
             assertFalse(take(journal, "refused", 10));
             assertFalse(journal.recordAttempt("fails", "a", 0, 1));
             journal.ended("ends");
-            journal.verdict("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
+            journal.recordFinalStatus("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
             journal.recordOutcome("stays", false);
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
             assertEquals(4, journal.unwritten());
