--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -75,7 +75,7 @@
 
         @Override
         public void ended(String id) {
-            journal.ended(id);
+            journal.recordSettled(id);
         }
 
         @Override
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -74,7 +74,7 @@
         journal.whenDurable(durable);
         journal.recordAttempt("message-" + next, "endpoint-7", 0, 1);
         journal.recordOutcome("message-" + next, true);
-        journal.ended("message-" + (next - held));
+        journal.recordSettled("message-" + (next - held));
         next++;
         journal.tidy(0);
     }
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void ended(String id) {
+    public void recordSettled(String id) {
         if (state.owed.containsKey(id)) {
             state.drop(id);
             RecordEncoder.ended(writer.clear(), id);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -200,7 +200,7 @@
         Message m = new Message(e.submission(), front, e.deadlineWall());
         if (front == null) {
             Logs.error("", "no-front", "nobody to answer for " + m.id() + ": no front " + e.front(), "message", m.id());
-            journal.ended(m.id());
+            journal.recordSettled(m.id());
             return;
         }
         counters.add(Name.RESUMED);
@@ -300,7 +300,7 @@
             counters.add(Name.WITHDRAWN);
             events.add(new Event.Withdrawn(m.id()));
             release(m);
-            journal.ended(m.id());
+            journal.recordSettled(m.id());
         }
     }
 
@@ -739,7 +739,7 @@
     private void answer(Message m, FinalStatus verdict) {
         m.verdict = verdict;
         if (m.claims.isEmpty()) {
-            journal.ended(m.id());
+            journal.recordSettled(m.id());
             return;
         }
         int[] open = {m.claims.size()};
@@ -748,7 +748,7 @@
             journal.whenDurable(() -> run(() -> claim.front().ended(m, claim.id(), verdict, () -> {
                 unsettled--;
                 if (--open[0] == 0) {
-                    journal.ended(m.id());
+                    journal.recordSettled(m.id());
                 }
             })));
         }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -28,7 +28,7 @@
     void recordFinalStatus(String id, FinalStatus verdict);
 
     /** Nothing more is owed. */
-    void ended(String id);
+    void recordSettled(String id);
 
     /**
      * Somebody else has handed in a message that is held, and is owed its end too under an id of their own; false if
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -69,7 +69,7 @@
             for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
                 assertTrue(take(journal, "m" + turn), kind + " " + turn);
                 assertTrue(journal.recordAttempt("m" + turn, "a", 0, 1), kind + " " + turn);
-                journal.ended("m" + turn);
+                journal.recordSettled("m" + turn);
                 journal.tidy(0);
                 clock += TURN;
             }
@@ -112,7 +112,7 @@
         try (SegmentedJournal journal = open(Durability.NONE)) {
             assertEquals(100, journal.owed().size());
             assertFalse(take(journal, "refused"));
-            journal.ended("m0");
+            journal.recordSettled("m0");
             recover();
             clock += 2 * Plan.PAUSE;
             journal.tidy(0);
@@ -170,7 +170,7 @@
         take(journal, "m");
         take(journal, "other");
         turn(journal);
-        journal.ended("m");
+        journal.recordSettled("m");
         fail(EnumSet.of(SimDisk.Kind.FORCE));
         turn(journal);
         recover();
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -42,7 +42,7 @@
                 journal.recordAccepted(
                         "http", new Submission("m" + i, null, 1, 7, "k", new byte[] {1, 2, 3}, false, false, 5), 7, 0);
                 if (i > 1) {
-                    journal.ended("m" + i);
+                    journal.recordSettled("m" + i);
                 }
             }
             journal.recordAttempt("m0", "lab-1", 0, 3);
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -67,13 +67,13 @@
         SegmentedJournal journal = open(() -> shown[0], new BootClock(77, WALL - MONOTONIC));
         for (int i = 0; i < 60; i++) {
             journal.recordAccepted("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
-            journal.ended("x" + i);
+            journal.recordSettled("x" + i);
         }
         shown[0] += step; // the next files are made under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
             journal.recordAccepted("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
-            journal.ended("y" + i);
+            journal.recordSettled("y" + i);
         }
         try (SegmentedJournal next = open(() -> WALL + DOWN, new BootClock(77, WALL - MONOTONIC))) {
             checkSpans(next, WALL + DOWN, 0);
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -148,7 +148,7 @@
             }
             default -> {
                 if (o.deadlineWall() % 5 > 0) { // the others stay, and must be copied forward again and again
-                    journal.ended(id);
+                    journal.recordSettled(id);
                     owed.remove(id);
                 }
             }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -539,7 +539,7 @@
             disk.writesFail = true;
             assertFalse(take(journal, "refused", 10));
             assertFalse(journal.recordAttempt("fails", "a", 0, 1));
-            journal.ended("ends");
+            journal.recordSettled("ends");
             journal.recordFinalStatus("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
             journal.recordOutcome("stays", false);
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
@@ -604,7 +604,7 @@
             for (int i = 0; i < 20_000; i++) {
                 take(journal, "m" + i, 300);
                 if (i >= 100) {
-                    journal.ended("m" + (i - 100));
+                    journal.recordSettled("m" + (i - 100));
                 }
                 journal.tidy(0);
             }
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -198,7 +198,7 @@
 
     private void endAll() {
         for (String id : List.copyOf(script.messages().keySet())) {
-            journal.ended(id);
+            journal.recordSettled(id);
             script.messages().remove(id);
             endTurn();
         }
