--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -132,7 +132,7 @@
     }
 
     @Override
-    public boolean joined(String id, String front, String claim) {
+    public boolean recordAttached(String id, String front, String claim) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot == null) {
             return false;
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -98,7 +98,7 @@
         if (m.claims.contains(claim) || front.asksAgain() && m.claims.stream().anyMatch(c -> c.front() == front)) {
             return true;
         }
-        if (m.claims.size() > MOST_JOINED || m.journaled && !journal.joined(m.id(), front.name(), id)) {
+        if (m.claims.size() > MOST_JOINED || m.journaled && !journal.recordAttached(m.id(), front.name(), id)) {
             return false;
         }
         counters.add(Name.JOINED);
@@ -113,7 +113,7 @@
         List<Claim> refused = new ArrayList<>();
         for (Claim claim : m.claims) {
             boolean first = claim.front() == m.front && claim.id().equals(m.id());
-            if (!first && !journal.joined(m.id(), claim.front().name(), claim.id())) {
+            if (!first && !journal.recordAttached(m.id(), claim.front().name(), claim.id())) {
                 refused.add(claim);
             }
         }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -34,7 +34,7 @@
      * Somebody else has handed in a message that is held, and is owed its end too under an id of their own; false if
      * that could not be written, and then nothing is owed.
      */
-    boolean joined(String id, String front, String claim);
+    boolean recordAttached(String id, String front, String claim);
 
     /** The end is to be given again to whoever resends the message, until its time. */
     void remember(String identity, CompletedMessage<FinalStatus> past);
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -123,7 +123,7 @@
             case 1 -> {
                 if (!o.isOut()) {
                     PendingMessage.Claim claim = new PendingMessage.Claim("other", "claim-" + now);
-                    if (o.joined().size() < 3 && journal.joined(id, claim.front(), claim.id())) {
+                    if (o.joined().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
                         o.join(claim);
                     }
                 } else {
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -348,7 +348,7 @@
             assertTrue(owed(journal, "s").isOut()
                     && owed(journal, "s").attempts() == 2
                     && owed(journal, "s").joined().isEmpty());
-            assertTrue(journal.joined("s", "mllp", "x"));
+            assertTrue(journal.recordAttached("s", "mllp", "x"));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
