--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void forgetSoonest() {
+    public void forgetSoonestExpiring() {
         state.forgetSoonest();
     }
 
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -46,11 +46,11 @@
 
             @Override
             public void forgetSoonest() {
-                journal.forgetSoonest();
+                journal.forgetSoonestExpiring();
             }
         });
         while (journal.rememberedCount() > windows.most()) {
-            journal.forgetSoonest(); // an earlier life had room for more
+            journal.forgetSoonestExpiring(); // an earlier life had room for more
         }
         counters.gauge("identities", identities::size);
         counters.figure("identities_forgotten_early", identities::forgottenEarly);
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -48,7 +48,7 @@
     CompletedMessage<FinalStatus> remembered(String identity);
 
     /** Forgets the remembered end whose time is up soonest. */
-    void forgetSoonest();
+    void forgetSoonestExpiring();
 
     /** All that is owed an end, in the order of taking on or later. */
     Collection<PendingMessage> owed();
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -366,7 +366,7 @@
             journal.remember("middle", FinalStatus.of(FinalStatus.Kind.DELIVERED), 500);
             journal.tidy(10);
             assertNull(journal.remembered("short"));
-            journal.forgetSoonest();
+            journal.forgetSoonestExpiring();
             assertNull(journal.remembered("middle"));
             assertEquals(1, journal.rememberedCount());
         }
