--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -85,7 +85,7 @@
 
         @Override
         public int owed() {
-            return journal.owed().size();
+            return journal.pendingMessages().size();
         }
 
         @Override
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public Collection<PendingMessage> owed() {
+    public Collection<PendingMessage> pendingMessages() {
         return state.messages();
     }
 
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -68,7 +68,7 @@
 
     @Override
     public int held() {
-        return core == null ? 0 : journal.owed().size();
+        return core == null ? 0 : journal.pendingMessages().size();
     }
 
     /** Task failures and invariants broken, over all lives. */
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -109,7 +109,7 @@
         counters.gauge("destinations", destinations::size);
         counters.gauge("calls", calls::size);
         counters.gauge("deadlines", deadlines::size);
-        counters.gauge("owed", () -> journal.owed().size());
+        counters.gauge("owed", () -> journal.pendingMessages().size());
         counters.gauge("remembered", journal::rememberedCount);
         journal.setLoop(this::post);
     }
@@ -178,7 +178,7 @@
         now = clock.micros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
         long wall = clock.wall();
-        for (PendingMessage e : List.copyOf(journal.owed())) {
+        for (PendingMessage e : List.copyOf(journal.pendingMessages())) {
             resume(e, wall);
         }
         turn();
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -51,7 +51,7 @@
     void forgetSoonestExpiring();
 
     /** All that is owed an end, in the order of taking on or later. */
-    Collection<PendingMessage> owed();
+    Collection<PendingMessage> pendingMessages();
 
     /** How many ends are remembered. */
     int rememberedCount();
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -40,7 +40,7 @@
                             wall);
                     journal.recordAttempt("m", "a", 0, wall + SECOND);
                 } else {
-                    PendingMessage m = journal.owed().iterator().next();
+                    PendingMessage m = journal.pendingMessages().iterator().next();
                     assertEquals(1_005 * SECOND, m.deadlineWall());
                     assertEquals(1_001 * SECOND, m.sentWall());
                 }
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -105,7 +105,7 @@
                 script.run(8, 2000, 50);
                 boolean[] durable = {false};
                 journal.whenDurable(() -> durable[0] = true);
-                List<String> ids = journal.owed().stream()
+                List<String> ids = journal.pendingMessages().stream()
                         .map(o -> o.submission().id() + " " + o.attempts())
                         .toList();
                 while (!durable[0]) {
@@ -125,14 +125,14 @@
                 SimDisk left = SimDisk.powerCut(disk.ops, done, random);
                 try (SegmentedJournal found = Script.open(left, 4 * MOST, Durability.NONE)) {
                     List<String> there =
-                            found.owed().stream().map(o -> o.submission().id()).toList();
+                            found.pendingMessages().stream().map(o -> o.submission().id()).toList();
                     List<String> later = turn + 1 < idsThen.size() ? idsThen.get(turn + 1) : List.of();
                     for (String id : idsThen.get(turn)) {
                         // What ended since may be gone or not; all else must be there.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
                         assertTrue(!stays || there.contains(id.split(" ")[0]), id + " cut at " + done);
                     }
-                    for (PendingMessage o : found.owed()) {
+                    for (PendingMessage o : found.pendingMessages()) {
                         checkAttempts(o, idsThen.get(turn));
                     }
                 }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -52,7 +52,7 @@
     }
 
     private static List<String> ids(SegmentedJournal journal) {
-        return journal.owed().stream().map(m -> m.submission().id()).sorted().toList();
+        return journal.pendingMessages().stream().map(m -> m.submission().id()).sorted().toList();
     }
 
     // ---- without forcing ------------------------------------------------------------------------------------
@@ -93,7 +93,7 @@
         clock += 2 * Plan.PAUSE;
         assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
         try (SegmentedJournal next = Script.open(SimDisk.killed(disk.ops, disk.ops.size(), 0), MOST, Durability.NONE)) {
-            PendingMessage m = next.owed().iterator().next();
+            PendingMessage m = next.pendingMessages().iterator().next();
             assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.riskHost() + " " + m.riskWall());
         }
         journal.close();
@@ -110,7 +110,7 @@
         disk.put("journal.new", new byte[5]);
         fail(EnumSet.complementOf(EnumSet.of(SimDisk.Kind.OPEN)));
         try (SegmentedJournal journal = open(Durability.NONE)) {
-            assertEquals(100, journal.owed().size());
+            assertEquals(100, journal.pendingMessages().size());
             assertFalse(take(journal, "refused"));
             journal.recordSettled("m0");
             recover();
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -91,7 +91,7 @@
 
     private static String owed(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> owed = new TreeMap<>();
-        journal.owed().forEach(o -> owed.put(o.submission().id(), o));
+        journal.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
         return Script.text(owed, Map.of());
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -167,7 +167,7 @@
 
     static String text(SegmentedJournal j, long now) {
         TreeMap<String, PendingMessage> owed = new TreeMap<>();
-        j.owed().forEach(o -> owed.put(o.submission().id(), o));
+        j.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
         TreeMap<String, CompletedMessage<FinalStatus>> kept = new TreeMap<>();
         for (int i = 0; i < 10_000; i += 3) {
             CompletedMessage<FinalStatus> r = j.remembered("identity-" + i);
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -44,7 +44,7 @@
     }
 
     private static PendingMessage owed(SegmentedJournal journal, String id) {
-        return journal.owed().stream()
+        return journal.pendingMessages().stream()
                 .filter(o -> o.submission().id().equals(id))
                 .findFirst()
                 .orElse(null);
@@ -107,17 +107,17 @@
             byte[] content = damaged.content(name);
             content[at] ^= 4;
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
-                int there = journal.owed().size();
+                int there = journal.pendingMessages().size();
                 assertTrue(there >= 19, "bit at " + at + ": " + there);
-                for (PendingMessage o : journal.owed()) {
+                for (PendingMessage o : journal.pendingMessages()) {
                     assertTrue(o.isOut() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
                 }
             }
             // What was found is carried over: the next life knows it without the damaged file.
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
-                assertTrue(journal.owed().size() >= 19
+                assertTrue(journal.pendingMessages().size() >= 19
                         && journal.recovered().damages().isEmpty());
-                journal.owed().forEach(o -> assertTrue(o.isOut() || o.mayHaveRun()));
+                journal.pendingMessages().forEach(o -> assertTrue(o.isOut() || o.mayHaveRun()));
             }
         }
     }
@@ -131,7 +131,7 @@
         }
         flip(Segment.name(1), 400);
         try (SegmentedJournal journal = open()) {
-            assertEquals(99, journal.owed().size());
+            assertEquals(99, journal.pendingMessages().size());
             assertEquals(1, journal.recovered().damages().size());
             Recovery.Damage damage = journal.recovered().damages().get(0);
             assertTrue(damage.from() <= 400 && damage.to() > 400 && damage.to() - damage.from() < 200);
@@ -164,7 +164,7 @@
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of("victim", "last"),
-                    journal.owed().stream().map(o -> o.submission().id()).toList());
+                    journal.pendingMessages().stream().map(o -> o.submission().id()).toList());
         }
     }
 
@@ -183,7 +183,7 @@
         }
         disk.put(Segment.name(1), java.util.Arrays.copyOf(first, used - 30));
         try (SegmentedJournal journal = open()) {
-            assertEquals(59, journal.owed().size());
+            assertEquals(59, journal.pendingMessages().size());
             assertEquals(1, journal.recovered().damages().size());
         }
     }
@@ -444,9 +444,9 @@
             for (int i = 0; take(journal, "large" + i, large); i++) {
                 assertTrue(i < MOST / large);
             }
-            int held = journal.owed().size();
+            int held = journal.pendingMessages().size();
             for (int attempt = 0; attempt < 16; attempt++) {
-                for (PendingMessage o : List.copyOf(journal.owed())) {
+                for (PendingMessage o : List.copyOf(journal.pendingMessages())) {
                     assertTrue(
                             journal.recordAttempt(o.submission().id(), "an-endpoint", 0, 1),
                             o.submission().id());
@@ -460,7 +460,7 @@
             for (int i = 0; i < small; i++) {
                 journal.recordFinalStatus("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
-            assertEquals(held, journal.owed().size());
+            assertEquals(held, journal.pendingMessages().size());
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(16, owed(journal, "a-message-of-0").attempts());
@@ -485,7 +485,7 @@
             assertTrue(journal.copied() > 0 && disk.total() <= MOST);
         }
         try (SegmentedJournal journal = open()) {
-            journal.owed().forEach(o -> assertEquals(16, o.attempts()));
+            journal.pendingMessages().forEach(o -> assertEquals(16, o.attempts()));
         }
     }
 
@@ -553,7 +553,7 @@
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of("after", "fails", "stays"),
-                    journal.owed().stream()
+                    journal.pendingMessages().stream()
                             .map(o -> o.submission().id())
                             .sorted()
                             .toList());
@@ -593,7 +593,7 @@
         }
         disk.delete(Segment.name(1)); // what the failed forcing was for
         try (SegmentedJournal journal = open()) {
-            assertEquals(1, journal.owed().size());
+            assertEquals(1, journal.pendingMessages().size());
         }
     }
 
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -171,7 +171,7 @@
 
     private static String owed(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> all = new TreeMap<>();
-        journal.owed().forEach(m -> all.put(m.submission().id(), m));
+        journal.pendingMessages().forEach(m -> all.put(m.submission().id(), m));
         return Script.text(all, Map.of());
     }
 
@@ -224,7 +224,7 @@
         SimDisk left = SimDisk.killed(disk.ops, operations, bytesOfNext);
         try (SegmentedJournal next = Script.open(left, most, Durability.NONE)) {
             Map<String, Known> found = new TreeMap<>();
-            next.owed().forEach(m -> found.put(m.submission().id(), Known.of(m)));
+            next.pendingMessages().forEach(m -> found.put(m.submission().id(), Known.of(m)));
             before.forEach((id, known) -> {
                 if (after.containsKey(id)) {
                     assertNotNull(found.get(id), what + ": " + id + " is lost");
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -187,7 +187,7 @@
             force();
 
             assertEquals(List.of("m to e2"), started);
-            assertEquals(1, journal.owed().size());
+            assertEquals(1, journal.pendingMessages().size());
         }
     }
 }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -138,7 +138,7 @@
     }
 
     int held() {
-        return journal.owed().size();
+        return journal.pendingMessages().size();
     }
 
     long count(Counters.Name name) {
