--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -80,7 +80,7 @@
 
         @Override
         public void turn() {
-            journal.tidy(0);
+            journal.maintain(0);
         }
 
         @Override
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -76,7 +76,7 @@
         journal.recordOutcome("message-" + next, true);
         journal.recordSettled("message-" + (next - held));
         next++;
-        journal.tidy(0);
+        journal.maintain(0);
     }
 
     private void take() {
@@ -90,7 +90,7 @@
         while (next < held) {
             take();
             next++;
-            journal.tidy(0);
+            journal.maintain(0);
         }
     }
 
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void tidy(long nowWall) {
+    public void maintain(long nowWall) {
         long now = micros.getAsLong();
         if (now >= askAgainAt) {
             askAgainAt = now + ASK_AGAIN;
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -495,7 +495,7 @@
             events = new ArrayList<>();
             carryOut(relay.decide(now, batch));
         }
-        run(() -> journal.tidy(clock.wall()));
+        run(() -> journal.maintain(clock.wall()));
     }
 
     private void carryOut(List<Action> actions) {
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -63,7 +63,7 @@
     void whenDurable(Runnable consequence);
 
     /** The journal's own work, a bounded slice of it; called once a turn. */
-    void tidy(long nowWall);
+    void maintain(long nowWall);
 
     @Override
     void close() throws IOException;
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -78,7 +78,7 @@
             for (int life = 0; life < 2; life++) {
                 SimDisk again = SimDisk.killed(ops, ops.size(), 0);
                 try (SegmentedJournal found = Script.open(again, MOST, Durability.NONE)) {
-                    found.tidy(0);
+                    found.maintain(0);
                 }
                 List<SimDisk.Op> more = new ArrayList<>(ops);
                 more.addAll(again.ops.subList(0, random.nextInt(again.ops.size() + 1)));
@@ -109,7 +109,7 @@
                         .map(o -> o.submission().id() + " " + o.attempts())
                         .toList();
                 while (!durable[0]) {
-                    journal.tidy(script.now);
+                    journal.maintain(script.now);
                     if (!durable[0]) {
                         loop.take().run();
                     }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -70,7 +70,7 @@
                 assertTrue(take(journal, "m" + turn), kind + " " + turn);
                 assertTrue(journal.recordAttempt("m" + turn, "a", 0, 1), kind + " " + turn);
                 journal.recordSettled("m" + turn);
-                journal.tidy(0);
+                journal.maintain(0);
                 clock += TURN;
             }
             assertEquals(0, journal.unwritten());
@@ -115,7 +115,7 @@
             journal.recordSettled("m0");
             recover();
             clock += 2 * Plan.PAUSE;
-            journal.tidy(0);
+            journal.maintain(0);
             assertEquals(0, journal.unwritten());
             assertTrue(take(journal, "after"));
             assertTrue(disk.total() <= MOST);
@@ -125,7 +125,7 @@
     // ---- with forcing ---------------------------------------------------------------------------------------
     /** One turn, and the end of the forcing that it began, if it began one. */
     private void turn(SegmentedJournal journal) throws InterruptedException {
-        journal.tidy(0);
+        journal.maintain(0);
         clock += TURN;
         finishForcing(journal);
     }
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -62,7 +62,7 @@
         disk.most = Long.MAX_VALUE;
         disk.mostOfAFile = Long.MAX_VALUE;
         clock[0] += 10 * Plan.PAUSE;
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         assertEquals(0, journal.unwritten());
         journal.close();
         assertEquals(script.model(), owed(open(disk, clock)));
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -83,7 +83,7 @@
             change(one, owed.get(one));
         }
         if (random.applyAsInt(3) == 0) {
-            journal.tidy(now);
+            journal.maintain(now);
             remembered.values().removeIf(r -> r.untilWallMicros() <= now);
         }
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -364,7 +364,7 @@
             journal.remember("long", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1000);
             journal.remember("short", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
             journal.remember("middle", FinalStatus.of(FinalStatus.Kind.DELIVERED), 500);
-            journal.tidy(10);
+            journal.maintain(10);
             assertNull(journal.remembered("short"));
             journal.forgetSoonestExpiring();
             assertNull(journal.remembered("middle"));
@@ -451,7 +451,7 @@
                             journal.recordAttempt(o.submission().id(), "an-endpoint", 0, 1),
                             o.submission().id());
                     journal.recordOutcome(o.submission().id(), true);
-                    journal.tidy(0);
+                    journal.maintain(0);
                     assertTrue(disk.total() <= MOST);
                 }
             }
@@ -497,7 +497,7 @@
             int taken = 0;
             for (; taken < 150; taken++) {
                 assertTrue(take(journal, "m" + taken, 300));
-                journal.tidy(0);
+                journal.maintain(0);
             }
             if (what.equals("space")) {
                 disk.most = disk.total();
@@ -513,14 +513,14 @@
                 for (int i = 0; i < taken; i++) {
                     assertTrue(journal.recordAttempt("m" + i, "host", 0, 1), round + " m" + i);
                     journal.recordOutcome("m" + i, true);
-                    journal.tidy(0);
+                    journal.maintain(0);
                 }
             }
             assertEquals(0, journal.unwritten());
             disk.most = Long.MAX_VALUE;
             disk.mostOfAFile = Long.MAX_VALUE;
             clock += 2_000_000;
-            journal.tidy(0);
+            journal.maintain(0);
             assertTrue(take(journal, "after", 300));
         }
         try (SegmentedJournal journal = open()) {
@@ -546,7 +546,7 @@
             assertEquals(4, journal.unwritten());
             disk.writesFail = false;
             clock += 2 * Plan.PAUSE;
-            journal.tidy(0);
+            journal.maintain(0);
             assertEquals(0, journal.unwritten());
             assertTrue(take(journal, "after", 10));
         }
@@ -582,12 +582,12 @@
             boolean[] told = {false};
             journal.whenDurable(() -> told[0] = true);
             disk.forcesFail = true;
-            journal.tidy(0);
+            journal.maintain(0);
             loop.take().run();
             assertFalse(told[0]);
             assertEquals(1, journal.unwritten());
             disk.forcesFail = false;
-            journal.tidy(0);
+            journal.maintain(0);
             loop.take().run();
             assertTrue(told[0]);
         }
@@ -606,7 +606,7 @@
                 if (i >= 100) {
                     journal.recordSettled("m" + (i - 100));
                 }
-                journal.tidy(0);
+                journal.maintain(0);
             }
             assertTrue(journal.allocated() <= 4 << 20, "bytes: " + journal.allocated());
         }
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -154,7 +154,7 @@
     }
 
     private void endTurn() {
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         clock += TURN;
         Map<String, Known> known = new TreeMap<>();
         script.messages().forEach((id, m) -> known.put(id, Known.of(m)));
@@ -179,9 +179,9 @@
     private void checkRecovered(String what) throws Exception {
         failing = false;
         clock += 2_000_000;
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         clock += 2_000_000;
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         assertEquals(0, journal.unwritten(), what);
         checkFiles(what);
         endAll();
