--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -189,7 +189,7 @@
 
     private static void write(DataOutputStream out, FinalStatus verdict) throws IOException {
         out.writeByte(verdict.kind().ordinal());
-        out.writeLong(verdict.comeBackMicros());
+        out.writeLong(verdict.retryAfterMicros());
         out.writeUTF(verdict.detail());
     }
 
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -98,6 +98,6 @@
 
     private static void end(Writer out, FinalStatus v) {
         String detail = v.detail().substring(0, Math.min(v.detail().length(), MOST_DETAIL));
-        out.small(v.kind().ordinal()).number(v.comeBackMicros()).text(detail);
+        out.small(v.kind().ordinal()).number(v.retryAfterMicros()).text(detail);
     }
 }
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -226,7 +226,7 @@
 
     @Override
     public void turnedDown(Message message, FinalStatus verdict) {
-        world.onRefused(message.id(), verdict.comeBackMicros());
+        world.onRefused(message.id(), verdict.retryAfterMicros());
     }
 
     @Override
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -286,8 +286,8 @@
     private static void refuse(IntakeFilter.Exchange exchange, FinalStatus verdict) {
         if (verdict.kind() == FinalStatus.Kind.REFUSED) {
             Map<String, String> headers = new LinkedHashMap<>();
-            if (verdict.comeBackMicros() > 0) {
-                headers.put("Retry-After", HttpDeliverer.seconds(verdict.comeBackMicros()));
+            if (verdict.retryAfterMicros() > 0) {
+                headers.put("Retry-After", HttpDeliverer.seconds(verdict.retryAfterMicros()));
             }
             answer(exchange, 503, headers, "");
         } else if (verdict.kind() == FinalStatus.Kind.DELIVERED) {
@@ -302,7 +302,7 @@
     @Override
     public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
         switch (verdict.kind()) {
-            case REFUSED -> notices.add(id, "deferred", verdict.comeBackMicros(), settled);
+            case REFUSED -> notices.add(id, "deferred", verdict.retryAfterMicros(), settled);
             case FAILED -> notices.add(id, "undeliverable", 0, settled);
             default -> settled.run();
         }
--- a/src/main/java/lilaclever/routing/FinalStatus.java
+++ b/src/main/java/lilaclever/routing/FinalStatus.java
@@ -1,7 +1,7 @@
 package lilaclever.routing;
 
 /** How a message ended; {@code comeBackMicros} goes with REFUSED (0: no advice). {@code detail} is for people. */
-public record FinalStatus(Kind kind, long comeBackMicros, String detail) {
+public record FinalStatus(Kind kind, long retryAfterMicros, String detail) {
     /**
      * The three ends; GONE: the client has withdrawn, nothing is owed; CLASH: not taken on, as another message has the
      * same identity. The order is part of the journal's format.
