--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -179,7 +179,7 @@
         }
         if (!o.joined().isEmpty()) {
             json.name("owed_also_to").beginArray();
-            for (PendingMessage.Claim claim : o.joined()) {
+            for (PendingMessage.Submitter claim : o.joined()) {
                 json.value(claim.front() + ' ' + claim.id());
             }
             json.endArray();
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -86,13 +86,13 @@
     }
 
     /** What a claim on a message's end adds to its record. */
-    static long growth(PendingMessage.Claim claim) {
+    static long growth(PendingMessage.Submitter claim) {
         return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
     }
 
     private static long growth(PendingMessage o) {
         long all = growth(o.submission());
-        for (PendingMessage.Claim claim : o.joined()) {
+        for (PendingMessage.Submitter claim : o.joined()) {
             all += growth(claim);
         }
         return all;
@@ -173,7 +173,7 @@
     }
 
     /** Somebody else is owed the end of a message. */
-    void join(PendingMessage o, PendingMessage.Claim claim) {
+    void join(PendingMessage o, PendingMessage.Submitter claim) {
         growth -= growth(o);
         o.join(claim);
         growth += growth(o);
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -68,7 +68,7 @@
         switch (type) {
             case ATTEMPT -> slot.value.attempt(Format.text(in), in.getInt(), wall(in));
             case OUTCOME -> slot.value.outcome(Format.flag(in));
-            case JOINED -> state.join(slot.value, new PendingMessage.Claim(Format.text(in), Format.text(in)));
+            case JOINED -> state.join(slot.value, new PendingMessage.Submitter(Format.text(in), Format.text(in)));
             default -> slot.value.verdict(readEnd(in));
         }
     }
@@ -104,7 +104,7 @@
             o.verdict(readEnd(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
-            o.join(new PendingMessage.Claim(Format.text(in), Format.text(in)));
+            o.join(new PendingMessage.Submitter(Format.text(in), Format.text(in)));
         }
     }
 
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -55,7 +55,7 @@
     }
 
     /** Somebody else is owed the end of a message. */
-    static void joined(Writer out, String id, PendingMessage.Claim claim) {
+    static void joined(Writer out, String id, PendingMessage.Submitter claim) {
         out.begin(Type.JOINED).text(id).text(claim.front()).text(claim.id()).end();
     }
 
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -137,7 +137,7 @@
         if (slot == null) {
             return false;
         }
-        PendingMessage.Claim joins = new PendingMessage.Claim(front, claim);
+        PendingMessage.Submitter joins = new PendingMessage.Submitter(front, claim);
         RecordEncoder.joined(writer.clear(), id, joins);
         if (unwritten.hasMessage(id) || !appender.hasRoom(writer.size(), JournalState.growth(joins)) || !append()) {
             return false;
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -7,7 +7,7 @@
 /** What the journal knows of a message that was taken on and has not ended. Used from one thread at a time. */
 public final class PendingMessage {
     /** Somebody who is owed the end, beside whoever handed the message in first: a front, and its id there. */
-    public record Claim(String front, String id) {}
+    public record Submitter(String front, String id) {}
 
     private final String front;
     private final Submission submission;
@@ -22,7 +22,7 @@
     private int riskZone;
     private long riskWall;
     private FinalStatus verdict;
-    private List<Claim> joined = List.of();
+    private List<Submitter> joined = List.of();
 
     /** A message just taken on; the deadline on the wall clock, microseconds. */
     public PendingMessage(String front, Submission submission, long deadlineWall) {
@@ -97,12 +97,12 @@
     }
 
     /** Who else is owed the end. */
-    public List<Claim> joined() {
+    public List<Submitter> joined() {
         return Collections.unmodifiableList(joined);
     }
 
     /** Somebody else is owed the end; passed over if that is known. */
-    public void join(Claim claim) {
+    public void join(Submitter claim) {
         if (joined.isEmpty()) {
             joined = new ArrayList<>(1); // most messages have none
         }
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -122,7 +122,7 @@
             }
             case 1 -> {
                 if (!o.isOut()) {
-                    PendingMessage.Claim claim = new PendingMessage.Claim("other", "claim-" + now);
+                    PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + now);
                     if (o.joined().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
                         o.join(claim);
                     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -352,7 +352,7 @@
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
-                    List.of(new lilaclever.routing.PendingMessage.Claim("mllp", "x")),
+                    List.of(new lilaclever.routing.PendingMessage.Submitter("mllp", "x")),
                     owed(journal, "s").joined());
         }
     }
