--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -168,7 +168,7 @@
         if (h.key() != null) {
             json.name("key").value(h.key());
         }
-        json.name("deadline").value(instant(o.deadlineWall()));
+        json.name("deadline").value(instant(o.deadlineWallMicros()));
         json.name("attempts").value(o.attempts()).name("out").value(o.isOut());
         json.name("possibly_run").value(o.mayHaveRun() || o.isOut());
         if (o.attempts() > 0) {
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -92,7 +92,7 @@
         out.flag(h.again())
                 .flag(h.inherited())
                 .number(h.budgetMicros())
-                .number(o.deadlineWall())
+                .number(o.deadlineWallMicros())
                 .bytes(h.body());
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -197,7 +197,7 @@
 
     private void resume(PendingMessage e, long wall) {
         Front front = fronts.get(e.front());
-        Message m = new Message(e.submission(), front, e.deadlineWall());
+        Message m = new Message(e.submission(), front, e.deadlineWallMicros());
         if (front == null) {
             Logs.error("", "no-front", "nobody to answer for " + m.id() + ": no front " + e.front(), "message", m.id());
             journal.recordSettled(m.id());
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -42,7 +42,7 @@
     }
 
     /** When its time is up, on the wall clock, microseconds. */
-    public long deadlineWall() {
+    public long deadlineWallMicros() {
         return deadlineWall;
     }
 
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -41,7 +41,7 @@
                     journal.recordAttempt("m", "a", 0, wall + SECOND);
                 } else {
                     PendingMessage m = journal.pendingMessages().iterator().next();
-                    assertEquals(1_005 * SECOND, m.deadlineWall());
+                    assertEquals(1_005 * SECOND, m.deadlineWallMicros());
                     assertEquals(1_001 * SECOND, m.sentWall());
                 }
             }
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -147,7 +147,7 @@
                 }
             }
             default -> {
-                if (o.deadlineWall() % 5 > 0) { // the others stay, and must be copied forward again and again
+                if (o.deadlineWallMicros() % 5 > 0) { // the others stay, and must be copied forward again and again
                     journal.recordSettled(id);
                     owed.remove(id);
                 }
@@ -195,7 +195,7 @@
                 h.messageClass() + "/" + h.destination(),
                 "" + java.util.Arrays.hashCode(h.body()),
                 "" + h.budgetMicros(),
-                "" + o.deadlineWall(),
+                "" + o.deadlineWallMicros(),
                 o.attempts() + (o.isOut() ? " out" : "") + (o.attempts() > 0 ? " " + o.host() + o.sentWall() : ""),
                 o.mayHaveRun() ? "risk " + o.riskHost() + o.riskZone() + "@" + o.riskWall() : "",
                 String.valueOf(o.verdict()),
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -66,7 +66,7 @@
                 assertEquals(
                         "3 true true b 2 200 99",
                         e.attempts() + " " + e.isOut() + " " + e.mayHaveRun() + " " + e.riskHost() + " " + e.riskZone()
-                                + " " + e.riskWall() + " " + e.deadlineWall());
+                                + " " + e.riskWall() + " " + e.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
                         e.front() + " " + e.submission().key() + " "
@@ -423,7 +423,7 @@
                 } else {
                     // The second life is 7 s later by the machine's clock. The third has started the machine anew,
                     // and must believe the wall clock of the segment that it finds.
-                    assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWall() + (life == 2 ? -hour : 0));
+                    assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
                     assertEquals(4 * hour + 1_000_000, owed(journal, "m").sentWall() + (life == 2 ? -hour : 0));
                     assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
                 }
