--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -69,7 +69,7 @@
                 }
             }
             long out1 =
-                    state.owed.values().stream().filter(s -> s.value.isOut()).count();
+                    state.owed.values().stream().filter(s -> s.value.isInFlight()).count();
             long risky = state.owed.values().stream()
                     .filter(s -> s.value.mayHaveRun())
                     .count();
@@ -169,8 +169,8 @@
             json.name("key").value(h.key());
         }
         json.name("deadline").value(instant(o.deadlineWallMicros()));
-        json.name("attempts").value(o.attempts()).name("out").value(o.isOut());
-        json.name("possibly_run").value(o.mayHaveRun() || o.isOut());
+        json.name("attempts").value(o.attempts()).name("out").value(o.isInFlight());
+        json.name("possibly_run").value(o.mayHaveRun() || o.isInFlight());
         if (o.attempts() > 0) {
             json.name("last_endpoint").value(o.host());
         }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -219,7 +219,7 @@
             answer(m, end);
             return;
         }
-        if (e.isOut()) {
+        if (e.isInFlight()) {
             // The call was out when the process ended: it may have run.
             journal.recordOutcome(m.id(), false);
         }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -52,7 +52,7 @@
     }
 
     /** True while an attempt is out. */
-    public boolean isOut() {
+    public boolean isInFlight() {
         return out;
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -112,7 +112,7 @@
     private void change(String id, PendingMessage o) {
         switch (random.applyAsInt(4)) {
             case 0 -> {
-                if (!o.isOut() && o.verdict() == null) {
+                if (!o.isInFlight() && o.verdict() == null) {
                     if (journal.recordAttempt(id, "host-" + next % 5, 2, now)) {
                         o.attempt("host-" + next % 5, 2, now);
                     } else {
@@ -121,7 +121,7 @@
                 }
             }
             case 1 -> {
-                if (!o.isOut()) {
+                if (!o.isInFlight()) {
                     PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + now);
                     if (o.joined().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
                         o.join(claim);
@@ -196,7 +196,7 @@
                 "" + java.util.Arrays.hashCode(h.body()),
                 "" + h.budgetMicros(),
                 "" + o.deadlineWallMicros(),
-                o.attempts() + (o.isOut() ? " out" : "") + (o.attempts() > 0 ? " " + o.host() + o.sentWall() : ""),
+                o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.host() + o.sentWall() : ""),
                 o.mayHaveRun() ? "risk " + o.riskHost() + o.riskZone() + "@" + o.riskWall() : "",
                 String.valueOf(o.verdict()),
                 o.joined().toString());
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -65,7 +65,7 @@
                 PendingMessage e = owed(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        e.attempts() + " " + e.isOut() + " " + e.mayHaveRun() + " " + e.riskHost() + " " + e.riskZone()
+                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.riskHost() + " " + e.riskZone()
                                 + " " + e.riskWall() + " " + e.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
@@ -110,14 +110,14 @@
                 int there = journal.pendingMessages().size();
                 assertTrue(there >= 19, "bit at " + at + ": " + there);
                 for (PendingMessage o : journal.pendingMessages()) {
-                    assertTrue(o.isOut() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
+                    assertTrue(o.isInFlight() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
                 }
             }
             // What was found is carried over: the next life knows it without the damaged file.
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
                 assertTrue(journal.pendingMessages().size() >= 19
                         && journal.recovered().damages().isEmpty());
-                journal.pendingMessages().forEach(o -> assertTrue(o.isOut() || o.mayHaveRun()));
+                journal.pendingMessages().forEach(o -> assertTrue(o.isInFlight() || o.mayHaveRun()));
             }
         }
     }
@@ -278,7 +278,7 @@
             assertTrue(journal.recovered().carriedOver());
             state = Script.text(journal, 0);
             assertEquals("identity of a", owed(journal, "a").submission().identity());
-            assertTrue(owed(journal, "a").isOut() && owed(journal, "a").host().equals("host"));
+            assertTrue(owed(journal, "a").isInFlight() && owed(journal, "a").host().equals("host"));
         }
         assertFalse(disk.names().contains("journal"), disk.names().toString());
         for (int cut = before; cut <= disk.ops.size(); cut++) {
@@ -345,7 +345,7 @@
                     new lilaclever.identity.CompletedMessage<>(
                             new FinalStatus(FinalStatus.Kind.FAILED, 0, "why"), null, 77),
                     journal.remembered("i"));
-            assertTrue(owed(journal, "s").isOut()
+            assertTrue(owed(journal, "s").isInFlight()
                     && owed(journal, "s").attempts() == 2
                     && owed(journal, "s").joined().isEmpty());
             assertTrue(journal.recordAttached("s", "mllp", "x"));
@@ -560,7 +560,7 @@
             assertEquals(
                     FinalStatus.Kind.FAILED, owed(journal, "fails").verdict().kind());
             assertTrue(owed(journal, "stays").mayHaveRun()
-                    && !owed(journal, "stays").isOut());
+                    && !owed(journal, "stays").isInFlight());
             assertEquals(
                     FinalStatus.Kind.DELIVERED,
                     journal.remembered("identity").result().kind());
