--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -172,7 +172,7 @@
         json.name("attempts").value(o.attempts()).name("out").value(o.isInFlight());
         json.name("possibly_run").value(o.mayHaveRun() || o.isInFlight());
         if (o.attempts() > 0) {
-            json.name("last_endpoint").value(o.host());
+            json.name("last_endpoint").value(o.lastHost());
         }
         if (o.verdict() != null) {
             verdict(json, o.verdict());
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -57,7 +57,7 @@
     }
 
     /** The endpoint of the last attempt. */
-    public String host() {
+    public String lastHost() {
         return host;
     }
 
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -278,7 +278,7 @@
             assertTrue(journal.recovered().carriedOver());
             state = Script.text(journal, 0);
             assertEquals("identity of a", owed(journal, "a").submission().identity());
-            assertTrue(owed(journal, "a").isInFlight() && owed(journal, "a").host().equals("host"));
+            assertTrue(owed(journal, "a").isInFlight() && owed(journal, "a").lastHost().equals("host"));
         }
         assertFalse(disk.names().contains("journal"), disk.names().toString());
         for (int cut = before; cut <= disk.ops.size(); cut++) {
