--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -62,7 +62,7 @@
     }
 
     /** The zone of the last attempt. */
-    public int zone() {
+    public int lastZone() {
         return zone;
     }
 
