--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -67,7 +67,7 @@
     }
 
     /** When the last attempt was made, on the wall clock. */
-    public long sentWall() {
+    public long lastAttemptWallMicros() {
         return sentWall;
     }
 
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -42,7 +42,7 @@
                 } else {
                     PendingMessage m = journal.pendingMessages().iterator().next();
                     assertEquals(1_005 * SECOND, m.deadlineWallMicros());
-                    assertEquals(1_001 * SECOND, m.sentWall());
+                    assertEquals(1_001 * SECOND, m.lastAttemptWallMicros());
                 }
             }
         }
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -39,7 +39,7 @@
     private static void checkSpans(SegmentedJournal journal, long now, long error) {
         PendingMessage m = journal.pendingMessages().iterator().next();
         assertEquals(LEFT - DOWN + error, m.deadlineWallMicros() - now, "time left");
-        assertEquals(AGE + DOWN - error, now - m.sentWall(), "age of the attempt, from which the window counts");
+        assertEquals(AGE + DOWN - error, now - m.lastAttemptWallMicros(), "age of the attempt, from which the window counts");
         assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWallMicros() - now, "remembered for");
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -196,7 +196,7 @@
                 "" + java.util.Arrays.hashCode(h.body()),
                 "" + h.budgetMicros(),
                 "" + o.deadlineWallMicros(),
-                o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.sentWall() : ""),
+                o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
                 o.mayHaveRun() ? "risk " + o.riskHost() + o.riskZone() + "@" + o.riskWall() : "",
                 String.valueOf(o.verdict()),
                 o.joined().toString());
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -424,7 +424,7 @@
                     // The second life is 7 s later by the machine's clock. The third has started the machine anew,
                     // and must believe the wall clock of the segment that it finds.
                     assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
-                    assertEquals(4 * hour + 1_000_000, owed(journal, "m").sentWall() + (life == 2 ? -hour : 0));
+                    assertEquals(4 * hour + 1_000_000, owed(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
                     assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
                 }
             }
