--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -77,7 +77,7 @@
     }
 
     /** The endpoint of the first attempt that may have run; empty if not known. */
-    public String riskHost() {
+    public String possibleRunHost() {
         return riskHost;
     }
 
