--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -82,7 +82,7 @@
     }
 
     /** Its zone. */
-    public int riskZone() {
+    public int possibleRunZone() {
         return riskZone;
     }
 
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -65,7 +65,7 @@
                 PendingMessage e = owed(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " " + e.riskZone()
+                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " " + e.possibleRunZone()
                                 + " " + e.riskWall() + " " + e.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
