--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -64,7 +64,7 @@
         out.begin(Type.SNAPSHOT);
         whole(out, o);
         out.small(o.attempts()).flag(o.isInFlight()).text(o.lastHost()).small(o.lastZone()).number(o.lastAttemptWallMicros());
-        out.flag(o.mayHaveRun()).text(o.possibleRunHost()).small(o.possibleRunZone()).number(o.riskWall());
+        out.flag(o.mayHaveRun()).text(o.possibleRunHost()).small(o.possibleRunZone()).number(o.possibleRunWallMicros());
         out.flag(o.verdict() != null);
         if (o.verdict() != null) {
             end(out, o.verdict());
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -225,7 +225,7 @@
         }
         m.attempts = e.attempts();
         if (e.mayHaveRun()) {
-            m.mayHaveRun(e.possibleRunHost(), e.possibleRunZone(), e.riskWall());
+            m.mayHaveRun(e.possibleRunHost(), e.possibleRunZone(), e.possibleRunWallMicros());
         }
         hold(m);
         events.add(m.submit(now, wall));
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -87,7 +87,7 @@
     }
 
     /** When it was made, on the wall clock. */
-    public long riskWall() {
+    public long possibleRunWallMicros() {
         return riskWall;
     }
 
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -94,7 +94,7 @@
         assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
         try (SegmentedJournal next = Script.open(SimDisk.killed(disk.ops, disk.ops.size(), 0), MOST, Durability.NONE)) {
             PendingMessage m = next.pendingMessages().iterator().next();
-            assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.possibleRunHost() + " " + m.riskWall());
+            assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.possibleRunHost() + " " + m.possibleRunWallMicros());
         }
         journal.close();
     }
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -197,7 +197,7 @@
                 "" + h.budgetMicros(),
                 "" + o.deadlineWallMicros(),
                 o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
-                o.mayHaveRun() ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.riskWall() : "",
+                o.mayHaveRun() ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros() : "",
                 String.valueOf(o.verdict()),
                 o.joined().toString());
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -66,7 +66,7 @@
                 assertEquals(
                         "3 true true b 2 200 99",
                         e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " " + e.possibleRunZone()
-                                + " " + e.riskWall() + " " + e.deadlineWallMicros());
+                                + " " + e.possibleRunWallMicros() + " " + e.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
                         e.front() + " " + e.submission().key() + " "
