--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -74,7 +74,7 @@
                     .filter(s -> s.value.mayHaveRun())
                     .count();
             long ends = state.owed.values().stream()
-                    .filter(s -> s.value.verdict() != null)
+                    .filter(s -> s.value.finalStatus() != null)
                     .count();
             out.println("owed " + state.owed.size() + ", of which out " + out1 + ", possibly run " + risky
                     + ", end decided " + ends);
@@ -174,8 +174,8 @@
         if (o.attempts() > 0) {
             json.name("last_endpoint").value(o.lastHost());
         }
-        if (o.verdict() != null) {
-            verdict(json, o.verdict());
+        if (o.finalStatus() != null) {
+            verdict(json, o.finalStatus());
         }
         if (!o.joined().isEmpty()) {
             json.name("owed_also_to").beginArray();
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -65,9 +65,9 @@
         whole(out, o);
         out.small(o.attempts()).flag(o.isInFlight()).text(o.lastHost()).small(o.lastZone()).number(o.lastAttemptWallMicros());
         out.flag(o.mayHaveRun()).text(o.possibleRunHost()).small(o.possibleRunZone()).number(o.possibleRunWallMicros());
-        out.flag(o.verdict() != null);
-        if (o.verdict() != null) {
-            end(out, o.verdict());
+        out.flag(o.finalStatus() != null);
+        if (o.finalStatus() != null) {
+            end(out, o.finalStatus());
         }
         out.small(o.joined().size());
         o.joined().forEach(claim -> out.text(claim.front()).text(claim.id()));
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -213,7 +213,7 @@
             }
         }
         // A kill may have come between the remembering of its end and the record that the end is decided.
-        FinalStatus end = e.verdict() != null ? e.verdict() : claims.earlierEnd(m);
+        FinalStatus end = e.finalStatus() != null ? e.finalStatus() : claims.earlierEnd(m);
         if (end != null) {
             m.over = true;
             answer(m, end);
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -92,7 +92,7 @@
     }
 
     /** The end that is decided and not yet told, or null. */
-    public FinalStatus verdict() {
+    public FinalStatus finalStatus() {
         return verdict;
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -112,7 +112,7 @@
     private void change(String id, PendingMessage o) {
         switch (random.applyAsInt(4)) {
             case 0 -> {
-                if (!o.isInFlight() && o.verdict() == null) {
+                if (!o.isInFlight() && o.finalStatus() == null) {
                     if (journal.recordAttempt(id, "host-" + next % 5, 2, now)) {
                         o.attempt("host-" + next % 5, 2, now);
                     } else {
@@ -198,7 +198,7 @@
                 "" + o.deadlineWallMicros(),
                 o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
                 o.mayHaveRun() ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros() : "",
-                String.valueOf(o.verdict()),
+                String.valueOf(o.finalStatus()),
                 o.joined().toString());
     }
 }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -558,7 +558,7 @@
                             .sorted()
                             .toList());
             assertEquals(
-                    FinalStatus.Kind.FAILED, owed(journal, "fails").verdict().kind());
+                    FinalStatus.Kind.FAILED, owed(journal, "fails").finalStatus().kind());
             assertTrue(owed(journal, "stays").mayHaveRun()
                     && !owed(journal, "stays").isInFlight());
             assertEquals(
