--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -87,7 +87,7 @@
                     owed.risk(host, zone, wall);
                 }
             }
-            case VERDICT -> owed.verdict(readVerdict(in));
+            case VERDICT -> owed.setFinalStatus(readVerdict(in));
             default -> state.drop(id);
         }
     }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -69,7 +69,7 @@
             case ATTEMPT -> slot.value.attempt(Format.text(in), in.getInt(), wall(in));
             case OUTCOME -> slot.value.outcome(Format.flag(in));
             case JOINED -> state.join(slot.value, new PendingMessage.Submitter(Format.text(in), Format.text(in)));
-            default -> slot.value.verdict(readEnd(in));
+            default -> slot.value.setFinalStatus(readEnd(in));
         }
     }
 
@@ -101,7 +101,7 @@
             o.risk(host, zone, wall);
         }
         if (Format.flag(in)) {
-            o.verdict(readEnd(in));
+            o.setFinalStatus(readEnd(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
             o.join(new PendingMessage.Submitter(Format.text(in), Format.text(in)));
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -116,7 +116,7 @@
     public void recordFinalStatus(String id, FinalStatus verdict) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
-            slot.value.verdict(verdict);
+            slot.value.setFinalStatus(verdict);
             RecordEncoder.verdict(writer.clear(), id, verdict);
             appendOrKeep(id);
         }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -145,7 +145,7 @@
     }
 
     /** The end is decided. */
-    public void verdict(FinalStatus end) {
+    public void setFinalStatus(FinalStatus end) {
         verdict = end;
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -143,7 +143,7 @@
                     remembered.put(o.submission().identity(), past);
                 } else {
                     journal.recordFinalStatus(id, v);
-                    o.verdict(v);
+                    o.setFinalStatus(v);
                 }
             }
             default -> {
