--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -177,9 +177,9 @@
         if (o.finalStatus() != null) {
             verdict(json, o.finalStatus());
         }
-        if (!o.joined().isEmpty()) {
+        if (!o.attachedSubmitters().isEmpty()) {
             json.name("owed_also_to").beginArray();
-            for (PendingMessage.Submitter claim : o.joined()) {
+            for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
                 json.value(claim.front() + ' ' + claim.id());
             }
             json.endArray();
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -92,7 +92,7 @@
 
     private static long growth(PendingMessage o) {
         long all = growth(o.submission());
-        for (PendingMessage.Submitter claim : o.joined()) {
+        for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
             all += growth(claim);
         }
         return all;
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -69,8 +69,8 @@
         if (o.finalStatus() != null) {
             end(out, o.finalStatus());
         }
-        out.small(o.joined().size());
-        o.joined().forEach(claim -> out.text(claim.front()).text(claim.id()));
+        out.small(o.attachedSubmitters().size());
+        o.attachedSubmitters().forEach(claim -> out.text(claim.front()).text(claim.id()));
         out.end();
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -207,7 +207,7 @@
         m.journaled = true;
         m.told = true;
         m.resumed = true;
-        for (PendingMessage.Submitter claim : e.joined()) {
+        for (PendingMessage.Submitter claim : e.attachedSubmitters()) {
             if (fronts.containsKey(claim.front())) {
                 m.claims.add(new DeduplicationTable.Claim(fronts.get(claim.front()), claim.id()));
             }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -97,7 +97,7 @@
     }
 
     /** Who else is owed the end. */
-    public List<Submitter> joined() {
+    public List<Submitter> attachedSubmitters() {
         return Collections.unmodifiableList(joined);
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -123,7 +123,7 @@
             case 1 -> {
                 if (!o.isInFlight()) {
                     PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + now);
-                    if (o.joined().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
+                    if (o.attachedSubmitters().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
                         o.join(claim);
                     }
                 } else {
@@ -199,6 +199,6 @@
                 o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
                 o.mayHaveRun() ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros() : "",
                 String.valueOf(o.finalStatus()),
-                o.joined().toString());
+                o.attachedSubmitters().toString());
     }
 }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -347,13 +347,13 @@
                     journal.remembered("i"));
             assertTrue(owed(journal, "s").isInFlight()
                     && owed(journal, "s").attempts() == 2
-                    && owed(journal, "s").joined().isEmpty());
+                    && owed(journal, "s").attachedSubmitters().isEmpty());
             assertTrue(journal.recordAttached("s", "mllp", "x"));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of(new lilaclever.routing.PendingMessage.Submitter("mllp", "x")),
-                    owed(journal, "s").joined());
+                    owed(journal, "s").attachedSubmitters());
         }
     }
 
