--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -175,7 +175,7 @@
     /** Somebody else is owed the end of a message. */
     void join(PendingMessage o, PendingMessage.Submitter claim) {
         growth -= growth(o);
-        o.join(claim);
+        o.attach(claim);
         growth += growth(o);
     }
 
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -104,7 +104,7 @@
             o.setFinalStatus(readEnd(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
-            o.join(new PendingMessage.Submitter(Format.text(in), Format.text(in)));
+            o.attach(new PendingMessage.Submitter(Format.text(in), Format.text(in)));
         }
     }
 
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -102,7 +102,7 @@
     }
 
     /** Somebody else is owed the end; passed over if that is known. */
-    public void join(Submitter claim) {
+    public void attach(Submitter claim) {
         if (joined.isEmpty()) {
             joined = new ArrayList<>(1); // most messages have none
         }
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -124,7 +124,7 @@
                 if (!o.isInFlight()) {
                     PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + now);
                     if (o.attachedSubmitters().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
-                        o.join(claim);
+                        o.attach(claim);
                     }
                 } else {
                     boolean neverRan = random.applyAsInt(2) == 0;
