--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -66,7 +66,7 @@
             return; // its message has ended, or a later record tells all of it
         }
         switch (type) {
-            case ATTEMPT -> slot.value.attempt(Format.text(in), in.getInt(), wall(in));
+            case ATTEMPT -> slot.value.attemptStarted(Format.text(in), in.getInt(), wall(in));
             case OUTCOME -> slot.value.outcome(Format.flag(in));
             case JOINED -> state.join(slot.value, new PendingMessage.Submitter(Format.text(in), Format.text(in)));
             default -> slot.value.setFinalStatus(readEnd(in));
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -97,7 +97,7 @@
         unwritten.messageWritten(id);
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
-            slot.value.attempt(host, zone, wall);
+            slot.value.attemptStarted(host, zone, wall);
         }
         return true;
     }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -112,7 +112,7 @@
     }
 
     /** An attempt is made. */
-    public void attempt(String toHost, int toZone, long wall) {
+    public void attemptStarted(String toHost, int toZone, long wall) {
         attempts++;
         out = true;
         host = toHost;
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -114,7 +114,7 @@
             case 0 -> {
                 if (!o.isInFlight() && o.finalStatus() == null) {
                     if (journal.recordAttempt(id, "host-" + next % 5, 2, now)) {
-                        o.attempt("host-" + next % 5, 2, now);
+                        o.attemptStarted("host-" + next % 5, 2, now);
                     } else {
                         attemptsRefused++;
                     }
