--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -76,7 +76,7 @@
         PendingMessage owed = slot.value;
         switch (type) {
             case ATTEMPT -> owed.attemptStarted(text(in), in.getInt(), in.getLong());
-            case OUTCOME -> owed.outcome(in.get() != 0);
+            case OUTCOME -> owed.attemptEnded(in.get() != 0);
             case PAST -> {
                 owed.past(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
                 boolean mayHaveRun = in.get() != 0;
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -67,7 +67,7 @@
         }
         switch (type) {
             case ATTEMPT -> slot.value.attemptStarted(Format.text(in), in.getInt(), wall(in));
-            case OUTCOME -> slot.value.outcome(Format.flag(in));
+            case OUTCOME -> slot.value.attemptEnded(Format.flag(in));
             case JOINED -> state.join(slot.value, new PendingMessage.Submitter(Format.text(in), Format.text(in)));
             default -> slot.value.setFinalStatus(readEnd(in));
         }
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -106,7 +106,7 @@
     public void recordOutcome(String id, boolean neverRan) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
-            slot.value.outcome(neverRan);
+            slot.value.attemptEnded(neverRan);
             RecordEncoder.outcome(writer.clear(), id, neverRan);
             appendOrKeep(id);
         }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -121,7 +121,7 @@
     }
 
     /** The attempt that was out has ended. */
-    public void outcome(boolean neverRan) {
+    public void attemptEnded(boolean neverRan) {
         out = false;
         if (!neverRan) {
             risk(host, zone, sentWall);
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -129,7 +129,7 @@
                 } else {
                     boolean neverRan = random.applyAsInt(2) == 0;
                     journal.recordOutcome(id, neverRan);
-                    o.outcome(neverRan);
+                    o.attemptEnded(neverRan);
                 }
             }
             case 2 -> {
