--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -84,7 +84,7 @@
                 int zone = in.getInt();
                 long wall = in.getLong();
                 if (mayHaveRun) {
-                    owed.risk(host, zone, wall);
+                    owed.markPossiblyRun(host, zone, wall);
                 }
             }
             case VERDICT -> owed.setFinalStatus(readVerdict(in));
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -98,7 +98,7 @@
         int zone = in.getInt();
         long wall = wall(in);
         if (mayHaveRun) {
-            o.risk(host, zone, wall);
+            o.markPossiblyRun(host, zone, wall);
         }
         if (Format.flag(in)) {
             o.setFinalStatus(readEnd(in));
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -124,12 +124,12 @@
     public void attemptEnded(boolean neverRan) {
         out = false;
         if (!neverRan) {
-            risk(host, zone, sentWall);
+            markPossiblyRun(host, zone, sentWall);
         }
     }
 
     /** An attempt may have run; only the first counts. */
-    public void risk(String atHost, int atZone, long atWall) {
+    public void markPossiblyRun(String atHost, int atZone, long atWall) {
         if (!mayHaveRun) {
             mayHaveRun = true;
             riskHost = atHost;
@@ -141,7 +141,7 @@
     /** Records are lost, an attempt's among them perhaps: it counts as one made, and run, as early as can be. */
     public void doubt() {
         attempts = Math.max(1, attempts);
-        risk(host, zone, deadlineWall - submission.budgetMicros());
+        markPossiblyRun(host, zone, deadlineWall - submission.budgetMicros());
     }
 
     /** The end is decided. */
