--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -223,6 +223,6 @@
 
     /** Records are lost: all that is known of any message so far may be too little. */
     void doubt() {
-        owed.values().forEach(slot -> slot.value.doubt());
+        owed.values().forEach(slot -> slot.value.assumeLostAttempt());
     }
 }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -139,7 +139,7 @@
     }
 
     /** Records are lost, an attempt's among them perhaps: it counts as one made, and run, as early as can be. */
-    public void doubt() {
+    public void assumeLostAttempt() {
         attempts = Math.max(1, attempts);
         markPossiblyRun(host, zone, deadlineWall - submission.budgetMicros());
     }
