--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -78,7 +78,7 @@
             case ATTEMPT -> owed.attemptStarted(text(in), in.getInt(), in.getLong());
             case OUTCOME -> owed.attemptEnded(in.get() != 0);
             case PAST -> {
-                owed.past(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
+                owed.restoreAttempts(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
                 boolean mayHaveRun = in.get() != 0;
                 String host = text(in);
                 int zone = in.getInt();
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -92,7 +92,7 @@
     }
 
     private void readPast(ByteBuffer in, PendingMessage o) {
-        o.past(in.getInt(), Format.flag(in), Format.text(in), in.getInt(), wall(in));
+        o.restoreAttempts(in.getInt(), Format.flag(in), Format.text(in), in.getInt(), wall(in));
         boolean mayHaveRun = Format.flag(in);
         String host = Format.text(in);
         int zone = in.getInt();
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -150,7 +150,7 @@
     }
 
     /** Sets all that attempts have left behind, as a record of the whole message has it. */
-    public void past(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
+    public void restoreAttempts(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
         attempts = made;
         out = isOut;
         host = lastHost;
