--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -89,7 +89,7 @@
         if (h.key() != null) {
             out.text(h.key());
         }
-        out.flag(h.again())
+        out.flag(h.resubmitted())
                 .flag(h.inherited())
                 .number(h.budgetMicros())
                 .number(o.deadlineWallMicros())
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -95,7 +95,7 @@
                 submission.destination(),
                 0,
                 null,
-                submission.again(),
+                submission.resubmitted(),
                 submission.inherited(),
                 Math.max(0, Math.min(submission.budgetMicros(), deadlineWall - nowWall)),
                 prior);
--- a/src/main/java/lilaclever/routing/Submission.java
+++ b/src/main/java/lilaclever/routing/Submission.java
@@ -15,6 +15,6 @@
         int destination,
         String key,
         byte[] body,
-        boolean again,
+        boolean resubmitted,
         boolean inherited,
         long budgetMicros) {}
