--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -167,7 +167,7 @@
         } else if (m.isOpen()) {
             waiting.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new Waiting(exchange, submission.id()));
         } else {
-            refuse(exchange, m.verdict());
+            refuse(exchange, m.finalStatus());
         }
     }
 
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -122,9 +122,9 @@
         Message m = core.handIn(this, submission);
         if (!m.isOpen()) {
             answer.accept(
-                    protocol == Protocol.SMTP && m.verdict().kind() == FinalStatus.Kind.DELIVERED
+                    protocol == Protocol.SMTP && m.finalStatus().kind() == FinalStatus.Kind.DELIVERED
                             ? new Reply(250, "2.0.0 taken on before")
-                            : Reply.of(m.verdict()));
+                            : Reply.of(m.finalStatus()));
         } else if (m.front != this) {
             // The same mail is under way for a client of the other protocol: its end is known soon.
             answer.accept(new Reply(451, "4.3.0 already under way, come again"));
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -164,7 +164,7 @@
         Message m = core.handIn(this, submission(r));
         if (!m.isOpen()) {
             session.answered();
-            answerAtOnce(session, r.header(), m.verdict());
+            answerAtOnce(session, r.header(), m.finalStatus());
             return;
         }
         Waiter before = waiters.put(m, new Waiter(session, r));
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -70,7 +70,7 @@
     }
 
     /** How it ended; null while it is open. */
-    public FinalStatus verdict() {
+    public FinalStatus finalStatus() {
         return verdict;
     }
 
