--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -347,7 +347,7 @@
 
         private void tell(Call done, AttemptResult ending, String said) {
             for (Message m : List.copyOf(done.messages)) {
-                m.lastWord = said;
+                m.lastResponseText = said;
                 core.outcome(done, m, ending, 0, false, false);
             }
         }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -588,7 +588,7 @@
         if (m == null) {
             return;
         }
-        FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastWord);
+        FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastResponseText);
         if (m.journaled) {
             counters.add(told.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
             counters.holds(m.resumed || clock.wall() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -37,7 +37,7 @@
     long riskWall;
     FinalStatus verdict;
     /** What the last endpoint said, for people. */
-    public String lastWord = "";
+    public String lastResponseText = "";
 
     Message(Submission submission, Front front, long deadlineWall) {
         this.submission = submission;
