--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -161,7 +161,7 @@
             return;
         }
         Message m = core.handIn(this, submission);
-        if (m.isTakenOn()) {
+        if (m.isAccepted()) {
             // Handed in under the same id before: it makes no second message, whoever asks.
             core.whenDurable(() -> exchange.answer(202, Map.of(), NOTHING, () -> {}));
         } else if (m.isOpen()) {
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -128,7 +128,7 @@
         } else if (m.front != this) {
             // The same mail is under way for a client of the other protocol: its end is known soon.
             answer.accept(new Reply(451, "4.3.0 already under way, come again"));
-        } else if (protocol == Protocol.SMTP && m.isTakenOn()) {
+        } else if (protocol == Protocol.SMTP && m.isAccepted()) {
             answer.accept(new Reply(250, "2.0.0 taken on before"));
         } else {
             waiters.computeIfAbsent(m, x -> new ArrayList<>()).add(new Waiter(answer));
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -173,7 +173,7 @@
         } else {
             held.merge(r.practice(), 1, Integer::sum);
         }
-        if (m.isTakenOn()) {
+        if (m.isAccepted()) {
             core.whenDurable(() -> accepted(waiters.get(m)));
         }
     }
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -65,7 +65,7 @@
     }
 
     /** True once it is in the journal for good: whoever asks may be told. */
-    public boolean isTakenOn() {
+    public boolean isAccepted() {
         return told;
     }
 
