--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -10,7 +10,7 @@
     /** What travels in it. */
     public final List<Message> messages = new ArrayList<>();
     /** When it was started, by the loop's clock, microseconds. */
-    public final long startedAt;
+    public final long startedAtMicros;
     /** What the deliverer keeps for it. */
     public Object attachment;
 
@@ -30,7 +30,7 @@
 
     Call(Endpoint endpoint, long startedAt) {
         this.endpoint = endpoint;
-        this.startedAt = startedAt;
+        this.startedAtMicros = startedAt;
     }
 
     /**
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -399,7 +399,7 @@
                 call.endpoint.host(),
                 m.attempts - 1,
                 ending,
-                now - call.startedAt,
+                now - call.startedAtMicros,
                 waitMicros,
                 noSlot,
                 over || ending == AttemptResult.DELIVERED,
