--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -165,7 +165,7 @@
         if (call.attachment instanceof Out out) {
             out.headers().put(DEADLINE, waitOf(call, rest)); // written anew with the body, or not at all
             if (out.exchange().replaceBody(many(rest))) {
-                call.leftOut(m);
+                call.removeMessage(m);
                 core.post(() -> outcome(call, m, AttemptResult.NOT_SENT, false, false));
             }
         }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -49,7 +49,7 @@
     }
 
     /** A message goes along no more. Loop thread. */
-    public void leftOut(Message m) {
+    public void removeMessage(Message m) {
         messages.remove(m);
         setTimes();
     }
--- a/src/test/java/lilaclever/routing/CallTest.java
+++ b/src/test/java/lilaclever/routing/CallTest.java
@@ -22,7 +22,7 @@
         call.take(first, 3_000_000, 7_000_000);
         assertEquals(3_000_000, call.writeBy());
         assertEquals(7_000_000, call.expiresAt(), "the first message's time");
-        call.leftOut(first);
+        call.removeMessage(first);
         assertEquals(9_000_000, call.expiresAt(), "as long as the other may wait");
         assertEquals(9_000_000, call.writeBy());
     }
