--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -115,7 +115,7 @@
 
             @Override
             public boolean isTooLate() {
-                return Core.micros() >= call.writeBy();
+                return Core.micros() >= call.writeByMicros();
             }
 
             @Override
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -60,7 +60,7 @@
     }
 
     /** When the first of its messages must not go any more: the loop may come late with taking it out. Any thread. */
-    public long writeBy() {
+    public long writeByMicros() {
         return writeBy;
     }
 
--- a/src/test/java/lilaclever/routing/CallTest.java
+++ b/src/test/java/lilaclever/routing/CallTest.java
@@ -20,10 +20,10 @@
         Message last = message("last");
         call.take(last, 9_000_000, 20_000_000);
         call.take(first, 3_000_000, 7_000_000);
-        assertEquals(3_000_000, call.writeBy());
+        assertEquals(3_000_000, call.writeByMicros());
         assertEquals(7_000_000, call.expiresAt(), "the first message's time");
         call.removeMessage(first);
         assertEquals(9_000_000, call.expiresAt(), "as long as the other may wait");
-        assertEquals(9_000_000, call.writeBy());
+        assertEquals(9_000_000, call.writeByMicros());
     }
 }
