--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -156,7 +156,7 @@
 
     /** How long a call of the given messages waits for its answer, as its endpoint is told. */
     private static String waitOf(Call call, List<Message> messages) {
-        return seconds(Math.max(0, Call.expiryOf(messages) - call.startedAtMicros));
+        return seconds(Math.max(0, Call.expiryMicrosOf(messages) - call.startedAtMicros));
     }
 
     @Override
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -56,7 +56,7 @@
 
     private void setTimes() {
         writeBy = messages.stream().mapToLong(m -> m.writeBy).min().orElse(Long.MAX_VALUE);
-        expiresAt = expiryOf(messages);
+        expiresAt = expiryMicrosOf(messages);
     }
 
     /** When the first of its messages must not go any more: the loop may come late with taking it out. Any thread. */
@@ -73,7 +73,7 @@
     }
 
     /** What {@link #expiresAt} is for a call of the given messages of this one. */
-    public static long expiryOf(List<Message> messages) {
+    public static long expiryMicrosOf(List<Message> messages) {
         long longestWait = messages.stream().mapToLong(m -> m.writeBy).max().orElse(Long.MAX_VALUE);
         long firstDeadline = messages.stream().mapToLong(m -> m.deadline).min().orElse(Long.MAX_VALUE);
         return Math.min(longestWait, firstDeadline);
