--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         CallState state = (CallState) call.attachment;
         if (state.closed) {
             return;
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -284,7 +284,7 @@
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         if (!(call.attachment instanceof Out out)) { // its start has failed
             core.post(() -> all(call, AttemptResult.NO_CONNECTION, false, false));
             return;
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -115,7 +115,7 @@
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         if (call.attachment instanceof Session session && session.call == call) {
             session.end(session.written ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION, "");
         }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -695,7 +695,7 @@
 
     private void giveUp(Call call) {
         if (call.started) {
-            call.endpoint.deliverer().giveUp(call);
+            call.endpoint.deliverer().abort(call);
         } else {
             List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
         }
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -6,7 +6,7 @@
     void start(Call call);
 
     /** Stops waiting for a call and closes its connection; the outcomes follow by the next turn. */
-    void giveUp(Call call);
+    void abort(Call call);
 
     /**
      * A message that travels with others must not go any more: it has ended, or its time for this attempt is up. It
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -70,7 +70,7 @@
         }
 
         @Override
-        public void giveUp(Call call) {}
+        public void abort(Call call) {}
 
         @Override
         public void withdraw(Call call) {}
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -212,7 +212,7 @@
     public void withdraw(Call call) {}
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(
                 message -> core.outcome(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
