--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -160,7 +160,7 @@
     }
 
     @Override
-    public void leaveOut(Call call, Message m) {
+    public void removeMessage(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
         if (call.attachment instanceof Out out) {
             out.headers().put(DEADLINE, waitOf(call, rest)); // written anew with the body, or not at all
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -87,7 +87,7 @@
     /** Has a message leave, if others go and the call is not on its way yet. */
     void leave(Message m) {
         if (m.out == this && started && messages.size() > 1) {
-            endpoint.deliverer().leaveOut(this, m);
+            endpoint.deliverer().removeMessage(this, m);
         }
     }
 }
