--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -212,7 +212,7 @@
     }
 
     @Override
-    public void withdraw(Call call) {
+    public void cancelUnsent(Call call) {
         CallState state = (CallState) call.attachment;
         if (!state.closed && !state.written) {
             attemptsOver(call, "withheld", true);
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -302,7 +302,7 @@
     }
 
     @Override
-    public void withdraw(Call call) {
+    public void cancelUnsent(Call call) {
         if (call.attachment instanceof Out out && out.exchange().withdraw()) {
             core.post(() -> all(call, AttemptResult.WITHHELD, false, false));
         }
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -122,7 +122,7 @@
     }
 
     @Override
-    public void withdraw(Call call) {
+    public void cancelUnsent(Call call) {
         if (call.attachment instanceof Session session && session.call == call && session.connection == null) {
             session.end(AttemptResult.WITHHELD, "");
         }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -368,7 +368,7 @@
                 continue;
             }
             if (call.started) {
-                call.endpoint.deliverer().withdraw(call);
+                call.endpoint.deliverer().cancelUnsent(call);
             } else {
                 withhold(call);
             }
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -19,7 +19,7 @@
      * The call's endpoint is draining or gone: takes the call back if none of its bytes is written yet. Its messages
      * end as withheld by the next turn. A call that is on its way goes on.
      */
-    void withdraw(Call call);
+    void cancelUnsent(Call call);
 
     /** Closes idle connections to an endpoint. */
     void closeIdle(Call.Endpoint endpoint);
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -73,7 +73,7 @@
         public void abort(Call call) {}
 
         @Override
-        public void withdraw(Call call) {}
+        public void cancelUnsent(Call call) {}
 
         @Override
         public void closeIdle(Call.Endpoint endpoint) {}
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -209,7 +209,7 @@
 
     /** Nothing drains here. */
     @Override
-    public void withdraw(Call call) {}
+    public void cancelUnsent(Call call) {}
 
     @Override
     public void abort(Call call) {
