--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -220,7 +220,7 @@
     }
 
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         world.onAccepted(message.id());
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -245,7 +245,7 @@
 
     // ---- answers: on the loop thread ----------------------------------------------------------------------
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         List<Waiting> all = waiting.remove(message);
         if (all == null) {
             return; // it came on another port, and a client of this one joined it and has left
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -143,7 +143,7 @@
     }
 
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         if (protocol == Protocol.SMTP) {
             tell(message, new Reply(250, "2.0.0 taken on"));
         }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -213,7 +213,7 @@
 
     // ---- what the core tells ----------------------------------------------------------------------------
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         Waiter w = waiters.get(message);
         if (w != null) {
             accepted(w);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -535,7 +535,7 @@
                 refuse(claims.written(m), m);
                 journal.whenDurable(() -> {
                     m.told = true;
-                    fronts(m).forEach(front -> run(() -> front.taken(m)));
+                    fronts(m).forEach(front -> run(() -> front.onAccepted(m)));
                 });
             } else {
                 counters.add(Name.JOURNAL_FULL);
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -6,7 +6,7 @@
     String name();
 
     /** The message is in the journal: the client may be told. */
-    void taken(Message message);
+    void onAccepted(Message message);
 
     /** The message was turned down in the turn of its hand-in; nothing is owed. */
     void turnedDown(Message message, FinalStatus verdict);
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -126,7 +126,7 @@
         }
 
         @Override
-        public void taken(Message message) {}
+        public void onAccepted(Message message) {}
 
         @Override
         public void turnedDown(Message message, FinalStatus verdict) {
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -90,7 +90,7 @@
         }
 
         @Override
-        public void taken(Message message) {}
+        public void onAccepted(Message message) {}
 
         @Override
         public void turnedDown(Message message, FinalStatus verdict) {
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -183,7 +183,7 @@
     }
 
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         // nobody waits to hear it
     }
 
