--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -225,7 +225,7 @@
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         world.onRefused(message.id(), verdict.retryAfterMicros());
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -269,7 +269,7 @@
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         List<Waiting> all = waiting.remove(message);
         if (all != null) {
             all.forEach(w -> refuse(w.exchange(), verdict));
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -150,7 +150,7 @@
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         tell(message, Reply.of(verdict));
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         Waiter w = forget(message);
         if (w != null) {
             w.answered();
@@ -243,7 +243,7 @@
 
     @Override
     public void notJoined(Message message, String id, FinalStatus verdict) {
-        turnedDown(message, verdict);
+        onRejected(message, verdict);
     }
 
     private Waiter forget(Message message) {
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -284,7 +284,7 @@
     private static Message notHeld(Message m, FinalStatus verdict) {
         m.over = true;
         m.verdict = verdict;
-        m.front.turnedDown(m, verdict);
+        m.front.onRejected(m, verdict);
         return m;
     }
 
@@ -717,7 +717,7 @@
         counters.add(Name.TURNED_DOWN);
         release(m);
         m.verdict = verdict;
-        fronts(m).forEach(front -> run(() -> front.turnedDown(m, verdict)));
+        fronts(m).forEach(front -> run(() -> front.onRejected(m, verdict)));
     }
 
     private void end(Message m, FinalStatus verdict) {
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -9,7 +9,7 @@
     void onAccepted(Message message);
 
     /** The message was turned down in the turn of its hand-in; nothing is owed. */
-    void turnedDown(Message message, FinalStatus verdict);
+    void onRejected(Message message, FinalStatus verdict);
 
     /** True where a message that comes again is asked for by the same client: one claim on its end is enough. */
     default boolean asksAgain() {
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -129,7 +129,7 @@
         public void onAccepted(Message message) {}
 
         @Override
-        public void turnedDown(Message message, FinalStatus verdict) {
+        public void onRejected(Message message, FinalStatus verdict) {
             ended.countDown();
         }
 
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -93,7 +93,7 @@
         public void onAccepted(Message message) {}
 
         @Override
-        public void turnedDown(Message message, FinalStatus verdict) {
+        public void onRejected(Message message, FinalStatus verdict) {
             throw new IllegalStateException(message.id() + " was turned down: " + verdict);
         }
 
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         throw new IllegalStateException(message.id() + " was turned down: " + verdict);
     }
 
