--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public boolean asksAgain() {
+    public boolean notifiesOnce() {
         return true;
     }
 
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -95,7 +95,7 @@
      */
     boolean join(Message m, Front front, String id) {
         Claim claim = new Claim(front, id);
-        if (m.claims.contains(claim) || front.asksAgain() && m.claims.stream().anyMatch(c -> c.front() == front)) {
+        if (m.claims.contains(claim) || front.notifiesOnce() && m.claims.stream().anyMatch(c -> c.front() == front)) {
             return true;
         }
         if (m.claims.size() > MOST_JOINED || m.journaled && !journal.recordAttached(m.id(), front.name(), id)) {
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -12,7 +12,7 @@
     void onRejected(Message message, FinalStatus verdict);
 
     /** True where a message that comes again is asked for by the same client: one claim on its end is enough. */
-    default boolean asksAgain() {
+    default boolean notifiesOnce() {
         return false;
     }
 
