--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public void notJoined(Message message, String id, FinalStatus verdict) {
+    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
         List<Waiting> all = waiting.getOrDefault(message, List.of());
         all.stream().filter(w -> w.id().equals(id)).forEach(w -> refuse(w.exchange(), verdict));
         all.removeIf(w -> w.id().equals(id));
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -242,7 +242,7 @@
     }
 
     @Override
-    public void notJoined(Message message, String id, FinalStatus verdict) {
+    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
         onRejected(message, verdict);
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -550,7 +550,7 @@
     private void refuse(List<DeduplicationTable.Claim> refused, Message m) {
         for (DeduplicationTable.Claim claim : refused) {
             run(() -> claim.front()
-                    .notJoined(m, claim.id(), new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk")));
+                    .onAttachRejected(m, claim.id(), new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk")));
         }
     }
 
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -17,7 +17,7 @@
     }
 
     /** A hand-in that joined a message could not be owed its end after all; of fronts whose identities are shared. */
-    default void notJoined(Message message, String id, FinalStatus verdict) {
+    default void onAttachRejected(Message message, String id, FinalStatus verdict) {
         throw new IllegalStateException(name() + " shares no identities");
     }
 
