--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -230,7 +230,7 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         String status = verdict.kind() == FinalStatus.Kind.REFUSED
                 ? "deferred"
                 : verdict.kind() == FinalStatus.Kind.FAILED ? "undeliverable" : null;
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -300,7 +300,7 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         switch (verdict.kind()) {
             case REFUSED -> notices.add(id, "deferred", verdict.retryAfterMicros(), settled);
             case FAILED -> notices.add(id, "undeliverable", 0, settled);
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -155,7 +155,7 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         if (protocol == Protocol.LMTP) {
             // Whoever has dropped the connection hands it in again, and hears the end that is remembered.
             tell(message, Reply.of(verdict));
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         Waiter w = forget(message);
         Header header = w != null ? w.request.header() : header(message);
         if (w != null) {
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -745,7 +745,7 @@
         int[] open = {m.claims.size()};
         for (DeduplicationTable.Claim claim : m.claims) {
             unsettled++;
-            journal.whenDurable(() -> run(() -> claim.front().ended(m, claim.id(), verdict, () -> {
+            journal.whenDurable(() -> run(() -> claim.front().onFinalStatus(m, claim.id(), verdict, () -> {
                 unsettled--;
                 if (--open[0] == 0) {
                     journal.recordSettled(m.id());
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -26,5 +26,5 @@
      *
      * @param id the id under which it was handed in here: the message's own, or that of a hand-in that joined it
      */
-    void ended(Message message, String id, FinalStatus verdict, Runnable settled);
+    void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled);
 }
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -134,7 +134,7 @@
         }
 
         @Override
-        public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+        public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
             settled.run();
             ended.countDown();
         }
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -98,7 +98,7 @@
         }
 
         @Override
-        public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+        public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
             settled.run();
         }
     }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -193,7 +193,7 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         settled.run();
     }
 
