--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -96,7 +96,7 @@
                     disk,
                     world.scenario().fleet().diskBytes(),
                     Durability.NONE,
-                    new JournalClocks(this::micros, this::wall, BootClock.UNKNOWN),
+                    new JournalClocks(this::monotonicMicros, this::wall, BootClock.UNKNOWN),
                     new SplittableRandom(seed + life));
         } catch (IOException e) {
             throw new IllegalStateException("a disk in memory", e);
@@ -144,7 +144,7 @@
 
     // ---- time -------------------------------------------------------------------------------------------
     @Override
-    public long micros() {
+    public long monotonicMicros() {
         return world.now();
     }
 
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -9,7 +9,7 @@
  */
 public interface Clock {
     /** The monotonic clock, microseconds. */
-    long micros();
+    long monotonicMicros();
 
     /** The wall clock, microseconds; it goes on from where it was at the beginning and does not jump. */
     long wall();
@@ -27,7 +27,7 @@
     static Clock system() {
         return new Clock() {
             @Override
-            public long micros() {
+            public long monotonicMicros() {
                 return Core.micros();
             }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -98,7 +98,7 @@
             IdempotencyWindows windows,
             Clock clock) {
         this.clock = clock;
-        this.now = clock.micros();
+        this.now = clock.monotonicMicros();
         this.settings = settings;
         this.relay = DecisionModule.create(settings, seed);
         this.journal = journal;
@@ -175,7 +175,7 @@
 
     /** The first turn, where a host in virtual time does the loop's part: {@link #due} and {@link #step}. */
     public void begin(List<Listed> known, long version) {
-        now = clock.micros();
+        now = clock.monotonicMicros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
         long wall = clock.wall();
         for (PendingMessage e : List.copyOf(journal.pendingMessages())) {
@@ -191,7 +191,7 @@
 
     /** One turn. */
     public void step() {
-        now = clock.micros();
+        now = clock.monotonicMicros();
         run(this::turn);
     }
 
@@ -457,11 +457,11 @@
                 long until = deadlines.soonest(now + LONGEST_SLEEP);
                 Runnable first = clock.await(ready, until);
                 // Turns keep the module's least spacing: what comes close together is decided together.
-                long early = now + settings.roundMicros() - clock.micros();
+                long early = now + settings.roundMicros() - clock.monotonicMicros();
                 if (early > 0) {
                     clock.pause(early);
                 }
-                now = clock.micros();
+                now = clock.monotonicMicros();
                 run(first);
                 run(this::turn);
             } catch (InterruptedException e) {
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -59,7 +59,7 @@
         private long micros = SECOND;
 
         @Override
-        public long micros() {
+        public long monotonicMicros() {
             return micros;
         }
 
@@ -101,7 +101,7 @@
                 FolderDisk.take(state),
                 1 << 20,
                 Durability.NONE,
-                new JournalClocks(clock::micros, clock::wall, BootClock.UNKNOWN),
+                new JournalClocks(clock::monotonicMicros, clock::wall, BootClock.UNKNOWN),
                 new SplittableRandom(1));
         core = new Core(
                 SettingsReader.read(SETTINGS, 0),
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -37,7 +37,7 @@
     /** Time that passes only as the test says. */
     private final class VirtualClock implements Clock {
         @Override
-        public long micros() {
+        public long monotonicMicros() {
             return now;
         }
 
@@ -138,7 +138,7 @@
                 FolderDisk.take(state),
                 3 << 20,
                 Durability.NONE,
-                new JournalClocks(clock::micros, clock::wall, BootClock.UNKNOWN),
+                new JournalClocks(clock::monotonicMicros, clock::wall, BootClock.UNKNOWN),
                 new SplittableRandom(7));
         return (Journal) Proxy.newProxyInstance(
                 Journal.class.getClassLoader(), new Class<?>[] {Journal.class}, (proxy, method, arguments) -> {
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -64,7 +64,7 @@
                 disk,
                 MOST_DISK,
                 Durability.NONE,
-                new JournalClocks(this::micros, this::wall, BootClock.UNKNOWN),
+                new JournalClocks(this::monotonicMicros, this::wall, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
                 settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND, 1), this);
@@ -152,7 +152,7 @@
 
     // ---- time -------------------------------------------------------------------------------------------
     @Override
-    public long micros() {
+    public long monotonicMicros() {
         return now;
     }
 
