--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -96,7 +96,7 @@
                     disk,
                     world.scenario().fleet().diskBytes(),
                     Durability.NONE,
-                    new JournalClocks(this::monotonicMicros, this::wall, BootClock.UNKNOWN),
+                    new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                     new SplittableRandom(seed + life));
         } catch (IOException e) {
             throw new IllegalStateException("a disk in memory", e);
@@ -149,7 +149,7 @@
     }
 
     @Override
-    public long wall() {
+    public long wallMicros() {
         return WALL + world.now();
     }
 
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -12,7 +12,7 @@
     long monotonicMicros();
 
     /** The wall clock, microseconds; it goes on from where it was at the beginning and does not jump. */
-    long wall();
+    long wallMicros();
 
     /** Takes the next task, and waits for one until the given time at most; null if none came. */
     Runnable await(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
@@ -32,7 +32,7 @@
             }
 
             @Override
-            public long wall() {
+            public long wallMicros() {
                 return Core.wall();
             }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -177,7 +177,7 @@
     public void begin(List<Listed> known, long version) {
         now = clock.monotonicMicros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
-        long wall = clock.wall();
+        long wall = clock.wallMicros();
         for (PendingMessage e : List.copyOf(journal.pendingMessages())) {
             resume(e, wall);
         }
@@ -239,7 +239,7 @@
     /** Takes a hand-in from a front; the front hears of it by the end of the turn. Loop thread. */
     public Message handIn(Front front, Submission submission) {
         counters.add(Name.HANDED_IN);
-        long wall = clock.wall();
+        long wall = clock.wallMicros();
         Message m = new Message(submission, front, wall + submission.budgetMicros());
         Message under = held.get(submission.id());
         if (under != null
@@ -392,7 +392,7 @@
         counters.ending(ending.name());
         trace(m, "outcome", ending, call);
         if (!ending.neverRan()) {
-            m.mayHaveRun(call.endpoint.host(), call.endpoint.zone(), clock.wall());
+            m.mayHaveRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
         }
         events.add(new Event.Outcome(
                 m.id(),
@@ -495,7 +495,7 @@
             events = new ArrayList<>();
             carryOut(relay.decide(now, batch));
         }
-        run(() -> journal.maintain(clock.wall()));
+        run(() -> journal.maintain(clock.wallMicros()));
     }
 
     private void carryOut(List<Action> actions) {
@@ -528,7 +528,7 @@
             if (m.over || endedNow.contains(m.id())) {
                 continue;
             }
-            run(() -> m.journaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWall, clock.wall()));
+            run(() -> m.journaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWall, clock.wallMicros()));
             if (m.journaled) {
                 counters.add(Name.TAKEN);
                 trace(m, "taken", "taken on", null);
@@ -591,7 +591,7 @@
         FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastResponseText);
         if (m.journaled) {
             counters.add(told.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.holds(m.resumed || clock.wall() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
+            counters.holds(m.resumed || clock.wallMicros() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
             end(m, told);
         } else {
             turnDown(m, told);
@@ -639,7 +639,7 @@
         }
         counters.holds(endpoint.equals(call.endpoint), a.id() + " goes where its call goes");
         m.attempts++;
-        call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wall());
+        call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wallMicros());
         if (endpoint.batch() > 1) {
             Call shared = call;
             deadlines.at(a.dropAtMicros(), () -> leave(m, shared));
@@ -658,7 +658,7 @@
 
     /** Starts a call once the journal has its attempts; if it can't have them, nothing is sent. */
     private void start(Call call) {
-        long wall = clock.wall();
+        long wall = clock.wallMicros();
         boolean written = true;
         for (Message m : call.messages) {
             written &= journal.recordAttempt(m.id(), call.endpoint.host(), call.endpoint.zone(), wall);
@@ -723,7 +723,7 @@
     private void end(Message m, FinalStatus verdict) {
         release(m);
         trace(m, "ended", verdict.kind(), null);
-        claims.ended(m, verdict, clock.wall());
+        claims.ended(m, verdict, clock.wallMicros());
         boolean told = verdict.kind() != Kind.DELIVERED && verdict.kind() != Kind.GONE;
         if (told
                 || Identity.isShared(
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -64,7 +64,7 @@
         }
 
         @Override
-        public long wall() {
+        public long wallMicros() {
             return micros;
         }
 
@@ -101,7 +101,7 @@
                 FolderDisk.take(state),
                 1 << 20,
                 Durability.NONE,
-                new JournalClocks(clock::monotonicMicros, clock::wall, BootClock.UNKNOWN),
+                new JournalClocks(clock::monotonicMicros, clock::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(1));
         core = new Core(
                 SettingsReader.read(SETTINGS, 0),
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -42,7 +42,7 @@
         }
 
         @Override
-        public long wall() {
+        public long wallMicros() {
             return now;
         }
 
@@ -138,7 +138,7 @@
                 FolderDisk.take(state),
                 3 << 20,
                 Durability.NONE,
-                new JournalClocks(clock::monotonicMicros, clock::wall, BootClock.UNKNOWN),
+                new JournalClocks(clock::monotonicMicros, clock::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(7));
         return (Journal) Proxy.newProxyInstance(
                 Journal.class.getClassLoader(), new Class<?>[] {Journal.class}, (proxy, method, arguments) -> {
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -64,7 +64,7 @@
                 disk,
                 MOST_DISK,
                 Durability.NONE,
-                new JournalClocks(this::monotonicMicros, this::wall, BootClock.UNKNOWN),
+                new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
                 settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND, 1), this);
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public long wall() {
+    public long wallMicros() {
         return WALL + now;
     }
 
