--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+    public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
         throw new IllegalStateException("the world does the loop's part");
     }
 
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -15,7 +15,7 @@
     long wallMicros();
 
     /** Takes the next task, and waits for one until the given time at most; null if none came. */
-    Runnable await(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
+    Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
 
     /** Lets the time pass. */
     void pause(long micros) throws InterruptedException;
@@ -37,7 +37,7 @@
             }
 
             @Override
-            public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException {
+            public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException {
                 return ready.poll(Math.max(0, untilMicros - Core.micros()), TimeUnit.MICROSECONDS);
             }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -455,7 +455,7 @@
         while (!ended) {
             try {
                 long until = deadlines.soonest(now + LONGEST_SLEEP);
-                Runnable first = clock.await(ready, until);
+                Runnable first = clock.awaitTask(ready, until);
                 // Turns keep the module's least spacing: what comes close together is decided together.
                 long early = now + settings.roundMicros() - clock.monotonicMicros();
                 if (early > 0) {
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -69,7 +69,7 @@
         }
 
         @Override
-        public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+        public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
             throw new IllegalStateException("the test does the loop's part");
         }
 
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -47,7 +47,7 @@
         }
 
         @Override
-        public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+        public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
             throw new IllegalStateException("the test runs the turns");
         }
 
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -162,7 +162,7 @@
     }
 
     @Override
-    public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+    public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
         throw new IllegalStateException("whoever uses it does the loop's part");
     }
 
