--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -159,7 +159,7 @@
     }
 
     @Override
-    public void pause(long micros) {
+    public void sleep(long micros) {
         throw new IllegalStateException("the world does the loop's part");
     }
 
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -18,7 +18,7 @@
     Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
 
     /** Lets the time pass. */
-    void pause(long micros) throws InterruptedException;
+    void sleep(long micros) throws InterruptedException;
 
     /** A task was added for the loop. Any thread. */
     void posted();
@@ -42,7 +42,7 @@
             }
 
             @Override
-            public void pause(long micros) throws InterruptedException {
+            public void sleep(long micros) throws InterruptedException {
                 TimeUnit.MICROSECONDS.sleep(micros);
             }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -459,7 +459,7 @@
                 // Turns keep the module's least spacing: what comes close together is decided together.
                 long early = now + settings.roundMicros() - clock.monotonicMicros();
                 if (early > 0) {
-                    clock.pause(early);
+                    clock.sleep(early);
                 }
                 now = clock.monotonicMicros();
                 run(first);
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -74,7 +74,7 @@
         }
 
         @Override
-        public void pause(long micros) {
+        public void sleep(long micros) {
             throw new IllegalStateException("the test does the loop's part");
         }
 
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void pause(long micros) {
+        public void sleep(long micros) {
             throw new IllegalStateException("the test runs the turns");
         }
 
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -167,7 +167,7 @@
     }
 
     @Override
-    public void pause(long micros) {
+    public void sleep(long micros) {
         throw new IllegalStateException("whoever uses it does the loop's part");
     }
 
