--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -164,7 +164,7 @@
     }
 
     @Override
-    public void posted() {
+    public void taskPosted() {
         if (core != null) {
             schedule();
         }
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -21,7 +21,7 @@
     void sleep(long micros) throws InterruptedException;
 
     /** A task was added for the loop. Any thread. */
-    void posted();
+    void taskPosted();
 
     /** The machine's time, for a loop on a thread of its own. */
     static Clock system() {
@@ -47,7 +47,7 @@
             }
 
             @Override
-            public void posted() {
+            public void taskPosted() {
                 // whoever waits for the queue wakes by it
             }
         };
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -118,7 +118,7 @@
     /** Has the loop run the task in its next turn. From any thread. */
     public void post(Runnable task) {
         ready.add(task);
-        clock.posted();
+        clock.taskPosted();
     }
 
     /** The clock of this turn, microseconds; only goes forward. */
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void posted() {
+        public void taskPosted() {
             posted.release();
         }
     }
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -57,7 +57,7 @@
         }
 
         @Override
-        public void posted() {
+        public void taskPosted() {
             // the next turn takes it
         }
     }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public void posted() {
+    public void taskPosted() {
         // the next turn takes it
     }
 
