--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -250,12 +250,12 @@
     // ---- the directory ----------------------------------------------------------------------------------
     @Override
     public void listing(long version, List<DecisionModule.EndpointEntry> changes) {
-        List<Core.Listed> entries = changes.stream().map(this::listed).toList();
+        List<Core.ListedEndpoint> entries = changes.stream().map(this::listed).toList();
         core.post(() -> core.listing(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
-    private Core.Listed listed(DecisionModule.EndpointEntry e) {
-        return new Core.Listed(
+    private Core.ListedEndpoint listed(DecisionModule.EndpointEntry e) {
+        return new Core.ListedEndpoint(
                 e,
                 new Call.Endpoint(
                         e.host(),
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -108,7 +108,7 @@
         }
         Directory.Known known = config.known() == null ? null : directory.known(config.known());
         deliverer.start();
-        List<Core.Listed> listed = known == null ? List.of() : known.listed();
+        List<Core.ListedEndpoint> listed = known == null ? List.of() : known.listed();
         directory.start(known == null ? -1 : known.index(), listed);
         long version = known == null ? 0 : known.index();
         core.start(
@@ -130,7 +130,7 @@
     }
 
     /** Until discovery has answered nothing new goes to an endpoint that is only known. */
-    private static Core.Listed leaving(Core.Listed listed) {
+    private static Core.ListedEndpoint leaving(Core.ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
                 : listed;
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -28,11 +28,11 @@
     /** Who hears what the list says. */
     public interface Listener {
         /** A change of the list; the first one is the remembered list. */
-        void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> entries);
+        void listing(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries);
     }
 
     /** A list as the platform writes it. */
-    public record Known(long index, boolean whole, List<Core.Listed> listed) {}
+    public record Known(long index, boolean whole, List<Core.ListedEndpoint> listed) {}
 
     private final Core core;
     private final HttpClient client;
@@ -94,7 +94,7 @@
      * fetched whole. The known list is told as remembered with the first answer, or after {@link #FIRST_ANSWER_WAIT};
      * nothing is told before.
      */
-    public void start(long knownIndex, List<Core.Listed> known) {
+    public void start(long knownIndex, List<Core.ListedEndpoint> known) {
         withheld.add(membership.remembered(Math.max(0, knownIndex), known));
         firstAnswerDue = core.deadlines().at(core.now() + FIRST_ANSWER_WAIT, this::tellWithheld);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
@@ -182,12 +182,12 @@
 
     /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
     public Known known(EndpointList list) {
-        List<Core.Listed> all = new ArrayList<>(list.endpoints().size());
+        List<Core.ListedEndpoint> all = new ArrayList<>(list.endpoints().size());
         list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
         return new Known(list.version(), list.isWhole(), all);
     }
 
-    private Core.Listed listed(EndpointList.Endpoint endpoint) {
+    private Core.ListedEndpoint listed(EndpointList.Endpoint endpoint) {
         int kind = names.kinds().indexOf(endpoint.type());
         int zone = Math.max(0, names.zones().indexOf(endpoint.zone()));
         DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
@@ -198,7 +198,7 @@
                 endpoint.presence(),
                 endpoint.weight(),
                 sinceMicros(endpoint.sinceMillis()));
-        return new Core.Listed(
+        return new Core.ListedEndpoint(
                 entry,
                 new Call.Endpoint(
                         endpoint.name(),
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -79,7 +79,7 @@
             for (String address : route.addresses()) {
                 String host = route.host(address);
                 protocols.put(host, route.protocol());
-                core.add(new Core.Listed(
+                core.add(new Core.ListedEndpoint(
                         new DecisionModule.EndpointEntry(
                                 host, route.destination(), zone, -1, DecisionModule.Presence.ACTIVE, 1, 0),
                         new Call.Endpoint(host, address, route.destination(), zone, 1, false, this)));
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -37,10 +37,10 @@
     private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - micros();
 
     /** An endpoint as the directory lists it. */
-    public record Listed(DecisionModule.EndpointEntry entry, Call.Endpoint endpoint) {
+    public record ListedEndpoint(DecisionModule.EndpointEntry entry, Call.Endpoint endpoint) {
         /** The same endpoint with another presence. */
-        public Listed withPresence(DecisionModule.Presence presence) {
-            return new Listed(
+        public ListedEndpoint withPresence(DecisionModule.Presence presence) {
+            return new ListedEndpoint(
                     new DecisionModule.EndpointEntry(
                             entry.host(),
                             entry.destination(),
@@ -67,7 +67,7 @@
     /** Destinations that the list has named, and when last: one that has no endpoint now may have one soon. */
     private final Map<Integer, Long> destinations = new HashMap<>();
     /** Endpoints that stand in our own configuration and in no directory. */
-    private final List<Listed> fixed = new ArrayList<>();
+    private final List<ListedEndpoint> fixed = new ArrayList<>();
 
     private final Set<Call> calls = new HashSet<>();
     private final List<Message> fresh = new ArrayList<>();
@@ -160,21 +160,21 @@
     }
 
     /** Adds an endpoint of our own configuration; before {@link #start}. */
-    public void add(Listed own) {
+    public void add(ListedEndpoint own) {
         fixed.add(own);
         endpoints.put(own.entry().host(), own.endpoint());
         activeEndpoints.activate(own.endpoint());
     }
 
     /** Starts the loop: first what the journal says is owed, with the list as last known. */
-    public void start(List<Listed> known, long version) {
+    public void start(List<ListedEndpoint> known, long version) {
         begin(known, version);
         thread = new Thread(this::loop, "loop");
         thread.start();
     }
 
     /** The first turn, where a host in virtual time does the loop's part: {@link #due} and {@link #step}. */
-    public void begin(List<Listed> known, long version) {
+    public void begin(List<ListedEndpoint> known, long version) {
         now = clock.monotonicMicros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
         long wall = clock.wallMicros();
@@ -305,10 +305,10 @@
     }
 
     /** News of the list. Loop thread. */
-    public void listing(DecisionModule.ListingKind kind, long version, List<Listed> listed) {
+    public void listing(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
         counters.add(Name.LISTINGS);
         boolean whole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
-        List<Listed> all = new ArrayList<>(listed);
+        List<ListedEndpoint> all = new ArrayList<>(listed);
         if (whole) {
             all.addAll(fixed);
             Map<String, Call.Endpoint> old = new HashMap<>(endpoints);
@@ -317,7 +317,7 @@
             old.values().forEach(x -> x.deliverer().closeIdle(x));
         }
         List<DecisionModule.EndpointEntry> entries = new ArrayList<>();
-        for (Listed x : all) {
+        for (ListedEndpoint x : all) {
             entries.add(x.entry());
             Call.Endpoint before = endpoints.put(x.entry().host(), x.endpoint());
             boolean isActive = x.entry().presence() == DecisionModule.Presence.ACTIVE;
@@ -342,13 +342,13 @@
     }
 
     /** Has requests be written only to what is active now. */
-    private void activate(List<Listed> listed, boolean isWhole) {
+    private void activate(List<ListedEndpoint> listed, boolean isWhole) {
         if (isWhole) {
             activeEndpoints.replaceAll(
-                    listed.stream().filter(Core::isActive).map(Listed::endpoint).toList());
+                    listed.stream().filter(Core::isActive).map(ListedEndpoint::endpoint).toList());
             return;
         }
-        for (Listed each : listed) {
+        for (ListedEndpoint each : listed) {
             if (isActive(each)) {
                 activeEndpoints.activate(each.endpoint());
             } else {
@@ -357,7 +357,7 @@
         }
     }
 
-    private static boolean isActive(Listed listed) {
+    private static boolean isActive(ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE;
     }
 
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -52,7 +52,7 @@
      * @param unusable names whose entry could not be used: no address, no group, a status that is not known
      */
     public record ListUpdate(
-            String agent, long index, boolean isWhole, boolean isCut, List<Core.Listed> entries, Set<String> unusable) {
+            String agent, long index, boolean isWhole, boolean isCut, List<Core.ListedEndpoint> entries, Set<String> unusable) {
         /** True if a name that is not in it has left. */
         boolean isComplete() {
             return isWhole && !isCut;
@@ -60,7 +60,7 @@
     }
 
     /** What the core is to hear; nothing if it is a change without entries. */
-    public record Change(ListingKind kind, long version, List<Core.Listed> entries) {}
+    public record Change(ListingKind kind, long version, List<Core.ListedEndpoint> entries) {}
 
     /** Where departures outlast the process. */
     public interface DepartureStore {
@@ -82,14 +82,14 @@
     public record Departure(String name, String agent, long index, long atMicros) {}
 
     /** An endpoint as last told, and the newest list of the agent that told its address and destination last. */
-    private record Known(Core.Listed listed, ListPosition position) {
+    private record Known(Core.ListedEndpoint listed, ListPosition position) {
         boolean isActive() {
             return listed.entry().presence() == Presence.ACTIVE;
         }
     }
 
     /** What one list says of an endpoint. {@code isDisputed}: its entries contradict each other or can't be used. */
-    private record Statement(Core.Listed listed, boolean isDisputed) {
+    private record Statement(Core.ListedEndpoint listed, boolean isDisputed) {
         Presence presence() {
             return listed.entry().presence();
         }
@@ -134,10 +134,10 @@
      * The list that a start begins with, which may be out of date: what an earlier process heard to leave stays out,
      * whenever that was.
      */
-    public Change remembered(long version, List<Core.Listed> listed) {
+    public Change remembered(long version, List<Core.ListedEndpoint> listed) {
         this.version = version;
         ListPosition position = new ListPosition(ListPosition.KNOWN_LIST, version, true, 0);
-        List<Core.Listed> told = new ArrayList<>(listed.size());
+        List<Core.ListedEndpoint> told = new ArrayList<>(listed.size());
         for (Statement statement : statements(listed, Set.of()).values()) {
             isDoubtful |= statement.isDisputed();
             boolean isActive = statement.presence() == Presence.ACTIVE;
@@ -191,7 +191,7 @@
         ListPosition position = position(update, nowMicros);
         hasDoubt = update.isCut() || !update.unusable().isEmpty() || isOlderChange(update, position);
         Map<String, Statement> statements = statements(update.entries(), update.unusable());
-        List<Core.Listed> told = new ArrayList<>(statements.size());
+        List<Core.ListedEndpoint> told = new ArrayList<>(statements.size());
         for (Map.Entry<String, Statement> statement : statements.entrySet()) {
             told.addAll(heard(statement.getKey(), statement.getValue(), update, statements.keySet(), position));
         }
@@ -249,10 +249,10 @@
     }
 
     /** What the entries say of each name; null for names that have no entry that can be used. */
-    private Map<String, Statement> statements(List<Core.Listed> entries, Set<String> unusable) {
+    private Map<String, Statement> statements(List<Core.ListedEndpoint> entries, Set<String> unusable) {
         Map<String, Statement> statements = new LinkedHashMap<>(2 * entries.size());
         Set<String> twice = new LinkedHashSet<>();
-        for (Core.Listed listed : entries) {
+        for (Core.ListedEndpoint listed : entries) {
             Statement before = statements.putIfAbsent(name(listed), new Statement(listed, false));
             if (before != null) {
                 twice.add(name(listed));
@@ -265,30 +265,30 @@
         for (String name : unusable) {
             Known before = known.get(name);
             Statement statement = statements.get(name);
-            Core.Listed listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
+            Core.ListedEndpoint listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
             statements.put(name, listed == null ? null : new Statement(atLeastLeaving(listed), true));
         }
         return statements;
     }
 
     /** Two entries of one endpoint: the most cautious presence; without a clear address it can't be active. */
-    private Statement joined(Statement one, Core.Listed other) {
+    private Statement joined(Statement one, Core.ListedEndpoint other) {
         Presence presence = other.entry().presence();
         if (isSameTarget(one.listed(), other)) {
             boolean isSame = one.presence() == presence;
             boolean isCautious = one.presence().compareTo(presence) >= 0;
             return new Statement(isCautious ? one.listed() : other, one.isDisputed() || !isSame);
         }
-        Core.Listed cautious = one.presence().compareTo(presence) >= 0 ? one.listed() : other;
+        Core.ListedEndpoint cautious = one.presence().compareTo(presence) >= 0 ? one.listed() : other;
         return new Statement(atLeastLeaving(cautious), true);
     }
 
-    private static Core.Listed atLeastLeaving(Core.Listed listed) {
+    private static Core.ListedEndpoint atLeastLeaving(Core.ListedEndpoint listed) {
         return listed.entry().presence() == Presence.ACTIVE ? listed.withPresence(Presence.LEAVING) : listed;
     }
 
     /** What the core is to hear for one statement: of the endpoint, and of another one whose address it has now. */
-    private List<Core.Listed> heard(
+    private List<Core.ListedEndpoint> heard(
             String name, Statement statement, ListUpdate update, Set<String> mentioned, ListPosition position) {
         if (statement == null) {
             departures.hearDisputed(name, position);
@@ -301,13 +301,13 @@
         if (!departures.permits(name, position)) {
             return List.of(withhold(statement.listed(), position));
         }
-        Core.Listed removed = update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
-        Core.Listed active = activate(statement.listed(), position);
+        Core.ListedEndpoint removed = update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
+        Core.ListedEndpoint active = activate(statement.listed(), position);
         return removed == null ? List.of(active) : List.of(removed, active);
     }
 
-    private Core.Listed depart(Statement statement, ListPosition position) {
-        Core.Listed listed = statement.listed();
+    private Core.ListedEndpoint depart(Statement statement, ListPosition position) {
+        Core.ListedEndpoint listed = statement.listed();
         if (statement.isDisputed()) {
             departures.hearDisputed(name(listed), position);
         } else {
@@ -316,9 +316,9 @@
         return putInactive(listed, position);
     }
 
-    private Core.Listed withhold(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint withhold(Core.ListedEndpoint listed, ListPosition position) {
         boolean isNew = !withheld.contains(name(listed));
-        Core.Listed leaving = putInactive(listed.withPresence(Presence.LEAVING), position);
+        Core.ListedEndpoint leaving = putInactive(listed.withPresence(Presence.LEAVING), position);
         withheld.add(name(listed));
         if (isNew) {
             newlyWithheld.add(name(listed));
@@ -342,7 +342,7 @@
         return names.size() <= MOST_LOGGED ? first : first + " and " + (names.size() - MOST_LOGGED) + " others";
     }
 
-    private Core.Listed putInactive(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint putInactive(Core.ListedEndpoint listed, ListPosition position) {
         remove(name(listed));
         if (listed.entry().presence() != Presence.LEFT) {
             known.put(name(listed), new Known(listed, position));
@@ -358,7 +358,7 @@
         }
     }
 
-    private Core.Listed activate(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint activate(Core.ListedEndpoint listed, ListPosition position) {
         departures.remove(name(listed));
         Known before = known.get(name(listed));
         if (before == null || !before.isActive() || !before.position().isExact()) {
@@ -382,7 +382,7 @@
         return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.heardMicros());
     }
 
-    private Core.Listed keep(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint keep(Core.ListedEndpoint listed, ListPosition position) {
         remove(name(listed));
         known.put(name(listed), new Known(listed, position));
         holders.put(address(listed), name(listed));
@@ -393,7 +393,7 @@
      * Has an endpoint depart whose address a list of changes gives to another name, if that list is later: two names
      * share an address only where one list says so. Null if there is none.
      */
-    private Core.Listed removedHolder(Core.Listed listed, Set<String> mentioned, ListPosition position) {
+    private Core.ListedEndpoint removedHolder(Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
         String holder = holders.get(address(listed));
         if (holder == null || holder.equals(name(listed)) || mentioned.contains(holder) || isAt(listed)) {
             return null;
@@ -407,7 +407,7 @@
     }
 
     /** Whether the endpoint is active at that address already. */
-    private boolean isAt(Core.Listed listed) {
+    private boolean isAt(Core.ListedEndpoint listed) {
         Known before = known.get(name(listed));
         return before != null && before.isActive() && address(before.listed()).equals(address(listed));
     }
@@ -457,15 +457,15 @@
         }
     }
 
-    private static String name(Core.Listed listed) {
+    private static String name(Core.ListedEndpoint listed) {
         return listed.entry().host();
     }
 
-    private static String address(Core.Listed listed) {
+    private static String address(Core.ListedEndpoint listed) {
         return listed.endpoint().address();
     }
 
-    private static boolean isSameTarget(Core.Listed one, Core.Listed other) {
+    private static boolean isSameTarget(Core.ListedEndpoint one, Core.ListedEndpoint other) {
         return one.entry().destination() == other.entry().destination()
                 && address(one).equals(address(other));
     }
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -44,7 +44,7 @@
     private final Note note;
     private final Set<String> out;
     /** What the list said last of each endpoint; one that has left stays known by its name. */
-    private final Map<String, Core.Listed> listed = new LinkedHashMap<>();
+    private final Map<String, Core.ListedEndpoint> listed = new LinkedHashMap<>();
 
     private long version;
 
@@ -58,17 +58,17 @@
     }
 
     /** News of the list on their way to the core. */
-    public void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> news) {
+    public void listing(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
         core.listing(kind, version, heard(kind, version, news));
     }
 
     /** Takes news in and gives what the core may hear of it: at the start the core is told by its host. */
-    public List<Core.Listed> heard(DecisionModule.ListingKind kind, long version, List<Core.Listed> news) {
+    public List<Core.ListedEndpoint> heard(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
             listed.replaceAll((host, x) -> x.withPresence(DecisionModule.Presence.LEFT)); // but for what follows
         }
-        for (Core.Listed x : news) {
+        for (Core.ListedEndpoint x : news) {
             listed.remove(x.entry().host()); // the last that was heard of goes last
             listed.put(x.entry().host(), x);
         }
@@ -80,8 +80,8 @@
         return apply(news);
     }
 
-    private List<Core.Listed> apply(List<Core.Listed> news) {
-        List<Core.Listed> told = new ArrayList<>(news);
+    private List<Core.ListedEndpoint> apply(List<Core.ListedEndpoint> news) {
+        List<Core.ListedEndpoint> told = new ArrayList<>(news);
         told.replaceAll(x -> out.contains(x.entry().host()) && x.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? x.withPresence(DecisionModule.Presence.LEAVING)
                 : x);
@@ -90,7 +90,7 @@
 
     /** Takes the endpoint out, from the next turn on. A second call changes nothing. */
     public void suspend(String id) throws Refused {
-        Core.Listed now = known(id);
+        Core.ListedEndpoint now = known(id);
         if (out.contains(id)) {
             return;
         }
@@ -108,7 +108,7 @@
 
     /** Puts it back, however often it was taken out. */
     public void restore(String id) throws Refused {
-        Core.Listed now = known(id);
+        Core.ListedEndpoint now = known(id);
         if (!out.remove(id)) {
             return;
         }
@@ -120,15 +120,15 @@
         tell(now);
     }
 
-    private Core.Listed known(String id) throws Refused {
-        Core.Listed now = listed.get(id);
+    private Core.ListedEndpoint known(String id) throws Refused {
+        Core.ListedEndpoint now = listed.get(id);
         if (now == null && !out.contains(id)) {
             throw new Refused(id + ": never listed");
         }
         return now;
     }
 
-    private void tell(Core.Listed now) {
+    private void tell(Core.ListedEndpoint now) {
         if (now != null && now.entry().presence() != DecisionModule.Presence.LEFT) {
             core.listing(DecisionModule.ListingKind.CHANGES, version, apply(List.of(now)));
         }
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -140,8 +140,8 @@
         }
     }
 
-    private Core.Listed listed(String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
-        return new Core.Listed(
+    private Core.ListedEndpoint listed(String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
+        return new Core.ListedEndpoint(
                 new DecisionModule.EndpointEntry(name, GROUP, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, endpoint.address(), GROUP, 0, 1, false, deliverer));
     }
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -223,9 +223,9 @@
     }
 
     private void list(long version, DecisionModule.Presence presence, Call.Endpoint... endpoints) {
-        List<Core.Listed> listed = new ArrayList<>();
+        List<Core.ListedEndpoint> listed = new ArrayList<>();
         for (Call.Endpoint each : endpoints) {
-            listed.add(new Core.Listed(
+            listed.add(new Core.ListedEndpoint(
                     new DecisionModule.EndpointEntry(each.host(), each.destination(), each.zone(), 0, presence, 1, 0),
                     each));
         }
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -105,8 +105,8 @@
 
     private final RecordingDeliverer deliverer = new RecordingDeliverer();
 
-    private Core.Listed listed(String name, Presence presence) {
-        return new Core.Listed(
+    private Core.ListedEndpoint listed(String name, Presence presence) {
+        return new Core.ListedEndpoint(
                 new DecisionModule.EndpointEntry(name, DESTINATION, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, "127.0.0.1:9", DESTINATION, 0, 1, false, deliverer));
     }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -93,15 +93,15 @@
                 new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
     }
 
-    private List<Core.Listed> list(int destinations) {
+    private List<Core.ListedEndpoint> list(int destinations) {
         return IntStream.range(0, destinations)
                 .mapToObj(i -> listed(i, DecisionModule.Presence.ACTIVE))
                 .toList();
     }
 
-    private Core.Listed listed(int destination, DecisionModule.Presence presence) {
+    private Core.ListedEndpoint listed(int destination, DecisionModule.Presence presence) {
         String host = "endpoint-" + destination;
-        return new Core.Listed(
+        return new Core.ListedEndpoint(
                 new DecisionModule.EndpointEntry(host, destination, 0, 0, presence, 1, 0),
                 new Call.Endpoint(host, "127.0.0.1:9", destination, 0, 1, false, this));
     }
