--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -246,7 +246,7 @@
     }
 
     private void stopping() {
-        long told = core.now();
+        long told = core.nowMicros();
         core.deadlines().at(told + ACCEPT, () -> {
             core.stopBy(told + CALLS_BY);
             front.close();
@@ -259,10 +259,10 @@
     }
 
     private void untilQuiet(long end) {
-        if (core.now() >= end || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
+        if (core.nowMicros() >= end || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
             stopped.countDown();
         } else {
-            core.deadlines().at(core.now() + LOOK, () -> untilQuiet(end));
+            core.deadlines().at(core.nowMicros() + LOOK, () -> untilQuiet(end));
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -96,7 +96,7 @@
      */
     public void start(long knownIndex, List<Core.ListedEndpoint> known) {
         withheld.add(membership.remembered(Math.max(0, knownIndex), known));
-        firstAnswerDue = core.deadlines().at(core.now() + FIRST_ANSWER_WAIT, this::tellWithheld);
+        firstAnswerDue = core.deadlines().at(core.nowMicros() + FIRST_ANSWER_WAIT, this::tellWithheld);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
     }
 
@@ -137,9 +137,9 @@
                         list.isCut(),
                         known(list).listed(),
                         list.unusable()),
-                core.now(),
+                core.nowMicros(),
                 Core.wall());
-        if (membership.needsWholeList(core.now())) {
+        if (membership.needsWholeList(core.nowMicros())) {
             source.requestWholeList();
         }
         if (isInOrder) {
@@ -212,6 +212,6 @@
 
     /** A moment of the wall clock on the loop's clock; 0 stays 0, which means that it is not known. */
     private long sinceMicros(long sinceMillis) {
-        return sinceMillis == 0 ? 0 : Math.max(1, core.now() - (System.currentTimeMillis() - sinceMillis) * 1000);
+        return sinceMillis == 0 ? 0 : Math.max(1, core.nowMicros() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -127,8 +127,8 @@
 
     /** Starts to drop connections that were idle for too long. */
     void start() {
-        pool.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::start);
+        pool.sweep(core.nowMicros());
+        core.deadlines().at(core.nowMicros() + SWEEP, this::start);
     }
 
     /** Closes what is idle under the name. */
@@ -302,7 +302,7 @@
             if (done) {
                 return;
             }
-            Connection<?> idle = pool.take(owner, core.now());
+            Connection<?> idle = pool.take(owner, core.nowMicros());
             if (idle == null) {
                 connect();
                 return;
@@ -317,7 +317,7 @@
 
         private void connect() {
             fresh = true;
-            due = core.deadlines().at(core.now() + connectMicros, this::late);
+            due = core.deadlines().at(core.nowMicros() + connectMicros, this::late);
             core.counters().add(Counters.Name.CONNECTIONS);
             connecting = transport.connect(
                     Transport.address(address),
@@ -400,7 +400,7 @@
             core.post(() -> {
                 if (!done) {
                     core.deadlines().cancel(due);
-                    due = core.deadlines().at(core.now() + REST_BY, this::late);
+                    due = core.deadlines().at(core.nowMicros() + REST_BY, this::late);
                 }
             });
         }
@@ -422,7 +422,7 @@
             if (listener.isServerLeaving()) {
                 unused.closeSilently();
             } else {
-                pool.giveBack(owner, unused, core.now());
+                pool.giveBack(owner, unused, core.nowMicros());
             }
         }
 
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -81,8 +81,8 @@
     }
 
     private void sweep() {
-        waits.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::sweep);
+        waits.sweep(core.nowMicros());
+        core.deadlines().at(core.nowMicros() + SWEEP, this::sweep);
     }
 
     @Override
@@ -275,7 +275,7 @@
 
     /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
     private void outcome(Call call, Message m, AttemptResult ending, boolean noSlot, boolean over) {
-        core.outcome(call, m, ending, waits.left(call.endpoint, core.now()), noSlot, over);
+        core.outcome(call, m, ending, waits.left(call.endpoint, core.nowMicros()), noSlot, over);
     }
 
     /** Seconds with decimals, as the protocol writes them. */
@@ -320,7 +320,7 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.now();
+        long started = core.nowMicros();
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
         Deadlines.Key late = core.deadlines()
                 .at(
@@ -357,6 +357,6 @@
     }
 
     private void probed(Call.Endpoint endpoint, AttemptResult ending, long started) {
-        core.probed(endpoint.host(), ending, core.now() - started);
+        core.probed(endpoint.host(), ending, core.nowMicros() - started);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -388,7 +388,7 @@
             if (!connection.isOpen()) {
                 return;
             }
-            long now = core.now();
+            long now = core.nowMicros();
             if (now >= due()) {
                 Transport.afterReading(connection, this::over);
             }
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -89,8 +89,8 @@
     }
 
     private void sweep() {
-        pool.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::sweep);
+        pool.sweep(core.nowMicros());
+        core.deadlines().at(core.nowMicros() + SWEEP, this::sweep);
     }
 
     @Override
@@ -104,10 +104,10 @@
             return;
         }
         Session idle = null;
-        Connection<?> kept = pool.take(call.endpoint.host(), core.now());
+        Connection<?> kept = pool.take(call.endpoint.host(), core.nowMicros());
         while (kept != null && idle == null) {
             idle = sessions.get(kept); // null once its server has said farewell
-            kept = idle == null ? pool.take(call.endpoint.host(), core.now()) : kept;
+            kept = idle == null ? pool.take(call.endpoint.host(), core.nowMicros()) : kept;
         }
         Session session = idle != null ? idle : new Session(call.endpoint);
         call.attachment = session;
@@ -136,16 +136,16 @@
     /** There is no probe but a connection: one is opened and greeted. */
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.now();
+        long started = core.nowMicros();
         transport.connect(
                 Transport.address(endpoint.address()),
                 chain,
                 up -> {
                     up.closeSilently();
-                    core.post(() -> core.probed(endpoint.host(), AttemptResult.DELIVERED, core.now() - started));
+                    core.post(() -> core.probed(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - started));
                 },
                 problem -> core.post(
-                        () -> core.probed(endpoint.host(), AttemptResult.NO_CONNECTION, core.now() - started)));
+                        () -> core.probed(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - started)));
     }
 
     /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
@@ -181,7 +181,7 @@
                 return;
             }
             core.counters().add(Counters.Name.CONNECTIONS);
-            connectBy = core.deadlines().at(core.now() + connectMicros, () -> {
+            connectBy = core.deadlines().at(core.nowMicros() + connectMicros, () -> {
                 connecting.run();
                 end(AttemptResult.NO_CONNECTION, "");
             });
@@ -282,7 +282,7 @@
         private void delivered(Reply reply) {
             Call done = call;
             call = null;
-            pool.giveBack(endpoint.host(), connection, core.now());
+            pool.giveBack(endpoint.host(), connection, core.nowMicros());
             tell(done, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
         }
 
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -102,7 +102,7 @@
             idle = front.core()
                     .deadlines()
                     .at(
-                            front.core().now() + settings.idleMicros(),
+                            front.core().nowMicros() + settings.idleMicros(),
                             () -> close("421 4.4.2 nothing came for too long\r\n"));
         }
     }
@@ -248,7 +248,7 @@
             whole = front.core()
                     .deadlines()
                     .at(
-                            front.core().now() + settings.idleMicros(),
+                            front.core().nowMicros() + settings.idleMicros(),
                             () -> close("421 4.4.2 the mail took too long\r\n"));
             write("354 end with a dot on a line of its own\r\n");
         }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -122,7 +122,7 @@
     }
 
     /** The clock of this turn, microseconds; only goes forward. */
-    public long now() {
+    public long nowMicros() {
         return now;
     }
 
