--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -51,7 +51,7 @@
 
         @Override
         public boolean mayGo() {
-            return waits.left(endpoint, Core.micros()) == 0;
+            return waits.left(endpoint, Core.monotonicMicros()) == 0;
         }
     }
 
@@ -115,7 +115,7 @@
 
             @Override
             public boolean isTooLate() {
-                return Core.micros() >= call.writeByMicros();
+                return Core.monotonicMicros() >= call.writeByMicros();
             }
 
             @Override
@@ -256,7 +256,7 @@
             longest = Math.max(longest, Figures.atLeast(wait.strip(), 3, MOST_WAIT));
         }
         if (longest > 0) {
-            long now = Core.micros() + 1; // the clock is cut to whole microseconds
+            long now = Core.monotonicMicros() + 1; // the clock is cut to whole microseconds
             waits.told(endpoint, now + longest);
             Logs.debug(
                     "",
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -207,7 +207,7 @@
                 request.body(),
                 !retry.isEmpty(),
                 retry.equals("again"),
-                budget(deadline, Core.micros() - request.arrivedMicros()));
+                budget(deadline, Core.monotonicMicros() - request.arrivedMicros()));
     }
 
     private String identity(Map<String, String> headers, String key) {
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -69,7 +69,7 @@
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
-        reader = new Hl7Reader(settings, Core::micros, Core::wall);
+        reader = new Hl7Reader(settings, Core::monotonicMicros, Core::wall);
         replies = new Replies(new Acknowledgements(life + '-'), settings.key());
         connections = new MllpConnections(this, core);
         finalAnswers = new FinalAnswers(core, settings, connections, replies);
@@ -179,7 +179,7 @@
     }
 
     private Submission submission(Request r) {
-        long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.micros() - r.arrivedMicros()));
+        long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.monotonicMicros() - r.arrivedMicros()));
         return new Submission(
                 id(r),
                 r.identity(),
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -28,7 +28,7 @@
         return new Clock() {
             @Override
             public long monotonicMicros() {
-                return Core.micros();
+                return Core.monotonicMicros();
             }
 
             @Override
@@ -38,7 +38,7 @@
 
             @Override
             public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException {
-                return ready.poll(Math.max(0, untilMicros - Core.micros()), TimeUnit.MICROSECONDS);
+                return ready.poll(Math.max(0, untilMicros - Core.monotonicMicros()), TimeUnit.MICROSECONDS);
             }
 
             @Override
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -34,7 +34,7 @@
     /** An end this long after a message's time is a broken rule. */
     private static final long OVERDUE = 250_000;
 
-    private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - micros();
+    private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - monotonicMicros();
 
     /** An endpoint as the directory lists it. */
     public record ListedEndpoint(DecisionModule.EndpointEntry entry, Call.Endpoint endpoint) {
@@ -142,7 +142,7 @@
     }
 
     /** The monotonic clock, microseconds. */
-    public static long micros() {
+    public static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
@@ -151,7 +151,7 @@
      * somebody sets it. What outlasts the process is told in it.
      */
     public static long wall() {
-        return WALL_AT_START + micros();
+        return WALL_AT_START + monotonicMicros();
     }
 
     /** Adds a front; before {@link #start}. */
