--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -62,7 +62,7 @@
                 FolderDisk.take(config.state()),
                 config.diskBytes() - config.noteBytes(),
                 operator.journal().durability(),
-                new JournalClocks(Core::monotonicMicros, Core::wall, BootClock.read(Core::monotonicMicros, Core::wall)),
+                new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                 new SplittableRandom(config.seed() ^ System.nanoTime()));
         Counters counters = new Counters();
         figures(journal, counters);
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -138,7 +138,7 @@
                         known(list).listed(),
                         list.unusable()),
                 core.nowMicros(),
-                Core.wall());
+                Core.wallMicros());
         if (membership.needsWholeList(core.nowMicros())) {
             source.requestWholeList();
         }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -69,7 +69,7 @@
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
-        reader = new Hl7Reader(settings, Core::monotonicMicros, Core::wall);
+        reader = new Hl7Reader(settings, Core::monotonicMicros, Core::wallMicros);
         replies = new Replies(new Acknowledgements(life + '-'), settings.key());
         connections = new MllpConnections(this, core);
         finalAnswers = new FinalAnswers(core, settings, connections, replies);
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -33,7 +33,7 @@
 
             @Override
             public long wallMicros() {
-                return Core.wall();
+                return Core.wallMicros();
             }
 
             @Override
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -150,7 +150,7 @@
      * The wall clock, microseconds, as it was when this life began and went on from there: it does not jump when
      * somebody sets it. What outlasts the process is told in it.
      */
-    public static long wall() {
+    public static long wallMicros() {
         return WALL_AT_START + monotonicMicros();
     }
 
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -97,8 +97,8 @@
     /** Guards the core's wall clock: it stands in a fixed distance from the monotonic one for all of a life. */
     @Test
     void theWallClockOfALifeGoesWithTheMonotonicOne() {
-        long distance = BootClock.offset(Core::monotonicMicros, Core::wall);
-        assertEquals(distance, BootClock.offset(Core::monotonicMicros, Core::wall), MS);
+        long distance = BootClock.offset(Core::monotonicMicros, Core::wallMicros);
+        assertEquals(distance, BootClock.offset(Core::monotonicMicros, Core::wallMicros), MS);
     }
 
     /** A process that is held up for 150 ms between its readings of the two clocks still knows their distance. */
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -167,7 +167,7 @@
                         new HeldDisk(FolderDisk.take(state), forcing),
                         DISK_BYTES,
                         new Durability(Durability.How.GROUP, 0),
-                        new JournalClocks(Core::monotonicMicros, Core::wall, BootClock.read(Core::monotonicMicros, Core::wall)),
+                        new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                         new SplittableRandom(1))) {
             Core core = new Core(
                     config.settings(),
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -53,7 +53,7 @@
                 FolderDisk.take(state),
                 1 << 20,
                 Durability.NONE,
-                new JournalClocks(Core::monotonicMicros, Core::wall, BootClock.UNKNOWN),
+                new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(1));
         core = new Core(
                 SettingsReader.read(SETTINGS, 0), 1, journal, new Counters(), new IdempotencyWindows(List.of(), 0, 1));
