--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -115,7 +115,7 @@
                 this);
         deliverer = new VirtualDeliverer(world, number, settings, core, waits);
         core.add(this);
-        core.begin(known.stream().map(this::listed).toList(), version);
+        core.runFirstTurn(known.stream().map(this::listed).toList(), version);
         schedule();
         world.onReady(number);
     }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -168,13 +168,13 @@
 
     /** Starts the loop: first what the journal says is owed, with the list as last known. */
     public void start(List<ListedEndpoint> known, long version) {
-        begin(known, version);
+        runFirstTurn(known, version);
         thread = new Thread(this::loop, "loop");
         thread.start();
     }
 
     /** The first turn, where a host in virtual time does the loop's part: {@link #due} and {@link #step}. */
-    public void begin(List<ListedEndpoint> known, long version) {
+    public void runFirstTurn(List<ListedEndpoint> known, long version) {
         now = clock.monotonicMicros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
         long wall = clock.wallMicros();
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -110,7 +110,7 @@
                 new Counters(),
                 new IdempotencyWindows(List.of(), 0, 1),
                 clock);
-        core.begin(List.of(), 0);
+        core.runFirstTurn(List.of(), 0);
         transport = new Transport();
     }
 
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -173,7 +173,7 @@
             Core core = new Core(settings(), 7, journal, counters, windows, new VirtualClock());
             SilentFront front = new SilentFront();
             core.add(front);
-            core.begin(List.of(listed("e1", Presence.ACTIVE)), 1);
+            core.runFirstTurn(List.of(listed("e1", Presence.ACTIVE)), 1);
             byte[] body = new byte[0];
             core.handIn(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
             turn(core);
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -69,7 +69,7 @@
         core = new Core(
                 settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND, 1), this);
         core.add(this);
-        core.begin(list(destinations), 1);
+        core.runFirstTurn(list(destinations), 1);
     }
 
     private static DecisionModule.Settings settings(int mostHeld) {
