--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -171,7 +171,7 @@
     }
 
     private void schedule() {
-        long due = Math.max(core.due(), lastStep + settings.roundMicros());
+        long due = Math.max(core.nextTurnMicros(), lastStep + settings.roundMicros());
         if (due < stepAt) {
             stepAt = due;
             later(due, () -> step(due));
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -173,7 +173,7 @@
         thread.start();
     }
 
-    /** The first turn, where a host in virtual time does the loop's part: {@link #due} and {@link #step}. */
+    /** The first turn, where a host in virtual time does the loop's part: {@link #nextTurnMicros} and {@link #step}. */
     public void runFirstTurn(List<ListedEndpoint> known, long version) {
         now = clock.monotonicMicros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
@@ -185,7 +185,7 @@
     }
 
     /** When the next turn is due: with a task waiting after the least spacing, else at the next deadline. */
-    public long due() {
+    public long nextTurnMicros() {
         return ready.isEmpty() ? deadlines.soonest(now + LONGEST_SLEEP) : now + settings.roundMicros();
     }
 
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -153,7 +153,7 @@
         do {
             assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no call is due within " + limit + " us");
             core.step();
-            pause = core.due() - clock.micros;
+            pause = core.nextTurnMicros() - clock.micros;
         } while (pause <= ROUND || pause > limit);
         return pause;
     }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -131,7 +131,7 @@
     int pass(long micros) {
         int turns = 0;
         for (long until = now + micros; now < until; turns++) {
-            now = Math.max(now + ROUND, Math.min(until, core.due()));
+            now = Math.max(now + ROUND, Math.min(until, core.nextTurnMicros()));
             core.step();
         }
         return turns;
