--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -184,7 +184,7 @@
         }
         stepAt = Long.MAX_VALUE;
         lastStep = world.now();
-        core.step();
+        core.runTurn();
         schedule();
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -173,7 +173,7 @@
         thread.start();
     }
 
-    /** The first turn, where a host in virtual time does the loop's part: {@link #nextTurnMicros} and {@link #step}. */
+    /** The first turn, where a host in virtual time does the loop's part: {@link #nextTurnMicros} and {@link #runTurn}. */
     public void runFirstTurn(List<ListedEndpoint> known, long version) {
         now = clock.monotonicMicros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
@@ -190,7 +190,7 @@
     }
 
     /** One turn. */
-    public void step() {
+    public void runTurn() {
         now = clock.monotonicMicros();
         run(this::turn);
     }
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -140,7 +140,7 @@
     private void passFirstAnswerWait() throws InterruptedException {
         untilCallIsBack(NOTICED_BY);
         clock.micros += Directory.FIRST_ANSWER_WAIT;
-        core.step();
+        core.runTurn();
         assertEquals(1, told);
     }
 
@@ -152,7 +152,7 @@
         long pause;
         do {
             assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no call is due within " + limit + " us");
-            core.step();
+            core.runTurn();
             pause = core.nextTurnMicros() - clock.micros;
         } while (pause <= ROUND || pause > limit);
         return pause;
@@ -162,7 +162,7 @@
     private long untilNextCall(long limit) throws InterruptedException {
         long pause = untilCallIsBack(limit);
         clock.micros += pause;
-        core.step();
+        core.runTurn();
         return pause;
     }
 
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -156,7 +156,7 @@
 
     private void turn(Core core) {
         now += ROUND;
-        core.step();
+        core.runTurn();
     }
 
     private void force() {
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -124,7 +124,7 @@
     /** One turn of the loop, the least time after the last one. */
     void turn() {
         now += ROUND;
-        core.step();
+        core.runTurn();
     }
 
     /** Lets the time pass; gives how many turns the loop made. */
@@ -132,7 +132,7 @@
         int turns = 0;
         for (long until = now + micros; now < until; turns++) {
             now = Math.max(now + ROUND, Math.min(until, core.nextTurnMicros()));
-            core.step();
+            core.runTurn();
         }
         return turns;
     }
