--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -211,7 +211,7 @@
                 false,
                 HttpFront.budget(left, 0));
         core.post(() -> {
-            if (!core.knows(submission.destination())) {
+            if (!core.isKnownDestination(submission.destination())) {
                 world.onRefused(submission.id(), 0);
             } else {
                 core.handIn(this, submission);
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -155,7 +155,7 @@
         if (exchange.gone()) {
             return; // the client has stopped waiting and hands it in again
         }
-        if (!core.knows(submission.destination())) {
+        if (!core.isKnownDestination(submission.destination())) {
             // Discovery is seconds late: it may be new. Held it would wait for nothing, and its room is scarce.
             answer(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -147,7 +147,7 @@
         finalAnswers.payOff(session, r.header());
         if (tooMany || held.getOrDefault(r.practice(), 0) >= settings.mostHeld()) {
             busy(session, r, "too many messages at once");
-        } else if (!core.knows(r.destination())) {
+        } else if (!core.isKnownDestination(r.destination())) {
             busy(session, r, "no such destination now");
         } else {
             handIn(session, r);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -232,7 +232,7 @@
     }
 
     /** False if the list has not named the destination for long. Without any list nothing is known. Loop thread. */
-    public boolean knows(int destination) {
+    public boolean isKnownDestination(int destination) {
         return destinations.isEmpty() || destinations.containsKey(destination);
     }
 
