--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -214,7 +214,7 @@
             if (!core.isKnownDestination(submission.destination())) {
                 world.onRefused(submission.id(), 0);
             } else {
-                core.handIn(this, submission);
+                core.submit(this, submission);
             }
         });
     }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -160,7 +160,7 @@
             answer(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
         }
-        Message m = core.handIn(this, submission);
+        Message m = core.submit(this, submission);
         if (m.isAccepted()) {
             // Handed in under the same id before: it makes no second message, whoever asks.
             core.whenDurable(() -> exchange.answer(202, Map.of(), NOTHING, () -> {}));
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -119,7 +119,7 @@
                 false,
                 false,
                 settings.budgets().get(messageClass));
-        Message m = core.handIn(this, submission);
+        Message m = core.submit(this, submission);
         if (!m.isOpen()) {
             answer.accept(
                     protocol == Protocol.SMTP && m.finalStatus().kind() == FinalStatus.Kind.DELIVERED
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -161,7 +161,7 @@
     }
 
     private void handIn(MllpSession session, Request r) {
-        Message m = core.handIn(this, submission(r));
+        Message m = core.submit(this, submission(r));
         if (!m.isOpen()) {
             session.answered();
             answerAtOnce(session, r.header(), m.finalStatus());
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -237,7 +237,7 @@
     }
 
     /** Takes a hand-in from a front; the front hears of it by the end of the turn. Loop thread. */
-    public Message handIn(Front front, Submission submission) {
+    public Message submit(Front front, Submission submission) {
         counters.add(Name.HANDED_IN);
         long wall = clock.wallMicros();
         Message m = new Message(submission, front, wall + submission.budgetMicros());
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -184,7 +184,7 @@
             told(change(2, "e1", other, Status.ACTIVE));
             core.start(List.of(listed("e0", draining, Presence.ACTIVE, deliverer)), 1);
             int payment = config.classNames().indexOf("payment");
-            core.post(() -> core.handIn(
+            core.post(() -> core.submit(
                     front, new Submission("7-1", null, payment, GROUP, null, new byte[0], false, false, BUDGET)));
             CountDownLatch heard = new CountDownLatch(1);
             untilACallWaits(core);
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -175,7 +175,7 @@
             core.add(front);
             core.runFirstTurn(List.of(listed("e1", Presence.ACTIVE)), 1);
             byte[] body = new byte[0];
-            core.handIn(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
+            core.submit(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
             turn(core);
             assertEquals(1, counters.get(Counters.Name.CALLS), "decided, and its attempt written");
 
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -118,7 +118,7 @@
     /** Hands one message in; what comes of it is told in later turns. */
     void handIn(int destination, byte[] body) {
         String id = "message-" + next++;
-        core.handIn(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
+        core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
     }
 
     /** One turn of the loop, the least time after the last one. */
