--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -294,7 +294,7 @@
     }
 
     /** A client is gone before it heard that its message is taken on. Loop thread. */
-    public void clientGone(Message m, Front front, String id) {
+    public void withdraw(Message m, Front front, String id) {
         m.claims.remove(new DeduplicationTable.Claim(front, id));
         if (!m.over && m.claims.isEmpty()) {
             counters.add(Name.WITHDRAWN);
