--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -251,7 +251,7 @@
     @Override
     public void listing(long version, List<DecisionModule.EndpointEntry> changes) {
         List<Core.ListedEndpoint> entries = changes.stream().map(this::listed).toList();
-        core.post(() -> core.listing(DecisionModule.ListingKind.CHANGES, version, entries));
+        core.post(() -> core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
     private Core.ListedEndpoint listed(DecisionModule.EndpointEntry e) {
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -176,7 +176,7 @@
     /** The first turn, where a host in virtual time does the loop's part: {@link #nextTurnMicros} and {@link #runTurn}. */
     public void runFirstTurn(List<ListedEndpoint> known, long version) {
         now = clock.monotonicMicros();
-        listing(DecisionModule.ListingKind.REMEMBERED, version, known);
+        updateEndpoints(DecisionModule.ListingKind.REMEMBERED, version, known);
         long wall = clock.wallMicros();
         for (PendingMessage e : List.copyOf(journal.pendingMessages())) {
             resume(e, wall);
@@ -305,7 +305,7 @@
     }
 
     /** News of the list. Loop thread. */
-    public void listing(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
+    public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
         counters.add(Name.LISTINGS);
         boolean whole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
         List<ListedEndpoint> all = new ArrayList<>(listed);
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -59,7 +59,7 @@
 
     /** News of the list on their way to the core. */
     public void listing(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
-        core.listing(kind, version, heard(kind, version, news));
+        core.updateEndpoints(kind, version, heard(kind, version, news));
     }
 
     /** Takes news in and gives what the core may hear of it: at the start the core is told by its host. */
@@ -130,7 +130,7 @@
 
     private void tell(Core.ListedEndpoint now) {
         if (now != null && now.entry().presence() != DecisionModule.Presence.LEFT) {
-            core.listing(DecisionModule.ListingKind.CHANGES, version, apply(List.of(now)));
+            core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, apply(List.of(now)));
         }
     }
 
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -189,7 +189,7 @@
             CountDownLatch heard = new CountDownLatch(1);
             untilACallWaits(core);
             core.post(() -> {
-                core.listing(
+                core.updateEndpoints(
                         ListingKind.CHANGES,
                         2,
                         List.of(
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -229,6 +229,6 @@
                     new DecisionModule.EndpointEntry(each.host(), each.destination(), each.zone(), 0, presence, 1, 0),
                     each));
         }
-        core.listing(DecisionModule.ListingKind.CHANGES, version, listed);
+        core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, listed);
     }
 }
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -179,7 +179,7 @@
             turn(core);
             assertEquals(1, counters.get(Counters.Name.CALLS), "decided, and its attempt written");
 
-            core.listing(
+            core.updateEndpoints(
                     DecisionModule.ListingKind.CHANGES,
                     2,
                     List.of(listed("e1", Presence.LEAVING), listed("e2", Presence.ACTIVE)));
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -108,7 +108,7 @@
 
     /** Has the list tell of one endpoint, as each change of it does, and runs the turn. */
     void change(int destination, long version) {
-        core.listing(
+        core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
                 version,
                 List.of(listed(destination, DecisionModule.Presence.ACTIVE)));
