--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -191,7 +191,7 @@
             world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
         }
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.outcome(call, m, ending, wait, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, wait, false, false)));
     }
 
     @Override
@@ -208,7 +208,7 @@
         AttemptResult ending =
                 state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.outcome(call, m, ending, 0, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, 0, false, false)));
     }
 
     @Override
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -100,7 +100,7 @@
             mail = Mail.decode(call.messages.get(0).submission.body());
         } catch (IllegalArgumentException e) {
             // Handed in by a front that knows no envelopes: no attempt can ever succeed.
-            core.outcome(call, call.messages.get(0), AttemptResult.REJECTED, 0, false, false);
+            core.attemptEnded(call, call.messages.get(0), AttemptResult.REJECTED, 0, false, false);
             return;
         }
         Session idle = null;
@@ -348,7 +348,7 @@
         private void tell(Call done, AttemptResult ending, String said) {
             for (Message m : List.copyOf(done.messages)) {
                 m.lastResponseText = said;
-                core.outcome(done, m, ending, 0, false, false);
+                core.attemptEnded(done, m, ending, 0, false, false);
             }
         }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -376,11 +376,11 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.WITHHELD, 0, false, false));
+        List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, AttemptResult.WITHHELD, 0, false, false));
     }
 
     /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
-    public void outcome(Call call, Message m, AttemptResult ending, long waitMicros, boolean noSlot, boolean over) {
+    public void attemptEnded(Call call, Message m, AttemptResult ending, long waitMicros, boolean noSlot, boolean over) {
         if (m.out != call) {
             return;
         }
@@ -668,7 +668,7 @@
         calls.add(call);
         if (!written) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, AttemptResult.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
@@ -697,7 +697,7 @@
         if (call.started) {
             call.endpoint.deliverer().abort(call);
         } else {
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, AttemptResult.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, AttemptResult.NOT_SENT, 0, false, false));
         }
     }
 
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -1,6 +1,6 @@
 package lilaclever.routing;
 
-/** Carries calls to endpoints. All is called on the loop thread; outcomes go to {@link Core#outcome}. */
+/** Carries calls to endpoints. All is called on the loop thread; outcomes go to {@link Core#attemptEnded}. */
 public interface Deliverer {
     /** Starts a call. Each of its messages gets one outcome. */
     void start(Call call);
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -204,7 +204,7 @@
                 ? DecisionModule.AttemptResult.DELIVERED
                 : DecisionModule.AttemptResult.NO_CONNECTION;
         List<Message> messages = new ArrayList<>(call.messages);
-        core.post(() -> messages.forEach(message -> core.outcome(call, message, ending, 0, false, false)));
+        core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, ending, 0, false, false)));
     }
 
     /** Nothing drains here. */
@@ -215,7 +215,7 @@
     public void abort(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(
-                message -> core.outcome(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
+                message -> core.attemptEnded(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
     }
 
     @Override
