--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -248,7 +248,7 @@
                 if (ending != AttemptResult.DELIVERED) {
                     partner.heardFailure(number, world.now());
                 }
-                core.post(() -> core.probed(endpoint.host(), ending, world.now() - sent));
+                core.post(() -> core.probeEnded(endpoint.host(), ending, world.now() - sent));
             });
         });
     }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -357,6 +357,6 @@
     }
 
     private void probed(Call.Endpoint endpoint, AttemptResult ending, long started) {
-        core.probed(endpoint.host(), ending, core.nowMicros() - started);
+        core.probeEnded(endpoint.host(), ending, core.nowMicros() - started);
     }
 }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -419,7 +419,7 @@
     }
 
     /** A probe has ended. Loop thread. */
-    public void probed(String host, AttemptResult ending, long elapsedMicros) {
+    public void probeEnded(String host, AttemptResult ending, long elapsedMicros) {
         events.add(new Event.ProbeEnded(host, ending, elapsedMicros, null));
     }
 
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -24,6 +24,6 @@
     /** Closes idle connections to an endpoint. */
     void closeIdle(Call.Endpoint endpoint);
 
-    /** Checks an endpoint; the answer goes to {@link Core#probed}. */
+    /** Checks an endpoint; the answer goes to {@link Core#probeEnded}. */
     void probe(Call.Endpoint endpoint);
 }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -225,7 +225,7 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        core.post(() -> core.probed(endpoint.host(), DecisionModule.AttemptResult.NO_CONNECTION, 0));
+        core.post(() -> core.probeEnded(endpoint.host(), DecisionModule.AttemptResult.NO_CONNECTION, 0));
     }
 
     @Override
