--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -210,7 +210,7 @@
         config = next;
         CountDownLatch inForce = new CountDownLatch(1);
         core.post(() -> {
-            core.renew(next.settings());
+            core.updateSettings(next.settings());
             front.renew(next.classNames(), next.settings().classes());
             inForce.countDown();
         });
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -424,7 +424,7 @@
     }
 
     /** Other classes and attempts hold from now on, for what is handed in after this. Loop thread. */
-    public void renew(DecisionModule.Settings renewed) {
+    public void updateSettings(DecisionModule.Settings renewed) {
         events.add(new Event.SettingsChanged(renewed));
     }
 
