--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -248,7 +248,7 @@
     private void stopping() {
         long told = core.nowMicros();
         core.deadlines().at(told + ACCEPT, () -> {
-            core.stopBy(told + CALLS_BY);
+            core.beginShutdown(told + CALLS_BY);
             front.close();
             mailFronts.forEach(MailFront::close);
             if (mllpFront != null) {
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -429,7 +429,7 @@
     }
 
     /** Takes nothing new from now on, and starts no call that could be out at the given time. Loop thread. */
-    public void stopBy(long atMicros) {
+    public void beginShutdown(long atMicros) {
         closing = true;
         events.add(new Event.Stopping(atMicros));
     }
