--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -259,7 +259,7 @@
     }
 
     private void untilQuiet(long end) {
-        if (core.nowMicros() >= end || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
+        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
             stopped.countDown();
         } else {
             core.deadlines().at(core.nowMicros() + LOOK, () -> untilQuiet(end));
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -437,7 +437,7 @@
     /**
      * True if nothing is held and every end has been told, but for so many owed to clients that are away. Loop thread.
      */
-    public boolean quiet(int away) {
+    public boolean isIdle(int away) {
         return held.isEmpty() && calls.isEmpty() && unsettled <= away;
     }
 
