--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -236,7 +236,7 @@
         try {
             core.post(this::stopping);
             stopped.await(END, TimeUnit.MICROSECONDS);
-            core.end();
+            core.stop();
             System.err.print(core.counters().text());
             journal.close();
             transport.close();
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -442,7 +442,7 @@
     }
 
     /** Ends the loop after this turn; the journal has what is left. From any thread. */
-    public void end() throws InterruptedException {
+    public void stop() throws InterruptedException {
         ended = true;
         post(() -> {});
         if (thread != null) {
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -203,7 +203,7 @@
             TimeUnit.NANOSECONDS.sleep(DrainAuditor.GRACE + 2 * DrainAuditor.SOCKET_SLACK);
             forcing.countDown();
             assertTrue(ended.await(10, TimeUnit.SECONDS), "the message goes to the other endpoint");
-            core.end();
+            core.stop();
             assertEquals(List.of(), auditor.violations());
             assertEquals(Map.of(new Target(other.address(), GROUP), 1L), auditor.callsByTarget());
         } finally {
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -65,7 +65,7 @@
 
     @AfterEach
     void end() throws Exception {
-        core.end();
+        core.stop();
         journal.close();
         transport.close();
         server.close();
