--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -103,7 +103,7 @@
         }
         counters = new Counters();
         RetryAfterTable waits = new RetryAfterTable();
-        counters.gauge("waits", waits::size);
+        counters.entryGauge("waits", waits::size);
         life++;
         lastStep = world.now();
         core = new Core(
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -75,7 +75,7 @@
         long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
                 DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
-        counters.gauge("departed", membership::departureCount);
+        counters.entryGauge("departed", membership::departureCount);
         directory = new Directory(
                 core,
                 transport,
@@ -137,7 +137,7 @@
     }
 
     private static void figures(SegmentedJournal journal, Counters counters) {
-        counters.gauge("unwritten", journal::unwritten);
+        counters.entryGauge("unwritten", journal::unwritten);
         counters.figure("journal_files", journal::files);
         counters.figure("journal_bytes", journal::allocated);
         counters.figure("journal_bytes_copied", journal::copied);
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -120,8 +120,8 @@
         this.connectMicros = connectMicros;
         this.mostAnswer = mostAnswer;
         this.pool = ConnectionPool.ofSockets((long) (KEEP_PART * keepAliveMicros), mostIdle);
-        core.counters().gauge("idle_" + name, pool::size);
-        core.counters().gauge("partly_written_" + name, partly::size);
+        core.counters().entryGauge("idle_" + name, pool::size);
+        core.counters().entryGauge("partly_written_" + name, partly::size);
         this.links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -76,7 +76,7 @@
     /** Starts its housekeeping. */
     public void start() {
         client.start();
-        core.counters().gauge("waits", waits::size);
+        core.counters().entryGauge("waits", waits::size);
         sweep();
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -60,8 +60,8 @@
         renew(classNames, classes);
         this.intake = new IntakeFilter(core, mostClients, crowd, this::request);
         this.notices = notices;
-        core.counters().gauge("waiting_clients", waiting::size);
-        core.counters().gauge("clients", intake::size);
+        core.counters().entryGauge("waiting_clients", waiting::size);
+        core.counters().entryGauge("clients", intake::size);
     }
 
     @Override
--- a/src/main/java/lilaclever/protocol/http/Notices.java
+++ b/src/main/java/lilaclever/protocol/http/Notices.java
@@ -44,7 +44,7 @@
         this.core = core;
         this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MOST_ANSWER);
         this.address = address;
-        core.counters().gauge("notices", open::size);
+        core.counters().entryGauge("notices", open::size);
     }
 
     void add(String id, String status, long againMicros, Runnable settled) {
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -73,10 +73,10 @@
         replies = new Replies(new Acknowledgements(life + '-'), settings.key());
         connections = new MllpConnections(this, core);
         finalAnswers = new FinalAnswers(core, settings, connections, replies);
-        core.counters().gauge("mllp_connections", connections::count);
-        core.counters().gauge("mllp_waiting", waiters::size);
-        core.counters().gauge("mllp_owed", finalAnswers::size);
-        core.counters().gauge("mllp_practices", held::size);
+        core.counters().entryGauge("mllp_connections", connections::count);
+        core.counters().entryGauge("mllp_waiting", waiters::size);
+        core.counters().entryGauge("mllp_owed", finalAnswers::size);
+        core.counters().entryGauge("mllp_practices", held::size);
         core.counters().figure("mllp_owed_given_up", finalAnswers::givenUp);
         core.counters().figure("mllp_turned_away", connections::turnedAway);
         core.counters().figure("mllp_spoilt", spoilt::get);
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -34,7 +34,7 @@
     public OperatorPort(Core core, ManualDrains suspensions) {
         this.core = core;
         this.suspensions = suspensions;
-        core.counters().gauge("operators", this::size);
+        core.counters().entryGauge("operators", this::size);
     }
 
     /** A connection and what it has said. Selector thread. */
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -104,13 +104,13 @@
         this.journal = journal;
         this.counters = counters;
         this.claims = new DeduplicationTable(windows, journal, counters);
-        counters.gauge("held", held::size);
-        counters.gauge("endpoints", endpoints::size);
-        counters.gauge("destinations", destinations::size);
-        counters.gauge("calls", calls::size);
-        counters.gauge("deadlines", deadlines::size);
-        counters.gauge("owed", () -> journal.pendingMessages().size());
-        counters.gauge("remembered", journal::rememberedCount);
+        counters.entryGauge("held", held::size);
+        counters.entryGauge("endpoints", endpoints::size);
+        counters.entryGauge("destinations", destinations::size);
+        counters.entryGauge("calls", calls::size);
+        counters.entryGauge("deadlines", deadlines::size);
+        counters.entryGauge("owed", () -> journal.pendingMessages().size());
+        counters.entryGauge("remembered", journal::rememberedCount);
         journal.setLoop(this::post);
     }
 
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -60,7 +60,7 @@
     }
 
     /** How many entries a map or a list has now: what grows on a long day is seen without guessing. */
-    public synchronized void gauge(String name, IntSupplier entries) {
+    public synchronized void entryGauge(String name, IntSupplier entries) {
         gauges.put(name, entries);
     }
 
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -52,7 +52,7 @@
         while (journal.rememberedCount() > windows.most()) {
             journal.forgetSoonestExpiring(); // an earlier life had room for more
         }
-        counters.gauge("identities", identities::size);
+        counters.entryGauge("identities", identities::size);
         counters.figure("identities_forgotten_early", identities::forgottenEarly);
     }
 
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -53,8 +53,8 @@
         this.core = core;
         this.note = note;
         this.out = new LinkedHashSet<>(noted);
-        core.counters().gauge("suspended", out::size);
-        core.counters().gauge("listed", listed::size);
+        core.counters().entryGauge("suspended", out::size);
+        core.counters().entryGauge("listed", listed::size);
     }
 
     /** News of the list on their way to the core. */
