--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -138,11 +138,11 @@
 
     private static void figures(SegmentedJournal journal, Counters counters) {
         counters.entryGauge("unwritten", journal::unwritten);
-        counters.figure("journal_files", journal::files);
-        counters.figure("journal_bytes", journal::allocated);
-        counters.figure("journal_bytes_copied", journal::copied);
-        counters.figure("journal_failures", journal::failures);
-        counters.figure("journal_damages", () -> journal.recovered().damages().size());
+        counters.valueGauge("journal_files", journal::files);
+        counters.valueGauge("journal_bytes", journal::allocated);
+        counters.valueGauge("journal_bytes_copied", journal::copied);
+        counters.valueGauge("journal_failures", journal::failures);
+        counters.valueGauge("journal_damages", () -> journal.recovered().damages().size());
     }
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -77,9 +77,9 @@
         core.counters().entryGauge("mllp_waiting", waiters::size);
         core.counters().entryGauge("mllp_owed", finalAnswers::size);
         core.counters().entryGauge("mllp_practices", held::size);
-        core.counters().figure("mllp_owed_given_up", finalAnswers::givenUp);
-        core.counters().figure("mllp_turned_away", connections::turnedAway);
-        core.counters().figure("mllp_spoilt", spoilt::get);
+        core.counters().valueGauge("mllp_owed_given_up", finalAnswers::givenUp);
+        core.counters().valueGauge("mllp_turned_away", connections::turnedAway);
+        core.counters().valueGauge("mllp_spoilt", spoilt::get);
     }
 
     @Override
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -65,7 +65,7 @@
     }
 
     /** A figure of a subsystem's, as it is now. */
-    public synchronized void figure(String name, LongSupplier value) {
+    public synchronized void valueGauge(String name, LongSupplier value) {
         figures.put(name, value);
     }
 
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -53,7 +53,7 @@
             journal.forgetSoonestExpiring(); // an earlier life had room for more
         }
         counters.entryGauge("identities", identities::size);
-        counters.figure("identities_forgotten_early", identities::forgottenEarly);
+        counters.valueGauge("identities_forgotten_early", identities::forgottenEarly);
     }
 
     /** What the hand-in is. */
