--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -358,7 +358,7 @@
             partly.remove(this);
             trace("written");
             if (!listener.mayGo()) {
-                core.post(() -> core.counters().holds(false, listener + " was written under no wait"));
+                core.post(() -> core.counters().checkInvariant(false, listener + " was written under no wait"));
             }
         }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -591,7 +591,7 @@
         FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastResponseText);
         if (m.journaled) {
             counters.add(told.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.holds(m.resumed || clock.wallMicros() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
+            counters.checkInvariant(m.resumed || clock.wallMicros() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
             end(m, told);
         } else {
             turnDown(m, told);
@@ -621,8 +621,8 @@
         boolean isElsewhere = m != null && endpoint != null && endpoint.destination() != m.submission.destination();
         if (m == null || endpoint == null || m.out != null || isElsewhere) {
             // Not held any more, as its client has gone: the module must still hear of this attempt.
-            counters.holds(m == null || m.out == null, a.id() + " has one attempt out at most");
-            counters.holds(!isElsewhere, a.id() + " goes to an endpoint of its destination");
+            counters.checkInvariant(m == null || m.out == null, a.id() + " has one attempt out at most");
+            counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = m == null ? 0 : m.attempts++;
             events.add(
                     new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, m == null, null));
@@ -637,7 +637,7 @@
             call = new Call(endpoint, now);
             starting.put(a.host(), call);
         }
-        counters.holds(endpoint.equals(call.endpoint), a.id() + " goes where its call goes");
+        counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " goes where its call goes");
         m.attempts++;
         call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wallMicros());
         if (endpoint.batch() > 1) {
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -75,7 +75,7 @@
     }
 
     /** What must hold: asserted where assertions are on, counted and told elsewhere. */
-    public void holds(boolean good, String what) {
+    public void checkInvariant(boolean good, String what) {
         assert good : what;
         if (!good) {
             add(Name.BROKEN_INVARIANTS);
