--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -237,7 +237,7 @@
             core.post(this::stopping);
             stopped.await(END, TimeUnit.MICROSECONDS);
             core.stop();
-            System.err.print(core.counters().text());
+            System.err.print(core.counters().toText());
             journal.close();
             transport.close();
         } catch (InterruptedException | IOException e) {
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -118,7 +118,7 @@
             case "GET /health/ready", "GET /health/live" -> answer(request.exchange(), 200, Map.of(), "ready\n");
             case "GET /counters" ->
                 core.post(() -> answer(
-                        request.exchange(), 200, Map.of(), core.counters().text()));
+                        request.exchange(), 200, Map.of(), core.counters().toText()));
             default -> answer(request.exchange(), 404, Map.of(), "");
         }
     }
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -84,7 +84,7 @@
     }
 
     /** One line a count. Loop thread, as it alone changes what is counted in entries, or after its end. */
-    public synchronized String text() {
+    public synchronized String toText() {
         StringBuilder all = new StringBuilder();
         values.forEach((name, value) -> all.append(name.name().toLowerCase())
                 .append(' ')
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -218,7 +218,7 @@
             CountDownLatch read = new CountDownLatch(1);
             String[] counted = new String[1];
             core.post(() -> {
-                counted[0] = core.counters().text();
+                counted[0] = core.counters().toText();
                 read.countDown();
             });
             read.await(1, TimeUnit.SECONDS);
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -187,7 +187,7 @@
         try (Wire first = accept()) {
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
-            while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
+            while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 onLoop(() -> {}); // its answer is on its way
             }
             onLoop(() -> deliverer.probe(one));
@@ -211,7 +211,7 @@
         try (Wire first = accept()) {
             first.read();
             first.answer("200 OK", "");
-            while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
+            while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 onLoop(() -> {}); // its answer is on its way
             }
             CountDownLatch free = hold();
