--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -247,7 +247,7 @@
 
     private void stopping() {
         long told = core.nowMicros();
-        core.deadlines().at(told + ACCEPT, () -> {
+        core.deadlines().schedule(told + ACCEPT, () -> {
             core.beginShutdown(told + CALLS_BY);
             front.close();
             mailFronts.forEach(MailFront::close);
@@ -262,7 +262,7 @@
         if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
             stopped.countDown();
         } else {
-            core.deadlines().at(core.nowMicros() + LOOK, () -> untilQuiet(end));
+            core.deadlines().schedule(core.nowMicros() + LOOK, () -> untilQuiet(end));
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -96,7 +96,7 @@
      */
     public void start(long knownIndex, List<Core.ListedEndpoint> known) {
         withheld.add(membership.remembered(Math.max(0, knownIndex), known));
-        firstAnswerDue = core.deadlines().at(core.nowMicros() + FIRST_ANSWER_WAIT, this::tellWithheld);
+        firstAnswerDue = core.deadlines().schedule(core.nowMicros() + FIRST_ANSWER_WAIT, this::tellWithheld);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
     }
 
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -143,7 +143,7 @@
         primary = new PendingRequest(
                 ++sent, asksWhole, isLook, asksWhole ? "" : "?after=" + version + "&wait_ms=" + wait / 1000);
         primary.timeout =
-                core.deadlines().at(core.nowMicros() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
+                core.deadlines().schedule(core.nowMicros() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
         primary.send();
     }
 
@@ -158,7 +158,7 @@
 
     private void sendAfter(long pause) {
         core.deadlines().cancel(retry);
-        retry = core.deadlines().at(core.nowMicros() + pause, this::sendNext);
+        retry = core.deadlines().schedule(core.nowMicros() + pause, this::sendNext);
     }
 
     /** After an answer that can't be built on: until the whole list is due, if that is soon. */
@@ -398,7 +398,7 @@
             primary = null;
             if (patient == null) {
                 patient = this;
-                timeout = core.deadlines().at(sentAt + LONGEST_SPAN, this::giveUp);
+                timeout = core.deadlines().schedule(sentAt + LONGEST_SPAN, this::giveUp);
             } else {
                 giveUp();
             }
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -128,7 +128,7 @@
     /** Starts to drop connections that were idle for too long. */
     void start() {
         pool.sweep(core.nowMicros());
-        core.deadlines().at(core.nowMicros() + SWEEP, this::start);
+        core.deadlines().schedule(core.nowMicros() + SWEEP, this::start);
     }
 
     /** Closes what is idle under the name. */
@@ -317,7 +317,7 @@
 
         private void connect() {
             fresh = true;
-            due = core.deadlines().at(core.nowMicros() + connectMicros, this::late);
+            due = core.deadlines().schedule(core.nowMicros() + connectMicros, this::late);
             core.counters().add(Counters.Name.CONNECTIONS);
             connecting = transport.connect(
                     Transport.address(address),
@@ -400,7 +400,7 @@
             core.post(() -> {
                 if (!done) {
                     core.deadlines().cancel(due);
-                    due = core.deadlines().at(core.nowMicros() + REST_BY, this::late);
+                    due = core.deadlines().schedule(core.nowMicros() + REST_BY, this::late);
                 }
             });
         }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -82,7 +82,7 @@
 
     private void sweep() {
         waits.sweep(core.nowMicros());
-        core.deadlines().at(core.nowMicros() + SWEEP, this::sweep);
+        core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
     }
 
     @Override
@@ -323,7 +323,7 @@
         long started = core.nowMicros();
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
         Deadlines.Key late = core.deadlines()
-                .at(
+                .schedule(
                         started + probeMicros,
                         () -> exchange[0].giveUp(() -> probed(
                                 endpoint,
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -392,7 +392,7 @@
             if (now >= due()) {
                 Transport.afterReading(connection, this::over);
             }
-            core.deadlines().at(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
+            core.deadlines().schedule(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
         }
     }
 
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -90,7 +90,7 @@
 
     private void sweep() {
         pool.sweep(core.nowMicros());
-        core.deadlines().at(core.nowMicros() + SWEEP, this::sweep);
+        core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
     }
 
     @Override
@@ -181,7 +181,7 @@
                 return;
             }
             core.counters().add(Counters.Name.CONNECTIONS);
-            connectBy = core.deadlines().at(core.nowMicros() + connectMicros, () -> {
+            connectBy = core.deadlines().schedule(core.nowMicros() + connectMicros, () -> {
                 connecting.run();
                 end(AttemptResult.NO_CONNECTION, "");
             });
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -189,7 +189,7 @@
             if (reply.positive() || reply.permanent()) {
                 settled.run();
             } else {
-                core.deadlines().at(core.nowMicros() + RETRY, () -> report(failed, mail, verdict, settled));
+                core.deadlines().schedule(core.nowMicros() + RETRY, () -> report(failed, mail, verdict, settled));
             }
         });
     }
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -101,7 +101,7 @@
         if (!over && !awaiting) {
             idle = front.core()
                     .deadlines()
-                    .at(
+                    .schedule(
                             front.core().nowMicros() + settings.idleMicros(),
                             () -> close("421 4.4.2 nothing came for too long\r\n"));
         }
@@ -247,7 +247,7 @@
             // A line now and then keeps the connection from being idle: all of them have a time as well.
             whole = front.core()
                     .deadlines()
-                    .at(
+                    .schedule(
                             front.core().nowMicros() + settings.idleMicros(),
                             () -> close("421 4.4.2 the mail took too long\r\n"));
             write("354 end with a dot on a line of its own\r\n");
--- a/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
@@ -49,7 +49,7 @@
 
     private void expire() {
         owed.expired(core.nowMicros()).forEach(answer -> answer.settled().run());
-        core.deadlines().at(core.nowMicros() + LOOK, this::expire);
+        core.deadlines().schedule(core.nowMicros() + LOOK, this::expire);
     }
 
     /** Tells an end on the connection, or, if that is null, on another one of the practice; else it is owed. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -159,7 +159,7 @@
         } else if (!partial && unanswered.get() == 0 && now - since >= listener.idleMicros()) {
             close();
         } else {
-            front.core().deadlines().at(front.core().nowMicros() + LOOK, this::look);
+            front.core().deadlines().schedule(front.core().nowMicros() + LOOK, this::look);
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -88,7 +88,7 @@
         if (oldest != null) {
             oldest.connection.closeSilently();
         }
-        core.post(() -> core.deadlines().at(core.nowMicros() + LINE_BY, caller.connection::closeSilently));
+        core.post(() -> core.deadlines().schedule(core.nowMicros() + LINE_BY, caller.connection::closeSilently));
         return context.getInvokeAction();
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -574,7 +574,7 @@
             Call.Endpoint endpoint = endpoints.get(a.host());
             endpoint.deliverer().closeIdle(endpoint);
         } else if (action instanceof Action.Wake a) {
-            deadlines.at(now + a.afterMicros(), () -> events.add(new Event.Timer(a.token())));
+            deadlines.schedule(now + a.afterMicros(), () -> events.add(new Event.Timer(a.token())));
         } else if (action instanceof Action.Probe a && endpoints.containsKey(a.host())) {
             endpoints.get(a.host()).deliverer().probe(endpoints.get(a.host()));
         } else if (action instanceof Action.Log a) {
@@ -642,7 +642,7 @@
         call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wallMicros());
         if (endpoint.batch() > 1) {
             Call shared = call;
-            deadlines.at(a.dropAtMicros(), () -> leave(m, shared));
+            deadlines.schedule(a.dropAtMicros(), () -> leave(m, shared));
         }
     }
 
@@ -652,7 +652,7 @@
         call.leave(m);
         if (call.expiresAt() != before) {
             deadlines.cancel(call.deadline);
-            call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
+            call.deadline = deadlines.schedule(call.expiresAt(), () -> expire(call));
         }
     }
 
@@ -672,7 +672,7 @@
             return;
         }
         counters.add(Name.CALLS);
-        call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
+        call.deadline = deadlines.schedule(call.expiresAt(), () -> expire(call));
         journal.whenDurable(() -> {
             if (call.open > 0) { // else it was given up before its attempts were on the disk
                 call.started = true;
@@ -687,7 +687,7 @@
     private void expire(Call call) {
         call.leaveExpired(now);
         if (call.expiresAt() > now) {
-            call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
+            call.deadline = deadlines.schedule(call.expiresAt(), () -> expire(call));
         } else {
             giveUp(call);
         }
--- a/src/main/java/lilaclever/routing/Deadlines.java
+++ b/src/main/java/lilaclever/routing/Deadlines.java
@@ -17,7 +17,7 @@
     private long order;
 
     /** Runs the action in the first turn at or past the time. */
-    public Key at(long micros, Runnable action) {
+    public Key schedule(long micros, Runnable action) {
         Key key = new Key(micros, order++);
         entries.put(key, action);
         return key;
