--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -176,7 +176,7 @@
         state.closed = true;
         calls.remove(call);
         if (wait > 0) {
-            waits.told(call.endpoint, world.now() + wait);
+            waits.record(call.endpoint, world.now() + wait);
         }
         if (ending != AttemptResult.DELIVERED && ending != AttemptResult.WITHHELD) {
             world.partner(call.endpoint.destination()).heardFailure(number, world.now());
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -18,7 +18,7 @@
     }
 
     /** The endpoint has asked for a wait; a shorter one does not end a longer one. */
-    public void told(Call.Endpoint endpoint, long untilMicros) {
+    public void record(Call.Endpoint endpoint, long untilMicros) {
         ends.merge(route(endpoint), untilMicros, Math::max);
     }
 
