--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -103,7 +103,7 @@
 
     /** The call's connection is up: it is written now, unless a wait was told since it was decided. */
     private void connectionUp(Call call, CallState state, Partner partner, boolean connected) {
-        long wait = waits.left(call.endpoint, world.now());
+        long wait = waits.remainingMicros(call.endpoint, world.now());
         if (wait == 0) {
             state.written = true;
             later(world.now() + world.network(), () -> arrive(call, state, partner, connected));
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -51,7 +51,7 @@
 
         @Override
         public boolean mayGo() {
-            return waits.left(endpoint, Core.monotonicMicros()) == 0;
+            return waits.remainingMicros(endpoint, Core.monotonicMicros()) == 0;
         }
     }
 
@@ -275,7 +275,7 @@
 
     /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
     private void outcome(Call call, Message m, AttemptResult ending, boolean noSlot, boolean over) {
-        core.attemptEnded(call, m, ending, waits.left(call.endpoint, core.nowMicros()), noSlot, over);
+        core.attemptEnded(call, m, ending, waits.remainingMicros(call.endpoint, core.nowMicros()), noSlot, over);
     }
 
     /** Seconds with decimals, as the protocol writes them. */
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -23,7 +23,7 @@
     }
 
     /** How long a wait that binds the endpoint still lasts; 0 if there is none. */
-    public long left(Call.Endpoint endpoint, long nowMicros) {
+    public long remainingMicros(Call.Endpoint endpoint, long nowMicros) {
         return Math.max(0, ends.getOrDefault(route(endpoint), nowMicros) - nowMicros);
     }
 
