--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -185,7 +185,7 @@
             idle.giveBack(call.endpoint.host(), call.endpoint.host(), world.now());
             later(world.now() + settings.limits().keepAliveMicros(), () -> {
                 idle.sweep(world.now());
-                waits.sweep(world.now());
+                waits.removeExpired(world.now());
             });
         } else {
             world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -81,7 +81,7 @@
     }
 
     private void sweep() {
-        waits.sweep(core.nowMicros());
+        waits.removeExpired(core.nowMicros());
         core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
     }
 
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -28,7 +28,7 @@
     }
 
     /** Forgets what is over. */
-    public void sweep(long nowMicros) {
+    public void removeExpired(long nowMicros) {
         ends.values().removeIf(end -> end <= nowMicros);
     }
 
