--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -85,7 +85,7 @@
                 connect,
                 keep,
                 membership,
-                suspensions::listing);
+                suspensions::updateEndpoints);
         front = new HttpFront(
                 core,
                 config.classNames(),
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -58,7 +58,7 @@
     }
 
     /** News of the list on their way to the core. */
-    public void listing(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
+    public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
         core.updateEndpoints(kind, version, heard(kind, version, news));
     }
 
