--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -112,7 +112,7 @@
         directory.start(known == null ? -1 : known.index(), listed);
         long version = known == null ? 0 : known.index();
         core.start(
-                suspensions.heard(
+                suspensions.withSuspensions(
                         DecisionModule.ListingKind.REMEMBERED,
                         version,
                         listed.stream().map(Forwarder::leaving).toList()),
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -59,11 +59,11 @@
 
     /** News of the list on their way to the core. */
     public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
-        core.updateEndpoints(kind, version, heard(kind, version, news));
+        core.updateEndpoints(kind, version, withSuspensions(kind, version, news));
     }
 
     /** Takes news in and gives what the core may hear of it: at the start the core is told by its host. */
-    public List<Core.ListedEndpoint> heard(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
+    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
             listed.replaceAll((host, x) -> x.withPresence(DecisionModule.Presence.LEFT)); // but for what follows
