--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -23,7 +23,7 @@
     /** Longer than any id, shorter than what would fill the note. */
     private static final int LONGEST = 64;
     /** What the note takes at the most, a line for each. */
-    public static final long NOTE_BYTES = MOST_OUT * (LONGEST + 1);
+    public static final long MAX_STORED_BYTES = MOST_OUT * (LONGEST + 1);
 
     /** Where the ids outlast the process. */
     public interface Note {
