--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -132,7 +132,7 @@
                 }
             }
             return "200 " + words[1];
-        } catch (ManualDrains.Refused e) {
+        } catch (ManualDrains.RefusedException e) {
             return "400 " + e.getMessage();
         }
     }
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -32,10 +32,10 @@
     }
 
     /** A call that can't be carried out; the message is for the operator. */
-    public static final class Refused extends Exception {
+    public static final class RefusedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Refused(String problem) {
+        RefusedException(String problem) {
             super(problem);
         }
     }
@@ -89,41 +89,41 @@
     }
 
     /** Takes the endpoint out, from the next turn on. A second call changes nothing. */
-    public void suspend(String id) throws Refused {
+    public void suspend(String id) throws RefusedException {
         Core.ListedEndpoint now = known(id);
         if (out.contains(id)) {
             return;
         }
         if (out.size() >= MOST_OUT || id.length() > LONGEST) {
-            throw new Refused("no more than " + MOST_OUT + " endpoints may be out at once");
+            throw new RefusedException("no more than " + MOST_OUT + " endpoints may be out at once");
         }
         out.add(id);
         if (!noted()) {
             out.remove(id);
-            throw new Refused(id + ": can't be noted on disk, so it stays in");
+            throw new RefusedException(id + ": can't be noted on disk, so it stays in");
         }
         Logs.info("", "suspended", id + " is out by hand", "endpoint", id);
         tell(now);
     }
 
     /** Puts it back, however often it was taken out. */
-    public void restore(String id) throws Refused {
+    public void restore(String id) throws RefusedException {
         Core.ListedEndpoint now = known(id);
         if (!out.remove(id)) {
             return;
         }
         if (!noted()) {
             out.add(id);
-            throw new Refused(id + ": can't be noted on disk, so it stays out");
+            throw new RefusedException(id + ": can't be noted on disk, so it stays out");
         }
         Logs.info("", "restored", id + " is back", "endpoint", id);
         tell(now);
     }
 
-    private Core.ListedEndpoint known(String id) throws Refused {
+    private Core.ListedEndpoint known(String id) throws RefusedException {
         Core.ListedEndpoint now = listed.get(id);
         if (now == null && !out.contains(id)) {
-            throw new Refused(id + ": never listed");
+            throw new RefusedException(id + ": never listed");
         }
         return now;
     }
