--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -95,7 +95,7 @@
      * nothing is told before.
      */
     public void start(long knownIndex, List<Core.ListedEndpoint> known) {
-        withheld.add(membership.remembered(Math.max(0, knownIndex), known));
+        withheld.add(membership.applyInitialList(Math.max(0, knownIndex), known));
         firstAnswerDue = core.deadlines().schedule(core.nowMicros() + FIRST_ANSWER_WAIT, this::tellWithheld);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
     }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -134,7 +134,7 @@
      * The list that a start begins with, which may be out of date: what an earlier process heard to leave stays out,
      * whenever that was.
      */
-    public Change remembered(long version, List<Core.ListedEndpoint> listed) {
+    public Change applyInitialList(long version, List<Core.ListedEndpoint> listed) {
         this.version = version;
         ListPosition position = new ListPosition(ListPosition.KNOWN_LIST, version, true, 0);
         List<Core.ListedEndpoint> told = new ArrayList<>(listed.size());
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -472,7 +472,7 @@
             long index = current.index() - current.seen + version;
             List<Core.ListedEndpoint> known = List.copyOf(truth.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
-            auditor.began(index, known, membership.remembered(index, known), now);
+            auditor.began(index, known, membership.applyInitialList(index, known), now);
             followed.clear();
             followed.put(current.address, index);
         }
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -132,7 +132,7 @@
         membership = new EndpointMembership(store.stored, store);
         now = SECOND;
         core.clear();
-        told(membership.remembered(version, List.of(known)));
+        told(membership.applyInitialList(version, List.of(known)));
     }
 
     private void assertActive(String... names) {
