--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -48,7 +48,7 @@
     /** Whether the agent of the address in force has answered: where no version was known, with its whole list. */
     private boolean isCurrentConfirmed;
     /** What is told once the first answer is here, or is waited for no longer; null from then on. */
-    private List<EndpointMembership.Change> withheld = new ArrayList<>();
+    private List<EndpointMembership.CoreUpdate> withheld = new ArrayList<>();
 
     private Deadlines.Key firstAnswerDue;
 
@@ -129,7 +129,7 @@
     }
 
     private void onList(DiscoveryWatch source, EndpointList list, boolean isInOrder) {
-        EndpointMembership.Change change = membership.update(
+        EndpointMembership.CoreUpdate change = membership.update(
                 new EndpointMembership.ListUpdate(
                         source.address(),
                         list.version(),
@@ -158,13 +158,13 @@
     private void tellWithheld() {
         core.deadlines().cancel(firstAnswerDue);
         if (withheld != null) {
-            List<EndpointMembership.Change> changes = withheld;
+            List<EndpointMembership.CoreUpdate> changes = withheld;
             withheld = null;
             changes.forEach(this::tell);
         }
     }
 
-    private void tell(EndpointMembership.Change change) {
+    private void tell(EndpointMembership.CoreUpdate change) {
         if (change.kind() != DecisionModule.ListingKind.CHANGES
                 || !change.entries().isEmpty()) {
             listener.listing(change.kind(), change.version(), change.entries());
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -60,7 +60,7 @@
     }
 
     /** What the core is to hear; nothing if it is a change without entries. */
-    public record Change(ListingKind kind, long version, List<Core.ListedEndpoint> entries) {}
+    public record CoreUpdate(ListingKind kind, long version, List<Core.ListedEndpoint> entries) {}
 
     /** Where departures outlast the process. */
     public interface DepartureStore {
@@ -134,7 +134,7 @@
      * The list that a start begins with, which may be out of date: what an earlier process heard to leave stays out,
      * whenever that was.
      */
-    public Change applyInitialList(long version, List<Core.ListedEndpoint> listed) {
+    public CoreUpdate applyInitialList(long version, List<Core.ListedEndpoint> listed) {
         this.version = version;
         ListPosition position = new ListPosition(ListPosition.KNOWN_LIST, version, true, 0);
         List<Core.ListedEndpoint> told = new ArrayList<>(listed.size());
@@ -148,7 +148,7 @@
                 told.add(isActive ? keep(statement.listed(), position) : depart(statement, position));
             }
         }
-        return new Change(ListingKind.REMEMBERED, version, told);
+        return new CoreUpdate(ListingKind.REMEMBERED, version, told);
     }
 
     /**
@@ -186,7 +186,7 @@
      * @param wallMicros the wall clock
      * @return what the core is to hear, never null; its entries may be empty
      */
-    public Change update(ListUpdate update, long nowMicros, long wallMicros) {
+    public CoreUpdate update(ListUpdate update, long nowMicros, long wallMicros) {
         startClock(nowMicros);
         ListPosition position = position(update, nowMicros);
         hasDoubt = update.isCut() || !update.unusable().isEmpty() || isOlderChange(update, position);
@@ -203,7 +203,7 @@
         logWithheld(position);
         saveDepartures(nowMicros, wallMicros);
         version = update.index() == NO_INDEX ? version : update.index();
-        return new Change(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, told);
+        return new CoreUpdate(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, told);
     }
 
     /** A whole list that is as doubtful as the one before of the same index need not be asked for again. */
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -17,7 +17,7 @@
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.log.Logs;
-import lilaclever.routing.EndpointMembership.Change;
+import lilaclever.routing.EndpointMembership.CoreUpdate;
 import lilaclever.routing.EndpointMembership.Departure;
 import lilaclever.routing.EndpointMembership.ListUpdate;
 import org.junit.jupiter.api.AfterAll;
@@ -204,7 +204,7 @@
         private final Map<String, Long> lastIndex = new HashMap<>(), highestIndex = new HashMap<>();
         private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
-        void began(long version, List<Core.ListedEndpoint> known, Change told, long now) {
+        void began(long version, List<Core.ListedEndpoint> known, CoreUpdate told, long now) {
             open.values().forEach(all -> all.removeAll(ofKnownList));
             departures.values().forEach(all -> all.removeAll(ofKnownList));
             names.clear();
@@ -233,7 +233,7 @@
             open.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
         }
 
-        void heard(ListUpdate list, Change told, long now) {
+        void heard(ListUpdate list, CoreUpdate told, long now) {
             boolean isComplete = list.isWhole() && !list.isCut();
             assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, told.kind());
             ofKnownList.clear();
@@ -333,7 +333,7 @@
             }
         }
 
-        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, Change told) {
+        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate told) {
             told.entries().forEach(x -> to.put(x.entry().host(), x));
             return to;
         }
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -22,7 +22,7 @@
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.routing.EndpointMembership.Change;
+import lilaclever.routing.EndpointMembership.CoreUpdate;
 import lilaclever.routing.EndpointMembership.Departure;
 import lilaclever.routing.EndpointMembership.ListUpdate;
 import org.junit.jupiter.api.Test;
@@ -83,36 +83,36 @@
         return listed(name, Presence.LEFT);
     }
 
-    private Change whole(String agent, long index, Core.ListedEndpoint... entries) {
+    private CoreUpdate whole(String agent, long index, Core.ListedEndpoint... entries) {
         return update(new ListUpdate(agent, index, true, false, List.of(entries), Set.of()));
     }
 
-    private Change whole(long index, Core.ListedEndpoint... entries) {
+    private CoreUpdate whole(long index, Core.ListedEndpoint... entries) {
         return whole(AGENT, index, entries);
     }
 
-    private Change changes(String agent, long index, Core.ListedEndpoint... entries) {
+    private CoreUpdate changes(String agent, long index, Core.ListedEndpoint... entries) {
         return update(new ListUpdate(agent, index, false, false, List.of(entries), Set.of()));
     }
 
-    private Change changes(long index, Core.ListedEndpoint... entries) {
+    private CoreUpdate changes(long index, Core.ListedEndpoint... entries) {
         return changes(AGENT, index, entries);
     }
 
-    private Change unusable(String agent, long index, String name) {
+    private CoreUpdate unusable(String agent, long index, String name) {
         return update(new ListUpdate(agent, index, false, false, List.of(), Set.of(name)));
     }
 
-    private Change unusable(long index, boolean isWhole, String name, Core.ListedEndpoint... entries) {
+    private CoreUpdate unusable(long index, boolean isWhole, String name, Core.ListedEndpoint... entries) {
         return update(new ListUpdate(AGENT, index, isWhole, false, List.of(entries), Set.of(name)));
     }
 
-    private Change update(ListUpdate update) {
+    private CoreUpdate update(ListUpdate update) {
         return told(membership.update(update, now, wall));
     }
 
     /** Does with it what the core does. */
-    private Change told(Change change) {
+    private CoreUpdate told(CoreUpdate change) {
         if (change.kind() != ListingKind.CHANGES) {
             core.clear();
         }
@@ -194,7 +194,7 @@
     @Test
     void aListThatIsCutSaysNothingOfWhatItDoesNotName() {
         whole(50, active("a"), active("b"));
-        Change cut = update(new ListUpdate(AGENT, 51, true, true, List.of(leaving("a")), Set.of()));
+        CoreUpdate cut = update(new ListUpdate(AGENT, 51, true, true, List.of(leaving("a")), Set.of()));
         assertEquals(ListingKind.CHANGES, cut.kind());
         assertActive("b");
         assertTrue(membership.needsWholeList(now));
@@ -203,7 +203,7 @@
     @Test
     void anEntryThatCannotBeUsedTakesTheEndpointOut() {
         whole(50, active("a"), active("b"));
-        Change change = unusable(51, false, "a");
+        CoreUpdate change = unusable(51, false, "a");
         assertEquals(
                 List.of("a"),
                 change.entries().stream().map(x -> x.entry().host()).toList());
@@ -482,7 +482,7 @@
 
     @Test
     void theSameEntryTwiceIsOne() {
-        Change change = whole(50, active("a"), active("a"));
+        CoreUpdate change = whole(50, active("a"), active("a"));
         assertEquals(1, change.entries().size());
         assertActive("a");
         assertFalse(membership.needsWholeList(now));
@@ -604,10 +604,10 @@
 
     @Test
     void kindsAndVersionsAreThoseOfTheList() {
-        Change all = whole(50, active("a"));
+        CoreUpdate all = whole(50, active("a"));
         assertEquals(ListingKind.ALL, all.kind());
         assertEquals(50, all.version());
-        Change none = changes(51);
+        CoreUpdate none = changes(51);
         assertEquals(ListingKind.CHANGES, none.kind());
         assertEquals(51, none.version());
         assertEquals(List.of(), none.entries());
