--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -77,9 +77,9 @@
      *
      * @param agent address of the agent whose list it was
      * @param index version of the list from which on the endpoint is out
-     * @param atMicros when it was heard, wall clock, microseconds since 1970
+     * @param wallMicros when it was heard, wall clock, microseconds since 1970
      */
-    public record Departure(String name, String agent, long index, long atMicros) {}
+    public record Departure(String name, String agent, long index, long wallMicros) {}
 
     /** An endpoint as last told, and the newest list of the agent that told its address and destination last. */
     private record Known(Core.ListedEndpoint listed, ListPosition position) {
