--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -123,7 +123,7 @@
     }
 
     /** Has the task run on the selector thread, where the connection's bytes are read: never at once. */
-    public static void onSelector(Connection<?> connection, Runnable task) {
+    public static void runOnSelector(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
 
@@ -132,12 +132,12 @@
      * had come on any connection by then has been read. Where all selections take long it is not put off for ever.
      */
     public static void afterReading(Connection<?> connection, Runnable task) {
-        onSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
+        runOnSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
     }
 
     private static void nextSelection(Connection<?> connection, Runnable task, int left) {
         long before = System.nanoTime();
-        onSelector(connection, () -> {
+        runOnSelector(connection, () -> {
             if (left > 1 && System.nanoTime() - before > LATELY) {
                 nextSelection(connection, task, left - 1); // that one took long: more may have come since
             } else {
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -102,7 +102,7 @@
         Connection<?> any = up.poll(20, TimeUnit.SECONDS);
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
-        Transport.onSelector(any, () -> {
+        Transport.runOnSelector(any, () -> {
             held.countDown();
             try {
                 free.await(20, TimeUnit.SECONDS);
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -71,7 +71,7 @@
             Connection<?> answered = up.poll(20, TimeUnit.SECONDS);
             transport.connect(address, chain, up::add, Throwable::printStackTrace);
             Connection<?> other = up.poll(20, TimeUnit.SECONDS);
-            Transport.onSelector(other, () -> {
+            Transport.runOnSelector(other, () -> {
                 busy.countDown();
                 try {
                     free.await(20, TimeUnit.SECONDS);
