--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -308,7 +308,7 @@
                 return;
             }
             Link kept = links.get(idle);
-            Transport.afterReading(idle, () -> {
+            Transport.runAfterReading(idle, () -> {
                 if (!kept.take(this)) {
                     core.post(this::begin); // nothing was written: another one
                 }
@@ -327,7 +327,7 @@
                         Link opened = new Link(up);
                         links.set(up, opened);
                         core.post(() -> core.deadlines().cancel(due));
-                        Transport.afterReading(up, () -> {
+                        Transport.runAfterReading(up, () -> {
                             if (!opened.take(this)) {
                                 core.post(this::broke);
                             }
@@ -499,7 +499,7 @@
                 core.post(this::givenUp);
                 return;
             }
-            Transport.afterReading(open.connection, () -> {
+            Transport.runAfterReading(open.connection, () -> {
                 if (open.current == this) {
                     open.keepPartial(this, false);
                 }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -97,7 +97,7 @@
      */
     private void stopListening(int most) {
         int before = intake.accepted();
-        Transport.afterReading(listener, () -> {
+        Transport.runAfterReading(listener, () -> {
             if (most > 0 && intake.accepted() != before) {
                 stopListening(most - 1);
             } else {
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -390,7 +390,7 @@
             }
             long now = core.nowMicros();
             if (now >= due()) {
-                Transport.afterReading(connection, this::over);
+                Transport.runAfterReading(connection, this::over);
             }
             core.deadlines().schedule(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
         }
@@ -483,7 +483,7 @@
         synchronized (clients) {
             all = List.copyOf(clients);
         }
-        all.forEach(c -> Transport.afterReading(c.connection, c::closeIfIdle));
+        all.forEach(c -> Transport.runAfterReading(c.connection, c::closeIfIdle));
     }
 
     /** How many connections have been accepted since the start. */
@@ -536,7 +536,7 @@
         if (out != null) {
             core.counters().add(Name.CROWDED_OUT);
             if (out != newest) {
-                Transport.afterReading(out.connection, out::makeRoom);
+                Transport.runAfterReading(out.connection, out::makeRoom);
             }
         }
         if (full) {
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -131,7 +131,7 @@
      * Has the task run on the selector thread after a selection that was begun once this was called, and lately: what
      * had come on any connection by then has been read. Where all selections take long it is not put off for ever.
      */
-    public static void afterReading(Connection<?> connection, Runnable task) {
+    public static void runAfterReading(Connection<?> connection, Runnable task) {
         runOnSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
     }
 
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -81,7 +81,7 @@
             });
             busy.await(20, TimeUnit.SECONDS);
             try (Socket peer = server.accept()) {
-                Transport.afterReading(other, () -> order.add("task"));
+                Transport.runAfterReading(other, () -> order.add("task"));
                 peer.getOutputStream().write("answer".getBytes());
                 peer.getOutputStream().flush();
                 free.countDown();
