--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -167,7 +167,7 @@
 
         /** Writes the request, unless it was given up meanwhile or the connection is not as it should be. */
         boolean take(Exchange exchange) {
-            if (spoilt || !Transport.isQuiet(connection)) {
+            if (spoilt || !Transport.isOpenAndSilent(connection)) {
                 // Its idle time was used to close it, or for a word too many: that must not answer this request.
                 connection.closeSilently();
                 return false;
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -150,7 +150,7 @@
      * True if the connection is open and the other side has said nothing more and has not closed it. On the selector
      * thread alone, since it reads.
      */
-    public static boolean isQuiet(Connection<?> connection) {
+    public static boolean isOpenAndSilent(Connection<?> connection) {
         try {
             return connection.isOpen()
                     && ((SocketChannel) ((NIOConnection) connection).getChannel()).read(ByteBuffer.allocate(1)) == 0;
