--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -563,7 +563,7 @@
         public NextAction handleClose(FilterChainContext context) {
             Link link = links.get(context.getConnection());
             if (link != null) {
-                link.closed(Transport.isEndedRemotely(context.getConnection()));
+                link.closed(Transport.isClosedByPeer(context.getConnection()));
             }
             return context.getInvokeAction();
         }
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -163,7 +163,7 @@
      * True if the other side has ended the closed connection, in order or by a reset, which Grizzly does not
      * tell apart.
      */
-    public static boolean isEndedRemotely(Connection<?> closed) {
+    public static boolean isClosedByPeer(Connection<?> closed) {
         CloseReason reason = closed.getCloseReason();
         return reason != null && reason.getType() == CloseType.REMOTELY;
     }
