--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -311,7 +311,7 @@
                 synchronized (clients) {
                     leaving.add(this);
                 }
-                Transport.endSending(connection);
+                Transport.shutdownOutput(connection);
                 if (inputEnded) {
                     connection.closeSilently(); // nothing is left to be read
                 }
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -172,7 +172,7 @@
      * Ends the sending on a connection, once all that was written has gone; it is still read, until the other side
      * closes. Any thread, after the write has completed.
      */
-    public static void endSending(Connection<?> connection) {
+    public static void shutdownOutput(Connection<?> connection) {
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel()).shutdownOutput();
         } catch (IOException e) {
