--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -550,7 +550,7 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             Link link = links.get(context.getConnection());
-            byte[] bytes = Transport.bytes(context.getMessage());
+            byte[] bytes = Transport.toBytes(context.getMessage());
             if (link == null) {
                 context.getConnection().closeSilently(); // it spoke before it was asked
             } else {
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -125,7 +125,7 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             MllpSession session = sessionAttribute.get(context.getConnection());
-            byte[] bytes = Transport.bytes(context.getMessage());
+            byte[] bytes = Transport.toBytes(context.getMessage());
             if (session != null) {
                 session.bytes(bytes);
             }
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -103,7 +103,7 @@
     @Override
     public NextAction handleRead(FilterChainContext context) {
         Caller caller = callerOf.get(context.getConnection());
-        byte[] bytes = Transport.bytes(context.getMessage());
+        byte[] bytes = Transport.toBytes(context.getMessage());
         String line = caller.asked ? null : caller.line(bytes);
         if (line != null) {
             caller.asked = true;
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -181,7 +181,7 @@
     }
 
     /** The bytes of a message from the socket; the buffer goes back to its pool. */
-    public static byte[] bytes(Buffer buffer) {
+    public static byte[] toBytes(Buffer buffer) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         buffer.tryDispose();
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -62,7 +62,7 @@
             var chain = Transport.chain(new BaseFilter() {
                 @Override
                 public NextAction handleRead(FilterChainContext context) {
-                    order.add(new String(Transport.bytes(context.getMessage())));
+                    order.add(new String(Transport.toBytes(context.getMessage())));
                     return context.getStopAction();
                 }
             });
