--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -420,7 +420,7 @@
 
     private static String address(String value, String key) throws ConfigurationException {
         try {
-            Transport.address(value);
+            Transport.parseAddress(value);
             return value;
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException(key, e.getMessage());
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -117,9 +117,9 @@
                         version,
                         listed.stream().map(Forwarder::leaving).toList()),
                 version);
-        addresses.add(front.listen(transport, Transport.address(config.listen())));
+        addresses.add(front.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
-            addresses.add(new OperatorPort(core, suspensions).listen(transport, Transport.address(config.operator())));
+            addresses.add(new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
             addresses.addAll(each.listen(transport));
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -320,7 +320,7 @@
             due = core.deadlines().schedule(core.nowMicros() + connectMicros, this::late);
             core.counters().add(Counters.Name.CONNECTIONS);
             connecting = transport.connect(
-                    Transport.address(address),
+                    Transport.parseAddress(address),
                     chain,
                     up -> {
                         trace("connected");
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -138,7 +138,7 @@
     public void probe(Call.Endpoint endpoint) {
         long started = core.nowMicros();
         transport.connect(
-                Transport.address(endpoint.address()),
+                Transport.parseAddress(endpoint.address()),
                 chain,
                 up -> {
                     up.closeSilently();
@@ -186,7 +186,7 @@
                 end(AttemptResult.NO_CONNECTION, "");
             });
             connecting = transport.connect(
-                    Transport.address(endpoint.address()),
+                    Transport.parseAddress(endpoint.address()),
                     chain,
                     up -> {
                         sessions.set(up, this); // before the greeting can be read
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -75,7 +75,7 @@
         FilterChain chain = Transport.chain(new LineFilter(), new SessionFilter());
         for (MailSettings.Listener listener : settings.listeners()) {
             if (listener.protocol() == protocol) {
-                var server = transport.listen(Transport.address(listener.address()), chain);
+                var server = transport.listen(Transport.parseAddress(listener.address()), chain);
                 listeners.add(server);
                 bound.add(server.getLocalAddress());
             }
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -211,7 +211,7 @@
     }
 
     /** The address in a text such as 127.0.0.1:25 or [::1]:25; there are no names to look up. */
-    public static InetSocketAddress address(String hostAndPort) {
+    public static InetSocketAddress parseAddress(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
         if (colon <= 0 || !LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
             throw new IllegalArgumentException("not an IP address and a port: " + hostAndPort);
