--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -85,7 +85,7 @@
         call.attachment = state;
         calls.add(call);
         call.messages.forEach(m -> world.onAttempt(m.id(), number, host, call.endpoint.destination(), world.now()));
-        boolean kept = idle.take(host, world.now()) != null;
+        boolean kept = idle.acquire(host, world.now()) != null;
         if (!kept) {
             world.auditor().service().connection();
         }
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -302,7 +302,7 @@
             if (done) {
                 return;
             }
-            Connection<?> idle = pool.take(owner, core.nowMicros());
+            Connection<?> idle = pool.acquire(owner, core.nowMicros());
             if (idle == null) {
                 connect();
                 return;
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -104,10 +104,10 @@
             return;
         }
         Session idle = null;
-        Connection<?> kept = pool.take(call.endpoint.host(), core.nowMicros());
+        Connection<?> kept = pool.acquire(call.endpoint.host(), core.nowMicros());
         while (kept != null && idle == null) {
             idle = sessions.get(kept); // null once its server has said farewell
-            kept = idle == null ? pool.take(call.endpoint.host(), core.nowMicros()) : kept;
+            kept = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : kept;
         }
         Session session = idle != null ? idle : new Session(call.endpoint);
         call.attachment = session;
--- a/src/main/java/lilaclever/transport/ConnectionPool.java
+++ b/src/main/java/lilaclever/transport/ConnectionPool.java
@@ -38,7 +38,7 @@
     }
 
     /** An idle connection to the endpoint, or null. */
-    public C take(String endpoint, long nowMicros) {
+    public C acquire(String endpoint, long nowMicros) {
         ArrayDeque<Idle<C>> all = idle.get(endpoint);
         while (all != null && !all.isEmpty()) {
             Idle<C> last = all.pollLast();
