--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -182,7 +182,7 @@
             world.partner(call.endpoint.destination()).heardFailure(number, world.now());
         }
         if (keeps) {
-            idle.giveBack(call.endpoint.host(), call.endpoint.host(), world.now());
+            idle.release(call.endpoint.host(), call.endpoint.host(), world.now());
             later(world.now() + settings.limits().keepAliveMicros(), () -> {
                 idle.sweep(world.now());
                 waits.removeExpired(world.now());
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -422,7 +422,7 @@
             if (listener.isServerLeaving()) {
                 unused.closeSilently();
             } else {
-                pool.giveBack(owner, unused, core.nowMicros());
+                pool.release(owner, unused, core.nowMicros());
             }
         }
 
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -282,7 +282,7 @@
         private void delivered(Reply reply) {
             Call done = call;
             call = null;
-            pool.giveBack(endpoint.host(), connection, core.nowMicros());
+            pool.release(endpoint.host(), connection, core.nowMicros());
             tell(done, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
         }
 
--- a/src/main/java/lilaclever/transport/ConnectionPool.java
+++ b/src/main/java/lilaclever/transport/ConnectionPool.java
@@ -52,7 +52,7 @@
     }
 
     /** Keeps a connection whose call is over. */
-    public void giveBack(String endpoint, C connection, long nowMicros) {
+    public void release(String endpoint, C connection, long nowMicros) {
         idle.computeIfAbsent(endpoint, e -> new ArrayDeque<>()).addLast(new Idle<>(connection, nowMicros));
         if (++count > most) {
             dropOldest();
