--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -184,7 +184,7 @@
         if (keeps) {
             idle.release(call.endpoint.host(), call.endpoint.host(), world.now());
             later(world.now() + settings.limits().keepAliveMicros(), () -> {
-                idle.sweep(world.now());
+                idle.closeExpired(world.now());
                 waits.removeExpired(world.now());
             });
         } else {
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -127,7 +127,7 @@
 
     /** Starts to drop connections that were idle for too long. */
     void start() {
-        pool.sweep(core.nowMicros());
+        pool.closeExpired(core.nowMicros());
         core.deadlines().schedule(core.nowMicros() + SWEEP, this::start);
     }
 
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -89,7 +89,7 @@
     }
 
     private void sweep() {
-        pool.sweep(core.nowMicros());
+        pool.closeExpired(core.nowMicros());
         core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
     }
 
--- a/src/main/java/lilaclever/transport/ConnectionPool.java
+++ b/src/main/java/lilaclever/transport/ConnectionPool.java
@@ -88,7 +88,7 @@
     }
 
     /** Closes what has been idle for too long, and forgets what the other side has closed. */
-    public void sweep(long nowMicros) {
+    public void closeExpired(long nowMicros) {
         for (Iterator<ArrayDeque<Idle<C>>> i = idle.values().iterator(); i.hasNext(); ) {
             ArrayDeque<Idle<C>> all = i.next();
             all.removeIf(x -> {
