--- a/src/main/java/lilaclever/identity/DuplicateCheck.java
+++ b/src/main/java/lilaclever/identity/DuplicateCheckResult.java
@@ -1,16 +1,16 @@
 package lilaclever.identity;
 
 /** What a hand-in under an identity is. {@code M} is a message that is held, {@code E} an end. */
-public sealed interface DuplicateCheck<M, E> {
+public sealed interface DuplicateCheckResult<M, E> {
     /** Nothing is known of it: a message of its own. */
-    record Fresh<M, E>() implements DuplicateCheck<M, E> {}
+    record NewMessage<M, E>() implements DuplicateCheckResult<M, E> {}
 
     /** The message is held already: whoever handed this in gets its end too. */
-    record Joins<M, E>(M held) implements DuplicateCheck<M, E> {}
+    record PendingDuplicate<M, E>(M pending) implements DuplicateCheckResult<M, E> {}
 
     /** The message has ended, and this is the end. */
-    record Again<M, E>(E end) implements DuplicateCheck<M, E> {}
+    record CompletedDuplicate<M, E>(E result) implements DuplicateCheckResult<M, E> {}
 
     /** The identity belongs to a message that says something else; {@code held}: one that has not ended. */
-    record Clash<M, E>(boolean held) implements DuplicateCheck<M, E> {}
+    record Conflict<M, E>(boolean isPending) implements DuplicateCheckResult<M, E> {}
 }
--- a/src/main/java/lilaclever/identity/Identities.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -5,7 +5,7 @@
 
 /**
  * Decides who a hand-in is: a new message, one that is held, one that has ended, or another one under a name that is
- * taken. No I/O, no clock, no thread: times are told, and what outlasts the process is behind {@link Memory}.
+ * taken. No I/O, no clock, no thread: times are told, and what outlasts the process is behind {@link CompletedMessageStore}.
  *
  * <p>The rules:
  * <ul>
@@ -17,16 +17,16 @@
  * never forgotten.
  * </ul>
  */
-public final class Identities<M, E> {
+public final class DuplicateDetector<M, E> {
     private record Held<M>(M message, Fingerprint content) {}
 
     private final IdempotencyWindows windows;
-    private final Memory<E> memory;
+    private final CompletedMessageStore<E> memory;
     private final Map<String, Held<M>> held = new HashMap<>();
     private long forgottenEarly;
 
     /** Nothing is held yet. */
-    public Identities(IdempotencyWindows windows, Memory<E> memory) {
+    public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> memory) {
         this.windows = windows;
         this.memory = memory;
     }
@@ -36,20 +36,20 @@
      *
      * @param content what it says; null where that is not compared
      */
-    public DuplicateCheck<M, E> rule(String identity, Fingerprint content, long nowWall) {
+    public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
         Held<M> under = held.get(identity);
         if (under != null) {
             return differs(content, under.content())
-                    ? new DuplicateCheck.Clash<>(true)
-                    : new DuplicateCheck.Joins<>(under.message());
+                    ? new DuplicateCheckResult.Conflict<>(true)
+                    : new DuplicateCheckResult.PendingDuplicate<>(under.message());
         }
-        CompletedMessage<E> past = memory.past(identity);
+        CompletedMessage<E> past = memory.find(identity);
         if (past == null || past.untilWallMicros() <= nowWall) {
-            return new DuplicateCheck.Fresh<>();
+            return new DuplicateCheckResult.NewMessage<>();
         }
         return differs(content, past.fingerprint())
-                ? new DuplicateCheck.Clash<>(false)
-                : new DuplicateCheck.Again<>(past.result());
+                ? new DuplicateCheckResult.Conflict<>(false)
+                : new DuplicateCheckResult.CompletedDuplicate<>(past.result());
     }
 
     private static boolean differs(Fingerprint a, Fingerprint b) {
@@ -57,13 +57,13 @@
     }
 
     /** The message is held from now on. Nothing else may be held under its identity. */
-    public void hold(String identity, Fingerprint content, M message) {
+    public void addPending(String identity, Fingerprint content, M message) {
         Held<M> before = held.put(identity, new Held<>(message, content));
         assert before == null || before.message() == message : identity + " is held twice";
     }
 
     /** The message is held no more; passed over if another one is held under the identity. */
-    public void release(String identity, M message) {
+    public void removePending(String identity, M message) {
         Held<M> under = held.get(identity);
         if (under != null && under.message() == message) {
             held.remove(identity);
@@ -71,25 +71,25 @@
     }
 
     /** The message has ended so that whoever asks again gets this end. */
-    public void ended(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
-        CompletedMessage<E> before = memory.past(identity);
+    public void addCompleted(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
+        CompletedMessage<E> before = memory.find(identity);
         if (before == null) {
-            while (memory.size() >= windows.most()) {
-                memory.forgetSoonest();
+            while (memory.size() >= windows.maxEntries()) {
+                memory.removeSoonestExpiring();
                 forgottenEarly++;
             }
         }
-        memory.keep(identity, new CompletedMessage<>(end, content, nowWall + windows.of(identity, messageClass)));
+        memory.put(identity, new CompletedMessage<>(end, content, nowWall + windows.windowMicros(identity, messageClass)));
     }
 
     /** The message that is held under the identity, or null. */
-    public M held(String identity) {
+    public M pending(String identity) {
         Held<M> under = held.get(identity);
         return under == null ? null : under.message();
     }
 
     /** Identities held. */
-    public int size() {
+    public int pendingCount() {
         return held.size();
     }
 
--- a/src/main/java/lilaclever/identity/IdempotencyWindows.java
+++ b/src/main/java/lilaclever/identity/IdempotencyWindows.java
@@ -5,21 +5,21 @@
 /**
  * How long ends are remembered, and how many.
  *
- * @param micros for each class, by its number, how long after its end a message is known again, microseconds
- * @param otherwise for identities that are not shared (those of mails)
- * @param most ends remembered in all
+ * @param classMicros for each class, by its number, how long after its end a message is known again, microseconds
+ * @param defaultMicros for identities that are not shared (those of mails)
+ * @param maxEntries ends remembered in all
  */
-public record IdempotencyWindows(List<Long> micros, long otherwise, int most) {
+public record IdempotencyWindows(List<Long> classMicros, long defaultMicros, int maxEntries) {
     /** A copy that nobody can change. */
     public IdempotencyWindows {
-        micros = List.copyOf(micros);
-        if (most < 1) {
+        classMicros = List.copyOf(classMicros);
+        if (maxEntries < 1) {
             throw new IllegalArgumentException("room for one end at least");
         }
     }
 
     /** The window of a message. */
-    long of(String identity, int messageClass) {
-        return Identity.isShared(identity) && messageClass < micros.size() ? micros.get(messageClass) : otherwise;
+    long windowMicros(String identity, int messageClass) {
+        return Identity.isShared(identity) && messageClass < classMicros.size() ? classMicros.get(messageClass) : defaultMicros;
     }
 }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -14,11 +14,11 @@
     /** What the deliverer keeps for it. */
     public Object attachment;
 
-    int open;
+    int pendingOutcomes;
     private volatile long writeBy = Long.MAX_VALUE;
     private long expiresAt = Long.MAX_VALUE;
     /** True once the deliverer has it: its attempts are in the journal. */
-    boolean started;
+    boolean isStarted;
 
     Deadlines.Key deadline;
 
@@ -26,7 +26,7 @@
      * An endpoint of the list, with the deliverer that reaches it. {@code apart}: limits and told waits are its own.
      */
     public record Endpoint(
-            String host, String address, int destination, int zone, int batch, boolean apart, Deliverer deliverer) {}
+            String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
 
     Call(Endpoint endpoint, long startedAt) {
         this.endpoint = endpoint;
@@ -39,12 +39,12 @@
      * @param writeBy  from then on it must not go, and needs no answer for its own sake
      * @param deadline when its time is up
      */
-    void take(Message m, long writeBy, long deadline) {
-        m.out = this;
-        m.writeBy = writeBy;
-        m.deadline = deadline;
+    void addMessage(Message m, long writeBy, long deadline) {
+        m.currentCall = this;
+        m.writeByMicros = writeBy;
+        m.deadlineMicros = deadline;
         messages.add(m);
-        open++;
+        pendingOutcomes++;
         setTimes();
     }
 
@@ -55,7 +55,7 @@
     }
 
     private void setTimes() {
-        writeBy = messages.stream().mapToLong(m -> m.writeBy).min().orElse(Long.MAX_VALUE);
+        writeBy = messages.stream().mapToLong(m -> m.writeByMicros).min().orElse(Long.MAX_VALUE);
         expiresAt = expiryMicrosOf(messages);
     }
 
@@ -68,25 +68,25 @@
      * When to give it up, by the loop's clock, microseconds: it waits as long as any of its messages may, but has one
      * time, which its endpoint is told, and that is over with the first message whose time is up.
      */
-    public long expiresAt() {
+    public long expiresAtMicros() {
         return expiresAt;
     }
 
-    /** What {@link #expiresAt} is for a call of the given messages of this one. */
+    /** What {@link #expiresAtMicros} is for a call of the given messages of this one. */
     public static long expiryMicrosOf(List<Message> messages) {
-        long longestWait = messages.stream().mapToLong(m -> m.writeBy).max().orElse(Long.MAX_VALUE);
-        long firstDeadline = messages.stream().mapToLong(m -> m.deadline).min().orElse(Long.MAX_VALUE);
+        long longestWait = messages.stream().mapToLong(m -> m.writeByMicros).max().orElse(Long.MAX_VALUE);
+        long firstDeadline = messages.stream().mapToLong(m -> m.deadlineMicros).min().orElse(Long.MAX_VALUE);
         return Math.min(longestWait, firstDeadline);
     }
 
     /** Has the messages whose time is up leave, if others go and the call is not on its way yet. */
-    void leaveExpired(long now) {
-        List.copyOf(messages).stream().filter(m -> m.writeBy <= now).forEach(this::leave);
+    void requestRemovalOfExpired(long now) {
+        List.copyOf(messages).stream().filter(m -> m.writeByMicros <= now).forEach(this::requestRemoval);
     }
 
     /** Has a message leave, if others go and the call is not on its way yet. */
-    void leave(Message m) {
-        if (m.out == this && started && messages.size() > 1) {
+    void requestRemoval(Message m) {
+        if (m.currentCall == this && isStarted && messages.size() > 1) {
             endpoint.deliverer().removeMessage(this, m);
         }
     }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -13,7 +13,7 @@
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.AttemptResult;
 import lilaclever.DecisionModule.Event;
-import lilaclever.identity.DuplicateCheck;
+import lilaclever.identity.DuplicateCheckResult;
 import lilaclever.identity.IdempotencyWindows;
 import lilaclever.identity.Identity;
 import lilaclever.log.Logs;
@@ -186,7 +186,7 @@
 
     /** When the next turn is due: with a task waiting after the least spacing, else at the next deadline. */
     public long nextTurnMicros() {
-        return ready.isEmpty() ? deadlines.soonest(now + LONGEST_SLEEP) : now + settings.roundMicros();
+        return ready.isEmpty() ? deadlines.earliestOr(now + LONGEST_SLEEP) : now + settings.roundMicros();
     }
 
     /** One turn. */
@@ -204,18 +204,18 @@
             return;
         }
         counters.add(Name.RESUMED);
-        m.journaled = true;
-        m.told = true;
-        m.resumed = true;
+        m.isJournaled = true;
+        m.isAcceptanceDurable = true;
+        m.isResumed = true;
         for (PendingMessage.Submitter claim : e.attachedSubmitters()) {
             if (fronts.containsKey(claim.front())) {
-                m.claims.add(new DeduplicationTable.Claim(fronts.get(claim.front()), claim.id()));
+                m.submitters.add(new DeduplicationTable.Submitter(fronts.get(claim.front()), claim.id()));
             }
         }
         // A kill may have come between the remembering of its end and the record that the end is decided.
         FinalStatus end = e.finalStatus() != null ? e.finalStatus() : claims.earlierEnd(m);
         if (end != null) {
-            m.over = true;
+            m.isFinished = true;
             answer(m, end);
             return;
         }
@@ -223,12 +223,12 @@
             // The call was out when the process ended: it may have run.
             journal.recordOutcome(m.id(), false);
         }
-        m.attempts = e.attempts();
+        m.attemptCount = e.attempts();
         if (e.mayHaveRun()) {
-            m.mayHaveRun(e.possibleRunHost(), e.possibleRunZone(), e.possibleRunWallMicros());
+            m.markPossiblyRun(e.possibleRunHost(), e.possibleRunZone(), e.possibleRunWallMicros());
         }
         hold(m);
-        events.add(m.submit(now, wall));
+        events.add(m.toSubmitEvent(now, wall));
     }
 
     /** False if the list has not named the destination for long. Without any list nothing is known. Loop thread. */
@@ -246,15 +246,15 @@
                 && (submission.identity() == null || !submission.identity().equals(under.submission.identity()))) {
             return submission.identity() == null ? under : clash(m);
         }
-        DuplicateCheck<Message, FinalStatus> ruling = claims.rule(m, wall);
-        if (ruling instanceof DuplicateCheck.Joins<Message, FinalStatus> joins) {
-            return join(joins.held(), m);
+        DuplicateCheckResult<Message, FinalStatus> ruling = claims.rule(m, wall);
+        if (ruling instanceof DuplicateCheckResult.PendingDuplicate<Message, FinalStatus> joins) {
+            return join(joins.pending(), m);
         }
-        if (ruling instanceof DuplicateCheck.Again<Message, FinalStatus> again) {
+        if (ruling instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> again) {
             counters.add(Name.TOLD_AGAIN);
-            return notHeld(m, again.end());
+            return notHeld(m, again.result());
         }
-        if (ruling instanceof DuplicateCheck.Clash<Message, FinalStatus>) {
+        if (ruling instanceof DuplicateCheckResult.Conflict<Message, FinalStatus>) {
             return clash(m);
         }
         if (closing || held.size() >= settings.limits().maxOpenMessages()) {
@@ -263,7 +263,7 @@
         }
         hold(m);
         fresh.add(m);
-        events.add(m.submit(now, wall));
+        events.add(m.toSubmitEvent(now, wall));
         return m;
     }
 
@@ -282,8 +282,8 @@
 
     /** Answers a hand-in that makes no message. */
     private static Message notHeld(Message m, FinalStatus verdict) {
-        m.over = true;
-        m.verdict = verdict;
+        m.isFinished = true;
+        m.finalStatus = verdict;
         m.front.onRejected(m, verdict);
         return m;
     }
@@ -295,8 +295,8 @@
 
     /** A client is gone before it heard that its message is taken on. Loop thread. */
     public void withdraw(Message m, Front front, String id) {
-        m.claims.remove(new DeduplicationTable.Claim(front, id));
-        if (!m.over && m.claims.isEmpty()) {
+        m.submitters.remove(new DeduplicationTable.Submitter(front, id));
+        if (!m.isFinished && m.submitters.isEmpty()) {
             counters.add(Name.WITHDRAWN);
             events.add(new Event.Withdrawn(m.id()));
             release(m);
@@ -367,7 +367,7 @@
             if (activeEndpoints.mayReceive(call.endpoint)) {
                 continue;
             }
-            if (call.started) {
+            if (call.isStarted) {
                 call.endpoint.deliverer().cancelUnsent(call);
             } else {
                 withhold(call);
@@ -381,31 +381,31 @@
 
     /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
     public void attemptEnded(Call call, Message m, AttemptResult ending, long waitMicros, boolean noSlot, boolean over) {
-        if (m.out != call) {
+        if (m.currentCall != call) {
             return;
         }
-        m.out = null;
-        if (--call.open == 0) {
+        m.currentCall = null;
+        if (--call.pendingOutcomes == 0) {
             deadlines.cancel(call.deadline);
             calls.remove(call);
         }
-        counters.ending(ending.name());
+        counters.addEnding(ending.name());
         trace(m, "outcome", ending, call);
         if (!ending.neverRan()) {
-            m.mayHaveRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
+            m.markPossiblyRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
         }
         events.add(new Event.Outcome(
                 m.id(),
                 call.endpoint.host(),
-                m.attempts - 1,
+                m.attemptCount - 1,
                 ending,
                 now - call.startedAtMicros,
                 waitMicros,
                 noSlot,
                 over || ending == AttemptResult.DELIVERED,
                 null));
-        m.attempts -= ending == AttemptResult.WITHHELD ? 1 : 0;
-        if (m.over) {
+        m.attemptCount -= ending == AttemptResult.WITHHELD ? 1 : 0;
+        if (m.isFinished) {
             return;
         }
         if (ending == AttemptResult.DELIVERED) {
@@ -454,7 +454,7 @@
     private void loop() {
         while (!ended) {
             try {
-                long until = deadlines.soonest(now + LONGEST_SLEEP);
+                long until = deadlines.earliestOr(now + LONGEST_SLEEP);
                 Runnable first = clock.awaitTask(ready, until);
                 // Turns keep the module's least spacing: what comes close together is decided together.
                 long early = now + settings.roundMicros() - clock.monotonicMicros();
@@ -489,7 +489,7 @@
         for (int n = ready.size(); n > 0; n--) {
             run(ready.poll());
         }
-        run(() -> deadlines.sweep(now));
+        run(() -> deadlines.runDue(now));
         if (!events.isEmpty()) {
             List<Event> batch = events;
             events = new ArrayList<>();
@@ -525,16 +525,16 @@
             }
         }
         for (Message m : fresh) {
-            if (m.over || endedNow.contains(m.id())) {
+            if (m.isFinished || endedNow.contains(m.id())) {
                 continue;
             }
-            run(() -> m.journaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWall, clock.wallMicros()));
-            if (m.journaled) {
+            run(() -> m.isJournaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWallMicros, clock.wallMicros()));
+            if (m.isJournaled) {
                 counters.add(Name.TAKEN);
                 trace(m, "taken", "taken on", null);
                 refuse(claims.written(m), m);
                 journal.whenDurable(() -> {
-                    m.told = true;
+                    m.isAcceptanceDurable = true;
                     fronts(m).forEach(front -> run(() -> front.onAccepted(m)));
                 });
             } else {
@@ -547,8 +547,8 @@
     }
 
     /** Those who joined it and could not be written hear that they are not owed its end. */
-    private void refuse(List<DeduplicationTable.Claim> refused, Message m) {
-        for (DeduplicationTable.Claim claim : refused) {
+    private void refuse(List<DeduplicationTable.Submitter> refused, Message m) {
+        for (DeduplicationTable.Submitter claim : refused) {
             run(() -> claim.front()
                     .onAttachRejected(m, claim.id(), new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk")));
         }
@@ -556,7 +556,7 @@
 
     private static Set<Front> fronts(Message m) {
         Set<Front> all = new LinkedHashSet<>();
-        m.claims.forEach(claim -> all.add(claim.front()));
+        m.submitters.forEach(claim -> all.add(claim.front()));
         return all;
     }
 
@@ -567,8 +567,8 @@
             ended(a.id(), FinalStatus.of(Kind.FAILED));
         } else if (action instanceof Action.Cancel a) {
             Message m = held.get(a.id());
-            if (m != null && m.out != null && m.attempts - 1 == a.attempt()) {
-                giveUp(m.out);
+            if (m != null && m.currentCall != null && m.attemptCount - 1 == a.attempt()) {
+                giveUp(m.currentCall);
             }
         } else if (action instanceof Action.CloseIdle a && endpoints.containsKey(a.host())) {
             Call.Endpoint endpoint = endpoints.get(a.host());
@@ -589,9 +589,9 @@
             return;
         }
         FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastResponseText);
-        if (m.journaled) {
+        if (m.isJournaled) {
             counters.add(told.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.checkInvariant(m.resumed || clock.wallMicros() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
+            counters.checkInvariant(m.isResumed || clock.wallMicros() <= m.deadlineWallMicros + OVERDUE, m.id() + " ended in time");
             end(m, told);
         } else {
             turnDown(m, told);
@@ -619,17 +619,17 @@
         Message m = held.get(a.id());
         Call.Endpoint endpoint = endpoints.get(a.host());
         boolean isElsewhere = m != null && endpoint != null && endpoint.destination() != m.submission.destination();
-        if (m == null || endpoint == null || m.out != null || isElsewhere) {
+        if (m == null || endpoint == null || m.currentCall != null || isElsewhere) {
             // Not held any more, as its client has gone: the module must still hear of this attempt.
-            counters.checkInvariant(m == null || m.out == null, a.id() + " has one attempt out at most");
+            counters.checkInvariant(m == null || m.currentCall == null, a.id() + " has one attempt out at most");
             counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
-            int attempt = m == null ? 0 : m.attempts++;
+            int attempt = m == null ? 0 : m.attemptCount++;
             events.add(
                     new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, m == null, null));
             return;
         }
         Call call = starting.get(a.host());
-        if (call != null && call.messages.size() >= endpoint.batch()) {
+        if (call != null && call.messages.size() >= endpoint.maxMessagesPerCall()) {
             start(call);
             call = null;
         }
@@ -638,9 +638,9 @@
             starting.put(a.host(), call);
         }
         counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " goes where its call goes");
-        m.attempts++;
-        call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wallMicros());
-        if (endpoint.batch() > 1) {
+        m.attemptCount++;
+        call.addMessage(m, a.dropAtMicros(), now + m.deadlineWallMicros - clock.wallMicros());
+        if (endpoint.maxMessagesPerCall() > 1) {
             Call shared = call;
             deadlines.schedule(a.dropAtMicros(), () -> leave(m, shared));
         }
@@ -648,11 +648,11 @@
 
     /** The time of a message's attempt is up: it leaves a call that is not on its way yet, if others go. */
     private void leave(Message m, Call call) {
-        long before = call.expiresAt();
-        call.leave(m);
-        if (call.expiresAt() != before) {
+        long before = call.expiresAtMicros();
+        call.requestRemoval(m);
+        if (call.expiresAtMicros() != before) {
             deadlines.cancel(call.deadline);
-            call.deadline = deadlines.schedule(call.expiresAt(), () -> expire(call));
+            call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         }
     }
 
@@ -672,10 +672,10 @@
             return;
         }
         counters.add(Name.CALLS);
-        call.deadline = deadlines.schedule(call.expiresAt(), () -> expire(call));
+        call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         journal.whenDurable(() -> {
-            if (call.open > 0) { // else it was given up before its attempts were on the disk
-                call.started = true;
+            if (call.pendingOutcomes > 0) { // else it was given up before its attempts were on the disk
+                call.isStarted = true;
                 run(() -> call.endpoint.deliverer().start(call));
             }
         });
@@ -685,16 +685,16 @@
      * The call's time is up: one that is not on its way yet may go on without the first message, any other is given up.
      */
     private void expire(Call call) {
-        call.leaveExpired(now);
-        if (call.expiresAt() > now) {
-            call.deadline = deadlines.schedule(call.expiresAt(), () -> expire(call));
+        call.requestRemovalOfExpired(now);
+        if (call.expiresAtMicros() > now) {
+            call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         } else {
             giveUp(call);
         }
     }
 
     private void giveUp(Call call) {
-        if (call.started) {
+        if (call.isStarted) {
             call.endpoint.deliverer().abort(call);
         } else {
             List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, AttemptResult.NOT_SENT, 0, false, false));
@@ -708,7 +708,7 @@
     }
 
     private void release(Message m) {
-        m.over = true;
+        m.isFinished = true;
         held.remove(m.id());
         claims.release(m);
     }
@@ -716,7 +716,7 @@
     private void turnDown(Message m, FinalStatus verdict) {
         counters.add(Name.TURNED_DOWN);
         release(m);
-        m.verdict = verdict;
+        m.finalStatus = verdict;
         fronts(m).forEach(front -> run(() -> front.onRejected(m, verdict)));
     }
 
@@ -730,20 +730,20 @@
                         m.submission.identity())) { // a client that is away may be owed that it was delivered
             journal.recordFinalStatus(m.id(), verdict);
         }
-        if (m.out != null) {
-            leave(m, m.out);
+        if (m.currentCall != null) {
+            leave(m, m.currentCall);
         }
         answer(m, verdict);
     }
 
     private void answer(Message m, FinalStatus verdict) {
-        m.verdict = verdict;
-        if (m.claims.isEmpty()) {
+        m.finalStatus = verdict;
+        if (m.submitters.isEmpty()) {
             journal.recordSettled(m.id());
             return;
         }
-        int[] open = {m.claims.size()};
-        for (DeduplicationTable.Claim claim : m.claims) {
+        int[] open = {m.submitters.size()};
+        for (DeduplicationTable.Submitter claim : m.submitters) {
             unsettled++;
             journal.whenDurable(() -> run(() -> claim.front().onFinalStatus(m, claim.id(), verdict, () -> {
                 unsettled--;
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -55,7 +55,7 @@
     }
 
     /** One attempt ended so. */
-    synchronized void ending(String ending) {
+    synchronized void addEnding(String ending) {
         endings.computeIfAbsent(ending, e -> new LongAdder()).increment();
     }
 
--- a/src/main/java/lilaclever/routing/Deadlines.java
+++ b/src/main/java/lilaclever/routing/Deadlines.java
@@ -36,14 +36,14 @@
     }
 
     /** The earliest time, or the given one if that is sooner. */
-    long soonest(long otherwise) {
+    long earliestOr(long otherwise) {
         return entries.isEmpty()
                 ? otherwise
                 : Math.min(otherwise, entries.firstKey().atMicros());
     }
 
     /** Runs what is due, in order; what an action adds for the past waits for the next sweep. */
-    void sweep(long nowMicros) {
+    void runDue(long nowMicros) {
         long last = order;
         while (!entries.isEmpty()
                 && entries.firstKey().atMicros() <= nowMicros
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -3,34 +3,34 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.identity.DuplicateCheck;
+import lilaclever.identity.DuplicateCheckResult;
 import lilaclever.identity.IdempotencyWindows;
-import lilaclever.identity.Identities;
-import lilaclever.identity.Memory;
+import lilaclever.identity.DuplicateDetector;
+import lilaclever.identity.CompletedMessageStore;
 import lilaclever.routing.Counters.Name;
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
  * Who is owed a message's end: whoever handed it in first, and whoever handed in the same message since, on whichever
- * port. {@link Identities} rules on what a hand-in is; here it is carried out and written to the journal. Loop thread.
+ * port. {@link DuplicateDetector} rules on what a hand-in is; here it is carried out and written to the journal. Loop thread.
  */
 final class DeduplicationTable {
     /** Whoever comes later is asked to come again: a message's record is bounded. */
     static final int MOST_JOINED = 8;
 
     /** A front that is to tell the end, under the id that it knows the message by. */
-    record Claim(Front front, String id) {}
+    record Submitter(Front front, String id) {}
 
     private final Journal journal;
     private final Counters counters;
-    private final Identities<Message, FinalStatus> identities;
+    private final DuplicateDetector<Message, FinalStatus> identities;
 
     DeduplicationTable(IdempotencyWindows windows, Journal journal, Counters counters) {
         this.journal = journal;
         this.counters = counters;
-        identities = new Identities<>(windows, new Memory<>() {
+        identities = new DuplicateDetector<>(windows, new CompletedMessageStore<>() {
             @Override
-            public CompletedMessage<FinalStatus> past(String identity) {
+            public CompletedMessage<FinalStatus> find(String identity) {
                 return journal.remembered(identity);
             }
 
@@ -40,53 +40,53 @@
             }
 
             @Override
-            public void keep(String identity, CompletedMessage<FinalStatus> past) {
+            public void put(String identity, CompletedMessage<FinalStatus> past) {
                 journal.remember(identity, past);
             }
 
             @Override
-            public void forgetSoonest() {
+            public void removeSoonestExpiring() {
                 journal.forgetSoonestExpiring();
             }
         });
-        while (journal.rememberedCount() > windows.most()) {
+        while (journal.rememberedCount() > windows.maxEntries()) {
             journal.forgetSoonestExpiring(); // an earlier life had room for more
         }
-        counters.entryGauge("identities", identities::size);
+        counters.entryGauge("identities", identities::pendingCount);
         counters.valueGauge("identities_forgotten_early", identities::forgottenEarly);
     }
 
     /** What the hand-in is. */
-    DuplicateCheck<Message, FinalStatus> rule(Message m, long wall) {
+    DuplicateCheckResult<Message, FinalStatus> rule(Message m, long wall) {
         return m.submission.identity() == null
-                ? new DuplicateCheck.Fresh<>()
-                : identities.rule(m.submission.identity(), m.content(), wall);
+                ? new DuplicateCheckResult.NewMessage<>()
+                : identities.check(m.submission.identity(), m.fingerprint(), wall);
     }
 
     /** The message is held from now on. */
     void hold(Message m) {
         if (m.submission.identity() != null) {
-            identities.hold(m.submission.identity(), m.content(), m);
+            identities.addPending(m.submission.identity(), m.fingerprint(), m);
         }
     }
 
     /** The message is held no more. */
     void release(Message m) {
         if (m.submission.identity() != null) {
-            identities.release(m.submission.identity(), m);
+            identities.removePending(m.submission.identity(), m);
         }
     }
 
     /** The message was delivered or has failed: whoever hands it in again gets this end. */
     void ended(Message m, FinalStatus verdict, long wall) {
         if (m.submission.identity() != null && (verdict.kind() == Kind.DELIVERED || verdict.kind() == Kind.FAILED)) {
-            identities.ended(m.submission.identity(), m.content(), m.submission.messageClass(), verdict, wall);
+            identities.addCompleted(m.submission.identity(), m.fingerprint(), m.submission.messageClass(), verdict, wall);
         }
     }
 
     /** The end that an earlier life remembered of a message that it did not get to end, or null. */
     FinalStatus earlierEnd(Message m) {
-        return rule(m, Long.MIN_VALUE) instanceof DuplicateCheck.Again<Message, FinalStatus> again ? again.end() : null;
+        return rule(m, Long.MIN_VALUE) instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> again ? again.result() : null;
     }
 
     /**
@@ -94,30 +94,30 @@
      * One that is not in the journal yet has its claims written behind it ({@link #written}).
      */
     boolean join(Message m, Front front, String id) {
-        Claim claim = new Claim(front, id);
-        if (m.claims.contains(claim) || front.notifiesOnce() && m.claims.stream().anyMatch(c -> c.front() == front)) {
+        Submitter claim = new Submitter(front, id);
+        if (m.submitters.contains(claim) || front.notifiesOnce() && m.submitters.stream().anyMatch(c -> c.front() == front)) {
             return true;
         }
-        if (m.claims.size() > MOST_JOINED || m.journaled && !journal.recordAttached(m.id(), front.name(), id)) {
+        if (m.submitters.size() > MOST_JOINED || m.isJournaled && !journal.recordAttached(m.id(), front.name(), id)) {
             return false;
         }
         counters.add(Name.JOINED);
-        m.claims.add(claim);
+        m.submitters.add(claim);
         return true;
     }
 
     /**
      * The message has just been written: so are those who joined it in the turn of its hand-in; gives who could not.
      */
-    List<Claim> written(Message m) {
-        List<Claim> refused = new ArrayList<>();
-        for (Claim claim : m.claims) {
+    List<Submitter> written(Message m) {
+        List<Submitter> refused = new ArrayList<>();
+        for (Submitter claim : m.submitters) {
             boolean first = claim.front() == m.front && claim.id().equals(m.id());
             if (!first && !journal.recordAttached(m.id(), claim.front().name(), claim.id())) {
                 refused.add(claim);
             }
         }
-        m.claims.removeAll(refused);
+        m.submitters.removeAll(refused);
         return refused;
     }
 }
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -9,12 +9,12 @@
 import lilaclever.routing.EndpointMembership.Departure;
 
 /**
- * Endpoints that were heard to leave, each with the positions of the lists that said so. At most {@link #MOST} names;
+ * Endpoints that were heard to leave, each with the positions of the lists that said so. At most {@link #MAX_NAMES} names;
  * the one that has been here longest goes first. Loop thread.
  */
 final class DepartureTable {
     /** Names at most: more than the largest fleet has endpoints. */
-    static final int MOST = 4_096;
+    static final int MAX_NAMES = 4_096;
 
     /** Positions kept for one name, of several agents or one that counts anew; more are merged into stricter ones. */
     private static final int MOST_POSITIONS = 4;
@@ -27,14 +27,14 @@
 
     /** Starts with what an earlier process noted, oldest first. */
     DepartureTable(List<Departure> noted) {
-        noted.forEach(d -> hear(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
+        noted.forEach(d -> add(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
         isChanged = false;
     }
 
     /** Has all that is known so far count as heard now: the clocks of two processes are not comparable. */
     void restartClock(long nowMicros) {
         positions.replaceAll(
-                (name, all) -> all.stream().map(p -> p.heardAt(nowMicros)).toList());
+                (name, all) -> all.stream().map(p -> p.receivedAt(nowMicros)).toList());
     }
 
     int size() {
@@ -46,7 +46,7 @@
     }
 
     /** A list says that the endpoint leaves or has left. */
-    void hear(String name, ListPosition position) {
+    void add(String name, ListPosition position) {
         disputed.remove(name);
         List<ListPosition> before = positions.get(name);
         List<ListPosition> after = before == null ? List.of(position) : added(before, position);
@@ -56,23 +56,23 @@
     }
 
     /** The same where the list is contradictory: a sound one of the same index may bring the endpoint back. */
-    void hearDisputed(String name, ListPosition position) {
-        hear(name, position.before());
+    void addDisputed(String name, ListPosition position) {
+        add(name, position.before());
         if (position.isExact()) {
             disputed.put(name, position);
         }
     }
 
     /** A whole list names none of the endpoints but those mentioned. */
-    void hearAbsent(Set<String> mentioned, ListPosition position) {
+    void addAbsent(Set<String> mentioned, ListPosition position) {
         for (String name : List.copyOf(positions.keySet())) {
             if (mentioned.contains(name)) {
                 continue;
             }
             if (!position.isExact() || isDisputed(name, position)) {
-                hearDisputed(name, position);
+                addDisputed(name, position);
             } else {
-                hear(name, position);
+                add(name, position);
             }
         }
     }
@@ -88,7 +88,7 @@
         List<ListPosition> after = new ArrayList<>(before.size() + 1);
         for (ListPosition p : before) {
             boolean isCovered = p.agent().equals(position.agent()) && p.index() <= position.index();
-            if (!isCovered && !p.isExpired(position.heardMicros())) {
+            if (!isCovered && !p.isExpired(position.receivedMicros())) {
                 after.add(p);
             }
         }
@@ -116,7 +116,7 @@
     }
 
     private void removeOldest() {
-        if (positions.size() > MOST) {
+        if (positions.size() > MAX_NAMES) {
             String oldest = positions.keySet().iterator().next();
             positions.remove(oldest);
             disputed.remove(oldest);
@@ -139,13 +139,13 @@
         disputed.remove(name);
     }
 
-    /** Whether names, agents or indexes differ from those last taken by {@link #noted}. */
+    /** Whether names, agents or indexes differ from those last taken by {@link #markSaved}. */
     boolean isChanged() {
         return isChanged;
     }
 
     /** The departures are noted as they are now. */
-    void noted() {
+    void markSaved() {
         isChanged = false;
     }
 
@@ -153,7 +153,7 @@
     List<Departure> all(long nowMicros, long wallMicros) {
         List<Departure> all = new ArrayList<>(positions.size());
         positions.forEach((name, at) -> at.forEach(
-                p -> all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.heardMicros())))));
+                p -> all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
         return all;
     }
 }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -24,7 +24,7 @@
  * where a list says so that is later than every departure heard: of the same agent, with a higher index. The index of
  * the list with the departure is not enough. Two kinds of departures count as one index lower, so that the next sound
  * list of the same index can bring the endpoint back: entries that contradict each other or can't be used, and an
- * absence where the same agent has called the endpoint active at that index. After {@link ListPosition#KEPT} any list
+ * absence where the same agent has called the endpoint active at that index. After {@link ListPosition#RETENTION_MICROS} any list
  * counts: discovery may have begun to count anew. An endpoint that has not departed is active once a list says so.
  *
  * <p>A list without an index counts as the newest that its agent has told for what departs, and brings nothing back.
@@ -136,7 +136,7 @@
      */
     public CoreUpdate applyInitialList(long version, List<Core.ListedEndpoint> listed) {
         this.version = version;
-        ListPosition position = new ListPosition(ListPosition.KNOWN_LIST, version, true, 0);
+        ListPosition position = new ListPosition(ListPosition.INITIAL_LIST, version, true, 0);
         List<Core.ListedEndpoint> told = new ArrayList<>(listed.size());
         for (Statement statement : statements(listed, Set.of()).values()) {
             isDoubtful |= statement.isDisputed();
@@ -155,7 +155,7 @@
      * Whether the list that the start began with calls an endpoint active that an earlier process heard to leave, and
      * no whole list has come since: the whole list must be asked for.
      */
-    public boolean contradictsKnown() {
+    public boolean contradictsInitialList() {
         return contradictsKnown;
     }
 
@@ -221,7 +221,7 @@
         if (!isClockStarted) {
             isClockStarted = true;
             departures.restartClock(nowMicros);
-            known.replaceAll((name, x) -> new Known(x.listed(), x.position().heardAt(nowMicros)));
+            known.replaceAll((name, x) -> new Known(x.listed(), x.position().receivedAt(nowMicros)));
         }
     }
 
@@ -240,7 +240,7 @@
 
     private void remember(ListPosition position) {
         ListPosition last = newest.get(position.agent());
-        if (last == null || last.index() <= position.index() || last.isExpired(position.heardMicros())) {
+        if (last == null || last.index() <= position.index() || last.isExpired(position.receivedMicros())) {
             newest.put(position.agent(), position);
         }
         if (newest.size() > MOST_AGENTS) {
@@ -291,7 +291,7 @@
     private List<Core.ListedEndpoint> heard(
             String name, Statement statement, ListUpdate update, Set<String> mentioned, ListPosition position) {
         if (statement == null) {
-            departures.hearDisputed(name, position);
+            departures.addDisputed(name, position);
             return List.of();
         }
         hasDoubt |= statement.isDisputed();
@@ -309,9 +309,9 @@
     private Core.ListedEndpoint depart(Statement statement, ListPosition position) {
         Core.ListedEndpoint listed = statement.listed();
         if (statement.isDisputed()) {
-            departures.hearDisputed(name(listed), position);
+            departures.addDisputed(name(listed), position);
         } else {
-            departures.hear(name(listed), position);
+            departures.add(name(listed), position);
         }
         return putInactive(listed, position);
     }
@@ -379,7 +379,7 @@
     /** Whether it is of the same agent and out of order, or of no order at all. */
     private static boolean isOlder(ListPosition position, ListPosition than) {
         boolean isOutOfOrder = position.agent().equals(than.agent()) && position.index() < than.index();
-        return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.heardMicros());
+        return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.receivedMicros());
     }
 
     private Core.ListedEndpoint keep(Core.ListedEndpoint listed, ListPosition position) {
@@ -414,7 +414,7 @@
 
     /** A whole list: what it does not mention has left. */
     private void removeAbsent(Set<String> mentioned, ListPosition position) {
-        departures.hearAbsent(mentioned, position);
+        departures.addAbsent(mentioned, position);
         for (Iterator<Map.Entry<String, Known>> all = known.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<String, Known> entry = all.next();
             String name = entry.getKey();
@@ -435,9 +435,9 @@
         }
         if (isContradiction || !position.isExact()) {
             hasDoubt = true;
-            departures.hearDisputed(name, position);
+            departures.addDisputed(name, position);
         } else {
-            departures.hear(name, position);
+            departures.add(name, position);
         }
     }
 
@@ -447,7 +447,7 @@
         }
         try {
             store.save(departures.all(nowMicros, wallMicros));
-            departures.noted();
+            departures.markSaved();
             isStoreFailing = false;
         } catch (IOException e) {
             if (!isStoreFailing) {
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -26,9 +26,9 @@
     public static final long MAX_STORED_BYTES = MOST_OUT * (LONGEST + 1);
 
     /** Where the ids outlast the process. */
-    public interface Note {
+    public interface SuspensionStore {
         /** Replaces the ids that are noted. */
-        void write(Set<String> ids) throws IOException;
+        void save(Set<String> ids) throws IOException;
     }
 
     /** A call that can't be carried out; the message is for the operator. */
@@ -41,7 +41,7 @@
     }
 
     private final Core core;
-    private final Note note;
+    private final SuspensionStore note;
     private final Set<String> out;
     /** What the list said last of each endpoint; one that has left stays known by its name. */
     private final Map<String, Core.ListedEndpoint> listed = new LinkedHashMap<>();
@@ -49,7 +49,7 @@
     private long version;
 
     /** With the ids that an earlier life noted. */
-    public ManualDrains(Core core, Set<String> noted, Note note) {
+    public ManualDrains(Core core, Set<String> noted, SuspensionStore note) {
         this.core = core;
         this.note = note;
         this.out = new LinkedHashSet<>(noted);
@@ -136,7 +136,7 @@
 
     private boolean noted() {
         try {
-            note.write(out);
+            note.save(out);
             return true;
         } catch (IOException e) {
             Logs.error("", "suspension-not-noted", "endpoints out by hand can't be noted: " + e);
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -15,39 +15,39 @@
     /** Where it came from. */
     public final Front front;
     /** When its time is up, on the wall clock, microseconds: this outlasts the process. */
-    final long deadlineWall;
+    final long deadlineWallMicros;
     /** Who is owed its end: whoever handed it in, and whoever handed in the same since. */
-    final List<DeduplicationTable.Claim> claims = new ArrayList<>(1);
+    final List<DeduplicationTable.Submitter> submitters = new ArrayList<>(1);
 
     private Fingerprint content;
-    boolean journaled;
-    boolean told;
-    boolean over;
-    boolean resumed;
-    int attempts;
-    Call out;
+    boolean isJournaled;
+    boolean isAcceptanceDurable;
+    boolean isFinished;
+    boolean isResumed;
+    int attemptCount;
+    Call currentCall;
     /** When it must not go with that call any more, and when its time is up, by the loop's clock, microseconds. */
-    long writeBy;
+    long writeByMicros;
 
-    long deadline;
+    long deadlineMicros;
 
     boolean mayHaveRun;
-    String riskHost = "";
-    int riskZone;
-    long riskWall;
-    FinalStatus verdict;
+    String possibleRunHost = "";
+    int possibleRunZone;
+    long possibleRunWallMicros;
+    FinalStatus finalStatus;
     /** What the last endpoint said, for people. */
     public String lastResponseText = "";
 
     Message(Submission submission, Front front, long deadlineWall) {
         this.submission = submission;
         this.front = front;
-        this.deadlineWall = deadlineWall;
-        claims.add(new DeduplicationTable.Claim(front, submission.id()));
+        this.deadlineWallMicros = deadlineWall;
+        submitters.add(new DeduplicationTable.Submitter(front, submission.id()));
     }
 
     /** What it says, where that is compared; else null. */
-    Fingerprint content() {
+    Fingerprint fingerprint() {
         if (content == null && Identity.isShared(submission.identity())) {
             content = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
         }
@@ -61,33 +61,33 @@
 
     /** True until the message has ended. */
     public boolean isOpen() {
-        return !over;
+        return !isFinished;
     }
 
     /** True once it is in the journal for good: whoever asks may be told. */
     public boolean isAccepted() {
-        return told;
+        return isAcceptanceDurable;
     }
 
     /** How it ended; null while it is open. */
     public FinalStatus finalStatus() {
-        return verdict;
+        return finalStatus;
     }
 
-    void mayHaveRun(String host, int zone, long wall) {
+    void markPossiblyRun(String host, int zone, long wall) {
         if (!mayHaveRun) {
             mayHaveRun = true;
-            riskHost = host;
-            riskZone = zone;
-            riskWall = wall;
+            possibleRunHost = host;
+            possibleRunZone = zone;
+            possibleRunWallMicros = wall;
         }
     }
 
-    DecisionModule.Event.Submit submit(long nowMono, long nowWall) {
+    DecisionModule.Event.Submit toSubmitEvent(long nowMono, long nowWall) {
         // An attempt can't be younger than now: the clock was set back, and it may be of any age.
-        long since = nowWall < riskWall ? LONG_AGO : nowWall - riskWall;
-        DecisionModule.PriorAttempts prior = resumed
-                ? new DecisionModule.PriorAttempts(attempts, mayHaveRun, riskHost, riskZone, nowMono - since)
+        long since = nowWall < possibleRunWallMicros ? LONG_AGO : nowWall - possibleRunWallMicros;
+        DecisionModule.PriorAttempts prior = isResumed
+                ? new DecisionModule.PriorAttempts(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMono - since)
                 : null;
         return new DecisionModule.Event.Submit(
                 id(),
@@ -97,7 +97,7 @@
                 null,
                 submission.resubmitted(),
                 submission.inherited(),
-                Math.max(0, Math.min(submission.budgetMicros(), deadlineWall - nowWall)),
+                Math.max(0, Math.min(submission.budgetMicros(), deadlineWallMicros - nowWall)),
                 prior);
     }
 }
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -14,7 +14,7 @@
 
     /** What a wait told by this endpoint binds. */
     private static Object route(Call.Endpoint endpoint) {
-        return endpoint.apart() ? endpoint.host() : (Object) endpoint.destination();
+        return endpoint.hasOwnLimits() ? endpoint.host() : (Object) endpoint.destination();
     }
 
     /** The endpoint has asked for a wait; a shorter one does not end a longer one. */
--- a/src/test/java/lilaclever/routing/CallTest.java
+++ b/src/test/java/lilaclever/routing/CallTest.java
@@ -18,12 +18,12 @@
         Call call = new Call(new Call.Endpoint("e", "127.0.0.1:9", 7, 0, 20, false, null), 1_000_000);
         Message first = message("first");
         Message last = message("last");
-        call.take(last, 9_000_000, 20_000_000);
-        call.take(first, 3_000_000, 7_000_000);
+        call.addMessage(last, 9_000_000, 20_000_000);
+        call.addMessage(first, 3_000_000, 7_000_000);
         assertEquals(3_000_000, call.writeByMicros());
-        assertEquals(7_000_000, call.expiresAt(), "the first message's time");
+        assertEquals(7_000_000, call.expiresAtMicros(), "the first message's time");
         call.removeMessage(first);
-        assertEquals(9_000_000, call.expiresAt(), "as long as the other may wait");
+        assertEquals(9_000_000, call.expiresAtMicros(), "as long as the other may wait");
         assertEquals(9_000_000, call.writeByMicros());
     }
 }
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -537,7 +537,7 @@
             deliver(soundList());
             auditor.checkExact(truth.versions.get(truth.latest()));
             assertTrue(!membership.needsWholeList(now + loopOffset), "nothing is in doubt");
-            assertTrue(!membership.contradictsKnown());
+            assertTrue(!membership.contradictsInitialList());
         }
 
         private ListUpdate soundList() {
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -643,19 +643,19 @@
         restart(50, active("a"), active("b"));
         assertActive("b");
         assertEquals(Presence.LEAVING, presence("a"));
-        assertTrue(membership.contradictsKnown());
+        assertTrue(membership.contradictsInitialList());
         assertTrue(membership.needsWholeList(now));
         changes(51);
-        assertTrue(membership.contradictsKnown());
+        assertTrue(membership.contradictsInitialList());
         whole(51, leaving("a"), active("b"));
-        assertFalse(membership.contradictsKnown());
+        assertFalse(membership.contradictsInitialList());
         assertActive("b");
         changes(52, active("a"));
         assertActive("a", "b");
         assertEquals(List.of(), store.stored);
         restart(50, active("a"), active("b"));
         assertActive("a", "b");
-        assertFalse(membership.contradictsKnown());
+        assertFalse(membership.contradictsInitialList());
     }
 
     @Test
