--- a/src/main/java/lilaclever/identity/CompletedMessageStore.java
+++ b/src/main/java/lilaclever/identity/CompletedMessageStore.java
@@ -9,7 +9,7 @@
     int size();
 
     /** Remembers an end, in place of any earlier one. */
-    void put(String identity, CompletedMessage<E> past);
+    void put(String identity, CompletedMessage<E> message);
 
     /** Forgets the one that would be forgotten next by time. */
     void removeSoonestExpiring();
