--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -18,11 +18,11 @@
  * </ul>
  */
 public final class DuplicateDetector<M, E> {
-    private record Held<M>(M message, Fingerprint content) {}
+    private record Pending<M>(M message, Fingerprint content) {}
 
     private final IdempotencyWindows windows;
     private final CompletedMessageStore<E> memory;
-    private final Map<String, Held<M>> held = new HashMap<>();
+    private final Map<String, Pending<M>> held = new HashMap<>();
     private long forgottenEarly;
 
     /** Nothing is held yet. */
@@ -37,7 +37,7 @@
      * @param content what it says; null where that is not compared
      */
     public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
-        Held<M> under = held.get(identity);
+        Pending<M> under = held.get(identity);
         if (under != null) {
             return differs(content, under.content())
                     ? new DuplicateCheckResult.Conflict<>(true)
@@ -58,13 +58,13 @@
 
     /** The message is held from now on. Nothing else may be held under its identity. */
     public void addPending(String identity, Fingerprint content, M message) {
-        Held<M> before = held.put(identity, new Held<>(message, content));
+        Pending<M> before = held.put(identity, new Pending<>(message, content));
         assert before == null || before.message() == message : identity + " is held twice";
     }
 
     /** The message is held no more; passed over if another one is held under the identity. */
     public void removePending(String identity, M message) {
-        Held<M> under = held.get(identity);
+        Pending<M> under = held.get(identity);
         if (under != null && under.message() == message) {
             held.remove(identity);
         }
@@ -84,7 +84,7 @@
 
     /** The message that is held under the identity, or null. */
     public M pending(String identity) {
-        Held<M> under = held.get(identity);
+        Pending<M> under = held.get(identity);
         return under == null ? null : under.message();
     }
 
