--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -18,7 +18,7 @@
  * </ul>
  */
 public final class DuplicateDetector<M, E> {
-    private record Pending<M>(M message, Fingerprint content) {}
+    private record Pending<M>(M message, Fingerprint fingerprint) {}
 
     private final IdempotencyWindows windows;
     private final CompletedMessageStore<E> memory;
@@ -39,7 +39,7 @@
     public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
         Pending<M> under = held.get(identity);
         if (under != null) {
-            return differs(content, under.content())
+            return differs(content, under.fingerprint())
                     ? new DuplicateCheckResult.Conflict<>(true)
                     : new DuplicateCheckResult.PendingDuplicate<>(under.message());
         }
