--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -21,14 +21,14 @@
     private record Pending<M>(M message, Fingerprint fingerprint) {}
 
     private final IdempotencyWindows windows;
-    private final CompletedMessageStore<E> memory;
+    private final CompletedMessageStore<E> completed;
     private final Map<String, Pending<M>> held = new HashMap<>();
     private long forgottenEarly;
 
     /** Nothing is held yet. */
     public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> memory) {
         this.windows = windows;
-        this.memory = memory;
+        this.completed = memory;
     }
 
     /**
@@ -43,7 +43,7 @@
                     ? new DuplicateCheckResult.Conflict<>(true)
                     : new DuplicateCheckResult.PendingDuplicate<>(under.message());
         }
-        CompletedMessage<E> past = memory.find(identity);
+        CompletedMessage<E> past = completed.find(identity);
         if (past == null || past.untilWallMicros() <= nowWall) {
             return new DuplicateCheckResult.NewMessage<>();
         }
@@ -72,14 +72,14 @@
 
     /** The message has ended so that whoever asks again gets this end. */
     public void addCompleted(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
-        CompletedMessage<E> before = memory.find(identity);
+        CompletedMessage<E> before = completed.find(identity);
         if (before == null) {
-            while (memory.size() >= windows.maxEntries()) {
-                memory.removeSoonestExpiring();
+            while (completed.size() >= windows.maxEntries()) {
+                completed.removeSoonestExpiring();
                 forgottenEarly++;
             }
         }
-        memory.put(identity, new CompletedMessage<>(end, content, nowWall + windows.windowMicros(identity, messageClass)));
+        completed.put(identity, new CompletedMessage<>(end, content, nowWall + windows.windowMicros(identity, messageClass)));
     }
 
     /** The message that is held under the identity, or null. */
