--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -22,7 +22,7 @@
 
     private final IdempotencyWindows windows;
     private final CompletedMessageStore<E> completed;
-    private final Map<String, Pending<M>> held = new HashMap<>();
+    private final Map<String, Pending<M>> pending = new HashMap<>();
     private long forgottenEarly;
 
     /** Nothing is held yet. */
@@ -37,7 +37,7 @@
      * @param content what it says; null where that is not compared
      */
     public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
-        Pending<M> under = held.get(identity);
+        Pending<M> under = pending.get(identity);
         if (under != null) {
             return differs(content, under.fingerprint())
                     ? new DuplicateCheckResult.Conflict<>(true)
@@ -58,15 +58,15 @@
 
     /** The message is held from now on. Nothing else may be held under its identity. */
     public void addPending(String identity, Fingerprint content, M message) {
-        Pending<M> before = held.put(identity, new Pending<>(message, content));
+        Pending<M> before = pending.put(identity, new Pending<>(message, content));
         assert before == null || before.message() == message : identity + " is held twice";
     }
 
     /** The message is held no more; passed over if another one is held under the identity. */
     public void removePending(String identity, M message) {
-        Pending<M> under = held.get(identity);
+        Pending<M> under = pending.get(identity);
         if (under != null && under.message() == message) {
-            held.remove(identity);
+            pending.remove(identity);
         }
     }
 
@@ -84,13 +84,13 @@
 
     /** The message that is held under the identity, or null. */
     public M pending(String identity) {
-        Pending<M> under = held.get(identity);
+        Pending<M> under = pending.get(identity);
         return under == null ? null : under.message();
     }
 
     /** Identities held. */
     public int pendingCount() {
-        return held.size();
+        return pending.size();
     }
 
     /** Ends forgotten before their time, for want of room. */
