--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -37,11 +37,11 @@
      * @param content what it says; null where that is not compared
      */
     public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
-        Pending<M> under = pending.get(identity);
-        if (under != null) {
-            return differs(content, under.fingerprint())
+        Pending<M> current = pending.get(identity);
+        if (current != null) {
+            return differs(content, current.fingerprint())
                     ? new DuplicateCheckResult.Conflict<>(true)
-                    : new DuplicateCheckResult.PendingDuplicate<>(under.message());
+                    : new DuplicateCheckResult.PendingDuplicate<>(current.message());
         }
         CompletedMessage<E> past = completed.find(identity);
         if (past == null || past.untilWallMicros() <= nowWall) {
@@ -64,8 +64,8 @@
 
     /** The message is held no more; passed over if another one is held under the identity. */
     public void removePending(String identity, M message) {
-        Pending<M> under = pending.get(identity);
-        if (under != null && under.message() == message) {
+        Pending<M> current = pending.get(identity);
+        if (current != null && current.message() == message) {
             pending.remove(identity);
         }
     }
@@ -84,8 +84,8 @@
 
     /** The message that is held under the identity, or null. */
     public M pending(String identity) {
-        Pending<M> under = pending.get(identity);
-        return under == null ? null : under.message();
+        Pending<M> current = pending.get(identity);
+        return current == null ? null : current.message();
     }
 
     /** Identities held. */
