--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -36,10 +36,10 @@
      *
      * @param content what it says; null where that is not compared
      */
-    public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
+    public DuplicateCheckResult<M, E> check(String identity, Fingerprint fingerprint, long nowWall) {
         Pending<M> current = pending.get(identity);
         if (current != null) {
-            return differs(content, current.fingerprint())
+            return differs(fingerprint, current.fingerprint())
                     ? new DuplicateCheckResult.Conflict<>(true)
                     : new DuplicateCheckResult.PendingDuplicate<>(current.message());
         }
@@ -47,7 +47,7 @@
         if (past == null || past.untilWallMicros() <= nowWall) {
             return new DuplicateCheckResult.NewMessage<>();
         }
-        return differs(content, past.fingerprint())
+        return differs(fingerprint, past.fingerprint())
                 ? new DuplicateCheckResult.Conflict<>(false)
                 : new DuplicateCheckResult.CompletedDuplicate<>(past.result());
     }
@@ -57,8 +57,8 @@
     }
 
     /** The message is held from now on. Nothing else may be held under its identity. */
-    public void addPending(String identity, Fingerprint content, M message) {
-        Pending<M> before = pending.put(identity, new Pending<>(message, content));
+    public void addPending(String identity, Fingerprint fingerprint, M message) {
+        Pending<M> before = pending.put(identity, new Pending<>(message, fingerprint));
         assert before == null || before.message() == message : identity + " is held twice";
     }
 
@@ -71,7 +71,7 @@
     }
 
     /** The message has ended so that whoever asks again gets this end. */
-    public void addCompleted(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
+    public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E end, long nowWall) {
         CompletedMessage<E> before = completed.find(identity);
         if (before == null) {
             while (completed.size() >= windows.maxEntries()) {
@@ -79,7 +79,7 @@
                 forgottenEarly++;
             }
         }
-        completed.put(identity, new CompletedMessage<>(end, content, nowWall + windows.windowMicros(identity, messageClass)));
+        completed.put(identity, new CompletedMessage<>(end, fingerprint, nowWall + windows.windowMicros(identity, messageClass)));
     }
 
     /** The message that is held under the identity, or null. */
