--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -71,7 +71,7 @@
     }
 
     /** The message has ended so that whoever asks again gets this end. */
-    public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E end, long nowWall) {
+    public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E result, long nowWall) {
         CompletedMessage<E> before = completed.find(identity);
         if (before == null) {
             while (completed.size() >= windows.maxEntries()) {
@@ -79,7 +79,7 @@
                 forgottenEarly++;
             }
         }
-        completed.put(identity, new CompletedMessage<>(end, fingerprint, nowWall + windows.windowMicros(identity, messageClass)));
+        completed.put(identity, new CompletedMessage<>(result, fingerprint, nowWall + windows.windowMicros(identity, messageClass)));
     }
 
     /** The message that is held under the identity, or null. */
