--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -43,13 +43,13 @@
                     ? new DuplicateCheckResult.Conflict<>(true)
                     : new DuplicateCheckResult.PendingDuplicate<>(current.message());
         }
-        CompletedMessage<E> past = completed.find(identity);
-        if (past == null || past.untilWallMicros() <= nowWall) {
+        CompletedMessage<E> earlier = completed.find(identity);
+        if (earlier == null || earlier.untilWallMicros() <= nowWall) {
             return new DuplicateCheckResult.NewMessage<>();
         }
-        return differs(fingerprint, past.fingerprint())
+        return differs(fingerprint, earlier.fingerprint())
                 ? new DuplicateCheckResult.Conflict<>(false)
-                : new DuplicateCheckResult.CompletedDuplicate<>(past.result());
+                : new DuplicateCheckResult.CompletedDuplicate<>(earlier.result());
     }
 
     private static boolean differs(Fingerprint a, Fingerprint b) {
