--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -58,8 +58,8 @@
 
     /** The message is held from now on. Nothing else may be held under its identity. */
     public void addPending(String identity, Fingerprint fingerprint, M message) {
-        Pending<M> before = pending.put(identity, new Pending<>(message, fingerprint));
-        assert before == null || before.message() == message : identity + " is held twice";
+        Pending<M> previous = pending.put(identity, new Pending<>(message, fingerprint));
+        assert previous == null || previous.message() == message : identity + " is held twice";
     }
 
     /** The message is held no more; passed over if another one is held under the identity. */
@@ -72,8 +72,8 @@
 
     /** The message has ended so that whoever asks again gets this end. */
     public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E result, long nowWall) {
-        CompletedMessage<E> before = completed.find(identity);
-        if (before == null) {
+        CompletedMessage<E> previous = completed.find(identity);
+        if (previous == null) {
             while (completed.size() >= windows.maxEntries()) {
                 completed.removeSoonestExpiring();
                 forgottenEarly++;
