--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -26,9 +26,9 @@
     private long forgottenEarly;
 
     /** Nothing is held yet. */
-    public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> memory) {
+    public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> completed) {
         this.windows = windows;
-        this.completed = memory;
+        this.completed = completed;
     }
 
     /**
