--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -36,7 +36,7 @@
      *
      * @param content what it says; null where that is not compared
      */
-    public DuplicateCheckResult<M, E> check(String identity, Fingerprint fingerprint, long nowWall) {
+    public DuplicateCheckResult<M, E> check(String identity, Fingerprint fingerprint, long nowWallMicros) {
         Pending<M> current = pending.get(identity);
         if (current != null) {
             return differs(fingerprint, current.fingerprint())
@@ -44,7 +44,7 @@
                     : new DuplicateCheckResult.PendingDuplicate<>(current.message());
         }
         CompletedMessage<E> earlier = completed.find(identity);
-        if (earlier == null || earlier.untilWallMicros() <= nowWall) {
+        if (earlier == null || earlier.untilWallMicros() <= nowWallMicros) {
             return new DuplicateCheckResult.NewMessage<>();
         }
         return differs(fingerprint, earlier.fingerprint())
@@ -71,7 +71,7 @@
     }
 
     /** The message has ended so that whoever asks again gets this end. */
-    public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E result, long nowWall) {
+    public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E result, long nowWallMicros) {
         CompletedMessage<E> previous = completed.find(identity);
         if (previous == null) {
             while (completed.size() >= windows.maxEntries()) {
@@ -79,7 +79,7 @@
                 forgottenEarly++;
             }
         }
-        completed.put(identity, new CompletedMessage<>(result, fingerprint, nowWall + windows.windowMicros(identity, messageClass)));
+        completed.put(identity, new CompletedMessage<>(result, fingerprint, nowWallMicros + windows.windowMicros(identity, messageClass)));
     }
 
     /** The message that is held under the identity, or null. */
