--- a/src/main/java/lilaclever/routing/ActiveEndpoints.java
+++ b/src/main/java/lilaclever/routing/ActiveEndpoints.java
@@ -12,31 +12,31 @@
  * endpoint began to drain, and get its connection after. Changed on the loop thread, read on any.
  */
 public final class ActiveEndpoints {
-    private final Map<String, Call.Endpoint> byName = new ConcurrentHashMap<>();
+    private final Map<String, Call.Endpoint> activeByHost = new ConcurrentHashMap<>();
 
     /**
      * True if the first byte of a request may go to the endpoint now: it is active, at the same address and for the
      * same destination as when the request was decided.
      */
     public boolean mayReceive(Call.Endpoint endpoint) {
-        return endpoint.equals(byName.get(endpoint.host()));
+        return endpoint.equals(activeByHost.get(endpoint.host()));
     }
 
     /** The endpoint is active. */
     void activate(Call.Endpoint endpoint) {
-        byName.put(endpoint.host(), endpoint);
+        activeByHost.put(endpoint.host(), endpoint);
     }
 
     /** The endpoint is draining or gone. */
     void deactivate(Call.Endpoint endpoint) {
-        byName.remove(endpoint.host());
+        activeByHost.remove(endpoint.host());
     }
 
     /** Exactly these are active. One that stays is active all the time. */
     void replaceAll(Collection<Call.Endpoint> active) {
         Map<String, Call.Endpoint> next = active.stream()
                 .collect(Collectors.toMap(Call.Endpoint::host, Function.identity(), (first, last) -> last));
-        byName.keySet().retainAll(next.keySet());
-        byName.putAll(next);
+        activeByHost.keySet().retainAll(next.keySet());
+        activeByHost.putAll(next);
     }
 }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -15,8 +15,8 @@
     public Object attachment;
 
     int pendingOutcomes;
-    private volatile long writeBy = Long.MAX_VALUE;
-    private long expiresAt = Long.MAX_VALUE;
+    private volatile long writeByMicros = Long.MAX_VALUE;
+    private long expiresAtMicros = Long.MAX_VALUE;
     /** True once the deliverer has it: its attempts are in the journal. */
     boolean isStarted;
 
@@ -28,9 +28,9 @@
     public record Endpoint(
             String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
 
-    Call(Endpoint endpoint, long startedAt) {
+    Call(Endpoint endpoint, long startedAtMicros) {
         this.endpoint = endpoint;
-        this.startedAtMicros = startedAt;
+        this.startedAtMicros = startedAtMicros;
     }
 
     /**
@@ -39,29 +39,29 @@
      * @param writeBy  from then on it must not go, and needs no answer for its own sake
      * @param deadline when its time is up
      */
-    void addMessage(Message m, long writeBy, long deadline) {
-        m.currentCall = this;
-        m.writeByMicros = writeBy;
-        m.deadlineMicros = deadline;
-        messages.add(m);
+    void addMessage(Message message, long writeByMicros, long deadlineMicros) {
+        message.currentCall = this;
+        message.writeByMicros = writeByMicros;
+        message.deadlineMicros = deadlineMicros;
+        messages.add(message);
         pendingOutcomes++;
-        setTimes();
+        updateTimes();
     }
 
     /** A message goes along no more. Loop thread. */
-    public void removeMessage(Message m) {
-        messages.remove(m);
-        setTimes();
+    public void removeMessage(Message message) {
+        messages.remove(message);
+        updateTimes();
     }
 
-    private void setTimes() {
-        writeBy = messages.stream().mapToLong(m -> m.writeByMicros).min().orElse(Long.MAX_VALUE);
-        expiresAt = expiryMicrosOf(messages);
+    private void updateTimes() {
+        writeByMicros = messages.stream().mapToLong(message -> message.writeByMicros).min().orElse(Long.MAX_VALUE);
+        expiresAtMicros = expiryMicrosOf(messages);
     }
 
     /** When the first of its messages must not go any more: the loop may come late with taking it out. Any thread. */
     public long writeByMicros() {
-        return writeBy;
+        return writeByMicros;
     }
 
     /**
@@ -69,25 +69,25 @@
      * time, which its endpoint is told, and that is over with the first message whose time is up.
      */
     public long expiresAtMicros() {
-        return expiresAt;
+        return expiresAtMicros;
     }
 
     /** What {@link #expiresAtMicros} is for a call of the given messages of this one. */
     public static long expiryMicrosOf(List<Message> messages) {
-        long longestWait = messages.stream().mapToLong(m -> m.writeByMicros).max().orElse(Long.MAX_VALUE);
-        long firstDeadline = messages.stream().mapToLong(m -> m.deadlineMicros).min().orElse(Long.MAX_VALUE);
-        return Math.min(longestWait, firstDeadline);
+        long lastWriteByMicros = messages.stream().mapToLong(message -> message.writeByMicros).max().orElse(Long.MAX_VALUE);
+        long firstDeadlineMicros = messages.stream().mapToLong(message -> message.deadlineMicros).min().orElse(Long.MAX_VALUE);
+        return Math.min(lastWriteByMicros, firstDeadlineMicros);
     }
 
     /** Has the messages whose time is up leave, if others go and the call is not on its way yet. */
-    void requestRemovalOfExpired(long now) {
-        List.copyOf(messages).stream().filter(m -> m.writeByMicros <= now).forEach(this::requestRemoval);
+    void requestRemovalOfExpired(long nowMicros) {
+        List.copyOf(messages).stream().filter(message -> message.writeByMicros <= nowMicros).forEach(this::requestRemoval);
     }
 
     /** Has a message leave, if others go and the call is not on its way yet. */
-    void requestRemoval(Message m) {
-        if (m.currentCall == this && isStarted && messages.size() > 1) {
-            endpoint.deliverer().removeMessage(this, m);
+    void requestRemoval(Message message) {
+        if (message.currentCall == this && isStarted && messages.size() > 1) {
+            endpoint.deliverer().removeMessage(this, message);
         }
     }
 }
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -15,7 +15,7 @@
     long wallMicros();
 
     /** Takes the next task, and waits for one until the given time at most; null if none came. */
-    Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
+    Runnable awaitTask(BlockingQueue<Runnable> tasks, long untilMicros) throws InterruptedException;
 
     /** Lets the time pass. */
     void sleep(long micros) throws InterruptedException;
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -38,9 +38,9 @@
     }
 
     private final Map<Name, LongAdder> values = new EnumMap<>(Name.class);
-    private final Map<String, LongAdder> endings = new TreeMap<>();
-    private final Map<String, IntSupplier> gauges = new TreeMap<>();
-    private final Map<String, LongSupplier> figures = new TreeMap<>();
+    private final Map<String, LongAdder> attemptEndings = new TreeMap<>();
+    private final Map<String, IntSupplier> entryGauges = new TreeMap<>();
+    private final Map<String, LongSupplier> valueGauges = new TreeMap<>();
 
     /** All at nothing. */
     public Counters() {
@@ -56,17 +56,17 @@
 
     /** One attempt ended so. */
     synchronized void addEnding(String ending) {
-        endings.computeIfAbsent(ending, e -> new LongAdder()).increment();
+        attemptEndings.computeIfAbsent(ending, e -> new LongAdder()).increment();
     }
 
     /** How many entries a map or a list has now: what grows on a long day is seen without guessing. */
     public synchronized void entryGauge(String name, IntSupplier entries) {
-        gauges.put(name, entries);
+        entryGauges.put(name, entries);
     }
 
     /** A figure of a subsystem's, as it is now. */
     public synchronized void valueGauge(String name, LongSupplier value) {
-        figures.put(name, value);
+        valueGauges.put(name, value);
     }
 
     /** The count. */
@@ -75,9 +75,9 @@
     }
 
     /** What must hold: asserted where assertions are on, counted and told elsewhere. */
-    public void checkInvariant(boolean good, String what) {
-        assert good : what;
-        if (!good) {
+    public void checkInvariant(boolean holds, String what) {
+        assert holds : what;
+        if (!holds) {
             add(Name.BROKEN_INVARIANTS);
             Logs.error("", "invariant", "does not hold: " + what);
         }
@@ -90,17 +90,17 @@
                 .append(' ')
                 .append(value.sum())
                 .append('\n'));
-        endings.forEach((name, value) -> all.append("ending_")
+        attemptEndings.forEach((name, value) -> all.append("ending_")
                 .append(name.toLowerCase())
                 .append(' ')
                 .append(value.sum())
                 .append('\n'));
-        gauges.forEach((name, entries) -> all.append("entries_")
+        entryGauges.forEach((name, entries) -> all.append("entries_")
                 .append(name)
                 .append(' ')
                 .append(entries.getAsInt())
                 .append('\n'));
-        figures.forEach((name, value) ->
+        valueGauges.forEach((name, value) ->
                 all.append(name).append(' ').append(value.getAsLong()).append('\n'));
         return all.toString();
     }
--- a/src/main/java/lilaclever/routing/Deadlines.java
+++ b/src/main/java/lilaclever/routing/Deadlines.java
@@ -14,11 +14,11 @@
     }
 
     private final TreeMap<Key, Runnable> entries = new TreeMap<>();
-    private long order;
+    private long nextOrder;
 
     /** Runs the action in the first turn at or past the time. */
-    public Key schedule(long micros, Runnable action) {
-        Key key = new Key(micros, order++);
+    public Key schedule(long atMicros, Runnable action) {
+        Key key = new Key(atMicros, nextOrder++);
         entries.put(key, action);
         return key;
     }
@@ -36,18 +36,18 @@
     }
 
     /** The earliest time, or the given one if that is sooner. */
-    long earliestOr(long otherwise) {
+    long earliestOr(long latestMicros) {
         return entries.isEmpty()
-                ? otherwise
-                : Math.min(otherwise, entries.firstKey().atMicros());
+                ? latestMicros
+                : Math.min(latestMicros, entries.firstKey().atMicros());
     }
 
     /** Runs what is due, in order; what an action adds for the past waits for the next sweep. */
     void runDue(long nowMicros) {
-        long last = order;
+        long firstNewOrder = nextOrder;
         while (!entries.isEmpty()
                 && entries.firstKey().atMicros() <= nowMicros
-                && entries.firstKey().order() < last) {
+                && entries.firstKey().order() < firstNewOrder) {
             entries.pollFirstEntry().getValue().run();
         }
     }
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -13,7 +13,7 @@
      * leaves the call, as one that was not sent, if none of the call's bytes can have left. A connection that comes up
      * later must not carry it.
      */
-    default void removeMessage(Call call, Message m) {}
+    default void removeMessage(Call call, Message message) {}
 
     /**
      * The call's endpoint is draining or gone: takes the call back if none of its bytes is written yet. Its messages
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -9,7 +9,7 @@
     void onAccepted(Message message);
 
     /** The message was turned down in the turn of its hand-in; nothing is owed. */
-    void onRejected(Message message, FinalStatus verdict);
+    void onRejected(Message message, FinalStatus finalStatus);
 
     /** True where a message that comes again is asked for by the same client: one claim on its end is enough. */
     default boolean notifiesOnce() {
@@ -17,7 +17,7 @@
     }
 
     /** A hand-in that joined a message could not be owed its end after all; of fronts whose identities are shared. */
-    default void onAttachRejected(Message message, String id, FinalStatus verdict) {
+    default void onAttachRejected(Message message, String id, FinalStatus finalStatus) {
         throw new IllegalStateException(name() + " shares no identities");
     }
 
@@ -26,5 +26,5 @@
      *
      * @param id the id under which it was handed in here: the message's own, or that of a hand-in that joined it
      */
-    void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled);
+    void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled);
 }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -16,16 +16,16 @@
     void setLoop(Executor loop);
 
     /** Takes a message on; false if there is no room for it, and then it is not taken on. */
-    boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall);
+    boolean recordAccepted(String front, Submission submission, long deadlineWallMicros, long nowWallMicros);
 
     /** An attempt is about to be made; false if that could not be written, and then it must not be made. */
-    boolean recordAttempt(String id, String host, int zone, long wall);
+    boolean recordAttempt(String id, String host, int zone, long wallMicros);
 
     /** An attempt has ended. */
     void recordOutcome(String id, boolean neverRan);
 
     /** The message's end is decided and owed to its client. */
-    void recordFinalStatus(String id, FinalStatus verdict);
+    void recordFinalStatus(String id, FinalStatus finalStatus);
 
     /** Nothing more is owed. */
     void recordSettled(String id);
@@ -34,14 +34,14 @@
      * Somebody else has handed in a message that is held, and is owed its end too under an id of their own; false if
      * that could not be written, and then nothing is owed.
      */
-    boolean recordAttached(String id, String front, String claim);
+    boolean recordAttached(String id, String front, String submitterId);
 
     /** The end is to be given again to whoever resends the message, until its time. */
-    void remember(String identity, CompletedMessage<FinalStatus> past);
+    void remember(String identity, CompletedMessage<FinalStatus> message);
 
     /** The same for an end whose message is not compared. */
-    default void remember(String identity, FinalStatus verdict, long untilWall) {
-        remember(identity, new CompletedMessage<>(verdict, null, untilWall));
+    default void remember(String identity, FinalStatus finalStatus, long untilWallMicros) {
+        remember(identity, new CompletedMessage<>(finalStatus, null, untilWallMicros));
     }
 
     /** The end that is remembered of a message, or null. */
@@ -63,7 +63,7 @@
     void whenDurable(Runnable consequence);
 
     /** The journal's own work, a bounded slice of it; called once a turn. */
-    void maintain(long nowWall);
+    void maintain(long nowWallMicros);
 
     @Override
     void close() throws IOException;
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -8,7 +8,7 @@
 
 /** A message in the core's hands. */
 public final class Message {
-    private static final long LONG_AGO = 86_400_000_000L;
+    private static final long UNKNOWN_AGE_MICROS = 86_400_000_000L;
 
     /** What the front handed in. */
     public final Submission submission;
@@ -19,7 +19,7 @@
     /** Who is owed its end: whoever handed it in, and whoever handed in the same since. */
     final List<DeduplicationTable.Submitter> submitters = new ArrayList<>(1);
 
-    private Fingerprint content;
+    private Fingerprint fingerprint;
     boolean isJournaled;
     boolean isAcceptanceDurable;
     boolean isFinished;
@@ -39,19 +39,19 @@
     /** What the last endpoint said, for people. */
     public String lastResponseText = "";
 
-    Message(Submission submission, Front front, long deadlineWall) {
+    Message(Submission submission, Front front, long deadlineWallMicros) {
         this.submission = submission;
         this.front = front;
-        this.deadlineWallMicros = deadlineWall;
+        this.deadlineWallMicros = deadlineWallMicros;
         submitters.add(new DeduplicationTable.Submitter(front, submission.id()));
     }
 
     /** What it says, where that is compared; else null. */
     Fingerprint fingerprint() {
-        if (content == null && Identity.isShared(submission.identity())) {
-            content = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
+        if (fingerprint == null && Identity.isShared(submission.identity())) {
+            fingerprint = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
         }
-        return content;
+        return fingerprint;
     }
 
     /** The id. */
@@ -74,20 +74,20 @@
         return finalStatus;
     }
 
-    void markPossiblyRun(String host, int zone, long wall) {
+    void markPossiblyRun(String host, int zone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
             possibleRunHost = host;
             possibleRunZone = zone;
-            possibleRunWallMicros = wall;
+            possibleRunWallMicros = wallMicros;
         }
     }
 
-    DecisionModule.Event.Submit toSubmitEvent(long nowMono, long nowWall) {
+    DecisionModule.Event.Submit toSubmitEvent(long nowMicros, long nowWallMicros) {
         // An attempt can't be younger than now: the clock was set back, and it may be of any age.
-        long since = nowWall < possibleRunWallMicros ? LONG_AGO : nowWall - possibleRunWallMicros;
+        long ageMicros = nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
         DecisionModule.PriorAttempts prior = isResumed
-                ? new DecisionModule.PriorAttempts(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMono - since)
+                ? new DecisionModule.PriorAttempts(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
                 : null;
         return new DecisionModule.Event.Submit(
                 id(),
@@ -97,7 +97,7 @@
                 null,
                 submission.resubmitted(),
                 submission.inherited(),
-                Math.max(0, Math.min(submission.budgetMicros(), deadlineWallMicros - nowWall)),
+                Math.max(0, Math.min(submission.budgetMicros(), deadlineWallMicros - nowWallMicros)),
                 prior);
     }
 }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -11,24 +11,24 @@
 
     private final String front;
     private final Submission submission;
-    private final long deadlineWall;
+    private final long deadlineWallMicros;
     private int attempts;
-    private boolean out;
-    private String host = "";
-    private int zone;
-    private long sentWall;
+    private boolean isInFlight;
+    private String lastHost = "";
+    private int lastZone;
+    private long lastAttemptWallMicros;
     private boolean mayHaveRun;
-    private String riskHost = "";
-    private int riskZone;
-    private long riskWall;
-    private FinalStatus verdict;
-    private List<Submitter> joined = List.of();
+    private String possibleRunHost = "";
+    private int possibleRunZone;
+    private long possibleRunWallMicros;
+    private FinalStatus finalStatus;
+    private List<Submitter> attachedSubmitters = List.of();
 
     /** A message just taken on; the deadline on the wall clock, microseconds. */
-    public PendingMessage(String front, Submission submission, long deadlineWall) {
+    public PendingMessage(String front, Submission submission, long deadlineWallMicros) {
         this.front = front;
         this.submission = submission;
-        this.deadlineWall = deadlineWall;
+        this.deadlineWallMicros = deadlineWallMicros;
     }
 
     /** The name of the front that it came from. */
@@ -43,7 +43,7 @@
 
     /** When its time is up, on the wall clock, microseconds. */
     public long deadlineWallMicros() {
-        return deadlineWall;
+        return deadlineWallMicros;
     }
 
     /** Attempts made so far. */
@@ -53,22 +53,22 @@
 
     /** True while an attempt is out. */
     public boolean isInFlight() {
-        return out;
+        return isInFlight;
     }
 
     /** The endpoint of the last attempt. */
     public String lastHost() {
-        return host;
+        return lastHost;
     }
 
     /** The zone of the last attempt. */
     public int lastZone() {
-        return zone;
+        return lastZone;
     }
 
     /** When the last attempt was made, on the wall clock. */
     public long lastAttemptWallMicros() {
-        return sentWall;
+        return lastAttemptWallMicros;
     }
 
     /** True if an attempt that has ended may have run. */
@@ -78,83 +78,83 @@
 
     /** The endpoint of the first attempt that may have run; empty if not known. */
     public String possibleRunHost() {
-        return riskHost;
+        return possibleRunHost;
     }
 
     /** Its zone. */
     public int possibleRunZone() {
-        return riskZone;
+        return possibleRunZone;
     }
 
     /** When it was made, on the wall clock. */
     public long possibleRunWallMicros() {
-        return riskWall;
+        return possibleRunWallMicros;
     }
 
     /** The end that is decided and not yet told, or null. */
     public FinalStatus finalStatus() {
-        return verdict;
+        return finalStatus;
     }
 
     /** Who else is owed the end. */
     public List<Submitter> attachedSubmitters() {
-        return Collections.unmodifiableList(joined);
+        return Collections.unmodifiableList(attachedSubmitters);
     }
 
     /** Somebody else is owed the end; passed over if that is known. */
-    public void attach(Submitter claim) {
-        if (joined.isEmpty()) {
-            joined = new ArrayList<>(1); // most messages have none
+    public void attach(Submitter submitter) {
+        if (attachedSubmitters.isEmpty()) {
+            attachedSubmitters = new ArrayList<>(1); // most messages have none
         }
-        if (!joined.contains(claim)) {
-            joined.add(claim);
+        if (!attachedSubmitters.contains(submitter)) {
+            attachedSubmitters.add(submitter);
         }
     }
 
     /** An attempt is made. */
-    public void attemptStarted(String toHost, int toZone, long wall) {
+    public void attemptStarted(String toHost, int toZone, long wallMicros) {
         attempts++;
-        out = true;
-        host = toHost;
-        zone = toZone;
-        sentWall = wall;
+        isInFlight = true;
+        lastHost = toHost;
+        lastZone = toZone;
+        lastAttemptWallMicros = wallMicros;
     }
 
     /** The attempt that was out has ended. */
     public void attemptEnded(boolean neverRan) {
-        out = false;
+        isInFlight = false;
         if (!neverRan) {
-            markPossiblyRun(host, zone, sentWall);
+            markPossiblyRun(lastHost, lastZone, lastAttemptWallMicros);
         }
     }
 
     /** An attempt may have run; only the first counts. */
-    public void markPossiblyRun(String atHost, int atZone, long atWall) {
+    public void markPossiblyRun(String atHost, int atZone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
-            riskHost = atHost;
-            riskZone = atZone;
-            riskWall = atWall;
+            possibleRunHost = atHost;
+            possibleRunZone = atZone;
+            possibleRunWallMicros = wallMicros;
         }
     }
 
     /** Records are lost, an attempt's among them perhaps: it counts as one made, and run, as early as can be. */
     public void assumeLostAttempt() {
         attempts = Math.max(1, attempts);
-        markPossiblyRun(host, zone, deadlineWall - submission.budgetMicros());
+        markPossiblyRun(lastHost, lastZone, deadlineWallMicros - submission.budgetMicros());
     }
 
     /** The end is decided. */
-    public void setFinalStatus(FinalStatus end) {
-        verdict = end;
+    public void setFinalStatus(FinalStatus status) {
+        finalStatus = status;
     }
 
     /** Sets all that attempts have left behind, as a record of the whole message has it. */
-    public void restoreAttempts(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
-        attempts = made;
-        out = isOut;
-        host = lastHost;
-        zone = lastZone;
-        sentWall = lastWall;
+    public void restoreAttempts(int attemptCount, boolean attemptInFlight, String host, int zone, long wallMicros) {
+        attempts = attemptCount;
+        isInFlight = attemptInFlight;
+        lastHost = host;
+        lastZone = zone;
+        lastAttemptWallMicros = wallMicros;
     }
 }
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -10,30 +10,30 @@
  * Any thread.
  */
 public final class RetryAfterTable {
-    private final Map<Object, Long> ends = new ConcurrentHashMap<>();
+    private final Map<Object, Long> expiryMicros = new ConcurrentHashMap<>();
 
     /** What a wait told by this endpoint binds. */
-    private static Object route(Call.Endpoint endpoint) {
+    private static Object keyOf(Call.Endpoint endpoint) {
         return endpoint.hasOwnLimits() ? endpoint.host() : (Object) endpoint.destination();
     }
 
     /** The endpoint has asked for a wait; a shorter one does not end a longer one. */
     public void record(Call.Endpoint endpoint, long untilMicros) {
-        ends.merge(route(endpoint), untilMicros, Math::max);
+        expiryMicros.merge(keyOf(endpoint), untilMicros, Math::max);
     }
 
     /** How long a wait that binds the endpoint still lasts; 0 if there is none. */
     public long remainingMicros(Call.Endpoint endpoint, long nowMicros) {
-        return Math.max(0, ends.getOrDefault(route(endpoint), nowMicros) - nowMicros);
+        return Math.max(0, expiryMicros.getOrDefault(keyOf(endpoint), nowMicros) - nowMicros);
     }
 
     /** Forgets what is over. */
     public void removeExpired(long nowMicros) {
-        ends.values().removeIf(end -> end <= nowMicros);
+        expiryMicros.values().removeIf(untilMicros -> untilMicros <= nowMicros);
     }
 
     /** How many are kept. */
     public int size() {
-        return ends.size();
+        return expiryMicros.size();
     }
 }
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -34,15 +34,15 @@
 /** All sockets of the program: one selector thread, on which filters run; they hand on what they read. */
 public final class Transport implements AutoCloseable {
     private static final int BACKLOG = 512;
-    private static final int BUFFER = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
     /** Nanoseconds: far less than an answer may be on its way before it must have been heeded (100 ms). */
-    private static final long LATELY = 20_000_000;
+    private static final long MAX_SELECTION_NANOS = 20_000_000;
     /**
      * Selections that may take longer before a task runs all the same: on a machine that is always busy none is short.
      */
-    private static final int MOST_SELECTIONS = 5;
+    private static final int MAX_SELECTIONS = 5;
 
-    private static final Pattern LITERAL = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
+    private static final Pattern IP_LITERAL = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
 
     private final TCPNIOTransport tcp;
 
@@ -62,8 +62,8 @@
                 .setReuseAddress(true)
                 .setTcpNoDelay(true)
                 .setServerConnectionBackLog(BACKLOG)
-                .setReadBufferSize(BUFFER)
-                .setWriteBufferSize(BUFFER)
+                .setReadBufferSize(BUFFER_BYTES)
+                .setWriteBufferSize(BUFFER_BYTES)
                 .build();
         tcp.start();
     }
@@ -93,17 +93,17 @@
      */
     @SuppressWarnings("rawtypes")
     public Runnable connect(
-            InetSocketAddress address, FilterChain chain, Consumer<Connection<?>> up, Consumer<Throwable> failed) {
+            InetSocketAddress address, FilterChain chain, Consumer<Connection<?>> onConnected, Consumer<Throwable> onFailed) {
         GrizzlyFuture<Connection> pending = new Connector(tcp, chain)
                 .open(address, new EmptyCompletionHandler<Connection>() {
                     @Override
                     public void completed(Connection connection) {
-                        up.accept(connection);
+                        onConnected.accept(connection);
                     }
 
                     @Override
                     public void failed(Throwable problem) {
-                        failed.accept(problem);
+                        onFailed.accept(problem);
                     }
                 });
         return () -> pending.cancel(false);
@@ -132,14 +132,14 @@
      * had come on any connection by then has been read. Where all selections take long it is not put off for ever.
      */
     public static void runAfterReading(Connection<?> connection, Runnable task) {
-        runOnSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
+        runOnSelector(connection, () -> runAfterSelection(connection, task, MAX_SELECTIONS));
     }
 
-    private static void nextSelection(Connection<?> connection, Runnable task, int left) {
-        long before = System.nanoTime();
+    private static void runAfterSelection(Connection<?> connection, Runnable task, int selectionsLeft) {
+        long startedNanos = System.nanoTime();
         runOnSelector(connection, () -> {
-            if (left > 1 && System.nanoTime() - before > LATELY) {
-                nextSelection(connection, task, left - 1); // that one took long: more may have come since
+            if (selectionsLeft > 1 && System.nanoTime() - startedNanos > MAX_SELECTION_NANOS) {
+                runAfterSelection(connection, task, selectionsLeft - 1); // that one took long: more may have come since
             } else {
                 task.run();
             }
@@ -189,23 +189,23 @@
     }
 
     /** Writes bytes; one of the two is run, on any thread. */
-    public static void write(Connection<?> connection, byte[] bytes, Runnable written, Runnable failed) {
-        write(connection, Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), written, failed);
+    public static void write(Connection<?> connection, byte[] bytes, Runnable onWritten, Runnable onFailed) {
+        write(connection, Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), onWritten, onFailed);
     }
 
     /** Writes a message through the connection's filters; one of the two is run, on any thread. */
     @SuppressWarnings("unchecked")
-    public static <M> void write(Connection<?> connection, M message, Runnable written, Runnable failed) {
+    public static <M> void write(Connection<?> connection, M message, Runnable onWritten, Runnable onFailed) {
         ((Connection<SocketAddress>) connection)
                 .write(message, new EmptyCompletionHandler<WriteResult<M, SocketAddress>>() {
                     @Override
                     public void completed(WriteResult<M, SocketAddress> result) {
-                        written.run();
+                        onWritten.run();
                     }
 
                     @Override
                     public void failed(Throwable problem) {
-                        failed.run();
+                        onFailed.run();
                     }
                 });
     }
@@ -213,7 +213,7 @@
     /** The address in a text such as 127.0.0.1:25 or [::1]:25; there are no names to look up. */
     public static InetSocketAddress parseAddress(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
-        if (colon <= 0 || !LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
+        if (colon <= 0 || !IP_LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
             throw new IllegalArgumentException("not an IP address and a port: " + hostAndPort);
         }
         return new InetSocketAddress(
