--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -18,7 +18,7 @@
     }
 
     /** The endpoint has asked for a wait; a shorter one does not end a longer one. */
-    public void record(Call.Endpoint endpoint, long untilMicros) {
+    public void recordRetryAfter(Call.Endpoint endpoint, long untilMicros) {
         expiryMicros.merge(keyOf(endpoint), untilMicros, Math::max);
     }
 
