--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -294,7 +294,7 @@
     }
 
     /** A client is gone before it heard that its message is taken on. Loop thread. */
-    public void withdraw(Message message, Front front, String id) {
+    public void withdrawSubmitter(Message message, Front front, String id) {
         message.submitters.remove(new DeduplicationTable.Submitter(front, id));
         if (!message.isFinished && message.submitters.isEmpty()) {
             counters.add(Name.WITHDRAWN);
