--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -40,8 +40,8 @@
             }
 
             @Override
-            public void put(String identity, CompletedMessage<FinalStatus> past) {
-                journal.remember(identity, past);
+            public void put(String identity, CompletedMessage<FinalStatus> completedMessage) {
+                journal.remember(identity, completedMessage);
             }
 
             @Override
@@ -95,7 +95,7 @@
      */
     boolean attach(Message message, Front front, String id) {
         Submitter submitter = new Submitter(front, id);
-        if (message.submitters.contains(submitter) || front.notifiesOnce() && message.submitters.stream().anyMatch(c -> c.front() == front)) {
+        if (message.submitters.contains(submitter) || front.notifiesOnce() && message.submitters.stream().anyMatch(other -> other.front() == front)) {
             return true;
         }
         if (message.submitters.size() > MAX_ATTACHED || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -17,7 +17,7 @@
     static final int MAX_NAMES = 4_096;
 
     /** Positions kept for one name, of several agents or one that counts anew; more are merged into stricter ones. */
-    private static final int MOST_POSITIONS = 4;
+    private static final int MAX_POSITIONS_PER_NAME = 4;
 
     private final Map<String, List<ListPosition>> positions = new LinkedHashMap<>();
     /** The last contradictory list about a name, if nothing was heard since. */
@@ -93,14 +93,14 @@
             }
         }
         updated.add(position);
-        return updated.size() <= MOST_POSITIONS ? List.copyOf(updated) : merged(updated, position);
+        return updated.size() <= MAX_POSITIONS_PER_NAME ? List.copyOf(updated) : merged(updated, position);
     }
 
     /** Has all positions of an agent count as one, or all of them where there are too many agents. */
     private static List<ListPosition> merged(List<ListPosition> all, ListPosition newest) {
         Map<String, ListPosition> strictest = new LinkedHashMap<>();
         all.forEach(p -> strictest.merge(p.agent(), p, ListPosition::strictest));
-        return strictest.size() <= MOST_POSITIONS ? List.copyOf(strictest.values()) : List.of(newest.laterThanAny());
+        return strictest.size() <= MAX_POSITIONS_PER_NAME ? List.copyOf(strictest.values()) : List.of(newest.laterThanAny());
     }
 
     private static boolean areSamePlaces(List<ListPosition> one, List<ListPosition> other) {
