--- a/src/main/java/lilaclever/benchlink/Main.java
+++ b/src/main/java/lilaclever/benchlink/Main.java
@@ -16,16 +16,16 @@
 import java.util.Map;
 import lilaclever.DecisionModule;
 
-/** Plays relays on the bench's wire: standard input to events, actions to standard output. */
+/** Runs decision modules for the simulator: reads events from standard input, writes actions to standard output. */
 public final class Main {
     private Main() {}
 
-    /** Answers batches on standard input and output; gives the exit code. */
+    /** Processes batches on standard input and output; returns the exit code. */
     public static int run() {
         return run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out), System.err);
     }
 
-    /** Answers batches until the input ends; gives the exit code. */
+    /** Processes batches until the input ends; returns the exit code. */
     static int run(InputStream in, OutputStream out, PrintStream err) {
         try {
             serve(
@@ -36,7 +36,7 @@
             err.println("lilaclever: " + e.getMessage());
             return 1;
         } catch (IOException e) {
-            err.println("lilaclever: input or output broke: " + e.getMessage());
+            err.println("lilaclever: input or output failed: " + e.getMessage());
             return 1;
         }
     }
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -14,8 +14,9 @@
 import lilaclever.DecisionModule.Repeat;
 import lilaclever.DecisionModule.Weights;
 
-/** Turns the settings of a HELLO into a relay. Keys that are not known are skipped. */
+/** Reads the JSON settings of the decision module. Unknown keys are ignored. */
 public final class SettingsReader {
+    /** Field name in errors; program.Config replaces this prefix by "settings". */
     private static final String FIELD = "conf";
     private final JsonObject object;
     private final String path;
@@ -31,7 +32,7 @@
         return DecisionModule.create(read(json, line), seed);
     }
 
-    /** The settings in a JSON text that came on the given line. */
+    /** Reads the settings from a JSON text; errors name the given line. */
     public static DecisionModule.Settings read(String json, long line) throws WireException {
         try {
             JsonElement root = JsonParser.parseString(json);
@@ -48,7 +49,7 @@
         }
     }
 
-    /** Seconds as whole microseconds, exactly; what lies between is rounded to the nearest. */
+    /** Converts decimal seconds to microseconds without floating-point error, rounded to the nearest. */
     static long micros(String seconds) {
         long value = new BigDecimal(seconds)
                 .movePointRight(6)
--- a/src/main/java/lilaclever/benchlink/WireException.java
+++ b/src/main/java/lilaclever/benchlink/WireException.java
@@ -1,6 +1,6 @@
 package lilaclever.benchlink;
 
-/** Input that does not follow the wire; the message names the line and the field. */
+/** Input that violates the wire format; the message names the line and the field. */
 public final class WireException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
         this.problem = problem;
     }
 
-    /** The field that is at fault. */
+    /** The invalid field. */
     public String field() {
         return field;
     }
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -15,7 +15,7 @@
 import lilaclever.DecisionModule.Presence;
 import lilaclever.DecisionModule.Report;
 
-/** Reads batches of events off the wire. */
+/** Reads batches of events in the simulator's line format. */
 final class WireReader {
     private static final int LISTS = 16;
     private static final int MARK_AGAIN = 2;
@@ -25,17 +25,17 @@
     private final Map<Integer, List<Entry>> lists = new LinkedHashMap<>();
     private long lineNumber;
 
-    /** One relay from its start on, with its events of this batch. */
+    /** A decision module and its events of the current batch, since its latest start. */
     record Life(DecisionModule relay, List<Event> events) {}
 
-    /** One batch: its clock and the relays that have events, in the order of their first event. */
+    /** One batch: its time, and the modules with events by relay name, in order of their first event. */
     record Batch(long nowMicros, Map<String, Life> lives) {}
 
     WireReader(BufferedReader in) {
         this.in = in;
     }
 
-    /** The next batch, or null at the end of the input. Starts and ends relays in the map as it reads. */
+    /** The next batch, or null at the end of the input. Adds and removes modules in the map as they start and crash. */
     Batch next(Map<String, DecisionModule> relays) throws IOException, WireException {
         String first;
         do {
@@ -106,7 +106,7 @@
             case "ABORTED" -> new Event.Withdrawn(f.text("msgId"));
             case "PROBED" -> probed(f);
             case "HEARD" -> new Event.Heard(f.number("from"), f.bytes("content"));
-            default -> null; // STARTED: streams only, which no class of this family has
+            default -> null; // STARTED concerns streams only, which none of the supported message classes uses
         };
         Life life = batch.lives().computeIfAbsent(name, n -> new Life(relay, new ArrayList<>()));
         if (event != null) {
@@ -242,7 +242,7 @@
         return text;
     }
 
-    /** The parts of one line, taken in turn. */
+    /** The fields of one line, read in order. */
     private static final class Fields {
         private final String text;
         private final long line;
@@ -278,7 +278,7 @@
             return part;
         }
 
-        /** The part, or null for an absent one; a line may also end before its last parts. */
+        /** The next field; null if it is written as absent. */
         String optional(String field) throws WireException {
             String part = text(field);
             return part.equals("-") ? null : part;
@@ -325,7 +325,7 @@
                     return value;
                 }
             } catch (NumberFormatException e) {
-                // said below
+                // reported below
             }
             throw bad(field, "not a number: " + part);
         }
--- a/src/main/java/lilaclever/benchlink/WireWriter.java
+++ b/src/main/java/lilaclever/benchlink/WireWriter.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import lilaclever.DecisionModule.Action;
 
-/** Writes actions as lines of the wire; a reply is flushed once, at its end. */
+/** Writes actions in the simulator's line format; the output of a batch is flushed once, at its end. */
 final class WireWriter {
     private static final long MICROS = 1_000_000;
     private final Writer out;
@@ -59,7 +59,7 @@
         throw new IllegalStateException("no line for " + action);
     }
 
-    /** Whole microseconds as seconds with six places. */
+    /** Formats microseconds as seconds with six decimal places. */
     static String seconds(long micros) {
         String fraction = Long.toString(micros % MICROS + MICROS);
         return micros / MICROS + "." + fraction.substring(1);
--- a/src/main/java/lilaclever/identity/CompletedMessage.java
+++ b/src/main/java/lilaclever/identity/CompletedMessage.java
@@ -1,10 +1,10 @@
 package lilaclever.identity;
 
 /**
- * An end that is remembered.
+ * The remembered result of a completed message.
  *
- * @param end how the message ended
- * @param content what it said; null where that is not compared
- * @param untilWall when it is forgotten, on the wall clock, microseconds
+ * @param end the result
+ * @param content fingerprint of the message; null if duplicates are not compared by content
+ * @param untilWall when it expires, on the wall clock, microseconds
  */
 public record CompletedMessage<E>(E end, Fingerprint content, long untilWall) {}
--- a/src/main/java/lilaclever/identity/DuplicateCheck.java
+++ b/src/main/java/lilaclever/identity/DuplicateCheck.java
@@ -1,16 +1,21 @@
 package lilaclever.identity;
 
-/** What a hand-in under an identity is. {@code M} is a message that is held, {@code E} an end. */
+/**
+ * Result of checking a submission for duplicates by its identity.
+ *
+ * @param <M> a pending message
+ * @param <E> the result of a completed message
+ */
 public sealed interface DuplicateCheck<M, E> {
-    /** Nothing is known of it: a message of its own. */
+    /** No message with this identity is known. */
     record Fresh<M, E>() implements DuplicateCheck<M, E> {}
 
-    /** The message is held already: whoever handed this in gets its end too. */
+    /** The message is pending: its final status answers this submission as well. */
     record Joins<M, E>(M held) implements DuplicateCheck<M, E> {}
 
-    /** The message has ended, and this is the end. */
+    /** The message is completed, with this result. */
     record Again<M, E>(E end) implements DuplicateCheck<M, E> {}
 
-    /** The identity belongs to a message that says something else; {@code held}: one that has not ended. */
+    /** The identity belongs to a message with other content, which is pending or completed. */
     record Clash<M, E>(boolean held) implements DuplicateCheck<M, E> {}
 }
--- a/src/main/java/lilaclever/identity/Fingerprint.java
+++ b/src/main/java/lilaclever/identity/Fingerprint.java
@@ -4,9 +4,9 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** What a message says, in 16 bytes: the first half of a SHA-256 over class, destination and body. */
+/** 16 bytes that identify a message's content: the first half of a SHA-256 over class, destination and body. */
 public record Fingerprint(long high, long low) {
-    /** The fingerprint of a message. */
+    /** Computes the fingerprint of a message. */
     public static Fingerprint of(int messageClass, int destination, byte[] body) {
         try {
             MessageDigest digest = MessageDigest.getInstance("SHA-256");
@@ -17,7 +17,7 @@
             ByteBuffer sum = ByteBuffer.wrap(digest.digest(body));
             return new Fingerprint(sum.getLong(), sum.getLong());
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java has SHA-256", e);
+            throw new IllegalStateException("every Java platform provides SHA-256", e);
         }
     }
 }
--- a/src/main/java/lilaclever/identity/Identities.java
+++ b/src/main/java/lilaclever/identity/Identities.java
@@ -4,18 +4,21 @@
 import java.util.Map;
 
 /**
- * Decides who a hand-in is: a new message, one that is held, one that has ended, or another one under a name that is
- * taken. No I/O, no clock, no thread: times are told, and what outlasts the process is behind {@link Memory}.
+ * Decides whether a submission is a new message, a duplicate of a pending or completed message, or a different message
+ * under an identity in use. No I/O, no clock, no thread: times are passed in, and {@link Memory} persists the results.
  *
  * <p>The rules:
  * <ul>
- * <li>What is held wins over what is remembered: a message that was refused may be under way again.
- * <li>An end is given again for the window of its class, counted from the end; later the identity is free.
- * <li>A refusal is not remembered: handing in again is what it asks for.
- * <li>With other content an identity clashes for as long as it is held or remembered. Neither message changes.
- * <li>Where more ends come than there is room for, the one whose time is up soonest is forgotten first. What is held is
- * never forgotten.
+ * <li>Pending messages take precedence over remembered results: a refused message may have been submitted again.
+ * <li>A result is returned to duplicates for the window of its class, counted from completion; then the identity is
+ * free.
+ * <li>A refusal is not remembered, since it asks the client to submit again.
+ * <li>Other content under an identity is a conflict as long as that is pending or remembered. Neither message changes.
+ * <li>If the results exceed the capacity, the one that expires first is removed. Pending messages are never removed.
  * </ul>
+ *
+ * @param <M> a pending message
+ * @param <E> the result of a completed message
  */
 public final class Identities<M, E> {
     private record Held<M>(M message, Fingerprint content) {}
@@ -25,16 +28,15 @@
     private final Map<String, Held<M>> held = new HashMap<>();
     private long forgottenEarly;
 
-    /** Nothing is held yet. */
     public Identities(IdempotencyWindows windows, Memory<E> memory) {
         this.windows = windows;
         this.memory = memory;
     }
 
     /**
-     * What the hand-in is.
+     * Checks a submission.
      *
-     * @param content what it says; null where that is not compared
+     * @param content its fingerprint; null if duplicates are not compared by content
      */
     public DuplicateCheck<M, E> rule(String identity, Fingerprint content, long nowWall) {
         Held<M> under = held.get(identity);
@@ -56,13 +58,13 @@
         return a != null && b != null && !a.equals(b);
     }
 
-    /** The message is held from now on. Nothing else may be held under its identity. */
+    /** Adds a message that is pending from now on. No other message may be pending under its identity. */
     public void hold(String identity, Fingerprint content, M message) {
         Held<M> before = held.put(identity, new Held<>(message, content));
-        assert before == null || before.message() == message : identity + " is held twice";
+        assert before == null || before.message() == message : identity + " has two pending messages";
     }
 
-    /** The message is held no more; passed over if another one is held under the identity. */
+    /** Removes a message that is no longer pending; no effect if another one is pending under the identity. */
     public void release(String identity, M message) {
         Held<M> under = held.get(identity);
         if (under != null && under.message() == message) {
@@ -70,7 +72,7 @@
         }
     }
 
-    /** The message has ended so that whoever asks again gets this end. */
+    /** Remembers the result of a completed message for its duplicates. */
     public void ended(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
         CompletedMessage<E> before = memory.past(identity);
         if (before == null) {
@@ -82,18 +84,18 @@
         memory.keep(identity, new CompletedMessage<>(end, content, nowWall + windows.of(identity, messageClass)));
     }
 
-    /** The message that is held under the identity, or null. */
+    /** The pending message of the identity, or null. */
     public M held(String identity) {
         Held<M> under = held.get(identity);
         return under == null ? null : under.message();
     }
 
-    /** Identities held. */
+    /** How many identities have a pending message. */
     public int size() {
         return held.size();
     }
 
-    /** Ends forgotten before their time, for want of room. */
+    /** How many results were removed before they expired, for lack of capacity. */
     public long forgottenEarly() {
         return forgottenEarly;
     }
--- a/src/main/java/lilaclever/identity/Identity.java
+++ b/src/main/java/lilaclever/identity/Identity.java
@@ -1,17 +1,17 @@
 package lilaclever.identity;
 
 /**
- * Who a message is, whichever port it comes on and in whichever life of the program: a practice and the key that the
- * practice gave it. Its text form is what the core and the journal keep. Mail has identities of its own, which are
- * never compared by content.
+ * Identifies a message across all fronts and restarts: a practice and the key that the practice gave the message. The
+ * core and the journal keep its text form. Mails have identities of their own, whose duplicates are never compared by
+ * content.
  */
 public record Identity(String practice, String key) {
-    /** No identity of a mail begins so: those begin with a Message-ID or with "report ". */
+    /** Not a prefix of any mail's identity: those begin with a Message-ID or with "report ". */
     private static final String MARK = "id/";
 
     private static final int LONGEST_PRACTICE = 64, LONGEST_KEY = 256;
 
-    /** Checks both parts: words without white space or control characters, the practice without '/'. */
+    /** Validates both parts: no white space or control characters, and no '/' in the practice. */
     public Identity {
         check(practice, LONGEST_PRACTICE, "practice");
         check(key, LONGEST_KEY, "key");
@@ -31,12 +31,12 @@
         }
     }
 
-    /** The form that is kept. */
+    /** The text form. */
     public String text() {
         return MARK + practice + '/' + key;
     }
 
-    /** The identity whose text it is. */
+    /** Parses the text form. */
     public static Identity parse(String text) {
         int end = isShared(text) ? text.indexOf('/', MARK.length()) : -1;
         if (end < 0) {
@@ -45,7 +45,7 @@
         return new Identity(text.substring(MARK.length(), end), text.substring(end + 1));
     }
 
-    /** True for the text of such an identity: what comes again under it must say the same. */
+    /** True for the text form of such an identity, which is shared by all fronts and requires equal content. */
     public static boolean isShared(String text) {
         return text != null && text.startsWith(MARK);
     }
--- a/src/main/java/lilaclever/identity/Memory.java
+++ b/src/main/java/lilaclever/identity/Memory.java
@@ -1,16 +1,16 @@
 package lilaclever.identity;
 
-/** Where ends are remembered; the journal, in the program. */
+/** Stores the results of completed messages; in the program, in the journal. */
 public interface Memory<E> {
-    /** The end remembered under the identity, or null; it may be past its time. */
+    /** The result stored for the identity, or null; it may have expired. */
     CompletedMessage<E> past(String identity);
 
-    /** How many are remembered. */
+    /** Number of stored results. */
     int size();
 
-    /** Remembers an end, in place of any earlier one. */
+    /** Stores a result, replacing any earlier one of the identity. */
     void keep(String identity, CompletedMessage<E> past);
 
-    /** Forgets the one that would be forgotten next by time. */
+    /** Removes the result that expires first. */
     void forgetSoonest();
 }
--- a/src/main/java/lilaclever/routing/ActiveEndpoints.java
+++ b/src/main/java/lilaclever/routing/ActiveEndpoints.java
@@ -7,32 +7,33 @@
 import java.util.stream.Collectors;
 
 /**
- * The endpoints that calls and probes may be sent to, as the last list said. The decision module goes by its own
- * memory of the list; this table is for the place where a request is written: a call may have been decided before its
- * endpoint began to drain, and get its connection after. Changed on the loop thread, read on any.
+ * The endpoints that calls and probes may be sent to, according to the latest endpoint list. The decision module has
+ * its own view of the list; this table is checked at the point where a request is written, since an endpoint may begin
+ * to drain after a call to it was decided and before the call gets a connection. Modified on the event loop, read from
+ * any thread.
  */
 public final class ActiveEndpoints {
     private final Map<String, Call.Endpoint> byName = new ConcurrentHashMap<>();
 
     /**
-     * True if the first byte of a request may go to the endpoint now: it is active, at the same address and for the
-     * same destination as when the request was decided.
+     * Whether the first byte of a request may be sent to the endpoint now: it is active, with the same address and
+     * destination as when the request was decided.
      */
     public boolean mayReceive(Call.Endpoint endpoint) {
         return endpoint.equals(byName.get(endpoint.host()));
     }
 
-    /** The endpoint is active. */
+    /** Marks the endpoint as active. */
     void activate(Call.Endpoint endpoint) {
         byName.put(endpoint.host(), endpoint);
     }
 
-    /** The endpoint is draining or gone. */
+    /** Marks the endpoint as inactive: it is draining or was removed. */
     void deactivate(Call.Endpoint endpoint) {
         byName.remove(endpoint.host());
     }
 
-    /** Exactly these are active. One that stays is active all the time. */
+    /** Makes exactly these endpoints active; one that was active before stays so without interruption. */
     void replaceAll(Collection<Call.Endpoint> active) {
         Map<String, Call.Endpoint> next = active.stream()
                 .collect(Collectors.toMap(Call.Endpoint::host, Function.identity(), (first, last) -> last));
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -3,27 +3,31 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One call to an endpoint: one message, or several where the endpoint's kind takes several. */
+/** One request to an endpoint, with one message, or several where the endpoint's kind accepts batches. */
 public final class Call {
-    /** The endpoint's name in the list and where it is. */
     public final Endpoint endpoint;
-    /** What travels in it. */
+    /** The messages still in the call; one that is removed before the request is written is no longer here. */
     public final List<Message> messages = new ArrayList<>();
-    /** When it was started, by the loop's clock, microseconds. */
+    /** Creation time on the event loop's clock, microseconds. */
     public final long startedAt;
-    /** What the deliverer keeps for it. */
+    /** State that belongs to the deliverer. */
     public Object attachment;
 
     int open;
     private volatile long writeBy = Long.MAX_VALUE;
     private long expiresAt = Long.MAX_VALUE;
-    /** True once the deliverer has it: its attempts are in the journal. */
+    /** Whether the call was handed to the deliverer, which happens once its attempts are recorded durably. */
     boolean started;
 
     Deadlines.Key deadline;
 
     /**
-     * An endpoint of the list, with the deliverer that reaches it. {@code apart}: limits and told waits are its own.
+     * An endpoint of the list, with the deliverer that reaches it.
+     *
+     * @param host the endpoint's unique name in the list
+     * @param address where to connect
+     * @param batch how many messages a call may carry
+     * @param apart true if limits and retry-after periods apply to this endpoint alone, not to its whole destination
      */
     public record Endpoint(
             String host, String address, int destination, int zone, int batch, boolean apart, Deliverer deliverer) {}
@@ -34,10 +38,10 @@
     }
 
     /**
-     * A message goes along. All times by the loop's clock, microseconds.
+     * Adds a message. All times are on the event loop's clock, microseconds.
      *
-     * @param writeBy  from then on it must not go, and needs no answer for its own sake
-     * @param deadline when its time is up
+     * @param writeBy when the attempt is dropped: the message must not be sent from then on, and needs no answer
+     * @param deadline the message's deadline
      */
     void take(Message m, long writeBy, long deadline) {
         m.out = this;
@@ -48,7 +52,7 @@
         setTimes();
     }
 
-    /** A message goes along no more. Loop thread. */
+    /** Removes a message that has not been sent. Event loop. */
     public void leftOut(Message m) {
         messages.remove(m);
         setTimes();
@@ -59,32 +63,35 @@
         expiresAt = expiryOf(messages);
     }
 
-    /** When the first of its messages must not go any more: the loop may come late with taking it out. Any thread. */
+    /**
+     * The earliest time from which one of the messages must not be sent. Checked before writing, since the event loop
+     * may be late in removing that message. Any thread.
+     */
     public long writeBy() {
         return writeBy;
     }
 
     /**
-     * When to give it up, by the loop's clock, microseconds: it waits as long as any of its messages may, but has one
-     * time, which its endpoint is told, and that is over with the first message whose time is up.
+     * When to abort the call, on the event loop's clock, microseconds: once the last of its messages has to be
+     * dropped, but no later than the earliest deadline. The call has a single timeout, which is sent to the endpoint.
      */
     public long expiresAt() {
         return expiresAt;
     }
 
-    /** What {@link #expiresAt} is for a call of the given messages of this one. */
+    /** The value that {@link #expiresAt} has for a call with these messages only. */
     public static long expiryOf(List<Message> messages) {
         long longestWait = messages.stream().mapToLong(m -> m.writeBy).max().orElse(Long.MAX_VALUE);
         long firstDeadline = messages.stream().mapToLong(m -> m.deadline).min().orElse(Long.MAX_VALUE);
         return Math.min(longestWait, firstDeadline);
     }
 
-    /** Has the messages whose time is up leave, if others go and the call is not on its way yet. */
+    /** Asks the deliverer to remove expired messages, as long as others remain and the call has not been sent. */
     void leaveExpired(long now) {
         List.copyOf(messages).stream().filter(m -> m.writeBy <= now).forEach(this::leave);
     }
 
-    /** Has a message leave, if others go and the call is not on its way yet. */
+    /** Asks the deliverer to remove a message, as long as others remain and the call has not been sent. */
     void leave(Message m) {
         if (m.out == this && started && messages.size() > 1) {
             endpoint.deliverer().leaveOut(this, m);
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -4,26 +4,25 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The time that the loop goes by, and how it waits: the machine's, or that of a host that runs many cores in virtual
- * time on one thread.
+ * The clock of the event loop, and how the loop waits: real time, or virtual time where a simulation runs many cores
+ * on one thread.
  */
 public interface Clock {
     /** The monotonic clock, microseconds. */
     long micros();
 
-    /** The wall clock, microseconds; it goes on from where it was at the beginning and does not jump. */
+    /** The wall clock at the start of the process plus the monotonic time since, microseconds; it never jumps. */
     long wall();
 
-    /** Takes the next task, and waits for one until the given time at most; null if none came. */
+    /** Takes the next task, waiting until the given time at most; null if there is none. */
     Runnable await(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
 
-    /** Lets the time pass. */
     void pause(long micros) throws InterruptedException;
 
-    /** A task was added for the loop. Any thread. */
+    /** Called from any thread after a task was queued for the event loop. */
     void posted();
 
-    /** The machine's time, for a loop on a thread of its own. */
+    /** Real time, for an event loop on its own thread. */
     static Clock system() {
         return new Clock() {
             @Override
@@ -48,7 +47,7 @@
 
             @Override
             public void posted() {
-                // whoever waits for the queue wakes by it
+                // the blocking queue wakes its waiting thread
             }
         };
     }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -21,22 +21,22 @@
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
- * The core: knows messages, endpoints and deadlines, and no wire. One thread, the loop, owns all of it. Each turn it
- * runs what is ready, sweeps the deadlines, hands all events to the decision module in one go and carries out the
- * actions in their order. Other threads come in by {@link #post} alone.
+ * The core keeps messages, endpoints and deadlines, independent of any protocol. A single thread, the event loop, owns
+ * its state. In each turn it runs the queued tasks and the due deadlines, passes all events to the decision module in
+ * one batch and executes the resulting actions in order. Other threads use only {@link #post}.
  */
 public final class Core {
-    /** What a client is told where the module was not asked: no room here, or the program ends. */
+    /** Retry advice for submissions rejected without asking the decision module: no room, or shutting down. */
     private static final long COME_BACK = 1_000_000;
 
     private static final long LONGEST_SLEEP = 1_000_000;
     private static final long REMEMBER_DESTINATION = 60_000_000;
-    /** An end this long after a message's time is a broken rule. */
+    /** A final status later than this after a message's deadline breaks an invariant. */
     private static final long OVERDUE = 250_000;
 
     private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - micros();
 
-    /** An endpoint as the directory lists it. */
+    /** An endpoint as listed by the directory: its entry for the decision module, and how to reach it. */
     public record Listed(DecisionModule.Entry entry, Call.Endpoint endpoint) {
         /** The same endpoint with another presence. */
         public Listed withPresence(DecisionModule.Presence presence) {
@@ -64,9 +64,9 @@
     private final DeduplicationTable claims;
     private final Map<String, Call.Endpoint> endpoints = new HashMap<>();
     private final ActiveEndpoints activeEndpoints = new ActiveEndpoints();
-    /** Destinations that the list has named, and when last: one that has no endpoint now may have one soon. */
+    /** When each destination was last listed: one that has no endpoint now may get one soon. */
     private final Map<Integer, Long> destinations = new HashMap<>();
-    /** Endpoints that stand in our own configuration and in no directory. */
+    /** Endpoints from the program's own configuration, which no directory lists. */
     private final List<Listed> fixed = new ArrayList<>();
 
     private final Set<Call> calls = new HashSet<>();
@@ -79,7 +79,7 @@
     private final Clock clock;
     private long now;
 
-    /** A core that holds nothing yet. */
+    /** Creates a core without messages that runs in real time. */
     public Core(
             DecisionModule.Settings settings,
             long seed,
@@ -89,7 +89,7 @@
         this(settings, seed, journal, counters, windows, Clock.system());
     }
 
-    /** The same in a time of its own. */
+    /** Creates a core without messages that runs on the given clock. */
     public Core(
             DecisionModule.Settings settings,
             long seed,
@@ -114,29 +114,29 @@
         journal.attach(this::post);
     }
 
-    // ---- what others use --------------------------------------------------------------------------------
-    /** Has the loop run the task in its next turn. From any thread. */
+    // Public API
+
+    /** Queues a task for the event loop's next turn. Any thread. */
     public void post(Runnable task) {
         ready.add(task);
         clock.posted();
     }
 
-    /** The clock of this turn, microseconds; only goes forward. */
+    /** The time of this turn on the monotonic clock, microseconds. */
     public long now() {
         return now;
     }
 
-    /** All deadlines. */
+    /** The timers of the event loop. */
     public Deadlines deadlines() {
         return deadlines;
     }
 
-    /** The counters. */
     public Counters counters() {
         return counters;
     }
 
-    /** Which endpoints requests may be written to; for deliverers. */
+    /** The endpoints to which requests may be written; for deliverers. */
     public ActiveEndpoints activeEndpoints() {
         return activeEndpoints;
     }
@@ -147,8 +147,8 @@
     }
 
     /**
-     * The wall clock, microseconds, as it was when this life began and went on from there: it does not jump when
-     * somebody sets it. What outlasts the process is told in it.
+     * The wall clock at the start of the process plus the monotonic time since, microseconds: it does not jump when the
+     * system clock is set. Times that are stored use this clock.
      */
     public static long wall() {
         return WALL_AT_START + micros();
@@ -166,14 +166,17 @@
         activeEndpoints.activate(own.endpoint());
     }
 
-    /** Starts the loop: first what the journal says is owed, with the list as last known. */
+    /** Starts the event loop: resumes the journal's pending messages, with the last known endpoint list. */
     public void start(List<Listed> known, long version) {
         begin(known, version);
         thread = new Thread(this::loop, "loop");
         thread.start();
     }
 
-    /** The first turn, where a host in virtual time does the loop's part: {@link #due} and {@link #step}. */
+    /**
+     * Runs the first turn on the calling thread, without starting the event loop's thread. For simulations in virtual
+     * time, which go on with {@link #due} and {@link #step}.
+     */
     public void begin(List<Listed> known, long version) {
         now = clock.micros();
         listing(DecisionModule.ListingKind.REMEMBERED, version, known);
@@ -184,12 +187,12 @@
         turn();
     }
 
-    /** When the next turn is due: with a task waiting after the least spacing, else at the next deadline. */
+    /** When the next turn is due: with a queued task after the minimum interval, else at the next deadline. */
     public long due() {
         return ready.isEmpty() ? deadlines.soonest(now + LONGEST_SLEEP) : now + settings.roundMicros();
     }
 
-    /** One turn. */
+    /** Runs one turn on the calling thread. */
     public void step() {
         now = clock.micros();
         run(this::turn);
@@ -199,7 +202,7 @@
         Front front = fronts.get(e.front());
         Message m = new Message(e.submission(), front, e.deadlineWall());
         if (front == null) {
-            Logs.error("", "no-front", "nobody to answer for " + m.id() + ": no front " + e.front(), "message", m.id());
+            Logs.error("", "no-front", "cannot answer for " + m.id() + ": no front " + e.front(), "message", m.id());
             journal.ended(m.id());
             return;
         }
@@ -212,7 +215,7 @@
                 m.claims.add(new DeduplicationTable.Claim(fronts.get(claim.front()), claim.id()));
             }
         }
-        // A kill may have come between the remembering of its end and the record that the end is decided.
+        // The process may have been killed after the result was remembered and before the final status was recorded.
         FinalStatus end = e.verdict() != null ? e.verdict() : claims.earlierEnd(m);
         if (end != null) {
             m.over = true;
@@ -220,7 +223,7 @@
             return;
         }
         if (e.isOut()) {
-            // The call was out when the process ended: it may have run.
+            // The call was in flight when the process ended, so the endpoint may have processed it.
             journal.outcome(m.id(), false);
         }
         m.attempts = e.attempts();
@@ -231,12 +234,12 @@
         events.add(m.submit(now, wall));
     }
 
-    /** False if the list has not named the destination for long. Without any list nothing is known. Loop thread. */
+    /** False if the destination has not been listed for long; true as long as none was ever listed. Event loop. */
     public boolean knows(int destination) {
         return destinations.isEmpty() || destinations.containsKey(destination);
     }
 
-    /** Takes a hand-in from a front; the front hears of it by the end of the turn. Loop thread. */
+    /** Submits a message; the front is notified by the end of the turn. Event loop. */
     public Message handIn(Front front, Submission submission) {
         counters.add(Name.HANDED_IN);
         long wall = clock.wall();
@@ -267,7 +270,7 @@
         return m;
     }
 
-    /** Another hand-in of a message that is held: its front tells the end there too, where identities are shared. */
+    /** Attaches a duplicate to its pending message: if identities are shared, its front is notified as well. */
     private Message join(Message held, Message comer) {
         if (Identity.isShared(held.submission.identity()) && !claims.join(held, comer.front, comer.id())) {
             return notHeld(comer, new FinalStatus(Kind.REFUSED, COME_BACK, "already under way"));
@@ -280,7 +283,7 @@
         return notHeld(m, FinalStatus.of(Kind.CLASH));
     }
 
-    /** Answers a hand-in that makes no message. */
+    /** Answers a submission that does not become a message of its own. */
     private static Message notHeld(Message m, FinalStatus verdict) {
         m.over = true;
         m.verdict = verdict;
@@ -288,12 +291,12 @@
         return m;
     }
 
-    /** Runs what must not happen before all that is written so far would outlast the machine. Loop thread. */
+    /** Runs the task once all journal records written so far are durable. Event loop. */
     public void whenDurable(Runnable consequence) {
         journal.whenDurable(() -> run(consequence));
     }
 
-    /** A client is gone before it heard that its message is taken on. Loop thread. */
+    /** Removes a submitter whose client left before the acceptance was reported to it. Event loop. */
     public void clientGone(Message m, Front front, String id) {
         m.claims.remove(new DeduplicationTable.Claim(front, id));
         if (!m.over && m.claims.isEmpty()) {
@@ -304,7 +307,7 @@
         }
     }
 
-    /** News of the list. Loop thread. */
+    /** Applies a whole endpoint list or changes to it. Event loop. */
     public void listing(DecisionModule.ListingKind kind, long version, List<Listed> listed) {
         counters.add(Name.LISTINGS);
         boolean whole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
@@ -323,7 +326,7 @@
             boolean isActive = x.entry().presence() == DecisionModule.Presence.ACTIVE;
             if (!isActive
                     || before != null && !before.address().equals(x.endpoint().address())) {
-                // Nothing new goes there: what is idle to it only takes room, here and there.
+                // No new calls go there, and idle connections would only use resources on both sides.
                 x.endpoint().deliverer().closeIdle(before == null ? x.endpoint() : before);
             }
             if (x.entry().presence() == DecisionModule.Presence.LEFT) {
@@ -338,10 +341,10 @@
                 .entrySet()
                 .removeIf(d -> !served.contains(d.getKey()) && d.getValue() < now - REMEMBER_DESTINATION);
         events.add(new Event.Listing(kind, version, entries));
-        withdrawCalls(); // the decision module hears of them after it has heard why
+        withdrawCalls(); // after the listing event, so that the decision module knows the reason first
     }
 
-    /** Has requests be written only to what is active now. */
+    /** Allows requests to be written only to endpoints that are active now. */
     private void activate(List<Listed> listed, boolean isWhole) {
         if (isWhole) {
             activeEndpoints.replaceAll(
@@ -361,7 +364,7 @@
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE;
     }
 
-    /** Takes back the calls to endpoints that have left the list, or drain, as long as nothing of them is written. */
+    /** Cancels calls to endpoints that are draining or were removed, if no byte of them has been written. */
     private void withdrawCalls() {
         for (Call call : List.copyOf(calls)) {
             if (activeEndpoints.mayReceive(call.endpoint)) {
@@ -379,7 +382,13 @@
         List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.WITHHELD, 0, false, false));
     }
 
-    /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
+    /**
+     * Reports the end of a message's attempt. Event loop.
+     *
+     * @param waitMicros retry-after period for the destination; 0: none
+     * @param noSlot it was not sent for want of a free slot
+     * @param over the endpoint reports that the message needs no further attempt and no result
+     */
     public void outcome(Call call, Message m, Ending ending, long waitMicros, boolean noSlot, boolean over) {
         if (m.out != call) {
             return;
@@ -418,30 +427,31 @@
         }
     }
 
-    /** A probe has ended. Loop thread. */
+    /** Reports the end of a probe. Event loop. */
     public void probed(String host, Ending ending, long elapsedMicros) {
         events.add(new Event.Probed(host, ending, elapsedMicros, null));
     }
 
-    /** Other classes and attempts hold from now on, for what is handed in after this. Loop thread. */
+    /** Applies new message classes and attempt limits to messages submitted from now on. Event loop. */
     public void renew(DecisionModule.Settings renewed) {
         events.add(new Event.Renewed(renewed));
     }
 
-    /** Takes nothing new from now on, and starts no call that could be out at the given time. Loop thread. */
+    /** Accepts no new messages, and starts no call that could still be in flight at the given time. Event loop. */
     public void stopBy(long atMicros) {
         closing = true;
         events.add(new Event.Stopping(atMicros));
     }
 
     /**
-     * True if nothing is held and every end has been told, but for so many owed to clients that are away. Loop thread.
+     * True if no message is pending and all submitters are notified, except for the given number of notifications to
+     * clients that are not reachable. Event loop.
      */
     public boolean quiet(int away) {
         return held.isEmpty() && calls.isEmpty() && unsettled <= away;
     }
 
-    /** Ends the loop after this turn; the journal has what is left. From any thread. */
+    /** Stops the event loop after this turn; pending messages stay in the journal. Any thread. */
     public void end() throws InterruptedException {
         ended = true;
         post(() -> {});
@@ -450,13 +460,14 @@
         }
     }
 
-    // ---- the loop ---------------------------------------------------------------------------------------
+    // Event loop
+
     private void loop() {
         while (!ended) {
             try {
                 long until = deadlines.soonest(now + LONGEST_SLEEP);
                 Runnable first = clock.await(ready, until);
-                // Turns keep the module's least spacing: what comes close together is decided together.
+                // Keeps the minimum interval between turns, so that events close together are decided in one batch.
                 long early = now + settings.roundMicros() - clock.micros();
                 if (early > 0) {
                     clock.pause(early);
@@ -476,9 +487,9 @@
                 task.run();
             }
         } catch (AssertionError e) {
-            throw e; // what must hold does not: a debug build ends here
+            throw e; // a broken invariant ends the loop where assertions are enabled
         } catch (RuntimeException | Error e) {
-            // One bad message, or one that needed more memory than there was, must not end the others.
+            // A failure with one message, including an OutOfMemoryError, must not affect the others.
             counters.add(Name.TASKS_FAILED);
             Logs.error("", "task-failed", "a task failed: " + e, e);
         }
@@ -511,7 +522,7 @@
         starting.values().forEach(this::start);
     }
 
-    /** What came in this turn and was not ended in it goes into the journal, and its client is told. */
+    /** Records this turn's new messages, except those that end in the same turn, and reports their acceptance. */
     private void takeOn(List<Action> actions) {
         if (fresh.isEmpty()) {
             return;
@@ -531,7 +542,7 @@
             run(() -> m.journaled = journal.taken(m.front.name(), m.submission, m.deadlineWall, clock.wall()));
             if (m.journaled) {
                 counters.add(Name.TAKEN);
-                trace(m, "taken", "taken on", null);
+                trace(m, "taken", "accepted", null);
                 refuse(claims.written(m), m);
                 journal.whenDurable(() -> {
                     m.told = true;
@@ -546,7 +557,7 @@
         fresh.clear();
     }
 
-    /** Those who joined it and could not be written hear that they are not owed its end. */
+    /** Rejects submitters that were attached to a message but could not be recorded. */
     private void refuse(List<DeduplicationTable.Claim> refused, Message m) {
         for (DeduplicationTable.Claim claim : refused) {
             run(() -> claim.front()
@@ -580,7 +591,7 @@
         } else if (action instanceof Action.Log a) {
             Logs.info("", "module", a.text());
         }
-        // Watch and FetchList: the directory is watched all the time. Tell: nobody to tell.
+        // Watch and FetchList: the directory is always watched. Tell: there are no other forwarders to notify.
     }
 
     private void ended(String id, FinalStatus verdict) {
@@ -598,7 +609,7 @@
         }
     }
 
-    /** A line for one message; {@code what} is put in words only where the line is written. */
+    /** Writes a debug line for a message; {@code what} is converted to text only if debug lines are enabled. */
     private static void trace(Message m, String event, Object what, Call call) {
         if (Logs.isDebug()) {
             String text = what.toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
@@ -620,8 +631,8 @@
         Call.Endpoint endpoint = endpoints.get(a.host());
         boolean isElsewhere = m != null && endpoint != null && endpoint.destination() != m.submission.destination();
         if (m == null || endpoint == null || m.out != null || isElsewhere) {
-            // Not held any more, as its client has gone: the module must still hear of this attempt.
-            counters.holds(m == null || m.out == null, a.id() + " has one attempt out at most");
+            // No longer pending, as its client has left: the decision module still needs an outcome of the attempt.
+            counters.holds(m == null || m.out == null, a.id() + " has at most one attempt in flight");
             counters.holds(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = m == null ? 0 : m.attempts++;
             events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, m == null, null));
@@ -636,7 +647,7 @@
             call = new Call(endpoint, now);
             starting.put(a.host(), call);
         }
-        counters.holds(endpoint.equals(call.endpoint), a.id() + " goes where its call goes");
+        counters.holds(endpoint.equals(call.endpoint), a.id() + " has the same endpoint as its call");
         m.attempts++;
         call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wall());
         if (endpoint.batch() > 1) {
@@ -645,7 +656,7 @@
         }
     }
 
-    /** The time of a message's attempt is up: it leaves a call that is not on its way yet, if others go. */
+    /** Removes a message whose attempt has expired from a call that was not sent yet, if others remain in it. */
     private void leave(Message m, Call call) {
         long before = call.expiresAt();
         call.leave(m);
@@ -655,7 +666,7 @@
         }
     }
 
-    /** Starts a call once the journal has its attempts; if it can't have them, nothing is sent. */
+    /** Starts a call once its attempts are recorded; if they can't be recorded, nothing is sent. */
     private void start(Call call) {
         long wall = clock.wall();
         boolean written = true;
@@ -673,7 +684,7 @@
         counters.add(Name.CALLS);
         call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
         journal.whenDurable(() -> {
-            if (call.open > 0) { // else it was given up before its attempts were on the disk
+            if (call.open > 0) { // else it was aborted before its attempts were durable
                 call.started = true;
                 run(() -> call.endpoint.deliverer().start(call));
             }
@@ -681,7 +692,8 @@
     }
 
     /**
-     * The call's time is up: one that is not on its way yet may go on without the first message, any other is given up.
+     * Handles the expiry of a call: one that was not sent yet may go on without its expired messages, any other is
+     * aborted.
      */
     private void expire(Call call) {
         call.leaveExpired(now);
@@ -700,7 +712,8 @@
         }
     }
 
-    // ---- messages ---------------------------------------------------------------------------------------
+    // Messages
+
     private void hold(Message m) {
         held.put(m.id(), m);
         claims.hold(m);
@@ -726,7 +739,7 @@
         boolean told = verdict.kind() != Kind.DELIVERED && verdict.kind() != Kind.GONE;
         if (told
                 || Identity.isShared(
-                        m.submission.identity())) { // a client that is away may be owed that it was delivered
+                        m.submission.identity())) { // a client that is away may have to be notified of the delivery
             journal.verdict(m.id(), verdict);
         }
         if (m.out != null) {
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 import lilaclever.log.Logs;
 
-/** What the program took in, sent and answered, and what should have held and did not. */
+/** Counters and gauges of messages, calls and attempts, and of broken invariants. */
 public final class Counters {
-    /** What is counted. */
+    /** Counter names; in lower case they are the names in the output, in this order. */
     public enum Name {
         HANDED_IN,
         TAKEN,
@@ -42,39 +42,39 @@
     private final Map<String, IntSupplier> gauges = new TreeMap<>();
     private final Map<String, LongSupplier> figures = new TreeMap<>();
 
-    /** All at nothing. */
+    /** Creates all counters at zero. */
     public Counters() {
         for (Name name : Name.values()) {
             values.put(name, new LongAdder());
         }
     }
 
-    /** One more. */
+    /** Increments a counter. */
     public void add(Name name) {
         values.get(name).increment();
     }
 
-    /** One attempt ended so. */
+    /** Counts an attempt that ended this way. */
     synchronized void ending(String ending) {
         endings.computeIfAbsent(ending, e -> new LongAdder()).increment();
     }
 
-    /** How many entries a map or a list has now: what grows on a long day is seen without guessing. */
+    /** Registers a gauge for the size of a collection, so that unbounded growth shows up. */
     public synchronized void gauge(String name, IntSupplier entries) {
         gauges.put(name, entries);
     }
 
-    /** A figure of a subsystem's, as it is now. */
+    /** Registers a gauge that is printed under its plain name. */
     public synchronized void figure(String name, LongSupplier value) {
         figures.put(name, value);
     }
 
-    /** The count. */
+    /** The current value of a counter. */
     public long get(Name name) {
         return values.get(name).sum();
     }
 
-    /** What must hold: asserted where assertions are on, counted and told elsewhere. */
+    /** Checks an invariant: an assertion error where assertions are enabled, else counted and logged. */
     public void holds(boolean good, String what) {
         assert good : what;
         if (!good) {
@@ -83,7 +83,10 @@
         }
     }
 
-    /** One line a count. Loop thread, as it alone changes what is counted in entries, or after its end. */
+    /**
+     * All values, one line each. To be called on the event loop, which alone modifies the collections behind the
+     * gauges, or after it has ended.
+     */
     public synchronized String text() {
         StringBuilder all = new StringBuilder();
         values.forEach((name, value) -> all.append(name.name().toLowerCase())
--- a/src/main/java/lilaclever/routing/Deadlines.java
+++ b/src/main/java/lilaclever/routing/Deadlines.java
@@ -2,9 +2,9 @@
 
 import java.util.TreeMap;
 
-/** All deadlines of the program, in order; the loop sweeps them each turn. Used from the loop thread only. */
+/** Timers of the event loop, which runs the due ones each turn. Used on the event loop only. */
 public final class Deadlines {
-    /** One entry; needed only to take it back. */
+    /** Identifies a scheduled action, for cancelling it; {@code order} keeps the order of equal times. */
     public record Key(long atMicros, long order) implements Comparable<Key> {
         @Override
         public int compareTo(Key other) {
@@ -16,33 +16,32 @@
     private final TreeMap<Key, Runnable> entries = new TreeMap<>();
     private long order;
 
-    /** Runs the action in the first turn at or past the time. */
+    /** Schedules the action for the first turn at or after the given time. */
     public Key at(long micros, Runnable action) {
         Key key = new Key(micros, order++);
         entries.put(key, action);
         return key;
     }
 
-    /** Takes an entry back; null and what has run are passed over. */
+    /** Cancels an action; no effect for null or if it has run already. */
     public void cancel(Key key) {
         if (key != null) {
             entries.remove(key);
         }
     }
 
-    /** How many there are. */
     int size() {
         return entries.size();
     }
 
-    /** The earliest time, or the given one if that is sooner. */
+    /** The earliest scheduled time, or the given time if that is sooner. */
     long soonest(long otherwise) {
         return entries.isEmpty()
                 ? otherwise
                 : Math.min(otherwise, entries.firstKey().atMicros());
     }
 
-    /** Runs what is due, in order; what an action adds for the past waits for the next sweep. */
+    /** Runs the due actions in order; those that they schedule meanwhile wait for the next call, even if due. */
     void sweep(long nowMicros) {
         long last = order;
         while (!entries.isEmpty()
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -11,14 +11,15 @@
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
- * Who is owed a message's end: whoever handed it in first, and whoever handed in the same message since, on whichever
- * port. {@link Identities} rules on what a hand-in is; here it is carried out and written to the journal. Loop thread.
+ * Keeps track of who is notified of a message's final status: the first submitter and those who submitted the same
+ * message later, on any front. {@link Identities} detects duplicates; this class applies the result and records it in
+ * the journal. Event loop.
  */
 final class DeduplicationTable {
-    /** Whoever comes later is asked to come again: a message's record is bounded. */
+    /** Submitters attached to a message beside the first; further ones are told to retry, to bound its record. */
     static final int MOST_JOINED = 8;
 
-    /** A front that is to tell the end, under the id that it knows the message by. */
+    /** A front to be notified of the final status, and the id under which it submitted the message. */
     record Claim(Front front, String id) {}
 
     private final Journal journal;
@@ -50,48 +51,48 @@
             }
         });
         while (journal.rememberedCount() > windows.most()) {
-            journal.forgetSoonest(); // an earlier life had room for more
+            journal.forgetSoonest(); // an earlier run had a higher limit
         }
         counters.gauge("identities", identities::size);
         counters.figure("identities_forgotten_early", identities::forgottenEarly);
     }
 
-    /** What the hand-in is. */
+    /** Checks whether the submission is a new message or a duplicate. */
     DuplicateCheck<Message, FinalStatus> rule(Message m, long wall) {
         return m.submission.identity() == null
                 ? new DuplicateCheck.Fresh<>()
                 : identities.rule(m.submission.identity(), m.content(), wall);
     }
 
-    /** The message is held from now on. */
+    /** Adds a message that is pending from now on. */
     void hold(Message m) {
         if (m.submission.identity() != null) {
             identities.hold(m.submission.identity(), m.content(), m);
         }
     }
 
-    /** The message is held no more. */
+    /** Removes a message that is no longer pending. */
     void release(Message m) {
         if (m.submission.identity() != null) {
             identities.release(m.submission.identity(), m);
         }
     }
 
-    /** The message was delivered or has failed: whoever hands it in again gets this end. */
+    /** Remembers the result of a message that was delivered or has failed, for later duplicates. */
     void ended(Message m, FinalStatus verdict, long wall) {
         if (m.submission.identity() != null && (verdict.kind() == Kind.DELIVERED || verdict.kind() == Kind.FAILED)) {
             identities.ended(m.submission.identity(), m.content(), m.submission.messageClass(), verdict, wall);
         }
     }
 
-    /** The end that an earlier life remembered of a message that it did not get to end, or null. */
+    /** The result that an earlier run remembered for a message without recording its end, or null. */
     FinalStatus earlierEnd(Message m) {
         return rule(m, Long.MIN_VALUE) instanceof DuplicateCheck.Again<Message, FinalStatus> again ? again.end() : null;
     }
 
     /**
-     * A front has handed in a message that is held, under an id of its own; false where no more can be owed the end.
-     * One that is not in the journal yet has its claims written behind it ({@link #written}).
+     * Attaches a submitter of a duplicate to the pending message; false if no more can be attached. If the message is
+     * not in the journal yet, its submitters are recorded after it ({@link #written}).
      */
     boolean join(Message m, Front front, String id) {
         Claim claim = new Claim(front, id);
@@ -107,7 +108,8 @@
     }
 
     /**
-     * The message has just been written: so are those who joined it in the turn of its hand-in; gives who could not.
+     * Records the submitters that were attached in the same turn, once the message itself is recorded; removes and
+     * returns those that could not be recorded.
      */
     List<Claim> written(Message m) {
         List<Claim> refused = new ArrayList<>();
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -1,29 +1,29 @@
 package lilaclever.routing;
 
-/** Carries calls to endpoints. All is called on the loop thread; outcomes go to {@link Core#outcome}. */
+/** Sends calls to endpoints. All methods are called on the event loop; outcomes go to {@link Core#outcome}. */
 public interface Deliverer {
-    /** Starts a call. Each of its messages gets one outcome. */
+    /** Starts a call. Exactly one outcome is reported for each of its messages. */
     void start(Call call);
 
-    /** Stops waiting for a call and closes its connection; the outcomes follow by the next turn. */
+    /** Aborts a call and closes its connection; the outcomes follow by the next turn. */
     void giveUp(Call call);
 
     /**
-     * A message that travels with others must not go any more: it has ended, or its time for this attempt is up. It
-     * leaves the call, as one that was not sent, if none of the call's bytes can have left. A connection that comes up
-     * later must not carry it.
+     * Removes a message that must no longer be sent from a call with several: it has its final status, or the attempt
+     * has expired. If no byte of the call can have been sent, the message leaves the call as not sent, and must not be
+     * written to a connection that is established later.
      */
     default void leaveOut(Call call, Message m) {}
 
     /**
-     * The call's endpoint is draining or gone: takes the call back if none of its bytes is written yet. Its messages
-     * end as withheld by the next turn. A call that is on its way goes on.
+     * Cancels a call whose endpoint is draining or was removed, if no byte of it has been written. Its attempts end as
+     * withheld by the next turn. A call that has been written, even in part, goes on.
      */
     void withdraw(Call call);
 
     /** Closes idle connections to an endpoint. */
     void closeIdle(Call.Endpoint endpoint);
 
-    /** Checks an endpoint; the answer goes to {@link Core#probed}. */
+    /** Probes an endpoint; the result goes to {@link Core#probed}. */
     void probe(Call.Endpoint endpoint);
 }
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -9,29 +9,32 @@
 import lilaclever.routing.EndpointMembership.Departure;
 
 /**
- * Endpoints that were heard to leave, each with the positions of the lists that said so. At most {@link #MOST} names;
- * the one that has been here longest goes first. Loop thread.
+ * Endpoints that lists have reported as departed, each with the positions of those lists. At most {@link #MOST} names;
+ * the oldest is evicted first. Event loop.
  */
 final class DepartureTable {
-    /** Names at most: more than the largest fleet has endpoints. */
+    /** More than the largest fleet has endpoints. */
     static final int MOST = 4_096;
 
-    /** Positions kept for one name, of several agents or one that counts anew; more are merged into stricter ones. */
+    /**
+     * Positions kept for one name, from several agents or from one whose indexes restarted; more are merged into
+     * stricter ones.
+     */
     private static final int MOST_POSITIONS = 4;
 
     private final Map<String, List<ListPosition>> positions = new LinkedHashMap<>();
-    /** The last contradictory list about a name, if nothing was heard since. */
+    /** The position of the last contradictory list about a name, if no list has reported a departure since. */
     private final Map<String, ListPosition> disputed = new HashMap<>();
 
     private boolean isChanged;
 
-    /** Starts with what an earlier process noted, oldest first. */
+    /** Starts with the departures that an earlier process stored, oldest first. */
     DepartureTable(List<Departure> noted) {
         noted.forEach(d -> hear(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
         isChanged = false;
     }
 
-    /** Has all that is known so far count as heard now: the clocks of two processes are not comparable. */
+    /** Sets the receive time of all departures to now: monotonic clocks of two processes are not comparable. */
     void restartClock(long nowMicros) {
         positions.replaceAll(
                 (name, all) -> all.stream().map(p -> p.heardAt(nowMicros)).toList());
@@ -45,7 +48,7 @@
         return positions.containsKey(name);
     }
 
-    /** A list says that the endpoint leaves or has left. */
+    /** Adds a departure: a list says that the endpoint is leaving or has left. */
     void hear(String name, ListPosition position) {
         disputed.remove(name);
         List<ListPosition> before = positions.get(name);
@@ -55,7 +58,7 @@
         removeOldest();
     }
 
-    /** The same where the list is contradictory: a sound one of the same index may bring the endpoint back. */
+    /** Adds a departure from a contradictory list: a valid list of the same index may bring the endpoint back. */
     void hearDisputed(String name, ListPosition position) {
         hear(name, position.before());
         if (position.isExact()) {
@@ -63,7 +66,7 @@
         }
     }
 
-    /** A whole list names none of the endpoints but those mentioned. */
+    /** Adds a departure for each known name that a whole list does not mention. */
     void hearAbsent(Set<String> mentioned, ListPosition position) {
         for (String name : List.copyOf(positions.keySet())) {
             if (mentioned.contains(name)) {
@@ -77,13 +80,13 @@
         }
     }
 
-    /** Whether a list of the same index was contradictory about the endpoint. */
+    /** Whether an earlier list of the same index was contradictory about the endpoint. */
     private boolean isDisputed(String name, ListPosition position) {
         ListPosition dispute = disputed.get(name);
         return dispute != null && dispute.isSamePlace(position);
     }
 
-    /** Keeps what still holds back some list that the new position does not. */
+    /** Adds a position and drops those that are expired or covered by it. */
     private static List<ListPosition> added(List<ListPosition> before, ListPosition position) {
         List<ListPosition> after = new ArrayList<>(before.size() + 1);
         for (ListPosition p : before) {
@@ -96,7 +99,7 @@
         return after.size() <= MOST_POSITIONS ? List.copyOf(after) : merged(after, position);
     }
 
-    /** Has all positions of an agent count as one, or all of them where there are too many agents. */
+    /** Merges the positions of each agent into one, or all positions into one if there are too many agents. */
     private static List<ListPosition> merged(List<ListPosition> all, ListPosition newest) {
         Map<String, ListPosition> strictest = new LinkedHashMap<>();
         all.forEach(p -> strictest.merge(p.agent(), p, ListPosition::strictest));
@@ -123,33 +126,33 @@
         }
     }
 
-    /** Whether a list at the given position may call the endpoint active: it is later than all departures. */
+    /** Whether a list at the given position may make the endpoint active: it is later than all departures. */
     boolean permits(String name, ListPosition list) {
         return positions.getOrDefault(name, List.of()).stream().allMatch(p -> p.permits(list));
     }
 
-    /** Whether any list may call the endpoint active. */
+    /** Whether any list may make the endpoint active. */
     boolean isExpired(String name, long nowMicros) {
         return positions.getOrDefault(name, List.of()).stream().allMatch(p -> p.isExpired(nowMicros));
     }
 
-    /** The endpoint is back. */
+    /** Removes an endpoint that is active again. */
     void remove(String name) {
         isChanged |= positions.remove(name) != null;
         disputed.remove(name);
     }
 
-    /** Whether names, agents or indexes differ from those last taken by {@link #noted}. */
+    /** Whether names, agents or indexes have changed since {@link #noted}. */
     boolean isChanged() {
         return isChanged;
     }
 
-    /** The departures are noted as they are now. */
+    /** Notes that the current departures are stored. */
     void noted() {
         isChanged = false;
     }
 
-    /** All of them, oldest name first, with times of the wall clock. */
+    /** All departures, oldest name first, with times on the wall clock. */
     List<Departure> all(long nowMicros, long wallMicros) {
         List<Departure> all = new ArrayList<>(positions.size());
         positions.forEach((name, at) -> at.forEach(
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -17,55 +17,56 @@
 import lilaclever.log.Logs;
 
 /**
- * What is believed of the lists of endpoints, whichever order and shape they come in. No I/O of its own. Loop thread.
+ * Decides which statements of endpoint lists to trust, in whatever order and shape the lists arrive. Does no I/O. Event
+ * loop.
  *
- * <p>A departure is believed at once, whatever list it is in: an entry that is leaving or has left, an absence from a
- * whole list, an entry that can't be used, entries that contradict each other. What has departed is active again only
- * where a list says so that is later than every departure heard: of the same agent, with a higher index. The index of
- * the list with the departure is not enough. Two kinds of departures count as one index lower, so that the next sound
- * list of the same index can bring the endpoint back: entries that contradict each other or can't be used, and an
- * absence where the same agent has called the endpoint active at that index. After {@link ListPosition#KEPT} any list
- * counts: discovery may have begun to count anew. An endpoint that has not departed is active once a list says so.
+ * <p>A departure is accepted at once, whatever list it is in: an entry that is leaving or has left, an absence from a
+ * whole list, an unusable entry, entries that contradict each other. A departed endpoint becomes active again only
+ * through a list that is later than every departure received: from the same agent, with a higher index. The index of
+ * the list with the departure itself is not enough. Two kinds of departure count as one index lower, so that the next
+ * valid list of the same index can bring the endpoint back: contradictory or unusable entries, and an absence where the
+ * same agent has listed the endpoint as active at that index. After {@link ListPosition#KEPT} any list is accepted, as
+ * the indexes may have restarted. An endpoint that has not departed is active once a list says so.
  *
- * <p>A list without an index counts as the newest that its agent has told for what departs, and brings nothing back.
- * Departures that an earlier process noted, and those in the list that a start begins with, count as heard when this
- * process hears its first list: nothing tells how the wall clock was set in between.
+ * <p>A list without an index counts as the newest list of its agent for departures, and activates no departed endpoint.
+ * Departures stored by an earlier process, and those in the initial list, count as received when this process receives
+ * its first list, as the wall clock may have been set in between.
  */
 public final class EndpointMembership {
-    /** Index of a list where it could not be read. */
+    /** Index of a list whose index could not be read. */
     public static final long NO_INDEX = -1;
 
     private static final String PART = "directory";
-    /** Agents whose newest index is kept; the configuration names another one now and then. */
+    /** Agents whose newest index is kept; a configuration change may name a new one. */
     private static final int MOST_AGENTS = 16;
-    /** Names in one line of the log. */
+    /** Names in one log line. */
     private static final int MOST_LOGGED = 5;
 
     /**
-     * One answer of a discovery agent, as far as it could be read.
+     * One response of a discovery agent, as far as it could be read.
      *
      * @param agent its address
      * @param index version of the list; {@link #NO_INDEX} where it could not be read
-     * @param isWhole it names every endpoint
-     * @param isCut it ended early or was too large, so that an absent name says nothing
-     * @param entries what could be read
-     * @param unusable names whose entry could not be used: no address, no group, a status that is not known
+     * @param isWhole it lists every endpoint, not only changes
+     * @param isCut it is truncated, so that the absence of a name has no meaning
+     * @param entries the usable entries
+     * @param unusable names with an unusable entry: no address, no group or an unknown status
      */
     public record ListUpdate(
             String agent, long index, boolean isWhole, boolean isCut, List<Core.Listed> entries, Set<String> unusable) {
-        /** True if a name that is not in it has left. */
+        /** True if an endpoint that is not in it has left. */
         boolean isComplete() {
             return isWhole && !isCut;
         }
     }
 
-    /** What the core is to hear; nothing if it is a change without entries. */
+    /** The update to pass to the core; none is needed for changes without entries. */
     public record Change(ListingKind kind, long version, List<Core.Listed> entries) {}
 
-    /** Where departures outlast the process. */
+    /** Persistent storage of departures. */
     public interface DepartureStore {
         /**
-         * Replaces all that is stored.
+         * Replaces all stored departures.
          *
          * @param departures oldest name first, at most 4,096 names and four departures of each
          */
@@ -73,22 +74,22 @@
     }
 
     /**
-     * An endpoint that was heard to leave. One that several agents' lists said so of has a departure for each.
+     * A departure of an endpoint, as reported by a list. There is one for each agent that reported it.
      *
-     * @param agent address of the agent whose list it was
-     * @param index version of the list from which on the endpoint is out
-     * @param atMicros when it was heard, wall clock, microseconds since 1970
+     * @param agent address of the agent that sent the list
+     * @param index the endpoint counts as departed at this list version; only lists with a higher one reactivate it
+     * @param atMicros when the list was received, wall clock, microseconds since 1970
      */
     public record Departure(String name, String agent, long index, long atMicros) {}
 
-    /** An endpoint as last told, and the newest list of the agent that told its address and destination last. */
+    /** An endpoint as last listed, and the newest position of the agent that last set its address and destination. */
     private record Known(Core.Listed listed, ListPosition position) {
         boolean isActive() {
             return listed.entry().presence() == Presence.ACTIVE;
         }
     }
 
-    /** What one list says of an endpoint. {@code isDisputed}: its entries contradict each other or can't be used. */
+    /** What one list says of an endpoint. {@code isDisputed}: its entries are contradictory or unusable. */
     private record Statement(Core.Listed listed, boolean isDisputed) {
         Presence presence() {
             return listed.entry().presence();
@@ -97,33 +98,33 @@
 
     private final DepartureStore store;
     private final DepartureTable departures;
-    /** All endpoints but those that have left, by name. */
+    /** All endpoints except those that have left, by name. */
     private final Map<String, Known> known = new HashMap<>();
     /** Names of active endpoints by their address. */
     private final Map<String, String> holders = new HashMap<>();
-    /** Names of endpoints that a list calls active, or has at another address, which is not believed yet. */
+    /** Names of endpoints that a list has as active, or at another address, without being accepted yet. */
     private final Set<String> withheld = new HashSet<>();
-    /** Those that the list being taken in has added. */
+    /** Names that the current update has added to {@link #withheld}. */
     private final List<String> newlyWithheld = new ArrayList<>();
-    /** The newest index of each agent, the one that was heard first goes first. */
+    /** The newest position of each agent; the agent that was added first is evicted first. */
     private final Map<String, ListPosition> newest = new LinkedHashMap<>();
 
     private boolean isClockStarted;
     private boolean isStoreFailing;
     private boolean contradictsKnown;
-    /** Only a whole list can tell what holds. */
+    /** Whether only a whole list can resolve a contradiction. */
     private boolean isDoubtful;
-    /** The list that is being taken in leaves a doubt. */
+    /** Whether the current update leaves a contradiction unresolved. */
     private boolean hasDoubt;
 
-    /** Of the newest list with an index, whatever its agent. */
+    /** Index of the last list that had one, whatever its agent. */
     private long version;
 
     /**
-     * Begins without endpoints.
+     * Starts without endpoints.
      *
-     * @param noted departures that earlier processes noted, oldest first
-     * @param store takes them in whenever they change
+     * @param noted departures that earlier processes stored, oldest first
+     * @param store saves the departures whenever they change
      */
     public EndpointMembership(List<Departure> noted, DepartureStore store) {
         this.departures = new DepartureTable(noted);
@@ -131,8 +132,8 @@
     }
 
     /**
-     * The list that a start begins with, which may be out of date: what an earlier process heard to leave stays out,
-     * whenever that was.
+     * Applies the initial list of a process, which may be outdated: endpoints whose departure an earlier process stored
+     * stay inactive, however old the departure is.
      */
     public Change remembered(long version, List<Core.Listed> listed) {
         this.version = version;
@@ -152,17 +153,17 @@
     }
 
     /**
-     * Whether the list that the start began with calls an endpoint active that an earlier process heard to leave, and
-     * no whole list has come since: the whole list must be asked for.
+     * Whether the initial list has an endpoint as active whose departure an earlier process stored, and no whole list
+     * has been received since: then the whole list must be requested.
      */
     public boolean contradictsKnown() {
         return contradictsKnown;
     }
 
     /**
-     * Whether only the whole list can tell what holds: after contradictory or unusable entries, changes that are not
-     * in order, and once an endpoint is withheld for no reason but a departure that no longer counts. To be asked after
-     * each answer; the caller sets the pace.
+     * Whether the whole list is needed: after contradictory or unusable entries or changes out of order, and once an
+     * endpoint is withheld only because of an expired departure. To be checked after each response; the caller limits
+     * the rate of requests.
      */
     public boolean needsWholeList(long nowMicros) {
         return contradictsKnown || isDoubtful || withheld.stream().anyMatch(name -> isFree(name, nowMicros));
@@ -174,17 +175,17 @@
                 : known.get(name).position().isExpired(nowMicros);
     }
 
-    /** Endpoints that count as departed. */
+    /** How many endpoints count as departed. */
     public int departureCount() {
         return departures.size();
     }
 
     /**
-     * Takes an answer in, and stores departures if they have changed.
+     * Applies a response of an agent, and stores the departures if they have changed.
      *
-     * @param nowMicros the loop's clock
-     * @param wallMicros the wall clock
-     * @return what the core is to hear, never null; its entries may be empty
+     * @param nowMicros time on the event loop's clock
+     * @param wallMicros time on the wall clock
+     * @return the update to pass to the core, never null; its entries may be empty
      */
     public Change update(ListUpdate update, long nowMicros, long wallMicros) {
         startClock(nowMicros);
@@ -206,7 +207,7 @@
         return new Change(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, told);
     }
 
-    /** A whole list that is as doubtful as the one before of the same index need not be asked for again. */
+    /** A whole list that is as contradictory as the previous one of the same index is not requested again. */
     private void settleDoubt(ListUpdate update) {
         if (update.isComplete()) {
             contradictsKnown = false;
@@ -216,7 +217,7 @@
         }
     }
 
-    /** What was known before the first list counts as heard now. */
+    /** Makes everything known before the first list count as received now. */
     private void startClock(long nowMicros) {
         if (!isClockStarted) {
             isClockStarted = true;
@@ -232,7 +233,7 @@
         return new ListPosition(update.agent(), index, isExact, nowMicros);
     }
 
-    /** Changes build on the list before; those of an older list do not. */
+    /** Whether these are changes to an older list than the newest one, so that intermediate changes are missing. */
     private boolean isOlderChange(ListUpdate update, ListPosition position) {
         ListPosition last = newest.get(update.agent());
         return !update.isWhole() && last != null && isOlder(position, last);
@@ -248,7 +249,7 @@
         }
     }
 
-    /** What the entries say of each name; null for names that have no entry that can be used. */
+    /** What the entries say of each name; null for an unknown name without a usable entry. */
     private Map<String, Statement> statements(List<Core.Listed> entries, Set<String> unusable) {
         Map<String, Statement> statements = new LinkedHashMap<>(2 * entries.size());
         Set<String> twice = new LinkedHashSet<>();
@@ -260,7 +261,7 @@
             }
         }
         if (!twice.isEmpty()) {
-            Logs.warn(PART, "entry-twice", "more than one entry in a list: " + shortened(twice));
+            Logs.warn(PART, "entry-twice", "more than one entry in a list for: " + shortened(twice));
         }
         for (String name : unusable) {
             Known before = known.get(name);
@@ -271,7 +272,7 @@
         return statements;
     }
 
-    /** Two entries of one endpoint: the most cautious presence; without a clear address it can't be active. */
+    /** Merges two entries of an endpoint: the more cautious presence, never active if their targets differ. */
     private Statement joined(Statement one, Core.Listed other) {
         Presence presence = other.entry().presence();
         if (isSameTarget(one.listed(), other)) {
@@ -287,7 +288,7 @@
         return listed.entry().presence() == Presence.ACTIVE ? listed.withPresence(Presence.LEAVING) : listed;
     }
 
-    /** What the core is to hear for one statement: of the endpoint, and of another one whose address it has now. */
+    /** The core's updates for one statement: the endpoint, and possibly another whose address it has taken over. */
     private List<Core.Listed> heard(
             String name, Statement statement, ListUpdate update, Set<String> mentioned, ListPosition position) {
         if (statement == null) {
@@ -331,7 +332,8 @@
             Logs.warn(
                     PART,
                     "not-believed",
-                    "list " + position.index() + " of " + position.agent() + " is not later than what it contradicts: "
+                    "list " + position.index() + " of " + position.agent()
+                            + " is not later than what it contradicts; not applied to: "
                             + shortened(newlyWithheld));
             newlyWithheld.clear();
         }
@@ -376,7 +378,7 @@
         return keep(listed, position);
     }
 
-    /** Whether it is of the same agent and out of order, or of no order at all. */
+    /** Whether it is out of order with an unexpired position of the same agent, or has no index. */
     private static boolean isOlder(ListPosition position, ListPosition than) {
         boolean isOutOfOrder = position.agent().equals(than.agent()) && position.index() < than.index();
         return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.heardMicros());
@@ -390,8 +392,8 @@
     }
 
     /**
-     * Has an endpoint depart whose address a list of changes gives to another name, if that list is later: two names
-     * share an address only where one list says so. Null if there is none.
+     * If changes give an address to another name, and their list is later, marks the former holder of the address as
+     * departed: two names share an address only if a single list says so. Null if there is no such endpoint.
      */
     private Core.Listed removedHolder(Core.Listed listed, Set<String> mentioned, ListPosition position) {
         String holder = holders.get(address(listed));
@@ -406,13 +408,13 @@
         return depart(new Statement(before.listed().withPresence(Presence.LEAVING), true), position);
     }
 
-    /** Whether the endpoint is active at that address already. */
+    /** Whether the endpoint is already active at that address. */
     private boolean isAt(Core.Listed listed) {
         Known before = known.get(name(listed));
         return before != null && before.isActive() && address(before.listed()).equals(address(listed));
     }
 
-    /** A whole list: what it does not mention has left. */
+    /** Removes the endpoints that a whole list does not mention. */
     private void removeAbsent(Set<String> mentioned, ListPosition position) {
         departures.hearAbsent(mentioned, position);
         for (Iterator<Map.Entry<String, Known>> all = known.entrySet().iterator(); all.hasNext(); ) {
@@ -431,7 +433,7 @@
         ListPosition said = before.position();
         boolean isContradiction = said.isExact() && position.isComparableWith(said) && position.index() == said.index();
         if (departures.contains(name)) {
-            return; // heard with all others that had departed before
+            return; // already handled together with all departed endpoints
         }
         if (isContradiction || !position.isExact()) {
             hasDoubt = true;
@@ -451,9 +453,9 @@
             isStoreFailing = false;
         } catch (IOException e) {
             if (!isStoreFailing) {
-                Logs.error(PART, "departures-not-noted", "endpoints that have left can't be noted: " + e);
+                Logs.error(PART, "departures-not-noted", "departed endpoints could not be saved: " + e);
             }
-            isStoreFailing = true; // they stay changed, so the next list tries again
+            isStoreFailing = true; // still marked as changed, so the next list retries
         }
     }
 
--- a/src/main/java/lilaclever/routing/FinalStatus.java
+++ b/src/main/java/lilaclever/routing/FinalStatus.java
@@ -1,10 +1,16 @@
 package lilaclever.routing;
 
-/** How a message ended; {@code comeBackMicros} goes with REFUSED (0: no advice). {@code detail} is for people. */
+/**
+ * The final status of a message.
+ *
+ * @param comeBackMicros with REFUSED, after how long the client should retry; 0: no advice
+ * @param detail human-readable explanation
+ */
 public record FinalStatus(Kind kind, long comeBackMicros, String detail) {
     /**
-     * The three ends; GONE: the client has withdrawn, nothing is owed; CLASH: not taken on, as another message has the
-     * same identity. The order is part of the journal's format.
+     * DELIVERED, REFUSED and FAILED are reported to the client. GONE: the client has withdrawn, so there is nothing to
+     * report. CLASH: not accepted, as a message with other content has the same identity. The ordinals are stored in
+     * the journal, so the order must not change.
      */
     public enum Kind {
         DELIVERED,
@@ -14,7 +20,7 @@
         CLASH
     }
 
-    /** An end with nothing more to say. */
+    /** A status without retry advice and detail. */
     public static FinalStatus of(Kind kind) {
         return new FinalStatus(kind, 0, "");
     }
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -1,30 +1,36 @@
 package lilaclever.routing;
 
-/** Where messages come from. All is called on the loop thread. */
+/** A client-facing protocol server. All methods are called on the event loop. */
 public interface Front {
-    /** The name under which the journal remembers whose message it is. */
+    /** The name that identifies this front in the journal. */
     String name();
 
-    /** The message is in the journal: the client may be told. */
+    /** The message is recorded durably, so its acceptance may be reported to the client. */
     void taken(Message message);
 
-    /** The message was turned down in the turn of its hand-in; nothing is owed. */
+    /** The message was rejected in the turn in which it was submitted; no final status follows. */
     void turnedDown(Message message, FinalStatus verdict);
 
-    /** True where a message that comes again is asked for by the same client: one claim on its end is enough. */
+    /**
+     * True if duplicates come from the same client, asking again for the result: then one submitter of this front is
+     * notified for each message.
+     */
     default boolean asksAgain() {
         return false;
     }
 
-    /** A hand-in that joined a message could not be owed its end after all; of fronts whose identities are shared. */
+    /**
+     * A duplicate that was attached to a pending message could not be recorded and will not be notified. Called only on
+     * fronts that use shared identities.
+     */
     default void notJoined(Message message, String id, FinalStatus verdict) {
         throw new IllegalStateException(name() + " shares no identities");
     }
 
     /**
-     * A message taken on has ended. Runs {@code settled} when nothing more is owed to the client.
+     * An accepted message has its final status. The front runs {@code settled} once its client is notified.
      *
-     * @param id the id under which it was handed in here: the message's own, or that of a hand-in that joined it
+     * @param id the id under which this front submitted it: the message's own, or that of an attached duplicate
      */
     void ended(Message message, String id, FinalStatus verdict, Runnable settled);
 }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -6,63 +6,63 @@
 import lilaclever.identity.CompletedMessage;
 
 /**
- * What the core asks of the log that outlasts the process: each record is written before its consequence. All is
- * called on the loop thread. A record that must not be missing before something happens ({@link #taken},
- * {@link #attempt}) is refused with false where it could not be written, and then nothing has happened; all others are
- * kept in mind by the journal and written as soon as it can.
+ * The write-ahead log of the core: each record is written before its consequence. All methods are called on the event
+ * loop. Records that must exist before something happens ({@link #taken}, {@link #attempt}, {@link #joined}) return
+ * false if they could not be written, and then have no effect; the journal keeps all others in memory and writes them
+ * as soon as it can.
  */
 public interface Journal extends AutoCloseable {
-    /** Tells where tasks for the loop are taken, for what other threads of the journal have to say. */
+    /** Sets the executor of the event loop, to which the journal's own threads post their callbacks. */
     void attach(Executor loop);
 
-    /** Takes a message on; false if there is no room for it, and then it is not taken on. */
+    /** Records an accepted message; false if there is no room for it, and then it must not be accepted. */
     boolean taken(String front, Submission submission, long deadlineWall, long nowWall);
 
-    /** An attempt is about to be made; false if that could not be written, and then it must not be made. */
+    /** Records an attempt before it is made; false if it could not be written, and then it must not be made. */
     boolean attempt(String id, String host, int zone, long wall);
 
-    /** An attempt has ended. */
+    /** Records the end of an attempt. {@code neverRan}: the endpoint certainly did not process the message. */
     void outcome(String id, boolean neverRan);
 
-    /** The message's end is decided and owed to its client. */
+    /** Records the final status, of which the submitters are still to be notified. */
     void verdict(String id, FinalStatus verdict);
 
-    /** Nothing more is owed. */
+    /** Records that nothing more is to be done for the message. */
     void ended(String id);
 
     /**
-     * Somebody else has handed in a message that is held, and is owed its end too under an id of their own; false if
-     * that could not be written, and then nothing is owed.
+     * Records another submitter of a pending message, to be notified of its final status as well; false if it could not
+     * be written, and then that submitter is not notified.
      */
     boolean joined(String id, String front, String claim);
 
-    /** The end is to be given again to whoever resends the message, until its time. */
+    /** Remembers a final status until its expiry, as the answer to duplicates of the message. */
     void remember(String identity, CompletedMessage<FinalStatus> past);
 
-    /** The same for an end whose message is not compared. */
+    /** Remembers a final status for an identity whose duplicates are not compared by content. */
     default void remember(String identity, FinalStatus verdict, long untilWall) {
         remember(identity, new CompletedMessage<>(verdict, null, untilWall));
     }
 
-    /** The end that is remembered of a message, or null. */
+    /** The final status that is remembered for an identity, or null. */
     CompletedMessage<FinalStatus> remembered(String identity);
 
-    /** Forgets the remembered end whose time is up soonest. */
+    /** Forgets the remembered final status that expires first. */
     void forgetSoonest();
 
-    /** All that is owed an end, in the order of taking on or later. */
+    /** Messages that were accepted and are not settled, in order of acceptance or later. */
     Collection<PendingMessage> owed();
 
-    /** How many ends are remembered. */
+    /** How many final statuses are remembered. */
     int rememberedCount();
 
     /**
-     * Runs what must not happen before all records written so far would outlast a failure of the machine: at once
-     * where the journal does not promise that, else in a later turn.
+     * Runs the task once all records written so far would survive a failure of the machine, in a later turn; at once if
+     * the journal is not configured to guarantee that.
      */
     void whenDurable(Runnable consequence);
 
-    /** The journal's own work, a bounded slice of it; called once a turn. */
+    /** Does a bounded amount of maintenance work, such as compaction; called once a turn. */
     void tidy(long nowWall);
 
     @Override
--- a/src/main/java/lilaclever/routing/ListPosition.java
+++ b/src/main/java/lilaclever/routing/ListPosition.java
@@ -1,24 +1,24 @@
 package lilaclever.routing;
 
 /**
- * Where in the sequence of lists something was said: enough to tell whether another list is later.
+ * The position of a list in the sequence of lists: tells whether another list is later.
  *
  * @param agent address of the discovery agent; indexes of different agents are not comparable
  * @param index version of the list
- * @param isExact false where the list's own index is not known, and the newest that its agent has told stands for it
- * @param heardMicros when it was heard, by the loop's clock, microseconds
+ * @param isExact false if the list has no index, and the newest index of its agent is used instead
+ * @param heardMicros when the list was received, on the event loop's clock, microseconds
  */
 record ListPosition(String agent, long index, boolean isExact, long heardMicros) {
-    /** Stands for the agent where the list came with the configuration; its index is comparable with any agent's. */
+    /** Used as agent of the list that the process starts with; its index is comparable with any agent's. */
     static final String KNOWN_LIST = "known";
 
-    /** Stands for the agent where several lists count, whose indexes are comparable with no other list's. */
+    /** Used as agent of a position merged from several agents; its index is comparable with no list's. */
     private static final String SEVERAL_LISTS = "several";
 
-    /** How long a position holds back lists that are not later, microseconds; discovery may count anew after that. */
+    /** How long a position holds back lists that are not later; after that, the indexes may have restarted. */
     static final long KEPT = 60_000_000;
 
-    /** Whether a list at the given position may contradict what was said here. */
+    /** Whether a list at the given position may contradict the list at this position. */
     boolean permits(ListPosition list) {
         return isExpired(list.heardMicros) || list.isLaterThan(this);
     }
@@ -39,17 +39,17 @@
         return index == other.index && agent.equals(other.agent);
     }
 
-    /** One that permits no list that either does not; both are of one agent. */
+    /** The position that permits only lists permitted by both; both are of the same agent. */
     ListPosition strictest(ListPosition other) {
         return new ListPosition(agent, Math.max(index, other.index), isExact, Math.max(heardMicros, other.heardMicros));
     }
 
-    /** A position heard at the same time that no list is later than. */
+    /** A position received at the same time, than which no list is later until it expires. */
     ListPosition laterThanAny() {
         return new ListPosition(SEVERAL_LISTS, index, isExact, heardMicros);
     }
 
-    /** The position just before, as late as any that the list itself is later than. */
+    /** The position one index lower, so that a list of the same index is later. */
     ListPosition before() {
         return new ListPosition(agent, index - 1, isExact, heardMicros);
     }
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -11,27 +11,27 @@
 import lilaclever.log.Logs;
 
 /**
- * Endpoints that operators have taken out by hand. Whatever the list says of one, the core hears that it is leaving,
- * until it is put back: then it hears what the list says now. Noted before the operator is told so, since it outlasts
- * the process. Between the directory and the core; loop thread.
+ * Endpoints suspended manually by operators. While the directory lists such an endpoint as active, the core is told
+ * that it is leaving; once it is restored, the core gets its listed state again. The suspended ids are stored before
+ * the operator gets the answer, as they persist across restarts. Sits between the directory and the core; event loop.
  */
 public final class ManualDrains {
-    /** Ids that are remembered as listed, oldest first out: a call for one that was never listed is refused. */
+    /** Listed ids to remember; departed ones are evicted oldest first. Commands for ids never listed are refused. */
     private static final int MOST_KNOWN = 50_000;
-    /** Endpoints out at once, as many as the largest fleets have: the note has to fit on the disk. */
+    /** Endpoints suspended at once, as many as the largest fleets have: bounded so that the file fits on the disk. */
     static final int MOST_OUT = 1_024;
-    /** Longer than any id, shorter than what would fill the note. */
+    /** Longer than any id, and short enough to bound the size of the file. */
     private static final int LONGEST = 64;
-    /** What the note takes at the most, a line for each. */
+    /** Largest size of the stored ids, one line each. */
     public static final long NOTE_BYTES = MOST_OUT * (LONGEST + 1);
 
-    /** Where the ids outlast the process. */
+    /** Persistent storage of the suspended ids. */
     public interface Note {
-        /** Replaces the ids that are noted. */
+        /** Replaces the stored ids. */
         void write(Set<String> ids) throws IOException;
     }
 
-    /** A call that can't be carried out; the message is for the operator. */
+    /** Thrown if a command can't be executed; the message is shown to the operator. */
     public static final class Refused extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -43,12 +43,12 @@
     private final Core core;
     private final Note note;
     private final Set<String> out;
-    /** What the list said last of each endpoint; one that has left stays known by its name. */
+    /** The last listed state of each endpoint by name, including endpoints that have left. */
     private final Map<String, Core.Listed> listed = new LinkedHashMap<>();
 
     private long version;
 
-    /** With the ids that an earlier life noted. */
+    /** Starts with the ids that an earlier run stored. */
     public ManualDrains(Core core, Set<String> noted, Note note) {
         this.core = core;
         this.note = note;
@@ -57,19 +57,23 @@
         core.counters().gauge("listed", listed::size);
     }
 
-    /** News of the list on their way to the core. */
+    /** Passes a list or changes from the directory on to the core. */
     public void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> news) {
         core.listing(kind, version, heard(kind, version, news));
     }
 
-    /** Takes news in and gives what the core may hear of it: at the start the core is told by its host. */
+    /**
+     * Records the listed states and returns what to pass to the core, with suspended endpoints as leaving. Called
+     * directly for the initial list, which the core gets from the program.
+     */
     public List<Core.Listed> heard(DecisionModule.ListingKind kind, long version, List<Core.Listed> news) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
-            listed.replaceAll((host, x) -> x.withPresence(DecisionModule.Presence.LEFT)); // but for what follows
+            // Endpoints in the whole list are set again below.
+            listed.replaceAll((host, x) -> x.withPresence(DecisionModule.Presence.LEFT));
         }
         for (Core.Listed x : news) {
-            listed.remove(x.entry().host()); // the last that was heard of goes last
+            listed.remove(x.entry().host()); // moves it to the end of the eviction order
             listed.put(x.entry().host(), x);
         }
         for (var i = listed.entrySet().iterator(); listed.size() > MOST_KNOWN && i.hasNext(); ) {
@@ -88,7 +92,7 @@
         return told;
     }
 
-    /** Takes the endpoint out, from the next turn on. A second call changes nothing. */
+    /** Suspends the endpoint from the next turn on; no effect if it is suspended already. */
     public void suspend(String id) throws Refused {
         Core.Listed now = known(id);
         if (out.contains(id)) {
@@ -102,11 +106,11 @@
             out.remove(id);
             throw new Refused(id + ": can't be noted on disk, so it stays in");
         }
-        Logs.info("", "suspended", id + " is out by hand", "endpoint", id);
+        Logs.info("", "suspended", id + " was suspended by an operator", "endpoint", id);
         tell(now);
     }
 
-    /** Puts it back, however often it was taken out. */
+    /** Restores the endpoint, however often it was suspended. */
     public void restore(String id) throws Refused {
         Core.Listed now = known(id);
         if (!out.remove(id)) {
@@ -116,7 +120,7 @@
             out.add(id);
             throw new Refused(id + ": can't be noted on disk, so it stays out");
         }
-        Logs.info("", "restored", id + " is back", "endpoint", id);
+        Logs.info("", "restored", id + " was restored by an operator", "endpoint", id);
         tell(now);
     }
 
@@ -139,7 +143,7 @@
             note.write(out);
             return true;
         } catch (IOException e) {
-            Logs.error("", "suspension-not-noted", "endpoints out by hand can't be noted: " + e);
+            Logs.error("", "suspension-not-noted", "suspended endpoints could not be saved: " + e);
             return false;
         }
     }
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -6,17 +6,17 @@
 import lilaclever.identity.Fingerprint;
 import lilaclever.identity.Identity;
 
-/** A message in the core's hands. */
+/** A message in the core, from submission until it is settled. */
 public final class Message {
+    /** Age of an attempt whose time is not known: one day. */
     private static final long LONG_AGO = 86_400_000_000L;
 
-    /** What the front handed in. */
     public final Submission submission;
-    /** Where it came from. */
+    /** The front that submitted it first. */
     public final Front front;
-    /** When its time is up, on the wall clock, microseconds: this outlasts the process. */
+    /** Deadline on the wall clock, microseconds, since it has to hold across restarts. */
     final long deadlineWall;
-    /** Who is owed its end: whoever handed it in, and whoever handed in the same since. */
+    /** Who is notified of the final status: the submitter, and those who submitted a duplicate since. */
     final List<DeduplicationTable.Claim> claims = new ArrayList<>(1);
 
     private Fingerprint content;
@@ -26,17 +26,19 @@
     boolean resumed;
     int attempts;
     Call out;
-    /** When it must not go with that call any more, and when its time is up, by the loop's clock, microseconds. */
+    /** From when on it must not be sent with the current call, on the event loop's clock, microseconds. */
     long writeBy;
 
+    /** Deadline on the event loop's clock, microseconds; set with each call. */
     long deadline;
 
+    /** Whether some endpoint may have processed it; the fields below describe the first such attempt. */
     boolean mayHaveRun;
     String riskHost = "";
     int riskZone;
     long riskWall;
     FinalStatus verdict;
-    /** What the last endpoint said, for people. */
+    /** Human-readable response of the last endpoint. */
     public String lastWord = "";
 
     Message(Submission submission, Front front, long deadlineWall) {
@@ -46,7 +48,7 @@
         claims.add(new DeduplicationTable.Claim(front, submission.id()));
     }
 
-    /** What it says, where that is compared; else null. */
+    /** The fingerprint of its content where duplicates are compared by content, else null. */
     Fingerprint content() {
         if (content == null && Identity.isShared(submission.identity())) {
             content = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
@@ -54,22 +56,22 @@
         return content;
     }
 
-    /** The id. */
+    /** The id under which the front submitted it. */
     public String id() {
         return submission.id();
     }
 
-    /** True until the message has ended. */
+    /** True until the message has its final status. */
     public boolean isOpen() {
         return !over;
     }
 
-    /** True once it is in the journal for good: whoever asks may be told. */
+    /** True once it is recorded durably, so that its acceptance may be reported. */
     public boolean isTakenOn() {
         return told;
     }
 
-    /** How it ended; null while it is open. */
+    /** The final status, or null while it is open. */
     public FinalStatus verdict() {
         return verdict;
     }
@@ -84,7 +86,7 @@
     }
 
     DecisionModule.Event.Submit submit(long nowMono, long nowWall) {
-        // An attempt can't be younger than now: the clock was set back, and it may be of any age.
+        // An attempt in the future means that the clock was set back, so its age is not known.
         long since = nowWall < riskWall ? LONG_AGO : nowWall - riskWall;
         DecisionModule.Prior prior =
                 resumed ? new DecisionModule.Prior(attempts, mayHaveRun, riskHost, riskZone, nowMono - since) : null;
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -4,9 +4,9 @@
 import java.util.Collections;
 import java.util.List;
 
-/** What the journal knows of a message that was taken on and has not ended. Used from one thread at a time. */
+/** The journal's state of a message that was accepted and is not settled. Used from one thread at a time. */
 public final class PendingMessage {
-    /** Somebody who is owed the end, beside whoever handed the message in first: a front, and its id there. */
+    /** A further submitter to be notified of the final status: a front, and the message's id there. */
     public record Claim(String front, String id) {}
 
     private final String front;
@@ -24,24 +24,24 @@
     private FinalStatus verdict;
     private List<Claim> joined = List.of();
 
-    /** A message just taken on; the deadline on the wall clock, microseconds. */
+    /** A message that was just accepted; the deadline is on the wall clock, microseconds. */
     public PendingMessage(String front, Submission submission, long deadlineWall) {
         this.front = front;
         this.submission = submission;
         this.deadlineWall = deadlineWall;
     }
 
-    /** The name of the front that it came from. */
+    /** The name of the front that submitted it first. */
     public String front() {
         return front;
     }
 
-    /** What was handed in. */
+    /** The message as it was submitted. */
     public Submission submission() {
         return submission;
     }
 
-    /** When its time is up, on the wall clock, microseconds. */
+    /** The deadline on the wall clock, microseconds. */
     public long deadlineWall() {
         return deadlineWall;
     }
@@ -51,7 +51,7 @@
         return attempts;
     }
 
-    /** True while an attempt is out. */
+    /** True while an attempt is in flight. */
     public boolean isOut() {
         return out;
     }
@@ -66,52 +66,52 @@
         return zone;
     }
 
-    /** When the last attempt was made, on the wall clock. */
+    /** When the last attempt was made, wall clock, microseconds. */
     public long sentWall() {
         return sentWall;
     }
 
-    /** True if an attempt that has ended may have run. */
+    /** True if an endpoint may have processed the message in an attempt that has ended. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** The endpoint of the first attempt that may have run; empty if not known. */
+    /** The endpoint of the first attempt that may have been processed; empty if not known. */
     public String riskHost() {
         return riskHost;
     }
 
-    /** Its zone. */
+    /** The zone of that attempt. */
     public int riskZone() {
         return riskZone;
     }
 
-    /** When it was made, on the wall clock. */
+    /** When that attempt was made, wall clock, microseconds. */
     public long riskWall() {
         return riskWall;
     }
 
-    /** The end that is decided and not yet told, or null. */
+    /** The final status of which not all submitters are notified yet, or null. */
     public FinalStatus verdict() {
         return verdict;
     }
 
-    /** Who else is owed the end. */
+    /** Submitters to be notified beside the first. */
     public List<Claim> joined() {
         return Collections.unmodifiableList(joined);
     }
 
-    /** Somebody else is owed the end; passed over if that is known. */
+    /** Adds a submitter; no effect if it is there already. */
     public void join(Claim claim) {
         if (joined.isEmpty()) {
-            joined = new ArrayList<>(1); // most messages have none
+            joined = new ArrayList<>(1); // most messages have no further submitter
         }
         if (!joined.contains(claim)) {
             joined.add(claim);
         }
     }
 
-    /** An attempt is made. */
+    /** Notes an attempt that is made. */
     public void attempt(String toHost, int toZone, long wall) {
         attempts++;
         out = true;
@@ -120,7 +120,7 @@
         sentWall = wall;
     }
 
-    /** The attempt that was out has ended. */
+    /** Notes the end of the attempt in flight. */
     public void outcome(boolean neverRan) {
         out = false;
         if (!neverRan) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** An attempt may have run; only the first counts. */
+    /** Notes an attempt that may have been processed; only the first one is kept. */
     public void risk(String atHost, int atZone, long atWall) {
         if (!mayHaveRun) {
             mayHaveRun = true;
@@ -138,18 +138,20 @@
         }
     }
 
-    /** Records are lost, an attempt's among them perhaps: it counts as one made, and run, as early as can be. */
+    /**
+     * Assumes an attempt whose record may be lost: at least one was made and may have been processed, at the earliest
+     * possible time.
+     */
     public void doubt() {
         attempts = Math.max(1, attempts);
         risk(host, zone, deadlineWall - submission.budgetMicros());
     }
 
-    /** The end is decided. */
     public void verdict(FinalStatus end) {
         verdict = end;
     }
 
-    /** Sets all that attempts have left behind, as a record of the whole message has it. */
+    /** Restores the state of the attempts from a record of the whole message. */
     public void past(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
         attempts = made;
         out = isOut;
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -4,35 +4,33 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * Until when nothing may go to a destination, or to one of its endpoints where these are routes apart, since it has
- * asked for that. The module has its own memory of it and decides by that; this one is for the place where answers are
- * read and calls are written: a call may have been decided before a wait was told, and come to its connection after.
+ * Retry-after periods: until when nothing may be sent to a destination, or to one of its endpoints if these have their
+ * own limits. The decision module has its own view of them; this table is used at the point where responses are read
+ * and calls are written, since a retry-after may arrive after a call was decided and before the call gets a connection.
  * Any thread.
  */
 public final class RetryAfterTable {
     private final Map<Object, Long> ends = new ConcurrentHashMap<>();
 
-    /** What a wait told by this endpoint binds. */
+    /** What a retry-after of this endpoint applies to. */
     private static Object route(Call.Endpoint endpoint) {
         return endpoint.apart() ? endpoint.host() : (Object) endpoint.destination();
     }
 
-    /** The endpoint has asked for a wait; a shorter one does not end a longer one. */
+    /** Records a retry-after of the endpoint; a shorter period does not cut a longer one short. */
     public void told(Call.Endpoint endpoint, long untilMicros) {
         ends.merge(route(endpoint), untilMicros, Math::max);
     }
 
-    /** How long a wait that binds the endpoint still lasts; 0 if there is none. */
+    /** The rest of the retry-after period that applies to the endpoint; 0 if there is none. */
     public long left(Call.Endpoint endpoint, long nowMicros) {
         return Math.max(0, ends.getOrDefault(route(endpoint), nowMicros) - nowMicros);
     }
 
-    /** Forgets what is over. */
     public void sweep(long nowMicros) {
         ends.values().removeIf(end -> end <= nowMicros);
     }
 
-    /** How many are kept. */
     public int size() {
         return ends.size();
     }
--- a/src/main/java/lilaclever/routing/Submission.java
+++ b/src/main/java/lilaclever/routing/Submission.java
@@ -1,12 +1,14 @@
 package lilaclever.routing;
 
 /**
- * One message as a front hands it in.
+ * One message as a front submits it.
  *
- * @param id the name under which the front, the endpoints and the notices know it
- * @param identity the same for each resending of the message, where its end is to be remembered; else null
+ * @param id identifies the message to the front, to the endpoints and in notices
+ * @param identity equal for all duplicates of the message; null if its result is not remembered
  * @param key the idempotency key, or null
- * @param budgetMicros how long it may still be delivered
+ * @param again the client marks it as a retry
+ * @param inherited the client marks it as a retry with the value "again"
+ * @param budgetMicros time left until its deadline
  */
 public record Submission(
         String id,
--- a/src/main/java/lilaclever/transport/AddressSet.java
+++ b/src/main/java/lilaclever/transport/AddressSet.java
@@ -9,17 +9,17 @@
 import java.util.Collection;
 
 /**
- * Networks and addresses in a trie: whether an address is among them costs a walk down its bits, however many networks
- * there are. An IPv4 address that comes as an IPv6 one (::ffff:10.0.0.1) counts as IPv4.
+ * A set of IP networks and addresses in a trie: a lookup takes time by the length of the address, not by the number of
+ * networks. IPv4-mapped IPv6 addresses (::ffff:10.0.0.1) count as IPv4.
  */
 public final class AddressSet {
     private final IPv4AddressTrie v4 = new IPv4AddressTrie();
     private final IPv6AddressTrie v6 = new IPv6AddressTrie();
 
     /**
-     * Reads networks such as 10.0.0.0/8, ::1 or 192.168.7.9.
+     * Parses networks and addresses such as 10.0.0.0/8, ::1 or 192.168.7.9.
      *
-     * @throws IllegalArgumentException names the text that is none
+     * @throws IllegalArgumentException if a text is not valid; the message names it
      */
     public AddressSet(Collection<String> networks) {
         networks.forEach(this::add);
--- a/src/main/java/lilaclever/transport/ConnectionPool.java
+++ b/src/main/java/lilaclever/transport/ConnectionPool.java
@@ -9,10 +9,11 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * Idle connections by endpoint, the last used first. Used from the loop thread only. A connection is dropped before
- * the endpoint would close it: a request that crosses that closing ends as a reset and may have run.
+ * Idle connections by endpoint; the most recently used is taken first. Used on the event loop only. A connection is
+ * closed before the endpoint would close it: a request that crosses the endpoint's close ends as a connection reset,
+ * and then it is not known whether it was processed.
  *
- * @param <C> a connection: a socket's, or a rehearsal's in virtual time
+ * @param <C> the connection type: a socket, or a simulated connection in virtual time
  */
 public final class ConnectionPool<C> {
     private record Idle<C>(C connection, long sinceMicros) {}
@@ -24,7 +25,7 @@
     private final Map<String, ArrayDeque<Idle<C>>> idle = new HashMap<>();
     private int count;
 
-    /** Keeps connections for so long, and so many of them: descriptors are few. */
+    /** Keeps idle connections up to the given time and total number, since file descriptors are limited. */
     public ConnectionPool(long keepMicros, int most, Predicate<C> isOpen, Consumer<C> close) {
         this.keepMicros = keepMicros;
         this.most = most;
@@ -32,12 +33,12 @@
         this.close = close;
     }
 
-    /** The same of real connections. */
+    /** A pool of socket connections. */
     public static ConnectionPool<Connection<?>> ofSockets(long keepMicros, int most) {
         return new ConnectionPool<>(keepMicros, most, Connection::isOpen, Connection::closeSilently);
     }
 
-    /** An idle connection to the endpoint, or null. */
+    /** Takes an idle connection to the endpoint out of the pool; null if there is none. */
     public C take(String endpoint, long nowMicros) {
         ArrayDeque<Idle<C>> all = idle.get(endpoint);
         while (all != null && !all.isEmpty()) {
@@ -51,7 +52,7 @@
         return null;
     }
 
-    /** Keeps a connection whose call is over. */
+    /** Returns a connection to the pool after its call. */
     public void giveBack(String endpoint, C connection, long nowMicros) {
         idle.computeIfAbsent(endpoint, e -> new ArrayDeque<>()).addLast(new Idle<>(connection, nowMicros));
         if (++count > most) {
@@ -73,12 +74,12 @@
         count--;
     }
 
-    /** How many are idle. */
+    /** Number of idle connections. */
     public int size() {
         return count;
     }
 
-    /** Closes what is idle to the endpoint. */
+    /** Closes the idle connections to the endpoint. */
     public void closeIdle(String endpoint) {
         ArrayDeque<Idle<C>> all = idle.remove(endpoint);
         if (all != null) {
@@ -87,7 +88,7 @@
         }
     }
 
-    /** Closes what has been idle for too long, and forgets what the other side has closed. */
+    /** Closes connections that have been idle for too long, and removes those closed by the peer. */
     public void sweep(long nowMicros) {
         for (Iterator<ArrayDeque<Idle<C>>> i = idle.values().iterator(); i.hasNext(); ) {
             ArrayDeque<Idle<C>> all = i.next();
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -31,14 +31,15 @@
 import org.glassfish.grizzly.strategies.SameThreadIOStrategy;
 import org.glassfish.grizzly.threadpool.ThreadPoolConfig;
 
-/** All sockets of the program: one selector thread, on which filters run; they hand on what they read. */
+/** All sockets of the program, served by one selector thread, on which the filters run. */
 public final class Transport implements AutoCloseable {
     private static final int BACKLOG = 512;
     private static final int BUFFER = 16 * 1024;
-    /** Nanoseconds: far less than an answer may be on its way before it must have been heeded (100 ms). */
+    /** Far below the 100 ms within which a received response has to take effect. */
     private static final long LATELY = 20_000_000;
     /**
-     * Selections that may take longer before a task runs all the same: on a machine that is always busy none is short.
+     * Selections to wait for, even if each takes longer than that, before the task runs anyway: on a machine that is
+     * always busy none is short.
      */
     private static final int MOST_SELECTIONS = 5;
 
@@ -68,7 +69,7 @@
         tcp.start();
     }
 
-    /** A chain of the socket itself and the given filters. */
+    /** A filter chain of the socket transport and the given filters. */
     public static FilterChain chain(Filter... filters) {
         FilterChainBuilder builder = FilterChainBuilder.stateless().add(new TransportFilter());
         for (Filter filter : filters) {
@@ -77,7 +78,7 @@
         return builder.build();
     }
 
-    /** Listens on the address; each connection gets the chain. */
+    /** Listens on the address; each accepted connection uses the filter chain. */
     public TCPNIOServerConnection listen(SocketAddress address, FilterChain chain) throws IOException {
         try {
             return TCPNIOBindingHandler.builder(tcp).processor(chain).build().bind(address, BACKLOG);
@@ -87,9 +88,9 @@
     }
 
     /**
-     * Opens a connection; one of the two is called, on any thread. What is returned gives it up while it is not up yet,
-     * and then neither is called: one that never comes up holds its descriptor for as long as the system goes on
-     * trying.
+     * Opens a connection; one of the two callbacks is called, on any thread. The returned task cancels the attempt
+     * while it is in progress, and then neither is called. Otherwise a connection that is never established would hold
+     * its file descriptor for as long as the system keeps trying.
      */
     @SuppressWarnings("rawtypes")
     public Runnable connect(
@@ -109,7 +110,7 @@
         return () -> pending.cancel(false);
     }
 
-    /** Opens connections that can be given up while they come up. */
+    /** Opens connections whose establishment can be cancelled. */
     @SuppressWarnings("rawtypes")
     private static final class Connector extends TCPNIOConnectorHandler {
         Connector(TCPNIOTransport tcp, FilterChain chain) {
@@ -122,14 +123,15 @@
         }
     }
 
-    /** Has the task run on the selector thread, where the connection's bytes are read: never at once. */
+    /** Queues a task for the selector thread, on which the connection is read; it never runs immediately. */
     public static void onSelector(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
 
     /**
-     * Has the task run on the selector thread after a selection that was begun once this was called, and lately: what
-     * had come on any connection by then has been read. Where all selections take long it is not put off for ever.
+     * Runs the task on the selector thread right after a selection that began after this call and did not take long, so
+     * that everything received on any connection until then has been read. The number of selections to wait for is
+     * bounded, in case all of them take long.
      */
     public static void afterReading(Connection<?> connection, Runnable task) {
         onSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
@@ -139,7 +141,7 @@
         long before = System.nanoTime();
         onSelector(connection, () -> {
             if (left > 1 && System.nanoTime() - before > LATELY) {
-                nextSelection(connection, task, left - 1); // that one took long: more may have come since
+                nextSelection(connection, task, left - 1); // it took long, so more may have been received since
             } else {
                 task.run();
             }
@@ -147,8 +149,8 @@
     }
 
     /**
-     * True if the connection is open and the other side has said nothing more and has not closed it. On the selector
-     * thread alone, since it reads.
+     * True if the connection is open and the peer has neither sent anything nor closed it. On the selector thread only,
+     * since it reads from the socket.
      */
     public static boolean isQuiet(Connection<?> connection) {
         try {
@@ -160,8 +162,7 @@
     }
 
     /**
-     * True if the other side has ended the closed connection, in order or by a reset, which Grizzly does not
-     * tell apart.
+     * True if the connection was closed by the peer, either orderly or by a reset: Grizzly does not distinguish them.
      */
     public static boolean isEndedRemotely(Connection<?> closed) {
         CloseReason reason = closed.getCloseReason();
@@ -169,18 +170,18 @@
     }
 
     /**
-     * Ends the sending on a connection, once all that was written has gone; it is still read, until the other side
-     * closes. Any thread, after the write has completed.
+     * Shuts down the output of a connection; it is still read until the peer closes it. Any thread, after the last
+     * write has completed.
      */
     public static void endSending(Connection<?> connection) {
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel()).shutdownOutput();
         } catch (IOException e) {
-            connection.closeSilently(); // it is gone already
+            connection.closeSilently(); // it is closed already
         }
     }
 
-    /** The bytes of a message from the socket; the buffer goes back to its pool. */
+    /** Copies the bytes out of a buffer and returns the buffer to its pool. */
     public static byte[] bytes(Buffer buffer) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
@@ -188,12 +189,12 @@
         return bytes;
     }
 
-    /** Writes bytes; one of the two is run, on any thread. */
+    /** Writes bytes; one of the two callbacks is run, on any thread. */
     public static void write(Connection<?> connection, byte[] bytes, Runnable written, Runnable failed) {
         write(connection, Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), written, failed);
     }
 
-    /** Writes a message through the connection's filters; one of the two is run, on any thread. */
+    /** Writes a message through the connection's filters; one of the two callbacks is run, on any thread. */
     @SuppressWarnings("unchecked")
     public static <M> void write(Connection<?> connection, M message, Runnable written, Runnable failed) {
         ((Connection<SocketAddress>) connection)
@@ -210,7 +211,7 @@
                 });
     }
 
-    /** The address in a text such as 127.0.0.1:25 or [::1]:25; there are no names to look up. */
+    /** Parses an address such as 127.0.0.1:25 or [::1]:25; host names are not accepted, so nothing is resolved. */
     public static InetSocketAddress address(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
         if (colon <= 0 || !LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
--- a/src/test/java/lilaclever/benchlink/MainTest.java
+++ b/src/test/java/lilaclever/benchlink/MainTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The adapter both ways: lines in, lines out, and one plain message on what is malformed. */
+/** The simulator's line protocol: events in, actions out, and one error message for malformed input. */
 class MainTest {
     private static final String CONF = "{\"groupSize\": 1, \"roundS\": 0.005, \"unknown\": {\"x\": [1]},"
             + " \"familyInfo\": {\"callSlots\": 2, \"kindBatch\": [1], \"ownLimits\": [false]},"
--- a/src/test/java/lilaclever/identity/IdentitiesTest.java
+++ b/src/test/java/lilaclever/identity/IdentitiesTest.java
@@ -17,12 +17,11 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Who a hand-in is, by rule and by random sequences against a plain model. */
+/** Duplicate detection, by its rules and by random sequences against a simple model. */
 class IdentitiesTest {
     private static final Fingerprint A = Fingerprint.of(0, 7, new byte[] {1}), B = Fingerprint.of(0, 7, new byte[] {2});
     private static final String ONE = new Identity("north", "k1").text(), TWO = new Identity("south", "k1").text();
 
-    /** Memory in a map. */
     private static final class Plain implements Memory<String> {
         final Map<String, CompletedMessage<String>> all = new HashMap<>();
 
@@ -60,20 +59,20 @@
         identities.hold(ONE, A, "m");
         assertEquals(new DuplicateCheck.Joins<>("m"), identities.rule(ONE, A, 0));
         identities.release(ONE, "m");
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, A, 0)); // it was refused, say
+        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, A, 0)); // as after a refusal
         identities.ended(ONE, A, 0, "delivered", 5);
         assertEquals(new DuplicateCheck.Again<>("delivered"), identities.rule(ONE, A, 104));
         assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, A, 105));
     }
 
-    /** Guards against two practices that number their messages alike being taken for one. */
+    /** Guards against treating messages of two practices that use the same keys as duplicates. */
     @Test
     void practicesShareNoKeys() {
         identities.hold(ONE, A, "m");
         assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(TWO, A, 0));
     }
 
-    /** Guards against a second message vanishing behind the first one's answer. */
+    /** Guards against answering a different message with the result of the first, without delivering it. */
     @Test
     void otherContentClashesForAsLongAsTheFirstIsKnown() {
         identities.hold(ONE, A, "m");
@@ -84,7 +83,7 @@
         assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, B, 10));
     }
 
-    /** Mail has no fingerprint, nor has what the first format remembered. */
+    /** Mails have no fingerprint, nor have results remembered in the first journal format. */
     @Test
     void whatIsNotComparedNeverClashes() {
         identities.ended("<1@x> a@b", null, 1, "delivered", 0);
@@ -93,7 +92,7 @@
         assertEquals(new DuplicateCheck.Fresh<>(), identities.rule("<1@x> a@b", null, 50));
     }
 
-    /** What is held is never forgotten for want of room, and what is forgotten is what would have gone first. */
+    /** When the capacity is reached, the result that expires first is removed. */
     @Test
     void roomIsMadeByForgettingTheSoonest() {
         identities.ended("a", null, 0, "1", 0);
@@ -104,7 +103,7 @@
         assertEquals(1, identities.forgottenEarly());
         assertFalse(memory.all.containsKey(TWO)); // the window of its class is the shortest
         identities.ended("b", null, 0, "5", 1);
-        assertEquals(1, identities.forgottenEarly()); // one that is there already takes no room
+        assertEquals(1, identities.forgottenEarly()); // replacing a result needs no further capacity
     }
 
     @Test
@@ -120,7 +119,7 @@
         assertThrows(IllegalArgumentException.class, () -> Identity.parse("id/nothing"));
     }
 
-    /** One step: what happens to one of a few identities. */
+    /** One step on one of a few identities. {@code what}: 0 submits, 1 completes, 2 removes the message. */
     record Step(int what, int identity, boolean other, int messageClass, int time) {}
 
     @Provide
@@ -137,7 +136,7 @@
                 .ofMaxSize(80);
     }
 
-    /** Guards against a message delivered twice, an end given to the wrong one, and room that is not kept to. */
+    /** Guards against duplicate delivery, a result returned for the wrong message, and an exceeded capacity. */
     @Property(tries = 500, seed = "-1")
     void itSaysWhatAPlainModelSays(@ForAll("steps") List<Step> steps) {
         Plain kept = new Plain();
@@ -146,7 +145,7 @@
         long now = 0;
         for (Step s : steps) {
             now += s.time();
-            String id = new Identity("p", "k" + s.identity()).text().intern(); // it is the message too
+            String id = new Identity("p", "k" + s.identity()).text().intern(); // also stands for the message
             Fingerprint content = s.other() ? B : A;
             CompletedMessage<String> past = kept.all.get(id);
             boolean known = past != null && past.untilWall() > now;
--- a/src/test/java/lilaclever/routing/CallTest.java
+++ b/src/test/java/lilaclever/routing/CallTest.java
@@ -10,8 +10,9 @@
     }
 
     /**
-     * Guards windows where several share a call: a restart's first turn was long, the connection came up after the
-     * window of two of three messages, and all three were written, as the call itself may wait for the last of them.
+     * Guards against sending a message of a shared call after its attempt has expired: the first turn after a restart
+     * was long, the connection was established after two of three messages had expired, and all three were written,
+     * as the call itself waits for the last of them.
      */
     @Test
     void aCallIsWrittenOnlyWhileAllOfItsMessagesMayGo() {
@@ -21,9 +22,9 @@
         call.take(last, 9_000_000, 20_000_000);
         call.take(first, 3_000_000, 7_000_000);
         assertEquals(3_000_000, call.writeBy());
-        assertEquals(7_000_000, call.expiresAt(), "the first message's time");
+        assertEquals(7_000_000, call.expiresAt(), "the first message's deadline");
         call.leftOut(first);
-        assertEquals(9_000_000, call.expiresAt(), "as long as the other may wait");
+        assertEquals(9_000_000, call.expiresAt(), "the attempt of the other message");
         assertEquals(9_000_000, call.writeBy());
     }
 }
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A call whose attempt is not yet durable when its endpoint drains: it is not started, and goes elsewhere. */
+/** A call whose attempt is not yet durable when its endpoint drains is not started; another endpoint is used. */
 class DrainBeforeStartTest {
     private static final long SECOND = 1_000_000, ROUND = 5_000;
     private static final int DESTINATION = 7;
@@ -34,7 +34,7 @@
     private final List<String> started = new ArrayList<>();
     private long now = SECOND;
 
-    /** Time that passes only as the test says. */
+    /** Time that the test advances. */
     private final class VirtualClock implements Clock {
         @Override
         public long micros() {
@@ -58,11 +58,11 @@
 
         @Override
         public void posted() {
-            // the next turn takes it
+            // the next turn runs the task
         }
     }
 
-    /** Takes note of the calls that are started; none of them ends. */
+    /** Records the calls that are started; none of them completes. */
     private final class RecordingDeliverer implements Deliverer {
         @Override
         public void start(Call call) {
@@ -82,7 +82,7 @@
         public void probe(Call.Endpoint endpoint) {}
     }
 
-    /** A client that waits for nothing. */
+    /** A front without clients to notify. */
     private static final class SilentFront implements Front {
         @Override
         public String name() {
@@ -94,7 +94,7 @@
 
         @Override
         public void turnedDown(Message message, FinalStatus verdict) {
-            throw new IllegalStateException(message.id() + " was turned down: " + verdict);
+            throw new IllegalStateException(message.id() + " was rejected: " + verdict);
         }
 
         @Override
@@ -131,7 +131,7 @@
                 new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
     }
 
-    /** The real journal, whose records are durable once the test says so. */
+    /** The real journal, but its records become durable only when the test says so. */
     private Journal journal() throws Exception {
         VirtualClock clock = new VirtualClock();
         Journal real = new SegmentedJournal(
@@ -177,7 +177,7 @@
             byte[] body = new byte[0];
             core.handIn(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
             turn(core);
-            assertEquals(1, counters.get(Counters.Name.CALLS), "decided, and its attempt written");
+            assertEquals(1, counters.get(Counters.Name.CALLS), "decided, and its attempt recorded");
 
             core.listing(
                     DecisionModule.ListingKind.CHANGES,
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random schedules in virtual time: endpoints come and go, two agents hear of it late and count for themselves, answers
- * are overtaken, cut, contradictory or without an index, discovery counts anew, the forwarder moves to the other agent
- * and is restarted. An auditor that reads the same lists knows what the forwarder has heard.
+ * Random schedules in virtual time: endpoints come and go, two agents learn of it late and have separate indexes,
+ * responses arrive out of order, truncated, contradictory or without an index, indexes restart, and the forwarder
+ * switches agents and is restarted. An auditor that reads the same lists checks what the core is told.
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** The endpoints as they truly are, and as they were at each version; gone ones are not in it. */
+    /** The actual endpoints at each version, without removed ones. */
     private static final class Truth {
         private final List<Map<String, Core.Listed>> versions = new ArrayList<>(List.of(Map.of()));
         private final SplittableRandom random;
@@ -94,7 +94,7 @@
             versions.add(next);
         }
 
-        /** Mostly a new one, else one that another endpoint had once. */
+        /** Usually a new address, else one that another endpoint may have had before. */
         private String freeAddress(Map<String, Core.Listed> used) {
             String old = "10.1.0.1:" + random.nextInt(addresses + 1);
             boolean isFree =
@@ -109,7 +109,7 @@
                 new Call.Endpoint(name, address, 1, 0, 1, false, null));
     }
 
-    /** Knows the endpoints up to some version, and gives it an index of its own. */
+    /** An agent that knows the endpoints up to some version, with indexes of its own. */
     private static final class Agent {
         private final String address;
         private final Truth truth;
@@ -133,7 +133,7 @@
             seen = Math.min(truth.latest(), seen + most);
         }
 
-        /** Counts anew from a low index, perhaps with an older list. */
+        /** Restarts with a low index, possibly with an older list. */
         void restart(SplittableRandom random) {
             seen = Math.max(0, seen - random.nextInt(3));
             offset = random.nextInt(10) - seen;
@@ -167,9 +167,9 @@
         }
     }
 
-    /** A list that says that an endpoint departs. {@code isDisputed}: a list of the same index is late enough. */
+    /** What a list said of an endpoint. {@code isDisputed}: a list of the same index may contradict it. */
     private record Heard(String agent, long index, long at, boolean isDisputed, boolean isIndexed) {
-        /** Whether a list, with an index or not, may contradict it. */
+        /** Whether a list, with or without an index, may contradict it. */
         boolean isAnsweredBy(String byAgent, long byIndex, long now) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
@@ -177,28 +177,28 @@
         }
     }
 
-    /** What a list says of one name, by its entries alone. */
+    /** What the entries of a list say of a name. */
     private enum Saying {
         ACTIVE,
         DEPARTED,
         CONTRADICTORY
     }
 
-    /** Knows what the forwarder has heard, and what it may tell the core. */
+    /** Tracks the lists that the forwarder has received, and checks what it tells the core. */
     private static final class Auditor {
-        /** All departures of each name, and those that no later list has answered. */
+        /** All departures of each name, and those that no later list has contradicted. */
         private final Map<String, List<Heard>> departures = new HashMap<>(), open = new HashMap<>();
-        /** Since it was last active: lists that said the address that the core was told. */
+        /** By name and address: lists that stated the address, while the endpoint is active. */
         private final Map<String, Map<String, List<Heard>>> addresses = new HashMap<>();
         /**
-         * Names heard of since the process began or noted before; lists by name, agent and index that named one other
-         * than departed.
+         * Names listed since the process started or stored before; keys of name, agent and index of the lists that had
+         * the name as other than departed.
          */
         private final Set<String> names = new HashSet<>(), named = new HashSet<>();
 
-        /** Names whose address another one has got; when they are back is checked at the end alone. */
+        /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
-        /** Departures of the known list, until the first answer has them noted. */
+        /** Departures of the initial list, until the first response, with which they are stored. */
         private final Set<Heard> ofKnownList = new HashSet<>();
 
         private final Map<String, Long> lastIndex = new HashMap<>(), highestIndex = new HashMap<>();
@@ -225,7 +225,7 @@
             }
             assertEquals(ListingKind.REMEMBERED, told.kind());
             core = applied(new TreeMap<>(), told);
-            checkDeparted("the known list");
+            checkDeparted("the initial list");
         }
 
         private void departed(String name, Heard heard) {
@@ -284,7 +284,7 @@
                     || named.contains(name + " known " + list.index());
         }
 
-        /** One without an index is as late as the last of its agent, for all that is known. */
+        /** A list without an index counts as the last one of its agent. */
         private Heard departure(ListUpdate list, long now, boolean isDisputed) {
             long index = list.index() == EndpointMembership.NO_INDEX
                     ? lastIndex.getOrDefault(list.agent(), EndpointMembership.NO_INDEX)
@@ -308,7 +308,7 @@
             return sayings;
         }
 
-        /** True if no departure was ever heard, or the same agent's alone, of lower indexes. */
+        /** True if no departure was ever received, or only some from the same agent with lower indexes. */
         private boolean mustBeActive(String name, ListUpdate list) {
             return !replaced.contains(name)
                     && departures.getOrDefault(name, List.of()).stream()
@@ -321,7 +321,7 @@
                                                             d.agent(), EndpointMembership.NO_INDEX)));
         }
 
-        /** An address that changes give to another name: the one that had it may count as departed. */
+        /** If changes give an address to another name, its former holder may count as departed. */
         private void addressesPassed(ListUpdate list, Map<String, Saying> sayings) {
             for (Core.Listed x : list.entries()) {
                 core.values().stream()
@@ -350,7 +350,7 @@
                             () -> name + " is active after " + after + ", departed with " + open.get(name)));
         }
 
-        /** No list replaces an address that a later one of the agent that told it last has told within a minute. */
+        /** An address is not replaced if a later list of the agent that last set it stated it within a minute. */
         private void checkAddresses(Map<String, Core.Listed> before, ListUpdate list, long now) {
             for (Core.Listed x : core.values()) {
                 String name = x.entry().host();
@@ -389,7 +389,7 @@
             told.removeIf(heard -> !heard.agent().equals(list.agent()));
             boolean isOvertaken =
                     told.stream().anyMatch(heard -> heard.index() > list.index() && now - heard.at() < KEPT);
-            if (!isOvertaken) { // such a list confirms nothing
+            if (!isOvertaken) { // an outdated list confirms nothing
                 told.add(new Heard(list.agent(), list.index(), now, false, true));
             }
         }
@@ -402,18 +402,18 @@
             core.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
                     .forEach(x -> told.put(x.entry().host(), x.endpoint().address()));
-            assertEquals(expected, told, "active endpoints once all is quiet");
+            assertEquals(expected, told, "active endpoints in the end");
         }
     }
 
-    /** One schedule: a forwarder, its agents and all that goes wrong. */
+    /** One schedule: a forwarder, its agents and random faults. */
     private static final class Schedule {
         private final SplittableRandom random;
         private final Truth truth;
         private final List<Agent> agents;
         private final boolean hasMoves, hasRestarts;
         private final Auditor auditor = new Auditor();
-        /** Answers under way, and the step at which each arrives. */
+        /** Delayed responses, and the step at which each arrives. */
         private final Map<ListUpdate, Integer> late = new LinkedHashMap<>();
 
         private final Map<String, Long> followed = new HashMap<>();
@@ -422,7 +422,7 @@
         private Agent current;
         private int step;
         private long now = SECOND;
-        /** What the wall clock and the loop's clock are ahead of the time that passes. */
+        /** Offsets of the wall clock and of the event loop's clock from the simulated time. */
         private long wallOffset = 1_700_000_000 * SECOND, loopOffset;
 
         Schedule(long seed) {
@@ -463,7 +463,7 @@
             }
         }
 
-        /** With a list that may be out of date, and clocks that were set in between. */
+        /** Starts a process with an initial list that may be outdated, and with clocks that may have been set. */
         private void startProcess() {
             wallOffset += random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND, 3_600 * SECOND) : 0;
             loopOffset = random.nextLong(100 * SECOND);
@@ -527,7 +527,7 @@
             }
         }
 
-        /** A sound whole list that is later than all before brings what is true, at the latest after a minute. */
+        /** A valid, latest whole list yields the actual endpoints, after a minute at most. */
         private void endInQuiet() {
             deliver(soundList());
             if (!hasMoves) {
@@ -536,7 +536,7 @@
             now += KEPT;
             deliver(soundList());
             auditor.checkExact(truth.versions.get(truth.latest()));
-            assertTrue(!membership.needsWholeList(now + loopOffset), "nothing is in doubt");
+            assertTrue(!membership.needsWholeList(now + loopOffset), "no contradiction is left");
             assertTrue(!membership.contradictsKnown());
         }
 
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -27,7 +27,7 @@
 import lilaclever.routing.EndpointMembership.ListUpdate;
 import org.junit.jupiter.api.Test;
 
-/** What is believed of lists of endpoints. */
+/** Which statements of endpoint lists are trusted, rule by rule. */
 class EndpointMembershipTest {
     private static final String AGENT = "10.0.0.1:8500", OTHER_AGENT = "10.0.0.2:8500";
     private static final long SECOND = 1_000_000, KEPT = 60 * SECOND, WALL = 1_700_000_000 * SECOND;
@@ -35,13 +35,13 @@
 
     private final Store store = new Store();
     private EndpointMembership membership = new EndpointMembership(List.of(), store);
-    /** What the core knows after all that it was told. */
+    /** The core's endpoints after all updates. */
     private Map<String, Core.Listed> core = new TreeMap<>();
 
     private long now = 5 * SECOND;
     private long wall = WALL;
 
-    /** Stores in memory, or fails. */
+    /** Stores departures in memory, or fails. */
     private static final class Store implements EndpointMembership.DepartureStore {
         private List<Departure> stored = List.of();
         private boolean fails;
@@ -111,7 +111,7 @@
         return told(membership.update(update, now, wall));
     }
 
-    /** Does with it what the core does. */
+    /** Applies an update as the core does. */
     private Change told(Change change) {
         if (change.kind() != ListingKind.CHANGES) {
             core.clear();
@@ -127,7 +127,7 @@
         wall += micros;
     }
 
-    /** Ends the process and starts another, whose loop's clock begins anew. */
+    /** Simulates a restart of the process, with a new origin of the event loop's clock. */
     private void restart(long version, Core.Listed... known) {
         membership = new EndpointMembership(store.stored, store);
         now = SECOND;
@@ -160,7 +160,7 @@
         return written.toString(StandardCharsets.UTF_8);
     }
 
-    // ---- departures are heeded whatever list they are in
+    // Departures are accepted from any list
 
     @Test
     void departuresCountAtOnceWhateverTheIndexTheAgentAndTheOrder() {
@@ -235,7 +235,7 @@
         assertEquals(Presence.LEFT, presence("b"));
     }
 
-    // ---- what brings an endpoint back
+    // Reactivation
 
     @Test
     void aListThatWasOvertakenBringsNothingBack() {
@@ -288,7 +288,7 @@
         whole(3, active("a"), active("b"));
         assertActive("b");
         pass(1);
-        assertTrue(membership.needsWholeList(now), "changes would not tell it again");
+        assertTrue(membership.needsWholeList(now), "changes would not list it again");
         whole(3, active("a"), active("b"));
         assertActive("a", "b");
         assertFalse(membership.needsWholeList(now));
@@ -403,7 +403,7 @@
         assertActive("a", "b");
     }
 
-    // ---- endpoints that have not departed
+    // Endpoints that have not departed
 
     @Test
     void whatNeverDepartedIsActiveWhateverTheIndex() {
@@ -454,7 +454,7 @@
         assertActive("a", "b");
     }
 
-    // ---- entries twice
+    // Duplicate entries
 
     @Test
     void ofTwoEntriesTheMostCautiousCounts() {
@@ -507,7 +507,7 @@
         assertTrue(membership.needsWholeList(now));
     }
 
-    // ---- addresses and destinations
+    // Addresses and destinations
 
     @Test
     void anAddressOrDestinationThatChangesCountsInOrder() {
@@ -600,7 +600,7 @@
         assertActive("a", "c", "d");
     }
 
-    // ---- what is told
+    // Updates and log lines
 
     @Test
     void kindsAndVersionsAreThoseOfTheList() {
@@ -633,7 +633,7 @@
         assertEquals("", logged(() -> whole(46, active)), "each is logged once");
     }
 
-    // ---- what outlasts the process
+    // Restarts
 
     @Test
     void aStaleKnownListBringsNothingBackAfterARestart() {
@@ -713,7 +713,7 @@
         changes(53, active("b"));
         assertEquals(1, store.calls);
         whole(53, leaving("a"), active("b"));
-        assertEquals(2, store.calls, "from another index on");
+        assertEquals(2, store.calls, "the departure has another index");
         whole(53, leaving("a"), active("b"));
         assertEquals(2, store.calls);
     }
@@ -736,7 +736,7 @@
         changes(53, leaving("c"));
         assertEquals(Set.of("a", "b", "c"), store.names());
         store.fails = true;
-        assertFalse(logged(() -> changes(54, active("c"))).isEmpty(), "it had worked in between");
+        assertFalse(logged(() -> changes(54, active("c"))).isEmpty(), "it had succeeded in between");
     }
 
     @Test
@@ -751,7 +751,7 @@
         assertEquals("s" + (most + 2), store.stored.get(most - 1).name());
     }
 
-    // ---- many endpoints
+    // Many endpoints
 
     @Test
     void aChangeInALargeListTouchesNoOtherEndpoint() {
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 class TransportTest {
-    /** Guards a long day on which some connections never come up: each had kept its descriptor. */
+    /** Guards against a descriptor leak: each connection that was never established kept its descriptor. */
     @Test
     void aConnectionThatIsGivenUpBeforeItIsUpFreesItsDescriptor() throws Exception {
         try (Transport transport = new Transport();
@@ -50,7 +50,7 @@
         }
     }
 
-    /** Guards told waits on a busy machine: an answer that lay unread is heeded before a call goes out. */
+    /** On a busy machine, a received but unread response (with a retry-after) takes effect before a call is sent. */
     @Test
     void whatHasComeOnAnyConnectionIsReadBefore() throws Exception {
         LinkedBlockingQueue<String> order = new LinkedBlockingQueue<>();
