--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -178,7 +178,7 @@
             out.writeInt(h.messageClass());
             out.writeInt(h.destination());
             out.writeUTF(h.key() == null ? "" : h.key());
-            out.writeBoolean(h.again());
+            out.writeBoolean(h.resubmitted());
             out.writeBoolean(h.inherited());
             out.writeLong(h.budgetMicros());
             out.writeLong(deadlineWall);
@@ -189,7 +189,7 @@
 
     private static void write(DataOutputStream out, FinalStatus verdict) throws IOException {
         out.writeByte(verdict.kind().ordinal());
-        out.writeLong(verdict.comeBackMicros());
+        out.writeLong(verdict.retryAfterMicros());
         out.writeUTF(verdict.detail());
     }
 
--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -54,7 +54,7 @@
                                 lilaclever.routing.FinalStatus.Kind.DELIVERED, 0, "250 2.0.0 queued"),
                         i < ends / 2 ? 1 : 1000);
                 long began = System.nanoTime();
-                journal.tidy(0);
+                journal.maintain(0);
                 longest = i > 5000 ? Math.max(longest, System.nanoTime() - began) : 0;
             }
             System.out.println("remembered " + journal.rememberedCount() + ", longest slice us " + longest / 1000);
@@ -62,7 +62,7 @@
             int turns = 0;
             for (; journal.rememberedCount() > ends / 2; turns++) {
                 long began = System.nanoTime();
-                journal.tidy(2);
+                journal.maintain(2);
                 longest = Math.max(longest, System.nanoTime() - began);
             }
             System.out.println("half of them past and forgotten in " + turns + " turns, longest us " + longest / 1000);
--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -58,34 +58,34 @@
 
         @Override
         public void taken(String id, byte[] body) {
-            if (!journal.taken("http", submission(id, body), 99, 0)) {
+            if (!journal.recordAccepted("http", submission(id, body), 99, 0)) {
                 throw new IllegalStateException("no room");
             }
         }
 
         @Override
         public void attempt(String id) {
-            journal.attempt(id, "endpoint-7", 0, 1);
+            journal.recordAttempt(id, "endpoint-7", 0, 1);
         }
 
         @Override
         public void outcome(String id) {
-            journal.outcome(id, true);
+            journal.recordOutcome(id, true);
         }
 
         @Override
         public void ended(String id) {
-            journal.ended(id);
+            journal.recordSettled(id);
         }
 
         @Override
         public void turn() {
-            journal.tidy(0);
+            journal.maintain(0);
         }
 
         @Override
         public int owed() {
-            return journal.owed().size();
+            return journal.pendingMessages().size();
         }
 
         @Override
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -48,7 +48,7 @@
                 durability,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                 new SplittableRandom(1));
-        journal.attach(loop::add);
+        journal.setLoop(loop::add);
     }
 
     /** Runs what the arguments name. */
@@ -72,16 +72,16 @@
     private void turn(int held, Runnable durable) {
         take();
         journal.whenDurable(durable);
-        journal.attempt("message-" + next, "endpoint-7", 0, 1);
-        journal.outcome("message-" + next, true);
-        journal.ended("message-" + (next - held));
+        journal.recordAttempt("message-" + next, "endpoint-7", 0, 1);
+        journal.recordOutcome("message-" + next, true);
+        journal.recordSettled("message-" + (next - held));
         next++;
-        journal.tidy(0);
+        journal.maintain(0);
     }
 
     private void take() {
         String id = "message-" + next;
-        if (!journal.taken("http", new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000), 99, 0)) {
+        if (!journal.recordAccepted("http", new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000), 99, 0)) {
             throw new IllegalStateException("no room");
         }
     }
@@ -90,7 +90,7 @@
         while (next < held) {
             take();
             next++;
-            journal.tidy(0);
+            journal.maintain(0);
         }
     }
 
--- a/src/main/java/lilaclever/identity/DuplicateCheck.java
+++ b/src/main/java/lilaclever/identity/DuplicateCheckResult.java
@@ -6,16 +6,16 @@
  * @param <M> a pending message
  * @param <E> the result of a completed message
  */
-public sealed interface DuplicateCheck<M, E> {
+public sealed interface DuplicateCheckResult<M, E> {
     /** No message with this identity is known. */
-    record Fresh<M, E>() implements DuplicateCheck<M, E> {}
+    record NewMessage<M, E>() implements DuplicateCheckResult<M, E> {}
 
     /** The message is pending: its final status answers this submission as well. */
-    record Joins<M, E>(M held) implements DuplicateCheck<M, E> {}
+    record PendingDuplicate<M, E>(M pending) implements DuplicateCheckResult<M, E> {}
 
     /** The message is completed, with this result. */
-    record Again<M, E>(E end) implements DuplicateCheck<M, E> {}
+    record CompletedDuplicate<M, E>(E result) implements DuplicateCheckResult<M, E> {}
 
     /** The identity belongs to a message with other content, which is pending or completed. */
-    record Clash<M, E>(boolean held) implements DuplicateCheck<M, E> {}
+    record Conflict<M, E>(boolean isPending) implements DuplicateCheckResult<M, E> {}
 }
--- a/src/main/java/lilaclever/identity/Identities.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -5,7 +5,7 @@
 
 /**
  * Decides whether a submission is a new message, a duplicate of a pending or completed message, or a different message
- * under an identity in use. No I/O, no clock, no thread: times are passed in, and {@link Memory} persists the results.
+ * under an identity in use. No I/O, no clock, no thread: times are passed in, and {@link CompletedMessageStore} persists the results.
  *
  * <p>The rules:
  * <ul>
@@ -20,15 +20,15 @@
  * @param <M> a pending message
  * @param <E> the result of a completed message
  */
-public final class Identities<M, E> {
+public final class DuplicateDetector<M, E> {
     private record Held<M>(M message, Fingerprint content) {}
 
     private final IdempotencyWindows windows;
-    private final Memory<E> memory;
+    private final CompletedMessageStore<E> memory;
     private final Map<String, Held<M>> held = new HashMap<>();
     private long forgottenEarly;
 
-    public Identities(IdempotencyWindows windows, Memory<E> memory) {
+    public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> memory) {
         this.windows = windows;
         this.memory = memory;
     }
@@ -38,20 +38,20 @@
      *
      * @param content its fingerprint; null if duplicates are not compared by content
      */
-    public DuplicateCheck<M, E> rule(String identity, Fingerprint content, long nowWall) {
+    public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
         Held<M> under = held.get(identity);
         if (under != null) {
             return differs(content, under.content())
-                    ? new DuplicateCheck.Clash<>(true)
-                    : new DuplicateCheck.Joins<>(under.message());
+                    ? new DuplicateCheckResult.Conflict<>(true)
+                    : new DuplicateCheckResult.PendingDuplicate<>(under.message());
         }
-        CompletedMessage<E> past = memory.past(identity);
-        if (past == null || past.untilWall() <= nowWall) {
-            return new DuplicateCheck.Fresh<>();
+        CompletedMessage<E> past = memory.find(identity);
+        if (past == null || past.untilWallMicros() <= nowWall) {
+            return new DuplicateCheckResult.NewMessage<>();
         }
-        return differs(content, past.content())
-                ? new DuplicateCheck.Clash<>(false)
-                : new DuplicateCheck.Again<>(past.end());
+        return differs(content, past.fingerprint())
+                ? new DuplicateCheckResult.Conflict<>(false)
+                : new DuplicateCheckResult.CompletedDuplicate<>(past.result());
     }
 
     private static boolean differs(Fingerprint a, Fingerprint b) {
@@ -59,13 +59,13 @@
     }
 
     /** Adds a message that is pending from now on. No other message may be pending under its identity. */
-    public void hold(String identity, Fingerprint content, M message) {
+    public void addPending(String identity, Fingerprint content, M message) {
         Held<M> before = held.put(identity, new Held<>(message, content));
         assert before == null || before.message() == message : identity + " has two pending messages";
     }
 
     /** Removes a message that is no longer pending; no effect if another one is pending under the identity. */
-    public void release(String identity, M message) {
+    public void removePending(String identity, M message) {
         Held<M> under = held.get(identity);
         if (under != null && under.message() == message) {
             held.remove(identity);
@@ -73,25 +73,25 @@
     }
 
     /** Remembers the result of a completed message for its duplicates. */
-    public void ended(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
-        CompletedMessage<E> before = memory.past(identity);
+    public void addCompleted(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
+        CompletedMessage<E> before = memory.find(identity);
         if (before == null) {
-            while (memory.size() >= windows.most()) {
-                memory.forgetSoonest();
+            while (memory.size() >= windows.maxEntries()) {
+                memory.removeSoonestExpiring();
                 forgottenEarly++;
             }
         }
-        memory.keep(identity, new CompletedMessage<>(end, content, nowWall + windows.of(identity, messageClass)));
+        memory.put(identity, new CompletedMessage<>(end, content, nowWall + windows.windowMicros(identity, messageClass)));
     }
 
     /** The pending message of the identity, or null. */
-    public M held(String identity) {
+    public M pending(String identity) {
         Held<M> under = held.get(identity);
         return under == null ? null : under.message();
     }
 
     /** How many identities have a pending message. */
-    public int size() {
+    public int pendingCount() {
         return held.size();
     }
 
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -69,12 +69,12 @@
                 }
             }
             long out1 =
-                    state.owed.values().stream().filter(s -> s.value.isOut()).count();
+                    state.owed.values().stream().filter(s -> s.value.isInFlight()).count();
             long risky = state.owed.values().stream()
                     .filter(s -> s.value.mayHaveRun())
                     .count();
             long ends = state.owed.values().stream()
-                    .filter(s -> s.value.verdict() != null)
+                    .filter(s -> s.value.finalStatus() != null)
                     .count();
             out.println("owed " + state.owed.size() + ", of which out " + out1 + ", possibly run " + risky
                     + ", end decided " + ends);
@@ -136,8 +136,8 @@
             for (Map.Entry<String, JournalState.Slot<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
                 line(json -> {
                     json.name("remembered").value(e.getKey());
-                    json.name("until").value(instant(e.getValue().value.untilWall()));
-                    verdict(json, e.getValue().value.end());
+                    json.name("until").value(instant(e.getValue().value.untilWallMicros()));
+                    verdict(json, e.getValue().value.result());
                 });
             }
             return report.damages().isEmpty() && report.missing() == 0 ? GOOD : DAMAGED;
@@ -168,18 +168,18 @@
         if (h.key() != null) {
             json.name("key").value(h.key());
         }
-        json.name("deadline").value(instant(o.deadlineWall()));
-        json.name("attempts").value(o.attempts()).name("out").value(o.isOut());
-        json.name("possibly_run").value(o.mayHaveRun() || o.isOut());
+        json.name("deadline").value(instant(o.deadlineWallMicros()));
+        json.name("attempts").value(o.attempts()).name("out").value(o.isInFlight());
+        json.name("possibly_run").value(o.mayHaveRun() || o.isInFlight());
         if (o.attempts() > 0) {
-            json.name("last_endpoint").value(o.host());
+            json.name("last_endpoint").value(o.lastHost());
         }
-        if (o.verdict() != null) {
-            verdict(json, o.verdict());
+        if (o.finalStatus() != null) {
+            verdict(json, o.finalStatus());
         }
-        if (!o.joined().isEmpty()) {
+        if (!o.attachedSubmitters().isEmpty()) {
             json.name("owed_also_to").beginArray();
-            for (PendingMessage.Claim claim : o.joined()) {
+            for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
                 json.value(claim.front() + ' ' + claim.id());
             }
             json.endArray();
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -86,13 +86,13 @@
     }
 
     /** What a claim on a message's end adds to its record. */
-    static long growth(PendingMessage.Claim claim) {
+    static long growth(PendingMessage.Submitter claim) {
         return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
     }
 
     private static long growth(PendingMessage o) {
         long all = growth(o.submission());
-        for (PendingMessage.Claim claim : o.joined()) {
+        for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
             all += growth(claim);
         }
         return all;
@@ -173,9 +173,9 @@
     }
 
     /** Somebody else is owed the end of a message. */
-    void join(PendingMessage o, PendingMessage.Claim claim) {
+    void join(PendingMessage o, PendingMessage.Submitter claim) {
         growth -= growth(o);
-        o.join(claim);
+        o.attach(claim);
         growth += growth(o);
     }
 
@@ -184,7 +184,7 @@
         forget(identity);
         Slot<CompletedMessage<FinalStatus>> slot = new Slot<>(p);
         remembered.put(identity, slot);
-        expiries.add(new Expiry(p.untilWall(), identity));
+        expiries.add(new Expiry(p.untilWallMicros(), identity));
         rest(slot, base, size);
     }
 
@@ -192,7 +192,7 @@
     void forget(String identity) {
         Slot<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
         if (slot != null) {
-            expiries.remove(new Expiry(slot.value.untilWall(), identity));
+            expiries.remove(new Expiry(slot.value.untilWallMicros(), identity));
             rest(slot, null, 0);
         }
     }
@@ -223,6 +223,6 @@
 
     /** Records are lost: all that is known of any message so far may be too little. */
     void doubt() {
-        owed.values().forEach(slot -> slot.value.doubt());
+        owed.values().forEach(slot -> slot.value.assumeLostAttempt());
     }
 }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -75,19 +75,19 @@
         }
         PendingMessage owed = slot.value;
         switch (type) {
-            case ATTEMPT -> owed.attempt(text(in), in.getInt(), in.getLong());
-            case OUTCOME -> owed.outcome(in.get() != 0);
+            case ATTEMPT -> owed.attemptStarted(text(in), in.getInt(), in.getLong());
+            case OUTCOME -> owed.attemptEnded(in.get() != 0);
             case PAST -> {
-                owed.past(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
+                owed.restoreAttempts(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
                 boolean mayHaveRun = in.get() != 0;
                 String host = text(in);
                 int zone = in.getInt();
                 long wall = in.getLong();
                 if (mayHaveRun) {
-                    owed.risk(host, zone, wall);
+                    owed.markPossiblyRun(host, zone, wall);
                 }
             }
-            case VERDICT -> owed.verdict(readVerdict(in));
+            case VERDICT -> owed.setFinalStatus(readVerdict(in));
             default -> state.drop(id);
         }
     }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -66,10 +66,10 @@
             return; // its message has ended, or a later record tells all of it
         }
         switch (type) {
-            case ATTEMPT -> slot.value.attempt(Format.text(in), in.getInt(), wall(in));
-            case OUTCOME -> slot.value.outcome(Format.flag(in));
-            case JOINED -> state.join(slot.value, new PendingMessage.Claim(Format.text(in), Format.text(in)));
-            default -> slot.value.verdict(readEnd(in));
+            case ATTEMPT -> slot.value.attemptStarted(Format.text(in), in.getInt(), wall(in));
+            case OUTCOME -> slot.value.attemptEnded(Format.flag(in));
+            case JOINED -> state.join(slot.value, new PendingMessage.Submitter(Format.text(in), Format.text(in)));
+            default -> slot.value.setFinalStatus(readEnd(in));
         }
     }
 
@@ -92,19 +92,19 @@
     }
 
     private void readPast(ByteBuffer in, PendingMessage o) {
-        o.past(in.getInt(), Format.flag(in), Format.text(in), in.getInt(), wall(in));
+        o.restoreAttempts(in.getInt(), Format.flag(in), Format.text(in), in.getInt(), wall(in));
         boolean mayHaveRun = Format.flag(in);
         String host = Format.text(in);
         int zone = in.getInt();
         long wall = wall(in);
         if (mayHaveRun) {
-            o.risk(host, zone, wall);
+            o.markPossiblyRun(host, zone, wall);
         }
         if (Format.flag(in)) {
-            o.verdict(readEnd(in));
+            o.setFinalStatus(readEnd(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
-            o.join(new PendingMessage.Claim(Format.text(in), Format.text(in)));
+            o.attach(new PendingMessage.Submitter(Format.text(in), Format.text(in)));
         }
     }
 
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -46,16 +46,16 @@
     /** An end that is remembered, under its identity. */
     static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
         out.begin(Type.REMEMBERED).text(identity);
-        end(out, p.end());
-        out.number(p.untilWall()).flag(p.content() != null);
-        if (p.content() != null) {
-            out.number(p.content().high()).number(p.content().low());
+        end(out, p.result());
+        out.number(p.untilWallMicros()).flag(p.fingerprint() != null);
+        if (p.fingerprint() != null) {
+            out.number(p.fingerprint().high()).number(p.fingerprint().low());
         }
         out.end();
     }
 
     /** Somebody else is owed the end of a message. */
-    static void joined(Writer out, String id, PendingMessage.Claim claim) {
+    static void joined(Writer out, String id, PendingMessage.Submitter claim) {
         out.begin(Type.JOINED).text(id).text(claim.front()).text(claim.id()).end();
     }
 
@@ -63,14 +63,14 @@
     static void snapshot(Writer out, PendingMessage o) {
         out.begin(Type.SNAPSHOT);
         whole(out, o);
-        out.small(o.attempts()).flag(o.isOut()).text(o.host()).small(o.zone()).number(o.sentWall());
-        out.flag(o.mayHaveRun()).text(o.riskHost()).small(o.riskZone()).number(o.riskWall());
-        out.flag(o.verdict() != null);
-        if (o.verdict() != null) {
-            end(out, o.verdict());
+        out.small(o.attempts()).flag(o.isInFlight()).text(o.lastHost()).small(o.lastZone()).number(o.lastAttemptWallMicros());
+        out.flag(o.mayHaveRun()).text(o.possibleRunHost()).small(o.possibleRunZone()).number(o.possibleRunWallMicros());
+        out.flag(o.finalStatus() != null);
+        if (o.finalStatus() != null) {
+            end(out, o.finalStatus());
         }
-        out.small(o.joined().size());
-        o.joined().forEach(claim -> out.text(claim.front()).text(claim.id()));
+        out.small(o.attachedSubmitters().size());
+        o.attachedSubmitters().forEach(claim -> out.text(claim.front()).text(claim.id()));
         out.end();
     }
 
@@ -89,15 +89,15 @@
         if (h.key() != null) {
             out.text(h.key());
         }
-        out.flag(h.again())
+        out.flag(h.resubmitted())
                 .flag(h.inherited())
                 .number(h.budgetMicros())
-                .number(o.deadlineWall())
+                .number(o.deadlineWallMicros())
                 .bytes(h.body());
     }
 
     private static void end(Writer out, FinalStatus v) {
         String detail = v.detail().substring(0, Math.min(v.detail().length(), MOST_DETAIL));
-        out.small(v.kind().ordinal()).number(v.comeBackMicros()).text(detail);
+        out.small(v.kind().ordinal()).number(v.retryAfterMicros()).text(detail);
     }
 }
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -69,7 +69,7 @@
 
     // ---- records ----------------------------------------------------------------------------------------
     @Override
-    public boolean taken(String front, Submission submission, long deadlineWall, long nowWall) {
+    public boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
         if (unwritten.isRewriting()) {
             return false; // it could not be promised to outlast the machine
         }
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public boolean attempt(String id, String host, int zone, long wall) {
+    public boolean recordAttempt(String id, String host, int zone, long wall) {
         // Behind an earlier change that is not written this record would hide when the message may first have run.
         if (!unwritten.writeMessage(id)) {
             return false;
@@ -97,33 +97,33 @@
         unwritten.messageWritten(id);
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
-            slot.value.attempt(host, zone, wall);
+            slot.value.attemptStarted(host, zone, wall);
         }
         return true;
     }
 
     @Override
-    public void outcome(String id, boolean neverRan) {
+    public void recordOutcome(String id, boolean neverRan) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
-            slot.value.outcome(neverRan);
+            slot.value.attemptEnded(neverRan);
             RecordEncoder.outcome(writer.clear(), id, neverRan);
             appendOrKeep(id);
         }
     }
 
     @Override
-    public void verdict(String id, FinalStatus verdict) {
+    public void recordFinalStatus(String id, FinalStatus verdict) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot != null) {
-            slot.value.verdict(verdict);
+            slot.value.setFinalStatus(verdict);
             RecordEncoder.verdict(writer.clear(), id, verdict);
             appendOrKeep(id);
         }
     }
 
     @Override
-    public void ended(String id) {
+    public void recordSettled(String id) {
         if (state.owed.containsKey(id)) {
             state.drop(id);
             RecordEncoder.ended(writer.clear(), id);
@@ -132,12 +132,12 @@
     }
 
     @Override
-    public boolean joined(String id, String front, String claim) {
+    public boolean recordAttached(String id, String front, String claim) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(id);
         if (slot == null) {
             return false;
         }
-        PendingMessage.Claim joins = new PendingMessage.Claim(front, claim);
+        PendingMessage.Submitter joins = new PendingMessage.Submitter(front, claim);
         RecordEncoder.joined(writer.clear(), id, joins);
         if (unwritten.hasMessage(id) || !appender.hasRoom(writer.size(), JournalState.growth(joins)) || !append()) {
             return false;
@@ -161,7 +161,7 @@
     }
 
     @Override
-    public void forgetSoonest() {
+    public void forgetSoonestExpiring() {
         state.forgetSoonest();
     }
 
@@ -172,7 +172,7 @@
     }
 
     @Override
-    public Collection<PendingMessage> owed() {
+    public Collection<PendingMessage> pendingMessages() {
         return state.messages();
     }
 
@@ -200,7 +200,7 @@
     }
 
     @Override
-    public void tidy(long nowWall) {
+    public void maintain(long nowWall) {
         long now = micros.getAsLong();
         if (now >= askAgainAt) {
             askAgainAt = now + ASK_AGAIN;
@@ -276,7 +276,7 @@
     // ---- durability -------------------------------------------------------------------------------------
     /** Where the loop takes tasks from other threads; before anything is written by the loop. */
     @Override
-    public void attach(Executor loop) {
+    public void setLoop(Executor loop) {
         syncer.attach(loop);
     }
 
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -85,7 +85,7 @@
         call.attachment = state;
         calls.add(call);
         call.messages.forEach(m -> world.onAttempt(m.id(), number, host, call.endpoint.destination(), world.now()));
-        boolean kept = idle.take(host, world.now()) != null;
+        boolean kept = idle.acquire(host, world.now()) != null;
         if (!kept) {
             world.auditor().service().connection();
         }
@@ -103,7 +103,7 @@
 
     /** The call's connection is up: it is written now, unless a wait was told since it was decided. */
     private void connectionUp(Call call, CallState state, Partner partner, boolean connected) {
-        long wait = waits.left(call.endpoint, world.now());
+        long wait = waits.remainingMicros(call.endpoint, world.now());
         if (wait == 0) {
             state.written = true;
             later(world.now() + world.network(), () -> arrive(call, state, partner, connected));
@@ -176,26 +176,26 @@
         state.closed = true;
         calls.remove(call);
         if (wait > 0) {
-            waits.told(call.endpoint, world.now() + wait);
+            waits.record(call.endpoint, world.now() + wait);
         }
         if (ending != Ending.DELIVERED && ending != Ending.WITHHELD) {
             world.partner(call.endpoint.destination()).heardFailure(number, world.now());
         }
         if (keeps) {
-            idle.giveBack(call.endpoint.host(), call.endpoint.host(), world.now());
+            idle.release(call.endpoint.host(), call.endpoint.host(), world.now());
             later(world.now() + settings.limits().keepAliveMicros(), () -> {
-                idle.sweep(world.now());
-                waits.sweep(world.now());
+                idle.closeExpired(world.now());
+                waits.removeExpired(world.now());
             });
         } else {
             world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
         }
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.outcome(call, m, ending, wait, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, wait, false, false)));
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         CallState state = (CallState) call.attachment;
         if (state.closed) {
             return;
@@ -207,11 +207,11 @@
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
         Ending ending = state.arrived && world.fault() != Fault.RESENDS ? Ending.TIMED_OUT : Ending.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.outcome(call, m, ending, 0, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, 0, false, false)));
     }
 
     @Override
-    public void withdraw(Call call) {
+    public void cancelUnsent(Call call) {
         CallState state = (CallState) call.attachment;
         if (!state.closed && !state.written) {
             attemptsOver(call, "withheld", true);
@@ -247,7 +247,7 @@
                 if (ending != Ending.DELIVERED) {
                     partner.heardFailure(number, world.now());
                 }
-                core.post(() -> core.probed(endpoint.host(), ending, world.now() - sent));
+                core.post(() -> core.probeEnded(endpoint.host(), ending, world.now() - sent));
             });
         });
     }
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -68,7 +68,7 @@
 
     @Override
     public int held() {
-        return core == null ? 0 : journal.owed().size();
+        return core == null ? 0 : journal.pendingMessages().size();
     }
 
     /** Task failures and invariants broken, over all lives. */
@@ -96,14 +96,14 @@
                     disk,
                     world.scenario().fleet().diskBytes(),
                     Durability.NONE,
-                    new JournalClocks(this::micros, this::wall, BootClock.UNKNOWN),
+                    new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                     new SplittableRandom(seed + life));
         } catch (IOException e) {
             throw new IllegalStateException("a disk in memory", e);
         }
         counters = new Counters();
         RetryAfterTable waits = new RetryAfterTable();
-        counters.gauge("waits", waits::size);
+        counters.entryGauge("waits", waits::size);
         life++;
         lastStep = world.now();
         core = new Core(
@@ -115,7 +115,7 @@
                 this);
         deliverer = new VirtualDeliverer(world, number, settings, core, waits);
         core.add(this);
-        core.begin(known.stream().map(this::listed).toList(), version);
+        core.runFirstTurn(known.stream().map(this::listed).toList(), version);
         schedule();
         world.onReady(number);
     }
@@ -144,34 +144,34 @@
 
     // ---- time -------------------------------------------------------------------------------------------
     @Override
-    public long micros() {
+    public long monotonicMicros() {
         return world.now();
     }
 
     @Override
-    public long wall() {
+    public long wallMicros() {
         return WALL + world.now();
     }
 
     @Override
-    public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+    public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
         throw new IllegalStateException("the world does the loop's part");
     }
 
     @Override
-    public void pause(long micros) {
+    public void sleep(long micros) {
         throw new IllegalStateException("the world does the loop's part");
     }
 
     @Override
-    public void posted() {
+    public void taskPosted() {
         if (core != null) {
             schedule();
         }
     }
 
     private void schedule() {
-        long due = Math.max(core.due(), lastStep + settings.roundMicros());
+        long due = Math.max(core.nextTurnMicros(), lastStep + settings.roundMicros());
         if (due < stepAt) {
             stepAt = due;
             later(due, () -> step(due));
@@ -184,7 +184,7 @@
         }
         stepAt = Long.MAX_VALUE;
         lastStep = world.now();
-        core.step();
+        core.runTurn();
         schedule();
     }
 
@@ -211,26 +211,26 @@
                 false,
                 HttpFront.budget(left, 0));
         core.post(() -> {
-            if (!core.knows(submission.destination())) {
+            if (!core.isKnownDestination(submission.destination())) {
                 world.onRefused(submission.id(), 0);
             } else {
-                core.handIn(this, submission);
+                core.submit(this, submission);
             }
         });
     }
 
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         world.onAccepted(message.id());
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
-        world.onRefused(message.id(), verdict.comeBackMicros());
+    public void onRejected(Message message, FinalStatus verdict) {
+        world.onRefused(message.id(), verdict.retryAfterMicros());
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         String status = verdict.kind() == FinalStatus.Kind.REFUSED
                 ? "deferred"
                 : verdict.kind() == FinalStatus.Kind.FAILED ? "undeliverable" : null;
@@ -250,12 +250,12 @@
     // ---- the directory ----------------------------------------------------------------------------------
     @Override
     public void listing(long version, List<DecisionModule.Entry> changes) {
-        List<Core.Listed> entries = changes.stream().map(this::listed).toList();
-        core.post(() -> core.listing(DecisionModule.ListingKind.CHANGES, version, entries));
+        List<Core.ListedEndpoint> entries = changes.stream().map(this::listed).toList();
+        core.post(() -> core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
-    private Core.Listed listed(DecisionModule.Entry e) {
-        return new Core.Listed(
+    private Core.ListedEndpoint listed(DecisionModule.Entry e) {
+        return new Core.ListedEndpoint(
                 e,
                 new Call.Endpoint(
                         e.host(),
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -53,7 +53,7 @@
     private static final int DEFAULT_SOCKETS = 1024, LEAST_SOCKETS = 64;
     private static final String NOTE = "discovery";
     /** What the note takes on disk, and the one of endpoints out by hand, written beside the old one. */
-    private static final long NOTE_BYTES = 512, SUSPENDED_BYTES = 2 * ManualDrains.NOTE_BYTES;
+    private static final long NOTE_BYTES = 512, SUSPENDED_BYTES = 2 * ManualDrains.MAX_STORED_BYTES;
 
     private static final String SUSPENDED = "suspended";
     /** Descriptors that the machine itself needs, and some for files of the journal. */
@@ -420,7 +420,7 @@
 
     private static String address(String value, String key) throws ConfigurationException {
         try {
-            Transport.address(value);
+            Transport.parseAddress(value);
             return value;
         } catch (IllegalArgumentException e) {
             throw new ConfigurationException(key, e.getMessage());
--- a/src/main/java/lilaclever/program/DepartureNote.java
+++ b/src/main/java/lilaclever/program/DepartureNote.java
@@ -123,7 +123,7 @@
                 + '\t'
                 + departure.index()
                 + '\t'
-                + departure.atMicros()
+                + departure.wallMicros()
                 + '\n';
     }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -62,7 +62,7 @@
                 FolderDisk.take(config.state()),
                 config.diskBytes() - config.noteBytes(),
                 operator.journal().durability(),
-                new JournalClocks(Core::micros, Core::wall, BootClock.read(Core::micros, Core::wall)),
+                new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                 new SplittableRandom(config.seed() ^ System.nanoTime()));
         Counters counters = new Counters();
         figures(journal, counters);
@@ -75,7 +75,7 @@
         long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
                 DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
-        counters.gauge("departed", membership::departureCount);
+        counters.entryGauge("departed", membership::departureCount);
         directory = new Directory(
                 core,
                 transport,
@@ -85,7 +85,7 @@
                 connect,
                 keep,
                 membership,
-                suspensions::listing);
+                suspensions::updateEndpoints);
         front = new HttpFront(
                 core,
                 config.classNames(),
@@ -108,18 +108,18 @@
         }
         Directory.Known known = config.known() == null ? null : directory.known(config.known());
         deliverer.start();
-        List<Core.Listed> listed = known == null ? List.of() : known.listed();
+        List<Core.ListedEndpoint> listed = known == null ? List.of() : known.listed();
         directory.start(known == null ? -1 : known.index(), listed);
         long version = known == null ? 0 : known.index();
         core.start(
-                suspensions.heard(
+                suspensions.withSuspensions(
                         DecisionModule.ListingKind.REMEMBERED,
                         version,
                         listed.stream().map(Forwarder::leaving).toList()),
                 version);
-        addresses.add(front.listen(transport, Transport.address(config.listen())));
+        addresses.add(front.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
-            addresses.add(new OperatorPort(core, suspensions).listen(transport, Transport.address(config.operator())));
+            addresses.add(new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
             addresses.addAll(each.listen(transport));
@@ -130,19 +130,19 @@
     }
 
     /** Until discovery has answered nothing new goes to an endpoint that is only known. */
-    private static Core.Listed leaving(Core.Listed listed) {
+    private static Core.ListedEndpoint leaving(Core.ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
                 : listed;
     }
 
     private static void figures(SegmentedJournal journal, Counters counters) {
-        counters.gauge("unwritten", journal::unwritten);
-        counters.figure("journal_files", journal::files);
-        counters.figure("journal_bytes", journal::allocated);
-        counters.figure("journal_bytes_copied", journal::copied);
-        counters.figure("journal_failures", journal::failures);
-        counters.figure("journal_damages", () -> journal.recovered().damages().size());
+        counters.entryGauge("unwritten", journal::unwritten);
+        counters.valueGauge("journal_files", journal::files);
+        counters.valueGauge("journal_bytes", journal::allocated);
+        counters.valueGauge("journal_bytes_copied", journal::copied);
+        counters.valueGauge("journal_failures", journal::failures);
+        counters.valueGauge("journal_damages", () -> journal.recovered().damages().size());
     }
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
@@ -210,7 +210,7 @@
         config = next;
         CountDownLatch inForce = new CountDownLatch(1);
         core.post(() -> {
-            core.renew(next.settings());
+            core.updateSettings(next.settings());
             front.renew(next.classNames(), next.settings().classes());
             inForce.countDown();
         });
@@ -236,8 +236,8 @@
         try {
             core.post(this::stopping);
             stopped.await(END, TimeUnit.MICROSECONDS);
-            core.end();
-            System.err.print(core.counters().text());
+            core.stop();
+            System.err.print(core.counters().toText());
             journal.close();
             transport.close();
         } catch (InterruptedException | IOException e) {
@@ -246,9 +246,9 @@
     }
 
     private void stopping() {
-        long told = core.now();
-        core.deadlines().at(told + ACCEPT, () -> {
-            core.stopBy(told + CALLS_BY);
+        long told = core.nowMicros();
+        core.deadlines().schedule(told + ACCEPT, () -> {
+            core.beginShutdown(told + CALLS_BY);
             front.close();
             mailFronts.forEach(MailFront::close);
             if (mllpFront != null) {
@@ -259,10 +259,10 @@
     }
 
     private void untilQuiet(long end) {
-        if (core.now() >= end || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
+        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
             stopped.countDown();
         } else {
-            core.deadlines().at(core.now() + LOOK, () -> untilQuiet(end));
+            core.deadlines().schedule(core.nowMicros() + LOOK, () -> untilQuiet(end));
         }
     }
 }
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -96,7 +96,7 @@
             throw s.bad("address", "missing");
         }
         try {
-            Transport.address(address);
+            Transport.parseAddress(address);
         } catch (IllegalArgumentException e) {
             throw s.bad("address", e.getMessage());
         }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -28,11 +28,11 @@
     /** Who hears what the list says. */
     public interface Listener {
         /** A change of the list; the first one is the remembered list. */
-        void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> entries);
+        void listing(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries);
     }
 
     /** A list as the platform writes it. */
-    public record Known(long index, boolean whole, List<Core.Listed> listed) {}
+    public record Known(long index, boolean whole, List<Core.ListedEndpoint> listed) {}
 
     private final Core core;
     private final HttpClient client;
@@ -48,7 +48,7 @@
     /** Whether the agent of the address in force has answered: where no version was known, with its whole list. */
     private boolean isCurrentConfirmed;
     /** What is told once the first answer is here, or is waited for no longer; null from then on. */
-    private List<EndpointMembership.Change> withheld = new ArrayList<>();
+    private List<EndpointMembership.CoreUpdate> withheld = new ArrayList<>();
 
     private Deadlines.Key firstAnswerDue;
 
@@ -94,9 +94,9 @@
      * fetched whole. The known list is told as remembered with the first answer, or after {@link #FIRST_ANSWER_WAIT};
      * nothing is told before.
      */
-    public void start(long knownIndex, List<Core.Listed> known) {
-        withheld.add(membership.remembered(Math.max(0, knownIndex), known));
-        firstAnswerDue = core.deadlines().at(core.now() + FIRST_ANSWER_WAIT, this::tellWithheld);
+    public void start(long knownIndex, List<Core.ListedEndpoint> known) {
+        withheld.add(membership.applyInitialList(Math.max(0, knownIndex), known));
+        firstAnswerDue = core.deadlines().schedule(core.nowMicros() + FIRST_ANSWER_WAIT, this::tellWithheld);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
     }
 
@@ -129,7 +129,7 @@
     }
 
     private void onList(DiscoveryWatch source, EndpointList list, boolean isInOrder) {
-        EndpointMembership.Change change = membership.update(
+        EndpointMembership.CoreUpdate change = membership.update(
                 new EndpointMembership.ListUpdate(
                         source.address(),
                         list.version(),
@@ -137,9 +137,9 @@
                         list.isCut(),
                         known(list).listed(),
                         list.unusable()),
-                core.now(),
-                Core.wall());
-        if (membership.needsWholeList(core.now())) {
+                core.nowMicros(),
+                Core.wallMicros());
+        if (membership.needsWholeList(core.nowMicros())) {
             source.requestWholeList();
         }
         if (isInOrder) {
@@ -158,13 +158,13 @@
     private void tellWithheld() {
         core.deadlines().cancel(firstAnswerDue);
         if (withheld != null) {
-            List<EndpointMembership.Change> changes = withheld;
+            List<EndpointMembership.CoreUpdate> changes = withheld;
             withheld = null;
             changes.forEach(this::tell);
         }
     }
 
-    private void tell(EndpointMembership.Change change) {
+    private void tell(EndpointMembership.CoreUpdate change) {
         if (change.kind() != DecisionModule.ListingKind.CHANGES
                 || !change.entries().isEmpty()) {
             listener.listing(change.kind(), change.version(), change.entries());
@@ -182,12 +182,12 @@
 
     /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
     public Known known(EndpointList list) {
-        List<Core.Listed> all = new ArrayList<>(list.endpoints().size());
+        List<Core.ListedEndpoint> all = new ArrayList<>(list.endpoints().size());
         list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
         return new Known(list.version(), list.isWhole(), all);
     }
 
-    private Core.Listed listed(EndpointList.Endpoint endpoint) {
+    private Core.ListedEndpoint listed(EndpointList.Endpoint endpoint) {
         int kind = names.kinds().indexOf(endpoint.type());
         int zone = Math.max(0, names.zones().indexOf(endpoint.zone()));
         DecisionModule.Entry entry = new DecisionModule.Entry(
@@ -198,7 +198,7 @@
                 endpoint.presence(),
                 endpoint.weight(),
                 sinceMicros(endpoint.sinceMillis()));
-        return new Core.Listed(
+        return new Core.ListedEndpoint(
                 entry,
                 new Call.Endpoint(
                         endpoint.name(),
@@ -212,6 +212,6 @@
 
     /** A moment of the wall clock on the loop's clock; 0 stays 0, which means that it is not known. */
     private long sinceMicros(long sinceMillis) {
-        return sinceMillis == 0 ? 0 : Math.max(1, core.now() - (System.currentTimeMillis() - sinceMillis) * 1000);
+        return sinceMillis == 0 ? 0 : Math.max(1, core.nowMicros() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -143,28 +143,28 @@
         primary = new PendingRequest(
                 ++sent, asksWhole, isLook, asksWhole ? "" : "?after=" + version + "&wait_ms=" + wait / 1000);
         primary.timeout =
-                core.deadlines().at(core.now() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
+                core.deadlines().schedule(core.nowMicros() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
         primary.send();
     }
 
     private boolean isWholeDue() {
-        return version == EndpointList.NO_VERSION || needsWhole && core.now() >= wholeDueAt;
+        return version == EndpointList.NO_VERSION || needsWhole && core.nowMicros() >= wholeDueAt;
     }
 
     /** A watch ends early where the whole list is due. */
     private long watchWait() {
-        return needsWhole ? Math.max(LOOK_WAIT, Math.min(WATCH_WAIT, wholeDueAt - core.now())) : WATCH_WAIT;
+        return needsWhole ? Math.max(LOOK_WAIT, Math.min(WATCH_WAIT, wholeDueAt - core.nowMicros())) : WATCH_WAIT;
     }
 
     private void sendAfter(long pause) {
         core.deadlines().cancel(retry);
-        retry = core.deadlines().at(core.now() + pause, this::sendNext);
+        retry = core.deadlines().schedule(core.nowMicros() + pause, this::sendNext);
     }
 
     /** After an answer that can't be built on: until the whole list is due, if that is soon. */
     private long pauseAfterAnswer() {
         long pause = answerPause.next();
-        long untilWhole = wholeDueAt - core.now();
+        long untilWhole = wholeDueAt - core.nowMicros();
         return needsWhole && untilWhole > 0 && untilWhole <= LONGEST_ANSWER_PAUSE ? untilWhole : pause;
     }
 
@@ -184,13 +184,13 @@
 
     private void needWholeAtOnce() {
         needsWhole = true;
-        wholeDueAt = Math.max(core.now(), tooLargeUntil);
+        wholeDueAt = Math.max(core.nowMicros(), tooLargeUntil);
     }
 
     private void needWhole() {
-        if (!needsWhole || core.now() >= wholeDueAt) {
+        if (!needsWhole || core.nowMicros() >= wholeDueAt) {
             needsWhole = true;
-            wholeDueAt = core.now() + wholePause.next();
+            wholeDueAt = core.nowMicros() + wholePause.next();
         }
     }
 
@@ -320,7 +320,7 @@
             version = list.version();
         }
         if (version != EndpointList.NO_VERSION) {
-            tooLargeUntil = core.now() + TOO_LARGE_PAUSE;
+            tooLargeUntil = core.nowMicros() + TOO_LARGE_PAUSE;
             wholeDueAt = tooLargeUntil;
             answerPause.reset();
         }
@@ -328,11 +328,11 @@
 
     private void logFaults(EndpointList list) {
         List<EndpointList.Fault> faults = list.faults();
-        if (faults.isEmpty() || faults.equals(loggedFaults) && core.now() - loggedAt < LOG_AGAIN) {
+        if (faults.isEmpty() || faults.equals(loggedFaults) && core.nowMicros() - loggedAt < LOG_AGAIN) {
             return;
         }
         loggedFaults = List.copyOf(faults.subList(0, Math.min(faults.size(), MOST_FAULTS_LOGGED)));
-        loggedAt = core.now();
+        loggedAt = core.nowMicros();
         for (EndpointList.Fault fault : loggedFaults) {
             Logs.warn(PART, "fault", address + ": " + fault, "endpoint", fault.name());
         }
@@ -349,7 +349,7 @@
         private final boolean isLook;
 
         private final String query;
-        private final long sentAt = core.now();
+        private final long sentAt = core.nowMicros();
         private HttpClient.Exchange exchange;
         private Deadlines.Key timeout;
 
@@ -398,7 +398,7 @@
             primary = null;
             if (patient == null) {
                 patient = this;
-                timeout = core.deadlines().at(sentAt + LONGEST_SPAN, this::giveUp);
+                timeout = core.deadlines().schedule(sentAt + LONGEST_SPAN, this::giveUp);
             } else {
                 giveUp();
             }
--- a/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
@@ -319,7 +319,7 @@
             return false;
         }
         try {
-            return !Transport.address(text).isUnresolved();
+            return !Transport.parseAddress(text).isUnresolved();
         } catch (IllegalArgumentException e) {
             return false;
         }
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -120,15 +120,15 @@
         this.connectMicros = connectMicros;
         this.mostAnswer = mostAnswer;
         this.pool = ConnectionPool.ofSockets((long) (KEEP_PART * keepAliveMicros), mostIdle);
-        core.counters().gauge("idle_" + name, pool::size);
-        core.counters().gauge("partly_written_" + name, partly::size);
+        core.counters().entryGauge("idle_" + name, pool::size);
+        core.counters().entryGauge("partly_written_" + name, partly::size);
         this.links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
     }
 
     /** Starts to drop connections that were idle for too long. */
     void start() {
-        pool.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::start);
+        pool.closeExpired(core.nowMicros());
+        core.deadlines().schedule(core.nowMicros() + SWEEP, this::start);
     }
 
     /** Closes what is idle under the name. */
@@ -167,7 +167,7 @@
 
         /** Writes the request, unless it was given up meanwhile or the connection is not as it should be. */
         boolean take(Exchange exchange) {
-            if (spoilt || !Transport.isQuiet(connection)) {
+            if (spoilt || !Transport.isOpenAndSilent(connection)) {
                 // Its idle time was used to close it, or for a word too many: that must not answer this request.
                 connection.closeSilently();
                 return false;
@@ -302,13 +302,13 @@
             if (done) {
                 return;
             }
-            Connection<?> idle = pool.take(owner, core.now());
+            Connection<?> idle = pool.acquire(owner, core.nowMicros());
             if (idle == null) {
                 connect();
                 return;
             }
             Link kept = links.get(idle);
-            Transport.afterReading(idle, () -> {
+            Transport.runAfterReading(idle, () -> {
                 if (!kept.take(this)) {
                     core.post(this::begin); // nothing was written: another one
                 }
@@ -317,17 +317,17 @@
 
         private void connect() {
             fresh = true;
-            due = core.deadlines().at(core.now() + connectMicros, this::late);
+            due = core.deadlines().schedule(core.nowMicros() + connectMicros, this::late);
             core.counters().add(Counters.Name.CONNECTIONS);
             connecting = transport.connect(
-                    Transport.address(address),
+                    Transport.parseAddress(address),
                     chain,
                     up -> {
                         trace("connected");
                         Link opened = new Link(up);
                         links.set(up, opened);
                         core.post(() -> core.deadlines().cancel(due));
-                        Transport.afterReading(up, () -> {
+                        Transport.runAfterReading(up, () -> {
                             if (!opened.take(this)) {
                                 core.post(this::broke);
                             }
@@ -358,7 +358,7 @@
             partly.remove(this);
             trace("written");
             if (!listener.mayGo()) {
-                core.post(() -> core.counters().holds(false, listener + " was written under no wait"));
+                core.post(() -> core.counters().checkInvariant(false, listener + " was written under no wait"));
             }
         }
 
@@ -400,7 +400,7 @@
             core.post(() -> {
                 if (!done) {
                     core.deadlines().cancel(due);
-                    due = core.deadlines().at(core.now() + REST_BY, this::late);
+                    due = core.deadlines().schedule(core.nowMicros() + REST_BY, this::late);
                 }
             });
         }
@@ -422,7 +422,7 @@
             if (listener.isServerLeaving()) {
                 unused.closeSilently();
             } else {
-                pool.giveBack(owner, unused, core.now());
+                pool.release(owner, unused, core.nowMicros());
             }
         }
 
@@ -499,7 +499,7 @@
                 core.post(this::givenUp);
                 return;
             }
-            Transport.afterReading(open.connection, () -> {
+            Transport.runAfterReading(open.connection, () -> {
                 if (open.current == this) {
                     open.keepPartial(this, false);
                 }
@@ -550,7 +550,7 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             Link link = links.get(context.getConnection());
-            byte[] bytes = Transport.bytes(context.getMessage());
+            byte[] bytes = Transport.toBytes(context.getMessage());
             if (link == null) {
                 context.getConnection().closeSilently(); // it spoke before it was asked
             } else {
@@ -563,7 +563,7 @@
         public NextAction handleClose(FilterChainContext context) {
             Link link = links.get(context.getConnection());
             if (link != null) {
-                link.closed(Transport.isEndedRemotely(context.getConnection()));
+                link.closed(Transport.isClosedByPeer(context.getConnection()));
             }
             return context.getInvokeAction();
         }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -51,7 +51,7 @@
 
         @Override
         public boolean mayGo() {
-            return waits.left(endpoint, Core.micros()) == 0;
+            return waits.remainingMicros(endpoint, Core.monotonicMicros()) == 0;
         }
     }
 
@@ -76,13 +76,13 @@
     /** Starts its housekeeping. */
     public void start() {
         client.start();
-        core.counters().gauge("waits", waits::size);
+        core.counters().entryGauge("waits", waits::size);
         sweep();
     }
 
     private void sweep() {
-        waits.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::sweep);
+        waits.removeExpired(core.nowMicros());
+        core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
     }
 
     @Override
@@ -115,7 +115,7 @@
 
             @Override
             public boolean isTooLate() {
-                return Core.micros() >= call.writeBy();
+                return Core.monotonicMicros() >= call.writeByMicros();
             }
 
             @Override
@@ -156,16 +156,16 @@
 
     /** How long a call of the given messages waits for its answer, as its endpoint is told. */
     private static String waitOf(Call call, List<Message> messages) {
-        return seconds(Math.max(0, Call.expiryOf(messages) - call.startedAt));
+        return seconds(Math.max(0, Call.expiryMicrosOf(messages) - call.startedAtMicros));
     }
 
     @Override
-    public void leaveOut(Call call, Message m) {
+    public void removeMessage(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
         if (call.attachment instanceof Out out) {
             out.headers().put(DEADLINE, waitOf(call, rest)); // written anew with the body, or not at all
             if (out.exchange().replaceBody(many(rest))) {
-                call.leftOut(m);
+                call.removeMessage(m);
                 core.post(() -> outcome(call, m, Ending.NOT_SENT, false, false));
             }
         }
@@ -254,8 +254,8 @@
             longest = Math.max(longest, Figures.atLeast(wait.strip(), 3, MOST_WAIT));
         }
         if (longest > 0) {
-            long now = Core.micros() + 1; // the clock is cut to whole microseconds
-            waits.told(endpoint, now + longest);
+            long now = Core.monotonicMicros() + 1; // the clock is cut to whole microseconds
+            waits.record(endpoint, now + longest);
             Logs.debug(
                     "",
                     "wait",
@@ -273,7 +273,7 @@
 
     /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
     private void outcome(Call call, Message m, Ending ending, boolean noSlot, boolean over) {
-        core.outcome(call, m, ending, waits.left(call.endpoint, core.now()), noSlot, over);
+        core.attemptEnded(call, m, ending, waits.remainingMicros(call.endpoint, core.nowMicros()), noSlot, over);
     }
 
     /** Seconds with decimals, as the protocol writes them. */
@@ -282,7 +282,7 @@
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         if (!(call.attachment instanceof Out out)) { // its start has failed
             core.post(() -> all(call, Ending.NO_CONNECTION, false, false));
             return;
@@ -300,7 +300,7 @@
     }
 
     @Override
-    public void withdraw(Call call) {
+    public void cancelUnsent(Call call) {
         if (call.attachment instanceof Out out && out.exchange().withdraw()) {
             core.post(() -> all(call, Ending.WITHHELD, false, false));
         }
@@ -318,10 +318,10 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.now();
+        long started = core.nowMicros();
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
         Deadlines.Key late = core.deadlines()
-                .at(
+                .schedule(
                         started + probeMicros,
                         () -> exchange[0].giveUp(() -> probed(
                                 endpoint, exchange[0].isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION, started)));
@@ -350,6 +350,6 @@
     }
 
     private void probed(Call.Endpoint endpoint, Ending ending, long started) {
-        core.probed(endpoint.host(), ending, core.now() - started);
+        core.probeEnded(endpoint.host(), ending, core.nowMicros() - started);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -60,8 +60,8 @@
         renew(classNames, classes);
         this.intake = new IntakeFilter(core, mostClients, crowd, this::request);
         this.notices = notices;
-        core.counters().gauge("waiting_clients", waiting::size);
-        core.counters().gauge("clients", intake::size);
+        core.counters().entryGauge("waiting_clients", waiting::size);
+        core.counters().entryGauge("clients", intake::size);
     }
 
     @Override
@@ -97,7 +97,7 @@
      */
     private void stopListening(int most) {
         int before = intake.accepted();
-        Transport.afterReading(listener, () -> {
+        Transport.runAfterReading(listener, () -> {
             if (most > 0 && intake.accepted() != before) {
                 stopListening(most - 1);
             } else {
@@ -118,7 +118,7 @@
             case "GET /health/ready", "GET /health/live" -> answer(request.exchange(), 200, Map.of(), "ready\n");
             case "GET /counters" ->
                 core.post(() -> answer(
-                        request.exchange(), 200, Map.of(), core.counters().text()));
+                        request.exchange(), 200, Map.of(), core.counters().toText()));
             default -> answer(request.exchange(), 404, Map.of(), "");
         }
     }
@@ -155,19 +155,19 @@
         if (exchange.gone()) {
             return; // the client has stopped waiting and hands it in again
         }
-        if (!core.knows(submission.destination())) {
+        if (!core.isKnownDestination(submission.destination())) {
             // Discovery is seconds late: it may be new. Held it would wait for nothing, and its room is scarce.
             answer(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
         }
-        Message m = core.handIn(this, submission);
-        if (m.isTakenOn()) {
+        Message m = core.submit(this, submission);
+        if (m.isAccepted()) {
             // Handed in under the same id before: it makes no second message, whoever asks.
             core.whenDurable(() -> exchange.answer(202, Map.of(), NOTHING, () -> {}));
         } else if (m.isOpen()) {
             waiting.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new Waiting(exchange, submission.id()));
         } else {
-            refuse(exchange, m.verdict());
+            refuse(exchange, m.finalStatus());
         }
     }
 
@@ -207,7 +207,7 @@
                 request.body(),
                 !retry.isEmpty(),
                 retry.equals("again"),
-                budget(deadline, Core.micros() - request.arrivedMicros()));
+                budget(deadline, Core.monotonicMicros() - request.arrivedMicros()));
     }
 
     private String identity(Map<String, String> headers, String key) {
@@ -245,7 +245,7 @@
 
     // ---- answers: on the loop thread ----------------------------------------------------------------------
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         List<Waiting> all = waiting.remove(message);
         if (all == null) {
             return; // it came on another port, and a client of this one joined it and has left
@@ -262,14 +262,14 @@
                             NOTHING,
                             () -> core.post(() -> {
                                 if (lost.merge(w.id(), -1, Integer::sum) == 0) {
-                                    core.clientGone(message, this, w.id());
+                                    core.withdraw(message, this, w.id());
                                 }
                             }));
         }
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         List<Waiting> all = waiting.remove(message);
         if (all != null) {
             all.forEach(w -> refuse(w.exchange(), verdict));
@@ -277,7 +277,7 @@
     }
 
     @Override
-    public void notJoined(Message message, String id, FinalStatus verdict) {
+    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
         List<Waiting> all = waiting.getOrDefault(message, List.of());
         all.stream().filter(w -> w.id().equals(id)).forEach(w -> refuse(w.exchange(), verdict));
         all.removeIf(w -> w.id().equals(id));
@@ -286,8 +286,8 @@
     private static void refuse(IntakeFilter.Exchange exchange, FinalStatus verdict) {
         if (verdict.kind() == FinalStatus.Kind.REFUSED) {
             Map<String, String> headers = new LinkedHashMap<>();
-            if (verdict.comeBackMicros() > 0) {
-                headers.put("Retry-After", HttpDeliverer.seconds(verdict.comeBackMicros()));
+            if (verdict.retryAfterMicros() > 0) {
+                headers.put("Retry-After", HttpDeliverer.seconds(verdict.retryAfterMicros()));
             }
             answer(exchange, 503, headers, "");
         } else if (verdict.kind() == FinalStatus.Kind.DELIVERED) {
@@ -300,9 +300,9 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         switch (verdict.kind()) {
-            case REFUSED -> notices.add(id, "deferred", verdict.comeBackMicros(), settled);
+            case REFUSED -> notices.add(id, "deferred", verdict.retryAfterMicros(), settled);
             case FAILED -> notices.add(id, "undeliverable", 0, settled);
             default -> settled.run();
         }
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -104,7 +104,7 @@
         private final ByteArrayOutputStream ahead = new ByteArrayOutputStream(0);
         private final AtomicLong counted = new AtomicLong();
         /** Since when it is as it is: opened, or the first byte of a request, or the end of an answer. */
-        private volatile long since = Core.micros();
+        private volatile long since = Core.monotonicMicros();
 
         private volatile boolean asked, partial, answering, lingering;
         /** The last answer is given: what still comes is dropped. */
@@ -200,7 +200,7 @@
         private int read(byte[] in, int from) {
             if (!partial) {
                 partial = true;
-                since = asked ? Core.micros() : since; // the first one is due since the connection opened
+                since = asked ? Core.monotonicMicros() : since; // the first one is due since the connection opened
             }
             try {
                 int at = reader.read(in, from, in.length);
@@ -235,7 +235,7 @@
                     reader.path(),
                     reader.headers(),
                     reader.body(),
-                    Core.micros(),
+                    Core.monotonicMicros(),
                     new Exchange(this, reader.keeps()));
             reader.next();
             try {
@@ -273,7 +273,7 @@
         }
 
         private synchronized void answered() {
-            since = Core.micros();
+            since = Core.monotonicMicros();
             answering = false;
             byte[] waiting = ahead.toByteArray();
             ahead.reset();
@@ -298,7 +298,7 @@
         private synchronized void closeOnceWritten() {
             if (!ended) {
                 ended = true;
-                since = Core.micros();
+                since = Core.monotonicMicros();
                 linger();
             }
         }
@@ -307,11 +307,11 @@
         private void linger() {
             if (writes == 0 && !lingering && connection.isOpen()) {
                 lingering = true;
-                since = Core.micros();
+                since = Core.monotonicMicros();
                 synchronized (clients) {
                     leaving.add(this);
                 }
-                Transport.endSending(connection);
+                Transport.shutdownOutput(connection);
                 if (inputEnded) {
                     connection.closeSilently(); // nothing is left to be read
                 }
@@ -343,7 +343,7 @@
          * not be read as a request here.
          */
         private synchronized void over() {
-            if (Core.micros() < due()) {
+            if (Core.monotonicMicros() < due()) {
                 return;
             }
             if (ended) {
@@ -388,11 +388,11 @@
             if (!connection.isOpen()) {
                 return;
             }
-            long now = core.now();
+            long now = core.nowMicros();
             if (now >= due()) {
-                Transport.afterReading(connection, this::over);
+                Transport.runAfterReading(connection, this::over);
             }
-            core.deadlines().at(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
+            core.deadlines().schedule(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
         }
     }
 
@@ -483,7 +483,7 @@
         synchronized (clients) {
             all = List.copyOf(clients);
         }
-        all.forEach(c -> Transport.afterReading(c.connection, c::closeIfIdle));
+        all.forEach(c -> Transport.runAfterReading(c.connection, c::closeIfIdle));
     }
 
     /** How many connections have been accepted since the start. */
@@ -502,7 +502,7 @@
      * newcomer only where all others wait for an answer: its request would have failed.
      */
     private Client leastWanted(Client newest) {
-        long now = Core.micros();
+        long now = Core.monotonicMicros();
         Client silent = null, idle = null;
         for (Client c : clients) {
             if (leaving.contains(c)) {
@@ -536,7 +536,7 @@
         if (out != null) {
             core.counters().add(Name.CROWDED_OUT);
             if (out != newest) {
-                Transport.afterReading(out.connection, out::makeRoom);
+                Transport.runAfterReading(out.connection, out::makeRoom);
             }
         }
         if (full) {
--- a/src/main/java/lilaclever/protocol/http/Notices.java
+++ b/src/main/java/lilaclever/protocol/http/Notices.java
@@ -44,7 +44,7 @@
         this.core = core;
         this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MOST_ANSWER);
         this.address = address;
-        core.counters().gauge("notices", open::size);
+        core.counters().entryGauge("notices", open::size);
     }
 
     void add(String id, String status, long againMicros, Runnable settled) {
@@ -57,7 +57,7 @@
         open.add(new Notice(line.toString() + '\n', settled));
         if (!busy) {
             busy = true;
-            again = core.deadlines().at(core.now() + 1, this::send); // with what else ends in this turn
+            again = core.deadlines().schedule(core.nowMicros() + 1, this::send); // with what else ends in this turn
         }
     }
 
@@ -83,7 +83,7 @@
         List<Notice> batch = List.copyOf(open.subList(0, Math.min(MOST, open.size())));
         StringBuilder body = new StringBuilder();
         batch.forEach(n -> body.append(n.line()));
-        again = core.deadlines().at(core.now() + Math.min(LAST_ANSWER_BY, FIRST_ANSWER_BY << failures), () -> {
+        again = core.deadlines().schedule(core.nowMicros() + Math.min(LAST_ANSWER_BY, FIRST_ANSWER_BY << failures), () -> {
             sending.close();
             later();
         });
@@ -122,7 +122,7 @@
 
     private void later() {
         sending = null;
-        again = core.deadlines().at(core.now() + Math.min(LAST_PAUSE, FIRST_PAUSE << failures), this::send);
+        again = core.deadlines().schedule(core.nowMicros() + Math.min(LAST_PAUSE, FIRST_PAUSE << failures), this::send);
         failures = Math.min(failures + 1, MOST_DOUBLINGS);
     }
 }
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -79,7 +79,7 @@
             for (String address : route.addresses()) {
                 String host = route.host(address);
                 protocols.put(host, route.protocol());
-                core.add(new Core.Listed(
+                core.add(new Core.ListedEndpoint(
                         new DecisionModule.Entry(
                                 host, route.destination(), zone, -1, DecisionModule.Presence.ACTIVE, 1, 0),
                         new Call.Endpoint(host, address, route.destination(), zone, 1, false, this)));
@@ -89,8 +89,8 @@
     }
 
     private void sweep() {
-        pool.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::sweep);
+        pool.closeExpired(core.nowMicros());
+        core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
     }
 
     @Override
@@ -100,14 +100,14 @@
             mail = Mail.decode(call.messages.get(0).submission.body());
         } catch (IllegalArgumentException e) {
             // Handed in by a front that knows no envelopes: no attempt can ever succeed.
-            core.outcome(call, call.messages.get(0), Ending.REJECTED, 0, false, false);
+            core.attemptEnded(call, call.messages.get(0), Ending.REJECTED, 0, false, false);
             return;
         }
         Session idle = null;
-        Connection<?> kept = pool.take(call.endpoint.host(), core.now());
+        Connection<?> kept = pool.acquire(call.endpoint.host(), core.nowMicros());
         while (kept != null && idle == null) {
             idle = sessions.get(kept); // null once its server has said farewell
-            kept = idle == null ? pool.take(call.endpoint.host(), core.now()) : kept;
+            kept = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : kept;
         }
         Session session = idle != null ? idle : new Session(call.endpoint);
         call.attachment = session;
@@ -115,14 +115,14 @@
     }
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         if (call.attachment instanceof Session session && session.call == call) {
             session.end(session.written ? Ending.TIMED_OUT : Ending.NO_CONNECTION, "");
         }
     }
 
     @Override
-    public void withdraw(Call call) {
+    public void cancelUnsent(Call call) {
         if (call.attachment instanceof Session session && session.call == call && session.connection == null) {
             session.end(Ending.WITHHELD, "");
         }
@@ -136,15 +136,15 @@
     /** There is no probe but a connection: one is opened and greeted. */
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.now();
+        long started = core.nowMicros();
         transport.connect(
-                Transport.address(endpoint.address()),
+                Transport.parseAddress(endpoint.address()),
                 chain,
                 up -> {
                     up.closeSilently();
-                    core.post(() -> core.probed(endpoint.host(), Ending.DELIVERED, core.now() - started));
+                    core.post(() -> core.probeEnded(endpoint.host(), Ending.DELIVERED, core.nowMicros() - started));
                 },
-                problem -> core.post(() -> core.probed(endpoint.host(), Ending.NO_CONNECTION, core.now() - started)));
+                problem -> core.post(() -> core.probeEnded(endpoint.host(), Ending.NO_CONNECTION, core.nowMicros() - started)));
     }
 
     /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
@@ -180,12 +180,12 @@
                 return;
             }
             core.counters().add(Counters.Name.CONNECTIONS);
-            connectBy = core.deadlines().at(core.now() + connectMicros, () -> {
+            connectBy = core.deadlines().schedule(core.nowMicros() + connectMicros, () -> {
                 connecting.run();
                 end(Ending.NO_CONNECTION, "");
             });
             connecting = transport.connect(
-                    Transport.address(endpoint.address()),
+                    Transport.parseAddress(endpoint.address()),
                     chain,
                     up -> {
                         sessions.set(up, this); // before the greeting can be read
@@ -281,7 +281,7 @@
         private void delivered(Reply reply) {
             Call done = call;
             call = null;
-            pool.giveBack(endpoint.host(), connection, core.now());
+            pool.release(endpoint.host(), connection, core.nowMicros());
             tell(done, Ending.DELIVERED, reply.code() + " " + reply.text());
         }
 
@@ -346,8 +346,8 @@
 
         private void tell(Call done, Ending ending, String said) {
             for (Message m : List.copyOf(done.messages)) {
-                m.lastWord = said;
-                core.outcome(done, m, ending, 0, false, false);
+                m.lastResponseText = said;
+                core.attemptEnded(done, m, ending, 0, false, false);
             }
         }
 
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -75,7 +75,7 @@
         FilterChain chain = Transport.chain(new LineFilter(), new SessionFilter());
         for (MailSettings.Listener listener : settings.listeners()) {
             if (listener.protocol() == protocol) {
-                var server = transport.listen(Transport.address(listener.address()), chain);
+                var server = transport.listen(Transport.parseAddress(listener.address()), chain);
                 listeners.add(server);
                 bound.add(server.getLocalAddress());
             }
@@ -119,16 +119,16 @@
                 false,
                 false,
                 settings.budgets().get(messageClass));
-        Message m = core.handIn(this, submission);
+        Message m = core.submit(this, submission);
         if (!m.isOpen()) {
             answer.accept(
-                    protocol == Protocol.SMTP && m.verdict().kind() == FinalStatus.Kind.DELIVERED
+                    protocol == Protocol.SMTP && m.finalStatus().kind() == FinalStatus.Kind.DELIVERED
                             ? new Reply(250, "2.0.0 taken on before")
-                            : Reply.of(m.verdict()));
+                            : Reply.of(m.finalStatus()));
         } else if (m.front != this) {
             // The same mail is under way for a client of the other protocol: its end is known soon.
             answer.accept(new Reply(451, "4.3.0 already under way, come again"));
-        } else if (protocol == Protocol.SMTP && m.isTakenOn()) {
+        } else if (protocol == Protocol.SMTP && m.isAccepted()) {
             answer.accept(new Reply(250, "2.0.0 taken on before"));
         } else {
             waiters.computeIfAbsent(m, x -> new ArrayList<>()).add(new Waiter(answer));
@@ -143,19 +143,19 @@
     }
 
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         if (protocol == Protocol.SMTP) {
             tell(message, new Reply(250, "2.0.0 taken on"));
         }
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         tell(message, Reply.of(verdict));
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         if (protocol == Protocol.LMTP) {
             // Whoever has dropped the connection hands it in again, and hears the end that is remembered.
             tell(message, Reply.of(verdict));
@@ -189,7 +189,7 @@
             if (reply.positive() || reply.permanent()) {
                 settled.run();
             } else {
-                core.deadlines().at(core.now() + RETRY, () -> report(failed, mail, verdict, settled));
+                core.deadlines().schedule(core.nowMicros() + RETRY, () -> report(failed, mail, verdict, settled));
             }
         });
     }
--- a/src/main/java/lilaclever/protocol/mail/Reply.java
+++ b/src/main/java/lilaclever/protocol/mail/Reply.java
@@ -50,8 +50,8 @@
                 new Reply(
                         451,
                         "4.4.7 not delivered, come again"
-                                + (verdict.comeBackMicros() > 0
-                                        ? " in " + (verdict.comeBackMicros() / 1_000_000 + 1) + " s"
+                                + (verdict.retryAfterMicros() > 0
+                                        ? " in " + (verdict.retryAfterMicros() / 1_000_000 + 1) + " s"
                                         : ""));
             case FAILED, CLASH ->
                 said != null && said.permanent()
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -101,8 +101,8 @@
         if (!over && !awaiting) {
             idle = front.core()
                     .deadlines()
-                    .at(
-                            front.core().now() + settings.idleMicros(),
+                    .schedule(
+                            front.core().nowMicros() + settings.idleMicros(),
                             () -> close("421 4.4.2 nothing came for too long\r\n"));
         }
     }
@@ -247,8 +247,8 @@
             // A line now and then keeps the connection from being idle: all of them have a time as well.
             whole = front.core()
                     .deadlines()
-                    .at(
-                            front.core().now() + settings.idleMicros(),
+                    .schedule(
+                            front.core().nowMicros() + settings.idleMicros(),
                             () -> close("421 4.4.2 the mail took too long\r\n"));
             write("354 end with a dot on a line of its own\r\n");
         }
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -48,7 +48,7 @@
 
     /** The message was refused, and nothing of it was done: it may come again after so long. */
     byte[] comeBack(Code code, Header to, FinalStatus verdict) {
-        String seconds = seconds(verdict.comeBackMicros());
+        String seconds = seconds(verdict.retryAfterMicros());
         String text = text(
                 to,
                 (verdict.detail().isEmpty() ? "not done" : verdict.detail())
--- a/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
@@ -48,8 +48,8 @@
     }
 
     private void expire() {
-        owed.expired(core.now()).forEach(answer -> answer.settled().run());
-        core.deadlines().at(core.now() + LOOK, this::expire);
+        owed.expired(core.nowMicros()).forEach(answer -> answer.settled().run());
+        core.deadlines().schedule(core.nowMicros() + LOOK, this::expire);
     }
 
     /** Tells an end on the connection, or, if that is null, on another one of the practice; else it is owed. */
@@ -75,7 +75,7 @@
             answer.settled().run();
             return;
         }
-        owed.add(answer.identity(), practice, answer, core.now())
+        owed.add(answer.identity(), practice, answer, core.nowMicros())
                 .forEach(givenUp -> givenUp.settled().run());
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -46,7 +46,7 @@
     /** Listens at an address; gives the one that is bound. */
     SocketAddress listen(Transport transport, MllpSettings.Listener listener) throws IOException {
         var server =
-                transport.listen(Transport.address(listener.address()), Transport.chain(new SessionFilter(listener)));
+                transport.listen(Transport.parseAddress(listener.address()), Transport.chain(new SessionFilter(listener)));
         listeners.add(server);
         return server.getLocalAddress();
     }
@@ -125,7 +125,7 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             MllpSession session = sessionAttribute.get(context.getConnection());
-            byte[] bytes = Transport.bytes(context.getMessage());
+            byte[] bytes = Transport.toBytes(context.getMessage());
             if (session != null) {
                 session.bytes(bytes);
             }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -69,17 +69,17 @@
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
-        reader = new Hl7Reader(settings, Core::micros, Core::wall);
+        reader = new Hl7Reader(settings, Core::monotonicMicros, Core::wallMicros);
         replies = new Replies(new Acknowledgements(life + '-'), settings.key());
         connections = new MllpConnections(this, core);
         finalAnswers = new FinalAnswers(core, settings, connections, replies);
-        core.counters().gauge("mllp_connections", connections::count);
-        core.counters().gauge("mllp_waiting", waiters::size);
-        core.counters().gauge("mllp_owed", finalAnswers::size);
-        core.counters().gauge("mllp_practices", held::size);
-        core.counters().figure("mllp_owed_given_up", finalAnswers::givenUp);
-        core.counters().figure("mllp_turned_away", connections::turnedAway);
-        core.counters().figure("mllp_spoilt", spoilt::get);
+        core.counters().entryGauge("mllp_connections", connections::count);
+        core.counters().entryGauge("mllp_waiting", waiters::size);
+        core.counters().entryGauge("mllp_owed", finalAnswers::size);
+        core.counters().entryGauge("mllp_practices", held::size);
+        core.counters().valueGauge("mllp_owed_given_up", finalAnswers::givenUp);
+        core.counters().valueGauge("mllp_turned_away", connections::turnedAway);
+        core.counters().valueGauge("mllp_spoilt", spoilt::get);
     }
 
     @Override
@@ -88,7 +88,7 @@
     }
 
     @Override
-    public boolean asksAgain() {
+    public boolean notifiesOnce() {
         return true;
     }
 
@@ -147,7 +147,7 @@
         finalAnswers.payOff(session, r.header());
         if (tooMany || held.getOrDefault(r.practice(), 0) >= settings.mostHeld()) {
             busy(session, r, "too many messages at once");
-        } else if (!core.knows(r.destination())) {
+        } else if (!core.isKnownDestination(r.destination())) {
             busy(session, r, "no such destination now");
         } else {
             handIn(session, r);
@@ -161,10 +161,10 @@
     }
 
     private void handIn(MllpSession session, Request r) {
-        Message m = core.handIn(this, submission(r));
+        Message m = core.submit(this, submission(r));
         if (!m.isOpen()) {
             session.answered();
-            answerAtOnce(session, r.header(), m.verdict());
+            answerAtOnce(session, r.header(), m.finalStatus());
             return;
         }
         Waiter before = waiters.put(m, new Waiter(session, r));
@@ -173,13 +173,13 @@
         } else {
             held.merge(r.practice(), 1, Integer::sum);
         }
-        if (m.isTakenOn()) {
+        if (m.isAccepted()) {
             core.whenDurable(() -> accepted(waiters.get(m)));
         }
     }
 
     private Submission submission(Request r) {
-        long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.micros() - r.arrivedMicros()));
+        long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.monotonicMicros() - r.arrivedMicros()));
         return new Submission(
                 id(r),
                 r.identity(),
@@ -213,7 +213,7 @@
 
     // ---- what the core tells ----------------------------------------------------------------------------
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         Waiter w = waiters.get(message);
         if (w != null) {
             accepted(w);
@@ -233,7 +233,7 @@
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         Waiter w = forget(message);
         if (w != null) {
             w.answered();
@@ -242,8 +242,8 @@
     }
 
     @Override
-    public void notJoined(Message message, String id, FinalStatus verdict) {
-        turnedDown(message, verdict);
+    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
+        onRejected(message, verdict);
     }
 
     private Waiter forget(Message message) {
@@ -255,7 +255,7 @@
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         Waiter w = forget(message);
         Header header = w != null ? w.request.header() : header(message);
         if (w != null) {
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -26,7 +26,7 @@
     private final FrameReader reader;
     private final AtomicLong unread = new AtomicLong();
     private final AtomicInteger unanswered = new AtomicInteger();
-    private volatile long since = Core.micros();
+    private volatile long since = Core.monotonicMicros();
     private volatile boolean partial, over;
     /** Selector thread. */
     private int bad;
@@ -53,7 +53,7 @@
                 frame(frame);
             }
             partial = reader.isPartial();
-            since = partial && was ? since : Core.micros(); // a frame counts from its first byte
+            since = partial && was ? since : Core.monotonicMicros(); // a frame counts from its first byte
         } catch (FrameReader.Spoilt e) {
             front.bad(address, e.getMessage());
             close();
@@ -152,14 +152,14 @@
         if (!isOpen()) {
             return;
         }
-        long now = Core.micros();
+        long now = Core.monotonicMicros();
         if (partial && now - since >= listener.wholeMicros()) {
             front.bad(address, "a frame without an end");
             close();
         } else if (!partial && unanswered.get() == 0 && now - since >= listener.idleMicros()) {
             close();
         } else {
-            front.core().deadlines().at(front.core().now() + LOOK, this::look);
+            front.core().deadlines().schedule(front.core().nowMicros() + LOOK, this::look);
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -34,7 +34,7 @@
     public OperatorPort(Core core, ManualDrains suspensions) {
         this.core = core;
         this.suspensions = suspensions;
-        core.counters().gauge("operators", this::size);
+        core.counters().entryGauge("operators", this::size);
     }
 
     /** A connection and what it has said. Selector thread. */
@@ -88,7 +88,7 @@
         if (oldest != null) {
             oldest.connection.closeSilently();
         }
-        core.post(() -> core.deadlines().at(core.now() + LINE_BY, caller.connection::closeSilently));
+        core.post(() -> core.deadlines().schedule(core.nowMicros() + LINE_BY, caller.connection::closeSilently));
         return context.getInvokeAction();
     }
 
@@ -103,7 +103,7 @@
     @Override
     public NextAction handleRead(FilterChainContext context) {
         Caller caller = callerOf.get(context.getConnection());
-        byte[] bytes = Transport.bytes(context.getMessage());
+        byte[] bytes = Transport.toBytes(context.getMessage());
         String line = caller.asked ? null : caller.line(bytes);
         if (line != null) {
             caller.asked = true;
@@ -132,7 +132,7 @@
                 }
             }
             return "200 " + words[1];
-        } catch (ManualDrains.Refused e) {
+        } catch (ManualDrains.RefusedException e) {
             return "400 " + e.getMessage();
         }
     }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -9,15 +9,15 @@
     /** The messages still in the call; one that is removed before the request is written is no longer here. */
     public final List<Message> messages = new ArrayList<>();
     /** Creation time on the event loop's clock, microseconds. */
-    public final long startedAt;
+    public final long startedAtMicros;
     /** State that belongs to the deliverer. */
     public Object attachment;
 
-    int open;
+    int pendingOutcomes;
     private volatile long writeBy = Long.MAX_VALUE;
     private long expiresAt = Long.MAX_VALUE;
     /** Whether the call was handed to the deliverer, which happens once its attempts are recorded durably. */
-    boolean started;
+    boolean isStarted;
 
     Deadlines.Key deadline;
 
@@ -26,15 +26,15 @@
      *
      * @param host the endpoint's unique name in the list
      * @param address where to connect
-     * @param batch how many messages a call may carry
-     * @param apart true if limits and retry-after periods apply to this endpoint alone, not to its whole destination
+     * @param maxMessagesPerCall how many messages a call may carry
+     * @param hasOwnLimits true if limits and retry-after periods apply to this endpoint alone, not to its whole destination
      */
     public record Endpoint(
-            String host, String address, int destination, int zone, int batch, boolean apart, Deliverer deliverer) {}
+            String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
 
     Call(Endpoint endpoint, long startedAt) {
         this.endpoint = endpoint;
-        this.startedAt = startedAt;
+        this.startedAtMicros = startedAt;
     }
 
     /**
@@ -43,31 +43,31 @@
      * @param writeBy when the attempt is dropped: the message must not be sent from then on, and needs no answer
      * @param deadline the message's deadline
      */
-    void take(Message m, long writeBy, long deadline) {
-        m.out = this;
-        m.writeBy = writeBy;
-        m.deadline = deadline;
+    void addMessage(Message m, long writeBy, long deadline) {
+        m.currentCall = this;
+        m.writeByMicros = writeBy;
+        m.deadlineMicros = deadline;
         messages.add(m);
-        open++;
+        pendingOutcomes++;
         setTimes();
     }
 
     /** Removes a message that has not been sent. Event loop. */
-    public void leftOut(Message m) {
+    public void removeMessage(Message m) {
         messages.remove(m);
         setTimes();
     }
 
     private void setTimes() {
-        writeBy = messages.stream().mapToLong(m -> m.writeBy).min().orElse(Long.MAX_VALUE);
-        expiresAt = expiryOf(messages);
+        writeBy = messages.stream().mapToLong(m -> m.writeByMicros).min().orElse(Long.MAX_VALUE);
+        expiresAt = expiryMicrosOf(messages);
     }
 
     /**
      * The earliest time from which one of the messages must not be sent. Checked before writing, since the event loop
      * may be late in removing that message. Any thread.
      */
-    public long writeBy() {
+    public long writeByMicros() {
         return writeBy;
     }
 
@@ -75,26 +75,26 @@
      * When to abort the call, on the event loop's clock, microseconds: once the last of its messages has to be
      * dropped, but no later than the earliest deadline. The call has a single timeout, which is sent to the endpoint.
      */
-    public long expiresAt() {
+    public long expiresAtMicros() {
         return expiresAt;
     }
 
-    /** The value that {@link #expiresAt} has for a call with these messages only. */
-    public static long expiryOf(List<Message> messages) {
-        long longestWait = messages.stream().mapToLong(m -> m.writeBy).max().orElse(Long.MAX_VALUE);
-        long firstDeadline = messages.stream().mapToLong(m -> m.deadline).min().orElse(Long.MAX_VALUE);
+    /** The value that {@link #expiresAtMicros} has for a call with these messages only. */
+    public static long expiryMicrosOf(List<Message> messages) {
+        long longestWait = messages.stream().mapToLong(m -> m.writeByMicros).max().orElse(Long.MAX_VALUE);
+        long firstDeadline = messages.stream().mapToLong(m -> m.deadlineMicros).min().orElse(Long.MAX_VALUE);
         return Math.min(longestWait, firstDeadline);
     }
 
     /** Asks the deliverer to remove expired messages, as long as others remain and the call has not been sent. */
-    void leaveExpired(long now) {
-        List.copyOf(messages).stream().filter(m -> m.writeBy <= now).forEach(this::leave);
+    void requestRemovalOfExpired(long now) {
+        List.copyOf(messages).stream().filter(m -> m.writeByMicros <= now).forEach(this::requestRemoval);
     }
 
     /** Asks the deliverer to remove a message, as long as others remain and the call has not been sent. */
-    void leave(Message m) {
-        if (m.out == this && started && messages.size() > 1) {
-            endpoint.deliverer().leaveOut(this, m);
+    void requestRemoval(Message m) {
+        if (m.currentCall == this && isStarted && messages.size() > 1) {
+            endpoint.deliverer().removeMessage(this, m);
         }
     }
 }
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -9,44 +9,44 @@
  */
 public interface Clock {
     /** The monotonic clock, microseconds. */
-    long micros();
+    long monotonicMicros();
 
     /** The wall clock at the start of the process plus the monotonic time since, microseconds; it never jumps. */
-    long wall();
+    long wallMicros();
 
     /** Takes the next task, waiting until the given time at most; null if there is none. */
-    Runnable await(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
+    Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
 
-    void pause(long micros) throws InterruptedException;
+    void sleep(long micros) throws InterruptedException;
 
     /** Called from any thread after a task was queued for the event loop. */
-    void posted();
+    void taskPosted();
 
     /** Real time, for an event loop on its own thread. */
     static Clock system() {
         return new Clock() {
             @Override
-            public long micros() {
-                return Core.micros();
+            public long monotonicMicros() {
+                return Core.monotonicMicros();
             }
 
             @Override
-            public long wall() {
-                return Core.wall();
+            public long wallMicros() {
+                return Core.wallMicros();
             }
 
             @Override
-            public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException {
-                return ready.poll(Math.max(0, untilMicros - Core.micros()), TimeUnit.MICROSECONDS);
+            public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException {
+                return ready.poll(Math.max(0, untilMicros - Core.monotonicMicros()), TimeUnit.MICROSECONDS);
             }
 
             @Override
-            public void pause(long micros) throws InterruptedException {
+            public void sleep(long micros) throws InterruptedException {
                 TimeUnit.MICROSECONDS.sleep(micros);
             }
 
             @Override
-            public void posted() {
+            public void taskPosted() {
                 // the blocking queue wakes its waiting thread
             }
         };
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -13,7 +13,7 @@
 import lilaclever.DecisionModule.Action;
 import lilaclever.DecisionModule.Ending;
 import lilaclever.DecisionModule.Event;
-import lilaclever.identity.DuplicateCheck;
+import lilaclever.identity.DuplicateCheckResult;
 import lilaclever.identity.IdempotencyWindows;
 import lilaclever.identity.Identity;
 import lilaclever.log.Logs;
@@ -34,13 +34,13 @@
     /** A final status later than this after a message's deadline breaks an invariant. */
     private static final long OVERDUE = 250_000;
 
-    private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - micros();
+    private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - monotonicMicros();
 
     /** An endpoint as listed by the directory: its entry for the decision module, and how to reach it. */
-    public record Listed(DecisionModule.Entry entry, Call.Endpoint endpoint) {
+    public record ListedEndpoint(DecisionModule.Entry entry, Call.Endpoint endpoint) {
         /** The same endpoint with another presence. */
-        public Listed withPresence(DecisionModule.Presence presence) {
-            return new Listed(
+        public ListedEndpoint withPresence(DecisionModule.Presence presence) {
+            return new ListedEndpoint(
                     new DecisionModule.Entry(
                             entry.host(),
                             entry.destination(),
@@ -67,7 +67,7 @@
     /** When each destination was last listed: one that has no endpoint now may get one soon. */
     private final Map<Integer, Long> destinations = new HashMap<>();
     /** Endpoints from the program's own configuration, which no directory lists. */
-    private final List<Listed> fixed = new ArrayList<>();
+    private final List<ListedEndpoint> fixed = new ArrayList<>();
 
     private final Set<Call> calls = new HashSet<>();
     private final List<Message> fresh = new ArrayList<>();
@@ -98,20 +98,20 @@
             IdempotencyWindows windows,
             Clock clock) {
         this.clock = clock;
-        this.now = clock.micros();
+        this.now = clock.monotonicMicros();
         this.settings = settings;
         this.relay = DecisionModule.create(settings, seed);
         this.journal = journal;
         this.counters = counters;
         this.claims = new DeduplicationTable(windows, journal, counters);
-        counters.gauge("held", held::size);
-        counters.gauge("endpoints", endpoints::size);
-        counters.gauge("destinations", destinations::size);
-        counters.gauge("calls", calls::size);
-        counters.gauge("deadlines", deadlines::size);
-        counters.gauge("owed", () -> journal.owed().size());
-        counters.gauge("remembered", journal::rememberedCount);
-        journal.attach(this::post);
+        counters.entryGauge("held", held::size);
+        counters.entryGauge("endpoints", endpoints::size);
+        counters.entryGauge("destinations", destinations::size);
+        counters.entryGauge("calls", calls::size);
+        counters.entryGauge("deadlines", deadlines::size);
+        counters.entryGauge("owed", () -> journal.pendingMessages().size());
+        counters.entryGauge("remembered", journal::rememberedCount);
+        journal.setLoop(this::post);
     }
 
     // Public API
@@ -119,11 +119,11 @@
     /** Queues a task for the event loop's next turn. Any thread. */
     public void post(Runnable task) {
         ready.add(task);
-        clock.posted();
+        clock.taskPosted();
     }
 
     /** The time of this turn on the monotonic clock, microseconds. */
-    public long now() {
+    public long nowMicros() {
         return now;
     }
 
@@ -142,7 +142,7 @@
     }
 
     /** The monotonic clock, microseconds. */
-    public static long micros() {
+    public static long monotonicMicros() {
         return System.nanoTime() / 1000;
     }
 
@@ -150,8 +150,8 @@
      * The wall clock at the start of the process plus the monotonic time since, microseconds: it does not jump when the
      * system clock is set. Times that are stored use this clock.
      */
-    public static long wall() {
-        return WALL_AT_START + micros();
+    public static long wallMicros() {
+        return WALL_AT_START + monotonicMicros();
     }
 
     /** Adds a front; before {@link #start}. */
@@ -160,104 +160,104 @@
     }
 
     /** Adds an endpoint of our own configuration; before {@link #start}. */
-    public void add(Listed own) {
+    public void add(ListedEndpoint own) {
         fixed.add(own);
         endpoints.put(own.entry().host(), own.endpoint());
         activeEndpoints.activate(own.endpoint());
     }
 
     /** Starts the event loop: resumes the journal's pending messages, with the last known endpoint list. */
-    public void start(List<Listed> known, long version) {
-        begin(known, version);
+    public void start(List<ListedEndpoint> known, long version) {
+        runFirstTurn(known, version);
         thread = new Thread(this::loop, "loop");
         thread.start();
     }
 
     /**
      * Runs the first turn on the calling thread, without starting the event loop's thread. For simulations in virtual
-     * time, which go on with {@link #due} and {@link #step}.
+     * time, which go on with {@link #nextTurnMicros} and {@link #runTurn}.
      */
-    public void begin(List<Listed> known, long version) {
-        now = clock.micros();
-        listing(DecisionModule.ListingKind.REMEMBERED, version, known);
-        long wall = clock.wall();
-        for (PendingMessage e : List.copyOf(journal.owed())) {
+    public void runFirstTurn(List<ListedEndpoint> known, long version) {
+        now = clock.monotonicMicros();
+        updateEndpoints(DecisionModule.ListingKind.REMEMBERED, version, known);
+        long wall = clock.wallMicros();
+        for (PendingMessage e : List.copyOf(journal.pendingMessages())) {
             resume(e, wall);
         }
         turn();
     }
 
     /** When the next turn is due: with a queued task after the minimum interval, else at the next deadline. */
-    public long due() {
-        return ready.isEmpty() ? deadlines.soonest(now + LONGEST_SLEEP) : now + settings.roundMicros();
+    public long nextTurnMicros() {
+        return ready.isEmpty() ? deadlines.earliestOr(now + LONGEST_SLEEP) : now + settings.roundMicros();
     }
 
     /** Runs one turn on the calling thread. */
-    public void step() {
-        now = clock.micros();
+    public void runTurn() {
+        now = clock.monotonicMicros();
         run(this::turn);
     }
 
     private void resume(PendingMessage e, long wall) {
         Front front = fronts.get(e.front());
-        Message m = new Message(e.submission(), front, e.deadlineWall());
+        Message m = new Message(e.submission(), front, e.deadlineWallMicros());
         if (front == null) {
             Logs.error("", "no-front", "cannot answer for " + m.id() + ": no front " + e.front(), "message", m.id());
-            journal.ended(m.id());
+            journal.recordSettled(m.id());
             return;
         }
         counters.add(Name.RESUMED);
-        m.journaled = true;
-        m.told = true;
-        m.resumed = true;
-        for (PendingMessage.Claim claim : e.joined()) {
+        m.isJournaled = true;
+        m.isAcceptanceDurable = true;
+        m.isResumed = true;
+        for (PendingMessage.Submitter claim : e.attachedSubmitters()) {
             if (fronts.containsKey(claim.front())) {
-                m.claims.add(new DeduplicationTable.Claim(fronts.get(claim.front()), claim.id()));
+                m.submitters.add(new DeduplicationTable.Submitter(fronts.get(claim.front()), claim.id()));
             }
         }
         // The process may have been killed after the result was remembered and before the final status was recorded.
-        FinalStatus end = e.verdict() != null ? e.verdict() : claims.earlierEnd(m);
+        FinalStatus end = e.finalStatus() != null ? e.finalStatus() : claims.earlierEnd(m);
         if (end != null) {
-            m.over = true;
+            m.isFinished = true;
             answer(m, end);
             return;
         }
-        if (e.isOut()) {
+        if (e.isInFlight()) {
             // The call was in flight when the process ended, so the endpoint may have processed it.
-            journal.outcome(m.id(), false);
+            journal.recordOutcome(m.id(), false);
         }
-        m.attempts = e.attempts();
+        m.attemptCount = e.attempts();
         if (e.mayHaveRun()) {
-            m.mayHaveRun(e.riskHost(), e.riskZone(), e.riskWall());
+            m.markPossiblyRun(e.possibleRunHost(), e.possibleRunZone(), e.possibleRunWallMicros());
         }
         hold(m);
-        events.add(m.submit(now, wall));
+        events.add(m.toSubmitEvent(now, wall));
     }
 
     /** False if the destination has not been listed for long; true as long as none was ever listed. Event loop. */
-    public boolean knows(int destination) {
+    public boolean isKnownDestination(int destination) {
         return destinations.isEmpty() || destinations.containsKey(destination);
     }
 
     /** Submits a message; the front is notified by the end of the turn. Event loop. */
-    public Message handIn(Front front, Submission submission) {
+    public Message submit(Front front, Submission submission) {
         counters.add(Name.HANDED_IN);
-        long wall = clock.wall();
+        long wall = clock.wallMicros();
         Message m = new Message(submission, front, wall + submission.budgetMicros());
         Message under = held.get(submission.id());
         if (under != null
                 && (submission.identity() == null || !submission.identity().equals(under.submission.identity()))) {
             return submission.identity() == null ? under : clash(m);
         }
-        DuplicateCheck<Message, FinalStatus> ruling = claims.rule(m, wall);
-        if (ruling instanceof DuplicateCheck.Joins<Message, FinalStatus> joins) {
-            return join(joins.held(), m);
+        DuplicateCheckResult<Message, FinalStatus> ruling = claims.rule(m, wall);
+        if (ruling instanceof DuplicateCheckResult.PendingDuplicate<Message, FinalStatus> joins) {
+            return join(joins.pending(), m);
         }
-        if (ruling instanceof DuplicateCheck.Again<Message, FinalStatus> again) {
+        if (ruling instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> again) {
             counters.add(Name.TOLD_AGAIN);
-            return notHeld(m, again.end());
+            return notHeld(m, again.result());
         }
-        if (ruling instanceof DuplicateCheck.Clash<Message, FinalStatus>) {
+        if (ruling instanceof DuplicateCheckResult.Conflict<Message, FinalStatus>) {
             return clash(m);
         }
         if (closing || held.size() >= settings.limits().maxOpen()) {
@@ -266,7 +266,7 @@
         }
         hold(m);
         fresh.add(m);
-        events.add(m.submit(now, wall));
+        events.add(m.toSubmitEvent(now, wall));
         return m;
     }
 
@@ -285,9 +285,9 @@
 
     /** Answers a submission that does not become a message of its own. */
     private static Message notHeld(Message m, FinalStatus verdict) {
-        m.over = true;
-        m.verdict = verdict;
-        m.front.turnedDown(m, verdict);
+        m.isFinished = true;
+        m.finalStatus = verdict;
+        m.front.onRejected(m, verdict);
         return m;
     }
 
@@ -297,21 +297,21 @@
     }
 
     /** Removes a submitter whose client left before the acceptance was reported to it. Event loop. */
-    public void clientGone(Message m, Front front, String id) {
-        m.claims.remove(new DeduplicationTable.Claim(front, id));
-        if (!m.over && m.claims.isEmpty()) {
+    public void withdraw(Message m, Front front, String id) {
+        m.submitters.remove(new DeduplicationTable.Submitter(front, id));
+        if (!m.isFinished && m.submitters.isEmpty()) {
             counters.add(Name.WITHDRAWN);
             events.add(new Event.Withdrawn(m.id()));
             release(m);
-            journal.ended(m.id());
+            journal.recordSettled(m.id());
         }
     }
 
     /** Applies a whole endpoint list or changes to it. Event loop. */
-    public void listing(DecisionModule.ListingKind kind, long version, List<Listed> listed) {
+    public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
         counters.add(Name.LISTINGS);
         boolean whole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
-        List<Listed> all = new ArrayList<>(listed);
+        List<ListedEndpoint> all = new ArrayList<>(listed);
         if (whole) {
             all.addAll(fixed);
             Map<String, Call.Endpoint> old = new HashMap<>(endpoints);
@@ -320,7 +320,7 @@
             old.values().forEach(x -> x.deliverer().closeIdle(x));
         }
         List<DecisionModule.Entry> entries = new ArrayList<>();
-        for (Listed x : all) {
+        for (ListedEndpoint x : all) {
             entries.add(x.entry());
             Call.Endpoint before = endpoints.put(x.entry().host(), x.endpoint());
             boolean isActive = x.entry().presence() == DecisionModule.Presence.ACTIVE;
@@ -345,13 +345,13 @@
     }
 
     /** Allows requests to be written only to endpoints that are active now. */
-    private void activate(List<Listed> listed, boolean isWhole) {
+    private void activate(List<ListedEndpoint> listed, boolean isWhole) {
         if (isWhole) {
             activeEndpoints.replaceAll(
-                    listed.stream().filter(Core::isActive).map(Listed::endpoint).toList());
+                    listed.stream().filter(Core::isActive).map(ListedEndpoint::endpoint).toList());
             return;
         }
-        for (Listed each : listed) {
+        for (ListedEndpoint each : listed) {
             if (isActive(each)) {
                 activeEndpoints.activate(each.endpoint());
             } else {
@@ -360,7 +360,7 @@
         }
     }
 
-    private static boolean isActive(Listed listed) {
+    private static boolean isActive(ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE;
     }
 
@@ -370,8 +370,8 @@
             if (activeEndpoints.mayReceive(call.endpoint)) {
                 continue;
             }
-            if (call.started) {
-                call.endpoint.deliverer().withdraw(call);
+            if (call.isStarted) {
+                call.endpoint.deliverer().cancelUnsent(call);
             } else {
                 withhold(call);
             }
@@ -379,7 +379,7 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.WITHHELD, 0, false, false));
+        List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, Ending.WITHHELD, 0, false, false));
     }
 
     /**
@@ -389,32 +389,32 @@
      * @param noSlot it was not sent for want of a free slot
      * @param over the endpoint reports that the message needs no further attempt and no result
      */
-    public void outcome(Call call, Message m, Ending ending, long waitMicros, boolean noSlot, boolean over) {
-        if (m.out != call) {
+    public void attemptEnded(Call call, Message m, Ending ending, long waitMicros, boolean noSlot, boolean over) {
+        if (m.currentCall != call) {
             return;
         }
-        m.out = null;
-        if (--call.open == 0) {
+        m.currentCall = null;
+        if (--call.pendingOutcomes == 0) {
             deadlines.cancel(call.deadline);
             calls.remove(call);
         }
-        counters.ending(ending.name());
+        counters.addEnding(ending.name());
         trace(m, "outcome", ending, call);
         if (!ending.neverRan()) {
-            m.mayHaveRun(call.endpoint.host(), call.endpoint.zone(), clock.wall());
+            m.markPossiblyRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
         }
         events.add(new Event.Outcome(
                 m.id(),
                 call.endpoint.host(),
-                m.attempts - 1,
+                m.attemptCount - 1,
                 ending,
-                now - call.startedAt,
+                now - call.startedAtMicros,
                 waitMicros,
                 noSlot,
                 over || ending == Ending.DELIVERED,
                 null));
-        m.attempts -= ending == Ending.WITHHELD ? 1 : 0;
-        if (m.over) {
+        m.attemptCount -= ending == Ending.WITHHELD ? 1 : 0;
+        if (m.isFinished) {
             return;
         }
         if (ending == Ending.DELIVERED) {
@@ -423,22 +423,22 @@
         } else if (over) {
             end(m, FinalStatus.of(Kind.GONE));
         } else {
-            journal.outcome(m.id(), ending.neverRan());
+            journal.recordOutcome(m.id(), ending.neverRan());
         }
     }
 
     /** Reports the end of a probe. Event loop. */
-    public void probed(String host, Ending ending, long elapsedMicros) {
+    public void probeEnded(String host, Ending ending, long elapsedMicros) {
         events.add(new Event.Probed(host, ending, elapsedMicros, null));
     }
 
     /** Applies new message classes and attempt limits to messages submitted from now on. Event loop. */
-    public void renew(DecisionModule.Settings renewed) {
+    public void updateSettings(DecisionModule.Settings renewed) {
         events.add(new Event.Renewed(renewed));
     }
 
     /** Accepts no new messages, and starts no call that could still be in flight at the given time. Event loop. */
-    public void stopBy(long atMicros) {
+    public void beginShutdown(long atMicros) {
         closing = true;
         events.add(new Event.Stopping(atMicros));
     }
@@ -447,12 +447,12 @@
      * True if no message is pending and all submitters are notified, except for the given number of notifications to
      * clients that are not reachable. Event loop.
      */
-    public boolean quiet(int away) {
+    public boolean isIdle(int away) {
         return held.isEmpty() && calls.isEmpty() && unsettled <= away;
     }
 
     /** Stops the event loop after this turn; pending messages stay in the journal. Any thread. */
-    public void end() throws InterruptedException {
+    public void stop() throws InterruptedException {
         ended = true;
         post(() -> {});
         if (thread != null) {
@@ -465,14 +465,14 @@
     private void loop() {
         while (!ended) {
             try {
-                long until = deadlines.soonest(now + LONGEST_SLEEP);
-                Runnable first = clock.await(ready, until);
+                long until = deadlines.earliestOr(now + LONGEST_SLEEP);
+                Runnable first = clock.awaitTask(ready, until);
                 // Keeps the minimum interval between turns, so that events close together are decided in one batch.
-                long early = now + settings.roundMicros() - clock.micros();
+                long early = now + settings.roundMicros() - clock.monotonicMicros();
                 if (early > 0) {
-                    clock.pause(early);
+                    clock.sleep(early);
                 }
-                now = clock.micros();
+                now = clock.monotonicMicros();
                 run(first);
                 run(this::turn);
             } catch (InterruptedException e) {
@@ -500,13 +500,13 @@
         for (int n = ready.size(); n > 0; n--) {
             run(ready.poll());
         }
-        run(() -> deadlines.sweep(now));
+        run(() -> deadlines.runDue(now));
         if (!events.isEmpty()) {
             List<Event> batch = events;
             events = new ArrayList<>();
             carryOut(relay.decide(now, batch));
         }
-        run(() -> journal.tidy(clock.wall()));
+        run(() -> journal.maintain(clock.wallMicros()));
     }
 
     private void carryOut(List<Action> actions) {
@@ -536,17 +536,17 @@
             }
         }
         for (Message m : fresh) {
-            if (m.over || endedNow.contains(m.id())) {
+            if (m.isFinished || endedNow.contains(m.id())) {
                 continue;
             }
-            run(() -> m.journaled = journal.taken(m.front.name(), m.submission, m.deadlineWall, clock.wall()));
-            if (m.journaled) {
+            run(() -> m.isJournaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWallMicros, clock.wallMicros()));
+            if (m.isJournaled) {
                 counters.add(Name.TAKEN);
                 trace(m, "taken", "accepted", null);
                 refuse(claims.written(m), m);
                 journal.whenDurable(() -> {
-                    m.told = true;
-                    fronts(m).forEach(front -> run(() -> front.taken(m)));
+                    m.isAcceptanceDurable = true;
+                    fronts(m).forEach(front -> run(() -> front.onAccepted(m)));
                 });
             } else {
                 counters.add(Name.JOURNAL_FULL);
@@ -558,16 +558,16 @@
     }
 
     /** Rejects submitters that were attached to a message but could not be recorded. */
-    private void refuse(List<DeduplicationTable.Claim> refused, Message m) {
-        for (DeduplicationTable.Claim claim : refused) {
+    private void refuse(List<DeduplicationTable.Submitter> refused, Message m) {
+        for (DeduplicationTable.Submitter claim : refused) {
             run(() -> claim.front()
-                    .notJoined(m, claim.id(), new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk")));
+                    .onAttachRejected(m, claim.id(), new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk")));
         }
     }
 
     private static Set<Front> fronts(Message m) {
         Set<Front> all = new LinkedHashSet<>();
-        m.claims.forEach(claim -> all.add(claim.front()));
+        m.submitters.forEach(claim -> all.add(claim.front()));
         return all;
     }
 
@@ -578,14 +578,14 @@
             ended(a.id(), FinalStatus.of(Kind.FAILED));
         } else if (action instanceof Action.Cancel a) {
             Message m = held.get(a.id());
-            if (m != null && m.out != null && m.attempts - 1 == a.attempt()) {
-                giveUp(m.out);
+            if (m != null && m.currentCall != null && m.attemptCount - 1 == a.attempt()) {
+                giveUp(m.currentCall);
             }
         } else if (action instanceof Action.CloseIdle a && endpoints.containsKey(a.host())) {
             Call.Endpoint endpoint = endpoints.get(a.host());
             endpoint.deliverer().closeIdle(endpoint);
         } else if (action instanceof Action.Wake a) {
-            deadlines.at(now + a.afterMicros(), () -> events.add(new Event.Timer(a.token())));
+            deadlines.schedule(now + a.afterMicros(), () -> events.add(new Event.Timer(a.token())));
         } else if (action instanceof Action.Probe a && endpoints.containsKey(a.host())) {
             endpoints.get(a.host()).deliverer().probe(endpoints.get(a.host()));
         } else if (action instanceof Action.Log a) {
@@ -599,10 +599,10 @@
         if (m == null) {
             return;
         }
-        FinalStatus told = new FinalStatus(verdict.kind(), verdict.comeBackMicros(), m.lastWord);
-        if (m.journaled) {
+        FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastResponseText);
+        if (m.isJournaled) {
             counters.add(told.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.holds(m.resumed || clock.wall() <= m.deadlineWall + OVERDUE, m.id() + " ended in time");
+            counters.checkInvariant(m.isResumed || clock.wallMicros() <= m.deadlineWallMicros + OVERDUE, m.id() + " ended in time");
             end(m, told);
         } else {
             turnDown(m, told);
@@ -630,16 +630,16 @@
         Message m = held.get(a.id());
         Call.Endpoint endpoint = endpoints.get(a.host());
         boolean isElsewhere = m != null && endpoint != null && endpoint.destination() != m.submission.destination();
-        if (m == null || endpoint == null || m.out != null || isElsewhere) {
+        if (m == null || endpoint == null || m.currentCall != null || isElsewhere) {
             // No longer pending, as its client has left: the decision module still needs an outcome of the attempt.
-            counters.holds(m == null || m.out == null, a.id() + " has at most one attempt in flight");
-            counters.holds(!isElsewhere, a.id() + " goes to an endpoint of its destination");
-            int attempt = m == null ? 0 : m.attempts++;
+            counters.checkInvariant(m == null || m.currentCall == null, a.id() + " has at most one attempt in flight");
+            counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
+            int attempt = m == null ? 0 : m.attemptCount++;
             events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, m == null, null));
             return;
         }
         Call call = starting.get(a.host());
-        if (call != null && call.messages.size() >= endpoint.batch()) {
+        if (call != null && call.messages.size() >= endpoint.maxMessagesPerCall()) {
             start(call);
             call = null;
         }
@@ -647,45 +647,45 @@
             call = new Call(endpoint, now);
             starting.put(a.host(), call);
         }
-        counters.holds(endpoint.equals(call.endpoint), a.id() + " has the same endpoint as its call");
-        m.attempts++;
-        call.take(m, a.dropAtMicros(), now + m.deadlineWall - clock.wall());
-        if (endpoint.batch() > 1) {
+        counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " has the same endpoint as its call");
+        m.attemptCount++;
+        call.addMessage(m, a.dropAtMicros(), now + m.deadlineWallMicros - clock.wallMicros());
+        if (endpoint.maxMessagesPerCall() > 1) {
             Call shared = call;
-            deadlines.at(a.dropAtMicros(), () -> leave(m, shared));
+            deadlines.schedule(a.dropAtMicros(), () -> leave(m, shared));
         }
     }
 
     /** Removes a message whose attempt has expired from a call that was not sent yet, if others remain in it. */
     private void leave(Message m, Call call) {
-        long before = call.expiresAt();
-        call.leave(m);
-        if (call.expiresAt() != before) {
+        long before = call.expiresAtMicros();
+        call.requestRemoval(m);
+        if (call.expiresAtMicros() != before) {
             deadlines.cancel(call.deadline);
-            call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
+            call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         }
     }
 
     /** Starts a call once its attempts are recorded; if they can't be recorded, nothing is sent. */
     private void start(Call call) {
-        long wall = clock.wall();
+        long wall = clock.wallMicros();
         boolean written = true;
         for (Message m : call.messages) {
-            written &= journal.attempt(m.id(), call.endpoint.host(), call.endpoint.zone(), wall);
+            written &= journal.recordAttempt(m.id(), call.endpoint.host(), call.endpoint.zone(), wall);
             trace(m, "attempt", "sent", call);
             counters.add(Name.ATTEMPTS);
         }
         calls.add(call);
         if (!written) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, Ending.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
-        call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
+        call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         journal.whenDurable(() -> {
-            if (call.open > 0) { // else it was aborted before its attempts were durable
-                call.started = true;
+            if (call.pendingOutcomes > 0) { // else it was aborted before its attempts were durable
+                call.isStarted = true;
                 run(() -> call.endpoint.deliverer().start(call));
             }
         });
@@ -696,19 +696,19 @@
      * aborted.
      */
     private void expire(Call call) {
-        call.leaveExpired(now);
-        if (call.expiresAt() > now) {
-            call.deadline = deadlines.at(call.expiresAt(), () -> expire(call));
+        call.requestRemovalOfExpired(now);
+        if (call.expiresAtMicros() > now) {
+            call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         } else {
             giveUp(call);
         }
     }
 
     private void giveUp(Call call) {
-        if (call.started) {
-            call.endpoint.deliverer().giveUp(call);
+        if (call.isStarted) {
+            call.endpoint.deliverer().abort(call);
         } else {
-            List.copyOf(call.messages).forEach(m -> outcome(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, Ending.NOT_SENT, 0, false, false));
         }
     }
 
@@ -720,7 +720,7 @@
     }
 
     private void release(Message m) {
-        m.over = true;
+        m.isFinished = true;
         held.remove(m.id());
         claims.release(m);
     }
@@ -728,39 +728,39 @@
     private void turnDown(Message m, FinalStatus verdict) {
         counters.add(Name.TURNED_DOWN);
         release(m);
-        m.verdict = verdict;
-        fronts(m).forEach(front -> run(() -> front.turnedDown(m, verdict)));
+        m.finalStatus = verdict;
+        fronts(m).forEach(front -> run(() -> front.onRejected(m, verdict)));
     }
 
     private void end(Message m, FinalStatus verdict) {
         release(m);
         trace(m, "ended", verdict.kind(), null);
-        claims.ended(m, verdict, clock.wall());
+        claims.ended(m, verdict, clock.wallMicros());
         boolean told = verdict.kind() != Kind.DELIVERED && verdict.kind() != Kind.GONE;
         if (told
                 || Identity.isShared(
                         m.submission.identity())) { // a client that is away may have to be notified of the delivery
-            journal.verdict(m.id(), verdict);
+            journal.recordFinalStatus(m.id(), verdict);
         }
-        if (m.out != null) {
-            leave(m, m.out);
+        if (m.currentCall != null) {
+            leave(m, m.currentCall);
         }
         answer(m, verdict);
     }
 
     private void answer(Message m, FinalStatus verdict) {
-        m.verdict = verdict;
-        if (m.claims.isEmpty()) {
-            journal.ended(m.id());
+        m.finalStatus = verdict;
+        if (m.submitters.isEmpty()) {
+            journal.recordSettled(m.id());
             return;
         }
-        int[] open = {m.claims.size()};
-        for (DeduplicationTable.Claim claim : m.claims) {
+        int[] open = {m.submitters.size()};
+        for (DeduplicationTable.Submitter claim : m.submitters) {
             unsettled++;
-            journal.whenDurable(() -> run(() -> claim.front().ended(m, claim.id(), verdict, () -> {
+            journal.whenDurable(() -> run(() -> claim.front().onFinalStatus(m, claim.id(), verdict, () -> {
                 unsettled--;
                 if (--open[0] == 0) {
-                    journal.ended(m.id());
+                    journal.recordSettled(m.id());
                 }
             })));
         }
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -55,17 +55,17 @@
     }
 
     /** Counts an attempt that ended this way. */
-    synchronized void ending(String ending) {
+    synchronized void addEnding(String ending) {
         endings.computeIfAbsent(ending, e -> new LongAdder()).increment();
     }
 
     /** Registers a gauge for the size of a collection, so that unbounded growth shows up. */
-    public synchronized void gauge(String name, IntSupplier entries) {
+    public synchronized void entryGauge(String name, IntSupplier entries) {
         gauges.put(name, entries);
     }
 
     /** Registers a gauge that is printed under its plain name. */
-    public synchronized void figure(String name, LongSupplier value) {
+    public synchronized void valueGauge(String name, LongSupplier value) {
         figures.put(name, value);
     }
 
@@ -75,7 +75,7 @@
     }
 
     /** Checks an invariant: an assertion error where assertions are enabled, else counted and logged. */
-    public void holds(boolean good, String what) {
+    public void checkInvariant(boolean good, String what) {
         assert good : what;
         if (!good) {
             add(Name.BROKEN_INVARIANTS);
@@ -87,7 +87,7 @@
      * All values, one line each. To be called on the event loop, which alone modifies the collections behind the
      * gauges, or after it has ended.
      */
-    public synchronized String text() {
+    public synchronized String toText() {
         StringBuilder all = new StringBuilder();
         values.forEach((name, value) -> all.append(name.name().toLowerCase())
                 .append(' ')
--- a/src/main/java/lilaclever/routing/Deadlines.java
+++ b/src/main/java/lilaclever/routing/Deadlines.java
@@ -17,7 +17,7 @@
     private long order;
 
     /** Schedules the action for the first turn at or after the given time. */
-    public Key at(long micros, Runnable action) {
+    public Key schedule(long micros, Runnable action) {
         Key key = new Key(micros, order++);
         entries.put(key, action);
         return key;
@@ -35,14 +35,14 @@
     }
 
     /** The earliest scheduled time, or the given time if that is sooner. */
-    long soonest(long otherwise) {
+    long earliestOr(long otherwise) {
         return entries.isEmpty()
                 ? otherwise
                 : Math.min(otherwise, entries.firstKey().atMicros());
     }
 
     /** Runs the due actions in order; those that they schedule meanwhile wait for the next call, even if due. */
-    void sweep(long nowMicros) {
+    void runDue(long nowMicros) {
         long last = order;
         while (!entries.isEmpty()
                 && entries.firstKey().atMicros() <= nowMicros
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -9,12 +9,12 @@
 import lilaclever.routing.EndpointMembership.Departure;
 
 /**
- * Endpoints that lists have reported as departed, each with the positions of those lists. At most {@link #MOST} names;
+ * Endpoints that lists have reported as departed, each with the positions of those lists. At most {@link #MAX_NAMES} names;
  * the oldest is evicted first. Event loop.
  */
 final class DepartureTable {
     /** More than the largest fleet has endpoints. */
-    static final int MOST = 4_096;
+    static final int MAX_NAMES = 4_096;
 
     /**
      * Positions kept for one name, from several agents or from one whose indexes restarted; more are merged into
@@ -30,14 +30,14 @@
 
     /** Starts with the departures that an earlier process stored, oldest first. */
     DepartureTable(List<Departure> noted) {
-        noted.forEach(d -> hear(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
+        noted.forEach(d -> add(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
         isChanged = false;
     }
 
     /** Sets the receive time of all departures to now: monotonic clocks of two processes are not comparable. */
     void restartClock(long nowMicros) {
         positions.replaceAll(
-                (name, all) -> all.stream().map(p -> p.heardAt(nowMicros)).toList());
+                (name, all) -> all.stream().map(p -> p.receivedAt(nowMicros)).toList());
     }
 
     int size() {
@@ -49,7 +49,7 @@
     }
 
     /** Adds a departure: a list says that the endpoint is leaving or has left. */
-    void hear(String name, ListPosition position) {
+    void add(String name, ListPosition position) {
         disputed.remove(name);
         List<ListPosition> before = positions.get(name);
         List<ListPosition> after = before == null ? List.of(position) : added(before, position);
@@ -59,23 +59,23 @@
     }
 
     /** Adds a departure from a contradictory list: a valid list of the same index may bring the endpoint back. */
-    void hearDisputed(String name, ListPosition position) {
-        hear(name, position.before());
+    void addDisputed(String name, ListPosition position) {
+        add(name, position.before());
         if (position.isExact()) {
             disputed.put(name, position);
         }
     }
 
     /** Adds a departure for each known name that a whole list does not mention. */
-    void hearAbsent(Set<String> mentioned, ListPosition position) {
+    void addAbsent(Set<String> mentioned, ListPosition position) {
         for (String name : List.copyOf(positions.keySet())) {
             if (mentioned.contains(name)) {
                 continue;
             }
             if (!position.isExact() || isDisputed(name, position)) {
-                hearDisputed(name, position);
+                addDisputed(name, position);
             } else {
-                hear(name, position);
+                add(name, position);
             }
         }
     }
@@ -91,7 +91,7 @@
         List<ListPosition> after = new ArrayList<>(before.size() + 1);
         for (ListPosition p : before) {
             boolean isCovered = p.agent().equals(position.agent()) && p.index() <= position.index();
-            if (!isCovered && !p.isExpired(position.heardMicros())) {
+            if (!isCovered && !p.isExpired(position.receivedMicros())) {
                 after.add(p);
             }
         }
@@ -119,7 +119,7 @@
     }
 
     private void removeOldest() {
-        if (positions.size() > MOST) {
+        if (positions.size() > MAX_NAMES) {
             String oldest = positions.keySet().iterator().next();
             positions.remove(oldest);
             disputed.remove(oldest);
@@ -142,13 +142,13 @@
         disputed.remove(name);
     }
 
-    /** Whether names, agents or indexes have changed since {@link #noted}. */
+    /** Whether names, agents or indexes have changed since {@link #markSaved}. */
     boolean isChanged() {
         return isChanged;
     }
 
     /** Notes that the current departures are stored. */
-    void noted() {
+    void markSaved() {
         isChanged = false;
     }
 
@@ -156,7 +156,7 @@
     List<Departure> all(long nowMicros, long wallMicros) {
         List<Departure> all = new ArrayList<>(positions.size());
         positions.forEach((name, at) -> at.forEach(
-                p -> all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.heardMicros())))));
+                p -> all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
         return all;
     }
 }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -25,7 +25,7 @@
  * through a list that is later than every departure received: from the same agent, with a higher index. The index of
  * the list with the departure itself is not enough. Two kinds of departure count as one index lower, so that the next
  * valid list of the same index can bring the endpoint back: contradictory or unusable entries, and an absence where the
- * same agent has listed the endpoint as active at that index. After {@link ListPosition#KEPT} any list is accepted, as
+ * same agent has listed the endpoint as active at that index. After {@link ListPosition#RETENTION_MICROS} any list is accepted, as
  * the indexes may have restarted. An endpoint that has not departed is active once a list says so.
  *
  * <p>A list without an index counts as the newest list of its agent for departures, and activates no departed endpoint.
@@ -53,7 +53,7 @@
      * @param unusable names with an unusable entry: no address, no group or an unknown status
      */
     public record ListUpdate(
-            String agent, long index, boolean isWhole, boolean isCut, List<Core.Listed> entries, Set<String> unusable) {
+            String agent, long index, boolean isWhole, boolean isCut, List<Core.ListedEndpoint> entries, Set<String> unusable) {
         /** True if an endpoint that is not in it has left. */
         boolean isComplete() {
             return isWhole && !isCut;
@@ -61,7 +61,7 @@
     }
 
     /** The update to pass to the core; none is needed for changes without entries. */
-    public record Change(ListingKind kind, long version, List<Core.Listed> entries) {}
+    public record CoreUpdate(ListingKind kind, long version, List<Core.ListedEndpoint> entries) {}
 
     /** Persistent storage of departures. */
     public interface DepartureStore {
@@ -78,19 +78,19 @@
      *
      * @param agent address of the agent that sent the list
      * @param index the endpoint counts as departed at this list version; only lists with a higher one reactivate it
-     * @param atMicros when the list was received, wall clock, microseconds since 1970
+     * @param wallMicros when the list was received, wall clock, microseconds since 1970
      */
-    public record Departure(String name, String agent, long index, long atMicros) {}
+    public record Departure(String name, String agent, long index, long wallMicros) {}
 
     /** An endpoint as last listed, and the newest position of the agent that last set its address and destination. */
-    private record Known(Core.Listed listed, ListPosition position) {
+    private record Known(Core.ListedEndpoint listed, ListPosition position) {
         boolean isActive() {
             return listed.entry().presence() == Presence.ACTIVE;
         }
     }
 
     /** What one list says of an endpoint. {@code isDisputed}: its entries are contradictory or unusable. */
-    private record Statement(Core.Listed listed, boolean isDisputed) {
+    private record Statement(Core.ListedEndpoint listed, boolean isDisputed) {
         Presence presence() {
             return listed.entry().presence();
         }
@@ -135,10 +135,10 @@
      * Applies the initial list of a process, which may be outdated: endpoints whose departure an earlier process stored
      * stay inactive, however old the departure is.
      */
-    public Change remembered(long version, List<Core.Listed> listed) {
+    public CoreUpdate applyInitialList(long version, List<Core.ListedEndpoint> listed) {
         this.version = version;
-        ListPosition position = new ListPosition(ListPosition.KNOWN_LIST, version, true, 0);
-        List<Core.Listed> told = new ArrayList<>(listed.size());
+        ListPosition position = new ListPosition(ListPosition.INITIAL_LIST, version, true, 0);
+        List<Core.ListedEndpoint> told = new ArrayList<>(listed.size());
         for (Statement statement : statements(listed, Set.of()).values()) {
             isDoubtful |= statement.isDisputed();
             boolean isActive = statement.presence() == Presence.ACTIVE;
@@ -149,14 +149,14 @@
                 told.add(isActive ? keep(statement.listed(), position) : depart(statement, position));
             }
         }
-        return new Change(ListingKind.REMEMBERED, version, told);
+        return new CoreUpdate(ListingKind.REMEMBERED, version, told);
     }
 
     /**
      * Whether the initial list has an endpoint as active whose departure an earlier process stored, and no whole list
      * has been received since: then the whole list must be requested.
      */
-    public boolean contradictsKnown() {
+    public boolean contradictsInitialList() {
         return contradictsKnown;
     }
 
@@ -187,12 +187,12 @@
      * @param wallMicros time on the wall clock
      * @return the update to pass to the core, never null; its entries may be empty
      */
-    public Change update(ListUpdate update, long nowMicros, long wallMicros) {
+    public CoreUpdate update(ListUpdate update, long nowMicros, long wallMicros) {
         startClock(nowMicros);
         ListPosition position = position(update, nowMicros);
         hasDoubt = update.isCut() || !update.unusable().isEmpty() || isOlderChange(update, position);
         Map<String, Statement> statements = statements(update.entries(), update.unusable());
-        List<Core.Listed> told = new ArrayList<>(statements.size());
+        List<Core.ListedEndpoint> told = new ArrayList<>(statements.size());
         for (Map.Entry<String, Statement> statement : statements.entrySet()) {
             told.addAll(heard(statement.getKey(), statement.getValue(), update, statements.keySet(), position));
         }
@@ -204,7 +204,7 @@
         logWithheld(position);
         saveDepartures(nowMicros, wallMicros);
         version = update.index() == NO_INDEX ? version : update.index();
-        return new Change(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, told);
+        return new CoreUpdate(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, told);
     }
 
     /** A whole list that is as contradictory as the previous one of the same index is not requested again. */
@@ -222,7 +222,7 @@
         if (!isClockStarted) {
             isClockStarted = true;
             departures.restartClock(nowMicros);
-            known.replaceAll((name, x) -> new Known(x.listed(), x.position().heardAt(nowMicros)));
+            known.replaceAll((name, x) -> new Known(x.listed(), x.position().receivedAt(nowMicros)));
         }
     }
 
@@ -241,7 +241,7 @@
 
     private void remember(ListPosition position) {
         ListPosition last = newest.get(position.agent());
-        if (last == null || last.index() <= position.index() || last.isExpired(position.heardMicros())) {
+        if (last == null || last.index() <= position.index() || last.isExpired(position.receivedMicros())) {
             newest.put(position.agent(), position);
         }
         if (newest.size() > MOST_AGENTS) {
@@ -250,10 +250,10 @@
     }
 
     /** What the entries say of each name; null for an unknown name without a usable entry. */
-    private Map<String, Statement> statements(List<Core.Listed> entries, Set<String> unusable) {
+    private Map<String, Statement> statements(List<Core.ListedEndpoint> entries, Set<String> unusable) {
         Map<String, Statement> statements = new LinkedHashMap<>(2 * entries.size());
         Set<String> twice = new LinkedHashSet<>();
-        for (Core.Listed listed : entries) {
+        for (Core.ListedEndpoint listed : entries) {
             Statement before = statements.putIfAbsent(name(listed), new Statement(listed, false));
             if (before != null) {
                 twice.add(name(listed));
@@ -266,33 +266,33 @@
         for (String name : unusable) {
             Known before = known.get(name);
             Statement statement = statements.get(name);
-            Core.Listed listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
+            Core.ListedEndpoint listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
             statements.put(name, listed == null ? null : new Statement(atLeastLeaving(listed), true));
         }
         return statements;
     }
 
     /** Merges two entries of an endpoint: the more cautious presence, never active if their targets differ. */
-    private Statement joined(Statement one, Core.Listed other) {
+    private Statement joined(Statement one, Core.ListedEndpoint other) {
         Presence presence = other.entry().presence();
         if (isSameTarget(one.listed(), other)) {
             boolean isSame = one.presence() == presence;
             boolean isCautious = one.presence().compareTo(presence) >= 0;
             return new Statement(isCautious ? one.listed() : other, one.isDisputed() || !isSame);
         }
-        Core.Listed cautious = one.presence().compareTo(presence) >= 0 ? one.listed() : other;
+        Core.ListedEndpoint cautious = one.presence().compareTo(presence) >= 0 ? one.listed() : other;
         return new Statement(atLeastLeaving(cautious), true);
     }
 
-    private static Core.Listed atLeastLeaving(Core.Listed listed) {
+    private static Core.ListedEndpoint atLeastLeaving(Core.ListedEndpoint listed) {
         return listed.entry().presence() == Presence.ACTIVE ? listed.withPresence(Presence.LEAVING) : listed;
     }
 
     /** The core's updates for one statement: the endpoint, and possibly another whose address it has taken over. */
-    private List<Core.Listed> heard(
+    private List<Core.ListedEndpoint> heard(
             String name, Statement statement, ListUpdate update, Set<String> mentioned, ListPosition position) {
         if (statement == null) {
-            departures.hearDisputed(name, position);
+            departures.addDisputed(name, position);
             return List.of();
         }
         hasDoubt |= statement.isDisputed();
@@ -302,24 +302,24 @@
         if (!departures.permits(name, position)) {
             return List.of(withhold(statement.listed(), position));
         }
-        Core.Listed removed = update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
-        Core.Listed active = activate(statement.listed(), position);
+        Core.ListedEndpoint removed = update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
+        Core.ListedEndpoint active = activate(statement.listed(), position);
         return removed == null ? List.of(active) : List.of(removed, active);
     }
 
-    private Core.Listed depart(Statement statement, ListPosition position) {
-        Core.Listed listed = statement.listed();
+    private Core.ListedEndpoint depart(Statement statement, ListPosition position) {
+        Core.ListedEndpoint listed = statement.listed();
         if (statement.isDisputed()) {
-            departures.hearDisputed(name(listed), position);
+            departures.addDisputed(name(listed), position);
         } else {
-            departures.hear(name(listed), position);
+            departures.add(name(listed), position);
         }
         return putInactive(listed, position);
     }
 
-    private Core.Listed withhold(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint withhold(Core.ListedEndpoint listed, ListPosition position) {
         boolean isNew = !withheld.contains(name(listed));
-        Core.Listed leaving = putInactive(listed.withPresence(Presence.LEAVING), position);
+        Core.ListedEndpoint leaving = putInactive(listed.withPresence(Presence.LEAVING), position);
         withheld.add(name(listed));
         if (isNew) {
             newlyWithheld.add(name(listed));
@@ -344,7 +344,7 @@
         return names.size() <= MOST_LOGGED ? first : first + " and " + (names.size() - MOST_LOGGED) + " others";
     }
 
-    private Core.Listed putInactive(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint putInactive(Core.ListedEndpoint listed, ListPosition position) {
         remove(name(listed));
         if (listed.entry().presence() != Presence.LEFT) {
             known.put(name(listed), new Known(listed, position));
@@ -360,7 +360,7 @@
         }
     }
 
-    private Core.Listed activate(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint activate(Core.ListedEndpoint listed, ListPosition position) {
         departures.remove(name(listed));
         Known before = known.get(name(listed));
         if (before == null || !before.isActive() || !before.position().isExact()) {
@@ -381,10 +381,10 @@
     /** Whether it is out of order with an unexpired position of the same agent, or has no index. */
     private static boolean isOlder(ListPosition position, ListPosition than) {
         boolean isOutOfOrder = position.agent().equals(than.agent()) && position.index() < than.index();
-        return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.heardMicros());
+        return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.receivedMicros());
     }
 
-    private Core.Listed keep(Core.Listed listed, ListPosition position) {
+    private Core.ListedEndpoint keep(Core.ListedEndpoint listed, ListPosition position) {
         remove(name(listed));
         known.put(name(listed), new Known(listed, position));
         holders.put(address(listed), name(listed));
@@ -395,7 +395,7 @@
      * If changes give an address to another name, and their list is later, marks the former holder of the address as
      * departed: two names share an address only if a single list says so. Null if there is no such endpoint.
      */
-    private Core.Listed removedHolder(Core.Listed listed, Set<String> mentioned, ListPosition position) {
+    private Core.ListedEndpoint removedHolder(Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
         String holder = holders.get(address(listed));
         if (holder == null || holder.equals(name(listed)) || mentioned.contains(holder) || isAt(listed)) {
             return null;
@@ -409,14 +409,14 @@
     }
 
     /** Whether the endpoint is already active at that address. */
-    private boolean isAt(Core.Listed listed) {
+    private boolean isAt(Core.ListedEndpoint listed) {
         Known before = known.get(name(listed));
         return before != null && before.isActive() && address(before.listed()).equals(address(listed));
     }
 
     /** Removes the endpoints that a whole list does not mention. */
     private void removeAbsent(Set<String> mentioned, ListPosition position) {
-        departures.hearAbsent(mentioned, position);
+        departures.addAbsent(mentioned, position);
         for (Iterator<Map.Entry<String, Known>> all = known.entrySet().iterator(); all.hasNext(); ) {
             Map.Entry<String, Known> entry = all.next();
             String name = entry.getKey();
@@ -437,9 +437,9 @@
         }
         if (isContradiction || !position.isExact()) {
             hasDoubt = true;
-            departures.hearDisputed(name, position);
+            departures.addDisputed(name, position);
         } else {
-            departures.hear(name, position);
+            departures.add(name, position);
         }
     }
 
@@ -449,7 +449,7 @@
         }
         try {
             store.save(departures.all(nowMicros, wallMicros));
-            departures.noted();
+            departures.markSaved();
             isStoreFailing = false;
         } catch (IOException e) {
             if (!isStoreFailing) {
@@ -459,15 +459,15 @@
         }
     }
 
-    private static String name(Core.Listed listed) {
+    private static String name(Core.ListedEndpoint listed) {
         return listed.entry().host();
     }
 
-    private static String address(Core.Listed listed) {
+    private static String address(Core.ListedEndpoint listed) {
         return listed.endpoint().address();
     }
 
-    private static boolean isSameTarget(Core.Listed one, Core.Listed other) {
+    private static boolean isSameTarget(Core.ListedEndpoint one, Core.ListedEndpoint other) {
         return one.entry().destination() == other.entry().destination()
                 && address(one).equals(address(other));
     }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -7,34 +7,34 @@
 
 /**
  * The write-ahead log of the core: each record is written before its consequence. All methods are called on the event
- * loop. Records that must exist before something happens ({@link #taken}, {@link #attempt}, {@link #joined}) return
+ * loop. Records that must exist before something happens ({@link #recordAccepted}, {@link #recordAttempt}, {@link #recordAttached}) return
  * false if they could not be written, and then have no effect; the journal keeps all others in memory and writes them
  * as soon as it can.
  */
 public interface Journal extends AutoCloseable {
     /** Sets the executor of the event loop, to which the journal's own threads post their callbacks. */
-    void attach(Executor loop);
+    void setLoop(Executor loop);
 
     /** Records an accepted message; false if there is no room for it, and then it must not be accepted. */
-    boolean taken(String front, Submission submission, long deadlineWall, long nowWall);
+    boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall);
 
     /** Records an attempt before it is made; false if it could not be written, and then it must not be made. */
-    boolean attempt(String id, String host, int zone, long wall);
+    boolean recordAttempt(String id, String host, int zone, long wall);
 
     /** Records the end of an attempt. {@code neverRan}: the endpoint certainly did not process the message. */
-    void outcome(String id, boolean neverRan);
+    void recordOutcome(String id, boolean neverRan);
 
     /** Records the final status, of which the submitters are still to be notified. */
-    void verdict(String id, FinalStatus verdict);
+    void recordFinalStatus(String id, FinalStatus verdict);
 
     /** Records that nothing more is to be done for the message. */
-    void ended(String id);
+    void recordSettled(String id);
 
     /**
      * Records another submitter of a pending message, to be notified of its final status as well; false if it could not
      * be written, and then that submitter is not notified.
      */
-    boolean joined(String id, String front, String claim);
+    boolean recordAttached(String id, String front, String claim);
 
     /** Remembers a final status until its expiry, as the answer to duplicates of the message. */
     void remember(String identity, CompletedMessage<FinalStatus> past);
@@ -48,10 +48,10 @@
     CompletedMessage<FinalStatus> remembered(String identity);
 
     /** Forgets the remembered final status that expires first. */
-    void forgetSoonest();
+    void forgetSoonestExpiring();
 
     /** Messages that were accepted and are not settled, in order of acceptance or later. */
-    Collection<PendingMessage> owed();
+    Collection<PendingMessage> pendingMessages();
 
     /** How many final statuses are remembered. */
     int rememberedCount();
@@ -63,7 +63,7 @@
     void whenDurable(Runnable consequence);
 
     /** Does a bounded amount of maintenance work, such as compaction; called once a turn. */
-    void tidy(long nowWall);
+    void maintain(long nowWall);
 
     @Override
     void close() throws IOException;
--- a/src/main/java/lilaclever/routing/ListPosition.java
+++ b/src/main/java/lilaclever/routing/ListPosition.java
@@ -6,25 +6,25 @@
  * @param agent address of the discovery agent; indexes of different agents are not comparable
  * @param index version of the list
  * @param isExact false if the list has no index, and the newest index of its agent is used instead
- * @param heardMicros when the list was received, on the event loop's clock, microseconds
+ * @param receivedMicros when the list was received, on the event loop's clock, microseconds
  */
-record ListPosition(String agent, long index, boolean isExact, long heardMicros) {
+record ListPosition(String agent, long index, boolean isExact, long receivedMicros) {
     /** Used as agent of the list that the process starts with; its index is comparable with any agent's. */
-    static final String KNOWN_LIST = "known";
+    static final String INITIAL_LIST = "known";
 
     /** Used as agent of a position merged from several agents; its index is comparable with no list's. */
     private static final String SEVERAL_LISTS = "several";
 
     /** How long a position holds back lists that are not later; after that, the indexes may have restarted. */
-    static final long KEPT = 60_000_000;
+    static final long RETENTION_MICROS = 60_000_000;
 
     /** Whether a list at the given position may contradict the list at this position. */
     boolean permits(ListPosition list) {
-        return isExpired(list.heardMicros) || list.isLaterThan(this);
+        return isExpired(list.receivedMicros) || list.isLaterThan(this);
     }
 
     boolean isExpired(long nowMicros) {
-        return nowMicros - heardMicros >= KEPT;
+        return nowMicros - receivedMicros >= RETENTION_MICROS;
     }
 
     private boolean isLaterThan(ListPosition other) {
@@ -32,7 +32,7 @@
     }
 
     boolean isComparableWith(ListPosition other) {
-        return other.agent.equals(agent) || other.agent.equals(KNOWN_LIST);
+        return other.agent.equals(agent) || other.agent.equals(INITIAL_LIST);
     }
 
     boolean isSamePlace(ListPosition other) {
@@ -41,20 +41,20 @@
 
     /** The position that permits only lists permitted by both; both are of the same agent. */
     ListPosition strictest(ListPosition other) {
-        return new ListPosition(agent, Math.max(index, other.index), isExact, Math.max(heardMicros, other.heardMicros));
+        return new ListPosition(agent, Math.max(index, other.index), isExact, Math.max(receivedMicros, other.receivedMicros));
     }
 
     /** A position received at the same time, than which no list is later until it expires. */
     ListPosition laterThanAny() {
-        return new ListPosition(SEVERAL_LISTS, index, isExact, heardMicros);
+        return new ListPosition(SEVERAL_LISTS, index, isExact, receivedMicros);
     }
 
     /** The position one index lower, so that a list of the same index is later. */
     ListPosition before() {
-        return new ListPosition(agent, index - 1, isExact, heardMicros);
+        return new ListPosition(agent, index - 1, isExact, receivedMicros);
     }
 
-    ListPosition heardAt(long micros) {
+    ListPosition receivedAt(long micros) {
         return new ListPosition(agent, index, isExact, micros);
     }
 }
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -23,56 +23,56 @@
     /** Longer than any id, and short enough to bound the size of the file. */
     private static final int LONGEST = 64;
     /** Largest size of the stored ids, one line each. */
-    public static final long NOTE_BYTES = MOST_OUT * (LONGEST + 1);
+    public static final long MAX_STORED_BYTES = MOST_OUT * (LONGEST + 1);
 
     /** Persistent storage of the suspended ids. */
-    public interface Note {
+    public interface SuspensionStore {
         /** Replaces the stored ids. */
-        void write(Set<String> ids) throws IOException;
+        void save(Set<String> ids) throws IOException;
     }
 
     /** Thrown if a command can't be executed; the message is shown to the operator. */
-    public static final class Refused extends Exception {
+    public static final class RefusedException extends Exception {
         private static final long serialVersionUID = 1;
 
-        Refused(String problem) {
+        RefusedException(String problem) {
             super(problem);
         }
     }
 
     private final Core core;
-    private final Note note;
+    private final SuspensionStore note;
     private final Set<String> out;
     /** The last listed state of each endpoint by name, including endpoints that have left. */
-    private final Map<String, Core.Listed> listed = new LinkedHashMap<>();
+    private final Map<String, Core.ListedEndpoint> listed = new LinkedHashMap<>();
 
     private long version;
 
     /** Starts with the ids that an earlier run stored. */
-    public ManualDrains(Core core, Set<String> noted, Note note) {
+    public ManualDrains(Core core, Set<String> noted, SuspensionStore note) {
         this.core = core;
         this.note = note;
         this.out = new LinkedHashSet<>(noted);
-        core.counters().gauge("suspended", out::size);
-        core.counters().gauge("listed", listed::size);
+        core.counters().entryGauge("suspended", out::size);
+        core.counters().entryGauge("listed", listed::size);
     }
 
     /** Passes a list or changes from the directory on to the core. */
-    public void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> news) {
-        core.listing(kind, version, heard(kind, version, news));
+    public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
+        core.updateEndpoints(kind, version, withSuspensions(kind, version, news));
     }
 
     /**
      * Records the listed states and returns what to pass to the core, with suspended endpoints as leaving. Called
      * directly for the initial list, which the core gets from the program.
      */
-    public List<Core.Listed> heard(DecisionModule.ListingKind kind, long version, List<Core.Listed> news) {
+    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
             // Endpoints in the whole list are set again below.
             listed.replaceAll((host, x) -> x.withPresence(DecisionModule.Presence.LEFT));
         }
-        for (Core.Listed x : news) {
+        for (Core.ListedEndpoint x : news) {
             listed.remove(x.entry().host()); // moves it to the end of the eviction order
             listed.put(x.entry().host(), x);
         }
@@ -84,8 +84,8 @@
         return apply(news);
     }
 
-    private List<Core.Listed> apply(List<Core.Listed> news) {
-        List<Core.Listed> told = new ArrayList<>(news);
+    private List<Core.ListedEndpoint> apply(List<Core.ListedEndpoint> news) {
+        List<Core.ListedEndpoint> told = new ArrayList<>(news);
         told.replaceAll(x -> out.contains(x.entry().host()) && x.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? x.withPresence(DecisionModule.Presence.LEAVING)
                 : x);
@@ -93,54 +93,54 @@
     }
 
     /** Suspends the endpoint from the next turn on; no effect if it is suspended already. */
-    public void suspend(String id) throws Refused {
-        Core.Listed now = known(id);
+    public void suspend(String id) throws RefusedException {
+        Core.ListedEndpoint now = known(id);
         if (out.contains(id)) {
             return;
         }
         if (out.size() >= MOST_OUT || id.length() > LONGEST) {
-            throw new Refused("no more than " + MOST_OUT + " endpoints may be out at once");
+            throw new RefusedException("no more than " + MOST_OUT + " endpoints may be out at once");
         }
         out.add(id);
         if (!noted()) {
             out.remove(id);
-            throw new Refused(id + ": can't be noted on disk, so it stays in");
+            throw new RefusedException(id + ": can't be noted on disk, so it stays in");
         }
         Logs.info("", "suspended", id + " was suspended by an operator", "endpoint", id);
         tell(now);
     }
 
     /** Restores the endpoint, however often it was suspended. */
-    public void restore(String id) throws Refused {
-        Core.Listed now = known(id);
+    public void restore(String id) throws RefusedException {
+        Core.ListedEndpoint now = known(id);
         if (!out.remove(id)) {
             return;
         }
         if (!noted()) {
             out.add(id);
-            throw new Refused(id + ": can't be noted on disk, so it stays out");
+            throw new RefusedException(id + ": can't be noted on disk, so it stays out");
         }
         Logs.info("", "restored", id + " was restored by an operator", "endpoint", id);
         tell(now);
     }
 
-    private Core.Listed known(String id) throws Refused {
-        Core.Listed now = listed.get(id);
+    private Core.ListedEndpoint known(String id) throws RefusedException {
+        Core.ListedEndpoint now = listed.get(id);
         if (now == null && !out.contains(id)) {
-            throw new Refused(id + ": never listed");
+            throw new RefusedException(id + ": never listed");
         }
         return now;
     }
 
-    private void tell(Core.Listed now) {
+    private void tell(Core.ListedEndpoint now) {
         if (now != null && now.entry().presence() != DecisionModule.Presence.LEFT) {
-            core.listing(DecisionModule.ListingKind.CHANGES, version, apply(List.of(now)));
+            core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, apply(List.of(now)));
         }
     }
 
     private boolean noted() {
         try {
-            note.write(out);
+            note.save(out);
             return true;
         } catch (IOException e) {
             Logs.error("", "suspension-not-noted", "suspended endpoints could not be saved: " + e);
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -15,41 +15,41 @@
     /** The front that submitted it first. */
     public final Front front;
     /** Deadline on the wall clock, microseconds, since it has to hold across restarts. */
-    final long deadlineWall;
+    final long deadlineWallMicros;
     /** Who is notified of the final status: the submitter, and those who submitted a duplicate since. */
-    final List<DeduplicationTable.Claim> claims = new ArrayList<>(1);
+    final List<DeduplicationTable.Submitter> submitters = new ArrayList<>(1);
 
     private Fingerprint content;
-    boolean journaled;
-    boolean told;
-    boolean over;
-    boolean resumed;
-    int attempts;
-    Call out;
+    boolean isJournaled;
+    boolean isAcceptanceDurable;
+    boolean isFinished;
+    boolean isResumed;
+    int attemptCount;
+    Call currentCall;
     /** From when on it must not be sent with the current call, on the event loop's clock, microseconds. */
-    long writeBy;
+    long writeByMicros;
 
     /** Deadline on the event loop's clock, microseconds; set with each call. */
-    long deadline;
+    long deadlineMicros;
 
     /** Whether some endpoint may have processed it; the fields below describe the first such attempt. */
     boolean mayHaveRun;
-    String riskHost = "";
-    int riskZone;
-    long riskWall;
-    FinalStatus verdict;
+    String possibleRunHost = "";
+    int possibleRunZone;
+    long possibleRunWallMicros;
+    FinalStatus finalStatus;
     /** Human-readable response of the last endpoint. */
-    public String lastWord = "";
+    public String lastResponseText = "";
 
     Message(Submission submission, Front front, long deadlineWall) {
         this.submission = submission;
         this.front = front;
-        this.deadlineWall = deadlineWall;
-        claims.add(new DeduplicationTable.Claim(front, submission.id()));
+        this.deadlineWallMicros = deadlineWall;
+        submitters.add(new DeduplicationTable.Submitter(front, submission.id()));
     }
 
     /** The fingerprint of its content where duplicates are compared by content, else null. */
-    Fingerprint content() {
+    Fingerprint fingerprint() {
         if (content == null && Identity.isShared(submission.identity())) {
             content = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
         }
@@ -63,42 +63,42 @@
 
     /** True until the message has its final status. */
     public boolean isOpen() {
-        return !over;
+        return !isFinished;
     }
 
     /** True once it is recorded durably, so that its acceptance may be reported. */
-    public boolean isTakenOn() {
-        return told;
+    public boolean isAccepted() {
+        return isAcceptanceDurable;
     }
 
     /** The final status, or null while it is open. */
-    public FinalStatus verdict() {
-        return verdict;
+    public FinalStatus finalStatus() {
+        return finalStatus;
     }
 
-    void mayHaveRun(String host, int zone, long wall) {
+    void markPossiblyRun(String host, int zone, long wall) {
         if (!mayHaveRun) {
             mayHaveRun = true;
-            riskHost = host;
-            riskZone = zone;
-            riskWall = wall;
+            possibleRunHost = host;
+            possibleRunZone = zone;
+            possibleRunWallMicros = wall;
         }
     }
 
-    DecisionModule.Event.Submit submit(long nowMono, long nowWall) {
+    DecisionModule.Event.Submit toSubmitEvent(long nowMono, long nowWall) {
         // An attempt in the future means that the clock was set back, so its age is not known.
-        long since = nowWall < riskWall ? LONG_AGO : nowWall - riskWall;
+        long since = nowWall < possibleRunWallMicros ? LONG_AGO : nowWall - possibleRunWallMicros;
         DecisionModule.Prior prior =
-                resumed ? new DecisionModule.Prior(attempts, mayHaveRun, riskHost, riskZone, nowMono - since) : null;
+                isResumed ? new DecisionModule.Prior(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMono - since) : null;
         return new DecisionModule.Event.Submit(
                 id(),
                 submission.messageClass(),
                 submission.destination(),
                 0,
                 null,
-                submission.again(),
+                submission.resubmitted(),
                 submission.inherited(),
-                Math.max(0, Math.min(submission.budgetMicros(), deadlineWall - nowWall)),
+                Math.max(0, Math.min(submission.budgetMicros(), deadlineWallMicros - nowWall)),
                 prior);
     }
 }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -7,7 +7,7 @@
 /** The journal's state of a message that was accepted and is not settled. Used from one thread at a time. */
 public final class PendingMessage {
     /** A further submitter to be notified of the final status: a front, and the message's id there. */
-    public record Claim(String front, String id) {}
+    public record Submitter(String front, String id) {}
 
     private final String front;
     private final Submission submission;
@@ -22,7 +22,7 @@
     private int riskZone;
     private long riskWall;
     private FinalStatus verdict;
-    private List<Claim> joined = List.of();
+    private List<Submitter> joined = List.of();
 
     /** A message that was just accepted; the deadline is on the wall clock, microseconds. */
     public PendingMessage(String front, Submission submission, long deadlineWall) {
@@ -42,7 +42,7 @@
     }
 
     /** The deadline on the wall clock, microseconds. */
-    public long deadlineWall() {
+    public long deadlineWallMicros() {
         return deadlineWall;
     }
 
@@ -52,22 +52,22 @@
     }
 
     /** True while an attempt is in flight. */
-    public boolean isOut() {
+    public boolean isInFlight() {
         return out;
     }
 
     /** The endpoint of the last attempt. */
-    public String host() {
+    public String lastHost() {
         return host;
     }
 
     /** The zone of the last attempt. */
-    public int zone() {
+    public int lastZone() {
         return zone;
     }
 
     /** When the last attempt was made, wall clock, microseconds. */
-    public long sentWall() {
+    public long lastAttemptWallMicros() {
         return sentWall;
     }
 
@@ -77,32 +77,32 @@
     }
 
     /** The endpoint of the first attempt that may have been processed; empty if not known. */
-    public String riskHost() {
+    public String possibleRunHost() {
         return riskHost;
     }
 
     /** The zone of that attempt. */
-    public int riskZone() {
+    public int possibleRunZone() {
         return riskZone;
     }
 
     /** When that attempt was made, wall clock, microseconds. */
-    public long riskWall() {
+    public long possibleRunWallMicros() {
         return riskWall;
     }
 
     /** The final status of which not all submitters are notified yet, or null. */
-    public FinalStatus verdict() {
+    public FinalStatus finalStatus() {
         return verdict;
     }
 
     /** Submitters to be notified beside the first. */
-    public List<Claim> joined() {
+    public List<Submitter> attachedSubmitters() {
         return Collections.unmodifiableList(joined);
     }
 
     /** Adds a submitter; no effect if it is there already. */
-    public void join(Claim claim) {
+    public void attach(Submitter claim) {
         if (joined.isEmpty()) {
             joined = new ArrayList<>(1); // most messages have no further submitter
         }
@@ -112,7 +112,7 @@
     }
 
     /** Notes an attempt that is made. */
-    public void attempt(String toHost, int toZone, long wall) {
+    public void attemptStarted(String toHost, int toZone, long wall) {
         attempts++;
         out = true;
         host = toHost;
@@ -121,15 +121,15 @@
     }
 
     /** Notes the end of the attempt in flight. */
-    public void outcome(boolean neverRan) {
+    public void attemptEnded(boolean neverRan) {
         out = false;
         if (!neverRan) {
-            risk(host, zone, sentWall);
+            markPossiblyRun(host, zone, sentWall);
         }
     }
 
     /** Notes an attempt that may have been processed; only the first one is kept. */
-    public void risk(String atHost, int atZone, long atWall) {
+    public void markPossiblyRun(String atHost, int atZone, long atWall) {
         if (!mayHaveRun) {
             mayHaveRun = true;
             riskHost = atHost;
@@ -142,17 +142,17 @@
      * Assumes an attempt whose record may be lost: at least one was made and may have been processed, at the earliest
      * possible time.
      */
-    public void doubt() {
+    public void assumeLostAttempt() {
         attempts = Math.max(1, attempts);
-        risk(host, zone, deadlineWall - submission.budgetMicros());
+        markPossiblyRun(host, zone, deadlineWall - submission.budgetMicros());
     }
 
-    public void verdict(FinalStatus end) {
+    public void setFinalStatus(FinalStatus end) {
         verdict = end;
     }
 
     /** Restores the state of the attempts from a record of the whole message. */
-    public void past(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
+    public void restoreAttempts(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
         attempts = made;
         out = isOut;
         host = lastHost;
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -14,20 +14,20 @@
 
     /** What a retry-after of this endpoint applies to. */
     private static Object route(Call.Endpoint endpoint) {
-        return endpoint.apart() ? endpoint.host() : (Object) endpoint.destination();
+        return endpoint.hasOwnLimits() ? endpoint.host() : (Object) endpoint.destination();
     }
 
     /** Records a retry-after of the endpoint; a shorter period does not cut a longer one short. */
-    public void told(Call.Endpoint endpoint, long untilMicros) {
+    public void record(Call.Endpoint endpoint, long untilMicros) {
         ends.merge(route(endpoint), untilMicros, Math::max);
     }
 
     /** The rest of the retry-after period that applies to the endpoint; 0 if there is none. */
-    public long left(Call.Endpoint endpoint, long nowMicros) {
+    public long remainingMicros(Call.Endpoint endpoint, long nowMicros) {
         return Math.max(0, ends.getOrDefault(route(endpoint), nowMicros) - nowMicros);
     }
 
-    public void sweep(long nowMicros) {
+    public void removeExpired(long nowMicros) {
         ends.values().removeIf(end -> end <= nowMicros);
     }
 
--- a/src/main/java/lilaclever/routing/Submission.java
+++ b/src/main/java/lilaclever/routing/Submission.java
@@ -6,7 +6,7 @@
  * @param id identifies the message to the front, to the endpoints and in notices
  * @param identity equal for all duplicates of the message; null if its result is not remembered
  * @param key the idempotency key, or null
- * @param again the client marks it as a retry
+ * @param resubmitted the client marks it as a retry
  * @param inherited the client marks it as a retry with the value "again"
  * @param budgetMicros time left until its deadline
  */
@@ -17,6 +17,6 @@
         int destination,
         String key,
         byte[] body,
-        boolean again,
+        boolean resubmitted,
         boolean inherited,
         long budgetMicros) {}
--- a/src/main/java/lilaclever/transport/ConnectionPool.java
+++ b/src/main/java/lilaclever/transport/ConnectionPool.java
@@ -39,7 +39,7 @@
     }
 
     /** Takes an idle connection to the endpoint out of the pool; null if there is none. */
-    public C take(String endpoint, long nowMicros) {
+    public C acquire(String endpoint, long nowMicros) {
         ArrayDeque<Idle<C>> all = idle.get(endpoint);
         while (all != null && !all.isEmpty()) {
             Idle<C> last = all.pollLast();
@@ -53,7 +53,7 @@
     }
 
     /** Returns a connection to the pool after its call. */
-    public void giveBack(String endpoint, C connection, long nowMicros) {
+    public void release(String endpoint, C connection, long nowMicros) {
         idle.computeIfAbsent(endpoint, e -> new ArrayDeque<>()).addLast(new Idle<>(connection, nowMicros));
         if (++count > most) {
             dropOldest();
@@ -89,7 +89,7 @@
     }
 
     /** Closes connections that have been idle for too long, and removes those closed by the peer. */
-    public void sweep(long nowMicros) {
+    public void closeExpired(long nowMicros) {
         for (Iterator<ArrayDeque<Idle<C>>> i = idle.values().iterator(); i.hasNext(); ) {
             ArrayDeque<Idle<C>> all = i.next();
             all.removeIf(x -> {
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -124,7 +124,7 @@
     }
 
     /** Queues a task for the selector thread, on which the connection is read; it never runs immediately. */
-    public static void onSelector(Connection<?> connection, Runnable task) {
+    public static void runOnSelector(Connection<?> connection, Runnable task) {
         connection.executeInEventThread(IOEvent.WRITE, task);
     }
 
@@ -133,13 +133,13 @@
      * that everything received on any connection until then has been read. The number of selections to wait for is
      * bounded, in case all of them take long.
      */
-    public static void afterReading(Connection<?> connection, Runnable task) {
-        onSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
+    public static void runAfterReading(Connection<?> connection, Runnable task) {
+        runOnSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
     }
 
     private static void nextSelection(Connection<?> connection, Runnable task, int left) {
         long before = System.nanoTime();
-        onSelector(connection, () -> {
+        runOnSelector(connection, () -> {
             if (left > 1 && System.nanoTime() - before > LATELY) {
                 nextSelection(connection, task, left - 1); // it took long, so more may have been received since
             } else {
@@ -152,7 +152,7 @@
      * True if the connection is open and the peer has neither sent anything nor closed it. On the selector thread only,
      * since it reads from the socket.
      */
-    public static boolean isQuiet(Connection<?> connection) {
+    public static boolean isOpenAndSilent(Connection<?> connection) {
         try {
             return connection.isOpen()
                     && ((SocketChannel) ((NIOConnection) connection).getChannel()).read(ByteBuffer.allocate(1)) == 0;
@@ -164,7 +164,7 @@
     /**
      * True if the connection was closed by the peer, either orderly or by a reset: Grizzly does not distinguish them.
      */
-    public static boolean isEndedRemotely(Connection<?> closed) {
+    public static boolean isClosedByPeer(Connection<?> closed) {
         CloseReason reason = closed.getCloseReason();
         return reason != null && reason.getType() == CloseType.REMOTELY;
     }
@@ -173,7 +173,7 @@
      * Shuts down the output of a connection; it is still read until the peer closes it. Any thread, after the last
      * write has completed.
      */
-    public static void endSending(Connection<?> connection) {
+    public static void shutdownOutput(Connection<?> connection) {
         try {
             ((SocketChannel) ((NIOConnection) connection).getChannel()).shutdownOutput();
         } catch (IOException e) {
@@ -182,7 +182,7 @@
     }
 
     /** Copies the bytes out of a buffer and returns the buffer to its pool. */
-    public static byte[] bytes(Buffer buffer) {
+    public static byte[] toBytes(Buffer buffer) {
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         buffer.tryDispose();
@@ -212,7 +212,7 @@
     }
 
     /** Parses an address such as 127.0.0.1:25 or [::1]:25; host names are not accepted, so nothing is resolved. */
-    public static InetSocketAddress address(String hostAndPort) {
+    public static InetSocketAddress parseAddress(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
         if (colon <= 0 || !LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
             throw new IllegalArgumentException("not an IP address and a port: " + hostAndPort);
--- a/src/test/java/lilaclever/identity/IdentitiesTest.java
+++ b/src/test/java/lilaclever/identity/IdentitiesTest.java
@@ -22,11 +22,11 @@
     private static final Fingerprint A = Fingerprint.of(0, 7, new byte[] {1}), B = Fingerprint.of(0, 7, new byte[] {2});
     private static final String ONE = new Identity("north", "k1").text(), TWO = new Identity("south", "k1").text();
 
-    private static final class Plain implements Memory<String> {
+    private static final class Plain implements CompletedMessageStore<String> {
         final Map<String, CompletedMessage<String>> all = new HashMap<>();
 
         @Override
-        public CompletedMessage<String> past(String identity) {
+        public CompletedMessage<String> find(String identity) {
             return all.get(identity);
         }
 
@@ -36,73 +36,73 @@
         }
 
         @Override
-        public void keep(String identity, CompletedMessage<String> past) {
+        public void put(String identity, CompletedMessage<String> past) {
             all.put(identity, past);
         }
 
         @Override
-        public void forgetSoonest() {
+        public void removeSoonestExpiring() {
             all.remove(all.entrySet().stream()
-                    .min(Comparator.comparingLong(e -> e.getValue().untilWall()))
+                    .min(Comparator.comparingLong(e -> e.getValue().untilWallMicros()))
                     .orElseThrow()
                     .getKey());
         }
     }
 
     private final Plain memory = new Plain();
-    private final Identities<String, String> identities =
-            new Identities<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), memory);
+    private final DuplicateDetector<String, String> identities =
+            new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), memory);
 
     @Test
     void aMessageIsFreshThenHeldThenOver() {
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, A, 0));
-        identities.hold(ONE, A, "m");
-        assertEquals(new DuplicateCheck.Joins<>("m"), identities.rule(ONE, A, 0));
-        identities.release(ONE, "m");
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, A, 0)); // as after a refusal
-        identities.ended(ONE, A, 0, "delivered", 5);
-        assertEquals(new DuplicateCheck.Again<>("delivered"), identities.rule(ONE, A, 104));
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, A, 105));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, A, 0));
+        identities.addPending(ONE, A, "m");
+        assertEquals(new DuplicateCheckResult.PendingDuplicate<>("m"), identities.check(ONE, A, 0));
+        identities.removePending(ONE, "m");
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, A, 0)); // as after a refusal
+        identities.addCompleted(ONE, A, 0, "delivered", 5);
+        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), identities.check(ONE, A, 104));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, A, 105));
     }
 
     /** Guards against treating messages of two practices that use the same keys as duplicates. */
     @Test
     void practicesShareNoKeys() {
-        identities.hold(ONE, A, "m");
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(TWO, A, 0));
+        identities.addPending(ONE, A, "m");
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(TWO, A, 0));
     }
 
     /** Guards against answering a different message with the result of the first, without delivering it. */
     @Test
     void otherContentClashesForAsLongAsTheFirstIsKnown() {
-        identities.hold(ONE, A, "m");
-        assertEquals(new DuplicateCheck.Clash<>(true), identities.rule(ONE, B, 0));
-        identities.release(ONE, "m");
-        identities.ended(ONE, A, 1, "delivered", 0);
-        assertEquals(new DuplicateCheck.Clash<>(false), identities.rule(ONE, B, 9));
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule(ONE, B, 10));
+        identities.addPending(ONE, A, "m");
+        assertEquals(new DuplicateCheckResult.Conflict<>(true), identities.check(ONE, B, 0));
+        identities.removePending(ONE, "m");
+        identities.addCompleted(ONE, A, 1, "delivered", 0);
+        assertEquals(new DuplicateCheckResult.Conflict<>(false), identities.check(ONE, B, 9));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, B, 10));
     }
 
     /** Mails have no fingerprint, nor have results remembered in the first journal format. */
     @Test
     void whatIsNotComparedNeverClashes() {
-        identities.ended("<1@x> a@b", null, 1, "delivered", 0);
-        assertEquals(new DuplicateCheck.Again<>("delivered"), identities.rule("<1@x> a@b", null, 49));
-        assertEquals(new DuplicateCheck.Again<>("delivered"), identities.rule("<1@x> a@b", A, 49));
-        assertEquals(new DuplicateCheck.Fresh<>(), identities.rule("<1@x> a@b", null, 50));
+        identities.addCompleted("<1@x> a@b", null, 1, "delivered", 0);
+        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), identities.check("<1@x> a@b", null, 49));
+        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), identities.check("<1@x> a@b", A, 49));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check("<1@x> a@b", null, 50));
     }
 
     /** When the capacity is reached, the result that expires first is removed. */
     @Test
     void roomIsMadeByForgettingTheSoonest() {
-        identities.ended("a", null, 0, "1", 0);
-        identities.ended(ONE, A, 0, "2", 0);
-        identities.ended(TWO, A, 1, "3", 0);
-        identities.ended("b", null, 0, "4", 0);
+        identities.addCompleted("a", null, 0, "1", 0);
+        identities.addCompleted(ONE, A, 0, "2", 0);
+        identities.addCompleted(TWO, A, 1, "3", 0);
+        identities.addCompleted("b", null, 0, "4", 0);
         assertEquals(3, memory.size());
         assertEquals(1, identities.forgottenEarly());
         assertFalse(memory.all.containsKey(TWO)); // the window of its class is the shortest
-        identities.ended("b", null, 0, "5", 1);
+        identities.addCompleted("b", null, 0, "5", 1);
         assertEquals(1, identities.forgottenEarly()); // replacing a result needs no further capacity
     }
 
@@ -140,7 +140,7 @@
     @Property(tries = 500, seed = "-1")
     void itSaysWhatAPlainModelSays(@ForAll("steps") List<Step> steps) {
         Plain kept = new Plain();
-        Identities<String, String> tested = new Identities<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), kept);
+        DuplicateDetector<String, String> tested = new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), kept);
         Map<String, Fingerprint> held = new HashMap<>();
         long now = 0;
         for (Step s : steps) {
@@ -148,40 +148,40 @@
             String id = new Identity("p", "k" + s.identity()).text().intern(); // also stands for the message
             Fingerprint content = s.other() ? B : A;
             CompletedMessage<String> past = kept.all.get(id);
-            boolean known = past != null && past.untilWall() > now;
+            boolean known = past != null && past.untilWallMicros() > now;
             switch (s.what()) {
                 case 0 -> {
-                    DuplicateCheck<String, String> is = tested.rule(id, content, now);
-                    DuplicateCheck<String, String> should = held.containsKey(id)
+                    DuplicateCheckResult<String, String> is = tested.check(id, content, now);
+                    DuplicateCheckResult<String, String> should = held.containsKey(id)
                             ? held.get(id).equals(content)
-                                    ? new DuplicateCheck.Joins<>(id)
-                                    : new DuplicateCheck.Clash<>(true)
+                                    ? new DuplicateCheckResult.PendingDuplicate<>(id)
+                                    : new DuplicateCheckResult.Conflict<>(true)
                             : !known
-                                    ? new DuplicateCheck.Fresh<>()
-                                    : past.content().equals(content)
-                                            ? new DuplicateCheck.Again<>(past.end())
-                                            : new DuplicateCheck.Clash<>(false);
+                                    ? new DuplicateCheckResult.NewMessage<>()
+                                    : past.fingerprint().equals(content)
+                                            ? new DuplicateCheckResult.CompletedDuplicate<>(past.result())
+                                            : new DuplicateCheckResult.Conflict<>(false);
                     assertEquals(should, is);
-                    if (is instanceof DuplicateCheck.Fresh<String, String>) {
-                        tested.hold(id, content, id);
+                    if (is instanceof DuplicateCheckResult.NewMessage<String, String>) {
+                        tested.addPending(id, content, id);
                         held.put(id, content);
                     }
                 }
                 case 1 -> {
-                    tested.release(id, id);
+                    tested.removePending(id, id);
                     if (held.containsKey(id)) {
-                        tested.ended(id, held.remove(id), s.messageClass(), "end at " + now, now);
+                        tested.addCompleted(id, held.remove(id), s.messageClass(), "end at " + now, now);
                         assertEquals(
                                 now + (s.messageClass() == 0 ? 100 : 10),
-                                kept.all.get(id).untilWall());
+                                kept.all.get(id).untilWallMicros());
                     }
                 }
                 default -> {
-                    tested.release(id, id);
+                    tested.removePending(id, id);
                     held.remove(id);
                 }
             }
-            assertEquals(held.size(), tested.size());
+            assertEquals(held.size(), tested.pendingCount());
             assertTrue(kept.size() <= 3);
         }
     }
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -33,16 +33,16 @@
                     new JournalClocks(() -> 0, () -> wall, clock),
                     new SplittableRandom(life))) {
                 if (life == 0) {
-                    journal.taken(
+                    journal.recordAccepted(
                             "http",
                             new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND),
                             wall + 5 * SECOND,
                             wall);
-                    journal.attempt("m", "a", 0, wall + SECOND);
+                    journal.recordAttempt("m", "a", 0, wall + SECOND);
                 } else {
-                    PendingMessage m = journal.owed().iterator().next();
-                    assertEquals(1_005 * SECOND, m.deadlineWall());
-                    assertEquals(1_001 * SECOND, m.sentWall());
+                    PendingMessage m = journal.pendingMessages().iterator().next();
+                    assertEquals(1_005 * SECOND, m.deadlineWallMicros());
+                    assertEquals(1_001 * SECOND, m.lastAttemptWallMicros());
                 }
             }
         }
