--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -78,7 +78,7 @@
             for (int life = 0; life < 2; life++) {
                 SimDisk again = SimDisk.killed(ops, ops.size(), 0);
                 try (SegmentedJournal found = Script.open(again, MOST, Durability.NONE)) {
-                    found.tidy(0);
+                    found.maintain(0);
                 }
                 List<SimDisk.Op> more = new ArrayList<>(ops);
                 more.addAll(again.ops.subList(0, random.nextInt(again.ops.size() + 1)));
@@ -98,18 +98,18 @@
         List<List<String>> idsThen = new ArrayList<>();
         try (SegmentedJournal journal = Script.open(disk, MOST, new Durability(Durability.How.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
-            journal.attach(loop::add);
+            journal.setLoop(loop::add);
             Script script = new Script(disk, seed);
             script.use(journal);
             for (int turn = 0; turn < 150; turn++) {
                 script.run(8, 2000, 50);
                 boolean[] durable = {false};
                 journal.whenDurable(() -> durable[0] = true);
-                List<String> ids = journal.owed().stream()
+                List<String> ids = journal.pendingMessages().stream()
                         .map(o -> o.submission().id() + " " + o.attempts())
                         .toList();
                 while (!durable[0]) {
-                    journal.tidy(script.now);
+                    journal.maintain(script.now);
                     if (!durable[0]) {
                         loop.take().run();
                     }
@@ -125,14 +125,14 @@
                 SimDisk left = SimDisk.powerCut(disk.ops, done, random);
                 try (SegmentedJournal found = Script.open(left, 4 * MOST, Durability.NONE)) {
                     List<String> there =
-                            found.owed().stream().map(o -> o.submission().id()).toList();
+                            found.pendingMessages().stream().map(o -> o.submission().id()).toList();
                     List<String> later = turn + 1 < idsThen.size() ? idsThen.get(turn + 1) : List.of();
                     for (String id : idsThen.get(turn)) {
                         // What ended since may be gone or not; all else must be there.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
                         assertTrue(!stays || there.contains(id.split(" ")[0]), id + " cut at " + done);
                     }
-                    for (PendingMessage o : found.owed()) {
+                    for (PendingMessage o : found.pendingMessages()) {
                         checkAttempts(o, idsThen.get(turn));
                     }
                 }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -34,12 +34,12 @@
     private SegmentedJournal open(Durability durability) throws IOException {
         SegmentedJournal journal =
                 new SegmentedJournal(disk, MOST, durability, Script.times(() -> clock), new SplittableRandom(3));
-        journal.attach(loop::add);
+        journal.setLoop(loop::add);
         return journal;
     }
 
     private static boolean take(SegmentedJournal journal, String id) {
-        return journal.taken("http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
+        return journal.recordAccepted("http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
     }
 
     private void fail(Set<SimDisk.Kind> kinds) {
@@ -52,7 +52,7 @@
     }
 
     private static List<String> ids(SegmentedJournal journal) {
-        return journal.owed().stream().map(m -> m.submission().id()).sorted().toList();
+        return journal.pendingMessages().stream().map(m -> m.submission().id()).sorted().toList();
     }
 
     // ---- without forcing ------------------------------------------------------------------------------------
@@ -68,9 +68,9 @@
                     : null;
             for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
                 assertTrue(take(journal, "m" + turn), kind + " " + turn);
-                assertTrue(journal.attempt("m" + turn, "a", 0, 1), kind + " " + turn);
-                journal.ended("m" + turn);
-                journal.tidy(0);
+                assertTrue(journal.recordAttempt("m" + turn, "a", 0, 1), kind + " " + turn);
+                journal.recordSettled("m" + turn);
+                journal.maintain(0);
                 clock += TURN;
             }
             assertEquals(0, journal.unwritten());
@@ -86,15 +86,15 @@
     void anAttemptIsNotWrittenBeforeTheOutcomeOfTheOneBefore() throws IOException {
         SegmentedJournal journal = open(Durability.NONE);
         take(journal, "m");
-        journal.attempt("m", "a", 0, 100);
+        journal.recordAttempt("m", "a", 0, 100);
         fail(EnumSet.of(SimDisk.Kind.WRITE));
-        journal.outcome("m", false);
+        journal.recordOutcome("m", false);
         recover();
         clock += 2 * Plan.PAUSE;
-        assertTrue(journal.attempt("m", "b", 0, 5_000));
+        assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
         try (SegmentedJournal next = Script.open(SimDisk.killed(disk.ops, disk.ops.size(), 0), MOST, Durability.NONE)) {
-            PendingMessage m = next.owed().iterator().next();
-            assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.riskHost() + " " + m.riskWall());
+            PendingMessage m = next.pendingMessages().iterator().next();
+            assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.possibleRunHost() + " " + m.possibleRunWallMicros());
         }
         journal.close();
     }
@@ -110,12 +110,12 @@
         disk.put("journal.new", new byte[5]);
         fail(EnumSet.complementOf(EnumSet.of(SimDisk.Kind.OPEN)));
         try (SegmentedJournal journal = open(Durability.NONE)) {
-            assertEquals(100, journal.owed().size());
+            assertEquals(100, journal.pendingMessages().size());
             assertFalse(take(journal, "refused"));
-            journal.ended("m0");
+            journal.recordSettled("m0");
             recover();
             clock += 2 * Plan.PAUSE;
-            journal.tidy(0);
+            journal.maintain(0);
             assertEquals(0, journal.unwritten());
             assertTrue(take(journal, "after"));
             assertTrue(disk.total() <= MOST);
@@ -125,7 +125,7 @@
     // ---- with forcing ---------------------------------------------------------------------------------------
     /** One turn, and the end of the forcing that it began, if it began one. */
     private void turn(SegmentedJournal journal) throws InterruptedException {
-        journal.tidy(0);
+        journal.maintain(0);
         clock += TURN;
         finishForcing(journal);
     }
@@ -170,7 +170,7 @@
         take(journal, "m");
         take(journal, "other");
         turn(journal);
-        journal.ended("m");
+        journal.recordSettled("m");
         fail(EnumSet.of(SimDisk.Kind.FORCE));
         turn(journal);
         recover();
@@ -205,7 +205,7 @@
             turn(journal);
         }
         assertTrue(take(journal, "after"));
-        journal.verdict("m", FinalStatus.of(FinalStatus.Kind.FAILED));
+        journal.recordFinalStatus("m", FinalStatus.of(FinalStatus.Kind.FAILED));
         assertEquals(List.of("after", "m"), ids(journal));
         journal.close();
     }
@@ -224,7 +224,7 @@
         for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
             String id = "m" + turn % taken;
             if (turn == 0) {
-                assertTrue(journal.attempt(id, "a", 0, 1));
+                assertTrue(journal.recordAttempt(id, "a", 0, 1));
                 journal.whenDurable(() -> durable[0] = true);
             }
             turn(journal);
@@ -237,7 +237,7 @@
         assertTrue(durable[0]);
         assertEquals(0, journal.unwritten());
         for (int i = 0; i < taken; i++) {
-            assertTrue(journal.attempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
+            assertTrue(journal.recordAttempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
             turn(journal);
         }
         journal.close();
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -39,14 +39,14 @@
         inspection = new Inspection(folder, new PrintStream(printed, true, StandardCharsets.UTF_8));
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 500; i++) {
-                journal.taken(
+                journal.recordAccepted(
                         "http", new Submission("m" + i, null, 1, 7, "k", new byte[] {1, 2, 3}, false, false, 5), 7, 0);
                 if (i > 1) {
-                    journal.ended("m" + i);
+                    journal.recordSettled("m" + i);
                 }
             }
-            journal.attempt("m0", "lab-1", 0, 3);
-            journal.verdict("m1", new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy"));
+            journal.recordAttempt("m0", "lab-1", 0, 3);
+            journal.recordFinalStatus("m1", new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy"));
             journal.remember("a mail", FinalStatus.of(FinalStatus.Kind.DELIVERED), 3_000_000);
         }
     }
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -31,16 +31,16 @@
 
     private void writeAndKill(SegmentedJournal journal) {
         Submission submission = new Submission("m", null, 2, 7, "key", new byte[3], false, false, LEFT);
-        journal.taken("http", submission, WALL + LEFT, WALL - AGE);
-        journal.attempt("m", "a", 0, WALL - AGE);
+        journal.recordAccepted("http", submission, WALL + LEFT, WALL - AGE);
+        journal.recordAttempt("m", "a", 0, WALL - AGE);
         journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL + REMEMBERED);
     }
 
     private static void checkSpans(SegmentedJournal journal, long now, long error) {
-        PendingMessage m = journal.owed().iterator().next();
-        assertEquals(LEFT - DOWN + error, m.deadlineWall() - now, "time left");
-        assertEquals(AGE + DOWN - error, now - m.sentWall(), "age of the attempt, from which the window counts");
-        assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWall() - now, "remembered for");
+        PendingMessage m = journal.pendingMessages().iterator().next();
+        assertEquals(LEFT - DOWN + error, m.deadlineWallMicros() - now, "time left");
+        assertEquals(AGE + DOWN - error, now - m.lastAttemptWallMicros(), "age of the attempt, from which the window counts");
+        assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWallMicros() - now, "remembered for");
     }
 
     /** Between kill and start, with the machine still up: every span goes on as if nothing had been set. */
@@ -66,14 +66,14 @@
         long[] shown = {WALL};
         SegmentedJournal journal = open(() -> shown[0], new BootClock(77, WALL - MONOTONIC));
         for (int i = 0; i < 60; i++) {
-            journal.taken("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
-            journal.ended("x" + i);
+            journal.recordAccepted("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
+            journal.recordSettled("x" + i);
         }
         shown[0] += step; // the next files are made under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
-            journal.taken("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
-            journal.ended("y" + i);
+            journal.recordAccepted("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
+            journal.recordSettled("y" + i);
         }
         try (SegmentedJournal next = open(() -> WALL + DOWN, new BootClock(77, WALL - MONOTONIC))) {
             checkSpans(next, WALL + DOWN, 0);
@@ -97,8 +97,8 @@
     /** Guards the core's wall clock: it stands in a fixed distance from the monotonic one for all of a life. */
     @Test
     void theWallClockOfALifeGoesWithTheMonotonicOne() {
-        long distance = BootClock.offset(Core::micros, Core::wall);
-        assertEquals(distance, BootClock.offset(Core::micros, Core::wall), MS);
+        long distance = BootClock.offset(Core::monotonicMicros, Core::wallMicros);
+        assertEquals(distance, BootClock.offset(Core::monotonicMicros, Core::wallMicros), MS);
     }
 
     /** A process that is held up for 150 ms between its readings of the two clocks still knows their distance. */
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -62,7 +62,7 @@
         disk.most = Long.MAX_VALUE;
         disk.mostOfAFile = Long.MAX_VALUE;
         clock[0] += 10 * Plan.PAUSE;
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         assertEquals(0, journal.unwritten());
         journal.close();
         assertEquals(script.model(), owed(open(disk, clock)));
@@ -91,7 +91,7 @@
 
     private static String owed(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> owed = new TreeMap<>();
-        journal.owed().forEach(o -> owed.put(o.submission().id(), o));
+        journal.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
         return Script.text(owed, Map.of());
     }
 
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -83,8 +83,8 @@
             change(one, owed.get(one));
         }
         if (random.applyAsInt(3) == 0) {
-            journal.tidy(now);
-            remembered.values().removeIf(r -> r.untilWall() <= now);
+            journal.maintain(now);
+            remembered.values().removeIf(r -> r.untilWallMicros() <= now);
         }
     }
 
@@ -101,7 +101,7 @@
                 false,
                 true,
                 BUDGET);
-        if (journal.taken("http", h, next + BUDGET, now)) {
+        if (journal.recordAccepted("http", h, next + BUDGET, now)) {
             owed.put(h.id(), new PendingMessage("http", h, next + BUDGET));
         } else {
             refused++;
@@ -112,24 +112,24 @@
     private void change(String id, PendingMessage o) {
         switch (random.applyAsInt(4)) {
             case 0 -> {
-                if (!o.isOut() && o.verdict() == null) {
-                    if (journal.attempt(id, "host-" + next % 5, 2, now)) {
-                        o.attempt("host-" + next % 5, 2, now);
+                if (!o.isInFlight() && o.finalStatus() == null) {
+                    if (journal.recordAttempt(id, "host-" + next % 5, 2, now)) {
+                        o.attemptStarted("host-" + next % 5, 2, now);
                     } else {
                         attemptsRefused++;
                     }
                 }
             }
             case 1 -> {
-                if (!o.isOut()) {
-                    PendingMessage.Claim claim = new PendingMessage.Claim("other", "claim-" + now);
-                    if (o.joined().size() < 3 && journal.joined(id, claim.front(), claim.id())) {
-                        o.join(claim);
+                if (!o.isInFlight()) {
+                    PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + now);
+                    if (o.attachedSubmitters().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
+                        o.attach(claim);
                     }
                 } else {
                     boolean neverRan = random.applyAsInt(2) == 0;
-                    journal.outcome(id, neverRan);
-                    o.outcome(neverRan);
+                    journal.recordOutcome(id, neverRan);
+                    o.attemptEnded(neverRan);
                 }
             }
             case 2 -> {
@@ -142,13 +142,13 @@
                     journal.remember(o.submission().identity(), past);
                     remembered.put(o.submission().identity(), past);
                 } else {
-                    journal.verdict(id, v);
-                    o.verdict(v);
+                    journal.recordFinalStatus(id, v);
+                    o.setFinalStatus(v);
                 }
             }
             default -> {
-                if (o.deadlineWall() % 5 > 0) { // the others stay, and must be copied forward again and again
-                    journal.ended(id);
+                if (o.deadlineWallMicros() % 5 > 0) { // the others stay, and must be copied forward again and again
+                    journal.recordSettled(id);
                     owed.remove(id);
                 }
             }
@@ -167,7 +167,7 @@
 
     static String text(SegmentedJournal j, long now) {
         TreeMap<String, PendingMessage> owed = new TreeMap<>();
-        j.owed().forEach(o -> owed.put(o.submission().id(), o));
+        j.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
         TreeMap<String, CompletedMessage<FinalStatus>> kept = new TreeMap<>();
         for (int i = 0; i < 10_000; i += 3) {
             CompletedMessage<FinalStatus> r = j.remembered("identity-" + i);
@@ -195,10 +195,10 @@
                 h.messageClass() + "/" + h.destination(),
                 "" + java.util.Arrays.hashCode(h.body()),
                 "" + h.budgetMicros(),
-                "" + o.deadlineWall(),
-                o.attempts() + (o.isOut() ? " out" : "") + (o.attempts() > 0 ? " " + o.host() + o.sentWall() : ""),
-                o.mayHaveRun() ? "risk " + o.riskHost() + o.riskZone() + "@" + o.riskWall() : "",
-                String.valueOf(o.verdict()),
-                o.joined().toString());
+                "" + o.deadlineWallMicros(),
+                o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
+                o.mayHaveRun() ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros() : "",
+                String.valueOf(o.finalStatus()),
+                o.attachedSubmitters().toString());
     }
 }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -40,11 +40,11 @@
     }
 
     private static boolean take(SegmentedJournal journal, String id, int size) {
-        return journal.taken("http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
+        return journal.recordAccepted("http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
     }
 
     private static PendingMessage owed(SegmentedJournal journal, String id) {
-        return journal.owed().stream()
+        return journal.pendingMessages().stream()
                 .filter(o -> o.submission().id().equals(id))
                 .findFirst()
                 .orElse(null);
@@ -54,19 +54,19 @@
     void aRestartFindsTheFirstAttemptThatMayHaveRun() throws IOException {
         try (SegmentedJournal journal = open()) {
             assertTrue(take(journal, "m", 10));
-            journal.attempt("m", "a", 1, 100);
-            journal.outcome("m", true);
-            journal.attempt("m", "b", 2, 200);
-            journal.outcome("m", false);
-            journal.attempt("m", "c", 3, 300);
+            journal.recordAttempt("m", "a", 1, 100);
+            journal.recordOutcome("m", true);
+            journal.recordAttempt("m", "b", 2, 200);
+            journal.recordOutcome("m", false);
+            journal.recordAttempt("m", "c", 3, 300);
         }
         for (int life = 0; life < 2; life++) {
             try (SegmentedJournal journal = open()) {
                 PendingMessage e = owed(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        e.attempts() + " " + e.isOut() + " " + e.mayHaveRun() + " " + e.riskHost() + " " + e.riskZone()
-                                + " " + e.riskWall() + " " + e.deadlineWall());
+                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " " + e.possibleRunZone()
+                                + " " + e.possibleRunWallMicros() + " " + e.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
                         e.front() + " " + e.submission().key() + " "
@@ -92,7 +92,7 @@
             for (int i = 0; i < 20; i++) {
                 take(journal, "m" + i, 20);
                 starts.add(disk.ops.size());
-                journal.attempt("m" + i, "a", 0, 5);
+                journal.recordAttempt("m" + i, "a", 0, 5);
             }
         }
         List<SimDisk.Op> ops = List.copyOf(disk.ops);
@@ -107,17 +107,17 @@
             byte[] content = damaged.content(name);
             content[at] ^= 4;
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
-                int there = journal.owed().size();
+                int there = journal.pendingMessages().size();
                 assertTrue(there >= 19, "bit at " + at + ": " + there);
-                for (PendingMessage o : journal.owed()) {
-                    assertTrue(o.isOut() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
+                for (PendingMessage o : journal.pendingMessages()) {
+                    assertTrue(o.isInFlight() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
                 }
             }
             // What was found is carried over: the next life knows it without the damaged file.
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
-                assertTrue(journal.owed().size() >= 19
+                assertTrue(journal.pendingMessages().size() >= 19
                         && journal.recovered().damages().isEmpty());
-                journal.owed().forEach(o -> assertTrue(o.isOut() || o.mayHaveRun()));
+                journal.pendingMessages().forEach(o -> assertTrue(o.isInFlight() || o.mayHaveRun()));
             }
         }
     }
@@ -131,7 +131,7 @@
         }
         flip(Segment.name(1), 400);
         try (SegmentedJournal journal = open()) {
-            assertEquals(99, journal.owed().size());
+            assertEquals(99, journal.pendingMessages().size());
             assertEquals(1, journal.recovered().damages().size());
             Recovery.Damage damage = journal.recovered().damages().get(0);
             assertTrue(damage.from() <= 400 && damage.to() > 400 && damage.to() - damage.from() < 200);
@@ -151,7 +151,7 @@
         bytes.get(body);
         try (SegmentedJournal journal = open()) {
             take(journal, "victim", 10);
-            journal.taken("http", new Submission("evil", null, 0, 7, null, body, false, false, 28), 99, 0);
+            journal.recordAccepted("http", new Submission("evil", null, 0, 7, null, body, false, false, 28), 99, 0);
             take(journal, "last", 10);
         }
         byte[] all = disk.content(Segment.name(1));
@@ -164,7 +164,7 @@
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of("victim", "last"),
-                    journal.owed().stream().map(o -> o.submission().id()).toList());
+                    journal.pendingMessages().stream().map(o -> o.submission().id()).toList());
         }
     }
 
@@ -183,7 +183,7 @@
         }
         disk.put(Segment.name(1), java.util.Arrays.copyOf(first, used - 30));
         try (SegmentedJournal journal = open()) {
-            assertEquals(59, journal.owed().size());
+            assertEquals(59, journal.pendingMessages().size());
             assertEquals(1, journal.recovered().damages().size());
         }
     }
@@ -278,7 +278,7 @@
             assertTrue(journal.recovered().carriedOver());
             state = Script.text(journal, 0);
             assertEquals("identity of a", owed(journal, "a").submission().identity());
-            assertTrue(owed(journal, "a").isOut() && owed(journal, "a").host().equals("host"));
+            assertTrue(owed(journal, "a").isInFlight() && owed(journal, "a").lastHost().equals("host"));
         }
         assertFalse(disk.names().contains("journal"), disk.names().toString());
         for (int cut = before; cut <= disk.ops.size(); cut++) {
@@ -345,15 +345,15 @@
                     new lilaclever.identity.CompletedMessage<>(
                             new FinalStatus(FinalStatus.Kind.FAILED, 0, "why"), null, 77),
                     journal.remembered("i"));
-            assertTrue(owed(journal, "s").isOut()
+            assertTrue(owed(journal, "s").isInFlight()
                     && owed(journal, "s").attempts() == 2
-                    && owed(journal, "s").joined().isEmpty());
-            assertTrue(journal.joined("s", "mllp", "x"));
+                    && owed(journal, "s").attachedSubmitters().isEmpty());
+            assertTrue(journal.recordAttached("s", "mllp", "x"));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
-                    List.of(new lilaclever.routing.PendingMessage.Claim("mllp", "x")),
-                    owed(journal, "s").joined());
+                    List.of(new lilaclever.routing.PendingMessage.Submitter("mllp", "x")),
+                    owed(journal, "s").attachedSubmitters());
         }
     }
 
@@ -364,9 +364,9 @@
             journal.remember("long", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1000);
             journal.remember("short", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
             journal.remember("middle", FinalStatus.of(FinalStatus.Kind.DELIVERED), 500);
-            journal.tidy(10);
+            journal.maintain(10);
             assertNull(journal.remembered("short"));
-            journal.forgetSoonest();
+            journal.forgetSoonestExpiring();
             assertNull(journal.remembered("middle"));
             assertEquals(1, journal.rememberedCount());
         }
@@ -378,7 +378,7 @@
         Submission h = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
         try (SegmentedJournal journal = open()) {
             journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
-            assertTrue(journal.taken("mllp", h, 99, 11)); // before the tidying that would have forgotten it
+            assertTrue(journal.recordAccepted("mllp", h, 99, 11)); // before the tidying that would have forgotten it
             assertNull(journal.remembered("i"));
         }
         try (SegmentedJournal journal = open()) {
@@ -413,19 +413,19 @@
             try (SegmentedJournal journal =
                     new SegmentedJournal(disk, MOST, Durability.NONE, times, new SplittableRandom(life))) {
                 if (life == 0) {
-                    journal.taken(
+                    journal.recordAccepted(
                             "http",
                             new Submission("m", null, 2, 7, null, new byte[3], false, false, 28_000_000),
                             wall + 28_000_000,
                             wall);
-                    journal.attempt("m", "a", 0, wall + 1_000_000);
+                    journal.recordAttempt("m", "a", 0, wall + 1_000_000);
                     journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hour);
                 } else {
                     // The second life is 7 s later by the machine's clock. The third has started the machine anew,
                     // and must believe the wall clock of the segment that it finds.
-                    assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWall() + (life == 2 ? -hour : 0));
-                    assertEquals(4 * hour + 1_000_000, owed(journal, "m").sentWall() + (life == 2 ? -hour : 0));
-                    assertEquals(5 * hour, journal.remembered("i").untilWall() + (life == 2 ? -hour : 0));
+                    assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
+                    assertEquals(4 * hour + 1_000_000, owed(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
+                    assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
                 }
             }
         }
@@ -444,23 +444,23 @@
             for (int i = 0; take(journal, "large" + i, large); i++) {
                 assertTrue(i < MOST / large);
             }
-            int held = journal.owed().size();
+            int held = journal.pendingMessages().size();
             for (int attempt = 0; attempt < 16; attempt++) {
-                for (PendingMessage o : List.copyOf(journal.owed())) {
+                for (PendingMessage o : List.copyOf(journal.pendingMessages())) {
                     assertTrue(
-                            journal.attempt(o.submission().id(), "an-endpoint", 0, 1),
+                            journal.recordAttempt(o.submission().id(), "an-endpoint", 0, 1),
                             o.submission().id());
-                    journal.outcome(o.submission().id(), true);
-                    journal.tidy(0);
+                    journal.recordOutcome(o.submission().id(), true);
+                    journal.maintain(0);
                     assertTrue(disk.total() <= MOST);
                 }
             }
             assertFalse(take(journal, "more", large));
             assertEquals(0, journal.unwritten());
             for (int i = 0; i < small; i++) {
-                journal.verdict("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
+                journal.recordFinalStatus("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
-            assertEquals(held, journal.owed().size());
+            assertEquals(held, journal.pendingMessages().size());
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(16, owed(journal, "a-message-of-0").attempts());
@@ -478,14 +478,14 @@
             }
             for (int attempt = 0; attempt < 16; attempt++) {
                 for (int i = 0; i < held; i++) {
-                    assertTrue(journal.attempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
-                    journal.outcome("m" + i, false);
+                    assertTrue(journal.recordAttempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
+                    journal.recordOutcome("m" + i, false);
                 }
             }
             assertTrue(journal.copied() > 0 && disk.total() <= MOST);
         }
         try (SegmentedJournal journal = open()) {
-            journal.owed().forEach(o -> assertEquals(16, o.attempts()));
+            journal.pendingMessages().forEach(o -> assertEquals(16, o.attempts()));
         }
     }
 
@@ -497,7 +497,7 @@
             int taken = 0;
             for (; taken < 150; taken++) {
                 assertTrue(take(journal, "m" + taken, 300));
-                journal.tidy(0);
+                journal.maintain(0);
             }
             if (what.equals("space")) {
                 disk.most = disk.total();
@@ -511,16 +511,16 @@
             }
             for (int round = 0; round < 8; round++) {
                 for (int i = 0; i < taken; i++) {
-                    assertTrue(journal.attempt("m" + i, "host", 0, 1), round + " m" + i);
-                    journal.outcome("m" + i, true);
-                    journal.tidy(0);
+                    assertTrue(journal.recordAttempt("m" + i, "host", 0, 1), round + " m" + i);
+                    journal.recordOutcome("m" + i, true);
+                    journal.maintain(0);
                 }
             }
             assertEquals(0, journal.unwritten());
             disk.most = Long.MAX_VALUE;
             disk.mostOfAFile = Long.MAX_VALUE;
             clock += 2_000_000;
-            journal.tidy(0);
+            journal.maintain(0);
             assertTrue(take(journal, "after", 300));
         }
         try (SegmentedJournal journal = open()) {
@@ -535,35 +535,35 @@
             take(journal, "ends", 10);
             take(journal, "fails", 10);
             take(journal, "stays", 10);
-            journal.attempt("stays", "a", 0, 1);
+            journal.recordAttempt("stays", "a", 0, 1);
             disk.writesFail = true;
             assertFalse(take(journal, "refused", 10));
-            assertFalse(journal.attempt("fails", "a", 0, 1));
-            journal.ended("ends");
-            journal.verdict("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
-            journal.outcome("stays", false);
+            assertFalse(journal.recordAttempt("fails", "a", 0, 1));
+            journal.recordSettled("ends");
+            journal.recordFinalStatus("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
+            journal.recordOutcome("stays", false);
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
             assertEquals(4, journal.unwritten());
             disk.writesFail = false;
             clock += 2 * Plan.PAUSE;
-            journal.tidy(0);
+            journal.maintain(0);
             assertEquals(0, journal.unwritten());
             assertTrue(take(journal, "after", 10));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of("after", "fails", "stays"),
-                    journal.owed().stream()
+                    journal.pendingMessages().stream()
                             .map(o -> o.submission().id())
                             .sorted()
                             .toList());
             assertEquals(
-                    FinalStatus.Kind.FAILED, owed(journal, "fails").verdict().kind());
+                    FinalStatus.Kind.FAILED, owed(journal, "fails").finalStatus().kind());
             assertTrue(owed(journal, "stays").mayHaveRun()
-                    && !owed(journal, "stays").isOut());
+                    && !owed(journal, "stays").isInFlight());
             assertEquals(
                     FinalStatus.Kind.DELIVERED,
-                    journal.remembered("identity").end().kind());
+                    journal.remembered("identity").result().kind());
         }
     }
 
@@ -577,23 +577,23 @@
                 Script.times(() -> clock),
                 new SplittableRandom(3))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
-            journal.attach(loop::add);
+            journal.setLoop(loop::add);
             take(journal, "m", 10);
             boolean[] told = {false};
             journal.whenDurable(() -> told[0] = true);
             disk.forcesFail = true;
-            journal.tidy(0);
+            journal.maintain(0);
             loop.take().run();
             assertFalse(told[0]);
             assertEquals(1, journal.unwritten());
             disk.forcesFail = false;
-            journal.tidy(0);
+            journal.maintain(0);
             loop.take().run();
             assertTrue(told[0]);
         }
         disk.delete(Segment.name(1)); // what the failed forcing was for
         try (SegmentedJournal journal = open()) {
-            assertEquals(1, journal.owed().size());
+            assertEquals(1, journal.pendingMessages().size());
         }
     }
 
@@ -604,9 +604,9 @@
             for (int i = 0; i < 20_000; i++) {
                 take(journal, "m" + i, 300);
                 if (i >= 100) {
-                    journal.ended("m" + (i - 100));
+                    journal.recordSettled("m" + (i - 100));
                 }
-                journal.tidy(0);
+                journal.maintain(0);
             }
             assertTrue(journal.allocated() <= 4 << 20, "bytes: " + journal.allocated());
         }
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -69,7 +69,7 @@
     /** What a restart must know of a message; the earliest moment at which it may have run. */
     private record Known(int attempts, long mayHaveRunSince) {
         static Known of(PendingMessage m) {
-            long since = m.mayHaveRun() ? m.riskWall() : m.isOut() ? m.sentWall() : Long.MAX_VALUE;
+            long since = m.mayHaveRun() ? m.possibleRunWallMicros() : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
             return new Known(m.attempts(), since);
         }
 
@@ -103,7 +103,7 @@
 
     private void open(Durability durability, long seed) throws IOException {
         journal = new SegmentedJournal(disk, most, durability, Script.times(() -> clock), new SplittableRandom(seed));
-        journal.attach(loop::add);
+        journal.setLoop(loop::add);
         script = new Script(disk, seed);
         script.use(journal);
     }
@@ -154,7 +154,7 @@
     }
 
     private void endTurn() {
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         clock += TURN;
         Map<String, Known> known = new TreeMap<>();
         script.messages().forEach((id, m) -> known.put(id, Known.of(m)));
@@ -171,7 +171,7 @@
 
     private static String owed(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> all = new TreeMap<>();
-        journal.owed().forEach(m -> all.put(m.submission().id(), m));
+        journal.pendingMessages().forEach(m -> all.put(m.submission().id(), m));
         return Script.text(all, Map.of());
     }
 
@@ -179,9 +179,9 @@
     private void checkRecovered(String what) throws Exception {
         failing = false;
         clock += 2_000_000;
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         clock += 2_000_000;
-        journal.tidy(script.now);
+        journal.maintain(script.now);
         assertEquals(0, journal.unwritten(), what);
         checkFiles(what);
         endAll();
@@ -198,7 +198,7 @@
 
     private void endAll() {
         for (String id : List.copyOf(script.messages().keySet())) {
-            journal.ended(id);
+            journal.recordSettled(id);
             script.messages().remove(id);
             endTurn();
         }
@@ -224,7 +224,7 @@
         SimDisk left = SimDisk.killed(disk.ops, operations, bytesOfNext);
         try (SegmentedJournal next = Script.open(left, most, Durability.NONE)) {
             Map<String, Known> found = new TreeMap<>();
-            next.owed().forEach(m -> found.put(m.submission().id(), Known.of(m)));
+            next.pendingMessages().forEach(m -> found.put(m.submission().id(), Known.of(m)));
             before.forEach((id, known) -> {
                 if (after.containsKey(id)) {
                     assertNotNull(found.get(id), what + ": " + id + " is lost");
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -130,7 +130,7 @@
     @Test
     void theOldestAreLeftOutWhereThereIsNoRoom() throws Exception {
         List<Departure> many = IntStream.range(0, 4_096)
-                .mapToObj(i -> new Departure("s-" + i, "10.1.0.1:8500", i, FIRST.atMicros()))
+                .mapToObj(i -> new Departure("s-" + i, "10.1.0.1:8500", i, FIRST.wallMicros()))
                 .toList();
         assertTrue(loggedByWriting(many).contains("do not fit into departures"));
         assertTrue(Files.size(file()) <= DepartureNote.NOTE_BYTES / 2, "bytes: " + Files.size(file()));
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -126,22 +126,22 @@
         }
 
         @Override
-        public void taken(Message message) {}
+        public void onAccepted(Message message) {}
 
         @Override
-        public void turnedDown(Message message, FinalStatus verdict) {
+        public void onRejected(Message message, FinalStatus verdict) {
             ended.countDown();
         }
 
         @Override
-        public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+        public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
             settled.run();
             ended.countDown();
         }
     }
 
-    private Core.Listed listed(String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
-        return new Core.Listed(
+    private Core.ListedEndpoint listed(String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
+        return new Core.ListedEndpoint(
                 new DecisionModule.Entry(name, GROUP, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, endpoint.address(), GROUP, 0, 1, false, deliverer));
     }
@@ -167,7 +167,7 @@
                         new HeldDisk(FolderDisk.take(state), forcing),
                         DISK_BYTES,
                         new Durability(Durability.How.GROUP, 0),
-                        new JournalClocks(Core::micros, Core::wall, BootClock.read(Core::micros, Core::wall)),
+                        new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                         new SplittableRandom(1))) {
             Core core = new Core(
                     config.settings(),
@@ -184,12 +184,12 @@
             told(change(2, "e1", other, Status.ACTIVE));
             core.start(List.of(listed("e0", draining, Presence.ACTIVE, deliverer)), 1);
             int payment = config.classNames().indexOf("payment");
-            core.post(() -> core.handIn(
+            core.post(() -> core.submit(
                     front, new Submission("7-1", null, payment, GROUP, null, new byte[0], false, false, BUDGET)));
             CountDownLatch heard = new CountDownLatch(1);
             untilACallWaits(core);
             core.post(() -> {
-                core.listing(
+                core.updateEndpoints(
                         ListingKind.CHANGES,
                         2,
                         List.of(
@@ -203,7 +203,7 @@
             TimeUnit.NANOSECONDS.sleep(DrainAuditor.GRACE + 2 * DrainAuditor.SOCKET_SLACK);
             forcing.countDown();
             assertTrue(ended.await(10, TimeUnit.SECONDS), "the message goes to the other endpoint");
-            core.end();
+            core.stop();
             assertEquals(List.of(), auditor.violations());
             assertEquals(Map.of(new Target(other.address(), GROUP), 1L), auditor.callsByTarget());
         } finally {
@@ -218,7 +218,7 @@
             CountDownLatch read = new CountDownLatch(1);
             String[] counted = new String[1];
             core.post(() -> {
-                counted[0] = core.counters().text();
+                counted[0] = core.counters().toText();
                 read.countDown();
             });
             read.await(1, TimeUnit.SECONDS);
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -59,27 +59,27 @@
         private long micros = SECOND;
 
         @Override
-        public long micros() {
+        public long monotonicMicros() {
             return micros;
         }
 
         @Override
-        public long wall() {
+        public long wallMicros() {
             return micros;
         }
 
         @Override
-        public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+        public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
             throw new IllegalStateException("the test does the loop's part");
         }
 
         @Override
-        public void pause(long micros) {
+        public void sleep(long micros) {
             throw new IllegalStateException("the test does the loop's part");
         }
 
         @Override
-        public void posted() {
+        public void taskPosted() {
             posted.release();
         }
     }
@@ -101,7 +101,7 @@
                 FolderDisk.take(state),
                 1 << 20,
                 Durability.NONE,
-                new JournalClocks(clock::micros, clock::wall, BootClock.UNKNOWN),
+                new JournalClocks(clock::monotonicMicros, clock::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(1));
         core = new Core(
                 SettingsReader.read(SETTINGS, 0),
@@ -110,7 +110,7 @@
                 new Counters(),
                 new IdempotencyWindows(List.of(), 0, 1),
                 clock);
-        core.begin(List.of(), 0);
+        core.runFirstTurn(List.of(), 0);
         transport = new Transport();
     }
 
@@ -140,7 +140,7 @@
     private void passFirstAnswerWait() throws InterruptedException {
         untilCallIsBack(NOTICED_BY);
         clock.micros += Directory.FIRST_ANSWER_WAIT;
-        core.step();
+        core.runTurn();
         assertEquals(1, told);
     }
 
@@ -152,8 +152,8 @@
         long pause;
         do {
             assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no call is due within " + limit + " us");
-            core.step();
-            pause = core.due() - clock.micros;
+            core.runTurn();
+            pause = core.nextTurnMicros() - clock.micros;
         } while (pause <= ROUND || pause > limit);
         return pause;
     }
@@ -162,7 +162,7 @@
     private long untilNextCall(long limit) throws InterruptedException {
         long pause = untilCallIsBack(limit);
         clock.micros += pause;
-        core.step();
+        core.runTurn();
         return pause;
     }
 
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -187,7 +187,7 @@
         try (Wire first = accept()) {
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
-            while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
+            while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 onLoop(() -> {}); // its answer is on its way
             }
             onLoop(() -> deliverer.probe(one));
@@ -211,7 +211,7 @@
         try (Wire first = accept()) {
             first.read();
             first.answer("200 OK", "");
-            while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
+            while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 onLoop(() -> {}); // its answer is on its way
             }
             CountDownLatch free = hold();
@@ -223,11 +223,11 @@
     }
 
     private void list(long version, DecisionModule.Presence presence, Call.Endpoint... endpoints) {
-        List<Core.Listed> listed = new ArrayList<>();
+        List<Core.ListedEndpoint> listed = new ArrayList<>();
         for (Call.Endpoint each : endpoints) {
-            listed.add(new Core.Listed(
+            listed.add(new Core.ListedEndpoint(
                     new DecisionModule.Entry(each.host(), each.destination(), each.zone(), 0, presence, 1, 0), each));
         }
-        core.listing(DecisionModule.ListingKind.CHANGES, version, listed);
+        core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, listed);
     }
 }
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -51,7 +51,7 @@
                 assertEquals("500", head == null ? "closed" : head.target());
             }
         } finally {
-            faulty.end();
+            faulty.stop();
         }
     }
 }
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
@@ -169,7 +169,7 @@
         Connection<?> any = up.poll(20, TimeUnit.SECONDS);
         for (int i = 0; i < times; i++) {
             CountDownLatch read = new CountDownLatch(1);
-            Transport.afterReading(any, read::countDown);
+            Transport.runAfterReading(any, read::countDown);
             assertTrue(read.await(20, TimeUnit.SECONDS));
         }
     }
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -53,7 +53,7 @@
                 FolderDisk.take(state),
                 1 << 20,
                 Durability.NONE,
-                new JournalClocks(Core::micros, Core::wall, BootClock.UNKNOWN),
+                new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(1));
         core = new Core(
                 SettingsReader.read(SETTINGS, 0), 1, journal, new Counters(), new IdempotencyWindows(List.of(), 0, 1));
@@ -65,7 +65,7 @@
 
     @AfterEach
     void end() throws Exception {
-        core.end();
+        core.stop();
         journal.close();
         transport.close();
         server.close();
@@ -102,7 +102,7 @@
         Connection<?> any = up.poll(20, TimeUnit.SECONDS);
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch free = new CountDownLatch(1);
-        Transport.onSelector(any, () -> {
+        Transport.runOnSelector(any, () -> {
             held.countDown();
             try {
                 free.await(20, TimeUnit.SECONDS);
--- a/src/test/java/lilaclever/routing/CallTest.java
+++ b/src/test/java/lilaclever/routing/CallTest.java
@@ -19,12 +19,12 @@
         Call call = new Call(new Call.Endpoint("e", "127.0.0.1:9", 7, 0, 20, false, null), 1_000_000);
         Message first = message("first");
         Message last = message("last");
-        call.take(last, 9_000_000, 20_000_000);
-        call.take(first, 3_000_000, 7_000_000);
-        assertEquals(3_000_000, call.writeBy());
-        assertEquals(7_000_000, call.expiresAt(), "the first message's deadline");
-        call.leftOut(first);
-        assertEquals(9_000_000, call.expiresAt(), "the attempt of the other message");
-        assertEquals(9_000_000, call.writeBy());
+        call.addMessage(last, 9_000_000, 20_000_000);
+        call.addMessage(first, 3_000_000, 7_000_000);
+        assertEquals(3_000_000, call.writeByMicros());
+        assertEquals(7_000_000, call.expiresAtMicros(), "the first message's deadline");
+        call.removeMessage(first);
+        assertEquals(9_000_000, call.expiresAtMicros(), "the attempt of the other message");
+        assertEquals(9_000_000, call.writeByMicros());
     }
 }
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -37,27 +37,27 @@
     /** Time that the test advances. */
     private final class VirtualClock implements Clock {
         @Override
-        public long micros() {
+        public long monotonicMicros() {
             return now;
         }
 
         @Override
-        public long wall() {
+        public long wallMicros() {
             return now;
         }
 
         @Override
-        public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+        public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
             throw new IllegalStateException("the test runs the turns");
         }
 
         @Override
-        public void pause(long micros) {
+        public void sleep(long micros) {
             throw new IllegalStateException("the test runs the turns");
         }
 
         @Override
-        public void posted() {
+        public void taskPosted() {
             // the next turn runs the task
         }
     }
@@ -70,10 +70,10 @@
         }
 
         @Override
-        public void giveUp(Call call) {}
+        public void abort(Call call) {}
 
         @Override
-        public void withdraw(Call call) {}
+        public void cancelUnsent(Call call) {}
 
         @Override
         public void closeIdle(Call.Endpoint endpoint) {}
@@ -90,23 +90,23 @@
         }
 
         @Override
-        public void taken(Message message) {}
+        public void onAccepted(Message message) {}
 
         @Override
-        public void turnedDown(Message message, FinalStatus verdict) {
+        public void onRejected(Message message, FinalStatus verdict) {
             throw new IllegalStateException(message.id() + " was rejected: " + verdict);
         }
 
         @Override
-        public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+        public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
             settled.run();
         }
     }
 
     private final RecordingDeliverer deliverer = new RecordingDeliverer();
 
-    private Core.Listed listed(String name, Presence presence) {
-        return new Core.Listed(
+    private Core.ListedEndpoint listed(String name, Presence presence) {
+        return new Core.ListedEndpoint(
                 new DecisionModule.Entry(name, DESTINATION, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, "127.0.0.1:9", DESTINATION, 0, 1, false, deliverer));
     }
@@ -138,7 +138,7 @@
                 FolderDisk.take(state),
                 3 << 20,
                 Durability.NONE,
-                new JournalClocks(clock::micros, clock::wall, BootClock.UNKNOWN),
+                new JournalClocks(clock::monotonicMicros, clock::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(7));
         return (Journal) Proxy.newProxyInstance(
                 Journal.class.getClassLoader(), new Class<?>[] {Journal.class}, (proxy, method, arguments) -> {
@@ -156,7 +156,7 @@
 
     private void turn(Core core) {
         now += ROUND;
-        core.step();
+        core.runTurn();
     }
 
     private void force() {
@@ -173,13 +173,13 @@
             Core core = new Core(settings(), 7, journal, counters, windows, new VirtualClock());
             SilentFront front = new SilentFront();
             core.add(front);
-            core.begin(List.of(listed("e1", Presence.ACTIVE)), 1);
+            core.runFirstTurn(List.of(listed("e1", Presence.ACTIVE)), 1);
             byte[] body = new byte[0];
-            core.handIn(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
+            core.submit(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
             turn(core);
             assertEquals(1, counters.get(Counters.Name.CALLS), "decided, and its attempt recorded");
 
-            core.listing(
+            core.updateEndpoints(
                     DecisionModule.ListingKind.CHANGES,
                     2,
                     List.of(listed("e1", Presence.LEAVING), listed("e2", Presence.ACTIVE)));
@@ -187,7 +187,7 @@
             force();
 
             assertEquals(List.of("m to e2"), started);
-            assertEquals(1, journal.owed().size());
+            assertEquals(1, journal.pendingMessages().size());
         }
     }
 }
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -17,7 +17,7 @@
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.log.Logs;
-import lilaclever.routing.EndpointMembership.Change;
+import lilaclever.routing.EndpointMembership.CoreUpdate;
 import lilaclever.routing.EndpointMembership.Departure;
 import lilaclever.routing.EndpointMembership.ListUpdate;
 import org.junit.jupiter.api.AfterAll;
@@ -56,7 +56,7 @@
 
     /** The actual endpoints at each version, without removed ones. */
     private static final class Truth {
-        private final List<Map<String, Core.Listed>> versions = new ArrayList<>(List.of(Map.of()));
+        private final List<Map<String, Core.ListedEndpoint>> versions = new ArrayList<>(List.of(Map.of()));
         private final SplittableRandom random;
         private int addresses;
 
@@ -73,8 +73,8 @@
 
         void change() {
             String name = "s" + random.nextInt(NAMES);
-            Map<String, Core.Listed> next = new TreeMap<>(versions.get(latest()));
-            Core.Listed now = next.get(name);
+            Map<String, Core.ListedEndpoint> next = new TreeMap<>(versions.get(latest()));
+            Core.ListedEndpoint now = next.get(name);
             if (now == null) {
                 next.put(name, listed(name, Presence.ACTIVE, freeAddress(next)));
             } else if (now.entry().presence() == Presence.ACTIVE) {
@@ -95,7 +95,7 @@
         }
 
         /** Usually a new address, else one that another endpoint may have had before. */
-        private String freeAddress(Map<String, Core.Listed> used) {
+        private String freeAddress(Map<String, Core.ListedEndpoint> used) {
             String old = "10.1.0.1:" + random.nextInt(addresses + 1);
             boolean isFree =
                     used.values().stream().noneMatch(x -> x.endpoint().address().equals(old));
@@ -103,8 +103,8 @@
         }
     }
 
-    private static Core.Listed listed(String name, Presence presence, String address) {
-        return new Core.Listed(
+    private static Core.ListedEndpoint listed(String name, Presence presence, String address) {
+        return new Core.ListedEndpoint(
                 new DecisionModule.Entry(name, 1, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, address, 1, 0, 1, false, null));
     }
@@ -154,9 +154,9 @@
             if (after < 0 || from < 0 || from > seen) {
                 return whole();
             }
-            Map<String, Core.Listed> before = truth.versions.get((int) from);
-            Map<String, Core.Listed> now = truth.versions.get(seen);
-            List<Core.Listed> changed = new ArrayList<>();
+            Map<String, Core.ListedEndpoint> before = truth.versions.get((int) from);
+            Map<String, Core.ListedEndpoint> now = truth.versions.get(seen);
+            List<Core.ListedEndpoint> changed = new ArrayList<>();
             now.values().stream().filter(x -> x != before.get(x.entry().host())).forEach(changed::add);
             before.values().stream()
                     .filter(x -> !now.containsKey(x.entry().host()))
@@ -202,9 +202,9 @@
         private final Set<Heard> ofKnownList = new HashSet<>();
 
         private final Map<String, Long> lastIndex = new HashMap<>(), highestIndex = new HashMap<>();
-        private Map<String, Core.Listed> core = new TreeMap<>();
+        private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
-        void began(long version, List<Core.Listed> known, Change told, long now) {
+        void began(long version, List<Core.ListedEndpoint> known, CoreUpdate told, long now) {
             open.values().forEach(all -> all.removeAll(ofKnownList));
             departures.values().forEach(all -> all.removeAll(ofKnownList));
             names.clear();
@@ -213,7 +213,7 @@
             addresses.clear();
             open.values().removeIf(List::isEmpty);
             names.addAll(open.keySet());
-            for (Core.Listed x : known) {
+            for (Core.ListedEndpoint x : known) {
                 String name = x.entry().host();
                 names.add(name);
                 if (x.entry().presence() != Presence.ACTIVE) {
@@ -233,13 +233,13 @@
             open.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
         }
 
-        void heard(ListUpdate list, Change told, long now) {
+        void heard(ListUpdate list, CoreUpdate told, long now) {
             boolean isComplete = list.isWhole() && !list.isCut();
             assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, told.kind());
             ofKnownList.clear();
             Map<String, Saying> sayings = sayings(list);
             Set<String> due = new HashSet<>();
-            Map<String, Core.Listed> before = core;
+            Map<String, Core.ListedEndpoint> before = core;
             sayings.forEach((name, saying) -> {
                 names.add(name);
                 if (saying == Saying.ACTIVE) {
@@ -294,11 +294,11 @@
 
         private static Map<String, Saying> sayings(ListUpdate list) {
             Map<String, Saying> sayings = new TreeMap<>();
-            Map<String, Core.Listed> first = new HashMap<>();
-            for (Core.Listed x : list.entries()) {
+            Map<String, Core.ListedEndpoint> first = new HashMap<>();
+            for (Core.ListedEndpoint x : list.entries()) {
                 String name = x.entry().host();
                 Saying saying = x.entry().presence() == Presence.ACTIVE ? Saying.ACTIVE : Saying.DEPARTED;
-                Core.Listed other = first.putIfAbsent(name, x);
+                Core.ListedEndpoint other = first.putIfAbsent(name, x);
                 boolean isSame = other == null
                         || other.entry().presence() == x.entry().presence()
                                 && other.endpoint().equals(x.endpoint());
@@ -323,7 +323,7 @@
 
         /** If changes give an address to another name, its former holder may count as departed. */
         private void addressesPassed(ListUpdate list, Map<String, Saying> sayings) {
-            for (Core.Listed x : list.entries()) {
+            for (Core.ListedEndpoint x : list.entries()) {
                 core.values().stream()
                         .filter(other ->
                                 other.endpoint().address().equals(x.endpoint().address()))
@@ -333,7 +333,7 @@
             }
         }
 
-        private static Map<String, Core.Listed> applied(Map<String, Core.Listed> to, Change told) {
+        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate told) {
             told.entries().forEach(x -> to.put(x.entry().host(), x));
             return to;
         }
@@ -351,15 +351,15 @@
         }
 
         /** An address is not replaced if a later list of the agent that last set it stated it within a minute. */
-        private void checkAddresses(Map<String, Core.Listed> before, ListUpdate list, long now) {
-            for (Core.Listed x : core.values()) {
+        private void checkAddresses(Map<String, Core.ListedEndpoint> before, ListUpdate list, long now) {
+            for (Core.ListedEndpoint x : core.values()) {
                 String name = x.entry().host();
                 String address = x.endpoint().address();
                 if (x.entry().presence() != Presence.ACTIVE) {
                     addresses.remove(name);
                     continue;
                 }
-                Core.Listed earlier = before.get(name);
+                Core.ListedEndpoint earlier = before.get(name);
                 boolean hasMoved = earlier != null
                         && earlier.entry().presence() == Presence.ACTIVE
                         && !earlier.endpoint().address().equals(address);
@@ -394,7 +394,7 @@
             }
         }
 
-        void checkExact(Map<String, Core.Listed> truth) {
+        void checkExact(Map<String, Core.ListedEndpoint> truth) {
             Map<String, String> expected = new TreeMap<>(), told = new TreeMap<>();
             truth.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
@@ -470,9 +470,9 @@
             late.clear();
             int version = Math.max((int) Math.max(0, -current.offset), current.seen - random.nextInt(8));
             long index = current.index() - current.seen + version;
-            List<Core.Listed> known = List.copyOf(truth.versions.get(version).values());
+            List<Core.ListedEndpoint> known = List.copyOf(truth.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
-            auditor.began(index, known, membership.remembered(index, known), now);
+            auditor.began(index, known, membership.applyInitialList(index, known), now);
             followed.clear();
             followed.put(current.address, index);
         }
@@ -489,7 +489,7 @@
         }
 
         private ListUpdate spoilt(ListUpdate list) {
-            List<Core.Listed> entries = new ArrayList<>(list.entries());
+            List<Core.ListedEndpoint> entries = new ArrayList<>(list.entries());
             Set<String> unusable = new HashSet<>();
             boolean isCut = random.nextInt(12) == 0;
             long index = random.nextInt(25) == 0 ? EndpointMembership.NO_INDEX : list.index();
@@ -498,7 +498,7 @@
                         entries.remove(random.nextInt(entries.size())).entry().host());
             }
             if (!entries.isEmpty() && random.nextInt(10) == 0) {
-                Core.Listed twice = entries.get(random.nextInt(entries.size()));
+                Core.ListedEndpoint twice = entries.get(random.nextInt(entries.size()));
                 Presence presence = Presence.values()[random.nextInt(3)];
                 String address = twice.endpoint().address() + (random.nextInt(3) == 0 ? "0" : "");
                 entries.add(random.nextInt(entries.size()), listed(twice.entry().host(), presence, address));
@@ -537,7 +537,7 @@
             deliver(soundList());
             auditor.checkExact(truth.versions.get(truth.latest()));
             assertTrue(!membership.needsWholeList(now + loopOffset), "no contradiction is left");
-            assertTrue(!membership.contradictsKnown());
+            assertTrue(!membership.contradictsInitialList());
         }
 
         private ListUpdate soundList() {
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -22,7 +22,7 @@
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.ListingKind;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.routing.EndpointMembership.Change;
+import lilaclever.routing.EndpointMembership.CoreUpdate;
 import lilaclever.routing.EndpointMembership.Departure;
 import lilaclever.routing.EndpointMembership.ListUpdate;
 import org.junit.jupiter.api.Test;
@@ -36,7 +36,7 @@
     private final Store store = new Store();
     private EndpointMembership membership = new EndpointMembership(List.of(), store);
     /** The core's endpoints after all updates. */
-    private Map<String, Core.Listed> core = new TreeMap<>();
+    private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
     private long now = 5 * SECOND;
     private long wall = WALL;
@@ -61,62 +61,62 @@
         }
     }
 
-    private static Core.Listed listed(String name, Presence presence, String address, int group) {
-        return new Core.Listed(
+    private static Core.ListedEndpoint listed(String name, Presence presence, String address, int group) {
+        return new Core.ListedEndpoint(
                 new DecisionModule.Entry(name, group, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, address, group, 0, 1, false, null));
     }
 
-    private static Core.Listed listed(String name, Presence presence) {
+    private static Core.ListedEndpoint listed(String name, Presence presence) {
         return listed(name, presence, "10.1.0.1:" + name, GROUP);
     }
 
-    private static Core.Listed active(String name) {
+    private static Core.ListedEndpoint active(String name) {
         return listed(name, Presence.ACTIVE);
     }
 
-    private static Core.Listed leaving(String name) {
+    private static Core.ListedEndpoint leaving(String name) {
         return listed(name, Presence.LEAVING);
     }
 
-    private static Core.Listed left(String name) {
+    private static Core.ListedEndpoint left(String name) {
         return listed(name, Presence.LEFT);
     }
 
-    private Change whole(String agent, long index, Core.Listed... entries) {
+    private CoreUpdate whole(String agent, long index, Core.ListedEndpoint... entries) {
         return update(new ListUpdate(agent, index, true, false, List.of(entries), Set.of()));
     }
 
-    private Change whole(long index, Core.Listed... entries) {
+    private CoreUpdate whole(long index, Core.ListedEndpoint... entries) {
         return whole(AGENT, index, entries);
     }
 
-    private Change changes(String agent, long index, Core.Listed... entries) {
+    private CoreUpdate changes(String agent, long index, Core.ListedEndpoint... entries) {
         return update(new ListUpdate(agent, index, false, false, List.of(entries), Set.of()));
     }
 
-    private Change changes(long index, Core.Listed... entries) {
+    private CoreUpdate changes(long index, Core.ListedEndpoint... entries) {
         return changes(AGENT, index, entries);
     }
 
-    private Change unusable(String agent, long index, String name) {
+    private CoreUpdate unusable(String agent, long index, String name) {
         return update(new ListUpdate(agent, index, false, false, List.of(), Set.of(name)));
     }
 
-    private Change unusable(long index, boolean isWhole, String name, Core.Listed... entries) {
+    private CoreUpdate unusable(long index, boolean isWhole, String name, Core.ListedEndpoint... entries) {
         return update(new ListUpdate(AGENT, index, isWhole, false, List.of(entries), Set.of(name)));
     }
 
-    private Change update(ListUpdate update) {
+    private CoreUpdate update(ListUpdate update) {
         return told(membership.update(update, now, wall));
     }
 
     /** Applies an update as the core does. */
-    private Change told(Change change) {
+    private CoreUpdate told(CoreUpdate change) {
         if (change.kind() != ListingKind.CHANGES) {
             core.clear();
         }
-        for (Core.Listed listed : change.entries()) {
+        for (Core.ListedEndpoint listed : change.entries()) {
             core.put(listed.entry().host(), listed);
         }
         return change;
@@ -128,11 +128,11 @@
     }
 
     /** Simulates a restart of the process, with a new origin of the event loop's clock. */
-    private void restart(long version, Core.Listed... known) {
+    private void restart(long version, Core.ListedEndpoint... known) {
         membership = new EndpointMembership(store.stored, store);
         now = SECOND;
         core.clear();
-        told(membership.remembered(version, List.of(known)));
+        told(membership.applyInitialList(version, List.of(known)));
     }
 
     private void assertActive(String... names) {
@@ -194,7 +194,7 @@
     @Test
     void aListThatIsCutSaysNothingOfWhatItDoesNotName() {
         whole(50, active("a"), active("b"));
-        Change cut = update(new ListUpdate(AGENT, 51, true, true, List.of(leaving("a")), Set.of()));
+        CoreUpdate cut = update(new ListUpdate(AGENT, 51, true, true, List.of(leaving("a")), Set.of()));
         assertEquals(ListingKind.CHANGES, cut.kind());
         assertActive("b");
         assertTrue(membership.needsWholeList(now));
@@ -203,7 +203,7 @@
     @Test
     void anEntryThatCannotBeUsedTakesTheEndpointOut() {
         whole(50, active("a"), active("b"));
-        Change change = unusable(51, false, "a");
+        CoreUpdate change = unusable(51, false, "a");
         assertEquals(
                 List.of("a"),
                 change.entries().stream().map(x -> x.entry().host()).toList());
@@ -482,7 +482,7 @@
 
     @Test
     void theSameEntryTwiceIsOne() {
-        Change change = whole(50, active("a"), active("a"));
+        CoreUpdate change = whole(50, active("a"), active("a"));
         assertEquals(1, change.entries().size());
         assertActive("a");
         assertFalse(membership.needsWholeList(now));
@@ -490,8 +490,8 @@
 
     @Test
     void entriesTwiceAreLoggedInOneLine() {
-        Core.Listed[] twice =
-                IntStream.range(0, 200).mapToObj(i -> active("s" + i % 100)).toArray(Core.Listed[]::new);
+        Core.ListedEndpoint[] twice =
+                IntStream.range(0, 200).mapToObj(i -> active("s" + i % 100)).toArray(Core.ListedEndpoint[]::new);
         String log = logged(() -> whole(50, twice));
         assertEquals(1, log.lines().count(), log);
         assertTrue(log.contains("s0, s1, s2, s3, s4 and 95 others"), log);
@@ -521,7 +521,7 @@
     @Test
     void anOlderListBringsNoOlderAddressBack() {
         whole(50, active("a"));
-        Core.Listed moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP + 1);
+        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP + 1);
         changes(51, moved);
         whole(50, active("a"));
         assertSame(moved, core.get("a"));
@@ -537,7 +537,7 @@
 
     @Test
     void anAddressThatWasConfirmedLaterHoldsBackTheListsInBetween() {
-        Core.Listed moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
+        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
         whole(50, moved);
         whole(55, moved);
         whole(52, moved);
@@ -548,7 +548,7 @@
     @Test
     void anotherAgentsAddressCountsAfterAMinute() {
         whole(50, active("a"));
-        Core.Listed moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
+        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
         whole(OTHER_AGENT, 4, moved);
         assertEquals("10.1.0.1:a", core.get("a").endpoint().address());
         assertFalse(membership.needsWholeList(now));
@@ -579,7 +579,7 @@
 
     @Test
     void namesThatOneListHasAtTheSameAddressStay() {
-        Core.Listed shared = listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP);
+        Core.ListedEndpoint shared = listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP);
         whole(50, active("a"), shared);
         changes(51, shared);
         changes(52, active("a"));
@@ -604,10 +604,10 @@
 
     @Test
     void kindsAndVersionsAreThoseOfTheList() {
-        Change all = whole(50, active("a"));
+        CoreUpdate all = whole(50, active("a"));
         assertEquals(ListingKind.ALL, all.kind());
         assertEquals(50, all.version());
-        Change none = changes(51);
+        CoreUpdate none = changes(51);
         assertEquals(ListingKind.CHANGES, none.kind());
         assertEquals(51, none.version());
         assertEquals(List.of(), none.entries());
@@ -616,16 +616,16 @@
 
     @Test
     void nothingIsCopiedOfWhatIsBelieved() {
-        Core.Listed a = active("a");
+        Core.ListedEndpoint a = active("a");
         assertSame(a, whole(50, a).entries().get(0));
     }
 
     @Test
     void whatIsWithheldIsLoggedInOneLine() {
-        Core.Listed[] leaving =
-                IntStream.range(0, 100).mapToObj(i -> leaving("s" + i)).toArray(Core.Listed[]::new);
-        Core.Listed[] active =
-                IntStream.range(0, 100).mapToObj(i -> active("s" + i)).toArray(Core.Listed[]::new);
+        Core.ListedEndpoint[] leaving =
+                IntStream.range(0, 100).mapToObj(i -> leaving("s" + i)).toArray(Core.ListedEndpoint[]::new);
+        Core.ListedEndpoint[] active =
+                IntStream.range(0, 100).mapToObj(i -> active("s" + i)).toArray(Core.ListedEndpoint[]::new);
         whole(50, leaving);
         String log = logged(() -> whole(45, active));
         assertEquals(1, log.lines().count(), log);
@@ -643,19 +643,19 @@
         restart(50, active("a"), active("b"));
         assertActive("b");
         assertEquals(Presence.LEAVING, presence("a"));
-        assertTrue(membership.contradictsKnown());
+        assertTrue(membership.contradictsInitialList());
         assertTrue(membership.needsWholeList(now));
         changes(51);
-        assertTrue(membership.contradictsKnown());
+        assertTrue(membership.contradictsInitialList());
         whole(51, leaving("a"), active("b"));
-        assertFalse(membership.contradictsKnown());
+        assertFalse(membership.contradictsInitialList());
         assertActive("b");
         changes(52, active("a"));
         assertActive("a", "b");
         assertEquals(List.of(), store.stored);
         restart(50, active("a"), active("b"));
         assertActive("a", "b");
-        assertFalse(membership.contradictsKnown());
+        assertFalse(membership.contradictsInitialList());
     }
 
     @Test
@@ -756,11 +756,11 @@
     @Test
     void aChangeInALargeListTouchesNoOtherEndpoint() {
         int many = 3_200;
-        Core.Listed[] all =
-                IntStream.range(0, many).mapToObj(i -> active("s" + i)).toArray(Core.Listed[]::new);
+        Core.ListedEndpoint[] all =
+                IntStream.range(0, many).mapToObj(i -> active("s" + i)).toArray(Core.ListedEndpoint[]::new);
         whole(1, all);
-        Map<String, Core.Listed> before = new HashMap<>(core);
-        List<Core.Listed> told = new ArrayList<>();
+        Map<String, Core.ListedEndpoint> before = new HashMap<>(core);
+        List<Core.ListedEndpoint> told = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             told.addAll(changes(2 + i, leaving("s" + i)).entries());
         }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -64,12 +64,12 @@
                 disk,
                 MOST_DISK,
                 Durability.NONE,
-                new JournalClocks(this::micros, this::wall, BootClock.UNKNOWN),
+                new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
                 settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND, 1), this);
         core.add(this);
-        core.begin(list(destinations), 1);
+        core.runFirstTurn(list(destinations), 1);
     }
 
     private static DecisionModule.Settings settings(int mostHeld) {
@@ -93,22 +93,22 @@
                 new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
     }
 
-    private List<Core.Listed> list(int destinations) {
+    private List<Core.ListedEndpoint> list(int destinations) {
         return IntStream.range(0, destinations)
                 .mapToObj(i -> listed(i, DecisionModule.Presence.ACTIVE))
                 .toList();
     }
 
-    private Core.Listed listed(int destination, DecisionModule.Presence presence) {
+    private Core.ListedEndpoint listed(int destination, DecisionModule.Presence presence) {
         String host = "endpoint-" + destination;
-        return new Core.Listed(
+        return new Core.ListedEndpoint(
                 new DecisionModule.Entry(host, destination, 0, 0, presence, 1, 0),
                 new Call.Endpoint(host, "127.0.0.1:9", destination, 0, 1, false, this));
     }
 
     /** Has the list tell of one endpoint, as each change of it does, and runs the turn. */
     void change(int destination, long version) {
-        core.listing(
+        core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
                 version,
                 List.of(listed(destination, DecisionModule.Presence.ACTIVE)));
@@ -118,27 +118,27 @@
     /** Hands one message in; what comes of it is told in later turns. */
     void handIn(int destination, byte[] body) {
         String id = "message-" + next++;
-        core.handIn(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
+        core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
     }
 
     /** One turn of the loop, the least time after the last one. */
     void turn() {
         now += ROUND;
-        core.step();
+        core.runTurn();
     }
 
     /** Lets the time pass; gives how many turns the loop made. */
     int pass(long micros) {
         int turns = 0;
         for (long until = now + micros; now < until; turns++) {
-            now = Math.max(now + ROUND, Math.min(until, core.due()));
-            core.step();
+            now = Math.max(now + ROUND, Math.min(until, core.nextTurnMicros()));
+            core.runTurn();
         }
         return turns;
     }
 
     int held() {
-        return journal.owed().size();
+        return journal.pendingMessages().size();
     }
 
     long count(Counters.Name name) {
@@ -152,27 +152,27 @@
 
     // ---- time -------------------------------------------------------------------------------------------
     @Override
-    public long micros() {
+    public long monotonicMicros() {
         return now;
     }
 
     @Override
-    public long wall() {
+    public long wallMicros() {
         return WALL + now;
     }
 
     @Override
-    public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
+    public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
         throw new IllegalStateException("whoever uses it does the loop's part");
     }
 
     @Override
-    public void pause(long micros) {
+    public void sleep(long micros) {
         throw new IllegalStateException("whoever uses it does the loop's part");
     }
 
     @Override
-    public void posted() {
+    public void taskPosted() {
         // the next turn takes it
     }
 
@@ -183,17 +183,17 @@
     }
 
     @Override
-    public void taken(Message message) {
+    public void onAccepted(Message message) {
         // nobody waits to hear it
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
+    public void onRejected(Message message, FinalStatus verdict) {
         throw new IllegalStateException(message.id() + " was turned down: " + verdict);
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         settled.run();
     }
 
@@ -204,18 +204,18 @@
                 ? DecisionModule.Ending.DELIVERED
                 : DecisionModule.Ending.NO_CONNECTION;
         List<Message> messages = new ArrayList<>(call.messages);
-        core.post(() -> messages.forEach(message -> core.outcome(call, message, ending, 0, false, false)));
+        core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, ending, 0, false, false)));
     }
 
     /** Nothing drains here. */
     @Override
-    public void withdraw(Call call) {}
+    public void cancelUnsent(Call call) {}
 
     @Override
-    public void giveUp(Call call) {
+    public void abort(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
         core.post(() -> messages.forEach(
-                message -> core.outcome(call, message, DecisionModule.Ending.NO_CONNECTION, 0, false, false)));
+                message -> core.attemptEnded(call, message, DecisionModule.Ending.NO_CONNECTION, 0, false, false)));
     }
 
     @Override
@@ -225,7 +225,7 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        core.post(() -> core.probed(endpoint.host(), DecisionModule.Ending.NO_CONNECTION, 0));
+        core.post(() -> core.probeEnded(endpoint.host(), DecisionModule.Ending.NO_CONNECTION, 0));
     }
 
     @Override
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -62,7 +62,7 @@
             var chain = Transport.chain(new BaseFilter() {
                 @Override
                 public NextAction handleRead(FilterChainContext context) {
-                    order.add(new String(Transport.bytes(context.getMessage())));
+                    order.add(new String(Transport.toBytes(context.getMessage())));
                     return context.getStopAction();
                 }
             });
@@ -71,7 +71,7 @@
             Connection<?> answered = up.poll(20, TimeUnit.SECONDS);
             transport.connect(address, chain, up::add, Throwable::printStackTrace);
             Connection<?> other = up.poll(20, TimeUnit.SECONDS);
-            Transport.onSelector(other, () -> {
+            Transport.runOnSelector(other, () -> {
                 busy.countDown();
                 try {
                     free.await(20, TimeUnit.SECONDS);
@@ -81,7 +81,7 @@
             });
             busy.await(20, TimeUnit.SECONDS);
             try (Socket peer = server.accept()) {
-                Transport.afterReading(other, () -> order.add("task"));
+                Transport.runAfterReading(other, () -> order.add("task"));
                 peer.getOutputStream().write("answer".getBytes());
                 peer.getOutputStream().flush();
                 free.countDown();
