--- a/src/main/java/lilaclever/benchlink/Main.java
+++ b/src/main/java/lilaclever/benchlink/Main.java
@@ -45,7 +45,7 @@
         Map<String, DecisionModule> relays = new LinkedHashMap<>();
         WireReader.Batch batch;
         while ((batch = reader.next(relays)) != null) {
-            for (Map.Entry<String, WireReader.Life> entry : batch.lives().entrySet()) {
+            for (Map.Entry<String, WireReader.RelayEvents> entry : batch.relays().entrySet()) {
                 try {
                     writer.actions(
                             entry.getKey(),
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -28,7 +28,7 @@
         this.line = line;
     }
 
-    static DecisionModule relay(String json, long seed, long line) throws WireException {
+    static DecisionModule createModule(String json, long seed, long line) throws WireException {
         return DecisionModule.create(read(json, line), seed);
     }
 
@@ -50,7 +50,7 @@
     }
 
     /** Converts decimal seconds to microseconds without floating-point error, rounded to the nearest. */
-    static long micros(String seconds) {
+    static long parseMicros(String seconds) {
         long value = new BigDecimal(seconds)
                 .movePointRight(6)
                 .setScale(0, RoundingMode.HALF_UP)
@@ -69,8 +69,8 @@
         List<DecisionModule.Kind> kinds = kinds(family);
         List<DecisionModule.MessageClass> classes = messageClasses(family);
         List<DecisionModule.Tenant> tenants = new ArrayList<>();
-        for (SettingsReader t : children("tenants")) {
-            tenants.add(new DecisionModule.Tenant(t.real("portion", 0), t.real("quotaPerS", 0)));
+        for (SettingsReader tenant : children("tenants")) {
+            tenants.add(new DecisionModule.Tenant(tenant.decimal("portion", 0), tenant.decimal("quotaPerS", 0)));
         }
         Weights weights = switch (text("weights", "off")) {
             case "off" -> Weights.NONE;
@@ -78,39 +78,39 @@
             default -> Weights.ROUGH;
         };
         return new DecisionModule.Settings(
-                whole("me", 0),
-                whole("groupSize", 1),
-                whole("az", 0),
+                wholeNumber("me", 0),
+                wholeNumber("groupSize", 1),
+                wholeNumber("az", 0),
                 array("zones").size(),
-                time("roundS"),
+                timeMicros("roundS"),
                 text("discovery", "push").equals("ask"),
                 weights,
                 report.text("via", "off").equals("inline"),
-                real("overShareWorth", 1),
+                decimal("overShareWorth", 1),
                 classes,
                 kinds,
                 tenants,
                 new DecisionModule.Limits(
-                        limits.whole("maxAttempts", 1),
-                        limits.whole("openCap", 1),
-                        family.whole("callSlots", 0),
+                        limits.wholeNumber("maxAttempts", 1),
+                        limits.wholeNumber("openCap", 1),
+                        family.wholeNumber("callSlots", 0),
                         limits.bool("cancel"),
                         limits.bool("probing"),
                         limits.bool("mayTell"),
-                        limits.whole("streamsPerConn", 1),
-                        limits.time("connectTimeoutS"),
-                        limits.time("keepaliveS"),
+                        limits.wholeNumber("streamsPerConn", 1),
+                        limits.timeMicros("connectTimeoutS"),
+                        limits.timeMicros("keepaliveS"),
                         limits.bool("retryAfter"),
-                        limits.time("maxRetryAfterS")),
+                        limits.timeMicros("maxRetryAfterS")),
                 new DecisionModule.Rules(
-                        rules.time("answerSlackS"),
-                        rules.time("askWithinS"),
-                        rules.time("drainGraceS"),
-                        rules.real("coldFrom", 1),
-                        rules.time("rampTimeS"),
-                        rules.real("tipMultiple", 1),
-                        rules.time("overloadForS"),
-                        rules.time("orderPauseS")));
+                        rules.timeMicros("answerSlackS"),
+                        rules.timeMicros("askWithinS"),
+                        rules.timeMicros("drainGraceS"),
+                        rules.decimal("coldFrom", 1),
+                        rules.timeMicros("rampTimeS"),
+                        rules.decimal("tipMultiple", 1),
+                        rules.timeMicros("overloadForS"),
+                        rules.timeMicros("orderPauseS")));
     }
 
     private static List<DecisionModule.Kind> kinds(SettingsReader family) throws WireException {
@@ -127,34 +127,34 @@
 
     private List<DecisionModule.MessageClass> messageClasses(SettingsReader family) throws WireException {
         List<DecisionModule.MessageClass> classes = new ArrayList<>();
-        for (SettingsReader c : children("requestClasses")) {
-            Repeat repeat = switch (c.text("repeat", "non_idempotent")) {
+        for (SettingsReader object : children("requestClasses")) {
+            Repeat repeat = switch (object.text("repeat", "non_idempotent")) {
                 case "read_like" -> Repeat.SAFE;
                 case "idempotency_key" -> Repeat.KEYED;
                 case "non_idempotent" -> Repeat.UNSAFE;
-                default -> throw c.bad("repeat", "unknown value");
+                default -> throw object.invalid("repeat", "unknown value");
             };
-            Group group = switch (c.text("group", "all")) {
+            Group group = switch (object.text("group", "all")) {
                 case "all" -> Group.ALL;
                 case "zone" -> Group.ZONE;
                 case "cell" -> Group.DESTINATION;
-                default -> throw c.bad("group", "unknown value");
+                default -> throw object.invalid("group", "unknown value");
             };
             classes.add(new DecisionModule.MessageClass(
-                    c.time("aimS"),
-                    c.time("deadlineS"),
-                    c.real("credit", 1),
+                    object.timeMicros("aimS"),
+                    object.timeMicros("deadlineS"),
+                    object.decimal("credit", 1),
                     repeat,
                     group,
-                    c.time("repeatWindowS"),
-                    c.bool("byArrival"),
-                    c.real("lateShare", 0),
+                    object.timeMicros("repeatWindowS"),
+                    object.bool("byArrival"),
+                    object.decimal("lateShare", 0),
                     family.text("decay", "line").equals("halves")));
         }
         return classes;
     }
 
-    private WireException bad(String key, String problem) {
+    private WireException invalid(String key, String problem) {
         return new WireException(line, FIELD + "." + path + key, problem);
     }
 
@@ -166,7 +166,7 @@
     private SettingsReader child(String key) throws WireException {
         JsonElement value = get(key);
         if (value != null && !value.isJsonObject()) {
-            throw bad(key, "not an object");
+            throw invalid(key, "not an object");
         }
         return new SettingsReader(value == null ? new JsonObject() : value.getAsJsonObject(), path + key + ".", line);
     }
@@ -174,7 +174,7 @@
     private JsonArray array(String key) throws WireException {
         JsonElement value = get(key);
         if (value != null && !value.isJsonArray()) {
-            throw bad(key, "not a list");
+            throw invalid(key, "not a list");
         }
         return value == null ? new JsonArray() : value.getAsJsonArray();
     }
@@ -183,46 +183,46 @@
         List<SettingsReader> all = new ArrayList<>();
         for (JsonElement value : array(key)) {
             if (!value.isJsonObject()) {
-                throw bad(key, "holds something that is no object");
+                throw invalid(key, "holds something that is no object");
             }
             all.add(new SettingsReader(value.getAsJsonObject(), path + key + ".", line));
         }
         return all;
     }
 
-    private String text(String key, String otherwise) throws WireException {
+    private String text(String key, String defaultValue) throws WireException {
         JsonElement value = get(key);
         if (value != null && !value.isJsonPrimitive()) {
-            throw bad(key, "not a text");
+            throw invalid(key, "not a text");
         }
-        return value == null ? otherwise : value.getAsString();
+        return value == null ? defaultValue : value.getAsString();
     }
 
     private boolean bool(String key) throws WireException {
         return Boolean.parseBoolean(text(key, "false"));
     }
 
-    private double real(String key, double otherwise) throws WireException {
+    private double decimal(String key, double defaultValue) throws WireException {
         try {
-            return Double.parseDouble(text(key, Double.toString(otherwise)));
+            return Double.parseDouble(text(key, Double.toString(defaultValue)));
         } catch (NumberFormatException e) {
-            throw bad(key, "not a number");
+            throw invalid(key, "not a number");
         }
     }
 
-    private int whole(String key, int otherwise) throws WireException {
-        double value = real(key, otherwise);
+    private int wholeNumber(String key, int defaultValue) throws WireException {
+        double value = decimal(key, defaultValue);
         if (value != (int) value) {
-            throw bad(key, "not a whole number");
+            throw invalid(key, "not a whole number");
         }
         return (int) value;
     }
 
-    private long time(String key) throws WireException {
+    private long timeMicros(String key) throws WireException {
         try {
-            return micros(text(key, "0"));
+            return parseMicros(text(key, "0"));
         } catch (ArithmeticException | NumberFormatException e) {
-            throw bad(key, "not a time");
+            throw invalid(key, "not a time");
         }
     }
 }
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -17,7 +17,7 @@
 
 /** Reads batches of events in the simulator's line format. */
 final class WireReader {
-    private static final int LISTS = 16;
+    private static final int MAX_LISTS = 16;
     private static final int MARK_AGAIN = 2;
     private static final int MARK_INHERITED = 16;
 
@@ -26,10 +26,10 @@
     private long lineNumber;
 
     /** A decision module and its events of the current batch, since its latest start. */
-    record Life(DecisionModule relay, List<Event> events) {}
+    record RelayEvents(DecisionModule relay, List<Event> events) {}
 
     /** One batch: its time, and the modules with events by relay name, in order of their first event. */
-    record Batch(long nowMicros, Map<String, Life> lives) {}
+    record Batch(long nowMicros, Map<String, RelayEvents> relays) {}
 
     WireReader(BufferedReader in) {
         this.in = in;
@@ -46,7 +46,7 @@
         } while (first.isEmpty());
         Fields round = new Fields(first, lineNumber);
         round.expect("ROUND");
-        Batch batch = new Batch(round.time("clock"), new LinkedHashMap<>());
+        Batch batch = new Batch(round.timeMicros("clock"), new LinkedHashMap<>());
         while (true) {
             String text = line();
             if (text == null) {
@@ -61,10 +61,10 @@
         }
     }
 
-    private void event(String word, Fields f, Map<String, DecisionModule> relays, Batch batch)
+    private void event(String word, Fields fields, Map<String, DecisionModule> relays, Batch batch)
             throws IOException, WireException {
         if (word.equals("MANIFEST")) {
-            manifest(f);
+            manifest(fields);
             return;
         }
         if (!List.of(
@@ -81,12 +81,12 @@
                 .contains(word)) {
             throw new WireException(lineNumber, "message", "unknown message " + word);
         }
-        String name = f.text("relay");
+        String name = fields.text("relay");
         if (word.equals("HELLO")) {
-            long seed = f.seed("initSeed");
-            DecisionModule relay = SettingsReader.relay(f.rest("conf"), seed, lineNumber);
+            long seed = fields.seed("initSeed");
+            DecisionModule relay = SettingsReader.createModule(fields.rest("conf"), seed, lineNumber);
             relays.put(name, relay);
-            batch.lives().put(name, new Life(relay, new ArrayList<>()));
+            batch.relays().put(name, new RelayEvents(relay, new ArrayList<>()));
             return;
         }
         DecisionModule relay = relays.get(name);
@@ -95,31 +95,31 @@
         }
         if (word.equals("CRASH_NOW")) {
             relays.remove(name);
-            batch.lives().remove(name);
+            batch.relays().remove(name);
             return;
         }
         Event event = switch (word) {
-            case "BACKENDS_CHANGED" -> listing(f);
-            case "SUBMIT" -> submit(f);
-            case "REPLY" -> reply(f);
-            case "REMINDER" -> new Event.Timer(f.whole("ctx"));
-            case "ABORTED" -> new Event.Withdrawn(f.text("msgId"));
-            case "PROBED" -> probed(f);
-            case "HEARD" -> new Event.Heard(f.number("from"), f.bytes("content"));
+            case "BACKENDS_CHANGED" -> listing(fields);
+            case "SUBMIT" -> submit(fields);
+            case "REPLY" -> reply(fields);
+            case "REMINDER" -> new Event.Timer(fields.wholeNumber("ctx"));
+            case "ABORTED" -> new Event.Withdrawn(fields.text("msgId"));
+            case "PROBED" -> probed(fields);
+            case "HEARD" -> new Event.Heard(fields.integer("from"), fields.bytes("content"));
             default -> null; // STARTED concerns streams only, which none of the supported message classes uses
         };
-        Life life = batch.lives().computeIfAbsent(name, n -> new Life(relay, new ArrayList<>()));
+        RelayEvents relayEvents = batch.relays().computeIfAbsent(name, n -> new RelayEvents(relay, new ArrayList<>()));
         if (event != null) {
-            life.events().add(event);
+            relayEvents.events().add(event);
         }
     }
 
-    private void manifest(Fields f) throws IOException, WireException {
-        int slot = f.number("slot");
-        if (slot < 0 || slot >= LISTS) {
-            throw new WireException(lineNumber, "slot", "not from 0 to " + (LISTS - 1));
+    private void manifest(Fields fields) throws IOException, WireException {
+        int slot = fields.integer("slot");
+        if (slot < 0 || slot >= MAX_LISTS) {
+            throw new WireException(lineNumber, "slot", "not from 0 to " + (MAX_LISTS - 1));
         }
-        int count = f.number("members");
+        int count = fields.integer("members");
         List<Entry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             String text = line();
@@ -128,23 +128,23 @@
             }
             Fields item = new Fields(text, lineNumber);
             item.expect("ITEM");
-            int kind = item.number("classOfHost");
+            int kind = item.integer("classOfHost");
             Presence presence = item.choice(
                     "stageState",
                     Map.of("active", Presence.ACTIVE, "leaving", Presence.LEAVING, "left", Presence.LEFT));
-            long since = item.time("sinceS");
+            long sinceMicros = item.timeMicros("sinceS");
             String host = item.text("host");
-            double weight = item.real("powerHint");
-            int dest = item.number("dest");
-            entries.add(new Entry(host, dest, item.number("az"), kind, presence, weight, since));
+            double weight = item.decimal("powerHint");
+            int dest = item.integer("dest");
+            entries.add(new Entry(host, dest, item.integer("az"), kind, presence, weight, sinceMicros));
         }
         lists.put(slot, List.copyOf(entries));
     }
 
-    private Event listing(Fields f) throws WireException {
-        long version = f.whole("version");
-        String slot = f.text("slot");
-        ListingKind kind = f.choice(
+    private Event listing(Fields fields) throws WireException {
+        long version = fields.wholeNumber("version");
+        String slot = fields.text("slot");
+        ListingKind kind = fields.choice(
                 "mode",
                 Map.of(
                         "changes",
@@ -170,53 +170,53 @@
         return new Event.Listing(kind, version, entries);
     }
 
-    private static Event submit(Fields f) throws WireException {
-        String id = f.text("msgId");
-        int marks = f.number("marks");
-        String key = f.optional("key");
-        int dest = f.number("destination");
-        int messageClass = f.number("profile");
-        f.time("costGuessS");
-        long budget = f.time("budgetS");
+    private static Event submit(Fields fields) throws WireException {
+        String id = fields.text("msgId");
+        int marks = fields.integer("marks");
+        String key = fields.optional("key");
+        int dest = fields.integer("destination");
+        int messageClass = fields.integer("profile");
+        fields.timeMicros("costGuessS");
+        long budgetMicros = fields.timeMicros("budgetS");
         return new Event.Submit(
                 id,
                 messageClass,
                 dest,
-                f.number("customer"),
+                fields.integer("customer"),
                 key,
                 (marks & MARK_AGAIN) != 0,
                 (marks & MARK_INHERITED) != 0,
-                budget);
+                budgetMicros);
     }
 
-    private static Event reply(Fields f) throws WireException {
-        String id = f.text("msgId");
-        long elapsed = f.time("elapsedS");
-        String host = f.text("host");
-        int attempt = f.number("n");
-        long note = f.whole("note");
-        boolean over = f.bool("terminal");
-        Ending ending = f.choice("status", ENDINGS);
-        long wait = ending == Ending.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
+    private static Event reply(Fields fields) throws WireException {
+        String id = fields.text("msgId");
+        long elapsedMicros = fields.timeMicros("elapsedS");
+        String host = fields.text("host");
+        int attempt = fields.integer("n");
+        long note = fields.wholeNumber("note");
+        boolean over = fields.bool("terminal");
+        Ending ending = fields.choice("status", ENDINGS_BY_STATUS);
+        long retryAfterMicros = ending == Ending.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
         return new Event.Outcome(
                 id,
                 host,
                 attempt,
                 ending,
-                elapsed,
-                wait,
+                elapsedMicros,
+                retryAfterMicros,
                 ending == Ending.NOT_SENT && note == 1,
                 over,
-                f.report("serverStats"));
+                fields.report("serverStats"));
     }
 
-    private static Event probed(Fields f) throws WireException {
-        String host = f.text("host");
-        long elapsed = f.time("elapsedS");
-        return new Event.Probed(host, f.choice("status", ENDINGS), elapsed, f.report("serverStats"));
+    private static Event probed(Fields fields) throws WireException {
+        String host = fields.text("host");
+        long elapsedMicros = fields.timeMicros("elapsedS");
+        return new Event.Probed(host, fields.choice("status", ENDINGS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
     }
 
-    private static final Map<String, Ending> ENDINGS = Map.of(
+    private static final Map<String, Ending> ENDINGS_BY_STATUS = Map.of(
             "Ok",
             Ending.DELIVERED,
             "Failed",
@@ -246,34 +246,34 @@
     private static final class Fields {
         private final String text;
         private final long line;
-        private int at;
+        private int offset;
 
         Fields(String text, long line) {
             this.text = text;
             this.line = line;
         }
 
-        WireException bad(String field, String problem) {
+        WireException invalid(String field, String problem) {
             return new WireException(line, field, problem);
         }
 
         void expect(String word) throws WireException {
             String got = text("message");
             if (!got.equals(word)) {
-                throw bad("message", "expected " + word + ", got " + got);
+                throw invalid("message", "expected " + word + ", got " + got);
             }
         }
 
         String text(String field) throws WireException {
-            if (at > text.length() || at == text.length() && at > 0) {
-                throw bad(field, "missing");
+            if (offset > text.length() || offset == text.length() && offset > 0) {
+                throw invalid(field, "missing");
             }
-            int end = text.indexOf(' ', at);
+            int end = text.indexOf(' ', offset);
             end = end < 0 ? text.length() : end;
-            String part = text.substring(at, end);
-            at = end + 1;
+            String part = text.substring(offset, end);
+            offset = end + 1;
             if (part.isEmpty()) {
-                throw bad(field, "missing");
+                throw invalid(field, "missing");
             }
             return part;
         }
@@ -285,18 +285,18 @@
         }
 
         String rest(String field) throws WireException {
-            if (at >= text.length()) {
-                throw bad(field, "missing");
+            if (offset >= text.length()) {
+                throw invalid(field, "missing");
             }
-            return text.substring(at);
+            return text.substring(offset);
         }
 
-        long whole(String field) throws WireException {
+        long wholeNumber(String field) throws WireException {
             String part = optional(field);
             try {
                 return part == null ? 0 : Long.parseLong(part);
             } catch (NumberFormatException e) {
-                throw bad(field, "not a whole number: " + part);
+                throw invalid(field, "not a whole number: " + part);
             }
         }
 
@@ -305,19 +305,19 @@
             try {
                 return part.startsWith("-") ? Long.parseLong(part) : Long.parseUnsignedLong(part);
             } catch (NumberFormatException e) {
-                throw bad(field, "not a whole number: " + part);
+                throw invalid(field, "not a whole number: " + part);
             }
         }
 
-        int number(String field) throws WireException {
-            long value = whole(field);
+        int integer(String field) throws WireException {
+            long value = wholeNumber(field);
             if (value != (int) value) {
-                throw bad(field, "out of range: " + value);
+                throw invalid(field, "out of range: " + value);
             }
             return (int) value;
         }
 
-        double real(String field) throws WireException {
+        double decimal(String field) throws WireException {
             String part = optional(field);
             try {
                 double value = part == null ? 0 : Double.parseDouble(part);
@@ -327,15 +327,15 @@
             } catch (NumberFormatException e) {
                 // reported below
             }
-            throw bad(field, "not a number: " + part);
+            throw invalid(field, "not a number: " + part);
         }
 
-        long time(String field) throws WireException {
+        long timeMicros(String field) throws WireException {
             String part = optional(field);
             try {
-                return part == null ? 0 : SettingsReader.micros(part);
+                return part == null ? 0 : SettingsReader.parseMicros(part);
             } catch (ArithmeticException | NumberFormatException e) {
-                throw bad(field, "not a time: " + part);
+                throw invalid(field, "not a time: " + part);
             }
         }
 
@@ -344,14 +344,14 @@
             if (part.equals("1") || part.equals("0")) {
                 return part.equals("1");
             }
-            throw bad(field, "not 1 or 0: " + part);
+            throw invalid(field, "not 1 or 0: " + part);
         }
 
         <T> T choice(String field, Map<String, T> choices) throws WireException {
             String part = text(field);
             T value = choices.get(part);
             if (value == null) {
-                throw bad(field, "unknown value " + part);
+                throw invalid(field, "unknown value " + part);
             }
             return value;
         }
@@ -361,7 +361,7 @@
             try {
                 return part == null ? new byte[0] : HexFormat.of().parseHex(part);
             } catch (IllegalArgumentException e) {
-                throw bad(field, "not hex digits: " + part);
+                throw invalid(field, "not hex digits: " + part);
             }
         }
 
@@ -378,10 +378,10 @@
                 try {
                     value = Double.parseDouble(pair.substring(colon + 1));
                 } catch (NumberFormatException e) {
-                    throw bad(field, "not a number: " + pair);
+                    throw invalid(field, "not a number: " + pair);
                 }
                 if (colon < 0 || !Double.isFinite(value)) {
-                    throw bad(field, "not a pair: " + pair);
+                    throw invalid(field, "not a pair: " + pair);
                 } else if (pair.startsWith("x0:")) {
                     left = value;
                 } else if (pair.startsWith("x1:")) {
--- a/src/main/java/lilaclever/benchlink/WireWriter.java
+++ b/src/main/java/lilaclever/benchlink/WireWriter.java
@@ -8,7 +8,7 @@
 
 /** Writes actions in the simulator's line format; the output of a batch is flushed once, at its end. */
 final class WireWriter {
-    private static final long MICROS = 1_000_000;
+    private static final long MICROS_PER_SECOND = 1_000_000;
     private final Writer out;
 
     WireWriter(Writer out) {
@@ -61,8 +61,8 @@
 
     /** Formats microseconds as seconds with six decimal places. */
     static String seconds(long micros) {
-        String fraction = Long.toString(micros % MICROS + MICROS);
-        return micros / MICROS + "." + fraction.substring(1);
+        String fraction = Long.toString(micros % MICROS_PER_SECOND + MICROS_PER_SECOND);
+        return micros / MICROS_PER_SECOND + "." + fraction.substring(1);
     }
 
     private static String oneLine(String text) {
--- a/src/main/java/lilaclever/identity/CompletedMessageStore.java
+++ b/src/main/java/lilaclever/identity/CompletedMessageStore.java
@@ -9,7 +9,7 @@
     int size();
 
     /** Stores a result, replacing any earlier one of the identity. */
-    void put(String identity, CompletedMessage<E> past);
+    void put(String identity, CompletedMessage<E> message);
 
     /** Removes the result that expires first. */
     void removeSoonestExpiring();
--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -21,16 +21,16 @@
  * @param <E> the result of a completed message
  */
 public final class DuplicateDetector<M, E> {
-    private record Held<M>(M message, Fingerprint content) {}
+    private record Pending<M>(M message, Fingerprint fingerprint) {}
 
     private final IdempotencyWindows windows;
-    private final CompletedMessageStore<E> memory;
-    private final Map<String, Held<M>> held = new HashMap<>();
+    private final CompletedMessageStore<E> completed;
+    private final Map<String, Pending<M>> pending = new HashMap<>();
     private long forgottenEarly;
 
-    public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> memory) {
+    public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> completed) {
         this.windows = windows;
-        this.memory = memory;
+        this.completed = completed;
     }
 
     /**
@@ -38,20 +38,20 @@
      *
      * @param content its fingerprint; null if duplicates are not compared by content
      */
-    public DuplicateCheckResult<M, E> check(String identity, Fingerprint content, long nowWall) {
-        Held<M> under = held.get(identity);
-        if (under != null) {
-            return differs(content, under.content())
+    public DuplicateCheckResult<M, E> check(String identity, Fingerprint fingerprint, long nowWallMicros) {
+        Pending<M> current = pending.get(identity);
+        if (current != null) {
+            return differs(fingerprint, current.fingerprint())
                     ? new DuplicateCheckResult.Conflict<>(true)
-                    : new DuplicateCheckResult.PendingDuplicate<>(under.message());
+                    : new DuplicateCheckResult.PendingDuplicate<>(current.message());
         }
-        CompletedMessage<E> past = memory.find(identity);
-        if (past == null || past.untilWallMicros() <= nowWall) {
+        CompletedMessage<E> earlier = completed.find(identity);
+        if (earlier == null || earlier.untilWallMicros() <= nowWallMicros) {
             return new DuplicateCheckResult.NewMessage<>();
         }
-        return differs(content, past.fingerprint())
+        return differs(fingerprint, earlier.fingerprint())
                 ? new DuplicateCheckResult.Conflict<>(false)
-                : new DuplicateCheckResult.CompletedDuplicate<>(past.result());
+                : new DuplicateCheckResult.CompletedDuplicate<>(earlier.result());
     }
 
     private static boolean differs(Fingerprint a, Fingerprint b) {
@@ -59,40 +59,40 @@
     }
 
     /** Adds a message that is pending from now on. No other message may be pending under its identity. */
-    public void addPending(String identity, Fingerprint content, M message) {
-        Held<M> before = held.put(identity, new Held<>(message, content));
-        assert before == null || before.message() == message : identity + " has two pending messages";
+    public void addPending(String identity, Fingerprint fingerprint, M message) {
+        Pending<M> previous = pending.put(identity, new Pending<>(message, fingerprint));
+        assert previous == null || previous.message() == message : identity + " has two pending messages";
     }
 
     /** Removes a message that is no longer pending; no effect if another one is pending under the identity. */
     public void removePending(String identity, M message) {
-        Held<M> under = held.get(identity);
-        if (under != null && under.message() == message) {
-            held.remove(identity);
+        Pending<M> current = pending.get(identity);
+        if (current != null && current.message() == message) {
+            pending.remove(identity);
         }
     }
 
     /** Remembers the result of a completed message for its duplicates. */
-    public void addCompleted(String identity, Fingerprint content, int messageClass, E end, long nowWall) {
-        CompletedMessage<E> before = memory.find(identity);
-        if (before == null) {
-            while (memory.size() >= windows.maxEntries()) {
-                memory.removeSoonestExpiring();
+    public void addCompleted(String identity, Fingerprint fingerprint, int messageClass, E result, long nowWallMicros) {
+        CompletedMessage<E> previous = completed.find(identity);
+        if (previous == null) {
+            while (completed.size() >= windows.maxEntries()) {
+                completed.removeSoonestExpiring();
                 forgottenEarly++;
             }
         }
-        memory.put(identity, new CompletedMessage<>(end, content, nowWall + windows.windowMicros(identity, messageClass)));
+        completed.put(identity, new CompletedMessage<>(result, fingerprint, nowWallMicros + windows.windowMicros(identity, messageClass)));
     }
 
     /** The pending message of the identity, or null. */
     public M pending(String identity) {
-        Held<M> under = held.get(identity);
-        return under == null ? null : under.message();
+        Pending<M> current = pending.get(identity);
+        return current == null ? null : current.message();
     }
 
     /** How many identities have a pending message. */
     public int pendingCount() {
-        return held.size();
+        return pending.size();
     }
 
     /** How many results were removed before they expired, for lack of capacity. */
--- a/src/main/java/lilaclever/identity/Fingerprint.java
+++ b/src/main/java/lilaclever/identity/Fingerprint.java
@@ -14,8 +14,8 @@
                     .putInt(messageClass)
                     .putInt(destination)
                     .flip());
-            ByteBuffer sum = ByteBuffer.wrap(digest.digest(body));
-            return new Fingerprint(sum.getLong(), sum.getLong());
+            ByteBuffer hash = ByteBuffer.wrap(digest.digest(body));
+            return new Fingerprint(hash.getLong(), hash.getLong());
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java platform provides SHA-256", e);
         }
--- a/src/main/java/lilaclever/identity/Identity.java
+++ b/src/main/java/lilaclever/identity/Identity.java
@@ -7,22 +7,22 @@
  */
 public record Identity(String practice, String key) {
     /** Not a prefix of any mail's identity: those begin with a Message-ID or with "report ". */
-    private static final String MARK = "id/";
+    private static final String PREFIX = "id/";
 
-    private static final int LONGEST_PRACTICE = 64, LONGEST_KEY = 256;
+    private static final int MAX_PRACTICE_LENGTH = 64, MAX_KEY_LENGTH = 256;
 
     /** Validates both parts: no white space or control characters, and no '/' in the practice. */
     public Identity {
-        check(practice, LONGEST_PRACTICE, "practice");
-        check(key, LONGEST_KEY, "key");
+        check(practice, MAX_PRACTICE_LENGTH, "practice");
+        check(key, MAX_KEY_LENGTH, "key");
         if (practice.indexOf('/') >= 0) {
             throw new IllegalArgumentException("practice: holds a '/'");
         }
     }
 
-    private static void check(String part, int longest, String name) {
-        if (part.isEmpty() || part.length() > longest) {
-            throw new IllegalArgumentException(name + ": " + (part.isEmpty() ? "empty" : "longer than " + longest));
+    private static void check(String part, int maxLength, String name) {
+        if (part.isEmpty() || part.length() > maxLength) {
+            throw new IllegalArgumentException(name + ": " + (part.isEmpty() ? "empty" : "longer than " + maxLength));
         }
         for (int i = 0; i < part.length(); i++) {
             if (part.charAt(i) <= ' ' || part.charAt(i) == 0x7f) {
@@ -33,20 +33,20 @@
 
     /** The text form. */
     public String text() {
-        return MARK + practice + '/' + key;
+        return PREFIX + practice + '/' + key;
     }
 
     /** Parses the text form. */
     public static Identity parse(String text) {
-        int end = isShared(text) ? text.indexOf('/', MARK.length()) : -1;
+        int end = isShared(text) ? text.indexOf('/', PREFIX.length()) : -1;
         if (end < 0) {
             throw new IllegalArgumentException("no identity: " + text);
         }
-        return new Identity(text.substring(MARK.length(), end), text.substring(end + 1));
+        return new Identity(text.substring(PREFIX.length(), end), text.substring(end + 1));
     }
 
     /** True for the text form of such an identity, which is shared by all fronts and requires equal content. */
     public static boolean isShared(String text) {
-        return text != null && text.startsWith(MARK);
+        return text != null && text.startsWith(PREFIX);
     }
 }
--- a/src/main/java/lilaclever/routing/ActiveEndpoints.java
+++ b/src/main/java/lilaclever/routing/ActiveEndpoints.java
@@ -13,31 +13,31 @@
  * any thread.
  */
 public final class ActiveEndpoints {
-    private final Map<String, Call.Endpoint> byName = new ConcurrentHashMap<>();
+    private final Map<String, Call.Endpoint> activeByHost = new ConcurrentHashMap<>();
 
     /**
      * Whether the first byte of a request may be sent to the endpoint now: it is active, with the same address and
      * destination as when the request was decided.
      */
     public boolean mayReceive(Call.Endpoint endpoint) {
-        return endpoint.equals(byName.get(endpoint.host()));
+        return endpoint.equals(activeByHost.get(endpoint.host()));
     }
 
     /** Marks the endpoint as active. */
     void activate(Call.Endpoint endpoint) {
-        byName.put(endpoint.host(), endpoint);
+        activeByHost.put(endpoint.host(), endpoint);
     }
 
     /** Marks the endpoint as inactive: it is draining or was removed. */
     void deactivate(Call.Endpoint endpoint) {
-        byName.remove(endpoint.host());
+        activeByHost.remove(endpoint.host());
     }
 
     /** Makes exactly these endpoints active; one that was active before stays so without interruption. */
     void replaceAll(Collection<Call.Endpoint> active) {
         Map<String, Call.Endpoint> next = active.stream()
                 .collect(Collectors.toMap(Call.Endpoint::host, Function.identity(), (first, last) -> last));
-        byName.keySet().retainAll(next.keySet());
-        byName.putAll(next);
+        activeByHost.keySet().retainAll(next.keySet());
+        activeByHost.putAll(next);
     }
 }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -14,8 +14,8 @@
     public Object attachment;
 
     int pendingOutcomes;
-    private volatile long writeBy = Long.MAX_VALUE;
-    private long expiresAt = Long.MAX_VALUE;
+    private volatile long writeByMicros = Long.MAX_VALUE;
+    private long expiresAtMicros = Long.MAX_VALUE;
     /** Whether the call was handed to the deliverer, which happens once its attempts are recorded durably. */
     boolean isStarted;
 
@@ -32,9 +32,9 @@
     public record Endpoint(
             String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
 
-    Call(Endpoint endpoint, long startedAt) {
+    Call(Endpoint endpoint, long startedAtMicros) {
         this.endpoint = endpoint;
-        this.startedAtMicros = startedAt;
+        this.startedAtMicros = startedAtMicros;
     }
 
     /**
@@ -43,24 +43,24 @@
      * @param writeBy when the attempt is dropped: the message must not be sent from then on, and needs no answer
      * @param deadline the message's deadline
      */
-    void addMessage(Message m, long writeBy, long deadline) {
-        m.currentCall = this;
-        m.writeByMicros = writeBy;
-        m.deadlineMicros = deadline;
-        messages.add(m);
+    void addMessage(Message message, long writeByMicros, long deadlineMicros) {
+        message.currentCall = this;
+        message.writeByMicros = writeByMicros;
+        message.deadlineMicros = deadlineMicros;
+        messages.add(message);
         pendingOutcomes++;
-        setTimes();
+        updateTimes();
     }
 
     /** Removes a message that has not been sent. Event loop. */
-    public void removeMessage(Message m) {
-        messages.remove(m);
-        setTimes();
+    public void removeMessage(Message message) {
+        messages.remove(message);
+        updateTimes();
     }
 
-    private void setTimes() {
-        writeBy = messages.stream().mapToLong(m -> m.writeByMicros).min().orElse(Long.MAX_VALUE);
-        expiresAt = expiryMicrosOf(messages);
+    private void updateTimes() {
+        writeByMicros = messages.stream().mapToLong(message -> message.writeByMicros).min().orElse(Long.MAX_VALUE);
+        expiresAtMicros = expiryMicrosOf(messages);
     }
 
     /**
@@ -68,7 +68,7 @@
      * may be late in removing that message. Any thread.
      */
     public long writeByMicros() {
-        return writeBy;
+        return writeByMicros;
     }
 
     /**
@@ -76,25 +76,25 @@
      * dropped, but no later than the earliest deadline. The call has a single timeout, which is sent to the endpoint.
      */
     public long expiresAtMicros() {
-        return expiresAt;
+        return expiresAtMicros;
     }
 
     /** The value that {@link #expiresAtMicros} has for a call with these messages only. */
     public static long expiryMicrosOf(List<Message> messages) {
-        long longestWait = messages.stream().mapToLong(m -> m.writeByMicros).max().orElse(Long.MAX_VALUE);
-        long firstDeadline = messages.stream().mapToLong(m -> m.deadlineMicros).min().orElse(Long.MAX_VALUE);
-        return Math.min(longestWait, firstDeadline);
+        long lastWriteByMicros = messages.stream().mapToLong(message -> message.writeByMicros).max().orElse(Long.MAX_VALUE);
+        long firstDeadlineMicros = messages.stream().mapToLong(message -> message.deadlineMicros).min().orElse(Long.MAX_VALUE);
+        return Math.min(lastWriteByMicros, firstDeadlineMicros);
     }
 
     /** Asks the deliverer to remove expired messages, as long as others remain and the call has not been sent. */
-    void requestRemovalOfExpired(long now) {
-        List.copyOf(messages).stream().filter(m -> m.writeByMicros <= now).forEach(this::requestRemoval);
+    void requestRemovalOfExpired(long nowMicros) {
+        List.copyOf(messages).stream().filter(message -> message.writeByMicros <= nowMicros).forEach(this::requestRemoval);
     }
 
     /** Asks the deliverer to remove a message, as long as others remain and the call has not been sent. */
-    void requestRemoval(Message m) {
-        if (m.currentCall == this && isStarted && messages.size() > 1) {
-            endpoint.deliverer().removeMessage(this, m);
+    void requestRemoval(Message message) {
+        if (message.currentCall == this && isStarted && messages.size() > 1) {
+            endpoint.deliverer().removeMessage(this, message);
         }
     }
 }
--- a/src/main/java/lilaclever/routing/Clock.java
+++ b/src/main/java/lilaclever/routing/Clock.java
@@ -15,7 +15,7 @@
     long wallMicros();
 
     /** Takes the next task, waiting until the given time at most; null if there is none. */
-    Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) throws InterruptedException;
+    Runnable awaitTask(BlockingQueue<Runnable> tasks, long untilMicros) throws InterruptedException;
 
     void sleep(long micros) throws InterruptedException;
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -27,14 +27,14 @@
  */
 public final class Core {
     /** Retry advice for submissions rejected without asking the decision module: no room, or shutting down. */
-    private static final long COME_BACK = 1_000_000;
+    private static final long REJECTED_RETRY_AFTER_MICROS = 1_000_000;
 
-    private static final long LONGEST_SLEEP = 1_000_000;
-    private static final long REMEMBER_DESTINATION = 60_000_000;
+    private static final long MAX_SLEEP_MICROS = 1_000_000;
+    private static final long DESTINATION_RETENTION_MICROS = 60_000_000;
     /** A final status later than this after a message's deadline breaks an invariant. */
-    private static final long OVERDUE = 250_000;
+    private static final long DEADLINE_TOLERANCE_MICROS = 250_000;
 
-    private static final long WALL_AT_START = System.currentTimeMillis() * 1000 - monotonicMicros();
+    private static final long WALL_CLOCK_OFFSET_MICROS = System.currentTimeMillis() * 1000 - monotonicMicros();
 
     /** An endpoint as listed by the directory: its entry for the decision module, and how to reach it. */
     public record ListedEndpoint(DecisionModule.Entry entry, Call.Endpoint endpoint) {
@@ -54,30 +54,30 @@
     }
 
     private final DecisionModule.Settings settings;
-    private final DecisionModule relay;
+    private final DecisionModule decisionModule;
     private final Journal journal;
     private final Counters counters;
     private final Deadlines deadlines = new Deadlines();
-    private final LinkedBlockingQueue<Runnable> ready = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<Runnable> tasks = new LinkedBlockingQueue<>();
     private final Map<String, Front> fronts = new HashMap<>();
-    private final Map<String, Message> held = new LinkedHashMap<>();
-    private final DeduplicationTable claims;
+    private final Map<String, Message> pendingMessages = new LinkedHashMap<>();
+    private final DeduplicationTable deduplication;
     private final Map<String, Call.Endpoint> endpoints = new HashMap<>();
     private final ActiveEndpoints activeEndpoints = new ActiveEndpoints();
     /** When each destination was last listed: one that has no endpoint now may get one soon. */
-    private final Map<Integer, Long> destinations = new HashMap<>();
+    private final Map<Integer, Long> destinationsLastListed = new HashMap<>();
     /** Endpoints from the program's own configuration, which no directory lists. */
-    private final List<ListedEndpoint> fixed = new ArrayList<>();
+    private final List<ListedEndpoint> configuredEndpoints = new ArrayList<>();
 
     private final Set<Call> calls = new HashSet<>();
-    private final List<Message> fresh = new ArrayList<>();
+    private final List<Message> newMessages = new ArrayList<>();
     private List<Event> events = new ArrayList<>();
     private Thread thread;
-    private volatile boolean ended;
-    private boolean closing;
-    private int unsettled;
+    private volatile boolean isStopped;
+    private boolean isShuttingDown;
+    private int unsettledCount;
     private final Clock clock;
-    private long now;
+    private long nowMicros;
 
     /** Creates a core without messages that runs in real time. */
     public Core(
@@ -98,15 +98,15 @@
             IdempotencyWindows windows,
             Clock clock) {
         this.clock = clock;
-        this.now = clock.monotonicMicros();
+        this.nowMicros = clock.monotonicMicros();
         this.settings = settings;
-        this.relay = DecisionModule.create(settings, seed);
+        this.decisionModule = DecisionModule.create(settings, seed);
         this.journal = journal;
         this.counters = counters;
-        this.claims = new DeduplicationTable(windows, journal, counters);
-        counters.entryGauge("held", held::size);
+        this.deduplication = new DeduplicationTable(windows, journal, counters);
+        counters.entryGauge("held", pendingMessages::size);
         counters.entryGauge("endpoints", endpoints::size);
-        counters.entryGauge("destinations", destinations::size);
+        counters.entryGauge("destinations", destinationsLastListed::size);
         counters.entryGauge("calls", calls::size);
         counters.entryGauge("deadlines", deadlines::size);
         counters.entryGauge("owed", () -> journal.pendingMessages().size());
@@ -118,13 +118,13 @@
 
     /** Queues a task for the event loop's next turn. Any thread. */
     public void post(Runnable task) {
-        ready.add(task);
+        tasks.add(task);
         clock.taskPosted();
     }
 
     /** The time of this turn on the monotonic clock, microseconds. */
     public long nowMicros() {
-        return now;
+        return nowMicros;
     }
 
     /** The timers of the event loop. */
@@ -151,19 +151,19 @@
      * system clock is set. Times that are stored use this clock.
      */
     public static long wallMicros() {
-        return WALL_AT_START + monotonicMicros();
+        return WALL_CLOCK_OFFSET_MICROS + monotonicMicros();
     }
 
-    /** Adds a front; before {@link #start}. */
+    /** Adds a front; before {@link #startCall}. */
     public void add(Front front) {
         fronts.put(front.name(), front);
     }
 
-    /** Adds an endpoint of our own configuration; before {@link #start}. */
-    public void add(ListedEndpoint own) {
-        fixed.add(own);
-        endpoints.put(own.entry().host(), own.endpoint());
-        activeEndpoints.activate(own.endpoint());
+    /** Adds an endpoint of our own configuration; before {@link #startCall}. */
+    public void add(ListedEndpoint configured) {
+        configuredEndpoints.add(configured);
+        endpoints.put(configured.entry().host(), configured.endpoint());
+        activeEndpoints.activate(configured.endpoint());
     }
 
     /** Starts the event loop: resumes the journal's pending messages, with the last known endpoint list. */
@@ -178,117 +178,117 @@
      * time, which go on with {@link #nextTurnMicros} and {@link #runTurn}.
      */
     public void runFirstTurn(List<ListedEndpoint> known, long version) {
-        now = clock.monotonicMicros();
+        nowMicros = clock.monotonicMicros();
         updateEndpoints(DecisionModule.ListingKind.REMEMBERED, version, known);
-        long wall = clock.wallMicros();
-        for (PendingMessage e : List.copyOf(journal.pendingMessages())) {
-            resume(e, wall);
+        long wallMicros = clock.wallMicros();
+        for (PendingMessage pending : List.copyOf(journal.pendingMessages())) {
+            resume(pending, wallMicros);
         }
-        turn();
+        processTurn();
     }
 
     /** When the next turn is due: with a queued task after the minimum interval, else at the next deadline. */
     public long nextTurnMicros() {
-        return ready.isEmpty() ? deadlines.earliestOr(now + LONGEST_SLEEP) : now + settings.roundMicros();
+        return tasks.isEmpty() ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS) : nowMicros + settings.roundMicros();
     }
 
     /** Runs one turn on the calling thread. */
     public void runTurn() {
-        now = clock.monotonicMicros();
-        run(this::turn);
+        nowMicros = clock.monotonicMicros();
+        run(this::processTurn);
     }
 
-    private void resume(PendingMessage e, long wall) {
-        Front front = fronts.get(e.front());
-        Message m = new Message(e.submission(), front, e.deadlineWallMicros());
+    private void resume(PendingMessage pending, long wallMicros) {
+        Front front = fronts.get(pending.front());
+        Message message = new Message(pending.submission(), front, pending.deadlineWallMicros());
         if (front == null) {
-            Logs.error("", "no-front", "cannot answer for " + m.id() + ": no front " + e.front(), "message", m.id());
-            journal.recordSettled(m.id());
+            Logs.error("", "no-front", "cannot answer for " + message.id() + ": no front " + pending.front(), "message", message.id());
+            journal.recordSettled(message.id());
             return;
         }
         counters.add(Name.RESUMED);
-        m.isJournaled = true;
-        m.isAcceptanceDurable = true;
-        m.isResumed = true;
-        for (PendingMessage.Submitter claim : e.attachedSubmitters()) {
-            if (fronts.containsKey(claim.front())) {
-                m.submitters.add(new DeduplicationTable.Submitter(fronts.get(claim.front()), claim.id()));
+        message.isJournaled = true;
+        message.isAcceptanceDurable = true;
+        message.isResumed = true;
+        for (PendingMessage.Submitter submitter : pending.attachedSubmitters()) {
+            if (fronts.containsKey(submitter.front())) {
+                message.submitters.add(new DeduplicationTable.Submitter(fronts.get(submitter.front()), submitter.id()));
             }
         }
         // The process may have been killed after the result was remembered and before the final status was recorded.
-        FinalStatus end = e.finalStatus() != null ? e.finalStatus() : claims.earlierEnd(m);
-        if (end != null) {
-            m.isFinished = true;
-            answer(m, end);
+        FinalStatus decidedStatus = pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
+        if (decidedStatus != null) {
+            message.isFinished = true;
+            notifySubmitters(message, decidedStatus);
             return;
         }
-        if (e.isInFlight()) {
+        if (pending.isInFlight()) {
             // The call was in flight when the process ended, so the endpoint may have processed it.
-            journal.recordOutcome(m.id(), false);
+            journal.recordOutcome(message.id(), false);
         }
-        m.attemptCount = e.attempts();
-        if (e.mayHaveRun()) {
-            m.markPossiblyRun(e.possibleRunHost(), e.possibleRunZone(), e.possibleRunWallMicros());
+        message.attemptCount = pending.attempts();
+        if (pending.mayHaveRun()) {
+            message.markPossiblyRun(pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
         }
-        hold(m);
-        events.add(m.toSubmitEvent(now, wall));
+        addPending(message);
+        events.add(message.toSubmitEvent(nowMicros, wallMicros));
     }
 
     /** False if the destination has not been listed for long; true as long as none was ever listed. Event loop. */
     public boolean isKnownDestination(int destination) {
-        return destinations.isEmpty() || destinations.containsKey(destination);
+        return destinationsLastListed.isEmpty() || destinationsLastListed.containsKey(destination);
     }
 
     /** Submits a message; the front is notified by the end of the turn. Event loop. */
     public Message submit(Front front, Submission submission) {
         counters.add(Name.HANDED_IN);
-        long wall = clock.wallMicros();
-        Message m = new Message(submission, front, wall + submission.budgetMicros());
-        Message under = held.get(submission.id());
-        if (under != null
-                && (submission.identity() == null || !submission.identity().equals(under.submission.identity()))) {
-            return submission.identity() == null ? under : clash(m);
-        }
-        DuplicateCheckResult<Message, FinalStatus> ruling = claims.rule(m, wall);
-        if (ruling instanceof DuplicateCheckResult.PendingDuplicate<Message, FinalStatus> joins) {
-            return join(joins.pending(), m);
-        }
-        if (ruling instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> again) {
+        long wallMicros = clock.wallMicros();
+        Message message = new Message(submission, front, wallMicros + submission.budgetMicros());
+        Message existing = pendingMessages.get(submission.id());
+        if (existing != null
+                && (submission.identity() == null || !submission.identity().equals(existing.submission.identity()))) {
+            return submission.identity() == null ? existing : rejectConflict(message);
+        }
+        DuplicateCheckResult<Message, FinalStatus> check = deduplication.check(message, wallMicros);
+        if (check instanceof DuplicateCheckResult.PendingDuplicate<Message, FinalStatus> duplicate) {
+            return attach(duplicate.pending(), message);
+        }
+        if (check instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed) {
             counters.add(Name.TOLD_AGAIN);
-            return notHeld(m, again.result());
+            return answerWithoutAccepting(message, completed.result());
         }
-        if (ruling instanceof DuplicateCheckResult.Conflict<Message, FinalStatus>) {
-            return clash(m);
+        if (check instanceof DuplicateCheckResult.Conflict<Message, FinalStatus>) {
+            return rejectConflict(message);
         }
-        if (closing || held.size() >= settings.limits().maxOpen()) {
-            turnDown(m, new FinalStatus(Kind.REFUSED, COME_BACK, "no room"));
-            return m;
+        if (isShuttingDown || pendingMessages.size() >= settings.limits().maxOpen()) {
+            reject(message, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room"));
+            return message;
         }
-        hold(m);
-        fresh.add(m);
-        events.add(m.toSubmitEvent(now, wall));
-        return m;
+        addPending(message);
+        newMessages.add(message);
+        events.add(message.toSubmitEvent(nowMicros, wallMicros));
+        return message;
     }
 
     /** Attaches a duplicate to its pending message: if identities are shared, its front is notified as well. */
-    private Message join(Message held, Message comer) {
-        if (Identity.isShared(held.submission.identity()) && !claims.join(held, comer.front, comer.id())) {
-            return notHeld(comer, new FinalStatus(Kind.REFUSED, COME_BACK, "already under way"));
+    private Message attach(Message pending, Message duplicate) {
+        if (Identity.isShared(pending.submission.identity()) && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
+            return answerWithoutAccepting(duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
         }
-        return held;
+        return pending;
     }
 
-    private Message clash(Message m) {
+    private Message rejectConflict(Message message) {
         counters.add(Name.CLASHES);
-        return notHeld(m, FinalStatus.of(Kind.CLASH));
+        return answerWithoutAccepting(message, FinalStatus.of(Kind.CLASH));
     }
 
     /** Answers a submission that does not become a message of its own. */
-    private static Message notHeld(Message m, FinalStatus verdict) {
-        m.isFinished = true;
-        m.finalStatus = verdict;
-        m.front.onRejected(m, verdict);
-        return m;
+    private static Message answerWithoutAccepting(Message message, FinalStatus finalStatus) {
+        message.isFinished = true;
+        message.finalStatus = finalStatus;
+        message.front.onRejected(message, finalStatus);
+        return message;
     }
 
     /** Runs the task once all journal records written so far are durable. Event loop. */
@@ -297,65 +297,65 @@
     }
 
     /** Removes a submitter whose client left before the acceptance was reported to it. Event loop. */
-    public void withdraw(Message m, Front front, String id) {
-        m.submitters.remove(new DeduplicationTable.Submitter(front, id));
-        if (!m.isFinished && m.submitters.isEmpty()) {
+    public void withdraw(Message message, Front front, String id) {
+        message.submitters.remove(new DeduplicationTable.Submitter(front, id));
+        if (!message.isFinished && message.submitters.isEmpty()) {
             counters.add(Name.WITHDRAWN);
-            events.add(new Event.Withdrawn(m.id()));
-            release(m);
-            journal.recordSettled(m.id());
+            events.add(new Event.Withdrawn(message.id()));
+            removePending(message);
+            journal.recordSettled(message.id());
         }
     }
 
     /** Applies a whole endpoint list or changes to it. Event loop. */
     public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
         counters.add(Name.LISTINGS);
-        boolean whole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
+        boolean isWhole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
         List<ListedEndpoint> all = new ArrayList<>(listed);
-        if (whole) {
-            all.addAll(fixed);
-            Map<String, Call.Endpoint> old = new HashMap<>(endpoints);
+        if (isWhole) {
+            all.addAll(configuredEndpoints);
+            Map<String, Call.Endpoint> absent = new HashMap<>(endpoints);
             endpoints.clear();
-            all.forEach(x -> old.remove(x.entry().host()));
-            old.values().forEach(x -> x.deliverer().closeIdle(x));
+            all.forEach(item -> absent.remove(item.entry().host()));
+            absent.values().forEach(item -> item.deliverer().closeIdle(item));
         }
         List<DecisionModule.Entry> entries = new ArrayList<>();
-        for (ListedEndpoint x : all) {
-            entries.add(x.entry());
-            Call.Endpoint before = endpoints.put(x.entry().host(), x.endpoint());
-            boolean isActive = x.entry().presence() == DecisionModule.Presence.ACTIVE;
+        for (ListedEndpoint item : all) {
+            entries.add(item.entry());
+            Call.Endpoint before = endpoints.put(item.entry().host(), item.endpoint());
+            boolean isActive = item.entry().presence() == DecisionModule.Presence.ACTIVE;
             if (!isActive
-                    || before != null && !before.address().equals(x.endpoint().address())) {
+                    || before != null && !before.address().equals(item.endpoint().address())) {
                 // No new calls go there, and idle connections would only use resources on both sides.
-                x.endpoint().deliverer().closeIdle(before == null ? x.endpoint() : before);
+                item.endpoint().deliverer().closeIdle(before == null ? item.endpoint() : before);
             }
-            if (x.entry().presence() == DecisionModule.Presence.LEFT) {
-                endpoints.remove(x.entry().host());
+            if (item.entry().presence() == DecisionModule.Presence.LEFT) {
+                endpoints.remove(item.entry().host());
             }
         }
-        activate(all, whole);
-        all.forEach(x -> destinations.put(x.entry().destination(), now));
-        Set<Integer> served = new HashSet<>();
-        endpoints.values().forEach(x -> served.add(x.destination()));
-        destinations
+        updateActiveEndpoints(all, isWhole);
+        all.forEach(item -> destinationsLastListed.put(item.entry().destination(), nowMicros));
+        Set<Integer> servedDestinations = new HashSet<>();
+        endpoints.values().forEach(item -> servedDestinations.add(item.destination()));
+        destinationsLastListed
                 .entrySet()
-                .removeIf(d -> !served.contains(d.getKey()) && d.getValue() < now - REMEMBER_DESTINATION);
+                .removeIf(d -> !servedDestinations.contains(d.getKey()) && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
         events.add(new Event.Listing(kind, version, entries));
-        withdrawCalls(); // after the listing event, so that the decision module knows the reason first
+        cancelUnsentCalls(); // after the listing event, so that the decision module knows the reason first
     }
 
     /** Allows requests to be written only to endpoints that are active now. */
-    private void activate(List<ListedEndpoint> listed, boolean isWhole) {
+    private void updateActiveEndpoints(List<ListedEndpoint> listed, boolean isWhole) {
         if (isWhole) {
             activeEndpoints.replaceAll(
                     listed.stream().filter(Core::isActive).map(ListedEndpoint::endpoint).toList());
             return;
         }
-        for (ListedEndpoint each : listed) {
-            if (isActive(each)) {
-                activeEndpoints.activate(each.endpoint());
+        for (ListedEndpoint item : listed) {
+            if (isActive(item)) {
+                activeEndpoints.activate(item.endpoint());
             } else {
-                activeEndpoints.deactivate(each.endpoint());
+                activeEndpoints.deactivate(item.endpoint());
             }
         }
     }
@@ -365,7 +365,7 @@
     }
 
     /** Cancels calls to endpoints that are draining or were removed, if no byte of them has been written. */
-    private void withdrawCalls() {
+    private void cancelUnsentCalls() {
         for (Call call : List.copyOf(calls)) {
             if (activeEndpoints.mayReceive(call.endpoint)) {
                 continue;
@@ -379,7 +379,7 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, Ending.WITHHELD, 0, false, false));
+        List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, Ending.WITHHELD, 0, false, false));
     }
 
     /**
@@ -389,41 +389,41 @@
      * @param noSlot it was not sent for want of a free slot
      * @param over the endpoint reports that the message needs no further attempt and no result
      */
-    public void attemptEnded(Call call, Message m, Ending ending, long waitMicros, boolean noSlot, boolean over) {
-        if (m.currentCall != call) {
+    public void attemptEnded(Call call, Message message, Ending ending, long retryAfterMicros, boolean noSlot, boolean over) {
+        if (message.currentCall != call) {
             return;
         }
-        m.currentCall = null;
+        message.currentCall = null;
         if (--call.pendingOutcomes == 0) {
             deadlines.cancel(call.deadline);
             calls.remove(call);
         }
         counters.addEnding(ending.name());
-        trace(m, "outcome", ending, call);
+        trace(message, "outcome", ending, call);
         if (!ending.neverRan()) {
-            m.markPossiblyRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
+            message.markPossiblyRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
         }
         events.add(new Event.Outcome(
-                m.id(),
+                message.id(),
                 call.endpoint.host(),
-                m.attemptCount - 1,
+                message.attemptCount - 1,
                 ending,
-                now - call.startedAtMicros,
-                waitMicros,
+                nowMicros - call.startedAtMicros,
+                retryAfterMicros,
                 noSlot,
                 over || ending == Ending.DELIVERED,
                 null));
-        m.attemptCount -= ending == Ending.WITHHELD ? 1 : 0;
-        if (m.isFinished) {
+        message.attemptCount -= ending == Ending.WITHHELD ? 1 : 0;
+        if (message.isFinished) {
             return;
         }
         if (ending == Ending.DELIVERED) {
             counters.add(Name.DELIVERED);
-            end(m, FinalStatus.of(Kind.DELIVERED));
+            finish(message, FinalStatus.of(Kind.DELIVERED));
         } else if (over) {
-            end(m, FinalStatus.of(Kind.GONE));
+            finish(message, FinalStatus.of(Kind.GONE));
         } else {
-            journal.recordOutcome(m.id(), ending.neverRan());
+            journal.recordOutcome(message.id(), ending.neverRan());
         }
     }
 
@@ -439,7 +439,7 @@
 
     /** Accepts no new messages, and starts no call that could still be in flight at the given time. Event loop. */
     public void beginShutdown(long atMicros) {
-        closing = true;
+        isShuttingDown = true;
         events.add(new Event.Stopping(atMicros));
     }
 
@@ -447,13 +447,13 @@
      * True if no message is pending and all submitters are notified, except for the given number of notifications to
      * clients that are not reachable. Event loop.
      */
-    public boolean isIdle(int away) {
-        return held.isEmpty() && calls.isEmpty() && unsettled <= away;
+    public boolean isIdle(int allowedUnsettled) {
+        return pendingMessages.isEmpty() && calls.isEmpty() && unsettledCount <= allowedUnsettled;
     }
 
     /** Stops the event loop after this turn; pending messages stay in the journal. Any thread. */
     public void stop() throws InterruptedException {
-        ended = true;
+        isStopped = true;
         post(() -> {});
         if (thread != null) {
             thread.join();
@@ -463,18 +463,18 @@
     // Event loop
 
     private void loop() {
-        while (!ended) {
+        while (!isStopped) {
             try {
-                long until = deadlines.earliestOr(now + LONGEST_SLEEP);
-                Runnable first = clock.awaitTask(ready, until);
+                long untilMicros = deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS);
+                Runnable first = clock.awaitTask(tasks, untilMicros);
                 // Keeps the minimum interval between turns, so that events close together are decided in one batch.
-                long early = now + settings.roundMicros() - clock.monotonicMicros();
-                if (early > 0) {
-                    clock.sleep(early);
+                long earlyMicros = nowMicros + settings.roundMicros() - clock.monotonicMicros();
+                if (earlyMicros > 0) {
+                    clock.sleep(earlyMicros);
                 }
-                now = clock.monotonicMicros();
+                nowMicros = clock.monotonicMicros();
                 run(first);
-                run(this::turn);
+                run(this::processTurn);
             } catch (InterruptedException e) {
                 return;
             }
@@ -495,97 +495,97 @@
         }
     }
 
-    private void turn() {
+    private void processTurn() {
         counters.add(Name.TURNS);
-        for (int n = ready.size(); n > 0; n--) {
-            run(ready.poll());
+        for (int n = tasks.size(); n > 0; n--) {
+            run(tasks.poll());
         }
-        run(() -> deadlines.runDue(now));
+        run(() -> deadlines.runDue(nowMicros));
         if (!events.isEmpty()) {
             List<Event> batch = events;
             events = new ArrayList<>();
-            carryOut(relay.decide(now, batch));
+            execute(decisionModule.decide(nowMicros, batch));
         }
         run(() -> journal.maintain(clock.wallMicros()));
     }
 
-    private void carryOut(List<Action> actions) {
-        takeOn(actions);
+    private void execute(List<Action> actions) {
+        acceptNewMessages(actions);
         Map<String, Call> starting = new LinkedHashMap<>();
         for (Action action : actions) {
             if (action instanceof Action.Send a) {
-                send(a, starting);
+                addToCall(a, starting);
                 continue;
             }
-            run(() -> carryOut(action));
+            run(() -> execute(action));
         }
-        starting.values().forEach(this::start);
+        starting.values().forEach(this::startCall);
     }
 
     /** Records this turn's new messages, except those that end in the same turn, and reports their acceptance. */
-    private void takeOn(List<Action> actions) {
-        if (fresh.isEmpty()) {
+    private void acceptNewMessages(List<Action> actions) {
+        if (newMessages.isEmpty()) {
             return;
         }
-        Set<String> endedNow = new HashSet<>();
+        Set<String> finishedIds = new HashSet<>();
         for (Action action : actions) {
             if (action instanceof Action.Refuse a) {
-                endedNow.add(a.id());
+                finishedIds.add(a.id());
             } else if (action instanceof Action.Fail a) {
-                endedNow.add(a.id());
+                finishedIds.add(a.id());
             }
         }
-        for (Message m : fresh) {
-            if (m.isFinished || endedNow.contains(m.id())) {
+        for (Message message : newMessages) {
+            if (message.isFinished || finishedIds.contains(message.id())) {
                 continue;
             }
-            run(() -> m.isJournaled = journal.recordAccepted(m.front.name(), m.submission, m.deadlineWallMicros, clock.wallMicros()));
-            if (m.isJournaled) {
+            run(() -> message.isJournaled = journal.recordAccepted(message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
+            if (message.isJournaled) {
                 counters.add(Name.TAKEN);
-                trace(m, "taken", "accepted", null);
-                refuse(claims.written(m), m);
+                trace(message, "taken", "accepted", null);
+                rejectSubmitters(deduplication.recordAttached(message), message);
                 journal.whenDurable(() -> {
-                    m.isAcceptanceDurable = true;
-                    fronts(m).forEach(front -> run(() -> front.onAccepted(m)));
+                    message.isAcceptanceDurable = true;
+                    submitterFronts(message).forEach(front -> run(() -> front.onAccepted(message)));
                 });
             } else {
                 counters.add(Name.JOURNAL_FULL);
-                events.add(new Event.Withdrawn(m.id()));
-                turnDown(m, new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk"));
+                events.add(new Event.Withdrawn(message.id()));
+                reject(message, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk"));
             }
         }
-        fresh.clear();
+        newMessages.clear();
     }
 
     /** Rejects submitters that were attached to a message but could not be recorded. */
-    private void refuse(List<DeduplicationTable.Submitter> refused, Message m) {
-        for (DeduplicationTable.Submitter claim : refused) {
-            run(() -> claim.front()
-                    .onAttachRejected(m, claim.id(), new FinalStatus(Kind.REFUSED, COME_BACK, "no room on disk")));
+    private void rejectSubmitters(List<DeduplicationTable.Submitter> rejected, Message message) {
+        for (DeduplicationTable.Submitter submitter : rejected) {
+            run(() -> submitter.front()
+                    .onAttachRejected(message, submitter.id(), new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
         }
     }
 
-    private static Set<Front> fronts(Message m) {
+    private static Set<Front> submitterFronts(Message message) {
         Set<Front> all = new LinkedHashSet<>();
-        m.submitters.forEach(claim -> all.add(claim.front()));
+        message.submitters.forEach(submitter -> all.add(submitter.front()));
         return all;
     }
 
-    private void carryOut(Action action) {
+    private void execute(Action action) {
         if (action instanceof Action.Refuse a) {
-            ended(a.id(), new FinalStatus(Kind.REFUSED, a.comeBackMicros(), ""));
+            finishUndelivered(a.id(), new FinalStatus(Kind.REFUSED, a.comeBackMicros(), ""));
         } else if (action instanceof Action.Fail a) {
-            ended(a.id(), FinalStatus.of(Kind.FAILED));
+            finishUndelivered(a.id(), FinalStatus.of(Kind.FAILED));
         } else if (action instanceof Action.Cancel a) {
-            Message m = held.get(a.id());
-            if (m != null && m.currentCall != null && m.attemptCount - 1 == a.attempt()) {
-                giveUp(m.currentCall);
+            Message message = pendingMessages.get(a.id());
+            if (message != null && message.currentCall != null && message.attemptCount - 1 == a.attempt()) {
+                abort(message.currentCall);
             }
         } else if (action instanceof Action.CloseIdle a && endpoints.containsKey(a.host())) {
             Call.Endpoint endpoint = endpoints.get(a.host());
             endpoint.deliverer().closeIdle(endpoint);
         } else if (action instanceof Action.Wake a) {
-            deadlines.schedule(now + a.afterMicros(), () -> events.add(new Event.Timer(a.token())));
+            deadlines.schedule(nowMicros + a.afterMicros(), () -> events.add(new Event.Timer(a.token())));
         } else if (action instanceof Action.Probe a && endpoints.containsKey(a.host())) {
             endpoints.get(a.host()).deliverer().probe(endpoints.get(a.host()));
         } else if (action instanceof Action.Log a) {
@@ -594,23 +594,23 @@
         // Watch and FetchList: the directory is always watched. Tell: there are no other forwarders to notify.
     }
 
-    private void ended(String id, FinalStatus verdict) {
-        Message m = held.get(id);
-        if (m == null) {
+    private void finishUndelivered(String id, FinalStatus finalStatus) {
+        Message message = pendingMessages.get(id);
+        if (message == null) {
             return;
         }
-        FinalStatus told = new FinalStatus(verdict.kind(), verdict.retryAfterMicros(), m.lastResponseText);
-        if (m.isJournaled) {
-            counters.add(told.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.checkInvariant(m.isResumed || clock.wallMicros() <= m.deadlineWallMicros + OVERDUE, m.id() + " ended in time");
-            end(m, told);
+        FinalStatus withDetail = new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
+        if (message.isJournaled) {
+            counters.add(withDetail.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
+            counters.checkInvariant(message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS, message.id() + " ended in time");
+            finish(message, withDetail);
         } else {
-            turnDown(m, told);
+            reject(message, withDetail);
         }
     }
 
     /** Writes a debug line for a message; {@code what} is converted to text only if debug lines are enabled. */
-    private static void trace(Message m, String event, Object what, Call call) {
+    private static void trace(Message message, String event, Object what, Call call) {
         if (Logs.isDebug()) {
             String text = what.toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
             Logs.debug(
@@ -618,67 +618,67 @@
                     event,
                     text,
                     "message",
-                    m.id(),
+                    message.id(),
                     "partner",
-                    m.submission.destination(),
+                    message.submission.destination(),
                     "endpoint",
                     call == null ? null : call.endpoint.host());
         }
     }
 
-    private void send(Action.Send a, Map<String, Call> starting) {
-        Message m = held.get(a.id());
+    private void addToCall(Action.Send a, Map<String, Call> starting) {
+        Message message = pendingMessages.get(a.id());
         Call.Endpoint endpoint = endpoints.get(a.host());
-        boolean isElsewhere = m != null && endpoint != null && endpoint.destination() != m.submission.destination();
-        if (m == null || endpoint == null || m.currentCall != null || isElsewhere) {
+        boolean isElsewhere = message != null && endpoint != null && endpoint.destination() != message.submission.destination();
+        if (message == null || endpoint == null || message.currentCall != null || isElsewhere) {
             // No longer pending, as its client has left: the decision module still needs an outcome of the attempt.
-            counters.checkInvariant(m == null || m.currentCall == null, a.id() + " has at most one attempt in flight");
+            counters.checkInvariant(message == null || message.currentCall == null, a.id() + " has at most one attempt in flight");
             counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
-            int attempt = m == null ? 0 : m.attemptCount++;
-            events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, m == null, null));
+            int attempt = message == null ? 0 : message.attemptCount++;
+            events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, message == null, null));
             return;
         }
         Call call = starting.get(a.host());
         if (call != null && call.messages.size() >= endpoint.maxMessagesPerCall()) {
-            start(call);
+            startCall(call);
             call = null;
         }
         if (call == null) {
-            call = new Call(endpoint, now);
+            call = new Call(endpoint, nowMicros);
             starting.put(a.host(), call);
         }
         counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " has the same endpoint as its call");
-        m.attemptCount++;
-        call.addMessage(m, a.dropAtMicros(), now + m.deadlineWallMicros - clock.wallMicros());
+        message.attemptCount++;
+        call.addMessage(message, a.dropAtMicros(), nowMicros + message.deadlineWallMicros - clock.wallMicros());
         if (endpoint.maxMessagesPerCall() > 1) {
             Call shared = call;
-            deadlines.schedule(a.dropAtMicros(), () -> leave(m, shared));
+            deadlines.schedule(a.dropAtMicros(), () -> removeFromCall(message, shared));
         }
     }
 
     /** Removes a message whose attempt has expired from a call that was not sent yet, if others remain in it. */
-    private void leave(Message m, Call call) {
-        long before = call.expiresAtMicros();
-        call.requestRemoval(m);
-        if (call.expiresAtMicros() != before) {
+    private void removeFromCall(Message message, Call call) {
+        long previousExpiryMicros = call.expiresAtMicros();
+        call.requestRemoval(message);
+        if (call.expiresAtMicros() != previousExpiryMicros) {
             deadlines.cancel(call.deadline);
             call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         }
     }
 
     /** Starts a call once its attempts are recorded; if they can't be recorded, nothing is sent. */
-    private void start(Call call) {
-        long wall = clock.wallMicros();
-        boolean written = true;
-        for (Message m : call.messages) {
-            written &= journal.recordAttempt(m.id(), call.endpoint.host(), call.endpoint.zone(), wall);
-            trace(m, "attempt", "sent", call);
+    private void startCall(Call call) {
+        long wallMicros = clock.wallMicros();
+        boolean isWritten = true;
+        for (Message message : call.messages) {
+            isWritten &= journal.recordAttempt(message.id(), call.endpoint.host(), call.endpoint.zone(), wallMicros);
+            trace(message, "attempt", "sent", call);
             counters.add(Name.ATTEMPTS);
         }
         calls.add(call);
-        if (!written) {
+        if (!isWritten) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, Ending.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
@@ -696,71 +696,71 @@
      * aborted.
      */
     private void expire(Call call) {
-        call.requestRemovalOfExpired(now);
-        if (call.expiresAtMicros() > now) {
+        call.requestRemovalOfExpired(nowMicros);
+        if (call.expiresAtMicros() > nowMicros) {
             call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         } else {
-            giveUp(call);
+            abort(call);
         }
     }
 
-    private void giveUp(Call call) {
+    private void abort(Call call) {
         if (call.isStarted) {
             call.endpoint.deliverer().abort(call);
         } else {
-            List.copyOf(call.messages).forEach(m -> attemptEnded(call, m, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, Ending.NOT_SENT, 0, false, false));
         }
     }
 
     // Messages
 
-    private void hold(Message m) {
-        held.put(m.id(), m);
-        claims.hold(m);
+    private void addPending(Message message) {
+        pendingMessages.put(message.id(), message);
+        deduplication.addPending(message);
     }
 
-    private void release(Message m) {
-        m.isFinished = true;
-        held.remove(m.id());
-        claims.release(m);
+    private void removePending(Message message) {
+        message.isFinished = true;
+        pendingMessages.remove(message.id());
+        deduplication.removePending(message);
     }
 
-    private void turnDown(Message m, FinalStatus verdict) {
+    private void reject(Message message, FinalStatus finalStatus) {
         counters.add(Name.TURNED_DOWN);
-        release(m);
-        m.finalStatus = verdict;
-        fronts(m).forEach(front -> run(() -> front.onRejected(m, verdict)));
+        removePending(message);
+        message.finalStatus = finalStatus;
+        submitterFronts(message).forEach(front -> run(() -> front.onRejected(message, finalStatus)));
     }
 
-    private void end(Message m, FinalStatus verdict) {
-        release(m);
-        trace(m, "ended", verdict.kind(), null);
-        claims.ended(m, verdict, clock.wallMicros());
-        boolean told = verdict.kind() != Kind.DELIVERED && verdict.kind() != Kind.GONE;
-        if (told
+    private void finish(Message message, FinalStatus finalStatus) {
+        removePending(message);
+        trace(message, "ended", finalStatus.kind(), null);
+        deduplication.recordCompleted(message, finalStatus, clock.wallMicros());
+        boolean needsNotification = finalStatus.kind() != Kind.DELIVERED && finalStatus.kind() != Kind.GONE;
+        if (needsNotification
                 || Identity.isShared(
-                        m.submission.identity())) { // a client that is away may have to be notified of the delivery
-            journal.recordFinalStatus(m.id(), verdict);
+                        message.submission.identity())) { // a client that is away may have to be notified of the delivery
+            journal.recordFinalStatus(message.id(), finalStatus);
         }
-        if (m.currentCall != null) {
-            leave(m, m.currentCall);
+        if (message.currentCall != null) {
+            removeFromCall(message, message.currentCall);
         }
-        answer(m, verdict);
+        notifySubmitters(message, finalStatus);
     }
 
-    private void answer(Message m, FinalStatus verdict) {
-        m.finalStatus = verdict;
-        if (m.submitters.isEmpty()) {
-            journal.recordSettled(m.id());
+    private void notifySubmitters(Message message, FinalStatus finalStatus) {
+        message.finalStatus = finalStatus;
+        if (message.submitters.isEmpty()) {
+            journal.recordSettled(message.id());
             return;
         }
-        int[] open = {m.submitters.size()};
-        for (DeduplicationTable.Submitter claim : m.submitters) {
-            unsettled++;
-            journal.whenDurable(() -> run(() -> claim.front().onFinalStatus(m, claim.id(), verdict, () -> {
-                unsettled--;
-                if (--open[0] == 0) {
-                    journal.recordSettled(m.id());
+        int[] unsettled = {message.submitters.size()};
+        for (DeduplicationTable.Submitter submitter : message.submitters) {
+            unsettledCount++;
+            journal.whenDurable(() -> run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
+                unsettledCount--;
+                if (--unsettled[0] == 0) {
+                    journal.recordSettled(message.id());
                 }
             })));
         }
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -38,9 +38,9 @@
     }
 
     private final Map<Name, LongAdder> values = new EnumMap<>(Name.class);
-    private final Map<String, LongAdder> endings = new TreeMap<>();
-    private final Map<String, IntSupplier> gauges = new TreeMap<>();
-    private final Map<String, LongSupplier> figures = new TreeMap<>();
+    private final Map<String, LongAdder> attemptEndings = new TreeMap<>();
+    private final Map<String, IntSupplier> entryGauges = new TreeMap<>();
+    private final Map<String, LongSupplier> valueGauges = new TreeMap<>();
 
     /** Creates all counters at zero. */
     public Counters() {
@@ -56,17 +56,17 @@
 
     /** Counts an attempt that ended this way. */
     synchronized void addEnding(String ending) {
-        endings.computeIfAbsent(ending, e -> new LongAdder()).increment();
+        attemptEndings.computeIfAbsent(ending, e -> new LongAdder()).increment();
     }
 
     /** Registers a gauge for the size of a collection, so that unbounded growth shows up. */
     public synchronized void entryGauge(String name, IntSupplier entries) {
-        gauges.put(name, entries);
+        entryGauges.put(name, entries);
     }
 
     /** Registers a gauge that is printed under its plain name. */
     public synchronized void valueGauge(String name, LongSupplier value) {
-        figures.put(name, value);
+        valueGauges.put(name, value);
     }
 
     /** The current value of a counter. */
@@ -75,9 +75,9 @@
     }
 
     /** Checks an invariant: an assertion error where assertions are enabled, else counted and logged. */
-    public void checkInvariant(boolean good, String what) {
-        assert good : what;
-        if (!good) {
+    public void checkInvariant(boolean holds, String what) {
+        assert holds : what;
+        if (!holds) {
             add(Name.BROKEN_INVARIANTS);
             Logs.error("", "invariant", "does not hold: " + what);
         }
@@ -93,17 +93,17 @@
                 .append(' ')
                 .append(value.sum())
                 .append('\n'));
-        endings.forEach((name, value) -> all.append("ending_")
+        attemptEndings.forEach((name, value) -> all.append("ending_")
                 .append(name.toLowerCase())
                 .append(' ')
                 .append(value.sum())
                 .append('\n'));
-        gauges.forEach((name, entries) -> all.append("entries_")
+        entryGauges.forEach((name, entries) -> all.append("entries_")
                 .append(name)
                 .append(' ')
                 .append(entries.getAsInt())
                 .append('\n'));
-        figures.forEach((name, value) ->
+        valueGauges.forEach((name, value) ->
                 all.append(name).append(' ').append(value.getAsLong()).append('\n'));
         return all.toString();
     }
--- a/src/main/java/lilaclever/routing/Deadlines.java
+++ b/src/main/java/lilaclever/routing/Deadlines.java
@@ -14,11 +14,11 @@
     }
 
     private final TreeMap<Key, Runnable> entries = new TreeMap<>();
-    private long order;
+    private long nextOrder;
 
     /** Schedules the action for the first turn at or after the given time. */
-    public Key schedule(long micros, Runnable action) {
-        Key key = new Key(micros, order++);
+    public Key schedule(long atMicros, Runnable action) {
+        Key key = new Key(atMicros, nextOrder++);
         entries.put(key, action);
         return key;
     }
@@ -35,18 +35,18 @@
     }
 
     /** The earliest scheduled time, or the given time if that is sooner. */
-    long earliestOr(long otherwise) {
+    long earliestOr(long latestMicros) {
         return entries.isEmpty()
-                ? otherwise
-                : Math.min(otherwise, entries.firstKey().atMicros());
+                ? latestMicros
+                : Math.min(latestMicros, entries.firstKey().atMicros());
     }
 
     /** Runs the due actions in order; those that they schedule meanwhile wait for the next call, even if due. */
     void runDue(long nowMicros) {
-        long last = order;
+        long firstNewOrder = nextOrder;
         while (!entries.isEmpty()
                 && entries.firstKey().atMicros() <= nowMicros
-                && entries.firstKey().order() < last) {
+                && entries.firstKey().order() < firstNewOrder) {
             entries.pollFirstEntry().getValue().run();
         }
     }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -17,19 +17,19 @@
  */
 final class DeduplicationTable {
     /** Submitters attached to a message beside the first; further ones are told to retry, to bound its record. */
-    static final int MOST_JOINED = 8;
+    static final int MAX_ATTACHED = 8;
 
     /** A front to be notified of the final status, and the id under which it submitted the message. */
     record Submitter(Front front, String id) {}
 
     private final Journal journal;
     private final Counters counters;
-    private final DuplicateDetector<Message, FinalStatus> identities;
+    private final DuplicateDetector<Message, FinalStatus> detector;
 
     DeduplicationTable(IdempotencyWindows windows, Journal journal, Counters counters) {
         this.journal = journal;
         this.counters = counters;
-        identities = new DuplicateDetector<>(windows, new CompletedMessageStore<>() {
+        detector = new DuplicateDetector<>(windows, new CompletedMessageStore<>() {
             @Override
             public CompletedMessage<FinalStatus> find(String identity) {
                 return journal.remembered(identity);
@@ -53,57 +53,57 @@
         while (journal.rememberedCount() > windows.maxEntries()) {
             journal.forgetSoonestExpiring(); // an earlier run had a higher limit
         }
-        counters.entryGauge("identities", identities::pendingCount);
-        counters.valueGauge("identities_forgotten_early", identities::forgottenEarly);
+        counters.entryGauge("identities", detector::pendingCount);
+        counters.valueGauge("identities_forgotten_early", detector::forgottenEarly);
     }
 
     /** Checks whether the submission is a new message or a duplicate. */
-    DuplicateCheckResult<Message, FinalStatus> rule(Message m, long wall) {
-        return m.submission.identity() == null
+    DuplicateCheckResult<Message, FinalStatus> check(Message message, long wallMicros) {
+        return message.submission.identity() == null
                 ? new DuplicateCheckResult.NewMessage<>()
-                : identities.check(m.submission.identity(), m.fingerprint(), wall);
+                : detector.check(message.submission.identity(), message.fingerprint(), wallMicros);
     }
 
     /** Adds a message that is pending from now on. */
-    void hold(Message m) {
-        if (m.submission.identity() != null) {
-            identities.addPending(m.submission.identity(), m.fingerprint(), m);
+    void addPending(Message message) {
+        if (message.submission.identity() != null) {
+            detector.addPending(message.submission.identity(), message.fingerprint(), message);
         }
     }
 
     /** Removes a message that is no longer pending. */
-    void release(Message m) {
-        if (m.submission.identity() != null) {
-            identities.removePending(m.submission.identity(), m);
+    void removePending(Message message) {
+        if (message.submission.identity() != null) {
+            detector.removePending(message.submission.identity(), message);
         }
     }
 
     /** Remembers the result of a message that was delivered or has failed, for later duplicates. */
-    void ended(Message m, FinalStatus verdict, long wall) {
-        if (m.submission.identity() != null && (verdict.kind() == Kind.DELIVERED || verdict.kind() == Kind.FAILED)) {
-            identities.addCompleted(m.submission.identity(), m.fingerprint(), m.submission.messageClass(), verdict, wall);
+    void recordCompleted(Message message, FinalStatus finalStatus, long wallMicros) {
+        if (message.submission.identity() != null && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
+            detector.addCompleted(message.submission.identity(), message.fingerprint(), message.submission.messageClass(), finalStatus, wallMicros);
         }
     }
 
     /** The result that an earlier run remembered for a message without recording its end, or null. */
-    FinalStatus earlierEnd(Message m) {
-        return rule(m, Long.MIN_VALUE) instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> again ? again.result() : null;
+    FinalStatus finalStatusOfEarlierRun(Message message) {
+        return check(message, Long.MIN_VALUE) instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed ? completed.result() : null;
     }
 
     /**
      * Attaches a submitter of a duplicate to the pending message; false if no more can be attached. If the message is
-     * not in the journal yet, its submitters are recorded after it ({@link #written}).
+     * not in the journal yet, its submitters are recorded after it ({@link #recordAttached}).
      */
-    boolean join(Message m, Front front, String id) {
-        Submitter claim = new Submitter(front, id);
-        if (m.submitters.contains(claim) || front.notifiesOnce() && m.submitters.stream().anyMatch(c -> c.front() == front)) {
+    boolean attach(Message message, Front front, String id) {
+        Submitter submitter = new Submitter(front, id);
+        if (message.submitters.contains(submitter) || front.notifiesOnce() && message.submitters.stream().anyMatch(c -> c.front() == front)) {
             return true;
         }
-        if (m.submitters.size() > MOST_JOINED || m.isJournaled && !journal.recordAttached(m.id(), front.name(), id)) {
+        if (message.submitters.size() > MAX_ATTACHED || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
             return false;
         }
         counters.add(Name.JOINED);
-        m.submitters.add(claim);
+        message.submitters.add(submitter);
         return true;
     }
 
@@ -111,15 +111,15 @@
      * Records the submitters that were attached in the same turn, once the message itself is recorded; removes and
      * returns those that could not be recorded.
      */
-    List<Submitter> written(Message m) {
-        List<Submitter> refused = new ArrayList<>();
-        for (Submitter claim : m.submitters) {
-            boolean first = claim.front() == m.front && claim.id().equals(m.id());
-            if (!first && !journal.recordAttached(m.id(), claim.front().name(), claim.id())) {
-                refused.add(claim);
+    List<Submitter> recordAttached(Message message) {
+        List<Submitter> rejected = new ArrayList<>();
+        for (Submitter submitter : message.submitters) {
+            boolean isFirst = submitter.front() == message.front && submitter.id().equals(message.id());
+            if (!isFirst && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
+                rejected.add(submitter);
             }
         }
-        m.submitters.removeAll(refused);
-        return refused;
+        message.submitters.removeAll(rejected);
+        return rejected;
     }
 }
--- a/src/main/java/lilaclever/routing/Deliverer.java
+++ b/src/main/java/lilaclever/routing/Deliverer.java
@@ -13,7 +13,7 @@
      * has expired. If no byte of the call can have been sent, the message leaves the call as not sent, and must not be
      * written to a connection that is established later.
      */
-    default void removeMessage(Call call, Message m) {}
+    default void removeMessage(Call call, Message message) {}
 
     /**
      * Cancels a call whose endpoint is draining or was removed, if no byte of it has been written. Its attempts end as
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -29,8 +29,8 @@
     private boolean isChanged;
 
     /** Starts with the departures that an earlier process stored, oldest first. */
-    DepartureTable(List<Departure> noted) {
-        noted.forEach(d -> add(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
+    DepartureTable(List<Departure> stored) {
+        stored.forEach(d -> add(d.name(), new ListPosition(d.agent(), d.index(), true, 0)));
         isChanged = false;
     }
 
@@ -51,10 +51,10 @@
     /** Adds a departure: a list says that the endpoint is leaving or has left. */
     void add(String name, ListPosition position) {
         disputed.remove(name);
-        List<ListPosition> before = positions.get(name);
-        List<ListPosition> after = before == null ? List.of(position) : added(before, position);
-        isChanged |= before == null || !isSamePlaces(before, after);
-        positions.put(name, after);
+        List<ListPosition> previous = positions.get(name);
+        List<ListPosition> updated = previous == null ? List.of(position) : added(previous, position);
+        isChanged |= previous == null || !areSamePlaces(previous, updated);
+        positions.put(name, updated);
         removeOldest();
     }
 
@@ -87,16 +87,16 @@
     }
 
     /** Adds a position and drops those that are expired or covered by it. */
-    private static List<ListPosition> added(List<ListPosition> before, ListPosition position) {
-        List<ListPosition> after = new ArrayList<>(before.size() + 1);
-        for (ListPosition p : before) {
+    private static List<ListPosition> added(List<ListPosition> previous, ListPosition position) {
+        List<ListPosition> updated = new ArrayList<>(previous.size() + 1);
+        for (ListPosition p : previous) {
             boolean isCovered = p.agent().equals(position.agent()) && p.index() <= position.index();
             if (!isCovered && !p.isExpired(position.receivedMicros())) {
-                after.add(p);
+                updated.add(p);
             }
         }
-        after.add(position);
-        return after.size() <= MOST_POSITIONS ? List.copyOf(after) : merged(after, position);
+        updated.add(position);
+        return updated.size() <= MOST_POSITIONS ? List.copyOf(updated) : merged(updated, position);
     }
 
     /** Merges the positions of each agent into one, or all positions into one if there are too many agents. */
@@ -106,7 +106,7 @@
         return strictest.size() <= MOST_POSITIONS ? List.copyOf(strictest.values()) : List.of(newest.laterThanAny());
     }
 
-    private static boolean isSamePlaces(List<ListPosition> one, List<ListPosition> other) {
+    private static boolean areSamePlaces(List<ListPosition> one, List<ListPosition> other) {
         if (one.size() != other.size()) {
             return false;
         }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -36,11 +36,11 @@
     /** Index of a list whose index could not be read. */
     public static final long NO_INDEX = -1;
 
-    private static final String PART = "directory";
+    private static final String LOG_PART = "directory";
     /** Agents whose newest index is kept; a configuration change may name a new one. */
-    private static final int MOST_AGENTS = 16;
+    private static final int MAX_AGENTS = 16;
     /** Names in one log line. */
-    private static final int MOST_LOGGED = 5;
+    private static final int MAX_LOGGED_NAMES = 5;
 
     /**
      * One response of a discovery agent, as far as it could be read.
@@ -83,7 +83,7 @@
     public record Departure(String name, String agent, long index, long wallMicros) {}
 
     /** An endpoint as last listed, and the newest position of the agent that last set its address and destination. */
-    private record Known(Core.ListedEndpoint listed, ListPosition position) {
+    private record KnownEndpoint(Core.ListedEndpoint listed, ListPosition position) {
         boolean isActive() {
             return listed.entry().presence() == Presence.ACTIVE;
         }
@@ -99,23 +99,23 @@
     private final DepartureStore store;
     private final DepartureTable departures;
     /** All endpoints except those that have left, by name. */
-    private final Map<String, Known> known = new HashMap<>();
+    private final Map<String, KnownEndpoint> known = new HashMap<>();
     /** Names of active endpoints by their address. */
-    private final Map<String, String> holders = new HashMap<>();
+    private final Map<String, String> namesByAddress = new HashMap<>();
     /** Names of endpoints that a list has as active, or at another address, without being accepted yet. */
     private final Set<String> withheld = new HashSet<>();
     /** Names that the current update has added to {@link #withheld}. */
     private final List<String> newlyWithheld = new ArrayList<>();
     /** The newest position of each agent; the agent that was added first is evicted first. */
-    private final Map<String, ListPosition> newest = new LinkedHashMap<>();
+    private final Map<String, ListPosition> newestPositions = new LinkedHashMap<>();
 
     private boolean isClockStarted;
     private boolean isStoreFailing;
-    private boolean contradictsKnown;
+    private boolean contradictsInitialList;
     /** Whether only a whole list can resolve a contradiction. */
-    private boolean isDoubtful;
+    private boolean isInDoubt;
     /** Whether the current update leaves a contradiction unresolved. */
-    private boolean hasDoubt;
+    private boolean updateLeavesDoubt;
 
     /** Index of the last list that had one, whatever its agent. */
     private long version;
@@ -126,8 +126,8 @@
      * @param noted departures that earlier processes stored, oldest first
      * @param store saves the departures whenever they change
      */
-    public EndpointMembership(List<Departure> noted, DepartureStore store) {
-        this.departures = new DepartureTable(noted);
+    public EndpointMembership(List<Departure> stored, DepartureStore store) {
+        this.departures = new DepartureTable(stored);
         this.store = store;
     }
 
@@ -138,18 +138,18 @@
     public CoreUpdate applyInitialList(long version, List<Core.ListedEndpoint> listed) {
         this.version = version;
         ListPosition position = new ListPosition(ListPosition.INITIAL_LIST, version, true, 0);
-        List<Core.ListedEndpoint> told = new ArrayList<>(listed.size());
+        List<Core.ListedEndpoint> updates = new ArrayList<>(listed.size());
         for (Statement statement : statements(listed, Set.of()).values()) {
-            isDoubtful |= statement.isDisputed();
+            isInDoubt |= statement.isDisputed();
             boolean isActive = statement.presence() == Presence.ACTIVE;
             if (isActive && departures.contains(name(statement.listed()))) {
-                contradictsKnown = true;
-                told.add(withhold(statement.listed(), position));
+                contradictsInitialList = true;
+                updates.add(withhold(statement.listed(), position));
             } else {
-                told.add(isActive ? keep(statement.listed(), position) : depart(statement, position));
+                updates.add(isActive ? recordActive(statement.listed(), position) : markDeparted(statement, position));
             }
         }
-        return new CoreUpdate(ListingKind.REMEMBERED, version, told);
+        return new CoreUpdate(ListingKind.REMEMBERED, version, updates);
     }
 
     /**
@@ -157,7 +157,7 @@
      * has been received since: then the whole list must be requested.
      */
     public boolean contradictsInitialList() {
-        return contradictsKnown;
+        return contradictsInitialList;
     }
 
     /**
@@ -166,10 +166,10 @@
      * the rate of requests.
      */
     public boolean needsWholeList(long nowMicros) {
-        return contradictsKnown || isDoubtful || withheld.stream().anyMatch(name -> isFree(name, nowMicros));
+        return contradictsInitialList || isInDoubt || withheld.stream().anyMatch(name -> isNoLongerHeldBack(name, nowMicros));
     }
 
-    private boolean isFree(String name, long nowMicros) {
+    private boolean isNoLongerHeldBack(String name, long nowMicros) {
         return departures.contains(name)
                 ? departures.isExpired(name, nowMicros)
                 : known.get(name).position().isExpired(nowMicros);
@@ -190,30 +190,30 @@
     public CoreUpdate update(ListUpdate update, long nowMicros, long wallMicros) {
         startClock(nowMicros);
         ListPosition position = position(update, nowMicros);
-        hasDoubt = update.isCut() || !update.unusable().isEmpty() || isOlderChange(update, position);
+        updateLeavesDoubt = update.isCut() || !update.unusable().isEmpty() || isOlderChange(update, position);
         Map<String, Statement> statements = statements(update.entries(), update.unusable());
-        List<Core.ListedEndpoint> told = new ArrayList<>(statements.size());
+        List<Core.ListedEndpoint> updates = new ArrayList<>(statements.size());
         for (Map.Entry<String, Statement> statement : statements.entrySet()) {
-            told.addAll(heard(statement.getKey(), statement.getValue(), update, statements.keySet(), position));
+            updates.addAll(apply(statement.getKey(), statement.getValue(), update, statements.keySet(), position));
         }
         if (update.isComplete()) {
             removeAbsent(statements.keySet(), position);
         }
-        settleDoubt(update);
-        remember(position);
+        updateDoubt(update);
+        recordNewest(position);
         logWithheld(position);
         saveDepartures(nowMicros, wallMicros);
         version = update.index() == NO_INDEX ? version : update.index();
-        return new CoreUpdate(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, told);
+        return new CoreUpdate(update.isComplete() ? ListingKind.ALL : ListingKind.CHANGES, version, updates);
     }
 
     /** A whole list that is as contradictory as the previous one of the same index is not requested again. */
-    private void settleDoubt(ListUpdate update) {
+    private void updateDoubt(ListUpdate update) {
         if (update.isComplete()) {
-            contradictsKnown = false;
-            isDoubtful = hasDoubt && !(isDoubtful && update.index() == version);
+            contradictsInitialList = false;
+            isInDoubt = updateLeavesDoubt && !(isInDoubt && update.index() == version);
         } else {
-            isDoubtful |= hasDoubt;
+            isInDoubt |= updateLeavesDoubt;
         }
     }
 
@@ -222,49 +222,49 @@
         if (!isClockStarted) {
             isClockStarted = true;
             departures.restartClock(nowMicros);
-            known.replaceAll((name, x) -> new Known(x.listed(), x.position().receivedAt(nowMicros)));
+            known.replaceAll((name, endpoint) -> new KnownEndpoint(endpoint.listed(), endpoint.position().receivedAt(nowMicros)));
         }
     }
 
     private ListPosition position(ListUpdate update, long nowMicros) {
         boolean isExact = update.index() != NO_INDEX;
-        ListPosition last = newest.get(update.agent());
+        ListPosition last = newestPositions.get(update.agent());
         long index = isExact || last == null ? update.index() : last.index();
         return new ListPosition(update.agent(), index, isExact, nowMicros);
     }
 
     /** Whether these are changes to an older list than the newest one, so that intermediate changes are missing. */
     private boolean isOlderChange(ListUpdate update, ListPosition position) {
-        ListPosition last = newest.get(update.agent());
+        ListPosition last = newestPositions.get(update.agent());
         return !update.isWhole() && last != null && isOlder(position, last);
     }
 
-    private void remember(ListPosition position) {
-        ListPosition last = newest.get(position.agent());
+    private void recordNewest(ListPosition position) {
+        ListPosition last = newestPositions.get(position.agent());
         if (last == null || last.index() <= position.index() || last.isExpired(position.receivedMicros())) {
-            newest.put(position.agent(), position);
+            newestPositions.put(position.agent(), position);
         }
-        if (newest.size() > MOST_AGENTS) {
-            newest.remove(newest.keySet().iterator().next());
+        if (newestPositions.size() > MAX_AGENTS) {
+            newestPositions.remove(newestPositions.keySet().iterator().next());
         }
     }
 
     /** What the entries say of each name; null for an unknown name without a usable entry. */
     private Map<String, Statement> statements(List<Core.ListedEndpoint> entries, Set<String> unusable) {
         Map<String, Statement> statements = new LinkedHashMap<>(2 * entries.size());
-        Set<String> twice = new LinkedHashSet<>();
+        Set<String> duplicated = new LinkedHashSet<>();
         for (Core.ListedEndpoint listed : entries) {
             Statement before = statements.putIfAbsent(name(listed), new Statement(listed, false));
             if (before != null) {
-                twice.add(name(listed));
-                statements.put(name(listed), joined(before, listed));
+                duplicated.add(name(listed));
+                statements.put(name(listed), merged(before, listed));
             }
         }
-        if (!twice.isEmpty()) {
-            Logs.warn(PART, "entry-twice", "more than one entry in a list for: " + shortened(twice));
+        if (!duplicated.isEmpty()) {
+            Logs.warn(LOG_PART, "entry-twice", "more than one entry in a list for: " + shortened(duplicated));
         }
         for (String name : unusable) {
-            Known before = known.get(name);
+            KnownEndpoint before = known.get(name);
             Statement statement = statements.get(name);
             Core.ListedEndpoint listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
             statements.put(name, listed == null ? null : new Statement(atLeastLeaving(listed), true));
@@ -273,7 +273,7 @@
     }
 
     /** Merges two entries of an endpoint: the more cautious presence, never active if their targets differ. */
-    private Statement joined(Statement one, Core.ListedEndpoint other) {
+    private Statement merged(Statement one, Core.ListedEndpoint other) {
         Presence presence = other.entry().presence();
         if (isSameTarget(one.listed(), other)) {
             boolean isSame = one.presence() == presence;
@@ -289,15 +289,15 @@
     }
 
     /** The core's updates for one statement: the endpoint, and possibly another whose address it has taken over. */
-    private List<Core.ListedEndpoint> heard(
+    private List<Core.ListedEndpoint> apply(
             String name, Statement statement, ListUpdate update, Set<String> mentioned, ListPosition position) {
         if (statement == null) {
             departures.addDisputed(name, position);
             return List.of();
         }
-        hasDoubt |= statement.isDisputed();
+        updateLeavesDoubt |= statement.isDisputed();
         if (statement.presence() != Presence.ACTIVE) {
-            return List.of(depart(statement, position));
+            return List.of(markDeparted(statement, position));
         }
         if (!departures.permits(name, position)) {
             return List.of(withhold(statement.listed(), position));
@@ -307,19 +307,19 @@
         return removed == null ? List.of(active) : List.of(removed, active);
     }
 
-    private Core.ListedEndpoint depart(Statement statement, ListPosition position) {
+    private Core.ListedEndpoint markDeparted(Statement statement, ListPosition position) {
         Core.ListedEndpoint listed = statement.listed();
         if (statement.isDisputed()) {
             departures.addDisputed(name(listed), position);
         } else {
             departures.add(name(listed), position);
         }
-        return putInactive(listed, position);
+        return recordInactive(listed, position);
     }
 
     private Core.ListedEndpoint withhold(Core.ListedEndpoint listed, ListPosition position) {
         boolean isNew = !withheld.contains(name(listed));
-        Core.ListedEndpoint leaving = putInactive(listed.withPresence(Presence.LEAVING), position);
+        Core.ListedEndpoint leaving = recordInactive(listed.withPresence(Presence.LEAVING), position);
         withheld.add(name(listed));
         if (isNew) {
             newlyWithheld.add(name(listed));
@@ -330,7 +330,7 @@
     private void logWithheld(ListPosition position) {
         if (!newlyWithheld.isEmpty()) {
             Logs.warn(
-                    PART,
+                    LOG_PART,
                     "not-believed",
                     "list " + position.index() + " of " + position.agent()
                             + " is not later than what it contradicts; not applied to: "
@@ -340,34 +340,34 @@
     }
 
     private static String shortened(Collection<String> names) {
-        String first = names.stream().limit(MOST_LOGGED).collect(Collectors.joining(", "));
-        return names.size() <= MOST_LOGGED ? first : first + " and " + (names.size() - MOST_LOGGED) + " others";
+        String first = names.stream().limit(MAX_LOGGED_NAMES).collect(Collectors.joining(", "));
+        return names.size() <= MAX_LOGGED_NAMES ? first : first + " and " + (names.size() - MAX_LOGGED_NAMES) + " others";
     }
 
-    private Core.ListedEndpoint putInactive(Core.ListedEndpoint listed, ListPosition position) {
+    private Core.ListedEndpoint recordInactive(Core.ListedEndpoint listed, ListPosition position) {
         remove(name(listed));
         if (listed.entry().presence() != Presence.LEFT) {
-            known.put(name(listed), new Known(listed, position));
+            known.put(name(listed), new KnownEndpoint(listed, position));
         }
         return listed;
     }
 
     private void remove(String name) {
         withheld.remove(name);
-        Known before = known.remove(name);
+        KnownEndpoint before = known.remove(name);
         if (before != null) {
-            holders.remove(address(before.listed()), name);
+            namesByAddress.remove(address(before.listed()), name);
         }
     }
 
     private Core.ListedEndpoint activate(Core.ListedEndpoint listed, ListPosition position) {
         departures.remove(name(listed));
-        Known before = known.get(name(listed));
+        KnownEndpoint before = known.get(name(listed));
         if (before == null || !before.isActive() || !before.position().isExact()) {
-            return keep(listed, position);
+            return recordActive(listed, position);
         }
         if (isSameTarget(before.listed(), listed)) {
-            return keep(listed, isOlder(position, before.position()) ? before.position() : position);
+            return recordActive(listed, isOlder(position, before.position()) ? before.position() : position);
         }
         if (!before.position().permits(position)) {
             if (withheld.add(name(listed))) {
@@ -375,7 +375,7 @@
             }
             return before.listed();
         }
-        return keep(listed, position);
+        return recordActive(listed, position);
     }
 
     /** Whether it is out of order with an unexpired position of the same agent, or has no index. */
@@ -384,10 +384,10 @@
         return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.receivedMicros());
     }
 
-    private Core.ListedEndpoint keep(Core.ListedEndpoint listed, ListPosition position) {
+    private Core.ListedEndpoint recordActive(Core.ListedEndpoint listed, ListPosition position) {
         remove(name(listed));
-        known.put(name(listed), new Known(listed, position));
-        holders.put(address(listed), name(listed));
+        known.put(name(listed), new KnownEndpoint(listed, position));
+        namesByAddress.put(address(listed), name(listed));
         return listed;
     }
 
@@ -396,47 +396,47 @@
      * departed: two names share an address only if a single list says so. Null if there is no such endpoint.
      */
     private Core.ListedEndpoint removedHolder(Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
-        String holder = holders.get(address(listed));
+        String holder = namesByAddress.get(address(listed));
         if (holder == null || holder.equals(name(listed)) || mentioned.contains(holder) || isAt(listed)) {
             return null;
         }
-        hasDoubt = true;
-        Known before = known.get(holder);
+        updateLeavesDoubt = true;
+        KnownEndpoint before = known.get(holder);
         if (!before.position().permits(position)) {
             return null;
         }
-        return depart(new Statement(before.listed().withPresence(Presence.LEAVING), true), position);
+        return markDeparted(new Statement(before.listed().withPresence(Presence.LEAVING), true), position);
     }
 
     /** Whether the endpoint is already active at that address. */
     private boolean isAt(Core.ListedEndpoint listed) {
-        Known before = known.get(name(listed));
+        KnownEndpoint before = known.get(name(listed));
         return before != null && before.isActive() && address(before.listed()).equals(address(listed));
     }
 
     /** Removes the endpoints that a whole list does not mention. */
     private void removeAbsent(Set<String> mentioned, ListPosition position) {
         departures.addAbsent(mentioned, position);
-        for (Iterator<Map.Entry<String, Known>> all = known.entrySet().iterator(); all.hasNext(); ) {
-            Map.Entry<String, Known> entry = all.next();
+        for (Iterator<Map.Entry<String, KnownEndpoint>> all = known.entrySet().iterator(); all.hasNext(); ) {
+            Map.Entry<String, KnownEndpoint> entry = all.next();
             String name = entry.getKey();
             if (!mentioned.contains(name)) {
-                hearAbsent(name, entry.getValue(), position);
+                addAbsent(name, entry.getValue(), position);
                 withheld.remove(name);
-                holders.remove(address(entry.getValue().listed()), name);
+                namesByAddress.remove(address(entry.getValue().listed()), name);
                 all.remove();
             }
         }
     }
 
-    private void hearAbsent(String name, Known before, ListPosition position) {
-        ListPosition said = before.position();
-        boolean isContradiction = said.isExact() && position.isComparableWith(said) && position.index() == said.index();
+    private void addAbsent(String name, KnownEndpoint before, ListPosition position) {
+        ListPosition lastPosition = before.position();
+        boolean isContradiction = lastPosition.isExact() && position.isComparableWith(lastPosition) && position.index() == lastPosition.index();
         if (departures.contains(name)) {
             return; // already handled together with all departed endpoints
         }
         if (isContradiction || !position.isExact()) {
-            hasDoubt = true;
+            updateLeavesDoubt = true;
             departures.addDisputed(name, position);
         } else {
             departures.add(name, position);
@@ -453,7 +453,7 @@
             isStoreFailing = false;
         } catch (IOException e) {
             if (!isStoreFailing) {
-                Logs.error(PART, "departures-not-noted", "departed endpoints could not be saved: " + e);
+                Logs.error(LOG_PART, "departures-not-noted", "departed endpoints could not be saved: " + e);
             }
             isStoreFailing = true; // still marked as changed, so the next list retries
         }
--- a/src/main/java/lilaclever/routing/Front.java
+++ b/src/main/java/lilaclever/routing/Front.java
@@ -9,7 +9,7 @@
     void onAccepted(Message message);
 
     /** The message was rejected in the turn in which it was submitted; no final status follows. */
-    void onRejected(Message message, FinalStatus verdict);
+    void onRejected(Message message, FinalStatus finalStatus);
 
     /**
      * True if duplicates come from the same client, asking again for the result: then one submitter of this front is
@@ -23,7 +23,7 @@
      * A duplicate that was attached to a pending message could not be recorded and will not be notified. Called only on
      * fronts that use shared identities.
      */
-    default void onAttachRejected(Message message, String id, FinalStatus verdict) {
+    default void onAttachRejected(Message message, String id, FinalStatus finalStatus) {
         throw new IllegalStateException(name() + " shares no identities");
     }
 
@@ -32,5 +32,5 @@
      *
      * @param id the id under which this front submitted it: the message's own, or that of an attached duplicate
      */
-    void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled);
+    void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled);
 }
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -16,16 +16,16 @@
     void setLoop(Executor loop);
 
     /** Records an accepted message; false if there is no room for it, and then it must not be accepted. */
-    boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall);
+    boolean recordAccepted(String front, Submission submission, long deadlineWallMicros, long nowWallMicros);
 
     /** Records an attempt before it is made; false if it could not be written, and then it must not be made. */
-    boolean recordAttempt(String id, String host, int zone, long wall);
+    boolean recordAttempt(String id, String host, int zone, long wallMicros);
 
     /** Records the end of an attempt. {@code neverRan}: the endpoint certainly did not process the message. */
     void recordOutcome(String id, boolean neverRan);
 
     /** Records the final status, of which the submitters are still to be notified. */
-    void recordFinalStatus(String id, FinalStatus verdict);
+    void recordFinalStatus(String id, FinalStatus finalStatus);
 
     /** Records that nothing more is to be done for the message. */
     void recordSettled(String id);
@@ -34,14 +34,14 @@
      * Records another submitter of a pending message, to be notified of its final status as well; false if it could not
      * be written, and then that submitter is not notified.
      */
-    boolean recordAttached(String id, String front, String claim);
+    boolean recordAttached(String id, String front, String submitterId);
 
     /** Remembers a final status until its expiry, as the answer to duplicates of the message. */
-    void remember(String identity, CompletedMessage<FinalStatus> past);
+    void remember(String identity, CompletedMessage<FinalStatus> message);
 
     /** Remembers a final status for an identity whose duplicates are not compared by content. */
-    default void remember(String identity, FinalStatus verdict, long untilWall) {
-        remember(identity, new CompletedMessage<>(verdict, null, untilWall));
+    default void remember(String identity, FinalStatus finalStatus, long untilWallMicros) {
+        remember(identity, new CompletedMessage<>(finalStatus, null, untilWallMicros));
     }
 
     /** The final status that is remembered for an identity, or null. */
@@ -63,7 +63,7 @@
     void whenDurable(Runnable consequence);
 
     /** Does a bounded amount of maintenance work, such as compaction; called once a turn. */
-    void maintain(long nowWall);
+    void maintain(long nowWallMicros);
 
     @Override
     void close() throws IOException;
--- a/src/main/java/lilaclever/routing/ListPosition.java
+++ b/src/main/java/lilaclever/routing/ListPosition.java
@@ -54,7 +54,7 @@
         return new ListPosition(agent, index - 1, isExact, receivedMicros);
     }
 
-    ListPosition receivedAt(long micros) {
-        return new ListPosition(agent, index, isExact, micros);
+    ListPosition receivedAt(long nowMicros) {
+        return new ListPosition(agent, index, isExact, nowMicros);
     }
 }
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -17,13 +17,13 @@
  */
 public final class ManualDrains {
     /** Listed ids to remember; departed ones are evicted oldest first. Commands for ids never listed are refused. */
-    private static final int MOST_KNOWN = 50_000;
+    private static final int MAX_LISTED = 50_000;
     /** Endpoints suspended at once, as many as the largest fleets have: bounded so that the file fits on the disk. */
-    static final int MOST_OUT = 1_024;
+    static final int MAX_SUSPENDED = 1_024;
     /** Longer than any id, and short enough to bound the size of the file. */
-    private static final int LONGEST = 64;
+    private static final int MAX_ID_LENGTH = 64;
     /** Largest size of the stored ids, one line each. */
-    public static final long MAX_STORED_BYTES = MOST_OUT * (LONGEST + 1);
+    public static final long MAX_STORED_BYTES = MAX_SUSPENDED * (MAX_ID_LENGTH + 1);
 
     /** Persistent storage of the suspended ids. */
     public interface SuspensionStore {
@@ -41,106 +41,106 @@
     }
 
     private final Core core;
-    private final SuspensionStore note;
-    private final Set<String> out;
+    private final SuspensionStore store;
+    private final Set<String> suspended;
     /** The last listed state of each endpoint by name, including endpoints that have left. */
     private final Map<String, Core.ListedEndpoint> listed = new LinkedHashMap<>();
 
     private long version;
 
     /** Starts with the ids that an earlier run stored. */
-    public ManualDrains(Core core, Set<String> noted, SuspensionStore note) {
+    public ManualDrains(Core core, Set<String> stored, SuspensionStore store) {
         this.core = core;
-        this.note = note;
-        this.out = new LinkedHashSet<>(noted);
-        core.counters().entryGauge("suspended", out::size);
+        this.store = store;
+        this.suspended = new LinkedHashSet<>(stored);
+        core.counters().entryGauge("suspended", suspended::size);
         core.counters().entryGauge("listed", listed::size);
     }
 
     /** Passes a list or changes from the directory on to the core. */
-    public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
-        core.updateEndpoints(kind, version, withSuspensions(kind, version, news));
+    public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
+        core.updateEndpoints(kind, version, withSuspensions(kind, version, entries));
     }
 
     /**
      * Records the listed states and returns what to pass to the core, with suspended endpoints as leaving. Called
      * directly for the initial list, which the core gets from the program.
      */
-    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> news) {
+    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
             // Endpoints in the whole list are set again below.
-            listed.replaceAll((host, x) -> x.withPresence(DecisionModule.Presence.LEFT));
+            listed.replaceAll((host, item) -> item.withPresence(DecisionModule.Presence.LEFT));
         }
-        for (Core.ListedEndpoint x : news) {
-            listed.remove(x.entry().host()); // moves it to the end of the eviction order
-            listed.put(x.entry().host(), x);
+        for (Core.ListedEndpoint item : entries) {
+            listed.remove(item.entry().host()); // moves it to the end of the eviction order
+            listed.put(item.entry().host(), item);
         }
-        for (var i = listed.entrySet().iterator(); listed.size() > MOST_KNOWN && i.hasNext(); ) {
+        for (var i = listed.entrySet().iterator(); listed.size() > MAX_LISTED && i.hasNext(); ) {
             if (i.next().getValue().entry().presence() == DecisionModule.Presence.LEFT) {
                 i.remove();
             }
         }
-        return apply(news);
+        return markSuspended(entries);
     }
 
-    private List<Core.ListedEndpoint> apply(List<Core.ListedEndpoint> news) {
-        List<Core.ListedEndpoint> told = new ArrayList<>(news);
-        told.replaceAll(x -> out.contains(x.entry().host()) && x.entry().presence() == DecisionModule.Presence.ACTIVE
-                ? x.withPresence(DecisionModule.Presence.LEAVING)
-                : x);
-        return told;
+    private List<Core.ListedEndpoint> markSuspended(List<Core.ListedEndpoint> entries) {
+        List<Core.ListedEndpoint> result = new ArrayList<>(entries);
+        result.replaceAll(item -> suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
+                ? item.withPresence(DecisionModule.Presence.LEAVING)
+                : item);
+        return result;
     }
 
     /** Suspends the endpoint from the next turn on; no effect if it is suspended already. */
     public void suspend(String id) throws RefusedException {
-        Core.ListedEndpoint now = known(id);
-        if (out.contains(id)) {
+        Core.ListedEndpoint current = findListed(id);
+        if (suspended.contains(id)) {
             return;
         }
-        if (out.size() >= MOST_OUT || id.length() > LONGEST) {
-            throw new RefusedException("no more than " + MOST_OUT + " endpoints may be out at once");
+        if (suspended.size() >= MAX_SUSPENDED || id.length() > MAX_ID_LENGTH) {
+            throw new RefusedException("no more than " + MAX_SUSPENDED + " endpoints may be out at once");
         }
-        out.add(id);
-        if (!noted()) {
-            out.remove(id);
+        suspended.add(id);
+        if (!save()) {
+            suspended.remove(id);
             throw new RefusedException(id + ": can't be noted on disk, so it stays in");
         }
         Logs.info("", "suspended", id + " was suspended by an operator", "endpoint", id);
-        tell(now);
+        updateCore(current);
     }
 
     /** Restores the endpoint, however often it was suspended. */
     public void restore(String id) throws RefusedException {
-        Core.ListedEndpoint now = known(id);
-        if (!out.remove(id)) {
+        Core.ListedEndpoint current = findListed(id);
+        if (!suspended.remove(id)) {
             return;
         }
-        if (!noted()) {
-            out.add(id);
+        if (!save()) {
+            suspended.add(id);
             throw new RefusedException(id + ": can't be noted on disk, so it stays out");
         }
         Logs.info("", "restored", id + " was restored by an operator", "endpoint", id);
-        tell(now);
+        updateCore(current);
     }
 
-    private Core.ListedEndpoint known(String id) throws RefusedException {
-        Core.ListedEndpoint now = listed.get(id);
-        if (now == null && !out.contains(id)) {
+    private Core.ListedEndpoint findListed(String id) throws RefusedException {
+        Core.ListedEndpoint current = listed.get(id);
+        if (current == null && !suspended.contains(id)) {
             throw new RefusedException(id + ": never listed");
         }
-        return now;
+        return current;
     }
 
-    private void tell(Core.ListedEndpoint now) {
-        if (now != null && now.entry().presence() != DecisionModule.Presence.LEFT) {
-            core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, apply(List.of(now)));
+    private void updateCore(Core.ListedEndpoint current) {
+        if (current != null && current.entry().presence() != DecisionModule.Presence.LEFT) {
+            core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, markSuspended(List.of(current)));
         }
     }
 
-    private boolean noted() {
+    private boolean save() {
         try {
-            note.save(out);
+            store.save(suspended);
             return true;
         } catch (IOException e) {
             Logs.error("", "suspension-not-noted", "suspended endpoints could not be saved: " + e);
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -9,7 +9,7 @@
 /** A message in the core, from submission until it is settled. */
 public final class Message {
     /** Age of an attempt whose time is not known: one day. */
-    private static final long LONG_AGO = 86_400_000_000L;
+    private static final long UNKNOWN_AGE_MICROS = 86_400_000_000L;
 
     public final Submission submission;
     /** The front that submitted it first. */
@@ -19,7 +19,7 @@
     /** Who is notified of the final status: the submitter, and those who submitted a duplicate since. */
     final List<DeduplicationTable.Submitter> submitters = new ArrayList<>(1);
 
-    private Fingerprint content;
+    private Fingerprint fingerprint;
     boolean isJournaled;
     boolean isAcceptanceDurable;
     boolean isFinished;
@@ -41,19 +41,19 @@
     /** Human-readable response of the last endpoint. */
     public String lastResponseText = "";
 
-    Message(Submission submission, Front front, long deadlineWall) {
+    Message(Submission submission, Front front, long deadlineWallMicros) {
         this.submission = submission;
         this.front = front;
-        this.deadlineWallMicros = deadlineWall;
+        this.deadlineWallMicros = deadlineWallMicros;
         submitters.add(new DeduplicationTable.Submitter(front, submission.id()));
     }
 
     /** The fingerprint of its content where duplicates are compared by content, else null. */
     Fingerprint fingerprint() {
-        if (content == null && Identity.isShared(submission.identity())) {
-            content = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
+        if (fingerprint == null && Identity.isShared(submission.identity())) {
+            fingerprint = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
         }
-        return content;
+        return fingerprint;
     }
 
     /** The id under which the front submitted it. */
@@ -76,20 +76,20 @@
         return finalStatus;
     }
 
-    void markPossiblyRun(String host, int zone, long wall) {
+    void markPossiblyRun(String host, int zone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
             possibleRunHost = host;
             possibleRunZone = zone;
-            possibleRunWallMicros = wall;
+            possibleRunWallMicros = wallMicros;
         }
     }
 
-    DecisionModule.Event.Submit toSubmitEvent(long nowMono, long nowWall) {
+    DecisionModule.Event.Submit toSubmitEvent(long nowMicros, long nowWallMicros) {
         // An attempt in the future means that the clock was set back, so its age is not known.
-        long since = nowWall < possibleRunWallMicros ? LONG_AGO : nowWall - possibleRunWallMicros;
+        long ageMicros = nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
         DecisionModule.Prior prior =
-                isResumed ? new DecisionModule.Prior(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMono - since) : null;
+                isResumed ? new DecisionModule.Prior(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros) : null;
         return new DecisionModule.Event.Submit(
                 id(),
                 submission.messageClass(),
@@ -98,7 +98,7 @@
                 null,
                 submission.resubmitted(),
                 submission.inherited(),
-                Math.max(0, Math.min(submission.budgetMicros(), deadlineWallMicros - nowWall)),
+                Math.max(0, Math.min(submission.budgetMicros(), deadlineWallMicros - nowWallMicros)),
                 prior);
     }
 }
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -11,24 +11,24 @@
 
     private final String front;
     private final Submission submission;
-    private final long deadlineWall;
+    private final long deadlineWallMicros;
     private int attempts;
-    private boolean out;
-    private String host = "";
-    private int zone;
-    private long sentWall;
+    private boolean isInFlight;
+    private String lastHost = "";
+    private int lastZone;
+    private long lastAttemptWallMicros;
     private boolean mayHaveRun;
-    private String riskHost = "";
-    private int riskZone;
-    private long riskWall;
-    private FinalStatus verdict;
-    private List<Submitter> joined = List.of();
+    private String possibleRunHost = "";
+    private int possibleRunZone;
+    private long possibleRunWallMicros;
+    private FinalStatus finalStatus;
+    private List<Submitter> attachedSubmitters = List.of();
 
     /** A message that was just accepted; the deadline is on the wall clock, microseconds. */
-    public PendingMessage(String front, Submission submission, long deadlineWall) {
+    public PendingMessage(String front, Submission submission, long deadlineWallMicros) {
         this.front = front;
         this.submission = submission;
-        this.deadlineWall = deadlineWall;
+        this.deadlineWallMicros = deadlineWallMicros;
     }
 
     /** The name of the front that submitted it first. */
@@ -43,7 +43,7 @@
 
     /** The deadline on the wall clock, microseconds. */
     public long deadlineWallMicros() {
-        return deadlineWall;
+        return deadlineWallMicros;
     }
 
     /** Attempts made so far. */
@@ -53,22 +53,22 @@
 
     /** True while an attempt is in flight. */
     public boolean isInFlight() {
-        return out;
+        return isInFlight;
     }
 
     /** The endpoint of the last attempt. */
     public String lastHost() {
-        return host;
+        return lastHost;
     }
 
     /** The zone of the last attempt. */
     public int lastZone() {
-        return zone;
+        return lastZone;
     }
 
     /** When the last attempt was made, wall clock, microseconds. */
     public long lastAttemptWallMicros() {
-        return sentWall;
+        return lastAttemptWallMicros;
     }
 
     /** True if an endpoint may have processed the message in an attempt that has ended. */
@@ -78,63 +78,63 @@
 
     /** The endpoint of the first attempt that may have been processed; empty if not known. */
     public String possibleRunHost() {
-        return riskHost;
+        return possibleRunHost;
     }
 
     /** The zone of that attempt. */
     public int possibleRunZone() {
-        return riskZone;
+        return possibleRunZone;
     }
 
     /** When that attempt was made, wall clock, microseconds. */
     public long possibleRunWallMicros() {
-        return riskWall;
+        return possibleRunWallMicros;
     }
 
     /** The final status of which not all submitters are notified yet, or null. */
     public FinalStatus finalStatus() {
-        return verdict;
+        return finalStatus;
     }
 
     /** Submitters to be notified beside the first. */
     public List<Submitter> attachedSubmitters() {
-        return Collections.unmodifiableList(joined);
+        return Collections.unmodifiableList(attachedSubmitters);
     }
 
     /** Adds a submitter; no effect if it is there already. */
-    public void attach(Submitter claim) {
-        if (joined.isEmpty()) {
-            joined = new ArrayList<>(1); // most messages have no further submitter
+    public void attach(Submitter submitter) {
+        if (attachedSubmitters.isEmpty()) {
+            attachedSubmitters = new ArrayList<>(1); // most messages have no further submitter
         }
-        if (!joined.contains(claim)) {
-            joined.add(claim);
+        if (!attachedSubmitters.contains(submitter)) {
+            attachedSubmitters.add(submitter);
         }
     }
 
     /** Notes an attempt that is made. */
-    public void attemptStarted(String toHost, int toZone, long wall) {
+    public void attemptStarted(String toHost, int toZone, long wallMicros) {
         attempts++;
-        out = true;
-        host = toHost;
-        zone = toZone;
-        sentWall = wall;
+        isInFlight = true;
+        lastHost = toHost;
+        lastZone = toZone;
+        lastAttemptWallMicros = wallMicros;
     }
 
     /** Notes the end of the attempt in flight. */
     public void attemptEnded(boolean neverRan) {
-        out = false;
+        isInFlight = false;
         if (!neverRan) {
-            markPossiblyRun(host, zone, sentWall);
+            markPossiblyRun(lastHost, lastZone, lastAttemptWallMicros);
         }
     }
 
     /** Notes an attempt that may have been processed; only the first one is kept. */
-    public void markPossiblyRun(String atHost, int atZone, long atWall) {
+    public void markPossiblyRun(String atHost, int atZone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
-            riskHost = atHost;
-            riskZone = atZone;
-            riskWall = atWall;
+            possibleRunHost = atHost;
+            possibleRunZone = atZone;
+            possibleRunWallMicros = wallMicros;
         }
     }
 
@@ -144,19 +144,19 @@
      */
     public void assumeLostAttempt() {
         attempts = Math.max(1, attempts);
-        markPossiblyRun(host, zone, deadlineWall - submission.budgetMicros());
+        markPossiblyRun(lastHost, lastZone, deadlineWallMicros - submission.budgetMicros());
     }
 
-    public void setFinalStatus(FinalStatus end) {
-        verdict = end;
+    public void setFinalStatus(FinalStatus status) {
+        finalStatus = status;
     }
 
     /** Restores the state of the attempts from a record of the whole message. */
-    public void restoreAttempts(int made, boolean isOut, String lastHost, int lastZone, long lastWall) {
-        attempts = made;
-        out = isOut;
-        host = lastHost;
-        zone = lastZone;
-        sentWall = lastWall;
+    public void restoreAttempts(int attemptCount, boolean attemptInFlight, String host, int zone, long wallMicros) {
+        attempts = attemptCount;
+        isInFlight = attemptInFlight;
+        lastHost = host;
+        lastZone = zone;
+        lastAttemptWallMicros = wallMicros;
     }
 }
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -10,28 +10,28 @@
  * Any thread.
  */
 public final class RetryAfterTable {
-    private final Map<Object, Long> ends = new ConcurrentHashMap<>();
+    private final Map<Object, Long> expiryMicros = new ConcurrentHashMap<>();
 
     /** What a retry-after of this endpoint applies to. */
-    private static Object route(Call.Endpoint endpoint) {
+    private static Object keyOf(Call.Endpoint endpoint) {
         return endpoint.hasOwnLimits() ? endpoint.host() : (Object) endpoint.destination();
     }
 
     /** Records a retry-after of the endpoint; a shorter period does not cut a longer one short. */
     public void record(Call.Endpoint endpoint, long untilMicros) {
-        ends.merge(route(endpoint), untilMicros, Math::max);
+        expiryMicros.merge(keyOf(endpoint), untilMicros, Math::max);
     }
 
     /** The rest of the retry-after period that applies to the endpoint; 0 if there is none. */
     public long remainingMicros(Call.Endpoint endpoint, long nowMicros) {
-        return Math.max(0, ends.getOrDefault(route(endpoint), nowMicros) - nowMicros);
+        return Math.max(0, expiryMicros.getOrDefault(keyOf(endpoint), nowMicros) - nowMicros);
     }
 
     public void removeExpired(long nowMicros) {
-        ends.values().removeIf(end -> end <= nowMicros);
+        expiryMicros.values().removeIf(untilMicros -> untilMicros <= nowMicros);
     }
 
     public int size() {
-        return ends.size();
+        return expiryMicros.size();
     }
 }
--- a/src/main/java/lilaclever/transport/ConnectionPool.java
+++ b/src/main/java/lilaclever/transport/ConnectionPool.java
@@ -18,33 +18,33 @@
 public final class ConnectionPool<C> {
     private record Idle<C>(C connection, long sinceMicros) {}
 
-    private final long keepMicros;
-    private final int most;
+    private final long maxIdleMicros;
+    private final int maxIdle;
     private final Predicate<C> isOpen;
     private final Consumer<C> close;
     private final Map<String, ArrayDeque<Idle<C>>> idle = new HashMap<>();
     private int count;
 
     /** Keeps idle connections up to the given time and total number, since file descriptors are limited. */
-    public ConnectionPool(long keepMicros, int most, Predicate<C> isOpen, Consumer<C> close) {
-        this.keepMicros = keepMicros;
-        this.most = most;
+    public ConnectionPool(long maxIdleMicros, int maxIdle, Predicate<C> isOpen, Consumer<C> close) {
+        this.maxIdleMicros = maxIdleMicros;
+        this.maxIdle = maxIdle;
         this.isOpen = isOpen;
         this.close = close;
     }
 
     /** A pool of socket connections. */
-    public static ConnectionPool<Connection<?>> ofSockets(long keepMicros, int most) {
-        return new ConnectionPool<>(keepMicros, most, Connection::isOpen, Connection::closeSilently);
+    public static ConnectionPool<Connection<?>> ofSockets(long maxIdleMicros, int maxIdle) {
+        return new ConnectionPool<>(maxIdleMicros, maxIdle, Connection::isOpen, Connection::closeSilently);
     }
 
     /** Takes an idle connection to the endpoint out of the pool; null if there is none. */
     public C acquire(String endpoint, long nowMicros) {
-        ArrayDeque<Idle<C>> all = idle.get(endpoint);
-        while (all != null && !all.isEmpty()) {
-            Idle<C> last = all.pollLast();
+        ArrayDeque<Idle<C>> connections = idle.get(endpoint);
+        while (connections != null && !connections.isEmpty()) {
+            Idle<C> last = connections.pollLast();
             count--;
-            if (isOpen.test(last.connection()) && nowMicros - last.sinceMicros() < keepMicros) {
+            if (isOpen.test(last.connection()) && nowMicros - last.sinceMicros() < maxIdleMicros) {
                 return last.connection();
             }
             close.accept(last.connection());
@@ -55,19 +55,19 @@
     /** Returns a connection to the pool after its call. */
     public void release(String endpoint, C connection, long nowMicros) {
         idle.computeIfAbsent(endpoint, e -> new ArrayDeque<>()).addLast(new Idle<>(connection, nowMicros));
-        if (++count > most) {
-            dropOldest();
+        if (++count > maxIdle) {
+            closeOldest();
         }
     }
 
-    private void dropOldest() {
+    private void closeOldest() {
         ArrayDeque<Idle<C>> oldest = null;
-        for (ArrayDeque<Idle<C>> all : idle.values()) {
-            if (!all.isEmpty()
+        for (ArrayDeque<Idle<C>> connections : idle.values()) {
+            if (!connections.isEmpty()
                     && (oldest == null
-                            || all.peekFirst().sinceMicros()
+                            || connections.peekFirst().sinceMicros()
                                     < oldest.peekFirst().sinceMicros())) {
-                oldest = all;
+                oldest = connections;
             }
         }
         close.accept(oldest.pollFirst().connection());
@@ -81,27 +81,27 @@
 
     /** Closes the idle connections to the endpoint. */
     public void closeIdle(String endpoint) {
-        ArrayDeque<Idle<C>> all = idle.remove(endpoint);
-        if (all != null) {
-            count -= all.size();
-            all.forEach(x -> close.accept(x.connection()));
+        ArrayDeque<Idle<C>> connections = idle.remove(endpoint);
+        if (connections != null) {
+            count -= connections.size();
+            connections.forEach(item -> close.accept(item.connection()));
         }
     }
 
     /** Closes connections that have been idle for too long, and removes those closed by the peer. */
     public void closeExpired(long nowMicros) {
         for (Iterator<ArrayDeque<Idle<C>>> i = idle.values().iterator(); i.hasNext(); ) {
-            ArrayDeque<Idle<C>> all = i.next();
-            all.removeIf(x -> {
-                boolean old = nowMicros - x.sinceMicros() >= keepMicros;
-                if (old) {
-                    close.accept(x.connection());
+            ArrayDeque<Idle<C>> connections = i.next();
+            connections.removeIf(item -> {
+                boolean isExpired = nowMicros - item.sinceMicros() >= maxIdleMicros;
+                if (isExpired) {
+                    close.accept(item.connection());
                 }
-                boolean out = old || !isOpen.test(x.connection());
-                count -= out ? 1 : 0;
-                return out;
+                boolean isRemoved = isExpired || !isOpen.test(item.connection());
+                count -= isRemoved ? 1 : 0;
+                return isRemoved;
             });
-            if (all.isEmpty()) {
+            if (connections.isEmpty()) {
                 i.remove();
             }
         }
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -34,16 +34,16 @@
 /** All sockets of the program, served by one selector thread, on which the filters run. */
 public final class Transport implements AutoCloseable {
     private static final int BACKLOG = 512;
-    private static final int BUFFER = 16 * 1024;
+    private static final int BUFFER_BYTES = 16 * 1024;
     /** Far below the 100 ms within which a received response has to take effect. */
-    private static final long LATELY = 20_000_000;
+    private static final long MAX_SELECTION_NANOS = 20_000_000;
     /**
      * Selections to wait for, even if each takes longer than that, before the task runs anyway: on a machine that is
      * always busy none is short.
      */
-    private static final int MOST_SELECTIONS = 5;
+    private static final int MAX_SELECTIONS = 5;
 
-    private static final Pattern LITERAL = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
+    private static final Pattern IP_LITERAL = Pattern.compile("[0-9.]+|\\[[0-9a-fA-F:.]+]");
 
     private final TCPNIOTransport tcp;
 
@@ -63,8 +63,8 @@
                 .setReuseAddress(true)
                 .setTcpNoDelay(true)
                 .setServerConnectionBackLog(BACKLOG)
-                .setReadBufferSize(BUFFER)
-                .setWriteBufferSize(BUFFER)
+                .setReadBufferSize(BUFFER_BYTES)
+                .setWriteBufferSize(BUFFER_BYTES)
                 .build();
         tcp.start();
     }
@@ -94,17 +94,17 @@
      */
     @SuppressWarnings("rawtypes")
     public Runnable connect(
-            InetSocketAddress address, FilterChain chain, Consumer<Connection<?>> up, Consumer<Throwable> failed) {
+            InetSocketAddress address, FilterChain chain, Consumer<Connection<?>> onConnected, Consumer<Throwable> onFailed) {
         GrizzlyFuture<Connection> pending = new Connector(tcp, chain)
                 .open(address, new EmptyCompletionHandler<Connection>() {
                     @Override
                     public void completed(Connection connection) {
-                        up.accept(connection);
+                        onConnected.accept(connection);
                     }
 
                     @Override
                     public void failed(Throwable problem) {
-                        failed.accept(problem);
+                        onFailed.accept(problem);
                     }
                 });
         return () -> pending.cancel(false);
@@ -134,14 +134,14 @@
      * bounded, in case all of them take long.
      */
     public static void runAfterReading(Connection<?> connection, Runnable task) {
-        runOnSelector(connection, () -> nextSelection(connection, task, MOST_SELECTIONS));
+        runOnSelector(connection, () -> runAfterSelection(connection, task, MAX_SELECTIONS));
     }
 
-    private static void nextSelection(Connection<?> connection, Runnable task, int left) {
-        long before = System.nanoTime();
+    private static void runAfterSelection(Connection<?> connection, Runnable task, int selectionsLeft) {
+        long startedNanos = System.nanoTime();
         runOnSelector(connection, () -> {
-            if (left > 1 && System.nanoTime() - before > LATELY) {
-                nextSelection(connection, task, left - 1); // it took long, so more may have been received since
+            if (selectionsLeft > 1 && System.nanoTime() - startedNanos > MAX_SELECTION_NANOS) {
+                runAfterSelection(connection, task, selectionsLeft - 1); // it took long, so more may have been received since
             } else {
                 task.run();
             }
@@ -190,23 +190,23 @@
     }
 
     /** Writes bytes; one of the two callbacks is run, on any thread. */
-    public static void write(Connection<?> connection, byte[] bytes, Runnable written, Runnable failed) {
-        write(connection, Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), written, failed);
+    public static void write(Connection<?> connection, byte[] bytes, Runnable onWritten, Runnable onFailed) {
+        write(connection, Buffers.wrap(MemoryManager.DEFAULT_MEMORY_MANAGER, bytes), onWritten, onFailed);
     }
 
     /** Writes a message through the connection's filters; one of the two callbacks is run, on any thread. */
     @SuppressWarnings("unchecked")
-    public static <M> void write(Connection<?> connection, M message, Runnable written, Runnable failed) {
+    public static <M> void write(Connection<?> connection, M message, Runnable onWritten, Runnable onFailed) {
         ((Connection<SocketAddress>) connection)
                 .write(message, new EmptyCompletionHandler<WriteResult<M, SocketAddress>>() {
                     @Override
                     public void completed(WriteResult<M, SocketAddress> result) {
-                        written.run();
+                        onWritten.run();
                     }
 
                     @Override
                     public void failed(Throwable problem) {
-                        failed.run();
+                        onFailed.run();
                     }
                 });
     }
@@ -214,7 +214,7 @@
     /** Parses an address such as 127.0.0.1:25 or [::1]:25; host names are not accepted, so nothing is resolved. */
     public static InetSocketAddress parseAddress(String hostAndPort) {
         int colon = hostAndPort.lastIndexOf(':');
-        if (colon <= 0 || !LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
+        if (colon <= 0 || !IP_LITERAL.matcher(hostAndPort.substring(0, colon)).matches()) {
             throw new IllegalArgumentException("not an IP address and a port: " + hostAndPort);
         }
         return new InetSocketAddress(
--- a/src/test/java/lilaclever/identity/IdentitiesTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Duplicate detection, by its rules and by random sequences against a simple model. */
-class IdentitiesTest {
+class DuplicateDetectorTest {
     private static final Fingerprint A = Fingerprint.of(0, 7, new byte[] {1}), B = Fingerprint.of(0, 7, new byte[] {2});
     private static final String ONE = new Identity("north", "k1").text(), TWO = new Identity("south", "k1").text();
 
-    private static final class Plain implements CompletedMessageStore<String> {
+    private static final class MapStore implements CompletedMessageStore<String> {
         final Map<String, CompletedMessage<String>> all = new HashMap<>();
 
         @Override
@@ -49,65 +49,65 @@
         }
     }
 
-    private final Plain memory = new Plain();
-    private final DuplicateDetector<String, String> identities =
-            new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), memory);
+    private final MapStore store = new MapStore();
+    private final DuplicateDetector<String, String> detector =
+            new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
 
     @Test
-    void aMessageIsFreshThenHeldThenOver() {
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, A, 0));
-        identities.addPending(ONE, A, "m");
-        assertEquals(new DuplicateCheckResult.PendingDuplicate<>("m"), identities.check(ONE, A, 0));
-        identities.removePending(ONE, "m");
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, A, 0)); // as after a refusal
-        identities.addCompleted(ONE, A, 0, "delivered", 5);
-        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), identities.check(ONE, A, 104));
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, A, 105));
+    void messageIsNewThenPendingThenCompleted() {
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, A, 0));
+        detector.addPending(ONE, A, "m");
+        assertEquals(new DuplicateCheckResult.PendingDuplicate<>("m"), detector.check(ONE, A, 0));
+        detector.removePending(ONE, "m");
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, A, 0)); // as after a refusal
+        detector.addCompleted(ONE, A, 0, "delivered", 5);
+        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), detector.check(ONE, A, 104));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, A, 105));
     }
 
     /** Guards against treating messages of two practices that use the same keys as duplicates. */
     @Test
-    void practicesShareNoKeys() {
-        identities.addPending(ONE, A, "m");
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(TWO, A, 0));
+    void equalKeysOfTwoPracticesAreDistinct() {
+        detector.addPending(ONE, A, "m");
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(TWO, A, 0));
     }
 
     /** Guards against answering a different message with the result of the first, without delivering it. */
     @Test
-    void otherContentClashesForAsLongAsTheFirstIsKnown() {
-        identities.addPending(ONE, A, "m");
-        assertEquals(new DuplicateCheckResult.Conflict<>(true), identities.check(ONE, B, 0));
-        identities.removePending(ONE, "m");
-        identities.addCompleted(ONE, A, 1, "delivered", 0);
-        assertEquals(new DuplicateCheckResult.Conflict<>(false), identities.check(ONE, B, 9));
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check(ONE, B, 10));
+    void otherContentConflictsWhileTheFirstIsKnown() {
+        detector.addPending(ONE, A, "m");
+        assertEquals(new DuplicateCheckResult.Conflict<>(true), detector.check(ONE, B, 0));
+        detector.removePending(ONE, "m");
+        detector.addCompleted(ONE, A, 1, "delivered", 0);
+        assertEquals(new DuplicateCheckResult.Conflict<>(false), detector.check(ONE, B, 9));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, B, 10));
     }
 
     /** Mails have no fingerprint, nor have results remembered in the first journal format. */
     @Test
-    void whatIsNotComparedNeverClashes() {
-        identities.addCompleted("<1@x> a@b", null, 1, "delivered", 0);
-        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), identities.check("<1@x> a@b", null, 49));
-        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), identities.check("<1@x> a@b", A, 49));
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), identities.check("<1@x> a@b", null, 50));
+    void messageWithoutFingerprintNeverConflicts() {
+        detector.addCompleted("<1@x> a@b", null, 1, "delivered", 0);
+        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), detector.check("<1@x> a@b", null, 49));
+        assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), detector.check("<1@x> a@b", A, 49));
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check("<1@x> a@b", null, 50));
     }
 
     /** When the capacity is reached, the result that expires first is removed. */
     @Test
-    void roomIsMadeByForgettingTheSoonest() {
-        identities.addCompleted("a", null, 0, "1", 0);
-        identities.addCompleted(ONE, A, 0, "2", 0);
-        identities.addCompleted(TWO, A, 1, "3", 0);
-        identities.addCompleted("b", null, 0, "4", 0);
-        assertEquals(3, memory.size());
-        assertEquals(1, identities.forgottenEarly());
-        assertFalse(memory.all.containsKey(TWO)); // the window of its class is the shortest
-        identities.addCompleted("b", null, 0, "5", 1);
-        assertEquals(1, identities.forgottenEarly()); // replacing a result needs no further capacity
+    void soonestExpiringIsEvictedWhenFull() {
+        detector.addCompleted("a", null, 0, "1", 0);
+        detector.addCompleted(ONE, A, 0, "2", 0);
+        detector.addCompleted(TWO, A, 1, "3", 0);
+        detector.addCompleted("b", null, 0, "4", 0);
+        assertEquals(3, store.size());
+        assertEquals(1, detector.forgottenEarly());
+        assertFalse(store.all.containsKey(TWO)); // the window of its class is the shortest
+        detector.addCompleted("b", null, 0, "5", 1);
+        assertEquals(1, detector.forgottenEarly()); // replacing a result needs no further capacity
     }
 
     @Test
-    void identitiesAreBoundedWords() {
+    void identityPartsAreBoundedAndHaveNoWhiteSpace() {
         assertEquals(new Identity("a", "b/c"), Identity.parse(new Identity("a", "b/c").text()));
         assertTrue(Identity.isShared(ONE));
         assertFalse(Identity.isShared("<1@x> a@b"));
@@ -120,7 +120,7 @@
     }
 
     /** One step on one of a few identities. {@code what}: 0 submits, 1 completes, 2 removes the message. */
-    record Step(int what, int identity, boolean other, int messageClass, int time) {}
+    record Step(int action, int identity, boolean otherContent, int messageClass, int elapsed) {}
 
     @Provide
     Arbitrary<List<Step>> steps() {
@@ -138,51 +138,51 @@
 
     /** Guards against duplicate delivery, a result returned for the wrong message, and an exceeded capacity. */
     @Property(tries = 500, seed = "-1")
-    void itSaysWhatAPlainModelSays(@ForAll("steps") List<Step> steps) {
-        Plain kept = new Plain();
-        DuplicateDetector<String, String> tested = new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), kept);
-        Map<String, Fingerprint> held = new HashMap<>();
+    void agreesWithASimpleModel(@ForAll("steps") List<Step> steps) {
+        MapStore store = new MapStore();
+        DuplicateDetector<String, String> detector = new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
+        Map<String, Fingerprint> pending = new HashMap<>();
         long now = 0;
-        for (Step s : steps) {
-            now += s.time();
-            String id = new Identity("p", "k" + s.identity()).text().intern(); // also stands for the message
-            Fingerprint content = s.other() ? B : A;
-            CompletedMessage<String> past = kept.all.get(id);
-            boolean known = past != null && past.untilWallMicros() > now;
-            switch (s.what()) {
+        for (Step step : steps) {
+            now += step.elapsed();
+            String id = new Identity("p", "k" + step.identity()).text().intern(); // also stands for the message
+            Fingerprint content = step.otherContent() ? B : A;
+            CompletedMessage<String> completed = store.all.get(id);
+            boolean known = completed != null && completed.untilWallMicros() > now;
+            switch (step.action()) {
                 case 0 -> {
-                    DuplicateCheckResult<String, String> is = tested.check(id, content, now);
-                    DuplicateCheckResult<String, String> should = held.containsKey(id)
-                            ? held.get(id).equals(content)
+                    DuplicateCheckResult<String, String> actual = detector.check(id, content, now);
+                    DuplicateCheckResult<String, String> expected = pending.containsKey(id)
+                            ? pending.get(id).equals(content)
                                     ? new DuplicateCheckResult.PendingDuplicate<>(id)
                                     : new DuplicateCheckResult.Conflict<>(true)
                             : !known
                                     ? new DuplicateCheckResult.NewMessage<>()
-                                    : past.fingerprint().equals(content)
-                                            ? new DuplicateCheckResult.CompletedDuplicate<>(past.result())
+                                    : completed.fingerprint().equals(content)
+                                            ? new DuplicateCheckResult.CompletedDuplicate<>(completed.result())
                                             : new DuplicateCheckResult.Conflict<>(false);
-                    assertEquals(should, is);
-                    if (is instanceof DuplicateCheckResult.NewMessage<String, String>) {
-                        tested.addPending(id, content, id);
-                        held.put(id, content);
+                    assertEquals(expected, actual);
+                    if (actual instanceof DuplicateCheckResult.NewMessage<String, String>) {
+                        detector.addPending(id, content, id);
+                        pending.put(id, content);
                     }
                 }
                 case 1 -> {
-                    tested.removePending(id, id);
-                    if (held.containsKey(id)) {
-                        tested.addCompleted(id, held.remove(id), s.messageClass(), "end at " + now, now);
+                    detector.removePending(id, id);
+                    if (pending.containsKey(id)) {
+                        detector.addCompleted(id, pending.remove(id), step.messageClass(), "end at " + now, now);
                         assertEquals(
-                                now + (s.messageClass() == 0 ? 100 : 10),
-                                kept.all.get(id).untilWallMicros());
+                                now + (step.messageClass() == 0 ? 100 : 10),
+                                store.all.get(id).untilWallMicros());
                     }
                 }
                 default -> {
-                    tested.removePending(id, id);
-                    held.remove(id);
+                    detector.removePending(id, id);
+                    pending.remove(id);
                 }
             }
-            assertEquals(held.size(), tested.pendingCount());
-            assertTrue(kept.size() <= 3);
+            assertEquals(pending.size(), detector.pendingCount());
+            assertTrue(store.size() <= 3);
         }
     }
 }
--- a/src/test/java/lilaclever/routing/CallTest.java
+++ b/src/test/java/lilaclever/routing/CallTest.java
@@ -15,7 +15,7 @@
      * as the call itself waits for the last of them.
      */
     @Test
-    void aCallIsWrittenOnlyWhileAllOfItsMessagesMayGo() {
+    void callIsWrittenOnlyWhileAllItsMessagesMayBeSent() {
         Call call = new Call(new Call.Endpoint("e", "127.0.0.1:9", 7, 0, 20, false, null), 1_000_000);
         Message first = message("first");
         Message last = message("last");
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -30,20 +30,20 @@
     @TempDir
     private Path state;
 
-    private final Queue<Runnable> awaitingForce = new ArrayDeque<>();
+    private final Queue<Runnable> awaitingSync = new ArrayDeque<>();
     private final List<String> started = new ArrayList<>();
-    private long now = SECOND;
+    private long nowMicros = SECOND;
 
     /** Time that the test advances. */
     private final class VirtualClock implements Clock {
         @Override
         public long monotonicMicros() {
-            return now;
+            return nowMicros;
         }
 
         @Override
         public long wallMicros() {
-            return now;
+            return nowMicros;
         }
 
         @Override
@@ -143,7 +143,7 @@
         return (Journal) Proxy.newProxyInstance(
                 Journal.class.getClassLoader(), new Class<?>[] {Journal.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("whenDurable")) {
-                        awaitingForce.add((Runnable) arguments[0]);
+                        awaitingSync.add((Runnable) arguments[0]);
                         return null;
                     }
                     try {
@@ -155,18 +155,18 @@
     }
 
     private void turn(Core core) {
-        now += ROUND;
+        nowMicros += ROUND;
         core.runTurn();
     }
 
-    private void force() {
-        while (!awaitingForce.isEmpty()) {
-            awaitingForce.poll().run();
+    private void sync() {
+        while (!awaitingSync.isEmpty()) {
+            awaitingSync.poll().run();
         }
     }
 
     @Test
-    void aCallThatWaitsForTheJournalIsNotStartedAfterItsEndpointDrains() throws Exception {
+    void callAwaitingTheJournalIsNotStartedOnceItsEndpointDrains() throws Exception {
         try (Journal journal = journal()) {
             Counters counters = new Counters();
             IdempotencyWindows windows = new IdempotencyWindows(List.of(), SECOND, 1);
@@ -184,7 +184,7 @@
                     2,
                     List.of(listed("e1", Presence.LEAVING), listed("e2", Presence.ACTIVE)));
             turn(core);
-            force();
+            sync();
 
             assertEquals(List.of("m to e2"), started);
             assertEquals(1, journal.pendingMessages().size());
