--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -31,7 +31,7 @@
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
-    private static final long SECOND = 1_000_000, KEPT = 60 * SECOND;
+    private static final long SECOND = 1_000_000, RETENTION = 60 * SECOND;
 
     @BeforeAll
     static void logErrorsAlone() {
@@ -44,10 +44,10 @@
     }
 
     @Test
-    void nothingThatHasDepartedIsToldAsActive() {
+    void departedEndpointIsNeverReportedActive() {
         for (int seed = 0; seed < SCHEDULES; seed++) {
             try {
-                new Schedule(seed).play();
+                new Schedule(seed).run();
             } catch (AssertionError | RuntimeException e) {
                 fail("seed " + seed + ": " + e, e);
             }
@@ -55,12 +55,12 @@
     }
 
     /** The actual endpoints at each version, without removed ones. */
-    private static final class Truth {
+    private static final class ActualEndpoints {
         private final List<Map<String, Core.ListedEndpoint>> versions = new ArrayList<>(List.of(Map.of()));
         private final SplittableRandom random;
         private int addresses;
 
-        Truth(SplittableRandom random) {
+        ActualEndpoints(SplittableRandom random) {
             this.random = random;
             for (int i = 0; i < NAMES; i++) {
                 change();
@@ -112,31 +112,31 @@
     /** An agent that knows the endpoints up to some version, with indexes of its own. */
     private static final class Agent {
         private final String address;
-        private final Truth truth;
-        private int seen;
-        private long offset;
-        private long highest;
+        private final ActualEndpoints actual;
+        private int knownVersion;
+        private long indexOffset;
+        private long highestIndex;
 
-        Agent(String address, Truth truth, long offset) {
+        Agent(String address, ActualEndpoints truth, long offset) {
             this.address = address;
-            this.truth = truth;
-            this.offset = offset;
-            seen = truth.latest();
+            this.actual = truth;
+            this.indexOffset = offset;
+            knownVersion = truth.latest();
         }
 
         long index() {
-            highest = Math.max(highest, offset + seen);
-            return offset + seen;
+            highestIndex = Math.max(highestIndex, indexOffset + knownVersion);
+            return indexOffset + knownVersion;
         }
 
         void learn(int most) {
-            seen = Math.min(truth.latest(), seen + most);
+            knownVersion = Math.min(actual.latest(), knownVersion + most);
         }
 
         /** Restarts with a low index, possibly with an older list. */
         void restart(SplittableRandom random) {
-            seen = Math.max(0, seen - random.nextInt(3));
-            offset = random.nextInt(10) - seen;
+            knownVersion = Math.max(0, knownVersion - random.nextInt(3));
+            indexOffset = random.nextInt(10) - knownVersion;
         }
 
         ListUpdate whole() {
@@ -145,17 +145,17 @@
                     index(),
                     true,
                     false,
-                    List.copyOf(truth.versions.get(seen).values()),
+                    List.copyOf(actual.versions.get(knownVersion).values()),
                     Set.of());
         }
 
         ListUpdate changes(long after) {
-            long from = after - offset;
-            if (after < 0 || from < 0 || from > seen) {
+            long from = after - indexOffset;
+            if (after < 0 || from < 0 || from > knownVersion) {
                 return whole();
             }
-            Map<String, Core.ListedEndpoint> before = truth.versions.get((int) from);
-            Map<String, Core.ListedEndpoint> now = truth.versions.get(seen);
+            Map<String, Core.ListedEndpoint> before = actual.versions.get((int) from);
+            Map<String, Core.ListedEndpoint> now = actual.versions.get(knownVersion);
             List<Core.ListedEndpoint> changed = new ArrayList<>();
             now.values().stream().filter(x -> x != before.get(x.entry().host())).forEach(changed::add);
             before.values().stream()
@@ -168,17 +168,17 @@
     }
 
     /** What a list said of an endpoint. {@code isDisputed}: a list of the same index may contradict it. */
-    private record Heard(String agent, long index, long at, boolean isDisputed, boolean isIndexed) {
+    private record ReceivedStatement(String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
         /** Whether a list, with or without an index, may contradict it. */
         boolean isAnsweredBy(String byAgent, long byIndex, long now) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
-            return now - at >= KEPT || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
+            return now - receivedMicros >= RETENTION || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
         }
     }
 
     /** What the entries of a list say of a name. */
-    private enum Saying {
+    private enum ReportedState {
         ACTIVE,
         DEPARTED,
         CONTRADICTORY
@@ -187,9 +187,9 @@
     /** Tracks the lists that the forwarder has received, and checks what it tells the core. */
     private static final class Auditor {
         /** All departures of each name, and those that no later list has contradicted. */
-        private final Map<String, List<Heard>> departures = new HashMap<>(), open = new HashMap<>();
+        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(), unanswered = new HashMap<>();
         /** By name and address: lists that stated the address, while the endpoint is active. */
-        private final Map<String, Map<String, List<Heard>>> addresses = new HashMap<>();
+        private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
         /**
          * Names listed since the process started or stored before; keys of name, agent and index of the lists that had
          * the name as other than departed.
@@ -199,113 +199,113 @@
         /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
         /** Departures of the initial list, until the first response, with which they are stored. */
-        private final Set<Heard> ofKnownList = new HashSet<>();
+        private final Set<ReceivedStatement> ofInitialList = new HashSet<>();
 
         private final Map<String, Long> lastIndex = new HashMap<>(), highestIndex = new HashMap<>();
         private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
-        void began(long version, List<Core.ListedEndpoint> known, CoreUpdate told, long now) {
-            open.values().forEach(all -> all.removeAll(ofKnownList));
-            departures.values().forEach(all -> all.removeAll(ofKnownList));
+        void processStarted(long version, List<Core.ListedEndpoint> known, CoreUpdate update, long nowMicros) {
+            unanswered.values().forEach(all -> all.removeAll(ofInitialList));
+            departures.values().forEach(all -> all.removeAll(ofInitialList));
             names.clear();
             named.clear();
             lastIndex.clear();
             addresses.clear();
-            open.values().removeIf(List::isEmpty);
-            names.addAll(open.keySet());
+            unanswered.values().removeIf(List::isEmpty);
+            names.addAll(unanswered.keySet());
             for (Core.ListedEndpoint x : known) {
                 String name = x.entry().host();
                 names.add(name);
                 if (x.entry().presence() != Presence.ACTIVE) {
-                    ofKnownList.add(new Heard("known", version, now, false, true));
-                    departed(name, new Heard("known", version, now, false, true));
+                    ofInitialList.add(new ReceivedStatement("known", version, nowMicros, false, true));
+                    addDeparture(name, new ReceivedStatement("known", version, nowMicros, false, true));
                 } else {
                     named.add(name + " known " + version);
                 }
             }
-            assertEquals(ListingKind.REMEMBERED, told.kind());
-            core = applied(new TreeMap<>(), told);
+            assertEquals(ListingKind.REMEMBERED, update.kind());
+            core = applied(new TreeMap<>(), update);
             checkDeparted("the initial list");
         }
 
-        private void departed(String name, Heard heard) {
+        private void addDeparture(String name, ReceivedStatement heard) {
             departures.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
-            open.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
+            unanswered.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
         }
 
-        void heard(ListUpdate list, CoreUpdate told, long now) {
+        void updated(ListUpdate list, CoreUpdate update, long nowMicros) {
             boolean isComplete = list.isWhole() && !list.isCut();
-            assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, told.kind());
-            ofKnownList.clear();
-            Map<String, Saying> sayings = sayings(list);
+            assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, update.kind());
+            ofInitialList.clear();
+            Map<String, ReportedState> states = reportedStates(list);
             Set<String> due = new HashSet<>();
             Map<String, Core.ListedEndpoint> before = core;
-            sayings.forEach((name, saying) -> {
+            states.forEach((name, state) -> {
                 names.add(name);
-                if (saying == Saying.ACTIVE) {
+                if (state == ReportedState.ACTIVE) {
                     if (mustBeActive(name, list)) {
                         due.add(name);
                     }
-                    open.getOrDefault(name, new ArrayList<>())
-                            .removeIf(d -> d.isAnsweredBy(list.agent(), list.index(), now));
+                    unanswered.getOrDefault(name, new ArrayList<>())
+                            .removeIf(d -> d.isAnsweredBy(list.agent(), list.index(), nowMicros));
                 } else {
-                    departed(name, departure(list, now, saying == Saying.CONTRADICTORY));
+                    addDeparture(name, departure(list, nowMicros, state == ReportedState.CONTRADICTORY));
                 }
             });
             if (isComplete) {
                 names.stream()
-                        .filter(name -> !sayings.containsKey(name))
-                        .forEach(name -> departed(name, departure(list, now, isNamed(name, list))));
+                        .filter(name -> !states.containsKey(name))
+                        .forEach(name -> addDeparture(name, departure(list, nowMicros, isNamed(name, list))));
             } else {
-                addressesPassed(list, sayings);
+                addReplaced(list, states);
             }
-            sayings.forEach((name, saying) -> {
-                if (saying != Saying.DEPARTED) {
-                    named.add(place(name, list));
+            states.forEach((name, state) -> {
+                if (state != ReportedState.DEPARTED) {
+                    named.add(key(name, list));
                 }
             });
-            core = applied(isComplete ? new TreeMap<>() : new TreeMap<>(core), told);
+            core = applied(isComplete ? new TreeMap<>() : new TreeMap<>(core), update);
             checkDeparted(list);
             due.forEach(name -> assertEquals(Presence.ACTIVE, presence(name), () -> name + " after " + list));
-            checkAddresses(before, list, now);
+            checkAddresses(before, list, nowMicros);
             if (list.index() != EndpointMembership.NO_INDEX) {
                 lastIndex.put(list.agent(), list.index());
                 highestIndex.merge(list.agent(), list.index(), Math::max);
             }
         }
 
-        private static String place(String name, ListUpdate list) {
+        private static String key(String name, ListUpdate list) {
             return name + ' ' + list.agent() + ' ' + list.index();
         }
 
         private boolean isNamed(String name, ListUpdate list) {
             return list.index() == EndpointMembership.NO_INDEX
-                    || named.contains(place(name, list))
+                    || named.contains(key(name, list))
                     || named.contains(name + " known " + list.index());
         }
 
         /** A list without an index counts as the last one of its agent. */
-        private Heard departure(ListUpdate list, long now, boolean isDisputed) {
+        private ReceivedStatement departure(ListUpdate list, long nowMicros, boolean isDisputed) {
             long index = list.index() == EndpointMembership.NO_INDEX
                     ? lastIndex.getOrDefault(list.agent(), EndpointMembership.NO_INDEX)
                     : list.index();
-            return new Heard(list.agent(), index, now, isDisputed, list.index() != EndpointMembership.NO_INDEX);
+            return new ReceivedStatement(list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
         }
 
-        private static Map<String, Saying> sayings(ListUpdate list) {
-            Map<String, Saying> sayings = new TreeMap<>();
+        private static Map<String, ReportedState> reportedStates(ListUpdate list) {
+            Map<String, ReportedState> states = new TreeMap<>();
             Map<String, Core.ListedEndpoint> first = new HashMap<>();
             for (Core.ListedEndpoint x : list.entries()) {
                 String name = x.entry().host();
-                Saying saying = x.entry().presence() == Presence.ACTIVE ? Saying.ACTIVE : Saying.DEPARTED;
+                ReportedState state = x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
                 Core.ListedEndpoint other = first.putIfAbsent(name, x);
                 boolean isSame = other == null
                         || other.entry().presence() == x.entry().presence()
                                 && other.endpoint().equals(x.endpoint());
-                sayings.put(name, isSame ? saying : Saying.CONTRADICTORY);
+                states.put(name, isSame ? state : ReportedState.CONTRADICTORY);
             }
-            list.unusable().forEach(name -> sayings.put(name, Saying.CONTRADICTORY));
-            return sayings;
+            list.unusable().forEach(name -> states.put(name, ReportedState.CONTRADICTORY));
+            return states;
         }
 
         /** True if no departure was ever received, or only some from the same agent with lower indexes. */
@@ -322,19 +322,19 @@
         }
 
         /** If changes give an address to another name, its former holder may count as departed. */
-        private void addressesPassed(ListUpdate list, Map<String, Saying> sayings) {
+        private void addReplaced(ListUpdate list, Map<String, ReportedState> states) {
             for (Core.ListedEndpoint x : list.entries()) {
                 core.values().stream()
                         .filter(other ->
                                 other.endpoint().address().equals(x.endpoint().address()))
                         .map(other -> other.entry().host())
-                        .filter(other -> !sayings.containsKey(other))
+                        .filter(other -> !states.containsKey(other))
                         .forEach(replaced::add);
             }
         }
 
-        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate told) {
-            told.entries().forEach(x -> to.put(x.entry().host(), x));
+        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
+            update.entries().forEach(x -> to.put(x.entry().host(), x));
             return to;
         }
 
@@ -346,12 +346,12 @@
             core.keySet()
                     .forEach(name -> assertTrue(
                             presence(name) != Presence.ACTIVE
-                                    || open.getOrDefault(name, List.of()).isEmpty(),
-                            () -> name + " is active after " + after + ", departed with " + open.get(name)));
+                                    || unanswered.getOrDefault(name, List.of()).isEmpty(),
+                            () -> name + " is active after " + after + ", departed with " + unanswered.get(name)));
         }
 
         /** An address is not replaced if a later list of the agent that last set it stated it within a minute. */
-        private void checkAddresses(Map<String, Core.ListedEndpoint> before, ListUpdate list, long now) {
+        private void checkAddresses(Map<String, Core.ListedEndpoint> before, ListUpdate list, long nowMicros) {
             for (Core.ListedEndpoint x : core.values()) {
                 String name = x.entry().host();
                 String address = x.endpoint().address();
@@ -367,56 +367,56 @@
                     addresses
                             .getOrDefault(name, Map.of())
                             .getOrDefault(earlier.endpoint().address(), List.of())
-                            .forEach(told -> assertTrue(
-                                    now - told.at() >= KEPT
-                                            || !told.agent().equals(list.agent())
-                                            || list.index() > told.index(),
-                                    () -> name + " is at " + address + " after " + list + ", against " + told));
+                            .forEach(update -> assertTrue(
+                                    nowMicros - update.receivedMicros() >= RETENTION
+                                            || !update.agent().equals(list.agent())
+                                            || list.index() > update.index(),
+                                    () -> name + " is at " + address + " after " + list + ", against " + update));
                 }
                 list.entries().stream()
                         .filter(e -> list.index() != EndpointMembership.NO_INDEX
                                 && e.entry().host().equals(name)
                                 && e.endpoint().address().equals(address))
-                        .forEach(e -> addressTold(name, address, list, now));
+                        .forEach(e -> addAddress(name, address, list, nowMicros));
             }
             addresses.keySet().retainAll(core.keySet());
         }
 
-        private void addressTold(String name, String address, ListUpdate list, long now) {
-            List<Heard> told = addresses
+        private void addAddress(String name, String address, ListUpdate list, long nowMicros) {
+            List<ReceivedStatement> update = addresses
                     .computeIfAbsent(name, n -> new HashMap<>())
                     .computeIfAbsent(address, a -> new ArrayList<>());
-            told.removeIf(heard -> !heard.agent().equals(list.agent()));
+            update.removeIf(heard -> !heard.agent().equals(list.agent()));
             boolean isOvertaken =
-                    told.stream().anyMatch(heard -> heard.index() > list.index() && now - heard.at() < KEPT);
+                    update.stream().anyMatch(heard -> heard.index() > list.index() && nowMicros - heard.receivedMicros() < RETENTION);
             if (!isOvertaken) { // an outdated list confirms nothing
-                told.add(new Heard(list.agent(), list.index(), now, false, true));
+                update.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
         }
 
         void checkExact(Map<String, Core.ListedEndpoint> truth) {
-            Map<String, String> expected = new TreeMap<>(), told = new TreeMap<>();
+            Map<String, String> expected = new TreeMap<>(), update = new TreeMap<>();
             truth.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
                     .forEach(x -> expected.put(x.entry().host(), x.endpoint().address()));
             core.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
-                    .forEach(x -> told.put(x.entry().host(), x.endpoint().address()));
-            assertEquals(expected, told, "active endpoints in the end");
+                    .forEach(x -> update.put(x.entry().host(), x.endpoint().address()));
+            assertEquals(expected, update, "active endpoints in the end");
         }
     }
 
     /** One schedule: a forwarder, its agents and random faults. */
     private static final class Schedule {
         private final SplittableRandom random;
-        private final Truth truth;
+        private final ActualEndpoints actual;
         private final List<Agent> agents;
         private final boolean hasMoves, hasRestarts;
         private final Auditor auditor = new Auditor();
         /** Delayed responses, and the step at which each arrives. */
-        private final Map<ListUpdate, Integer> late = new LinkedHashMap<>();
+        private final Map<ListUpdate, Integer> delayed = new LinkedHashMap<>();
 
-        private final Map<String, Long> followed = new HashMap<>();
+        private final Map<String, Long> lastIndexes = new HashMap<>();
         private List<Departure> stored = List.of();
         private EndpointMembership membership;
         private Agent current;
@@ -427,29 +427,29 @@
 
         Schedule(long seed) {
             random = new SplittableRandom(seed);
-            truth = new Truth(random);
+            actual = new ActualEndpoints(random);
             hasMoves = random.nextBoolean();
             hasRestarts = random.nextBoolean();
             agents = List.of(
-                    new Agent("10.0.0.1:8500", truth, random.nextInt(50)),
-                    new Agent("10.0.0.2:8500", truth, random.nextInt(50)));
+                    new Agent("10.0.0.1:8500", actual, random.nextInt(50)),
+                    new Agent("10.0.0.2:8500", actual, random.nextInt(50)));
             current = agents.get(0);
         }
 
-        void play() {
+        void run() {
             startProcess();
             for (step = 0; step < STEPS; step++) {
                 now += random.nextInt(30) == 0 ? random.nextLong(65 * SECOND) : random.nextLong(2 * SECOND);
                 disturb();
-                ask();
-                deliverLate();
+                poll();
+                deliverDelayed();
             }
-            endInQuiet();
+            checkFinalState();
         }
 
         private void disturb() {
             if (random.nextInt(2) == 0) {
-                truth.change();
+                actual.change();
             }
             agents.forEach(agent -> agent.learn(random.nextInt(3)));
             if (random.nextInt(25) == 0) {
@@ -467,28 +467,28 @@
         private void startProcess() {
             wallOffset += random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND, 3_600 * SECOND) : 0;
             loopOffset = random.nextLong(100 * SECOND);
-            late.clear();
-            int version = Math.max((int) Math.max(0, -current.offset), current.seen - random.nextInt(8));
-            long index = current.index() - current.seen + version;
-            List<Core.ListedEndpoint> known = List.copyOf(truth.versions.get(version).values());
+            delayed.clear();
+            int version = Math.max((int) Math.max(0, -current.indexOffset), current.knownVersion - random.nextInt(8));
+            long index = current.index() - current.knownVersion + version;
+            List<Core.ListedEndpoint> known = List.copyOf(actual.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
-            auditor.began(index, known, membership.applyInitialList(index, known), now);
-            followed.clear();
-            followed.put(current.address, index);
+            auditor.processStarted(index, known, membership.applyInitialList(index, known), now);
+            lastIndexes.clear();
+            lastIndexes.put(current.address, index);
         }
 
-        private void ask() {
-            Long after = followed.get(current.address);
+        private void poll() {
+            Long after = lastIndexes.get(current.address);
             boolean isWhole = after == null || random.nextInt(4) == 0;
-            ListUpdate answer = spoilt(isWhole ? current.whole() : current.changes(after));
+            ListUpdate answer = corrupted(isWhole ? current.whole() : current.changes(after));
             if (random.nextInt(4) == 0) {
-                late.put(answer, step + 1 + random.nextInt(4));
+                delayed.put(answer, step + 1 + random.nextInt(4));
             } else {
                 deliver(answer);
             }
         }
 
-        private ListUpdate spoilt(ListUpdate list) {
+        private ListUpdate corrupted(ListUpdate list) {
             List<Core.ListedEndpoint> entries = new ArrayList<>(list.entries());
             Set<String> unusable = new HashSet<>();
             boolean isCut = random.nextInt(12) == 0;
@@ -509,40 +509,40 @@
             return new ListUpdate(list.agent(), index, list.isWhole(), isCut, List.copyOf(entries), unusable);
         }
 
-        private void deliverLate() {
-            List<ListUpdate> due = late.keySet().stream()
-                    .filter(list -> late.get(list) <= step)
+        private void deliverDelayed() {
+            List<ListUpdate> due = delayed.keySet().stream()
+                    .filter(list -> delayed.get(list) <= step)
                     .toList();
             due.forEach(list -> {
-                late.remove(list);
+                delayed.remove(list);
                 deliver(list);
             });
         }
 
         private void deliver(ListUpdate list) {
             long loop = now + loopOffset;
-            auditor.heard(list, membership.update(list, loop, now + wallOffset), now);
+            auditor.updated(list, membership.update(list, loop, now + wallOffset), now);
             if (list.index() != EndpointMembership.NO_INDEX) {
-                followed.put(list.agent(), list.index());
+                lastIndexes.put(list.agent(), list.index());
             }
         }
 
         /** A valid, latest whole list yields the actual endpoints, after a minute at most. */
-        private void endInQuiet() {
-            deliver(soundList());
+        private void checkFinalState() {
+            deliver(validList());
             if (!hasMoves) {
-                auditor.checkExact(truth.versions.get(truth.latest()));
+                auditor.checkExact(actual.versions.get(actual.latest()));
             }
-            now += KEPT;
-            deliver(soundList());
-            auditor.checkExact(truth.versions.get(truth.latest()));
+            now += RETENTION;
+            deliver(validList());
+            auditor.checkExact(actual.versions.get(actual.latest()));
             assertTrue(!membership.needsWholeList(now + loopOffset), "no contradiction is left");
             assertTrue(!membership.contradictsInitialList());
         }
 
-        private ListUpdate soundList() {
-            current.seen = truth.latest();
-            current.offset = Math.max(current.offset, current.highest + 1 - current.seen);
+        private ListUpdate validList() {
+            current.knownVersion = actual.latest();
+            current.indexOffset = Math.max(current.indexOffset, current.highestIndex + 1 - current.knownVersion);
             return current.whole();
         }
     }
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -30,7 +30,7 @@
 /** Which statements of endpoint lists are trusted, rule by rule. */
 class EndpointMembershipTest {
     private static final String AGENT = "10.0.0.1:8500", OTHER_AGENT = "10.0.0.2:8500";
-    private static final long SECOND = 1_000_000, KEPT = 60 * SECOND, WALL = 1_700_000_000 * SECOND;
+    private static final long SECOND = 1_000_000, RETENTION = 60 * SECOND, WALL = 1_700_000_000 * SECOND;
     private static final int GROUP = 3;
 
     private final Store store = new Store();
@@ -38,19 +38,19 @@
     /** The core's endpoints after all updates. */
     private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
-    private long now = 5 * SECOND;
-    private long wall = WALL;
+    private long nowMicros = 5 * SECOND;
+    private long wallMicros = WALL;
 
     /** Stores departures in memory, or fails. */
     private static final class Store implements EndpointMembership.DepartureStore {
         private List<Departure> stored = List.of();
-        private boolean fails;
+        private boolean isFailing;
         private int calls;
 
         @Override
         public void save(List<Departure> departures) throws IOException {
             calls++;
-            if (fails) {
+            if (isFailing) {
                 throw new IOException("No space left on device");
             }
             stored = List.copyOf(departures);
@@ -108,11 +108,11 @@
     }
 
     private CoreUpdate update(ListUpdate update) {
-        return told(membership.update(update, now, wall));
+        return applyToCore(membership.update(update, nowMicros, wallMicros));
     }
 
     /** Applies an update as the core does. */
-    private CoreUpdate told(CoreUpdate change) {
+    private CoreUpdate applyToCore(CoreUpdate change) {
         if (change.kind() != ListingKind.CHANGES) {
             core.clear();
         }
@@ -122,17 +122,17 @@
         return change;
     }
 
-    private void pass(long micros) {
-        now += micros;
-        wall += micros;
+    private void advance(long micros) {
+        nowMicros += micros;
+        wallMicros += micros;
     }
 
     /** Simulates a restart of the process, with a new origin of the event loop's clock. */
     private void restart(long version, Core.ListedEndpoint... known) {
         membership = new EndpointMembership(store.stored, store);
-        now = SECOND;
+        nowMicros = SECOND;
         core.clear();
-        told(membership.applyInitialList(version, List.of(known)));
+        applyToCore(membership.applyInitialList(version, List.of(known)));
     }
 
     private void assertActive(String... names) {
@@ -197,7 +197,7 @@
         CoreUpdate cut = update(new ListUpdate(AGENT, 51, true, true, List.of(leaving("a")), Set.of()));
         assertEquals(ListingKind.CHANGES, cut.kind());
         assertActive("b");
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
     }
 
     @Test
@@ -209,7 +209,7 @@
                 change.entries().stream().map(x -> x.entry().host()).toList());
         assertEquals(Presence.LEAVING, presence("a"));
         assertActive("b");
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         unusable(52, true, "b");
         assertEquals(Presence.LEAVING, presence("b"), "not absent: the list names it");
         assertActive();
@@ -238,7 +238,7 @@
     // Reactivation
 
     @Test
-    void aListThatWasOvertakenBringsNothingBack() {
+    void outdatedListBringsNothingBack() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
         changes(52, left("a"));
@@ -278,29 +278,29 @@
     }
 
     @Test
-    void aDiscoveryThatCountsAnewIsBelievedAfterAMinute() {
+    void restartedIndexesAreAcceptedAfterAMinute() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
         whole(2, active("a"), active("b"));
         assertActive("b");
-        pass(KEPT - 1);
-        assertFalse(membership.needsWholeList(now));
+        advance(RETENTION - 1);
+        assertFalse(membership.needsWholeList(nowMicros));
         whole(3, active("a"), active("b"));
         assertActive("b");
-        pass(1);
-        assertTrue(membership.needsWholeList(now), "changes would not list it again");
+        advance(1);
+        assertTrue(membership.needsWholeList(nowMicros), "changes would not list it again");
         whole(3, active("a"), active("b"));
         assertActive("a", "b");
-        assertFalse(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
     }
 
     @Test
-    void aDepartureOfTheNewCountHoldsBackItsOlderLists() {
+    void departureAfterIndexesRestartedHoldsBackOlderLists() {
         whole(50, active("a"));
         changes(51, left("a"));
-        pass(KEPT - SECOND);
+        advance(RETENTION - SECOND);
         changes(5, leaving("a"));
-        pass(SECOND);
+        advance(SECOND);
         changes(4, active("a"));
         assertActive();
         changes(6, active("a"));
@@ -315,7 +315,7 @@
         assertActive("b");
         changes(OTHER_AGENT, 90, active("a"));
         assertActive("b");
-        pass(KEPT);
+        advance(RETENTION);
         whole(OTHER_AGENT, 90, active("a"), active("b"));
         assertActive("a", "b");
     }
@@ -329,14 +329,14 @@
         assertActive();
         changes(52, active("a"));
         assertActive();
-        pass(KEPT);
+        advance(RETENTION);
         changes(OTHER_AGENT, 6, left("a"));
         changes(OTHER_AGENT, 8, active("a"));
         assertActive("a");
     }
 
     @Test
-    void manyCountsOfOneAgentAreBounded() {
+    void positionsOfOneAgentAreBounded() {
         whole(100, active("a"));
         for (int index = 99; index > 50; index--) {
             changes(index, leaving("a"));
@@ -349,7 +349,7 @@
     }
 
     @Test
-    void manyAgentsAreBounded() {
+    void positionsOfManyAgentsAreBounded() {
         whole(100, active("a"));
         for (int agent = 0; agent < 50; agent++) {
             changes("10.0.1." + agent, 7, leaving("a"));
@@ -357,23 +357,23 @@
         assertTrue(store.stored.size() <= 4, "positions: " + store.stored.size());
         changes("10.0.1.49", 8, active("a"));
         assertActive();
-        pass(KEPT);
+        advance(RETENTION);
         changes("10.0.1.3", 2, active("a"));
         assertActive("a");
     }
 
     @Test
-    void aDisputeWithOneAgentIsNoneWithAnother() {
+    void contradictionOfOneAgentDoesNotAffectAnother() {
         whole(48, active("a"));
         changes(49, left("a"));
         unusable(OTHER_AGENT, 7, "a");
         whole(50);
-        pass(KEPT - 1);
+        advance(RETENTION - 1);
         changes(OTHER_AGENT, 7, active("a"));
         changes(50, active("a"));
         assertActive();
         changes(51, leaving("a"));
-        pass(1);
+        advance(1);
         changes(52, active("a"));
         assertActive("a");
     }
@@ -393,12 +393,12 @@
     }
 
     @Test
-    void aListWithoutAnIndexThatLeavesAnEndpointOutGivesWayToTheNextSoundOne() {
+    void absenceFromAListWithoutIndexIsUndoneByTheNextValidList() {
         whole(48, active("a"), active("b"));
         changes(50);
         whole(EndpointMembership.NO_INDEX, active("b"));
         assertActive("b");
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         whole(50, active("a"), active("b"));
         assertActive("a", "b");
     }
@@ -406,7 +406,7 @@
     // Endpoints that have not departed
 
     @Test
-    void whatNeverDepartedIsActiveWhateverTheIndex() {
+    void endpointThatNeverDepartedIsActiveWhateverTheIndex() {
         whole(50, active("a"));
         changes(45, active("a"), active("b"));
         changes(OTHER_AGENT, 1, active("c"));
@@ -415,7 +415,7 @@
     }
 
     @Test
-    void anEndpointThatAnOvertakenListLeftOutComesBackWithTheNext() {
+    void endpointAbsentFromAnOutdatedListReturnsWithTheNext() {
         whole(50, active("a"), active("b"));
         whole(45, active("a"));
         assertActive("a");
@@ -424,28 +424,28 @@
     }
 
     @Test
-    void changesOfAnOlderListCallForTheWholeList() {
+    void changesOfAnOlderListRequireTheWholeList() {
         whole(50, active("a"));
-        assertFalse(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
         changes(45, active("b"));
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         whole(50, active("a"), active("b"));
-        assertFalse(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
     }
 
     @Test
-    void aWholeListThatContradictsOneOfTheSameIndexGivesWayToTheNext() {
+    void contradictoryWholeListIsUndoneByTheNextOfTheSameIndex() {
         whole(50, active("a"), active("b"));
         whole(50, active("a"));
         assertActive("a");
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         whole(50, active("a"));
         whole(50, active("a"), active("b"));
         assertActive("a", "b");
     }
 
     @Test
-    void aSoundAbsenceHoldsBackListsOfTheSameIndex() {
+    void validAbsenceHoldsBackListsOfTheSameIndex() {
         whole(49, active("a"), active("b"));
         whole(50, active("a"));
         changes(50, active("b"));
@@ -457,17 +457,17 @@
     // Duplicate entries
 
     @Test
-    void ofTwoEntriesTheMostCautiousCounts() {
+    void mostCautiousOfTwoEntriesCounts() {
         whole(50, active("a"), active("b"), active("c"));
         changes(51, active("a"), leaving("a"), left("b"), active("b"), leaving("c"), left("c"), active("c"));
         assertActive();
         assertEquals(Presence.LEAVING, presence("a"));
         assertEquals(Presence.LEFT, presence("b"));
         assertEquals(Presence.LEFT, presence("c"));
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         whole(51, active("a"), active("b"), active("c"));
         assertActive("a", "b", "c");
-        assertFalse(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
     }
 
     @Test
@@ -481,15 +481,15 @@
     }
 
     @Test
-    void theSameEntryTwiceIsOne() {
+    void repeatedIdenticalEntryCountsOnce() {
         CoreUpdate change = whole(50, active("a"), active("a"));
         assertEquals(1, change.entries().size());
         assertActive("a");
-        assertFalse(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
     }
 
     @Test
-    void entriesTwiceAreLoggedInOneLine() {
+    void duplicateEntriesAreLoggedInOneLine() {
         Core.ListedEndpoint[] twice =
                 IntStream.range(0, 200).mapToObj(i -> active("s" + i % 100)).toArray(Core.ListedEndpoint[]::new);
         String log = logged(() -> whole(50, twice));
@@ -498,19 +498,19 @@
     }
 
     @Test
-    void aListThatStaysDoubtfulIsAskedForAnewOnlyOnce() {
+    void listThatStaysContradictoryIsRequestedAgainOnlyOnce() {
         unusable(50, true, "a", active("b"));
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         unusable(50, true, "a", active("b"));
-        assertFalse(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
         unusable(51, true, "a", active("b"));
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
     }
 
     // Addresses and destinations
 
     @Test
-    void anAddressOrDestinationThatChangesCountsInOrder() {
+    void newerAddressOrDestinationIsAccepted() {
         whole(50, active("a"), active("b"));
         changes(51, listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP), listed("b", Presence.ACTIVE, "10.1.0.1:b", 8));
         assertEquals("10.9.9.9:1", core.get("a").endpoint().address());
@@ -519,7 +519,7 @@
     }
 
     @Test
-    void anOlderListBringsNoOlderAddressBack() {
+    void outdatedListDoesNotRestoreAnAddress() {
         whole(50, active("a"));
         Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP + 1);
         changes(51, moved);
@@ -536,7 +536,7 @@
     }
 
     @Test
-    void anAddressThatWasConfirmedLaterHoldsBackTheListsInBetween() {
+    void confirmedAddressHoldsBackEarlierLists() {
         Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
         whole(50, moved);
         whole(55, moved);
@@ -546,39 +546,39 @@
     }
 
     @Test
-    void anotherAgentsAddressCountsAfterAMinute() {
+    void addressFromAnotherAgentIsAcceptedAfterAMinute() {
         whole(50, active("a"));
         Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
         whole(OTHER_AGENT, 4, moved);
         assertEquals("10.1.0.1:a", core.get("a").endpoint().address());
-        assertFalse(membership.needsWholeList(now));
-        pass(KEPT);
-        assertTrue(membership.needsWholeList(now));
+        assertFalse(membership.needsWholeList(nowMicros));
+        advance(RETENTION);
+        assertTrue(membership.needsWholeList(nowMicros));
         whole(OTHER_AGENT, 4, moved);
         assertSame(moved, core.get("a"));
     }
 
     @Test
-    void anAddressThatPassesToAnotherNameTakesTheFirstOneOut() {
+    void addressTakenOverByAnotherNameRemovesTheFirst() {
         whole(50, active("a"), active("b"));
         changes(51, listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP));
         assertActive("b", "c");
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         whole(52, listed("d", Presence.ACTIVE, "10.1.0.1:b", GROUP), listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP));
         assertActive("c", "d");
         assertEquals(Set.of("a", "b"), store.names());
     }
 
     @Test
-    void anOlderListTakesNoAddressFromTheNameThatHasIt() {
+    void outdatedListDoesNotTakeAnAddressFromAnotherName() {
         whole(50, active("a"));
         changes(45, listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP));
         assertActive("a", "c");
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
     }
 
     @Test
-    void namesThatOneListHasAtTheSameAddressStay() {
+    void namesSharingAnAddressInOneListStayActive() {
         Core.ListedEndpoint shared = listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP);
         whole(50, active("a"), shared);
         changes(51, shared);
@@ -589,7 +589,7 @@
     }
 
     @Test
-    void anAddressIsTakenFromNobodyWhoHasLeftIt() {
+    void reusedAddressDoesNotAffectItsFormerName() {
         whole(50, active("a"), active("b"));
         changes(51, listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP));
         changes(52, left("b"));
@@ -603,7 +603,7 @@
     // Updates and log lines
 
     @Test
-    void kindsAndVersionsAreThoseOfTheList() {
+    void updateHasKindAndVersionOfTheList() {
         CoreUpdate all = whole(50, active("a"));
         assertEquals(ListingKind.ALL, all.kind());
         assertEquals(50, all.version());
@@ -615,13 +615,13 @@
     }
 
     @Test
-    void nothingIsCopiedOfWhatIsBelieved() {
+    void acceptedEntryIsPassedOnWithoutCopying() {
         Core.ListedEndpoint a = active("a");
         assertSame(a, whole(50, a).entries().get(0));
     }
 
     @Test
-    void whatIsWithheldIsLoggedInOneLine() {
+    void withheldEndpointsAreLoggedInOneLine() {
         Core.ListedEndpoint[] leaving =
                 IntStream.range(0, 100).mapToObj(i -> leaving("s" + i)).toArray(Core.ListedEndpoint[]::new);
         Core.ListedEndpoint[] active =
@@ -636,7 +636,7 @@
     // Restarts
 
     @Test
-    void aStaleKnownListBringsNothingBackAfterARestart() {
+    void staleInitialListBringsNothingBackAfterARestart() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
         assertEquals(List.of(new Departure("a", AGENT, 51, WALL)), store.stored);
@@ -644,7 +644,7 @@
         assertActive("b");
         assertEquals(Presence.LEAVING, presence("a"));
         assertTrue(membership.contradictsInitialList());
-        assertTrue(membership.needsWholeList(now));
+        assertTrue(membership.needsWholeList(nowMicros));
         changes(51);
         assertTrue(membership.contradictsInitialList());
         whole(51, leaving("a"), active("b"));
@@ -659,31 +659,31 @@
     }
 
     @Test
-    void theKnownListIsOverlaidHoweverOldTheDepartureIsAndWhateverItsIndex() {
+    void departureOverridesTheInitialListWhateverItsAgeAndIndex() {
         store.stored = List.of(new Departure("a", AGENT, 51, 0));
         restart(99, active("a"), active("b"));
         assertActive("b");
     }
 
     @Test
-    void aDepartureCountsForAMinuteAfterARestartHoweverTheWallClockWasSet() {
+    void departureCountsForAMinuteAfterARestartWhateverTheWallClock() {
         for (long step : new long[] {-3_600 * SECOND, 0, 3_600 * SECOND}) {
             store.stored = List.of(new Departure("a", AGENT, 51, WALL));
-            wall = WALL + step;
+            wallMicros = WALL + step;
             restart(50, active("a"));
             whole(OTHER_AGENT, 50, active("a"));
             assertActive();
-            pass(KEPT - 1);
+            advance(RETENTION - 1);
             whole(OTHER_AGENT, 50, active("a"));
             assertActive();
-            pass(1);
+            advance(1);
             whole(OTHER_AGENT, 50, active("a"));
             assertActive("a");
         }
     }
 
     @Test
-    void whatTheKnownListCallsLeavingComesBackWithALaterListOfAnyAgent() {
+    void endpointLeavingInTheInitialListReturnsWithALaterListOfAnyAgent() {
         restart(50, leaving("a"), active("b"));
         assertActive("b");
         changes(50, active("a"));
@@ -693,7 +693,7 @@
     }
 
     @Test
-    void anEndpointThatTheKnownListHasAndTheWholeOneHasNotIsGone() {
+    void endpointOfTheInitialListAbsentFromTheWholeListIsRemoved() {
         restart(50, active("a"), active("b"));
         whole(60, active("b"));
         assertActive("b");
@@ -701,12 +701,12 @@
     }
 
     @Test
-    void nothingIsStoredThatHasNotChanged() {
+    void unchangedDeparturesAreNotStored() {
         whole(50, active("a"), active("b"));
         assertEquals(0, store.calls);
         changes(51, leaving("a"));
         assertEquals(1, store.calls);
-        pass(SECOND);
+        advance(SECOND);
         changes(51, leaving("a"));
         changes(52);
         changes(50, active("a"));
@@ -719,9 +719,9 @@
     }
 
     @Test
-    void aStoreThatFailsIsLoggedOnceAndTriedAgain() {
+    void storeFailureIsLoggedOnceAndRetried() {
         whole(50, active("a"), active("b"), active("c"));
-        store.fails = true;
+        store.isFailing = true;
         String log = logged(() -> changes(51, leaving("a")));
         assertTrue(log.contains("No space left on device"), log);
         assertActive("b", "c");
@@ -730,17 +730,17 @@
         assertEquals(2, membership.departureCount());
         changes(51, active("a"));
         assertActive("c");
-        store.fails = false;
+        store.isFailing = false;
         changes(52);
         assertEquals(Set.of("a", "b"), store.names());
         changes(53, leaving("c"));
         assertEquals(Set.of("a", "b", "c"), store.names());
-        store.fails = true;
+        store.isFailing = true;
         assertFalse(logged(() -> changes(54, active("c"))).isEmpty(), "it had succeeded in between");
     }
 
     @Test
-    void departuresAreBoundedAndTheOldestGoFirst() {
+    void departuresAreBoundedAndTheOldestAreEvicted() {
         int most = 4_096;
         for (int i = 0; i < most + 3; i++) {
             changes(i, left("s" + i));
@@ -760,11 +760,11 @@
                 IntStream.range(0, many).mapToObj(i -> active("s" + i)).toArray(Core.ListedEndpoint[]::new);
         whole(1, all);
         Map<String, Core.ListedEndpoint> before = new HashMap<>(core);
-        List<Core.ListedEndpoint> told = new ArrayList<>();
+        List<Core.ListedEndpoint> updates = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-            told.addAll(changes(2 + i, leaving("s" + i)).entries());
+            updates.addAll(changes(2 + i, leaving("s" + i)).entries());
         }
-        assertEquals(100, told.size());
+        assertEquals(100, updates.size());
         for (int i = 100; i < many; i++) {
             assertSame(before.get("s" + i), core.get("s" + i));
         }
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -23,28 +23,28 @@
 class TransportTest {
     /** Guards against a descriptor leak: each connection that was never established kept its descriptor. */
     @Test
-    void aConnectionThatIsGivenUpBeforeItIsUpFreesItsDescriptor() throws Exception {
+    void cancelledConnectFreesItsDescriptor() throws Exception {
         try (Transport transport = new Transport();
                 ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
                 Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
             InetSocketAddress address = new InetSocketAddress(full.getInetAddress(), full.getLocalPort());
-            long before = descriptors();
+            long before = openDescriptors();
             for (int i = 0; i < 50; i++) {
                 transport
                         .connect(address, Transport.chain(new BaseFilter() {}), up -> {}, problem -> {})
                         .run();
             }
             for (long end = System.nanoTime() + 10_000_000_000L;
-                    descriptors() > before + 5 && System.nanoTime() < end; ) {
+                    openDescriptors() > before + 5 && System.nanoTime() < end; ) {
                 Thread.onSpinWait();
             }
-            assertTrue(descriptors() <= before + 5, "of fifty, " + (descriptors() - before) + " are still open");
+            assertTrue(openDescriptors() <= before + 5, "of fifty, " + (openDescriptors() - before) + " are still open");
             assertTrue(first.isConnected() && second.isConnected());
         }
     }
 
-    private static long descriptors() throws IOException {
+    private static long openDescriptors() throws IOException {
         try (Stream<Path> open = Files.list(Path.of("/proc/self/fd"))) {
             return open.count();
         }
@@ -52,7 +52,7 @@
 
     /** On a busy machine, a received but unread response (with a retry-after) takes effect before a call is sent. */
     @Test
-    void whatHasComeOnAnyConnectionIsReadBefore() throws Exception {
+    void receivedBytesAreReadBeforeTheTaskRuns() throws Exception {
         LinkedBlockingQueue<String> order = new LinkedBlockingQueue<>();
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         CountDownLatch busy = new CountDownLatch(1);
