--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/benchlink/SettingsReader.java
@@ -18,6 +18,7 @@
 public final class SettingsReader {
     /** Field name in errors; program.Config replaces this prefix by "settings". */
     private static final String FIELD = "conf";
+
     private final JsonObject object;
     private final String path;
     private final long line;
--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -81,7 +81,10 @@
                 forgottenEarly++;
             }
         }
-        completed.put(identity, new CompletedMessage<>(result, fingerprint, nowWallMicros + windows.windowMicros(identity, messageClass)));
+        completed.put(
+                identity,
+                new CompletedMessage<>(
+                        result, fingerprint, nowWallMicros + windows.windowMicros(identity, messageClass)));
     }
 
     /** The pending message of the identity, or null. */
--- a/src/main/java/lilaclever/identity/IdempotencyWindows.java
+++ b/src/main/java/lilaclever/identity/IdempotencyWindows.java
@@ -19,6 +19,8 @@
 
     /** How long the result of a message with this identity and class is remembered. */
     long windowMicros(String identity, int messageClass) {
-        return Identity.isShared(identity) && messageClass < classMicros.size() ? classMicros.get(messageClass) : defaultMicros;
+        return Identity.isShared(identity) && messageClass < classMicros.size()
+                ? classMicros.get(messageClass)
+                : defaultMicros;
     }
 }
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -144,7 +144,8 @@
                     up.closeSilently();
                     core.post(() -> core.probeEnded(endpoint.host(), Ending.DELIVERED, core.nowMicros() - started));
                 },
-                problem -> core.post(() -> core.probeEnded(endpoint.host(), Ending.NO_CONNECTION, core.nowMicros() - started)));
+                problem -> core.post(
+                        () -> core.probeEnded(endpoint.host(), Ending.NO_CONNECTION, core.nowMicros() - started)));
     }
 
     /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -30,7 +30,13 @@
      * @param hasOwnLimits true if limits and retry-after periods apply to this endpoint alone, not to its whole destination
      */
     public record Endpoint(
-            String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
+            String host,
+            String address,
+            int destination,
+            int zone,
+            int maxMessagesPerCall,
+            boolean hasOwnLimits,
+            Deliverer deliverer) {}
 
     Call(Endpoint endpoint, long startedAtMicros) {
         this.endpoint = endpoint;
@@ -59,7 +65,10 @@
     }
 
     private void updateTimes() {
-        writeByMicros = messages.stream().mapToLong(message -> message.writeByMicros).min().orElse(Long.MAX_VALUE);
+        writeByMicros = messages.stream()
+                .mapToLong(message -> message.writeByMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         expiresAtMicros = expiryMicrosOf(messages);
     }
 
@@ -81,14 +90,22 @@
 
     /** The value that {@link #expiresAtMicros} has for a call with these messages only. */
     public static long expiryMicrosOf(List<Message> messages) {
-        long lastWriteByMicros = messages.stream().mapToLong(message -> message.writeByMicros).max().orElse(Long.MAX_VALUE);
-        long firstDeadlineMicros = messages.stream().mapToLong(message -> message.deadlineMicros).min().orElse(Long.MAX_VALUE);
+        long lastWriteByMicros = messages.stream()
+                .mapToLong(message -> message.writeByMicros)
+                .max()
+                .orElse(Long.MAX_VALUE);
+        long firstDeadlineMicros = messages.stream()
+                .mapToLong(message -> message.deadlineMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         return Math.min(lastWriteByMicros, firstDeadlineMicros);
     }
 
     /** Asks the deliverer to remove expired messages, as long as others remain and the call has not been sent. */
     void requestRemovalOfExpired(long nowMicros) {
-        List.copyOf(messages).stream().filter(message -> message.writeByMicros <= nowMicros).forEach(this::requestRemoval);
+        List.copyOf(messages).stream()
+                .filter(message -> message.writeByMicros <= nowMicros)
+                .forEach(this::requestRemoval);
     }
 
     /** Asks the deliverer to remove a message, as long as others remain and the call has not been sent. */
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -189,7 +189,9 @@
 
     /** When the next turn is due: with a queued task after the minimum interval, else at the next deadline. */
     public long nextTurnMicros() {
-        return tasks.isEmpty() ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS) : nowMicros + settings.roundMicros();
+        return tasks.isEmpty()
+                ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS)
+                : nowMicros + settings.roundMicros();
     }
 
     /** Runs one turn on the calling thread. */
@@ -202,7 +204,12 @@
         Front front = fronts.get(pending.front());
         Message message = new Message(pending.submission(), front, pending.deadlineWallMicros());
         if (front == null) {
-            Logs.error("", "no-front", "cannot answer for " + message.id() + ": no front " + pending.front(), "message", message.id());
+            Logs.error(
+                    "",
+                    "no-front",
+                    "cannot answer for " + message.id() + ": no front " + pending.front(),
+                    "message",
+                    message.id());
             journal.recordSettled(message.id());
             return;
         }
@@ -216,7 +223,8 @@
             }
         }
         // The process may have been killed after the result was remembered and before the final status was recorded.
-        FinalStatus decidedStatus = pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
+        FinalStatus decidedStatus =
+                pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
         if (decidedStatus != null) {
             message.isFinished = true;
             notifySubmitters(message, decidedStatus);
@@ -228,7 +236,8 @@
         }
         message.attemptCount = pending.attempts();
         if (pending.mayHaveRun()) {
-            message.markPossiblyRun(pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
+            message.markPossiblyRun(
+                    pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
         }
         addPending(message);
         events.add(message.toSubmitEvent(nowMicros, wallMicros));
@@ -272,8 +281,10 @@
 
     /** Attaches a duplicate to its pending message: if identities are shared, its front is notified as well. */
     private Message attach(Message pending, Message duplicate) {
-        if (Identity.isShared(pending.submission.identity()) && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
-            return answerWithoutAccepting(duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
+        if (Identity.isShared(pending.submission.identity())
+                && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
+            return answerWithoutAccepting(
+                    duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
         }
         return pending;
     }
@@ -325,7 +336,8 @@
             Call.Endpoint before = endpoints.put(item.entry().host(), item.endpoint());
             boolean isActive = item.entry().presence() == DecisionModule.Presence.ACTIVE;
             if (!isActive
-                    || before != null && !before.address().equals(item.endpoint().address())) {
+                    || before != null
+                            && !before.address().equals(item.endpoint().address())) {
                 // No new calls go there, and idle connections would only use resources on both sides.
                 item.endpoint().deliverer().closeIdle(before == null ? item.endpoint() : before);
             }
@@ -339,7 +351,8 @@
         endpoints.values().forEach(item -> servedDestinations.add(item.destination()));
         destinationsLastListed
                 .entrySet()
-                .removeIf(d -> !servedDestinations.contains(d.getKey()) && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
+                .removeIf(d -> !servedDestinations.contains(d.getKey())
+                        && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
         events.add(new Event.Listing(kind, version, entries));
         cancelUnsentCalls(); // after the listing event, so that the decision module knows the reason first
     }
@@ -347,8 +360,10 @@
     /** Allows requests to be written only to endpoints that are active now. */
     private void updateActiveEndpoints(List<ListedEndpoint> listed, boolean isWhole) {
         if (isWhole) {
-            activeEndpoints.replaceAll(
-                    listed.stream().filter(Core::isActive).map(ListedEndpoint::endpoint).toList());
+            activeEndpoints.replaceAll(listed.stream()
+                    .filter(Core::isActive)
+                    .map(ListedEndpoint::endpoint)
+                    .toList());
             return;
         }
         for (ListedEndpoint item : listed) {
@@ -389,7 +404,8 @@
      * @param noSlot it was not sent for want of a free slot
      * @param over the endpoint reports that the message needs no further attempt and no result
      */
-    public void attemptEnded(Call call, Message message, Ending ending, long retryAfterMicros, boolean noSlot, boolean over) {
+    public void attemptEnded(
+            Call call, Message message, Ending ending, long retryAfterMicros, boolean noSlot, boolean over) {
         if (message.currentCall != call) {
             return;
         }
@@ -539,7 +555,8 @@
             if (message.isFinished || finishedIds.contains(message.id())) {
                 continue;
             }
-            run(() -> message.isJournaled = journal.recordAccepted(message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
+            run(() -> message.isJournaled = journal.recordAccepted(
+                    message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
             if (message.isJournaled) {
                 counters.add(Name.TAKEN);
                 trace(message, "taken", "accepted", null);
@@ -560,8 +577,12 @@
     /** Rejects submitters that were attached to a message but could not be recorded. */
     private void rejectSubmitters(List<DeduplicationTable.Submitter> rejected, Message message) {
         for (DeduplicationTable.Submitter submitter : rejected) {
-            run(() -> submitter.front()
-                    .onAttachRejected(message, submitter.id(), new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
+            run(() -> submitter
+                    .front()
+                    .onAttachRejected(
+                            message,
+                            submitter.id(),
+                            new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
         }
     }
 
@@ -599,10 +620,13 @@
         if (message == null) {
             return;
         }
-        FinalStatus withDetail = new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
+        FinalStatus withDetail =
+                new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
         if (message.isJournaled) {
             counters.add(withDetail.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.checkInvariant(message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS, message.id() + " ended in time");
+            counters.checkInvariant(
+                    message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS,
+                    message.id() + " ended in time");
             finish(message, withDetail);
         } else {
             reject(message, withDetail);
@@ -629,13 +653,16 @@
     private void addToCall(Action.Send a, Map<String, Call> starting) {
         Message message = pendingMessages.get(a.id());
         Call.Endpoint endpoint = endpoints.get(a.host());
-        boolean isElsewhere = message != null && endpoint != null && endpoint.destination() != message.submission.destination();
+        boolean isElsewhere =
+                message != null && endpoint != null && endpoint.destination() != message.submission.destination();
         if (message == null || endpoint == null || message.currentCall != null || isElsewhere) {
             // No longer pending, as its client has left: the decision module still needs an outcome of the attempt.
-            counters.checkInvariant(message == null || message.currentCall == null, a.id() + " has at most one attempt in flight");
+            counters.checkInvariant(
+                    message == null || message.currentCall == null, a.id() + " has at most one attempt in flight");
             counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = message == null ? 0 : message.attemptCount++;
-            events.add(new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, message == null, null));
+            events.add(
+                    new Event.Outcome(a.id(), a.host(), attempt, Ending.NOT_SENT, 0, 0, false, message == null, null));
             return;
         }
         Call call = starting.get(a.host());
@@ -678,7 +705,8 @@
         calls.add(call);
         if (!isWritten) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages)
+                    .forEach(message -> attemptEnded(call, message, Ending.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
@@ -708,7 +736,8 @@
         if (call.isStarted) {
             call.endpoint.deliverer().abort(call);
         } else {
-            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, Ending.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages)
+                    .forEach(message -> attemptEnded(call, message, Ending.NOT_SENT, 0, false, false));
         }
     }
 
@@ -739,7 +768,8 @@
         boolean needsNotification = finalStatus.kind() != Kind.DELIVERED && finalStatus.kind() != Kind.GONE;
         if (needsNotification
                 || Identity.isShared(
-                        message.submission.identity())) { // a client that is away may have to be notified of the delivery
+                        message.submission
+                                .identity())) { // a client that is away may have to be notified of the delivery
             journal.recordFinalStatus(message.id(), finalStatus);
         }
         if (message.currentCall != null) {
@@ -757,12 +787,13 @@
         int[] unsettled = {message.submitters.size()};
         for (DeduplicationTable.Submitter submitter : message.submitters) {
             unsettledCount++;
-            journal.whenDurable(() -> run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
-                unsettledCount--;
-                if (--unsettled[0] == 0) {
-                    journal.recordSettled(message.id());
-                }
-            })));
+            journal.whenDurable(() ->
+                    run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
+                        unsettledCount--;
+                        if (--unsettled[0] == 0) {
+                            journal.recordSettled(message.id());
+                        }
+                    })));
         }
     }
 }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.identity.CompletedMessage;
+import lilaclever.identity.CompletedMessageStore;
 import lilaclever.identity.DuplicateCheckResult;
-import lilaclever.identity.IdempotencyWindows;
 import lilaclever.identity.DuplicateDetector;
-import lilaclever.identity.CompletedMessageStore;
+import lilaclever.identity.IdempotencyWindows;
 import lilaclever.routing.Counters.Name;
 import lilaclever.routing.FinalStatus.Kind;
 
@@ -80,14 +80,23 @@
 
     /** Remembers the result of a message that was delivered or has failed, for later duplicates. */
     void recordCompleted(Message message, FinalStatus finalStatus, long wallMicros) {
-        if (message.submission.identity() != null && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
-            detector.addCompleted(message.submission.identity(), message.fingerprint(), message.submission.messageClass(), finalStatus, wallMicros);
+        if (message.submission.identity() != null
+                && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
+            detector.addCompleted(
+                    message.submission.identity(),
+                    message.fingerprint(),
+                    message.submission.messageClass(),
+                    finalStatus,
+                    wallMicros);
         }
     }
 
     /** The result that an earlier run remembered for a message without recording its end, or null. */
     FinalStatus finalStatusOfEarlierRun(Message message) {
-        return check(message, Long.MIN_VALUE) instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed ? completed.result() : null;
+        return check(message, Long.MIN_VALUE)
+                        instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed
+                ? completed.result()
+                : null;
     }
 
     /**
@@ -96,10 +105,12 @@
      */
     boolean attach(Message message, Front front, String id) {
         Submitter submitter = new Submitter(front, id);
-        if (message.submitters.contains(submitter) || front.notifiesOnce() && message.submitters.stream().anyMatch(c -> c.front() == front)) {
+        if (message.submitters.contains(submitter)
+                || front.notifiesOnce() && message.submitters.stream().anyMatch(c -> c.front() == front)) {
             return true;
         }
-        if (message.submitters.size() > MAX_ATTACHED || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
+        if (message.submitters.size() > MAX_ATTACHED
+                || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
             return false;
         }
         counters.add(Name.JOINED);
@@ -114,8 +125,10 @@
     List<Submitter> recordAttached(Message message) {
         List<Submitter> rejected = new ArrayList<>();
         for (Submitter submitter : message.submitters) {
-            boolean isFirst = submitter.front() == message.front && submitter.id().equals(message.id());
-            if (!isFirst && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
+            boolean isFirst =
+                    submitter.front() == message.front && submitter.id().equals(message.id());
+            if (!isFirst
+                    && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
                 rejected.add(submitter);
             }
         }
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -155,8 +155,8 @@
     /** All departures, oldest name first, with times on the wall clock. */
     List<Departure> all(long nowMicros, long wallMicros) {
         List<Departure> all = new ArrayList<>(positions.size());
-        positions.forEach((name, at) -> at.forEach(
-                p -> all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
+        positions.forEach((name, at) -> at.forEach(p ->
+                all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
         return all;
     }
 }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -53,7 +53,12 @@
      * @param unusable names with an unusable entry: no address, no group or an unknown status
      */
     public record ListUpdate(
-            String agent, long index, boolean isWhole, boolean isCut, List<Core.ListedEndpoint> entries, Set<String> unusable) {
+            String agent,
+            long index,
+            boolean isWhole,
+            boolean isCut,
+            List<Core.ListedEndpoint> entries,
+            Set<String> unusable) {
         /** True if an endpoint that is not in it has left. */
         boolean isComplete() {
             return isWhole && !isCut;
@@ -166,7 +171,9 @@
      * the rate of requests.
      */
     public boolean needsWholeList(long nowMicros) {
-        return contradictsInitialList || isInDoubt || withheld.stream().anyMatch(name -> isNoLongerHeldBack(name, nowMicros));
+        return contradictsInitialList
+                || isInDoubt
+                || withheld.stream().anyMatch(name -> isNoLongerHeldBack(name, nowMicros));
     }
 
     private boolean isNoLongerHeldBack(String name, long nowMicros) {
@@ -222,7 +229,8 @@
         if (!isClockStarted) {
             isClockStarted = true;
             departures.restartClock(nowMicros);
-            known.replaceAll((name, endpoint) -> new KnownEndpoint(endpoint.listed(), endpoint.position().receivedAt(nowMicros)));
+            known.replaceAll((name, endpoint) ->
+                    new KnownEndpoint(endpoint.listed(), endpoint.position().receivedAt(nowMicros)));
         }
     }
 
@@ -266,7 +274,8 @@
         for (String name : unusable) {
             KnownEndpoint before = known.get(name);
             Statement statement = statements.get(name);
-            Core.ListedEndpoint listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
+            Core.ListedEndpoint listed =
+                    statement != null ? statement.listed() : before != null ? before.listed() : null;
             statements.put(name, listed == null ? null : new Statement(atLeastLeaving(listed), true));
         }
         return statements;
@@ -302,7 +311,8 @@
         if (!departures.permits(name, position)) {
             return List.of(withhold(statement.listed(), position));
         }
-        Core.ListedEndpoint removed = update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
+        Core.ListedEndpoint removed =
+                update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
         Core.ListedEndpoint active = activate(statement.listed(), position);
         return removed == null ? List.of(active) : List.of(removed, active);
     }
@@ -341,7 +351,9 @@
 
     private static String shortened(Collection<String> names) {
         String first = names.stream().limit(MAX_LOGGED_NAMES).collect(Collectors.joining(", "));
-        return names.size() <= MAX_LOGGED_NAMES ? first : first + " and " + (names.size() - MAX_LOGGED_NAMES) + " others";
+        return names.size() <= MAX_LOGGED_NAMES
+                ? first
+                : first + " and " + (names.size() - MAX_LOGGED_NAMES) + " others";
     }
 
     private Core.ListedEndpoint recordInactive(Core.ListedEndpoint listed, ListPosition position) {
@@ -395,7 +407,8 @@
      * If changes give an address to another name, and their list is later, marks the former holder of the address as
      * departed: two names share an address only if a single list says so. Null if there is no such endpoint.
      */
-    private Core.ListedEndpoint removedHolder(Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
+    private Core.ListedEndpoint removedHolder(
+            Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
         String holder = namesByAddress.get(address(listed));
         if (holder == null || holder.equals(name(listed)) || mentioned.contains(holder) || isAt(listed)) {
             return null;
@@ -431,7 +444,9 @@
 
     private void addAbsent(String name, KnownEndpoint before, ListPosition position) {
         ListPosition lastPosition = before.position();
-        boolean isContradiction = lastPosition.isExact() && position.isComparableWith(lastPosition) && position.index() == lastPosition.index();
+        boolean isContradiction = lastPosition.isExact()
+                && position.isComparableWith(lastPosition)
+                && position.index() == lastPosition.index();
         if (departures.contains(name)) {
             return; // already handled together with all departed endpoints
         }
--- a/src/main/java/lilaclever/routing/ListPosition.java
+++ b/src/main/java/lilaclever/routing/ListPosition.java
@@ -41,7 +41,8 @@
 
     /** The position that permits only lists permitted by both; both are of the same agent. */
     ListPosition strictest(ListPosition other) {
-        return new ListPosition(agent, Math.max(index, other.index), isExact, Math.max(receivedMicros, other.receivedMicros));
+        return new ListPosition(
+                agent, Math.max(index, other.index), isExact, Math.max(receivedMicros, other.receivedMicros));
     }
 
     /** A position received at the same time, than which no list is later until it expires. */
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -66,7 +66,8 @@
      * Records the listed states and returns what to pass to the core, with suspended endpoints as leaving. Called
      * directly for the initial list, which the core gets from the program.
      */
-    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
+    public List<Core.ListedEndpoint> withSuspensions(
+            DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
             // Endpoints in the whole list are set again below.
@@ -86,9 +87,10 @@
 
     private List<Core.ListedEndpoint> markSuspended(List<Core.ListedEndpoint> entries) {
         List<Core.ListedEndpoint> result = new ArrayList<>(entries);
-        result.replaceAll(item -> suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
-                ? item.withPresence(DecisionModule.Presence.LEAVING)
-                : item);
+        result.replaceAll(item ->
+                suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
+                        ? item.withPresence(DecisionModule.Presence.LEAVING)
+                        : item);
         return result;
     }
 
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -34,6 +34,7 @@
 
     /** Whether some endpoint may have processed it; the fields below describe the first such attempt. */
     boolean mayHaveRun;
+
     String possibleRunHost = "";
     int possibleRunZone;
     long possibleRunWallMicros;
@@ -87,9 +88,12 @@
 
     DecisionModule.Event.Submit toSubmitEvent(long nowMicros, long nowWallMicros) {
         // An attempt in the future means that the clock was set back, so its age is not known.
-        long ageMicros = nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
-        DecisionModule.Prior prior =
-                isResumed ? new DecisionModule.Prior(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros) : null;
+        long ageMicros =
+                nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
+        DecisionModule.Prior prior = isResumed
+                ? new DecisionModule.Prior(
+                        attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
+                : null;
         return new DecisionModule.Event.Submit(
                 id(),
                 submission.messageClass(),
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -94,7 +94,10 @@
      */
     @SuppressWarnings("rawtypes")
     public Runnable connect(
-            InetSocketAddress address, FilterChain chain, Consumer<Connection<?>> onConnected, Consumer<Throwable> onFailed) {
+            InetSocketAddress address,
+            FilterChain chain,
+            Consumer<Connection<?>> onConnected,
+            Consumer<Throwable> onFailed) {
         GrizzlyFuture<Connection> pending = new Connector(tcp, chain)
                 .open(address, new EmptyCompletionHandler<Connection>() {
                     @Override
@@ -141,7 +144,8 @@
         long startedNanos = System.nanoTime();
         runOnSelector(connection, () -> {
             if (selectionsLeft > 1 && System.nanoTime() - startedNanos > MAX_SELECTION_NANOS) {
-                runAfterSelection(connection, task, selectionsLeft - 1); // it took long, so more may have been received since
+                runAfterSelection(
+                        connection, task, selectionsLeft - 1); // it took long, so more may have been received since
             } else {
                 task.run();
             }
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -168,12 +168,14 @@
     }
 
     /** What a list said of an endpoint. {@code isDisputed}: a list of the same index may contradict it. */
-    private record ReceivedStatement(String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
+    private record ReceivedStatement(
+            String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
         /** Whether a list, with or without an index, may contradict it. */
         boolean isAnsweredBy(String byAgent, long byIndex, long now) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
-            return now - receivedMicros >= RETENTION || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
+            return now - receivedMicros >= RETENTION
+                    || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
         }
     }
 
@@ -246,7 +248,8 @@
                     if (mustBeActive(name, list)) {
                         due.add(name);
                     }
-                    unanswered.getOrDefault(name, new ArrayList<>())
+                    unanswered
+                            .getOrDefault(name, new ArrayList<>())
                             .removeIf(d -> d.isAnsweredBy(list.agent(), list.index(), nowMicros));
                 } else {
                     addDeparture(name, departure(list, nowMicros, state == ReportedState.CONTRADICTORY));
@@ -289,7 +292,8 @@
             long index = list.index() == EndpointMembership.NO_INDEX
                     ? lastIndex.getOrDefault(list.agent(), EndpointMembership.NO_INDEX)
                     : list.index();
-            return new ReceivedStatement(list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
+            return new ReceivedStatement(
+                    list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
         }
 
         private static Map<String, ReportedState> reportedStates(ListUpdate list) {
@@ -297,7 +301,8 @@
             Map<String, Core.ListedEndpoint> first = new HashMap<>();
             for (Core.ListedEndpoint x : list.entries()) {
                 String name = x.entry().host();
-                ReportedState state = x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
+                ReportedState state =
+                        x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
                 Core.ListedEndpoint other = first.putIfAbsent(name, x);
                 boolean isSame = other == null
                         || other.entry().presence() == x.entry().presence()
@@ -333,7 +338,8 @@
             }
         }
 
-        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
+        private static Map<String, Core.ListedEndpoint> applied(
+                Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
             update.entries().forEach(x -> to.put(x.entry().host(), x));
             return to;
         }
@@ -387,8 +393,8 @@
                     .computeIfAbsent(name, n -> new HashMap<>())
                     .computeIfAbsent(address, a -> new ArrayList<>());
             update.removeIf(heard -> !heard.agent().equals(list.agent()));
-            boolean isOvertaken =
-                    update.stream().anyMatch(heard -> heard.index() > list.index() && nowMicros - heard.receivedMicros() < RETENTION);
+            boolean isOvertaken = update.stream()
+                    .anyMatch(heard -> heard.index() > list.index() && nowMicros - heard.receivedMicros() < RETENTION);
             if (!isOvertaken) { // an outdated list confirms nothing
                 update.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
@@ -470,7 +476,8 @@
             delayed.clear();
             int version = Math.max((int) Math.max(0, -current.indexOffset), current.knownVersion - random.nextInt(8));
             long index = current.index() - current.knownVersion + version;
-            List<Core.ListedEndpoint> known = List.copyOf(actual.versions.get(version).values());
+            List<Core.ListedEndpoint> known =
+                    List.copyOf(actual.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
             auditor.processStarted(index, known, membership.applyInitialList(index, known), now);
             lastIndexes.clear();
