--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -5,7 +5,8 @@
 
 /**
  * Decides whether a submission is a new message, a duplicate of a pending or completed message, or a different message
- * under an identity in use. No I/O, no clock, no thread: times are passed in, and {@link CompletedMessageStore} persists the results.
+ * under an identity in use. No I/O, no clock, no thread: times are passed in, and {@link CompletedMessageStore}
+ * persists the results.
  *
  * <p>The rules:
  * <ul>
@@ -36,7 +37,7 @@
     /**
      * Checks a submission.
      *
-     * @param content its fingerprint; null if duplicates are not compared by content
+     * @param fingerprint its fingerprint; null if duplicates are not compared by content
      */
     public DuplicateCheckResult<M, E> check(String identity, Fingerprint fingerprint, long nowWallMicros) {
         Pending<M> current = pending.get(identity);
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -176,7 +176,7 @@
         state.closed = true;
         calls.remove(call);
         if (wait > 0) {
-            waits.record(call.endpoint, world.now() + wait);
+            waits.recordRetryAfter(call.endpoint, world.now() + wait);
         }
         if (ending != Ending.DELIVERED && ending != Ending.WITHHELD) {
             world.partner(call.endpoint.destination()).heardFailure(number, world.now());
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -255,7 +255,7 @@
         }
         if (longest > 0) {
             long now = Core.monotonicMicros() + 1; // the clock is cut to whole microseconds
-            waits.record(endpoint, now + longest);
+            waits.recordRetryAfter(endpoint, now + longest);
             Logs.debug(
                     "",
                     "wait",
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -262,7 +262,7 @@
                             NOTHING,
                             () -> core.post(() -> {
                                 if (lost.merge(w.id(), -1, Integer::sum) == 0) {
-                                    core.withdraw(message, this, w.id());
+                                    core.withdrawSubmitter(message, this, w.id());
                                 }
                             }));
         }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -27,7 +27,7 @@
      * @param host the endpoint's unique name in the list
      * @param address where to connect
      * @param maxMessagesPerCall how many messages a call may carry
-     * @param hasOwnLimits true if limits and retry-after periods apply to this endpoint alone, not to its whole destination
+     * @param hasOwnLimits true if limits and retry-after periods apply to this endpoint, not to its whole destination
      */
     public record Endpoint(
             String host,
@@ -46,8 +46,8 @@
     /**
      * Adds a message. All times are on the event loop's clock, microseconds.
      *
-     * @param writeBy when the attempt is dropped: the message must not be sent from then on, and needs no answer
-     * @param deadline the message's deadline
+     * @param writeByMicros when the attempt is dropped: the message must not be sent from then on, and needs no answer
+     * @param deadlineMicros the message's deadline
      */
     void addMessage(Message message, long writeByMicros, long deadlineMicros) {
         message.currentCall = this;
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -154,12 +154,12 @@
         return WALL_CLOCK_OFFSET_MICROS + monotonicMicros();
     }
 
-    /** Adds a front; before {@link #startCall}. */
+    /** Adds a front; before {@link #start}. */
     public void add(Front front) {
         fronts.put(front.name(), front);
     }
 
-    /** Adds an endpoint of our own configuration; before {@link #startCall}. */
+    /** Adds an endpoint of our own configuration; before {@link #start}. */
     public void add(ListedEndpoint configured) {
         configuredEndpoints.add(configured);
         endpoints.put(configured.entry().host(), configured.endpoint());
@@ -308,7 +308,7 @@
     }
 
     /** Removes a submitter whose client left before the acceptance was reported to it. Event loop. */
-    public void withdraw(Message message, Front front, String id) {
+    public void withdrawSubmitter(Message message, Front front, String id) {
         message.submitters.remove(new DeduplicationTable.Submitter(front, id));
         if (!message.isFinished && message.submitters.isEmpty()) {
             counters.add(Name.WITHDRAWN);
@@ -400,7 +400,7 @@
     /**
      * Reports the end of a message's attempt. Event loop.
      *
-     * @param waitMicros retry-after period for the destination; 0: none
+     * @param retryAfterMicros retry-after period for the destination; 0: none
      * @param noSlot it was not sent for want of a free slot
      * @param over the endpoint reports that the message needs no further attempt and no result
      */
@@ -766,10 +766,8 @@
         trace(message, "ended", finalStatus.kind(), null);
         deduplication.recordCompleted(message, finalStatus, clock.wallMicros());
         boolean needsNotification = finalStatus.kind() != Kind.DELIVERED && finalStatus.kind() != Kind.GONE;
-        if (needsNotification
-                || Identity.isShared(
-                        message.submission
-                                .identity())) { // a client that is away may have to be notified of the delivery
+        // With a shared identity, a client that is away may have to be notified of the delivery as well.
+        if (needsNotification || Identity.isShared(message.submission.identity())) {
             journal.recordFinalStatus(message.id(), finalStatus);
         }
         if (message.currentCall != null) {
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -59,7 +59,7 @@
         attemptEndings.computeIfAbsent(ending, e -> new LongAdder()).increment();
     }
 
-    /** Registers a gauge for the size of a collection, so that unbounded growth shows up. */
+    /** Registers a gauge for the size of a collection, printed as entries_NAME, so that unbounded growth shows up. */
     public synchronized void entryGauge(String name, IntSupplier entries) {
         entryGauges.put(name, entries);
     }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -12,8 +12,8 @@
 
 /**
  * Keeps track of who is notified of a message's final status: the first submitter and those who submitted the same
- * message later, on any front. {@link DuplicateDetector} detects duplicates; this class applies the result and records it in
- * the journal. Event loop.
+ * message later, on any front. {@link DuplicateDetector} detects duplicates; this class applies the result and records
+ * it in the journal. Event loop.
  */
 final class DeduplicationTable {
     /** Submitters attached to a message beside the first; further ones are told to retry, to bound its record. */
@@ -41,8 +41,8 @@
             }
 
             @Override
-            public void put(String identity, CompletedMessage<FinalStatus> past) {
-                journal.remember(identity, past);
+            public void put(String identity, CompletedMessage<FinalStatus> completedMessage) {
+                journal.remember(identity, completedMessage);
             }
 
             @Override
@@ -106,7 +106,7 @@
     boolean attach(Message message, Front front, String id) {
         Submitter submitter = new Submitter(front, id);
         if (message.submitters.contains(submitter)
-                || front.notifiesOnce() && message.submitters.stream().anyMatch(c -> c.front() == front)) {
+                || front.notifiesOnce() && message.submitters.stream().anyMatch(other -> other.front() == front)) {
             return true;
         }
         if (message.submitters.size() > MAX_ATTACHED
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -9,8 +9,8 @@
 import lilaclever.routing.EndpointMembership.Departure;
 
 /**
- * Endpoints that lists have reported as departed, each with the positions of those lists. At most {@link #MAX_NAMES} names;
- * the oldest is evicted first. Event loop.
+ * Endpoints that lists have reported as departed, each with the positions of those lists. At most {@link #MAX_NAMES}
+ * names; the oldest is evicted first. Event loop.
  */
 final class DepartureTable {
     /** More than the largest fleet has endpoints. */
@@ -20,7 +20,7 @@
      * Positions kept for one name, from several agents or from one whose indexes restarted; more are merged into
      * stricter ones.
      */
-    private static final int MOST_POSITIONS = 4;
+    private static final int MAX_POSITIONS_PER_NAME = 4;
 
     private final Map<String, List<ListPosition>> positions = new LinkedHashMap<>();
     /** The position of the last contradictory list about a name, if no list has reported a departure since. */
@@ -96,14 +96,16 @@
             }
         }
         updated.add(position);
-        return updated.size() <= MOST_POSITIONS ? List.copyOf(updated) : merged(updated, position);
+        return updated.size() <= MAX_POSITIONS_PER_NAME ? List.copyOf(updated) : merged(updated, position);
     }
 
     /** Merges the positions of each agent into one, or all positions into one if there are too many agents. */
     private static List<ListPosition> merged(List<ListPosition> all, ListPosition newest) {
         Map<String, ListPosition> strictest = new LinkedHashMap<>();
         all.forEach(p -> strictest.merge(p.agent(), p, ListPosition::strictest));
-        return strictest.size() <= MOST_POSITIONS ? List.copyOf(strictest.values()) : List.of(newest.laterThanAny());
+        return strictest.size() <= MAX_POSITIONS_PER_NAME
+                ? List.copyOf(strictest.values())
+                : List.of(newest.laterThanAny());
     }
 
     private static boolean areSamePlaces(List<ListPosition> one, List<ListPosition> other) {
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -25,8 +25,8 @@
  * through a list that is later than every departure received: from the same agent, with a higher index. The index of
  * the list with the departure itself is not enough. Two kinds of departure count as one index lower, so that the next
  * valid list of the same index can bring the endpoint back: contradictory or unusable entries, and an absence where the
- * same agent has listed the endpoint as active at that index. After {@link ListPosition#RETENTION_MICROS} any list is accepted, as
- * the indexes may have restarted. An endpoint that has not departed is active once a list says so.
+ * same agent has listed the endpoint as active at that index. After {@link ListPosition#RETENTION_MICROS} any list is
+ * accepted, as the indexes may have restarted. An endpoint that has not departed is active once a list says so.
  *
  * <p>A list without an index counts as the newest list of its agent for departures, and activates no departed endpoint.
  * Departures stored by an earlier process, and those in the initial list, count as received when this process receives
@@ -128,7 +128,7 @@
     /**
      * Starts without endpoints.
      *
-     * @param noted departures that earlier processes stored, oldest first
+     * @param stored departures that earlier processes stored, oldest first
      * @param store saves the departures whenever they change
      */
     public EndpointMembership(List<Departure> stored, DepartureStore store) {
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -7,9 +7,9 @@
 
 /**
  * The write-ahead log of the core: each record is written before its consequence. All methods are called on the event
- * loop. Records that must exist before something happens ({@link #recordAccepted}, {@link #recordAttempt}, {@link #recordAttached}) return
- * false if they could not be written, and then have no effect; the journal keeps all others in memory and writes them
- * as soon as it can.
+ * loop. Records that must exist before something happens ({@link #recordAccepted}, {@link #recordAttempt},
+ * {@link #recordAttached}) return false if they could not be written, and then have no effect; the journal keeps all
+ * others in memory and writes them as soon as it can.
  */
 public interface Journal extends AutoCloseable {
     /** Sets the executor of the event loop, to which the journal's own threads post their callbacks. */
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -18,7 +18,7 @@
     }
 
     /** Records a retry-after of the endpoint; a shorter period does not cut a longer one short. */
-    public void record(Call.Endpoint endpoint, long untilMicros) {
+    public void recordRetryAfter(Call.Endpoint endpoint, long untilMicros) {
         expiryMicros.merge(keyOf(endpoint), untilMicros, Math::max);
     }
 
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -144,8 +144,8 @@
         long startedNanos = System.nanoTime();
         runOnSelector(connection, () -> {
             if (selectionsLeft > 1 && System.nanoTime() - startedNanos > MAX_SELECTION_NANOS) {
-                runAfterSelection(
-                        connection, task, selectionsLeft - 1); // it took long, so more may have been received since
+                // It took long, so more may have been received since.
+                runAfterSelection(connection, task, selectionsLeft - 1);
             } else {
                 task.run();
             }
--- a/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -119,7 +119,7 @@
         assertThrows(IllegalArgumentException.class, () -> Identity.parse("id/nothing"));
     }
 
-    /** One step on one of a few identities. {@code what}: 0 submits, 1 completes, 2 removes the message. */
+    /** One step on one of a few identities. {@code action}: 0 submits, 1 completes, 2 removes the message. */
     record Step(int action, int identity, boolean otherContent, int messageClass, int elapsed) {}
 
     @Provide
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -34,12 +34,12 @@
     private static final long SECOND = 1_000_000, RETENTION = 60 * SECOND;
 
     @BeforeAll
-    static void logErrorsAlone() {
+    static void logErrorsOnly() {
         Logs.set(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false));
     }
 
     @AfterAll
-    static void logAsUsual() {
+    static void restoreLogging() {
         Logs.set(Logs.Settings.USUAL);
     }
 
@@ -117,11 +117,11 @@
         private long indexOffset;
         private long highestIndex;
 
-        Agent(String address, ActualEndpoints truth, long offset) {
+        Agent(String address, ActualEndpoints actual, long indexOffset) {
             this.address = address;
-            this.actual = truth;
-            this.indexOffset = offset;
-            knownVersion = truth.latest();
+            this.actual = actual;
+            this.indexOffset = indexOffset;
+            knownVersion = actual.latest();
         }
 
         long index() {
@@ -171,7 +171,7 @@
     private record ReceivedStatement(
             String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
         /** Whether a list, with or without an index, may contradict it. */
-        boolean isAnsweredBy(String byAgent, long byIndex, long now) {
+        boolean isContradictedBy(String byAgent, long byIndex, long now) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
             return now - receivedMicros >= RETENTION
@@ -189,7 +189,8 @@
     /** Tracks the lists that the forwarder has received, and checks what it tells the core. */
     private static final class Auditor {
         /** All departures of each name, and those that no later list has contradicted. */
-        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(), unanswered = new HashMap<>();
+        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(),
+                uncontradicted = new HashMap<>();
         /** By name and address: lists that stated the address, while the endpoint is active. */
         private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
         /**
@@ -207,14 +208,14 @@
         private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
         void processStarted(long version, List<Core.ListedEndpoint> known, CoreUpdate update, long nowMicros) {
-            unanswered.values().forEach(all -> all.removeAll(ofInitialList));
+            uncontradicted.values().forEach(all -> all.removeAll(ofInitialList));
             departures.values().forEach(all -> all.removeAll(ofInitialList));
             names.clear();
             named.clear();
             lastIndex.clear();
             addresses.clear();
-            unanswered.values().removeIf(List::isEmpty);
-            names.addAll(unanswered.keySet());
+            uncontradicted.values().removeIf(List::isEmpty);
+            names.addAll(uncontradicted.keySet());
             for (Core.ListedEndpoint x : known) {
                 String name = x.entry().host();
                 names.add(name);
@@ -230,9 +231,9 @@
             checkDeparted("the initial list");
         }
 
-        private void addDeparture(String name, ReceivedStatement heard) {
-            departures.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
-            unanswered.computeIfAbsent(name, n -> new ArrayList<>()).add(heard);
+        private void addDeparture(String name, ReceivedStatement statement) {
+            departures.computeIfAbsent(name, n -> new ArrayList<>()).add(statement);
+            uncontradicted.computeIfAbsent(name, n -> new ArrayList<>()).add(statement);
         }
 
         void updated(ListUpdate list, CoreUpdate update, long nowMicros) {
@@ -248,9 +249,9 @@
                     if (mustBeActive(name, list)) {
                         due.add(name);
                     }
-                    unanswered
+                    uncontradicted
                             .getOrDefault(name, new ArrayList<>())
-                            .removeIf(d -> d.isAnsweredBy(list.agent(), list.index(), nowMicros));
+                            .removeIf(d -> d.isContradictedBy(list.agent(), list.index(), nowMicros));
                 } else {
                     addDeparture(name, departure(list, nowMicros, state == ReportedState.CONTRADICTORY));
                 }
@@ -352,8 +353,10 @@
             core.keySet()
                     .forEach(name -> assertTrue(
                             presence(name) != Presence.ACTIVE
-                                    || unanswered.getOrDefault(name, List.of()).isEmpty(),
-                            () -> name + " is active after " + after + ", departed with " + unanswered.get(name)));
+                                    || uncontradicted
+                                            .getOrDefault(name, List.of())
+                                            .isEmpty(),
+                            () -> name + " is active after " + after + ", departed with " + uncontradicted.get(name)));
         }
 
         /** An address is not replaced if a later list of the agent that last set it stated it within a minute. */
@@ -389,26 +392,27 @@
         }
 
         private void addAddress(String name, String address, ListUpdate list, long nowMicros) {
-            List<ReceivedStatement> update = addresses
+            List<ReceivedStatement> statements = addresses
                     .computeIfAbsent(name, n -> new HashMap<>())
                     .computeIfAbsent(address, a -> new ArrayList<>());
-            update.removeIf(heard -> !heard.agent().equals(list.agent()));
-            boolean isOvertaken = update.stream()
-                    .anyMatch(heard -> heard.index() > list.index() && nowMicros - heard.receivedMicros() < RETENTION);
+            statements.removeIf(statement -> !statement.agent().equals(list.agent()));
+            boolean isOvertaken = statements.stream()
+                    .anyMatch(statement ->
+                            statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
             if (!isOvertaken) { // an outdated list confirms nothing
-                update.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
+                statements.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
         }
 
-        void checkExact(Map<String, Core.ListedEndpoint> truth) {
-            Map<String, String> expected = new TreeMap<>(), update = new TreeMap<>();
-            truth.values().stream()
+        void checkExact(Map<String, Core.ListedEndpoint> actual) {
+            Map<String, String> expected = new TreeMap<>(), active = new TreeMap<>();
+            actual.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
                     .forEach(x -> expected.put(x.entry().host(), x.endpoint().address()));
             core.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
-                    .forEach(x -> update.put(x.entry().host(), x.endpoint().address()));
-            assertEquals(expected, update, "active endpoints in the end");
+                    .forEach(x -> active.put(x.entry().host(), x.endpoint().address()));
+            assertEquals(expected, active, "active endpoints in the end");
         }
     }
 
