--- a/src/main/java/lilaclever/identity/CompletedMessage.java
+++ b/src/main/java/lilaclever/identity/CompletedMessage.java
@@ -1,10 +1,10 @@
 package lilaclever.identity;
 
 /**
- * An end that is remembered.
+ * The remembered result of a completed message.
  *
- * @param result how the message ended
- * @param fingerprint what it said; null where that is not compared
- * @param untilWallMicros when it is forgotten, on the wall clock, microseconds
+ * @param result the result
+ * @param fingerprint fingerprint of the message; null if duplicates are not compared by content
+ * @param untilWallMicros when it expires, on the wall clock, microseconds
  */
 public record CompletedMessage<E>(E result, Fingerprint fingerprint, long untilWallMicros) {}
--- a/src/main/java/lilaclever/identity/DuplicateCheckResult.java
+++ b/src/main/java/lilaclever/identity/DuplicateCheckResult.java
@@ -1,16 +1,21 @@
 package lilaclever.identity;
 
-/** What a hand-in under an identity is. {@code M} is a message that is held, {@code E} an end. */
+/**
+ * Result of checking a submission for duplicates by its identity.
+ *
+ * @param <M> a pending message
+ * @param <E> the result of a completed message
+ */
 public sealed interface DuplicateCheckResult<M, E> {
-    /** Nothing is known of it: a message of its own. */
+    /** No message with this identity is known. */
     record NewMessage<M, E>() implements DuplicateCheckResult<M, E> {}
 
-    /** The message is held already: whoever handed this in gets its end too. */
+    /** The message is pending: its final status answers this submission as well. */
     record PendingDuplicate<M, E>(M pending) implements DuplicateCheckResult<M, E> {}
 
-    /** The message has ended, and this is the end. */
+    /** The message is completed, with this result. */
     record CompletedDuplicate<M, E>(E result) implements DuplicateCheckResult<M, E> {}
 
-    /** The identity belongs to a message that says something else; {@code held}: one that has not ended. */
+    /** The identity belongs to a message with other content, which is pending or completed. */
     record Conflict<M, E>(boolean isPending) implements DuplicateCheckResult<M, E> {}
 }
--- a/src/main/java/lilaclever/identity/IdempotencyWindows.java
+++ b/src/main/java/lilaclever/identity/IdempotencyWindows.java
@@ -3,23 +3,24 @@
 import java.util.List;
 
 /**
- * How long ends are remembered, and how many.
+ * How long results of completed messages are remembered, and how many.
  *
- * @param classMicros for each class, by its number, how long after its end a message is known again, microseconds
- * @param defaultMicros for identities that are not shared (those of mails)
- * @param maxEntries ends remembered in all
+ * @param classMicros by class number, how long after completion a duplicate is recognised, microseconds
+ * @param defaultMicros the same for identities that are not shared between fronts (those of mails)
+ * @param maxEntries results remembered in all
  */
 public record IdempotencyWindows(List<Long> classMicros, long defaultMicros, int maxEntries) {
-    /** A copy that nobody can change. */
     public IdempotencyWindows {
         classMicros = List.copyOf(classMicros);
         if (maxEntries < 1) {
-            throw new IllegalArgumentException("room for one end at least");
+            throw new IllegalArgumentException("at least one result must be remembered");
         }
     }
 
-    /** The window of a message. */
+    /** How long the result of a message with this identity and class is remembered. */
     long windowMicros(String identity, int messageClass) {
-        return Identity.isShared(identity) && messageClass < classMicros.size() ? classMicros.get(messageClass) : defaultMicros;
+        return Identity.isShared(identity) && messageClass < classMicros.size()
+                ? classMicros.get(messageClass)
+                : defaultMicros;
     }
 }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -3,30 +3,40 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** One call to an endpoint: one message, or several where the endpoint's kind takes several. */
+/** One request to an endpoint, with one message, or several where the endpoint's kind accepts batches. */
 public final class Call {
-    /** The endpoint's name in the list and where it is. */
     public final Endpoint endpoint;
-    /** What travels in it. */
+    /** The messages still in the call; one that is removed before the request is written is no longer here. */
     public final List<Message> messages = new ArrayList<>();
-    /** When it was started, by the loop's clock, microseconds. */
+    /** Creation time on the event loop's clock, microseconds. */
     public final long startedAtMicros;
-    /** What the deliverer keeps for it. */
+    /** State that belongs to the deliverer. */
     public Object attachment;
 
     int pendingOutcomes;
     private volatile long writeByMicros = Long.MAX_VALUE;
     private long expiresAtMicros = Long.MAX_VALUE;
-    /** True once the deliverer has it: its attempts are in the journal. */
+    /** Whether the call was handed to the deliverer, which happens once its attempts are recorded durably. */
     boolean isStarted;
 
     Deadlines.Key deadline;
 
     /**
-     * An endpoint of the list, with the deliverer that reaches it. {@code apart}: limits and told waits are its own.
+     * An endpoint of the list, with the deliverer that reaches it.
+     *
+     * @param host the endpoint's unique name in the list
+     * @param address where to connect
+     * @param maxMessagesPerCall how many messages a call may carry
+     * @param hasOwnLimits true if limits and retry-after periods apply to this endpoint, not to its whole destination
      */
     public record Endpoint(
-            String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
+            String host,
+            String address,
+            int destination,
+            int zone,
+            int maxMessagesPerCall,
+            boolean hasOwnLimits,
+            Deliverer deliverer) {}
 
     Call(Endpoint endpoint, long startedAtMicros) {
         this.endpoint = endpoint;
@@ -34,10 +44,10 @@
     }
 
     /**
-     * A message goes along. All times by the loop's clock, microseconds.
+     * Adds a message. All times are on the event loop's clock, microseconds.
      *
-     * @param writeBy  from then on it must not go, and needs no answer for its own sake
-     * @param deadline when its time is up
+     * @param writeByMicros when the attempt is dropped: the message must not be sent from then on, and needs no answer
+     * @param deadlineMicros the message's deadline
      */
     void addMessage(Message message, long writeByMicros, long deadlineMicros) {
         message.currentCall = this;
@@ -48,43 +58,57 @@
         updateTimes();
     }
 
-    /** A message goes along no more. Loop thread. */
+    /** Removes a message that has not been sent. Event loop. */
     public void removeMessage(Message message) {
         messages.remove(message);
         updateTimes();
     }
 
     private void updateTimes() {
-        writeByMicros = messages.stream().mapToLong(message -> message.writeByMicros).min().orElse(Long.MAX_VALUE);
+        writeByMicros = messages.stream()
+                .mapToLong(message -> message.writeByMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         expiresAtMicros = expiryMicrosOf(messages);
     }
 
-    /** When the first of its messages must not go any more: the loop may come late with taking it out. Any thread. */
+    /**
+     * The earliest time from which one of the messages must not be sent. Checked before writing, since the event loop
+     * may be late in removing that message. Any thread.
+     */
     public long writeByMicros() {
         return writeByMicros;
     }
 
     /**
-     * When to give it up, by the loop's clock, microseconds: it waits as long as any of its messages may, but has one
-     * time, which its endpoint is told, and that is over with the first message whose time is up.
+     * When to abort the call, on the event loop's clock, microseconds: once the last of its messages has to be
+     * dropped, but no later than the earliest deadline. The call has a single timeout, which is sent to the endpoint.
      */
     public long expiresAtMicros() {
         return expiresAtMicros;
     }
 
-    /** What {@link #expiresAtMicros} is for a call of the given messages of this one. */
+    /** The value that {@link #expiresAtMicros} has for a call with these messages only. */
     public static long expiryMicrosOf(List<Message> messages) {
-        long lastWriteByMicros = messages.stream().mapToLong(message -> message.writeByMicros).max().orElse(Long.MAX_VALUE);
-        long firstDeadlineMicros = messages.stream().mapToLong(message -> message.deadlineMicros).min().orElse(Long.MAX_VALUE);
+        long lastWriteByMicros = messages.stream()
+                .mapToLong(message -> message.writeByMicros)
+                .max()
+                .orElse(Long.MAX_VALUE);
+        long firstDeadlineMicros = messages.stream()
+                .mapToLong(message -> message.deadlineMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         return Math.min(lastWriteByMicros, firstDeadlineMicros);
     }
 
-    /** Has the messages whose time is up leave, if others go and the call is not on its way yet. */
+    /** Asks the deliverer to remove expired messages, as long as others remain and the call has not been sent. */
     void requestRemovalOfExpired(long nowMicros) {
-        List.copyOf(messages).stream().filter(message -> message.writeByMicros <= nowMicros).forEach(this::requestRemoval);
+        List.copyOf(messages).stream()
+                .filter(message -> message.writeByMicros <= nowMicros)
+                .forEach(this::requestRemoval);
     }
 
-    /** Has a message leave, if others go and the call is not on its way yet. */
+    /** Asks the deliverer to remove a message, as long as others remain and the call has not been sent. */
     void requestRemoval(Message message) {
         if (message.currentCall == this && isStarted && messages.size() > 1) {
             endpoint.deliverer().removeMessage(this, message);
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -21,22 +21,22 @@
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
- * The core: knows messages, endpoints and deadlines, and no wire. One thread, the loop, owns all of it. Each turn it
- * runs what is ready, sweeps the deadlines, hands all events to the decision module in one go and carries out the
- * actions in their order. Other threads come in by {@link #post} alone.
+ * The core keeps messages, endpoints and deadlines, independent of any protocol. A single thread, the event loop, owns
+ * its state. In each turn it runs the queued tasks and the due deadlines, passes all events to the decision module in
+ * one batch and executes the resulting actions in order. Other threads use only {@link #post}.
  */
 public final class Core {
-    /** What a client is told where the module was not asked: no room here, or the program ends. */
+    /** Retry advice for submissions rejected without asking the decision module: no room, or shutting down. */
     private static final long REJECTED_RETRY_AFTER_MICROS = 1_000_000;
 
     private static final long MAX_SLEEP_MICROS = 1_000_000;
     private static final long DESTINATION_RETENTION_MICROS = 60_000_000;
-    /** An end this long after a message's time is a broken rule. */
+    /** A final status later than this after a message's deadline breaks an invariant. */
     private static final long DEADLINE_TOLERANCE_MICROS = 250_000;
 
     private static final long WALL_CLOCK_OFFSET_MICROS = System.currentTimeMillis() * 1000 - monotonicMicros();
 
-    /** An endpoint as the directory lists it. */
+    /** An endpoint as listed by the directory: its entry for the decision module, and how to reach it. */
     public record ListedEndpoint(DecisionModule.EndpointEntry entry, Call.Endpoint endpoint) {
         /** The same endpoint with another presence. */
         public ListedEndpoint withPresence(DecisionModule.Presence presence) {
@@ -64,9 +64,9 @@
     private final DeduplicationTable deduplication;
     private final Map<String, Call.Endpoint> endpoints = new HashMap<>();
     private final ActiveEndpoints activeEndpoints = new ActiveEndpoints();
-    /** Destinations that the list has named, and when last: one that has no endpoint now may have one soon. */
+    /** When each destination was last listed: one that has no endpoint now may get one soon. */
     private final Map<Integer, Long> destinationsLastListed = new HashMap<>();
-    /** Endpoints that stand in our own configuration and in no directory. */
+    /** Endpoints from the program's own configuration, which no directory lists. */
     private final List<ListedEndpoint> configuredEndpoints = new ArrayList<>();
 
     private final Set<Call> calls = new HashSet<>();
@@ -79,7 +79,7 @@
     private final Clock clock;
     private long nowMicros;
 
-    /** A core that holds nothing yet. */
+    /** Creates a core without messages that runs in real time. */
     public Core(
             DecisionModule.Settings settings,
             long seed,
@@ -89,7 +89,7 @@
         this(settings, seed, journal, counters, windows, Clock.system());
     }
 
-    /** The same in a time of its own. */
+    /** Creates a core without messages that runs on the given clock. */
     public Core(
             DecisionModule.Settings settings,
             long seed,
@@ -114,29 +114,29 @@
         journal.setLoop(this::post);
     }
 
-    // ---- what others use --------------------------------------------------------------------------------
-    /** Has the loop run the task in its next turn. From any thread. */
+    // Public API
+
+    /** Queues a task for the event loop's next turn. Any thread. */
     public void post(Runnable task) {
         tasks.add(task);
         clock.taskPosted();
     }
 
-    /** The clock of this turn, microseconds; only goes forward. */
+    /** The time of this turn on the monotonic clock, microseconds. */
     public long nowMicros() {
         return nowMicros;
     }
 
-    /** All deadlines. */
+    /** The timers of the event loop. */
     public Deadlines deadlines() {
         return deadlines;
     }
 
-    /** The counters. */
     public Counters counters() {
         return counters;
     }
 
-    /** Which endpoints requests may be written to; for deliverers. */
+    /** The endpoints to which requests may be written; for deliverers. */
     public ActiveEndpoints activeEndpoints() {
         return activeEndpoints;
     }
@@ -147,33 +147,36 @@
     }
 
     /**
-     * The wall clock, microseconds, as it was when this life began and went on from there: it does not jump when
-     * somebody sets it. What outlasts the process is told in it.
+     * The wall clock at the start of the process plus the monotonic time since, microseconds: it does not jump when the
+     * system clock is set. Times that are stored use this clock.
      */
     public static long wallMicros() {
         return WALL_CLOCK_OFFSET_MICROS + monotonicMicros();
     }
 
-    /** Adds a front; before {@link #startCall}. */
+    /** Adds a front; before {@link #start}. */
     public void add(Front front) {
         fronts.put(front.name(), front);
     }
 
-    /** Adds an endpoint of our own configuration; before {@link #startCall}. */
+    /** Adds an endpoint of our own configuration; before {@link #start}. */
     public void add(ListedEndpoint configured) {
         configuredEndpoints.add(configured);
         endpoints.put(configured.entry().host(), configured.endpoint());
         activeEndpoints.activate(configured.endpoint());
     }
 
-    /** Starts the loop: first what the journal says is owed, with the list as last known. */
+    /** Starts the event loop: resumes the journal's pending messages, with the last known endpoint list. */
     public void start(List<ListedEndpoint> known, long version) {
         runFirstTurn(known, version);
         thread = new Thread(this::loop, "loop");
         thread.start();
     }
 
-    /** The first turn, where a host in virtual time does the loop's part: {@link #nextTurnMicros} and {@link #runTurn}. */
+    /**
+     * Runs the first turn on the calling thread, without starting the event loop's thread. For simulations in virtual
+     * time, which go on with {@link #nextTurnMicros} and {@link #runTurn}.
+     */
     public void runFirstTurn(List<ListedEndpoint> known, long version) {
         nowMicros = clock.monotonicMicros();
         updateEndpoints(DecisionModule.ListingKind.REMEMBERED, version, known);
@@ -184,12 +187,14 @@
         processTurn();
     }
 
-    /** When the next turn is due: with a task waiting after the least spacing, else at the next deadline. */
+    /** When the next turn is due: with a queued task after the minimum interval, else at the next deadline. */
     public long nextTurnMicros() {
-        return tasks.isEmpty() ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS) : nowMicros + settings.roundMicros();
+        return tasks.isEmpty()
+                ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS)
+                : nowMicros + settings.roundMicros();
     }
 
-    /** One turn. */
+    /** Runs one turn on the calling thread. */
     public void runTurn() {
         nowMicros = clock.monotonicMicros();
         run(this::processTurn);
@@ -199,7 +204,12 @@
         Front front = fronts.get(pending.front());
         Message message = new Message(pending.submission(), front, pending.deadlineWallMicros());
         if (front == null) {
-            Logs.error("", "no-front", "nobody to answer for " + message.id() + ": no front " + pending.front(), "message", message.id());
+            Logs.error(
+                    "",
+                    "no-front",
+                    "cannot answer for " + message.id() + ": no front " + pending.front(),
+                    "message",
+                    message.id());
             journal.recordSettled(message.id());
             return;
         }
@@ -212,31 +222,33 @@
                 message.submitters.add(new DeduplicationTable.Submitter(fronts.get(submitter.front()), submitter.id()));
             }
         }
-        // A kill may have come between the remembering of its end and the record that the end is decided.
-        FinalStatus decidedStatus = pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
+        // The process may have been killed after the result was remembered and before the final status was recorded.
+        FinalStatus decidedStatus =
+                pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
         if (decidedStatus != null) {
             message.isFinished = true;
             notifySubmitters(message, decidedStatus);
             return;
         }
         if (pending.isInFlight()) {
-            // The call was out when the process ended: it may have run.
+            // The call was in flight when the process ended, so the endpoint may have processed it.
             journal.recordOutcome(message.id(), false);
         }
         message.attemptCount = pending.attempts();
         if (pending.mayHaveRun()) {
-            message.markPossiblyRun(pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
+            message.markPossiblyRun(
+                    pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
         }
         addPending(message);
         events.add(message.toSubmitEvent(nowMicros, wallMicros));
     }
 
-    /** False if the list has not named the destination for long. Without any list nothing is known. Loop thread. */
+    /** False if the destination has not been listed for long; true as long as none was ever listed. Event loop. */
     public boolean isKnownDestination(int destination) {
         return destinationsLastListed.isEmpty() || destinationsLastListed.containsKey(destination);
     }
 
-    /** Takes a hand-in from a front; the front hears of it by the end of the turn. Loop thread. */
+    /** Submits a message; the front is notified by the end of the turn. Event loop. */
     public Message submit(Front front, Submission submission) {
         counters.add(Name.HANDED_IN);
         long wallMicros = clock.wallMicros();
@@ -267,10 +279,12 @@
         return message;
     }
 
-    /** Another hand-in of a message that is held: its front tells the end there too, where identities are shared. */
+    /** Attaches a duplicate to its pending message: if identities are shared, its front is notified as well. */
     private Message attach(Message pending, Message duplicate) {
-        if (Identity.isShared(pending.submission.identity()) && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
-            return answerWithoutAccepting(duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
+        if (Identity.isShared(pending.submission.identity())
+                && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
+            return answerWithoutAccepting(
+                    duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
         }
         return pending;
     }
@@ -280,7 +294,7 @@
         return answerWithoutAccepting(message, FinalStatus.of(Kind.CLASH));
     }
 
-    /** Answers a hand-in that makes no message. */
+    /** Answers a submission that does not become a message of its own. */
     private static Message answerWithoutAccepting(Message message, FinalStatus finalStatus) {
         message.isFinished = true;
         message.finalStatus = finalStatus;
@@ -288,12 +302,12 @@
         return message;
     }
 
-    /** Runs what must not happen before all that is written so far would outlast the machine. Loop thread. */
+    /** Runs the task once all journal records written so far are durable. Event loop. */
     public void whenDurable(Runnable consequence) {
         journal.whenDurable(() -> run(consequence));
     }
 
-    /** A client is gone before it heard that its message is taken on. Loop thread. */
+    /** Removes a submitter whose client left before the acceptance was reported to it. Event loop. */
     public void withdrawSubmitter(Message message, Front front, String id) {
         message.submitters.remove(new DeduplicationTable.Submitter(front, id));
         if (!message.isFinished && message.submitters.isEmpty()) {
@@ -304,7 +318,7 @@
         }
     }
 
-    /** News of the list. Loop thread. */
+    /** Applies a whole endpoint list or changes to it. Event loop. */
     public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
         counters.add(Name.LISTINGS);
         boolean isWhole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
@@ -322,8 +336,9 @@
             Call.Endpoint before = endpoints.put(item.entry().host(), item.endpoint());
             boolean isActive = item.entry().presence() == DecisionModule.Presence.ACTIVE;
             if (!isActive
-                    || before != null && !before.address().equals(item.endpoint().address())) {
-                // Nothing new goes there: what is idle to it only takes room, here and there.
+                    || before != null
+                            && !before.address().equals(item.endpoint().address())) {
+                // No new calls go there, and idle connections would only use resources on both sides.
                 item.endpoint().deliverer().closeIdle(before == null ? item.endpoint() : before);
             }
             if (item.entry().presence() == DecisionModule.Presence.LEFT) {
@@ -336,16 +351,19 @@
         endpoints.values().forEach(item -> servedDestinations.add(item.destination()));
         destinationsLastListed
                 .entrySet()
-                .removeIf(d -> !servedDestinations.contains(d.getKey()) && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
+                .removeIf(d -> !servedDestinations.contains(d.getKey())
+                        && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
         events.add(new Event.Listing(kind, version, entries));
-        cancelUnsentCalls(); // the decision module hears of them after it has heard why
+        cancelUnsentCalls(); // after the listing event, so that the decision module knows the reason first
     }
 
-    /** Has requests be written only to what is active now. */
+    /** Allows requests to be written only to endpoints that are active now. */
     private void updateActiveEndpoints(List<ListedEndpoint> listed, boolean isWhole) {
         if (isWhole) {
-            activeEndpoints.replaceAll(
-                    listed.stream().filter(Core::isActive).map(ListedEndpoint::endpoint).toList());
+            activeEndpoints.replaceAll(listed.stream()
+                    .filter(Core::isActive)
+                    .map(ListedEndpoint::endpoint)
+                    .toList());
             return;
         }
         for (ListedEndpoint item : listed) {
@@ -361,7 +379,7 @@
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE;
     }
 
-    /** Takes back the calls to endpoints that have left the list, or drain, as long as nothing of them is written. */
+    /** Cancels calls to endpoints that are draining or were removed, if no byte of them has been written. */
     private void cancelUnsentCalls() {
         for (Call call : List.copyOf(calls)) {
             if (activeEndpoints.mayReceive(call.endpoint)) {
@@ -376,11 +394,19 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, AttemptResult.WITHHELD, 0, false, false));
+        List.copyOf(call.messages)
+                .forEach(message -> attemptEnded(call, message, AttemptResult.WITHHELD, 0, false, false));
     }
 
-    /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
-    public void attemptEnded(Call call, Message message, AttemptResult ending, long retryAfterMicros, boolean noSlot, boolean over) {
+    /**
+     * Reports the end of a message's attempt. Event loop.
+     *
+     * @param retryAfterMicros retry-after period for the destination; 0: none
+     * @param noSlot it was not sent for want of a free slot
+     * @param over the endpoint reports that the message needs no further attempt and no result
+     */
+    public void attemptEnded(
+            Call call, Message message, AttemptResult ending, long retryAfterMicros, boolean noSlot, boolean over) {
         if (message.currentCall != call) {
             return;
         }
@@ -418,30 +444,31 @@
         }
     }
 
-    /** A probe has ended. Loop thread. */
+    /** Reports the end of a probe. Event loop. */
     public void probeEnded(String host, AttemptResult ending, long elapsedMicros) {
         events.add(new Event.ProbeEnded(host, ending, elapsedMicros, null));
     }
 
-    /** Other classes and attempts hold from now on, for what is handed in after this. Loop thread. */
+    /** Applies new message classes and attempt limits to messages submitted from now on. Event loop. */
     public void updateSettings(DecisionModule.Settings renewed) {
         events.add(new Event.SettingsChanged(renewed));
     }
 
-    /** Takes nothing new from now on, and starts no call that could be out at the given time. Loop thread. */
+    /** Accepts no new messages, and starts no call that could still be in flight at the given time. Event loop. */
     public void beginShutdown(long atMicros) {
         isShuttingDown = true;
         events.add(new Event.Stopping(atMicros));
     }
 
     /**
-     * True if nothing is held and every end has been told, but for so many owed to clients that are away. Loop thread.
+     * True if no message is pending and all submitters are notified, except for the given number of notifications to
+     * clients that are not reachable. Event loop.
      */
     public boolean isIdle(int allowedUnsettled) {
         return pendingMessages.isEmpty() && calls.isEmpty() && unsettledCount <= allowedUnsettled;
     }
 
-    /** Ends the loop after this turn; the journal has what is left. From any thread. */
+    /** Stops the event loop after this turn; pending messages stay in the journal. Any thread. */
     public void stop() throws InterruptedException {
         isStopped = true;
         post(() -> {});
@@ -450,13 +477,14 @@
         }
     }
 
-    // ---- the loop ---------------------------------------------------------------------------------------
+    // Event loop
+
     private void loop() {
         while (!isStopped) {
             try {
                 long untilMicros = deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS);
                 Runnable first = clock.awaitTask(tasks, untilMicros);
-                // Turns keep the module's least spacing: what comes close together is decided together.
+                // Keeps the minimum interval between turns, so that events close together are decided in one batch.
                 long earlyMicros = nowMicros + settings.roundMicros() - clock.monotonicMicros();
                 if (earlyMicros > 0) {
                     clock.sleep(earlyMicros);
@@ -476,9 +504,9 @@
                 task.run();
             }
         } catch (AssertionError e) {
-            throw e; // what must hold does not: a debug build ends here
+            throw e; // a broken invariant ends the loop where assertions are enabled
         } catch (RuntimeException | Error e) {
-            // One bad message, or one that needed more memory than there was, must not end the others.
+            // A failure with one message, including an OutOfMemoryError, must not affect the others.
             counters.add(Name.TASKS_FAILED);
             Logs.error("", "task-failed", "a task failed: " + e, e);
         }
@@ -511,7 +539,7 @@
         starting.values().forEach(this::startCall);
     }
 
-    /** What came in this turn and was not ended in it goes into the journal, and its client is told. */
+    /** Records this turn's new messages, except those that end in the same turn, and reports their acceptance. */
     private void acceptNewMessages(List<Action> actions) {
         if (newMessages.isEmpty()) {
             return;
@@ -528,10 +556,11 @@
             if (message.isFinished || finishedIds.contains(message.id())) {
                 continue;
             }
-            run(() -> message.isJournaled = journal.recordAccepted(message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
+            run(() -> message.isJournaled = journal.recordAccepted(
+                    message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
             if (message.isJournaled) {
                 counters.add(Name.TAKEN);
-                trace(message, "taken", "taken on", null);
+                trace(message, "taken", "accepted", null);
                 rejectSubmitters(deduplication.recordAttached(message), message);
                 journal.whenDurable(() -> {
                     message.isAcceptanceDurable = true;
@@ -546,11 +575,15 @@
         newMessages.clear();
     }
 
-    /** Those who joined it and could not be written hear that they are not owed its end. */
+    /** Rejects submitters that were attached to a message but could not be recorded. */
     private void rejectSubmitters(List<DeduplicationTable.Submitter> rejected, Message message) {
         for (DeduplicationTable.Submitter submitter : rejected) {
-            run(() -> submitter.front()
-                    .onAttachRejected(message, submitter.id(), new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
+            run(() -> submitter
+                    .front()
+                    .onAttachRejected(
+                            message,
+                            submitter.id(),
+                            new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
         }
     }
 
@@ -580,7 +613,7 @@
         } else if (action instanceof Action.Log a) {
             Logs.info("", "module", a.text());
         }
-        // Watch and FetchList: the directory is watched all the time. Tell: nobody to tell.
+        // Watch and FetchList: the directory is always watched. Tell: there are no other forwarders to notify.
     }
 
     private void finishUndelivered(String id, FinalStatus finalStatus) {
@@ -588,17 +621,20 @@
         if (message == null) {
             return;
         }
-        FinalStatus withDetail = new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
+        FinalStatus withDetail =
+                new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
         if (message.isJournaled) {
             counters.add(withDetail.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.checkInvariant(message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS, message.id() + " ended in time");
+            counters.checkInvariant(
+                    message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS,
+                    message.id() + " ended in time");
             finish(message, withDetail);
         } else {
             reject(message, withDetail);
         }
     }
 
-    /** A line for one message; {@code what} is put in words only where the line is written. */
+    /** Writes a debug line for a message; {@code what} is converted to text only if debug lines are enabled. */
     private static void trace(Message message, String event, Object what, Call call) {
         if (Logs.isDebug()) {
             String text = what.toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
@@ -618,14 +654,16 @@
     private void addToCall(Action.Send a, Map<String, Call> starting) {
         Message message = pendingMessages.get(a.id());
         Call.Endpoint endpoint = endpoints.get(a.host());
-        boolean isElsewhere = message != null && endpoint != null && endpoint.destination() != message.submission.destination();
+        boolean isElsewhere =
+                message != null && endpoint != null && endpoint.destination() != message.submission.destination();
         if (message == null || endpoint == null || message.currentCall != null || isElsewhere) {
-            // Not held any more, as its client has gone: the module must still hear of this attempt.
-            counters.checkInvariant(message == null || message.currentCall == null, a.id() + " has one attempt out at most");
+            // No longer pending, as its client has left: the decision module still needs an outcome of the attempt.
+            counters.checkInvariant(
+                    message == null || message.currentCall == null, a.id() + " has at most one attempt in flight");
             counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = message == null ? 0 : message.attemptCount++;
-            events.add(
-                    new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, message == null, null));
+            events.add(new Event.Outcome(
+                    a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, message == null, null));
             return;
         }
         Call call = starting.get(a.host());
@@ -637,7 +675,7 @@
             call = new Call(endpoint, nowMicros);
             starting.put(a.host(), call);
         }
-        counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " goes where its call goes");
+        counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " has the same endpoint as its call");
         message.attemptCount++;
         call.addMessage(message, a.dropAtMicros(), nowMicros + message.deadlineWallMicros - clock.wallMicros());
         if (endpoint.maxMessagesPerCall() > 1) {
@@ -646,7 +684,7 @@
         }
     }
 
-    /** The time of a message's attempt is up: it leaves a call that is not on its way yet, if others go. */
+    /** Removes a message whose attempt has expired from a call that was not sent yet, if others remain in it. */
     private void removeFromCall(Message message, Call call) {
         long previousExpiryMicros = call.expiresAtMicros();
         call.requestRemoval(message);
@@ -656,7 +694,7 @@
         }
     }
 
-    /** Starts a call once the journal has its attempts; if it can't have them, nothing is sent. */
+    /** Starts a call once its attempts are recorded; if they can't be recorded, nothing is sent. */
     private void startCall(Call call) {
         long wallMicros = clock.wallMicros();
         boolean isWritten = true;
@@ -668,13 +706,14 @@
         calls.add(call);
         if (!isWritten) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages)
+                    .forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
         call.deadline = deadlines.schedule(call.expiresAtMicros(), () -> expire(call));
         journal.whenDurable(() -> {
-            if (call.pendingOutcomes > 0) { // else it was given up before its attempts were on the disk
+            if (call.pendingOutcomes > 0) { // else it was aborted before its attempts were durable
                 call.isStarted = true;
                 run(() -> call.endpoint.deliverer().start(call));
             }
@@ -682,7 +721,8 @@
     }
 
     /**
-     * The call's time is up: one that is not on its way yet may go on without the first message, any other is given up.
+     * Handles the expiry of a call: one that was not sent yet may go on without its expired messages, any other is
+     * aborted.
      */
     private void expire(Call call) {
         call.requestRemovalOfExpired(nowMicros);
@@ -697,11 +737,13 @@
         if (call.isStarted) {
             call.endpoint.deliverer().abort(call);
         } else {
-            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages)
+                    .forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
         }
     }
 
-    // ---- messages ---------------------------------------------------------------------------------------
+    // Messages
+
     private void addPending(Message message) {
         pendingMessages.put(message.id(), message);
         deduplication.addPending(message);
@@ -725,9 +767,8 @@
         trace(message, "ended", finalStatus.kind(), null);
         deduplication.recordCompleted(message, finalStatus, clock.wallMicros());
         boolean needsNotification = finalStatus.kind() != Kind.DELIVERED && finalStatus.kind() != Kind.GONE;
-        if (needsNotification
-                || Identity.isShared(
-                        message.submission.identity())) { // a client that is away may be owed that it was delivered
+        // With a shared identity, a client that is away may have to be notified of the delivery as well.
+        if (needsNotification || Identity.isShared(message.submission.identity())) {
             journal.recordFinalStatus(message.id(), finalStatus);
         }
         if (message.currentCall != null) {
@@ -745,12 +786,13 @@
         int[] unsettled = {message.submitters.size()};
         for (DeduplicationTable.Submitter submitter : message.submitters) {
             unsettledCount++;
-            journal.whenDurable(() -> run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
-                unsettledCount--;
-                if (--unsettled[0] == 0) {
-                    journal.recordSettled(message.id());
-                }
-            })));
+            journal.whenDurable(() ->
+                    run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
+                        unsettledCount--;
+                        if (--unsettled[0] == 0) {
+                            journal.recordSettled(message.id());
+                        }
+                    })));
         }
     }
 }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -3,22 +3,23 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.identity.CompletedMessage;
+import lilaclever.identity.CompletedMessageStore;
 import lilaclever.identity.DuplicateCheckResult;
-import lilaclever.identity.IdempotencyWindows;
 import lilaclever.identity.DuplicateDetector;
-import lilaclever.identity.CompletedMessageStore;
+import lilaclever.identity.IdempotencyWindows;
 import lilaclever.routing.Counters.Name;
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
- * Who is owed a message's end: whoever handed it in first, and whoever handed in the same message since, on whichever
- * port. {@link DuplicateDetector} rules on what a hand-in is; here it is carried out and written to the journal. Loop thread.
+ * Keeps track of who is notified of a message's final status: the first submitter and those who submitted the same
+ * message later, on any front. {@link DuplicateDetector} detects duplicates; this class applies the result and records
+ * it in the journal. Event loop.
  */
 final class DeduplicationTable {
-    /** Whoever comes later is asked to come again: a message's record is bounded. */
+    /** Submitters attached to a message beside the first; further ones are told to retry, to bound its record. */
     static final int MAX_ATTACHED = 8;
 
-    /** A front that is to tell the end, under the id that it knows the message by. */
+    /** A front to be notified of the final status, and the id under which it submitted the message. */
     record Submitter(Front front, String id) {}
 
     private final Journal journal;
@@ -50,55 +51,66 @@
             }
         });
         while (journal.rememberedCount() > windows.maxEntries()) {
-            journal.forgetSoonestExpiring(); // an earlier life had room for more
+            journal.forgetSoonestExpiring(); // an earlier run had a higher limit
         }
         counters.entryGauge("identities", detector::pendingCount);
         counters.valueGauge("identities_forgotten_early", detector::forgottenEarly);
     }
 
-    /** What the hand-in is. */
+    /** Checks whether the submission is a new message or a duplicate. */
     DuplicateCheckResult<Message, FinalStatus> check(Message message, long wallMicros) {
         return message.submission.identity() == null
                 ? new DuplicateCheckResult.NewMessage<>()
                 : detector.check(message.submission.identity(), message.fingerprint(), wallMicros);
     }
 
-    /** The message is held from now on. */
+    /** Adds a message that is pending from now on. */
     void addPending(Message message) {
         if (message.submission.identity() != null) {
             detector.addPending(message.submission.identity(), message.fingerprint(), message);
         }
     }
 
-    /** The message is held no more. */
+    /** Removes a message that is no longer pending. */
     void removePending(Message message) {
         if (message.submission.identity() != null) {
             detector.removePending(message.submission.identity(), message);
         }
     }
 
-    /** The message was delivered or has failed: whoever hands it in again gets this end. */
+    /** Remembers the result of a message that was delivered or has failed, for later duplicates. */
     void recordCompleted(Message message, FinalStatus finalStatus, long wallMicros) {
-        if (message.submission.identity() != null && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
-            detector.addCompleted(message.submission.identity(), message.fingerprint(), message.submission.messageClass(), finalStatus, wallMicros);
+        if (message.submission.identity() != null
+                && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
+            detector.addCompleted(
+                    message.submission.identity(),
+                    message.fingerprint(),
+                    message.submission.messageClass(),
+                    finalStatus,
+                    wallMicros);
         }
     }
 
-    /** The end that an earlier life remembered of a message that it did not get to end, or null. */
+    /** The result that an earlier run remembered for a message without recording its end, or null. */
     FinalStatus finalStatusOfEarlierRun(Message message) {
-        return check(message, Long.MIN_VALUE) instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed ? completed.result() : null;
+        return check(message, Long.MIN_VALUE)
+                        instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed
+                ? completed.result()
+                : null;
     }
 
     /**
-     * A front has handed in a message that is held, under an id of its own; false where no more can be owed the end.
-     * One that is not in the journal yet has its claims written behind it ({@link #recordAttached}).
+     * Attaches a submitter of a duplicate to the pending message; false if no more can be attached. If the message is
+     * not in the journal yet, its submitters are recorded after it ({@link #recordAttached}).
      */
     boolean attach(Message message, Front front, String id) {
         Submitter submitter = new Submitter(front, id);
-        if (message.submitters.contains(submitter) || front.notifiesOnce() && message.submitters.stream().anyMatch(other -> other.front() == front)) {
+        if (message.submitters.contains(submitter)
+                || front.notifiesOnce() && message.submitters.stream().anyMatch(other -> other.front() == front)) {
             return true;
         }
-        if (message.submitters.size() > MAX_ATTACHED || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
+        if (message.submitters.size() > MAX_ATTACHED
+                || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
             return false;
         }
         counters.add(Name.JOINED);
@@ -107,13 +119,16 @@
     }
 
     /**
-     * The message has just been written: so are those who joined it in the turn of its hand-in; gives who could not.
+     * Records the submitters that were attached in the same turn, once the message itself is recorded; removes and
+     * returns those that could not be recorded.
      */
     List<Submitter> recordAttached(Message message) {
         List<Submitter> rejected = new ArrayList<>();
         for (Submitter submitter : message.submitters) {
-            boolean isFirst = submitter.front() == message.front && submitter.id().equals(message.id());
-            if (!isFirst && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
+            boolean isFirst =
+                    submitter.front() == message.front && submitter.id().equals(message.id());
+            if (!isFirst
+                    && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
                 rejected.add(submitter);
             }
         }
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -11,27 +11,27 @@
 import lilaclever.log.Logs;
 
 /**
- * Endpoints that operators have taken out by hand. Whatever the list says of one, the core hears that it is leaving,
- * until it is put back: then it hears what the list says now. Noted before the operator is told so, since it outlasts
- * the process. Between the directory and the core; loop thread.
+ * Endpoints suspended manually by operators. While the directory lists such an endpoint as active, the core is told
+ * that it is leaving; once it is restored, the core gets its listed state again. The suspended ids are stored before
+ * the operator gets the answer, as they persist across restarts. Sits between the directory and the core; event loop.
  */
 public final class ManualDrains {
-    /** Ids that are remembered as listed, oldest first out: a call for one that was never listed is refused. */
+    /** Listed ids to remember; departed ones are evicted oldest first. Commands for ids never listed are refused. */
     private static final int MAX_LISTED = 50_000;
-    /** Endpoints out at once, as many as the largest fleets have: the note has to fit on the disk. */
+    /** Endpoints suspended at once, as many as the largest fleets have: bounded so that the file fits on the disk. */
     static final int MAX_SUSPENDED = 1_024;
-    /** Longer than any id, shorter than what would fill the note. */
+    /** Longer than any id, and short enough to bound the size of the file. */
     private static final int MAX_ID_LENGTH = 64;
-    /** What the note takes at the most, a line for each. */
+    /** Largest size of the stored ids, one line each. */
     public static final long MAX_STORED_BYTES = MAX_SUSPENDED * (MAX_ID_LENGTH + 1);
 
-    /** Where the ids outlast the process. */
+    /** Persistent storage of the suspended ids. */
     public interface SuspensionStore {
-        /** Replaces the ids that are noted. */
+        /** Replaces the stored ids. */
         void save(Set<String> ids) throws IOException;
     }
 
-    /** A call that can't be carried out; the message is for the operator. */
+    /** Thrown if a command can't be executed; the message is shown to the operator. */
     public static final class RefusedException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -43,12 +43,12 @@
     private final Core core;
     private final SuspensionStore store;
     private final Set<String> suspended;
-    /** What the list said last of each endpoint; one that has left stays known by its name. */
+    /** The last listed state of each endpoint by name, including endpoints that have left. */
     private final Map<String, Core.ListedEndpoint> listed = new LinkedHashMap<>();
 
     private long version;
 
-    /** With the ids that an earlier life noted. */
+    /** Starts with the ids that an earlier run stored. */
     public ManualDrains(Core core, Set<String> stored, SuspensionStore store) {
         this.core = core;
         this.store = store;
@@ -57,19 +57,24 @@
         core.counters().entryGauge("listed", listed::size);
     }
 
-    /** News of the list on their way to the core. */
+    /** Passes a list or changes from the directory on to the core. */
     public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
         core.updateEndpoints(kind, version, withSuspensions(kind, version, entries));
     }
 
-    /** Takes news in and gives what the core may hear of it: at the start the core is told by its host. */
-    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
+    /**
+     * Records the listed states and returns what to pass to the core, with suspended endpoints as leaving. Called
+     * directly for the initial list, which the core gets from the program.
+     */
+    public List<Core.ListedEndpoint> withSuspensions(
+            DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
-            listed.replaceAll((host, item) -> item.withPresence(DecisionModule.Presence.LEFT)); // but for what follows
+            // Endpoints in the whole list are set again below.
+            listed.replaceAll((host, item) -> item.withPresence(DecisionModule.Presence.LEFT));
         }
         for (Core.ListedEndpoint item : entries) {
-            listed.remove(item.entry().host()); // the last that was heard of goes last
+            listed.remove(item.entry().host()); // moves it to the end of the eviction order
             listed.put(item.entry().host(), item);
         }
         for (var i = listed.entrySet().iterator(); listed.size() > MAX_LISTED && i.hasNext(); ) {
@@ -82,13 +87,14 @@
 
     private List<Core.ListedEndpoint> markSuspended(List<Core.ListedEndpoint> entries) {
         List<Core.ListedEndpoint> result = new ArrayList<>(entries);
-        result.replaceAll(item -> suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
-                ? item.withPresence(DecisionModule.Presence.LEAVING)
-                : item);
+        result.replaceAll(item ->
+                suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
+                        ? item.withPresence(DecisionModule.Presence.LEAVING)
+                        : item);
         return result;
     }
 
-    /** Takes the endpoint out, from the next turn on. A second call changes nothing. */
+    /** Suspends the endpoint from the next turn on; no effect if it is suspended already. */
     public void suspend(String id) throws RefusedException {
         Core.ListedEndpoint current = findListed(id);
         if (suspended.contains(id)) {
@@ -102,11 +108,11 @@
             suspended.remove(id);
             throw new RefusedException(id + ": can't be noted on disk, so it stays in");
         }
-        Logs.info("", "suspended", id + " is out by hand", "endpoint", id);
+        Logs.info("", "suspended", id + " was suspended by an operator", "endpoint", id);
         updateCore(current);
     }
 
-    /** Puts it back, however often it was taken out. */
+    /** Restores the endpoint, however often it was suspended. */
     public void restore(String id) throws RefusedException {
         Core.ListedEndpoint current = findListed(id);
         if (!suspended.remove(id)) {
@@ -116,7 +122,7 @@
             suspended.add(id);
             throw new RefusedException(id + ": can't be noted on disk, so it stays out");
         }
-        Logs.info("", "restored", id + " is back", "endpoint", id);
+        Logs.info("", "restored", id + " was restored by an operator", "endpoint", id);
         updateCore(current);
     }
 
@@ -139,7 +145,7 @@
             store.save(suspended);
             return true;
         } catch (IOException e) {
-            Logs.error("", "suspension-not-noted", "endpoints out by hand can't be noted: " + e);
+            Logs.error("", "suspension-not-noted", "suspended endpoints could not be saved: " + e);
             return false;
         }
     }
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -6,17 +6,17 @@
 import lilaclever.identity.Fingerprint;
 import lilaclever.identity.Identity;
 
-/** A message in the core's hands. */
+/** A message in the core, from submission until it is settled. */
 public final class Message {
+    /** Age of an attempt whose time is not known: one day. */
     private static final long UNKNOWN_AGE_MICROS = 86_400_000_000L;
 
-    /** What the front handed in. */
     public final Submission submission;
-    /** Where it came from. */
+    /** The front that submitted it first. */
     public final Front front;
-    /** When its time is up, on the wall clock, microseconds: this outlasts the process. */
+    /** Deadline on the wall clock, microseconds, since it has to hold across restarts. */
     final long deadlineWallMicros;
-    /** Who is owed its end: whoever handed it in, and whoever handed in the same since. */
+    /** Who is notified of the final status: the submitter, and those who submitted a duplicate since. */
     final List<DeduplicationTable.Submitter> submitters = new ArrayList<>(1);
 
     private Fingerprint fingerprint;
@@ -26,17 +26,20 @@
     boolean isResumed;
     int attemptCount;
     Call currentCall;
-    /** When it must not go with that call any more, and when its time is up, by the loop's clock, microseconds. */
+    /** From when on it must not be sent with the current call, on the event loop's clock, microseconds. */
     long writeByMicros;
 
+    /** Deadline on the event loop's clock, microseconds; set with each call. */
     long deadlineMicros;
 
+    /** Whether some endpoint may have processed it; the fields below describe the first such attempt. */
     boolean mayHaveRun;
+
     String possibleRunHost = "";
     int possibleRunZone;
     long possibleRunWallMicros;
     FinalStatus finalStatus;
-    /** What the last endpoint said, for people. */
+    /** Human-readable response of the last endpoint. */
     public String lastResponseText = "";
 
     Message(Submission submission, Front front, long deadlineWallMicros) {
@@ -46,7 +49,7 @@
         submitters.add(new DeduplicationTable.Submitter(front, submission.id()));
     }
 
-    /** What it says, where that is compared; else null. */
+    /** The fingerprint of its content where duplicates are compared by content, else null. */
     Fingerprint fingerprint() {
         if (fingerprint == null && Identity.isShared(submission.identity())) {
             fingerprint = Fingerprint.of(submission.messageClass(), submission.destination(), submission.body());
@@ -54,22 +57,22 @@
         return fingerprint;
     }
 
-    /** The id. */
+    /** The id under which the front submitted it. */
     public String id() {
         return submission.id();
     }
 
-    /** True until the message has ended. */
+    /** True until the message has its final status. */
     public boolean isOpen() {
         return !isFinished;
     }
 
-    /** True once it is in the journal for good: whoever asks may be told. */
+    /** True once it is recorded durably, so that its acceptance may be reported. */
     public boolean isAccepted() {
         return isAcceptanceDurable;
     }
 
-    /** How it ended; null while it is open. */
+    /** The final status, or null while it is open. */
     public FinalStatus finalStatus() {
         return finalStatus;
     }
@@ -84,10 +87,12 @@
     }
 
     DecisionModule.Event.Submit toSubmitEvent(long nowMicros, long nowWallMicros) {
-        // An attempt can't be younger than now: the clock was set back, and it may be of any age.
-        long ageMicros = nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
+        // An attempt in the future means that the clock was set back, so its age is not known.
+        long ageMicros =
+                nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
         DecisionModule.PriorAttempts prior = isResumed
-                ? new DecisionModule.PriorAttempts(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
+                ? new DecisionModule.PriorAttempts(
+                        attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
                 : null;
         return new DecisionModule.Event.Submit(
                 id(),
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -4,9 +4,9 @@
 import java.util.Collections;
 import java.util.List;
 
-/** What the journal knows of a message that was taken on and has not ended. Used from one thread at a time. */
+/** The journal's state of a message that was accepted and is not settled. Used from one thread at a time. */
 public final class PendingMessage {
-    /** Somebody who is owed the end, beside whoever handed the message in first: a front, and its id there. */
+    /** A further submitter to be notified of the final status: a front, and the message's id there. */
     public record Submitter(String front, String id) {}
 
     private final String front;
@@ -24,24 +24,24 @@
     private FinalStatus finalStatus;
     private List<Submitter> attachedSubmitters = List.of();
 
-    /** A message just taken on; the deadline on the wall clock, microseconds. */
+    /** A message that was just accepted; the deadline is on the wall clock, microseconds. */
     public PendingMessage(String front, Submission submission, long deadlineWallMicros) {
         this.front = front;
         this.submission = submission;
         this.deadlineWallMicros = deadlineWallMicros;
     }
 
-    /** The name of the front that it came from. */
+    /** The name of the front that submitted it first. */
     public String front() {
         return front;
     }
 
-    /** What was handed in. */
+    /** The message as it was submitted. */
     public Submission submission() {
         return submission;
     }
 
-    /** When its time is up, on the wall clock, microseconds. */
+    /** The deadline on the wall clock, microseconds. */
     public long deadlineWallMicros() {
         return deadlineWallMicros;
     }
@@ -51,7 +51,7 @@
         return attempts;
     }
 
-    /** True while an attempt is out. */
+    /** True while an attempt is in flight. */
     public boolean isInFlight() {
         return isInFlight;
     }
@@ -66,52 +66,52 @@
         return lastZone;
     }
 
-    /** When the last attempt was made, on the wall clock. */
+    /** When the last attempt was made, wall clock, microseconds. */
     public long lastAttemptWallMicros() {
         return lastAttemptWallMicros;
     }
 
-    /** True if an attempt that has ended may have run. */
+    /** True if an endpoint may have processed the message in an attempt that has ended. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
 
-    /** The endpoint of the first attempt that may have run; empty if not known. */
+    /** The endpoint of the first attempt that may have been processed; empty if not known. */
     public String possibleRunHost() {
         return possibleRunHost;
     }
 
-    /** Its zone. */
+    /** The zone of that attempt. */
     public int possibleRunZone() {
         return possibleRunZone;
     }
 
-    /** When it was made, on the wall clock. */
+    /** When that attempt was made, wall clock, microseconds. */
     public long possibleRunWallMicros() {
         return possibleRunWallMicros;
     }
 
-    /** The end that is decided and not yet told, or null. */
+    /** The final status of which not all submitters are notified yet, or null. */
     public FinalStatus finalStatus() {
         return finalStatus;
     }
 
-    /** Who else is owed the end. */
+    /** Submitters to be notified beside the first. */
     public List<Submitter> attachedSubmitters() {
         return Collections.unmodifiableList(attachedSubmitters);
     }
 
-    /** Somebody else is owed the end; passed over if that is known. */
+    /** Adds a submitter; no effect if it is there already. */
     public void attach(Submitter submitter) {
         if (attachedSubmitters.isEmpty()) {
-            attachedSubmitters = new ArrayList<>(1); // most messages have none
+            attachedSubmitters = new ArrayList<>(1); // most messages have no further submitter
         }
         if (!attachedSubmitters.contains(submitter)) {
             attachedSubmitters.add(submitter);
         }
     }
 
-    /** An attempt is made. */
+    /** Notes an attempt that is made. */
     public void attemptStarted(String toHost, int toZone, long wallMicros) {
         attempts++;
         isInFlight = true;
@@ -120,7 +120,7 @@
         lastAttemptWallMicros = wallMicros;
     }
 
-    /** The attempt that was out has ended. */
+    /** Notes the end of the attempt in flight. */
     public void attemptEnded(boolean neverRan) {
         isInFlight = false;
         if (!neverRan) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** An attempt may have run; only the first counts. */
+    /** Notes an attempt that may have been processed; only the first one is kept. */
     public void markPossiblyRun(String atHost, int atZone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
@@ -138,18 +138,20 @@
         }
     }
 
-    /** Records are lost, an attempt's among them perhaps: it counts as one made, and run, as early as can be. */
+    /**
+     * Assumes an attempt whose record may be lost: at least one was made and may have been processed, at the earliest
+     * possible time.
+     */
     public void assumeLostAttempt() {
         attempts = Math.max(1, attempts);
         markPossiblyRun(lastHost, lastZone, deadlineWallMicros - submission.budgetMicros());
     }
 
-    /** The end is decided. */
     public void setFinalStatus(FinalStatus status) {
         finalStatus = status;
     }
 
-    /** Sets all that attempts have left behind, as a record of the whole message has it. */
+    /** Restores the state of the attempts from a record of the whole message. */
     public void restoreAttempts(int attemptCount, boolean attemptInFlight, String host, int zone, long wallMicros) {
         attempts = attemptCount;
         isInFlight = attemptInFlight;
--- a/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -17,12 +17,11 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Who a hand-in is, by rule and by random sequences against a plain model. */
+/** Duplicate detection, by its rules and by random sequences against a simple model. */
 class DuplicateDetectorTest {
     private static final Fingerprint A = Fingerprint.of(0, 7, new byte[] {1}), B = Fingerprint.of(0, 7, new byte[] {2});
     private static final String ONE = new Identity("north", "k1").text(), TWO = new Identity("south", "k1").text();
 
-    /** Memory in a map. */
     private static final class MapStore implements CompletedMessageStore<String> {
         final Map<String, CompletedMessage<String>> all = new HashMap<>();
 
@@ -60,20 +59,20 @@
         detector.addPending(ONE, A, "m");
         assertEquals(new DuplicateCheckResult.PendingDuplicate<>("m"), detector.check(ONE, A, 0));
         detector.removePending(ONE, "m");
-        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, A, 0)); // it was refused, say
+        assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, A, 0)); // as after a refusal
         detector.addCompleted(ONE, A, 0, "delivered", 5);
         assertEquals(new DuplicateCheckResult.CompletedDuplicate<>("delivered"), detector.check(ONE, A, 104));
         assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, A, 105));
     }
 
-    /** Guards against two practices that number their messages alike being taken for one. */
+    /** Guards against treating messages of two practices that use the same keys as duplicates. */
     @Test
     void equalKeysOfTwoPracticesAreDistinct() {
         detector.addPending(ONE, A, "m");
         assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(TWO, A, 0));
     }
 
-    /** Guards against a second message vanishing behind the first one's answer. */
+    /** Guards against answering a different message with the result of the first, without delivering it. */
     @Test
     void otherContentConflictsWhileTheFirstIsKnown() {
         detector.addPending(ONE, A, "m");
@@ -84,7 +83,7 @@
         assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check(ONE, B, 10));
     }
 
-    /** Mail has no fingerprint, nor has what the first format remembered. */
+    /** Mails have no fingerprint, nor have results remembered in the first journal format. */
     @Test
     void messageWithoutFingerprintNeverConflicts() {
         detector.addCompleted("<1@x> a@b", null, 1, "delivered", 0);
@@ -93,7 +92,7 @@
         assertEquals(new DuplicateCheckResult.NewMessage<>(), detector.check("<1@x> a@b", null, 50));
     }
 
-    /** What is held is never forgotten for want of room, and what is forgotten is what would have gone first. */
+    /** When the capacity is reached, the result that expires first is removed. */
     @Test
     void soonestExpiringIsEvictedWhenFull() {
         detector.addCompleted("a", null, 0, "1", 0);
@@ -104,7 +103,7 @@
         assertEquals(1, detector.forgottenEarly());
         assertFalse(store.all.containsKey(TWO)); // the window of its class is the shortest
         detector.addCompleted("b", null, 0, "5", 1);
-        assertEquals(1, detector.forgottenEarly()); // one that is there already takes no room
+        assertEquals(1, detector.forgottenEarly()); // replacing a result needs no further capacity
     }
 
     @Test
@@ -120,7 +119,7 @@
         assertThrows(IllegalArgumentException.class, () -> Identity.parse("id/nothing"));
     }
 
-    /** One step: what happens to one of a few identities. */
+    /** One step on one of a few identities. {@code action}: 0 submits, 1 completes, 2 removes the message. */
     record Step(int action, int identity, boolean otherContent, int messageClass, int elapsed) {}
 
     @Provide
@@ -137,16 +136,17 @@
                 .ofMaxSize(80);
     }
 
-    /** Guards against a message delivered twice, an end given to the wrong one, and room that is not kept to. */
+    /** Guards against duplicate delivery, a result returned for the wrong message, and an exceeded capacity. */
     @Property(tries = 500, seed = "-1")
     void agreesWithASimpleModel(@ForAll("steps") List<Step> steps) {
         MapStore store = new MapStore();
-        DuplicateDetector<String, String> detector = new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
+        DuplicateDetector<String, String> detector =
+                new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
         Map<String, Fingerprint> pending = new HashMap<>();
         long now = 0;
         for (Step step : steps) {
             now += step.elapsed();
-            String id = new Identity("p", "k" + step.identity()).text().intern(); // it is the message too
+            String id = new Identity("p", "k" + step.identity()).text().intern(); // also stands for the message
             Fingerprint content = step.otherContent() ? B : A;
             CompletedMessage<String> completed = store.all.get(id);
             boolean known = completed != null && completed.untilWallMicros() > now;
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -24,7 +24,7 @@
                         throw new IllegalStateException("a fault of the journal's");
                     }
                     return switch (method.getName()) {
-                        case "owed" -> List.of();
+                        case "pendingMessages" -> List.of();
                         case "rememberedCount" -> 0;
                         default -> null;
                     };
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -25,9 +25,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random schedules in virtual time: endpoints come and go, two agents hear of it late and count for themselves, answers
- * are overtaken, cut, contradictory or without an index, discovery counts anew, the forwarder moves to the other agent
- * and is restarted. An auditor that reads the same lists knows what the forwarder has heard.
+ * Random schedules in virtual time: endpoints come and go, two agents learn of it late and have separate indexes,
+ * responses arrive out of order, truncated, contradictory or without an index, indexes restart, and the forwarder
+ * switches agents and is restarted. An auditor that reads the same lists checks what the core is told.
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
@@ -54,7 +54,7 @@
         }
     }
 
-    /** The endpoints as they truly are, and as they were at each version; gone ones are not in it. */
+    /** The actual endpoints at each version, without removed ones. */
     private static final class ActualEndpoints {
         private final List<Map<String, Core.ListedEndpoint>> versions = new ArrayList<>(List.of(Map.of()));
         private final SplittableRandom random;
@@ -94,7 +94,7 @@
             versions.add(next);
         }
 
-        /** Mostly a new one, else one that another endpoint had once. */
+        /** Usually a new address, else one that another endpoint may have had before. */
         private String freeAddress(Map<String, Core.ListedEndpoint> used) {
             String old = "10.1.0.1:" + random.nextInt(addresses + 1);
             boolean isFree =
@@ -109,7 +109,7 @@
                 new Call.Endpoint(name, address, 1, 0, 1, false, null));
     }
 
-    /** Knows the endpoints up to some version, and gives it an index of its own. */
+    /** An agent that knows the endpoints up to some version, with indexes of its own. */
     private static final class Agent {
         private final String address;
         private final ActualEndpoints actual;
@@ -133,7 +133,7 @@
             knownVersion = Math.min(actual.latest(), knownVersion + most);
         }
 
-        /** Counts anew from a low index, perhaps with an older list. */
+        /** Restarts with a low index, possibly with an older list. */
         void restart(SplittableRandom random) {
             knownVersion = Math.max(0, knownVersion - random.nextInt(3));
             indexOffset = random.nextInt(10) - knownVersion;
@@ -167,38 +167,41 @@
         }
     }
 
-    /** A list that says that an endpoint departs. {@code isDisputed}: a list of the same index is late enough. */
-    private record ReceivedStatement(String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
-        /** Whether a list, with an index or not, may contradict it. */
+    /** What a list said of an endpoint. {@code isDisputed}: a list of the same index may contradict it. */
+    private record ReceivedStatement(
+            String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
+        /** Whether a list, with or without an index, may contradict it. */
         boolean isContradictedBy(String byAgent, long byIndex, long now) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
-            return now - receivedMicros >= RETENTION || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
+            return now - receivedMicros >= RETENTION
+                    || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
         }
     }
 
-    /** What a list says of one name, by its entries alone. */
+    /** What the entries of a list say of a name. */
     private enum ReportedState {
         ACTIVE,
         DEPARTED,
         CONTRADICTORY
     }
 
-    /** Knows what the forwarder has heard, and what it may tell the core. */
+    /** Tracks the lists that the forwarder has received, and checks what it tells the core. */
     private static final class Auditor {
-        /** All departures of each name, and those that no later list has answered. */
-        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(), uncontradicted = new HashMap<>();
-        /** Since it was last active: lists that said the address that the core was told. */
+        /** All departures of each name, and those that no later list has contradicted. */
+        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(),
+                uncontradicted = new HashMap<>();
+        /** By name and address: lists that stated the address, while the endpoint is active. */
         private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
         /**
-         * Names heard of since the process began or noted before; lists by name, agent and index that named one other
-         * than departed.
+         * Names listed since the process started or stored before; keys of name, agent and index of the lists that had
+         * the name as other than departed.
          */
         private final Set<String> names = new HashSet<>(), named = new HashSet<>();
 
-        /** Names whose address another one has got; when they are back is checked at the end alone. */
+        /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
-        /** Departures of the known list, until the first answer has them noted. */
+        /** Departures of the initial list, until the first response, with which they are stored. */
         private final Set<ReceivedStatement> ofInitialList = new HashSet<>();
 
         private final Map<String, Long> lastIndex = new HashMap<>(), highestIndex = new HashMap<>();
@@ -225,7 +228,7 @@
             }
             assertEquals(ListingKind.REMEMBERED, update.kind());
             core = applied(new TreeMap<>(), update);
-            checkDeparted("the known list");
+            checkDeparted("the initial list");
         }
 
         private void addDeparture(String name, ReceivedStatement statement) {
@@ -246,7 +249,8 @@
                     if (mustBeActive(name, list)) {
                         due.add(name);
                     }
-                    uncontradicted.getOrDefault(name, new ArrayList<>())
+                    uncontradicted
+                            .getOrDefault(name, new ArrayList<>())
                             .removeIf(d -> d.isContradictedBy(list.agent(), list.index(), nowMicros));
                 } else {
                     addDeparture(name, departure(list, nowMicros, state == ReportedState.CONTRADICTORY));
@@ -284,12 +288,13 @@
                     || named.contains(name + " known " + list.index());
         }
 
-        /** One without an index is as late as the last of its agent, for all that is known. */
+        /** A list without an index counts as the last one of its agent. */
         private ReceivedStatement departure(ListUpdate list, long nowMicros, boolean isDisputed) {
             long index = list.index() == EndpointMembership.NO_INDEX
                     ? lastIndex.getOrDefault(list.agent(), EndpointMembership.NO_INDEX)
                     : list.index();
-            return new ReceivedStatement(list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
+            return new ReceivedStatement(
+                    list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
         }
 
         private static Map<String, ReportedState> reportedStates(ListUpdate list) {
@@ -297,7 +302,8 @@
             Map<String, Core.ListedEndpoint> first = new HashMap<>();
             for (Core.ListedEndpoint x : list.entries()) {
                 String name = x.entry().host();
-                ReportedState state = x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
+                ReportedState state =
+                        x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
                 Core.ListedEndpoint other = first.putIfAbsent(name, x);
                 boolean isSame = other == null
                         || other.entry().presence() == x.entry().presence()
@@ -308,7 +314,7 @@
             return states;
         }
 
-        /** True if no departure was ever heard, or the same agent's alone, of lower indexes. */
+        /** True if no departure was ever received, or only some from the same agent with lower indexes. */
         private boolean mustBeActive(String name, ListUpdate list) {
             return !replaced.contains(name)
                     && departures.getOrDefault(name, List.of()).stream()
@@ -321,7 +327,7 @@
                                                             d.agent(), EndpointMembership.NO_INDEX)));
         }
 
-        /** An address that changes give to another name: the one that had it may count as departed. */
+        /** If changes give an address to another name, its former holder may count as departed. */
         private void addReplaced(ListUpdate list, Map<String, ReportedState> states) {
             for (Core.ListedEndpoint x : list.entries()) {
                 core.values().stream()
@@ -333,7 +339,8 @@
             }
         }
 
-        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
+        private static Map<String, Core.ListedEndpoint> applied(
+                Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
             update.entries().forEach(x -> to.put(x.entry().host(), x));
             return to;
         }
@@ -346,11 +353,13 @@
             core.keySet()
                     .forEach(name -> assertTrue(
                             presence(name) != Presence.ACTIVE
-                                    || uncontradicted.getOrDefault(name, List.of()).isEmpty(),
+                                    || uncontradicted
+                                            .getOrDefault(name, List.of())
+                                            .isEmpty(),
                             () -> name + " is active after " + after + ", departed with " + uncontradicted.get(name)));
         }
 
-        /** No list replaces an address that a later one of the agent that told it last has told within a minute. */
+        /** An address is not replaced if a later list of the agent that last set it stated it within a minute. */
         private void checkAddresses(Map<String, Core.ListedEndpoint> before, ListUpdate list, long nowMicros) {
             for (Core.ListedEndpoint x : core.values()) {
                 String name = x.entry().host();
@@ -387,9 +396,10 @@
                     .computeIfAbsent(name, n -> new HashMap<>())
                     .computeIfAbsent(address, a -> new ArrayList<>());
             statements.removeIf(statement -> !statement.agent().equals(list.agent()));
-            boolean isOvertaken =
-                    statements.stream().anyMatch(statement -> statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
-            if (!isOvertaken) { // such a list confirms nothing
+            boolean isOvertaken = statements.stream()
+                    .anyMatch(statement ->
+                            statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
+            if (!isOvertaken) { // an outdated list confirms nothing
                 statements.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
         }
@@ -402,18 +412,18 @@
             core.values().stream()
                     .filter(x -> x.entry().presence() == Presence.ACTIVE)
                     .forEach(x -> active.put(x.entry().host(), x.endpoint().address()));
-            assertEquals(expected, active, "active endpoints once all is quiet");
+            assertEquals(expected, active, "active endpoints in the end");
         }
     }
 
-    /** One schedule: a forwarder, its agents and all that goes wrong. */
+    /** One schedule: a forwarder, its agents and random faults. */
     private static final class Schedule {
         private final SplittableRandom random;
         private final ActualEndpoints actual;
         private final List<Agent> agents;
         private final boolean hasMoves, hasRestarts;
         private final Auditor auditor = new Auditor();
-        /** Answers under way, and the step at which each arrives. */
+        /** Delayed responses, and the step at which each arrives. */
         private final Map<ListUpdate, Integer> delayed = new LinkedHashMap<>();
 
         private final Map<String, Long> lastIndexes = new HashMap<>();
@@ -422,7 +432,7 @@
         private Agent current;
         private int step;
         private long now = SECOND;
-        /** What the wall clock and the loop's clock are ahead of the time that passes. */
+        /** Offsets of the wall clock and of the event loop's clock from the simulated time. */
         private long wallOffset = 1_700_000_000 * SECOND, loopOffset;
 
         Schedule(long seed) {
@@ -463,14 +473,15 @@
             }
         }
 
-        /** With a list that may be out of date, and clocks that were set in between. */
+        /** Starts a process with an initial list that may be outdated, and with clocks that may have been set. */
         private void startProcess() {
             wallOffset += random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND, 3_600 * SECOND) : 0;
             loopOffset = random.nextLong(100 * SECOND);
             delayed.clear();
             int version = Math.max((int) Math.max(0, -current.indexOffset), current.knownVersion - random.nextInt(8));
             long index = current.index() - current.knownVersion + version;
-            List<Core.ListedEndpoint> known = List.copyOf(actual.versions.get(version).values());
+            List<Core.ListedEndpoint> known =
+                    List.copyOf(actual.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
             auditor.processStarted(index, known, membership.applyInitialList(index, known), now);
             lastIndexes.clear();
@@ -527,7 +538,7 @@
             }
         }
 
-        /** A sound whole list that is later than all before brings what is true, at the latest after a minute. */
+        /** A valid, latest whole list yields the actual endpoints, after a minute at most. */
         private void checkFinalState() {
             deliver(validList());
             if (!hasMoves) {
@@ -536,7 +547,7 @@
             now += RETENTION;
             deliver(validList());
             auditor.checkExact(actual.versions.get(actual.latest()));
-            assertTrue(!membership.needsWholeList(now + loopOffset), "nothing is in doubt");
+            assertTrue(!membership.needsWholeList(now + loopOffset), "no contradiction is left");
             assertTrue(!membership.contradictsInitialList());
         }
 
