--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -224,8 +224,8 @@
         }
 
         @Override
-        public List<String> names() throws IOException {
-            return real.names();
+        public List<String> fileNames() throws IOException {
+            return real.fileNames();
         }
 
         @Override
--- a/bench/java/lilaclever/scale/CountingDisk.java
+++ b/bench/java/lilaclever/scale/CountingDisk.java
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
-        return real.names();
+    public List<String> fileNames() throws IOException {
+        return real.fileNames();
     }
 
     @Override
--- a/src/main/java/lilaclever/journal/Disk.java
+++ b/src/main/java/lilaclever/journal/Disk.java
@@ -7,7 +7,7 @@
 /** The folder below a journal: the few operations that it needs, so that a test can count, cut and fail each. */
 public interface Disk extends AutoCloseable {
     /** The names of all files, sorted. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     /** The length of a file, bytes. */
     long length(String name) throws IOException;
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile)
                     .map(f -> f.getFileName().toString())
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -63,7 +63,7 @@
                         f.header() == null ? s.sequence == Segment.LEGACY ? "format 0" : "no header" : counts,
                         s.damaged ? " damaged" : "");
             }
-            for (String name : disk.names()) {
+            for (String name : disk.fileNames()) {
                 if (name.startsWith(SegmentLog.SPARE) || name.startsWith(SegmentLog.DAMAGED)) {
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -54,7 +54,7 @@
 
     /** Reads all. */
     Report scan() throws IOException {
-        names = disk.names();
+        names = disk.fileNames();
         TreeMap<Long, Look> segments = new TreeMap<>();
         for (String name : names) {
             long sequence = Segment.sequence(name);
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
@@ -21,7 +21,7 @@
     private final TreeMap<String, Content> files = new TreeMap<>();
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(files.keySet());
     }
 
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -137,8 +137,8 @@
             Recovery.Damage damage = journal.recovered().damages().get(0);
             assertTrue(damage.from() <= 400 && damage.to() > 400 && damage.to() - damage.from() < 200);
             assertTrue(
-                    disk.names().contains("damaged-" + damage.file()),
-                    disk.names().toString());
+                    disk.fileNames().contains("damaged-" + damage.file()),
+                    disk.fileNames().toString());
         }
     }
 
@@ -284,7 +284,7 @@
             assertTrue(owed(journal, "a").isInFlight()
                     && owed(journal, "a").lastHost().equals("host"));
         }
-        assertFalse(disk.names().contains("journal"), disk.names().toString());
+        assertFalse(disk.fileNames().contains("journal"), disk.fileNames().toString());
         for (int cut = before; cut <= disk.ops.size(); cut++) {
             try (SegmentedJournal journal = Script.open(SimDisk.killed(disk.ops, cut, 7), MOST, Durability.NONE)) {
                 assertEquals(state, Script.text(journal, 0), "cut at " + cut);
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -175,7 +175,7 @@
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(names.keySet());
     }
 
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -208,7 +208,7 @@
 
     /** The journal knows every file in the folder: one that it lost sight of would take room until a restart. */
     private void checkFiles(String what) {
-        assertEquals(journal.files(), disk.names().size(), what + ": files " + disk.names());
+        assertEquals(journal.files(), disk.fileNames().size(), what + ": files " + disk.fileNames());
         assertTrue(disk.total() <= journal.allocated(), what + ": " + disk.total() + " of " + journal.allocated());
     }
 
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -83,8 +83,8 @@
         }
 
         @Override
-        public List<String> names() throws IOException {
-            return disk.names();
+        public List<String> fileNames() throws IOException {
+            return disk.fileNames();
         }
 
         @Override
