--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -255,8 +255,8 @@
         }
 
         @Override
-        public void forceNames() throws IOException {
-            real.forceNames();
+        public void syncFolder() throws IOException {
+            real.syncFolder();
         }
 
         @Override
--- a/bench/java/lilaclever/scale/CountingDisk.java
+++ b/bench/java/lilaclever/scale/CountingDisk.java
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
-        real.forceNames();
+    public void syncFolder() throws IOException {
+        real.syncFolder();
     }
 
     @Override
--- a/src/main/java/lilaclever/journal/Disk.java
+++ b/src/main/java/lilaclever/journal/Disk.java
@@ -22,7 +22,7 @@
     void delete(String name) throws IOException;
 
     /** Makes names, as they are now, outlast a failure of the machine. */
-    void forceNames() throws IOException;
+    void syncFolder() throws IOException;
 
     @Override
     void close() throws IOException;
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void syncFolder() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -200,7 +200,7 @@
                 pending.active().force();
             }
             if (pending.names()) {
-                disk.forceNames();
+                disk.syncFolder();
             }
         } catch (IOException e) {
             failure = e;
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void forceNames() {
+    public void syncFolder() {
         // the folder outlasts all
     }
 
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -211,7 +211,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void syncFolder() throws IOException {
         mayFail(Kind.FORCE_NAMES, null);
         if (forcesFail) {
             throw new IOException("Input/output error");
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public void forceNames() throws IOException {
-            disk.forceNames();
+        public void syncFolder() throws IOException {
+            disk.syncFolder();
         }
 
         @Override
