--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -293,9 +293,9 @@
             }
 
             @Override
-            public void force() throws IOException {
+            public void sync() throws IOException {
                 long began = System.nanoTime(); // on the forcing thread
-                file.force();
+                file.sync();
                 forcings.add(System.nanoTime() - began);
             }
 
--- a/bench/java/lilaclever/scale/CountingDisk.java
+++ b/bench/java/lilaclever/scale/CountingDisk.java
@@ -77,8 +77,8 @@
         }
 
         @Override
-        public void force() throws IOException {
-            file.force();
+        public void sync() throws IOException {
+            file.sync();
         }
 
         @Override
--- a/src/main/java/lilaclever/journal/Disk.java
+++ b/src/main/java/lilaclever/journal/Disk.java
@@ -52,7 +52,7 @@
         void truncate(long length) throws IOException;
 
         /** Makes the content outlast a failure of the machine. */
-        void force() throws IOException;
+        void sync() throws IOException;
 
         @Override
         void close() throws IOException;
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public void force() throws IOException {
+        public void sync() throws IOException {
             channel.force(false);
         }
 
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -194,10 +194,10 @@
         IOException failure = null;
         try {
             for (Disk.DiskFile file : pending.full()) {
-                file.force();
+                file.sync();
             }
             if (pending.active() != null) {
-                pending.active().force();
+                pending.active().sync();
             }
             if (pending.names()) {
                 disk.syncFolder();
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void force() {
+        public void sync() {
             // the folder outlasts all
         }
 
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -286,7 +286,7 @@
         }
 
         @Override
-        public void force() throws IOException {
+        public void sync() throws IOException {
             Failure failure = faults.failureOf(Kind.FORCE, name);
             if (failure != null) {
                 add(Kind.FORCE_FAILED, number, null, null, 0, null);
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -67,13 +67,13 @@
             }
 
             @Override
-            public void force() throws IOException {
+            public void sync() throws IOException {
                 try {
                     released.await(20, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
-                file.force();
+                file.sync();
             }
 
             @Override
