--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -58,7 +58,7 @@
             if (args[0].equals("turns")) {
                 new TurnRun(folder, Durability.NONE).turns(Integer.parseInt(args[1]), Long.parseLong(args[2]));
             } else {
-                Durability.How how = Durability.How.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
+                Durability.Mode how = Durability.Mode.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
                 new TurnRun(folder, new Durability(how, 50_000))
                         .steady(args[1], Integer.parseInt(args[2]), Integer.parseInt(args[3]));
             }
--- a/src/main/java/lilaclever/journal/Durability.java
+++ b/src/main/java/lilaclever/journal/Durability.java
@@ -6,17 +6,17 @@
  * @param how the rule
  * @param everyMicros with INTERVAL, the time between two forcings
  */
-public record Durability(How how, long everyMicros) {
+public record Durability(Mode how, long everyMicros) {
     /**
      * NONE: never. INTERVAL: every so often, and nothing waits for it. GROUP: all records of a turn together, and
      * nothing that a record comes before happens until then.
      */
-    public enum How {
+    public enum Mode {
         NONE,
         INTERVAL,
         GROUP
     }
 
     /** The platform's choice: its folder goes with its machine. */
-    public static final Durability NONE = new Durability(How.NONE, 0);
+    public static final Durability NONE = new Durability(Mode.NONE, 0);
 }
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -108,7 +108,7 @@
     public int compact(long mostBytes) throws IOException {
         FolderDisk disk = take();
         try (SegmentedJournal journal = new SegmentedJournal(
-                disk, mostBytes, new Durability(Durability.How.GROUP, 0), times(), new SplittableRandom())) {
+                disk, mostBytes, new Durability(Durability.Mode.GROUP, 0), times(), new SplittableRandom())) {
             long before = journal.allocated();
             journal.compactAll();
             out.println("bytes before " + before + ", now " + journal.allocated() + ", files " + journal.files());
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -63,7 +63,7 @@
     }
 
     boolean forces() {
-        return durability.how() != Durability.How.NONE;
+        return durability.how() != Durability.Mode.NONE;
     }
 
     /** True while the disk is not known to force again. */
@@ -100,7 +100,7 @@
     }
 
     void whenDurable(Runnable consequence) {
-        if (durability.how() == Durability.How.GROUP) {
+        if (durability.how() == Durability.Mode.GROUP) {
             waiting.add(consequence);
         } else {
             consequence.run();
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -96,7 +96,7 @@
         SplittableRandom random = new SplittableRandom(seed);
         List<Integer> forcedAt = new ArrayList<>();
         List<List<String>> idsThen = new ArrayList<>();
-        try (SegmentedJournal journal = Script.open(disk, MOST, new Durability(Durability.How.GROUP, 0))) {
+        try (SegmentedJournal journal = Script.open(disk, MOST, new Durability(Durability.Mode.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.setLoop(loop::add);
             Script script = new Script(disk, seed);
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -24,7 +24,7 @@
 /** What a failing disk must not do, each case by itself. {@link StorageFaultTest} has the random runs. */
 class DiskFailureTest {
     private static final long MOST = 1024 * 1024;
-    private static final Durability GROUP = new Durability(Durability.How.GROUP, 0);
+    private static final Durability GROUP = new Durability(Durability.Mode.GROUP, 0);
     private static final long TURN = 20_000, TEN_SECONDS = 10_000_000;
 
     private final SimDisk disk = new SimDisk();
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -581,7 +581,7 @@
         try (SegmentedJournal journal = new SegmentedJournal(
                 disk,
                 MOST,
-                new Durability(Durability.How.GROUP, 0),
+                new Durability(Durability.Mode.GROUP, 0),
                 Script.times(() -> clock),
                 new SplittableRandom(3))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -167,7 +167,7 @@
                 SegmentedJournal journal = new SegmentedJournal(
                         new HeldDisk(FolderDisk.take(state), forcing),
                         DISK_BYTES,
-                        new Durability(Durability.How.GROUP, 0),
+                        new Durability(Durability.Mode.GROUP, 0),
                         new JournalClocks(
                                 Core::monotonicMicros,
                                 Core::wallMicros,
