--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -63,7 +63,7 @@
     }
 
     boolean forces() {
-        return durability.how() != Durability.Mode.NONE;
+        return durability.mode() != Durability.Mode.NONE;
     }
 
     /** True while the disk is not known to force again. */
@@ -100,7 +100,7 @@
     }
 
     void whenDurable(Runnable consequence) {
-        if (durability.how() == Durability.Mode.GROUP) {
+        if (durability.mode() == Durability.Mode.GROUP) {
             waiting.add(consequence);
         } else {
             consequence.run();
@@ -115,7 +115,7 @@
     }
 
     private boolean isDue(long nowMicros) {
-        return switch (durability.how()) {
+        return switch (durability.mode()) {
             case NONE -> false;
             case GROUP -> written || !waiting.isEmpty();
             case INTERVAL -> written && nowMicros - lastBegun >= durability.everyMicros();
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -27,8 +27,8 @@
     void whatIsAbsentIsAsThePlatformHasIt() throws ConfigurationException {
         assertEquals(Operator.none(config()), of("# nothing\n\n[journal]\n"));
         assertEquals(
-                Durability.NONE.how(),
-                Operator.none(config()).journal().durability().how());
+                Durability.NONE.mode(),
+                Operator.none(config()).journal().durability().mode());
     }
 
     /** The file that is shipped says what holds without it. */
