--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -49,7 +49,7 @@
 
         Segments(Path folder) throws IOException {
             journal = new SegmentedJournal(
-                    FolderDisk.take(folder),
+                    FolderDisk.lock(folder),
                     MOST,
                     Durability.NONE,
                     new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -41,7 +41,7 @@
 
     private TurnRun(Path folder, Durability durability) throws IOException {
         new Random(1).nextBytes(body);
-        disk = new TimedDisk(FolderDisk.take(folder));
+        disk = new TimedDisk(FolderDisk.lock(folder));
         journal = new SegmentedJournal(
                 disk,
                 MOST,
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -25,7 +25,7 @@
     }
 
     /** Takes the folder for this program alone; it is made if it is not there. */
-    public static FolderDisk take(Path folder) throws IOException {
+    public static FolderDisk lock(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lockFile =
                 FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -39,7 +39,7 @@
         if (!Files.isDirectory(folder)) {
             throw new JournalException(folder + " is not a folder");
         }
-        return FolderDisk.take(folder);
+        return FolderDisk.lock(folder);
     }
 
     /** Prints each file with what is in it, and what the whole says. */
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -59,7 +59,7 @@
         long keep = settings.limits().keepAliveMicros();
         transport = new Transport();
         journal = new SegmentedJournal(
-                FolderDisk.take(config.state()),
+                FolderDisk.lock(config.state()),
                 config.diskBytes() - config.noteBytes(),
                 operator.journal().durability(),
                 new JournalClocks(
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -31,7 +31,7 @@
 
     private SegmentedJournal open() throws IOException {
         return new SegmentedJournal(
-                FolderDisk.take(folder), 1 << 20, Durability.NONE, Script.times(() -> 0), new SplittableRandom(1));
+                FolderDisk.lock(folder), 1 << 20, Durability.NONE, Script.times(() -> 0), new SplittableRandom(1));
     }
 
     @BeforeEach
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -392,12 +392,12 @@
 
     @Test
     void aFolderIsForOneProgramAtATime(@TempDir Path folder) throws IOException {
-        FolderDisk first = FolderDisk.take(folder);
-        assertTrue(assertThrows(JournalException.class, () -> FolderDisk.take(folder))
+        FolderDisk first = FolderDisk.lock(folder);
+        assertTrue(assertThrows(JournalException.class, () -> FolderDisk.lock(folder))
                 .getMessage()
                 .contains("in use"));
         first.close();
-        FolderDisk.take(folder).close();
+        FolderDisk.lock(folder).close();
     }
 
     // ---- clocks -----------------------------------------------------------------------------------------
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -165,7 +165,7 @@
                 DrainEndpoint other = new DrainEndpoint(auditor);
                 Transport transport = new Transport();
                 SegmentedJournal journal = new SegmentedJournal(
-                        new HeldDisk(FolderDisk.take(state), forcing),
+                        new HeldDisk(FolderDisk.lock(state), forcing),
                         DISK_BYTES,
                         new Durability(Durability.Mode.GROUP, 0),
                         new JournalClocks(
