--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.Writer;
 import lilaclever.log.Logs;
 
 /** Empties the log from its oldest segment on: copies forward what is live, and releases what nothing rests on. */
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -99,7 +99,7 @@
     }
 
     private static long rememberedSize(String identity) {
-        return Format.FRAME + 3 * (long) (identity.length() + RecordEncoder.MOST_DETAIL) + 52;
+        return SegmentFormat.FRAME + 3 * (long) (identity.length() + RecordEncoder.MOST_DETAIL) + 52;
     }
 
     private <T> void rest(Slot<T> slot, Segment on, int size) {
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.function.LongSupplier;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.Writer;
 import lilaclever.log.Logs;
 
 /**
--- a/src/main/java/lilaclever/journal/Plan.java
+++ b/src/main/java/lilaclever/journal/Plan.java
@@ -47,7 +47,7 @@
 
     /** Whole blocks. */
     static long blocks(long bytes) {
-        return (bytes + Format.BLOCK - 1) / Format.BLOCK * Format.BLOCK;
+        return (bytes + SegmentFormat.BLOCK - 1) / SegmentFormat.BLOCK * SegmentFormat.BLOCK;
     }
 
     /** How long a file is made. */
@@ -57,7 +57,7 @@
 
     /** How long a file must be to hold a record of this size. */
     long lengthFor(long record) {
-        return Math.max(segment, blocks(record + Format.OVERHEAD));
+        return Math.max(segment, blocks(record + SegmentFormat.OVERHEAD));
     }
 
     /** What is kept from messages: room for the file in use, for one pass of copying, and for records meanwhile. */
@@ -68,7 +68,7 @@
 
     /** How much the allocated files can hold for messages, whatever the order of records. */
     long usable(long allocated, long largest) {
-        long proper = segment - Format.OVERHEAD;
+        long proper = segment - SegmentFormat.OVERHEAD;
         long filled = proper - Math.min(largest, proper / 2);
         return Math.max(0, allocated - reserve(largest)) / segment * filled;
     }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import lilaclever.identity.CompletedMessage;
 import lilaclever.identity.Fingerprint;
-import lilaclever.journal.Format.Type;
+import lilaclever.journal.SegmentFormat.Type;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
@@ -38,11 +38,11 @@
                     state.put(o, segment, size);
                 }
                 case REMEMBERED -> {
-                    String identity = Format.text(in);
+                    String identity = SegmentFormat.text(in);
                     FinalStatus end = readEnd(in);
                     long until = wall(in);
                     // Version 1 has no fingerprint.
-                    boolean compared = in.hasRemaining() && Format.flag(in);
+                    boolean compared = in.hasRemaining() && SegmentFormat.flag(in);
                     state.put(
                             identity,
                             new CompletedMessage<>(
@@ -50,7 +50,7 @@
                             segment,
                             size);
                 }
-                case ENDED -> state.drop(Format.text(in));
+                case ENDED -> state.drop(SegmentFormat.text(in));
                 case PREVIOUS -> {}
                 default -> applyToOne(type, in);
             }
@@ -61,54 +61,54 @@
     }
 
     private void applyToOne(Type type, ByteBuffer in) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(Format.text(in));
+        JournalState.Slot<PendingMessage> slot = state.owed.get(SegmentFormat.text(in));
         if (slot == null) {
             return; // its message has ended, or a later record tells all of it
         }
         switch (type) {
-            case ATTEMPT -> slot.value.attemptStarted(Format.text(in), in.getInt(), wall(in));
-            case OUTCOME -> slot.value.attemptEnded(Format.flag(in));
-            case JOINED -> state.join(slot.value, new PendingMessage.Submitter(Format.text(in), Format.text(in)));
+            case ATTEMPT -> slot.value.attemptStarted(SegmentFormat.text(in), in.getInt(), wall(in));
+            case OUTCOME -> slot.value.attemptEnded(SegmentFormat.flag(in));
+            case JOINED -> state.join(slot.value, new PendingMessage.Submitter(SegmentFormat.text(in), SegmentFormat.text(in)));
             default -> slot.value.setFinalStatus(readEnd(in));
         }
     }
 
     private PendingMessage readWhole(ByteBuffer in) {
-        String front = Format.text(in);
-        String id = Format.text(in);
-        String identity = Format.flag(in) ? Format.text(in) : null;
+        String front = SegmentFormat.text(in);
+        String id = SegmentFormat.text(in);
+        String identity = SegmentFormat.flag(in) ? SegmentFormat.text(in) : null;
         int messageClass = in.getInt();
         int destination = in.getInt();
-        String key = Format.flag(in) ? Format.text(in) : null;
-        boolean again = Format.flag(in);
-        boolean inherited = Format.flag(in);
+        String key = SegmentFormat.flag(in) ? SegmentFormat.text(in) : null;
+        boolean again = SegmentFormat.flag(in);
+        boolean inherited = SegmentFormat.flag(in);
         long budget = in.getLong();
         long deadline = wall(in);
         return new PendingMessage(
                 front,
                 new Submission(
-                        id, identity, messageClass, destination, key, Format.bytes(in), again, inherited, budget),
+                        id, identity, messageClass, destination, key, SegmentFormat.bytes(in), again, inherited, budget),
                 deadline);
     }
 
     private void readPast(ByteBuffer in, PendingMessage o) {
-        o.restoreAttempts(in.getInt(), Format.flag(in), Format.text(in), in.getInt(), wall(in));
-        boolean mayHaveRun = Format.flag(in);
-        String host = Format.text(in);
+        o.restoreAttempts(in.getInt(), SegmentFormat.flag(in), SegmentFormat.text(in), in.getInt(), wall(in));
+        boolean mayHaveRun = SegmentFormat.flag(in);
+        String host = SegmentFormat.text(in);
         int zone = in.getInt();
         long wall = wall(in);
         if (mayHaveRun) {
             o.markPossiblyRun(host, zone, wall);
         }
-        if (Format.flag(in)) {
+        if (SegmentFormat.flag(in)) {
             o.setFinalStatus(readEnd(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
-            o.attach(new PendingMessage.Submitter(Format.text(in), Format.text(in)));
+            o.attach(new PendingMessage.Submitter(SegmentFormat.text(in), SegmentFormat.text(in)));
         }
     }
 
     private static FinalStatus readEnd(ByteBuffer in) {
-        return new FinalStatus(FinalStatus.Kind.values()[in.getInt()], in.getLong(), Format.text(in));
+        return new FinalStatus(FinalStatus.Kind.values()[in.getInt()], in.getLong(), SegmentFormat.text(in));
     }
 }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -1,8 +1,8 @@
 package lilaclever.journal;
 
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.Format.Type;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.Type;
+import lilaclever.journal.SegmentFormat.Writer;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import lilaclever.journal.Format.Type;
+import lilaclever.journal.SegmentFormat.Type;
 
 /**
  * Reads a folder into the state, and changes nothing in it. Segments are read in their order, through a window, so the
@@ -25,7 +25,7 @@
             long records, int segments, List<Damage> damages, int missing, boolean carriedOver, long cleanUpTo) {}
 
     /** One segment that was read, and how many records of each type it has. */
-    record Found(Segment segment, Format.Header header, EnumMap<Type, Integer> counts) {}
+    record Found(Segment segment, SegmentFormat.Header header, EnumMap<Type, Integer> counts) {}
 
     /** A segment's name, and where the one before it ends as it says; -1 if it does not. */
     private record Look(String name, long endOfPrevious) {}
@@ -100,10 +100,10 @@
     /** Looks at a segment's beginning; one of a newer version is refused. */
     private Look look(String name) throws IOException {
         try (SegmentReader reader = new SegmentReader(disk, name)) {
-            if (reader.header() != null && reader.header().version() > Format.VERSION) {
+            if (reader.header() != null && reader.header().version() > SegmentFormat.VERSION) {
                 throw new JournalException(
                         name + " is of format " + reader.header().version() + ", and this program knows formats up to "
-                                + Format.VERSION + "; nothing was changed");
+                                + SegmentFormat.VERSION + "; nothing was changed");
             }
             return new Look(name, reader.endOfPrevious());
         }
--- a/src/main/java/lilaclever/journal/Format.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -16,7 +16,7 @@
  * content that a client chose can pass for a record when a reader looks for the next good one after damage; and what a
  * recycled file held before never passes either. All numbers are big-endian.
  */
-final class Format {
+final class SegmentFormat {
     /** 2: a message may be owed to several, and remembered ends have the fingerprint of what they ended. */
     static final int VERSION = 2;
     /** Where the records begin. */
@@ -75,7 +75,7 @@
     /** What a segment's header says. */
     record Header(int version, long sequence, long salt, long madeWall, BootClock clock) {}
 
-    private Format() {}
+    private SegmentFormat() {}
 
     static ByteBuffer header(Header h) {
         ByteBuffer all = ByteBuffer.allocate(HEADER);
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -9,7 +9,7 @@
 import java.util.function.LongPredicate;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.Writer;
 import lilaclever.log.Logs;
 
 /**
@@ -115,7 +115,7 @@
     Plan.Space space(JournalState state) {
         long free = left();
         for (Spare s : spares) {
-            free += s.length() - Format.OVERHEAD;
+            free += s.length() - SegmentFormat.OVERHEAD;
         }
         // What can't grow now has all the room it will get.
         return new Plan.Space(
@@ -159,7 +159,7 @@
         long room = most - allocated;
         int left = spares.size();
         for (Spare s : spares) {
-            if (s.length() >= bytes + Format.OVERHEAD && spares.size() > keep) {
+            if (s.length() >= bytes + SegmentFormat.OVERHEAD && spares.size() > keep) {
                 return true;
             }
             room += left-- > keep ? s.length() : 0; // it could make way for a longer one
@@ -201,7 +201,7 @@
      * what is live to.
      */
     private void leaveAfterFailure() {
-        if (active.used > Format.OVERHEAD) {
+        if (active.used > SegmentFormat.OVERHEAD) {
             leave();
             return;
         }
@@ -240,7 +240,7 @@
             disk.rename(spare.name(), next.name);
             namesChanged = true;
             nextSequence++;
-            next.used = Format.OVERHEAD;
+            next.used = SegmentFormat.OVERHEAD;
             next.startedAt = forcings.getAsLong();
             next.writtenAt = next.startedAt;
             beginning = start.array();
@@ -255,9 +255,9 @@
     }
 
     private ByteBuffer beginning(long sequence, long nextSalt) {
-        ByteBuffer all = ByteBuffer.allocate(Format.OVERHEAD);
-        all.put(Format.header(new Format.Header(
-                Format.VERSION, sequence, nextSalt, times.wall().getAsLong(), times.boot())));
+        ByteBuffer all = ByteBuffer.allocate(SegmentFormat.OVERHEAD);
+        all.put(SegmentFormat.header(new SegmentFormat.Header(
+                SegmentFormat.VERSION, sequence, nextSalt, times.wall().getAsLong(), times.boot())));
         Segment last = full.peekLast();
         Writer first = new Writer();
         RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.used);
@@ -291,7 +291,7 @@
 
     // ---- files ------------------------------------------------------------------------------------------
     private Spare take(long bytes) throws IOException {
-        long needed = bytes + Format.OVERHEAD;
+        long needed = bytes + SegmentFormat.OVERHEAD;
         for (Iterator<Spare> all = spares.iterator(); all.hasNext(); ) {
             Spare spare = all.next();
             if (spare.length() >= needed) {
@@ -308,7 +308,7 @@
             allocated -= Plan.blocks(shortest.length());
         }
         if (allocated + length > most) {
-            length = (most - allocated) / Format.BLOCK * Format.BLOCK;
+            length = (most - allocated) / SegmentFormat.BLOCK * SegmentFormat.BLOCK;
         }
         if (length < needed) {
             throw new NoRoom();
@@ -431,7 +431,7 @@
     /** Makes a file without content a spare; one of which little can be written is given up. On a failure as before. */
     private void prepare(String name, long length) throws IOException {
         long good = fillWithZeros(name, length);
-        boolean worthIt = good > 2 * Format.OVERHEAD;
+        boolean worthIt = good > 2 * SegmentFormat.OVERHEAD;
         if (!worthIt) {
             disk.delete(name);
         }
@@ -448,7 +448,7 @@
                 zero(file, 0, length);
                 return length;
             } catch (IOException e) {
-                long good = firstThatFails(file, length) / Format.BLOCK * Format.BLOCK;
+                long good = firstThatFails(file, length) / SegmentFormat.BLOCK * SegmentFormat.BLOCK;
                 if (good == 0 && length > 0) {
                     throw e; // it is the disk that fails, not this file's end
                 }
@@ -461,8 +461,8 @@
     private static long firstThatFails(Disk.DiskFile file, long length) {
         long at = 0;
         try {
-            for (; at < length; at += Format.BLOCK) {
-                file.write(ByteBuffer.allocate((int) Math.min(Format.BLOCK, length - at)), at);
+            for (; at < length; at += SegmentFormat.BLOCK) {
+                file.write(ByteBuffer.allocate((int) Math.min(SegmentFormat.BLOCK, length - at)), at);
             }
         } catch (IOException e) {
             return at;
--- a/src/main/java/lilaclever/journal/SegmentReader.java
+++ b/src/main/java/lilaclever/journal/SegmentReader.java
@@ -2,8 +2,8 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import lilaclever.journal.Format.Look;
-import lilaclever.journal.Format.Type;
+import lilaclever.journal.SegmentFormat.Look;
+import lilaclever.journal.SegmentFormat.Type;
 
 /**
  * Reads one segment through a window that is as large as its largest record, so that opening a journal takes the
@@ -23,7 +23,7 @@
 
     private final Disk.DiskFile file;
     private final long length;
-    private final Format.Header header;
+    private final SegmentFormat.Header header;
     private ByteBuffer window = ByteBuffer.allocate(WINDOW).limit(0);
     private long windowAt;
 
@@ -31,9 +31,9 @@
         file = disk.open(name);
         try {
             length = disk.length(name);
-            ByteBuffer bytes = ByteBuffer.allocate(Format.HEADER);
+            ByteBuffer bytes = ByteBuffer.allocate(SegmentFormat.HEADER);
             file.fill(bytes, 0);
-            header = ofSegment(name, Format.readHeader(bytes.flip()));
+            header = ofSegment(name, SegmentFormat.readHeader(bytes.flip()));
         } catch (IOException | RuntimeException e) {
             file.close();
             throw e;
@@ -44,13 +44,13 @@
      * The header, if it is that of the segment by that name. Where a failure of the machine has kept a file's new name
      * and not its new header, the old one is there, and records of the file's earlier use would pass for this one's.
      */
-    private static Format.Header ofSegment(String name, Format.Header found) {
+    private static SegmentFormat.Header ofSegment(String name, SegmentFormat.Header found) {
         long sequence = Segment.sequence(name);
         return found == null || sequence > 0 && found.sequence() != sequence ? null : found;
     }
 
     /** The header; null if neither of its copies can be read, or it is another segment's. */
-    Format.Header header() {
+    SegmentFormat.Header header() {
         return header;
     }
 
@@ -59,11 +59,11 @@
         if (header == null) {
             return -1;
         }
-        ByteBuffer at = window(Format.HEADER);
-        if (look(Format.HEADER) != Look.GOOD || Format.type(at) != Type.PREVIOUS) {
+        ByteBuffer at = window(SegmentFormat.HEADER);
+        if (look(SegmentFormat.HEADER) != Look.GOOD || SegmentFormat.type(at) != Type.PREVIOUS) {
             return -1;
         }
-        ByteBuffer content = Format.take(at);
+        ByteBuffer content = SegmentFormat.take(at);
         return content.getLong() == header.sequence() - 1 ? content.getLong() : -1;
     }
 
@@ -80,7 +80,7 @@
             return 0;
         }
         long limit = end < 0 ? length : Math.min(end, length);
-        long at = Format.HEADER;
+        long at = SegmentFormat.HEADER;
         long good = at;
         while (at < limit) {
             if (look(at) == Look.GOOD && sound(at, to)) {
@@ -105,20 +105,20 @@
     }
 
     private boolean sound(long at, Listener to) {
-        Type type = Format.type(window);
-        ByteBuffer content = Format.take(window);
-        return to.record(type, content, at, content.remaining() + Format.FRAME);
+        Type type = SegmentFormat.type(window);
+        ByteBuffer content = SegmentFormat.take(window);
+        return to.record(type, content, at, content.remaining() + SegmentFormat.FRAME);
     }
 
     /** Looks at a place, with a window that is large enough to tell. */
     private Look look(long at) throws IOException {
         window(at);
-        Look look = Format.look(window, header.salt());
+        Look look = SegmentFormat.look(window, header.salt());
         while (look == Look.MORE && windowAt + window.limit() < length) {
             refill(
                     at,
                     window.limit() - window.position() < window.capacity() ? window.capacity() : 2 * window.capacity());
-            look = Format.look(window, header.salt());
+            look = SegmentFormat.look(window, header.salt());
         }
         return look;
     }
@@ -139,7 +139,7 @@
         if (last - at >= trailer.capacity()) {
             file.fill(trailer, last + 1 - trailer.capacity());
         }
-        return Format.endsWhole(last + 1 - at, trailer.flip());
+        return SegmentFormat.endsWhole(last + 1 - at, trailer.flip());
     }
 
     /** Where the last byte is, from here on, that is not zero; -1 if all are. */
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.Writer;
 import lilaclever.log.Logs;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.Journal;
@@ -76,7 +76,7 @@
         PendingMessage owed = new PendingMessage(front, submission, deadlineWall);
         RecordEncoder.taken(writer.clear(), owed);
         int size = writer.size();
-        if (size > Format.LARGEST || !appender.hasRoom(size, JournalState.growth(submission)) || !append()) {
+        if (size > SegmentFormat.LARGEST || !appender.hasRoom(size, JournalState.growth(submission)) || !append()) {
             return false;
         }
         state.taken(owed, log.active(), size);
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.Writer;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -102,7 +102,7 @@
             @ForAll @IntRange(min = 5, max = 200) int files,
             @ForAll @Size(min = 1, max = 300) List<@IntRange(min = 50, max = 20_000) Integer> sizes) {
         Plan plan = new Plan(3 << 20);
-        long proper = plan.segment() - Format.OVERHEAD;
+        long proper = plan.segment() - SegmentFormat.OVERHEAD;
         long largest = sizes.stream().mapToInt(Integer::intValue).max().orElse(0);
         long promised = plan.usable(files * plan.segment(), largest);
         long inUse = 0, used = 0, sum = 0;
@@ -133,7 +133,7 @@
         List<Long> lengths = new ArrayList<>();
         for (int r : new int[] {record, record + 1000, record + 100_000}) {
             lengths.add(plan.lengthFor(r));
-            assertTrue(plan.lengthFor(r) >= r + Format.OVERHEAD && plan.lengthFor(r) % Format.BLOCK == 0);
+            assertTrue(plan.lengthFor(r) >= r + SegmentFormat.OVERHEAD && plan.lengthFor(r) % SegmentFormat.BLOCK == 0);
         }
         assertEquals(lengths, lengths.stream().sorted().toList());
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -145,7 +145,7 @@
     /** A client can't hide a record in a body, to be found when damage has the reader look for the next good one. */
     @Test
     void aRecordInsideABodyIsNeverRead() throws IOException {
-        Format.Writer forged = new Format.Writer();
+        SegmentFormat.Writer forged = new SegmentFormat.Writer();
         RecordEncoder.ended(forged, "victim");
         ByteBuffer bytes = forged.sealed(0);
         byte[] body = new byte[bytes.remaining()];
@@ -156,7 +156,7 @@
             take(journal, "last", 10);
         }
         byte[] all = disk.content(Segment.name(1));
-        for (int at = Format.OVERHEAD; at < all.length; at++) {
+        for (int at = SegmentFormat.OVERHEAD; at < all.length; at++) {
             if (all[at] == 'e' && all[at + 1] == 'v' && all[at + 2] == 'i') {
                 flip(Segment.name(1), at);
                 break;
@@ -296,28 +296,28 @@
     void aNewerFormatIsRefusedAndNothingIsTouched() throws IOException {
         disk.put(
                 Segment.name(1),
-                Format.header(new Format.Header(Format.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
+                SegmentFormat.header(new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
                         .array());
         disk.put("journal.new", new byte[3]);
         int before = disk.ops.size();
         JournalException e = assertThrows(JournalException.class, this::open);
-        assertTrue(e.getMessage().contains(Segment.name(1) + " is of format " + (Format.VERSION + 1)), e.getMessage());
+        assertTrue(e.getMessage().contains(Segment.name(1) + " is of format " + (SegmentFormat.VERSION + 1)), e.getMessage());
         assertEquals(before, disk.ops.size());
     }
 
     /** Version 1 knew no fingerprints and nobody but the first to whom an end is owed. */
     @Test
     void whatVersionOneWroteIsRead() throws IOException {
-        Format.Writer out = new Format.Writer();
+        SegmentFormat.Writer out = new SegmentFormat.Writer();
         RecordEncoder.previous(out, 0, 0);
-        out.begin(Format.Type.REMEMBERED)
+        out.begin(SegmentFormat.Type.REMEMBERED)
                 .text("i")
                 .small(FinalStatus.Kind.FAILED.ordinal())
                 .number(0)
                 .text("why")
                 .number(77)
                 .end();
-        out.begin(Format.Type.SNAPSHOT)
+        out.begin(SegmentFormat.Type.SNAPSHOT)
                 .text("http")
                 .text("s")
                 .flag(false)
@@ -341,7 +341,7 @@
                 .flag(false)
                 .end();
         java.nio.ByteBuffer all = java.nio.ByteBuffer.allocate(16 * 1024);
-        all.put(Format.header(new Format.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.sealed(5));
+        all.put(SegmentFormat.header(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.sealed(5));
         disk.put(Segment.name(1), all.array());
         try (SegmentedJournal journal = open()) {
             assertEquals(List.of(), journal.recovered().damages());
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -146,7 +146,7 @@
                     disk.apply(op);
                 } else if (op.kind() == Kind.WRITE) {
                     for (int at = 0; at < op.bytes().length; ) {
-                        int to = at + Format.BLOCK - (int) ((op.position() + at) % Format.BLOCK);
+                        int to = at + SegmentFormat.BLOCK - (int) ((op.position() + at) % SegmentFormat.BLOCK);
                         if (random.nextBoolean()) {
                             disk.apply(part(op, at, to));
                         }
