--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -156,7 +156,7 @@
 
         @Override
         public void taken(String id, byte[] body) {
-            SegmentFormat.Writer w = new SegmentFormat.Writer();
+            SegmentFormat.RecordWriter w = new SegmentFormat.RecordWriter();
             RecordEncoder.taken(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
             ByteBuffer all = w.sealed(0);
             byte[] bytes = new byte[all.remaining() + 60];
--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lilaclever.journal.SegmentFormat.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
 /** Empties the log from its oldest segment on: copies forward what is live, and releases what nothing rests on. */
@@ -14,7 +14,7 @@
     private final JournalState state;
     private final Syncer syncer;
     private final LogAppender appender;
-    private final Writer copies = new Writer();
+    private final RecordWriter copies = new RecordWriter();
     private long copied;
 
     Compactor(SegmentLog log, Plan plan, JournalState state, Syncer syncer, LogAppender appender) {
@@ -96,7 +96,7 @@
     }
 
     private interface Encoder<T> {
-        void write(Writer out, String key, T value);
+        void write(RecordWriter out, String key, T value);
     }
 
     private <T> boolean copy(Map<String, JournalState.Slot<T>> map, Segment from, long most, Encoder<T> encoder) {
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 import java.util.function.LongSupplier;
-import lilaclever.journal.SegmentFormat.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
 /**
@@ -39,7 +39,7 @@
     }
 
     /** Appends the records, all or none, and leaves the room that copies need; false if no segment takes them. */
-    boolean append(Writer records, RoomMaker roomMaker) {
+    boolean append(RecordWriter records, RoomMaker roomMaker) {
         int size = records.size();
         return write(records, () -> {
             if (!log.fits(size)) {
@@ -55,7 +55,7 @@
     }
 
     /** Appends copies of live records, for which all room may be used; false if no segment takes them. */
-    boolean appendCopies(Writer copies) {
+    boolean appendCopies(RecordWriter copies) {
         return write(copies, () -> {
             if (!log.fits(copies.size())) {
                 log.roll(copies.size());
@@ -63,7 +63,7 @@
         });
     }
 
-    private boolean write(Writer records, Step makeFit) {
+    private boolean write(RecordWriter records, Step makeFit) {
         if (isPaused()) {
             return false;
         }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -2,7 +2,7 @@
 
 import lilaclever.identity.CompletedMessage;
 import lilaclever.journal.SegmentFormat.Type;
-import lilaclever.journal.SegmentFormat.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
@@ -15,36 +15,36 @@
     private RecordEncoder() {}
 
     /** A message is taken on. */
-    static void taken(Writer out, PendingMessage o) {
+    static void taken(RecordWriter out, PendingMessage o) {
         out.begin(Type.TAKEN);
         whole(out, o);
         out.end();
     }
 
     /** An attempt has begun, at that time of the wall clock, microseconds. */
-    static void attempt(Writer out, String id, String host, int zone, long wall) {
+    static void attempt(RecordWriter out, String id, String host, int zone, long wall) {
         out.begin(Type.ATTEMPT).text(id).text(host).small(zone).number(wall).end();
     }
 
     /** The attempt that was out is over. */
-    static void outcome(Writer out, String id, boolean neverRan) {
+    static void outcome(RecordWriter out, String id, boolean neverRan) {
         out.begin(Type.OUTCOME).text(id).flag(neverRan).end();
     }
 
     /** How the message has ended. */
-    static void verdict(Writer out, String id, FinalStatus v) {
+    static void verdict(RecordWriter out, String id, FinalStatus v) {
         out.begin(Type.VERDICT).text(id);
         end(out, v);
         out.end();
     }
 
     /** The message is over for good. */
-    static void ended(Writer out, String id) {
+    static void ended(RecordWriter out, String id) {
         out.begin(Type.ENDED).text(id).end();
     }
 
     /** An end that is remembered, under its identity. */
-    static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
+    static void remembered(RecordWriter out, String identity, CompletedMessage<FinalStatus> p) {
         out.begin(Type.REMEMBERED).text(identity);
         end(out, p.result());
         out.number(p.untilWallMicros()).flag(p.fingerprint() != null);
@@ -55,12 +55,12 @@
     }
 
     /** Somebody else is owed the end of a message. */
-    static void joined(Writer out, String id, PendingMessage.Submitter claim) {
+    static void joined(RecordWriter out, String id, PendingMessage.Submitter claim) {
         out.begin(Type.JOINED).text(id).text(claim.front()).text(claim.id()).end();
     }
 
     /** All that is known of a message, in one record. */
-    static void snapshot(Writer out, PendingMessage o) {
+    static void snapshot(RecordWriter out, PendingMessage o) {
         out.begin(Type.SNAPSHOT);
         whole(out, o);
         out.small(o.attempts())
@@ -82,11 +82,11 @@
     }
 
     /** Where the segment before this one ended. */
-    static void previous(Writer out, long sequence, long end) {
+    static void previous(RecordWriter out, long sequence, long end) {
         out.begin(Type.PREVIOUS).number(sequence).number(end).end();
     }
 
-    private static void whole(Writer out, PendingMessage o) {
+    private static void whole(RecordWriter out, PendingMessage o) {
         Submission h = o.submission();
         out.text(o.front()).text(h.id()).flag(h.identity() != null);
         if (h.identity() != null) {
@@ -103,7 +103,7 @@
                 .bytes(h.body());
     }
 
-    private static void end(Writer out, FinalStatus v) {
+    private static void end(RecordWriter out, FinalStatus v) {
         String detail = v.detail().substring(0, Math.min(v.detail().length(), MOST_DETAIL));
         out.small(v.kind().ordinal()).number(v.retryAfterMicros()).text(detail);
     }
--- a/src/main/java/lilaclever/journal/SegmentFormat.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -181,17 +181,17 @@
     }
 
     /** Builds records one behind the other in a buffer that grows; the checksum comes when the salt is known. */
-    static final class Writer {
+    static final class RecordWriter {
         private ByteBuffer out = ByteBuffer.allocate(4096);
         private int start;
 
         /** Forgets all. */
-        Writer clear() {
+        RecordWriter clear() {
             out.clear();
             return this;
         }
 
-        Writer begin(Type type) {
+        RecordWriter begin(Type type) {
             start = out.position();
             room(CONTENT_AT);
             out.putShort(MARKER).put(type.code).putInt(0).putInt(0);
@@ -199,7 +199,7 @@
         }
 
         /** Ends the record. */
-        Writer end() {
+        RecordWriter end() {
             room(TRAILER);
             int length = out.position() - start - CONTENT_AT;
             out.putInt(start + LENGTH_AT, length);
@@ -207,29 +207,29 @@
             return this;
         }
 
-        Writer number(long value) {
+        RecordWriter number(long value) {
             room(8);
             out.putLong(value);
             return this;
         }
 
-        Writer small(int value) {
+        RecordWriter small(int value) {
             room(4);
             out.putInt(value);
             return this;
         }
 
-        Writer flag(boolean value) {
+        RecordWriter flag(boolean value) {
             room(1);
             out.put((byte) (value ? 1 : 0));
             return this;
         }
 
-        Writer text(String value) {
+        RecordWriter text(String value) {
             return bytes(value.getBytes(StandardCharsets.UTF_8));
         }
 
-        Writer bytes(byte[] value) {
+        RecordWriter bytes(byte[] value) {
             small(value.length);
             room(value.length);
             out.put(value);
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -9,7 +9,7 @@
 import java.util.function.LongPredicate;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import lilaclever.journal.SegmentFormat.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
 /**
@@ -174,7 +174,7 @@
 
     // ---- writing ----------------------------------------------------------------------------------------
     /** Writes the records behind the others; on a failure the file is cut off before them and not used further. */
-    void write(Writer records) throws IOException {
+    void write(RecordWriter records) throws IOException {
         try {
             activeFile.write(records.sealed(salt), active.used);
         } catch (IOException e) {
@@ -259,7 +259,7 @@
         all.put(SegmentFormat.header(new SegmentFormat.Header(
                 SegmentFormat.VERSION, sequence, nextSalt, times.wall().getAsLong(), times.boot())));
         Segment last = full.peekLast();
-        Writer first = new Writer();
+        RecordWriter first = new RecordWriter();
         RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.used);
         return all.put(first.sealed(nextSalt)).flip();
     }
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.SegmentFormat.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.Journal;
@@ -31,7 +31,7 @@
     private final JournalState state = new JournalState();
     private final Syncer syncer;
     private final LongSupplier micros;
-    private final Writer writer = new Writer();
+    private final RecordWriter writer = new RecordWriter();
     private final Recovery.Report recovered;
     private final LogAppender appender;
     private final Compactor compactor;
@@ -195,7 +195,7 @@
     }
 
     /** What a failed forcing was for may use all the room: segments are released only once it is forced. */
-    private boolean appendUnwritten(Writer records) {
+    private boolean appendUnwritten(RecordWriter records) {
         return unwritten.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
     }
 
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.SegmentFormat.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 
@@ -16,8 +16,8 @@
 final class UnwrittenChanges {
     private final JournalState state;
     private final SegmentLog log;
-    private final Writer writer;
-    private final Predicate<Writer> append;
+    private final RecordWriter writer;
+    private final Predicate<RecordWriter> append;
     private final boolean forces;
     private final Set<String> messages = new LinkedHashSet<>();
     private final Set<String> remembered = new LinkedHashSet<>();
@@ -37,7 +37,7 @@
      * @param forces true where records are forced to the disk
      * @param append writes what is in the writer, behind all other records; false if that is not possible now
      */
-    UnwrittenChanges(JournalState state, SegmentLog log, Writer writer, boolean forces, Predicate<Writer> append) {
+    UnwrittenChanges(JournalState state, SegmentLog log, RecordWriter writer, boolean forces, Predicate<RecordWriter> append) {
         this.state = state;
         this.log = log;
         this.writer = writer;
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -145,7 +145,7 @@
     /** A client can't hide a record in a body, to be found when damage has the reader look for the next good one. */
     @Test
     void aRecordInsideABodyIsNeverRead() throws IOException {
-        SegmentFormat.Writer forged = new SegmentFormat.Writer();
+        SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
         RecordEncoder.ended(forged, "victim");
         ByteBuffer bytes = forged.sealed(0);
         byte[] body = new byte[bytes.remaining()];
@@ -308,7 +308,7 @@
     /** Version 1 knew no fingerprints and nobody but the first to whom an end is owed. */
     @Test
     void whatVersionOneWroteIsRead() throws IOException {
-        SegmentFormat.Writer out = new SegmentFormat.Writer();
+        SegmentFormat.RecordWriter out = new SegmentFormat.RecordWriter();
         RecordEncoder.previous(out, 0, 0);
         out.begin(SegmentFormat.Type.REMEMBERED)
                 .text("i")
