--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -158,7 +158,7 @@
         public void taken(String id, byte[] body) {
             SegmentFormat.RecordWriter w = new SegmentFormat.RecordWriter();
             RecordEncoder.taken(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
-            ByteBuffer all = w.sealed(0);
+            ByteBuffer all = w.withChecksums(0);
             byte[] bytes = new byte[all.remaining() + 60];
             all.get(bytes, 0, all.remaining());
             owed.put(id, bytes);
--- a/src/main/java/lilaclever/journal/SegmentFormat.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -247,7 +247,7 @@
         }
 
         /** All records, with their checksums for a segment of this salt; valid until the next change. */
-        ByteBuffer sealed(long salt) {
+        ByteBuffer withChecksums(long salt) {
             ByteBuffer all = out.duplicate().flip();
             for (int at = 0; at < all.limit(); ) {
                 int length = all.getInt(at + LENGTH_AT);
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -176,7 +176,7 @@
     /** Writes the records behind the others; on a failure the file is cut off before them and not used further. */
     void write(RecordWriter records) throws IOException {
         try {
-            activeFile.write(records.sealed(salt), active.used);
+            activeFile.write(records.withChecksums(salt), active.used);
         } catch (IOException e) {
             cut();
             leaveAfterFailure();
@@ -261,7 +261,7 @@
         Segment last = full.peekLast();
         RecordWriter first = new RecordWriter();
         RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.used);
-        return all.put(first.sealed(nextSalt)).flip();
+        return all.put(first.withChecksums(nextSalt)).flip();
     }
 
     /** Nothing more goes into the file in use. */
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -147,7 +147,7 @@
     void aRecordInsideABodyIsNeverRead() throws IOException {
         SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
         RecordEncoder.ended(forged, "victim");
-        ByteBuffer bytes = forged.sealed(0);
+        ByteBuffer bytes = forged.withChecksums(0);
         byte[] body = new byte[bytes.remaining()];
         bytes.get(body);
         try (SegmentedJournal journal = open()) {
@@ -341,7 +341,7 @@
                 .flag(false)
                 .end();
         java.nio.ByteBuffer all = java.nio.ByteBuffer.allocate(16 * 1024);
-        all.put(SegmentFormat.header(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.sealed(5));
+        all.put(SegmentFormat.header(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
         disk.put(Segment.name(1), all.array());
         try (SegmentedJournal journal = open()) {
             assertEquals(List.of(), journal.recovered().damages());
