--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -157,7 +157,7 @@
         @Override
         public void taken(String id, byte[] body) {
             SegmentFormat.RecordWriter w = new SegmentFormat.RecordWriter();
-            RecordEncoder.taken(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
+            RecordEncoder.accepted(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
             ByteBuffer all = w.withChecksums(0);
             byte[] bytes = new byte[all.remaining() + 60];
             all.get(bytes, 0, all.remaining());
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -15,7 +15,7 @@
     private RecordEncoder() {}
 
     /** A message is taken on. */
-    static void taken(RecordWriter out, PendingMessage o) {
+    static void accepted(RecordWriter out, PendingMessage o) {
         out.begin(Type.TAKEN);
         whole(out, o);
         out.end();
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -74,7 +74,7 @@
             return false; // it could not be promised to outlast the machine
         }
         PendingMessage owed = new PendingMessage(front, submission, deadlineWall);
-        RecordEncoder.taken(writer.clear(), owed);
+        RecordEncoder.accepted(writer.clear(), owed);
         int size = writer.size();
         if (size > SegmentFormat.LARGEST || !appender.hasRoom(size, JournalState.growth(submission)) || !append()) {
             return false;
