--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -112,7 +112,7 @@
             long before = journal.allocated();
             journal.compactAll();
             out.println("bytes before " + before + ", now " + journal.allocated() + ", files " + journal.files());
-            return told(journal.recovered());
+            return told(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
             throw e;
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -287,7 +287,7 @@
 
     // ---- figures ----------------------------------------------------------------------------------------
     /** What the opening found. */
-    public Recovery.Report recovered() {
+    public Recovery.Report recoveryReport() {
         return recovered;
     }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -147,7 +147,7 @@
         counters.valueGauge("journal_bytes_copied", journal::copied);
         counters.valueGauge("journal_failures", journal::failures);
         counters.valueGauge(
-                "journal_damages", () -> journal.recovered().damages().size());
+                "journal_damages", () -> journal.recoveryReport().damages().size());
     }
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -27,7 +27,7 @@
         }
         try (SegmentedJournal found = Script.open(disk, MOST, Durability.NONE)) {
             String state = Script.text(found, 0);
-            assertEquals(List.of(), found.recovered().damages(), what);
+            assertEquals(List.of(), found.recoveryReport().damages(), what);
             boolean good = strip(state).equals(strip(script.marks.get(k).state()))
                     || k + 1 < script.marks.size()
                             && strip(state).equals(strip(script.marks.get(k + 1).state()));
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -117,7 +117,7 @@
             // What was found is carried over: the next life knows it without the damaged file.
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
                 assertTrue(journal.pendingMessages().size() >= 19
-                        && journal.recovered().damages().isEmpty());
+                        && journal.recoveryReport().damages().isEmpty());
                 journal.pendingMessages().forEach(o -> assertTrue(o.isInFlight() || o.mayHaveRun()));
             }
         }
@@ -133,8 +133,8 @@
         flip(Segment.name(1), 400);
         try (SegmentedJournal journal = open()) {
             assertEquals(99, journal.pendingMessages().size());
-            assertEquals(1, journal.recovered().damages().size());
-            Recovery.Damage damage = journal.recovered().damages().get(0);
+            assertEquals(1, journal.recoveryReport().damages().size());
+            Recovery.Damage damage = journal.recoveryReport().damages().get(0);
             assertTrue(damage.from() <= 400 && damage.to() > 400 && damage.to() - damage.from() < 200);
             assertTrue(
                     disk.fileNames().contains("damaged-" + damage.file()),
@@ -187,7 +187,7 @@
         disk.put(Segment.name(1), java.util.Arrays.copyOf(first, used - 30));
         try (SegmentedJournal journal = open()) {
             assertEquals(59, journal.pendingMessages().size());
-            assertEquals(1, journal.recovered().damages().size());
+            assertEquals(1, journal.recoveryReport().damages().size());
         }
     }
 
@@ -201,7 +201,7 @@
         }
         disk.delete(Segment.name(2));
         try (SegmentedJournal journal = open()) {
-            assertEquals(1, journal.recovered().missing());
+            assertEquals(1, journal.recoveryReport().missing());
             assertTrue(owed(journal, "old").mayHaveRun());
         }
     }
@@ -278,7 +278,7 @@
         int before = disk.ops.size();
         String state;
         try (SegmentedJournal journal = open()) {
-            assertTrue(journal.recovered().carriedOver());
+            assertTrue(journal.recoveryReport().carriedOver());
             state = Script.text(journal, 0);
             assertEquals("identity of a", owed(journal, "a").submission().identity());
             assertTrue(owed(journal, "a").isInFlight()
@@ -344,7 +344,7 @@
         all.put(SegmentFormat.header(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
         disk.put(Segment.name(1), all.array());
         try (SegmentedJournal journal = open()) {
-            assertEquals(List.of(), journal.recovered().damages());
+            assertEquals(List.of(), journal.recoveryReport().damages());
             assertEquals(
                     new lilaclever.identity.CompletedMessage<>(
                             new FinalStatus(FinalStatus.Kind.FAILED, 0, "why"), null, 77),
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -194,7 +194,7 @@
         journal.close();
         try (SegmentedJournal next = Script.open(disk, most, Durability.NONE)) {
             assertEquals(script.model(), owed(next), what);
-            assertEquals(List.of(), next.recovered().damages(), what);
+            assertEquals(List.of(), next.recoveryReport().damages(), what);
         }
     }
 
@@ -238,7 +238,7 @@
             Set<String> unknown = new TreeSet<>(found.keySet());
             unknown.removeAll(taken);
             assertEquals(Set.of(), unknown, what + ": messages that were refused");
-            assertEquals(List.of(), next.recovered().damages(), what);
+            assertEquals(List.of(), next.recoveryReport().damages(), what);
         }
     }
 
