--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -317,7 +317,7 @@
     }
 
     /** Changes that are known in memory and not yet written. */
-    public int unwritten() {
+    public int unwrittenCount() {
         return unwritten.count();
     }
 
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -77,7 +77,7 @@
                 journal.maintain(0);
                 clock += TURN;
             }
-            assertEquals(0, journal.unwritten());
+            assertEquals(0, journal.unwrittenCount());
             recover();
         }
     }
@@ -122,7 +122,7 @@
             recover();
             clock += 2 * Plan.PAUSE;
             journal.maintain(0);
-            assertEquals(0, journal.unwritten());
+            assertEquals(0, journal.unwrittenCount());
             assertTrue(take(journal, "after"));
             assertTrue(disk.total() <= MOST);
         }
@@ -241,7 +241,7 @@
             turn(journal);
         }
         assertTrue(durable[0]);
-        assertEquals(0, journal.unwritten());
+        assertEquals(0, journal.unwrittenCount());
         for (int i = 0; i < taken; i++) {
             assertTrue(journal.recordAttempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
             turn(journal);
@@ -277,7 +277,7 @@
                 }
                 List<String> now = ids(journal);
                 Set<String> known = new java.util.HashSet<>(now);
-                boolean allWritten = journal.unwritten() == 0;
+                boolean allWritten = journal.unwrittenCount() == 0;
                 journal.whenDurable(() -> {
                     if (allWritten) { // an end that the disk did not take may be told all the same
                         confirmed.stream().filter(id -> !known.contains(id)).forEach(gone::add);
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -103,7 +103,7 @@
     @Test
     void aFolderInUseOrNoneIsRefused() throws IOException {
         try (SegmentedJournal running = open()) {
-            assertEquals(0, running.unwritten());
+            assertEquals(0, running.unwrittenCount());
             assertThrows(JournalException.class, inspection::inspect);
         }
         assertThrows(JournalException.class, () -> new Inspection(folder.resolve("no"), System.out).verify());
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -45,7 +45,7 @@
                 case 1 -> disk.most = disk.most == Long.MAX_VALUE ? disk.total() : Long.MAX_VALUE;
                 case 2 -> disk.mostOfAFile = disk.mostOfAFile == Long.MAX_VALUE ? 5000 : Long.MAX_VALUE;
                 case 3 -> {
-                    if (journal.unwritten() == 0) {
+                    if (journal.unwrittenCount() == 0) {
                         journal.close();
                         journal = open(disk, clock);
                         script.use(journal);
@@ -63,7 +63,7 @@
         disk.mostOfAFile = Long.MAX_VALUE;
         clock[0] += 10 * Plan.PAUSE;
         journal.maintain(script.now);
-        assertEquals(0, journal.unwritten());
+        assertEquals(0, journal.unwrittenCount());
         journal.close();
         assertEquals(script.model(), owed(open(disk, clock)));
     }
@@ -80,7 +80,7 @@
         try (SegmentedJournal journal = Script.open(disk, 3 * MOST, Durability.NONE)) {
             script.use(journal);
             script.runOn(2500, largest, hold);
-            assertEquals(0, script.attemptsRefused + journal.unwritten() + (int) journal.failures());
+            assertEquals(0, script.attemptsRefused + journal.unwrittenCount() + (int) journal.failures());
             assertTrue(disk.total() <= 3 * MOST);
         }
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -462,7 +462,7 @@
                 }
             }
             assertFalse(take(journal, "more", large));
-            assertEquals(0, journal.unwritten());
+            assertEquals(0, journal.unwrittenCount());
             for (int i = 0; i < small; i++) {
                 journal.recordFinalStatus(
                         "a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
@@ -523,7 +523,7 @@
                     journal.maintain(0);
                 }
             }
-            assertEquals(0, journal.unwritten());
+            assertEquals(0, journal.unwrittenCount());
             disk.most = Long.MAX_VALUE;
             disk.mostOfAFile = Long.MAX_VALUE;
             clock += 2_000_000;
@@ -550,11 +550,11 @@
             journal.recordFinalStatus("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
             journal.recordOutcome("stays", false);
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
-            assertEquals(4, journal.unwritten());
+            assertEquals(4, journal.unwrittenCount());
             disk.writesFail = false;
             clock += 2 * Plan.PAUSE;
             journal.maintain(0);
-            assertEquals(0, journal.unwritten());
+            assertEquals(0, journal.unwrittenCount());
             assertTrue(take(journal, "after", 10));
         }
         try (SegmentedJournal journal = open()) {
@@ -593,7 +593,7 @@
             journal.maintain(0);
             loop.take().run();
             assertFalse(told[0]);
-            assertEquals(1, journal.unwritten());
+            assertEquals(1, journal.unwrittenCount());
             disk.forcesFail = false;
             journal.maintain(0);
             loop.take().run();
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -184,7 +184,7 @@
         journal.maintain(script.now);
         clock += 2_000_000;
         journal.maintain(script.now);
-        assertEquals(0, journal.unwritten(), what);
+        assertEquals(0, journal.unwrittenCount(), what);
         checkFiles(what);
         endAll();
         int refused = script.refused;
