--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -109,9 +109,9 @@
         FolderDisk disk = take();
         try (SegmentedJournal journal = new SegmentedJournal(
                 disk, mostBytes, new Durability(Durability.Mode.GROUP, 0), times(), new SplittableRandom())) {
-            long before = journal.allocated();
+            long before = journal.allocatedBytes();
             journal.compactAll();
-            out.println("bytes before " + before + ", now " + journal.allocated() + ", files " + journal.files());
+            out.println("bytes before " + before + ", now " + journal.allocatedBytes() + ", files " + journal.files());
             return told(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -292,7 +292,7 @@
     }
 
     /** Bytes that the files take, in whole blocks. */
-    public long allocated() {
+    public long allocatedBytes() {
         return log.allocated();
     }
 
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -616,7 +616,7 @@
                 }
                 journal.maintain(0);
             }
-            assertTrue(journal.allocated() <= 4 << 20, "bytes: " + journal.allocated());
+            assertTrue(journal.allocatedBytes() <= 4 << 20, "bytes: " + journal.allocatedBytes());
         }
     }
 }
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -209,7 +209,7 @@
     /** The journal knows every file in the folder: one that it lost sight of would take room until a restart. */
     private void checkFiles(String what) {
         assertEquals(journal.files(), disk.fileNames().size(), what + ": files " + disk.fileNames());
-        assertTrue(disk.total() <= journal.allocated(), what + ": " + disk.total() + " of " + journal.allocated());
+        assertTrue(disk.total() <= journal.allocatedBytes(), what + ": " + disk.total() + " of " + journal.allocatedBytes());
     }
 
     /** A kill after so many operations, inside the next write perhaps: what was acknowledged is there. */
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -147,7 +147,7 @@
 
     /** What the journal's files take, bytes. */
     long diskBytes() {
-        return journal.allocated();
+        return journal.allocatedBytes();
     }
 
     // ---- time -------------------------------------------------------------------------------------------
