--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -111,7 +111,7 @@
                 disk, mostBytes, new Durability(Durability.Mode.GROUP, 0), times(), new SplittableRandom())) {
             long before = journal.allocatedBytes();
             journal.compactAll();
-            out.println("bytes before " + before + ", now " + journal.allocatedBytes() + ", files " + journal.files());
+            out.println("bytes before " + before + ", now " + journal.allocatedBytes() + ", files " + journal.fileCount());
             return told(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -297,7 +297,7 @@
     }
 
     /** Files. */
-    public int files() {
+    public int fileCount() {
         return log.files();
     }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -142,7 +142,7 @@
 
     private static void figures(SegmentedJournal journal, Counters counters) {
         counters.entryGauge("unwritten", journal::unwrittenCount);
-        counters.valueGauge("journal_files", journal::files);
+        counters.valueGauge("journal_files", journal::fileCount);
         counters.valueGauge("journal_bytes", journal::allocatedBytes);
         counters.valueGauge("journal_bytes_copied", journal::copied);
         counters.valueGauge("journal_failures", journal::failures);
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -208,7 +208,7 @@
 
     /** The journal knows every file in the folder: one that it lost sight of would take room until a restart. */
     private void checkFiles(String what) {
-        assertEquals(journal.files(), disk.fileNames().size(), what + ": files " + disk.fileNames());
+        assertEquals(journal.fileCount(), disk.fileNames().size(), what + ": files " + disk.fileNames());
         assertTrue(disk.total() <= journal.allocatedBytes(), what + ": " + disk.total() + " of " + journal.allocatedBytes());
     }
 
