--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -302,7 +302,7 @@
     }
 
     /** Bytes copied forward so far. */
-    public long copied() {
+    public long copiedBytes() {
         return compactor.copied();
     }
 
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -52,7 +52,7 @@
         SegmentedJournal journal = Script.open(disk, MOST, Durability.NONE);
         script.use(journal);
         script.run(1500, 3000, 60);
-        assertTrue(journal.copied() > 5_000, "copied forward: " + journal.copied());
+        assertTrue(journal.copiedBytes() > 5_000, "copied forward: " + journal.copiedBytes());
         for (int done = 0; done <= disk.ops.size(); done++) {
             check(script, done, SimDisk.killed(disk.ops, done, 0), "after " + done);
             if (done < disk.ops.size() && disk.ops.get(done).kind() == SimDisk.Kind.WRITE) {
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -489,7 +489,7 @@
                     journal.recordOutcome("m" + i, false);
                 }
             }
-            assertTrue(journal.copied() > 0 && disk.total() <= MOST);
+            assertTrue(journal.copiedBytes() > 0 && disk.total() <= MOST);
         }
         try (SegmentedJournal journal = open()) {
             journal.pendingMessages().forEach(o -> assertEquals(16, o.attempts()));
