--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -307,7 +307,7 @@
     }
 
     /** Writes that no file took. */
-    public long failures() {
+    public long failureCount() {
         return appender.failures() + syncer.failures();
     }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -145,7 +145,7 @@
         counters.valueGauge("journal_files", journal::fileCount);
         counters.valueGauge("journal_bytes", journal::allocatedBytes);
         counters.valueGauge("journal_bytes_copied", journal::copiedBytes);
-        counters.valueGauge("journal_failures", journal::failures);
+        counters.valueGauge("journal_failures", journal::failureCount);
         counters.valueGauge(
                 "journal_damages", () -> journal.recoveryReport().damages().size());
     }
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -80,7 +80,7 @@
         try (SegmentedJournal journal = Script.open(disk, 3 * MOST, Durability.NONE)) {
             script.use(journal);
             script.runOn(2500, largest, hold);
-            assertEquals(0, script.attemptsRefused + journal.unwrittenCount() + (int) journal.failures());
+            assertEquals(0, script.attemptsRefused + journal.unwrittenCount() + (int) journal.failureCount());
             assertTrue(disk.total() <= 3 * MOST);
         }
     }
