--- a/src/main/java/lilaclever/journal/BootClock.java
+++ b/src/main/java/lilaclever/journal/BootClock.java
@@ -15,19 +15,19 @@
  * only where it agrees with the time since the start that the system tells; in a process whose clocks are led by
  * somebody else it does not, and to move walls there would carry messages past their deadlines and windows.
  *
- * @param boot names this start of the machine; 0 where that is not known, and then wall clocks are believed
+ * @param bootId names this start of the machine; 0 where that is not known, and then wall clocks are believed
  * @param offsetMicros the wall clock less the monotonic one
  */
-public record BootClock(long boot, long offsetMicros) {
+public record BootClock(long bootId, long offsetMicros) {
     /**
      * Less than this is the reading of two clocks one after the other. All else is moved: the rules leave 50 ms, and
      * the wall clock of a life does not follow slow adjustments either.
      */
-    private static final long NOTHING = 1_000;
+    private static final long MIN_SHIFT_MICROS = 1_000;
 
-    private static final int READINGS = 5;
+    private static final int OFFSET_READINGS = 5;
     /** The system tells the time since the start in hundredths of a second. */
-    private static final long UPTIME_STEP = 20_000;
+    private static final long UPTIME_TOLERANCE_MICROS = 20_000;
 
     /** Without knowledge of the machine. */
     public static final BootClock UNKNOWN = new BootClock(0, 0);
@@ -41,34 +41,34 @@
             double uptime =
                     Double.parseDouble(Files.readString(Path.of("/proc/uptime")).split(" ")[0]);
             long after = monotonic.getAsLong();
-            return of(
+            return fromUptime(
                     id.getMostSignificantBits() ^ id.getLeastSignificantBits(),
                     before,
                     (long) (uptime * 1e6),
                     after,
-                    offset(monotonic, wall));
+                    wallOffsetMicros(monotonic, wall));
         } catch (IOException | RuntimeException e) {
             return UNKNOWN; // another system
         }
     }
 
     /** The wall clock less the monotonic one; a process that is held up between the two readings makes it too small. */
-    static long offset(LongSupplier monotonic, LongSupplier wall) {
+    static long wallOffsetMicros(LongSupplier monotonic, LongSupplier wall) {
         long largest = Long.MIN_VALUE;
-        for (int i = 0; i < READINGS; i++) {
+        for (int i = 0; i < OFFSET_READINGS; i++) {
             largest = Math.max(largest, wall.getAsLong() - monotonic.getAsLong());
         }
         return largest;
     }
 
     /** The clock of the boot, if the uptime lies between two readings of the monotonic clock; all in microseconds. */
-    static BootClock of(long boot, long before, long uptime, long after, long offset) {
-        return before - UPTIME_STEP <= uptime && uptime <= after + UPTIME_STEP ? new BootClock(boot, offset) : UNKNOWN;
+    static BootClock fromUptime(long boot, long before, long uptime, long after, long offset) {
+        return before - UPTIME_TOLERANCE_MICROS <= uptime && uptime <= after + UPTIME_TOLERANCE_MICROS ? new BootClock(boot, offset) : UNKNOWN;
     }
 
     /** What to add to a wall that was written under the other clock. */
-    long shiftFrom(BootClock then) {
+    long wallShiftMicrosSince(BootClock then) {
         long shift = offsetMicros - then.offsetMicros;
-        return boot == 0 || boot != then.boot || Math.abs(shift) < NOTHING ? 0 : shift;
+        return bootId == 0 || bootId != then.bootId || Math.abs(shift) < MIN_SHIFT_MICROS ? 0 : shift;
     }
 }
--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -8,18 +8,18 @@
 import lilaclever.log.Logs;
 
 /** Empties the log from its oldest segment on: copies forward what is live, and releases what nothing rests on. */
-final class Compactor implements LogAppender.RoomMaker {
+final class Compactor implements LogAppender.SpaceReclaimer {
     private final SegmentLog log;
-    private final Plan plan;
+    private final SpacePolicy policy;
     private final JournalState state;
     private final Syncer syncer;
     private final LogAppender appender;
     private final RecordWriter copies = new RecordWriter();
-    private long copied;
+    private long copiedBytes;
 
-    Compactor(SegmentLog log, Plan plan, JournalState state, Syncer syncer, LogAppender appender) {
+    Compactor(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LogAppender appender) {
         this.log = log;
-        this.plan = plan;
+        this.policy = plan;
         this.state = state;
         this.syncer = syncer;
         this.appender = appender;
@@ -29,50 +29,50 @@
      * Copies all that is live out of the segments up to that number and releases them: damaged ones and those of the
      * first format have no place in the log any more.
      */
-    void carryOver(long upTo) throws IOException {
+    void migrateUpTo(long upTo) throws IOException {
         while (log.oldest() != null && log.oldest().sequence <= upTo) {
             copyOldest("carry over");
             if (log.oldest().liveRecords == 0) {
-                syncer.forceNow(log);
-                log.release(state);
+                syncer.syncNow(log);
+                log.releaseOldest(state);
             }
         }
     }
 
     /** Copies all that is live into as few segments as hold it, and gives up the others. */
     void compactAll() throws IOException {
-        log.giveUpActive();
-        long last = log.newest();
+        log.abandonActive();
+        long last = log.newestSequence();
         while (log.oldest() != null && log.oldest().sequence <= last) {
             copyOldest("copy");
-            syncer.forceNow(log);
-            log.release(state);
+            syncer.syncNow(log);
+            log.releaseOldest(state);
         }
-        log.giveUpSpares();
+        log.deletePreallocated();
     }
 
     private void copyOldest(String purpose) throws JournalException {
-        if (!copy(Long.MAX_VALUE)) {
+        if (!copyLiveRecords(Long.MAX_VALUE)) {
             throw new JournalException("no room to " + purpose + " " + log.oldest().name);
         }
     }
 
     /** Empties segments where that can't wait for the turn's slice. */
     @Override
-    public void makeRoom(long bytes) {
+    public void reclaim(long bytes) {
         try {
-            emptySegments(bytes);
+            compactSegments(bytes);
         } catch (IOException e) {
             // A segment that can't be renamed or deleted now stays; what is to be written may fit all the same.
             Logs.warn("journal", "release-failed", "an empty segment could not be released: " + e);
         }
     }
 
-    private void emptySegments(long bytes) throws IOException {
-        int wanted = plan.forced(log.space(state));
-        for (int n = log.files(); n > 0 && log.oldest() != null; n--) {
-            boolean enough = wanted-- <= 0 && log.canTake(bytes, Plan.FOR_COPIES);
-            if (enough || !copy(Long.MAX_VALUE) || !releaseEmpty()) {
+    private void compactSegments(long bytes) throws IOException {
+        int wanted = policy.forcedCompactions(log.spaceUsage(state));
+        for (int n = log.fileCount(); n > 0 && log.oldest() != null; n--) {
+            boolean enough = wanted-- <= 0 && log.canProvide(bytes, SpacePolicy.SEGMENTS_FOR_COMPACTION);
+            if (enough || !copyLiveRecords(Long.MAX_VALUE) || !releaseEmptySegments()) {
                 return;
             }
         }
@@ -80,26 +80,26 @@
 
     /** Does one turn's part: copies a slice of the oldest segment if the plan wants that. */
     void runSlice() throws IOException {
-        releaseEmpty();
-        long slice = plan.slice(log.space(state));
+        releaseEmptySegments();
+        long slice = policy.sliceBytes(log.spaceUsage(state));
         if (slice > 0 && log.oldest() != null) {
-            copy(slice);
-            releaseEmpty();
+            copyLiveRecords(slice);
+            releaseEmptySegments();
         }
     }
 
     /** Copies live records of the oldest segment, so many bytes of them; false if they could not be written. */
-    private boolean copy(long most) {
+    private boolean copyLiveRecords(long most) {
         Segment from = log.oldest();
-        return copy(state.owed, from, most, (out, id, o) -> RecordEncoder.snapshot(out, o))
-                && copy(state.remembered, from, most, RecordEncoder::remembered);
+        return copyEntries(state.pending, from, most, (out, id, o) -> RecordEncoder.snapshot(out, o))
+                && copyEntries(state.remembered, from, most, RecordEncoder::remembered);
     }
 
     private interface Encoder<T> {
-        void write(RecordWriter out, String key, T value);
+        void encode(RecordWriter out, String key, T value);
     }
 
-    private <T> boolean copy(Map<String, JournalState.Slot<T>> map, Segment from, long most, Encoder<T> encoder) {
+    private <T> boolean copyEntries(Map<String, JournalState.Entry<T>> map, Segment from, long most, Encoder<T> encoder) {
         long left = most;
         while (left > 0) {
             List<String> keys = new ArrayList<>();
@@ -112,9 +112,9 @@
                 return false;
             }
             for (int i = 0; i < keys.size(); i++) {
-                state.moved(map, keys.get(i), log.active(), sizes.get(i));
+                state.recordMoved(map, keys.get(i), log.active(), sizes.get(i));
             }
-            copied += copies.size();
+            copiedBytes += copies.size();
             left -= copies.size();
         }
         return true;
@@ -122,22 +122,22 @@
 
     /** Fills {@link #copies} with records for one segment, and the lists with what they are of and their sizes. */
     private <T> void fillBatch(
-            Map<String, JournalState.Slot<T>> map,
+            Map<String, JournalState.Entry<T>> map,
             Segment from,
             long most,
             Encoder<T> encoder,
             List<String> keys,
             List<Integer> sizes) {
         copies.clear();
-        for (Map.Entry<String, JournalState.Slot<T>> e : map.entrySet()) {
-            JournalState.Slot<T> slot = e.getValue();
-            if (slot.base != from || copies.size() >= most) {
+        for (Map.Entry<String, JournalState.Entry<T>> e : map.entrySet()) {
+            JournalState.Entry<T> slot = e.getValue();
+            if (slot.segment != from || copies.size() >= most) {
                 break;
             }
             int before = copies.size();
-            encoder.write(copies, e.getKey(), slot.value);
-            if (!keys.isEmpty() && copies.size() > log.left()) {
-                copies.cut(before); // it goes into the next segment, and none of this one's room is lost to a batch
+            encoder.encode(copies, e.getKey(), slot.value);
+            if (!keys.isEmpty() && copies.size() > log.activeBytesLeft()) {
+                copies.truncate(before); // it goes into the next segment, and none of this one's room is lost to a batch
                 break;
             }
             keys.add(e.getKey());
@@ -146,23 +146,23 @@
     }
 
     /** Takes segments out of the log on which nothing rests any more; true if there was one. */
-    private boolean releaseEmpty() throws IOException {
+    private boolean releaseEmptySegments() throws IOException {
         boolean any = false;
         for (Segment s = log.oldest(); s != null && s.liveRecords == 0; s = log.oldest()) {
-            if (s.emptyAt < 0) {
-                s.emptyAt = syncer.begun();
+            if (s.emptiedAtSync < 0) {
+                s.emptiedAtSync = syncer.started();
             }
-            if (!syncer.coversAfter(s.emptyAt)) {
+            if (!syncer.hasSucceededAfter(s.emptiedAtSync)) {
                 break; // its records' copies might not outlast the machine yet
             }
-            log.release(state);
+            log.releaseOldest(state);
             any = true;
         }
         return any;
     }
 
     /** Bytes copied so far. */
-    long copied() {
-        return copied;
+    long copiedBytes() {
+        return copiedBytes;
     }
 }
--- a/src/main/java/lilaclever/journal/Disk.java
+++ b/src/main/java/lilaclever/journal/Disk.java
@@ -33,7 +33,7 @@
         int read(ByteBuffer into, long position) throws IOException;
 
         /** Reads until the buffer is full; false if the file ends before. */
-        default boolean fill(ByteBuffer into, long position) throws IOException {
+        default boolean readFully(ByteBuffer into, long position) throws IOException {
             long at = position;
             while (into.hasRemaining()) {
                 int n = read(into, at);
--- a/src/main/java/lilaclever/journal/Durability.java
+++ b/src/main/java/lilaclever/journal/Durability.java
@@ -4,9 +4,9 @@
  * When records are forced to the disk. A killed process loses nothing in any case; this is for a machine that fails.
  *
  * @param mode the rule
- * @param everyMicros with INTERVAL, the time between two forcings
+ * @param intervalMicros with INTERVAL, the time between two forcings
  */
-public record Durability(Mode mode, long everyMicros) {
+public record Durability(Mode mode, long intervalMicros) {
     /**
      * NONE: never. INTERVAL: every so often, and nothing waits for it. GROUP: all records of a turn together, and
      * nothing that a record comes before happens until then.
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -14,7 +14,7 @@
 
 /** A real folder. A lock on a file in it keeps a second program out. */
 public final class FolderDisk implements Disk {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
@@ -28,7 +28,7 @@
     public static FolderDisk lock(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lockFile =
-                FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
             lock = lockFile.tryLock();
@@ -62,7 +62,7 @@
 
     @Override
     public DiskFile open(String name) throws IOException {
-        return new RealFile(FileChannel.open(
+        return new ChannelFile(FileChannel.open(
                 folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE));
     }
 
@@ -88,7 +88,7 @@
         lockFile.close();
     }
 
-    private record RealFile(FileChannel channel) implements DiskFile {
+    private record ChannelFile(FileChannel channel) implements DiskFile {
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             return channel.read(into, position);
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -35,7 +35,7 @@
         this.out = out;
     }
 
-    private FolderDisk take() throws IOException {
+    private FolderDisk lockFolder() throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new JournalException(folder + " is not a folder");
         }
@@ -44,61 +44,61 @@
 
     /** Prints each file with what is in it, and what the whole says. */
     public int inspect() throws IOException {
-        try (FolderDisk disk = take()) {
+        try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
             Recovery recovery = new Recovery(disk, state, BootClock.UNKNOWN, line -> {});
             Recovery.Report report = recovery.scan();
             out.printf("%-26s %9s %9s %9s %7s  %s%n", "file", "bytes", "used", "live", "records", "of which");
-            for (Recovery.Found f : recovery.found()) {
+            for (Recovery.ScannedSegment f : recovery.scannedSegments()) {
                 Segment s = f.segment();
                 Map<String, Integer> counts = new TreeMap<>();
                 f.counts().forEach((type, n) -> counts.put(type.name().toLowerCase(), n));
                 out.printf(
                         "%-26s %9d %9d %9d %7d  %s%s%n",
                         s.name,
-                        s.length,
-                        s.used,
+                        s.lengthBytes,
+                        s.usedBytes,
                         s.liveBytes,
                         f.counts().values().stream().mapToInt(Integer::intValue).sum(),
-                        f.header() == null ? s.sequence == Segment.LEGACY ? "format 0" : "no header" : counts,
+                        f.header() == null ? s.sequence == Segment.LEGACY_SEQUENCE ? "format 0" : "no header" : counts,
                         s.damaged ? " damaged" : "");
             }
             for (String name : disk.fileNames()) {
-                if (name.startsWith(SegmentLog.SPARE) || name.startsWith(SegmentLog.DAMAGED)) {
+                if (name.startsWith(SegmentLog.SPARE_PREFIX) || name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
             }
-            long out1 = state.owed.values().stream()
+            long out1 = state.pending.values().stream()
                     .filter(s -> s.value.isInFlight())
                     .count();
-            long risky = state.owed.values().stream()
+            long risky = state.pending.values().stream()
                     .filter(s -> s.value.mayHaveRun())
                     .count();
-            long ends = state.owed.values().stream()
+            long ends = state.pending.values().stream()
                     .filter(s -> s.value.finalStatus() != null)
                     .count();
-            out.println("owed " + state.owed.size() + ", of which out " + out1 + ", possibly run " + risky
+            out.println("owed " + state.pending.size() + ", of which out " + out1 + ", possibly run " + risky
                     + ", end decided " + ends);
             out.println("remembered ends " + state.remembered.size());
-            return told(report);
+            return printSummary(report);
         }
     }
 
     /** Reads all and prints only what is wrong. */
     public int verify() throws IOException {
-        try (FolderDisk disk = take()) {
-            return told(new Recovery(disk, new JournalState(), BootClock.UNKNOWN, line -> {}).scan());
+        try (FolderDisk disk = lockFolder()) {
+            return printSummary(new Recovery(disk, new JournalState(), BootClock.UNKNOWN, line -> {}).scan());
         }
     }
 
-    private int told(Recovery.Report report) {
+    private int printSummary(Recovery.Report report) {
         for (Recovery.Damage d : report.damages()) {
             out.println("damaged " + d.file() + " from byte " + d.from() + " to " + d.to());
         }
-        if (report.missing() > 0) {
-            out.println("missing files " + report.missing());
+        if (report.missingSegments() > 0) {
+            out.println("missing files " + report.missingSegments());
         }
-        boolean good = report.damages().isEmpty() && report.missing() == 0;
+        boolean good = report.damages().isEmpty() && report.missingSegments() == 0;
         out.println(
                 (good ? "good: " : "not good: ") + report.records() + " records in " + report.segments() + " segments");
         return good ? GOOD : DAMAGED;
@@ -106,20 +106,20 @@
 
     /** Writes what is live into as few files as hold it; damaged files are kept aside. */
     public int compact(long mostBytes) throws IOException {
-        FolderDisk disk = take();
+        FolderDisk disk = lockFolder();
         try (SegmentedJournal journal = new SegmentedJournal(
-                disk, mostBytes, new Durability(Durability.Mode.GROUP, 0), times(), new SplittableRandom())) {
+                disk, mostBytes, new Durability(Durability.Mode.GROUP, 0), clocks(), new SplittableRandom())) {
             long before = journal.allocatedBytes();
             journal.compactAll();
             out.println("bytes before " + before + ", now " + journal.allocatedBytes() + ", files " + journal.fileCount());
-            return told(journal.recoveryReport());
+            return printSummary(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
             throw e;
         }
     }
 
-    private static JournalClocks times() {
+    private static JournalClocks clocks() {
         LongSupplier micros = () -> System.nanoTime() / 1000;
         long wallLessMicros = System.currentTimeMillis() * 1000 - micros.getAsLong();
         LongSupplier wall = () -> wallLessMicros + micros.getAsLong();
@@ -128,28 +128,28 @@
 
     /** Prints what is owed and what is remembered, one JSON object a line. */
     public int export() throws IOException {
-        try (FolderDisk disk = take()) {
+        try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
             Recovery.Report report = new Recovery(disk, state, BootClock.UNKNOWN, System.err::println).scan();
-            for (JournalState.Slot<PendingMessage> slot : state.owed.values()) {
-                line(json -> owed(json, slot.value));
+            for (JournalState.Entry<PendingMessage> slot : state.pending.values()) {
+                printLine(json -> pendingMessage(json, slot.value));
             }
-            for (Map.Entry<String, JournalState.Slot<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
-                line(json -> {
+            for (Map.Entry<String, JournalState.Entry<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
+                printLine(json -> {
                     json.name("remembered").value(e.getKey());
                     json.name("until").value(instant(e.getValue().value.untilWallMicros()));
-                    verdict(json, e.getValue().value.result());
+                    finalStatus(json, e.getValue().value.result());
                 });
             }
-            return report.damages().isEmpty() && report.missing() == 0 ? GOOD : DAMAGED;
+            return report.damages().isEmpty() && report.missingSegments() == 0 ? GOOD : DAMAGED;
         }
     }
 
-    private interface Content {
+    private interface JsonContent {
         void write(JsonWriter json) throws IOException;
     }
 
-    private void line(Content content) throws IOException {
+    private void printLine(JsonContent content) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonWriter json = new JsonWriter(new PrintWriter(text))) {
             json.beginObject();
@@ -159,7 +159,7 @@
         out.println(text);
     }
 
-    private static void owed(JsonWriter json, PendingMessage o) throws IOException {
+    private static void pendingMessage(JsonWriter json, PendingMessage o) throws IOException {
         Submission h = o.submission();
         json.name("owed").value(h.id()).name("front").value(o.front());
         json.name("class").value(h.messageClass()).name("destination").value(h.destination());
@@ -176,7 +176,7 @@
             json.name("last_endpoint").value(o.lastHost());
         }
         if (o.finalStatus() != null) {
-            verdict(json, o.finalStatus());
+            finalStatus(json, o.finalStatus());
         }
         if (!o.attachedSubmitters().isEmpty()) {
             json.name("owed_also_to").beginArray();
@@ -188,7 +188,7 @@
         json.name("body").value(Base64.getEncoder().encodeToString(h.body()));
     }
 
-    private static void verdict(JsonWriter json, FinalStatus v) throws IOException {
+    private static void finalStatus(JsonWriter json, FinalStatus v) throws IOException {
         json.name("end").value(v.kind().name().toLowerCase());
         if (!v.detail().isEmpty()) {
             json.name("detail").value(v.detail());
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -17,38 +17,38 @@
  */
 final class JournalState {
     /** What a message's record may grow by: its attempts' hosts and its end, in a snapshot. */
-    private static final int GROWTH = 640;
+    private static final int MESSAGE_GROWTH_BYTES = 640;
 
     /** Something live, and the record that it rests on. */
-    static final class Slot<T> {
+    static final class Entry<T> {
         final T value;
-        Segment base;
-        int bytes;
+        Segment segment;
+        int recordBytes;
 
-        Slot(T value) {
+        Entry(T value) {
             this.value = value;
         }
 
-        private void rest(Segment on, int size) {
-            if (base != null) {
-                base.loses(bytes);
+        private void moveTo(Segment on, int size) {
+            if (segment != null) {
+                segment.removeRecord(recordBytes);
             }
-            base = on;
-            bytes = size;
+            segment = on;
+            recordBytes = size;
             if (on != null) {
-                on.gains(size);
+                on.addRecord(size);
             }
         }
     }
 
-    final Map<String, Slot<PendingMessage>> owed = new LinkedHashMap<>();
-    final Map<String, Slot<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
+    final Map<String, Entry<PendingMessage>> pending = new LinkedHashMap<>();
+    final Map<String, Entry<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
     /** The same by their time: windows differ, so the order of writing tells nothing of it. */
     private final TreeSet<Expiry> expiries = new TreeSet<>();
     /** Counts of live records by the bits of their size: the largest is known without a sorted map. */
-    private final int[] sizes = new int[Integer.SIZE];
+    private final int[] recordsByBitLength = new int[Integer.SIZE];
 
-    private long live, growth;
+    private long liveBytes, growthBytes;
 
     /** When a remembered end is forgotten. */
     private record Expiry(long untilWall, String identity) implements Comparable<Expiry> {
@@ -61,19 +61,19 @@
 
     // ---- figures ----------------------------------------------------------------------------------------
     /** Bytes that are live. */
-    long live() {
-        return live;
+    long liveBytes() {
+        return liveBytes;
     }
 
     /** What they may still grow by. */
-    long growth() {
-        return growth;
+    long growthBytes() {
+        return growthBytes;
     }
 
     /** No record that is live is larger; at most twice the largest. */
-    long largest() {
-        for (int bits = sizes.length - 1; bits > 0; bits--) {
-            if (sizes[bits] > 0) {
+    long largestRecordBytes() {
+        for (int bits = recordsByBitLength.length - 1; bits > 0; bits--) {
+            if (recordsByBitLength[bits] > 0) {
                 return (1L << bits) - 1;
             }
         }
@@ -81,49 +81,49 @@
     }
 
     /** What a message may need beyond the record of its taking on. */
-    static long growth(Submission h) {
-        return GROWTH + (h.identity() == null ? 0 : rememberedSize(h.identity()));
+    static long growthBytes(Submission h) {
+        return MESSAGE_GROWTH_BYTES + (h.identity() == null ? 0 : rememberedRecordBytes(h.identity()));
     }
 
     /** What a claim on a message's end adds to its record. */
-    static long growth(PendingMessage.Submitter claim) {
+    static long growthBytes(PendingMessage.Submitter claim) {
         return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
     }
 
-    private static long growth(PendingMessage o) {
-        long all = growth(o.submission());
+    private static long growthBytes(PendingMessage o) {
+        long all = growthBytes(o.submission());
         for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
-            all += growth(claim);
+            all += growthBytes(claim);
         }
         return all;
     }
 
-    private static long rememberedSize(String identity) {
-        return SegmentFormat.FRAME + 3 * (long) (identity.length() + RecordEncoder.MOST_DETAIL) + 52;
+    private static long rememberedRecordBytes(String identity) {
+        return SegmentFormat.FRAME_BYTES + 3 * (long) (identity.length() + RecordEncoder.MAX_DETAIL_CHARS) + 52;
     }
 
-    private <T> void rest(Slot<T> slot, Segment on, int size) {
-        if (slot.base != null) {
-            live -= slot.bytes;
-            sizes[bits(slot.bytes)]--;
+    private <T> void moveRecord(Entry<T> slot, Segment on, int size) {
+        if (slot.segment != null) {
+            liveBytes -= slot.recordBytes;
+            recordsByBitLength[bitLength(slot.recordBytes)]--;
         }
-        slot.rest(on, size);
+        slot.moveTo(on, size);
         if (on != null) {
-            live += size;
-            sizes[bits(size)]++;
+            liveBytes += size;
+            recordsByBitLength[bitLength(size)]++;
         }
     }
 
-    private static int bits(int size) {
+    private static int bitLength(int size) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(size);
     }
 
-    /** All messages that are owed, as a view, in the order of {@link #owed}. */
-    Collection<PendingMessage> messages() {
+    /** All messages that are owed, as a view, in the order of {@link #pending}. */
+    Collection<PendingMessage> pendingMessages() {
         return new AbstractCollection<>() {
             @Override
             public Iterator<PendingMessage> iterator() {
-                Iterator<Slot<PendingMessage>> slots = owed.values().iterator();
+                Iterator<Entry<PendingMessage>> slots = pending.values().iterator();
                 return new Iterator<>() {
                     @Override
                     public boolean hasNext() {
@@ -139,16 +139,16 @@
 
             @Override
             public int size() {
-                return owed.size();
+                return pending.size();
             }
         };
     }
 
     // ---- changes ----------------------------------------------------------------------------------------
     /** A message is taken on. What ended under its identity was past its time: it is not this one's end. */
-    void taken(PendingMessage o, Segment base, int size) {
+    void addAccepted(PendingMessage o, Segment base, int size) {
         if (o.submission().identity() != null) {
-            forget(o.submission().identity());
+            removeRemembered(o.submission().identity());
         }
         put(o, base, size);
     }
@@ -156,73 +156,73 @@
     /** A message, or all that is known of one, stands in a record of the segment. */
     void put(PendingMessage o, Segment base, int size) {
         String id = o.submission().id();
-        drop(id);
-        Slot<PendingMessage> slot = new Slot<>(o);
-        owed.put(id, slot);
-        growth += growth(o);
-        rest(slot, base, size);
+        removeMessage(id);
+        Entry<PendingMessage> slot = new Entry<>(o);
+        pending.put(id, slot);
+        growthBytes += growthBytes(o);
+        moveRecord(slot, base, size);
     }
 
     /** The message has ended. */
-    void drop(String id) {
-        Slot<PendingMessage> slot = owed.remove(id);
+    void removeMessage(String id) {
+        Entry<PendingMessage> slot = pending.remove(id);
         if (slot != null) {
-            growth -= growth(slot.value);
-            rest(slot, null, 0);
+            growthBytes -= growthBytes(slot.value);
+            moveRecord(slot, null, 0);
         }
     }
 
     /** Somebody else is owed the end of a message. */
-    void join(PendingMessage o, PendingMessage.Submitter claim) {
-        growth -= growth(o);
+    void addClaim(PendingMessage o, PendingMessage.Submitter claim) {
+        growthBytes -= growthBytes(o);
         o.attach(claim);
-        growth += growth(o);
+        growthBytes += growthBytes(o);
     }
 
     /** An end that is remembered stands in a record of the segment. */
     void put(String identity, CompletedMessage<FinalStatus> p, Segment base, int size) {
-        forget(identity);
-        Slot<CompletedMessage<FinalStatus>> slot = new Slot<>(p);
+        removeRemembered(identity);
+        Entry<CompletedMessage<FinalStatus>> slot = new Entry<>(p);
         remembered.put(identity, slot);
         expiries.add(new Expiry(p.untilWallMicros(), identity));
-        rest(slot, base, size);
+        moveRecord(slot, base, size);
     }
 
     /** The end is remembered no more. */
-    void forget(String identity) {
-        Slot<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
+    void removeRemembered(String identity) {
+        Entry<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
         if (slot != null) {
             expiries.remove(new Expiry(slot.value.untilWallMicros(), identity));
-            rest(slot, null, 0);
+            moveRecord(slot, null, 0);
         }
     }
 
     /** Forgets the end whose time is up soonest. */
-    void forgetSoonest() {
+    void removeFirstToExpire() {
         if (!expiries.isEmpty()) {
-            forget(expiries.first().identity());
+            removeRemembered(expiries.first().identity());
         }
     }
 
     /** The slot's record has been written anew: it goes to the end of its map. */
-    <T> void moved(Map<String, Slot<T>> map, String key, Segment base, int size) {
-        Slot<T> slot = map.remove(key);
+    <T> void recordMoved(Map<String, Entry<T>> map, String key, Segment base, int size) {
+        Entry<T> slot = map.remove(key);
         map.put(key, slot);
-        rest(slot, base, size);
+        moveRecord(slot, base, size);
     }
 
     /** Forgets ends whose time is up, so many at most; gives how many. */
-    int expire(long nowWall, int most) {
+    int removeExpired(long nowWall, int most) {
         int gone = 0;
         while (gone < most && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
-            forgetSoonest();
+            removeFirstToExpire();
             gone++;
         }
         return gone;
     }
 
     /** Records are lost: all that is known of any message so far may be too little. */
-    void doubt() {
-        owed.values().forEach(slot -> slot.value.assumeLostAttempt());
+    void markPossiblyRun() {
+        pending.values().forEach(slot -> slot.value.assumeLostAttempt());
     }
 }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -14,9 +14,9 @@
  * behind the first bad record. The file is only ever read: its live records are copied forward like a segment's.
  */
 final class LegacyReader {
-    static final String NAME = "journal", UNFINISHED = "journal.new";
-    private static final int HEAD = 8, LARGEST = 1 << 20;
-    private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, PAST = 6;
+    static final String FILE_NAME = "journal", UNFINISHED_FILE_NAME = "journal.new";
+    private static final int RECORD_HEADER_BYTES = 8, MAX_CONTENT_BYTES = 1 << 20;
+    private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, ATTEMPT_SUMMARY = 6;
 
     private final JournalState state;
     private final Segment segment;
@@ -29,25 +29,25 @@
 
     /** Applies all records up to the first that is torn or bad; gives its position. */
     long read(Disk disk) throws IOException {
-        long length = disk.length(NAME);
+        long length = disk.length(FILE_NAME);
         long at = 0;
-        try (Disk.DiskFile file = disk.open(NAME)) {
-            ByteBuffer head = ByteBuffer.allocate(HEAD);
-            while (file.fill(head.clear(), at)) {
+        try (Disk.DiskFile file = disk.open(FILE_NAME)) {
+            ByteBuffer head = ByteBuffer.allocate(RECORD_HEADER_BYTES);
+            while (file.readFully(head.clear(), at)) {
                 int size = head.getInt(0);
-                if (size <= 0 || size > LARGEST || size > length - at - HEAD) {
+                if (size <= 0 || size > MAX_CONTENT_BYTES || size > length - at - RECORD_HEADER_BYTES) {
                     break;
                 }
                 ByteBuffer content = ByteBuffer.allocate(size);
-                file.fill(content, at + HEAD);
+                file.readFully(content, at + RECORD_HEADER_BYTES);
                 CRC32 crc = new CRC32();
                 crc.update(content.flip().duplicate());
                 if ((int) crc.getValue() != head.getInt(4)) {
                     damaged = true; // it is there whole, so its consequence may have happened
                     break;
                 }
-                apply(content, size + HEAD);
-                at += HEAD + size;
+                apply(content, size + RECORD_HEADER_BYTES);
+                at += RECORD_HEADER_BYTES + size;
             }
         }
         return at;
@@ -61,44 +61,44 @@
     private void apply(ByteBuffer in, int size) {
         int type = in.get();
         if (type == TAKEN) {
-            state.put(readTaken(in), segment, size);
+            state.put(readAccepted(in), segment, size);
             return;
         }
-        String id = text(in);
+        String id = readText(in);
         if (type == REMEMBERED) {
-            state.put(id, new CompletedMessage<>(readVerdict(in), null, in.getLong()), segment, size);
+            state.put(id, new CompletedMessage<>(readFinalStatus(in), null, in.getLong()), segment, size);
             return;
         }
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
+        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
         if (slot == null) {
             return;
         }
         PendingMessage owed = slot.value;
         switch (type) {
-            case ATTEMPT -> owed.attemptStarted(text(in), in.getInt(), in.getLong());
+            case ATTEMPT -> owed.attemptStarted(readText(in), in.getInt(), in.getLong());
             case OUTCOME -> owed.attemptEnded(in.get() != 0);
-            case PAST -> {
-                owed.restoreAttempts(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
+            case ATTEMPT_SUMMARY -> {
+                owed.restoreAttempts(in.getInt(), in.get() != 0, readText(in), in.getInt(), in.getLong());
                 boolean mayHaveRun = in.get() != 0;
-                String host = text(in);
+                String host = readText(in);
                 int zone = in.getInt();
                 long wall = in.getLong();
                 if (mayHaveRun) {
                     owed.markPossiblyRun(host, zone, wall);
                 }
             }
-            case VERDICT -> owed.setFinalStatus(readVerdict(in));
-            default -> state.drop(id);
+            case VERDICT -> owed.setFinalStatus(readFinalStatus(in));
+            default -> state.removeMessage(id);
         }
     }
 
-    private static PendingMessage readTaken(ByteBuffer in) {
-        String front = text(in);
-        String id = text(in);
-        String identity = text(in);
+    private static PendingMessage readAccepted(ByteBuffer in) {
+        String front = readText(in);
+        String id = readText(in);
+        String identity = readText(in);
         int messageClass = in.getInt();
         int destination = in.getInt();
-        String key = text(in);
+        String key = readText(in);
         boolean again = in.get() != 0;
         boolean inherited = in.get() != 0;
         long budget = in.getLong();
@@ -120,12 +120,12 @@
                 deadline);
     }
 
-    private static FinalStatus readVerdict(ByteBuffer in) {
-        return new FinalStatus(FinalStatus.Kind.values()[in.get()], in.getLong(), text(in));
+    private static FinalStatus readFinalStatus(ByteBuffer in) {
+        return new FinalStatus(FinalStatus.Kind.values()[in.get()], in.getLong(), readText(in));
     }
 
     /** As DataOutput.writeUTF writes it; ids of that time were plain. */
-    private static String text(ByteBuffer in) {
+    private static String readText(ByteBuffer in) {
         byte[] bytes = new byte[in.getShort() & 0xffff];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -7,47 +7,47 @@
 
 /**
  * Appends records to the log, in a further segment where one fails. While the disk takes none it is left alone but for
- * a trial after each {@link Plan#PAUSE}.
+ * a trial after each {@link SpacePolicy#DISK_RETRY_DELAY_MICROS}.
  */
 final class LogAppender {
     /** Empties segments where a record finds no room. */
-    interface RoomMaker {
+    interface SpaceReclaimer {
         /** Makes room for so many bytes, if it can. */
-        void makeRoom(long bytes);
+        void reclaim(long bytes);
     }
 
-    private interface Step {
+    private interface IoAction {
         void run() throws IOException;
     }
 
     private final SegmentLog log;
-    private final Plan plan;
+    private final SpacePolicy policy;
     private final JournalState state;
     private final Syncer syncer;
-    private final LongSupplier micros;
+    private final LongSupplier monotonicMicros;
 
     private boolean failing;
-    private long retryAt;
-    private long failures;
+    private long retryAtMicros;
+    private long failureCount;
 
-    LogAppender(SegmentLog log, Plan plan, JournalState state, Syncer syncer, LongSupplier micros) {
+    LogAppender(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LongSupplier micros) {
         this.log = log;
-        this.plan = plan;
+        this.policy = plan;
         this.state = state;
         this.syncer = syncer;
-        this.micros = micros;
+        this.monotonicMicros = micros;
     }
 
     /** Appends the records, all or none, and leaves the room that copies need; false if no segment takes them. */
-    boolean append(RecordWriter records, RoomMaker roomMaker) {
+    boolean append(RecordWriter records, SpaceReclaimer roomMaker) {
         int size = records.size();
         return write(records, () -> {
-            if (!log.fits(size)) {
-                roomMaker.makeRoom(size);
+            if (!log.fitsActive(size)) {
+                roomMaker.reclaim(size);
             }
-            if (!log.fits(size)) {
-                if (!log.canTake(size, Plan.FOR_COPIES)) {
-                    throw new SegmentLog.NoRoom();
+            if (!log.fitsActive(size)) {
+                if (!log.canProvide(size, SpacePolicy.SEGMENTS_FOR_COMPACTION)) {
+                    throw new SegmentLog.OutOfSpace();
                 }
                 log.roll(size);
             }
@@ -57,36 +57,36 @@
     /** Appends copies of live records, for which all room may be used; false if no segment takes them. */
     boolean appendCopies(RecordWriter copies) {
         return write(copies, () -> {
-            if (!log.fits(copies.size())) {
+            if (!log.fitsActive(copies.size())) {
                 log.roll(copies.size());
             }
         });
     }
 
-    private boolean write(RecordWriter records, Step makeFit) {
-        if (isPaused()) {
+    private boolean write(RecordWriter records, IoAction makeFit) {
+        if (isBackingOff()) {
             return false;
         }
         IOException last = null;
-        for (int tries = log.files() + 2; tries > 0; tries--) {
+        for (int tries = log.fileCount() + 2; tries > 0; tries--) {
             try {
                 makeFit.run();
                 log.write(records);
-                syncer.wrote();
-                succeeded();
+                syncer.recordsWritten();
+                writeSucceeded();
                 return true;
-            } catch (SegmentLog.NoRoom e) {
+            } catch (SegmentLog.OutOfSpace e) {
                 last = e;
                 break;
             } catch (IOException e) {
                 last = e;
             }
         }
-        failed(last);
+        writeFailed(last);
         return false;
     }
 
-    private void succeeded() {
+    private void writeSucceeded() {
         if (failing) {
             failing = false;
             Logs.info("journal", "disk-good", "the disk takes records again");
@@ -94,39 +94,39 @@
     }
 
     /** The disk has failed: it is left alone for a while. */
-    void failed(IOException e) {
-        failures++;
-        retryAt = micros.getAsLong() + Plan.PAUSE;
+    void writeFailed(IOException e) {
+        failureCount++;
+        retryAtMicros = monotonicMicros.getAsLong() + SpacePolicy.DISK_RETRY_DELAY_MICROS;
         if (!failing) {
             failing = true;
             Logs.error(
                     "journal",
                     "disk-bad",
-                    "the disk takes no records, asked again every " + Plan.PAUSE / 1000 + " ms: " + e);
+                    "the disk takes no records, asked again every " + SpacePolicy.DISK_RETRY_DELAY_MICROS / 1000 + " ms: " + e);
         }
     }
 
-    private boolean isPaused() {
-        return failing && micros.getAsLong() < retryAt;
+    private boolean isBackingOff() {
+        return failing && monotonicMicros.getAsLong() < retryAtMicros;
     }
 
     /** True if the disk has failed and is not tried at that time, microseconds. */
-    boolean isPausedAt(long nowMicros) {
-        return failing && nowMicros < retryAt;
+    boolean isBackingOffAt(long nowMicros) {
+        return failing && nowMicros < retryAtMicros;
     }
 
     /** The disk is tried at once, also if it has just failed. */
-    void endPause() {
-        retryAt = Long.MIN_VALUE;
+    void endBackoff() {
+        retryAtMicros = Long.MIN_VALUE;
     }
 
     /** True if there is room for a record of so many bytes that may grow by so many more; adds segments for it. */
-    boolean hasRoom(long record, long growth) {
-        if (isPaused()) {
+    boolean ensureSpace(long record, long growth) {
+        if (isBackingOff()) {
             return false;
         }
-        while (!plan.hasRoom(log.space(state), record, growth)) {
-            if (plan.growth(log.space(state), record) == 0 || !log.grow(plan.lengthFor(record))) {
+        while (!policy.hasSpace(log.spaceUsage(state), record, growth)) {
+            if (policy.newSegmentBytes(log.spaceUsage(state), record) == 0 || !log.preallocate(policy.segmentBytesFor(record))) {
                 return false;
             }
         }
@@ -134,7 +134,7 @@
     }
 
     /** Times that the disk took nothing. */
-    long failures() {
-        return failures;
+    long failureCount() {
+        return failureCount;
     }
 }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import lilaclever.identity.CompletedMessage;
 import lilaclever.identity.Fingerprint;
-import lilaclever.journal.SegmentFormat.Type;
+import lilaclever.journal.SegmentFormat.RecordType;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
@@ -12,37 +12,37 @@
 final class RecordDecoder {
     private final JournalState state;
     /** What to add to walls that are read, microseconds. */
-    private long shift;
+    private long wallShiftMicros;
 
     RecordDecoder(JournalState state) {
         this.state = state;
     }
 
     /** The wall clock was set by so much since what is read from now on was written. */
-    void shiftWalls(long micros) {
-        shift = micros;
+    void setWallShift(long micros) {
+        wallShiftMicros = micros;
     }
 
-    private long wall(ByteBuffer in) {
-        return in.getLong() + shift;
+    private long readWallMicros(ByteBuffer in) {
+        return in.getLong() + wallShiftMicros;
     }
 
     /** Applies a record; false if its content makes no sense. */
-    boolean apply(Type type, ByteBuffer in, Segment segment, int size) {
+    boolean apply(RecordType type, ByteBuffer in, Segment segment, int size) {
         try {
             switch (type) {
-                case TAKEN -> state.taken(readWhole(in), segment, size);
+                case TAKEN -> state.addAccepted(readMessage(in), segment, size);
                 case SNAPSHOT -> {
-                    PendingMessage o = readWhole(in);
-                    readPast(in, o);
+                    PendingMessage o = readMessage(in);
+                    readAttemptsAndStatus(in, o);
                     state.put(o, segment, size);
                 }
                 case REMEMBERED -> {
-                    String identity = SegmentFormat.text(in);
-                    FinalStatus end = readEnd(in);
-                    long until = wall(in);
+                    String identity = SegmentFormat.readText(in);
+                    FinalStatus end = readFinalStatus(in);
+                    long until = readWallMicros(in);
                     // Version 1 has no fingerprint.
-                    boolean compared = in.hasRemaining() && SegmentFormat.flag(in);
+                    boolean compared = in.hasRemaining() && SegmentFormat.readFlag(in);
                     state.put(
                             identity,
                             new CompletedMessage<>(
@@ -50,9 +50,9 @@
                             segment,
                             size);
                 }
-                case ENDED -> state.drop(SegmentFormat.text(in));
+                case ENDED -> state.removeMessage(SegmentFormat.readText(in));
                 case PREVIOUS -> {}
-                default -> applyToOne(type, in);
+                default -> applyToMessage(type, in);
             }
             return true;
         } catch (RuntimeException e) { // too short, or a number out of its range
@@ -60,55 +60,55 @@
         }
     }
 
-    private void applyToOne(Type type, ByteBuffer in) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(SegmentFormat.text(in));
+    private void applyToMessage(RecordType type, ByteBuffer in) {
+        JournalState.Entry<PendingMessage> slot = state.pending.get(SegmentFormat.readText(in));
         if (slot == null) {
             return; // its message has ended, or a later record tells all of it
         }
         switch (type) {
-            case ATTEMPT -> slot.value.attemptStarted(SegmentFormat.text(in), in.getInt(), wall(in));
-            case OUTCOME -> slot.value.attemptEnded(SegmentFormat.flag(in));
-            case JOINED -> state.join(slot.value, new PendingMessage.Submitter(SegmentFormat.text(in), SegmentFormat.text(in)));
-            default -> slot.value.setFinalStatus(readEnd(in));
+            case ATTEMPT -> slot.value.attemptStarted(SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+            case OUTCOME -> slot.value.attemptEnded(SegmentFormat.readFlag(in));
+            case JOINED -> state.addClaim(slot.value, new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
+            default -> slot.value.setFinalStatus(readFinalStatus(in));
         }
     }
 
-    private PendingMessage readWhole(ByteBuffer in) {
-        String front = SegmentFormat.text(in);
-        String id = SegmentFormat.text(in);
-        String identity = SegmentFormat.flag(in) ? SegmentFormat.text(in) : null;
+    private PendingMessage readMessage(ByteBuffer in) {
+        String front = SegmentFormat.readText(in);
+        String id = SegmentFormat.readText(in);
+        String identity = SegmentFormat.readFlag(in) ? SegmentFormat.readText(in) : null;
         int messageClass = in.getInt();
         int destination = in.getInt();
-        String key = SegmentFormat.flag(in) ? SegmentFormat.text(in) : null;
-        boolean again = SegmentFormat.flag(in);
-        boolean inherited = SegmentFormat.flag(in);
+        String key = SegmentFormat.readFlag(in) ? SegmentFormat.readText(in) : null;
+        boolean again = SegmentFormat.readFlag(in);
+        boolean inherited = SegmentFormat.readFlag(in);
         long budget = in.getLong();
-        long deadline = wall(in);
+        long deadline = readWallMicros(in);
         return new PendingMessage(
                 front,
                 new Submission(
-                        id, identity, messageClass, destination, key, SegmentFormat.bytes(in), again, inherited, budget),
+                        id, identity, messageClass, destination, key, SegmentFormat.readBytes(in), again, inherited, budget),
                 deadline);
     }
 
-    private void readPast(ByteBuffer in, PendingMessage o) {
-        o.restoreAttempts(in.getInt(), SegmentFormat.flag(in), SegmentFormat.text(in), in.getInt(), wall(in));
-        boolean mayHaveRun = SegmentFormat.flag(in);
-        String host = SegmentFormat.text(in);
+    private void readAttemptsAndStatus(ByteBuffer in, PendingMessage o) {
+        o.restoreAttempts(in.getInt(), SegmentFormat.readFlag(in), SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+        boolean mayHaveRun = SegmentFormat.readFlag(in);
+        String host = SegmentFormat.readText(in);
         int zone = in.getInt();
-        long wall = wall(in);
+        long wall = readWallMicros(in);
         if (mayHaveRun) {
             o.markPossiblyRun(host, zone, wall);
         }
-        if (SegmentFormat.flag(in)) {
-            o.setFinalStatus(readEnd(in));
+        if (SegmentFormat.readFlag(in)) {
+            o.setFinalStatus(readFinalStatus(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
-            o.attach(new PendingMessage.Submitter(SegmentFormat.text(in), SegmentFormat.text(in)));
+            o.attach(new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
         }
     }
 
-    private static FinalStatus readEnd(ByteBuffer in) {
-        return new FinalStatus(FinalStatus.Kind.values()[in.getInt()], in.getLong(), SegmentFormat.text(in));
+    private static FinalStatus readFinalStatus(ByteBuffer in) {
+        return new FinalStatus(FinalStatus.Kind.values()[in.getInt()], in.getLong(), SegmentFormat.readText(in));
     }
 }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -1,7 +1,7 @@
 package lilaclever.journal;
 
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.SegmentFormat.Type;
+import lilaclever.journal.SegmentFormat.RecordType;
 import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
@@ -10,101 +10,101 @@
 /** How each record is written; {@link RecordDecoder} reads them. */
 final class RecordEncoder {
     /** Of what an endpoint said for people, so many characters outlast the process. */
-    static final int MOST_DETAIL = 160;
+    static final int MAX_DETAIL_CHARS = 160;
 
     private RecordEncoder() {}
 
     /** A message is taken on. */
     static void accepted(RecordWriter out, PendingMessage o) {
-        out.begin(Type.TAKEN);
-        whole(out, o);
-        out.end();
+        out.beginRecord(RecordType.TAKEN);
+        putMessage(out, o);
+        out.endRecord();
     }
 
     /** An attempt has begun, at that time of the wall clock, microseconds. */
     static void attempt(RecordWriter out, String id, String host, int zone, long wall) {
-        out.begin(Type.ATTEMPT).text(id).text(host).small(zone).number(wall).end();
+        out.beginRecord(RecordType.ATTEMPT).putText(id).putText(host).putInt(zone).putLong(wall).endRecord();
     }
 
     /** The attempt that was out is over. */
     static void outcome(RecordWriter out, String id, boolean neverRan) {
-        out.begin(Type.OUTCOME).text(id).flag(neverRan).end();
+        out.beginRecord(RecordType.OUTCOME).putText(id).putFlag(neverRan).endRecord();
     }
 
     /** How the message has ended. */
-    static void verdict(RecordWriter out, String id, FinalStatus v) {
-        out.begin(Type.VERDICT).text(id);
-        end(out, v);
-        out.end();
+    static void finalStatus(RecordWriter out, String id, FinalStatus v) {
+        out.beginRecord(RecordType.VERDICT).putText(id);
+        putFinalStatus(out, v);
+        out.endRecord();
     }
 
     /** The message is over for good. */
     static void ended(RecordWriter out, String id) {
-        out.begin(Type.ENDED).text(id).end();
+        out.beginRecord(RecordType.ENDED).putText(id).endRecord();
     }
 
     /** An end that is remembered, under its identity. */
     static void remembered(RecordWriter out, String identity, CompletedMessage<FinalStatus> p) {
-        out.begin(Type.REMEMBERED).text(identity);
-        end(out, p.result());
-        out.number(p.untilWallMicros()).flag(p.fingerprint() != null);
+        out.beginRecord(RecordType.REMEMBERED).putText(identity);
+        putFinalStatus(out, p.result());
+        out.putLong(p.untilWallMicros()).putFlag(p.fingerprint() != null);
         if (p.fingerprint() != null) {
-            out.number(p.fingerprint().high()).number(p.fingerprint().low());
+            out.putLong(p.fingerprint().high()).putLong(p.fingerprint().low());
         }
-        out.end();
+        out.endRecord();
     }
 
     /** Somebody else is owed the end of a message. */
     static void joined(RecordWriter out, String id, PendingMessage.Submitter claim) {
-        out.begin(Type.JOINED).text(id).text(claim.front()).text(claim.id()).end();
+        out.beginRecord(RecordType.JOINED).putText(id).putText(claim.front()).putText(claim.id()).endRecord();
     }
 
     /** All that is known of a message, in one record. */
     static void snapshot(RecordWriter out, PendingMessage o) {
-        out.begin(Type.SNAPSHOT);
-        whole(out, o);
-        out.small(o.attempts())
-                .flag(o.isInFlight())
-                .text(o.lastHost())
-                .small(o.lastZone())
-                .number(o.lastAttemptWallMicros());
-        out.flag(o.mayHaveRun())
-                .text(o.possibleRunHost())
-                .small(o.possibleRunZone())
-                .number(o.possibleRunWallMicros());
-        out.flag(o.finalStatus() != null);
+        out.beginRecord(RecordType.SNAPSHOT);
+        putMessage(out, o);
+        out.putInt(o.attempts())
+                .putFlag(o.isInFlight())
+                .putText(o.lastHost())
+                .putInt(o.lastZone())
+                .putLong(o.lastAttemptWallMicros());
+        out.putFlag(o.mayHaveRun())
+                .putText(o.possibleRunHost())
+                .putInt(o.possibleRunZone())
+                .putLong(o.possibleRunWallMicros());
+        out.putFlag(o.finalStatus() != null);
         if (o.finalStatus() != null) {
-            end(out, o.finalStatus());
+            putFinalStatus(out, o.finalStatus());
         }
-        out.small(o.attachedSubmitters().size());
-        o.attachedSubmitters().forEach(claim -> out.text(claim.front()).text(claim.id()));
-        out.end();
+        out.putInt(o.attachedSubmitters().size());
+        o.attachedSubmitters().forEach(claim -> out.putText(claim.front()).putText(claim.id()));
+        out.endRecord();
     }
 
     /** Where the segment before this one ended. */
     static void previous(RecordWriter out, long sequence, long end) {
-        out.begin(Type.PREVIOUS).number(sequence).number(end).end();
+        out.beginRecord(RecordType.PREVIOUS).putLong(sequence).putLong(end).endRecord();
     }
 
-    private static void whole(RecordWriter out, PendingMessage o) {
+    private static void putMessage(RecordWriter out, PendingMessage o) {
         Submission h = o.submission();
-        out.text(o.front()).text(h.id()).flag(h.identity() != null);
+        out.putText(o.front()).putText(h.id()).putFlag(h.identity() != null);
         if (h.identity() != null) {
-            out.text(h.identity());
+            out.putText(h.identity());
         }
-        out.small(h.messageClass()).small(h.destination()).flag(h.key() != null);
+        out.putInt(h.messageClass()).putInt(h.destination()).putFlag(h.key() != null);
         if (h.key() != null) {
-            out.text(h.key());
+            out.putText(h.key());
         }
-        out.flag(h.resubmitted())
-                .flag(h.inherited())
-                .number(h.budgetMicros())
-                .number(o.deadlineWallMicros())
-                .bytes(h.body());
+        out.putFlag(h.resubmitted())
+                .putFlag(h.inherited())
+                .putLong(h.budgetMicros())
+                .putLong(o.deadlineWallMicros())
+                .putBytes(h.body());
     }
 
-    private static void end(RecordWriter out, FinalStatus v) {
-        String detail = v.detail().substring(0, Math.min(v.detail().length(), MOST_DETAIL));
-        out.small(v.kind().ordinal()).number(v.retryAfterMicros()).text(detail);
+    private static void putFinalStatus(RecordWriter out, FinalStatus v) {
+        String detail = v.detail().substring(0, Math.min(v.detail().length(), MAX_DETAIL_CHARS));
+        out.putInt(v.kind().ordinal()).putLong(v.retryAfterMicros()).putText(detail);
     }
 }
--- a/src/main/java/lilaclever/journal/SegmentFormat.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -20,29 +20,29 @@
     /** 2: a message may be owed to several, and remembered ends have the fingerprint of what they ended. */
     static final int VERSION = 2;
     /** Where the records begin. */
-    static final int HEADER = 128;
+    static final int HEADER_BYTES = 128;
     /** Of a record, all but its content. */
-    static final int FRAME = 16;
+    static final int FRAME_BYTES = 16;
     /** The record at a segment's beginning that tells where the one before it ended. */
-    static final int PREVIOUS = FRAME + 16;
+    static final int PREVIOUS_RECORD_BYTES = FRAME_BYTES + 16;
     /** What a segment holds besides its records proper. */
-    static final int OVERHEAD = HEADER + PREVIOUS;
+    static final int OVERHEAD_BYTES = HEADER_BYTES + PREVIOUS_RECORD_BYTES;
     /** A content longer than this is no record. */
-    static final int LARGEST = 1 << 22;
+    static final int MAX_CONTENT_BYTES = 1 << 22;
     /** Files are counted in blocks of so many bytes. */
-    static final int BLOCK = 512;
+    static final int BLOCK_BYTES = 512;
 
     private static final long MAGIC = 0x4c494c41434a4e4cL;
-    private static final int COPY = 64, HEADER_CONTENT = 52;
-    private static final short MARKER = (short) 0x4ca7;
-    private static final int TRAILER = 5;
+    private static final int HEADER_COPY_BYTES = 64, HEADER_CONTENT_BYTES = 52;
+    private static final short RECORD_MARKER = (short) 0x4ca7;
+    private static final int TRAILER_BYTES = 5;
     /** The last byte of each record, never zero. */
-    private static final byte END = 0x5a;
+    private static final byte END_MARKER = 0x5a;
 
-    private static final int TYPE_AT = 2, LENGTH_AT = 3, SUM_AT = 7, CONTENT_AT = 11;
+    private static final int TYPE_OFFSET = 2, LENGTH_OFFSET = 3, CHECKSUM_OFFSET = 7, CONTENT_OFFSET = 11;
 
     /** What a record says. The numbers are part of the format. */
-    enum Type {
+    enum RecordType {
         TAKEN(1),
         ATTEMPT(2),
         OUTCOME(3),
@@ -53,57 +53,57 @@
         PREVIOUS(8),
         JOINED(9);
 
-        private static final Type[] BY_CODE = new Type[10];
+        private static final RecordType[] BY_CODE = new RecordType[10];
 
         static {
-            for (Type t : values()) {
+            for (RecordType t : values()) {
                 BY_CODE[t.code] = t;
             }
         }
 
         final byte code;
 
-        Type(int code) {
+        RecordType(int code) {
             this.code = (byte) code;
         }
 
-        static Type of(int code) {
+        static RecordType of(int code) {
             return code > 0 && code < BY_CODE.length ? BY_CODE[code] : null;
         }
     }
 
     /** What a segment's header says. */
-    record Header(int version, long sequence, long salt, long madeWall, BootClock clock) {}
+    record Header(int version, long sequence, long salt, long createdWallMicros, BootClock bootClock) {}
 
     private SegmentFormat() {}
 
-    static ByteBuffer header(Header h) {
-        ByteBuffer all = ByteBuffer.allocate(HEADER);
-        for (int at = 0; at < HEADER; at += COPY) {
+    static ByteBuffer encodeHeader(Header h) {
+        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
+        for (int at = 0; at < HEADER_BYTES; at += HEADER_COPY_BYTES) {
             all.position(at);
             all.putLong(MAGIC)
                     .putInt(h.version())
                     .putLong(h.sequence())
                     .putLong(h.salt())
-                    .putLong(h.madeWall());
-            all.putLong(h.clock().boot()).putLong(h.clock().offsetMicros());
-            all.putInt(sum(all, at));
+                    .putLong(h.createdWallMicros());
+            all.putLong(h.bootClock().bootId()).putLong(h.bootClock().offsetMicros());
+            all.putInt(checksum(all, at));
         }
         return all.position(0);
     }
 
-    private static int sum(ByteBuffer all, int at) {
+    private static int checksum(ByteBuffer all, int at) {
         CRC32C crc = new CRC32C();
-        crc.update(all.duplicate().limit(at + HEADER_CONTENT).position(at));
+        crc.update(all.duplicate().limit(at + HEADER_CONTENT_BYTES).position(at));
         return (int) crc.getValue();
     }
 
     /** The header, from whichever copy is good; null if none is. */
-    static Header readHeader(ByteBuffer bytes) {
-        for (int at = 0; at < HEADER; at += COPY) {
-            if (bytes.limit() >= at + HEADER_CONTENT + 4
+    static Header decodeHeader(ByteBuffer bytes) {
+        for (int at = 0; at < HEADER_BYTES; at += HEADER_COPY_BYTES) {
+            if (bytes.limit() >= at + HEADER_CONTENT_BYTES + 4
                     && bytes.getLong(at) == MAGIC
-                    && bytes.getInt(at + HEADER_CONTENT) == sum(bytes, at)) {
+                    && bytes.getInt(at + HEADER_CONTENT_BYTES) == checksum(bytes, at)) {
                 return new Header(
                         bytes.getInt(at + 8),
                         bytes.getLong(at + 12),
@@ -116,65 +116,65 @@
     }
 
     /** What stands at a place in a segment. */
-    enum Look {
-        GOOD,
-        BAD,
-        MORE
+    enum RecordCheck {
+        VALID,
+        INVALID,
+        INCOMPLETE
     }
 
     /**
      * GOOD: a whole record stands at the position. MORE: it may be one, if the buffer held more bytes. BAD: none.
      */
-    static Look look(ByteBuffer in, long salt) {
+    static RecordCheck checkRecord(ByteBuffer in, long salt) {
         int at = in.position();
-        if (in.remaining() >= 2 && in.getShort(at) != MARKER) {
-            return Look.BAD;
+        if (in.remaining() >= 2 && in.getShort(at) != RECORD_MARKER) {
+            return RecordCheck.INVALID;
         }
-        if (in.remaining() < CONTENT_AT) {
-            return Look.MORE;
+        if (in.remaining() < CONTENT_OFFSET) {
+            return RecordCheck.INCOMPLETE;
         }
-        int length = in.getInt(at + LENGTH_AT);
-        if (Type.of(in.get(at + TYPE_AT)) == null || length < 0 || length > LARGEST) {
-            return Look.BAD;
+        int length = in.getInt(at + LENGTH_OFFSET);
+        if (RecordType.of(in.get(at + TYPE_OFFSET)) == null || length < 0 || length > MAX_CONTENT_BYTES) {
+            return RecordCheck.INVALID;
         }
-        if (in.remaining() < length + FRAME) {
-            return Look.MORE;
+        if (in.remaining() < length + FRAME_BYTES) {
+            return RecordCheck.INCOMPLETE;
         }
-        boolean whole = in.get(at + length + FRAME - 1) == END; // else its last byte was never written
-        return whole && in.getInt(at + SUM_AT) == sum(in, at, length, salt) ? Look.GOOD : Look.BAD;
+        boolean whole = in.get(at + length + FRAME_BYTES - 1) == END_MARKER; // else its last byte was never written
+        return whole && in.getInt(at + CHECKSUM_OFFSET) == checksum(in, at, length, salt) ? RecordCheck.VALID : RecordCheck.INVALID;
     }
 
     /** True if the bytes end as a record does that is as long as they are. */
-    static boolean endsWhole(long length, ByteBuffer lastFive) {
-        return length >= FRAME
-                && lastFive.remaining() == TRAILER
-                && lastFive.getInt(0) == length - FRAME
-                && lastFive.get(TRAILER - 1) == END;
+    static boolean endsLikeCompleteRecord(long length, ByteBuffer lastFive) {
+        return length >= FRAME_BYTES
+                && lastFive.remaining() == TRAILER_BYTES
+                && lastFive.getInt(0) == length - FRAME_BYTES
+                && lastFive.get(TRAILER_BYTES - 1) == END_MARKER;
     }
 
     /** The type of a good record at the position. */
-    static Type type(ByteBuffer in) {
-        return Type.of(in.get(in.position() + TYPE_AT));
+    static RecordType typeAt(ByteBuffer in) {
+        return RecordType.of(in.get(in.position() + TYPE_OFFSET));
     }
 
     /** The content of a good record at the position; moves behind it. */
-    static ByteBuffer take(ByteBuffer in) {
+    static ByteBuffer takeContent(ByteBuffer in) {
         int at = in.position();
-        int length = in.getInt(at + LENGTH_AT);
-        ByteBuffer content = in.slice(at + CONTENT_AT, length);
-        in.position(at + length + FRAME);
+        int length = in.getInt(at + LENGTH_OFFSET);
+        ByteBuffer content = in.slice(at + CONTENT_OFFSET, length);
+        in.position(at + length + FRAME_BYTES);
         return content;
     }
 
-    private static int sum(ByteBuffer in, int at, int length, long salt) {
+    private static int checksum(ByteBuffer in, int at, int length, long salt) {
         CRC32C crc = new CRC32C();
-        salt(crc, salt);
-        crc.update(in.duplicate().limit(at + SUM_AT).position(at + TYPE_AT));
-        crc.update(in.duplicate().limit(at + CONTENT_AT + length).position(at + CONTENT_AT));
+        updateWithSalt(crc, salt);
+        crc.update(in.duplicate().limit(at + CHECKSUM_OFFSET).position(at + TYPE_OFFSET));
+        crc.update(in.duplicate().limit(at + CONTENT_OFFSET + length).position(at + CONTENT_OFFSET));
         return (int) crc.getValue();
     }
 
-    private static void salt(CRC32C crc, long salt) {
+    private static void updateWithSalt(CRC32C crc, long salt) {
         for (int shift = 56; shift >= 0; shift -= 8) {
             crc.update((int) (salt >>> shift));
         }
@@ -182,100 +182,100 @@
 
     /** Builds records one behind the other in a buffer that grows; the checksum comes when the salt is known. */
     static final class RecordWriter {
-        private ByteBuffer out = ByteBuffer.allocate(4096);
-        private int start;
+        private ByteBuffer buffer = ByteBuffer.allocate(4096);
+        private int recordStart;
 
         /** Forgets all. */
         RecordWriter clear() {
-            out.clear();
+            buffer.clear();
             return this;
         }
 
-        RecordWriter begin(Type type) {
-            start = out.position();
-            room(CONTENT_AT);
-            out.putShort(MARKER).put(type.code).putInt(0).putInt(0);
+        RecordWriter beginRecord(RecordType type) {
+            recordStart = buffer.position();
+            ensureCapacity(CONTENT_OFFSET);
+            buffer.putShort(RECORD_MARKER).put(type.code).putInt(0).putInt(0);
             return this;
         }
 
         /** Ends the record. */
-        RecordWriter end() {
-            room(TRAILER);
-            int length = out.position() - start - CONTENT_AT;
-            out.putInt(start + LENGTH_AT, length);
-            out.putInt(length).put(END);
+        RecordWriter endRecord() {
+            ensureCapacity(TRAILER_BYTES);
+            int length = buffer.position() - recordStart - CONTENT_OFFSET;
+            buffer.putInt(recordStart + LENGTH_OFFSET, length);
+            buffer.putInt(length).put(END_MARKER);
             return this;
         }
 
-        RecordWriter number(long value) {
-            room(8);
-            out.putLong(value);
+        RecordWriter putLong(long value) {
+            ensureCapacity(8);
+            buffer.putLong(value);
             return this;
         }
 
-        RecordWriter small(int value) {
-            room(4);
-            out.putInt(value);
+        RecordWriter putInt(int value) {
+            ensureCapacity(4);
+            buffer.putInt(value);
             return this;
         }
 
-        RecordWriter flag(boolean value) {
-            room(1);
-            out.put((byte) (value ? 1 : 0));
+        RecordWriter putFlag(boolean value) {
+            ensureCapacity(1);
+            buffer.put((byte) (value ? 1 : 0));
             return this;
         }
 
-        RecordWriter text(String value) {
-            return bytes(value.getBytes(StandardCharsets.UTF_8));
+        RecordWriter putText(String value) {
+            return putBytes(value.getBytes(StandardCharsets.UTF_8));
         }
 
-        RecordWriter bytes(byte[] value) {
-            small(value.length);
-            room(value.length);
-            out.put(value);
+        RecordWriter putBytes(byte[] value) {
+            putInt(value.length);
+            ensureCapacity(value.length);
+            buffer.put(value);
             return this;
         }
 
         /** Takes back all behind so many bytes. */
-        void cut(int size) {
-            out.position(size);
+        void truncate(int size) {
+            buffer.position(size);
         }
 
         /** Bytes of all records so far. */
         int size() {
-            return out.position();
+            return buffer.position();
         }
 
         /** All records, with their checksums for a segment of this salt; valid until the next change. */
         ByteBuffer withChecksums(long salt) {
-            ByteBuffer all = out.duplicate().flip();
+            ByteBuffer all = buffer.duplicate().flip();
             for (int at = 0; at < all.limit(); ) {
-                int length = all.getInt(at + LENGTH_AT);
-                all.putInt(at + SUM_AT, sum(all, at, length, salt));
-                at += length + FRAME;
+                int length = all.getInt(at + LENGTH_OFFSET);
+                all.putInt(at + CHECKSUM_OFFSET, checksum(all, at, length, salt));
+                at += length + FRAME_BYTES;
             }
             return all;
         }
 
-        private void room(int bytes) {
-            if (out.remaining() < bytes) {
-                ByteBuffer larger = ByteBuffer.allocate(Math.max(2 * out.capacity(), out.position() + bytes));
-                out = larger.put(out.flip());
+        private void ensureCapacity(int bytes) {
+            if (buffer.remaining() < bytes) {
+                ByteBuffer larger = ByteBuffer.allocate(Math.max(2 * buffer.capacity(), buffer.position() + bytes));
+                buffer = larger.put(buffer.flip());
             }
         }
     }
 
-    static String text(ByteBuffer in) {
-        return new String(bytes(in), StandardCharsets.UTF_8);
+    static String readText(ByteBuffer in) {
+        return new String(readBytes(in), StandardCharsets.UTF_8);
     }
 
-    static byte[] bytes(ByteBuffer in) {
+    static byte[] readBytes(ByteBuffer in) {
         byte[] value = new byte[in.getInt()];
         in.get(value);
         return value;
     }
 
-    static boolean flag(ByteBuffer in) {
+    static boolean readFlag(ByteBuffer in) {
         return in.get() != 0;
     }
 }
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -18,122 +18,122 @@
  * others, and a kill at any moment leaves each file as one thing or the other.
  */
 final class SegmentLog {
-    static final String SPARE = "spare-", DAMAGED = "damaged-";
-    private static final int ZEROS = 64 * 1024;
+    static final String SPARE_PREFIX = "spare-", DAMAGED_PREFIX = "damaged-";
+    private static final int ZERO_BUFFER_BYTES = 64 * 1024;
 
     /** A file without content, ready for use. */
-    private record Spare(String name, long length) {}
+    private record PreallocatedFile(String name, long length) {}
 
     /**
      * A file without content that is not filled with zeros yet.
      *
-     * @param forcing the forcings that had begun when it got its name: until a later one has ended well, a failure of
+     * @param namedAtSync the forcings that had begun when it got its name: until a later one has ended well, a failure of
      *     the machine may bring its old name back, and its old content has to be there then
      */
-    private record Unready(String name, long length, long forcing) {}
+    private record UnfilledFile(String name, long length, long namedAtSync) {}
 
-    private static final long AT_ONCE = -1;
+    private static final long NO_SYNC_NEEDED = -1;
 
     private final Disk disk;
-    private final Plan plan;
-    private final long most;
+    private final SpacePolicy policy;
+    private final long quotaBytes;
     private final RandomGenerator random;
-    private final JournalClocks times;
-    private final ArrayDeque<Segment> full = new ArrayDeque<>();
-    private final ArrayDeque<Spare> spares = new ArrayDeque<>();
-    private final ArrayDeque<Unready> unready = new ArrayDeque<>();
+    private final JournalClocks clocks;
+    private final ArrayDeque<Segment> fullSegments = new ArrayDeque<>();
+    private final ArrayDeque<PreallocatedFile> preallocated = new ArrayDeque<>();
+    private final ArrayDeque<UnfilledFile> unfilled = new ArrayDeque<>();
     /** Files that hold records which may not outlast the machine yet. */
-    private final List<Disk.DiskFile> unforced = new ArrayList<>();
+    private final List<Disk.DiskFile> unsyncedFiles = new ArrayList<>();
 
-    private final boolean forces;
+    private final boolean syncEnabled;
     /** How many forcings have begun. */
-    private final LongSupplier forcings;
+    private final LongSupplier syncsStarted;
 
-    private boolean namesChanged;
+    private boolean folderChanged;
     /** What the file in use begins with: its header and first record. */
-    private byte[] beginning;
+    private byte[] segmentStart;
 
     private Segment active;
     private Disk.DiskFile activeFile;
     private long salt;
-    private long allocated;
+    private long allocatedBytes;
     private long nextSequence = 1;
-    private long nextSpare;
-    private long asideBytes, unreadyBytes;
-    private boolean cannotGrow;
+    private long nextSpareNumber;
+    private long quarantinedBytes, unfilledBytes;
+    private boolean allocationFailed;
 
     /** {@code forces}: files are to be forced, so they are kept open until then. */
     SegmentLog(
             Disk disk,
-            Plan plan,
+            SpacePolicy plan,
             long most,
             RandomGenerator random,
             boolean forces,
             LongSupplier forcings,
             JournalClocks times) {
         this.disk = disk;
-        this.plan = plan;
-        this.most = most;
+        this.policy = plan;
+        this.quotaBytes = most;
         this.random = random;
-        this.forces = forces;
-        this.forcings = forcings;
-        this.times = times;
+        this.syncEnabled = forces;
+        this.syncsStarted = forcings;
+        this.clocks = times;
     }
 
     // ---- opening ----------------------------------------------------------------------------------------
     /** A segment of an earlier life. In order. */
-    void found(Segment s) {
-        full.add(s);
-        allocated += s.length;
+    void addRecovered(Segment s) {
+        fullSegments.add(s);
+        allocatedBytes += s.lengthBytes;
         nextSequence = Math.max(nextSequence, s.sequence + 1);
     }
 
     /** An empty file of an earlier life: it is made ready again, or given up. */
-    void foundSpare(String name) throws IOException {
-        nextSpare = Math.max(nextSpare, 1 + number(name));
+    void addRecoveredSpare(String name) throws IOException {
+        nextSpareNumber = Math.max(nextSpareNumber, 1 + spareNumber(name));
         long length = disk.length(name);
-        allocated += Plan.blocks(length);
-        prepareOrKeep(name, length);
+        allocatedBytes += SpacePolicy.roundUpToBlocks(length);
+        fillOrDefer(name, length);
     }
 
     /** A file that was kept aside for people to look at. */
-    void foundAside(String name) throws IOException {
-        long bytes = Plan.blocks(disk.length(name));
-        asideBytes += bytes;
-        allocated += bytes;
+    void addQuarantined(String name) throws IOException {
+        long bytes = SpacePolicy.roundUpToBlocks(disk.length(name));
+        quarantinedBytes += bytes;
+        allocatedBytes += bytes;
     }
 
-    private static long number(String spare) {
+    private static long spareNumber(String spare) {
         try {
-            return Long.parseLong(spare.substring(SPARE.length()));
+            return Long.parseLong(spare.substring(SPARE_PREFIX.length()));
         } catch (NumberFormatException e) {
             return 0;
         }
     }
 
     // ---- figures ----------------------------------------------------------------------------------------
-    Plan.Space space(JournalState state) {
-        long free = left();
-        for (Spare s : spares) {
-            free += s.length() - SegmentFormat.OVERHEAD;
+    SpacePolicy.SpaceUsage spaceUsage(JournalState state) {
+        long free = activeBytesLeft();
+        for (PreallocatedFile s : preallocated) {
+            free += s.length() - SegmentFormat.OVERHEAD_BYTES;
         }
         // What can't grow now has all the room it will get.
-        return new Plan.Space(
-                (cannotGrow ? allocated : most) - asideBytes - unreadyBytes,
-                allocated - asideBytes - unreadyBytes,
+        return new SpacePolicy.SpaceUsage(
+                (allocationFailed ? allocatedBytes : quotaBytes) - quarantinedBytes - unfilledBytes,
+                allocatedBytes - quarantinedBytes - unfilledBytes,
                 free,
-                state.live(),
-                state.growth(),
-                state.largest(),
-                spares.size());
+                state.liveBytes(),
+                state.growthBytes(),
+                state.largestRecordBytes(),
+                preallocated.size());
     }
 
-    long allocated() {
-        return allocated;
+    long allocatedBytes() {
+        return allocatedBytes;
     }
 
-    int files() {
-        return full.size() + spares.size() + unready.size() + (active == null ? 0 : 1);
+    int fileCount() {
+        return fullSegments.size() + preallocated.size() + unfilled.size() + (active == null ? 0 : 1);
     }
 
     Segment active() {
@@ -141,55 +141,55 @@
     }
 
     Segment oldest() {
-        return full.peekFirst();
+        return fullSegments.peekFirst();
     }
 
     /** The sequence number of the newest file that is not in use any more; -1 if there is none. */
-    long newest() {
-        return full.isEmpty() ? -1 : full.peekLast().sequence;
+    long newestSequence() {
+        return fullSegments.isEmpty() ? -1 : fullSegments.peekLast().sequence;
     }
 
     /** True if the bytes fit into the file in use. */
-    boolean fits(long bytes) {
-        return active != null && bytes <= left();
+    boolean fitsActive(long bytes) {
+        return active != null && bytes <= activeBytesLeft();
     }
 
     /** True if a file for so many bytes can be had that leaves at least so many spare ones. */
-    boolean canTake(long bytes, int keep) {
-        long room = most - allocated;
-        int left = spares.size();
-        for (Spare s : spares) {
-            if (s.length() >= bytes + SegmentFormat.OVERHEAD && spares.size() > keep) {
+    boolean canProvide(long bytes, int keep) {
+        long room = quotaBytes - allocatedBytes;
+        int left = preallocated.size();
+        for (PreallocatedFile s : preallocated) {
+            if (s.length() >= bytes + SegmentFormat.OVERHEAD_BYTES && preallocated.size() > keep) {
                 return true;
             }
             room += left-- > keep ? s.length() : 0; // it could make way for a longer one
         }
-        return room >= plan.lengthFor(bytes);
+        return room >= policy.segmentBytesFor(bytes);
     }
 
     /** What the file in use still has room for. */
-    long left() {
-        return active == null ? 0 : active.length - active.used;
+    long activeBytesLeft() {
+        return active == null ? 0 : active.lengthBytes - active.usedBytes;
     }
 
     // ---- writing ----------------------------------------------------------------------------------------
     /** Writes the records behind the others; on a failure the file is cut off before them and not used further. */
     void write(RecordWriter records) throws IOException {
         try {
-            activeFile.write(records.withChecksums(salt), active.used);
+            activeFile.write(records.withChecksums(salt), active.usedBytes);
         } catch (IOException e) {
-            cut();
-            leaveAfterFailure();
+            truncateFailedWrite();
+            retireAfterFailure();
             throw e;
         }
-        active.used += records.size();
-        active.writtenAt = forcings.getAsLong();
+        active.usedBytes += records.size();
+        active.lastWrittenAtSync = syncsStarted.getAsLong();
     }
 
     /** What a failed write left of a record must not pass for one: its consequence has not happened. */
-    private void cut() {
+    private void truncateFailedWrite() {
         try {
-            activeFile.truncate(active.used);
+            activeFile.truncate(active.usedBytes);
         } catch (IOException e) {
             Logs.warn("journal", "cut-failed", active.name + " could not be cut off: " + e, "segment", active.name);
         }
@@ -200,81 +200,81 @@
      * all files before it, and a disk that fails for some time would use up all spares, with none left to copy
      * what is live to.
      */
-    private void leaveAfterFailure() {
-        if (active.used > SegmentFormat.OVERHEAD) {
-            leave();
+    private void retireAfterFailure() {
+        if (active.usedBytes > SegmentFormat.OVERHEAD_BYTES) {
+            retireActive();
             return;
         }
-        String name = SPARE + nextSpare++;
+        String name = SPARE_PREFIX + nextSpareNumber++;
         try {
             disk.rename(active.name, name);
         } catch (IOException e) {
             Logs.warn("journal", "rename-failed", active.name + " stays in use: " + e, "segment", active.name);
             return;
         }
-        namesChanged = true;
+        folderChanged = true;
         nextSequence = active.sequence;
-        if (forces) {
-            unforced.add(activeFile); // it may be under a forcing just now
+        if (syncEnabled) {
+            unsyncedFiles.add(activeFile); // it may be under a forcing just now
         } else {
             close(activeFile);
         }
-        long length = active.length;
+        long length = active.lengthBytes;
         active = null;
         activeFile = null;
-        prepareOrKeep(name, length);
+        fillOrDefer(name, length);
     }
 
     /** Takes a file into use that has room for so many bytes, and notes in it where the last one ended. */
     void roll(long bytes) throws IOException {
-        leave();
-        Spare spare = take(bytes);
+        retireActive();
+        PreallocatedFile spare = takePreallocated(bytes);
         long sequence = nextSequence;
-        Segment next = new Segment(sequence, Segment.name(sequence), spare.length());
+        Segment next = new Segment(sequence, Segment.fileName(sequence), spare.length());
         Disk.DiskFile file = null;
         try {
             long nextSalt = random.nextLong();
             file = disk.open(spare.name());
-            ByteBuffer start = beginning(sequence, nextSalt);
+            ByteBuffer start = encodeSegmentStart(sequence, nextSalt);
             file.write(start.duplicate(), 0);
             disk.rename(spare.name(), next.name);
-            namesChanged = true;
+            folderChanged = true;
             nextSequence++;
-            next.used = SegmentFormat.OVERHEAD;
-            next.startedAt = forcings.getAsLong();
-            next.writtenAt = next.startedAt;
-            beginning = start.array();
+            next.usedBytes = SegmentFormat.OVERHEAD_BYTES;
+            next.startedAtSync = syncsStarted.getAsLong();
+            next.lastWrittenAtSync = next.startedAtSync;
+            segmentStart = start.array();
             active = next;
             activeFile = file;
             salt = nextSalt;
         } catch (IOException e) {
             close(file);
-            spares.addLast(spare);
+            preallocated.addLast(spare);
             throw e;
         }
     }
 
-    private ByteBuffer beginning(long sequence, long nextSalt) {
-        ByteBuffer all = ByteBuffer.allocate(SegmentFormat.OVERHEAD);
-        all.put(SegmentFormat.header(new SegmentFormat.Header(
-                SegmentFormat.VERSION, sequence, nextSalt, times.wall().getAsLong(), times.boot())));
-        Segment last = full.peekLast();
+    private ByteBuffer encodeSegmentStart(long sequence, long nextSalt) {
+        ByteBuffer all = ByteBuffer.allocate(SegmentFormat.OVERHEAD_BYTES);
+        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(
+                SegmentFormat.VERSION, sequence, nextSalt, clocks.wallMicros().getAsLong(), clocks.bootClock())));
+        Segment last = fullSegments.peekLast();
         RecordWriter first = new RecordWriter();
-        RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.used);
+        RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.usedBytes);
         return all.put(first.withChecksums(nextSalt)).flip();
     }
 
     /** Nothing more goes into the file in use. */
-    private void leave() {
+    private void retireActive() {
         if (active == null) {
             return;
         }
-        if (forces) {
-            unforced.add(activeFile);
+        if (syncEnabled) {
+            unsyncedFiles.add(activeFile);
         } else {
             close(activeFile);
         }
-        full.add(active);
+        fullSegments.add(active);
         active = null;
         activeFile = null;
     }
@@ -290,121 +290,121 @@
     }
 
     // ---- files ------------------------------------------------------------------------------------------
-    private Spare take(long bytes) throws IOException {
-        long needed = bytes + SegmentFormat.OVERHEAD;
-        for (Iterator<Spare> all = spares.iterator(); all.hasNext(); ) {
-            Spare spare = all.next();
+    private PreallocatedFile takePreallocated(long bytes) throws IOException {
+        long needed = bytes + SegmentFormat.OVERHEAD_BYTES;
+        for (Iterator<PreallocatedFile> all = preallocated.iterator(); all.hasNext(); ) {
+            PreallocatedFile spare = all.next();
             if (spare.length() >= needed) {
                 all.remove();
                 return spare;
             }
         }
-        long length = plan.lengthFor(bytes);
-        while (allocated + length > most && !spares.isEmpty()) {
+        long length = policy.segmentBytesFor(bytes);
+        while (allocatedBytes + length > quotaBytes && !preallocated.isEmpty()) {
             // Spare files that are too short for this one record make way for a longer one.
-            Spare shortest = spares.peekFirst();
+            PreallocatedFile shortest = preallocated.peekFirst();
             disk.delete(shortest.name());
-            spares.pollFirst();
-            allocated -= Plan.blocks(shortest.length());
+            preallocated.pollFirst();
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(shortest.length());
         }
-        if (allocated + length > most) {
-            length = (most - allocated) / SegmentFormat.BLOCK * SegmentFormat.BLOCK;
+        if (allocatedBytes + length > quotaBytes) {
+            length = (quotaBytes - allocatedBytes) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
         }
         if (length < needed) {
-            throw new NoRoom();
+            throw new OutOfSpace();
         }
-        if (!grow(length)) {
-            throw new NoRoom();
+        if (!preallocate(length)) {
+            throw new OutOfSpace();
         }
-        return spares.pollLast();
+        return preallocated.pollLast();
     }
 
     /** No file is left to write to. */
-    static final class NoRoom extends IOException {
+    static final class OutOfSpace extends IOException {
         private static final long serialVersionUID = 1L;
 
-        NoRoom() {
+        OutOfSpace() {
             super("no room left in the journal's files");
         }
     }
 
     /** Makes a further spare file; false if the disk gives no room for it. */
-    boolean grow(long length) {
-        String name = SPARE + nextSpare++;
-        cannotGrow = true;
+    boolean preallocate(long length) {
+        String name = SPARE_PREFIX + nextSpareNumber++;
+        allocationFailed = true;
         try (Disk.DiskFile file = disk.open(name)) {
-            zero(file, 0, length);
-            cannotGrow = false;
+            writeZeros(file, 0, length);
+            allocationFailed = false;
         } catch (IOException e) {
-            deleteOrKeep(name, length);
+            deleteOrDefer(name, length);
             return false;
         }
-        namesChanged = true;
-        allocated += Plan.blocks(length);
-        spares.add(new Spare(name, length));
+        folderChanged = true;
+        allocatedBytes += SpacePolicy.roundUpToBlocks(length);
+        preallocated.add(new PreallocatedFile(name, length));
         return true;
     }
 
     /** Forgets that the disk gave no room, so that it is asked again. */
-    void mayGrowAgain() {
-        cannotGrow = false;
+    void resetAllocationFailure() {
+        allocationFailed = false;
     }
 
-    private static void zero(Disk.DiskFile file, long from, long to) throws IOException {
-        ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(ZEROS, to - from));
+    private static void writeZeros(Disk.DiskFile file, long from, long to) throws IOException {
+        ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(ZERO_BUFFER_BYTES, to - from));
         for (long at = from; at < to; at += zeros.capacity()) {
             file.write(zeros.clear().limit((int) Math.min(zeros.capacity(), to - at)), at);
         }
     }
 
     /** Deletes a file that could not be filled; where that fails too it counts, and is filled later. */
-    private void deleteOrKeep(String name, long length) {
+    private void deleteOrDefer(String name, long length) {
         try {
             disk.delete(name);
         } catch (IOException e) {
             Logs.warn("journal", "delete-failed", name + " could not be deleted: " + e, "segment", name);
-            allocated += Plan.blocks(length);
-            keepUnready(name, length, AT_ONCE);
+            allocatedBytes += SpacePolicy.roundUpToBlocks(length);
+            deferFill(name, length, NO_SYNC_NEEDED);
         }
     }
 
-    private void keepUnready(String name, long length, long forcing) {
-        unready.addLast(new Unready(name, length, forcing));
-        unreadyBytes += Plan.blocks(length);
+    private void deferFill(String name, long length, long forcing) {
+        unfilled.addLast(new UnfilledFile(name, length, forcing));
+        unfilledBytes += SpacePolicy.roundUpToBlocks(length);
     }
 
     /** Takes the oldest file, on which nothing rests any more, out of the log. */
-    void release(JournalState state) throws IOException {
-        Segment s = full.peekFirst();
+    void releaseOldest(JournalState state) throws IOException {
+        Segment s = fullSegments.peekFirst();
         assert s.liveRecords == 0 : s.name;
-        if (s.damaged && asideBytes + s.length <= most / 8) {
-            disk.rename(s.name, DAMAGED + s.name);
-            full.pollFirst();
-            asideBytes += s.length;
-        } else if (s.damaged || s.sequence == Segment.LEGACY || plan.surplus(space(state), s.length)) {
+        if (s.damaged && quarantinedBytes + s.lengthBytes <= quotaBytes / 8) {
+            disk.rename(s.name, DAMAGED_PREFIX + s.name);
+            fullSegments.pollFirst();
+            quarantinedBytes += s.lengthBytes;
+        } else if (s.damaged || s.sequence == Segment.LEGACY_SEQUENCE || policy.isSurplus(spaceUsage(state), s.lengthBytes)) {
             disk.delete(s.name);
-            full.pollFirst();
-            allocated -= s.length;
+            fullSegments.pollFirst();
+            allocatedBytes -= s.lengthBytes;
         } else {
-            String name = SPARE + nextSpare++;
+            String name = SPARE_PREFIX + nextSpareNumber++;
             disk.rename(s.name, name);
-            full.pollFirst();
-            if (forces) {
-                keepUnready(name, s.length, forcings.getAsLong());
+            fullSegments.pollFirst();
+            if (syncEnabled) {
+                deferFill(name, s.lengthBytes, syncsStarted.getAsLong());
             } else {
-                prepareOrKeep(name, s.length);
+                fillOrDefer(name, s.lengthBytes);
             }
         }
-        namesChanged = true;
+        folderChanged = true;
     }
 
     /** Makes a file without content a spare, now or as soon as the disk allows that. */
-    private void prepareOrKeep(String name, long length) {
+    private void fillOrDefer(String name, long length) {
         try {
-            prepare(name, length);
+            fillAndAdd(name, length);
         } catch (IOException e) {
             Logs.warn("journal", "not-ready", name + " is made ready later: " + e, "segment", name);
-            keepUnready(name, length, AT_ONCE);
+            deferFill(name, length, NO_SYNC_NEEDED);
         }
     }
 
@@ -413,31 +413,31 @@
      *
      * @param covers true if a forcing that began after the given count has ended well
      */
-    void prepareUnready(LongPredicate covers) {
-        for (Unready first = unready.peekFirst(); first != null; first = unready.peekFirst()) {
-            if (first.forcing() != AT_ONCE && !covers.test(first.forcing())) {
+    void fillDeferred(LongPredicate covers) {
+        for (UnfilledFile first = unfilled.peekFirst(); first != null; first = unfilled.peekFirst()) {
+            if (first.namedAtSync() != NO_SYNC_NEEDED && !covers.test(first.namedAtSync())) {
                 return;
             }
             try {
-                prepare(first.name(), first.length());
+                fillAndAdd(first.name(), first.length());
             } catch (IOException e) {
                 return;
             }
-            unready.pollFirst();
-            unreadyBytes -= Plan.blocks(first.length());
+            unfilled.pollFirst();
+            unfilledBytes -= SpacePolicy.roundUpToBlocks(first.length());
         }
     }
 
     /** Makes a file without content a spare; one of which little can be written is given up. On a failure as before. */
-    private void prepare(String name, long length) throws IOException {
+    private void fillAndAdd(String name, long length) throws IOException {
         long good = fillWithZeros(name, length);
-        boolean worthIt = good > 2 * SegmentFormat.OVERHEAD;
+        boolean worthIt = good > 2 * SegmentFormat.OVERHEAD_BYTES;
         if (!worthIt) {
             disk.delete(name);
         }
-        allocated -= Plan.blocks(length) - (worthIt ? Plan.blocks(good) : 0);
+        allocatedBytes -= SpacePolicy.roundUpToBlocks(length) - (worthIt ? SpacePolicy.roundUpToBlocks(good) : 0);
         if (worthIt) {
-            spares.add(new Spare(name, good));
+            preallocated.add(new PreallocatedFile(name, good));
         }
     }
 
@@ -445,10 +445,10 @@
     private long fillWithZeros(String name, long length) throws IOException {
         try (Disk.DiskFile file = disk.open(name)) {
             try {
-                zero(file, 0, length);
+                writeZeros(file, 0, length);
                 return length;
             } catch (IOException e) {
-                long good = firstThatFails(file, length) / SegmentFormat.BLOCK * SegmentFormat.BLOCK;
+                long good = firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
                 if (good == 0 && length > 0) {
                     throw e; // it is the disk that fails, not this file's end
                 }
@@ -458,11 +458,11 @@
         }
     }
 
-    private static long firstThatFails(Disk.DiskFile file, long length) {
+    private static long firstFailingOffset(Disk.DiskFile file, long length) {
         long at = 0;
         try {
-            for (; at < length; at += SegmentFormat.BLOCK) {
-                file.write(ByteBuffer.allocate((int) Math.min(SegmentFormat.BLOCK, length - at)), at);
+            for (; at < length; at += SegmentFormat.BLOCK_BYTES) {
+                file.write(ByteBuffer.allocate((int) Math.min(SegmentFormat.BLOCK_BYTES, length - at)), at);
             }
         } catch (IOException e) {
             return at;
@@ -472,26 +472,26 @@
 
     // ---- durability -------------------------------------------------------------------------------------
     /** What must be forced so that all written so far outlasts the machine. */
-    record Pending(List<Disk.DiskFile> full, Disk.DiskFile active, boolean names) {}
+    record SyncBatch(List<Disk.DiskFile> fullSegments, Disk.DiskFile active, boolean folderChanged) {}
 
     /** Hands over what is to be forced; the full files are closed by whoever forces them. */
-    Pending pending() {
-        Pending p = new Pending(List.copyOf(unforced), activeFile, namesChanged);
-        unforced.clear();
-        namesChanged = false;
+    SyncBatch takeSyncBatch() {
+        SyncBatch p = new SyncBatch(List.copyOf(unsyncedFiles), activeFile, folderChanged);
+        unsyncedFiles.clear();
+        folderChanged = false;
         return p;
     }
 
     /** Deletes all files that are empty. */
-    void giveUpSpares() throws IOException {
-        for (Spare s = spares.pollFirst(); s != null; s = spares.pollFirst()) {
+    void deletePreallocated() throws IOException {
+        for (PreallocatedFile s = preallocated.pollFirst(); s != null; s = preallocated.pollFirst()) {
             disk.delete(s.name());
-            allocated -= Plan.blocks(s.length());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(s.length());
         }
-        for (Unready u = unready.pollFirst(); u != null; u = unready.pollFirst()) {
+        for (UnfilledFile u = unfilled.pollFirst(); u != null; u = unfilled.pollFirst()) {
             disk.delete(u.name());
-            unreadyBytes -= Plan.blocks(u.length());
-            allocated -= Plan.blocks(u.length());
+            unfilledBytes -= SpacePolicy.roundUpToBlocks(u.length());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(u.length());
         }
     }
 
@@ -499,32 +499,32 @@
      * A forcing has failed, and the system may have dropped the beginning of the file in use: it is written again, so
      * that the next forcing has something to write.
      */
-    void writeBeginningAgain() {
-        namesChanged = true;
+    void rewriteSegmentStart() {
+        folderChanged = true;
         if (active != null) {
             try {
-                activeFile.write(ByteBuffer.wrap(beginning), 0);
+                activeFile.write(ByteBuffer.wrap(segmentStart), 0);
             } catch (IOException e) {
-                leave();
+                retireActive();
             }
         }
     }
 
     /** A forcing has failed: what was copied from segments that are empty now may not outlast the machine. */
-    void keepEmptySegments() {
-        for (Segment s : full) {
-            s.emptyAt = -1;
+    void resetEmptied() {
+        for (Segment s : fullSegments) {
+            s.emptiedAtSync = -1;
         }
     }
 
     /** The file in use is not used further. */
-    void giveUpActive() {
-        leave();
+    void abandonActive() {
+        retireActive();
     }
 
     void close() {
-        leave();
-        unforced.forEach(SegmentLog::close);
-        unforced.clear();
+        retireActive();
+        unsyncedFiles.forEach(SegmentLog::close);
+        unsyncedFiles.clear();
     }
 }
--- a/src/main/java/lilaclever/journal/SegmentReader.java
+++ b/src/main/java/lilaclever/journal/SegmentReader.java
@@ -2,38 +2,38 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import lilaclever.journal.SegmentFormat.Look;
-import lilaclever.journal.SegmentFormat.Type;
+import lilaclever.journal.SegmentFormat.RecordCheck;
+import lilaclever.journal.SegmentFormat.RecordType;
 
 /**
  * Reads one segment through a window that is as large as its largest record, so that opening a journal takes the
  * memory of what is live and not of what is on disk.
  */
 final class SegmentReader implements AutoCloseable {
-    private static final int WINDOW = 64 * 1024;
+    private static final int INITIAL_WINDOW_BYTES = 64 * 1024;
 
     /** Hears what stands in a segment, in its order. */
     interface Listener {
         /** A good record, its content and its size with the frame; false if the content makes no sense. */
-        boolean record(Type type, ByteBuffer content, long position, int size);
+        boolean onRecord(RecordType type, ByteBuffer content, long position, int size);
 
         /** Bytes that can't be read, from one position to another. */
-        void damage(long from, long to);
+        void onDamage(long from, long to);
     }
 
     private final Disk.DiskFile file;
-    private final long length;
+    private final long lengthBytes;
     private final SegmentFormat.Header header;
-    private ByteBuffer window = ByteBuffer.allocate(WINDOW).limit(0);
-    private long windowAt;
+    private ByteBuffer window = ByteBuffer.allocate(INITIAL_WINDOW_BYTES).limit(0);
+    private long windowStart;
 
     SegmentReader(Disk disk, String name) throws IOException {
         file = disk.open(name);
         try {
-            length = disk.length(name);
-            ByteBuffer bytes = ByteBuffer.allocate(SegmentFormat.HEADER);
-            file.fill(bytes, 0);
-            header = ofSegment(name, SegmentFormat.readHeader(bytes.flip()));
+            lengthBytes = disk.length(name);
+            ByteBuffer bytes = ByteBuffer.allocate(SegmentFormat.HEADER_BYTES);
+            file.readFully(bytes, 0);
+            header = headerOfSegment(name, SegmentFormat.decodeHeader(bytes.flip()));
         } catch (IOException | RuntimeException e) {
             file.close();
             throw e;
@@ -44,8 +44,8 @@
      * The header, if it is that of the segment by that name. Where a failure of the machine has kept a file's new name
      * and not its new header, the old one is there, and records of the file's earlier use would pass for this one's.
      */
-    private static SegmentFormat.Header ofSegment(String name, SegmentFormat.Header found) {
-        long sequence = Segment.sequence(name);
+    private static SegmentFormat.Header headerOfSegment(String name, SegmentFormat.Header found) {
+        long sequence = Segment.sequenceOf(name);
         return found == null || sequence > 0 && found.sequence() != sequence ? null : found;
     }
 
@@ -55,15 +55,15 @@
     }
 
     /** Where the segment before this one ended, as this one's first record says; -1 if it does not. */
-    long endOfPrevious() throws IOException {
+    long previousSegmentEnd() throws IOException {
         if (header == null) {
             return -1;
         }
-        ByteBuffer at = window(SegmentFormat.HEADER);
-        if (look(SegmentFormat.HEADER) != Look.GOOD || SegmentFormat.type(at) != Type.PREVIOUS) {
+        ByteBuffer at = moveWindow(SegmentFormat.HEADER_BYTES);
+        if (checkAt(SegmentFormat.HEADER_BYTES) != RecordCheck.VALID || SegmentFormat.typeAt(at) != RecordType.PREVIOUS) {
             return -1;
         }
-        ByteBuffer content = SegmentFormat.take(at);
+        ByteBuffer content = SegmentFormat.takeContent(at);
         return content.getLong() == header.sequence() - 1 ? content.getLong() : -1;
     }
 
@@ -74,58 +74,58 @@
      */
     long read(long end, Listener to) throws IOException {
         if (header == null) {
-            if (end < 0 ? lastByte(0) >= 0 : end > 0) {
-                to.damage(0, end < 0 ? length : end);
+            if (end < 0 ? lastNonZeroByte(0) >= 0 : end > 0) {
+                to.onDamage(0, end < 0 ? lengthBytes : end);
             }
             return 0;
         }
-        long limit = end < 0 ? length : Math.min(end, length);
-        long at = SegmentFormat.HEADER;
+        long limit = end < 0 ? lengthBytes : Math.min(end, lengthBytes);
+        long at = SegmentFormat.HEADER_BYTES;
         long good = at;
         while (at < limit) {
-            if (look(at) == Look.GOOD && sound(at, to)) {
-                at = windowAt + window.position();
+            if (checkAt(at) == RecordCheck.VALID && deliverRecord(at, to)) {
+                at = windowStart + window.position();
                 good = at;
                 continue;
             }
-            long next = nextGood(at + 1, limit);
+            long next = findNextValid(at + 1, limit);
             if (next < 0) {
-                if (end >= 0 || written(at)) {
-                    to.damage(at, limit);
+                if (end >= 0 || isCompletelyWritten(at)) {
+                    to.onDamage(at, limit);
                 }
                 return good;
             }
-            to.damage(at, next);
+            to.onDamage(at, next);
             at = next;
         }
-        if (end > length) {
-            to.damage(length, end);
+        if (end > lengthBytes) {
+            to.onDamage(lengthBytes, end);
         }
         return good;
     }
 
-    private boolean sound(long at, Listener to) {
-        Type type = SegmentFormat.type(window);
-        ByteBuffer content = SegmentFormat.take(window);
-        return to.record(type, content, at, content.remaining() + SegmentFormat.FRAME);
+    private boolean deliverRecord(long at, Listener to) {
+        RecordType type = SegmentFormat.typeAt(window);
+        ByteBuffer content = SegmentFormat.takeContent(window);
+        return to.onRecord(type, content, at, content.remaining() + SegmentFormat.FRAME_BYTES);
     }
 
     /** Looks at a place, with a window that is large enough to tell. */
-    private Look look(long at) throws IOException {
-        window(at);
-        Look look = SegmentFormat.look(window, header.salt());
-        while (look == Look.MORE && windowAt + window.limit() < length) {
+    private RecordCheck checkAt(long at) throws IOException {
+        moveWindow(at);
+        RecordCheck look = SegmentFormat.checkRecord(window, header.salt());
+        while (look == RecordCheck.INCOMPLETE && windowStart + window.limit() < lengthBytes) {
             refill(
                     at,
                     window.limit() - window.position() < window.capacity() ? window.capacity() : 2 * window.capacity());
-            look = SegmentFormat.look(window, header.salt());
+            look = SegmentFormat.checkRecord(window, header.salt());
         }
         return look;
     }
 
-    private long nextGood(long from, long limit) throws IOException {
+    private long findNextValid(long from, long limit) throws IOException {
         for (long at = from; at < limit; at++) {
-            if (look(at) == Look.GOOD) {
+            if (checkAt(at) == RecordCheck.VALID) {
                 return at;
             }
         }
@@ -133,20 +133,20 @@
     }
 
     /** A writing that was cut short leaves the beginning of a record; a whole one says at its end how long it is. */
-    private boolean written(long at) throws IOException {
-        long last = lastByte(at);
+    private boolean isCompletelyWritten(long at) throws IOException {
+        long last = lastNonZeroByte(at);
         ByteBuffer trailer = ByteBuffer.allocate(5);
         if (last - at >= trailer.capacity()) {
-            file.fill(trailer, last + 1 - trailer.capacity());
+            file.readFully(trailer, last + 1 - trailer.capacity());
         }
-        return SegmentFormat.endsWhole(last + 1 - at, trailer.flip());
+        return SegmentFormat.endsLikeCompleteRecord(last + 1 - at, trailer.flip());
     }
 
     /** Where the last byte is, from here on, that is not zero; -1 if all are. */
-    private long lastByte(long from) throws IOException {
+    private long lastNonZeroByte(long from) throws IOException {
         long last = -1;
-        for (long at = from; at < length; at++) {
-            ByteBuffer here = window(at);
+        for (long at = from; at < lengthBytes; at++) {
+            ByteBuffer here = moveWindow(at);
             if (!here.hasRemaining()) {
                 break;
             }
@@ -156,11 +156,11 @@
     }
 
     /** The window, moved so that it begins at the position or before, with its own position there. */
-    private ByteBuffer window(long at) throws IOException {
-        if (at < windowAt || at >= windowAt + window.limit()) {
+    private ByteBuffer moveWindow(long at) throws IOException {
+        if (at < windowStart || at >= windowStart + window.limit()) {
             refill(at, window.capacity());
         }
-        return window.position((int) (at - windowAt));
+        return window.position((int) (at - windowStart));
     }
 
     private void refill(long at, int capacity) throws IOException {
@@ -168,9 +168,9 @@
             window = ByteBuffer.allocate(capacity);
         }
         window.clear();
-        file.fill(window, at);
+        file.readFully(window, at);
         window.flip();
-        windowAt = at;
+        windowStart = at;
     }
 
     @Override
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -21,23 +21,23 @@
  */
 public final class SegmentedJournal implements Journal {
     /** Files may be asked for again after so long without room, microseconds. */
-    private static final long ASK_AGAIN = 1_000_000;
+    private static final long ALLOCATION_RETRY_MICROS = 1_000_000;
 
-    private static final int EXPIRE_A_TURN = 256;
+    private static final int MAX_EXPIRIES_PER_TURN = 256;
 
     private final Disk disk;
-    private final Plan plan;
+    private final SpacePolicy policy;
     private final SegmentLog log;
     private final JournalState state = new JournalState();
     private final Syncer syncer;
-    private final LongSupplier micros;
+    private final LongSupplier monotonicMicros;
     private final RecordWriter writer = new RecordWriter();
-    private final Recovery.Report recovered;
+    private final Recovery.Report recoveryReport;
     private final LogAppender appender;
     private final Compactor compactor;
-    private final UnwrittenChanges unwritten;
+    private final UnwrittenChanges unwrittenChanges;
     /** After the disk failed: when files are asked for, segments released and spare files made ready again. */
-    private long askAgainAt, releaseAgainAt, prepareAgainAt;
+    private long allocateAgainAtMicros, releaseAgainAtMicros, fillAgainAtMicros;
 
     /**
      * Opens the journal in the folder and reads what an earlier life left.
@@ -49,17 +49,17 @@
             Disk disk, long mostBytes, Durability durability, JournalClocks times, RandomGenerator random)
             throws IOException {
         this.disk = disk;
-        micros = times.micros();
-        plan = new Plan(mostBytes);
-        syncer = new Syncer(durability, disk, new ForcingListener());
-        log = new SegmentLog(disk, plan, mostBytes, random, syncer.forces(), syncer::begun, times);
-        appender = new LogAppender(log, plan, state, syncer, micros);
-        compactor = new Compactor(log, plan, state, syncer, appender);
-        unwritten = new UnwrittenChanges(state, log, writer, syncer.forces(), this::appendUnwritten);
-        Recovery recovery = new Recovery(disk, state, times.boot(), line -> Logs.warn("journal", "recovery", line));
-        recovered = recovery.scan();
-        recovery.settle(log);
-        compactor.carryOver(recovered.cleanUpTo());
+        monotonicMicros = times.monotonicMicros();
+        policy = new SpacePolicy(mostBytes);
+        syncer = new Syncer(durability, disk, new SyncListener());
+        log = new SegmentLog(disk, policy, mostBytes, random, syncer.isEnabled(), syncer::started, times);
+        appender = new LogAppender(log, policy, state, syncer, monotonicMicros);
+        compactor = new Compactor(log, policy, state, syncer, appender);
+        unwrittenChanges = new UnwrittenChanges(state, log, writer, syncer.isEnabled(), this::appendUnwritten);
+        Recovery recovery = new Recovery(disk, state, times.bootClock(), line -> Logs.warn("journal", "recovery", line));
+        recoveryReport = recovery.scan();
+        recovery.handOver(log);
+        compactor.migrateUpTo(recoveryReport.lastToMigrate());
     }
 
     /** Copies all that is live into as few files as hold it, and gives up the others. For a program that is stopped. */
@@ -70,32 +70,32 @@
     // ---- records ----------------------------------------------------------------------------------------
     @Override
     public boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
-        if (unwritten.isRewriting()) {
+        if (unwrittenChanges.isRewriting()) {
             return false; // it could not be promised to outlast the machine
         }
         PendingMessage owed = new PendingMessage(front, submission, deadlineWall);
         RecordEncoder.accepted(writer.clear(), owed);
         int size = writer.size();
-        if (size > SegmentFormat.LARGEST || !appender.hasRoom(size, JournalState.growth(submission)) || !append()) {
+        if (size > SegmentFormat.MAX_CONTENT_BYTES || !appender.ensureSpace(size, JournalState.growthBytes(submission)) || !append()) {
             return false;
         }
-        state.taken(owed, log.active(), size);
-        unwritten.messageWritten(submission.id());
+        state.addAccepted(owed, log.active(), size);
+        unwrittenChanges.messageWritten(submission.id());
         return true;
     }
 
     @Override
     public boolean recordAttempt(String id, String host, int zone, long wall) {
         // Behind an earlier change that is not written this record would hide when the message may first have run.
-        if (!unwritten.writeMessage(id)) {
+        if (!unwrittenChanges.writeMessage(id)) {
             return false;
         }
         RecordEncoder.attempt(writer.clear(), id, host, zone, wall);
         if (!append()) {
             return false;
         }
-        unwritten.messageWritten(id);
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
+        unwrittenChanges.messageWritten(id);
+        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
         if (slot != null) {
             slot.value.attemptStarted(host, zone, wall);
         }
@@ -104,46 +104,46 @@
 
     @Override
     public void recordOutcome(String id, boolean neverRan) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
+        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
         if (slot != null) {
             slot.value.attemptEnded(neverRan);
             RecordEncoder.outcome(writer.clear(), id, neverRan);
-            appendOrKeep(id);
+            appendOrDefer(id);
         }
     }
 
     @Override
     public void recordFinalStatus(String id, FinalStatus verdict) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
+        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
         if (slot != null) {
             slot.value.setFinalStatus(verdict);
-            RecordEncoder.verdict(writer.clear(), id, verdict);
-            appendOrKeep(id);
+            RecordEncoder.finalStatus(writer.clear(), id, verdict);
+            appendOrDefer(id);
         }
     }
 
     @Override
     public void recordSettled(String id) {
-        if (state.owed.containsKey(id)) {
-            state.drop(id);
+        if (state.pending.containsKey(id)) {
+            state.removeMessage(id);
             RecordEncoder.ended(writer.clear(), id);
-            appendOrKeep(id);
+            appendOrDefer(id);
         }
     }
 
     @Override
     public boolean recordAttached(String id, String front, String claim) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
+        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
         if (slot == null) {
             return false;
         }
         PendingMessage.Submitter joins = new PendingMessage.Submitter(front, claim);
         RecordEncoder.joined(writer.clear(), id, joins);
-        if (unwritten.hasMessage(id) || !appender.hasRoom(writer.size(), JournalState.growth(joins)) || !append()) {
+        if (unwrittenChanges.hasMessage(id) || !appender.ensureSpace(writer.size(), JournalState.growthBytes(joins)) || !append()) {
             return false;
         }
-        state.join(slot.value, joins);
-        unwritten.messageWritten(id);
+        state.addClaim(slot.value, joins);
+        unwrittenChanges.messageWritten(id);
         return true;
     }
 
@@ -153,27 +153,27 @@
         int size = writer.size();
         if (append()) {
             state.put(identity, past, log.active(), size);
-            unwritten.rememberedWritten(identity);
+            unwrittenChanges.rememberedWritten(identity);
         } else {
             state.put(identity, past, null, 0);
-            unwritten.addRemembered(identity);
+            unwrittenChanges.addRemembered(identity);
         }
     }
 
     @Override
     public void forgetSoonestExpiring() {
-        state.forgetSoonest();
+        state.removeFirstToExpire();
     }
 
     @Override
     public CompletedMessage<FinalStatus> remembered(String identity) {
-        JournalState.Slot<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
+        JournalState.Entry<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
         return slot == null ? null : slot.value;
     }
 
     @Override
     public Collection<PendingMessage> pendingMessages() {
-        return state.messages();
+        return state.pendingMessages();
     }
 
     @Override
@@ -182,11 +182,11 @@
     }
 
     // ---- writing ----------------------------------------------------------------------------------------
-    private void appendOrKeep(String id) {
-        if (unwritten.hasMessage(id) || !append()) {
-            unwritten.addMessage(id); // an earlier change of it is not written: only its whole state makes sense
+    private void appendOrDefer(String id) {
+        if (unwrittenChanges.hasMessage(id) || !append()) {
+            unwrittenChanges.addMessage(id); // an earlier change of it is not written: only its whole state makes sense
         } else {
-            unwritten.messageWritten(id);
+            unwrittenChanges.messageWritten(id);
         }
     }
 
@@ -196,80 +196,80 @@
 
     /** What a failed forcing was for may use all the room: segments are released only once it is forced. */
     private boolean appendUnwritten(RecordWriter records) {
-        return unwritten.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
+        return unwrittenChanges.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
     }
 
     @Override
     public void maintain(long nowWall) {
-        long now = micros.getAsLong();
-        if (now >= askAgainAt) {
-            askAgainAt = now + ASK_AGAIN;
-            log.mayGrowAgain();
+        long now = monotonicMicros.getAsLong();
+        if (now >= allocateAgainAtMicros) {
+            allocateAgainAtMicros = now + ALLOCATION_RETRY_MICROS;
+            log.resetAllocationFailure();
         }
-        if (now >= prepareAgainAt || syncer.forces()) {
-            prepareAgainAt = now + Plan.PAUSE;
-            log.prepareUnready(
-                    syncer::coversAfter); // whether records are written or not: they may wait for just these files
+        if (now >= fillAgainAtMicros || syncer.isEnabled()) {
+            fillAgainAtMicros = now + SpacePolicy.DISK_RETRY_DELAY_MICROS;
+            log.fillDeferred(
+                    syncer::hasSucceededAfter); // whether records are written or not: they may wait for just these files
         }
-        unwritten.write();
-        state.expire(nowWall, EXPIRE_A_TURN);
-        if (!appender.isPausedAt(now)) {
-            compact(now);
-            if (log.active() != null && plan.wantsSpare(log.space(state))) { // nothing before the first record
-                log.grow(plan.segment());
+        unwrittenChanges.write();
+        state.removeExpired(nowWall, MAX_EXPIRIES_PER_TURN);
+        if (!appender.isBackingOffAt(now)) {
+            compactSlice(now);
+            if (log.active() != null && policy.shouldPreallocate(log.spaceUsage(state))) { // nothing before the first record
+                log.preallocate(policy.segmentBytes());
             }
         }
-        if (syncer.isTrying() || !unwritten.isRewriting()) {
-            syncer.turn(now, log); // else a good forcing would stand in for the one that failed
+        if (syncer.isProbing() || !unwrittenChanges.isRewriting()) {
+            syncer.startIfDue(now, log); // else a good forcing would stand in for the one that failed
         }
     }
 
     /** A segment that can't be released is tried again later; records are written meanwhile. */
-    private void compact(long now) {
-        if (now < releaseAgainAt || unwritten.isRewriting()) {
+    private void compactSlice(long now) {
+        if (now < releaseAgainAtMicros || unwrittenChanges.isRewriting()) {
             return;
         }
         try {
             compactor.runSlice();
         } catch (IOException e) {
-            releaseAgainAt = now + Plan.PAUSE;
+            releaseAgainAtMicros = now + SpacePolicy.DISK_RETRY_DELAY_MICROS;
             Logs.warn("journal", "release-failed", "an empty segment could not be released, tried again later: " + e);
         }
     }
 
-    private final class ForcingListener implements Syncer.Listener {
+    private final class SyncListener implements Syncer.Listener {
         @Override
-        public void begun() {
-            unwritten.forcingBegun();
+        public void syncStarted() {
+            unwrittenChanges.syncStarted();
         }
 
         @Override
-        public void succeeded() {
-            unwritten.forcingSucceeded();
+        public void syncSucceeded() {
+            unwrittenChanges.syncSucceeded();
         }
 
         @Override
-        public void failed() {
-            log.giveUpActive();
-            log.keepEmptySegments();
-            unwritten.addUnforced(syncer.lastGood());
+        public void syncFailed() {
+            log.abandonActive();
+            log.resetEmptied();
+            unwrittenChanges.addUnsynced(syncer.lastSuccessful());
         }
 
         @Override
-        public void failedAgain() {
-            log.keepEmptySegments();
-            unwritten.waitForDisk();
+        public void syncFailedAgain() {
+            log.resetEmptied();
+            unwrittenChanges.waitForProbe();
         }
 
         @Override
-        public void trying() {
-            log.writeBeginningAgain();
+        public void probeStarting() {
+            log.rewriteSegmentStart();
         }
 
         @Override
-        public void worksAgain() {
-            log.writeBeginningAgain();
-            unwritten.addUnforced(syncer.lastGood());
+        public void probeSucceeded() {
+            log.rewriteSegmentStart();
+            unwrittenChanges.addUnsynced(syncer.lastSuccessful());
         }
     }
 
@@ -288,46 +288,46 @@
     // ---- figures ----------------------------------------------------------------------------------------
     /** What the opening found. */
     public Recovery.Report recoveryReport() {
-        return recovered;
+        return recoveryReport;
     }
 
     /** Bytes that the files take, in whole blocks. */
     public long allocatedBytes() {
-        return log.allocated();
+        return log.allocatedBytes();
     }
 
     /** Files. */
     public int fileCount() {
-        return log.files();
+        return log.fileCount();
     }
 
     /** Bytes copied forward so far. */
     public long copiedBytes() {
-        return compactor.copied();
+        return compactor.copiedBytes();
     }
 
     /** Writes that no file took. */
     public long failureCount() {
-        return appender.failures() + syncer.failures();
+        return appender.failureCount() + syncer.failureCount();
     }
 
     /** True while a forcing is under way. */
-    boolean isForcing() {
+    boolean isSyncing() {
         return syncer.isRunning();
     }
 
     /** Changes that are known in memory and not yet written. */
     public int unwrittenCount() {
-        return unwritten.count();
+        return unwrittenChanges.count();
     }
 
     @Override
     public void close() throws IOException {
         syncer.close();
-        appender.endPause();
-        unwritten.write();
+        appender.endBackoff();
+        unwrittenChanges.write();
         try {
-            syncer.forceNow(log);
+            syncer.syncNow(log);
         } finally {
             log.close();
             disk.close();
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -18,37 +18,37 @@
     private final Listener listener;
     private ExecutorService thread;
     private Executor loop = Runnable::run;
-    private List<Runnable> waiting = new ArrayList<>();
+    private List<Runnable> waitingTasks = new ArrayList<>();
     private boolean running;
     /** True from a failed forcing to the next that covers what is written. */
-    private boolean failed;
+    private boolean lastFailed;
     /** From a second failed forcing until one has gone well that proves nothing but that the disk forces again. */
-    private boolean trying;
+    private boolean probing;
 
-    private boolean written;
-    private long begun, done;
-    private long lastBegun;
-    private long failures;
+    private boolean unsyncedWrites;
+    private long started, lastSuccessful;
+    private long lastStartedMicros;
+    private long failureCount;
 
     /** Hears of forcings, on the loop thread. */
     interface Listener {
         /** What is written so far is being forced. */
-        void begun();
+        void syncStarted();
 
         /** What was written before the beginning outlasts the machine. */
-        void succeeded();
+        void syncSucceeded();
 
         /** What was written since the last good one must be written again, elsewhere. */
-        void failed();
+        void syncFailed();
 
         /** That one failed too: nothing is written again before the disk forces anything. */
-        void failedAgain();
+        void syncFailedAgain();
 
         /** A trial is about to begin: there has to be something to force. */
-        void trying();
+        void probeStarting();
 
         /** The disk forces again: what was written since the last good one must be written again. */
-        void worksAgain();
+        void probeSucceeded();
     }
 
     /** {@code listener} hears of each forcing but the last one, at the close. */
@@ -62,28 +62,28 @@
         loop = toLoop;
     }
 
-    boolean forces() {
+    boolean isEnabled() {
         return durability.mode() != Durability.Mode.NONE;
     }
 
     /** True while the disk is not known to force again. */
-    boolean isTrying() {
-        return trying;
+    boolean isProbing() {
+        return probing;
     }
 
     /** The number of the last forcing that went well. */
-    long lastGood() {
-        return done;
+    long lastSuccessful() {
+        return lastSuccessful;
     }
 
     /** Forcings begun so far: what is written now is covered by the next. */
-    long begun() {
-        return begun;
+    long started() {
+        return started;
     }
 
     /** True if a forcing that began after the given count has ended well. */
-    boolean coversAfter(long count) {
-        return !forces() || done > count;
+    boolean hasSucceededAfter(long count) {
+        return !isEnabled() || lastSuccessful > count;
     }
 
     /** True while a forcing is under way. */
@@ -91,38 +91,38 @@
         return running;
     }
 
-    long failures() {
-        return failures;
+    long failureCount() {
+        return failureCount;
     }
 
-    void wrote() {
-        written = true;
+    void recordsWritten() {
+        unsyncedWrites = true;
     }
 
     void whenDurable(Runnable consequence) {
         if (durability.mode() == Durability.Mode.GROUP) {
-            waiting.add(consequence);
+            waitingTasks.add(consequence);
         } else {
             consequence.run();
         }
     }
 
     /** Begins a forcing if one is due and none is under way. */
-    void turn(long nowMicros, SegmentLog log) {
-        if (!running && (trying ? nowMicros - lastBegun >= Plan.PAUSE : isDue(nowMicros))) {
-            begin(nowMicros, log);
+    void startIfDue(long nowMicros, SegmentLog log) {
+        if (!running && (probing ? nowMicros - lastStartedMicros >= SpacePolicy.DISK_RETRY_DELAY_MICROS : isDue(nowMicros))) {
+            start(nowMicros, log);
         }
     }
 
     private boolean isDue(long nowMicros) {
         return switch (durability.mode()) {
             case NONE -> false;
-            case GROUP -> written || !waiting.isEmpty();
-            case INTERVAL -> written && nowMicros - lastBegun >= durability.everyMicros();
+            case GROUP -> unsyncedWrites || !waitingTasks.isEmpty();
+            case INTERVAL -> unsyncedWrites && nowMicros - lastStartedMicros >= durability.intervalMicros();
         };
     }
 
-    private void begin(long nowMicros, SegmentLog log) {
+    private void start(long nowMicros, SegmentLog log) {
         if (thread == null) {
             thread = Executors.newSingleThreadExecutor(r -> {
                 Thread t = new Thread(r, "journal-sync");
@@ -131,58 +131,58 @@
             });
         }
         running = true;
-        lastBegun = nowMicros;
-        long number = ++begun;
+        lastStartedMicros = nowMicros;
+        long number = ++started;
         List<Runnable> covered = new ArrayList<>();
-        if (trying) {
-            listener.trying();
+        if (probing) {
+            listener.probeStarting();
         } else {
-            listener.begun();
-            written = false;
-            covered = waiting;
-            waiting = new ArrayList<>();
+            listener.syncStarted();
+            unsyncedWrites = false;
+            covered = waitingTasks;
+            waitingTasks = new ArrayList<>();
         }
         List<Runnable> consequences = covered;
-        SegmentLog.Pending pending = log.pending();
+        SegmentLog.SyncBatch pending = log.takeSyncBatch();
         thread.execute(() -> {
-            IOException failure = force(disk, pending);
-            loop.execute(() -> ended(number, consequences, failure));
+            IOException failure = sync(disk, pending);
+            loop.execute(() -> finished(number, consequences, failure));
         });
     }
 
-    private void ended(long number, List<Runnable> covered, IOException failure) {
+    private void finished(long number, List<Runnable> covered, IOException failure) {
         running = false;
-        if (failure == null && trying) {
-            trying = false;
-            listener.worksAgain();
+        if (failure == null && probing) {
+            probing = false;
+            listener.probeSucceeded();
             return;
         }
         if (failure == null) {
-            failed = false;
-            done = number;
-            listener.succeeded();
+            lastFailed = false;
+            lastSuccessful = number;
+            listener.syncSucceeded();
             covered.forEach(Runnable::run);
             return;
         }
         // The system may have dropped what it could not write: a second forcing of the same file would prove nothing.
-        failures++;
-        covered.addAll(waiting);
-        waiting = covered;
-        written = true;
-        if (failed) {
-            trying = true;
-            listener.failedAgain();
+        failureCount++;
+        covered.addAll(waitingTasks);
+        waitingTasks = covered;
+        unsyncedWrites = true;
+        if (lastFailed) {
+            probing = true;
+            listener.syncFailedAgain();
         } else {
-            failed = true;
+            lastFailed = true;
             Logs.error("journal", "force-failed", "could not be forced to the disk, written again: " + failure);
-            listener.failed();
+            listener.syncFailed();
         }
     }
 
     /** Forces what is written, now and on the caller's thread, where anything is to be forced at all. */
-    void forceNow(SegmentLog log) throws IOException {
-        if (forces()) {
-            IOException failure = force(disk, log.pending());
+    void syncNow(SegmentLog log) throws IOException {
+        if (isEnabled()) {
+            IOException failure = sync(disk, log.takeSyncBatch());
             if (failure != null) {
                 throw failure;
             }
@@ -190,22 +190,22 @@
     }
 
     /** Forces the files, closes those that are full; gives what failed first, or null. */
-    private static IOException force(Disk disk, SegmentLog.Pending pending) {
+    private static IOException sync(Disk disk, SegmentLog.SyncBatch pending) {
         IOException failure = null;
         try {
-            for (Disk.DiskFile file : pending.full()) {
+            for (Disk.DiskFile file : pending.fullSegments()) {
                 file.sync();
             }
             if (pending.active() != null) {
                 pending.active().sync();
             }
-            if (pending.names()) {
+            if (pending.folderChanged()) {
                 disk.syncFolder();
             }
         } catch (IOException e) {
             failure = e;
         }
-        for (Disk.DiskFile file : pending.full()) {
+        for (Disk.DiskFile file : pending.fullSegments()) {
             try {
                 file.close();
             } catch (IOException e) {
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -18,17 +18,17 @@
     private final SegmentLog log;
     private final RecordWriter writer;
     private final Predicate<RecordWriter> append;
-    private final boolean forces;
+    private final boolean syncEnabled;
     private final Set<String> messages = new LinkedHashSet<>();
     private final Set<String> remembered = new LinkedHashSet<>();
     /** Messages and remembered ends with records that are not forced: before the last forcing began, and since. */
-    private final Set<String> messagesBefore = new LinkedHashSet<>(), messagesSince = new LinkedHashSet<>();
+    private final Set<String> messagesBeforeSync = new LinkedHashSet<>(), messagesSinceSync = new LinkedHashSet<>();
 
-    private final Set<String> rememberedBefore = new LinkedHashSet<>(), rememberedSince = new LinkedHashSet<>();
+    private final Set<String> rememberedBeforeSync = new LinkedHashSet<>(), rememberedSinceSync = new LinkedHashSet<>();
     /** True from a failed forcing until all that it was for is written again. */
-    private boolean unforced;
+    private boolean rewriting;
     /** True while the disk is not known to force again. */
-    private boolean waitsForDisk;
+    private boolean waitingForProbe;
 
     /**
      * None yet.
@@ -42,7 +42,7 @@
         this.log = log;
         this.writer = writer;
         this.append = append;
-        this.forces = forces;
+        this.syncEnabled = forces;
     }
 
     /** True if the message has a change that is not written. */
@@ -62,60 +62,60 @@
 
     /** A record of the message is written, or of its end: it has to be written again if its forcing fails. */
     void messageWritten(String id) {
-        if (forces) {
-            messagesSince.add(id);
+        if (syncEnabled) {
+            messagesSinceSync.add(id);
         }
     }
 
     /** A remembered end is written. */
     void rememberedWritten(String identity) {
-        if (forces) {
-            rememberedSince.add(identity);
+        if (syncEnabled) {
+            rememberedSinceSync.add(identity);
         }
     }
 
     /** What is written so far is being forced. */
-    void forcingBegun() {
-        messagesBefore.addAll(messagesSince);
-        messagesSince.clear();
-        rememberedBefore.addAll(rememberedSince);
-        rememberedSince.clear();
+    void syncStarted() {
+        messagesBeforeSync.addAll(messagesSinceSync);
+        messagesSinceSync.clear();
+        rememberedBeforeSync.addAll(rememberedSinceSync);
+        rememberedSinceSync.clear();
     }
 
     /** What was written before the forcing began outlasts the machine. */
-    void forcingSucceeded() {
-        messagesBefore.clear();
-        rememberedBefore.clear();
+    void syncSucceeded() {
+        messagesBeforeSync.clear();
+        rememberedBeforeSync.clear();
     }
 
     /** True while a forcing would not cover all that consequences wait for. */
     boolean isRewriting() {
-        unforced &= waitsForDisk || count() > 0;
-        return unforced;
+        rewriting &= waitingForProbe || count() > 0;
+        return rewriting;
     }
 
     /** Nothing is written again before the disk forces again. */
-    void waitForDisk() {
-        unforced = true;
-        waitsForDisk = true;
+    void waitForProbe() {
+        rewriting = true;
+        waitingForProbe = true;
     }
 
     /** A forcing has failed: all that is not forced since the last good one has to be written again. */
-    void addUnforced(long lastGood) {
-        unforced = true;
-        waitsForDisk = false;
-        forcingBegun();
-        messages.addAll(messagesBefore);
-        remembered.addAll(rememberedBefore);
-        forcingSucceeded();
-        addUnforced(state.owed, lastGood, messages);
-        addUnforced(state.remembered, lastGood, remembered);
+    void addUnsynced(long lastGood) {
+        rewriting = true;
+        waitingForProbe = false;
+        syncStarted();
+        messages.addAll(messagesBeforeSync);
+        remembered.addAll(rememberedBeforeSync);
+        syncSucceeded();
+        addUnsynced(state.pending, lastGood, messages);
+        addUnsynced(state.remembered, lastGood, remembered);
     }
 
     /** Adds what rests on a segment that was written to since the last good forcing began: it may be a copy. */
-    private static <T> void addUnforced(Map<String, JournalState.Slot<T>> map, long lastGood, Set<String> to) {
+    private static <T> void addUnsynced(Map<String, JournalState.Entry<T>> map, long lastGood, Set<String> to) {
         map.forEach((key, slot) -> {
-            if (slot.base != null && slot.base.writtenAt >= lastGood) {
+            if (slot.segment != null && slot.segment.lastWrittenAtSync >= lastGood) {
                 to.add(key);
             }
         });
@@ -140,7 +140,7 @@
     /** Writes the message's state if a change of it is not written; false if that is not possible now. */
     boolean writeMessage(String id) {
         if (hasMessage(id)) {
-            JournalState.Slot<PendingMessage> slot = state.owed.get(id);
+            JournalState.Entry<PendingMessage> slot = state.pending.get(id);
             if (slot == null) {
                 RecordEncoder.ended(writer.clear(), id);
             } else {
@@ -151,7 +151,7 @@
                 return false;
             }
             if (slot != null) {
-                state.moved(state.owed, id, log.active(), size);
+                state.recordMoved(state.pending, id, log.active(), size);
             }
             messageWritten(id);
             messages.remove(id);
@@ -162,14 +162,14 @@
     private void writeRemembered() {
         while (!remembered.isEmpty()) {
             String identity = remembered.iterator().next();
-            JournalState.Slot<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
+            JournalState.Entry<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
             if (slot != null) {
                 RecordEncoder.remembered(writer.clear(), identity, slot.value);
                 int size = writer.size();
                 if (!append.test(writer)) {
                     return;
                 }
-                state.moved(state.remembered, identity, log.active(), size);
+                state.recordMoved(state.remembered, identity, log.active(), size);
                 rememberedWritten(identity);
             }
             remembered.remove(identity);
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class BootClockTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     /**
      * Guards messages of a restart where the process's clocks are led: there two seconds passed by both of its clocks
@@ -17,14 +17,14 @@
      * again late.
      */
     @Test
-    void clocksThatDoNotRunWithTheMachinesMoveNothing() throws IOException {
+    void simulatedClocksShiftNothing() throws IOException {
         SimDisk disk = new SimDisk();
-        long[] walls = {1_000 * SECOND, 1_002 * SECOND},
-                monotonic = {500 * SECOND, 502 * SECOND},
-                ups = {800 * SECOND, 809 * SECOND};
+        long[] walls = {1_000 * SECOND_MICROS, 1_002 * SECOND_MICROS},
+                monotonic = {500 * SECOND_MICROS, 502 * SECOND_MICROS},
+                ups = {800 * SECOND_MICROS, 809 * SECOND_MICROS};
         for (int life = 0; life < 2; life++) {
             long wall = walls[life];
-            BootClock clock = BootClock.of(77, monotonic[life], ups[life], monotonic[life], wall - monotonic[life]);
+            BootClock clock = BootClock.fromUptime(77, monotonic[life], ups[life], monotonic[life], wall - monotonic[life]);
             assertEquals(BootClock.UNKNOWN, clock);
             try (SegmentedJournal journal = new SegmentedJournal(
                     disk,
@@ -35,14 +35,14 @@
                 if (life == 0) {
                     journal.recordAccepted(
                             "http",
-                            new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND),
-                            wall + 5 * SECOND,
+                            new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND_MICROS),
+                            wall + 5 * SECOND_MICROS,
                             wall);
-                    journal.recordAttempt("m", "a", 0, wall + SECOND);
+                    journal.recordAttempt("m", "a", 0, wall + SECOND_MICROS);
                 } else {
                     PendingMessage m = journal.pendingMessages().iterator().next();
-                    assertEquals(1_005 * SECOND, m.deadlineWallMicros());
-                    assertEquals(1_001 * SECOND, m.lastAttemptWallMicros());
+                    assertEquals(1_005 * SECOND_MICROS, m.deadlineWallMicros());
+                    assertEquals(1_001 * SECOND_MICROS, m.lastAttemptWallMicros());
                 }
             }
         }
@@ -53,16 +53,16 @@
      * still.
      */
     @Test
-    void aMonotonicClockThatStoodStillIsNotBelieved() {
-        assertEquals(BootClock.UNKNOWN, BootClock.of(77, 500 * SECOND, 560 * SECOND, 500 * SECOND, SECOND));
+    void monotonicClockThatStoodStillIsNotTrusted() {
+        assertEquals(BootClock.UNKNOWN, BootClock.fromUptime(77, 500 * SECOND_MICROS, 560 * SECOND_MICROS, 500 * SECOND_MICROS, SECOND_MICROS));
     }
 
     @Test
-    void whereBothAgreeAClockThatWasSetIsNoticed() {
-        BootClock then = BootClock.of(77, 500 * SECOND, 500 * SECOND - 9_999, 500 * SECOND + 40, 9 * SECOND);
-        BootClock now = BootClock.of(77, 600 * SECOND, 600 * SECOND - 1, 600 * SECOND + 40, 3 * SECOND);
-        assertEquals(-6 * SECOND, now.shiftFrom(then));
-        assertEquals(0, new BootClock(78, 3 * SECOND).shiftFrom(then), "another boot");
-        assertEquals(0, BootClock.UNKNOWN.shiftFrom(then));
+    void wallClockStepIsDetectedWhereClocksAgree() {
+        BootClock then = BootClock.fromUptime(77, 500 * SECOND_MICROS, 500 * SECOND_MICROS - 9_999, 500 * SECOND_MICROS + 40, 9 * SECOND_MICROS);
+        BootClock now = BootClock.fromUptime(77, 600 * SECOND_MICROS, 600 * SECOND_MICROS - 1, 600 * SECOND_MICROS + 40, 3 * SECOND_MICROS);
+        assertEquals(-6 * SECOND_MICROS, now.wallShiftMicrosSince(then));
+        assertEquals(0, new BootClock(78, 3 * SECOND_MICROS).wallShiftMicrosSince(then), "another boot");
+        assertEquals(0, BootClock.UNKNOWN.wallShiftMicrosSince(then));
     }
 }
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -17,48 +17,48 @@
  * else but the one change that was under way.
  */
 class CrashTest {
-    private static final long MOST = 160 * 1024;
+    private static final long QUOTA_BYTES = 160 * 1024;
 
     /** The states that may be found after a cut: as of the last step that was acknowledged, or the next one. */
-    private static void check(Script script, int done, SimDisk disk, String what) throws IOException {
+    private static void check(RandomRun script, int done, SimDisk disk, String what) throws IOException {
         int k = 0;
-        while (k + 1 < script.marks.size() && script.marks.get(k + 1).ops() <= done) {
+        while (k + 1 < script.checkpoints.size() && script.checkpoints.get(k + 1).operations() <= done) {
             k++;
         }
-        try (SegmentedJournal found = Script.open(disk, MOST, Durability.NONE)) {
-            String state = Script.text(found, 0);
+        try (SegmentedJournal found = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE)) {
+            String state = RandomRun.describe(found, 0);
             assertEquals(List.of(), found.recoveryReport().damages(), what);
-            boolean good = strip(state).equals(strip(script.marks.get(k).state()))
-                    || k + 1 < script.marks.size()
-                            && strip(state).equals(strip(script.marks.get(k + 1).state()));
+            boolean good = withoutRemembered(state).equals(withoutRemembered(script.checkpoints.get(k).state()))
+                    || k + 1 < script.checkpoints.size()
+                            && withoutRemembered(state).equals(withoutRemembered(script.checkpoints.get(k + 1).state()));
             if (!good) {
-                assertEquals(script.marks.get(k).state(), state, what);
+                assertEquals(script.checkpoints.get(k).state(), state, what);
             }
-            assertTrue(disk.total() <= MOST, what + ": " + disk.total());
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES, what + ": " + disk.totalBytes());
         }
     }
 
     /** Ends past their time are forgotten when there is a turn for it: they may be there or not. */
-    private static String strip(String state) {
+    private static String withoutRemembered(String state) {
         return state.substring(0, state.lastIndexOf('{'));
     }
 
     /** A kill at any operation and inside any write, compaction, rolls and reuse of files included. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aKillAnywhereLosesNothingThatWasAcknowledged(long seed) throws IOException {
+    void killAtAnyOperationLosesNoAcknowledgedChange(long seed) throws IOException {
         SimDisk disk = new SimDisk();
-        Script script = new Script(disk, seed);
-        SegmentedJournal journal = Script.open(disk, MOST, Durability.NONE);
-        script.use(journal);
+        RandomRun script = new RandomRun(disk, seed);
+        SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE);
+        script.useJournal(journal);
         script.run(1500, 3000, 60);
         assertTrue(journal.copiedBytes() > 5_000, "copied forward: " + journal.copiedBytes());
-        for (int done = 0; done <= disk.ops.size(); done++) {
-            check(script, done, SimDisk.killed(disk.ops, done, 0), "after " + done);
-            if (done < disk.ops.size() && disk.ops.get(done).kind() == SimDisk.Kind.WRITE) {
-                int length = disk.ops.get(done).bytes().length;
+        for (int done = 0; done <= disk.operations.size(); done++) {
+            check(script, done, SimDisk.afterKill(disk.operations, done, 0), "after " + done);
+            if (done < disk.operations.size() && disk.operations.get(done).kind() == SimDisk.OperationKind.WRITE) {
+                int length = disk.operations.get(done).bytes().length;
                 for (int part : new int[] {1, length / 2, length - 1}) {
-                    check(script, done, SimDisk.killed(disk.ops, done, part), part + " bytes after " + done);
+                    check(script, done, SimDisk.afterKill(disk.operations, done, part), part + " bytes after " + done);
                 }
             }
         }
@@ -66,41 +66,41 @@
 
     /** A second kill while the first one's folder is being opened, and a third. */
     @Test
-    void killsInARowDuringRecoveryLoseNothing() throws IOException {
+    void repeatedKillsDuringRecoveryLoseNothing() throws IOException {
         SimDisk disk = new SimDisk();
-        Script script = new Script(disk, 11);
-        script.use(Script.open(disk, MOST, Durability.NONE));
+        RandomRun script = new RandomRun(disk, 11);
+        script.useJournal(RandomRun.open(disk, QUOTA_BYTES, Durability.NONE));
         script.run(800, 3000, 60);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
-            int done = random.nextInt(disk.ops.size());
-            List<SimDisk.Op> ops = disk.ops.subList(0, done);
+            int done = random.nextInt(disk.operations.size());
+            List<SimDisk.Operation> ops = disk.operations.subList(0, done);
             for (int life = 0; life < 2; life++) {
-                SimDisk again = SimDisk.killed(ops, ops.size(), 0);
-                try (SegmentedJournal found = Script.open(again, MOST, Durability.NONE)) {
+                SimDisk again = SimDisk.afterKill(ops, ops.size(), 0);
+                try (SegmentedJournal found = RandomRun.open(again, QUOTA_BYTES, Durability.NONE)) {
                     found.maintain(0);
                 }
-                List<SimDisk.Op> more = new ArrayList<>(ops);
-                more.addAll(again.ops.subList(0, random.nextInt(again.ops.size() + 1)));
+                List<SimDisk.Operation> more = new ArrayList<>(ops);
+                more.addAll(again.operations.subList(0, random.nextInt(again.operations.size() + 1)));
                 ops = more;
             }
-            check(script, done, SimDisk.killed(ops, ops.size(), 0), "cut " + i + " after " + done);
+            check(script, done, SimDisk.afterKill(ops, ops.size(), 0), "cut " + i + " after " + done);
         }
     }
 
     /** With a group commit, what was acknowledged after a forcing outlasts a failure of the machine. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aPowerCutLosesNothingThatWasForced(long seed) throws Exception {
+    void powerCutLosesNoSyncedChange(long seed) throws Exception {
         SimDisk disk = new SimDisk();
         SplittableRandom random = new SplittableRandom(seed);
         List<Integer> forcedAt = new ArrayList<>();
         List<List<String>> idsThen = new ArrayList<>();
-        try (SegmentedJournal journal = Script.open(disk, MOST, new Durability(Durability.Mode.GROUP, 0))) {
+        try (SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, new Durability(Durability.Mode.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.setLoop(loop::add);
-            Script script = new Script(disk, seed);
-            script.use(journal);
+            RandomRun script = new RandomRun(disk, seed);
+            script.useJournal(journal);
             for (int turn = 0; turn < 150; turn++) {
                 script.run(8, 2000, 50);
                 boolean[] durable = {false};
@@ -109,21 +109,21 @@
                         .map(o -> o.submission().id() + " " + o.attempts())
                         .toList();
                 while (!durable[0]) {
-                    journal.maintain(script.now);
+                    journal.maintain(script.nowMicros);
                     if (!durable[0]) {
                         loop.take().run();
                     }
                 }
-                forcedAt.add(disk.ops.size());
+                forcedAt.add(disk.operations.size());
                 idsThen.add(ids);
             }
         }
         for (int turn = 0; turn < forcedAt.size(); turn++) {
             for (int cut = 0; cut < 4; cut++) {
-                int next = turn + 1 < forcedAt.size() ? forcedAt.get(turn + 1) : disk.ops.size();
+                int next = turn + 1 < forcedAt.size() ? forcedAt.get(turn + 1) : disk.operations.size();
                 int done = forcedAt.get(turn) + random.nextInt(next - forcedAt.get(turn) + 1);
-                SimDisk left = SimDisk.powerCut(disk.ops, done, random);
-                try (SegmentedJournal found = Script.open(left, 4 * MOST, Durability.NONE)) {
+                SimDisk left = SimDisk.afterPowerCut(disk.operations, done, random);
+                try (SegmentedJournal found = RandomRun.open(left, 4 * QUOTA_BYTES, Durability.NONE)) {
                     List<String> there = found.pendingMessages().stream()
                             .map(o -> o.submission().id())
                             .toList();
@@ -145,7 +145,7 @@
         for (String was : idsThen) {
             if (was.startsWith(o.submission().id() + " ")) {
                 int attempts = Integer.parseInt(was.split(" ")[1]);
-                assertTrue(o.attempts() >= attempts || o.mayHaveRun(), was + " " + Script.text(o));
+                assertTrue(o.attempts() >= attempts || o.mayHaveRun(), was + " " + RandomRun.describe(o));
             }
         }
     }
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -22,7 +22,7 @@
 
 /** Properties over random sequences; a failing one is shrunk to the fewest steps that still fail. */
 class JournalProperties {
-    private static final long MOST = 160 * 1024;
+    private static final long QUOTA_BYTES = 160 * 1024;
 
     @Provide
     Arbitrary<Integer> draws() {
@@ -36,75 +36,75 @@
         Iterator<Integer> source = draws.iterator();
         SimDisk disk = new SimDisk();
         long[] clock = {0};
-        Script script = new Script(disk, bound -> source.hasNext() ? source.next() % bound : bound - 1);
+        RandomRun script = new RandomRun(disk, bound -> source.hasNext() ? source.next() % bound : bound - 1);
         SegmentedJournal journal = open(disk, clock);
-        script.use(journal);
+        script.useJournal(journal);
         while (source.hasNext()) {
             switch (source.next() % 12) {
                 case 0 -> disk.writesFail = !disk.writesFail;
-                case 1 -> disk.most = disk.most == Long.MAX_VALUE ? disk.total() : Long.MAX_VALUE;
-                case 2 -> disk.mostOfAFile = disk.mostOfAFile == Long.MAX_VALUE ? 5000 : Long.MAX_VALUE;
+                case 1 -> disk.quotaBytes = disk.quotaBytes == Long.MAX_VALUE ? disk.totalBytes() : Long.MAX_VALUE;
+                case 2 -> disk.maxFileBytes = disk.maxFileBytes == Long.MAX_VALUE ? 5000 : Long.MAX_VALUE;
                 case 3 -> {
                     if (journal.unwrittenCount() == 0) {
                         journal.close();
                         journal = open(disk, clock);
-                        script.use(journal);
-                        assertEquals(script.model(), owed(journal));
+                        script.useJournal(journal);
+                        assertEquals(script.describeModel(), describePending(journal));
                     }
                 }
                 default -> script.run(5, 2000, 40);
             }
-            clock[0] += Plan.PAUSE / 2;
-            assertEquals(script.model(), owed(journal));
-            assertTrue(disk.total() <= MOST, "bytes: " + disk.total());
+            clock[0] += SpacePolicy.DISK_RETRY_DELAY_MICROS / 2;
+            assertEquals(script.describeModel(), describePending(journal));
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES, "bytes: " + disk.totalBytes());
         }
         disk.writesFail = false;
-        disk.most = Long.MAX_VALUE;
-        disk.mostOfAFile = Long.MAX_VALUE;
-        clock[0] += 10 * Plan.PAUSE;
-        journal.maintain(script.now);
+        disk.quotaBytes = Long.MAX_VALUE;
+        disk.maxFileBytes = Long.MAX_VALUE;
+        clock[0] += 10 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
+        journal.maintain(script.nowMicros);
         assertEquals(0, journal.unwrittenCount());
         journal.close();
-        assertEquals(script.model(), owed(open(disk, clock)));
+        assertEquals(script.describeModel(), describePending(open(disk, clock)));
     }
 
     /** On a disk that works no attempt and no end ever lacks room, whatever the sizes, also without a turn between. */
     @Property(tries = 30, seed = "4711", shrinking = ShrinkingMode.BOUNDED)
-    void whatWasTakenNeverLacksRoom(
+    void acceptedMessagesNeverLackSpace(
             @ForAll @IntRange(min = 100, max = 66_000) int largest,
             @ForAll @IntRange(min = 10, max = 600) int hold,
             @ForAll long seed)
             throws IOException {
         SimDisk disk = new SimDisk();
-        Script script = new Script(disk, seed);
-        try (SegmentedJournal journal = Script.open(disk, 3 * MOST, Durability.NONE)) {
-            script.use(journal);
-            script.runOn(2500, largest, hold);
-            assertEquals(0, script.attemptsRefused + journal.unwrittenCount() + (int) journal.failureCount());
-            assertTrue(disk.total() <= 3 * MOST);
+        RandomRun script = new RandomRun(disk, seed);
+        try (SegmentedJournal journal = RandomRun.open(disk, 3 * QUOTA_BYTES, Durability.NONE)) {
+            script.useJournal(journal);
+            script.runWithoutCheckpoints(2500, largest, hold);
+            assertEquals(0, script.rejectedAttempts + journal.unwrittenCount() + (int) journal.failureCount());
+            assertTrue(disk.totalBytes() <= 3 * QUOTA_BYTES);
         }
     }
 
     private static SegmentedJournal open(SimDisk disk, long[] clock) throws IOException {
-        return new SegmentedJournal(disk, MOST, Durability.NONE, Script.times(() -> clock[0]), new SplittableRandom(9));
+        return new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, RandomRun.clocks(() -> clock[0]), new SplittableRandom(9));
     }
 
-    private static String owed(SegmentedJournal journal) {
+    private static String describePending(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> owed = new TreeMap<>();
         journal.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
-        return Script.text(owed, Map.of());
+        return RandomRun.describe(owed, Map.of());
     }
 
     // ---- the plan ---------------------------------------------------------------------------------------
     /** What the plan promises fits, in whatever order the records come. */
     @Property(tries = 500, seed = "4711")
-    void whatIsPromisedFitsInAnyOrder(
+    void promisedBytesFitInAnyOrder(
             @ForAll @IntRange(min = 5, max = 200) int files,
             @ForAll @Size(min = 1, max = 300) List<@IntRange(min = 50, max = 20_000) Integer> sizes) {
-        Plan plan = new Plan(3 << 20);
-        long proper = plan.segment() - SegmentFormat.OVERHEAD;
+        SpacePolicy plan = new SpacePolicy(3 << 20);
+        long proper = plan.segmentBytes() - SegmentFormat.OVERHEAD_BYTES;
         long largest = sizes.stream().mapToInt(Integer::intValue).max().orElse(0);
-        long promised = plan.usable(files * plan.segment(), largest);
+        long promised = plan.usableBytes(files * plan.segmentBytes(), largest);
         long inUse = 0, used = 0, sum = 0;
         for (int i = 0; sum + sizes.get(i % sizes.size()) <= promised; i++) {
             int size = sizes.get(i % sizes.size());
@@ -120,20 +120,20 @@
 
     /** Room is never promised where there is none, and a record more never gives room to a later one. */
     @Property(tries = 500, seed = "4711")
-    void roomShrinksWithWhatIsHeld(
+    void spaceShrinksWithLiveRecords(
             @ForAll @IntRange(max = 4 << 20) int allocated,
             @ForAll @IntRange(max = 4 << 20) int live,
             @ForAll @IntRange(max = 1 << 20) int growth,
             @ForAll @IntRange(max = 70_000) int record) {
-        Plan plan = new Plan(4 << 20);
-        Plan.Space s = new Plan.Space(4 << 20, allocated, 0, live, growth, 300, 0);
-        Plan.Space fuller = new Plan.Space(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
-        assertTrue(!plan.hasRoom(s, record, 640) || live + growth + record <= allocated);
-        assertTrue(!plan.hasRoom(fuller, record, 640) || plan.hasRoom(s, record, 640));
+        SpacePolicy plan = new SpacePolicy(4 << 20);
+        SpacePolicy.SpaceUsage s = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live, growth, 300, 0);
+        SpacePolicy.SpaceUsage fuller = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
+        assertTrue(!plan.hasSpace(s, record, 640) || live + growth + record <= allocated);
+        assertTrue(!plan.hasSpace(fuller, record, 640) || plan.hasSpace(s, record, 640));
         List<Long> lengths = new ArrayList<>();
         for (int r : new int[] {record, record + 1000, record + 100_000}) {
-            lengths.add(plan.lengthFor(r));
-            assertTrue(plan.lengthFor(r) >= r + SegmentFormat.OVERHEAD && plan.lengthFor(r) % SegmentFormat.BLOCK == 0);
+            lengths.add(plan.segmentBytesFor(r));
+            assertTrue(plan.segmentBytesFor(r) >= r + SegmentFormat.OVERHEAD_BYTES && plan.segmentBytesFor(r) % SegmentFormat.BLOCK_BYTES == 0);
         }
         assertEquals(lengths, lengths.stream().sorted().toList());
     }
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -15,114 +15,114 @@
 import lilaclever.routing.Submission;
 
 /** A random run of a journal beside a plain model of what it must know. */
-final class Script {
-    private static final long BUDGET = 1000;
+final class RandomRun {
+    private static final long BUDGET_MICROS = 1000;
 
     /** What the model says after some step, and how many operations the disk had seen by then. */
-    record Mark(int ops, String state) {}
+    record Checkpoint(int operations, String state) {}
 
-    final List<Mark> marks = new ArrayList<>();
+    final List<Checkpoint> checkpoints = new ArrayList<>();
     private final SimDisk disk;
     /** Gives a number below the bound. */
     private final IntUnaryOperator random;
 
-    private final TreeMap<String, PendingMessage> owed = new TreeMap<>();
+    private final TreeMap<String, PendingMessage> pending = new TreeMap<>();
     private final TreeMap<String, CompletedMessage<FinalStatus>> remembered = new TreeMap<>();
     private SegmentedJournal journal;
-    private int next;
-    long now;
-    int refused, attemptsRefused;
+    private int nextNumber;
+    long nowMicros;
+    int rejectedMessages, rejectedAttempts;
 
-    Script(SimDisk disk, long seed) {
+    RandomRun(SimDisk disk, long seed) {
         this(disk, new SplittableRandom(seed)::nextInt);
     }
 
-    Script(SimDisk disk, IntUnaryOperator random) {
+    RandomRun(SimDisk disk, IntUnaryOperator random) {
         this.disk = disk;
         this.random = random;
     }
 
     static SegmentedJournal open(SimDisk disk, long most, Durability durability) throws IOException {
-        return new SegmentedJournal(disk, most, durability, times(() -> 0), new SplittableRandom(7));
+        return new SegmentedJournal(disk, most, durability, clocks(() -> 0), new SplittableRandom(7));
     }
 
-    static JournalClocks times(LongSupplier micros) {
+    static JournalClocks clocks(LongSupplier micros) {
         return new JournalClocks(micros, micros, BootClock.UNKNOWN);
     }
 
-    void use(SegmentedJournal opened) {
+    void useJournal(SegmentedJournal opened) {
         journal = opened;
-        mark();
+        addCheckpoint();
     }
 
     /** So many steps, bodies up to so many bytes; about so many messages are held. */
     void run(int steps, int largest, int hold) {
         for (int i = 0; i < steps; i++) {
             step(largest, hold);
-            mark();
+            addCheckpoint();
         }
     }
 
     /** The same without a note of each step's state. */
-    void runOn(int steps, int largest, int hold) {
+    void runWithoutCheckpoints(int steps, int largest, int hold) {
         for (int i = 0; i < steps; i++) {
             step(largest, hold);
         }
     }
 
-    private void mark() {
-        marks.add(new Mark(disk.ops.size(), text(owed, remembered)));
+    private void addCheckpoint() {
+        checkpoints.add(new Checkpoint(disk.operations.size(), describe(pending, remembered)));
     }
 
     private void step(int largest, int hold) {
-        now++;
-        String one = owed.isEmpty() ? null : (String) owed.keySet().toArray()[random.applyAsInt(owed.size())];
-        if (one == null || random.applyAsInt(100) < (owed.size() < hold ? 50 : 15)) {
-            take(largest);
+        nowMicros++;
+        String one = pending.isEmpty() ? null : (String) pending.keySet().toArray()[random.applyAsInt(pending.size())];
+        if (one == null || random.applyAsInt(100) < (pending.size() < hold ? 50 : 15)) {
+            accept(largest);
         } else {
-            change(one, owed.get(one));
+            change(one, pending.get(one));
         }
         if (random.applyAsInt(3) == 0) {
-            journal.maintain(now);
-            remembered.values().removeIf(r -> r.untilWallMicros() <= now);
+            journal.maintain(nowMicros);
+            remembered.values().removeIf(r -> r.untilWallMicros() <= nowMicros);
         }
     }
 
-    private void take(int largest) {
+    private void accept(int largest) {
         byte[] body = new byte[random.applyAsInt(20) == 0 ? largest : random.applyAsInt(80)];
-        new java.util.Random(next).nextBytes(body);
+        new java.util.Random(nextNumber).nextBytes(body);
         Submission h = new Submission(
-                "m" + next,
-                next % 3 == 0 ? "identity-" + next : null,
-                next % 3,
+                "m" + nextNumber,
+                nextNumber % 3 == 0 ? "identity-" + nextNumber : null,
+                nextNumber % 3,
                 7,
-                next % 2 == 0 ? "key\u00e9" : null,
+                nextNumber % 2 == 0 ? "key\u00e9" : null,
                 body,
                 false,
                 true,
-                BUDGET);
-        if (journal.recordAccepted("http", h, next + BUDGET, now)) {
-            owed.put(h.id(), new PendingMessage("http", h, next + BUDGET));
+                BUDGET_MICROS);
+        if (journal.recordAccepted("http", h, nextNumber + BUDGET_MICROS, nowMicros)) {
+            pending.put(h.id(), new PendingMessage("http", h, nextNumber + BUDGET_MICROS));
         } else {
-            refused++;
+            rejectedMessages++;
         }
-        next++;
+        nextNumber++;
     }
 
     private void change(String id, PendingMessage o) {
         switch (random.applyAsInt(4)) {
             case 0 -> {
                 if (!o.isInFlight() && o.finalStatus() == null) {
-                    if (journal.recordAttempt(id, "host-" + next % 5, 2, now)) {
-                        o.attemptStarted("host-" + next % 5, 2, now);
+                    if (journal.recordAttempt(id, "host-" + nextNumber % 5, 2, nowMicros)) {
+                        o.attemptStarted("host-" + nextNumber % 5, 2, nowMicros);
                     } else {
-                        attemptsRefused++;
+                        rejectedAttempts++;
                     }
                 }
             }
             case 1 -> {
                 if (!o.isInFlight()) {
-                    PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + now);
+                    PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + nowMicros);
                     if (o.attachedSubmitters().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
                         o.attach(claim);
                     }
@@ -137,8 +137,8 @@
                 if (o.submission().identity() != null && random.applyAsInt(2) == 0) {
                     CompletedMessage<FinalStatus> past = new CompletedMessage<>(
                             v,
-                            random.applyAsInt(2) == 0 ? null : new Fingerprint(now, next),
-                            now + 20 + random.applyAsInt(40)); // windows differ
+                            random.applyAsInt(2) == 0 ? null : new Fingerprint(nowMicros, nextNumber),
+                            nowMicros + 20 + random.applyAsInt(40)); // windows differ
                     journal.remember(o.submission().identity(), past);
                     remembered.put(o.submission().identity(), past);
                 } else {
@@ -149,23 +149,23 @@
             default -> {
                 if (o.deadlineWallMicros() % 5 > 0) { // the others stay, and must be copied forward again and again
                     journal.recordSettled(id);
-                    owed.remove(id);
+                    pending.remove(id);
                 }
             }
         }
     }
 
     /** What the model holds, by id. */
-    Map<String, PendingMessage> messages() {
-        return owed;
+    Map<String, PendingMessage> pendingMessages() {
+        return pending;
     }
 
     /** What the model says now, without ends that may be forgotten at any time. */
-    String model() {
-        return text(owed, Map.of());
+    String describeModel() {
+        return describe(pending, Map.of());
     }
 
-    static String text(SegmentedJournal j, long now) {
+    static String describe(SegmentedJournal j, long now) {
         TreeMap<String, PendingMessage> owed = new TreeMap<>();
         j.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
         TreeMap<String, CompletedMessage<FinalStatus>> kept = new TreeMap<>();
@@ -175,16 +175,16 @@
                 kept.put("identity-" + i, r);
             }
         }
-        return text(owed, kept);
+        return describe(owed, kept);
     }
 
-    static String text(Map<String, PendingMessage> owed, Map<String, CompletedMessage<FinalStatus>> remembered) {
+    static String describe(Map<String, PendingMessage> owed, Map<String, CompletedMessage<FinalStatus>> remembered) {
         StringBuilder all = new StringBuilder();
-        owed.values().forEach(o -> all.append(text(o)).append('\n'));
+        owed.values().forEach(o -> all.append(describe(o)).append('\n'));
         return all.append(remembered).toString();
     }
 
-    static String text(PendingMessage o) {
+    static String describe(PendingMessage o) {
         Submission h = o.submission();
         return String.join(
                 " ",
