--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -26,25 +26,25 @@
 
 /** The journal alone: what it says after a restart, what damage and a full disk do to it, and how large it gets. */
 class SegmentedJournalTest {
-    private static final long MOST = 512 * 1024;
+    private static final long QUOTA_BYTES = 512 * 1024;
 
     private final SimDisk disk = new SimDisk();
-    private long clock;
+    private long clockMicros;
 
     private SegmentedJournal open() throws IOException {
-        return open(MOST);
+        return open(QUOTA_BYTES);
     }
 
     private SegmentedJournal open(long most) throws IOException {
-        return new SegmentedJournal(disk, most, Durability.NONE, Script.times(() -> clock), new SplittableRandom(3));
+        return new SegmentedJournal(disk, most, Durability.NONE, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
     }
 
-    private static boolean take(SegmentedJournal journal, String id, int size) {
+    private static boolean accept(SegmentedJournal journal, String id, int size) {
         return journal.recordAccepted(
                 "http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
     }
 
-    private static PendingMessage owed(SegmentedJournal journal, String id) {
+    private static PendingMessage pending(SegmentedJournal journal, String id) {
         return journal.pendingMessages().stream()
                 .filter(o -> o.submission().id().equals(id))
                 .findFirst()
@@ -52,9 +52,9 @@
     }
 
     @Test
-    void aRestartFindsTheFirstAttemptThatMayHaveRun() throws IOException {
+    void restartFindsFirstAttemptThatMayHaveRun() throws IOException {
         try (SegmentedJournal journal = open()) {
-            assertTrue(take(journal, "m", 10));
+            assertTrue(accept(journal, "m", 10));
             journal.recordAttempt("m", "a", 1, 100);
             journal.recordOutcome("m", true);
             journal.recordAttempt("m", "b", 2, 200);
@@ -63,7 +63,7 @@
         }
         for (int life = 0; life < 2; life++) {
             try (SegmentedJournal journal = open()) {
-                PendingMessage e = owed(journal, "m");
+                PendingMessage e = pending(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
                         e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " "
@@ -79,43 +79,43 @@
     }
 
     // ---- damage -----------------------------------------------------------------------------------------
-    private void flip(String name, int at) {
+    private void flipBit(String name, int at) {
         byte[] content = disk.content(name).clone();
         content[at] ^= 4;
-        disk.put(name, content);
+        disk.putFile(name, content);
     }
 
     /** One flipped bit, wherever: all but the one record is read, and no payment goes out again on a guess. */
     @Test
-    void aFlippedBitLosesOneRecordAndNoPaymentCountsAsNeverRun() throws IOException {
+    void flippedBitLosesOneRecordAndNoAttempt() throws IOException {
         List<Integer> starts = new ArrayList<>();
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 20; i++) {
-                take(journal, "m" + i, 20);
-                starts.add(disk.ops.size());
+                accept(journal, "m" + i, 20);
+                starts.add(disk.operations.size());
                 journal.recordAttempt("m" + i, "a", 0, 5);
             }
         }
-        List<SimDisk.Op> ops = List.copyOf(disk.ops);
-        String name = Segment.name(1);
+        List<SimDisk.Operation> ops = List.copyOf(disk.operations);
+        String name = Segment.fileName(1);
         int used = ops.stream()
-                .filter(o -> o.kind() == SimDisk.Kind.WRITE && o.bytes().length < 1000)
+                .filter(o -> o.kind() == SimDisk.OperationKind.WRITE && o.bytes().length < 1000)
                 .mapToInt(o -> (int) o.position() + o.bytes().length)
                 .max()
                 .orElse(0);
         for (int at = 0; at < used; at += at < 700 ? 1 : 7) {
-            SimDisk damaged = SimDisk.killed(ops, ops.size(), 0);
+            SimDisk damaged = SimDisk.afterKill(ops, ops.size(), 0);
             byte[] content = damaged.content(name);
             content[at] ^= 4;
-            try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
+            try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
                 int there = journal.pendingMessages().size();
                 assertTrue(there >= 19, "bit at " + at + ": " + there);
                 for (PendingMessage o : journal.pendingMessages()) {
-                    assertTrue(o.isInFlight() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
+                    assertTrue(o.isInFlight() || o.mayHaveRun(), "bit at " + at + ": " + RandomRun.describe(o));
                 }
             }
             // What was found is carried over: the next life knows it without the damaged file.
-            try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
+            try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
                 assertTrue(journal.pendingMessages().size() >= 19
                         && journal.recoveryReport().damages().isEmpty());
                 journal.pendingMessages().forEach(o -> assertTrue(o.isInFlight() || o.mayHaveRun()));
@@ -124,13 +124,13 @@
     }
 
     @Test
-    void aDamagedFileIsKeptAsideAndTheLossIsToldWithFileAndOffset() throws IOException {
+    void damagedFileIsKeptAndReportedWithFileAndOffset() throws IOException {
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 100; i++) {
-                take(journal, "m" + i, 20);
+                accept(journal, "m" + i, 20);
             }
         }
-        flip(Segment.name(1), 400);
+        flipBit(Segment.fileName(1), 400);
         try (SegmentedJournal journal = open()) {
             assertEquals(99, journal.pendingMessages().size());
             assertEquals(1, journal.recoveryReport().damages().size());
@@ -144,21 +144,21 @@
 
     /** A client can't hide a record in a body, to be found when damage has the reader look for the next good one. */
     @Test
-    void aRecordInsideABodyIsNeverRead() throws IOException {
+    void recordInsideBodyIsNeverRead() throws IOException {
         SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
         RecordEncoder.ended(forged, "victim");
         ByteBuffer bytes = forged.withChecksums(0);
         byte[] body = new byte[bytes.remaining()];
         bytes.get(body);
         try (SegmentedJournal journal = open()) {
-            take(journal, "victim", 10);
+            accept(journal, "victim", 10);
             journal.recordAccepted("http", new Submission("evil", null, 0, 7, null, body, false, false, 28), 99, 0);
-            take(journal, "last", 10);
+            accept(journal, "last", 10);
         }
-        byte[] all = disk.content(Segment.name(1));
-        for (int at = SegmentFormat.OVERHEAD; at < all.length; at++) {
+        byte[] all = disk.content(Segment.fileName(1));
+        for (int at = SegmentFormat.OVERHEAD_BYTES; at < all.length; at++) {
             if (all[at] == 'e' && all[at + 1] == 'v' && all[at + 2] == 'i') {
-                flip(Segment.name(1), at);
+                flipBit(Segment.fileName(1), at);
                 break;
             }
         }
@@ -173,18 +173,18 @@
 
     /** Only the newest file may end in a torn record: one that lost its end before that has lost something. */
     @Test
-    void aFileThatWasCutShortIsDamagedUnlessItIsTheNewest() throws IOException {
+    void truncatedSegmentIsDamagedUnlessNewest() throws IOException {
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 60; i++) {
-                take(journal, "m" + i, 300);
+                accept(journal, "m" + i, 300);
             }
         }
-        byte[] first = disk.content(Segment.name(1));
+        byte[] first = disk.content(Segment.fileName(1));
         int used = first.length;
         while (first[used - 1] == 0) {
             used--;
         }
-        disk.put(Segment.name(1), java.util.Arrays.copyOf(first, used - 30));
+        disk.putFile(Segment.fileName(1), java.util.Arrays.copyOf(first, used - 30));
         try (SegmentedJournal journal = open()) {
             assertEquals(59, journal.pendingMessages().size());
             assertEquals(1, journal.recoveryReport().damages().size());
@@ -192,17 +192,17 @@
     }
 
     @Test
-    void aMissingFileHasAllBeforeItCountAsPossiblyRun() throws IOException {
+    void missingSegmentMakesEarlierAttemptsPossiblyRun() throws IOException {
         try (SegmentedJournal journal = open()) {
-            take(journal, "old", 10);
+            accept(journal, "old", 10);
             for (int i = 0; i < 6; i++) {
-                take(journal, "m" + i, 9000);
+                accept(journal, "m" + i, 9000);
             }
         }
-        disk.delete(Segment.name(2));
+        disk.delete(Segment.fileName(2));
         try (SegmentedJournal journal = open()) {
-            assertEquals(1, journal.recoveryReport().missing());
-            assertTrue(owed(journal, "old").mayHaveRun());
+            assertEquals(1, journal.recoveryReport().missingSegments());
+            assertTrue(pending(journal, "old").mayHaveRun());
         }
     }
 
@@ -255,7 +255,7 @@
         });
     }
 
-    private static byte[] all(byte[]... parts) {
+    private static byte[] concatenate(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] p : parts) {
             out.writeBytes(p);
@@ -265,105 +265,105 @@
 
     /** The first format is carried over once, also by a life that is killed in the middle of it. */
     @Test
-    void aFolderOfTheFirstFormatIsCarriedOverWhereverThatIsCut() throws IOException {
+    void legacyFileIsMigratedWhereverThatIsInterrupted() throws IOException {
         byte[] torn = legacyTaken("torn");
-        disk.put(
+        disk.putFile(
                 "journal",
-                all(
+                concatenate(
                         legacyTaken("a"),
                         legacyTaken("b"),
                         legacyAttempt("a"),
                         java.util.Arrays.copyOf(torn, torn.length - 2)));
-        disk.put("journal.new", new byte[100]);
-        int before = disk.ops.size();
+        disk.putFile("journal.new", new byte[100]);
+        int before = disk.operations.size();
         String state;
         try (SegmentedJournal journal = open()) {
-            assertTrue(journal.recoveryReport().carriedOver());
-            state = Script.text(journal, 0);
-            assertEquals("identity of a", owed(journal, "a").submission().identity());
-            assertTrue(owed(journal, "a").isInFlight()
-                    && owed(journal, "a").lastHost().equals("host"));
+            assertTrue(journal.recoveryReport().legacyFileFound());
+            state = RandomRun.describe(journal, 0);
+            assertEquals("identity of a", pending(journal, "a").submission().identity());
+            assertTrue(pending(journal, "a").isInFlight()
+                    && pending(journal, "a").lastHost().equals("host"));
         }
         assertFalse(disk.fileNames().contains("journal"), disk.fileNames().toString());
-        for (int cut = before; cut <= disk.ops.size(); cut++) {
-            try (SegmentedJournal journal = Script.open(SimDisk.killed(disk.ops, cut, 7), MOST, Durability.NONE)) {
-                assertEquals(state, Script.text(journal, 0), "cut at " + cut);
+        for (int cut = before; cut <= disk.operations.size(); cut++) {
+            try (SegmentedJournal journal = RandomRun.open(SimDisk.afterKill(disk.operations, cut, 7), QUOTA_BYTES, Durability.NONE)) {
+                assertEquals(state, RandomRun.describe(journal, 0), "cut at " + cut);
             }
         }
     }
 
     @Test
-    void aNewerFormatIsRefusedAndNothingIsTouched() throws IOException {
-        disk.put(
-                Segment.name(1),
-                SegmentFormat.header(new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
+    void newerFormatIsRejectedWithoutChanges() throws IOException {
+        disk.putFile(
+                Segment.fileName(1),
+                SegmentFormat.encodeHeader(new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
                         .array());
-        disk.put("journal.new", new byte[3]);
-        int before = disk.ops.size();
+        disk.putFile("journal.new", new byte[3]);
+        int before = disk.operations.size();
         JournalException e = assertThrows(JournalException.class, this::open);
-        assertTrue(e.getMessage().contains(Segment.name(1) + " is of format " + (SegmentFormat.VERSION + 1)), e.getMessage());
-        assertEquals(before, disk.ops.size());
+        assertTrue(e.getMessage().contains(Segment.fileName(1) + " is of format " + (SegmentFormat.VERSION + 1)), e.getMessage());
+        assertEquals(before, disk.operations.size());
     }
 
     /** Version 1 knew no fingerprints and nobody but the first to whom an end is owed. */
     @Test
-    void whatVersionOneWroteIsRead() throws IOException {
+    void versionOneSegmentIsRead() throws IOException {
         SegmentFormat.RecordWriter out = new SegmentFormat.RecordWriter();
         RecordEncoder.previous(out, 0, 0);
-        out.begin(SegmentFormat.Type.REMEMBERED)
-                .text("i")
-                .small(FinalStatus.Kind.FAILED.ordinal())
-                .number(0)
-                .text("why")
-                .number(77)
-                .end();
-        out.begin(SegmentFormat.Type.SNAPSHOT)
-                .text("http")
-                .text("s")
-                .flag(false)
-                .small(1)
-                .small(7)
-                .flag(false)
-                .flag(false)
-                .flag(false)
-                .number(20)
-                .number(99)
-                .bytes(new byte[3])
-                .small(2)
-                .flag(true)
-                .text("h")
-                .small(0)
-                .number(5)
-                .flag(false)
-                .text("")
-                .small(0)
-                .number(0)
-                .flag(false)
-                .end();
+        out.beginRecord(SegmentFormat.RecordType.REMEMBERED)
+                .putText("i")
+                .putInt(FinalStatus.Kind.FAILED.ordinal())
+                .putLong(0)
+                .putText("why")
+                .putLong(77)
+                .endRecord();
+        out.beginRecord(SegmentFormat.RecordType.SNAPSHOT)
+                .putText("http")
+                .putText("s")
+                .putFlag(false)
+                .putInt(1)
+                .putInt(7)
+                .putFlag(false)
+                .putFlag(false)
+                .putFlag(false)
+                .putLong(20)
+                .putLong(99)
+                .putBytes(new byte[3])
+                .putInt(2)
+                .putFlag(true)
+                .putText("h")
+                .putInt(0)
+                .putLong(5)
+                .putFlag(false)
+                .putText("")
+                .putInt(0)
+                .putLong(0)
+                .putFlag(false)
+                .endRecord();
         java.nio.ByteBuffer all = java.nio.ByteBuffer.allocate(16 * 1024);
-        all.put(SegmentFormat.header(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
-        disk.put(Segment.name(1), all.array());
+        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
+        disk.putFile(Segment.fileName(1), all.array());
         try (SegmentedJournal journal = open()) {
             assertEquals(List.of(), journal.recoveryReport().damages());
             assertEquals(
                     new lilaclever.identity.CompletedMessage<>(
                             new FinalStatus(FinalStatus.Kind.FAILED, 0, "why"), null, 77),
                     journal.remembered("i"));
-            assertTrue(owed(journal, "s").isInFlight()
-                    && owed(journal, "s").attempts() == 2
-                    && owed(journal, "s").attachedSubmitters().isEmpty());
+            assertTrue(pending(journal, "s").isInFlight()
+                    && pending(journal, "s").attempts() == 2
+                    && pending(journal, "s").attachedSubmitters().isEmpty());
             assertTrue(journal.recordAttached("s", "mllp", "x"));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of(new lilaclever.routing.PendingMessage.Submitter("mllp", "x")),
-                    owed(journal, "s").attachedSubmitters());
+                    pending(journal, "s").attachedSubmitters());
         }
     }
 
     /** Windows differ: guards against an end that is over being kept, and told, since one before it is not. */
     @Test
-    void remembersByTimeAndNotByOrder() throws IOException {
+    void remembersByExpiryTimeNotByOrder() throws IOException {
         try (SegmentedJournal journal = open()) {
             journal.remember("long", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1000);
             journal.remember("short", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
@@ -378,7 +378,7 @@
 
     /** Guards against the end of an earlier message being given to one that came under its identity later. */
     @Test
-    void aNewMessageHasNotEndedThoughAnEarlierOneHas() throws IOException {
+    void newMessageDoesNotInheritEarlierResult() throws IOException {
         Submission h = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
         try (SegmentedJournal journal = open()) {
             journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
@@ -391,7 +391,7 @@
     }
 
     @Test
-    void aFolderIsForOneProgramAtATime(@TempDir Path folder) throws IOException {
+    void folderIsLockedForOneProgram(@TempDir Path folder) throws IOException {
         FolderDisk first = FolderDisk.lock(folder);
         assertTrue(assertThrows(JournalException.class, () -> FolderDisk.lock(folder))
                 .getMessage()
@@ -406,7 +406,7 @@
      * would go out again after its window, and no message may live for an hour more.
      */
     @Test
-    void whatIsKeptMovesWithAClockThatWasSetBetweenTwoLives() throws IOException {
+    void storedTimesFollowWallClockStepBetweenRuns() throws IOException {
         long hour = 3_600_000_000L;
         long[] walls = {5 * hour, 4 * hour + 7_000_000, 4 * hour + 9_000_000};
         long[] ups = {hour, hour + 7_000_000, 1_000};
@@ -415,7 +415,7 @@
             long wall = walls[life];
             JournalClocks times = new JournalClocks(() -> 0, () -> wall, new BootClock(boots[life], wall - ups[life]));
             try (SegmentedJournal journal =
-                    new SegmentedJournal(disk, MOST, Durability.NONE, times, new SplittableRandom(life))) {
+                    new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, times, new SplittableRandom(life))) {
                 if (life == 0) {
                     journal.recordAccepted(
                             "http",
@@ -428,9 +428,9 @@
                     // The second life is 7 s later by the machine's clock. The third has started the machine anew,
                     // and must believe the wall clock of the segment that it finds.
                     assertEquals(
-                            4 * hour + 28_000_000, owed(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
+                            4 * hour + 28_000_000, pending(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
                     assertEquals(
-                            4 * hour + 1_000_000, owed(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
+                            4 * hour + 1_000_000, pending(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
                     assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
                 }
             }
@@ -441,14 +441,14 @@
     /** With the disk full of what is held, all its attempts must still be written; only new work is refused. */
     @ParameterizedTest
     @ValueSource(ints = {10, 3000, 20_000, 65_536})
-    void aFullDiskHasRoomForAttemptsAndStaysWithinItsSize(int large) throws IOException {
+    void fullDiskHasSpaceForAttemptsWithinQuota(int large) throws IOException {
         int small = 100;
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < small; i++) {
-                assertTrue(take(journal, "a-message-of-" + i, 10));
+                assertTrue(accept(journal, "a-message-of-" + i, 10));
             }
-            for (int i = 0; take(journal, "large" + i, large); i++) {
-                assertTrue(i < MOST / large);
+            for (int i = 0; accept(journal, "large" + i, large); i++) {
+                assertTrue(i < QUOTA_BYTES / large);
             }
             int held = journal.pendingMessages().size();
             for (int attempt = 0; attempt < 16; attempt++) {
@@ -458,10 +458,10 @@
                             o.submission().id());
                     journal.recordOutcome(o.submission().id(), true);
                     journal.maintain(0);
-                    assertTrue(disk.total() <= MOST);
+                    assertTrue(disk.totalBytes() <= QUOTA_BYTES);
                 }
             }
-            assertFalse(take(journal, "more", large));
+            assertFalse(accept(journal, "more", large));
             assertEquals(0, journal.unwrittenCount());
             for (int i = 0; i < small; i++) {
                 journal.recordFinalStatus(
@@ -470,17 +470,17 @@
             assertEquals(held, journal.pendingMessages().size());
         }
         try (SegmentedJournal journal = open()) {
-            assertEquals(16, owed(journal, "a-message-of-0").attempts());
-            assertTrue(disk.total() <= MOST);
+            assertEquals(16, pending(journal, "a-message-of-0").attempts());
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES);
         }
     }
 
     /** Within one turn more may be written than the spare files hold: then files are emptied at once. */
     @Test
-    void manyRecordsInOneTurnFindRoomToo() throws IOException {
+    void manyRecordsInOneTurnFindSpace() throws IOException {
         try (SegmentedJournal journal = open()) {
             int held = 0;
-            while (take(journal, "m" + held, 300)) {
+            while (accept(journal, "m" + held, 300)) {
                 held++;
             }
             for (int attempt = 0; attempt < 16; attempt++) {
@@ -489,7 +489,7 @@
                     journal.recordOutcome("m" + i, false);
                 }
             }
-            assertTrue(journal.copiedBytes() > 0 && disk.total() <= MOST);
+            assertTrue(journal.copiedBytes() > 0 && disk.totalBytes() <= QUOTA_BYTES);
         }
         try (SegmentedJournal journal = open()) {
             journal.pendingMessages().forEach(o -> assertEquals(16, o.attempts()));
@@ -499,20 +499,20 @@
     /** Others fill the disk: what was taken has its room, what is new is refused, and room that comes back is used. */
     @ParameterizedTest
     @ValueSource(strings = {"space", "file size"})
-    void aDiskThatOthersFillKeepsThePromisesMade(String what) throws IOException {
+    void diskFilledByOthersKeepsPromisedSpace(String what) throws IOException {
         try (SegmentedJournal journal = open()) {
             int taken = 0;
             for (; taken < 150; taken++) {
-                assertTrue(take(journal, "m" + taken, 300));
+                assertTrue(accept(journal, "m" + taken, 300));
                 journal.maintain(0);
             }
             if (what.equals("space")) {
-                disk.most = disk.total();
+                disk.quotaBytes = disk.totalBytes();
             } else {
-                disk.mostOfAFile = 15_000; // the file in use, and each further one, ends there
+                disk.maxFileBytes = 15_000; // the file in use, and each further one, ends there
             }
             int more = 0;
-            while (take(journal, "new" + more, 300)) {
+            while (accept(journal, "new" + more, 300)) {
                 more++;
                 assertTrue(more < 1000);
             }
@@ -524,27 +524,27 @@
                 }
             }
             assertEquals(0, journal.unwrittenCount());
-            disk.most = Long.MAX_VALUE;
-            disk.mostOfAFile = Long.MAX_VALUE;
-            clock += 2_000_000;
+            disk.quotaBytes = Long.MAX_VALUE;
+            disk.maxFileBytes = Long.MAX_VALUE;
+            clockMicros += 2_000_000;
             journal.maintain(0);
-            assertTrue(take(journal, "after", 300));
+            assertTrue(accept(journal, "after", 300));
         }
         try (SegmentedJournal journal = open()) {
-            assertEquals(8, owed(journal, "m7").attempts());
+            assertEquals(8, pending(journal, "m7").attempts());
         }
     }
 
     /** No write works for a while: ends that could not be written are written later, without a restart. */
     @Test
-    void endsThatCouldNotBeWrittenAreWrittenLater() throws IOException {
+    void unwrittenResultsAreWrittenLater() throws IOException {
         try (SegmentedJournal journal = open()) {
-            take(journal, "ends", 10);
-            take(journal, "fails", 10);
-            take(journal, "stays", 10);
+            accept(journal, "ends", 10);
+            accept(journal, "fails", 10);
+            accept(journal, "stays", 10);
             journal.recordAttempt("stays", "a", 0, 1);
             disk.writesFail = true;
-            assertFalse(take(journal, "refused", 10));
+            assertFalse(accept(journal, "refused", 10));
             assertFalse(journal.recordAttempt("fails", "a", 0, 1));
             journal.recordSettled("ends");
             journal.recordFinalStatus("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
@@ -552,10 +552,10 @@
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
             assertEquals(4, journal.unwrittenCount());
             disk.writesFail = false;
-            clock += 2 * Plan.PAUSE;
+            clockMicros += 2 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
             journal.maintain(0);
             assertEquals(0, journal.unwrittenCount());
-            assertTrue(take(journal, "after", 10));
+            assertTrue(accept(journal, "after", 10));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
@@ -566,9 +566,9 @@
                             .toList());
             assertEquals(
                     FinalStatus.Kind.FAILED,
-                    owed(journal, "fails").finalStatus().kind());
-            assertTrue(owed(journal, "stays").mayHaveRun()
-                    && !owed(journal, "stays").isInFlight());
+                    pending(journal, "fails").finalStatus().kind());
+            assertTrue(pending(journal, "stays").mayHaveRun()
+                    && !pending(journal, "stays").isInFlight());
             assertEquals(
                     FinalStatus.Kind.DELIVERED,
                     journal.remembered("identity").result().kind());
@@ -577,29 +577,29 @@
 
     /** A forcing that failed proves nothing of a later one: all is written again, and only then goes on. */
     @Test
-    void afterAFailedForcingAllIsWrittenAgainBeforeAnythingHappens() throws Exception {
+    void failedSyncRewritesAllBeforeTasksRun() throws Exception {
         try (SegmentedJournal journal = new SegmentedJournal(
                 disk,
-                MOST,
+                QUOTA_BYTES,
                 new Durability(Durability.Mode.GROUP, 0),
-                Script.times(() -> clock),
+                RandomRun.clocks(() -> clockMicros),
                 new SplittableRandom(3))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.setLoop(loop::add);
-            take(journal, "m", 10);
+            accept(journal, "m", 10);
             boolean[] told = {false};
             journal.whenDurable(() -> told[0] = true);
-            disk.forcesFail = true;
+            disk.syncsFail = true;
             journal.maintain(0);
             loop.take().run();
             assertFalse(told[0]);
             assertEquals(1, journal.unwrittenCount());
-            disk.forcesFail = false;
+            disk.syncsFail = false;
             journal.maintain(0);
             loop.take().run();
             assertTrue(told[0]);
         }
-        disk.delete(Segment.name(1)); // what the failed forcing was for
+        disk.delete(Segment.fileName(1)); // what the failed forcing was for
         try (SegmentedJournal journal = open()) {
             assertEquals(1, journal.pendingMessages().size());
         }
@@ -607,10 +607,10 @@
 
     /** A steady load that ends what it takes leaves a small folder, whatever has passed through. */
     @Test
-    void whatIsPastTakesNoRoom() throws IOException {
+    void endedMessagesTakeNoSpace() throws IOException {
         try (SegmentedJournal journal = open(16 << 20)) {
             for (int i = 0; i < 20_000; i++) {
-                take(journal, "m" + i, 300);
+                accept(journal, "m" + i, 300);
                 if (i >= 100) {
                     journal.recordSettled("m" + (i - 100));
                 }
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -18,18 +18,18 @@
  */
 final class SimDisk implements Disk {
     /** What is done to the content of a file, by its number, or to names. */
-    record Op(Kind kind, int file, String name, String to, long position, byte[] bytes) {}
+    record Operation(OperationKind kind, int file, String name, String to, long position, byte[] bytes) {}
 
-    enum Kind {
+    enum OperationKind {
         CREATE,
         WRITE,
         TRUNCATE,
         RENAME,
         DELETE,
-        FORCE,
+        SYNC,
         /** A forcing that failed: what was written before it may be lost, whatever is forced later. */
-        FORCE_FAILED,
-        FORCE_NAMES,
+        SYNC_FAILED,
+        SYNC_FOLDER,
         /** The opening of a file that is there: nothing is changed, and it may fail. */
         OPEN
     }
@@ -40,23 +40,23 @@
     /** Decides for each operation whether it fails. Any thread. */
     interface FaultPlan {
         /** How the operation fails, or null. */
-        Failure failureOf(Kind kind, String name);
+        Failure failureOf(OperationKind kind, String name);
     }
 
     /** Which operations fail, beside those that the fields below have fail. */
     volatile FaultPlan faults = (kind, name) -> null;
 
-    final List<Op> ops = new ArrayList<>();
+    final List<Operation> operations = new ArrayList<>();
     /** Bytes that all files may take together, and each; more is a failure of the system's. */
-    long most = Long.MAX_VALUE, mostOfAFile = Long.MAX_VALUE;
+    long quotaBytes = Long.MAX_VALUE, maxFileBytes = Long.MAX_VALUE;
     /** Every write fails, and every forcing. */
-    boolean writesFail, forcesFail;
+    boolean writesFail, syncsFail;
 
     private final TreeMap<String, Integer> names = new TreeMap<>();
     private final Map<Integer, byte[]> contents = new HashMap<>();
     private int nextFile;
 
-    private void apply(Op op) {
+    private void apply(Operation op) {
         switch (op.kind()) {
             case CREATE -> {
                 names.put(op.name(), op.file());
@@ -80,7 +80,7 @@
         }
     }
 
-    private void mayFail(Kind kind, String name) throws IOException {
+    private void failIfPlanned(OperationKind kind, String name) throws IOException {
         Failure failure = faults.failureOf(kind, name);
         if (failure != null) {
             throw failure.problem();
@@ -88,25 +88,25 @@
     }
 
     /** Writers and the one who forces are two threads. */
-    private synchronized void add(Kind kind, int file, String name, String to, long position, byte[] bytes) {
-        Op op = new Op(kind, file, name, to, position, bytes);
-        ops.add(op);
+    private synchronized void add(OperationKind kind, int file, String name, String to, long position, byte[] bytes) {
+        Operation op = new Operation(kind, file, name, to, position, bytes);
+        operations.add(op);
         apply(op);
     }
 
     // ---- crashes ----------------------------------------------------------------------------------------
     /** The folder as a kill leaves it: so many operations, and so many bytes of the next if that is a write. */
-    static SimDisk killed(List<Op> ops, int done, int bytesOfNext) {
+    static SimDisk afterKill(List<Operation> ops, int done, int bytesOfNext) {
         SimDisk disk = new SimDisk();
         ops.subList(0, done).forEach(disk::apply);
-        if (bytesOfNext > 0 && done < ops.size() && ops.get(done).kind() == Kind.WRITE) {
-            disk.apply(part(ops.get(done), 0, bytesOfNext));
+        if (bytesOfNext > 0 && done < ops.size() && ops.get(done).kind() == OperationKind.WRITE) {
+            disk.apply(partOf(ops.get(done), 0, bytesOfNext));
         }
         return disk;
     }
 
-    private static Op part(Op op, int from, int to) {
-        return new Op(
+    private static Operation partOf(Operation op, int from, int to) {
+        return new Operation(
                 op.kind(),
                 op.file(),
                 op.name(),
@@ -119,16 +119,16 @@
      * The folder as a failure of the machine leaves it: what was not forced is there in part, in any order, 512 bytes
      * at a time; names change in their order, as a file system's own journal keeps them, up to any of them.
      */
-    static SimDisk powerCut(List<Op> ops, int done, SplittableRandom random) {
+    static SimDisk afterPowerCut(List<Operation> ops, int done, SplittableRandom random) {
         int namesForced = 0;
         boolean[] forced = new boolean[done];
         Map<Integer, Boolean> covered = new HashMap<>();
         for (int i = done - 1; i >= 0; i--) {
-            Op op = ops.get(i);
-            if (op.kind() == Kind.FORCE_NAMES) {
+            Operation op = ops.get(i);
+            if (op.kind() == OperationKind.SYNC_FOLDER) {
                 namesForced = Math.max(namesForced, i);
-            } else if (op.kind() == Kind.FORCE || op.kind() == Kind.FORCE_FAILED) {
-                covered.put(op.file(), op.kind() == Kind.FORCE);
+            } else if (op.kind() == OperationKind.SYNC || op.kind() == OperationKind.SYNC_FAILED) {
+                covered.put(op.file(), op.kind() == OperationKind.SYNC);
             }
             forced[i] = covered.getOrDefault(op.file(), false);
         }
@@ -136,19 +136,19 @@
         SimDisk disk = new SimDisk();
         Set<Integer> known = new HashSet<>();
         for (int i = 0; i < done; i++) {
-            Op op = ops.get(i);
-            boolean ofNames = op.kind() == Kind.CREATE || op.kind() == Kind.RENAME || op.kind() == Kind.DELETE;
+            Operation op = ops.get(i);
+            boolean ofNames = op.kind() == OperationKind.CREATE || op.kind() == OperationKind.RENAME || op.kind() == OperationKind.DELETE;
             if (ofNames && i < namesUntil) {
                 disk.apply(op);
                 known.add(op.file());
             } else if (!ofNames && known.contains(op.file())) {
-                if (forced[i] || op.kind() == Kind.TRUNCATE) {
+                if (forced[i] || op.kind() == OperationKind.TRUNCATE) {
                     disk.apply(op);
-                } else if (op.kind() == Kind.WRITE) {
+                } else if (op.kind() == OperationKind.WRITE) {
                     for (int at = 0; at < op.bytes().length; ) {
-                        int to = at + SegmentFormat.BLOCK - (int) ((op.position() + at) % SegmentFormat.BLOCK);
+                        int to = at + SegmentFormat.BLOCK_BYTES - (int) ((op.position() + at) % SegmentFormat.BLOCK_BYTES);
                         if (random.nextBoolean()) {
-                            disk.apply(part(op, at, to));
+                            disk.apply(partOf(op, at, to));
                         }
                         at = to;
                     }
@@ -159,9 +159,9 @@
     }
 
     // ---- as the journal sees it -------------------------------------------------------------------------
-    long total() {
+    long totalBytes() {
         return names.values().stream()
-                .mapToLong(f -> Plan.blocks(contents.get(f).length))
+                .mapToLong(f -> SpacePolicy.roundUpToBlocks(contents.get(f).length))
                 .sum();
     }
 
@@ -169,9 +169,9 @@
         return contents.get(names.get(name));
     }
 
-    void put(String name, byte[] content) {
-        add(Kind.CREATE, nextFile, name, null, 0, null);
-        add(Kind.WRITE, names.get(name), name, null, 0, content);
+    void putFile(String name, byte[] content) {
+        add(OperationKind.CREATE, nextFile, name, null, 0, null);
+        add(OperationKind.WRITE, names.get(name), name, null, 0, content);
     }
 
     @Override
@@ -186,37 +186,37 @@
 
     @Override
     public DiskFile open(String name) throws IOException {
-        mayFail(names.containsKey(name) ? Kind.OPEN : Kind.CREATE, name);
+        failIfPlanned(names.containsKey(name) ? OperationKind.OPEN : OperationKind.CREATE, name);
         if (!names.containsKey(name)) {
-            add(Kind.CREATE, nextFile, name, null, 0, null);
+            add(OperationKind.CREATE, nextFile, name, null, 0, null);
         }
         return new File(names.get(name), name);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        mayFail(Kind.RENAME, from);
+        failIfPlanned(OperationKind.RENAME, from);
         if (!names.containsKey(from)) {
             throw new IOException("no file " + from);
         }
-        add(Kind.RENAME, names.get(from), from, to, 0, null);
+        add(OperationKind.RENAME, names.get(from), from, to, 0, null);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        mayFail(Kind.DELETE, name);
+        failIfPlanned(OperationKind.DELETE, name);
         if (names.containsKey(name)) {
-            add(Kind.DELETE, names.get(name), name, null, 0, null);
+            add(OperationKind.DELETE, names.get(name), name, null, 0, null);
         }
     }
 
     @Override
     public void syncFolder() throws IOException {
-        mayFail(Kind.FORCE_NAMES, null);
-        if (forcesFail) {
+        failIfPlanned(OperationKind.SYNC_FOLDER, null);
+        if (syncsFail) {
             throw new IOException("Input/output error");
         }
-        add(Kind.FORCE_NAMES, -1, null, null, 0, null);
+        add(OperationKind.SYNC_FOLDER, -1, null, null, 0, null);
     }
 
     @Override
@@ -247,25 +247,25 @@
             if (writesFail) {
                 throw new IOException("Input/output error");
             }
-            Failure failure = faults.failureOf(Kind.WRITE, name);
+            Failure failure = faults.failureOf(OperationKind.WRITE, name);
             if (failure != null) {
                 writePart(bytes, position, failure);
                 throw failure.problem();
             }
             long length = contents.get(number).length;
-            long room = Math.min(mostOfAFile - position, bytes.remaining());
-            if (most < Long.MAX_VALUE && position + room > length) {
-                room = Math.min(room, Plan.blocks(length) + Math.max(0, most - total()) - position);
+            long room = Math.min(maxFileBytes - position, bytes.remaining());
+            if (quotaBytes < Long.MAX_VALUE && position + room > length) {
+                room = Math.min(room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
             }
             byte[] all = new byte[(int) Math.max(0, room)];
             int asked = bytes.remaining();
             bytes.get(all);
             if (all.length > 0) {
-                add(Kind.WRITE, number, null, null, position, all);
+                add(OperationKind.WRITE, number, null, null, position, all);
             }
             if (all.length < asked) {
                 throw new IOException(
-                        position + all.length >= mostOfAFile ? "File too large" : "No space left on device");
+                        position + all.length >= maxFileBytes ? "File too large" : "No space left on device");
             }
         }
 
@@ -273,30 +273,30 @@
             byte[] part = new byte[Math.max(0, Math.min(failure.bytes(), bytes.remaining() - 1))];
             bytes.get(part);
             if (part.length > 0 && position + part.length <= contents.get(number).length) {
-                add(Kind.WRITE, number, null, null, position, part);
+                add(OperationKind.WRITE, number, null, null, position, part);
             }
         }
 
         @Override
         public void truncate(long length) throws IOException {
-            mayFail(Kind.TRUNCATE, name);
+            failIfPlanned(OperationKind.TRUNCATE, name);
             if (length < contents.get(number).length) {
-                add(Kind.TRUNCATE, number, null, null, length, null);
+                add(OperationKind.TRUNCATE, number, null, null, length, null);
             }
         }
 
         @Override
         public void sync() throws IOException {
-            Failure failure = faults.failureOf(Kind.FORCE, name);
+            Failure failure = faults.failureOf(OperationKind.SYNC, name);
             if (failure != null) {
-                add(Kind.FORCE_FAILED, number, null, null, 0, null);
+                add(OperationKind.SYNC_FAILED, number, null, null, 0, null);
                 throw failure.problem();
             }
-            if (forcesFail) {
-                add(Kind.FORCE_FAILED, number, null, null, 0, null);
+            if (syncsFail) {
+                add(OperationKind.SYNC_FAILED, number, null, null, 0, null);
                 throw new IOException("Input/output error");
             }
-            add(Kind.FORCE, number, null, null, 0, null);
+            add(OperationKind.SYNC, number, null, null, 0, null);
         }
 
         @Override
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -28,10 +28,10 @@
  * kill.
  */
 class StorageFaultTest {
-    private static final long MOST = 160 * 1024;
-    private static final long TEN_SECONDS = 10_000_000;
-    private static final long TURN = 20_000;
-    private static final int LARGEST = 2000, HOLD = 40;
+    private static final long QUOTA_BYTES = 160 * 1024;
+    private static final long TEN_SECONDS_MICROS = 10_000_000;
+    private static final long TURN_MICROS = 20_000;
+    private static final int LARGEST_BODY_BYTES = 2000, PENDING_MESSAGES = 40;
 
     /** What the journal was at as an operation failed. */
     enum Step {
@@ -42,56 +42,56 @@
         GROUP_SYNC
     }
 
-    enum Duration {
+    enum FaultDuration {
         ONCE,
         TEN_SECONDS
     }
 
     /** The operation that fails, at a step; what else of that kind fails at other steps goes well. */
-    record Target(Step step, SimDisk.Kind kind) {}
+    record FaultTarget(Step step, SimDisk.OperationKind kind) {}
 
-    private static final List<Target> TARGETS = List.of(
-            new Target(Step.APPEND, SimDisk.Kind.WRITE),
-            new Target(Step.ROTATION, SimDisk.Kind.OPEN),
-            new Target(Step.ROTATION, SimDisk.Kind.WRITE),
-            new Target(Step.ROTATION, SimDisk.Kind.RENAME),
-            new Target(Step.ALLOCATION, SimDisk.Kind.CREATE),
-            new Target(Step.ALLOCATION, SimDisk.Kind.WRITE),
-            new Target(Step.COMPACTION, SimDisk.Kind.OPEN),
-            new Target(Step.COMPACTION, SimDisk.Kind.WRITE),
-            new Target(Step.COMPACTION, SimDisk.Kind.RENAME),
-            new Target(Step.COMPACTION, SimDisk.Kind.DELETE));
+    private static final List<FaultTarget> TARGETS = List.of(
+            new FaultTarget(Step.APPEND, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.ROTATION, SimDisk.OperationKind.OPEN),
+            new FaultTarget(Step.ROTATION, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.ROTATION, SimDisk.OperationKind.RENAME),
+            new FaultTarget(Step.ALLOCATION, SimDisk.OperationKind.CREATE),
+            new FaultTarget(Step.ALLOCATION, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.OPEN),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.RENAME),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.DELETE));
 
     private static final List<String> ERRORS = List.of("No space left on device", "Input/output error");
 
     private static final Set<String> COVERED = new TreeSet<>();
 
     /** What a restart must know of a message; the earliest moment at which it may have run. */
-    private record Known(int attempts, long mayHaveRunSince) {
-        static Known of(PendingMessage m) {
+    private record KnownState(int attempts, long mayHaveRunSince) {
+        static KnownState of(PendingMessage m) {
             long since = m.mayHaveRun()
                     ? m.possibleRunWallMicros()
                     : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
-            return new Known(m.attempts(), since);
+            return new KnownState(m.attempts(), since);
         }
 
-        boolean isCoveredBy(Known found) {
+        boolean isCoveredBy(KnownState found) {
             return found.attempts >= attempts && found.mayHaveRunSince <= mayHaveRunSince;
         }
     }
 
     /** The model after a step, and how many operations the disk had seen by then. */
-    private record Mark(int operations, Map<String, Known> messages) {}
+    private record Checkpoint(int operations, Map<String, KnownState> messages) {}
 
     private final SimDisk disk = new SimDisk();
     /** Bytes that the files may take together. */
-    private long most = MOST;
+    private long quotaBytes = QUOTA_BYTES;
 
-    private final List<Mark> marks = new ArrayList<>();
+    private final List<Checkpoint> checkpoints = new ArrayList<>();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
     private SegmentedJournal journal;
-    private Script script;
-    private long clock;
+    private RandomRun randomRun;
+    private long clockMicros;
     /** Whether operations fail now, and how many of them did. */
     private volatile boolean failing;
 
@@ -99,18 +99,18 @@
 
     /** Each target and any operation at all, both errors, both durations, with and without a kill. */
     @AfterAll
-    static void everyPointWasCovered() {
-        assertEquals((TARGETS.size() + 1) * ERRORS.size() * Duration.values().length * 2, COVERED.size(), "" + COVERED);
+    static void everyCombinationWasCovered() {
+        assertEquals((TARGETS.size() + 1) * ERRORS.size() * FaultDuration.values().length * 2, COVERED.size(), "" + COVERED);
     }
 
     private void open(Durability durability, long seed) throws IOException {
-        journal = new SegmentedJournal(disk, most, durability, Script.times(() -> clock), new SplittableRandom(seed));
+        journal = new SegmentedJournal(disk, quotaBytes, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(seed));
         journal.setLoop(loop::add);
-        script = new Script(disk, seed);
-        script.use(journal);
+        randomRun = new RandomRun(disk, seed);
+        randomRun.useJournal(journal);
     }
 
-    static Step stepNow() {
+    static Step currentStep() {
         return StackWalker.getInstance().walk(frames -> {
             EnumSet<Step> steps = EnumSet.noneOf(Step.class);
             frames.forEach(frame -> {
@@ -136,72 +136,72 @@
         });
     }
 
-    private void fail(Target target, String error, Duration duration, SplittableRandom random) {
+    private void failOperations(FaultTarget target, String error, FaultDuration duration, SplittableRandom random) {
         failing = true;
         failures = 0;
         disk.faults = (kind, name) -> {
-            if (!failing || target != null && (kind != target.kind() || stepNow() != target.step())) {
+            if (!failing || target != null && (kind != target.kind() || currentStep() != target.step())) {
                 return null;
             }
             failures++;
-            failing = duration != Duration.ONCE;
+            failing = duration != FaultDuration.ONCE;
             return new SimDisk.Failure(new IOException(error), random.nextInt(3) == 0 ? 0 : random.nextInt(300));
         };
     }
 
     /** One step of the run and a turn of the loop; the model and the journal's memory agree, and the quota holds. */
-    private void turn() throws InterruptedException {
-        script.runOn(1, LARGEST, HOLD);
+    private void runTurn() throws InterruptedException {
+        randomRun.runWithoutCheckpoints(1, LARGEST_BODY_BYTES, PENDING_MESSAGES);
         endTurn();
     }
 
     private void endTurn() {
-        journal.maintain(script.now);
-        clock += TURN;
-        Map<String, Known> known = new TreeMap<>();
-        script.messages().forEach((id, m) -> known.put(id, Known.of(m)));
-        marks.add(new Mark(disk.ops.size(), known));
-        assertEquals(script.model(), owed(journal));
-        assertTrue(disk.total() <= most, "bytes: " + disk.total());
+        journal.maintain(randomRun.nowMicros);
+        clockMicros += TURN_MICROS;
+        Map<String, KnownState> known = new TreeMap<>();
+        randomRun.pendingMessages().forEach((id, m) -> known.put(id, KnownState.of(m)));
+        checkpoints.add(new Checkpoint(disk.operations.size(), known));
+        assertEquals(randomRun.describeModel(), describePending(journal));
+        assertTrue(disk.totalBytes() <= quotaBytes, "bytes: " + disk.totalBytes());
     }
 
-    private void turnsFor(long micros) throws InterruptedException {
-        for (long end = clock + micros; clock < end; ) {
-            turn();
+    private void runTurnsFor(long micros) throws InterruptedException {
+        for (long end = clockMicros + micros; clockMicros < end; ) {
+            runTurn();
         }
     }
 
-    private static String owed(SegmentedJournal journal) {
+    private static String describePending(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> all = new TreeMap<>();
         journal.pendingMessages().forEach(m -> all.put(m.submission().id(), m));
-        return Script.text(all, Map.of());
+        return RandomRun.describe(all, Map.of());
     }
 
     /** The disk is good again: all is written, room is not lost, and new messages are taken, with no restart. */
     private void checkRecovered(String what) throws Exception {
         failing = false;
-        clock += 2_000_000;
-        journal.maintain(script.now);
-        clock += 2_000_000;
-        journal.maintain(script.now);
+        clockMicros += 2_000_000;
+        journal.maintain(randomRun.nowMicros);
+        clockMicros += 2_000_000;
+        journal.maintain(randomRun.nowMicros);
         assertEquals(0, journal.unwrittenCount(), what);
         checkFiles(what);
-        endAll();
-        int refused = script.refused;
-        turnsFor(50 * TURN);
-        assertEquals(refused, script.refused, what + ": refused though the disk is good");
+        endAllMessages();
+        int refused = randomRun.rejectedMessages;
+        runTurnsFor(50 * TURN_MICROS);
+        assertEquals(refused, randomRun.rejectedMessages, what + ": refused though the disk is good");
         checkFiles(what);
         journal.close();
-        try (SegmentedJournal next = Script.open(disk, most, Durability.NONE)) {
-            assertEquals(script.model(), owed(next), what);
+        try (SegmentedJournal next = RandomRun.open(disk, quotaBytes, Durability.NONE)) {
+            assertEquals(randomRun.describeModel(), describePending(next), what);
             assertEquals(List.of(), next.recoveryReport().damages(), what);
         }
     }
 
-    private void endAll() {
-        for (String id : List.copyOf(script.messages().keySet())) {
+    private void endAllMessages() {
+        for (String id : List.copyOf(randomRun.pendingMessages().keySet())) {
             journal.recordSettled(id);
-            script.messages().remove(id);
+            randomRun.pendingMessages().remove(id);
             endTurn();
         }
     }
@@ -209,24 +209,24 @@
     /** The journal knows every file in the folder: one that it lost sight of would take room until a restart. */
     private void checkFiles(String what) {
         assertEquals(journal.fileCount(), disk.fileNames().size(), what + ": files " + disk.fileNames());
-        assertTrue(disk.total() <= journal.allocatedBytes(), what + ": " + disk.total() + " of " + journal.allocatedBytes());
+        assertTrue(disk.totalBytes() <= journal.allocatedBytes(), what + ": " + disk.totalBytes() + " of " + journal.allocatedBytes());
     }
 
     /** A kill after so many operations, inside the next write perhaps: what was acknowledged is there. */
     private void checkKilled(int operations, int bytesOfNext, String what) throws IOException {
         int k = 0;
-        while (k + 1 < marks.size() && marks.get(k + 1).operations() <= operations) {
+        while (k + 1 < checkpoints.size() && checkpoints.get(k + 1).operations() <= operations) {
             k++;
         }
-        Map<String, Known> before = marks.get(k).messages();
-        Map<String, Known> after = k + 1 < marks.size() ? marks.get(k + 1).messages() : before;
+        Map<String, KnownState> before = checkpoints.get(k).messages();
+        Map<String, KnownState> after = k + 1 < checkpoints.size() ? checkpoints.get(k + 1).messages() : before;
         Set<String> taken = new HashSet<>();
-        marks.subList(0, Math.min(k + 2, marks.size()))
+        checkpoints.subList(0, Math.min(k + 2, checkpoints.size()))
                 .forEach(m -> taken.addAll(m.messages().keySet()));
-        SimDisk left = SimDisk.killed(disk.ops, operations, bytesOfNext);
-        try (SegmentedJournal next = Script.open(left, most, Durability.NONE)) {
-            Map<String, Known> found = new TreeMap<>();
-            next.pendingMessages().forEach(m -> found.put(m.submission().id(), Known.of(m)));
+        SimDisk left = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
+        try (SegmentedJournal next = RandomRun.open(left, quotaBytes, Durability.NONE)) {
+            Map<String, KnownState> found = new TreeMap<>();
+            next.pendingMessages().forEach(m -> found.put(m.submission().id(), KnownState.of(m)));
             before.forEach((id, known) -> {
                 if (after.containsKey(id)) {
                     assertNotNull(found.get(id), what + ": " + id + " is lost");
@@ -242,29 +242,29 @@
         }
     }
 
-    private void run(Target target, String error, Duration duration, boolean kill, long seed) throws Exception {
+    private void run(FaultTarget target, String error, FaultDuration duration, boolean kill, long seed) throws Exception {
         String what = target + " " + error + " " + duration + (kill ? " kill" : "") + " seed " + seed;
         SplittableRandom random = new SplittableRandom(seed);
-        most = target != null && target.kind() == SimDisk.Kind.DELETE ? 4 * MOST : MOST;
+        quotaBytes = target != null && target.kind() == SimDisk.OperationKind.DELETE ? 4 * QUOTA_BYTES : QUOTA_BYTES;
         open(Durability.NONE, seed);
-        if (most > MOST) {
-            script.runOn(1500, LARGEST, 400); // more files than what is live needs once it has ended: some are deleted
+        if (quotaBytes > QUOTA_BYTES) {
+            randomRun.runWithoutCheckpoints(1500, LARGEST_BODY_BYTES, 400); // more files than what is live needs once it has ended: some are deleted
         }
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
-            turn();
+            runTurn();
         }
-        int from = disk.ops.size();
-        fail(target, error, duration, random);
-        if (most > MOST) {
-            endAll();
+        int from = disk.operations.size();
+        failOperations(target, error, duration, random);
+        if (quotaBytes > QUOTA_BYTES) {
+            endAllMessages();
         }
-        if (duration == Duration.ONCE) {
+        if (duration == FaultDuration.ONCE) {
             for (int i = 0; i < 1500 && failures == 0; i++) {
-                turn();
+                runTurn();
             }
-            turnsFor(20 * TURN);
+            runTurnsFor(20 * TURN_MICROS);
         } else {
-            turnsFor(TEN_SECONDS);
+            runTurnsFor(TEN_SECONDS_MICROS);
         }
         if (failures > 0) {
             COVERED.add((target == null ? "ANY" : target.step() + " " + target.kind()) + " " + error + " " + duration
@@ -272,7 +272,7 @@
         }
         if (kill) {
             for (int i = 0; i < 60; i++) {
-                int at = from + random.nextInt(disk.ops.size() - from + 1);
+                int at = from + random.nextInt(disk.operations.size() - from + 1);
                 checkKilled(at, random.nextInt(2) * random.nextInt(400), what + " after " + at);
             }
         }
@@ -280,10 +280,10 @@
     }
 
     /** How long operations fail, and whether the process is killed meanwhile. */
-    private record Outage(Duration duration, boolean hasKill) {}
+    private record FaultScenario(FaultDuration duration, boolean hasKill) {}
 
     /** Plays one combination; gives what was broken. */
-    private static Optional<String> runOne(Target target, String error, Outage outage, long seed) throws Exception {
+    private static Optional<String> runOne(FaultTarget target, String error, FaultScenario outage, long seed) throws Exception {
         try {
             new StorageFaultTest().run(target, error, outage.duration(), outage.hasKill(), seed);
             return Optional.empty();
@@ -294,17 +294,17 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void everyStepOutlastsEveryFault(long seed) throws Exception {
+    void everyStepSurvivesEveryFault(long seed) throws Exception {
         List<String> broken = new ArrayList<>();
         int runs = 0;
-        List<Target> targets = new ArrayList<>(TARGETS);
+        List<FaultTarget> targets = new ArrayList<>(TARGETS);
         targets.add(null); // whatever the operation
-        List<Outage> outages = Stream.of(Duration.values())
-                .flatMap(duration -> Stream.of(new Outage(duration, false), new Outage(duration, true)))
+        List<FaultScenario> outages = Stream.of(FaultDuration.values())
+                .flatMap(duration -> Stream.of(new FaultScenario(duration, false), new FaultScenario(duration, true)))
                 .toList();
-        for (Target target : targets) {
+        for (FaultTarget target : targets) {
             for (String error : ERRORS) {
-                for (Outage outage : outages) {
+                for (FaultScenario outage : outages) {
                     runs++;
                     runOne(target, error, outage, 1000 * seed + runs).ifPresent(broken::add);
                 }
