--- a/src/main/java/lilaclever/journal/BootClock.java
+++ b/src/main/java/lilaclever/journal/BootClock.java
@@ -7,32 +7,32 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells times of an earlier life by a clock that nobody sets: the monotonic one, where it counts from the machine's
- * start. All walls that a journal keeps are those of its life's clock; when the wall clock was set between two lives of
- * the same boot, they are moved by as much.
+ * Corrects wall-clock times that an earlier process run wrote, by means of the monotonic clock, which nobody can set
+ * and which counts from the start of the machine. All wall times in a journal are those of the clock of the run that
+ * wrote them; if the wall clock was set between two runs of the same boot, they are shifted by the same amount.
  *
- * <p>The monotonic clock's origin is its own affair, and it may stand still while the machine sleeps. So it is believed
- * only where it agrees with the time since the start that the system tells; in a process whose clocks are led by
- * somebody else it does not, and to move walls there would carry messages past their deadlines and windows.
+ * <p>The origin of the monotonic clock is unspecified, and the clock may stand still while the machine is suspended. So
+ * it is trusted only where it agrees with the uptime that the system reports. In a process whose clocks are simulated
+ * or shifted they disagree, and shifting wall times there would carry messages past their deadlines and repeat windows.
  *
- * @param boot names this start of the machine; 0 where that is not known, and then wall clocks are believed
- * @param offsetMicros the wall clock less the monotonic one
+ * @param boot identifies this boot of the machine; 0 if unknown, in which case wall clocks are trusted
+ * @param offsetMicros the wall clock minus the monotonic clock
  */
 public record BootClock(long boot, long offsetMicros) {
     /**
-     * Less than this is the reading of two clocks one after the other. All else is moved: the rules leave 50 ms, and
-     * the wall clock of a life does not follow slow adjustments either.
+     * Smaller differences come from reading two clocks one after the other. Anything larger is corrected: the rules
+     * allow an error of 50 ms, and the wall clock of a run does not follow gradual adjustments either.
      */
     private static final long NOTHING = 1_000;
 
     private static final int READINGS = 5;
-    /** The system tells the time since the start in hundredths of a second. */
+    /** The system reports the uptime in hundredths of a second. */
     private static final long UPTIME_STEP = 20_000;
 
-    /** Without knowledge of the machine. */
+    /** Used where nothing is known about the machine. */
     public static final BootClock UNKNOWN = new BootClock(0, 0);
 
-    /** The machine's, as Linux tells it; the two clocks in microseconds. */
+    /** Reads the boot id and the uptime from Linux; both clocks are in microseconds. */
     public static BootClock read(LongSupplier monotonic, LongSupplier wall) {
         try {
             UUID id = UUID.fromString(
@@ -48,11 +48,14 @@
                     after,
                     offset(monotonic, wall));
         } catch (IOException | RuntimeException e) {
-            return UNKNOWN; // another system
+            return UNKNOWN; // not Linux
         }
     }
 
-    /** The wall clock less the monotonic one; a process that is held up between the two readings makes it too small. */
+    /**
+     * The wall clock minus the monotonic one. A delay of the process between the two readings makes a sample too small,
+     * so the largest of several is taken.
+     */
     static long offset(LongSupplier monotonic, LongSupplier wall) {
         long largest = Long.MIN_VALUE;
         for (int i = 0; i < READINGS; i++) {
@@ -61,12 +64,15 @@
         return largest;
     }
 
-    /** The clock of the boot, if the uptime lies between two readings of the monotonic clock; all in microseconds. */
+    /**
+     * The clock of this boot, if the uptime lies between two readings of the monotonic clock, else {@link #UNKNOWN};
+     * all times in microseconds.
+     */
     static BootClock of(long boot, long before, long uptime, long after, long offset) {
         return before - UPTIME_STEP <= uptime && uptime <= after + UPTIME_STEP ? new BootClock(boot, offset) : UNKNOWN;
     }
 
-    /** What to add to a wall that was written under the other clock. */
+    /** What to add to a wall time that was written under the other clock. */
     long shiftFrom(BootClock then) {
         long shift = offsetMicros - then.offsetMicros;
         return boot == 0 || boot != then.boot || Math.abs(shift) < NOTHING ? 0 : shift;
--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -7,7 +7,7 @@
 import lilaclever.journal.Format.Writer;
 import lilaclever.log.Logs;
 
-/** Empties the log from its oldest segment on: copies forward what is live, and releases what nothing rests on. */
+/** Compacts the log from its oldest segment on: copies live records forward and releases segments that hold none. */
 final class Compactor implements LogAppender.RoomMaker {
     private final SegmentLog log;
     private final Plan plan;
@@ -26,12 +26,12 @@
     }
 
     /**
-     * Copies all that is live out of the segments up to that number and releases them: damaged ones and those of the
-     * first format have no place in the log any more.
+     * Copies all live records out of the segments up to this sequence number and releases these segments. Used for
+     * damaged segments and the legacy file, which must not stay in the log.
      */
     void carryOver(long upTo) throws IOException {
         while (log.oldest() != null && log.oldest().sequence <= upTo) {
-            copyOldest("carry over");
+            copyOldest("migrate");
             if (log.oldest().liveRecords == 0) {
                 syncer.forceNow(log);
                 log.release(state);
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Copies all that is live into as few segments as hold it, and gives up the others. */
+    /** Copies all live records into as few segments as possible and removes the other files. */
     void compactAll() throws IOException {
         log.giveUpActive();
         long last = log.newest();
@@ -53,17 +53,17 @@
 
     private void copyOldest(String purpose) throws JournalException {
         if (!copy(Long.MAX_VALUE)) {
-            throw new JournalException("no room to " + purpose + " " + log.oldest().name);
+            throw new JournalException("no space to " + purpose + " " + log.oldest().name);
         }
     }
 
-    /** Empties segments where that can't wait for the turn's slice. */
+    /** Compacts segments where that can't wait for the slice of the current turn. */
     @Override
     public void makeRoom(long bytes) {
         try {
             emptySegments(bytes);
         } catch (IOException e) {
-            // A segment that can't be renamed or deleted now stays; what is to be written may fit all the same.
+            // A segment that can't be renamed or deleted now stays in the log; the pending record may fit all the same.
             Logs.warn("journal", "release-failed", "an empty segment could not be released: " + e);
         }
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /** Does one turn's part: copies a slice of the oldest segment if the plan wants that. */
+    /** Does the work of one turn: copies a slice of the oldest segment if the policy asks for it. */
     void runSlice() throws IOException {
         releaseEmpty();
         long slice = plan.slice(log.space(state));
@@ -88,7 +88,7 @@
         }
     }
 
-    /** Copies live records of the oldest segment, so many bytes of them; false if they could not be written. */
+    /** Copies live records of the oldest segment, up to a number of bytes; false if they could not be written. */
     private boolean copy(long most) {
         Segment from = log.oldest();
         return copy(state.owed, from, most, (out, id, o) -> RecordEncoder.snapshot(out, o))
@@ -120,7 +120,7 @@
         return true;
     }
 
-    /** Fills {@link #copies} with records for one segment, and the lists with what they are of and their sizes. */
+    /** Fills {@link #copies} with records for one segment, and the lists with their keys and sizes. */
     private <T> void fillBatch(
             Map<String, JournalState.Slot<T>> map,
             Segment from,
@@ -137,7 +137,7 @@
             int before = copies.size();
             encoder.write(copies, e.getKey(), slot.value);
             if (!keys.isEmpty() && copies.size() > log.left()) {
-                copies.cut(before); // it goes into the next segment, and none of this one's room is lost to a batch
+                copies.cut(before); // goes into the next segment, so that a batch wastes no space in this one
                 break;
             }
             keys.add(e.getKey());
@@ -145,7 +145,7 @@
         }
     }
 
-    /** Takes segments out of the log on which nothing rests any more; true if there was one. */
+    /** Releases the oldest segments while they hold no live records; true if there was one. */
     private boolean releaseEmpty() throws IOException {
         boolean any = false;
         for (Segment s = log.oldest(); s != null && s.liveRecords == 0; s = log.oldest()) {
@@ -153,7 +153,7 @@
                 s.emptyAt = syncer.begun();
             }
             if (!syncer.coversAfter(s.emptyAt)) {
-                break; // its records' copies might not outlast the machine yet
+                break; // the copies of its records may not be durable yet
             }
             log.release(state);
             any = true;
@@ -161,7 +161,7 @@
         return any;
     }
 
-    /** Bytes copied so far. */
+    /** Returns the number of bytes copied so far. */
     long copied() {
         return copied;
     }
--- a/src/main/java/lilaclever/journal/Disk.java
+++ b/src/main/java/lilaclever/journal/Disk.java
@@ -4,35 +4,38 @@
 import java.nio.ByteBuffer;
 import java.util.List;
 
-/** The folder below a journal: the few operations that it needs, so that a test can count, cut and fail each. */
+/**
+ * The folder that holds a journal. Only the few operations that the journal needs, so that tests can count, interrupt
+ * and fail each of them.
+ */
 public interface Disk extends AutoCloseable {
-    /** The names of all files, sorted. */
+    /** Returns the names of all files, sorted. */
     List<String> names() throws IOException;
 
-    /** The length of a file, bytes. */
+    /** Returns the length of a file in bytes. */
     long length(String name) throws IOException;
 
-    /** Opens a file to read and write, and creates it if there is none. */
+    /** Opens a file for reading and writing, and creates it if it does not exist. */
     DiskFile open(String name) throws IOException;
 
-    /** Gives a file another name, in one step; a file of that name is replaced. */
+    /** Renames a file atomically; an existing file of the new name is replaced. */
     void rename(String from, String to) throws IOException;
 
-    /** Deletes a file; one that is not there is passed over. */
+    /** Deletes a file if it exists. */
     void delete(String name) throws IOException;
 
-    /** Makes names, as they are now, outlast a failure of the machine. */
+    /** Makes all file creations, renames and deletions so far durable. */
     void forceNames() throws IOException;
 
     @Override
     void close() throws IOException;
 
-    /** One open file. */
+    /** An open file. */
     interface DiskFile extends AutoCloseable {
-        /** Reads at the position; gives the bytes read, or -1 at the end. */
+        /** Reads at the position; returns the number of bytes read, or -1 at the end of the file. */
         int read(ByteBuffer into, long position) throws IOException;
 
-        /** Reads until the buffer is full; false if the file ends before. */
+        /** Reads until the buffer is full; false if the file ends before that. */
         default boolean fill(ByteBuffer into, long position) throws IOException {
             long at = position;
             while (into.hasRemaining()) {
@@ -45,13 +48,13 @@
             return true;
         }
 
-        /** Writes all of the buffer at the position, or fails with any part of it written. */
+        /** Writes the whole buffer at the position; on failure any part of it may have been written. */
         void write(ByteBuffer bytes, long position) throws IOException;
 
-        /** Cuts the file off at the length. */
+        /** Truncates the file to this length. */
         void truncate(long length) throws IOException;
 
-        /** Makes the content outlast a failure of the machine. */
+        /** Makes the content durable. */
         void force() throws IOException;
 
         @Override
--- a/src/main/java/lilaclever/journal/Durability.java
+++ b/src/main/java/lilaclever/journal/Durability.java
@@ -1,15 +1,15 @@
 package lilaclever.journal;
 
 /**
- * When records are forced to the disk. A killed process loses nothing in any case; this is for a machine that fails.
+ * When records are synced to the disk. A killed process loses nothing in any case; this matters when the machine fails.
  *
- * @param how the rule
- * @param everyMicros with INTERVAL, the time between two forcings
+ * @param how the sync mode
+ * @param everyMicros in mode INTERVAL, the time between two syncs
  */
 public record Durability(How how, long everyMicros) {
     /**
-     * NONE: never. INTERVAL: every so often, and nothing waits for it. GROUP: all records of a turn together, and
-     * nothing that a record comes before happens until then.
+     * NONE: never. INTERVAL: periodically, and nothing waits for the sync. GROUP: all records of a turn together, and
+     * nothing that depends on a record happens before its sync.
      */
     public enum How {
         NONE,
@@ -17,6 +17,6 @@
         GROUP
     }
 
-    /** The platform's choice: its folder goes with its machine. */
+    /** The default: no syncs, for a platform where the folder is lost with its machine. */
     public static final Durability NONE = new Durability(How.NONE, 0);
 }
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** A real folder. A lock on a file in it keeps a second program out. */
+/** A folder of the file system. A lock on a file in it keeps other programs out. */
 public final class FolderDisk implements Disk {
     private static final String LOCK = "lock";
 
@@ -24,7 +24,7 @@
         this.lockFile = lockFile;
     }
 
-    /** Takes the folder for this program alone; it is made if it is not there. */
+    /** Locks the folder for this program alone; it is created if it does not exist. */
     public static FolderDisk take(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lockFile =
--- a/src/main/java/lilaclever/journal/Format.java
+++ b/src/main/java/lilaclever/journal/Format.java
@@ -5,31 +5,34 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment. It begins with two copies of a header, 64 bytes apart: magic, format version, sequence
- * number, salt, time of making, which start of the machine and the wall clock's distance from it, CRC32C. Records
- * follow, to the first byte that is none:
+ * The binary format of a segment. It begins with two copies of a header, 64 bytes apart: magic number, format version,
+ * sequence number, salt, wall time of its creation, boot id and offset of the wall clock, CRC32C. Records follow, up to
+ * the first byte that does not begin one:
  * <pre>
  *   marker (2) | type (1) | length of the content (4) | CRC32C (4) | content | length again (4) | end (1)
  * </pre>
- * The last five bytes tell a record that was damaged after it was written from one whose writing was cut short.
- * The checksum covers the segment's salt, the type, the length and the content. As nobody outside knows the salt, no
- * content that a client chose can pass for a record when a reader looks for the next good one after damage; and what a
- * recycled file held before never passes either. All numbers are big-endian.
+ * The last five bytes distinguish a record that was damaged after it was written from one whose write was
+ * interrupted. The checksum covers the segment's salt, the type, the length and the content. As the salt is not known
+ * outside, no content that a client chose can pass for a record when a reader searches for the next valid one after
+ * damage; nor can the earlier content of a recycled file. All numbers are big-endian.
  */
 final class Format {
-    /** 2: a message may be owed to several, and remembered ends have the fingerprint of what they ended. */
+    /**
+     * Since version 2 several requesters may wait for the result of a message, and remembered results hold the
+     * fingerprint of their message.
+     */
     static final int VERSION = 2;
-    /** Where the records begin. */
+    /** Offset of the first record. */
     static final int HEADER = 128;
-    /** Of a record, all but its content. */
+    /** Size of a record without its content. */
     static final int FRAME = 16;
-    /** The record at a segment's beginning that tells where the one before it ended. */
+    /** Size of the first record of a segment, which says where the previous segment ended. */
     static final int PREVIOUS = FRAME + 16;
-    /** What a segment holds besides its records proper. */
+    /** Size of what a segment holds besides its records proper. */
     static final int OVERHEAD = HEADER + PREVIOUS;
-    /** A content longer than this is no record. */
+    /** A record with a longer content is invalid. */
     static final int LARGEST = 1 << 22;
-    /** Files are counted in blocks of so many bytes. */
+    /** File sizes are counted in blocks. */
     static final int BLOCK = 512;
 
     private static final long MAGIC = 0x4c494c41434a4e4cL;
@@ -41,7 +44,7 @@
 
     private static final int TYPE_AT = 2, LENGTH_AT = 3, SUM_AT = 7, CONTENT_AT = 11;
 
-    /** What a record says. The numbers are part of the format. */
+    /** The types of records. The codes are part of the format. */
     enum Type {
         TAKEN(1),
         ATTEMPT(2),
@@ -72,7 +75,7 @@
         }
     }
 
-    /** What a segment's header says. */
+    /** The content of a segment's header. */
     record Header(int version, long sequence, long salt, long madeWall, BootClock clock) {}
 
     private Format() {}
@@ -98,7 +101,7 @@
         return (int) crc.getValue();
     }
 
-    /** The header, from whichever copy is good; null if none is. */
+    /** Decodes the header from whichever copy is intact; null if neither is. */
     static Header readHeader(ByteBuffer bytes) {
         for (int at = 0; at < HEADER; at += COPY) {
             if (bytes.limit() >= at + HEADER_CONTENT + 4
@@ -115,7 +118,7 @@
         return null;
     }
 
-    /** What stands at a place in a segment. */
+    /** The result of checking a position of a segment for a record. */
     enum Look {
         GOOD,
         BAD,
@@ -123,7 +126,8 @@
     }
 
     /**
-     * GOOD: a whole record stands at the position. MORE: it may be one, if the buffer held more bytes. BAD: none.
+     * Checks the position of the buffer. GOOD: it holds a complete record. MORE: this can't be decided without more
+     * bytes. BAD: it holds no valid record.
      */
     static Look look(ByteBuffer in, long salt) {
         int at = in.position();
@@ -144,7 +148,7 @@
         return whole && in.getInt(at + SUM_AT) == sum(in, at, length, salt) ? Look.GOOD : Look.BAD;
     }
 
-    /** True if the bytes end as a record does that is as long as they are. */
+    /** True if the bytes end like a complete record of this length. */
     static boolean endsWhole(long length, ByteBuffer lastFive) {
         return length >= FRAME
                 && lastFive.remaining() == TRAILER
@@ -152,12 +156,12 @@
                 && lastFive.get(TRAILER - 1) == END;
     }
 
-    /** The type of a good record at the position. */
+    /** The type of the valid record at the position. */
     static Type type(ByteBuffer in) {
         return Type.of(in.get(in.position() + TYPE_AT));
     }
 
-    /** The content of a good record at the position; moves behind it. */
+    /** The content of the valid record at the position; moves the position behind the record. */
     static ByteBuffer take(ByteBuffer in) {
         int at = in.position();
         int length = in.getInt(at + LENGTH_AT);
@@ -180,12 +184,12 @@
         }
     }
 
-    /** Builds records one behind the other in a buffer that grows; the checksum comes when the salt is known. */
+    /** Encodes consecutive records into a growing buffer; the checksums are added when the salt is known. */
     static final class Writer {
         private ByteBuffer out = ByteBuffer.allocate(4096);
         private int start;
 
-        /** Forgets all. */
+        /** Removes all records. */
         Writer clear() {
             out.clear();
             return this;
@@ -198,7 +202,7 @@
             return this;
         }
 
-        /** Ends the record. */
+        /** Completes the current record. */
         Writer end() {
             room(TRAILER);
             int length = out.position() - start - CONTENT_AT;
@@ -236,12 +240,12 @@
             return this;
         }
 
-        /** Takes back all behind so many bytes. */
+        /** Removes everything after the first {@code size} bytes. */
         void cut(int size) {
             out.position(size);
         }
 
-        /** Bytes of all records so far. */
+        /** The size of all records so far, in bytes. */
         int size() {
             return out.position();
         }
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -19,17 +19,17 @@
 import lilaclever.routing.Submission;
 
 /**
- * What people do with the folder of a program that is stopped: look into it, check it, make it small, and read out what
- * it holds. All but {@link #compact} only reads.
+ * The operator's commands for the journal of a stopped program: inspect, verify, compact and export. Only {@link
+ * #compact} writes.
  */
 public final class Inspection {
-    /** Exit codes: all is well; damage was found; the folder can't be used. */
+    /** Exit codes: no damage; damage was found; the folder can't be used. */
     public static final int GOOD = 0, DAMAGED = 1, UNUSABLE = 2;
 
     private final Path folder;
     private final PrintStream out;
 
-    /** Of this folder; what is found is printed there. */
+    /** Inspects this folder and prints the results to {@code out}. */
     public Inspection(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
@@ -42,7 +42,7 @@
         return FolderDisk.take(folder);
     }
 
-    /** Prints each file with what is in it, and what the whole says. */
+    /** Prints each file with its contents, and a summary of the state. */
     public int inspect() throws IOException {
         try (FolderDisk disk = take()) {
             JournalState state = new JournalState();
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Reads all and prints only what is wrong. */
+    /** Reads everything and prints only faults. */
     public int verify() throws IOException {
         try (FolderDisk disk = take()) {
             return told(new Recovery(disk, new JournalState(), BootClock.UNKNOWN, line -> {}).scan());
@@ -103,7 +103,7 @@
         return good ? GOOD : DAMAGED;
     }
 
-    /** Writes what is live into as few files as hold it; damaged files are kept aside. */
+    /** Writes all live records into as few files as possible; damaged files are kept under another name. */
     public int compact(long mostBytes) throws IOException {
         FolderDisk disk = take();
         try (SegmentedJournal journal = new SegmentedJournal(
@@ -125,7 +125,7 @@
         return new JournalClocks(micros, wall, BootClock.read(micros, wall));
     }
 
-    /** Prints what is owed and what is remembered, one JSON object a line. */
+    /** Prints the pending messages and the remembered results, one JSON object per line. */
     public int export() throws IOException {
         try (FolderDisk disk = take()) {
             JournalState state = new JournalState();
--- a/src/main/java/lilaclever/journal/JournalClocks.java
+++ b/src/main/java/lilaclever/journal/JournalClocks.java
@@ -3,7 +3,7 @@
 import java.util.function.LongSupplier;
 
 /**
- * The clocks of one life, microseconds: one that only goes forward, the wall clock as the core keeps it (it does not
- * jump within a life), and the machine's own.
+ * The clocks of one process run: a monotonic clock and the core's wall clock (which does not jump within a run), both
+ * in microseconds, and the boot clock of the machine.
  */
 public record JournalClocks(LongSupplier micros, LongSupplier wall, BootClock boot) {}
--- a/src/main/java/lilaclever/journal/JournalException.java
+++ b/src/main/java/lilaclever/journal/JournalException.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** A folder that this program must not use as its journal; the message says why, and nothing was touched. */
+/**
+ * Thrown if this program must not use a folder as its journal; the message says why. Nothing in the folder was changed.
+ */
 public final class JournalException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -12,14 +12,14 @@
 import lilaclever.routing.Submission;
 
 /**
- * The state that the records make: what is owed and what is remembered, each with the segment that it rests on. Both
- * maps are in the order of those segments. Does no I/O.
+ * The state that the records describe: pending messages and remembered results, each with the segment that holds its
+ * current record. Both maps are in the order of those segments. Does no I/O.
  */
 final class JournalState {
-    /** What a message's record may grow by: its attempts' hosts and its end, in a snapshot. */
+    /** How many bytes a message's record may grow by in a snapshot: the hosts of its attempts and its final status. */
     private static final int GROWTH = 640;
 
-    /** Something live, and the record that it rests on. */
+    /** A live entry, and the segment that holds its record. */
     static final class Slot<T> {
         final T value;
         Segment base;
@@ -43,14 +43,14 @@
 
     final Map<String, Slot<PendingMessage>> owed = new LinkedHashMap<>();
     final Map<String, Slot<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
-    /** The same by their time: windows differ, so the order of writing tells nothing of it. */
+    /** Remembered results by expiry time: repeat windows differ, so the order of writing does not show it. */
     private final TreeSet<Expiry> expiries = new TreeSet<>();
-    /** Counts of live records by the bits of their size: the largest is known without a sorted map. */
+    /** Number of live records by the bit length of their size, which bounds the largest without a sorted map. */
     private final int[] sizes = new int[Integer.SIZE];
 
     private long live, growth;
 
-    /** When a remembered end is forgotten. */
+    /** When a remembered result expires. */
     private record Expiry(long untilWall, String identity) implements Comparable<Expiry> {
         @Override
         public int compareTo(Expiry other) {
@@ -59,18 +59,19 @@
         }
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
-    /** Bytes that are live. */
+    // Sizes
+
+    /** Size of all live records in bytes. */
     long live() {
         return live;
     }
 
-    /** What they may still grow by. */
+    /** The number of bytes that live records may still grow by. */
     long growth() {
         return growth;
     }
 
-    /** No record that is live is larger; at most twice the largest. */
+    /** An upper bound on the size of live records, less than twice the largest. */
     long largest() {
         for (int bits = sizes.length - 1; bits > 0; bits--) {
             if (sizes[bits] > 0) {
@@ -80,12 +81,12 @@
         return 0;
     }
 
-    /** What a message may need beyond the record of its taking on. */
+    /** How many bytes a message may need beyond the record of its acceptance. */
     static long growth(Submission h) {
         return GROWTH + (h.identity() == null ? 0 : rememberedSize(h.identity()));
     }
 
-    /** What a claim on a message's end adds to its record. */
+    /** How many bytes another claim on a message's result adds to its record. */
     static long growth(PendingMessage.Claim claim) {
         return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
     }
@@ -118,7 +119,7 @@
         return Integer.SIZE - Integer.numberOfLeadingZeros(size);
     }
 
-    /** All messages that are owed, as a view, in the order of {@link #owed}. */
+    /** A view of all pending messages, in the order of {@link #owed}. */
     Collection<PendingMessage> messages() {
         return new AbstractCollection<>() {
             @Override
@@ -144,8 +145,11 @@
         };
     }
 
-    // ---- changes ----------------------------------------------------------------------------------------
-    /** A message is taken on. What ended under its identity was past its time: it is not this one's end. */
+    // Changes
+
+    /**
+     * Adds an accepted message. A result remembered under its identity has expired and does not belong to this message.
+     */
     void taken(PendingMessage o, Segment base, int size) {
         if (o.submission().identity() != null) {
             forget(o.submission().identity());
@@ -153,7 +157,7 @@
         put(o, base, size);
     }
 
-    /** A message, or all that is known of one, stands in a record of the segment. */
+    /** Adds or replaces a message whose record, or complete snapshot, is in this segment. */
     void put(PendingMessage o, Segment base, int size) {
         String id = o.submission().id();
         drop(id);
@@ -163,7 +167,7 @@
         rest(slot, base, size);
     }
 
-    /** The message has ended. */
+    /** Removes a message that has ended. */
     void drop(String id) {
         Slot<PendingMessage> slot = owed.remove(id);
         if (slot != null) {
@@ -172,14 +176,14 @@
         }
     }
 
-    /** Somebody else is owed the end of a message. */
+    /** Adds another claim on the result of a message. */
     void join(PendingMessage o, PendingMessage.Claim claim) {
         growth -= growth(o);
         o.join(claim);
         growth += growth(o);
     }
 
-    /** An end that is remembered stands in a record of the segment. */
+    /** Adds or replaces a remembered result whose record is in this segment. */
     void put(String identity, CompletedMessage<FinalStatus> p, Segment base, int size) {
         forget(identity);
         Slot<CompletedMessage<FinalStatus>> slot = new Slot<>(p);
@@ -188,7 +192,7 @@
         rest(slot, base, size);
     }
 
-    /** The end is remembered no more. */
+    /** Removes a remembered result. */
     void forget(String identity) {
         Slot<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
         if (slot != null) {
@@ -197,21 +201,21 @@
         }
     }
 
-    /** Forgets the end whose time is up soonest. */
+    /** Removes the remembered result that expires first. */
     void forgetSoonest() {
         if (!expiries.isEmpty()) {
             forget(expiries.first().identity());
         }
     }
 
-    /** The slot's record has been written anew: it goes to the end of its map. */
+    /** Notes that the entry's record was written again, which moves it to the end of its map. */
     <T> void moved(Map<String, Slot<T>> map, String key, Segment base, int size) {
         Slot<T> slot = map.remove(key);
         map.put(key, slot);
         rest(slot, base, size);
     }
 
-    /** Forgets ends whose time is up, so many at most; gives how many. */
+    /** Removes up to {@code most} expired results and returns their number. */
     int expire(long nowWall, int most) {
         int gone = 0;
         while (gone < most && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
@@ -221,7 +225,7 @@
         return gone;
     }
 
-    /** Records are lost: all that is known of any message so far may be too little. */
+    /** Records were lost: any attempt of the messages known so far may have run without its record. */
     void doubt() {
         owed.values().forEach(slot -> slot.value.doubt());
     }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -10,8 +10,9 @@
 import lilaclever.routing.Submission;
 
 /**
- * Reads the one file of the first format: length, CRC32, content; no version and no marks, so nothing can be read
- * behind the first bad record. The file is only ever read: its live records are copied forward like a segment's.
+ * Reads the single file of the original format: length, CRC32, content. It has no version and no record markers, so
+ * nothing after the first bad record can be read. The file is only ever read: its live records are copied forward like
+ * those of a segment.
  */
 final class LegacyReader {
     static final String NAME = "journal", UNFINISHED = "journal.new";
@@ -27,7 +28,7 @@
         this.segment = segment;
     }
 
-    /** Applies all records up to the first that is torn or bad; gives its position. */
+    /** Applies all records up to the first that is incomplete or corrupt, and returns the position of that one. */
     long read(Disk disk) throws IOException {
         long length = disk.length(NAME);
         long at = 0;
@@ -43,7 +44,7 @@
                 CRC32 crc = new CRC32();
                 crc.update(content.flip().duplicate());
                 if ((int) crc.getValue() != head.getInt(4)) {
-                    damaged = true; // it is there whole, so its consequence may have happened
+                    damaged = true; // the record is complete, so what it announced may have happened
                     break;
                 }
                 apply(content, size + HEAD);
@@ -53,7 +54,7 @@
         return at;
     }
 
-    /** True if the reading ended before a record that was written whole. */
+    /** True if reading stopped at a record that had been written completely. */
     boolean damaged() {
         return damaged;
     }
@@ -124,7 +125,7 @@
         return new FinalStatus(FinalStatus.Kind.values()[in.get()], in.getLong(), text(in));
     }
 
-    /** As DataOutput.writeUTF writes it; ids of that time were plain. */
+    /** Encoded by DataOutput.writeUTF; ids of that format were plain ASCII. */
     private static String text(ByteBuffer in) {
         byte[] bytes = new byte[in.getShort() & 0xffff];
         in.get(bytes);
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -6,13 +6,13 @@
 import lilaclever.log.Logs;
 
 /**
- * Appends records to the log, in a further segment where one fails. While the disk takes none it is left alone but for
- * a trial after each {@link Plan#PAUSE}.
+ * Appends records to the log, in another segment if a write fails. While the disk accepts no records, writes are
+ * attempted only once per {@link Plan#PAUSE}.
  */
 final class LogAppender {
-    /** Empties segments where a record finds no room. */
+    /** Frees segments when there is no space for a record. */
     interface RoomMaker {
-        /** Makes room for so many bytes, if it can. */
+        /** Frees space for this number of bytes, if possible. */
         void makeRoom(long bytes);
     }
 
@@ -38,7 +38,9 @@
         this.micros = micros;
     }
 
-    /** Appends the records, all or none, and leaves the room that copies need; false if no segment takes them. */
+    /**
+     * Appends the records, all or none, and leaves the space reserved for copies; false if no segment can take them.
+     */
     boolean append(Writer records, RoomMaker roomMaker) {
         int size = records.size();
         return write(records, () -> {
@@ -54,7 +56,7 @@
         });
     }
 
-    /** Appends copies of live records, for which all room may be used; false if no segment takes them. */
+    /** Appends copies of live records, which may use all space; false if no segment can take them. */
     boolean appendCopies(Writer copies) {
         return write(copies, () -> {
             if (!log.fits(copies.size())) {
@@ -93,7 +95,7 @@
         }
     }
 
-    /** The disk has failed: it is left alone for a while. */
+    /** Notes that the disk failed, and backs off for a while. */
     void failed(IOException e) {
         failures++;
         retryAt = micros.getAsLong() + Plan.PAUSE;
@@ -110,17 +112,19 @@
         return failing && micros.getAsLong() < retryAt;
     }
 
-    /** True if the disk has failed and is not tried at that time, microseconds. */
+    /** True if the disk has failed and is not to be tried yet at this time, in microseconds. */
     boolean isPausedAt(long nowMicros) {
         return failing && nowMicros < retryAt;
     }
 
-    /** The disk is tried at once, also if it has just failed. */
+    /** Ends the backoff: the disk is tried at once, even if it has just failed. */
     void endPause() {
         retryAt = Long.MIN_VALUE;
     }
 
-    /** True if there is room for a record of so many bytes that may grow by so many more; adds segments for it. */
+    /**
+     * True if there is space for a record of this size and its later growth, both in bytes; allocates segments for it.
+     */
     boolean hasRoom(long record, long growth) {
         if (isPaused()) {
             return false;
@@ -133,7 +137,7 @@
         return true;
     }
 
-    /** Times that the disk took nothing. */
+    /** How many times the disk accepted nothing. */
     long failures() {
         return failures;
     }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -8,17 +8,20 @@
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
 
-/** Reads the records that {@link RecordEncoder} writes, and applies them to the state. */
+/** Decodes the records that {@link RecordEncoder} writes, and applies them to the state. */
 final class RecordDecoder {
     private final JournalState state;
-    /** What to add to walls that are read, microseconds. */
+    /** Added to decoded wall times, in microseconds. */
     private long shift;
 
     RecordDecoder(JournalState state) {
         this.state = state;
     }
 
-    /** The wall clock was set by so much since what is read from now on was written. */
+    /**
+     * Sets the shift of wall times for the following records: by how much the wall clock was set since they were
+     * written.
+     */
     void shiftWalls(long micros) {
         shift = micros;
     }
@@ -27,7 +30,7 @@
         return in.getLong() + shift;
     }
 
-    /** Applies a record; false if its content makes no sense. */
+    /** Applies a record; false if its content is invalid. */
     boolean apply(Type type, ByteBuffer in, Segment segment, int size) {
         try {
             switch (type) {
@@ -55,7 +58,7 @@
                 default -> applyToOne(type, in);
             }
             return true;
-        } catch (RuntimeException e) { // too short, or a number out of its range
+        } catch (RuntimeException e) { // too short, or a number out of range
             return false;
         }
     }
@@ -63,7 +66,7 @@
     private void applyToOne(Type type, ByteBuffer in) {
         JournalState.Slot<PendingMessage> slot = state.owed.get(Format.text(in));
         if (slot == null) {
-            return; // its message has ended, or a later record tells all of it
+            return; // its message has ended, or a later snapshot covers it
         }
         switch (type) {
             case ATTEMPT -> slot.value.attempt(Format.text(in), in.getInt(), wall(in));
@@ -103,7 +106,7 @@
         if (Format.flag(in)) {
             o.verdict(readEnd(in));
         }
-        for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
+        for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // absent in version 1
             o.join(new PendingMessage.Claim(Format.text(in), Format.text(in)));
         }
     }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -7,43 +7,43 @@
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
 
-/** How each record is written; {@link RecordDecoder} reads them. */
+/** Encodes records; {@link RecordDecoder} decodes them. */
 final class RecordEncoder {
-    /** Of what an endpoint said for people, so many characters outlast the process. */
+    /** Maximum number of characters stored of the explanation that an endpoint gave. */
     static final int MOST_DETAIL = 160;
 
     private RecordEncoder() {}
 
-    /** A message is taken on. */
+    /** A message was accepted. */
     static void taken(Writer out, PendingMessage o) {
         out.begin(Type.TAKEN);
         whole(out, o);
         out.end();
     }
 
-    /** An attempt has begun, at that time of the wall clock, microseconds. */
+    /** An attempt begins at this wall time, in microseconds. */
     static void attempt(Writer out, String id, String host, int zone, long wall) {
         out.begin(Type.ATTEMPT).text(id).text(host).small(zone).number(wall).end();
     }
 
-    /** The attempt that was out is over. */
+    /** The attempt in flight has finished. */
     static void outcome(Writer out, String id, boolean neverRan) {
         out.begin(Type.OUTCOME).text(id).flag(neverRan).end();
     }
 
-    /** How the message has ended. */
+    /** The final status of the message is decided. */
     static void verdict(Writer out, String id, FinalStatus v) {
         out.begin(Type.VERDICT).text(id);
         end(out, v);
         out.end();
     }
 
-    /** The message is over for good. */
+    /** The message is finished: no result is pending any more. */
     static void ended(Writer out, String id) {
         out.begin(Type.ENDED).text(id).end();
     }
 
-    /** An end that is remembered, under its identity. */
+    /** The result remembered under an identity. */
     static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
         out.begin(Type.REMEMBERED).text(identity);
         end(out, p.end());
@@ -54,12 +54,12 @@
         out.end();
     }
 
-    /** Somebody else is owed the end of a message. */
+    /** Another submission waits for the result of the message. */
     static void joined(Writer out, String id, PendingMessage.Claim claim) {
         out.begin(Type.JOINED).text(id).text(claim.front()).text(claim.id()).end();
     }
 
-    /** All that is known of a message, in one record. */
+    /** The whole state of a message in one record. */
     static void snapshot(Writer out, PendingMessage o) {
         out.begin(Type.SNAPSHOT);
         whole(out, o);
@@ -74,7 +74,7 @@
         out.end();
     }
 
-    /** Where the segment before this one ended. */
+    /** Where the previous segment ended. */
     static void previous(Writer out, long sequence, long end) {
         out.begin(Type.PREVIOUS).number(sequence).number(end).end();
     }
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -11,23 +11,26 @@
 import lilaclever.journal.Format.Type;
 
 /**
- * Reads a folder into the state, and changes nothing in it. Segments are read in their order, through a window, so the
- * memory that it takes is that of what is live. Every header is looked at first: a folder of a newer version is refused
- * before anything else. {@link #settle} then hands the files to the log; being killed in it does no harm, as it changes
- * nothing that the next reading would miss.
+ * Reads a journal folder into the state without changing the folder. Segments are read in order through a window, so
+ * memory use depends on the live records only. All headers are read first, so that a folder of a newer version is
+ * rejected before anything else. {@link #settle} then hands the files over to the log; a kill during that does no harm,
+ * as it changes nothing that the next recovery needs.
  */
 public final class Recovery {
     /** A part of a file that could not be read. */
     public record Damage(String file, long from, long to) {}
 
-    /** What was found: whole records, files, damage, and the last file that must be left behind. */
+    /**
+     * Results of recovery: number of complete records, segments, damage, missing segments, and the last segment that
+     * must be migrated out of the log.
+     */
     public record Report(
             long records, int segments, List<Damage> damages, int missing, boolean carriedOver, long cleanUpTo) {}
 
-    /** One segment that was read, and how many records of each type it has. */
+    /** A segment that was read, and its number of records by type. */
     record Found(Segment segment, Format.Header header, EnumMap<Type, Integer> counts) {}
 
-    /** A segment's name, and where the one before it ends as it says; -1 if it does not. */
+    /** The name of a segment, and where the previous segment ends according to its first record; -1 if unknown. */
     private record Look(String name, long endOfPrevious) {}
 
     private final Disk disk;
@@ -43,7 +46,7 @@
     private boolean carriedOver;
     private long cleanUpTo = -1;
 
-    /** {@code log} hears of each damage, a line each. */
+    /** Receives one line per fault in {@code log}. */
     Recovery(Disk disk, JournalState state, BootClock clock, Consumer<String> log) {
         this.disk = disk;
         this.state = state;
@@ -52,7 +55,7 @@
         this.log = log;
     }
 
-    /** Reads all. */
+    /** Reads all files. */
     Report scan() throws IOException {
         names = disk.names();
         TreeMap<Long, Look> segments = new TreeMap<>();
@@ -70,12 +73,12 @@
         return new Report(records, segments.size(), List.copyOf(damages), missing, carriedOver, cleanUpTo);
     }
 
-    /** The segments in their order. */
+    /** The segments in order. */
     List<Found> found() {
         return found;
     }
 
-    /** Hands what was found to the log, and ends what an earlier life had begun. */
+    /** Hands the files over to the log, and finishes work that an earlier run left incomplete. */
     void settle(SegmentLog to) throws IOException {
         found.forEach(f -> to.found(f.segment()));
         for (String name : names) {
@@ -93,11 +96,11 @@
         try {
             disk.delete(name);
         } catch (IOException e) {
-            log.accept(name + " could not be deleted, which the next start does: " + e);
+            log.accept(name + " could not be deleted, tried again at the next start: " + e);
         }
     }
 
-    /** Looks at a segment's beginning; one of a newer version is refused. */
+    /** Reads the start of a segment; a newer format version is rejected. */
     private Look look(String name) throws IOException {
         try (SegmentReader reader = new SegmentReader(disk, name)) {
             if (reader.header() != null && reader.header().version() > Format.VERSION) {
@@ -109,7 +112,10 @@
         }
     }
 
-    /** The one file of the first format is read as the oldest segment, and copied forward like any other. */
+    /**
+     * Reads the single file of the legacy format as the oldest segment; its records are copied forward like any
+     * other's.
+     */
     private void carryOver() throws IOException {
         Segment all = new Segment(Segment.LEGACY, LegacyReader.NAME, Plan.blocks(disk.length(LegacyReader.NAME)));
         LegacyReader reader = new LegacyReader(state, all);
@@ -128,7 +134,7 @@
             if (gap > 0) {
                 missing += (int) gap;
                 log.accept(gap + " files missing before " + entry.getValue().name()
-                        + "; what was out before counts as possibly run");
+                        + "; earlier attempts in flight count as possibly run");
                 state.doubt();
             }
             Look next = segments.get(entry.getKey() + 1);
@@ -170,7 +176,7 @@
         cleanUpTo = Math.max(cleanUpTo, segment.sequence);
         damages.add(new Damage(segment.name, from, to));
         log.accept(segment.name + " can't be read from byte " + from + " to " + to
-                + "; what follows is read, and what was out before counts as possibly run");
+                + "; later records are read, and earlier attempts in flight count as possibly run");
         state.doubt();
     }
 }
--- a/src/main/java/lilaclever/journal/Segment.java
+++ b/src/main/java/lilaclever/journal/Segment.java
@@ -1,26 +1,26 @@
 package lilaclever.journal;
 
-/** One file of the log, and what of it is still needed. */
+/** A file of the log, and its live records. */
 final class Segment {
     private static final String PREFIX = "segment-";
-    /** The number of a folder's one file of the first format, older than all segments. */
+    /** The sequence number of the legacy file, older than all segments. */
     static final long LEGACY = 0;
 
     final long sequence;
     final String name;
-    /** Bytes on disk, and how far records reach. */
+    /** Size on disk. {@link #used} is the end of the last record. */
     final long length;
 
     long used;
-    /** Records that the state rests on, and their bytes. */
+    /** Live records in this segment, and their size. */
     int liveRecords;
 
     long liveBytes;
-    /** Forcings that had begun when nothing rested on it any more; -1 until then. */
+    /** Number of syncs started when the last live record left this segment; -1 until then. */
     long emptyAt = -1;
-    /** Forcings that had begun when it was taken into use, and when it was written to last. */
+    /** Number of syncs started when the segment was put into use, and at its last write. */
     long startedAt, writtenAt;
-    /** True if a part of it can't be read: it is kept aside, not used again. */
+    /** True if a part of it is unreadable: the file is then kept under another name instead of being reused. */
     boolean damaged;
 
     Segment(long sequence, String name, long length) {
@@ -33,7 +33,7 @@
         return PREFIX + String.format("%016x", sequence);
     }
 
-    /** The sequence number in a file's name; -1 if it is no segment's. */
+    /** The sequence number in a file name; -1 if it does not name a segment. */
     static long sequence(String name) {
         if (!name.startsWith(PREFIX)) {
             return -1;
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -13,22 +13,22 @@
 import lilaclever.log.Logs;
 
 /**
- * The files of the log: full ones in their order, the one in use, and spare ones. A file is allocated in full, with
- * zeros, before it is used, and given another name when its use changes; so room that was promised can't be taken by
- * others, and a kill at any moment leaves each file as one thing or the other.
+ * The files of the log: full segments in order, the active one, and preallocated ones. A file is filled with zeros
+ * before use, so that others can't take space that was promised, and is renamed when its role changes, so that a kill
+ * at any moment leaves each file in exactly one role.
  */
 final class SegmentLog {
     static final String SPARE = "spare-", DAMAGED = "damaged-";
     private static final int ZEROS = 64 * 1024;
 
-    /** A file without content, ready for use. */
+    /** A zero-filled file, ready for use. */
     private record Spare(String name, long length) {}
 
     /**
-     * A file without content that is not filled with zeros yet.
+     * A file without live content that is not filled with zeros yet.
      *
-     * @param forcing the forcings that had begun when it got its name: until a later one has ended well, a failure of
-     *     the machine may bring its old name back, and its old content has to be there then
+     * @param forcing number of syncs started when the file got its name: until a later sync has succeeded, a machine
+     *     failure may restore its old name, and its old content must still be there then
      */
     private record Unready(String name, long length, long forcing) {}
 
@@ -42,15 +42,15 @@
     private final ArrayDeque<Segment> full = new ArrayDeque<>();
     private final ArrayDeque<Spare> spares = new ArrayDeque<>();
     private final ArrayDeque<Unready> unready = new ArrayDeque<>();
-    /** Files that hold records which may not outlast the machine yet. */
+    /** Open files of full segments whose records may not be durable yet. */
     private final List<Disk.DiskFile> unforced = new ArrayList<>();
 
     private final boolean forces;
-    /** How many forcings have begun. */
+    /** Number of syncs started so far. */
     private final LongSupplier forcings;
 
     private boolean namesChanged;
-    /** What the file in use begins with: its header and first record. */
+    /** The start of the active segment: its header and first record. */
     private byte[] beginning;
 
     private Segment active;
@@ -62,7 +62,7 @@
     private long asideBytes, unreadyBytes;
     private boolean cannotGrow;
 
-    /** {@code forces}: files are to be forced, so they are kept open until then. */
+    /** {@code forces}: files are synced, so they stay open until then. */
     SegmentLog(
             Disk disk,
             Plan plan,
@@ -80,15 +80,16 @@
         this.times = times;
     }
 
-    // ---- opening ----------------------------------------------------------------------------------------
-    /** A segment of an earlier life. In order. */
+    // Opening
+
+    /** Adds a segment of an earlier run; called in order of sequence numbers. */
     void found(Segment s) {
         full.add(s);
         allocated += s.length;
         nextSequence = Math.max(nextSequence, s.sequence + 1);
     }
 
-    /** An empty file of an earlier life: it is made ready again, or given up. */
+    /** Adds a preallocated file of an earlier run: it is filled with zeros again, or deleted. */
     void foundSpare(String name) throws IOException {
         nextSpare = Math.max(nextSpare, 1 + number(name));
         long length = disk.length(name);
@@ -96,7 +97,7 @@
         prepareOrKeep(name, length);
     }
 
-    /** A file that was kept aside for people to look at. */
+    /** Counts a damaged file that was kept for inspection by an operator. */
     void foundAside(String name) throws IOException {
         long bytes = Plan.blocks(disk.length(name));
         asideBytes += bytes;
@@ -111,13 +112,14 @@
         }
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
+    // Sizes
+
     Plan.Space space(JournalState state) {
         long free = left();
         for (Spare s : spares) {
             free += s.length() - Format.OVERHEAD;
         }
-        // What can't grow now has all the room it will get.
+        // If allocation failed, the files have all the space they will get.
         return new Plan.Space(
                 (cannotGrow ? allocated : most) - asideBytes - unreadyBytes,
                 allocated - asideBytes - unreadyBytes,
@@ -144,17 +146,19 @@
         return full.peekFirst();
     }
 
-    /** The sequence number of the newest file that is not in use any more; -1 if there is none. */
+    /** The sequence number of the newest full segment; -1 if there is none. */
     long newest() {
         return full.isEmpty() ? -1 : full.peekLast().sequence;
     }
 
-    /** True if the bytes fit into the file in use. */
+    /** True if this number of bytes fits into the active segment. */
     boolean fits(long bytes) {
         return active != null && bytes <= left();
     }
 
-    /** True if a file for so many bytes can be had that leaves at least so many spare ones. */
+    /**
+     * True if a segment for this number of bytes can be provided that leaves at least {@code keep} preallocated ones.
+     */
     boolean canTake(long bytes, int keep) {
         long room = most - allocated;
         int left = spares.size();
@@ -162,18 +166,22 @@
             if (s.length() >= bytes + Format.OVERHEAD && spares.size() > keep) {
                 return true;
             }
-            room += left-- > keep ? s.length() : 0; // it could make way for a longer one
+            room += left-- > keep ? s.length() : 0; // could be deleted to allocate a longer one
         }
         return room >= plan.lengthFor(bytes);
     }
 
-    /** What the file in use still has room for. */
+    /** Space left in the active segment, in bytes. */
     long left() {
         return active == null ? 0 : active.length - active.used;
     }
 
-    // ---- writing ----------------------------------------------------------------------------------------
-    /** Writes the records behind the others; on a failure the file is cut off before them and not used further. */
+    // Writing
+
+    /**
+     * Appends the records to the active segment. On failure the segment is truncated to its previous end and not
+     * written to any more.
+     */
     void write(Writer records) throws IOException {
         try {
             activeFile.write(records.sealed(salt), active.used);
@@ -186,19 +194,21 @@
         active.writtenAt = forcings.getAsLong();
     }
 
-    /** What a failed write left of a record must not pass for one: its consequence has not happened. */
+    /**
+     * Removes a partly written record, which must not be read as a complete one: what it announces has not happened.
+     */
     private void cut() {
         try {
             activeFile.truncate(active.used);
         } catch (IOException e) {
-            Logs.warn("journal", "cut-failed", active.name + " could not be cut off: " + e, "segment", active.name);
+            Logs.warn("journal", "cut-failed", active.name + " could not be truncated: " + e, "segment", active.name);
         }
     }
 
     /**
-     * A file with records stays in the log. An empty one becomes a spare again: it would be emptied only after
-     * all files before it, and a disk that fails for some time would use up all spares, with none left to copy
-     * what is live to.
+     * A segment with records stays in the log. An empty one becomes a preallocated one again: it could be released only
+     * after all segments before it, and a disk that fails for some time would use up all preallocated segments, so that
+     * none would be left for copying live records.
      */
     private void leaveAfterFailure() {
         if (active.used > Format.OVERHEAD) {
@@ -209,13 +219,13 @@
         try {
             disk.rename(active.name, name);
         } catch (IOException e) {
-            Logs.warn("journal", "rename-failed", active.name + " stays in use: " + e, "segment", active.name);
+            Logs.warn("journal", "rename-failed", active.name + " could not be renamed: " + e, "segment", active.name);
             return;
         }
         namesChanged = true;
         nextSequence = active.sequence;
         if (forces) {
-            unforced.add(activeFile); // it may be under a forcing just now
+            unforced.add(activeFile); // a sync of it may be in progress
         } else {
             close(activeFile);
         }
@@ -225,7 +235,9 @@
         prepareOrKeep(name, length);
     }
 
-    /** Takes a file into use that has room for so many bytes, and notes in it where the last one ended. */
+    /**
+     * Puts a segment into use that has space for this number of bytes, and notes in it where the previous one ended.
+     */
     void roll(long bytes) throws IOException {
         leave();
         Spare spare = take(bytes);
@@ -264,7 +276,7 @@
         return all.put(first.sealed(nextSalt)).flip();
     }
 
-    /** Nothing more goes into the file in use. */
+    /** Closes the active segment for writing. */
     private void leave() {
         if (active == null) {
             return;
@@ -284,12 +296,13 @@
             try {
                 file.close();
             } catch (IOException e) {
-                Logs.warn("journal", "close-failed", "a file did not close: " + e);
+                Logs.warn("journal", "close-failed", "a file could not be closed: " + e);
             }
         }
     }
 
-    // ---- files ------------------------------------------------------------------------------------------
+    // Allocation and release
+
     private Spare take(long bytes) throws IOException {
         long needed = bytes + Format.OVERHEAD;
         for (Iterator<Spare> all = spares.iterator(); all.hasNext(); ) {
@@ -301,7 +314,7 @@
         }
         long length = plan.lengthFor(bytes);
         while (allocated + length > most && !spares.isEmpty()) {
-            // Spare files that are too short for this one record make way for a longer one.
+            // Files too short for this record are deleted to allocate a longer one.
             Spare shortest = spares.peekFirst();
             disk.delete(shortest.name());
             spares.pollFirst();
@@ -319,16 +332,16 @@
         return spares.pollLast();
     }
 
-    /** No file is left to write to. */
+    /** Thrown if no segment has space for a record. */
     static final class NoRoom extends IOException {
         private static final long serialVersionUID = 1L;
 
         NoRoom() {
-            super("no room left in the journal's files");
+            super("no space left in the journal's files");
         }
     }
 
-    /** Makes a further spare file; false if the disk gives no room for it. */
+    /** Preallocates a further segment; false if the disk has no space for it. */
     boolean grow(long length) {
         String name = SPARE + nextSpare++;
         cannotGrow = true;
@@ -345,7 +358,7 @@
         return true;
     }
 
-    /** Forgets that the disk gave no room, so that it is asked again. */
+    /** Resets the note that the disk has no space, so that allocation is tried again. */
     void mayGrowAgain() {
         cannotGrow = false;
     }
@@ -357,7 +370,7 @@
         }
     }
 
-    /** Deletes a file that could not be filled; where that fails too it counts, and is filled later. */
+    /** Deletes a file that could not be filled; if that fails too, the file is counted and filled later. */
     private void deleteOrKeep(String name, long length) {
         try {
             disk.delete(name);
@@ -373,7 +386,7 @@
         unreadyBytes += Plan.blocks(length);
     }
 
-    /** Takes the oldest file, on which nothing rests any more, out of the log. */
+    /** Removes the oldest segment, which has no live records, from the log. */
     void release(JournalState state) throws IOException {
         Segment s = full.peekFirst();
         assert s.liveRecords == 0 : s.name;
@@ -398,20 +411,20 @@
         namesChanged = true;
     }
 
-    /** Makes a file without content a spare, now or as soon as the disk allows that. */
+    /** Turns a file without live content into a preallocated segment, now or as soon as the disk allows it. */
     private void prepareOrKeep(String name, long length) {
         try {
             prepare(name, length);
         } catch (IOException e) {
-            Logs.warn("journal", "not-ready", name + " is made ready later: " + e, "segment", name);
+            Logs.warn("journal", "not-ready", name + " could not be filled with zeros, tried again later: " + e, "segment", name);
             keepUnready(name, length, AT_ONCE);
         }
     }
 
     /**
-     * Makes spares of files that are not ready yet, up to the first that fails or has to wait.
+     * Fills deferred files with zeros, up to the first one that fails or has to wait.
      *
-     * @param covers true if a forcing that began after the given count has ended well
+     * @param covers true if a sync that started after the given count has succeeded
      */
     void prepareUnready(LongPredicate covers) {
         for (Unready first = unready.peekFirst(); first != null; first = unready.peekFirst()) {
@@ -428,7 +441,10 @@
         }
     }
 
-    /** Makes a file without content a spare; one of which little can be written is given up. On a failure as before. */
+    /**
+     * Fills a file with zeros and adds it to the preallocated segments, or deletes it if only little of it can be
+     * written. On failure nothing changes.
+     */
     private void prepare(String name, long length) throws IOException {
         long good = fillWithZeros(name, length);
         boolean worthIt = good > 2 * Format.OVERHEAD;
@@ -441,7 +457,9 @@
         }
     }
 
-    /** Fills a file with zeros and gives its length then: where only the rest of it fails, it is cut off there. */
+    /**
+     * Fills a file with zeros and returns its length. If only the rest of it can't be written, it is truncated there.
+     */
     private long fillWithZeros(String name, long length) throws IOException {
         try (Disk.DiskFile file = disk.open(name)) {
             try {
@@ -450,7 +468,7 @@
             } catch (IOException e) {
                 long good = firstThatFails(file, length) / Format.BLOCK * Format.BLOCK;
                 if (good == 0 && length > 0) {
-                    throw e; // it is the disk that fails, not this file's end
+                    throw e; // the disk fails, not just the end of this file
                 }
                 file.truncate(good);
                 return good;
@@ -470,11 +488,12 @@
         return length;
     }
 
-    // ---- durability -------------------------------------------------------------------------------------
-    /** What must be forced so that all written so far outlasts the machine. */
+    // Durability
+
+    /** What must be synced to make everything written so far durable. */
     record Pending(List<Disk.DiskFile> full, Disk.DiskFile active, boolean names) {}
 
-    /** Hands over what is to be forced; the full files are closed by whoever forces them. */
+    /** Hands over what is to be synced; whoever syncs the full segments closes them. */
     Pending pending() {
         Pending p = new Pending(List.copyOf(unforced), activeFile, namesChanged);
         unforced.clear();
@@ -482,7 +501,7 @@
         return p;
     }
 
-    /** Deletes all files that are empty. */
+    /** Deletes all files without content. */
     void giveUpSpares() throws IOException {
         for (Spare s = spares.pollFirst(); s != null; s = spares.pollFirst()) {
             disk.delete(s.name());
@@ -496,8 +515,8 @@
     }
 
     /**
-     * A forcing has failed, and the system may have dropped the beginning of the file in use: it is written again, so
-     * that the next forcing has something to write.
+     * After a failed sync the system may have dropped the start of the active segment. It is written again, so that the
+     * next sync has something to write.
      */
     void writeBeginningAgain() {
         namesChanged = true;
@@ -510,14 +529,14 @@
         }
     }
 
-    /** A forcing has failed: what was copied from segments that are empty now may not outlast the machine. */
+    /** After a failed sync, copies of records from empty segments may not be durable. */
     void keepEmptySegments() {
         for (Segment s : full) {
             s.emptyAt = -1;
         }
     }
 
-    /** The file in use is not used further. */
+    /** Stops writing to the active segment. */
     void giveUpActive() {
         leave();
     }
--- a/src/main/java/lilaclever/journal/SegmentReader.java
+++ b/src/main/java/lilaclever/journal/SegmentReader.java
@@ -6,18 +6,18 @@
 import lilaclever.journal.Format.Type;
 
 /**
- * Reads one segment through a window that is as large as its largest record, so that opening a journal takes the
- * memory of what is live and not of what is on disk.
+ * Reads a segment through a window as large as its largest record, so that opening a journal needs memory for live
+ * records only, not for all that is on disk.
  */
 final class SegmentReader implements AutoCloseable {
     private static final int WINDOW = 64 * 1024;
 
-    /** Hears what stands in a segment, in its order. */
+    /** Receives the contents of a segment in order. */
     interface Listener {
-        /** A good record, its content and its size with the frame; false if the content makes no sense. */
+        /** Receives a valid record with its content and its full size; returns false if the content is invalid. */
         boolean record(Type type, ByteBuffer content, long position, int size);
 
-        /** Bytes that can't be read, from one position to another. */
+        /** Receives a range of bytes that can't be read. */
         void damage(long from, long to);
     }
 
@@ -41,20 +41,21 @@
     }
 
     /**
-     * The header, if it is that of the segment by that name. Where a failure of the machine has kept a file's new name
-     * and not its new header, the old one is there, and records of the file's earlier use would pass for this one's.
+     * Returns the header if it belongs to the segment of this name. A machine failure may preserve the new name of a
+     * recycled file but not its new header; with the old header, records of the earlier use would pass for records of
+     * this segment.
      */
     private static Format.Header ofSegment(String name, Format.Header found) {
         long sequence = Segment.sequence(name);
         return found == null || sequence > 0 && found.sequence() != sequence ? null : found;
     }
 
-    /** The header; null if neither of its copies can be read, or it is another segment's. */
+    /** The header; null if neither copy is intact, or it belongs to another segment. */
     Format.Header header() {
         return header;
     }
 
-    /** Where the segment before this one ended, as this one's first record says; -1 if it does not. */
+    /** Where the previous segment ended, according to the first record of this one; -1 if it does not say. */
     long endOfPrevious() throws IOException {
         if (header == null) {
             return -1;
@@ -68,9 +69,9 @@
     }
 
     /**
-     * Reads all records. {@code end} is where they are known to end, or -1: then the first place where no record
-     * stands is the end, unless a good one stands behind it or what stands there was written whole.
-     * Gives the position behind the last good record.
+     * Reads all records. {@code end} is their known end, or -1: then they end at the first position without a valid
+     * record, unless a valid record follows or the record at this position was written completely. Returns the position
+     * after the last valid record.
      */
     long read(long end, Listener to) throws IOException {
         if (header == null) {
@@ -110,7 +111,7 @@
         return to.record(type, content, at, content.remaining() + Format.FRAME);
     }
 
-    /** Looks at a place, with a window that is large enough to tell. */
+    /** Checks for a record at a position; enlarges the window until the answer is certain. */
     private Look look(long at) throws IOException {
         window(at);
         Look look = Format.look(window, header.salt());
@@ -132,7 +133,7 @@
         return -1;
     }
 
-    /** A writing that was cut short leaves the beginning of a record; a whole one says at its end how long it is. */
+    /** An interrupted write leaves the beginning of a record; a complete record repeats its length at its end. */
     private boolean written(long at) throws IOException {
         long last = lastByte(at);
         ByteBuffer trailer = ByteBuffer.allocate(5);
@@ -142,7 +143,7 @@
         return Format.endsWhole(last + 1 - at, trailer.flip());
     }
 
-    /** Where the last byte is, from here on, that is not zero; -1 if all are. */
+    /** The position of the last byte that is not zero, from here on; -1 if there is none. */
     private long lastByte(long from) throws IOException {
         long last = -1;
         for (long at = from; at < length; at++) {
@@ -155,7 +156,7 @@
         return last;
     }
 
-    /** The window, moved so that it begins at the position or before, with its own position there. */
+    /** Returns the window with its position at {@code at}, and refills it if it does not contain that byte. */
     private ByteBuffer window(long at) throws IOException {
         if (at < windowAt || at >= windowAt + window.limit()) {
             refill(at, window.capacity());
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -14,13 +14,13 @@
 import lilaclever.routing.Submission;
 
 /**
- * The journal: a log of segments that is emptied from its oldest end, a slice a turn, by copying forward what is live
- * ({@link Compactor}). What it says in memory and what the folder says may differ while a disk fails; each record that
- * could not be written is kept in mind and written, as the state of its message then, once the disk takes it ({@link
- * UnwrittenChanges}).
+ * The journal: a log of segments that is compacted from its oldest end, one slice a turn, by copying live records
+ * forward ({@link Compactor}). While the disk fails, the state in memory may be ahead of the folder. Each change that
+ * could not be written is noted, and the then current state of its message is written once the disk accepts records
+ * ({@link UnwrittenChanges}).
  */
 public final class SegmentedJournal implements Journal {
-    /** Files may be asked for again after so long without room, microseconds. */
+    /** How long to wait after a failed allocation before the next one. */
     private static final long ASK_AGAIN = 1_000_000;
 
     private static final int EXPIRE_A_TURN = 256;
@@ -36,14 +36,14 @@
     private final LogAppender appender;
     private final Compactor compactor;
     private final UnwrittenChanges unwritten;
-    /** After the disk failed: when files are asked for, segments released and spare files made ready again. */
+    /** After a disk failure: when to retry allocation, the release of segments, and zero-filling. */
     private long askAgainAt, releaseAgainAt, prepareAgainAt;
 
     /**
-     * Opens the journal in the folder and reads what an earlier life left.
+     * Opens the journal in the folder and recovers the state that an earlier run left.
      *
-     * @param mostBytes what all its files may take together, each in whole blocks of 512 bytes
-     * @param random where salts come from
+     * @param mostBytes quota for all its files together, each counted in whole blocks of 512 bytes
+     * @param random source of the salts
      */
     public SegmentedJournal(
             Disk disk, long mostBytes, Durability durability, JournalClocks times, RandomGenerator random)
@@ -62,16 +62,17 @@
         compactor.carryOver(recovered.cleanUpTo());
     }
 
-    /** Copies all that is live into as few files as hold it, and gives up the others. For a program that is stopped. */
+    /** Copies all live records into as few files as possible and deletes the others. For a stopped program. */
     void compactAll() throws IOException {
         compactor.compactAll();
     }
 
-    // ---- records ----------------------------------------------------------------------------------------
+    // Records
+
     @Override
     public boolean taken(String front, Submission submission, long deadlineWall, long nowWall) {
         if (unwritten.isRewriting()) {
-            return false; // it could not be promised to outlast the machine
+            return false; // it could not be made durable
         }
         PendingMessage owed = new PendingMessage(front, submission, deadlineWall);
         RecordEncoder.taken(writer.clear(), owed);
@@ -86,7 +87,7 @@
 
     @Override
     public boolean attempt(String id, String host, int zone, long wall) {
-        // Behind an earlier change that is not written this record would hide when the message may first have run.
+        // An earlier change is still unwritten. Behind it, this record would hide when the message may first have run.
         if (!unwritten.writeMessage(id)) {
             return false;
         }
@@ -181,10 +182,11 @@
         return state.remembered.size();
     }
 
-    // ---- writing ----------------------------------------------------------------------------------------
+    // Writing
+
     private void appendOrKeep(String id) {
         if (unwritten.hasMessage(id) || !append()) {
-            unwritten.addMessage(id); // an earlier change of it is not written: only its whole state makes sense
+            unwritten.addMessage(id); // an earlier change is unwritten, so only a snapshot makes sense
         } else {
             unwritten.messageWritten(id);
         }
@@ -194,7 +196,7 @@
         return appender.append(writer, compactor);
     }
 
-    /** What a failed forcing was for may use all the room: segments are released only once it is forced. */
+    /** Rewriting after a failed sync may use all space, since segments are released only after a successful sync. */
     private boolean appendUnwritten(Writer records) {
         return unwritten.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
     }
@@ -209,22 +211,22 @@
         if (now >= prepareAgainAt || syncer.forces()) {
             prepareAgainAt = now + Plan.PAUSE;
             log.prepareUnready(
-                    syncer::coversAfter); // whether records are written or not: they may wait for just these files
+                    syncer::coversAfter); // even if records can't be written: they may wait for these files
         }
         unwritten.write();
         state.expire(nowWall, EXPIRE_A_TURN);
         if (!appender.isPausedAt(now)) {
             compact(now);
-            if (log.active() != null && plan.wantsSpare(log.space(state))) { // nothing before the first record
+            if (log.active() != null && plan.wantsSpare(log.space(state))) { // none before the first record
                 log.grow(plan.segment());
             }
         }
         if (syncer.isTrying() || !unwritten.isRewriting()) {
-            syncer.turn(now, log); // else a good forcing would stand in for the one that failed
+            syncer.turn(now, log); // else a good sync would count in place of the failed one
         }
     }
 
-    /** A segment that can't be released is tried again later; records are written meanwhile. */
+    /** Runs a slice of compaction. A segment that can't be released is retried later; records are written meanwhile. */
     private void compact(long now) {
         if (now < releaseAgainAt || unwritten.isRewriting()) {
             return;
@@ -273,8 +275,11 @@
         }
     }
 
-    // ---- durability -------------------------------------------------------------------------------------
-    /** Where the loop takes tasks from other threads; before anything is written by the loop. */
+    // Durability
+
+    /**
+     * Sets the executor of the event loop for tasks of other threads. Must be called before the loop writes anything.
+     */
     @Override
     public void attach(Executor loop) {
         syncer.attach(loop);
@@ -285,38 +290,39 @@
         syncer.whenDurable(consequence);
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
-    /** What the opening found. */
+    // Figures
+
+    /** The results of recovery. */
     public Recovery.Report recovered() {
         return recovered;
     }
 
-    /** Bytes that the files take, in whole blocks. */
+    /** The size of all files in whole blocks. */
     public long allocated() {
         return log.allocated();
     }
 
-    /** Files. */
+    /** The number of files. */
     public int files() {
         return log.files();
     }
 
-    /** Bytes copied forward so far. */
+    /** The number of bytes that compaction has copied so far. */
     public long copied() {
         return compactor.copied();
     }
 
-    /** Writes that no file took. */
+    /** The number of writes and syncs that failed. */
     public long failures() {
         return appender.failures() + syncer.failures();
     }
 
-    /** True while a forcing is under way. */
+    /** True while a sync is in progress. */
     boolean isForcing() {
         return syncer.isRunning();
     }
 
-    /** Changes that are known in memory and not yet written. */
+    /** The number of changes in memory that are not written yet. */
     public int unwritten() {
         return unwritten.count();
     }
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -9,8 +9,8 @@
 import lilaclever.log.Logs;
 
 /**
- * Forces records to the disk on a thread of its own, all that came together in one go, and runs on the loop what waited
- * for it. All but the forcing itself is on the loop thread.
+ * Syncs records to the disk on its own thread, all pending ones together, and then runs the tasks on the event loop
+ * that waited for it. Everything but the sync itself runs on the loop thread.
  */
 final class Syncer {
     private final Durability durability;
@@ -20,9 +20,12 @@
     private Executor loop = Runnable::run;
     private List<Runnable> waiting = new ArrayList<>();
     private boolean running;
-    /** True from a failed forcing to the next that covers what is written. */
+    /** True from a failed sync until the next one that covers everything written. */
     private boolean failed;
-    /** From a second failed forcing until one has gone well that proves nothing but that the disk forces again. */
+    /**
+     * True after two failed syncs in a row, until a probe sync succeeds. A probe shows that the disk works again, but
+     * makes no earlier record durable.
+     */
     private boolean trying;
 
     private boolean written;
@@ -30,28 +33,31 @@
     private long lastBegun;
     private long failures;
 
-    /** Hears of forcings, on the loop thread. */
+    /** Receives the progress of syncs, on the loop thread. */
     interface Listener {
-        /** What is written so far is being forced. */
+        /** A sync of everything written so far starts. */
         void begun();
 
-        /** What was written before the beginning outlasts the machine. */
+        /** Everything written before the sync started is durable. */
         void succeeded();
 
-        /** What was written since the last good one must be written again, elsewhere. */
+        /**
+         * The first sync failed: everything written since the last successful one must be written again, to another
+         * segment.
+         */
         void failed();
 
-        /** That one failed too: nothing is written again before the disk forces anything. */
+        /** A further sync failed: nothing is written again until a probe sync succeeds. */
         void failedAgain();
 
-        /** A trial is about to begin: there has to be something to force. */
+        /** A probe is about to start and needs something to sync. */
         void trying();
 
-        /** The disk forces again: what was written since the last good one must be written again. */
+        /** The disk syncs again: everything written since the last successful sync must be written again. */
         void worksAgain();
     }
 
-    /** {@code listener} hears of each forcing but the last one, at the close. */
+    /** {@code listener} is notified of each sync but the one when the journal is closed. */
     Syncer(Durability durability, Disk disk, Listener listener) {
         this.durability = durability;
         this.disk = disk;
@@ -66,27 +72,27 @@
         return durability.how() != Durability.How.NONE;
     }
 
-    /** True while the disk is not known to force again. */
+    /** True while probe syncs check whether the disk works again. */
     boolean isTrying() {
         return trying;
     }
 
-    /** The number of the last forcing that went well. */
+    /** The number of the last successful sync. */
     long lastGood() {
         return done;
     }
 
-    /** Forcings begun so far: what is written now is covered by the next. */
+    /** The number of syncs started so far; the next one covers what is written now. */
     long begun() {
         return begun;
     }
 
-    /** True if a forcing that began after the given count has ended well. */
+    /** True if a sync that started after the given count has succeeded. */
     boolean coversAfter(long count) {
         return !forces() || done > count;
     }
 
-    /** True while a forcing is under way. */
+    /** True while a sync is in progress. */
     boolean isRunning() {
         return running;
     }
@@ -107,7 +113,7 @@
         }
     }
 
-    /** Begins a forcing if one is due and none is under way. */
+    /** Starts a sync if one is due and none is in progress. */
     void turn(long nowMicros, SegmentLog log) {
         if (!running && (trying ? nowMicros - lastBegun >= Plan.PAUSE : isDue(nowMicros))) {
             begin(nowMicros, log);
@@ -164,7 +170,7 @@
             covered.forEach(Runnable::run);
             return;
         }
-        // The system may have dropped what it could not write: a second forcing of the same file would prove nothing.
+        // The system may have dropped the data it could not write: a second sync of the same file would prove nothing.
         failures++;
         covered.addAll(waiting);
         waiting = covered;
@@ -179,7 +185,7 @@
         }
     }
 
-    /** Forces what is written, now and on the caller's thread, where anything is to be forced at all. */
+    /** Syncs everything written on the caller's thread, unless syncs are turned off. */
     void forceNow(SegmentLog log) throws IOException {
         if (forces()) {
             IOException failure = force(disk, log.pending());
@@ -189,7 +195,7 @@
         }
     }
 
-    /** Forces the files, closes those that are full; gives what failed first, or null. */
+    /** Syncs the files and closes the full segments; returns the first failure, or null. */
     private static IOException force(Disk disk, SegmentLog.Pending pending) {
         IOException failure = null;
         try {
@@ -215,7 +221,7 @@
         return failure;
     }
 
-    /** Ends the thread; what is left is forced by the caller. */
+    /** Stops the thread; the caller syncs the rest. */
     void close() {
         if (thread != null) {
             thread.shutdown();
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -10,8 +10,8 @@
 import lilaclever.routing.PendingMessage;
 
 /**
- * What changed in memory while the disk took no records: messages and remembered ends whose last change is not written.
- * Each is written later as its state is then.
+ * Changes in memory that are not on disk because the disk failed: the messages and remembered results whose last change
+ * is unwritten. The state that each has then is written later.
  */
 final class UnwrittenChanges {
     private final JournalState state;
@@ -21,21 +21,21 @@
     private final boolean forces;
     private final Set<String> messages = new LinkedHashSet<>();
     private final Set<String> remembered = new LinkedHashSet<>();
-    /** Messages and remembered ends with records that are not forced: before the last forcing began, and since. */
+    /** Messages and remembered results with unsynced records: written before the last sync started, and after. */
     private final Set<String> messagesBefore = new LinkedHashSet<>(), messagesSince = new LinkedHashSet<>();
 
     private final Set<String> rememberedBefore = new LinkedHashSet<>(), rememberedSince = new LinkedHashSet<>();
-    /** True from a failed forcing until all that it was for is written again. */
+    /** True from a failed sync until everything it was to cover is written again. */
     private boolean unforced;
-    /** True while the disk is not known to force again. */
+    /** True until a probe sync shows that the disk works again. */
     private boolean waitsForDisk;
 
     /**
-     * None yet.
+     * Creates an empty set of changes.
      *
-     * @param writer used for each record and left with the last
-     * @param forces true where records are forced to the disk
-     * @param append writes what is in the writer, behind all other records; false if that is not possible now
+     * @param writer used for each record; it keeps the last one
+     * @param forces true if records are synced to the disk
+     * @param append appends the records of the writer to the log; false if that is not possible now
      */
     UnwrittenChanges(JournalState state, SegmentLog log, Writer writer, boolean forces, Predicate<Writer> append) {
         this.state = state;
@@ -45,36 +45,36 @@
         this.forces = forces;
     }
 
-    /** True if the message has a change that is not written. */
+    /** True if the message has an unwritten change. */
     boolean hasMessage(String id) {
         return !messages.isEmpty() && messages.contains(id);
     }
 
-    /** A message's change could not be written. */
+    /** Notes that a change of the message could not be written. */
     void addMessage(String id) {
         messages.add(id);
     }
 
-    /** A remembered end could not be written. */
+    /** Notes that a remembered result could not be written. */
     void addRemembered(String identity) {
         remembered.add(identity);
     }
 
-    /** A record of the message is written, or of its end: it has to be written again if its forcing fails. */
+    /** Notes a written record of the message. It must be written again if its sync fails. */
     void messageWritten(String id) {
         if (forces) {
             messagesSince.add(id);
         }
     }
 
-    /** A remembered end is written. */
+    /** Notes that a remembered result was written. */
     void rememberedWritten(String identity) {
         if (forces) {
             rememberedSince.add(identity);
         }
     }
 
-    /** What is written so far is being forced. */
+    /** A sync of everything written so far starts. */
     void forcingBegun() {
         messagesBefore.addAll(messagesSince);
         messagesSince.clear();
@@ -82,25 +82,25 @@
         rememberedSince.clear();
     }
 
-    /** What was written before the forcing began outlasts the machine. */
+    /** Everything written before the sync started is durable. */
     void forcingSucceeded() {
         messagesBefore.clear();
         rememberedBefore.clear();
     }
 
-    /** True while a forcing would not cover all that consequences wait for. */
+    /** True while a sync would not cover everything that tasks wait for. */
     boolean isRewriting() {
         unforced &= waitsForDisk || count() > 0;
         return unforced;
     }
 
-    /** Nothing is written again before the disk forces again. */
+    /** Writes nothing again until a probe sync succeeds. */
     void waitForDisk() {
         unforced = true;
         waitsForDisk = true;
     }
 
-    /** A forcing has failed: all that is not forced since the last good one has to be written again. */
+    /** After a failed sync: everything that was not synced since the last successful one must be written again. */
     void addUnforced(long lastGood) {
         unforced = true;
         waitsForDisk = false;
@@ -112,7 +112,7 @@
         addUnforced(state.remembered, lastGood, remembered);
     }
 
-    /** Adds what rests on a segment that was written to since the last good forcing began: it may be a copy. */
+    /** Adds entries in segments written to since the last successful sync started: their records may be copies. */
     private static <T> void addUnforced(Map<String, JournalState.Slot<T>> map, long lastGood, Set<String> to) {
         map.forEach((key, slot) -> {
             if (slot.base != null && slot.base.writtenAt >= lastGood) {
@@ -121,7 +121,7 @@
         });
     }
 
-    /** Writes what it can. */
+    /** Writes as many changes as possible. */
     void write() {
         if (writeMessages()) {
             writeRemembered();
@@ -137,7 +137,7 @@
         return true;
     }
 
-    /** Writes the message's state if a change of it is not written; false if that is not possible now. */
+    /** Writes the state of the message if a change of it is unwritten; false if that is not possible now. */
     boolean writeMessage(String id) {
         if (hasMessage(id)) {
             JournalState.Slot<PendingMessage> slot = state.owed.get(id);
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Changes that are not written. */
+    /** The number of unwritten changes. */
     int count() {
         return messages.size() + remembered.size();
     }
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -12,9 +12,9 @@
     private static final long SECOND = 1_000_000;
 
     /**
-     * Guards messages of a restart where the process's clocks are led: there two seconds passed by both of its clocks
-     * and nine by the machine's. Deadlines and windows moved by the difference: messages were lost, and orders sent
-     * again late.
+     * Guards against wall times being shifted in a process whose clocks are simulated: both of its clocks advance by 2
+     * s over a restart, the machine's by 9 s. Shifting deadlines and repeat windows by the difference lost messages,
+     * and sent orders again too late.
      */
     @Test
     void clocksThatDoNotRunWithTheMachinesMoveNothing() throws IOException {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A machine that slept between: its wall clock was not set, so nothing is moved, though the monotonic one stood
-     * still.
+     * A machine that was suspended in between: its wall clock was not set, so nothing is shifted, although the
+     * monotonic clock stood still.
      */
     @Test
     void aMonotonicClockThatStoodStillIsNotBelieved() {
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Runs are recorded operation by operation, cut at each, and opened: what was acknowledged must be there, and nothing
- * else but the one change that was under way.
+ * Records the disk operations of a run, cuts them off at each one, and opens the journal: every acknowledged change
+ * must be there, and nothing else but the one change in progress.
  */
 class CrashTest {
     private static final long MOST = 160 * 1024;
 
-    /** The states that may be found after a cut: as of the last step that was acknowledged, or the next one. */
+    /** Checks the state found after a cut: that of the last acknowledged step, or of the next one. */
     private static void check(Script script, int done, SimDisk disk, String what) throws IOException {
         int k = 0;
         while (k + 1 < script.marks.size() && script.marks.get(k + 1).ops() <= done) {
@@ -38,12 +38,12 @@
         }
     }
 
-    /** Ends past their time are forgotten when there is a turn for it: they may be there or not. */
+    /** Expired results are removed as turns allow, so they may be there or not. */
     private static String strip(String state) {
         return state.substring(0, state.lastIndexOf('{'));
     }
 
-    /** A kill at any operation and inside any write, compaction, rolls and reuse of files included. */
+    /** A kill at any operation and inside any write, including compaction, rolls and reuse of files. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void aKillAnywhereLosesNothingThatWasAcknowledged(long seed) throws IOException {
@@ -64,7 +64,7 @@
         }
     }
 
-    /** A second kill while the first one's folder is being opened, and a third. */
+    /** A second and a third kill while the journal is being opened after the first. */
     @Test
     void killsInARowDuringRecoveryLoseNothing() throws IOException {
         SimDisk disk = new SimDisk();
@@ -88,7 +88,7 @@
         }
     }
 
-    /** With a group commit, what was acknowledged after a forcing outlasts a failure of the machine. */
+    /** With group commit, what was acknowledged after a sync survives a machine failure. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void aPowerCutLosesNothingThatWasForced(long seed) throws Exception {
@@ -128,7 +128,7 @@
                             found.owed().stream().map(o -> o.submission().id()).toList();
                     List<String> later = turn + 1 < idsThen.size() ? idsThen.get(turn + 1) : List.of();
                     for (String id : idsThen.get(turn)) {
-                        // What ended since may be gone or not; all else must be there.
+                        // What ended since may be there or not; everything else must be.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
                         assertTrue(!stays || there.contains(id.split(" ")[0]), id + " cut at " + done);
                     }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a failing disk must not do, each case by itself. {@link StorageFaultTest} has the random runs. */
+/** Single cases of a failing disk; {@link StorageFaultTest} has random ones. */
 class DiskFailureTest {
     private static final long MOST = 1024 * 1024;
     private static final Durability GROUP = new Durability(Durability.How.GROUP, 0);
@@ -55,8 +55,9 @@
         return journal.owed().stream().map(m -> m.submission().id()).sorted().toList();
     }
 
-    // ---- without forcing ------------------------------------------------------------------------------------
-    /** Files that can't be renamed or deleted for ten seconds keep nobody from writing records. */
+    // Without syncs
+
+    /** If files can't be renamed or deleted for ten seconds, records are still written. */
     @ParameterizedTest
     @EnumSource(
             value = SimDisk.Kind.class,
@@ -79,8 +80,8 @@
     }
 
     /**
-     * An attempt that may have run, whose outcome the disk did not take, and a further attempt that it takes: a restart
-     * still knows the first one's time, from which the window for repeats counts.
+     * The disk rejects the outcome of an attempt that may have run, but accepts a further attempt: after a restart the
+     * time of the first attempt is still known, from which the repeat window counts.
      */
     @Test
     void anAttemptIsNotWrittenBeforeTheOutcomeOfTheOneBefore() throws IOException {
@@ -99,7 +100,7 @@
         journal.close();
     }
 
-    /** The folder is read at a start though nothing in it can be changed, and is used once it can be. */
+    /** A folder that can't be changed at start is read, and is written once that is possible. */
     @Test
     void aFolderThatCanNotBeChangedIsReadAndUsedLater() throws IOException {
         try (SegmentedJournal journal = open(Durability.NONE)) {
@@ -122,8 +123,9 @@
         }
     }
 
-    // ---- with forcing ---------------------------------------------------------------------------------------
-    /** One turn, and the end of the forcing that it began, if it began one. */
+    // With syncs
+
+    /** Runs one turn, and finishes the sync that it started, if any. */
     private void turn(SegmentedJournal journal) throws InterruptedException {
         journal.tidy(0);
         clock += TURN;
@@ -137,7 +139,7 @@
         }
     }
 
-    /** A forcing that went well proves nothing while what the failed one was for is not written again. */
+    /** A successful sync does not count while the records of the failed one are not written again. */
     @Test
     void aGoodForcingDoesNotStandInForTheOneThatFailed() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -146,7 +148,7 @@
         journal.whenDurable(() -> told[0] = true);
         fail(EnumSet.of(SimDisk.Kind.FORCE));
         turn(journal);
-        fail(EnumSet.of(SimDisk.Kind.WRITE)); // forcings go well again, writes do not
+        fail(EnumSet.of(SimDisk.Kind.WRITE)); // syncs succeed again, writes do not
         for (int i = 0; i < 20; i++) {
             turn(journal);
             assertFalse(told[0], "in turn " + i);
@@ -163,7 +165,7 @@
         journal.close();
     }
 
-    /** What ended before a forcing that failed stays ended: its record is written again too. */
+    /** A message that ended before a failed sync stays ended: that record is written again too. */
     @Test
     void anEndThatWasNotForcedIsWrittenAgain() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -189,7 +191,7 @@
         journal.close();
     }
 
-    /** While forcings fail no message is taken that could not be promised to outlast the machine. */
+    /** While syncs fail, no message is accepted, as it could not be made durable. */
     @Test
     void newMessagesAreRefusedWhileForcingsFail() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -210,7 +212,7 @@
         journal.close();
     }
 
-    /** A full folder whose forcings fail for ten seconds: once they go well, all that waited goes on. */
+    /** A full folder whose syncs fail for ten seconds: once they succeed, all pending work continues. */
     @Test
     void aFullFolderOutlastsTenSecondsOfFailedForcings() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -243,7 +245,7 @@
         journal.close();
     }
 
-    /** Random runs in which forcings, writes and changes of names fail: what was confirmed outlasts a power cut. */
+    /** Random runs in which syncs, writes and changes of file names fail: what was confirmed survives a power cut. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void whatWasConfirmedOutlastsAPowerCutWhateverFailedBefore(long seed) throws Exception {
@@ -273,7 +275,7 @@
                 Set<String> known = new java.util.HashSet<>(now);
                 boolean allWritten = journal.unwritten() == 0;
                 journal.whenDurable(() -> {
-                    if (allWritten) { // an end that the disk did not take may be told all the same
+                    if (allWritten) { // a result that the disk did not accept may be reported all the same
                         confirmed.stream().filter(id -> !known.contains(id)).forEach(gone::add);
                     }
                     confirmed.clear();
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What people see of a folder. */
+/** The output of the operator's journal commands. */
 class InspectionTest {
     @TempDir
     private Path folder;
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -13,13 +13,18 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Spans of time that the journal keeps, where the wall clock is stepped: while it runs, and between kill and start. */
+/**
+ * Time spans that the journal stores, while the wall clock is set during a run, or between a kill and the next start.
+ */
 class JournalClocksTest {
     private static final long MS = 1_000, SECOND = 1_000_000, HOUR = 3_600 * SECOND;
     private static final long MOST = 512 * 1024;
-    /** Of the first life, as its clocks show the moment of the kill; the second one begins 2 s later. */
+    /** The clocks of the first run at the moment of the kill; the second run starts 2 s later. */
     private static final long WALL = 50_000 * HOUR, MONOTONIC = 7 * HOUR, DOWN = 2 * SECOND;
-    /** What is left at the kill of a message's time and of a remembered end's, and how old its attempt is. */
+    /**
+     * At the kill: time to the deadline of a message, time to the expiry of a remembered result, and age of the
+     * attempt.
+     */
     private static final long LEFT = 20 * SECOND, REMEMBERED = HOUR, AGE = 3 * SECOND;
 
     private final SimDisk disk = new SimDisk();
@@ -43,7 +48,9 @@
         assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWall() - now, "remembered for");
     }
 
-    /** Between kill and start, with the machine still up: every span goes on as if nothing had been set. */
+    /**
+     * The clock is set between a kill and a restart without a reboot: every time span continues as if it had not been.
+     */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR, -5 * SECOND, -60 * MS, 0, 60 * MS, 5 * SECOND, HOUR})
     void aStepBetweenKillAndStartMovesNoSpan(long step) throws IOException {
@@ -52,14 +59,17 @@
         try (SegmentedJournal next = open(() -> now, new BootClock(77, now - MONOTONIC - DOWN))) {
             checkSpans(next, now, 0);
         }
-        // What the second life has copied is read by a third one, after a step back to where the first one was.
+        // What the second run has copied is read by a third one, after the clock is set back to the time of the first.
         long later = WALL + DOWN;
         try (SegmentedJournal last = open(() -> later, new BootClock(77, later - MONOTONIC - DOWN))) {
             checkSpans(last, later, 0);
         }
     }
 
-    /** While it runs: a life's wall clock goes on from its beginning; what a file's header says of it is for people. */
+    /**
+     * The clock is set during a run: the wall clock of a run continues from its start. The wall time in a file's header
+     * is only informative.
+     */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR, -5 * SECOND, 5 * SECOND, HOUR})
     void aStepWhileItRunsMovesNoSpan(long step) throws IOException {
@@ -69,7 +79,7 @@
             journal.taken("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.ended("x" + i);
         }
-        shown[0] += step; // the next files are made under the other clock
+        shown[0] += step; // the next files are created under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
             journal.taken("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
@@ -81,8 +91,8 @@
     }
 
     /**
-     * Not moved, and so a known limit: without a clock that outlasts the process (the machine was started anew, has
-     * slept, or the process's clocks are led) a step between kill and start is part of every span.
+     * A known limit: without a clock that outlasts the process (after a reboot or a suspension, or with simulated
+     * clocks), a step between kill and restart becomes part of every time span.
      */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR, -5 * SECOND, 5 * SECOND, HOUR})
@@ -94,14 +104,14 @@
         }
     }
 
-    /** Guards the core's wall clock: it stands in a fixed distance from the monotonic one for all of a life. */
+    /** Guards the core's wall clock: its distance to the monotonic clock is constant for a whole run. */
     @Test
     void theWallClockOfALifeGoesWithTheMonotonicOne() {
         long distance = BootClock.offset(Core::micros, Core::wall);
         assertEquals(distance, BootClock.offset(Core::micros, Core::wall), MS);
     }
 
-    /** A process that is held up for 150 ms between its readings of the two clocks still knows their distance. */
+    /** A process that is delayed for 150 ms between its readings of the two clocks still determines their offset. */
     @Test
     void aPauseBetweenTwoReadingsIsNoStep() {
         long[] now = {0};
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -29,7 +29,7 @@
         return Arbitraries.integers().between(0, Integer.MAX_VALUE);
     }
 
-    /** Whatever happens to the disk meanwhile, memory and folder are the same once the disk works again. */
+    /** Whatever faults the disk has meanwhile, memory and folder agree once it works again. */
     @Property(tries = 150, seed = "4711", shrinking = ShrinkingMode.BOUNDED)
     void memoryAndFolderAgreeAfterAnySequenceOfFaults(
             @ForAll @Size(min = 10, max = 400) List<@IntRange(max = 1 << 30) Integer> draws) throws IOException {
@@ -68,7 +68,9 @@
         assertEquals(script.model(), owed(open(disk, clock)));
     }
 
-    /** On a disk that works no attempt and no end ever lacks room, whatever the sizes, also without a turn between. */
+    /**
+     * On a working disk no attempt and no result lacks space, whatever the record sizes, even without turns in between.
+     */
     @Property(tries = 30, seed = "4711", shrinking = ShrinkingMode.BOUNDED)
     void whatWasTakenNeverLacksRoom(
             @ForAll @IntRange(min = 100, max = 66_000) int largest,
@@ -95,8 +97,9 @@
         return Script.text(owed, Map.of());
     }
 
-    // ---- the plan ---------------------------------------------------------------------------------------
-    /** What the plan promises fits, in whatever order the records come. */
+    // Space policy
+
+    /** What the policy promises fits, whatever the order of the records. */
     @Property(tries = 500, seed = "4711")
     void whatIsPromisedFitsInAnyOrder(
             @ForAll @IntRange(min = 5, max = 200) int files,
@@ -118,7 +121,7 @@
         assertTrue(inUse <= files - 3, inUse + " of " + files + " files for " + sum + " bytes");
     }
 
-    /** Room is never promised where there is none, and a record more never gives room to a later one. */
+    /** Space is never promised where there is none, and one more live record never makes space for a later one. */
     @Property(tries = 500, seed = "4711")
     void roomShrinksWithWhatIsHeld(
             @ForAll @IntRange(max = 4 << 20) int allocated,
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -14,16 +14,16 @@
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
 
-/** A random run of a journal beside a plain model of what it must know. */
+/** A random run of a journal, compared with a simple model of its state. */
 final class Script {
     private static final long BUDGET = 1000;
 
-    /** What the model says after some step, and how many operations the disk had seen by then. */
+    /** The model's state after a step, and the number of disk operations by then. */
     record Mark(int ops, String state) {}
 
     final List<Mark> marks = new ArrayList<>();
     private final SimDisk disk;
-    /** Gives a number below the bound. */
+    /** Returns a number from 0 up to, but not including, its argument. */
     private final IntUnaryOperator random;
 
     private final TreeMap<String, PendingMessage> owed = new TreeMap<>();
@@ -55,7 +55,10 @@
         mark();
     }
 
-    /** So many steps, bodies up to so many bytes; about so many messages are held. */
+    /**
+     * Runs {@code steps} steps with bodies of up to {@code largest} bytes; about {@code hold} messages are kept
+     * pending.
+     */
     void run(int steps, int largest, int hold) {
         for (int i = 0; i < steps; i++) {
             step(largest, hold);
@@ -63,7 +66,7 @@
         }
     }
 
-    /** The same without a note of each step's state. */
+    /** Like {@link #run}, but does not record the state of each step. */
     void runOn(int steps, int largest, int hold) {
         for (int i = 0; i < steps; i++) {
             step(largest, hold);
@@ -147,7 +150,7 @@
                 }
             }
             default -> {
-                if (o.deadlineWall() % 5 > 0) { // the others stay, and must be copied forward again and again
+                if (o.deadlineWall() % 5 > 0) { // the others stay pending and must be copied forward again and again
                     journal.ended(id);
                     owed.remove(id);
                 }
@@ -155,12 +158,12 @@
         }
     }
 
-    /** What the model holds, by id. */
+    /** The pending messages of the model, by id. */
     Map<String, PendingMessage> messages() {
         return owed;
     }
 
-    /** What the model says now, without ends that may be forgotten at any time. */
+    /** The state of the model, without remembered results, which may expire at any time. */
     String model() {
         return text(owed, Map.of());
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The journal alone: what it says after a restart, what damage and a full disk do to it, and how large it gets. */
+/** The journal alone: state after a restart, damage, a full disk, and the size of the folder. */
 class SegmentedJournalTest {
     private static final long MOST = 512 * 1024;
 
@@ -77,14 +77,15 @@
         }
     }
 
-    // ---- damage -----------------------------------------------------------------------------------------
+    // Damage
+
     private void flip(String name, int at) {
         byte[] content = disk.content(name).clone();
         content[at] ^= 4;
         disk.put(name, content);
     }
 
-    /** One flipped bit, wherever: all but the one record is read, and no payment goes out again on a guess. */
+    /** One flipped bit at any position: all records but one are read, and no payment is repeated on a guess. */
     @Test
     void aFlippedBitLosesOneRecordAndNoPaymentCountsAsNeverRun() throws IOException {
         List<Integer> starts = new ArrayList<>();
@@ -113,7 +114,7 @@
                     assertTrue(o.isOut() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
                 }
             }
-            // What was found is carried over: the next life knows it without the damaged file.
+            // The recovered state is migrated: the next run has it without the damaged file.
             try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
                 assertTrue(journal.owed().size() >= 19
                         && journal.recovered().damages().isEmpty());
@@ -141,7 +142,10 @@
         }
     }
 
-    /** A client can't hide a record in a body, to be found when damage has the reader look for the next good one. */
+    /**
+     * A client can't hide a record in a body that would be read when recovery searches for the next valid one after
+     * damage.
+     */
     @Test
     void aRecordInsideABodyIsNeverRead() throws IOException {
         Format.Writer forged = new Format.Writer();
@@ -168,7 +172,7 @@
         }
     }
 
-    /** Only the newest file may end in a torn record: one that lost its end before that has lost something. */
+    /** Only the newest segment may end in an incomplete record; in any other one a missing end is damage. */
     @Test
     void aFileThatWasCutShortIsDamagedUnlessItIsTheNewest() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -203,7 +207,8 @@
         }
     }
 
-    // ---- formats ----------------------------------------------------------------------------------------
+    // Formats
+
     private static byte[] legacy(Consumer<DataOutputStream> content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         content.accept(new DataOutputStream(bytes));
@@ -260,7 +265,7 @@
         return out.toByteArray();
     }
 
-    /** The first format is carried over once, also by a life that is killed in the middle of it. */
+    /** The legacy file is migrated once, also if the process is killed during that. */
     @Test
     void aFolderOfTheFirstFormatIsCarriedOverWhereverThatIsCut() throws IOException {
         byte[] torn = legacyTaken("torn");
@@ -301,7 +306,7 @@
         assertEquals(before, disk.ops.size());
     }
 
-    /** Version 1 knew no fingerprints and nobody but the first to whom an end is owed. */
+    /** Version 1 had no fingerprints, and only one requester per result. */
     @Test
     void whatVersionOneWroteIsRead() throws IOException {
         Format.Writer out = new Format.Writer();
@@ -357,7 +362,10 @@
         }
     }
 
-    /** Windows differ: guards against an end that is over being kept, and told, since one before it is not. */
+    /**
+     * Repeat windows differ: guards against an expired result being kept, and reported, because an older one has not
+     * expired.
+     */
     @Test
     void remembersByTimeAndNotByOrder() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -372,13 +380,13 @@
         }
     }
 
-    /** Guards against the end of an earlier message being given to one that came under its identity later. */
+    /** Guards against the result of an earlier message being reported for a later one with the same identity. */
     @Test
     void aNewMessageHasNotEndedThoughAnEarlierOneHas() throws IOException {
         Submission h = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
         try (SegmentedJournal journal = open()) {
             journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
-            assertTrue(journal.taken("mllp", h, 99, 11)); // before the tidying that would have forgotten it
+            assertTrue(journal.taken("mllp", h, 99, 11)); // before the turn that would have removed it
             assertNull(journal.remembered("i"));
         }
         try (SegmentedJournal journal = open()) {
@@ -396,10 +404,11 @@
         FolderDisk.take(folder).close();
     }
 
-    // ---- clocks -----------------------------------------------------------------------------------------
+    // Clocks
+
     /**
-     * The clock is set back by an hour between two lives: an attempt must not look younger than it is, or an order
-     * would go out again after its window, and no message may live for an hour more.
+     * The clock is set back by an hour between two runs: an attempt must not look younger than it is, or an order would
+     * be repeated after its window, and no message may get an additional hour to its deadline.
      */
     @Test
     void whatIsKeptMovesWithAClockThatWasSetBetweenTwoLives() throws IOException {
@@ -421,8 +430,8 @@
                     journal.attempt("m", "a", 0, wall + 1_000_000);
                     journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hour);
                 } else {
-                    // The second life is 7 s later by the machine's clock. The third has started the machine anew,
-                    // and must believe the wall clock of the segment that it finds.
+                    // The second run starts 7 s later by the monotonic clock. The third one follows a reboot and has to
+                    // trust the wall clock of the segment that it reads.
                     assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWall() + (life == 2 ? -hour : 0));
                     assertEquals(4 * hour + 1_000_000, owed(journal, "m").sentWall() + (life == 2 ? -hour : 0));
                     assertEquals(5 * hour, journal.remembered("i").untilWall() + (life == 2 ? -hour : 0));
@@ -431,8 +440,11 @@
         }
     }
 
-    // ---- room -------------------------------------------------------------------------------------------
-    /** With the disk full of what is held, all its attempts must still be written; only new work is refused. */
+    // Space
+
+    /**
+     * With the disk full of pending messages, all their attempts must still be written; only new messages are rejected.
+     */
     @ParameterizedTest
     @ValueSource(ints = {10, 3000, 20_000, 65_536})
     void aFullDiskHasRoomForAttemptsAndStaysWithinItsSize(int large) throws IOException {
@@ -468,7 +480,7 @@
         }
     }
 
-    /** Within one turn more may be written than the spare files hold: then files are emptied at once. */
+    /** Within one turn more may be written than the preallocated segments hold: then segments are compacted at once. */
     @Test
     void manyRecordsInOneTurnFindRoomToo() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -489,7 +501,10 @@
         }
     }
 
-    /** Others fill the disk: what was taken has its room, what is new is refused, and room that comes back is used. */
+    /**
+     * Other programs fill the disk: accepted messages keep their space, new ones are rejected, and freed space is used
+     * again.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"space", "file size"})
     void aDiskThatOthersFillKeepsThePromisesMade(String what) throws IOException {
@@ -502,7 +517,7 @@
             if (what.equals("space")) {
                 disk.most = disk.total();
             } else {
-                disk.mostOfAFile = 15_000; // the file in use, and each further one, ends there
+                disk.mostOfAFile = 15_000; // the active segment and each further one end there
             }
             int more = 0;
             while (take(journal, "new" + more, 300)) {
@@ -528,7 +543,7 @@
         }
     }
 
-    /** No write works for a while: ends that could not be written are written later, without a restart. */
+    /** All writes fail for a while: the results that could not be written are written later, without a restart. */
     @Test
     void endsThatCouldNotBeWrittenAreWrittenLater() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -567,7 +582,10 @@
         }
     }
 
-    /** A forcing that failed proves nothing of a later one: all is written again, and only then goes on. */
+    /**
+     * After a failed sync a later one proves nothing for the same data: everything is written again before any task
+     * runs.
+     */
     @Test
     void afterAFailedForcingAllIsWrittenAgainBeforeAnythingHappens() throws Exception {
         try (SegmentedJournal journal = new SegmentedJournal(
@@ -591,13 +609,13 @@
             loop.take().run();
             assertTrue(told[0]);
         }
-        disk.delete(Segment.name(1)); // what the failed forcing was for
+        disk.delete(Segment.name(1)); // what the failed sync should have made durable
         try (SegmentedJournal journal = open()) {
             assertEquals(1, journal.owed().size());
         }
     }
 
-    /** A steady load that ends what it takes leaves a small folder, whatever has passed through. */
+    /** Under a steady load of messages that end, the folder stays small, however many have passed through. */
     @Test
     void whatIsPastTakesNoRoom() throws IOException {
         try (SegmentedJournal journal = open(16 << 20)) {
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -13,11 +13,11 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory that remembers each operation, so that a run can be cut after any of them, inside any write, and
- * with what was not forced lost; and that fails operations as real disks do.
+ * An in-memory folder that records each operation, so that a run can be cut off after any of them, inside any write,
+ * and with unsynced data lost. It can also fail operations as real disks do.
  */
 final class SimDisk implements Disk {
-    /** What is done to the content of a file, by its number, or to names. */
+    /** An operation on the content of a file, identified by its number, or on file names. */
     record Op(Kind kind, int file, String name, String to, long position, byte[] bytes) {}
 
     enum Kind {
@@ -27,29 +27,29 @@
         RENAME,
         DELETE,
         FORCE,
-        /** A forcing that failed: what was written before it may be lost, whatever is forced later. */
+        /** A failed sync: earlier writes may be lost, whatever is synced later. */
         FORCE_FAILED,
         FORCE_NAMES,
-        /** The opening of a file that is there: nothing is changed, and it may fail. */
+        /** Opening an existing file: changes nothing, but may fail. */
         OPEN
     }
 
-    /** How an operation fails, and how many bytes of a write are written before that. */
+    /** How an operation fails, and how many bytes of a write are written first. */
     record Failure(IOException problem, int bytes) {}
 
-    /** Decides for each operation whether it fails. Any thread. */
+    /** Decides for each operation whether it fails. Called on any thread. */
     interface FaultPlan {
         /** How the operation fails, or null. */
         Failure failureOf(Kind kind, String name);
     }
 
-    /** Which operations fail, beside those that the fields below have fail. */
+    /** Which operations fail, in addition to those that fail because of the fields below. */
     volatile FaultPlan faults = (kind, name) -> null;
 
     final List<Op> ops = new ArrayList<>();
-    /** Bytes that all files may take together, and each; more is a failure of the system's. */
+    /** Limits on the size of all files together and of each one, in bytes; a write beyond them fails. */
     long most = Long.MAX_VALUE, mostOfAFile = Long.MAX_VALUE;
-    /** Every write fails, and every forcing. */
+    /** Whether all writes fail, and all syncs. */
     boolean writesFail, forcesFail;
 
     private final TreeMap<String, Integer> names = new TreeMap<>();
@@ -87,15 +87,16 @@
         }
     }
 
-    /** Writers and the one who forces are two threads. */
+    /** Synchronized: writes and syncs come from two threads. */
     private synchronized void add(Kind kind, int file, String name, String to, long position, byte[] bytes) {
         Op op = new Op(kind, file, name, to, position, bytes);
         ops.add(op);
         apply(op);
     }
 
-    // ---- crashes ----------------------------------------------------------------------------------------
-    /** The folder as a kill leaves it: so many operations, and so many bytes of the next if that is a write. */
+    // Crashes
+
+    /** The folder after a kill: the first {@code done} operations, and part of the next one if that is a write. */
     static SimDisk killed(List<Op> ops, int done, int bytesOfNext) {
         SimDisk disk = new SimDisk();
         ops.subList(0, done).forEach(disk::apply);
@@ -116,8 +117,8 @@
     }
 
     /**
-     * The folder as a failure of the machine leaves it: what was not forced is there in part, in any order, 512 bytes
-     * at a time; names change in their order, as a file system's own journal keeps them, up to any of them.
+     * The folder after a machine failure: unsynced data is there in part, in any order, in blocks of 512 bytes; changes
+     * of names are kept in order, up to any of them, as in a journaling file system.
      */
     static SimDisk powerCut(List<Op> ops, int done, SplittableRandom random) {
         int namesForced = 0;
@@ -158,7 +159,8 @@
         return disk;
     }
 
-    // ---- as the journal sees it -------------------------------------------------------------------------
+    // Operations of the journal
+
     long total() {
         return names.values().stream()
                 .mapToLong(f -> Plan.blocks(contents.get(f).length))
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random runs in which operations of the folder fail, each at a chosen step of the journal, once or for ten seconds of
- * the test's clock, and runs that are killed meanwhile. What was covered is counted: step, operation, error, duration,
+ * Random runs in which disk operations fail, each at a chosen step of the journal, once or for ten seconds of simulated
+ * time, with and without a kill meanwhile. The combinations covered are counted: step, operation, error, duration,
  * kill.
  */
 class StorageFaultTest {
@@ -33,7 +33,7 @@
     private static final long TURN = 20_000;
     private static final int LARGEST = 2000, HOLD = 40;
 
-    /** What the journal was at as an operation failed. */
+    /** What the journal was doing when an operation failed. */
     enum Step {
         APPEND,
         ROTATION,
@@ -47,7 +47,7 @@
         TEN_SECONDS
     }
 
-    /** The operation that fails, at a step; what else of that kind fails at other steps goes well. */
+    /** The operation that fails, and the step at which it does; operations of this kind succeed at other steps. */
     record Target(Step step, SimDisk.Kind kind) {}
 
     private static final List<Target> TARGETS = List.of(
@@ -66,7 +66,7 @@
 
     private static final Set<String> COVERED = new TreeSet<>();
 
-    /** What a restart must know of a message; the earliest moment at which it may have run. */
+    /** What must be known of a message after a restart, with the earliest time at which it may have run. */
     private record Known(int attempts, long mayHaveRunSince) {
         static Known of(PendingMessage m) {
             long since = m.mayHaveRun() ? m.riskWall() : m.isOut() ? m.sentWall() : Long.MAX_VALUE;
@@ -78,11 +78,11 @@
         }
     }
 
-    /** The model after a step, and how many operations the disk had seen by then. */
+    /** The model after a step, and the number of disk operations by then. */
     private record Mark(int operations, Map<String, Known> messages) {}
 
     private final SimDisk disk = new SimDisk();
-    /** Bytes that the files may take together. */
+    /** Quota for all files together, in bytes. */
     private long most = MOST;
 
     private final List<Mark> marks = new ArrayList<>();
@@ -90,7 +90,7 @@
     private SegmentedJournal journal;
     private Script script;
     private long clock;
-    /** Whether operations fail now, and how many of them did. */
+    /** Whether operations fail now, and how many have failed. */
     private volatile boolean failing;
 
     private volatile int failures;
@@ -147,7 +147,9 @@
         };
     }
 
-    /** One step of the run and a turn of the loop; the model and the journal's memory agree, and the quota holds. */
+    /**
+     * Runs one step and one turn of the loop. The model and the state in memory must agree, and the quota must hold.
+     */
     private void turn() throws InterruptedException {
         script.runOn(1, LARGEST, HOLD);
         endTurn();
@@ -175,7 +177,10 @@
         return Script.text(all, Map.of());
     }
 
-    /** The disk is good again: all is written, room is not lost, and new messages are taken, with no restart. */
+    /**
+     * Once the disk works again, all changes are written, no space is lost, and new messages are accepted, without a
+     * restart.
+     */
     private void checkRecovered(String what) throws Exception {
         failing = false;
         clock += 2_000_000;
@@ -187,7 +192,7 @@
         endAll();
         int refused = script.refused;
         turnsFor(50 * TURN);
-        assertEquals(refused, script.refused, what + ": refused though the disk is good");
+        assertEquals(refused, script.refused, what + ": rejected although the disk works");
         checkFiles(what);
         journal.close();
         try (SegmentedJournal next = Script.open(disk, most, Durability.NONE)) {
@@ -204,13 +209,15 @@
         }
     }
 
-    /** The journal knows every file in the folder: one that it lost sight of would take room until a restart. */
+    /** The journal must know every file in the folder: a forgotten one would take space until a restart. */
     private void checkFiles(String what) {
         assertEquals(journal.files(), disk.names().size(), what + ": files " + disk.names());
         assertTrue(disk.total() <= journal.allocated(), what + ": " + disk.total() + " of " + journal.allocated());
     }
 
-    /** A kill after so many operations, inside the next write perhaps: what was acknowledged is there. */
+    /**
+     * Checks a kill after this many operations, perhaps inside the next write: every acknowledged change must be there.
+     */
     private void checkKilled(int operations, int bytesOfNext, String what) throws IOException {
         int k = 0;
         while (k + 1 < marks.size() && marks.get(k + 1).operations() <= operations) {
@@ -235,7 +242,7 @@
             });
             Set<String> unknown = new TreeSet<>(found.keySet());
             unknown.removeAll(taken);
-            assertEquals(Set.of(), unknown, what + ": messages that were refused");
+            assertEquals(Set.of(), unknown, what + ": messages that were rejected");
             assertEquals(List.of(), next.recovered().damages(), what);
         }
     }
@@ -246,7 +253,8 @@
         most = target != null && target.kind() == SimDisk.Kind.DELETE ? 4 * MOST : MOST;
         open(Durability.NONE, seed);
         if (most > MOST) {
-            script.runOn(1500, LARGEST, 400); // more files than what is live needs once it has ended: some are deleted
+            // more files than the live records need after their messages have ended, so that some are deleted
+            script.runOn(1500, LARGEST, 400);
         }
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
             turn();
@@ -280,7 +288,7 @@
     /** How long operations fail, and whether the process is killed meanwhile. */
     private record Outage(Duration duration, boolean hasKill) {}
 
-    /** Plays one combination; gives what was broken. */
+    /** Runs one combination; returns the failure, if any. */
     private static Optional<String> runOne(Target target, String error, Outage outage, long seed) throws Exception {
         try {
             new StorageFaultTest().run(target, error, outage.duration(), outage.hasKill(), seed);
@@ -296,7 +304,7 @@
         List<String> broken = new ArrayList<>();
         int runs = 0;
         List<Target> targets = new ArrayList<>(TARGETS);
-        targets.add(null); // whatever the operation
+        targets.add(null); // any operation
         List<Outage> outages = Stream.of(Duration.values())
                 .flatMap(duration -> Stream.of(new Outage(duration, false), new Outage(duration, true)))
                 .toList();
