--- a/src/main/java/lilaclever/journal/Format.java
+++ b/src/main/java/lilaclever/journal/Format.java
@@ -44,7 +44,12 @@
 
     private static final int TYPE_AT = 2, LENGTH_AT = 3, SUM_AT = 7, CONTENT_AT = 11;
 
-    /** The types of records. The codes are part of the format. */
+    /**
+     * The types of records; the codes are part of the format. A message is accepted (TAKEN), its attempts begin and
+     * finish (ATTEMPT, OUTCOME), its final status is decided (VERDICT), and at last no result is pending (ENDED).
+     * JOINED adds a requester to a pending message, REMEMBERED stores a result for repeated submissions, SNAPSHOT holds
+     * the whole state of a message, and PREVIOUS says where the previous segment ended.
+     */
     enum Type {
         TAKEN(1),
         ATTEMPT(2),
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -17,6 +17,7 @@
 final class LegacyReader {
     static final String NAME = "journal", UNFINISHED = "journal.new";
     private static final int HEAD = 8, LARGEST = 1 << 20;
+    /** Codes of the record types; those of the same name in {@link Format.Type} have other codes. */
     private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, PAST = 6;
 
     private final JournalState state;
