--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -41,7 +41,7 @@
 
     private static void remember(int ends, Path folder) throws IOException {
         try (SegmentedJournal journal = new SegmentedJournal(
-                FolderDisk.take(folder),
+                FolderDisk.lock(folder),
                 Store.MOST,
                 Durability.NONE,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -49,7 +49,7 @@
 
         Segments(Path folder) throws IOException {
             journal = new SegmentedJournal(
-                    FolderDisk.take(folder),
+                    FolderDisk.lock(folder),
                     MOST,
                     Durability.NONE,
                     new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
@@ -156,9 +156,9 @@
 
         @Override
         public void taken(String id, byte[] body) {
-            Format.Writer w = new Format.Writer();
-            RecordEncoder.taken(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
-            ByteBuffer all = w.sealed(0);
+            SegmentFormat.RecordWriter w = new SegmentFormat.RecordWriter();
+            RecordEncoder.accepted(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
+            ByteBuffer all = w.withChecksums(0);
             byte[] bytes = new byte[all.remaining() + 60];
             all.get(bytes, 0, all.remaining());
             owed.put(id, bytes);
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -41,7 +41,7 @@
 
     private TurnRun(Path folder, Durability durability) throws IOException {
         new Random(1).nextBytes(body);
-        disk = new TimedDisk(FolderDisk.take(folder));
+        disk = new TimedDisk(FolderDisk.lock(folder));
         journal = new SegmentedJournal(
                 disk,
                 MOST,
@@ -58,7 +58,7 @@
             if (args[0].equals("turns")) {
                 new TurnRun(folder, Durability.NONE).turns(Integer.parseInt(args[1]), Long.parseLong(args[2]));
             } else {
-                Durability.How how = Durability.How.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
+                Durability.Mode how = Durability.Mode.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
                 new TurnRun(folder, new Durability(how, 50_000))
                         .steady(args[1], Integer.parseInt(args[2]), Integer.parseInt(args[3]));
             }
@@ -223,8 +223,8 @@
         }
 
         @Override
-        public List<String> names() throws IOException {
-            return real.names();
+        public List<String> fileNames() throws IOException {
+            return real.fileNames();
         }
 
         @Override
@@ -254,8 +254,8 @@
         }
 
         @Override
-        public void forceNames() throws IOException {
-            real.forceNames();
+        public void syncFolder() throws IOException {
+            real.syncFolder();
         }
 
         @Override
@@ -292,9 +292,9 @@
             }
 
             @Override
-            public void force() throws IOException {
+            public void sync() throws IOException {
                 long began = System.nanoTime(); // on the forcing thread
-                file.force();
+                file.sync();
                 forcings.add(System.nanoTime() - began);
             }
 
--- a/bench/java/lilaclever/scale/CountingDisk.java
+++ b/bench/java/lilaclever/scale/CountingDisk.java
@@ -19,8 +19,8 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
-        return real.names();
+    public List<String> fileNames() throws IOException {
+        return real.fileNames();
     }
 
     @Override
@@ -44,8 +44,8 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
-        real.forceNames();
+    public void syncFolder() throws IOException {
+        real.syncFolder();
     }
 
     @Override
@@ -77,8 +77,8 @@
         }
 
         @Override
-        public void force() throws IOException {
-            file.force();
+        public void sync() throws IOException {
+            file.sync();
         }
 
         @Override
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -144,7 +144,7 @@
     /** Nothing is printed where the measure has no name. */
     private static void events(String measure, int destinations, int events) throws IOException {
         inFolder(folder -> {
-            CountingDisk disk = new CountingDisk(FolderDisk.take(folder));
+            CountingDisk disk = new CountingDisk(FolderDisk.lock(folder));
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(11);
             try (HollowForwarder forwarder = new HollowForwarder(disk, destinations, destinations, 10_000)) {
                 double cpu = Usage.cpuSeconds(() -> {
--- a/src/main/java/lilaclever/journal/BootClock.java
+++ b/src/main/java/lilaclever/journal/BootClock.java
@@ -15,19 +15,19 @@
  * it is trusted only where it agrees with the uptime that the system reports. In a process whose clocks are simulated
  * or shifted they disagree, and shifting wall times there would carry messages past their deadlines and repeat windows.
  *
- * @param boot identifies this boot of the machine; 0 if unknown, in which case wall clocks are trusted
+ * @param bootId identifies this boot of the machine; 0 if unknown, in which case wall clocks are trusted
  * @param offsetMicros the wall clock minus the monotonic clock
  */
-public record BootClock(long boot, long offsetMicros) {
+public record BootClock(long bootId, long offsetMicros) {
     /**
      * Smaller differences come from reading two clocks one after the other. Anything larger is corrected: the rules
      * allow an error of 50 ms, and the wall clock of a run does not follow gradual adjustments either.
      */
-    private static final long NOTHING = 1_000;
+    private static final long MIN_SHIFT_MICROS = 1_000;
 
-    private static final int READINGS = 5;
+    private static final int OFFSET_READINGS = 5;
     /** The system reports the uptime in hundredths of a second. */
-    private static final long UPTIME_STEP = 20_000;
+    private static final long UPTIME_TOLERANCE_MICROS = 20_000;
 
     /** Used where nothing is known about the machine. */
     public static final BootClock UNKNOWN = new BootClock(0, 0);
@@ -35,18 +35,18 @@
     /** Reads the boot id and the uptime from Linux; both clocks are in microseconds. */
     public static BootClock read(LongSupplier monotonic, LongSupplier wall) {
         try {
-            UUID id = UUID.fromString(
+            UUID bootId = UUID.fromString(
                     Files.readString(Path.of("/proc/sys/kernel/random/boot_id")).strip());
-            long before = monotonic.getAsLong();
-            double uptime =
+            long monotonicBefore = monotonic.getAsLong();
+            double uptimeSeconds =
                     Double.parseDouble(Files.readString(Path.of("/proc/uptime")).split(" ")[0]);
-            long after = monotonic.getAsLong();
-            return of(
-                    id.getMostSignificantBits() ^ id.getLeastSignificantBits(),
-                    before,
-                    (long) (uptime * 1e6),
-                    after,
-                    offset(monotonic, wall));
+            long monotonicAfter = monotonic.getAsLong();
+            return fromUptime(
+                    bootId.getMostSignificantBits() ^ bootId.getLeastSignificantBits(),
+                    monotonicBefore,
+                    (long) (uptimeSeconds * 1e6),
+                    monotonicAfter,
+                    wallOffsetMicros(monotonic, wall));
         } catch (IOException | RuntimeException e) {
             return UNKNOWN; // not Linux
         }
@@ -56,9 +56,9 @@
      * The wall clock minus the monotonic one. A delay of the process between the two readings makes a sample too small,
      * so the largest of several is taken.
      */
-    static long offset(LongSupplier monotonic, LongSupplier wall) {
+    static long wallOffsetMicros(LongSupplier monotonic, LongSupplier wall) {
         long largest = Long.MIN_VALUE;
-        for (int i = 0; i < READINGS; i++) {
+        for (int i = 0; i < OFFSET_READINGS; i++) {
             largest = Math.max(largest, wall.getAsLong() - monotonic.getAsLong());
         }
         return largest;
@@ -68,13 +68,13 @@
      * The clock of this boot, if the uptime lies between two readings of the monotonic clock, else {@link #UNKNOWN};
      * all times in microseconds.
      */
-    static BootClock of(long boot, long before, long uptime, long after, long offset) {
-        return before - UPTIME_STEP <= uptime && uptime <= after + UPTIME_STEP ? new BootClock(boot, offset) : UNKNOWN;
+    static BootClock fromUptime(long bootId, long monotonicBefore, long uptimeMicros, long monotonicAfter, long offsetMicros) {
+        return monotonicBefore - UPTIME_TOLERANCE_MICROS <= uptimeMicros && uptimeMicros <= monotonicAfter + UPTIME_TOLERANCE_MICROS ? new BootClock(bootId, offsetMicros) : UNKNOWN;
     }
 
     /** What to add to a wall time that was written under the other clock. */
-    long shiftFrom(BootClock then) {
-        long shift = offsetMicros - then.offsetMicros;
-        return boot == 0 || boot != then.boot || Math.abs(shift) < NOTHING ? 0 : shift;
+    long wallShiftMicrosSince(BootClock earlier) {
+        long shiftMicros = offsetMicros - earlier.offsetMicros;
+        return bootId == 0 || bootId != earlier.bootId || Math.abs(shiftMicros) < MIN_SHIFT_MICROS ? 0 : shiftMicros;
     }
 }
--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -4,22 +4,22 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
 /** Compacts the log from its oldest segment on: copies live records forward and releases segments that hold none. */
-final class Compactor implements LogAppender.RoomMaker {
+final class Compactor implements LogAppender.SpaceReclaimer {
     private final SegmentLog log;
-    private final Plan plan;
+    private final SpacePolicy policy;
     private final JournalState state;
     private final Syncer syncer;
     private final LogAppender appender;
-    private final Writer copies = new Writer();
-    private long copied;
+    private final RecordWriter copies = new RecordWriter();
+    private long copiedBytes;
 
-    Compactor(SegmentLog log, Plan plan, JournalState state, Syncer syncer, LogAppender appender) {
+    Compactor(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LogAppender appender) {
         this.log = log;
-        this.plan = plan;
+        this.policy = plan;
         this.state = state;
         this.syncer = syncer;
         this.appender = appender;
@@ -29,50 +29,50 @@
      * Copies all live records out of the segments up to this sequence number and releases these segments. Used for
      * damaged segments and the legacy file, which must not stay in the log.
      */
-    void carryOver(long upTo) throws IOException {
-        while (log.oldest() != null && log.oldest().sequence <= upTo) {
+    void migrateUpTo(long lastSequence) throws IOException {
+        while (log.oldest() != null && log.oldest().sequence <= lastSequence) {
             copyOldest("migrate");
             if (log.oldest().liveRecords == 0) {
-                syncer.forceNow(log);
-                log.release(state);
+                syncer.syncNow(log);
+                log.releaseOldest(state);
             }
         }
     }
 
     /** Copies all live records into as few segments as possible and removes the other files. */
     void compactAll() throws IOException {
-        log.giveUpActive();
-        long last = log.newest();
-        while (log.oldest() != null && log.oldest().sequence <= last) {
+        log.abandonActive();
+        long lastSequence = log.newestSequence();
+        while (log.oldest() != null && log.oldest().sequence <= lastSequence) {
             copyOldest("copy");
-            syncer.forceNow(log);
-            log.release(state);
+            syncer.syncNow(log);
+            log.releaseOldest(state);
         }
-        log.giveUpSpares();
+        log.deletePreallocated();
     }
 
     private void copyOldest(String purpose) throws JournalException {
-        if (!copy(Long.MAX_VALUE)) {
+        if (!copyLiveRecords(Long.MAX_VALUE)) {
             throw new JournalException("no space to " + purpose + " " + log.oldest().name);
         }
     }
 
     /** Compacts segments where that can't wait for the slice of the current turn. */
     @Override
-    public void makeRoom(long bytes) {
+    public void reclaim(long bytes) {
         try {
-            emptySegments(bytes);
+            compactSegments(bytes);
         } catch (IOException e) {
             // A segment that can't be renamed or deleted now stays in the log; the pending record may fit all the same.
             Logs.warn("journal", "release-failed", "an empty segment could not be released: " + e);
         }
     }
 
-    private void emptySegments(long bytes) throws IOException {
-        int wanted = plan.forced(log.space(state));
-        for (int n = log.files(); n > 0 && log.oldest() != null; n--) {
-            boolean enough = wanted-- <= 0 && log.canTake(bytes, Plan.FOR_COPIES);
-            if (enough || !copy(Long.MAX_VALUE) || !releaseEmpty()) {
+    private void compactSegments(long bytes) throws IOException {
+        int segmentsLeft = policy.forcedCompactions(log.spaceUsage(state));
+        for (int filesLeft = log.fileCount(); filesLeft > 0 && log.oldest() != null; filesLeft--) {
+            boolean enough = segmentsLeft-- <= 0 && log.canProvide(bytes, SpacePolicy.SEGMENTS_FOR_COMPACTION);
+            if (enough || !copyLiveRecords(Long.MAX_VALUE) || !releaseEmptySegments()) {
                 return;
             }
         }
@@ -80,31 +80,31 @@
 
     /** Does the work of one turn: copies a slice of the oldest segment if the policy asks for it. */
     void runSlice() throws IOException {
-        releaseEmpty();
-        long slice = plan.slice(log.space(state));
-        if (slice > 0 && log.oldest() != null) {
-            copy(slice);
-            releaseEmpty();
+        releaseEmptySegments();
+        long sliceBytes = policy.sliceBytes(log.spaceUsage(state));
+        if (sliceBytes > 0 && log.oldest() != null) {
+            copyLiveRecords(sliceBytes);
+            releaseEmptySegments();
         }
     }
 
     /** Copies live records of the oldest segment, up to a number of bytes; false if they could not be written. */
-    private boolean copy(long most) {
+    private boolean copyLiveRecords(long maxBytes) {
         Segment from = log.oldest();
-        return copy(state.owed, from, most, (out, id, o) -> RecordEncoder.snapshot(out, o))
-                && copy(state.remembered, from, most, RecordEncoder::remembered);
+        return copyEntries(state.pending, from, maxBytes, (out, id, message) -> RecordEncoder.snapshot(out, message))
+                && copyEntries(state.remembered, from, maxBytes, RecordEncoder::remembered);
     }
 
     private interface Encoder<T> {
-        void write(Writer out, String key, T value);
+        void encode(RecordWriter out, String key, T value);
     }
 
-    private <T> boolean copy(Map<String, JournalState.Slot<T>> map, Segment from, long most, Encoder<T> encoder) {
-        long left = most;
-        while (left > 0) {
+    private <T> boolean copyEntries(Map<String, JournalState.Entry<T>> map, Segment from, long maxBytes, Encoder<T> encoder) {
+        long bytesLeft = maxBytes;
+        while (bytesLeft > 0) {
             List<String> keys = new ArrayList<>();
             List<Integer> sizes = new ArrayList<>();
-            fillBatch(map, from, left, encoder, keys, sizes);
+            fillBatch(map, from, bytesLeft, encoder, keys, sizes);
             if (keys.isEmpty()) {
                 return true;
             }
@@ -112,57 +112,57 @@
                 return false;
             }
             for (int i = 0; i < keys.size(); i++) {
-                state.moved(map, keys.get(i), log.active(), sizes.get(i));
+                state.recordMoved(map, keys.get(i), log.active(), sizes.get(i));
             }
-            copied += copies.size();
-            left -= copies.size();
+            copiedBytes += copies.size();
+            bytesLeft -= copies.size();
         }
         return true;
     }
 
     /** Fills {@link #copies} with records for one segment, and the lists with their keys and sizes. */
     private <T> void fillBatch(
-            Map<String, JournalState.Slot<T>> map,
+            Map<String, JournalState.Entry<T>> map,
             Segment from,
-            long most,
+            long maxBytes,
             Encoder<T> encoder,
             List<String> keys,
             List<Integer> sizes) {
         copies.clear();
-        for (Map.Entry<String, JournalState.Slot<T>> e : map.entrySet()) {
-            JournalState.Slot<T> slot = e.getValue();
-            if (slot.base != from || copies.size() >= most) {
+        for (Map.Entry<String, JournalState.Entry<T>> entry : map.entrySet()) {
+            JournalState.Entry<T> slot = entry.getValue();
+            if (slot.segment != from || copies.size() >= maxBytes) {
                 break;
             }
-            int before = copies.size();
-            encoder.write(copies, e.getKey(), slot.value);
-            if (!keys.isEmpty() && copies.size() > log.left()) {
-                copies.cut(before); // goes into the next segment, so that a batch wastes no space in this one
+            int sizeBefore = copies.size();
+            encoder.encode(copies, entry.getKey(), slot.value);
+            if (!keys.isEmpty() && copies.size() > log.activeBytesLeft()) {
+                copies.truncate(sizeBefore); // goes into the next segment, so that a batch wastes no space in this one
                 break;
             }
-            keys.add(e.getKey());
-            sizes.add(copies.size() - before);
+            keys.add(entry.getKey());
+            sizes.add(copies.size() - sizeBefore);
         }
     }
 
     /** Releases the oldest segments while they hold no live records; true if there was one. */
-    private boolean releaseEmpty() throws IOException {
-        boolean any = false;
-        for (Segment s = log.oldest(); s != null && s.liveRecords == 0; s = log.oldest()) {
-            if (s.emptyAt < 0) {
-                s.emptyAt = syncer.begun();
+    private boolean releaseEmptySegments() throws IOException {
+        boolean released = false;
+        for (Segment oldest = log.oldest(); oldest != null && oldest.liveRecords == 0; oldest = log.oldest()) {
+            if (oldest.emptiedAtSync < 0) {
+                oldest.emptiedAtSync = syncer.started();
             }
-            if (!syncer.coversAfter(s.emptyAt)) {
+            if (!syncer.hasSucceededAfter(oldest.emptiedAtSync)) {
                 break; // the copies of its records may not be durable yet
             }
-            log.release(state);
-            any = true;
+            log.releaseOldest(state);
+            released = true;
         }
-        return any;
+        return released;
     }
 
     /** Returns the number of bytes copied so far. */
-    long copied() {
-        return copied;
+    long copiedBytes() {
+        return copiedBytes;
     }
 }
--- a/src/main/java/lilaclever/journal/Disk.java
+++ b/src/main/java/lilaclever/journal/Disk.java
@@ -10,7 +10,7 @@
  */
 public interface Disk extends AutoCloseable {
     /** Returns the names of all files, sorted. */
-    List<String> names() throws IOException;
+    List<String> fileNames() throws IOException;
 
     /** Returns the length of a file in bytes. */
     long length(String name) throws IOException;
@@ -25,7 +25,7 @@
     void delete(String name) throws IOException;
 
     /** Makes all file creations, renames and deletions so far durable. */
-    void forceNames() throws IOException;
+    void syncFolder() throws IOException;
 
     @Override
     void close() throws IOException;
@@ -36,7 +36,7 @@
         int read(ByteBuffer into, long position) throws IOException;
 
         /** Reads until the buffer is full; false if the file ends before that. */
-        default boolean fill(ByteBuffer into, long position) throws IOException {
+        default boolean readFully(ByteBuffer into, long position) throws IOException {
             long at = position;
             while (into.hasRemaining()) {
                 int n = read(into, at);
@@ -55,7 +55,7 @@
         void truncate(long length) throws IOException;
 
         /** Makes the content durable. */
-        void force() throws IOException;
+        void sync() throws IOException;
 
         @Override
         void close() throws IOException;
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -14,7 +14,7 @@
 
 /** A folder of the file system. A lock on a file in it keeps other programs out. */
 public final class FolderDisk implements Disk {
-    private static final String LOCK = "lock";
+    private static final String LOCK_FILE = "lock";
 
     private final Path folder;
     private final FileChannel lockFile;
@@ -25,10 +25,10 @@
     }
 
     /** Locks the folder for this program alone; it is created if it does not exist. */
-    public static FolderDisk take(Path folder) throws IOException {
+    public static FolderDisk lock(Path folder) throws IOException {
         Files.createDirectories(folder);
         FileChannel lockFile =
-                FileChannel.open(folder.resolve(LOCK), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
+                FileChannel.open(folder.resolve(LOCK_FILE), StandardOpenOption.CREATE, StandardOpenOption.WRITE);
         FileLock lock;
         try {
             lock = lockFile.tryLock();
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public List<String> names() throws IOException {
+    public List<String> fileNames() throws IOException {
         try (Stream<Path> files = Files.list(folder)) {
             return files.filter(Files::isRegularFile)
                     .map(f -> f.getFileName().toString())
@@ -62,7 +62,7 @@
 
     @Override
     public DiskFile open(String name) throws IOException {
-        return new RealFile(FileChannel.open(
+        return new ChannelFile(FileChannel.open(
                 folder.resolve(name), StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE));
     }
 
@@ -77,7 +77,7 @@
     }
 
     @Override
-    public void forceNames() throws IOException {
+    public void syncFolder() throws IOException {
         try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
             names.force(true);
         }
@@ -88,7 +88,7 @@
         lockFile.close();
     }
 
-    private record RealFile(FileChannel channel) implements DiskFile {
+    private record ChannelFile(FileChannel channel) implements DiskFile {
         @Override
         public int read(ByteBuffer into, long position) throws IOException {
             return channel.read(into, position);
@@ -108,7 +108,7 @@
         }
 
         @Override
-        public void force() throws IOException {
+        public void sync() throws IOException {
             channel.force(false);
         }
 
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -35,120 +35,120 @@
         this.out = out;
     }
 
-    private FolderDisk take() throws IOException {
+    private FolderDisk lockFolder() throws IOException {
         if (!Files.isDirectory(folder)) {
             throw new JournalException(folder + " is not a folder");
         }
-        return FolderDisk.take(folder);
+        return FolderDisk.lock(folder);
     }
 
     /** Prints each file with its contents, and a summary of the state. */
     public int inspect() throws IOException {
-        try (FolderDisk disk = take()) {
+        try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
             Recovery recovery = new Recovery(disk, state, BootClock.UNKNOWN, line -> {});
             Recovery.Report report = recovery.scan();
             out.printf("%-26s %9s %9s %9s %7s  %s%n", "file", "bytes", "used", "live", "records", "of which");
-            for (Recovery.Found f : recovery.found()) {
-                Segment s = f.segment();
+            for (Recovery.ScannedSegment scanned : recovery.scannedSegments()) {
+                Segment segment = scanned.segment();
                 Map<String, Integer> counts = new TreeMap<>();
-                f.counts().forEach((type, n) -> counts.put(type.name().toLowerCase(), n));
+                scanned.counts().forEach((type, n) -> counts.put(type.name().toLowerCase(), n));
                 out.printf(
                         "%-26s %9d %9d %9d %7d  %s%s%n",
-                        s.name,
-                        s.length,
-                        s.used,
-                        s.liveBytes,
-                        f.counts().values().stream().mapToInt(Integer::intValue).sum(),
-                        f.header() == null ? s.sequence == Segment.LEGACY ? "format 0" : "no header" : counts,
-                        s.damaged ? " damaged" : "");
+                        segment.name,
+                        segment.lengthBytes,
+                        segment.usedBytes,
+                        segment.liveBytes,
+                        scanned.counts().values().stream().mapToInt(Integer::intValue).sum(),
+                        scanned.header() == null ? segment.sequence == Segment.LEGACY_SEQUENCE ? "format 0" : "no header" : counts,
+                        segment.damaged ? " damaged" : "");
             }
-            for (String name : disk.names()) {
-                if (name.startsWith(SegmentLog.SPARE) || name.startsWith(SegmentLog.DAMAGED)) {
+            for (String name : disk.fileNames()) {
+                if (name.startsWith(SegmentLog.SPARE_PREFIX) || name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
             }
-            long out1 =
-                    state.owed.values().stream().filter(s -> s.value.isOut()).count();
-            long risky = state.owed.values().stream()
-                    .filter(s -> s.value.mayHaveRun())
+            long inFlight =
+                    state.pending.values().stream().filter(segment -> segment.value.isOut()).count();
+            long possiblyRun = state.pending.values().stream()
+                    .filter(segment -> segment.value.mayHaveRun())
                     .count();
-            long ends = state.owed.values().stream()
-                    .filter(s -> s.value.verdict() != null)
+            long decided = state.pending.values().stream()
+                    .filter(segment -> segment.value.verdict() != null)
                     .count();
-            out.println("owed " + state.owed.size() + ", of which out " + out1 + ", possibly run " + risky
-                    + ", end decided " + ends);
+            out.println("owed " + state.pending.size() + ", of which out " + inFlight + ", possibly run " + possiblyRun
+                    + ", end decided " + decided);
             out.println("remembered ends " + state.remembered.size());
-            return told(report);
+            return printSummary(report);
         }
     }
 
     /** Reads everything and prints only faults. */
     public int verify() throws IOException {
-        try (FolderDisk disk = take()) {
-            return told(new Recovery(disk, new JournalState(), BootClock.UNKNOWN, line -> {}).scan());
+        try (FolderDisk disk = lockFolder()) {
+            return printSummary(new Recovery(disk, new JournalState(), BootClock.UNKNOWN, line -> {}).scan());
         }
     }
 
-    private int told(Recovery.Report report) {
-        for (Recovery.Damage d : report.damages()) {
-            out.println("damaged " + d.file() + " from byte " + d.from() + " to " + d.to());
+    private int printSummary(Recovery.Report report) {
+        for (Recovery.Damage damage : report.damages()) {
+            out.println("damaged " + damage.file() + " from byte " + damage.from() + " to " + damage.to());
         }
-        if (report.missing() > 0) {
-            out.println("missing files " + report.missing());
+        if (report.missingSegments() > 0) {
+            out.println("missing files " + report.missingSegments());
         }
-        boolean good = report.damages().isEmpty() && report.missing() == 0;
+        boolean good = report.damages().isEmpty() && report.missingSegments() == 0;
         out.println(
                 (good ? "good: " : "not good: ") + report.records() + " records in " + report.segments() + " segments");
         return good ? GOOD : DAMAGED;
     }
 
     /** Writes all live records into as few files as possible; damaged files are kept under another name. */
-    public int compact(long mostBytes) throws IOException {
-        FolderDisk disk = take();
+    public int compact(long quotaBytes) throws IOException {
+        FolderDisk disk = lockFolder();
         try (SegmentedJournal journal = new SegmentedJournal(
-                disk, mostBytes, new Durability(Durability.How.GROUP, 0), times(), new SplittableRandom())) {
-            long before = journal.allocated();
+                disk, quotaBytes, new Durability(Durability.Mode.GROUP, 0), clocks(), new SplittableRandom())) {
+            long bytesBefore = journal.allocatedBytes();
             journal.compactAll();
-            out.println("bytes before " + before + ", now " + journal.allocated() + ", files " + journal.files());
-            return told(journal.recovered());
+            out.println("bytes before " + bytesBefore + ", now " + journal.allocatedBytes() + ", files " + journal.fileCount());
+            return printSummary(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
             throw e;
         }
     }
 
-    private static JournalClocks times() {
-        LongSupplier micros = () -> System.nanoTime() / 1000;
-        long wallLessMicros = System.currentTimeMillis() * 1000 - micros.getAsLong();
-        LongSupplier wall = () -> wallLessMicros + micros.getAsLong();
-        return new JournalClocks(micros, wall, BootClock.read(micros, wall));
+    private static JournalClocks clocks() {
+        LongSupplier monotonicMicros = () -> System.nanoTime() / 1000;
+        long offsetMicros = System.currentTimeMillis() * 1000 - monotonicMicros.getAsLong();
+        LongSupplier wallMicros = () -> offsetMicros + monotonicMicros.getAsLong();
+        return new JournalClocks(monotonicMicros, wallMicros, BootClock.read(monotonicMicros, wallMicros));
     }
 
     /** Prints the pending messages and the remembered results, one JSON object per line. */
     public int export() throws IOException {
-        try (FolderDisk disk = take()) {
+        try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
             Recovery.Report report = new Recovery(disk, state, BootClock.UNKNOWN, System.err::println).scan();
-            for (JournalState.Slot<PendingMessage> slot : state.owed.values()) {
-                line(json -> owed(json, slot.value));
+            for (JournalState.Entry<PendingMessage> slot : state.pending.values()) {
+                printLine(json -> pendingMessage(json, slot.value));
             }
-            for (Map.Entry<String, JournalState.Slot<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
-                line(json -> {
+            for (Map.Entry<String, JournalState.Entry<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
+                printLine(json -> {
                     json.name("remembered").value(e.getKey());
                     json.name("until").value(instant(e.getValue().value.untilWall()));
-                    verdict(json, e.getValue().value.end());
+                    finalStatus(json, e.getValue().value.end());
                 });
             }
-            return report.damages().isEmpty() && report.missing() == 0 ? GOOD : DAMAGED;
+            return report.damages().isEmpty() && report.missingSegments() == 0 ? GOOD : DAMAGED;
         }
     }
 
-    private interface Content {
+    private interface JsonContent {
         void write(JsonWriter json) throws IOException;
     }
 
-    private void line(Content content) throws IOException {
+    private void printLine(JsonContent content) throws IOException {
         StringWriter text = new StringWriter();
         try (JsonWriter json = new JsonWriter(new PrintWriter(text))) {
             json.beginObject();
@@ -158,39 +158,39 @@
         out.println(text);
     }
 
-    private static void owed(JsonWriter json, PendingMessage o) throws IOException {
-        Submission h = o.submission();
-        json.name("owed").value(h.id()).name("front").value(o.front());
-        json.name("class").value(h.messageClass()).name("destination").value(h.destination());
-        if (h.identity() != null) {
-            json.name("identity").value(h.identity());
+    private static void pendingMessage(JsonWriter json, PendingMessage message) throws IOException {
+        Submission submission = message.submission();
+        json.name("owed").value(submission.id()).name("front").value(message.front());
+        json.name("class").value(submission.messageClass()).name("destination").value(submission.destination());
+        if (submission.identity() != null) {
+            json.name("identity").value(submission.identity());
         }
-        if (h.key() != null) {
-            json.name("key").value(h.key());
+        if (submission.key() != null) {
+            json.name("key").value(submission.key());
         }
-        json.name("deadline").value(instant(o.deadlineWall()));
-        json.name("attempts").value(o.attempts()).name("out").value(o.isOut());
-        json.name("possibly_run").value(o.mayHaveRun() || o.isOut());
-        if (o.attempts() > 0) {
-            json.name("last_endpoint").value(o.host());
+        json.name("deadline").value(instant(message.deadlineWall()));
+        json.name("attempts").value(message.attempts()).name("out").value(message.isOut());
+        json.name("possibly_run").value(message.mayHaveRun() || message.isOut());
+        if (message.attempts() > 0) {
+            json.name("last_endpoint").value(message.host());
         }
-        if (o.verdict() != null) {
-            verdict(json, o.verdict());
+        if (message.verdict() != null) {
+            finalStatus(json, message.verdict());
         }
-        if (!o.joined().isEmpty()) {
+        if (!message.joined().isEmpty()) {
             json.name("owed_also_to").beginArray();
-            for (PendingMessage.Claim claim : o.joined()) {
+            for (PendingMessage.Claim claim : message.joined()) {
                 json.value(claim.front() + ' ' + claim.id());
             }
             json.endArray();
         }
-        json.name("body").value(Base64.getEncoder().encodeToString(h.body()));
+        json.name("body").value(Base64.getEncoder().encodeToString(submission.body()));
     }
 
-    private static void verdict(JsonWriter json, FinalStatus v) throws IOException {
-        json.name("end").value(v.kind().name().toLowerCase());
-        if (!v.detail().isEmpty()) {
-            json.name("detail").value(v.detail());
+    private static void finalStatus(JsonWriter json, FinalStatus status) throws IOException {
+        json.name("end").value(status.kind().name().toLowerCase());
+        if (!status.detail().isEmpty()) {
+            json.name("detail").value(status.detail());
         }
     }
 
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -17,38 +17,38 @@
  */
 final class JournalState {
     /** How many bytes a message's record may grow by in a snapshot: the hosts of its attempts and its final status. */
-    private static final int GROWTH = 640;
+    private static final int MESSAGE_GROWTH_BYTES = 640;
 
     /** A live entry, and the segment that holds its record. */
-    static final class Slot<T> {
+    static final class Entry<T> {
         final T value;
-        Segment base;
-        int bytes;
+        Segment segment;
+        int recordBytes;
 
-        Slot(T value) {
+        Entry(T value) {
             this.value = value;
         }
 
-        private void rest(Segment on, int size) {
-            if (base != null) {
-                base.loses(bytes);
+        private void moveTo(Segment on, int size) {
+            if (segment != null) {
+                segment.removeRecord(recordBytes);
             }
-            base = on;
-            bytes = size;
+            segment = on;
+            recordBytes = size;
             if (on != null) {
-                on.gains(size);
+                on.addRecord(size);
             }
         }
     }
 
-    final Map<String, Slot<PendingMessage>> owed = new LinkedHashMap<>();
-    final Map<String, Slot<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
+    final Map<String, Entry<PendingMessage>> pending = new LinkedHashMap<>();
+    final Map<String, Entry<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
     /** Remembered results by expiry time: repeat windows differ, so the order of writing does not show it. */
     private final TreeSet<Expiry> expiries = new TreeSet<>();
     /** Number of live records by the bit length of their size, which bounds the largest without a sorted map. */
-    private final int[] sizes = new int[Integer.SIZE];
+    private final int[] recordsByBitLength = new int[Integer.SIZE];
 
-    private long live, growth;
+    private long liveBytes, growthBytes;
 
     /** When a remembered result expires. */
     private record Expiry(long untilWall, String identity) implements Comparable<Expiry> {
@@ -62,19 +62,19 @@
     // Sizes
 
     /** Size of all live records in bytes. */
-    long live() {
-        return live;
+    long liveBytes() {
+        return liveBytes;
     }
 
     /** The number of bytes that live records may still grow by. */
-    long growth() {
-        return growth;
+    long growthBytes() {
+        return growthBytes;
     }
 
     /** An upper bound on the size of live records, less than twice the largest. */
-    long largest() {
-        for (int bits = sizes.length - 1; bits > 0; bits--) {
-            if (sizes[bits] > 0) {
+    long largestRecordBytes() {
+        for (int bits = recordsByBitLength.length - 1; bits > 0; bits--) {
+            if (recordsByBitLength[bits] > 0) {
                 return (1L << bits) - 1;
             }
         }
@@ -82,49 +82,49 @@
     }
 
     /** How many bytes a message may need beyond the record of its acceptance. */
-    static long growth(Submission h) {
-        return GROWTH + (h.identity() == null ? 0 : rememberedSize(h.identity()));
+    static long growthBytes(Submission submission) {
+        return MESSAGE_GROWTH_BYTES + (submission.identity() == null ? 0 : rememberedRecordBytes(submission.identity()));
     }
 
     /** How many bytes another claim on a message's result adds to its record. */
-    static long growth(PendingMessage.Claim claim) {
+    static long growthBytes(PendingMessage.Claim claim) {
         return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
     }
 
-    private static long growth(PendingMessage o) {
-        long all = growth(o.submission());
-        for (PendingMessage.Claim claim : o.joined()) {
-            all += growth(claim);
+    private static long growthBytes(PendingMessage message) {
+        long total = growthBytes(message.submission());
+        for (PendingMessage.Claim claim : message.joined()) {
+            total += growthBytes(claim);
         }
-        return all;
+        return total;
     }
 
-    private static long rememberedSize(String identity) {
-        return Format.FRAME + 3 * (long) (identity.length() + RecordEncoder.MOST_DETAIL) + 52;
+    private static long rememberedRecordBytes(String identity) {
+        return SegmentFormat.FRAME_BYTES + 3 * (long) (identity.length() + RecordEncoder.MAX_DETAIL_CHARS) + 52;
     }
 
-    private <T> void rest(Slot<T> slot, Segment on, int size) {
-        if (slot.base != null) {
-            live -= slot.bytes;
-            sizes[bits(slot.bytes)]--;
+    private <T> void moveRecord(Entry<T> entry, Segment on, int size) {
+        if (entry.segment != null) {
+            liveBytes -= entry.recordBytes;
+            recordsByBitLength[bitLength(entry.recordBytes)]--;
         }
-        slot.rest(on, size);
+        entry.moveTo(on, size);
         if (on != null) {
-            live += size;
-            sizes[bits(size)]++;
+            liveBytes += size;
+            recordsByBitLength[bitLength(size)]++;
         }
     }
 
-    private static int bits(int size) {
+    private static int bitLength(int size) {
         return Integer.SIZE - Integer.numberOfLeadingZeros(size);
     }
 
-    /** A view of all pending messages, in the order of {@link #owed}. */
-    Collection<PendingMessage> messages() {
+    /** A view of all pending messages, in the order of {@link #pending}. */
+    Collection<PendingMessage> pendingMessages() {
         return new AbstractCollection<>() {
             @Override
             public Iterator<PendingMessage> iterator() {
-                Iterator<Slot<PendingMessage>> slots = owed.values().iterator();
+                Iterator<Entry<PendingMessage>> slots = pending.values().iterator();
                 return new Iterator<>() {
                     @Override
                     public boolean hasNext() {
@@ -140,7 +140,7 @@
 
             @Override
             public int size() {
-                return owed.size();
+                return pending.size();
             }
         };
     }
@@ -150,83 +150,83 @@
     /**
      * Adds an accepted message. A result remembered under its identity has expired and does not belong to this message.
      */
-    void taken(PendingMessage o, Segment base, int size) {
-        if (o.submission().identity() != null) {
-            forget(o.submission().identity());
+    void addAccepted(PendingMessage message, Segment segment, int size) {
+        if (message.submission().identity() != null) {
+            removeRemembered(message.submission().identity());
         }
-        put(o, base, size);
+        put(message, segment, size);
     }
 
     /** Adds or replaces a message whose record, or complete snapshot, is in this segment. */
-    void put(PendingMessage o, Segment base, int size) {
-        String id = o.submission().id();
-        drop(id);
-        Slot<PendingMessage> slot = new Slot<>(o);
-        owed.put(id, slot);
-        growth += growth(o);
-        rest(slot, base, size);
+    void put(PendingMessage message, Segment segment, int size) {
+        String id = message.submission().id();
+        removeMessage(id);
+        Entry<PendingMessage> entry = new Entry<>(message);
+        pending.put(id, entry);
+        growthBytes += growthBytes(message);
+        moveRecord(entry, segment, size);
     }
 
     /** Removes a message that has ended. */
-    void drop(String id) {
-        Slot<PendingMessage> slot = owed.remove(id);
-        if (slot != null) {
-            growth -= growth(slot.value);
-            rest(slot, null, 0);
+    void removeMessage(String id) {
+        Entry<PendingMessage> entry = pending.remove(id);
+        if (entry != null) {
+            growthBytes -= growthBytes(entry.value);
+            moveRecord(entry, null, 0);
         }
     }
 
     /** Adds another claim on the result of a message. */
-    void join(PendingMessage o, PendingMessage.Claim claim) {
-        growth -= growth(o);
-        o.join(claim);
-        growth += growth(o);
+    void addClaim(PendingMessage message, PendingMessage.Claim claim) {
+        growthBytes -= growthBytes(message);
+        message.join(claim);
+        growthBytes += growthBytes(message);
     }
 
     /** Adds or replaces a remembered result whose record is in this segment. */
-    void put(String identity, CompletedMessage<FinalStatus> p, Segment base, int size) {
-        forget(identity);
-        Slot<CompletedMessage<FinalStatus>> slot = new Slot<>(p);
-        remembered.put(identity, slot);
-        expiries.add(new Expiry(p.untilWall(), identity));
-        rest(slot, base, size);
+    void put(String identity, CompletedMessage<FinalStatus> result, Segment segment, int size) {
+        removeRemembered(identity);
+        Entry<CompletedMessage<FinalStatus>> entry = new Entry<>(result);
+        remembered.put(identity, entry);
+        expiries.add(new Expiry(result.untilWall(), identity));
+        moveRecord(entry, segment, size);
     }
 
     /** Removes a remembered result. */
-    void forget(String identity) {
-        Slot<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
-        if (slot != null) {
-            expiries.remove(new Expiry(slot.value.untilWall(), identity));
-            rest(slot, null, 0);
+    void removeRemembered(String identity) {
+        Entry<CompletedMessage<FinalStatus>> entry = remembered.remove(identity);
+        if (entry != null) {
+            expiries.remove(new Expiry(entry.value.untilWall(), identity));
+            moveRecord(entry, null, 0);
         }
     }
 
     /** Removes the remembered result that expires first. */
-    void forgetSoonest() {
+    void removeFirstToExpire() {
         if (!expiries.isEmpty()) {
-            forget(expiries.first().identity());
+            removeRemembered(expiries.first().identity());
         }
     }
 
     /** Notes that the entry's record was written again, which moves it to the end of its map. */
-    <T> void moved(Map<String, Slot<T>> map, String key, Segment base, int size) {
-        Slot<T> slot = map.remove(key);
-        map.put(key, slot);
-        rest(slot, base, size);
+    <T> void recordMoved(Map<String, Entry<T>> map, String key, Segment segment, int size) {
+        Entry<T> entry = map.remove(key);
+        map.put(key, entry);
+        moveRecord(entry, segment, size);
     }
 
     /** Removes up to {@code most} expired results and returns their number. */
-    int expire(long nowWall, int most) {
-        int gone = 0;
-        while (gone < most && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
-            forgetSoonest();
-            gone++;
+    int removeExpired(long nowWall, int limit) {
+        int removed = 0;
+        while (removed < limit && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
+            removeFirstToExpire();
+            removed++;
         }
-        return gone;
+        return removed;
     }
 
     /** Records were lost: any attempt of the messages known so far may have run without its record. */
-    void doubt() {
-        owed.values().forEach(slot -> slot.value.doubt());
+    void markPossiblyRun() {
+        pending.values().forEach(entry -> entry.value.doubt());
     }
 }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -15,10 +15,10 @@
  * those of a segment.
  */
 final class LegacyReader {
-    static final String NAME = "journal", UNFINISHED = "journal.new";
-    private static final int HEAD = 8, LARGEST = 1 << 20;
+    static final String FILE_NAME = "journal", UNFINISHED_FILE_NAME = "journal.new";
+    private static final int RECORD_HEADER_BYTES = 8, MAX_CONTENT_BYTES = 1 << 20;
     /** Codes of the record types; those of the same name in {@link Format.Type} have other codes. */
-    private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, PAST = 6;
+    private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, ATTEMPT_SUMMARY = 6;
 
     private final JournalState state;
     private final Segment segment;
@@ -31,28 +31,28 @@
 
     /** Applies all records up to the first that is incomplete or corrupt, and returns the position of that one. */
     long read(Disk disk) throws IOException {
-        long length = disk.length(NAME);
-        long at = 0;
-        try (Disk.DiskFile file = disk.open(NAME)) {
-            ByteBuffer head = ByteBuffer.allocate(HEAD);
-            while (file.fill(head.clear(), at)) {
-                int size = head.getInt(0);
-                if (size <= 0 || size > LARGEST || size > length - at - HEAD) {
+        long length = disk.length(FILE_NAME);
+        long position = 0;
+        try (Disk.DiskFile file = disk.open(FILE_NAME)) {
+            ByteBuffer header = ByteBuffer.allocate(RECORD_HEADER_BYTES);
+            while (file.readFully(header.clear(), position)) {
+                int size = header.getInt(0);
+                if (size <= 0 || size > MAX_CONTENT_BYTES || size > length - position - RECORD_HEADER_BYTES) {
                     break;
                 }
                 ByteBuffer content = ByteBuffer.allocate(size);
-                file.fill(content, at + HEAD);
+                file.readFully(content, position + RECORD_HEADER_BYTES);
                 CRC32 crc = new CRC32();
                 crc.update(content.flip().duplicate());
-                if ((int) crc.getValue() != head.getInt(4)) {
+                if ((int) crc.getValue() != header.getInt(4)) {
                     damaged = true; // the record is complete, so what it announced may have happened
                     break;
                 }
-                apply(content, size + HEAD);
-                at += HEAD + size;
+                apply(content, size + RECORD_HEADER_BYTES);
+                position += RECORD_HEADER_BYTES + size;
             }
         }
-        return at;
+        return position;
     }
 
     /** True if reading stopped at a record that had been written completely. */
@@ -63,44 +63,44 @@
     private void apply(ByteBuffer in, int size) {
         int type = in.get();
         if (type == TAKEN) {
-            state.put(readTaken(in), segment, size);
+            state.put(readAccepted(in), segment, size);
             return;
         }
-        String id = text(in);
+        String id = readText(in);
         if (type == REMEMBERED) {
-            state.put(id, new CompletedMessage<>(readVerdict(in), null, in.getLong()), segment, size);
+            state.put(id, new CompletedMessage<>(readFinalStatus(in), null, in.getLong()), segment, size);
             return;
         }
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
-        if (slot == null) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry == null) {
             return;
         }
-        PendingMessage owed = slot.value;
+        PendingMessage message = entry.value;
         switch (type) {
-            case ATTEMPT -> owed.attempt(text(in), in.getInt(), in.getLong());
-            case OUTCOME -> owed.outcome(in.get() != 0);
-            case PAST -> {
-                owed.past(in.getInt(), in.get() != 0, text(in), in.getInt(), in.getLong());
+            case ATTEMPT -> message.attempt(readText(in), in.getInt(), in.getLong());
+            case OUTCOME -> message.outcome(in.get() != 0);
+            case ATTEMPT_SUMMARY -> {
+                message.past(in.getInt(), in.get() != 0, readText(in), in.getInt(), in.getLong());
                 boolean mayHaveRun = in.get() != 0;
-                String host = text(in);
+                String host = readText(in);
                 int zone = in.getInt();
-                long wall = in.getLong();
+                long wallMicros = in.getLong();
                 if (mayHaveRun) {
-                    owed.risk(host, zone, wall);
+                    message.risk(host, zone, wallMicros);
                 }
             }
-            case VERDICT -> owed.verdict(readVerdict(in));
-            default -> state.drop(id);
+            case VERDICT -> message.verdict(readFinalStatus(in));
+            default -> state.removeMessage(id);
         }
     }
 
-    private static PendingMessage readTaken(ByteBuffer in) {
-        String front = text(in);
-        String id = text(in);
-        String identity = text(in);
+    private static PendingMessage readAccepted(ByteBuffer in) {
+        String front = readText(in);
+        String id = readText(in);
+        String identity = readText(in);
         int messageClass = in.getInt();
         int destination = in.getInt();
-        String key = text(in);
+        String key = readText(in);
         boolean again = in.get() != 0;
         boolean inherited = in.get() != 0;
         long budget = in.getLong();
@@ -122,12 +122,12 @@
                 deadline);
     }
 
-    private static FinalStatus readVerdict(ByteBuffer in) {
-        return new FinalStatus(FinalStatus.Kind.values()[in.get()], in.getLong(), text(in));
+    private static FinalStatus readFinalStatus(ByteBuffer in) {
+        return new FinalStatus(FinalStatus.Kind.values()[in.get()], in.getLong(), readText(in));
     }
 
     /** Encoded by DataOutput.writeUTF; ids of that format were plain ASCII. */
-    private static String text(ByteBuffer in) {
+    private static String readText(ByteBuffer in) {
         byte[] bytes = new byte[in.getShort() & 0xffff];
         in.get(bytes);
         return new String(bytes, StandardCharsets.UTF_8);
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -2,54 +2,54 @@
 
 import java.io.IOException;
 import java.util.function.LongSupplier;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
 /**
  * Appends records to the log, in another segment if a write fails. While the disk accepts no records, writes are
- * attempted only once per {@link Plan#PAUSE}.
+ * attempted only once per {@link SpacePolicy#DISK_RETRY_DELAY_MICROS}.
  */
 final class LogAppender {
     /** Frees segments when there is no space for a record. */
-    interface RoomMaker {
+    interface SpaceReclaimer {
         /** Frees space for this number of bytes, if possible. */
-        void makeRoom(long bytes);
+        void reclaim(long bytes);
     }
 
-    private interface Step {
+    private interface IoAction {
         void run() throws IOException;
     }
 
     private final SegmentLog log;
-    private final Plan plan;
+    private final SpacePolicy policy;
     private final JournalState state;
     private final Syncer syncer;
-    private final LongSupplier micros;
+    private final LongSupplier monotonicMicros;
 
     private boolean failing;
-    private long retryAt;
-    private long failures;
+    private long retryAtMicros;
+    private long failureCount;
 
-    LogAppender(SegmentLog log, Plan plan, JournalState state, Syncer syncer, LongSupplier micros) {
+    LogAppender(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LongSupplier micros) {
         this.log = log;
-        this.plan = plan;
+        this.policy = plan;
         this.state = state;
         this.syncer = syncer;
-        this.micros = micros;
+        this.monotonicMicros = micros;
     }
 
     /**
      * Appends the records, all or none, and leaves the space reserved for copies; false if no segment can take them.
      */
-    boolean append(Writer records, RoomMaker roomMaker) {
+    boolean append(RecordWriter records, SpaceReclaimer reclaimer) {
         int size = records.size();
         return write(records, () -> {
-            if (!log.fits(size)) {
-                roomMaker.makeRoom(size);
+            if (!log.fitsActive(size)) {
+                reclaimer.reclaim(size);
             }
-            if (!log.fits(size)) {
-                if (!log.canTake(size, Plan.FOR_COPIES)) {
-                    throw new SegmentLog.NoRoom();
+            if (!log.fitsActive(size)) {
+                if (!log.canProvide(size, SpacePolicy.SEGMENTS_FOR_COMPACTION)) {
+                    throw new SegmentLog.OutOfSpace();
                 }
                 log.roll(size);
             }
@@ -57,38 +57,38 @@
     }
 
     /** Appends copies of live records, which may use all space; false if no segment can take them. */
-    boolean appendCopies(Writer copies) {
+    boolean appendCopies(RecordWriter copies) {
         return write(copies, () -> {
-            if (!log.fits(copies.size())) {
+            if (!log.fitsActive(copies.size())) {
                 log.roll(copies.size());
             }
         });
     }
 
-    private boolean write(Writer records, Step makeFit) {
-        if (isPaused()) {
+    private boolean write(RecordWriter records, IoAction ensureFits) {
+        if (isBackingOff()) {
             return false;
         }
-        IOException last = null;
-        for (int tries = log.files() + 2; tries > 0; tries--) {
+        IOException lastFailure = null;
+        for (int triesLeft = log.fileCount() + 2; triesLeft > 0; triesLeft--) {
             try {
-                makeFit.run();
+                ensureFits.run();
                 log.write(records);
-                syncer.wrote();
-                succeeded();
+                syncer.recordsWritten();
+                writeSucceeded();
                 return true;
-            } catch (SegmentLog.NoRoom e) {
-                last = e;
+            } catch (SegmentLog.OutOfSpace e) {
+                lastFailure = e;
                 break;
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
             }
         }
-        failed(last);
+        writeFailed(lastFailure);
         return false;
     }
 
-    private void succeeded() {
+    private void writeSucceeded() {
         if (failing) {
             failing = false;
             Logs.info("journal", "disk-good", "the disk takes records again");
@@ -96,41 +96,41 @@
     }
 
     /** Notes that the disk failed, and backs off for a while. */
-    void failed(IOException e) {
-        failures++;
-        retryAt = micros.getAsLong() + Plan.PAUSE;
+    void writeFailed(IOException e) {
+        failureCount++;
+        retryAtMicros = monotonicMicros.getAsLong() + SpacePolicy.DISK_RETRY_DELAY_MICROS;
         if (!failing) {
             failing = true;
             Logs.error(
                     "journal",
                     "disk-bad",
-                    "the disk takes no records, asked again every " + Plan.PAUSE / 1000 + " ms: " + e);
+                    "the disk takes no records, asked again every " + SpacePolicy.DISK_RETRY_DELAY_MICROS / 1000 + " ms: " + e);
         }
     }
 
-    private boolean isPaused() {
-        return failing && micros.getAsLong() < retryAt;
+    private boolean isBackingOff() {
+        return failing && monotonicMicros.getAsLong() < retryAtMicros;
     }
 
     /** True if the disk has failed and is not to be tried yet at this time, in microseconds. */
-    boolean isPausedAt(long nowMicros) {
-        return failing && nowMicros < retryAt;
+    boolean isBackingOffAt(long nowMicros) {
+        return failing && nowMicros < retryAtMicros;
     }
 
     /** Ends the backoff: the disk is tried at once, even if it has just failed. */
-    void endPause() {
-        retryAt = Long.MIN_VALUE;
+    void endBackoff() {
+        retryAtMicros = Long.MIN_VALUE;
     }
 
     /**
      * True if there is space for a record of this size and its later growth, both in bytes; allocates segments for it.
      */
-    boolean hasRoom(long record, long growth) {
-        if (isPaused()) {
+    boolean ensureSpace(long recordBytes, long growthBytes) {
+        if (isBackingOff()) {
             return false;
         }
-        while (!plan.hasRoom(log.space(state), record, growth)) {
-            if (plan.growth(log.space(state), record) == 0 || !log.grow(plan.lengthFor(record))) {
+        while (!policy.hasSpace(log.spaceUsage(state), recordBytes, growthBytes)) {
+            if (policy.newSegmentBytes(log.spaceUsage(state), recordBytes) == 0 || !log.preallocate(policy.segmentBytesFor(recordBytes))) {
                 return false;
             }
         }
@@ -138,7 +138,7 @@
     }
 
     /** How many times the disk accepted nothing. */
-    long failures() {
-        return failures;
+    long failureCount() {
+        return failureCount;
     }
 }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -3,7 +3,7 @@
 import java.nio.ByteBuffer;
 import lilaclever.identity.CompletedMessage;
 import lilaclever.identity.Fingerprint;
-import lilaclever.journal.Format.Type;
+import lilaclever.journal.SegmentFormat.RecordType;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
@@ -12,7 +12,7 @@
 final class RecordDecoder {
     private final JournalState state;
     /** Added to decoded wall times, in microseconds. */
-    private long shift;
+    private long wallShiftMicros;
 
     RecordDecoder(JournalState state) {
         this.state = state;
@@ -22,40 +22,40 @@
      * Sets the shift of wall times for the following records: by how much the wall clock was set since they were
      * written.
      */
-    void shiftWalls(long micros) {
-        shift = micros;
+    void setWallShift(long micros) {
+        wallShiftMicros = micros;
     }
 
-    private long wall(ByteBuffer in) {
-        return in.getLong() + shift;
+    private long readWallMicros(ByteBuffer in) {
+        return in.getLong() + wallShiftMicros;
     }
 
     /** Applies a record; false if its content is invalid. */
-    boolean apply(Type type, ByteBuffer in, Segment segment, int size) {
+    boolean apply(RecordType type, ByteBuffer in, Segment segment, int size) {
         try {
             switch (type) {
-                case TAKEN -> state.taken(readWhole(in), segment, size);
+                case TAKEN -> state.addAccepted(readMessage(in), segment, size);
                 case SNAPSHOT -> {
-                    PendingMessage o = readWhole(in);
-                    readPast(in, o);
-                    state.put(o, segment, size);
+                    PendingMessage message = readMessage(in);
+                    readAttemptsAndStatus(in, message);
+                    state.put(message, segment, size);
                 }
                 case REMEMBERED -> {
-                    String identity = Format.text(in);
-                    FinalStatus end = readEnd(in);
-                    long until = wall(in);
+                    String identity = SegmentFormat.readText(in);
+                    FinalStatus status = readFinalStatus(in);
+                    long untilWall = readWallMicros(in);
                     // Version 1 has no fingerprint.
-                    boolean compared = in.hasRemaining() && Format.flag(in);
+                    boolean hasFingerprint = in.hasRemaining() && SegmentFormat.readFlag(in);
                     state.put(
                             identity,
                             new CompletedMessage<>(
-                                    end, compared ? new Fingerprint(in.getLong(), in.getLong()) : null, until),
+                                    status, hasFingerprint ? new Fingerprint(in.getLong(), in.getLong()) : null, untilWall),
                             segment,
                             size);
                 }
-                case ENDED -> state.drop(Format.text(in));
+                case ENDED -> state.removeMessage(SegmentFormat.readText(in));
                 case PREVIOUS -> {}
-                default -> applyToOne(type, in);
+                default -> applyToMessage(type, in);
             }
             return true;
         } catch (RuntimeException e) { // too short, or a number out of range
@@ -63,55 +63,55 @@
         }
     }
 
-    private void applyToOne(Type type, ByteBuffer in) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(Format.text(in));
-        if (slot == null) {
+    private void applyToMessage(RecordType type, ByteBuffer in) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(SegmentFormat.readText(in));
+        if (entry == null) {
             return; // its message has ended, or a later snapshot covers it
         }
         switch (type) {
-            case ATTEMPT -> slot.value.attempt(Format.text(in), in.getInt(), wall(in));
-            case OUTCOME -> slot.value.outcome(Format.flag(in));
-            case JOINED -> state.join(slot.value, new PendingMessage.Claim(Format.text(in), Format.text(in)));
-            default -> slot.value.verdict(readEnd(in));
+            case ATTEMPT -> entry.value.attempt(SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+            case OUTCOME -> entry.value.outcome(SegmentFormat.readFlag(in));
+            case JOINED -> state.addClaim(entry.value, new PendingMessage.Claim(SegmentFormat.readText(in), SegmentFormat.readText(in)));
+            default -> entry.value.verdict(readFinalStatus(in));
         }
     }
 
-    private PendingMessage readWhole(ByteBuffer in) {
-        String front = Format.text(in);
-        String id = Format.text(in);
-        String identity = Format.flag(in) ? Format.text(in) : null;
+    private PendingMessage readMessage(ByteBuffer in) {
+        String front = SegmentFormat.readText(in);
+        String id = SegmentFormat.readText(in);
+        String identity = SegmentFormat.readFlag(in) ? SegmentFormat.readText(in) : null;
         int messageClass = in.getInt();
         int destination = in.getInt();
-        String key = Format.flag(in) ? Format.text(in) : null;
-        boolean again = Format.flag(in);
-        boolean inherited = Format.flag(in);
+        String key = SegmentFormat.readFlag(in) ? SegmentFormat.readText(in) : null;
+        boolean again = SegmentFormat.readFlag(in);
+        boolean inherited = SegmentFormat.readFlag(in);
         long budget = in.getLong();
-        long deadline = wall(in);
+        long deadlineWall = readWallMicros(in);
         return new PendingMessage(
                 front,
                 new Submission(
-                        id, identity, messageClass, destination, key, Format.bytes(in), again, inherited, budget),
-                deadline);
+                        id, identity, messageClass, destination, key, SegmentFormat.readBytes(in), again, inherited, budget),
+                deadlineWall);
     }
 
-    private void readPast(ByteBuffer in, PendingMessage o) {
-        o.past(in.getInt(), Format.flag(in), Format.text(in), in.getInt(), wall(in));
-        boolean mayHaveRun = Format.flag(in);
-        String host = Format.text(in);
+    private void readAttemptsAndStatus(ByteBuffer in, PendingMessage message) {
+        message.past(in.getInt(), SegmentFormat.readFlag(in), SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+        boolean mayHaveRun = SegmentFormat.readFlag(in);
+        String host = SegmentFormat.readText(in);
         int zone = in.getInt();
-        long wall = wall(in);
+        long wallMicros = readWallMicros(in);
         if (mayHaveRun) {
-            o.risk(host, zone, wall);
+            message.risk(host, zone, wallMicros);
         }
-        if (Format.flag(in)) {
-            o.verdict(readEnd(in));
+        if (SegmentFormat.readFlag(in)) {
+            message.verdict(readFinalStatus(in));
         }
         for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // absent in version 1
-            o.join(new PendingMessage.Claim(Format.text(in), Format.text(in)));
+            message.join(new PendingMessage.Claim(SegmentFormat.readText(in), SegmentFormat.readText(in)));
         }
     }
 
-    private static FinalStatus readEnd(ByteBuffer in) {
-        return new FinalStatus(FinalStatus.Kind.values()[in.getInt()], in.getLong(), Format.text(in));
+    private static FinalStatus readFinalStatus(ByteBuffer in) {
+        return new FinalStatus(FinalStatus.Kind.values()[in.getInt()], in.getLong(), SegmentFormat.readText(in));
     }
 }
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -1,8 +1,8 @@
 package lilaclever.journal;
 
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.Format.Type;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.RecordType;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
@@ -10,94 +10,94 @@
 /** Encodes records; {@link RecordDecoder} decodes them. */
 final class RecordEncoder {
     /** Maximum number of characters stored of the explanation that an endpoint gave. */
-    static final int MOST_DETAIL = 160;
+    static final int MAX_DETAIL_CHARS = 160;
 
     private RecordEncoder() {}
 
     /** A message was accepted. */
-    static void taken(Writer out, PendingMessage o) {
-        out.begin(Type.TAKEN);
-        whole(out, o);
-        out.end();
+    static void accepted(RecordWriter out, PendingMessage message) {
+        out.beginRecord(RecordType.TAKEN);
+        putMessage(out, message);
+        out.endRecord();
     }
 
     /** An attempt begins at this wall time, in microseconds. */
-    static void attempt(Writer out, String id, String host, int zone, long wall) {
-        out.begin(Type.ATTEMPT).text(id).text(host).small(zone).number(wall).end();
+    static void attempt(RecordWriter out, String id, String host, int zone, long wallMicros) {
+        out.beginRecord(RecordType.ATTEMPT).putText(id).putText(host).putInt(zone).putLong(wallMicros).endRecord();
     }
 
     /** The attempt in flight has finished. */
-    static void outcome(Writer out, String id, boolean neverRan) {
-        out.begin(Type.OUTCOME).text(id).flag(neverRan).end();
+    static void outcome(RecordWriter out, String id, boolean neverRan) {
+        out.beginRecord(RecordType.OUTCOME).putText(id).putFlag(neverRan).endRecord();
     }
 
     /** The final status of the message is decided. */
-    static void verdict(Writer out, String id, FinalStatus v) {
-        out.begin(Type.VERDICT).text(id);
-        end(out, v);
-        out.end();
+    static void finalStatus(RecordWriter out, String id, FinalStatus status) {
+        out.beginRecord(RecordType.VERDICT).putText(id);
+        putFinalStatus(out, status);
+        out.endRecord();
     }
 
     /** The message is finished: no result is pending any more. */
-    static void ended(Writer out, String id) {
-        out.begin(Type.ENDED).text(id).end();
+    static void ended(RecordWriter out, String id) {
+        out.beginRecord(RecordType.ENDED).putText(id).endRecord();
     }
 
     /** The result remembered under an identity. */
-    static void remembered(Writer out, String identity, CompletedMessage<FinalStatus> p) {
-        out.begin(Type.REMEMBERED).text(identity);
-        end(out, p.end());
-        out.number(p.untilWall()).flag(p.content() != null);
-        if (p.content() != null) {
-            out.number(p.content().high()).number(p.content().low());
+    static void remembered(RecordWriter out, String identity, CompletedMessage<FinalStatus> result) {
+        out.beginRecord(RecordType.REMEMBERED).putText(identity);
+        putFinalStatus(out, result.end());
+        out.putLong(result.untilWall()).putFlag(result.content() != null);
+        if (result.content() != null) {
+            out.putLong(result.content().high()).putLong(result.content().low());
         }
-        out.end();
+        out.endRecord();
     }
 
     /** Another submission waits for the result of the message. */
-    static void joined(Writer out, String id, PendingMessage.Claim claim) {
-        out.begin(Type.JOINED).text(id).text(claim.front()).text(claim.id()).end();
+    static void joined(RecordWriter out, String id, PendingMessage.Claim claim) {
+        out.beginRecord(RecordType.JOINED).putText(id).putText(claim.front()).putText(claim.id()).endRecord();
     }
 
     /** The whole state of a message in one record. */
-    static void snapshot(Writer out, PendingMessage o) {
-        out.begin(Type.SNAPSHOT);
-        whole(out, o);
-        out.small(o.attempts()).flag(o.isOut()).text(o.host()).small(o.zone()).number(o.sentWall());
-        out.flag(o.mayHaveRun()).text(o.riskHost()).small(o.riskZone()).number(o.riskWall());
-        out.flag(o.verdict() != null);
-        if (o.verdict() != null) {
-            end(out, o.verdict());
+    static void snapshot(RecordWriter out, PendingMessage message) {
+        out.beginRecord(RecordType.SNAPSHOT);
+        putMessage(out, message);
+        out.putInt(message.attempts()).putFlag(message.isOut()).putText(message.host()).putInt(message.zone()).putLong(message.sentWall());
+        out.putFlag(message.mayHaveRun()).putText(message.riskHost()).putInt(message.riskZone()).putLong(message.riskWall());
+        out.putFlag(message.verdict() != null);
+        if (message.verdict() != null) {
+            putFinalStatus(out, message.verdict());
         }
-        out.small(o.joined().size());
-        o.joined().forEach(claim -> out.text(claim.front()).text(claim.id()));
-        out.end();
+        out.putInt(message.joined().size());
+        message.joined().forEach(claim -> out.putText(claim.front()).putText(claim.id()));
+        out.endRecord();
     }
 
     /** Where the previous segment ended. */
-    static void previous(Writer out, long sequence, long end) {
-        out.begin(Type.PREVIOUS).number(sequence).number(end).end();
+    static void previous(RecordWriter out, long sequence, long endOffset) {
+        out.beginRecord(RecordType.PREVIOUS).putLong(sequence).putLong(endOffset).endRecord();
     }
 
-    private static void whole(Writer out, PendingMessage o) {
-        Submission h = o.submission();
-        out.text(o.front()).text(h.id()).flag(h.identity() != null);
-        if (h.identity() != null) {
-            out.text(h.identity());
+    private static void putMessage(RecordWriter out, PendingMessage message) {
+        Submission submission = message.submission();
+        out.putText(message.front()).putText(submission.id()).putFlag(submission.identity() != null);
+        if (submission.identity() != null) {
+            out.putText(submission.identity());
         }
-        out.small(h.messageClass()).small(h.destination()).flag(h.key() != null);
-        if (h.key() != null) {
-            out.text(h.key());
+        out.putInt(submission.messageClass()).putInt(submission.destination()).putFlag(submission.key() != null);
+        if (submission.key() != null) {
+            out.putText(submission.key());
         }
-        out.flag(h.again())
-                .flag(h.inherited())
-                .number(h.budgetMicros())
-                .number(o.deadlineWall())
-                .bytes(h.body());
+        out.putFlag(submission.again())
+                .putFlag(submission.inherited())
+                .putLong(submission.budgetMicros())
+                .putLong(message.deadlineWall())
+                .putBytes(submission.body());
     }
 
-    private static void end(Writer out, FinalStatus v) {
-        String detail = v.detail().substring(0, Math.min(v.detail().length(), MOST_DETAIL));
-        out.small(v.kind().ordinal()).number(v.comeBackMicros()).text(detail);
+    private static void putFinalStatus(RecordWriter out, FinalStatus status) {
+        String detail = status.detail().substring(0, Math.min(status.detail().length(), MAX_DETAIL_CHARS));
+        out.putInt(status.kind().ordinal()).putLong(status.comeBackMicros()).putText(detail);
     }
 }
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -8,12 +8,12 @@
 import java.util.Map;
 import java.util.TreeMap;
 import java.util.function.Consumer;
-import lilaclever.journal.Format.Type;
+import lilaclever.journal.SegmentFormat.RecordType;
 
 /**
  * Reads a journal folder into the state without changing the folder. Segments are read in order through a window, so
  * memory use depends on the live records only. All headers are read first, so that a folder of a newer version is
- * rejected before anything else. {@link #settle} then hands the files over to the log; a kill during that does no harm,
+ * rejected before anything else. {@link #handOver} then hands the files over to the log; a kill during that does no harm,
  * as it changes nothing that the next recovery needs.
  */
 public final class Recovery {
@@ -25,69 +25,69 @@
      * must be migrated out of the log.
      */
     public record Report(
-            long records, int segments, List<Damage> damages, int missing, boolean carriedOver, long cleanUpTo) {}
+            long records, int segments, List<Damage> damages, int missingSegments, boolean legacyFileFound, long lastToMigrate) {}
 
     /** A segment that was read, and its number of records by type. */
-    record Found(Segment segment, Format.Header header, EnumMap<Type, Integer> counts) {}
+    record ScannedSegment(Segment segment, SegmentFormat.Header header, EnumMap<RecordType, Integer> counts) {}
 
     /** The name of a segment, and where the previous segment ends according to its first record; -1 if unknown. */
-    private record Look(String name, long endOfPrevious) {}
+    private record SegmentStart(String name, long previousSegmentEnd) {}
 
     private final Disk disk;
     private final JournalState state;
     private final RecordDecoder decoder;
-    private final BootClock clock;
-    private final Consumer<String> log;
+    private final BootClock bootClock;
+    private final Consumer<String> faultLog;
     private final List<Damage> damages = new ArrayList<>();
-    private final List<Found> found = new ArrayList<>();
-    private List<String> names = List.of();
+    private final List<ScannedSegment> scannedSegments = new ArrayList<>();
+    private List<String> fileNames = List.of();
     private long records;
-    private int missing;
-    private boolean carriedOver;
-    private long cleanUpTo = -1;
+    private int missingSegments;
+    private boolean legacyFileFound;
+    private long lastToMigrate = -1;
 
     /** Receives one line per fault in {@code log}. */
     Recovery(Disk disk, JournalState state, BootClock clock, Consumer<String> log) {
         this.disk = disk;
         this.state = state;
         decoder = new RecordDecoder(state);
-        this.clock = clock;
-        this.log = log;
+        this.bootClock = clock;
+        this.faultLog = log;
     }
 
     /** Reads all files. */
     Report scan() throws IOException {
-        names = disk.names();
-        TreeMap<Long, Look> segments = new TreeMap<>();
-        for (String name : names) {
-            long sequence = Segment.sequence(name);
+        fileNames = disk.fileNames();
+        TreeMap<Long, SegmentStart> segments = new TreeMap<>();
+        for (String name : fileNames) {
+            long sequence = Segment.sequenceOf(name);
             if (sequence > 0) {
-                segments.put(sequence, look(name));
+                segments.put(sequence, readStart(name));
             }
         }
-        carriedOver = names.contains(LegacyReader.NAME);
-        if (carriedOver) {
-            carryOver();
+        legacyFileFound = fileNames.contains(LegacyReader.FILE_NAME);
+        if (legacyFileFound) {
+            readLegacyFile();
         }
-        read(segments, carriedOver);
-        return new Report(records, segments.size(), List.copyOf(damages), missing, carriedOver, cleanUpTo);
+        readSegments(segments, legacyFileFound);
+        return new Report(records, segments.size(), List.copyOf(damages), missingSegments, legacyFileFound, lastToMigrate);
     }
 
     /** The segments in order. */
-    List<Found> found() {
-        return found;
+    List<ScannedSegment> scannedSegments() {
+        return scannedSegments;
     }
 
     /** Hands the files over to the log, and finishes work that an earlier run left incomplete. */
-    void settle(SegmentLog to) throws IOException {
-        found.forEach(f -> to.found(f.segment()));
-        for (String name : names) {
-            if (name.startsWith(SegmentLog.DAMAGED)) {
-                to.foundAside(name);
-            } else if (name.equals(LegacyReader.UNFINISHED)) {
+    void handOver(SegmentLog log) throws IOException {
+        scannedSegments.forEach(scanned -> log.addRecovered(scanned.segment()));
+        for (String name : fileNames) {
+            if (name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
+                log.addQuarantined(name);
+            } else if (name.equals(LegacyReader.UNFINISHED_FILE_NAME)) {
                 deleteIfPossible(name);
-            } else if (name.startsWith(SegmentLog.SPARE)) {
-                to.foundSpare(name);
+            } else if (name.startsWith(SegmentLog.SPARE_PREFIX)) {
+                log.addRecoveredSpare(name);
             }
         }
     }
@@ -96,19 +96,19 @@
         try {
             disk.delete(name);
         } catch (IOException e) {
-            log.accept(name + " could not be deleted, tried again at the next start: " + e);
+            faultLog.accept(name + " could not be deleted, tried again at the next start: " + e);
         }
     }
 
     /** Reads the start of a segment; a newer format version is rejected. */
-    private Look look(String name) throws IOException {
+    private SegmentStart readStart(String name) throws IOException {
         try (SegmentReader reader = new SegmentReader(disk, name)) {
-            if (reader.header() != null && reader.header().version() > Format.VERSION) {
+            if (reader.header() != null && reader.header().version() > SegmentFormat.VERSION) {
                 throw new JournalException(
                         name + " is of format " + reader.header().version() + ", and this program knows formats up to "
-                                + Format.VERSION + "; nothing was changed");
+                                + SegmentFormat.VERSION + "; nothing was changed");
             }
-            return new Look(name, reader.endOfPrevious());
+            return new SegmentStart(name, reader.previousSegmentEnd());
         }
     }
 
@@ -116,67 +116,67 @@
      * Reads the single file of the legacy format as the oldest segment; its records are copied forward like any
      * other's.
      */
-    private void carryOver() throws IOException {
-        Segment all = new Segment(Segment.LEGACY, LegacyReader.NAME, Plan.blocks(disk.length(LegacyReader.NAME)));
-        LegacyReader reader = new LegacyReader(state, all);
-        all.used = reader.read(disk);
-        cleanUpTo = Segment.LEGACY;
+    private void readLegacyFile() throws IOException {
+        Segment segment = new Segment(Segment.LEGACY_SEQUENCE, LegacyReader.FILE_NAME, SpacePolicy.roundUpToBlocks(disk.length(LegacyReader.FILE_NAME)));
+        LegacyReader reader = new LegacyReader(state, segment);
+        segment.usedBytes = reader.read(disk);
+        lastToMigrate = Segment.LEGACY_SEQUENCE;
         if (reader.damaged()) {
-            damage(all, all.used, disk.length(LegacyReader.NAME));
+            addDamage(segment, segment.usedBytes, disk.length(LegacyReader.FILE_NAME));
         }
-        found.add(new Found(all, null, new EnumMap<>(Type.class)));
+        scannedSegments.add(new ScannedSegment(segment, null, new EnumMap<>(RecordType.class)));
     }
 
-    private void read(TreeMap<Long, Look> segments, boolean legacy) throws IOException {
+    private void readSegments(TreeMap<Long, SegmentStart> segments, boolean legacy) throws IOException {
         long expected = legacy && !segments.isEmpty() ? 1 : -1;
-        for (Map.Entry<Long, Look> entry : segments.entrySet()) {
+        for (Map.Entry<Long, SegmentStart> entry : segments.entrySet()) {
             long gap = expected > 0 ? entry.getKey() - expected : 0;
             if (gap > 0) {
-                missing += (int) gap;
-                log.accept(gap + " files missing before " + entry.getValue().name()
+                missingSegments += (int) gap;
+                faultLog.accept(gap + " files missing before " + entry.getValue().name()
                         + "; earlier attempts in flight count as possibly run");
-                state.doubt();
+                state.markPossiblyRun();
             }
-            Look next = segments.get(entry.getKey() + 1);
-            read(entry.getKey(), entry.getValue().name(), next == null ? -1 : next.endOfPrevious());
+            SegmentStart next = segments.get(entry.getKey() + 1);
+            readSegment(entry.getKey(), entry.getValue().name(), next == null ? -1 : next.previousSegmentEnd());
             expected = entry.getKey() + 1;
         }
     }
 
-    private void read(long sequence, String name, long end) throws IOException {
-        Segment segment = new Segment(sequence, name, Plan.blocks(disk.length(name)));
-        EnumMap<Type, Integer> counts = new EnumMap<>(Type.class);
+    private void readSegment(long sequence, String name, long knownEnd) throws IOException {
+        Segment segment = new Segment(sequence, name, SpacePolicy.roundUpToBlocks(disk.length(name)));
+        EnumMap<RecordType, Integer> counts = new EnumMap<>(RecordType.class);
         try (SegmentReader reader = new SegmentReader(disk, name)) {
-            found.add(new Found(segment, reader.header(), counts));
-            decoder.shiftWalls(
+            scannedSegments.add(new ScannedSegment(segment, reader.header(), counts));
+            decoder.setWallShift(
                     reader.header() == null
                             ? 0
-                            : clock.shiftFrom(reader.header().clock()));
-            segment.used = reader.read(end, new SegmentReader.Listener() {
+                            : bootClock.wallShiftMicrosSince(reader.header().bootClock()));
+            segment.usedBytes = reader.read(knownEnd, new SegmentReader.Listener() {
                 @Override
-                public boolean record(Type type, ByteBuffer content, long position, int size) {
+                public boolean onRecord(RecordType type, ByteBuffer content, long position, int size) {
                     records++;
                     counts.merge(type, 1, Integer::sum);
                     return decoder.apply(type, content, segment, size);
                 }
 
                 @Override
-                public void damage(long from, long to) {
-                    Recovery.this.damage(segment, from, to);
+                public void onDamage(long from, long to) {
+                    Recovery.this.addDamage(segment, from, to);
                 }
             });
         }
-        if (end > 0) {
-            segment.used = end;
+        if (knownEnd > 0) {
+            segment.usedBytes = knownEnd;
         }
     }
 
-    private void damage(Segment segment, long from, long to) {
+    private void addDamage(Segment segment, long from, long to) {
         segment.damaged = true;
-        cleanUpTo = Math.max(cleanUpTo, segment.sequence);
+        lastToMigrate = Math.max(lastToMigrate, segment.sequence);
         damages.add(new Damage(segment.name, from, to));
-        log.accept(segment.name + " can't be read from byte " + from + " to " + to
+        faultLog.accept(segment.name + " can't be read from byte " + from + " to " + to
                 + "; later records are read, and earlier attempts in flight count as possibly run");
-        state.doubt();
+        state.markPossiblyRun();
     }
 }
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -9,7 +9,7 @@
 import java.util.function.LongPredicate;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
 /**
@@ -18,95 +18,95 @@
  * at any moment leaves each file in exactly one role.
  */
 final class SegmentLog {
-    static final String SPARE = "spare-", DAMAGED = "damaged-";
-    private static final int ZEROS = 64 * 1024;
+    static final String SPARE_PREFIX = "spare-", DAMAGED_PREFIX = "damaged-";
+    private static final int ZERO_BUFFER_BYTES = 64 * 1024;
 
     /** A zero-filled file, ready for use. */
-    private record Spare(String name, long length) {}
+    private record PreallocatedFile(String name, long length) {}
 
     /**
      * A file without live content that is not filled with zeros yet.
      *
-     * @param forcing number of syncs started when the file got its name: until a later sync has succeeded, a machine
+     * @param namedAtSync number of syncs started when the file got its name: until a later sync has succeeded, a machine
      *     failure may restore its old name, and its old content must still be there then
      */
-    private record Unready(String name, long length, long forcing) {}
+    private record UnfilledFile(String name, long length, long namedAtSync) {}
 
-    private static final long AT_ONCE = -1;
+    private static final long NO_SYNC_NEEDED = -1;
 
     private final Disk disk;
-    private final Plan plan;
-    private final long most;
+    private final SpacePolicy policy;
+    private final long quotaBytes;
     private final RandomGenerator random;
-    private final JournalClocks times;
-    private final ArrayDeque<Segment> full = new ArrayDeque<>();
-    private final ArrayDeque<Spare> spares = new ArrayDeque<>();
-    private final ArrayDeque<Unready> unready = new ArrayDeque<>();
+    private final JournalClocks clocks;
+    private final ArrayDeque<Segment> fullSegments = new ArrayDeque<>();
+    private final ArrayDeque<PreallocatedFile> preallocated = new ArrayDeque<>();
+    private final ArrayDeque<UnfilledFile> unfilled = new ArrayDeque<>();
     /** Open files of full segments whose records may not be durable yet. */
-    private final List<Disk.DiskFile> unforced = new ArrayList<>();
+    private final List<Disk.DiskFile> unsyncedFiles = new ArrayList<>();
 
-    private final boolean forces;
+    private final boolean syncEnabled;
     /** Number of syncs started so far. */
-    private final LongSupplier forcings;
+    private final LongSupplier syncsStarted;
 
-    private boolean namesChanged;
+    private boolean folderChanged;
     /** The start of the active segment: its header and first record. */
-    private byte[] beginning;
+    private byte[] segmentStart;
 
     private Segment active;
     private Disk.DiskFile activeFile;
     private long salt;
-    private long allocated;
+    private long allocatedBytes;
     private long nextSequence = 1;
-    private long nextSpare;
-    private long asideBytes, unreadyBytes;
-    private boolean cannotGrow;
+    private long nextSpareNumber;
+    private long quarantinedBytes, unfilledBytes;
+    private boolean allocationFailed;
 
     /** {@code forces}: files are synced, so they stay open until then. */
     SegmentLog(
             Disk disk,
-            Plan plan,
-            long most,
+            SpacePolicy policy,
+            long quotaBytes,
             RandomGenerator random,
-            boolean forces,
-            LongSupplier forcings,
-            JournalClocks times) {
+            boolean syncEnabled,
+            LongSupplier syncsStarted,
+            JournalClocks clocks) {
         this.disk = disk;
-        this.plan = plan;
-        this.most = most;
+        this.policy = policy;
+        this.quotaBytes = quotaBytes;
         this.random = random;
-        this.forces = forces;
-        this.forcings = forcings;
-        this.times = times;
+        this.syncEnabled = syncEnabled;
+        this.syncsStarted = syncsStarted;
+        this.clocks = clocks;
     }
 
     // Opening
 
     /** Adds a segment of an earlier run; called in order of sequence numbers. */
-    void found(Segment s) {
-        full.add(s);
-        allocated += s.length;
-        nextSequence = Math.max(nextSequence, s.sequence + 1);
+    void addRecovered(Segment segment) {
+        fullSegments.add(segment);
+        allocatedBytes += segment.lengthBytes;
+        nextSequence = Math.max(nextSequence, segment.sequence + 1);
     }
 
     /** Adds a preallocated file of an earlier run: it is filled with zeros again, or deleted. */
-    void foundSpare(String name) throws IOException {
-        nextSpare = Math.max(nextSpare, 1 + number(name));
+    void addRecoveredSpare(String name) throws IOException {
+        nextSpareNumber = Math.max(nextSpareNumber, 1 + spareNumber(name));
         long length = disk.length(name);
-        allocated += Plan.blocks(length);
-        prepareOrKeep(name, length);
+        allocatedBytes += SpacePolicy.roundUpToBlocks(length);
+        fillOrDefer(name, length);
     }
 
     /** Counts a damaged file that was kept for inspection by an operator. */
-    void foundAside(String name) throws IOException {
-        long bytes = Plan.blocks(disk.length(name));
-        asideBytes += bytes;
-        allocated += bytes;
+    void addQuarantined(String name) throws IOException {
+        long fileBytes = SpacePolicy.roundUpToBlocks(disk.length(name));
+        quarantinedBytes += fileBytes;
+        allocatedBytes += fileBytes;
     }
 
-    private static long number(String spare) {
+    private static long spareNumber(String spare) {
         try {
-            return Long.parseLong(spare.substring(SPARE.length()));
+            return Long.parseLong(spare.substring(SPARE_PREFIX.length()));
         } catch (NumberFormatException e) {
             return 0;
         }
@@ -114,28 +114,28 @@
 
     // Sizes
 
-    Plan.Space space(JournalState state) {
-        long free = left();
-        for (Spare s : spares) {
-            free += s.length() - Format.OVERHEAD;
+    SpacePolicy.SpaceUsage spaceUsage(JournalState state) {
+        long freeBytes = activeBytesLeft();
+        for (PreallocatedFile file : preallocated) {
+            freeBytes += file.length() - SegmentFormat.OVERHEAD_BYTES;
         }
         // If allocation failed, the files have all the space they will get.
-        return new Plan.Space(
-                (cannotGrow ? allocated : most) - asideBytes - unreadyBytes,
-                allocated - asideBytes - unreadyBytes,
-                free,
-                state.live(),
-                state.growth(),
-                state.largest(),
-                spares.size());
+        return new SpacePolicy.SpaceUsage(
+                (allocationFailed ? allocatedBytes : quotaBytes) - quarantinedBytes - unfilledBytes,
+                allocatedBytes - quarantinedBytes - unfilledBytes,
+                freeBytes,
+                state.liveBytes(),
+                state.growthBytes(),
+                state.largestRecordBytes(),
+                preallocated.size());
     }
 
-    long allocated() {
-        return allocated;
+    long allocatedBytes() {
+        return allocatedBytes;
     }
 
-    int files() {
-        return full.size() + spares.size() + unready.size() + (active == null ? 0 : 1);
+    int fileCount() {
+        return fullSegments.size() + preallocated.size() + unfilled.size() + (active == null ? 0 : 1);
     }
 
     Segment active() {
@@ -143,37 +143,37 @@
     }
 
     Segment oldest() {
-        return full.peekFirst();
+        return fullSegments.peekFirst();
     }
 
     /** The sequence number of the newest full segment; -1 if there is none. */
-    long newest() {
-        return full.isEmpty() ? -1 : full.peekLast().sequence;
+    long newestSequence() {
+        return fullSegments.isEmpty() ? -1 : fullSegments.peekLast().sequence;
     }
 
     /** True if this number of bytes fits into the active segment. */
-    boolean fits(long bytes) {
-        return active != null && bytes <= left();
+    boolean fitsActive(long bytes) {
+        return active != null && bytes <= activeBytesLeft();
     }
 
     /**
      * True if a segment for this number of bytes can be provided that leaves at least {@code keep} preallocated ones.
      */
-    boolean canTake(long bytes, int keep) {
-        long room = most - allocated;
-        int left = spares.size();
-        for (Spare s : spares) {
-            if (s.length() >= bytes + Format.OVERHEAD && spares.size() > keep) {
+    boolean canProvide(long bytes, int minSparesLeft) {
+        long available = quotaBytes - allocatedBytes;
+        int sparesLeft = preallocated.size();
+        for (PreallocatedFile file : preallocated) {
+            if (file.length() >= bytes + SegmentFormat.OVERHEAD_BYTES && preallocated.size() > minSparesLeft) {
                 return true;
             }
-            room += left-- > keep ? s.length() : 0; // could be deleted to allocate a longer one
+            available += sparesLeft-- > minSparesLeft ? file.length() : 0; // could be deleted to allocate a longer one
         }
-        return room >= plan.lengthFor(bytes);
+        return available >= policy.segmentBytesFor(bytes);
     }
 
     /** Space left in the active segment, in bytes. */
-    long left() {
-        return active == null ? 0 : active.length - active.used;
+    long activeBytesLeft() {
+        return active == null ? 0 : active.lengthBytes - active.usedBytes;
     }
 
     // Writing
@@ -182,24 +182,24 @@
      * Appends the records to the active segment. On failure the segment is truncated to its previous end and not
      * written to any more.
      */
-    void write(Writer records) throws IOException {
+    void write(RecordWriter records) throws IOException {
         try {
-            activeFile.write(records.sealed(salt), active.used);
+            activeFile.write(records.withChecksums(salt), active.usedBytes);
         } catch (IOException e) {
-            cut();
-            leaveAfterFailure();
+            truncateFailedWrite();
+            retireAfterFailure();
             throw e;
         }
-        active.used += records.size();
-        active.writtenAt = forcings.getAsLong();
+        active.usedBytes += records.size();
+        active.lastWrittenAtSync = syncsStarted.getAsLong();
     }
 
     /**
      * Removes a partly written record, which must not be read as a complete one: what it announces has not happened.
      */
-    private void cut() {
+    private void truncateFailedWrite() {
         try {
-            activeFile.truncate(active.used);
+            activeFile.truncate(active.usedBytes);
         } catch (IOException e) {
             Logs.warn("journal", "cut-failed", active.name + " could not be truncated: " + e, "segment", active.name);
         }
@@ -210,83 +210,83 @@
      * after all segments before it, and a disk that fails for some time would use up all preallocated segments, so that
      * none would be left for copying live records.
      */
-    private void leaveAfterFailure() {
-        if (active.used > Format.OVERHEAD) {
-            leave();
+    private void retireAfterFailure() {
+        if (active.usedBytes > SegmentFormat.OVERHEAD_BYTES) {
+            retireActive();
             return;
         }
-        String name = SPARE + nextSpare++;
+        String name = SPARE_PREFIX + nextSpareNumber++;
         try {
             disk.rename(active.name, name);
         } catch (IOException e) {
             Logs.warn("journal", "rename-failed", active.name + " could not be renamed: " + e, "segment", active.name);
             return;
         }
-        namesChanged = true;
+        folderChanged = true;
         nextSequence = active.sequence;
-        if (forces) {
-            unforced.add(activeFile); // a sync of it may be in progress
+        if (syncEnabled) {
+            unsyncedFiles.add(activeFile); // a sync of it may be in progress
         } else {
             close(activeFile);
         }
-        long length = active.length;
+        long length = active.lengthBytes;
         active = null;
         activeFile = null;
-        prepareOrKeep(name, length);
+        fillOrDefer(name, length);
     }
 
     /**
      * Puts a segment into use that has space for this number of bytes, and notes in it where the previous one ended.
      */
     void roll(long bytes) throws IOException {
-        leave();
-        Spare spare = take(bytes);
+        retireActive();
+        PreallocatedFile target = takePreallocated(bytes);
         long sequence = nextSequence;
-        Segment next = new Segment(sequence, Segment.name(sequence), spare.length());
+        Segment next = new Segment(sequence, Segment.fileName(sequence), target.length());
         Disk.DiskFile file = null;
         try {
             long nextSalt = random.nextLong();
-            file = disk.open(spare.name());
-            ByteBuffer start = beginning(sequence, nextSalt);
-            file.write(start.duplicate(), 0);
-            disk.rename(spare.name(), next.name);
-            namesChanged = true;
+            file = disk.open(target.name());
+            ByteBuffer startBytes = encodeSegmentStart(sequence, nextSalt);
+            file.write(startBytes.duplicate(), 0);
+            disk.rename(target.name(), next.name);
+            folderChanged = true;
             nextSequence++;
-            next.used = Format.OVERHEAD;
-            next.startedAt = forcings.getAsLong();
-            next.writtenAt = next.startedAt;
-            beginning = start.array();
+            next.usedBytes = SegmentFormat.OVERHEAD_BYTES;
+            next.startedAtSync = syncsStarted.getAsLong();
+            next.lastWrittenAtSync = next.startedAtSync;
+            segmentStart = startBytes.array();
             active = next;
             activeFile = file;
             salt = nextSalt;
         } catch (IOException e) {
             close(file);
-            spares.addLast(spare);
+            preallocated.addLast(target);
             throw e;
         }
     }
 
-    private ByteBuffer beginning(long sequence, long nextSalt) {
-        ByteBuffer all = ByteBuffer.allocate(Format.OVERHEAD);
-        all.put(Format.header(new Format.Header(
-                Format.VERSION, sequence, nextSalt, times.wall().getAsLong(), times.boot())));
-        Segment last = full.peekLast();
-        Writer first = new Writer();
-        RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.used);
-        return all.put(first.sealed(nextSalt)).flip();
+    private ByteBuffer encodeSegmentStart(long sequence, long nextSalt) {
+        ByteBuffer startBytes = ByteBuffer.allocate(SegmentFormat.OVERHEAD_BYTES);
+        startBytes.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(
+                SegmentFormat.VERSION, sequence, nextSalt, clocks.wallMicros().getAsLong(), clocks.bootClock())));
+        Segment previous = fullSegments.peekLast();
+        RecordWriter firstRecord = new RecordWriter();
+        RecordEncoder.previous(firstRecord, previous == null ? 0 : previous.sequence, previous == null ? 0 : previous.usedBytes);
+        return startBytes.put(firstRecord.withChecksums(nextSalt)).flip();
     }
 
     /** Closes the active segment for writing. */
-    private void leave() {
+    private void retireActive() {
         if (active == null) {
             return;
         }
-        if (forces) {
-            unforced.add(activeFile);
+        if (syncEnabled) {
+            unsyncedFiles.add(activeFile);
         } else {
             close(activeFile);
         }
-        full.add(active);
+        fullSegments.add(active);
         active = null;
         activeFile = null;
     }
@@ -303,121 +303,121 @@
 
     // Allocation and release
 
-    private Spare take(long bytes) throws IOException {
-        long needed = bytes + Format.OVERHEAD;
-        for (Iterator<Spare> all = spares.iterator(); all.hasNext(); ) {
-            Spare spare = all.next();
-            if (spare.length() >= needed) {
+    private PreallocatedFile takePreallocated(long bytes) throws IOException {
+        long neededBytes = bytes + SegmentFormat.OVERHEAD_BYTES;
+        for (Iterator<PreallocatedFile> all = preallocated.iterator(); all.hasNext(); ) {
+            PreallocatedFile file = all.next();
+            if (file.length() >= neededBytes) {
                 all.remove();
-                return spare;
+                return file;
             }
         }
-        long length = plan.lengthFor(bytes);
-        while (allocated + length > most && !spares.isEmpty()) {
+        long lengthBytes = policy.segmentBytesFor(bytes);
+        while (allocatedBytes + lengthBytes > quotaBytes && !preallocated.isEmpty()) {
             // Files too short for this record are deleted to allocate a longer one.
-            Spare shortest = spares.peekFirst();
+            PreallocatedFile shortest = preallocated.peekFirst();
             disk.delete(shortest.name());
-            spares.pollFirst();
-            allocated -= Plan.blocks(shortest.length());
+            preallocated.pollFirst();
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(shortest.length());
         }
-        if (allocated + length > most) {
-            length = (most - allocated) / Format.BLOCK * Format.BLOCK;
+        if (allocatedBytes + lengthBytes > quotaBytes) {
+            lengthBytes = (quotaBytes - allocatedBytes) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
         }
-        if (length < needed) {
-            throw new NoRoom();
+        if (lengthBytes < neededBytes) {
+            throw new OutOfSpace();
         }
-        if (!grow(length)) {
-            throw new NoRoom();
+        if (!preallocate(lengthBytes)) {
+            throw new OutOfSpace();
         }
-        return spares.pollLast();
+        return preallocated.pollLast();
     }
 
     /** Thrown if no segment has space for a record. */
-    static final class NoRoom extends IOException {
+    static final class OutOfSpace extends IOException {
         private static final long serialVersionUID = 1L;
 
-        NoRoom() {
+        OutOfSpace() {
             super("no space left in the journal's files");
         }
     }
 
     /** Preallocates a further segment; false if the disk has no space for it. */
-    boolean grow(long length) {
-        String name = SPARE + nextSpare++;
-        cannotGrow = true;
+    boolean preallocate(long length) {
+        String name = SPARE_PREFIX + nextSpareNumber++;
+        allocationFailed = true;
         try (Disk.DiskFile file = disk.open(name)) {
-            zero(file, 0, length);
-            cannotGrow = false;
+            writeZeros(file, 0, length);
+            allocationFailed = false;
         } catch (IOException e) {
-            deleteOrKeep(name, length);
+            deleteOrDefer(name, length);
             return false;
         }
-        namesChanged = true;
-        allocated += Plan.blocks(length);
-        spares.add(new Spare(name, length));
+        folderChanged = true;
+        allocatedBytes += SpacePolicy.roundUpToBlocks(length);
+        preallocated.add(new PreallocatedFile(name, length));
         return true;
     }
 
     /** Resets the note that the disk has no space, so that allocation is tried again. */
-    void mayGrowAgain() {
-        cannotGrow = false;
+    void resetAllocationFailure() {
+        allocationFailed = false;
     }
 
-    private static void zero(Disk.DiskFile file, long from, long to) throws IOException {
-        ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(ZEROS, to - from));
+    private static void writeZeros(Disk.DiskFile file, long from, long to) throws IOException {
+        ByteBuffer zeros = ByteBuffer.allocate((int) Math.min(ZERO_BUFFER_BYTES, to - from));
         for (long at = from; at < to; at += zeros.capacity()) {
             file.write(zeros.clear().limit((int) Math.min(zeros.capacity(), to - at)), at);
         }
     }
 
     /** Deletes a file that could not be filled; if that fails too, the file is counted and filled later. */
-    private void deleteOrKeep(String name, long length) {
+    private void deleteOrDefer(String name, long length) {
         try {
             disk.delete(name);
         } catch (IOException e) {
             Logs.warn("journal", "delete-failed", name + " could not be deleted: " + e, "segment", name);
-            allocated += Plan.blocks(length);
-            keepUnready(name, length, AT_ONCE);
+            allocatedBytes += SpacePolicy.roundUpToBlocks(length);
+            deferFill(name, length, NO_SYNC_NEEDED);
         }
     }
 
-    private void keepUnready(String name, long length, long forcing) {
-        unready.addLast(new Unready(name, length, forcing));
-        unreadyBytes += Plan.blocks(length);
+    private void deferFill(String name, long length, long namedAtSync) {
+        unfilled.addLast(new UnfilledFile(name, length, namedAtSync));
+        unfilledBytes += SpacePolicy.roundUpToBlocks(length);
     }
 
     /** Removes the oldest segment, which has no live records, from the log. */
-    void release(JournalState state) throws IOException {
-        Segment s = full.peekFirst();
-        assert s.liveRecords == 0 : s.name;
-        if (s.damaged && asideBytes + s.length <= most / 8) {
-            disk.rename(s.name, DAMAGED + s.name);
-            full.pollFirst();
-            asideBytes += s.length;
-        } else if (s.damaged || s.sequence == Segment.LEGACY || plan.surplus(space(state), s.length)) {
-            disk.delete(s.name);
-            full.pollFirst();
-            allocated -= s.length;
+    void releaseOldest(JournalState state) throws IOException {
+        Segment oldest = fullSegments.peekFirst();
+        assert oldest.liveRecords == 0 : oldest.name;
+        if (oldest.damaged && quarantinedBytes + oldest.lengthBytes <= quotaBytes / 8) {
+            disk.rename(oldest.name, DAMAGED_PREFIX + oldest.name);
+            fullSegments.pollFirst();
+            quarantinedBytes += oldest.lengthBytes;
+        } else if (oldest.damaged || oldest.sequence == Segment.LEGACY_SEQUENCE || policy.isSurplus(spaceUsage(state), oldest.lengthBytes)) {
+            disk.delete(oldest.name);
+            fullSegments.pollFirst();
+            allocatedBytes -= oldest.lengthBytes;
         } else {
-            String name = SPARE + nextSpare++;
-            disk.rename(s.name, name);
-            full.pollFirst();
-            if (forces) {
-                keepUnready(name, s.length, forcings.getAsLong());
+            String name = SPARE_PREFIX + nextSpareNumber++;
+            disk.rename(oldest.name, name);
+            fullSegments.pollFirst();
+            if (syncEnabled) {
+                deferFill(name, oldest.lengthBytes, syncsStarted.getAsLong());
             } else {
-                prepareOrKeep(name, s.length);
+                fillOrDefer(name, oldest.lengthBytes);
             }
         }
-        namesChanged = true;
+        folderChanged = true;
     }
 
     /** Turns a file without live content into a preallocated segment, now or as soon as the disk allows it. */
-    private void prepareOrKeep(String name, long length) {
+    private void fillOrDefer(String name, long length) {
         try {
-            prepare(name, length);
+            fillAndAdd(name, length);
         } catch (IOException e) {
             Logs.warn("journal", "not-ready", name + " could not be filled with zeros, tried again later: " + e, "segment", name);
-            keepUnready(name, length, AT_ONCE);
+            deferFill(name, length, NO_SYNC_NEEDED);
         }
     }
 
@@ -426,18 +426,18 @@
      *
      * @param covers true if a sync that started after the given count has succeeded
      */
-    void prepareUnready(LongPredicate covers) {
-        for (Unready first = unready.peekFirst(); first != null; first = unready.peekFirst()) {
-            if (first.forcing() != AT_ONCE && !covers.test(first.forcing())) {
+    void fillDeferred(LongPredicate covers) {
+        for (UnfilledFile first = unfilled.peekFirst(); first != null; first = unfilled.peekFirst()) {
+            if (first.namedAtSync() != NO_SYNC_NEEDED && !covers.test(first.namedAtSync())) {
                 return;
             }
             try {
-                prepare(first.name(), first.length());
+                fillAndAdd(first.name(), first.length());
             } catch (IOException e) {
                 return;
             }
-            unready.pollFirst();
-            unreadyBytes -= Plan.blocks(first.length());
+            unfilled.pollFirst();
+            unfilledBytes -= SpacePolicy.roundUpToBlocks(first.length());
         }
     }
 
@@ -445,15 +445,15 @@
      * Fills a file with zeros and adds it to the preallocated segments, or deletes it if only little of it can be
      * written. On failure nothing changes.
      */
-    private void prepare(String name, long length) throws IOException {
-        long good = fillWithZeros(name, length);
-        boolean worthIt = good > 2 * Format.OVERHEAD;
-        if (!worthIt) {
+    private void fillAndAdd(String name, long length) throws IOException {
+        long usableBytes = fillWithZeros(name, length);
+        boolean isWorthKeeping = usableBytes > 2 * SegmentFormat.OVERHEAD_BYTES;
+        if (!isWorthKeeping) {
             disk.delete(name);
         }
-        allocated -= Plan.blocks(length) - (worthIt ? Plan.blocks(good) : 0);
-        if (worthIt) {
-            spares.add(new Spare(name, good));
+        allocatedBytes -= SpacePolicy.roundUpToBlocks(length) - (isWorthKeeping ? SpacePolicy.roundUpToBlocks(usableBytes) : 0);
+        if (isWorthKeeping) {
+            preallocated.add(new PreallocatedFile(name, usableBytes));
         }
     }
 
@@ -463,27 +463,27 @@
     private long fillWithZeros(String name, long length) throws IOException {
         try (Disk.DiskFile file = disk.open(name)) {
             try {
-                zero(file, 0, length);
+                writeZeros(file, 0, length);
                 return length;
             } catch (IOException e) {
-                long good = firstThatFails(file, length) / Format.BLOCK * Format.BLOCK;
-                if (good == 0 && length > 0) {
+                long usableBytes = firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
+                if (usableBytes == 0 && length > 0) {
                     throw e; // the disk fails, not just the end of this file
                 }
-                file.truncate(good);
-                return good;
+                file.truncate(usableBytes);
+                return usableBytes;
             }
         }
     }
 
-    private static long firstThatFails(Disk.DiskFile file, long length) {
-        long at = 0;
+    private static long firstFailingOffset(Disk.DiskFile file, long length) {
+        long offset = 0;
         try {
-            for (; at < length; at += Format.BLOCK) {
-                file.write(ByteBuffer.allocate((int) Math.min(Format.BLOCK, length - at)), at);
+            for (; offset < length; offset += SegmentFormat.BLOCK_BYTES) {
+                file.write(ByteBuffer.allocate((int) Math.min(SegmentFormat.BLOCK_BYTES, length - offset)), offset);
             }
         } catch (IOException e) {
-            return at;
+            return offset;
         }
         return length;
     }
@@ -491,26 +491,26 @@
     // Durability
 
     /** What must be synced to make everything written so far durable. */
-    record Pending(List<Disk.DiskFile> full, Disk.DiskFile active, boolean names) {}
+    record SyncBatch(List<Disk.DiskFile> fullSegments, Disk.DiskFile active, boolean folderChanged) {}
 
     /** Hands over what is to be synced; whoever syncs the full segments closes them. */
-    Pending pending() {
-        Pending p = new Pending(List.copyOf(unforced), activeFile, namesChanged);
-        unforced.clear();
-        namesChanged = false;
-        return p;
+    SyncBatch takeSyncBatch() {
+        SyncBatch batch = new SyncBatch(List.copyOf(unsyncedFiles), activeFile, folderChanged);
+        unsyncedFiles.clear();
+        folderChanged = false;
+        return batch;
     }
 
     /** Deletes all files without content. */
-    void giveUpSpares() throws IOException {
-        for (Spare s = spares.pollFirst(); s != null; s = spares.pollFirst()) {
+    void deletePreallocated() throws IOException {
+        for (PreallocatedFile s = preallocated.pollFirst(); s != null; s = preallocated.pollFirst()) {
             disk.delete(s.name());
-            allocated -= Plan.blocks(s.length());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(s.length());
         }
-        for (Unready u = unready.pollFirst(); u != null; u = unready.pollFirst()) {
+        for (UnfilledFile u = unfilled.pollFirst(); u != null; u = unfilled.pollFirst()) {
             disk.delete(u.name());
-            unreadyBytes -= Plan.blocks(u.length());
-            allocated -= Plan.blocks(u.length());
+            unfilledBytes -= SpacePolicy.roundUpToBlocks(u.length());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(u.length());
         }
     }
 
@@ -518,32 +518,32 @@
      * After a failed sync the system may have dropped the start of the active segment. It is written again, so that the
      * next sync has something to write.
      */
-    void writeBeginningAgain() {
-        namesChanged = true;
+    void rewriteSegmentStart() {
+        folderChanged = true;
         if (active != null) {
             try {
-                activeFile.write(ByteBuffer.wrap(beginning), 0);
+                activeFile.write(ByteBuffer.wrap(segmentStart), 0);
             } catch (IOException e) {
-                leave();
+                retireActive();
             }
         }
     }
 
     /** After a failed sync, copies of records from empty segments may not be durable. */
-    void keepEmptySegments() {
-        for (Segment s : full) {
-            s.emptyAt = -1;
+    void resetEmptied() {
+        for (Segment segment : fullSegments) {
+            segment.emptiedAtSync = -1;
         }
     }
 
     /** Stops writing to the active segment. */
-    void giveUpActive() {
-        leave();
+    void abandonActive() {
+        retireActive();
     }
 
     void close() {
-        leave();
-        unforced.forEach(SegmentLog::close);
-        unforced.clear();
+        retireActive();
+        unsyncedFiles.forEach(SegmentLog::close);
+        unsyncedFiles.clear();
     }
 }
--- a/src/main/java/lilaclever/journal/SegmentReader.java
+++ b/src/main/java/lilaclever/journal/SegmentReader.java
@@ -2,38 +2,38 @@
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
-import lilaclever.journal.Format.Look;
-import lilaclever.journal.Format.Type;
+import lilaclever.journal.SegmentFormat.RecordCheck;
+import lilaclever.journal.SegmentFormat.RecordType;
 
 /**
  * Reads a segment through a window as large as its largest record, so that opening a journal needs memory for live
  * records only, not for all that is on disk.
  */
 final class SegmentReader implements AutoCloseable {
-    private static final int WINDOW = 64 * 1024;
+    private static final int INITIAL_WINDOW_BYTES = 64 * 1024;
 
     /** Receives the contents of a segment in order. */
     interface Listener {
         /** Receives a valid record with its content and its full size; returns false if the content is invalid. */
-        boolean record(Type type, ByteBuffer content, long position, int size);
+        boolean onRecord(RecordType type, ByteBuffer content, long position, int size);
 
         /** Receives a range of bytes that can't be read. */
-        void damage(long from, long to);
+        void onDamage(long from, long to);
     }
 
     private final Disk.DiskFile file;
-    private final long length;
-    private final Format.Header header;
-    private ByteBuffer window = ByteBuffer.allocate(WINDOW).limit(0);
-    private long windowAt;
+    private final long lengthBytes;
+    private final SegmentFormat.Header header;
+    private ByteBuffer window = ByteBuffer.allocate(INITIAL_WINDOW_BYTES).limit(0);
+    private long windowStart;
 
     SegmentReader(Disk disk, String name) throws IOException {
         file = disk.open(name);
         try {
-            length = disk.length(name);
-            ByteBuffer bytes = ByteBuffer.allocate(Format.HEADER);
-            file.fill(bytes, 0);
-            header = ofSegment(name, Format.readHeader(bytes.flip()));
+            lengthBytes = disk.length(name);
+            ByteBuffer bytes = ByteBuffer.allocate(SegmentFormat.HEADER_BYTES);
+            file.readFully(bytes, 0);
+            header = headerOfSegment(name, SegmentFormat.decodeHeader(bytes.flip()));
         } catch (IOException | RuntimeException e) {
             file.close();
             throw e;
@@ -45,26 +45,26 @@
      * recycled file but not its new header; with the old header, records of the earlier use would pass for records of
      * this segment.
      */
-    private static Format.Header ofSegment(String name, Format.Header found) {
-        long sequence = Segment.sequence(name);
-        return found == null || sequence > 0 && found.sequence() != sequence ? null : found;
+    private static SegmentFormat.Header headerOfSegment(String name, SegmentFormat.Header decoded) {
+        long sequence = Segment.sequenceOf(name);
+        return decoded == null || sequence > 0 && decoded.sequence() != sequence ? null : decoded;
     }
 
     /** The header; null if neither copy is intact, or it belongs to another segment. */
-    Format.Header header() {
+    SegmentFormat.Header header() {
         return header;
     }
 
     /** Where the previous segment ended, according to the first record of this one; -1 if it does not say. */
-    long endOfPrevious() throws IOException {
+    long previousSegmentEnd() throws IOException {
         if (header == null) {
             return -1;
         }
-        ByteBuffer at = window(Format.HEADER);
-        if (look(Format.HEADER) != Look.GOOD || Format.type(at) != Type.PREVIOUS) {
+        ByteBuffer record = moveWindow(SegmentFormat.HEADER_BYTES);
+        if (checkAt(SegmentFormat.HEADER_BYTES) != RecordCheck.VALID || SegmentFormat.typeAt(record) != RecordType.PREVIOUS) {
             return -1;
         }
-        ByteBuffer content = Format.take(at);
+        ByteBuffer content = SegmentFormat.takeContent(record);
         return content.getLong() == header.sequence() - 1 ? content.getLong() : -1;
     }
 
@@ -73,105 +73,105 @@
      * record, unless a valid record follows or the record at this position was written completely. Returns the position
      * after the last valid record.
      */
-    long read(long end, Listener to) throws IOException {
+    long read(long knownEnd, Listener listener) throws IOException {
         if (header == null) {
-            if (end < 0 ? lastByte(0) >= 0 : end > 0) {
-                to.damage(0, end < 0 ? length : end);
+            if (knownEnd < 0 ? lastNonZeroByte(0) >= 0 : knownEnd > 0) {
+                listener.onDamage(0, knownEnd < 0 ? lengthBytes : knownEnd);
             }
             return 0;
         }
-        long limit = end < 0 ? length : Math.min(end, length);
-        long at = Format.HEADER;
-        long good = at;
-        while (at < limit) {
-            if (look(at) == Look.GOOD && sound(at, to)) {
-                at = windowAt + window.position();
-                good = at;
+        long limit = knownEnd < 0 ? lengthBytes : Math.min(knownEnd, lengthBytes);
+        long position = SegmentFormat.HEADER_BYTES;
+        long validEnd = position;
+        while (position < limit) {
+            if (checkAt(position) == RecordCheck.VALID && deliverRecord(position, listener)) {
+                position = windowStart + window.position();
+                validEnd = position;
                 continue;
             }
-            long next = nextGood(at + 1, limit);
-            if (next < 0) {
-                if (end >= 0 || written(at)) {
-                    to.damage(at, limit);
+            long nextValid = findNextValid(position + 1, limit);
+            if (nextValid < 0) {
+                if (knownEnd >= 0 || isCompletelyWritten(position)) {
+                    listener.onDamage(position, limit);
                 }
-                return good;
+                return validEnd;
             }
-            to.damage(at, next);
-            at = next;
+            listener.onDamage(position, nextValid);
+            position = nextValid;
         }
-        if (end > length) {
-            to.damage(length, end);
+        if (knownEnd > lengthBytes) {
+            listener.onDamage(lengthBytes, knownEnd);
         }
-        return good;
+        return validEnd;
     }
 
-    private boolean sound(long at, Listener to) {
-        Type type = Format.type(window);
-        ByteBuffer content = Format.take(window);
-        return to.record(type, content, at, content.remaining() + Format.FRAME);
+    private boolean deliverRecord(long position, Listener listener) {
+        RecordType type = SegmentFormat.typeAt(window);
+        ByteBuffer content = SegmentFormat.takeContent(window);
+        return listener.onRecord(type, content, position, content.remaining() + SegmentFormat.FRAME_BYTES);
     }
 
     /** Checks for a record at a position; enlarges the window until the answer is certain. */
-    private Look look(long at) throws IOException {
-        window(at);
-        Look look = Format.look(window, header.salt());
-        while (look == Look.MORE && windowAt + window.limit() < length) {
+    private RecordCheck checkAt(long position) throws IOException {
+        moveWindow(position);
+        RecordCheck check = SegmentFormat.checkRecord(window, header.salt());
+        while (check == RecordCheck.INCOMPLETE && windowStart + window.limit() < lengthBytes) {
             refill(
-                    at,
+                    position,
                     window.limit() - window.position() < window.capacity() ? window.capacity() : 2 * window.capacity());
-            look = Format.look(window, header.salt());
+            check = SegmentFormat.checkRecord(window, header.salt());
         }
-        return look;
+        return check;
     }
 
-    private long nextGood(long from, long limit) throws IOException {
-        for (long at = from; at < limit; at++) {
-            if (look(at) == Look.GOOD) {
-                return at;
+    private long findNextValid(long from, long limit) throws IOException {
+        for (long position = from; position < limit; position++) {
+            if (checkAt(position) == RecordCheck.VALID) {
+                return position;
             }
         }
         return -1;
     }
 
     /** An interrupted write leaves the beginning of a record; a complete record repeats its length at its end. */
-    private boolean written(long at) throws IOException {
-        long last = lastByte(at);
+    private boolean isCompletelyWritten(long position) throws IOException {
+        long lastPosition = lastNonZeroByte(position);
         ByteBuffer trailer = ByteBuffer.allocate(5);
-        if (last - at >= trailer.capacity()) {
-            file.fill(trailer, last + 1 - trailer.capacity());
+        if (lastPosition - position >= trailer.capacity()) {
+            file.readFully(trailer, lastPosition + 1 - trailer.capacity());
         }
-        return Format.endsWhole(last + 1 - at, trailer.flip());
+        return SegmentFormat.endsLikeCompleteRecord(lastPosition + 1 - position, trailer.flip());
     }
 
     /** The position of the last byte that is not zero, from here on; -1 if there is none. */
-    private long lastByte(long from) throws IOException {
-        long last = -1;
-        for (long at = from; at < length; at++) {
-            ByteBuffer here = window(at);
-            if (!here.hasRemaining()) {
+    private long lastNonZeroByte(long from) throws IOException {
+        long lastPosition = -1;
+        for (long position = from; position < lengthBytes; position++) {
+            ByteBuffer bytes = moveWindow(position);
+            if (!bytes.hasRemaining()) {
                 break;
             }
-            last = here.get() != 0 ? at : last;
+            lastPosition = bytes.get() != 0 ? position : lastPosition;
         }
-        return last;
+        return lastPosition;
     }
 
     /** Returns the window with its position at {@code at}, and refills it if it does not contain that byte. */
-    private ByteBuffer window(long at) throws IOException {
-        if (at < windowAt || at >= windowAt + window.limit()) {
-            refill(at, window.capacity());
+    private ByteBuffer moveWindow(long position) throws IOException {
+        if (position < windowStart || position >= windowStart + window.limit()) {
+            refill(position, window.capacity());
         }
-        return window.position((int) (at - windowAt));
+        return window.position((int) (position - windowStart));
     }
 
-    private void refill(long at, int capacity) throws IOException {
+    private void refill(long position, int capacity) throws IOException {
         if (capacity != window.capacity()) {
             window = ByteBuffer.allocate(capacity);
         }
         window.clear();
-        file.fill(window, at);
+        file.readFully(window, position);
         window.flip();
-        windowAt = at;
+        windowStart = position;
     }
 
     @Override
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -6,7 +6,7 @@
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.Journal;
@@ -21,23 +21,23 @@
  */
 public final class SegmentedJournal implements Journal {
     /** How long to wait after a failed allocation before the next one. */
-    private static final long ASK_AGAIN = 1_000_000;
+    private static final long ALLOCATION_RETRY_MICROS = 1_000_000;
 
-    private static final int EXPIRE_A_TURN = 256;
+    private static final int MAX_EXPIRIES_PER_TURN = 256;
 
     private final Disk disk;
-    private final Plan plan;
+    private final SpacePolicy policy;
     private final SegmentLog log;
     private final JournalState state = new JournalState();
     private final Syncer syncer;
-    private final LongSupplier micros;
-    private final Writer writer = new Writer();
-    private final Recovery.Report recovered;
+    private final LongSupplier monotonicMicros;
+    private final RecordWriter writer = new RecordWriter();
+    private final Recovery.Report recoveryReport;
     private final LogAppender appender;
     private final Compactor compactor;
-    private final UnwrittenChanges unwritten;
+    private final UnwrittenChanges unwrittenChanges;
     /** After a disk failure: when to retry allocation, the release of segments, and zero-filling. */
-    private long askAgainAt, releaseAgainAt, prepareAgainAt;
+    private long allocateAgainAtMicros, releaseAgainAtMicros, fillAgainAtMicros;
 
     /**
      * Opens the journal in the folder and recovers the state that an earlier run left.
@@ -46,20 +46,20 @@
      * @param random source of the salts
      */
     public SegmentedJournal(
-            Disk disk, long mostBytes, Durability durability, JournalClocks times, RandomGenerator random)
+            Disk disk, long quotaBytes, Durability durability, JournalClocks clocks, RandomGenerator random)
             throws IOException {
         this.disk = disk;
-        micros = times.micros();
-        plan = new Plan(mostBytes);
-        syncer = new Syncer(durability, disk, new ForcingListener());
-        log = new SegmentLog(disk, plan, mostBytes, random, syncer.forces(), syncer::begun, times);
-        appender = new LogAppender(log, plan, state, syncer, micros);
-        compactor = new Compactor(log, plan, state, syncer, appender);
-        unwritten = new UnwrittenChanges(state, log, writer, syncer.forces(), this::appendUnwritten);
-        Recovery recovery = new Recovery(disk, state, times.boot(), line -> Logs.warn("journal", "recovery", line));
-        recovered = recovery.scan();
-        recovery.settle(log);
-        compactor.carryOver(recovered.cleanUpTo());
+        monotonicMicros = clocks.monotonicMicros();
+        policy = new SpacePolicy(quotaBytes);
+        syncer = new Syncer(durability, disk, new SyncListener());
+        log = new SegmentLog(disk, policy, quotaBytes, random, syncer.isEnabled(), syncer::started, clocks);
+        appender = new LogAppender(log, policy, state, syncer, monotonicMicros);
+        compactor = new Compactor(log, policy, state, syncer, appender);
+        unwrittenChanges = new UnwrittenChanges(state, log, writer, syncer.isEnabled(), this::appendUnwritten);
+        Recovery recovery = new Recovery(disk, state, clocks.bootClock(), line -> Logs.warn("journal", "recovery", line));
+        recoveryReport = recovery.scan();
+        recovery.handOver(log);
+        compactor.migrateUpTo(recoveryReport.lastToMigrate());
     }
 
     /** Copies all live records into as few files as possible and deletes the others. For a stopped program. */
@@ -71,110 +71,110 @@
 
     @Override
     public boolean taken(String front, Submission submission, long deadlineWall, long nowWall) {
-        if (unwritten.isRewriting()) {
+        if (unwrittenChanges.isRewriting()) {
             return false; // it could not be made durable
         }
-        PendingMessage owed = new PendingMessage(front, submission, deadlineWall);
-        RecordEncoder.taken(writer.clear(), owed);
-        int size = writer.size();
-        if (size > Format.LARGEST || !appender.hasRoom(size, JournalState.growth(submission)) || !append()) {
+        PendingMessage message = new PendingMessage(front, submission, deadlineWall);
+        RecordEncoder.accepted(writer.clear(), message);
+        int recordBytes = writer.size();
+        if (recordBytes > SegmentFormat.MAX_CONTENT_BYTES || !appender.ensureSpace(recordBytes, JournalState.growthBytes(submission)) || !append()) {
             return false;
         }
-        state.taken(owed, log.active(), size);
-        unwritten.messageWritten(submission.id());
+        state.addAccepted(message, log.active(), recordBytes);
+        unwrittenChanges.messageWritten(submission.id());
         return true;
     }
 
     @Override
     public boolean attempt(String id, String host, int zone, long wall) {
         // An earlier change is still unwritten. Behind it, this record would hide when the message may first have run.
-        if (!unwritten.writeMessage(id)) {
+        if (!unwrittenChanges.writeMessage(id)) {
             return false;
         }
         RecordEncoder.attempt(writer.clear(), id, host, zone, wall);
         if (!append()) {
             return false;
         }
-        unwritten.messageWritten(id);
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
-        if (slot != null) {
-            slot.value.attempt(host, zone, wall);
+        unwrittenChanges.messageWritten(id);
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry != null) {
+            entry.value.attempt(host, zone, wall);
         }
         return true;
     }
 
     @Override
     public void outcome(String id, boolean neverRan) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
-        if (slot != null) {
-            slot.value.outcome(neverRan);
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry != null) {
+            entry.value.outcome(neverRan);
             RecordEncoder.outcome(writer.clear(), id, neverRan);
-            appendOrKeep(id);
+            appendOrDefer(id);
         }
     }
 
     @Override
-    public void verdict(String id, FinalStatus verdict) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
-        if (slot != null) {
-            slot.value.verdict(verdict);
-            RecordEncoder.verdict(writer.clear(), id, verdict);
-            appendOrKeep(id);
+    public void verdict(String id, FinalStatus status) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry != null) {
+            entry.value.verdict(status);
+            RecordEncoder.finalStatus(writer.clear(), id, status);
+            appendOrDefer(id);
         }
     }
 
     @Override
     public void ended(String id) {
-        if (state.owed.containsKey(id)) {
-            state.drop(id);
+        if (state.pending.containsKey(id)) {
+            state.removeMessage(id);
             RecordEncoder.ended(writer.clear(), id);
-            appendOrKeep(id);
+            appendOrDefer(id);
         }
     }
 
     @Override
     public boolean joined(String id, String front, String claim) {
-        JournalState.Slot<PendingMessage> slot = state.owed.get(id);
-        if (slot == null) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry == null) {
             return false;
         }
-        PendingMessage.Claim joins = new PendingMessage.Claim(front, claim);
-        RecordEncoder.joined(writer.clear(), id, joins);
-        if (unwritten.hasMessage(id) || !appender.hasRoom(writer.size(), JournalState.growth(joins)) || !append()) {
+        PendingMessage.Claim newClaim = new PendingMessage.Claim(front, claim);
+        RecordEncoder.joined(writer.clear(), id, newClaim);
+        if (unwrittenChanges.hasMessage(id) || !appender.ensureSpace(writer.size(), JournalState.growthBytes(newClaim)) || !append()) {
             return false;
         }
-        state.join(slot.value, joins);
-        unwritten.messageWritten(id);
+        state.addClaim(entry.value, newClaim);
+        unwrittenChanges.messageWritten(id);
         return true;
     }
 
     @Override
-    public void remember(String identity, CompletedMessage<FinalStatus> past) {
-        RecordEncoder.remembered(writer.clear(), identity, past);
-        int size = writer.size();
+    public void remember(String identity, CompletedMessage<FinalStatus> result) {
+        RecordEncoder.remembered(writer.clear(), identity, result);
+        int recordBytes = writer.size();
         if (append()) {
-            state.put(identity, past, log.active(), size);
-            unwritten.rememberedWritten(identity);
+            state.put(identity, result, log.active(), recordBytes);
+            unwrittenChanges.rememberedWritten(identity);
         } else {
-            state.put(identity, past, null, 0);
-            unwritten.addRemembered(identity);
+            state.put(identity, result, null, 0);
+            unwrittenChanges.addRemembered(identity);
         }
     }
 
     @Override
     public void forgetSoonest() {
-        state.forgetSoonest();
+        state.removeFirstToExpire();
     }
 
     @Override
     public CompletedMessage<FinalStatus> remembered(String identity) {
-        JournalState.Slot<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
-        return slot == null ? null : slot.value;
+        JournalState.Entry<CompletedMessage<FinalStatus>> entry = state.remembered.get(identity);
+        return entry == null ? null : entry.value;
     }
 
     @Override
     public Collection<PendingMessage> owed() {
-        return state.messages();
+        return state.pendingMessages();
     }
 
     @Override
@@ -184,11 +184,11 @@
 
     // Writing
 
-    private void appendOrKeep(String id) {
-        if (unwritten.hasMessage(id) || !append()) {
-            unwritten.addMessage(id); // an earlier change is unwritten, so only a snapshot makes sense
+    private void appendOrDefer(String id) {
+        if (unwrittenChanges.hasMessage(id) || !append()) {
+            unwrittenChanges.addMessage(id); // an earlier change is unwritten, so only a snapshot makes sense
         } else {
-            unwritten.messageWritten(id);
+            unwrittenChanges.messageWritten(id);
         }
     }
 
@@ -197,81 +197,81 @@
     }
 
     /** Rewriting after a failed sync may use all space, since segments are released only after a successful sync. */
-    private boolean appendUnwritten(Writer records) {
-        return unwritten.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
+    private boolean appendUnwritten(RecordWriter records) {
+        return unwrittenChanges.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
     }
 
     @Override
     public void tidy(long nowWall) {
-        long now = micros.getAsLong();
-        if (now >= askAgainAt) {
-            askAgainAt = now + ASK_AGAIN;
-            log.mayGrowAgain();
+        long nowMicros = monotonicMicros.getAsLong();
+        if (nowMicros >= allocateAgainAtMicros) {
+            allocateAgainAtMicros = nowMicros + ALLOCATION_RETRY_MICROS;
+            log.resetAllocationFailure();
         }
-        if (now >= prepareAgainAt || syncer.forces()) {
-            prepareAgainAt = now + Plan.PAUSE;
-            log.prepareUnready(
-                    syncer::coversAfter); // even if records can't be written: they may wait for these files
+        if (nowMicros >= fillAgainAtMicros || syncer.isEnabled()) {
+            fillAgainAtMicros = nowMicros + SpacePolicy.DISK_RETRY_DELAY_MICROS;
+            log.fillDeferred(
+                    syncer::hasSucceededAfter); // even if records can't be written: they may wait for these files
         }
-        unwritten.write();
-        state.expire(nowWall, EXPIRE_A_TURN);
-        if (!appender.isPausedAt(now)) {
-            compact(now);
-            if (log.active() != null && plan.wantsSpare(log.space(state))) { // none before the first record
-                log.grow(plan.segment());
+        unwrittenChanges.write();
+        state.removeExpired(nowWall, MAX_EXPIRIES_PER_TURN);
+        if (!appender.isBackingOffAt(nowMicros)) {
+            compactSlice(nowMicros);
+            if (log.active() != null && policy.shouldPreallocate(log.spaceUsage(state))) { // none before the first record
+                log.preallocate(policy.segmentBytes());
             }
         }
-        if (syncer.isTrying() || !unwritten.isRewriting()) {
-            syncer.turn(now, log); // else a good sync would count in place of the failed one
+        if (syncer.isProbing() || !unwrittenChanges.isRewriting()) {
+            syncer.startIfDue(nowMicros, log); // else a good sync would count in place of the failed one
         }
     }
 
     /** Runs a slice of compaction. A segment that can't be released is retried later; records are written meanwhile. */
-    private void compact(long now) {
-        if (now < releaseAgainAt || unwritten.isRewriting()) {
+    private void compactSlice(long nowMicros) {
+        if (nowMicros < releaseAgainAtMicros || unwrittenChanges.isRewriting()) {
             return;
         }
         try {
             compactor.runSlice();
         } catch (IOException e) {
-            releaseAgainAt = now + Plan.PAUSE;
+            releaseAgainAtMicros = nowMicros + SpacePolicy.DISK_RETRY_DELAY_MICROS;
             Logs.warn("journal", "release-failed", "an empty segment could not be released, tried again later: " + e);
         }
     }
 
-    private final class ForcingListener implements Syncer.Listener {
+    private final class SyncListener implements Syncer.Listener {
         @Override
-        public void begun() {
-            unwritten.forcingBegun();
+        public void syncStarted() {
+            unwrittenChanges.syncStarted();
         }
 
         @Override
-        public void succeeded() {
-            unwritten.forcingSucceeded();
+        public void syncSucceeded() {
+            unwrittenChanges.syncSucceeded();
         }
 
         @Override
-        public void failed() {
-            log.giveUpActive();
-            log.keepEmptySegments();
-            unwritten.addUnforced(syncer.lastGood());
+        public void syncFailed() {
+            log.abandonActive();
+            log.resetEmptied();
+            unwrittenChanges.addUnsynced(syncer.lastSuccessful());
         }
 
         @Override
-        public void failedAgain() {
-            log.keepEmptySegments();
-            unwritten.waitForDisk();
+        public void syncFailedAgain() {
+            log.resetEmptied();
+            unwrittenChanges.waitForProbe();
         }
 
         @Override
-        public void trying() {
-            log.writeBeginningAgain();
+        public void probeStarting() {
+            log.rewriteSegmentStart();
         }
 
         @Override
-        public void worksAgain() {
-            log.writeBeginningAgain();
-            unwritten.addUnforced(syncer.lastGood());
+        public void probeSucceeded() {
+            log.rewriteSegmentStart();
+            unwrittenChanges.addUnsynced(syncer.lastSuccessful());
         }
     }
 
@@ -293,47 +293,47 @@
     // Figures
 
     /** The results of recovery. */
-    public Recovery.Report recovered() {
-        return recovered;
+    public Recovery.Report recoveryReport() {
+        return recoveryReport;
     }
 
     /** The size of all files in whole blocks. */
-    public long allocated() {
-        return log.allocated();
+    public long allocatedBytes() {
+        return log.allocatedBytes();
     }
 
     /** The number of files. */
-    public int files() {
-        return log.files();
+    public int fileCount() {
+        return log.fileCount();
     }
 
     /** The number of bytes that compaction has copied so far. */
-    public long copied() {
-        return compactor.copied();
+    public long copiedBytes() {
+        return compactor.copiedBytes();
     }
 
     /** The number of writes and syncs that failed. */
-    public long failures() {
-        return appender.failures() + syncer.failures();
+    public long failureCount() {
+        return appender.failureCount() + syncer.failureCount();
     }
 
     /** True while a sync is in progress. */
-    boolean isForcing() {
+    boolean isSyncing() {
         return syncer.isRunning();
     }
 
     /** The number of changes in memory that are not written yet. */
-    public int unwritten() {
-        return unwritten.count();
+    public int unwrittenCount() {
+        return unwrittenChanges.count();
     }
 
     @Override
     public void close() throws IOException {
         syncer.close();
-        appender.endPause();
-        unwritten.write();
+        appender.endBackoff();
+        unwrittenChanges.write();
         try {
-            syncer.forceNow(log);
+            syncer.syncNow(log);
         } finally {
             log.close();
             disk.close();
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -18,43 +18,43 @@
     private final Listener listener;
     private ExecutorService thread;
     private Executor loop = Runnable::run;
-    private List<Runnable> waiting = new ArrayList<>();
+    private List<Runnable> waitingTasks = new ArrayList<>();
     private boolean running;
     /** True from a failed sync until the next one that covers everything written. */
-    private boolean failed;
+    private boolean lastFailed;
     /**
      * True after two failed syncs in a row, until a probe sync succeeds. A probe shows that the disk works again, but
      * makes no earlier record durable.
      */
-    private boolean trying;
+    private boolean probing;
 
-    private boolean written;
-    private long begun, done;
-    private long lastBegun;
-    private long failures;
+    private boolean unsyncedWrites;
+    private long started, lastSuccessful;
+    private long lastStartedMicros;
+    private long failureCount;
 
     /** Receives the progress of syncs, on the loop thread. */
     interface Listener {
         /** A sync of everything written so far starts. */
-        void begun();
+        void syncStarted();
 
         /** Everything written before the sync started is durable. */
-        void succeeded();
+        void syncSucceeded();
 
         /**
          * The first sync failed: everything written since the last successful one must be written again, to another
          * segment.
          */
-        void failed();
+        void syncFailed();
 
         /** A further sync failed: nothing is written again until a probe sync succeeds. */
-        void failedAgain();
+        void syncFailedAgain();
 
         /** A probe is about to start and needs something to sync. */
-        void trying();
+        void probeStarting();
 
         /** The disk syncs again: everything written since the last successful sync must be written again. */
-        void worksAgain();
+        void probeSucceeded();
     }
 
     /** {@code listener} is notified of each sync but the one when the journal is closed. */
@@ -68,28 +68,28 @@
         loop = toLoop;
     }
 
-    boolean forces() {
-        return durability.how() != Durability.How.NONE;
+    boolean isEnabled() {
+        return durability.mode() != Durability.Mode.NONE;
     }
 
     /** True while probe syncs check whether the disk works again. */
-    boolean isTrying() {
-        return trying;
+    boolean isProbing() {
+        return probing;
     }
 
     /** The number of the last successful sync. */
-    long lastGood() {
-        return done;
+    long lastSuccessful() {
+        return lastSuccessful;
     }
 
     /** The number of syncs started so far; the next one covers what is written now. */
-    long begun() {
-        return begun;
+    long started() {
+        return started;
     }
 
     /** True if a sync that started after the given count has succeeded. */
-    boolean coversAfter(long count) {
-        return !forces() || done > count;
+    boolean hasSucceededAfter(long count) {
+        return !isEnabled() || lastSuccessful > count;
     }
 
     /** True while a sync is in progress. */
@@ -97,38 +97,38 @@
         return running;
     }
 
-    long failures() {
-        return failures;
+    long failureCount() {
+        return failureCount;
     }
 
-    void wrote() {
-        written = true;
+    void recordsWritten() {
+        unsyncedWrites = true;
     }
 
-    void whenDurable(Runnable consequence) {
-        if (durability.how() == Durability.How.GROUP) {
-            waiting.add(consequence);
+    void whenDurable(Runnable task) {
+        if (durability.mode() == Durability.Mode.GROUP) {
+            waitingTasks.add(task);
         } else {
-            consequence.run();
+            task.run();
         }
     }
 
     /** Starts a sync if one is due and none is in progress. */
-    void turn(long nowMicros, SegmentLog log) {
-        if (!running && (trying ? nowMicros - lastBegun >= Plan.PAUSE : isDue(nowMicros))) {
-            begin(nowMicros, log);
+    void startIfDue(long nowMicros, SegmentLog log) {
+        if (!running && (probing ? nowMicros - lastStartedMicros >= SpacePolicy.DISK_RETRY_DELAY_MICROS : isDue(nowMicros))) {
+            start(nowMicros, log);
         }
     }
 
     private boolean isDue(long nowMicros) {
-        return switch (durability.how()) {
+        return switch (durability.mode()) {
             case NONE -> false;
-            case GROUP -> written || !waiting.isEmpty();
-            case INTERVAL -> written && nowMicros - lastBegun >= durability.everyMicros();
+            case GROUP -> unsyncedWrites || !waitingTasks.isEmpty();
+            case INTERVAL -> unsyncedWrites && nowMicros - lastStartedMicros >= durability.intervalMicros();
         };
     }
 
-    private void begin(long nowMicros, SegmentLog log) {
+    private void start(long nowMicros, SegmentLog log) {
         if (thread == null) {
             thread = Executors.newSingleThreadExecutor(r -> {
                 Thread t = new Thread(r, "journal-sync");
@@ -137,58 +137,58 @@
             });
         }
         running = true;
-        lastBegun = nowMicros;
-        long number = ++begun;
-        List<Runnable> covered = new ArrayList<>();
-        if (trying) {
-            listener.trying();
+        lastStartedMicros = nowMicros;
+        long number = ++started;
+        List<Runnable> coveredTasks = new ArrayList<>();
+        if (probing) {
+            listener.probeStarting();
         } else {
-            listener.begun();
-            written = false;
-            covered = waiting;
-            waiting = new ArrayList<>();
+            listener.syncStarted();
+            unsyncedWrites = false;
+            coveredTasks = waitingTasks;
+            waitingTasks = new ArrayList<>();
         }
-        List<Runnable> consequences = covered;
-        SegmentLog.Pending pending = log.pending();
+        List<Runnable> tasks = coveredTasks;
+        SegmentLog.SyncBatch batch = log.takeSyncBatch();
         thread.execute(() -> {
-            IOException failure = force(disk, pending);
-            loop.execute(() -> ended(number, consequences, failure));
+            IOException failure = sync(disk, batch);
+            loop.execute(() -> finished(number, tasks, failure));
         });
     }
 
-    private void ended(long number, List<Runnable> covered, IOException failure) {
+    private void finished(long number, List<Runnable> coveredTasks, IOException failure) {
         running = false;
-        if (failure == null && trying) {
-            trying = false;
-            listener.worksAgain();
+        if (failure == null && probing) {
+            probing = false;
+            listener.probeSucceeded();
             return;
         }
         if (failure == null) {
-            failed = false;
-            done = number;
-            listener.succeeded();
-            covered.forEach(Runnable::run);
+            lastFailed = false;
+            lastSuccessful = number;
+            listener.syncSucceeded();
+            coveredTasks.forEach(Runnable::run);
             return;
         }
         // The system may have dropped the data it could not write: a second sync of the same file would prove nothing.
-        failures++;
-        covered.addAll(waiting);
-        waiting = covered;
-        written = true;
-        if (failed) {
-            trying = true;
-            listener.failedAgain();
+        failureCount++;
+        coveredTasks.addAll(waitingTasks);
+        waitingTasks = coveredTasks;
+        unsyncedWrites = true;
+        if (lastFailed) {
+            probing = true;
+            listener.syncFailedAgain();
         } else {
-            failed = true;
+            lastFailed = true;
             Logs.error("journal", "force-failed", "could not be forced to the disk, written again: " + failure);
-            listener.failed();
+            listener.syncFailed();
         }
     }
 
     /** Syncs everything written on the caller's thread, unless syncs are turned off. */
-    void forceNow(SegmentLog log) throws IOException {
-        if (forces()) {
-            IOException failure = force(disk, log.pending());
+    void syncNow(SegmentLog log) throws IOException {
+        if (isEnabled()) {
+            IOException failure = sync(disk, log.takeSyncBatch());
             if (failure != null) {
                 throw failure;
             }
@@ -196,22 +196,22 @@
     }
 
     /** Syncs the files and closes the full segments; returns the first failure, or null. */
-    private static IOException force(Disk disk, SegmentLog.Pending pending) {
+    private static IOException sync(Disk disk, SegmentLog.SyncBatch batch) {
         IOException failure = null;
         try {
-            for (Disk.DiskFile file : pending.full()) {
-                file.force();
+            for (Disk.DiskFile file : batch.fullSegments()) {
+                file.sync();
             }
-            if (pending.active() != null) {
-                pending.active().force();
+            if (batch.active() != null) {
+                batch.active().sync();
             }
-            if (pending.names()) {
-                disk.forceNames();
+            if (batch.folderChanged()) {
+                disk.syncFolder();
             }
         } catch (IOException e) {
             failure = e;
         }
-        for (Disk.DiskFile file : pending.full()) {
+        for (Disk.DiskFile file : batch.fullSegments()) {
             try {
                 file.close();
             } catch (IOException e) {
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import lilaclever.identity.CompletedMessage;
-import lilaclever.journal.Format.Writer;
+import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.routing.FinalStatus;
 import lilaclever.routing.PendingMessage;
 
@@ -16,19 +16,19 @@
 final class UnwrittenChanges {
     private final JournalState state;
     private final SegmentLog log;
-    private final Writer writer;
-    private final Predicate<Writer> append;
-    private final boolean forces;
+    private final RecordWriter writer;
+    private final Predicate<RecordWriter> append;
+    private final boolean syncEnabled;
     private final Set<String> messages = new LinkedHashSet<>();
     private final Set<String> remembered = new LinkedHashSet<>();
     /** Messages and remembered results with unsynced records: written before the last sync started, and after. */
-    private final Set<String> messagesBefore = new LinkedHashSet<>(), messagesSince = new LinkedHashSet<>();
+    private final Set<String> messagesBeforeSync = new LinkedHashSet<>(), messagesSinceSync = new LinkedHashSet<>();
 
-    private final Set<String> rememberedBefore = new LinkedHashSet<>(), rememberedSince = new LinkedHashSet<>();
+    private final Set<String> rememberedBeforeSync = new LinkedHashSet<>(), rememberedSinceSync = new LinkedHashSet<>();
     /** True from a failed sync until everything it was to cover is written again. */
-    private boolean unforced;
+    private boolean rewriting;
     /** True until a probe sync shows that the disk works again. */
-    private boolean waitsForDisk;
+    private boolean waitingForProbe;
 
     /**
      * Creates an empty set of changes.
@@ -37,12 +37,12 @@
      * @param forces true if records are synced to the disk
      * @param append appends the records of the writer to the log; false if that is not possible now
      */
-    UnwrittenChanges(JournalState state, SegmentLog log, Writer writer, boolean forces, Predicate<Writer> append) {
+    UnwrittenChanges(JournalState state, SegmentLog log, RecordWriter writer, boolean syncEnabled, Predicate<RecordWriter> append) {
         this.state = state;
         this.log = log;
         this.writer = writer;
         this.append = append;
-        this.forces = forces;
+        this.syncEnabled = syncEnabled;
     }
 
     /** True if the message has an unwritten change. */
@@ -62,61 +62,61 @@
 
     /** Notes a written record of the message. It must be written again if its sync fails. */
     void messageWritten(String id) {
-        if (forces) {
-            messagesSince.add(id);
+        if (syncEnabled) {
+            messagesSinceSync.add(id);
         }
     }
 
     /** Notes that a remembered result was written. */
     void rememberedWritten(String identity) {
-        if (forces) {
-            rememberedSince.add(identity);
+        if (syncEnabled) {
+            rememberedSinceSync.add(identity);
         }
     }
 
     /** A sync of everything written so far starts. */
-    void forcingBegun() {
-        messagesBefore.addAll(messagesSince);
-        messagesSince.clear();
-        rememberedBefore.addAll(rememberedSince);
-        rememberedSince.clear();
+    void syncStarted() {
+        messagesBeforeSync.addAll(messagesSinceSync);
+        messagesSinceSync.clear();
+        rememberedBeforeSync.addAll(rememberedSinceSync);
+        rememberedSinceSync.clear();
     }
 
     /** Everything written before the sync started is durable. */
-    void forcingSucceeded() {
-        messagesBefore.clear();
-        rememberedBefore.clear();
+    void syncSucceeded() {
+        messagesBeforeSync.clear();
+        rememberedBeforeSync.clear();
     }
 
     /** True while a sync would not cover everything that tasks wait for. */
     boolean isRewriting() {
-        unforced &= waitsForDisk || count() > 0;
-        return unforced;
+        rewriting &= waitingForProbe || count() > 0;
+        return rewriting;
     }
 
     /** Writes nothing again until a probe sync succeeds. */
-    void waitForDisk() {
-        unforced = true;
-        waitsForDisk = true;
+    void waitForProbe() {
+        rewriting = true;
+        waitingForProbe = true;
     }
 
     /** After a failed sync: everything that was not synced since the last successful one must be written again. */
-    void addUnforced(long lastGood) {
-        unforced = true;
-        waitsForDisk = false;
-        forcingBegun();
-        messages.addAll(messagesBefore);
-        remembered.addAll(rememberedBefore);
-        forcingSucceeded();
-        addUnforced(state.owed, lastGood, messages);
-        addUnforced(state.remembered, lastGood, remembered);
+    void addUnsynced(long lastSuccessfulSync) {
+        rewriting = true;
+        waitingForProbe = false;
+        syncStarted();
+        messages.addAll(messagesBeforeSync);
+        remembered.addAll(rememberedBeforeSync);
+        syncSucceeded();
+        addUnsynced(state.pending, lastSuccessfulSync, messages);
+        addUnsynced(state.remembered, lastSuccessfulSync, remembered);
     }
 
     /** Adds entries in segments written to since the last successful sync started: their records may be copies. */
-    private static <T> void addUnforced(Map<String, JournalState.Slot<T>> map, long lastGood, Set<String> to) {
-        map.forEach((key, slot) -> {
-            if (slot.base != null && slot.base.writtenAt >= lastGood) {
-                to.add(key);
+    private static <T> void addUnsynced(Map<String, JournalState.Entry<T>> map, long lastSuccessfulSync, Set<String> target) {
+        map.forEach((key, entry) -> {
+            if (entry.segment != null && entry.segment.lastWrittenAtSync >= lastSuccessfulSync) {
+                target.add(key);
             }
         });
     }
@@ -140,18 +140,18 @@
     /** Writes the state of the message if a change of it is unwritten; false if that is not possible now. */
     boolean writeMessage(String id) {
         if (hasMessage(id)) {
-            JournalState.Slot<PendingMessage> slot = state.owed.get(id);
-            if (slot == null) {
+            JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+            if (entry == null) {
                 RecordEncoder.ended(writer.clear(), id);
             } else {
-                RecordEncoder.snapshot(writer.clear(), slot.value);
+                RecordEncoder.snapshot(writer.clear(), entry.value);
             }
-            int size = writer.size();
+            int recordBytes = writer.size();
             if (!append.test(writer)) {
                 return false;
             }
-            if (slot != null) {
-                state.moved(state.owed, id, log.active(), size);
+            if (entry != null) {
+                state.recordMoved(state.pending, id, log.active(), recordBytes);
             }
             messageWritten(id);
             messages.remove(id);
@@ -162,14 +162,14 @@
     private void writeRemembered() {
         while (!remembered.isEmpty()) {
             String identity = remembered.iterator().next();
-            JournalState.Slot<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
-            if (slot != null) {
-                RecordEncoder.remembered(writer.clear(), identity, slot.value);
-                int size = writer.size();
+            JournalState.Entry<CompletedMessage<FinalStatus>> entry = state.remembered.get(identity);
+            if (entry != null) {
+                RecordEncoder.remembered(writer.clear(), identity, entry.value);
+                int recordBytes = writer.size();
                 if (!append.test(writer)) {
                     return;
                 }
-                state.moved(state.remembered, identity, log.active(), size);
+                state.recordMoved(state.remembered, identity, log.active(), recordBytes);
                 rememberedWritten(identity);
             }
             remembered.remove(identity);
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
@@ -21,7 +21,7 @@
     private final TreeMap<String, Content> files = new TreeMap<>();
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(files.keySet());
     }
 
@@ -46,7 +46,7 @@
     }
 
     @Override
-    public void forceNames() {
+    public void syncFolder() {
         // the folder outlasts all
     }
 
@@ -79,7 +79,7 @@
         }
 
         @Override
-        public void force() {
+        public void sync() {
             // the folder outlasts all
         }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -59,7 +59,7 @@
         long keep = settings.limits().keepAliveMicros();
         transport = new Transport();
         journal = new SegmentedJournal(
-                FolderDisk.take(config.state()),
+                FolderDisk.lock(config.state()),
                 config.diskBytes() - config.noteBytes(),
                 operator.journal().durability(),
                 new JournalClocks(Core::micros, Core::wall, BootClock.read(Core::micros, Core::wall)),
@@ -137,12 +137,12 @@
     }
 
     private static void figures(SegmentedJournal journal, Counters counters) {
-        counters.gauge("unwritten", journal::unwritten);
-        counters.figure("journal_files", journal::files);
-        counters.figure("journal_bytes", journal::allocated);
-        counters.figure("journal_bytes_copied", journal::copied);
-        counters.figure("journal_failures", journal::failures);
-        counters.figure("journal_damages", () -> journal.recovered().damages().size());
+        counters.gauge("unwritten", journal::unwrittenCount);
+        counters.figure("journal_files", journal::fileCount);
+        counters.figure("journal_bytes", journal::allocatedBytes);
+        counters.figure("journal_bytes_copied", journal::copiedBytes);
+        counters.figure("journal_failures", journal::failureCount);
+        counters.figure("journal_damages", () -> journal.recoveryReport().damages().size());
     }
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -129,7 +129,7 @@
             if (conf != null) {
                 Operator read = Operator.read(conf, config);
                 System.out.println("operator's file is good: journal durability "
-                        + read.journal().durability().how().name().toLowerCase());
+                        + read.journal().durability().mode().name().toLowerCase());
             }
             System.out.println("configuration of " + config.name() + " is good: "
                     + config.classNames().size()
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -94,9 +94,9 @@
     }
 
     private static JournalSettings journal(ConfFile.Section s) throws ConfigurationException {
-        Durability.How how = s.choice("durability", Durability.How.class, Durability.How.NONE);
+        Durability.Mode how = s.choice("durability", Durability.Mode.class, Durability.Mode.NONE);
         long every = s.time("interval", 50_000, 1000, 60 * SECOND);
-        if (how != Durability.How.INTERVAL && s.has("interval")) {
+        if (how != Durability.Mode.INTERVAL && s.has("interval")) {
             throw s.bad(
                     "interval", "needs durability interval, not " + how.name().toLowerCase());
         }
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 class BootClockTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
 
     /**
      * Guards against wall times being shifted in a process whose clocks are simulated: both of its clocks advance by 2
@@ -17,32 +17,32 @@
      * and sent orders again too late.
      */
     @Test
-    void clocksThatDoNotRunWithTheMachinesMoveNothing() throws IOException {
+    void simulatedClocksShiftNothing() throws IOException {
         SimDisk disk = new SimDisk();
-        long[] walls = {1_000 * SECOND, 1_002 * SECOND},
-                monotonic = {500 * SECOND, 502 * SECOND},
-                ups = {800 * SECOND, 809 * SECOND};
-        for (int life = 0; life < 2; life++) {
-            long wall = walls[life];
-            BootClock clock = BootClock.of(77, monotonic[life], ups[life], monotonic[life], wall - monotonic[life]);
+        long[] walls = {1_000 * SECOND_MICROS, 1_002 * SECOND_MICROS},
+                monotonic = {500 * SECOND_MICROS, 502 * SECOND_MICROS},
+                uptimes = {800 * SECOND_MICROS, 809 * SECOND_MICROS};
+        for (int run = 0; run < 2; run++) {
+            long wall = walls[run];
+            BootClock clock = BootClock.fromUptime(77, monotonic[run], uptimes[run], monotonic[run], wall - monotonic[run]);
             assertEquals(BootClock.UNKNOWN, clock);
             try (SegmentedJournal journal = new SegmentedJournal(
                     disk,
                     1 << 20,
                     Durability.NONE,
                     new JournalClocks(() -> 0, () -> wall, clock),
-                    new SplittableRandom(life))) {
-                if (life == 0) {
+                    new SplittableRandom(run))) {
+                if (run == 0) {
                     journal.taken(
                             "http",
-                            new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND),
-                            wall + 5 * SECOND,
+                            new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND_MICROS),
+                            wall + 5 * SECOND_MICROS,
                             wall);
-                    journal.attempt("m", "a", 0, wall + SECOND);
+                    journal.attempt("m", "a", 0, wall + SECOND_MICROS);
                 } else {
-                    PendingMessage m = journal.owed().iterator().next();
-                    assertEquals(1_005 * SECOND, m.deadlineWall());
-                    assertEquals(1_001 * SECOND, m.sentWall());
+                    PendingMessage message = journal.owed().iterator().next();
+                    assertEquals(1_005 * SECOND_MICROS, message.deadlineWall());
+                    assertEquals(1_001 * SECOND_MICROS, message.sentWall());
                 }
             }
         }
@@ -53,16 +53,16 @@
      * monotonic clock stood still.
      */
     @Test
-    void aMonotonicClockThatStoodStillIsNotBelieved() {
-        assertEquals(BootClock.UNKNOWN, BootClock.of(77, 500 * SECOND, 560 * SECOND, 500 * SECOND, SECOND));
+    void monotonicClockThatStoodStillIsNotTrusted() {
+        assertEquals(BootClock.UNKNOWN, BootClock.fromUptime(77, 500 * SECOND_MICROS, 560 * SECOND_MICROS, 500 * SECOND_MICROS, SECOND_MICROS));
     }
 
     @Test
-    void whereBothAgreeAClockThatWasSetIsNoticed() {
-        BootClock then = BootClock.of(77, 500 * SECOND, 500 * SECOND - 9_999, 500 * SECOND + 40, 9 * SECOND);
-        BootClock now = BootClock.of(77, 600 * SECOND, 600 * SECOND - 1, 600 * SECOND + 40, 3 * SECOND);
-        assertEquals(-6 * SECOND, now.shiftFrom(then));
-        assertEquals(0, new BootClock(78, 3 * SECOND).shiftFrom(then), "another boot");
-        assertEquals(0, BootClock.UNKNOWN.shiftFrom(then));
+    void wallClockStepIsDetectedWhereClocksAgree() {
+        BootClock earlier = BootClock.fromUptime(77, 500 * SECOND_MICROS, 500 * SECOND_MICROS - 9_999, 500 * SECOND_MICROS + 40, 9 * SECOND_MICROS);
+        BootClock now = BootClock.fromUptime(77, 600 * SECOND_MICROS, 600 * SECOND_MICROS - 1, 600 * SECOND_MICROS + 40, 3 * SECOND_MICROS);
+        assertEquals(-6 * SECOND_MICROS, now.wallShiftMicrosSince(earlier));
+        assertEquals(0, new BootClock(78, 3 * SECOND_MICROS).wallShiftMicrosSince(earlier), "another boot");
+        assertEquals(0, BootClock.UNKNOWN.wallShiftMicrosSince(earlier));
     }
 }
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -17,48 +17,48 @@
  * must be there, and nothing else but the one change in progress.
  */
 class CrashTest {
-    private static final long MOST = 160 * 1024;
+    private static final long QUOTA_BYTES = 160 * 1024;
 
     /** Checks the state found after a cut: that of the last acknowledged step, or of the next one. */
-    private static void check(Script script, int done, SimDisk disk, String what) throws IOException {
-        int k = 0;
-        while (k + 1 < script.marks.size() && script.marks.get(k + 1).ops() <= done) {
-            k++;
+    private static void check(RandomRun randomRun, int done, SimDisk disk, String description) throws IOException {
+        int checkpoint = 0;
+        while (checkpoint + 1 < randomRun.checkpoints.size() && randomRun.checkpoints.get(checkpoint + 1).operations() <= done) {
+            checkpoint++;
         }
-        try (SegmentedJournal found = Script.open(disk, MOST, Durability.NONE)) {
-            String state = Script.text(found, 0);
-            assertEquals(List.of(), found.recovered().damages(), what);
-            boolean good = strip(state).equals(strip(script.marks.get(k).state()))
-                    || k + 1 < script.marks.size()
-                            && strip(state).equals(strip(script.marks.get(k + 1).state()));
+        try (SegmentedJournal recovered = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE)) {
+            String state = RandomRun.describe(recovered, 0);
+            assertEquals(List.of(), recovered.recoveryReport().damages(), description);
+            boolean good = withoutRemembered(state).equals(withoutRemembered(randomRun.checkpoints.get(checkpoint).state()))
+                    || checkpoint + 1 < randomRun.checkpoints.size()
+                            && withoutRemembered(state).equals(withoutRemembered(randomRun.checkpoints.get(checkpoint + 1).state()));
             if (!good) {
-                assertEquals(script.marks.get(k).state(), state, what);
+                assertEquals(randomRun.checkpoints.get(checkpoint).state(), state, description);
             }
-            assertTrue(disk.total() <= MOST, what + ": " + disk.total());
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES, description + ": " + disk.totalBytes());
         }
     }
 
     /** Expired results are removed as turns allow, so they may be there or not. */
-    private static String strip(String state) {
+    private static String withoutRemembered(String state) {
         return state.substring(0, state.lastIndexOf('{'));
     }
 
     /** A kill at any operation and inside any write, including compaction, rolls and reuse of files. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
-    void aKillAnywhereLosesNothingThatWasAcknowledged(long seed) throws IOException {
+    void killAtAnyOperationLosesNoAcknowledgedChange(long seed) throws IOException {
         SimDisk disk = new SimDisk();
-        Script script = new Script(disk, seed);
-        SegmentedJournal journal = Script.open(disk, MOST, Durability.NONE);
-        script.use(journal);
-        script.run(1500, 3000, 60);
-        assertTrue(journal.copied() > 5_000, "copied forward: " + journal.copied());
-        for (int done = 0; done <= disk.ops.size(); done++) {
-            check(script, done, SimDisk.killed(disk.ops, done, 0), "after " + done);
-            if (done < disk.ops.size() && disk.ops.get(done).kind() == SimDisk.Kind.WRITE) {
-                int length = disk.ops.get(done).bytes().length;
+        RandomRun randomRun = new RandomRun(disk, seed);
+        SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE);
+        randomRun.useJournal(journal);
+        randomRun.run(1500, 3000, 60);
+        assertTrue(journal.copiedBytes() > 5_000, "copied forward: " + journal.copiedBytes());
+        for (int done = 0; done <= disk.operations.size(); done++) {
+            check(randomRun, done, SimDisk.afterKill(disk.operations, done, 0), "after " + done);
+            if (done < disk.operations.size() && disk.operations.get(done).kind() == SimDisk.OperationKind.WRITE) {
+                int length = disk.operations.get(done).bytes().length;
                 for (int part : new int[] {1, length / 2, length - 1}) {
-                    check(script, done, SimDisk.killed(disk.ops, done, part), part + " bytes after " + done);
+                    check(randomRun, done, SimDisk.afterKill(disk.operations, done, part), part + " bytes after " + done);
                 }
             }
         }
@@ -66,85 +66,85 @@
 
     /** A second and a third kill while the journal is being opened after the first. */
     @Test
-    void killsInARowDuringRecoveryLoseNothing() throws IOException {
+    void repeatedKillsDuringRecoveryLoseNothing() throws IOException {
         SimDisk disk = new SimDisk();
-        Script script = new Script(disk, 11);
-        script.use(Script.open(disk, MOST, Durability.NONE));
-        script.run(800, 3000, 60);
+        RandomRun randomRun = new RandomRun(disk, 11);
+        randomRun.useJournal(RandomRun.open(disk, QUOTA_BYTES, Durability.NONE));
+        randomRun.run(800, 3000, 60);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
-            int done = random.nextInt(disk.ops.size());
-            List<SimDisk.Op> ops = disk.ops.subList(0, done);
-            for (int life = 0; life < 2; life++) {
-                SimDisk again = SimDisk.killed(ops, ops.size(), 0);
-                try (SegmentedJournal found = Script.open(again, MOST, Durability.NONE)) {
-                    found.tidy(0);
+            int done = random.nextInt(disk.operations.size());
+            List<SimDisk.Operation> ops = disk.operations.subList(0, done);
+            for (int run = 0; run < 2; run++) {
+                SimDisk restarted = SimDisk.afterKill(ops, ops.size(), 0);
+                try (SegmentedJournal recovered = RandomRun.open(restarted, QUOTA_BYTES, Durability.NONE)) {
+                    recovered.tidy(0);
                 }
-                List<SimDisk.Op> more = new ArrayList<>(ops);
-                more.addAll(again.ops.subList(0, random.nextInt(again.ops.size() + 1)));
+                List<SimDisk.Operation> more = new ArrayList<>(ops);
+                more.addAll(restarted.operations.subList(0, random.nextInt(restarted.operations.size() + 1)));
                 ops = more;
             }
-            check(script, done, SimDisk.killed(ops, ops.size(), 0), "cut " + i + " after " + done);
+            check(randomRun, done, SimDisk.afterKill(ops, ops.size(), 0), "cut " + i + " after " + done);
         }
     }
 
     /** With group commit, what was acknowledged after a sync survives a machine failure. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void aPowerCutLosesNothingThatWasForced(long seed) throws Exception {
+    void powerCutLosesNoSyncedChange(long seed) throws Exception {
         SimDisk disk = new SimDisk();
         SplittableRandom random = new SplittableRandom(seed);
-        List<Integer> forcedAt = new ArrayList<>();
-        List<List<String>> idsThen = new ArrayList<>();
-        try (SegmentedJournal journal = Script.open(disk, MOST, new Durability(Durability.How.GROUP, 0))) {
+        List<Integer> syncedAt = new ArrayList<>();
+        List<List<String>> messagesThen = new ArrayList<>();
+        try (SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, new Durability(Durability.Mode.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.attach(loop::add);
-            Script script = new Script(disk, seed);
-            script.use(journal);
+            RandomRun randomRun = new RandomRun(disk, seed);
+            randomRun.useJournal(journal);
             for (int turn = 0; turn < 150; turn++) {
-                script.run(8, 2000, 50);
+                randomRun.run(8, 2000, 50);
                 boolean[] durable = {false};
                 journal.whenDurable(() -> durable[0] = true);
                 List<String> ids = journal.owed().stream()
-                        .map(o -> o.submission().id() + " " + o.attempts())
+                        .map(message -> message.submission().id() + " " + message.attempts())
                         .toList();
                 while (!durable[0]) {
-                    journal.tidy(script.now);
+                    journal.tidy(randomRun.nowMicros);
                     if (!durable[0]) {
                         loop.take().run();
                     }
                 }
-                forcedAt.add(disk.ops.size());
-                idsThen.add(ids);
+                syncedAt.add(disk.operations.size());
+                messagesThen.add(ids);
             }
         }
-        for (int turn = 0; turn < forcedAt.size(); turn++) {
+        for (int turn = 0; turn < syncedAt.size(); turn++) {
             for (int cut = 0; cut < 4; cut++) {
-                int next = turn + 1 < forcedAt.size() ? forcedAt.get(turn + 1) : disk.ops.size();
-                int done = forcedAt.get(turn) + random.nextInt(next - forcedAt.get(turn) + 1);
-                SimDisk left = SimDisk.powerCut(disk.ops, done, random);
-                try (SegmentedJournal found = Script.open(left, 4 * MOST, Durability.NONE)) {
-                    List<String> there =
-                            found.owed().stream().map(o -> o.submission().id()).toList();
-                    List<String> later = turn + 1 < idsThen.size() ? idsThen.get(turn + 1) : List.of();
-                    for (String id : idsThen.get(turn)) {
+                int next = turn + 1 < syncedAt.size() ? syncedAt.get(turn + 1) : disk.operations.size();
+                int done = syncedAt.get(turn) + random.nextInt(next - syncedAt.get(turn) + 1);
+                SimDisk remains = SimDisk.afterPowerCut(disk.operations, done, random);
+                try (SegmentedJournal recovered = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
+                    List<String> recoveredIds =
+                            recovered.owed().stream().map(message -> message.submission().id()).toList();
+                    List<String> later = turn + 1 < messagesThen.size() ? messagesThen.get(turn + 1) : List.of();
+                    for (String id : messagesThen.get(turn)) {
                         // What ended since may be there or not; everything else must be.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
-                        assertTrue(!stays || there.contains(id.split(" ")[0]), id + " cut at " + done);
+                        assertTrue(!stays || recoveredIds.contains(id.split(" ")[0]), id + " cut at " + done);
                     }
-                    for (PendingMessage o : found.owed()) {
-                        checkAttempts(o, idsThen.get(turn));
+                    for (PendingMessage message : recovered.owed()) {
+                        checkAttempts(message, messagesThen.get(turn));
                     }
                 }
             }
         }
     }
 
-    private static void checkAttempts(PendingMessage o, List<String> idsThen) {
-        for (String was : idsThen) {
-            if (was.startsWith(o.submission().id() + " ")) {
+    private static void checkAttempts(PendingMessage message, List<String> messagesThen) {
+        for (String was : messagesThen) {
+            if (was.startsWith(message.submission().id() + " ")) {
                 int attempts = Integer.parseInt(was.split(" ")[1]);
-                assertTrue(o.attempts() >= attempts || o.mayHaveRun(), was + " " + Script.text(o));
+                assertTrue(message.attempts() >= attempts || message.mayHaveRun(), was + " " + RandomRun.describe(message));
             }
         }
     }
