--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -23,31 +23,31 @@
 
 /** Single cases of a failing disk; {@link StorageFaultTest} has random ones. */
 class DiskFailureTest {
-    private static final long MOST = 1024 * 1024;
-    private static final Durability GROUP = new Durability(Durability.How.GROUP, 0);
-    private static final long TURN = 20_000, TEN_SECONDS = 10_000_000;
+    private static final long QUOTA_BYTES = 1024 * 1024;
+    private static final Durability GROUP = new Durability(Durability.Mode.GROUP, 0);
+    private static final long TURN_MICROS = 20_000, TEN_SECONDS_MICROS = 10_000_000;
 
     private final SimDisk disk = new SimDisk();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
-    private long clock;
+    private long clockMicros;
 
     private SegmentedJournal open(Durability durability) throws IOException {
         SegmentedJournal journal =
-                new SegmentedJournal(disk, MOST, durability, Script.times(() -> clock), new SplittableRandom(3));
+                new SegmentedJournal(disk, QUOTA_BYTES, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
         journal.attach(loop::add);
         return journal;
     }
 
-    private static boolean take(SegmentedJournal journal, String id) {
+    private static boolean accept(SegmentedJournal journal, String id) {
         return journal.taken("http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
     }
 
-    private void fail(Set<SimDisk.Kind> kinds) {
+    private void failOperations(Set<SimDisk.OperationKind> kinds) {
         disk.faults = (kind, name) ->
                 kinds.contains(kind) ? new SimDisk.Failure(new IOException("Input/output error"), 0) : null;
     }
 
-    private void recover() {
+    private void repairDisk() {
         disk.faults = (kind, name) -> null;
     }
 
@@ -60,22 +60,22 @@
     /** If files can't be renamed or deleted for ten seconds, records are still written. */
     @ParameterizedTest
     @EnumSource(
-            value = SimDisk.Kind.class,
+            value = SimDisk.OperationKind.class,
             names = {"RENAME", "DELETE", "OPEN"})
-    void whatIsTakenIsDeliveredWhileEmptySegmentsCanNotBeReleased(SimDisk.Kind kind) throws IOException {
+    void recordsAreWrittenWhileSegmentsCannotBeReleased(SimDisk.OperationKind kind) throws IOException {
         try (SegmentedJournal journal = open(Durability.NONE)) {
-            disk.faults = (failing, name) -> failing == kind && StorageFaultTest.stepNow() == Step.COMPACTION
+            disk.faults = (failing, name) -> failing == kind && StorageFaultTest.currentStep() == Step.COMPACTION
                     ? new SimDisk.Failure(new IOException("Input/output error"), 0)
                     : null;
-            for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
-                assertTrue(take(journal, "m" + turn), kind + " " + turn);
+            for (int turn = 0; turn * TURN_MICROS < TEN_SECONDS_MICROS; turn++) {
+                assertTrue(accept(journal, "m" + turn), kind + " " + turn);
                 assertTrue(journal.attempt("m" + turn, "a", 0, 1), kind + " " + turn);
                 journal.ended("m" + turn);
                 journal.tidy(0);
-                clock += TURN;
+                clockMicros += TURN_MICROS;
             }
-            assertEquals(0, journal.unwritten());
-            recover();
+            assertEquals(0, journal.unwrittenCount());
+            repairDisk();
         }
     }
 
@@ -84,82 +84,82 @@
      * time of the first attempt is still known, from which the repeat window counts.
      */
     @Test
-    void anAttemptIsNotWrittenBeforeTheOutcomeOfTheOneBefore() throws IOException {
+    void attemptIsNotWrittenBeforeOutcomeOfPreviousOne() throws IOException {
         SegmentedJournal journal = open(Durability.NONE);
-        take(journal, "m");
+        accept(journal, "m");
         journal.attempt("m", "a", 0, 100);
-        fail(EnumSet.of(SimDisk.Kind.WRITE));
+        failOperations(EnumSet.of(SimDisk.OperationKind.WRITE));
         journal.outcome("m", false);
-        recover();
-        clock += 2 * Plan.PAUSE;
+        repairDisk();
+        clockMicros += 2 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
         assertTrue(journal.attempt("m", "b", 0, 5_000));
-        try (SegmentedJournal next = Script.open(SimDisk.killed(disk.ops, disk.ops.size(), 0), MOST, Durability.NONE)) {
-            PendingMessage m = next.owed().iterator().next();
-            assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.riskHost() + " " + m.riskWall());
+        try (SegmentedJournal next = RandomRun.open(SimDisk.afterKill(disk.operations, disk.operations.size(), 0), QUOTA_BYTES, Durability.NONE)) {
+            PendingMessage message = next.owed().iterator().next();
+            assertEquals("2 true a 100", message.attempts() + " " + message.mayHaveRun() + " " + message.riskHost() + " " + message.riskWall());
         }
         journal.close();
     }
 
     /** A folder that can't be changed at start is read, and is written once that is possible. */
     @Test
-    void aFolderThatCanNotBeChangedIsReadAndUsedLater() throws IOException {
+    void readOnlyFolderIsReadAndUsedOnceWritable() throws IOException {
         try (SegmentedJournal journal = open(Durability.NONE)) {
             for (int i = 0; i < 100; i++) {
-                take(journal, "m" + i);
+                accept(journal, "m" + i);
             }
         }
-        disk.put("journal.new", new byte[5]);
-        fail(EnumSet.complementOf(EnumSet.of(SimDisk.Kind.OPEN)));
+        disk.putFile("journal.new", new byte[5]);
+        failOperations(EnumSet.complementOf(EnumSet.of(SimDisk.OperationKind.OPEN)));
         try (SegmentedJournal journal = open(Durability.NONE)) {
             assertEquals(100, journal.owed().size());
-            assertFalse(take(journal, "refused"));
+            assertFalse(accept(journal, "refused"));
             journal.ended("m0");
-            recover();
-            clock += 2 * Plan.PAUSE;
+            repairDisk();
+            clockMicros += 2 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
             journal.tidy(0);
-            assertEquals(0, journal.unwritten());
-            assertTrue(take(journal, "after"));
-            assertTrue(disk.total() <= MOST);
+            assertEquals(0, journal.unwrittenCount());
+            assertTrue(accept(journal, "after"));
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES);
         }
     }
 
     // With syncs
 
     /** Runs one turn, and finishes the sync that it started, if any. */
-    private void turn(SegmentedJournal journal) throws InterruptedException {
+    private void runTurn(SegmentedJournal journal) throws InterruptedException {
         journal.tidy(0);
-        clock += TURN;
-        finishForcing(journal);
+        clockMicros += TURN_MICROS;
+        finishSync(journal);
     }
 
-    private void finishForcing(SegmentedJournal journal) throws InterruptedException {
-        if (journal.isForcing()) {
-            Runnable ended = loop.poll(10, TimeUnit.SECONDS);
-            ended.run();
+    private void finishSync(SegmentedJournal journal) throws InterruptedException {
+        if (journal.isSyncing()) {
+            Runnable completion = loop.poll(10, TimeUnit.SECONDS);
+            completion.run();
         }
     }
 
     /** A successful sync does not count while the records of the failed one are not written again. */
     @Test
-    void aGoodForcingDoesNotStandInForTheOneThatFailed() throws Exception {
+    void laterSyncDoesNotReplaceFailedOne() throws Exception {
         SegmentedJournal journal = open(GROUP);
-        assertTrue(take(journal, "m"));
-        boolean[] told = {false};
-        journal.whenDurable(() -> told[0] = true);
-        fail(EnumSet.of(SimDisk.Kind.FORCE));
-        turn(journal);
-        fail(EnumSet.of(SimDisk.Kind.WRITE)); // syncs succeed again, writes do not
+        assertTrue(accept(journal, "m"));
+        boolean[] completed = {false};
+        journal.whenDurable(() -> completed[0] = true);
+        failOperations(EnumSet.of(SimDisk.OperationKind.SYNC));
+        runTurn(journal);
+        failOperations(EnumSet.of(SimDisk.OperationKind.WRITE)); // syncs succeed again, writes do not
         for (int i = 0; i < 20; i++) {
-            turn(journal);
-            assertFalse(told[0], "in turn " + i);
+            runTurn(journal);
+            assertFalse(completed[0], "in turn " + i);
         }
-        recover();
+        repairDisk();
         for (int i = 0; i < 20; i++) {
-            turn(journal);
+            runTurn(journal);
         }
-        assertTrue(told[0]);
-        SimDisk left = SimDisk.powerCut(disk.ops, disk.ops.size(), new SplittableRandom(1));
-        try (SegmentedJournal next = Script.open(left, MOST, Durability.NONE)) {
+        assertTrue(completed[0]);
+        SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(1));
+        try (SegmentedJournal next = RandomRun.open(remains, QUOTA_BYTES, Durability.NONE)) {
             assertEquals(List.of("m"), ids(next));
         }
         journal.close();
@@ -167,24 +167,24 @@
 
     /** A message that ended before a failed sync stays ended: that record is written again too. */
     @Test
-    void anEndThatWasNotForcedIsWrittenAgain() throws Exception {
+    void unsyncedEndIsWrittenAgain() throws Exception {
         SegmentedJournal journal = open(GROUP);
-        take(journal, "m");
-        take(journal, "other");
-        turn(journal);
+        accept(journal, "m");
+        accept(journal, "other");
+        runTurn(journal);
         journal.ended("m");
-        fail(EnumSet.of(SimDisk.Kind.FORCE));
-        turn(journal);
-        recover();
+        failOperations(EnumSet.of(SimDisk.OperationKind.SYNC));
+        runTurn(journal);
+        repairDisk();
         boolean[] durable = {false};
         journal.whenDurable(() -> durable[0] = true);
         for (int i = 0; i < 20; i++) {
-            turn(journal);
+            runTurn(journal);
         }
         assertTrue(durable[0]);
         for (int seed = 0; seed < 50; seed++) {
-            SimDisk left = SimDisk.powerCut(disk.ops, disk.ops.size(), new SplittableRandom(seed));
-            try (SegmentedJournal next = Script.open(left, MOST, Durability.NONE)) {
+            SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(seed));
+            try (SegmentedJournal next = RandomRun.open(remains, QUOTA_BYTES, Durability.NONE)) {
                 assertEquals(List.of("other"), ids(next), "seed " + seed);
             }
         }
@@ -193,20 +193,20 @@
 
     /** While syncs fail, no message is accepted, as it could not be made durable. */
     @Test
-    void newMessagesAreRefusedWhileForcingsFail() throws Exception {
+    void newMessagesAreRejectedWhileSyncsFail() throws Exception {
         SegmentedJournal journal = open(GROUP);
-        assertTrue(take(journal, "m"));
-        fail(EnumSet.of(SimDisk.Kind.FORCE));
-        turn(journal);
+        assertTrue(accept(journal, "m"));
+        failOperations(EnumSet.of(SimDisk.OperationKind.SYNC));
+        runTurn(journal);
         for (int i = 0; i < 50; i++) {
-            assertFalse(take(journal, "refused" + i));
-            turn(journal);
+            assertFalse(accept(journal, "refused" + i));
+            runTurn(journal);
         }
-        recover();
+        repairDisk();
         for (int i = 0; i < 20; i++) {
-            turn(journal);
+            runTurn(journal);
         }
-        assertTrue(take(journal, "after"));
+        assertTrue(accept(journal, "after"));
         journal.verdict("m", FinalStatus.of(FinalStatus.Kind.FAILED));
         assertEquals(List.of("after", "m"), ids(journal));
         journal.close();
@@ -214,33 +214,33 @@
 
     /** A full folder whose syncs fail for ten seconds: once they succeed, all pending work continues. */
     @Test
-    void aFullFolderOutlastsTenSecondsOfFailedForcings() throws Exception {
+    void fullFolderSurvivesTenSecondsOfFailedSyncs() throws Exception {
         SegmentedJournal journal = open(GROUP);
-        int taken = 0;
-        while (take(journal, "m" + taken)) {
-            taken++;
-            turn(journal);
+        int accepted = 0;
+        while (accept(journal, "m" + accepted)) {
+            accepted++;
+            runTurn(journal);
         }
-        fail(EnumSet.of(SimDisk.Kind.FORCE));
+        failOperations(EnumSet.of(SimDisk.OperationKind.SYNC));
         boolean[] durable = {false};
-        for (int turn = 0; turn * TURN < TEN_SECONDS; turn++) {
-            String id = "m" + turn % taken;
+        for (int turn = 0; turn * TURN_MICROS < TEN_SECONDS_MICROS; turn++) {
+            String id = "m" + turn % accepted;
             if (turn == 0) {
                 assertTrue(journal.attempt(id, "a", 0, 1));
                 journal.whenDurable(() -> durable[0] = true);
             }
-            turn(journal);
+            runTurn(journal);
             assertFalse(durable[0]);
         }
-        recover();
+        repairDisk();
         for (int turn = 0; turn < 300; turn++) {
-            turn(journal);
+            runTurn(journal);
         }
         assertTrue(durable[0]);
-        assertEquals(0, journal.unwritten());
-        for (int i = 0; i < taken; i++) {
-            assertTrue(journal.attempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
-            turn(journal);
+        assertEquals(0, journal.unwrittenCount());
+        for (int i = 0; i < accepted; i++) {
+            assertTrue(journal.attempt("m" + i, "a", 0, 2), "m" + i + " of " + accepted);
+            runTurn(journal);
         }
         journal.close();
     }
@@ -248,56 +248,56 @@
     /** Random runs in which syncs, writes and changes of file names fail: what was confirmed survives a power cut. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-    void whatWasConfirmedOutlastsAPowerCutWhateverFailedBefore(long seed) throws Exception {
+    void confirmedChangesSurvivePowerCutAfterAnyFaults(long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         SegmentedJournal journal = open(GROUP);
-        Script script = new Script(disk, seed);
-        script.use(journal);
-        List<EnumSet<SimDisk.Kind>> faults = List.of(
-                EnumSet.noneOf(SimDisk.Kind.class),
-                EnumSet.of(SimDisk.Kind.FORCE),
-                EnumSet.of(SimDisk.Kind.FORCE_NAMES),
-                EnumSet.of(SimDisk.Kind.WRITE),
-                EnumSet.of(SimDisk.Kind.RENAME, SimDisk.Kind.DELETE),
-                EnumSet.allOf(SimDisk.Kind.class));
+        RandomRun randomRun = new RandomRun(disk, seed);
+        randomRun.useJournal(journal);
+        List<EnumSet<SimDisk.OperationKind>> faults = List.of(
+                EnumSet.noneOf(SimDisk.OperationKind.class),
+                EnumSet.of(SimDisk.OperationKind.SYNC),
+                EnumSet.of(SimDisk.OperationKind.SYNC_FOLDER),
+                EnumSet.of(SimDisk.OperationKind.WRITE),
+                EnumSet.of(SimDisk.OperationKind.RENAME, SimDisk.OperationKind.DELETE),
+                EnumSet.allOf(SimDisk.OperationKind.class));
         List<String> confirmed = new ArrayList<>();
-        Set<String> gone = new java.util.HashSet<>();
+        Set<String> ended = new java.util.HashSet<>();
         int cuts = 0;
         for (int phase = 0; phase < 60; phase++) {
-            fail(faults.get(random.nextInt(faults.size())));
-            int turns = random.nextInt(10) == 0 ? (int) (TEN_SECONDS / TURN) : 1 + random.nextInt(20);
+            failOperations(faults.get(random.nextInt(faults.size())));
+            int turns = random.nextInt(10) == 0 ? (int) (TEN_SECONDS_MICROS / TURN_MICROS) : 1 + random.nextInt(20);
             for (int i = 0; i < turns; i++) {
                 for (int step = 0; step < 3; step++) {
-                    script.runOn(1, 2000, 40);
-                    finishForcing(journal); // so that the order of operations is the same each time
+                    randomRun.runWithoutCheckpoints(1, 2000, 40);
+                    finishSync(journal); // so that the order of operations is the same each time
                 }
                 List<String> now = ids(journal);
                 Set<String> known = new java.util.HashSet<>(now);
-                boolean allWritten = journal.unwritten() == 0;
+                boolean allWritten = journal.unwrittenCount() == 0;
                 journal.whenDurable(() -> {
                     if (allWritten) { // a result that the disk did not accept may be reported all the same
-                        confirmed.stream().filter(id -> !known.contains(id)).forEach(gone::add);
+                        confirmed.stream().filter(id -> !known.contains(id)).forEach(ended::add);
                     }
                     confirmed.clear();
                     confirmed.addAll(now);
                 });
-                turn(journal);
+                runTurn(journal);
             }
-            SimDisk left = SimDisk.powerCut(disk.ops, disk.ops.size(), random);
-            try (SegmentedJournal next = Script.open(left, 4 * MOST, Durability.NONE)) {
+            SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), random);
+            try (SegmentedJournal next = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
                 List<String> found = ids(next);
                 for (String id : confirmed) {
-                    boolean stays = script.messages().containsKey(id);
+                    boolean stays = randomRun.pendingMessages().containsKey(id);
                     assertTrue(!stays || found.contains(id), "phase " + phase + ": " + id + " is lost");
                 }
-                for (String id : gone) {
+                for (String id : ended) {
                     assertFalse(found.contains(id), "phase " + phase + ": " + id + " is back");
                 }
                 cuts++;
             }
         }
         assertEquals(60, cuts);
-        recover();
+        repairDisk();
         journal.close();
     }
 }
--- a/src/test/java/lilaclever/journal/InspectionTest.java
+++ b/src/test/java/lilaclever/journal/InspectionTest.java
@@ -31,11 +31,11 @@
 
     private SegmentedJournal open() throws IOException {
         return new SegmentedJournal(
-                FolderDisk.take(folder), 1 << 20, Durability.NONE, Script.times(() -> 0), new SplittableRandom(1));
+                FolderDisk.lock(folder), 1 << 20, Durability.NONE, RandomRun.clocks(() -> 0), new SplittableRandom(1));
     }
 
     @BeforeEach
-    void fill() throws IOException {
+    void fillFolder() throws IOException {
         inspection = new Inspection(folder, new PrintStream(printed, true, StandardCharsets.UTF_8));
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 500; i++) {
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void whatIsOwedIsExportedAsLinesOfJson() throws IOException {
+    void exportPrintsPendingMessagesAsJsonLines() throws IOException {
         assertEquals(Inspection.GOOD, inspection.export());
         List<String> lines = printed().lines().toList();
         assertEquals(3, lines.size());
@@ -74,15 +74,15 @@
     }
 
     @Test
-    void damageIsToldByWordAndExitCodeAndNothingIsChanged() throws IOException {
+    void damageIsReportedInTextAndExitCodeWithoutChanges() throws IOException {
         assertEquals(Inspection.GOOD, inspection.verify());
         assertTrue(printed().startsWith("good: "));
-        Path file = folder.resolve(Segment.name(1));
+        Path file = folder.resolve(Segment.fileName(1));
         byte[] content = Files.readAllBytes(file);
         content[700] ^= 1;
         Files.write(file, content);
         assertEquals(Inspection.DAMAGED, inspection.verify());
-        assertTrue(printed().startsWith("damaged " + Segment.name(1) + " from byte "));
+        assertTrue(printed().startsWith("damaged " + Segment.fileName(1) + " from byte "));
         assertEquals(Inspection.DAMAGED, inspection.inspect());
         String text = printed();
         assertTrue(text.contains("owed 2, of which out 1, possibly run 2, end decided 1"), text);
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void compactLeavesWhatIsLive() throws IOException {
+    void compactKeepsLiveRecords() throws IOException {
         assertEquals(Inspection.GOOD, inspection.compact(1 << 20));
         try (Stream<Path> files = Files.list(folder)) {
             assertEquals(2, files.count(), "a segment and the lock");
@@ -101,9 +101,9 @@
     }
 
     @Test
-    void aFolderInUseOrNoneIsRefused() throws IOException {
+    void missingFolderOrFolderInUseIsRejected() throws IOException {
         try (SegmentedJournal running = open()) {
-            assertEquals(0, running.unwritten());
+            assertEquals(0, running.unwrittenCount());
             assertThrows(JournalException.class, inspection::inspect);
         }
         assertThrows(JournalException.class, () -> new Inspection(folder.resolve("no"), System.out).verify());
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -22,7 +22,7 @@
 
 /** Properties over random sequences; a failing one is shrunk to the fewest steps that still fail. */
 class JournalProperties {
-    private static final long MOST = 160 * 1024;
+    private static final long QUOTA_BYTES = 160 * 1024;
 
     @Provide
     Arbitrary<Integer> draws() {
@@ -35,108 +35,108 @@
             @ForAll @Size(min = 10, max = 400) List<@IntRange(max = 1 << 30) Integer> draws) throws IOException {
         Iterator<Integer> source = draws.iterator();
         SimDisk disk = new SimDisk();
-        long[] clock = {0};
-        Script script = new Script(disk, bound -> source.hasNext() ? source.next() % bound : bound - 1);
-        SegmentedJournal journal = open(disk, clock);
-        script.use(journal);
+        long[] clockMicros = {0};
+        RandomRun randomRun = new RandomRun(disk, bound -> source.hasNext() ? source.next() % bound : bound - 1);
+        SegmentedJournal journal = open(disk, clockMicros);
+        randomRun.useJournal(journal);
         while (source.hasNext()) {
             switch (source.next() % 12) {
                 case 0 -> disk.writesFail = !disk.writesFail;
-                case 1 -> disk.most = disk.most == Long.MAX_VALUE ? disk.total() : Long.MAX_VALUE;
-                case 2 -> disk.mostOfAFile = disk.mostOfAFile == Long.MAX_VALUE ? 5000 : Long.MAX_VALUE;
+                case 1 -> disk.quotaBytes = disk.quotaBytes == Long.MAX_VALUE ? disk.totalBytes() : Long.MAX_VALUE;
+                case 2 -> disk.maxFileBytes = disk.maxFileBytes == Long.MAX_VALUE ? 5000 : Long.MAX_VALUE;
                 case 3 -> {
-                    if (journal.unwritten() == 0) {
+                    if (journal.unwrittenCount() == 0) {
                         journal.close();
-                        journal = open(disk, clock);
-                        script.use(journal);
-                        assertEquals(script.model(), owed(journal));
+                        journal = open(disk, clockMicros);
+                        randomRun.useJournal(journal);
+                        assertEquals(randomRun.describeModel(), describePending(journal));
                     }
                 }
-                default -> script.run(5, 2000, 40);
+                default -> randomRun.run(5, 2000, 40);
             }
-            clock[0] += Plan.PAUSE / 2;
-            assertEquals(script.model(), owed(journal));
-            assertTrue(disk.total() <= MOST, "bytes: " + disk.total());
+            clockMicros[0] += SpacePolicy.DISK_RETRY_DELAY_MICROS / 2;
+            assertEquals(randomRun.describeModel(), describePending(journal));
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES, "bytes: " + disk.totalBytes());
         }
         disk.writesFail = false;
-        disk.most = Long.MAX_VALUE;
-        disk.mostOfAFile = Long.MAX_VALUE;
-        clock[0] += 10 * Plan.PAUSE;
-        journal.tidy(script.now);
-        assertEquals(0, journal.unwritten());
+        disk.quotaBytes = Long.MAX_VALUE;
+        disk.maxFileBytes = Long.MAX_VALUE;
+        clockMicros[0] += 10 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
+        journal.tidy(randomRun.nowMicros);
+        assertEquals(0, journal.unwrittenCount());
         journal.close();
-        assertEquals(script.model(), owed(open(disk, clock)));
+        assertEquals(randomRun.describeModel(), describePending(open(disk, clockMicros)));
     }
 
     /**
      * On a working disk no attempt and no result lacks space, whatever the record sizes, even without turns in between.
      */
     @Property(tries = 30, seed = "4711", shrinking = ShrinkingMode.BOUNDED)
-    void whatWasTakenNeverLacksRoom(
+    void acceptedMessagesNeverLackSpace(
             @ForAll @IntRange(min = 100, max = 66_000) int largest,
             @ForAll @IntRange(min = 10, max = 600) int hold,
             @ForAll long seed)
             throws IOException {
         SimDisk disk = new SimDisk();
-        Script script = new Script(disk, seed);
-        try (SegmentedJournal journal = Script.open(disk, 3 * MOST, Durability.NONE)) {
-            script.use(journal);
-            script.runOn(2500, largest, hold);
-            assertEquals(0, script.attemptsRefused + journal.unwritten() + (int) journal.failures());
-            assertTrue(disk.total() <= 3 * MOST);
+        RandomRun randomRun = new RandomRun(disk, seed);
+        try (SegmentedJournal journal = RandomRun.open(disk, 3 * QUOTA_BYTES, Durability.NONE)) {
+            randomRun.useJournal(journal);
+            randomRun.runWithoutCheckpoints(2500, largest, hold);
+            assertEquals(0, randomRun.rejectedAttempts + journal.unwrittenCount() + (int) journal.failureCount());
+            assertTrue(disk.totalBytes() <= 3 * QUOTA_BYTES);
         }
     }
 
-    private static SegmentedJournal open(SimDisk disk, long[] clock) throws IOException {
-        return new SegmentedJournal(disk, MOST, Durability.NONE, Script.times(() -> clock[0]), new SplittableRandom(9));
+    private static SegmentedJournal open(SimDisk disk, long[] clockMicros) throws IOException {
+        return new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, RandomRun.clocks(() -> clockMicros[0]), new SplittableRandom(9));
     }
 
-    private static String owed(SegmentedJournal journal) {
-        TreeMap<String, PendingMessage> owed = new TreeMap<>();
-        journal.owed().forEach(o -> owed.put(o.submission().id(), o));
-        return Script.text(owed, Map.of());
+    private static String describePending(SegmentedJournal journal) {
+        TreeMap<String, PendingMessage> pending = new TreeMap<>();
+        journal.owed().forEach(message -> pending.put(message.submission().id(), message));
+        return RandomRun.describe(pending, Map.of());
     }
 
     // Space policy
 
     /** What the policy promises fits, whatever the order of the records. */
     @Property(tries = 500, seed = "4711")
-    void whatIsPromisedFitsInAnyOrder(
+    void promisedBytesFitInAnyOrder(
             @ForAll @IntRange(min = 5, max = 200) int files,
             @ForAll @Size(min = 1, max = 300) List<@IntRange(min = 50, max = 20_000) Integer> sizes) {
-        Plan plan = new Plan(3 << 20);
-        long proper = plan.segment() - Format.OVERHEAD;
+        SpacePolicy policy = new SpacePolicy(3 << 20);
+        long capacity = policy.segmentBytes() - SegmentFormat.OVERHEAD_BYTES;
         long largest = sizes.stream().mapToInt(Integer::intValue).max().orElse(0);
-        long promised = plan.usable(files * plan.segment(), largest);
-        long inUse = 0, used = 0, sum = 0;
-        for (int i = 0; sum + sizes.get(i % sizes.size()) <= promised; i++) {
+        long promised = policy.usableBytes(files * policy.segmentBytes(), largest);
+        long filesInUse = 0, usedInFile = 0, total = 0;
+        for (int i = 0; total + sizes.get(i % sizes.size()) <= promised; i++) {
             int size = sizes.get(i % sizes.size());
-            sum += size;
-            if (inUse == 0 || used + size > proper) {
-                inUse++;
-                used = 0;
+            total += size;
+            if (filesInUse == 0 || usedInFile + size > capacity) {
+                filesInUse++;
+                usedInFile = 0;
             }
-            used += size;
+            usedInFile += size;
         }
-        assertTrue(inUse <= files - 3, inUse + " of " + files + " files for " + sum + " bytes");
+        assertTrue(filesInUse <= files - 3, filesInUse + " of " + files + " files for " + total + " bytes");
     }
 
     /** Space is never promised where there is none, and one more live record never makes space for a later one. */
     @Property(tries = 500, seed = "4711")
-    void roomShrinksWithWhatIsHeld(
+    void spaceShrinksWithLiveRecords(
             @ForAll @IntRange(max = 4 << 20) int allocated,
             @ForAll @IntRange(max = 4 << 20) int live,
             @ForAll @IntRange(max = 1 << 20) int growth,
             @ForAll @IntRange(max = 70_000) int record) {
-        Plan plan = new Plan(4 << 20);
-        Plan.Space s = new Plan.Space(4 << 20, allocated, 0, live, growth, 300, 0);
-        Plan.Space fuller = new Plan.Space(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
-        assertTrue(!plan.hasRoom(s, record, 640) || live + growth + record <= allocated);
-        assertTrue(!plan.hasRoom(fuller, record, 640) || plan.hasRoom(s, record, 640));
+        SpacePolicy policy = new SpacePolicy(4 << 20);
+        SpacePolicy.SpaceUsage usage = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live, growth, 300, 0);
+        SpacePolicy.SpaceUsage fullerUsage = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
+        assertTrue(!policy.hasSpace(usage, record, 640) || live + growth + record <= allocated);
+        assertTrue(!policy.hasSpace(fullerUsage, record, 640) || policy.hasSpace(usage, record, 640));
         List<Long> lengths = new ArrayList<>();
         for (int r : new int[] {record, record + 1000, record + 100_000}) {
-            lengths.add(plan.lengthFor(r));
-            assertTrue(plan.lengthFor(r) >= r + Format.OVERHEAD && plan.lengthFor(r) % Format.BLOCK == 0);
+            lengths.add(policy.segmentBytesFor(r));
+            assertTrue(policy.segmentBytesFor(r) >= r + SegmentFormat.OVERHEAD_BYTES && policy.segmentBytesFor(r) % SegmentFormat.BLOCK_BYTES == 0);
         }
         assertEquals(lengths, lengths.stream().sorted().toList());
     }
--- /dev/null
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -0,0 +1,207 @@
+package lilaclever.journal;
+
+import java.io.IOException;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.IntUnaryOperator;
+import java.util.function.LongSupplier;
+import lilaclever.identity.CompletedMessage;
+import lilaclever.identity.Fingerprint;
+import lilaclever.routing.FinalStatus;
+import lilaclever.routing.PendingMessage;
+import lilaclever.routing.Submission;
+
+/** A random run of a journal, compared with a simple model of its state. */
+final class RandomRun {
+    private static final long BUDGET_MICROS = 1000;
+
+    /** The model's state after a step, and the number of disk operations by then. */
+    record Checkpoint(int operations, String state) {}
+
+    final List<Checkpoint> checkpoints = new ArrayList<>();
+    private final SimDisk disk;
+    /** Returns a number from 0 up to, but not including, its argument. */
+    private final IntUnaryOperator random;
+
+    private final TreeMap<String, PendingMessage> pending = new TreeMap<>();
+    private final TreeMap<String, CompletedMessage<FinalStatus>> remembered = new TreeMap<>();
+    private SegmentedJournal journal;
+    private int nextNumber;
+    long nowMicros;
+    int rejectedMessages, rejectedAttempts;
+
+    RandomRun(SimDisk disk, long seed) {
+        this(disk, new SplittableRandom(seed)::nextInt);
+    }
+
+    RandomRun(SimDisk disk, IntUnaryOperator random) {
+        this.disk = disk;
+        this.random = random;
+    }
+
+    static SegmentedJournal open(SimDisk disk, long quotaBytes, Durability durability) throws IOException {
+        return new SegmentedJournal(disk, quotaBytes, durability, clocks(() -> 0), new SplittableRandom(7));
+    }
+
+    static JournalClocks clocks(LongSupplier micros) {
+        return new JournalClocks(micros, micros, BootClock.UNKNOWN);
+    }
+
+    void useJournal(SegmentedJournal opened) {
+        journal = opened;
+        addCheckpoint();
+    }
+
+    /**
+     * Runs {@code steps} steps with bodies of up to {@code largest} bytes; about {@code hold} messages are kept
+     * pending.
+     */
+    void run(int steps, int largest, int hold) {
+        for (int i = 0; i < steps; i++) {
+            step(largest, hold);
+            addCheckpoint();
+        }
+    }
+
+    /** Like {@link #run}, but does not record the state of each step. */
+    void runWithoutCheckpoints(int steps, int largest, int hold) {
+        for (int i = 0; i < steps; i++) {
+            step(largest, hold);
+        }
+    }
+
+    private void addCheckpoint() {
+        checkpoints.add(new Checkpoint(disk.operations.size(), describe(pending, remembered)));
+    }
+
+    private void step(int largest, int hold) {
+        nowMicros++;
+        String id = pending.isEmpty() ? null : (String) pending.keySet().toArray()[random.applyAsInt(pending.size())];
+        if (id == null || random.applyAsInt(100) < (pending.size() < hold ? 50 : 15)) {
+            accept(largest);
+        } else {
+            change(id, pending.get(id));
+        }
+        if (random.applyAsInt(3) == 0) {
+            journal.tidy(nowMicros);
+            remembered.values().removeIf(r -> r.untilWall() <= nowMicros);
+        }
+    }
+
+    private void accept(int largest) {
+        byte[] body = new byte[random.applyAsInt(20) == 0 ? largest : random.applyAsInt(80)];
+        new java.util.Random(nextNumber).nextBytes(body);
+        Submission submission = new Submission(
+                "m" + nextNumber,
+                nextNumber % 3 == 0 ? "identity-" + nextNumber : null,
+                nextNumber % 3,
+                7,
+                nextNumber % 2 == 0 ? "key\u00e9" : null,
+                body,
+                false,
+                true,
+                BUDGET_MICROS);
+        if (journal.taken("http", submission, nextNumber + BUDGET_MICROS, nowMicros)) {
+            pending.put(submission.id(), new PendingMessage("http", submission, nextNumber + BUDGET_MICROS));
+        } else {
+            rejectedMessages++;
+        }
+        nextNumber++;
+    }
+
+    private void change(String id, PendingMessage message) {
+        switch (random.applyAsInt(4)) {
+            case 0 -> {
+                if (!message.isOut() && message.verdict() == null) {
+                    if (journal.attempt(id, "host-" + nextNumber % 5, 2, nowMicros)) {
+                        message.attempt("host-" + nextNumber % 5, 2, nowMicros);
+                    } else {
+                        rejectedAttempts++;
+                    }
+                }
+            }
+            case 1 -> {
+                if (!message.isOut()) {
+                    PendingMessage.Claim claim = new PendingMessage.Claim("other", "claim-" + nowMicros);
+                    if (message.joined().size() < 3 && journal.joined(id, claim.front(), claim.id())) {
+                        message.join(claim);
+                    }
+                } else {
+                    boolean neverRan = random.applyAsInt(2) == 0;
+                    journal.outcome(id, neverRan);
+                    message.outcome(neverRan);
+                }
+            }
+            case 2 -> {
+                FinalStatus status = new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy");
+                if (message.submission().identity() != null && random.applyAsInt(2) == 0) {
+                    CompletedMessage<FinalStatus> result = new CompletedMessage<>(
+                            status,
+                            random.applyAsInt(2) == 0 ? null : new Fingerprint(nowMicros, nextNumber),
+                            nowMicros + 20 + random.applyAsInt(40)); // windows differ
+                    journal.remember(message.submission().identity(), result);
+                    remembered.put(message.submission().identity(), result);
+                } else {
+                    journal.verdict(id, status);
+                    message.verdict(status);
+                }
+            }
+            default -> {
+                if (message.deadlineWall() % 5 > 0) { // the others stay pending and must be copied forward again and again
+                    journal.ended(id);
+                    pending.remove(id);
+                }
+            }
+        }
+    }
+
+    /** The pending messages of the model, by id. */
+    Map<String, PendingMessage> pendingMessages() {
+        return pending;
+    }
+
+    /** The state of the model, without remembered results, which may expire at any time. */
+    String describeModel() {
+        return describe(pending, Map.of());
+    }
+
+    static String describe(SegmentedJournal journal, long now) {
+        TreeMap<String, PendingMessage> pending = new TreeMap<>();
+        journal.owed().forEach(message -> pending.put(message.submission().id(), message));
+        TreeMap<String, CompletedMessage<FinalStatus>> kept = new TreeMap<>();
+        for (int i = 0; i < 10_000; i += 3) {
+            CompletedMessage<FinalStatus> result = journal.remembered("identity-" + i);
+            if (result != null) {
+                kept.put("identity-" + i, result);
+            }
+        }
+        return describe(pending, kept);
+    }
+
+    static String describe(Map<String, PendingMessage> pending, Map<String, CompletedMessage<FinalStatus>> remembered) {
+        StringBuilder description = new StringBuilder();
+        pending.values().forEach(message -> description.append(describe(message)).append('\n'));
+        return description.append(remembered).toString();
+    }
+
+    static String describe(PendingMessage message) {
+        Submission submission = message.submission();
+        return String.join(
+                " ",
+                message.front(),
+                submission.id(),
+                submission.identity(),
+                submission.key(),
+                submission.messageClass() + "/" + submission.destination(),
+                "" + java.util.Arrays.hashCode(submission.body()),
+                "" + submission.budgetMicros(),
+                "" + message.deadlineWall(),
+                message.attempts() + (message.isOut() ? " out" : "") + (message.attempts() > 0 ? " " + message.host() + message.sentWall() : ""),
+                message.mayHaveRun() ? "risk " + message.riskHost() + message.riskZone() + "@" + message.riskWall() : "",
+                String.valueOf(message.verdict()),
+                message.joined().toString());
+    }
+}
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -26,24 +26,24 @@
 
 /** The journal alone: state after a restart, damage, a full disk, and the size of the folder. */
 class SegmentedJournalTest {
-    private static final long MOST = 512 * 1024;
+    private static final long QUOTA_BYTES = 512 * 1024;
 
     private final SimDisk disk = new SimDisk();
-    private long clock;
+    private long clockMicros;
 
     private SegmentedJournal open() throws IOException {
-        return open(MOST);
+        return open(QUOTA_BYTES);
     }
 
-    private SegmentedJournal open(long most) throws IOException {
-        return new SegmentedJournal(disk, most, Durability.NONE, Script.times(() -> clock), new SplittableRandom(3));
+    private SegmentedJournal open(long quotaBytes) throws IOException {
+        return new SegmentedJournal(disk, quotaBytes, Durability.NONE, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
     }
 
-    private static boolean take(SegmentedJournal journal, String id, int size) {
+    private static boolean accept(SegmentedJournal journal, String id, int size) {
         return journal.taken("http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
     }
 
-    private static PendingMessage owed(SegmentedJournal journal, String id) {
+    private static PendingMessage pending(SegmentedJournal journal, String id) {
         return journal.owed().stream()
                 .filter(o -> o.submission().id().equals(id))
                 .findFirst()
@@ -51,94 +51,94 @@
     }
 
     @Test
-    void aRestartFindsTheFirstAttemptThatMayHaveRun() throws IOException {
+    void restartFindsFirstAttemptThatMayHaveRun() throws IOException {
         try (SegmentedJournal journal = open()) {
-            assertTrue(take(journal, "m", 10));
+            assertTrue(accept(journal, "m", 10));
             journal.attempt("m", "a", 1, 100);
             journal.outcome("m", true);
             journal.attempt("m", "b", 2, 200);
             journal.outcome("m", false);
             journal.attempt("m", "c", 3, 300);
         }
-        for (int life = 0; life < 2; life++) {
+        for (int run = 0; run < 2; run++) {
             try (SegmentedJournal journal = open()) {
-                PendingMessage e = owed(journal, "m");
+                PendingMessage message = pending(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        e.attempts() + " " + e.isOut() + " " + e.mayHaveRun() + " " + e.riskHost() + " " + e.riskZone()
-                                + " " + e.riskWall() + " " + e.deadlineWall());
+                        message.attempts() + " " + message.isOut() + " " + message.mayHaveRun() + " " + message.riskHost() + " " + message.riskZone()
+                                + " " + message.riskWall() + " " + message.deadlineWall());
                 assertEquals(
                         "http key 7 2 10",
-                        e.front() + " " + e.submission().key() + " "
-                                + e.submission().destination() + " "
-                                + e.submission().messageClass() + " "
-                                + e.submission().body().length);
+                        message.front() + " " + message.submission().key() + " "
+                                + message.submission().destination() + " "
+                                + message.submission().messageClass() + " "
+                                + message.submission().body().length);
             }
         }
     }
 
     // Damage
 
-    private void flip(String name, int at) {
+    private void flipBit(String name, int at) {
         byte[] content = disk.content(name).clone();
         content[at] ^= 4;
-        disk.put(name, content);
+        disk.putFile(name, content);
     }
 
     /** One flipped bit at any position: all records but one are read, and no payment is repeated on a guess. */
     @Test
-    void aFlippedBitLosesOneRecordAndNoPaymentCountsAsNeverRun() throws IOException {
+    void flippedBitLosesOneRecordAndNoAttempt() throws IOException {
         List<Integer> starts = new ArrayList<>();
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 20; i++) {
-                take(journal, "m" + i, 20);
-                starts.add(disk.ops.size());
+                accept(journal, "m" + i, 20);
+                starts.add(disk.operations.size());
                 journal.attempt("m" + i, "a", 0, 5);
             }
         }
-        List<SimDisk.Op> ops = List.copyOf(disk.ops);
-        String name = Segment.name(1);
+        List<SimDisk.Operation> ops = List.copyOf(disk.operations);
+        String name = Segment.fileName(1);
         int used = ops.stream()
-                .filter(o -> o.kind() == SimDisk.Kind.WRITE && o.bytes().length < 1000)
+                .filter(o -> o.kind() == SimDisk.OperationKind.WRITE && o.bytes().length < 1000)
                 .mapToInt(o -> (int) o.position() + o.bytes().length)
                 .max()
                 .orElse(0);
         for (int at = 0; at < used; at += at < 700 ? 1 : 7) {
-            SimDisk damaged = SimDisk.killed(ops, ops.size(), 0);
+            SimDisk damaged = SimDisk.afterKill(ops, ops.size(), 0);
             byte[] content = damaged.content(name);
             content[at] ^= 4;
-            try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
-                int there = journal.owed().size();
-                assertTrue(there >= 19, "bit at " + at + ": " + there);
+            try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
+                int recovered = journal.owed().size();
+                assertTrue(recovered >= 19, "bit at " + at + ": " + recovered);
                 for (PendingMessage o : journal.owed()) {
-                    assertTrue(o.isOut() || o.mayHaveRun(), "bit at " + at + ": " + Script.text(o));
+                    assertTrue(o.isOut() || o.mayHaveRun(), "bit at " + at + ": " + RandomRun.describe(o));
                 }
             }
             // The recovered state is migrated: the next run has it without the damaged file.
-            try (SegmentedJournal journal = Script.open(damaged, MOST, Durability.NONE)) {
+            try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
                 assertTrue(journal.owed().size() >= 19
-                        && journal.recovered().damages().isEmpty());
+                        && journal.recoveryReport().damages().isEmpty());
                 journal.owed().forEach(o -> assertTrue(o.isOut() || o.mayHaveRun()));
             }
         }
     }
 
     @Test
-    void aDamagedFileIsKeptAsideAndTheLossIsToldWithFileAndOffset() throws IOException {
+    void damagedFileIsKeptAndReportedWithFileAndOffset() throws IOException {
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 100; i++) {
-                take(journal, "m" + i, 20);
+                accept(journal, "m" + i, 20);
             }
         }
-        flip(Segment.name(1), 400);
+        flipBit(Segment.fileName(1), 400);
         try (SegmentedJournal journal = open()) {
             assertEquals(99, journal.owed().size());
-            assertEquals(1, journal.recovered().damages().size());
-            Recovery.Damage damage = journal.recovered().damages().get(0);
+            assertEquals(1, journal.recoveryReport().damages().size());
+            Recovery.Damage damage = journal.recoveryReport().damages().get(0);
             assertTrue(damage.from() <= 400 && damage.to() > 400 && damage.to() - damage.from() < 200);
             assertTrue(
-                    disk.names().contains("damaged-" + damage.file()),
-                    disk.names().toString());
+                    disk.fileNames().contains("damaged-" + damage.file()),
+                    disk.fileNames().toString());
         }
     }
 
@@ -147,21 +147,21 @@
      * damage.
      */
     @Test
-    void aRecordInsideABodyIsNeverRead() throws IOException {
-        Format.Writer forged = new Format.Writer();
+    void recordInsideBodyIsNeverRead() throws IOException {
+        SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
         RecordEncoder.ended(forged, "victim");
-        ByteBuffer bytes = forged.sealed(0);
+        ByteBuffer bytes = forged.withChecksums(0);
         byte[] body = new byte[bytes.remaining()];
         bytes.get(body);
         try (SegmentedJournal journal = open()) {
-            take(journal, "victim", 10);
+            accept(journal, "victim", 10);
             journal.taken("http", new Submission("evil", null, 0, 7, null, body, false, false, 28), 99, 0);
-            take(journal, "last", 10);
+            accept(journal, "last", 10);
         }
-        byte[] all = disk.content(Segment.name(1));
-        for (int at = Format.OVERHEAD; at < all.length; at++) {
+        byte[] all = disk.content(Segment.fileName(1));
+        for (int at = SegmentFormat.OVERHEAD_BYTES; at < all.length; at++) {
             if (all[at] == 'e' && all[at + 1] == 'v' && all[at + 2] == 'i') {
-                flip(Segment.name(1), at);
+                flipBit(Segment.fileName(1), at);
                 break;
             }
         }
@@ -174,36 +174,36 @@
 
     /** Only the newest segment may end in an incomplete record; in any other one a missing end is damage. */
     @Test
-    void aFileThatWasCutShortIsDamagedUnlessItIsTheNewest() throws IOException {
+    void truncatedSegmentIsDamagedUnlessNewest() throws IOException {
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 60; i++) {
-                take(journal, "m" + i, 300);
+                accept(journal, "m" + i, 300);
             }
         }
-        byte[] first = disk.content(Segment.name(1));
+        byte[] first = disk.content(Segment.fileName(1));
         int used = first.length;
         while (first[used - 1] == 0) {
             used--;
         }
-        disk.put(Segment.name(1), java.util.Arrays.copyOf(first, used - 30));
+        disk.putFile(Segment.fileName(1), java.util.Arrays.copyOf(first, used - 30));
         try (SegmentedJournal journal = open()) {
             assertEquals(59, journal.owed().size());
-            assertEquals(1, journal.recovered().damages().size());
+            assertEquals(1, journal.recoveryReport().damages().size());
         }
     }
 
     @Test
-    void aMissingFileHasAllBeforeItCountAsPossiblyRun() throws IOException {
+    void missingSegmentMakesEarlierAttemptsPossiblyRun() throws IOException {
         try (SegmentedJournal journal = open()) {
-            take(journal, "old", 10);
+            accept(journal, "old", 10);
             for (int i = 0; i < 6; i++) {
-                take(journal, "m" + i, 9000);
+                accept(journal, "m" + i, 9000);
             }
         }
-        disk.delete(Segment.name(2));
+        disk.delete(Segment.fileName(2));
         try (SegmentedJournal journal = open()) {
-            assertEquals(1, journal.recovered().missing());
-            assertTrue(owed(journal, "old").mayHaveRun());
+            assertEquals(1, journal.recoveryReport().missingSegments());
+            assertTrue(pending(journal, "old").mayHaveRun());
         }
     }
 
@@ -257,7 +257,7 @@
         });
     }
 
-    private static byte[] all(byte[]... parts) {
+    private static byte[] concatenate(byte[]... parts) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (byte[] p : parts) {
             out.writeBytes(p);
@@ -267,98 +267,98 @@
 
     /** The legacy file is migrated once, also if the process is killed during that. */
     @Test
-    void aFolderOfTheFirstFormatIsCarriedOverWhereverThatIsCut() throws IOException {
+    void legacyFileIsMigratedWhereverThatIsInterrupted() throws IOException {
         byte[] torn = legacyTaken("torn");
-        disk.put(
+        disk.putFile(
                 "journal",
-                all(
+                concatenate(
                         legacyTaken("a"),
                         legacyTaken("b"),
                         legacyAttempt("a"),
                         java.util.Arrays.copyOf(torn, torn.length - 2)));
-        disk.put("journal.new", new byte[100]);
-        int before = disk.ops.size();
+        disk.putFile("journal.new", new byte[100]);
+        int before = disk.operations.size();
         String state;
         try (SegmentedJournal journal = open()) {
-            assertTrue(journal.recovered().carriedOver());
-            state = Script.text(journal, 0);
-            assertEquals("identity of a", owed(journal, "a").submission().identity());
-            assertTrue(owed(journal, "a").isOut() && owed(journal, "a").host().equals("host"));
-        }
-        assertFalse(disk.names().contains("journal"), disk.names().toString());
-        for (int cut = before; cut <= disk.ops.size(); cut++) {
-            try (SegmentedJournal journal = Script.open(SimDisk.killed(disk.ops, cut, 7), MOST, Durability.NONE)) {
-                assertEquals(state, Script.text(journal, 0), "cut at " + cut);
+            assertTrue(journal.recoveryReport().legacyFileFound());
+            state = RandomRun.describe(journal, 0);
+            assertEquals("identity of a", pending(journal, "a").submission().identity());
+            assertTrue(pending(journal, "a").isOut() && pending(journal, "a").host().equals("host"));
+        }
+        assertFalse(disk.fileNames().contains("journal"), disk.fileNames().toString());
+        for (int cut = before; cut <= disk.operations.size(); cut++) {
+            try (SegmentedJournal journal = RandomRun.open(SimDisk.afterKill(disk.operations, cut, 7), QUOTA_BYTES, Durability.NONE)) {
+                assertEquals(state, RandomRun.describe(journal, 0), "cut at " + cut);
             }
         }
     }
 
     @Test
-    void aNewerFormatIsRefusedAndNothingIsTouched() throws IOException {
-        disk.put(
-                Segment.name(1),
-                Format.header(new Format.Header(Format.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
+    void newerFormatIsRejectedWithoutChanges() throws IOException {
+        disk.putFile(
+                Segment.fileName(1),
+                SegmentFormat.encodeHeader(new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
                         .array());
-        disk.put("journal.new", new byte[3]);
-        int before = disk.ops.size();
+        disk.putFile("journal.new", new byte[3]);
+        int before = disk.operations.size();
         JournalException e = assertThrows(JournalException.class, this::open);
-        assertTrue(e.getMessage().contains(Segment.name(1) + " is of format " + (Format.VERSION + 1)), e.getMessage());
-        assertEquals(before, disk.ops.size());
+        assertTrue(e.getMessage().contains(Segment.fileName(1) + " is of format " + (SegmentFormat.VERSION + 1)), e.getMessage());
+        assertEquals(before, disk.operations.size());
     }
 
     /** Version 1 had no fingerprints, and only one requester per result. */
     @Test
-    void whatVersionOneWroteIsRead() throws IOException {
-        Format.Writer out = new Format.Writer();
+    void versionOneSegmentIsRead() throws IOException {
+        SegmentFormat.RecordWriter out = new SegmentFormat.RecordWriter();
         RecordEncoder.previous(out, 0, 0);
-        out.begin(Format.Type.REMEMBERED)
-                .text("i")
-                .small(FinalStatus.Kind.FAILED.ordinal())
-                .number(0)
-                .text("why")
-                .number(77)
-                .end();
-        out.begin(Format.Type.SNAPSHOT)
-                .text("http")
-                .text("s")
-                .flag(false)
-                .small(1)
-                .small(7)
-                .flag(false)
-                .flag(false)
-                .flag(false)
-                .number(20)
-                .number(99)
-                .bytes(new byte[3])
-                .small(2)
-                .flag(true)
-                .text("h")
-                .small(0)
-                .number(5)
-                .flag(false)
-                .text("")
-                .small(0)
-                .number(0)
-                .flag(false)
-                .end();
+        out.beginRecord(SegmentFormat.RecordType.REMEMBERED)
+                .putText("i")
+                .putInt(FinalStatus.Kind.FAILED.ordinal())
+                .putLong(0)
+                .putText("why")
+                .putLong(77)
+                .endRecord();
+        out.beginRecord(SegmentFormat.RecordType.SNAPSHOT)
+                .putText("http")
+                .putText("s")
+                .putFlag(false)
+                .putInt(1)
+                .putInt(7)
+                .putFlag(false)
+                .putFlag(false)
+                .putFlag(false)
+                .putLong(20)
+                .putLong(99)
+                .putBytes(new byte[3])
+                .putInt(2)
+                .putFlag(true)
+                .putText("h")
+                .putInt(0)
+                .putLong(5)
+                .putFlag(false)
+                .putText("")
+                .putInt(0)
+                .putLong(0)
+                .putFlag(false)
+                .endRecord();
         java.nio.ByteBuffer all = java.nio.ByteBuffer.allocate(16 * 1024);
-        all.put(Format.header(new Format.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.sealed(5));
-        disk.put(Segment.name(1), all.array());
+        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
+        disk.putFile(Segment.fileName(1), all.array());
         try (SegmentedJournal journal = open()) {
-            assertEquals(List.of(), journal.recovered().damages());
+            assertEquals(List.of(), journal.recoveryReport().damages());
             assertEquals(
                     new lilaclever.identity.CompletedMessage<>(
                             new FinalStatus(FinalStatus.Kind.FAILED, 0, "why"), null, 77),
                     journal.remembered("i"));
-            assertTrue(owed(journal, "s").isOut()
-                    && owed(journal, "s").attempts() == 2
-                    && owed(journal, "s").joined().isEmpty());
+            assertTrue(pending(journal, "s").isOut()
+                    && pending(journal, "s").attempts() == 2
+                    && pending(journal, "s").joined().isEmpty());
             assertTrue(journal.joined("s", "mllp", "x"));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of(new lilaclever.routing.PendingMessage.Claim("mllp", "x")),
-                    owed(journal, "s").joined());
+                    pending(journal, "s").joined());
         }
     }
 
@@ -367,7 +367,7 @@
      * expired.
      */
     @Test
-    void remembersByTimeAndNotByOrder() throws IOException {
+    void remembersByExpiryTimeNotByOrder() throws IOException {
         try (SegmentedJournal journal = open()) {
             journal.remember("long", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1000);
             journal.remember("short", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
@@ -382,11 +382,11 @@
 
     /** Guards against the result of an earlier message being reported for a later one with the same identity. */
     @Test
-    void aNewMessageHasNotEndedThoughAnEarlierOneHas() throws IOException {
-        Submission h = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
+    void newMessageDoesNotInheritEarlierResult() throws IOException {
+        Submission submission = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
         try (SegmentedJournal journal = open()) {
             journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
-            assertTrue(journal.taken("mllp", h, 99, 11)); // before the turn that would have removed it
+            assertTrue(journal.taken("mllp", submission, 99, 11)); // before the turn that would have removed it
             assertNull(journal.remembered("i"));
         }
         try (SegmentedJournal journal = open()) {
@@ -395,13 +395,13 @@
     }
 
     @Test
-    void aFolderIsForOneProgramAtATime(@TempDir Path folder) throws IOException {
-        FolderDisk first = FolderDisk.take(folder);
-        assertTrue(assertThrows(JournalException.class, () -> FolderDisk.take(folder))
+    void folderIsLockedForOneProgram(@TempDir Path folder) throws IOException {
+        FolderDisk first = FolderDisk.lock(folder);
+        assertTrue(assertThrows(JournalException.class, () -> FolderDisk.lock(folder))
                 .getMessage()
                 .contains("in use"));
         first.close();
-        FolderDisk.take(folder).close();
+        FolderDisk.lock(folder).close();
     }
 
     // Clocks
@@ -411,30 +411,30 @@
      * be repeated after its window, and no message may get an additional hour to its deadline.
      */
     @Test
-    void whatIsKeptMovesWithAClockThatWasSetBetweenTwoLives() throws IOException {
-        long hour = 3_600_000_000L;
-        long[] walls = {5 * hour, 4 * hour + 7_000_000, 4 * hour + 9_000_000};
-        long[] ups = {hour, hour + 7_000_000, 1_000};
-        long[] boots = {77, 77, 78};
-        for (int life = 0; life < 3; life++) {
-            long wall = walls[life];
-            JournalClocks times = new JournalClocks(() -> 0, () -> wall, new BootClock(boots[life], wall - ups[life]));
+    void storedTimesFollowWallClockStepBetweenRuns() throws IOException {
+        long hourMicros = 3_600_000_000L;
+        long[] walls = {5 * hourMicros, 4 * hourMicros + 7_000_000, 4 * hourMicros + 9_000_000};
+        long[] uptimes = {hourMicros, hourMicros + 7_000_000, 1_000};
+        long[] bootIds = {77, 77, 78};
+        for (int run = 0; run < 3; run++) {
+            long wall = walls[run];
+            JournalClocks clocks = new JournalClocks(() -> 0, () -> wall, new BootClock(bootIds[run], wall - uptimes[run]));
             try (SegmentedJournal journal =
-                    new SegmentedJournal(disk, MOST, Durability.NONE, times, new SplittableRandom(life))) {
-                if (life == 0) {
+                    new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, clocks, new SplittableRandom(run))) {
+                if (run == 0) {
                     journal.taken(
                             "http",
                             new Submission("m", null, 2, 7, null, new byte[3], false, false, 28_000_000),
                             wall + 28_000_000,
                             wall);
                     journal.attempt("m", "a", 0, wall + 1_000_000);
-                    journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hour);
+                    journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hourMicros);
                 } else {
                     // The second run starts 7 s later by the monotonic clock. The third one follows a reboot and has to
                     // trust the wall clock of the segment that it reads.
-                    assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWall() + (life == 2 ? -hour : 0));
-                    assertEquals(4 * hour + 1_000_000, owed(journal, "m").sentWall() + (life == 2 ? -hour : 0));
-                    assertEquals(5 * hour, journal.remembered("i").untilWall() + (life == 2 ? -hour : 0));
+                    assertEquals(4 * hourMicros + 28_000_000, pending(journal, "m").deadlineWall() + (run == 2 ? -hourMicros : 0));
+                    assertEquals(4 * hourMicros + 1_000_000, pending(journal, "m").sentWall() + (run == 2 ? -hourMicros : 0));
+                    assertEquals(5 * hourMicros, journal.remembered("i").untilWall() + (run == 2 ? -hourMicros : 0));
                 }
             }
         }
@@ -447,16 +447,16 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {10, 3000, 20_000, 65_536})
-    void aFullDiskHasRoomForAttemptsAndStaysWithinItsSize(int large) throws IOException {
+    void fullDiskHasSpaceForAttemptsWithinQuota(int large) throws IOException {
         int small = 100;
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < small; i++) {
-                assertTrue(take(journal, "a-message-of-" + i, 10));
+                assertTrue(accept(journal, "a-message-of-" + i, 10));
             }
-            for (int i = 0; take(journal, "large" + i, large); i++) {
-                assertTrue(i < MOST / large);
+            for (int i = 0; accept(journal, "large" + i, large); i++) {
+                assertTrue(i < QUOTA_BYTES / large);
             }
-            int held = journal.owed().size();
+            int pendingCount = journal.owed().size();
             for (int attempt = 0; attempt < 16; attempt++) {
                 for (PendingMessage o : List.copyOf(journal.owed())) {
                     assertTrue(
@@ -464,37 +464,37 @@
                             o.submission().id());
                     journal.outcome(o.submission().id(), true);
                     journal.tidy(0);
-                    assertTrue(disk.total() <= MOST);
+                    assertTrue(disk.totalBytes() <= QUOTA_BYTES);
                 }
             }
-            assertFalse(take(journal, "more", large));
-            assertEquals(0, journal.unwritten());
+            assertFalse(accept(journal, "more", large));
+            assertEquals(0, journal.unwrittenCount());
             for (int i = 0; i < small; i++) {
                 journal.verdict("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
-            assertEquals(held, journal.owed().size());
+            assertEquals(pendingCount, journal.owed().size());
         }
         try (SegmentedJournal journal = open()) {
-            assertEquals(16, owed(journal, "a-message-of-0").attempts());
-            assertTrue(disk.total() <= MOST);
+            assertEquals(16, pending(journal, "a-message-of-0").attempts());
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES);
         }
     }
 
     /** Within one turn more may be written than the preallocated segments hold: then segments are compacted at once. */
     @Test
-    void manyRecordsInOneTurnFindRoomToo() throws IOException {
+    void manyRecordsInOneTurnFindSpace() throws IOException {
         try (SegmentedJournal journal = open()) {
-            int held = 0;
-            while (take(journal, "m" + held, 300)) {
-                held++;
+            int accepted = 0;
+            while (accept(journal, "m" + accepted, 300)) {
+                accepted++;
             }
             for (int attempt = 0; attempt < 16; attempt++) {
-                for (int i = 0; i < held; i++) {
+                for (int i = 0; i < accepted; i++) {
                     assertTrue(journal.attempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
                     journal.outcome("m" + i, false);
                 }
             }
-            assertTrue(journal.copied() > 0 && disk.total() <= MOST);
+            assertTrue(journal.copiedBytes() > 0 && disk.totalBytes() <= QUOTA_BYTES);
         }
         try (SegmentedJournal journal = open()) {
             journal.owed().forEach(o -> assertEquals(16, o.attempts()));
@@ -507,63 +507,63 @@
      */
     @ParameterizedTest
     @ValueSource(strings = {"space", "file size"})
-    void aDiskThatOthersFillKeepsThePromisesMade(String what) throws IOException {
+    void diskFilledByOthersKeepsPromisedSpace(String limit) throws IOException {
         try (SegmentedJournal journal = open()) {
-            int taken = 0;
-            for (; taken < 150; taken++) {
-                assertTrue(take(journal, "m" + taken, 300));
+            int accepted = 0;
+            for (; accepted < 150; accepted++) {
+                assertTrue(accept(journal, "m" + accepted, 300));
                 journal.tidy(0);
             }
-            if (what.equals("space")) {
-                disk.most = disk.total();
+            if (limit.equals("space")) {
+                disk.quotaBytes = disk.totalBytes();
             } else {
-                disk.mostOfAFile = 15_000; // the active segment and each further one end there
+                disk.maxFileBytes = 15_000; // the active segment and each further one end there
             }
-            int more = 0;
-            while (take(journal, "new" + more, 300)) {
-                more++;
-                assertTrue(more < 1000);
+            int acceptedLater = 0;
+            while (accept(journal, "new" + acceptedLater, 300)) {
+                acceptedLater++;
+                assertTrue(acceptedLater < 1000);
             }
             for (int round = 0; round < 8; round++) {
-                for (int i = 0; i < taken; i++) {
+                for (int i = 0; i < accepted; i++) {
                     assertTrue(journal.attempt("m" + i, "host", 0, 1), round + " m" + i);
                     journal.outcome("m" + i, true);
                     journal.tidy(0);
                 }
             }
-            assertEquals(0, journal.unwritten());
-            disk.most = Long.MAX_VALUE;
-            disk.mostOfAFile = Long.MAX_VALUE;
-            clock += 2_000_000;
+            assertEquals(0, journal.unwrittenCount());
+            disk.quotaBytes = Long.MAX_VALUE;
+            disk.maxFileBytes = Long.MAX_VALUE;
+            clockMicros += 2_000_000;
             journal.tidy(0);
-            assertTrue(take(journal, "after", 300));
+            assertTrue(accept(journal, "after", 300));
         }
         try (SegmentedJournal journal = open()) {
-            assertEquals(8, owed(journal, "m7").attempts());
+            assertEquals(8, pending(journal, "m7").attempts());
         }
     }
 
     /** All writes fail for a while: the results that could not be written are written later, without a restart. */
     @Test
-    void endsThatCouldNotBeWrittenAreWrittenLater() throws IOException {
+    void unwrittenResultsAreWrittenLater() throws IOException {
         try (SegmentedJournal journal = open()) {
-            take(journal, "ends", 10);
-            take(journal, "fails", 10);
-            take(journal, "stays", 10);
+            accept(journal, "ends", 10);
+            accept(journal, "fails", 10);
+            accept(journal, "stays", 10);
             journal.attempt("stays", "a", 0, 1);
             disk.writesFail = true;
-            assertFalse(take(journal, "refused", 10));
+            assertFalse(accept(journal, "refused", 10));
             assertFalse(journal.attempt("fails", "a", 0, 1));
             journal.ended("ends");
             journal.verdict("fails", FinalStatus.of(FinalStatus.Kind.FAILED));
             journal.outcome("stays", false);
             journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), 1_000);
-            assertEquals(4, journal.unwritten());
+            assertEquals(4, journal.unwrittenCount());
             disk.writesFail = false;
-            clock += 2 * Plan.PAUSE;
+            clockMicros += 2 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
             journal.tidy(0);
-            assertEquals(0, journal.unwritten());
-            assertTrue(take(journal, "after", 10));
+            assertEquals(0, journal.unwrittenCount());
+            assertTrue(accept(journal, "after", 10));
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(
@@ -573,9 +573,9 @@
                             .sorted()
                             .toList());
             assertEquals(
-                    FinalStatus.Kind.FAILED, owed(journal, "fails").verdict().kind());
-            assertTrue(owed(journal, "stays").mayHaveRun()
-                    && !owed(journal, "stays").isOut());
+                    FinalStatus.Kind.FAILED, pending(journal, "fails").verdict().kind());
+            assertTrue(pending(journal, "stays").mayHaveRun()
+                    && !pending(journal, "stays").isOut());
             assertEquals(
                     FinalStatus.Kind.DELIVERED,
                     journal.remembered("identity").end().kind());
@@ -587,29 +587,29 @@
      * runs.
      */
     @Test
-    void afterAFailedForcingAllIsWrittenAgainBeforeAnythingHappens() throws Exception {
+    void failedSyncRewritesAllBeforeTasksRun() throws Exception {
         try (SegmentedJournal journal = new SegmentedJournal(
                 disk,
-                MOST,
-                new Durability(Durability.How.GROUP, 0),
-                Script.times(() -> clock),
+                QUOTA_BYTES,
+                new Durability(Durability.Mode.GROUP, 0),
+                RandomRun.clocks(() -> clockMicros),
                 new SplittableRandom(3))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.attach(loop::add);
-            take(journal, "m", 10);
-            boolean[] told = {false};
-            journal.whenDurable(() -> told[0] = true);
-            disk.forcesFail = true;
+            accept(journal, "m", 10);
+            boolean[] completed = {false};
+            journal.whenDurable(() -> completed[0] = true);
+            disk.syncsFail = true;
             journal.tidy(0);
             loop.take().run();
-            assertFalse(told[0]);
-            assertEquals(1, journal.unwritten());
-            disk.forcesFail = false;
+            assertFalse(completed[0]);
+            assertEquals(1, journal.unwrittenCount());
+            disk.syncsFail = false;
             journal.tidy(0);
             loop.take().run();
-            assertTrue(told[0]);
+            assertTrue(completed[0]);
         }
-        disk.delete(Segment.name(1)); // what the failed sync should have made durable
+        disk.delete(Segment.fileName(1)); // what the failed sync should have made durable
         try (SegmentedJournal journal = open()) {
             assertEquals(1, journal.owed().size());
         }
@@ -617,16 +617,16 @@
 
     /** Under a steady load of messages that end, the folder stays small, however many have passed through. */
     @Test
-    void whatIsPastTakesNoRoom() throws IOException {
+    void endedMessagesTakeNoSpace() throws IOException {
         try (SegmentedJournal journal = open(16 << 20)) {
             for (int i = 0; i < 20_000; i++) {
-                take(journal, "m" + i, 300);
+                accept(journal, "m" + i, 300);
                 if (i >= 100) {
                     journal.ended("m" + (i - 100));
                 }
                 journal.tidy(0);
             }
-            assertTrue(journal.allocated() <= 4 << 20, "bytes: " + journal.allocated());
+            assertTrue(journal.allocatedBytes() <= 4 << 20, "bytes: " + journal.allocatedBytes());
         }
     }
 }
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -18,18 +18,18 @@
  */
 final class SimDisk implements Disk {
     /** An operation on the content of a file, identified by its number, or on file names. */
-    record Op(Kind kind, int file, String name, String to, long position, byte[] bytes) {}
+    record Operation(OperationKind kind, int file, String name, String to, long position, byte[] bytes) {}
 
-    enum Kind {
+    enum OperationKind {
         CREATE,
         WRITE,
         TRUNCATE,
         RENAME,
         DELETE,
-        FORCE,
+        SYNC,
         /** A failed sync: earlier writes may be lost, whatever is synced later. */
-        FORCE_FAILED,
-        FORCE_NAMES,
+        SYNC_FAILED,
+        SYNC_FOLDER,
         /** Opening an existing file: changes nothing, but may fail. */
         OPEN
     }
@@ -40,47 +40,47 @@
     /** Decides for each operation whether it fails. Called on any thread. */
     interface FaultPlan {
         /** How the operation fails, or null. */
-        Failure failureOf(Kind kind, String name);
+        Failure failureOf(OperationKind kind, String name);
     }
 
     /** Which operations fail, in addition to those that fail because of the fields below. */
     volatile FaultPlan faults = (kind, name) -> null;
 
-    final List<Op> ops = new ArrayList<>();
+    final List<Operation> operations = new ArrayList<>();
     /** Limits on the size of all files together and of each one, in bytes; a write beyond them fails. */
-    long most = Long.MAX_VALUE, mostOfAFile = Long.MAX_VALUE;
+    long quotaBytes = Long.MAX_VALUE, maxFileBytes = Long.MAX_VALUE;
     /** Whether all writes fail, and all syncs. */
-    boolean writesFail, forcesFail;
+    boolean writesFail, syncsFail;
 
     private final TreeMap<String, Integer> names = new TreeMap<>();
     private final Map<Integer, byte[]> contents = new HashMap<>();
     private int nextFile;
 
-    private void apply(Op op) {
-        switch (op.kind()) {
+    private void apply(Operation operation) {
+        switch (operation.kind()) {
             case CREATE -> {
-                names.put(op.name(), op.file());
-                contents.put(op.file(), new byte[0]);
-                nextFile = Math.max(nextFile, op.file() + 1);
+                names.put(operation.name(), operation.file());
+                contents.put(operation.file(), new byte[0]);
+                nextFile = Math.max(nextFile, operation.file() + 1);
             }
             case WRITE -> {
-                byte[] old = contents.getOrDefault(op.file(), new byte[0]);
-                long end = op.position() + op.bytes().length;
+                byte[] old = contents.getOrDefault(operation.file(), new byte[0]);
+                long end = operation.position() + operation.bytes().length;
                 byte[] now = end <= old.length ? old : Arrays.copyOf(old, (int) end);
-                System.arraycopy(op.bytes(), 0, now, (int) op.position(), op.bytes().length);
-                contents.put(op.file(), now);
+                System.arraycopy(operation.bytes(), 0, now, (int) operation.position(), operation.bytes().length);
+                contents.put(operation.file(), now);
             }
             case TRUNCATE -> {
-                byte[] old = contents.get(op.file());
-                contents.put(op.file(), Arrays.copyOf(old, (int) Math.min(old.length, op.position())));
+                byte[] old = contents.get(operation.file());
+                contents.put(operation.file(), Arrays.copyOf(old, (int) Math.min(old.length, operation.position())));
             }
-            case RENAME -> names.put(op.to(), names.remove(op.name()));
-            case DELETE -> names.remove(op.name());
+            case RENAME -> names.put(operation.to(), names.remove(operation.name()));
+            case DELETE -> names.remove(operation.name());
             default -> {}
         }
     }
 
-    private void mayFail(Kind kind, String name) throws IOException {
+    private void failIfPlanned(OperationKind kind, String name) throws IOException {
         Failure failure = faults.failureOf(kind, name);
         if (failure != null) {
             throw failure.problem();
@@ -88,68 +88,68 @@
     }
 
     /** Synchronized: writes and syncs come from two threads. */
-    private synchronized void add(Kind kind, int file, String name, String to, long position, byte[] bytes) {
-        Op op = new Op(kind, file, name, to, position, bytes);
-        ops.add(op);
-        apply(op);
+    private synchronized void add(OperationKind kind, int file, String name, String to, long position, byte[] bytes) {
+        Operation operation = new Operation(kind, file, name, to, position, bytes);
+        operations.add(operation);
+        apply(operation);
     }
 
     // Crashes
 
     /** The folder after a kill: the first {@code done} operations, and part of the next one if that is a write. */
-    static SimDisk killed(List<Op> ops, int done, int bytesOfNext) {
+    static SimDisk afterKill(List<Operation> operations, int done, int bytesOfNext) {
         SimDisk disk = new SimDisk();
-        ops.subList(0, done).forEach(disk::apply);
-        if (bytesOfNext > 0 && done < ops.size() && ops.get(done).kind() == Kind.WRITE) {
-            disk.apply(part(ops.get(done), 0, bytesOfNext));
+        operations.subList(0, done).forEach(disk::apply);
+        if (bytesOfNext > 0 && done < operations.size() && operations.get(done).kind() == OperationKind.WRITE) {
+            disk.apply(partOf(operations.get(done), 0, bytesOfNext));
         }
         return disk;
     }
 
-    private static Op part(Op op, int from, int to) {
-        return new Op(
-                op.kind(),
-                op.file(),
-                op.name(),
-                op.to(),
-                op.position() + from,
-                Arrays.copyOfRange(op.bytes(), from, Math.min(to, op.bytes().length)));
+    private static Operation partOf(Operation operation, int from, int to) {
+        return new Operation(
+                operation.kind(),
+                operation.file(),
+                operation.name(),
+                operation.to(),
+                operation.position() + from,
+                Arrays.copyOfRange(operation.bytes(), from, Math.min(to, operation.bytes().length)));
     }
 
     /**
      * The folder after a machine failure: unsynced data is there in part, in any order, in blocks of 512 bytes; changes
      * of names are kept in order, up to any of them, as in a journaling file system.
      */
-    static SimDisk powerCut(List<Op> ops, int done, SplittableRandom random) {
-        int namesForced = 0;
-        boolean[] forced = new boolean[done];
-        Map<Integer, Boolean> covered = new HashMap<>();
+    static SimDisk afterPowerCut(List<Operation> operations, int done, SplittableRandom random) {
+        int lastFolderSync = 0;
+        boolean[] synced = new boolean[done];
+        Map<Integer, Boolean> syncedFiles = new HashMap<>();
         for (int i = done - 1; i >= 0; i--) {
-            Op op = ops.get(i);
-            if (op.kind() == Kind.FORCE_NAMES) {
-                namesForced = Math.max(namesForced, i);
-            } else if (op.kind() == Kind.FORCE || op.kind() == Kind.FORCE_FAILED) {
-                covered.put(op.file(), op.kind() == Kind.FORCE);
+            Operation operation = operations.get(i);
+            if (operation.kind() == OperationKind.SYNC_FOLDER) {
+                lastFolderSync = Math.max(lastFolderSync, i);
+            } else if (operation.kind() == OperationKind.SYNC || operation.kind() == OperationKind.SYNC_FAILED) {
+                syncedFiles.put(operation.file(), operation.kind() == OperationKind.SYNC);
             }
-            forced[i] = covered.getOrDefault(op.file(), false);
+            synced[i] = syncedFiles.getOrDefault(operation.file(), false);
         }
-        int namesUntil = namesForced + random.nextInt(done - namesForced + 1);
+        int namesUntil = lastFolderSync + random.nextInt(done - lastFolderSync + 1);
         SimDisk disk = new SimDisk();
-        Set<Integer> known = new HashSet<>();
+        Set<Integer> existing = new HashSet<>();
         for (int i = 0; i < done; i++) {
-            Op op = ops.get(i);
-            boolean ofNames = op.kind() == Kind.CREATE || op.kind() == Kind.RENAME || op.kind() == Kind.DELETE;
+            Operation operation = operations.get(i);
+            boolean ofNames = operation.kind() == OperationKind.CREATE || operation.kind() == OperationKind.RENAME || operation.kind() == OperationKind.DELETE;
             if (ofNames && i < namesUntil) {
-                disk.apply(op);
-                known.add(op.file());
-            } else if (!ofNames && known.contains(op.file())) {
-                if (forced[i] || op.kind() == Kind.TRUNCATE) {
-                    disk.apply(op);
-                } else if (op.kind() == Kind.WRITE) {
-                    for (int at = 0; at < op.bytes().length; ) {
-                        int to = at + Format.BLOCK - (int) ((op.position() + at) % Format.BLOCK);
+                disk.apply(operation);
+                existing.add(operation.file());
+            } else if (!ofNames && existing.contains(operation.file())) {
+                if (synced[i] || operation.kind() == OperationKind.TRUNCATE) {
+                    disk.apply(operation);
+                } else if (operation.kind() == OperationKind.WRITE) {
+                    for (int at = 0; at < operation.bytes().length; ) {
+                        int to = at + SegmentFormat.BLOCK_BYTES - (int) ((operation.position() + at) % SegmentFormat.BLOCK_BYTES);
                         if (random.nextBoolean()) {
-                            disk.apply(part(op, at, to));
+                            disk.apply(partOf(operation, at, to));
                         }
                         at = to;
                     }
@@ -161,9 +161,9 @@
 
     // Operations of the journal
 
-    long total() {
+    long totalBytes() {
         return names.values().stream()
-                .mapToLong(f -> Plan.blocks(contents.get(f).length))
+                .mapToLong(f -> SpacePolicy.roundUpToBlocks(contents.get(f).length))
                 .sum();
     }
 
@@ -171,13 +171,13 @@
         return contents.get(names.get(name));
     }
 
-    void put(String name, byte[] content) {
-        add(Kind.CREATE, nextFile, name, null, 0, null);
-        add(Kind.WRITE, names.get(name), name, null, 0, content);
+    void putFile(String name, byte[] content) {
+        add(OperationKind.CREATE, nextFile, name, null, 0, null);
+        add(OperationKind.WRITE, names.get(name), name, null, 0, content);
     }
 
     @Override
-    public List<String> names() {
+    public List<String> fileNames() {
         return List.copyOf(names.keySet());
     }
 
@@ -188,37 +188,37 @@
 
     @Override
     public DiskFile open(String name) throws IOException {
-        mayFail(names.containsKey(name) ? Kind.OPEN : Kind.CREATE, name);
+        failIfPlanned(names.containsKey(name) ? OperationKind.OPEN : OperationKind.CREATE, name);
         if (!names.containsKey(name)) {
-            add(Kind.CREATE, nextFile, name, null, 0, null);
+            add(OperationKind.CREATE, nextFile, name, null, 0, null);
         }
         return new File(names.get(name), name);
     }
 
     @Override
     public void rename(String from, String to) throws IOException {
-        mayFail(Kind.RENAME, from);
+        failIfPlanned(OperationKind.RENAME, from);
         if (!names.containsKey(from)) {
             throw new IOException("no file " + from);
         }
-        add(Kind.RENAME, names.get(from), from, to, 0, null);
+        add(OperationKind.RENAME, names.get(from), from, to, 0, null);
     }
 
     @Override
     public void delete(String name) throws IOException {
-        mayFail(Kind.DELETE, name);
+        failIfPlanned(OperationKind.DELETE, name);
         if (names.containsKey(name)) {
-            add(Kind.DELETE, names.get(name), name, null, 0, null);
+            add(OperationKind.DELETE, names.get(name), name, null, 0, null);
         }
     }
 
     @Override
-    public void forceNames() throws IOException {
-        mayFail(Kind.FORCE_NAMES, null);
-        if (forcesFail) {
+    public void syncFolder() throws IOException {
+        failIfPlanned(OperationKind.SYNC_FOLDER, null);
+        if (syncsFail) {
             throw new IOException("Input/output error");
         }
-        add(Kind.FORCE_NAMES, -1, null, null, 0, null);
+        add(OperationKind.SYNC_FOLDER, -1, null, null, 0, null);
     }
 
     @Override
@@ -249,25 +249,25 @@
             if (writesFail) {
                 throw new IOException("Input/output error");
             }
-            Failure failure = faults.failureOf(Kind.WRITE, name);
+            Failure failure = faults.failureOf(OperationKind.WRITE, name);
             if (failure != null) {
                 writePart(bytes, position, failure);
                 throw failure.problem();
             }
             long length = contents.get(number).length;
-            long room = Math.min(mostOfAFile - position, bytes.remaining());
-            if (most < Long.MAX_VALUE && position + room > length) {
-                room = Math.min(room, Plan.blocks(length) + Math.max(0, most - total()) - position);
+            long room = Math.min(maxFileBytes - position, bytes.remaining());
+            if (quotaBytes < Long.MAX_VALUE && position + room > length) {
+                room = Math.min(room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
             }
             byte[] all = new byte[(int) Math.max(0, room)];
             int asked = bytes.remaining();
             bytes.get(all);
             if (all.length > 0) {
-                add(Kind.WRITE, number, null, null, position, all);
+                add(OperationKind.WRITE, number, null, null, position, all);
             }
             if (all.length < asked) {
                 throw new IOException(
-                        position + all.length >= mostOfAFile ? "File too large" : "No space left on device");
+                        position + all.length >= maxFileBytes ? "File too large" : "No space left on device");
             }
         }
 
@@ -275,30 +275,30 @@
             byte[] part = new byte[Math.max(0, Math.min(failure.bytes(), bytes.remaining() - 1))];
             bytes.get(part);
             if (part.length > 0 && position + part.length <= contents.get(number).length) {
-                add(Kind.WRITE, number, null, null, position, part);
+                add(OperationKind.WRITE, number, null, null, position, part);
             }
         }
 
         @Override
         public void truncate(long length) throws IOException {
-            mayFail(Kind.TRUNCATE, name);
+            failIfPlanned(OperationKind.TRUNCATE, name);
             if (length < contents.get(number).length) {
-                add(Kind.TRUNCATE, number, null, null, length, null);
+                add(OperationKind.TRUNCATE, number, null, null, length, null);
             }
         }
 
         @Override
-        public void force() throws IOException {
-            Failure failure = faults.failureOf(Kind.FORCE, name);
+        public void sync() throws IOException {
+            Failure failure = faults.failureOf(OperationKind.SYNC, name);
             if (failure != null) {
-                add(Kind.FORCE_FAILED, number, null, null, 0, null);
+                add(OperationKind.SYNC_FAILED, number, null, null, 0, null);
                 throw failure.problem();
             }
-            if (forcesFail) {
-                add(Kind.FORCE_FAILED, number, null, null, 0, null);
+            if (syncsFail) {
+                add(OperationKind.SYNC_FAILED, number, null, null, 0, null);
                 throw new IOException("Input/output error");
             }
-            add(Kind.FORCE, number, null, null, 0, null);
+            add(OperationKind.SYNC, number, null, null, 0, null);
         }
 
         @Override
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -28,10 +28,10 @@
  * kill.
  */
 class StorageFaultTest {
-    private static final long MOST = 160 * 1024;
-    private static final long TEN_SECONDS = 10_000_000;
-    private static final long TURN = 20_000;
-    private static final int LARGEST = 2000, HOLD = 40;
+    private static final long QUOTA_BYTES = 160 * 1024;
+    private static final long TEN_SECONDS_MICROS = 10_000_000;
+    private static final long TURN_MICROS = 20_000;
+    private static final int LARGEST_BODY_BYTES = 2000, PENDING_MESSAGES = 40;
 
     /** What the journal was doing when an operation failed. */
     enum Step {
@@ -42,54 +42,54 @@
         GROUP_SYNC
     }
 
-    enum Duration {
+    enum FaultDuration {
         ONCE,
         TEN_SECONDS
     }
 
     /** The operation that fails, and the step at which it does; operations of this kind succeed at other steps. */
-    record Target(Step step, SimDisk.Kind kind) {}
+    record FaultTarget(Step step, SimDisk.OperationKind kind) {}
 
-    private static final List<Target> TARGETS = List.of(
-            new Target(Step.APPEND, SimDisk.Kind.WRITE),
-            new Target(Step.ROTATION, SimDisk.Kind.OPEN),
-            new Target(Step.ROTATION, SimDisk.Kind.WRITE),
-            new Target(Step.ROTATION, SimDisk.Kind.RENAME),
-            new Target(Step.ALLOCATION, SimDisk.Kind.CREATE),
-            new Target(Step.ALLOCATION, SimDisk.Kind.WRITE),
-            new Target(Step.COMPACTION, SimDisk.Kind.OPEN),
-            new Target(Step.COMPACTION, SimDisk.Kind.WRITE),
-            new Target(Step.COMPACTION, SimDisk.Kind.RENAME),
-            new Target(Step.COMPACTION, SimDisk.Kind.DELETE));
+    private static final List<FaultTarget> TARGETS = List.of(
+            new FaultTarget(Step.APPEND, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.ROTATION, SimDisk.OperationKind.OPEN),
+            new FaultTarget(Step.ROTATION, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.ROTATION, SimDisk.OperationKind.RENAME),
+            new FaultTarget(Step.ALLOCATION, SimDisk.OperationKind.CREATE),
+            new FaultTarget(Step.ALLOCATION, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.OPEN),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.WRITE),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.RENAME),
+            new FaultTarget(Step.COMPACTION, SimDisk.OperationKind.DELETE));
 
     private static final List<String> ERRORS = List.of("No space left on device", "Input/output error");
 
     private static final Set<String> COVERED = new TreeSet<>();
 
     /** What must be known of a message after a restart, with the earliest time at which it may have run. */
-    private record Known(int attempts, long mayHaveRunSince) {
-        static Known of(PendingMessage m) {
+    private record KnownState(int attempts, long mayHaveRunSince) {
+        static KnownState of(PendingMessage m) {
             long since = m.mayHaveRun() ? m.riskWall() : m.isOut() ? m.sentWall() : Long.MAX_VALUE;
-            return new Known(m.attempts(), since);
+            return new KnownState(m.attempts(), since);
         }
 
-        boolean isCoveredBy(Known found) {
+        boolean isCoveredBy(KnownState found) {
             return found.attempts >= attempts && found.mayHaveRunSince <= mayHaveRunSince;
         }
     }
 
     /** The model after a step, and the number of disk operations by then. */
-    private record Mark(int operations, Map<String, Known> messages) {}
+    private record Checkpoint(int operations, Map<String, KnownState> messages) {}
 
     private final SimDisk disk = new SimDisk();
     /** Quota for all files together, in bytes. */
-    private long most = MOST;
+    private long quotaBytes = QUOTA_BYTES;
 
-    private final List<Mark> marks = new ArrayList<>();
+    private final List<Checkpoint> checkpoints = new ArrayList<>();
     private final LinkedBlockingQueue<Runnable> loop = new LinkedBlockingQueue<>();
     private SegmentedJournal journal;
-    private Script script;
-    private long clock;
+    private RandomRun randomRun;
+    private long clockMicros;
     /** Whether operations fail now, and how many have failed. */
     private volatile boolean failing;
 
@@ -97,18 +97,18 @@
 
     /** Each target and any operation at all, both errors, both durations, with and without a kill. */
     @AfterAll
-    static void everyPointWasCovered() {
-        assertEquals((TARGETS.size() + 1) * ERRORS.size() * Duration.values().length * 2, COVERED.size(), "" + COVERED);
+    static void everyCombinationWasCovered() {
+        assertEquals((TARGETS.size() + 1) * ERRORS.size() * FaultDuration.values().length * 2, COVERED.size(), "" + COVERED);
     }
 
     private void open(Durability durability, long seed) throws IOException {
-        journal = new SegmentedJournal(disk, most, durability, Script.times(() -> clock), new SplittableRandom(seed));
+        journal = new SegmentedJournal(disk, quotaBytes, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(seed));
         journal.attach(loop::add);
-        script = new Script(disk, seed);
-        script.use(journal);
+        randomRun = new RandomRun(disk, seed);
+        randomRun.useJournal(journal);
     }
 
-    static Step stepNow() {
+    static Step currentStep() {
         return StackWalker.getInstance().walk(frames -> {
             EnumSet<Step> steps = EnumSet.noneOf(Step.class);
             frames.forEach(frame -> {
@@ -119,7 +119,7 @@
                         && frame.getMethodName().equals("roll")) {
                     steps.add(Step.ROTATION);
                 } else if (type.equals(SegmentLog.class.getName())
-                        && frame.getMethodName().equals("grow")) {
+                        && frame.getMethodName().equals("preallocate")) {
                     steps.add(Step.ALLOCATION);
                 } else if (type.startsWith(Compactor.class.getName())) {
                     steps.add(Step.COMPACTION);
@@ -134,15 +134,15 @@
         });
     }
 
-    private void fail(Target target, String error, Duration duration, SplittableRandom random) {
+    private void failOperations(FaultTarget target, String error, FaultDuration duration, SplittableRandom random) {
         failing = true;
         failures = 0;
         disk.faults = (kind, name) -> {
-            if (!failing || target != null && (kind != target.kind() || stepNow() != target.step())) {
+            if (!failing || target != null && (kind != target.kind() || currentStep() != target.step())) {
                 return null;
             }
             failures++;
-            failing = duration != Duration.ONCE;
+            failing = duration != FaultDuration.ONCE;
             return new SimDisk.Failure(new IOException(error), random.nextInt(3) == 0 ? 0 : random.nextInt(300));
         };
     }
@@ -150,127 +150,127 @@
     /**
      * Runs one step and one turn of the loop. The model and the state in memory must agree, and the quota must hold.
      */
-    private void turn() throws InterruptedException {
-        script.runOn(1, LARGEST, HOLD);
+    private void runTurn() throws InterruptedException {
+        randomRun.runWithoutCheckpoints(1, LARGEST_BODY_BYTES, PENDING_MESSAGES);
         endTurn();
     }
 
     private void endTurn() {
-        journal.tidy(script.now);
-        clock += TURN;
-        Map<String, Known> known = new TreeMap<>();
-        script.messages().forEach((id, m) -> known.put(id, Known.of(m)));
-        marks.add(new Mark(disk.ops.size(), known));
-        assertEquals(script.model(), owed(journal));
-        assertTrue(disk.total() <= most, "bytes: " + disk.total());
+        journal.tidy(randomRun.nowMicros);
+        clockMicros += TURN_MICROS;
+        Map<String, KnownState> known = new TreeMap<>();
+        randomRun.pendingMessages().forEach((id, m) -> known.put(id, KnownState.of(m)));
+        checkpoints.add(new Checkpoint(disk.operations.size(), known));
+        assertEquals(randomRun.describeModel(), describePending(journal));
+        assertTrue(disk.totalBytes() <= quotaBytes, "bytes: " + disk.totalBytes());
     }
 
-    private void turnsFor(long micros) throws InterruptedException {
-        for (long end = clock + micros; clock < end; ) {
-            turn();
+    private void runTurnsFor(long micros) throws InterruptedException {
+        for (long end = clockMicros + micros; clockMicros < end; ) {
+            runTurn();
         }
     }
 
-    private static String owed(SegmentedJournal journal) {
+    private static String describePending(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> all = new TreeMap<>();
         journal.owed().forEach(m -> all.put(m.submission().id(), m));
-        return Script.text(all, Map.of());
+        return RandomRun.describe(all, Map.of());
     }
 
     /**
      * Once the disk works again, all changes are written, no space is lost, and new messages are accepted, without a
      * restart.
      */
-    private void checkRecovered(String what) throws Exception {
+    private void checkRecovered(String description) throws Exception {
         failing = false;
-        clock += 2_000_000;
-        journal.tidy(script.now);
-        clock += 2_000_000;
-        journal.tidy(script.now);
-        assertEquals(0, journal.unwritten(), what);
-        checkFiles(what);
-        endAll();
-        int refused = script.refused;
-        turnsFor(50 * TURN);
-        assertEquals(refused, script.refused, what + ": rejected although the disk works");
-        checkFiles(what);
+        clockMicros += 2_000_000;
+        journal.tidy(randomRun.nowMicros);
+        clockMicros += 2_000_000;
+        journal.tidy(randomRun.nowMicros);
+        assertEquals(0, journal.unwrittenCount(), description);
+        checkFiles(description);
+        endAllMessages();
+        int refused = randomRun.rejectedMessages;
+        runTurnsFor(50 * TURN_MICROS);
+        assertEquals(refused, randomRun.rejectedMessages, description + ": rejected although the disk works");
+        checkFiles(description);
         journal.close();
-        try (SegmentedJournal next = Script.open(disk, most, Durability.NONE)) {
-            assertEquals(script.model(), owed(next), what);
-            assertEquals(List.of(), next.recovered().damages(), what);
+        try (SegmentedJournal next = RandomRun.open(disk, quotaBytes, Durability.NONE)) {
+            assertEquals(randomRun.describeModel(), describePending(next), description);
+            assertEquals(List.of(), next.recoveryReport().damages(), description);
         }
     }
 
-    private void endAll() {
-        for (String id : List.copyOf(script.messages().keySet())) {
+    private void endAllMessages() {
+        for (String id : List.copyOf(randomRun.pendingMessages().keySet())) {
             journal.ended(id);
-            script.messages().remove(id);
+            randomRun.pendingMessages().remove(id);
             endTurn();
         }
     }
 
     /** The journal must know every file in the folder: a forgotten one would take space until a restart. */
-    private void checkFiles(String what) {
-        assertEquals(journal.files(), disk.names().size(), what + ": files " + disk.names());
-        assertTrue(disk.total() <= journal.allocated(), what + ": " + disk.total() + " of " + journal.allocated());
+    private void checkFiles(String description) {
+        assertEquals(journal.fileCount(), disk.fileNames().size(), description + ": files " + disk.fileNames());
+        assertTrue(disk.totalBytes() <= journal.allocatedBytes(), description + ": " + disk.totalBytes() + " of " + journal.allocatedBytes());
     }
 
     /**
      * Checks a kill after this many operations, perhaps inside the next write: every acknowledged change must be there.
      */
-    private void checkKilled(int operations, int bytesOfNext, String what) throws IOException {
-        int k = 0;
-        while (k + 1 < marks.size() && marks.get(k + 1).operations() <= operations) {
-            k++;
+    private void checkKilled(int operations, int bytesOfNext, String description) throws IOException {
+        int checkpoint = 0;
+        while (checkpoint + 1 < checkpoints.size() && checkpoints.get(checkpoint + 1).operations() <= operations) {
+            checkpoint++;
         }
-        Map<String, Known> before = marks.get(k).messages();
-        Map<String, Known> after = k + 1 < marks.size() ? marks.get(k + 1).messages() : before;
-        Set<String> taken = new HashSet<>();
-        marks.subList(0, Math.min(k + 2, marks.size()))
-                .forEach(m -> taken.addAll(m.messages().keySet()));
-        SimDisk left = SimDisk.killed(disk.ops, operations, bytesOfNext);
-        try (SegmentedJournal next = Script.open(left, most, Durability.NONE)) {
-            Map<String, Known> found = new TreeMap<>();
-            next.owed().forEach(m -> found.put(m.submission().id(), Known.of(m)));
-            before.forEach((id, known) -> {
-                if (after.containsKey(id)) {
-                    assertNotNull(found.get(id), what + ": " + id + " is lost");
+        Map<String, KnownState> stateBefore = checkpoints.get(checkpoint).messages();
+        Map<String, KnownState> stateAfter = checkpoint + 1 < checkpoints.size() ? checkpoints.get(checkpoint + 1).messages() : stateBefore;
+        Set<String> seen = new HashSet<>();
+        checkpoints.subList(0, Math.min(checkpoint + 2, checkpoints.size()))
+                .forEach(m -> seen.addAll(m.messages().keySet()));
+        SimDisk remains = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
+        try (SegmentedJournal next = RandomRun.open(remains, quotaBytes, Durability.NONE)) {
+            Map<String, KnownState> found = new TreeMap<>();
+            next.owed().forEach(m -> found.put(m.submission().id(), KnownState.of(m)));
+            stateBefore.forEach((id, known) -> {
+                if (stateAfter.containsKey(id)) {
+                    assertNotNull(found.get(id), description + ": " + id + " is lost");
                     boolean covered =
-                            known.isCoveredBy(found.get(id)) || after.get(id).isCoveredBy(found.get(id));
-                    assertTrue(covered, what + ": " + id + " " + known + found.get(id));
+                            known.isCoveredBy(found.get(id)) || stateAfter.get(id).isCoveredBy(found.get(id));
+                    assertTrue(covered, description + ": " + id + " " + known + found.get(id));
                 }
             });
             Set<String> unknown = new TreeSet<>(found.keySet());
-            unknown.removeAll(taken);
-            assertEquals(Set.of(), unknown, what + ": messages that were rejected");
-            assertEquals(List.of(), next.recovered().damages(), what);
+            unknown.removeAll(seen);
+            assertEquals(Set.of(), unknown, description + ": messages that were rejected");
+            assertEquals(List.of(), next.recoveryReport().damages(), description);
         }
     }
 
-    private void run(Target target, String error, Duration duration, boolean kill, long seed) throws Exception {
-        String what = target + " " + error + " " + duration + (kill ? " kill" : "") + " seed " + seed;
+    private void run(FaultTarget target, String error, FaultDuration duration, boolean kill, long seed) throws Exception {
+        String description = target + " " + error + " " + duration + (kill ? " kill" : "") + " seed " + seed;
         SplittableRandom random = new SplittableRandom(seed);
-        most = target != null && target.kind() == SimDisk.Kind.DELETE ? 4 * MOST : MOST;
+        quotaBytes = target != null && target.kind() == SimDisk.OperationKind.DELETE ? 4 * QUOTA_BYTES : QUOTA_BYTES;
         open(Durability.NONE, seed);
-        if (most > MOST) {
+        if (quotaBytes > QUOTA_BYTES) {
             // more files than the live records need after their messages have ended, so that some are deleted
-            script.runOn(1500, LARGEST, 400);
+            randomRun.runWithoutCheckpoints(1500, LARGEST_BODY_BYTES, 400);
         }
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
-            turn();
+            runTurn();
         }
-        int from = disk.ops.size();
-        fail(target, error, duration, random);
-        if (most > MOST) {
-            endAll();
+        int from = disk.operations.size();
+        failOperations(target, error, duration, random);
+        if (quotaBytes > QUOTA_BYTES) {
+            endAllMessages();
         }
-        if (duration == Duration.ONCE) {
+        if (duration == FaultDuration.ONCE) {
             for (int i = 0; i < 1500 && failures == 0; i++) {
-                turn();
+                runTurn();
             }
-            turnsFor(20 * TURN);
+            runTurnsFor(20 * TURN_MICROS);
         } else {
-            turnsFor(TEN_SECONDS);
+            runTurnsFor(TEN_SECONDS_MICROS);
         }
         if (failures > 0) {
             COVERED.add((target == null ? "ANY" : target.step() + " " + target.kind()) + " " + error + " " + duration
@@ -278,20 +278,20 @@
         }
         if (kill) {
             for (int i = 0; i < 60; i++) {
-                int at = from + random.nextInt(disk.ops.size() - from + 1);
-                checkKilled(at, random.nextInt(2) * random.nextInt(400), what + " after " + at);
+                int at = from + random.nextInt(disk.operations.size() - from + 1);
+                checkKilled(at, random.nextInt(2) * random.nextInt(400), description + " after " + at);
             }
         }
-        checkRecovered(what);
+        checkRecovered(description);
     }
 
     /** How long operations fail, and whether the process is killed meanwhile. */
-    private record Outage(Duration duration, boolean hasKill) {}
+    private record FaultScenario(FaultDuration duration, boolean hasKill) {}
 
     /** Runs one combination; returns the failure, if any. */
-    private static Optional<String> runOne(Target target, String error, Outage outage, long seed) throws Exception {
+    private static Optional<String> runOne(FaultTarget target, String error, FaultScenario scenario, long seed) throws Exception {
         try {
-            new StorageFaultTest().run(target, error, outage.duration(), outage.hasKill(), seed);
+            new StorageFaultTest().run(target, error, scenario.duration(), scenario.hasKill(), seed);
             return Optional.empty();
         } catch (AssertionError | RuntimeException e) {
             return Optional.of(e.toString().lines().findFirst().orElse(""));
@@ -300,22 +300,22 @@
 
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
-    void everyStepOutlastsEveryFault(long seed) throws Exception {
-        List<String> broken = new ArrayList<>();
+    void everyStepSurvivesEveryFault(long seed) throws Exception {
+        List<String> failedRuns = new ArrayList<>();
         int runs = 0;
-        List<Target> targets = new ArrayList<>(TARGETS);
+        List<FaultTarget> targets = new ArrayList<>(TARGETS);
         targets.add(null); // any operation
-        List<Outage> outages = Stream.of(Duration.values())
-                .flatMap(duration -> Stream.of(new Outage(duration, false), new Outage(duration, true)))
+        List<FaultScenario> scenarios = Stream.of(FaultDuration.values())
+                .flatMap(duration -> Stream.of(new FaultScenario(duration, false), new FaultScenario(duration, true)))
                 .toList();
-        for (Target target : targets) {
+        for (FaultTarget target : targets) {
             for (String error : ERRORS) {
-                for (Outage outage : outages) {
+                for (FaultScenario scenario : scenarios) {
                     runs++;
-                    runOne(target, error, outage, 1000 * seed + runs).ifPresent(broken::add);
+                    runOne(target, error, scenario, 1000 * seed + runs).ifPresent(failedRuns::add);
                 }
             }
         }
-        assertEquals(List.of(), broken, broken.size() + " of " + runs);
+        assertEquals(List.of(), failedRuns, failedRuns.size() + " of " + runs);
     }
 }
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -67,13 +67,13 @@
             }
 
             @Override
-            public void force() throws IOException {
+            public void sync() throws IOException {
                 try {
                     released.await(20, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     throw new IOException(e);
                 }
-                file.force();
+                file.sync();
             }
 
             @Override
@@ -83,8 +83,8 @@
         }
 
         @Override
-        public List<String> names() throws IOException {
-            return disk.names();
+        public List<String> fileNames() throws IOException {
+            return disk.fileNames();
         }
 
         @Override
@@ -108,8 +108,8 @@
         }
 
         @Override
-        public void forceNames() throws IOException {
-            disk.forceNames();
+        public void syncFolder() throws IOException {
+            disk.syncFolder();
         }
 
         @Override
@@ -164,9 +164,9 @@
                 DrainEndpoint other = new DrainEndpoint(auditor);
                 Transport transport = new Transport();
                 SegmentedJournal journal = new SegmentedJournal(
-                        new HeldDisk(FolderDisk.take(state), forcing),
+                        new HeldDisk(FolderDisk.lock(state), forcing),
                         DISK_BYTES,
-                        new Durability(Durability.How.GROUP, 0),
+                        new Durability(Durability.Mode.GROUP, 0),
                         new JournalClocks(Core::micros, Core::wall, BootClock.read(Core::micros, Core::wall)),
                         new SplittableRandom(1))) {
             Core core = new Core(
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -27,8 +27,8 @@
     void whatIsAbsentIsAsThePlatformHasIt() throws ConfigurationException {
         assertEquals(Operator.none(config()), of("# nothing\n\n[journal]\n"));
         assertEquals(
-                Durability.NONE.how(),
-                Operator.none(config()).journal().durability().how());
+                Durability.NONE.mode(),
+                Operator.none(config()).journal().durability().mode());
     }
 
     /** The file that is shipped says what holds without it. */
@@ -42,7 +42,7 @@
         Operator read = of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
                 + "\ninterval 250\n  ms\nremember 90s\n");
         assertEquals(
-                new Durability(Durability.How.INTERVAL, 250_000), read.journal().durability());
+                new Durability(Durability.Mode.INTERVAL, 250_000), read.journal().durability());
         assertEquals(90_000_000, read.journal().rememberMicros());
     }
 
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -98,7 +98,7 @@
     @BeforeEach
     void start() throws Exception {
         journal = new SegmentedJournal(
-                FolderDisk.take(state),
+                FolderDisk.lock(state),
                 1 << 20,
                 Durability.NONE,
                 new JournalClocks(clock::micros, clock::wall, BootClock.UNKNOWN),
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -50,7 +50,7 @@
     @BeforeEach
     void start() throws Exception {
         journal = new SegmentedJournal(
-                FolderDisk.take(state),
+                FolderDisk.lock(state),
                 1 << 20,
                 Durability.NONE,
                 new JournalClocks(Core::micros, Core::wall, BootClock.UNKNOWN),
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -135,7 +135,7 @@
     private Journal journal() throws Exception {
         VirtualClock clock = new VirtualClock();
         Journal real = new SegmentedJournal(
-                FolderDisk.take(state),
+                FolderDisk.lock(state),
                 3 << 20,
                 Durability.NONE,
                 new JournalClocks(clock::micros, clock::wall, BootClock.UNKNOWN),
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -54,7 +54,7 @@
      * are down.
      */
     HollowForwarder(Path folder, int destinations, int firstDown, int mostHeld) throws IOException {
-        this(FolderDisk.take(folder), destinations, firstDown, mostHeld);
+        this(FolderDisk.lock(folder), destinations, firstDown, mostHeld);
     }
 
     HollowForwarder(Disk disk, int destinations, int firstDown, int mostHeld) throws IOException {
@@ -147,7 +147,7 @@
 
     /** What the journal's files take, bytes. */
     long diskBytes() {
-        return journal.allocated();
+        return journal.allocatedBytes();
     }
 
     // ---- time -------------------------------------------------------------------------------------------
