--- a/src/main/java/lilaclever/journal/BootClock.java
+++ b/src/main/java/lilaclever/journal/BootClock.java
@@ -68,8 +68,12 @@
      * The clock of this boot, if the uptime lies between two readings of the monotonic clock, else {@link #UNKNOWN};
      * all times in microseconds.
      */
-    static BootClock fromUptime(long bootId, long monotonicBefore, long uptimeMicros, long monotonicAfter, long offsetMicros) {
-        return monotonicBefore - UPTIME_TOLERANCE_MICROS <= uptimeMicros && uptimeMicros <= monotonicAfter + UPTIME_TOLERANCE_MICROS ? new BootClock(bootId, offsetMicros) : UNKNOWN;
+    static BootClock fromUptime(
+            long bootId, long monotonicBefore, long uptimeMicros, long monotonicAfter, long offsetMicros) {
+        return monotonicBefore - UPTIME_TOLERANCE_MICROS <= uptimeMicros
+                        && uptimeMicros <= monotonicAfter + UPTIME_TOLERANCE_MICROS
+                ? new BootClock(bootId, offsetMicros)
+                : UNKNOWN;
     }
 
     /** What to add to a wall time that was written under the other clock. */
--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -17,9 +17,9 @@
     private final RecordWriter copies = new RecordWriter();
     private long copiedBytes;
 
-    Compactor(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LogAppender appender) {
+    Compactor(SegmentLog log, SpacePolicy policy, JournalState state, Syncer syncer, LogAppender appender) {
         this.log = log;
-        this.policy = plan;
+        this.policy = policy;
         this.state = state;
         this.syncer = syncer;
         this.appender = appender;
@@ -99,7 +99,8 @@
         void encode(RecordWriter out, String key, T value);
     }
 
-    private <T> boolean copyEntries(Map<String, JournalState.Entry<T>> map, Segment from, long maxBytes, Encoder<T> encoder) {
+    private <T> boolean copyEntries(
+            Map<String, JournalState.Entry<T>> map, Segment from, long maxBytes, Encoder<T> encoder) {
         long bytesLeft = maxBytes;
         while (bytesLeft > 0) {
             List<String> keys = new ArrayList<>();
@@ -130,12 +131,12 @@
             List<Integer> sizes) {
         copies.clear();
         for (Map.Entry<String, JournalState.Entry<T>> entry : map.entrySet()) {
-            JournalState.Entry<T> slot = entry.getValue();
-            if (slot.segment != from || copies.size() >= maxBytes) {
+            JournalState.Entry<T> liveEntry = entry.getValue();
+            if (liveEntry.segment != from || copies.size() >= maxBytes) {
                 break;
             }
             int sizeBefore = copies.size();
-            encoder.encode(copies, entry.getKey(), slot.value);
+            encoder.encode(copies, entry.getKey(), liveEntry.value);
             if (!keys.isEmpty() && copies.size() > log.activeBytesLeft()) {
                 copies.truncate(sizeBefore); // goes into the next segment, so that a batch wastes no space in this one
                 break;
--- a/src/main/java/lilaclever/journal/FolderDisk.java
+++ b/src/main/java/lilaclever/journal/FolderDisk.java
@@ -78,8 +78,8 @@
 
     @Override
     public void syncFolder() throws IOException {
-        try (FileChannel names = FileChannel.open(folder, StandardOpenOption.READ)) {
-            names.force(true);
+        try (FileChannel folderChannel = FileChannel.open(folder, StandardOpenOption.READ)) {
+            folderChannel.force(true);
         }
     }
 
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -59,8 +59,12 @@
                         segment.lengthBytes,
                         segment.usedBytes,
                         segment.liveBytes,
-                        scanned.counts().values().stream().mapToInt(Integer::intValue).sum(),
-                        scanned.header() == null ? segment.sequence == Segment.LEGACY_SEQUENCE ? "format 0" : "no header" : counts,
+                        scanned.counts().values().stream()
+                                .mapToInt(Integer::intValue)
+                                .sum(),
+                        scanned.header() == null
+                                ? segment.sequence == Segment.LEGACY_SEQUENCE ? "format 0" : "no header"
+                                : counts,
                         segment.damaged ? " damaged" : "");
             }
             for (String name : disk.fileNames()) {
@@ -68,8 +72,9 @@
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
             }
-            long inFlight =
-                    state.pending.values().stream().filter(segment -> segment.value.isOut()).count();
+            long inFlight = state.pending.values().stream()
+                    .filter(segment -> segment.value.isOut())
+                    .count();
             long possiblyRun = state.pending.values().stream()
                     .filter(segment -> segment.value.mayHaveRun())
                     .count();
@@ -110,7 +115,8 @@
                 disk, quotaBytes, new Durability(Durability.Mode.GROUP, 0), clocks(), new SplittableRandom())) {
             long bytesBefore = journal.allocatedBytes();
             journal.compactAll();
-            out.println("bytes before " + bytesBefore + ", now " + journal.allocatedBytes() + ", files " + journal.fileCount());
+            out.println("bytes before " + bytesBefore + ", now " + journal.allocatedBytes() + ", files "
+                    + journal.fileCount());
             return printSummary(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -29,14 +29,14 @@
             this.value = value;
         }
 
-        private void moveTo(Segment on, int size) {
+        private void moveTo(Segment target, int size) {
             if (segment != null) {
                 segment.removeRecord(recordBytes);
             }
-            segment = on;
+            segment = target;
             recordBytes = size;
-            if (on != null) {
-                on.addRecord(size);
+            if (target != null) {
+                target.addRecord(size);
             }
         }
     }
@@ -83,7 +83,8 @@
 
     /** How many bytes a message may need beyond the record of its acceptance. */
     static long growthBytes(Submission submission) {
-        return MESSAGE_GROWTH_BYTES + (submission.identity() == null ? 0 : rememberedRecordBytes(submission.identity()));
+        return MESSAGE_GROWTH_BYTES
+                + (submission.identity() == null ? 0 : rememberedRecordBytes(submission.identity()));
     }
 
     /** How many bytes another claim on a message's result adds to its record. */
@@ -103,13 +104,13 @@
         return SegmentFormat.FRAME_BYTES + 3 * (long) (identity.length() + RecordEncoder.MAX_DETAIL_CHARS) + 52;
     }
 
-    private <T> void moveRecord(Entry<T> entry, Segment on, int size) {
+    private <T> void moveRecord(Entry<T> entry, Segment target, int size) {
         if (entry.segment != null) {
             liveBytes -= entry.recordBytes;
             recordsByBitLength[bitLength(entry.recordBytes)]--;
         }
-        entry.moveTo(on, size);
-        if (on != null) {
+        entry.moveTo(target, size);
+        if (target != null) {
             liveBytes += size;
             recordsByBitLength[bitLength(size)]++;
         }
@@ -124,16 +125,16 @@
         return new AbstractCollection<>() {
             @Override
             public Iterator<PendingMessage> iterator() {
-                Iterator<Entry<PendingMessage>> slots = pending.values().iterator();
+                Iterator<Entry<PendingMessage>> entries = pending.values().iterator();
                 return new Iterator<>() {
                     @Override
                     public boolean hasNext() {
-                        return slots.hasNext();
+                        return entries.hasNext();
                     }
 
                     @Override
                     public PendingMessage next() {
-                        return slots.next().value;
+                        return entries.next().value;
                     }
                 };
             }
@@ -215,7 +216,7 @@
         moveRecord(entry, segment, size);
     }
 
-    /** Removes up to {@code most} expired results and returns their number. */
+    /** Removes up to {@code limit} expired results and returns their number. */
     int removeExpired(long nowWall, int limit) {
         int removed = 0;
         while (removed < limit && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -17,7 +17,7 @@
 final class LegacyReader {
     static final String FILE_NAME = "journal", UNFINISHED_FILE_NAME = "journal.new";
     private static final int RECORD_HEADER_BYTES = 8, MAX_CONTENT_BYTES = 1 << 20;
-    /** Codes of the record types; those of the same name in {@link Format.Type} have other codes. */
+    /** Codes of the record types; those of the same name in {@link SegmentFormat.RecordType} have other codes. */
     private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, ATTEMPT_SUMMARY = 6;
 
     private final JournalState state;
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -30,9 +30,9 @@
     private long retryAtMicros;
     private long failureCount;
 
-    LogAppender(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LongSupplier micros) {
+    LogAppender(SegmentLog log, SpacePolicy policy, JournalState state, Syncer syncer, LongSupplier micros) {
         this.log = log;
-        this.policy = plan;
+        this.policy = policy;
         this.state = state;
         this.syncer = syncer;
         this.monotonicMicros = micros;
@@ -104,7 +104,8 @@
             Logs.error(
                     "journal",
                     "disk-bad",
-                    "the disk takes no records, asked again every " + SpacePolicy.DISK_RETRY_DELAY_MICROS / 1000 + " ms: " + e);
+                    "the disk takes no records, asked again every " + SpacePolicy.DISK_RETRY_DELAY_MICROS / 1000
+                            + " ms: " + e);
         }
     }
 
@@ -130,7 +131,8 @@
             return false;
         }
         while (!policy.hasSpace(log.spaceUsage(state), recordBytes, growthBytes)) {
-            if (policy.newSegmentBytes(log.spaceUsage(state), recordBytes) == 0 || !log.preallocate(policy.segmentBytesFor(recordBytes))) {
+            if (policy.newSegmentBytes(log.spaceUsage(state), recordBytes) == 0
+                    || !log.preallocate(policy.segmentBytesFor(recordBytes))) {
                 return false;
             }
         }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -49,7 +49,9 @@
                     state.put(
                             identity,
                             new CompletedMessage<>(
-                                    status, hasFingerprint ? new Fingerprint(in.getLong(), in.getLong()) : null, untilWall),
+                                    status,
+                                    hasFingerprint ? new Fingerprint(in.getLong(), in.getLong()) : null,
+                                    untilWall),
                             segment,
                             size);
                 }
@@ -71,7 +73,9 @@
         switch (type) {
             case ATTEMPT -> entry.value.attempt(SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
             case OUTCOME -> entry.value.outcome(SegmentFormat.readFlag(in));
-            case JOINED -> state.addClaim(entry.value, new PendingMessage.Claim(SegmentFormat.readText(in), SegmentFormat.readText(in)));
+            case JOINED ->
+                state.addClaim(
+                        entry.value, new PendingMessage.Claim(SegmentFormat.readText(in), SegmentFormat.readText(in)));
             default -> entry.value.verdict(readFinalStatus(in));
         }
     }
@@ -90,12 +94,21 @@
         return new PendingMessage(
                 front,
                 new Submission(
-                        id, identity, messageClass, destination, key, SegmentFormat.readBytes(in), again, inherited, budget),
+                        id,
+                        identity,
+                        messageClass,
+                        destination,
+                        key,
+                        SegmentFormat.readBytes(in),
+                        again,
+                        inherited,
+                        budget),
                 deadlineWall);
     }
 
     private void readAttemptsAndStatus(ByteBuffer in, PendingMessage message) {
-        message.past(in.getInt(), SegmentFormat.readFlag(in), SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+        message.past(
+                in.getInt(), SegmentFormat.readFlag(in), SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
         boolean mayHaveRun = SegmentFormat.readFlag(in);
         String host = SegmentFormat.readText(in);
         int zone = in.getInt();
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -23,7 +23,12 @@
 
     /** An attempt begins at this wall time, in microseconds. */
     static void attempt(RecordWriter out, String id, String host, int zone, long wallMicros) {
-        out.beginRecord(RecordType.ATTEMPT).putText(id).putText(host).putInt(zone).putLong(wallMicros).endRecord();
+        out.beginRecord(RecordType.ATTEMPT)
+                .putText(id)
+                .putText(host)
+                .putInt(zone)
+                .putLong(wallMicros)
+                .endRecord();
     }
 
     /** The attempt in flight has finished. */
@@ -56,15 +61,26 @@
 
     /** Another submission waits for the result of the message. */
     static void joined(RecordWriter out, String id, PendingMessage.Claim claim) {
-        out.beginRecord(RecordType.JOINED).putText(id).putText(claim.front()).putText(claim.id()).endRecord();
+        out.beginRecord(RecordType.JOINED)
+                .putText(id)
+                .putText(claim.front())
+                .putText(claim.id())
+                .endRecord();
     }
 
     /** The whole state of a message in one record. */
     static void snapshot(RecordWriter out, PendingMessage message) {
         out.beginRecord(RecordType.SNAPSHOT);
         putMessage(out, message);
-        out.putInt(message.attempts()).putFlag(message.isOut()).putText(message.host()).putInt(message.zone()).putLong(message.sentWall());
-        out.putFlag(message.mayHaveRun()).putText(message.riskHost()).putInt(message.riskZone()).putLong(message.riskWall());
+        out.putInt(message.attempts())
+                .putFlag(message.isOut())
+                .putText(message.host())
+                .putInt(message.zone())
+                .putLong(message.sentWall());
+        out.putFlag(message.mayHaveRun())
+                .putText(message.riskHost())
+                .putInt(message.riskZone())
+                .putLong(message.riskWall());
         out.putFlag(message.verdict() != null);
         if (message.verdict() != null) {
             putFinalStatus(out, message.verdict());
@@ -76,7 +92,10 @@
 
     /** Where the previous segment ended. */
     static void previous(RecordWriter out, long sequence, long endOffset) {
-        out.beginRecord(RecordType.PREVIOUS).putLong(sequence).putLong(endOffset).endRecord();
+        out.beginRecord(RecordType.PREVIOUS)
+                .putLong(sequence)
+                .putLong(endOffset)
+                .endRecord();
     }
 
     private static void putMessage(RecordWriter out, PendingMessage message) {
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -13,8 +13,8 @@
 /**
  * Reads a journal folder into the state without changing the folder. Segments are read in order through a window, so
  * memory use depends on the live records only. All headers are read first, so that a folder of a newer version is
- * rejected before anything else. {@link #handOver} then hands the files over to the log; a kill during that does no harm,
- * as it changes nothing that the next recovery needs.
+ * rejected before anything else. {@link #handOver} then passes the files to the log; a kill during that does no harm,
+ * since it changes nothing that the next recovery needs.
  */
 public final class Recovery {
     /** A part of a file that could not be read. */
@@ -25,7 +25,12 @@
      * must be migrated out of the log.
      */
     public record Report(
-            long records, int segments, List<Damage> damages, int missingSegments, boolean legacyFileFound, long lastToMigrate) {}
+            long records,
+            int segments,
+            List<Damage> damages,
+            int missingSegments,
+            boolean legacyFileFound,
+            long lastToMigrate) {}
 
     /** A segment that was read, and its number of records by type. */
     record ScannedSegment(Segment segment, SegmentFormat.Header header, EnumMap<RecordType, Integer> counts) {}
@@ -46,13 +51,13 @@
     private boolean legacyFileFound;
     private long lastToMigrate = -1;
 
-    /** Receives one line per fault in {@code log}. */
-    Recovery(Disk disk, JournalState state, BootClock clock, Consumer<String> log) {
+    /** Receives one line per fault in {@code faultLog}. */
+    Recovery(Disk disk, JournalState state, BootClock bootClock, Consumer<String> faultLog) {
         this.disk = disk;
         this.state = state;
         decoder = new RecordDecoder(state);
-        this.bootClock = clock;
-        this.faultLog = log;
+        this.bootClock = bootClock;
+        this.faultLog = faultLog;
     }
 
     /** Reads all files. */
@@ -70,7 +75,8 @@
             readLegacyFile();
         }
         readSegments(segments, legacyFileFound);
-        return new Report(records, segments.size(), List.copyOf(damages), missingSegments, legacyFileFound, lastToMigrate);
+        return new Report(
+                records, segments.size(), List.copyOf(damages), missingSegments, legacyFileFound, lastToMigrate);
     }
 
     /** The segments in order. */
@@ -117,7 +123,10 @@
      * other's.
      */
     private void readLegacyFile() throws IOException {
-        Segment segment = new Segment(Segment.LEGACY_SEQUENCE, LegacyReader.FILE_NAME, SpacePolicy.roundUpToBlocks(disk.length(LegacyReader.FILE_NAME)));
+        Segment segment = new Segment(
+                Segment.LEGACY_SEQUENCE,
+                LegacyReader.FILE_NAME,
+                SpacePolicy.roundUpToBlocks(disk.length(LegacyReader.FILE_NAME)));
         LegacyReader reader = new LegacyReader(state, segment);
         segment.usedBytes = reader.read(disk);
         lastToMigrate = Segment.LEGACY_SEQUENCE;
@@ -127,19 +136,19 @@
         scannedSegments.add(new ScannedSegment(segment, null, new EnumMap<>(RecordType.class)));
     }
 
-    private void readSegments(TreeMap<Long, SegmentStart> segments, boolean legacy) throws IOException {
-        long expected = legacy && !segments.isEmpty() ? 1 : -1;
+    private void readSegments(TreeMap<Long, SegmentStart> segments, boolean hasLegacyFile) throws IOException {
+        long expectedSequence = hasLegacyFile && !segments.isEmpty() ? 1 : -1;
         for (Map.Entry<Long, SegmentStart> entry : segments.entrySet()) {
-            long gap = expected > 0 ? entry.getKey() - expected : 0;
+            long gap = expectedSequence > 0 ? entry.getKey() - expectedSequence : 0;
             if (gap > 0) {
                 missingSegments += (int) gap;
-                faultLog.accept(gap + " files missing before " + entry.getValue().name()
-                        + "; earlier attempts in flight count as possibly run");
+                faultLog.accept(gap + " files missing before "
+                        + entry.getValue().name() + "; earlier attempts in flight count as possibly run");
                 state.markPossiblyRun();
             }
             SegmentStart next = segments.get(entry.getKey() + 1);
             readSegment(entry.getKey(), entry.getValue().name(), next == null ? -1 : next.previousSegmentEnd());
-            expected = entry.getKey() + 1;
+            expectedSequence = entry.getKey() + 1;
         }
     }
 
--- a/src/main/java/lilaclever/journal/SegmentFormat.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -94,7 +94,8 @@
                     .putLong(header.sequence())
                     .putLong(header.salt())
                     .putLong(header.createdWallMicros());
-            bytes.putLong(header.bootClock().bootId()).putLong(header.bootClock().offsetMicros());
+            bytes.putLong(header.bootClock().bootId())
+                    .putLong(header.bootClock().offsetMicros());
             bytes.putInt(checksum(bytes, at));
         }
         return bytes.position(0);
@@ -131,8 +132,8 @@
     }
 
     /**
-     * Checks the position of the buffer. GOOD: it holds a complete record. MORE: this can't be decided without more
-     * bytes. BAD: it holds no valid record.
+     * Checks the position of the buffer. VALID: it holds a complete record. INCOMPLETE: this can't be decided without
+     * more bytes. INVALID: it holds no valid record.
      */
     static RecordCheck checkRecord(ByteBuffer in, long salt) {
         int at = in.position();
@@ -150,7 +151,9 @@
             return RecordCheck.INCOMPLETE;
         }
         boolean complete = in.get(at + length + FRAME_BYTES - 1) == END_MARKER; // else its last byte was never written
-        return complete && in.getInt(at + CHECKSUM_OFFSET) == checksum(in, at, length, salt) ? RecordCheck.VALID : RecordCheck.INVALID;
+        return complete && in.getInt(at + CHECKSUM_OFFSET) == checksum(in, at, length, salt)
+                ? RecordCheck.VALID
+                : RecordCheck.INVALID;
     }
 
     /** True if the bytes end like a complete record of this length. */
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -27,8 +27,8 @@
     /**
      * A file without live content that is not filled with zeros yet.
      *
-     * @param namedAtSync number of syncs started when the file got its name: until a later sync has succeeded, a machine
-     *     failure may restore its old name, and its old content must still be there then
+     * @param namedAtSync number of syncs started when the file got its name: until a later sync has succeeded, a
+     *     machine failure may restore its old name, and its old content must still be there then
      */
     private record UnfilledFile(String name, long length, long namedAtSync) {}
 
@@ -62,7 +62,7 @@
     private long quarantinedBytes, unfilledBytes;
     private boolean allocationFailed;
 
-    /** {@code forces}: files are synced, so they stay open until then. */
+    /** With {@code syncEnabled}, files stay open until they are synced. */
     SegmentLog(
             Disk disk,
             SpacePolicy policy,
@@ -157,7 +157,8 @@
     }
 
     /**
-     * True if a segment for this number of bytes can be provided that leaves at least {@code keep} preallocated ones.
+     * True if a segment for this number of bytes can be provided that leaves at least {@code minSparesLeft}
+     * preallocated ones.
      */
     boolean canProvide(long bytes, int minSparesLeft) {
         long available = quotaBytes - allocatedBytes;
@@ -272,7 +273,8 @@
                 SegmentFormat.VERSION, sequence, nextSalt, clocks.wallMicros().getAsLong(), clocks.bootClock())));
         Segment previous = fullSegments.peekLast();
         RecordWriter firstRecord = new RecordWriter();
-        RecordEncoder.previous(firstRecord, previous == null ? 0 : previous.sequence, previous == null ? 0 : previous.usedBytes);
+        RecordEncoder.previous(
+                firstRecord, previous == null ? 0 : previous.sequence, previous == null ? 0 : previous.usedBytes);
         return startBytes.put(firstRecord.withChecksums(nextSalt)).flip();
     }
 
@@ -394,7 +396,9 @@
             disk.rename(oldest.name, DAMAGED_PREFIX + oldest.name);
             fullSegments.pollFirst();
             quarantinedBytes += oldest.lengthBytes;
-        } else if (oldest.damaged || oldest.sequence == Segment.LEGACY_SEQUENCE || policy.isSurplus(spaceUsage(state), oldest.lengthBytes)) {
+        } else if (oldest.damaged
+                || oldest.sequence == Segment.LEGACY_SEQUENCE
+                || policy.isSurplus(spaceUsage(state), oldest.lengthBytes)) {
             disk.delete(oldest.name);
             fullSegments.pollFirst();
             allocatedBytes -= oldest.lengthBytes;
@@ -416,7 +420,12 @@
         try {
             fillAndAdd(name, length);
         } catch (IOException e) {
-            Logs.warn("journal", "not-ready", name + " could not be filled with zeros, tried again later: " + e, "segment", name);
+            Logs.warn(
+                    "journal",
+                    "not-ready",
+                    name + " could not be filled with zeros, tried again later: " + e,
+                    "segment",
+                    name);
             deferFill(name, length, NO_SYNC_NEEDED);
         }
     }
@@ -451,7 +460,8 @@
         if (!isWorthKeeping) {
             disk.delete(name);
         }
-        allocatedBytes -= SpacePolicy.roundUpToBlocks(length) - (isWorthKeeping ? SpacePolicy.roundUpToBlocks(usableBytes) : 0);
+        allocatedBytes -=
+                SpacePolicy.roundUpToBlocks(length) - (isWorthKeeping ? SpacePolicy.roundUpToBlocks(usableBytes) : 0);
         if (isWorthKeeping) {
             preallocated.add(new PreallocatedFile(name, usableBytes));
         }
@@ -466,7 +476,8 @@
                 writeZeros(file, 0, length);
                 return length;
             } catch (IOException e) {
-                long usableBytes = firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
+                long usableBytes =
+                        firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
                 if (usableBytes == 0 && length > 0) {
                     throw e; // the disk fails, not just the end of this file
                 }
@@ -503,14 +514,14 @@
 
     /** Deletes all files without content. */
     void deletePreallocated() throws IOException {
-        for (PreallocatedFile s = preallocated.pollFirst(); s != null; s = preallocated.pollFirst()) {
-            disk.delete(s.name());
-            allocatedBytes -= SpacePolicy.roundUpToBlocks(s.length());
-        }
-        for (UnfilledFile u = unfilled.pollFirst(); u != null; u = unfilled.pollFirst()) {
-            disk.delete(u.name());
-            unfilledBytes -= SpacePolicy.roundUpToBlocks(u.length());
-            allocatedBytes -= SpacePolicy.roundUpToBlocks(u.length());
+        for (PreallocatedFile spare = preallocated.pollFirst(); spare != null; spare = preallocated.pollFirst()) {
+            disk.delete(spare.name());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(spare.length());
+        }
+        for (UnfilledFile deferred = unfilled.pollFirst(); deferred != null; deferred = unfilled.pollFirst()) {
+            disk.delete(deferred.name());
+            unfilledBytes -= SpacePolicy.roundUpToBlocks(deferred.length());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(deferred.length());
         }
     }
 
--- a/src/main/java/lilaclever/journal/SegmentReader.java
+++ b/src/main/java/lilaclever/journal/SegmentReader.java
@@ -61,7 +61,8 @@
             return -1;
         }
         ByteBuffer record = moveWindow(SegmentFormat.HEADER_BYTES);
-        if (checkAt(SegmentFormat.HEADER_BYTES) != RecordCheck.VALID || SegmentFormat.typeAt(record) != RecordType.PREVIOUS) {
+        if (checkAt(SegmentFormat.HEADER_BYTES) != RecordCheck.VALID
+                || SegmentFormat.typeAt(record) != RecordType.PREVIOUS) {
             return -1;
         }
         ByteBuffer content = SegmentFormat.takeContent(record);
@@ -69,7 +70,7 @@
     }
 
     /**
-     * Reads all records. {@code end} is their known end, or -1: then they end at the first position without a valid
+     * Reads all records. {@code knownEnd} is where they end, or -1: then they end at the first position without a valid
      * record, unless a valid record follows or the record at this position was written completely. Returns the position
      * after the last valid record.
      */
@@ -156,7 +157,7 @@
         return lastPosition;
     }
 
-    /** Returns the window with its position at {@code at}, and refills it if it does not contain that byte. */
+    /** Moves the position of the window to a byte of the file; refills the window if it does not contain that byte. */
     private ByteBuffer moveWindow(long position) throws IOException {
         if (position < windowStart || position >= windowStart + window.limit()) {
             refill(position, window.capacity());
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -42,7 +42,7 @@
     /**
      * Opens the journal in the folder and recovers the state that an earlier run left.
      *
-     * @param mostBytes quota for all its files together, each counted in whole blocks of 512 bytes
+     * @param quotaBytes quota for all its files together, each counted in whole blocks of 512 bytes
      * @param random source of the salts
      */
     public SegmentedJournal(
@@ -56,7 +56,8 @@
         appender = new LogAppender(log, policy, state, syncer, monotonicMicros);
         compactor = new Compactor(log, policy, state, syncer, appender);
         unwrittenChanges = new UnwrittenChanges(state, log, writer, syncer.isEnabled(), this::appendUnwritten);
-        Recovery recovery = new Recovery(disk, state, clocks.bootClock(), line -> Logs.warn("journal", "recovery", line));
+        Recovery recovery =
+                new Recovery(disk, state, clocks.bootClock(), line -> Logs.warn("journal", "recovery", line));
         recoveryReport = recovery.scan();
         recovery.handOver(log);
         compactor.migrateUpTo(recoveryReport.lastToMigrate());
@@ -77,7 +78,9 @@
         PendingMessage message = new PendingMessage(front, submission, deadlineWall);
         RecordEncoder.accepted(writer.clear(), message);
         int recordBytes = writer.size();
-        if (recordBytes > SegmentFormat.MAX_CONTENT_BYTES || !appender.ensureSpace(recordBytes, JournalState.growthBytes(submission)) || !append()) {
+        if (recordBytes > SegmentFormat.MAX_CONTENT_BYTES
+                || !appender.ensureSpace(recordBytes, JournalState.growthBytes(submission))
+                || !append()) {
             return false;
         }
         state.addAccepted(message, log.active(), recordBytes);
@@ -140,7 +143,9 @@
         }
         PendingMessage.Claim newClaim = new PendingMessage.Claim(front, claim);
         RecordEncoder.joined(writer.clear(), id, newClaim);
-        if (unwrittenChanges.hasMessage(id) || !appender.ensureSpace(writer.size(), JournalState.growthBytes(newClaim)) || !append()) {
+        if (unwrittenChanges.hasMessage(id)
+                || !appender.ensureSpace(writer.size(), JournalState.growthBytes(newClaim))
+                || !append()) {
             return false;
         }
         state.addClaim(entry.value, newClaim);
@@ -217,7 +222,8 @@
         state.removeExpired(nowWall, MAX_EXPIRIES_PER_TURN);
         if (!appender.isBackingOffAt(nowMicros)) {
             compactSlice(nowMicros);
-            if (log.active() != null && policy.shouldPreallocate(log.spaceUsage(state))) { // none before the first record
+            if (log.active() != null
+                    && policy.shouldPreallocate(log.spaceUsage(state))) { // none before the first record
                 log.preallocate(policy.segmentBytes());
             }
         }
--- a/src/main/java/lilaclever/journal/SpacePolicy.java
+++ b/src/main/java/lilaclever/journal/SpacePolicy.java
@@ -6,9 +6,9 @@
  *
  * <p>The log is compacted from its oldest end: live records there are copied to the head, then the file is free. So the
  * record that ends a message is never removed before the one that began it. Space is promised only where files are
- * already allocated: live records, with all their possible growth, fit into them with {@link #reserveBytes} to spare, and
- * with that reserve one pass over the log can always reclaim all obsolete records. Hence the attempts and results of
- * accepted messages can be written even if others fill the disk.
+ * already allocated: live records, with all their possible growth, fit into them with {@link #reserveBytes} to spare,
+ * and with that reserve one pass over the log can always reclaim all obsolete records. Hence the attempts and results
+ * of accepted messages can be written even if others fill the disk.
  *
  * <p>The end of a file stays unused if the next record does not fit. Two adjacent files together hold more than one of
  * them has space for (next-fit), so at most half is lost, and per file no more than the largest record.
@@ -36,13 +36,21 @@
      * @param largestRecordBytes an upper bound on the size of a live record
      * @param preallocatedSegments number of preallocated segments
      */
-    record SpaceUsage(long quotaBytes, long allocatedBytes, long freeBytes, long liveBytes, long growthBytes, long largestRecordBytes, int preallocatedSegments) {}
+    record SpaceUsage(
+            long quotaBytes,
+            long allocatedBytes,
+            long freeBytes,
+            long liveBytes,
+            long growthBytes,
+            long largestRecordBytes,
+            int preallocatedSegments) {}
 
     private final long segmentBytes;
 
     /** Creates a policy for files of this total size. */
     SpacePolicy(long quotaBytes) {
-        segmentBytes = roundUpToBlocks(Math.max(MIN_SEGMENT_BYTES, Math.min(MAX_SEGMENT_BYTES, quotaBytes / TARGET_SEGMENTS)));
+        segmentBytes =
+                roundUpToBlocks(Math.max(MIN_SEGMENT_BYTES, Math.min(MAX_SEGMENT_BYTES, quotaBytes / TARGET_SEGMENTS)));
     }
 
     /** Rounds up to whole blocks. */
@@ -77,7 +85,8 @@
 
     /** True if space can be promised for a message's record and its possible growth. */
     boolean hasSpace(SpaceUsage usage, long recordBytes, long growthBytes) {
-        return usage.liveBytes() + usage.growthBytes() + recordBytes + growthBytes <= usableBytes(usage.allocatedBytes(), Math.max(usage.largestRecordBytes(), recordBytes));
+        return usage.liveBytes() + usage.growthBytes() + recordBytes + growthBytes
+                <= usableBytes(usage.allocatedBytes(), Math.max(usage.largestRecordBytes(), recordBytes));
     }
 
     /** The length of a further segment that can hold a record of this size; 0 if the quota does not allow it. */
@@ -96,8 +105,10 @@
     boolean isSurplus(SpaceUsage usage, long lengthBytes) {
         // 1.5 times the need of the live records, so that a steady load keeps its files.
         long neededBytes = 2 * reserveBytes(usage.largestRecordBytes()) + 3 * (usage.liveBytes() + usage.growthBytes());
-        return lengthBytes != segmentBytes && newSegmentBytes(usage, 0) > 0 // one of the usual length can take its place
-                || usage.preallocatedSegments() >= RESERVED_SEGMENTS - 1 && usage.allocatedBytes() - lengthBytes >= neededBytes;
+        return lengthBytes != segmentBytes
+                        && newSegmentBytes(usage, 0) > 0 // one of the usual length can take its place
+                || usage.preallocatedSegments() >= RESERVED_SEGMENTS - 1
+                        && usage.allocatedBytes() - lengthBytes >= neededBytes;
     }
 
     /**
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -115,7 +115,10 @@
 
     /** Starts a sync if one is due and none is in progress. */
     void startIfDue(long nowMicros, SegmentLog log) {
-        if (!running && (probing ? nowMicros - lastStartedMicros >= SpacePolicy.DISK_RETRY_DELAY_MICROS : isDue(nowMicros))) {
+        if (!running
+                && (probing
+                        ? nowMicros - lastStartedMicros >= SpacePolicy.DISK_RETRY_DELAY_MICROS
+                        : isDue(nowMicros))) {
             start(nowMicros, log);
         }
     }
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -34,10 +34,15 @@
      * Creates an empty set of changes.
      *
      * @param writer used for each record; it keeps the last one
-     * @param forces true if records are synced to the disk
+     * @param syncEnabled true if records are synced to the disk
      * @param append appends the records of the writer to the log; false if that is not possible now
      */
-    UnwrittenChanges(JournalState state, SegmentLog log, RecordWriter writer, boolean syncEnabled, Predicate<RecordWriter> append) {
+    UnwrittenChanges(
+            JournalState state,
+            SegmentLog log,
+            RecordWriter writer,
+            boolean syncEnabled,
+            Predicate<RecordWriter> append) {
         this.state = state;
         this.log = log;
         this.writer = writer;
@@ -113,7 +118,8 @@
     }
 
     /** Adds entries in segments written to since the last successful sync started: their records may be copies. */
-    private static <T> void addUnsynced(Map<String, JournalState.Entry<T>> map, long lastSuccessfulSync, Set<String> target) {
+    private static <T> void addUnsynced(
+            Map<String, JournalState.Entry<T>> map, long lastSuccessfulSync, Set<String> target) {
         map.forEach((key, entry) -> {
             if (entry.segment != null && entry.segment.lastWrittenAtSync >= lastSuccessfulSync) {
                 target.add(key);
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -142,7 +142,8 @@
         counters.figure("journal_bytes", journal::allocatedBytes);
         counters.figure("journal_bytes_copied", journal::copiedBytes);
         counters.figure("journal_failures", journal::failureCount);
-        counters.figure("journal_damages", () -> journal.recoveryReport().damages().size());
+        counters.figure(
+                "journal_damages", () -> journal.recoveryReport().damages().size());
     }
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -24,7 +24,8 @@
                 uptimes = {800 * SECOND_MICROS, 809 * SECOND_MICROS};
         for (int run = 0; run < 2; run++) {
             long wall = walls[run];
-            BootClock clock = BootClock.fromUptime(77, monotonic[run], uptimes[run], monotonic[run], wall - monotonic[run]);
+            BootClock clock =
+                    BootClock.fromUptime(77, monotonic[run], uptimes[run], monotonic[run], wall - monotonic[run]);
             assertEquals(BootClock.UNKNOWN, clock);
             try (SegmentedJournal journal = new SegmentedJournal(
                     disk,
@@ -54,13 +55,17 @@
      */
     @Test
     void monotonicClockThatStoodStillIsNotTrusted() {
-        assertEquals(BootClock.UNKNOWN, BootClock.fromUptime(77, 500 * SECOND_MICROS, 560 * SECOND_MICROS, 500 * SECOND_MICROS, SECOND_MICROS));
+        assertEquals(
+                BootClock.UNKNOWN,
+                BootClock.fromUptime(77, 500 * SECOND_MICROS, 560 * SECOND_MICROS, 500 * SECOND_MICROS, SECOND_MICROS));
     }
 
     @Test
     void wallClockStepIsDetectedWhereClocksAgree() {
-        BootClock earlier = BootClock.fromUptime(77, 500 * SECOND_MICROS, 500 * SECOND_MICROS - 9_999, 500 * SECOND_MICROS + 40, 9 * SECOND_MICROS);
-        BootClock now = BootClock.fromUptime(77, 600 * SECOND_MICROS, 600 * SECOND_MICROS - 1, 600 * SECOND_MICROS + 40, 3 * SECOND_MICROS);
+        BootClock earlier = BootClock.fromUptime(
+                77, 500 * SECOND_MICROS, 500 * SECOND_MICROS - 9_999, 500 * SECOND_MICROS + 40, 9 * SECOND_MICROS);
+        BootClock now = BootClock.fromUptime(
+                77, 600 * SECOND_MICROS, 600 * SECOND_MICROS - 1, 600 * SECOND_MICROS + 40, 3 * SECOND_MICROS);
         assertEquals(-6 * SECOND_MICROS, now.wallShiftMicrosSince(earlier));
         assertEquals(0, new BootClock(78, 3 * SECOND_MICROS).wallShiftMicrosSince(earlier), "another boot");
         assertEquals(0, BootClock.UNKNOWN.wallShiftMicrosSince(earlier));
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -22,15 +22,22 @@
     /** Checks the state found after a cut: that of the last acknowledged step, or of the next one. */
     private static void check(RandomRun randomRun, int done, SimDisk disk, String description) throws IOException {
         int checkpoint = 0;
-        while (checkpoint + 1 < randomRun.checkpoints.size() && randomRun.checkpoints.get(checkpoint + 1).operations() <= done) {
+        while (checkpoint + 1 < randomRun.checkpoints.size()
+                && randomRun.checkpoints.get(checkpoint + 1).operations() <= done) {
             checkpoint++;
         }
         try (SegmentedJournal recovered = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE)) {
             String state = RandomRun.describe(recovered, 0);
             assertEquals(List.of(), recovered.recoveryReport().damages(), description);
-            boolean good = withoutRemembered(state).equals(withoutRemembered(randomRun.checkpoints.get(checkpoint).state()))
+            boolean good = withoutRemembered(state)
+                            .equals(withoutRemembered(
+                                    randomRun.checkpoints.get(checkpoint).state()))
                     || checkpoint + 1 < randomRun.checkpoints.size()
-                            && withoutRemembered(state).equals(withoutRemembered(randomRun.checkpoints.get(checkpoint + 1).state()));
+                            && withoutRemembered(state)
+                                    .equals(withoutRemembered(randomRun
+                                            .checkpoints
+                                            .get(checkpoint + 1)
+                                            .state()));
             if (!good) {
                 assertEquals(randomRun.checkpoints.get(checkpoint).state(), state, description);
             }
@@ -58,7 +65,11 @@
             if (done < disk.operations.size() && disk.operations.get(done).kind() == SimDisk.OperationKind.WRITE) {
                 int length = disk.operations.get(done).bytes().length;
                 for (int part : new int[] {1, length / 2, length - 1}) {
-                    check(randomRun, done, SimDisk.afterKill(disk.operations, done, part), part + " bytes after " + done);
+                    check(
+                            randomRun,
+                            done,
+                            SimDisk.afterKill(disk.operations, done, part),
+                            part + " bytes after " + done);
                 }
             }
         }
@@ -124,8 +135,9 @@
                 int done = syncedAt.get(turn) + random.nextInt(next - syncedAt.get(turn) + 1);
                 SimDisk remains = SimDisk.afterPowerCut(disk.operations, done, random);
                 try (SegmentedJournal recovered = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
-                    List<String> recoveredIds =
-                            recovered.owed().stream().map(message -> message.submission().id()).toList();
+                    List<String> recoveredIds = recovered.owed().stream()
+                            .map(message -> message.submission().id())
+                            .toList();
                     List<String> later = turn + 1 < messagesThen.size() ? messagesThen.get(turn + 1) : List.of();
                     for (String id : messagesThen.get(turn)) {
                         // What ended since may be there or not; everything else must be.
@@ -144,7 +156,9 @@
         for (String was : messagesThen) {
             if (was.startsWith(message.submission().id() + " ")) {
                 int attempts = Integer.parseInt(was.split(" ")[1]);
-                assertTrue(message.attempts() >= attempts || message.mayHaveRun(), was + " " + RandomRun.describe(message));
+                assertTrue(
+                        message.attempts() >= attempts || message.mayHaveRun(),
+                        was + " " + RandomRun.describe(message));
             }
         }
     }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -32,8 +32,8 @@
     private long clockMicros;
 
     private SegmentedJournal open(Durability durability) throws IOException {
-        SegmentedJournal journal =
-                new SegmentedJournal(disk, QUOTA_BYTES, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
+        SegmentedJournal journal = new SegmentedJournal(
+                disk, QUOTA_BYTES, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
         journal.attach(loop::add);
         return journal;
     }
@@ -93,9 +93,13 @@
         repairDisk();
         clockMicros += 2 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
         assertTrue(journal.attempt("m", "b", 0, 5_000));
-        try (SegmentedJournal next = RandomRun.open(SimDisk.afterKill(disk.operations, disk.operations.size(), 0), QUOTA_BYTES, Durability.NONE)) {
+        try (SegmentedJournal next = RandomRun.open(
+                SimDisk.afterKill(disk.operations, disk.operations.size(), 0), QUOTA_BYTES, Durability.NONE)) {
             PendingMessage message = next.owed().iterator().next();
-            assertEquals("2 true a 100", message.attempts() + " " + message.mayHaveRun() + " " + message.riskHost() + " " + message.riskWall());
+            assertEquals(
+                    "2 true a 100",
+                    message.attempts() + " " + message.mayHaveRun() + " " + message.riskHost() + " "
+                            + message.riskWall());
         }
         journal.close();
     }
@@ -183,7 +187,8 @@
         }
         assertTrue(durable[0]);
         for (int seed = 0; seed < 50; seed++) {
-            SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(seed));
+            SimDisk remains =
+                    SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(seed));
             try (SegmentedJournal next = RandomRun.open(remains, QUOTA_BYTES, Durability.NONE)) {
                 assertEquals(List.of("other"), ids(next), "seed " + seed);
             }
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -20,48 +20,76 @@
     private static final long MS_MICROS = 1_000, SECOND_MICROS = 1_000_000, HOUR_MICROS = 3_600 * SECOND_MICROS;
     private static final long QUOTA_BYTES = 512 * 1024;
     /** The clocks of the first run at the moment of the kill; the second run starts 2 s later. */
-    private static final long WALL_AT_KILL_MICROS = 50_000 * HOUR_MICROS, MONOTONIC_AT_KILL_MICROS = 7 * HOUR_MICROS, DOWNTIME_MICROS = 2 * SECOND_MICROS;
+    private static final long WALL_AT_KILL_MICROS = 50_000 * HOUR_MICROS,
+            MONOTONIC_AT_KILL_MICROS = 7 * HOUR_MICROS,
+            DOWNTIME_MICROS = 2 * SECOND_MICROS;
     /**
      * At the kill: time to the deadline of a message, time to the expiry of a remembered result, and age of the
      * attempt.
      */
-    private static final long TIME_LEFT_MICROS = 20 * SECOND_MICROS, REMEMBERED_FOR_MICROS = HOUR_MICROS, ATTEMPT_AGE_MICROS = 3 * SECOND_MICROS;
+    private static final long TIME_LEFT_MICROS = 20 * SECOND_MICROS,
+            REMEMBERED_FOR_MICROS = HOUR_MICROS,
+            ATTEMPT_AGE_MICROS = 3 * SECOND_MICROS;
 
     private final SimDisk disk = new SimDisk();
 
     private SegmentedJournal open(LongSupplier wallMicros, BootClock bootClock) throws IOException {
         return new SegmentedJournal(
-                disk, QUOTA_BYTES, Durability.NONE, new JournalClocks(() -> 0, wallMicros, bootClock), new SplittableRandom(1));
+                disk,
+                QUOTA_BYTES,
+                Durability.NONE,
+                new JournalClocks(() -> 0, wallMicros, bootClock),
+                new SplittableRandom(1));
     }
 
     private void writeAndKill(SegmentedJournal journal) {
         Submission submission = new Submission("m", null, 2, 7, "key", new byte[3], false, false, TIME_LEFT_MICROS);
-        journal.taken("http", submission, WALL_AT_KILL_MICROS + TIME_LEFT_MICROS, WALL_AT_KILL_MICROS - ATTEMPT_AGE_MICROS);
+        journal.taken(
+                "http", submission, WALL_AT_KILL_MICROS + TIME_LEFT_MICROS, WALL_AT_KILL_MICROS - ATTEMPT_AGE_MICROS);
         journal.attempt("m", "a", 0, WALL_AT_KILL_MICROS - ATTEMPT_AGE_MICROS);
-        journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL_AT_KILL_MICROS + REMEMBERED_FOR_MICROS);
+        journal.remember(
+                "identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL_AT_KILL_MICROS + REMEMBERED_FOR_MICROS);
     }
 
     private static void checkSpans(SegmentedJournal journal, long now, long error) {
         PendingMessage message = journal.owed().iterator().next();
         assertEquals(TIME_LEFT_MICROS - DOWNTIME_MICROS + error, message.deadlineWall() - now, "time left");
-        assertEquals(ATTEMPT_AGE_MICROS + DOWNTIME_MICROS - error, now - message.sentWall(), "age of the attempt, from which the window counts");
-        assertEquals(REMEMBERED_FOR_MICROS - DOWNTIME_MICROS + error, journal.remembered("identity").untilWall() - now, "remembered for");
+        assertEquals(
+                ATTEMPT_AGE_MICROS + DOWNTIME_MICROS - error,
+                now - message.sentWall(),
+                "age of the attempt, from which the window counts");
+        assertEquals(
+                REMEMBERED_FOR_MICROS - DOWNTIME_MICROS + error,
+                journal.remembered("identity").untilWall() - now,
+                "remembered for");
     }
 
     /**
      * The clock is set between a kill and a restart without a reboot: every time span continues as if it had not been.
      */
     @ParameterizedTest
-    @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, -60 * MS_MICROS, 0, 60 * MS_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
+    @ValueSource(
+            longs = {
+                -HOUR_MICROS,
+                -5 * SECOND_MICROS,
+                -60 * MS_MICROS,
+                0,
+                60 * MS_MICROS,
+                5 * SECOND_MICROS,
+                HOUR_MICROS
+            })
     void stepBetweenKillAndStartChangesNoSpan(long step) throws IOException {
-        writeAndKill(open(() -> WALL_AT_KILL_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS)));
+        writeAndKill(
+                open(() -> WALL_AT_KILL_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS)));
         long now = WALL_AT_KILL_MICROS + DOWNTIME_MICROS + step;
-        try (SegmentedJournal next = open(() -> now, new BootClock(77, now - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
+        try (SegmentedJournal next =
+                open(() -> now, new BootClock(77, now - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
             checkSpans(next, now, 0);
         }
         // What the second run has copied is read by a third one, after the clock is set back to the time of the first.
         long later = WALL_AT_KILL_MICROS + DOWNTIME_MICROS;
-        try (SegmentedJournal last = open(() -> later, new BootClock(77, later - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
+        try (SegmentedJournal last =
+                open(() -> later, new BootClock(77, later - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
             checkSpans(last, later, 0);
         }
     }
@@ -74,7 +102,8 @@
     @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
     void stepDuringRunChangesNoSpan(long step) throws IOException {
         long[] wallMicros = {WALL_AT_KILL_MICROS};
-        SegmentedJournal journal = open(() -> wallMicros[0], new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS));
+        SegmentedJournal journal =
+                open(() -> wallMicros[0], new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS));
         for (int i = 0; i < 60; i++) {
             journal.taken("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.ended("x" + i);
@@ -85,7 +114,9 @@
             journal.taken("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.ended("y" + i);
         }
-        try (SegmentedJournal next = open(() -> WALL_AT_KILL_MICROS + DOWNTIME_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS))) {
+        try (SegmentedJournal next = open(
+                () -> WALL_AT_KILL_MICROS + DOWNTIME_MICROS,
+                new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS))) {
             checkSpans(next, WALL_AT_KILL_MICROS + DOWNTIME_MICROS, 0);
         }
     }
@@ -120,6 +151,7 @@
             now[0] += readings[0]++ == 0 ? 150 * MS_MICROS : 1;
             return now[0];
         };
-        assertEquals(9 * SECOND_MICROS, BootClock.wallOffsetMicros(monotonic, () -> now[0] + 9 * SECOND_MICROS), MS_MICROS);
+        assertEquals(
+                9 * SECOND_MICROS, BootClock.wallOffsetMicros(monotonic, () -> now[0] + 9 * SECOND_MICROS), MS_MICROS);
     }
 }
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -88,7 +88,8 @@
     }
 
     private static SegmentedJournal open(SimDisk disk, long[] clockMicros) throws IOException {
-        return new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, RandomRun.clocks(() -> clockMicros[0]), new SplittableRandom(9));
+        return new SegmentedJournal(
+                disk, QUOTA_BYTES, Durability.NONE, RandomRun.clocks(() -> clockMicros[0]), new SplittableRandom(9));
     }
 
     private static String describePending(SegmentedJournal journal) {
@@ -130,13 +131,15 @@
             @ForAll @IntRange(max = 70_000) int record) {
         SpacePolicy policy = new SpacePolicy(4 << 20);
         SpacePolicy.SpaceUsage usage = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live, growth, 300, 0);
-        SpacePolicy.SpaceUsage fullerUsage = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
+        SpacePolicy.SpaceUsage fullerUsage =
+                new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
         assertTrue(!policy.hasSpace(usage, record, 640) || live + growth + record <= allocated);
         assertTrue(!policy.hasSpace(fullerUsage, record, 640) || policy.hasSpace(usage, record, 640));
         List<Long> lengths = new ArrayList<>();
         for (int r : new int[] {record, record + 1000, record + 100_000}) {
             lengths.add(policy.segmentBytesFor(r));
-            assertTrue(policy.segmentBytesFor(r) >= r + SegmentFormat.OVERHEAD_BYTES && policy.segmentBytesFor(r) % SegmentFormat.BLOCK_BYTES == 0);
+            assertTrue(policy.segmentBytesFor(r) >= r + SegmentFormat.OVERHEAD_BYTES
+                    && policy.segmentBytesFor(r) % SegmentFormat.BLOCK_BYTES == 0);
         }
         assertEquals(lengths, lengths.stream().sorted().toList());
     }
--- a/src/test/java/lilaclever/journal/RandomRun.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -150,7 +150,8 @@
                 }
             }
             default -> {
-                if (message.deadlineWall() % 5 > 0) { // the others stay pending and must be copied forward again and again
+                if (message.deadlineWall() % 5
+                        > 0) { // the others stay pending and must be copied forward again and again
                     journal.ended(id);
                     pending.remove(id);
                 }
@@ -183,7 +184,8 @@
 
     static String describe(Map<String, PendingMessage> pending, Map<String, CompletedMessage<FinalStatus>> remembered) {
         StringBuilder description = new StringBuilder();
-        pending.values().forEach(message -> description.append(describe(message)).append('\n'));
+        pending.values()
+                .forEach(message -> description.append(describe(message)).append('\n'));
         return description.append(remembered).toString();
     }
 
@@ -199,8 +201,12 @@
                 "" + java.util.Arrays.hashCode(submission.body()),
                 "" + submission.budgetMicros(),
                 "" + message.deadlineWall(),
-                message.attempts() + (message.isOut() ? " out" : "") + (message.attempts() > 0 ? " " + message.host() + message.sentWall() : ""),
-                message.mayHaveRun() ? "risk " + message.riskHost() + message.riskZone() + "@" + message.riskWall() : "",
+                message.attempts()
+                        + (message.isOut() ? " out" : "")
+                        + (message.attempts() > 0 ? " " + message.host() + message.sentWall() : ""),
+                message.mayHaveRun()
+                        ? "risk " + message.riskHost() + message.riskZone() + "@" + message.riskWall()
+                        : "",
                 String.valueOf(message.verdict()),
                 message.joined().toString());
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -36,7 +36,8 @@
     }
 
     private SegmentedJournal open(long quotaBytes) throws IOException {
-        return new SegmentedJournal(disk, quotaBytes, Durability.NONE, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
+        return new SegmentedJournal(
+                disk, quotaBytes, Durability.NONE, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
     }
 
     private static boolean accept(SegmentedJournal journal, String id, int size) {
@@ -65,8 +66,9 @@
                 PendingMessage message = pending(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        message.attempts() + " " + message.isOut() + " " + message.mayHaveRun() + " " + message.riskHost() + " " + message.riskZone()
-                                + " " + message.riskWall() + " " + message.deadlineWall());
+                        message.attempts() + " " + message.isOut() + " " + message.mayHaveRun() + " "
+                                + message.riskHost() + " " + message.riskZone() + " " + message.riskWall() + " "
+                                + message.deadlineWall());
                 assertEquals(
                         "http key 7 2 10",
                         message.front() + " " + message.submission().key() + " "
@@ -283,11 +285,13 @@
             assertTrue(journal.recoveryReport().legacyFileFound());
             state = RandomRun.describe(journal, 0);
             assertEquals("identity of a", pending(journal, "a").submission().identity());
-            assertTrue(pending(journal, "a").isOut() && pending(journal, "a").host().equals("host"));
+            assertTrue(pending(journal, "a").isOut()
+                    && pending(journal, "a").host().equals("host"));
         }
         assertFalse(disk.fileNames().contains("journal"), disk.fileNames().toString());
         for (int cut = before; cut <= disk.operations.size(); cut++) {
-            try (SegmentedJournal journal = RandomRun.open(SimDisk.afterKill(disk.operations, cut, 7), QUOTA_BYTES, Durability.NONE)) {
+            try (SegmentedJournal journal =
+                    RandomRun.open(SimDisk.afterKill(disk.operations, cut, 7), QUOTA_BYTES, Durability.NONE)) {
                 assertEquals(state, RandomRun.describe(journal, 0), "cut at " + cut);
             }
         }
@@ -297,12 +301,15 @@
     void newerFormatIsRejectedWithoutChanges() throws IOException {
         disk.putFile(
                 Segment.fileName(1),
-                SegmentFormat.encodeHeader(new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
+                SegmentFormat.encodeHeader(
+                                new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
                         .array());
         disk.putFile("journal.new", new byte[3]);
         int before = disk.operations.size();
         JournalException e = assertThrows(JournalException.class, this::open);
-        assertTrue(e.getMessage().contains(Segment.fileName(1) + " is of format " + (SegmentFormat.VERSION + 1)), e.getMessage());
+        assertTrue(
+                e.getMessage().contains(Segment.fileName(1) + " is of format " + (SegmentFormat.VERSION + 1)),
+                e.getMessage());
         assertEquals(before, disk.operations.size());
     }
 
@@ -342,7 +349,8 @@
                 .putFlag(false)
                 .endRecord();
         java.nio.ByteBuffer all = java.nio.ByteBuffer.allocate(16 * 1024);
-        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
+        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN)))
+                .put(out.withChecksums(5));
         disk.putFile(Segment.fileName(1), all.array());
         try (SegmentedJournal journal = open()) {
             assertEquals(List.of(), journal.recoveryReport().damages());
@@ -418,7 +426,8 @@
         long[] bootIds = {77, 77, 78};
         for (int run = 0; run < 3; run++) {
             long wall = walls[run];
-            JournalClocks clocks = new JournalClocks(() -> 0, () -> wall, new BootClock(bootIds[run], wall - uptimes[run]));
+            JournalClocks clocks =
+                    new JournalClocks(() -> 0, () -> wall, new BootClock(bootIds[run], wall - uptimes[run]));
             try (SegmentedJournal journal =
                     new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, clocks, new SplittableRandom(run))) {
                 if (run == 0) {
@@ -432,8 +441,12 @@
                 } else {
                     // The second run starts 7 s later by the monotonic clock. The third one follows a reboot and has to
                     // trust the wall clock of the segment that it reads.
-                    assertEquals(4 * hourMicros + 28_000_000, pending(journal, "m").deadlineWall() + (run == 2 ? -hourMicros : 0));
-                    assertEquals(4 * hourMicros + 1_000_000, pending(journal, "m").sentWall() + (run == 2 ? -hourMicros : 0));
+                    assertEquals(
+                            4 * hourMicros + 28_000_000,
+                            pending(journal, "m").deadlineWall() + (run == 2 ? -hourMicros : 0));
+                    assertEquals(
+                            4 * hourMicros + 1_000_000,
+                            pending(journal, "m").sentWall() + (run == 2 ? -hourMicros : 0));
                     assertEquals(5 * hourMicros, journal.remembered("i").untilWall() + (run == 2 ? -hourMicros : 0));
                 }
             }
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -138,7 +138,9 @@
         Set<Integer> existing = new HashSet<>();
         for (int i = 0; i < done; i++) {
             Operation operation = operations.get(i);
-            boolean ofNames = operation.kind() == OperationKind.CREATE || operation.kind() == OperationKind.RENAME || operation.kind() == OperationKind.DELETE;
+            boolean ofNames = operation.kind() == OperationKind.CREATE
+                    || operation.kind() == OperationKind.RENAME
+                    || operation.kind() == OperationKind.DELETE;
             if (ofNames && i < namesUntil) {
                 disk.apply(operation);
                 existing.add(operation.file());
@@ -147,7 +149,9 @@
                     disk.apply(operation);
                 } else if (operation.kind() == OperationKind.WRITE) {
                     for (int at = 0; at < operation.bytes().length; ) {
-                        int to = at + SegmentFormat.BLOCK_BYTES - (int) ((operation.position() + at) % SegmentFormat.BLOCK_BYTES);
+                        int to = at
+                                + SegmentFormat.BLOCK_BYTES
+                                - (int) ((operation.position() + at) % SegmentFormat.BLOCK_BYTES);
                         if (random.nextBoolean()) {
                             disk.apply(partOf(operation, at, to));
                         }
@@ -257,7 +261,8 @@
             long length = contents.get(number).length;
             long room = Math.min(maxFileBytes - position, bytes.remaining());
             if (quotaBytes < Long.MAX_VALUE && position + room > length) {
-                room = Math.min(room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
+                room = Math.min(
+                        room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
             }
             byte[] all = new byte[(int) Math.max(0, room)];
             int asked = bytes.remaining();
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -98,11 +98,13 @@
     /** Each target and any operation at all, both errors, both durations, with and without a kill. */
     @AfterAll
     static void everyCombinationWasCovered() {
-        assertEquals((TARGETS.size() + 1) * ERRORS.size() * FaultDuration.values().length * 2, COVERED.size(), "" + COVERED);
+        assertEquals(
+                (TARGETS.size() + 1) * ERRORS.size() * FaultDuration.values().length * 2, COVERED.size(), "" + COVERED);
     }
 
     private void open(Durability durability, long seed) throws IOException {
-        journal = new SegmentedJournal(disk, quotaBytes, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(seed));
+        journal = new SegmentedJournal(
+                disk, quotaBytes, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(seed));
         journal.attach(loop::add);
         randomRun = new RandomRun(disk, seed);
         randomRun.useJournal(journal);
@@ -212,7 +214,9 @@
     /** The journal must know every file in the folder: a forgotten one would take space until a restart. */
     private void checkFiles(String description) {
         assertEquals(journal.fileCount(), disk.fileNames().size(), description + ": files " + disk.fileNames());
-        assertTrue(disk.totalBytes() <= journal.allocatedBytes(), description + ": " + disk.totalBytes() + " of " + journal.allocatedBytes());
+        assertTrue(
+                disk.totalBytes() <= journal.allocatedBytes(),
+                description + ": " + disk.totalBytes() + " of " + journal.allocatedBytes());
     }
 
     /**
@@ -220,13 +224,17 @@
      */
     private void checkKilled(int operations, int bytesOfNext, String description) throws IOException {
         int checkpoint = 0;
-        while (checkpoint + 1 < checkpoints.size() && checkpoints.get(checkpoint + 1).operations() <= operations) {
+        while (checkpoint + 1 < checkpoints.size()
+                && checkpoints.get(checkpoint + 1).operations() <= operations) {
             checkpoint++;
         }
         Map<String, KnownState> stateBefore = checkpoints.get(checkpoint).messages();
-        Map<String, KnownState> stateAfter = checkpoint + 1 < checkpoints.size() ? checkpoints.get(checkpoint + 1).messages() : stateBefore;
+        Map<String, KnownState> stateAfter = checkpoint + 1 < checkpoints.size()
+                ? checkpoints.get(checkpoint + 1).messages()
+                : stateBefore;
         Set<String> seen = new HashSet<>();
-        checkpoints.subList(0, Math.min(checkpoint + 2, checkpoints.size()))
+        checkpoints
+                .subList(0, Math.min(checkpoint + 2, checkpoints.size()))
                 .forEach(m -> seen.addAll(m.messages().keySet()));
         SimDisk remains = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
         try (SegmentedJournal next = RandomRun.open(remains, quotaBytes, Durability.NONE)) {
@@ -235,8 +243,8 @@
             stateBefore.forEach((id, known) -> {
                 if (stateAfter.containsKey(id)) {
                     assertNotNull(found.get(id), description + ": " + id + " is lost");
-                    boolean covered =
-                            known.isCoveredBy(found.get(id)) || stateAfter.get(id).isCoveredBy(found.get(id));
+                    boolean covered = known.isCoveredBy(found.get(id))
+                            || stateAfter.get(id).isCoveredBy(found.get(id));
                     assertTrue(covered, description + ": " + id + " " + known + found.get(id));
                 }
             });
@@ -247,7 +255,8 @@
         }
     }
 
-    private void run(FaultTarget target, String error, FaultDuration duration, boolean kill, long seed) throws Exception {
+    private void run(FaultTarget target, String error, FaultDuration duration, boolean kill, long seed)
+            throws Exception {
         String description = target + " " + error + " " + duration + (kill ? " kill" : "") + " seed " + seed;
         SplittableRandom random = new SplittableRandom(seed);
         quotaBytes = target != null && target.kind() == SimDisk.OperationKind.DELETE ? 4 * QUOTA_BYTES : QUOTA_BYTES;
@@ -289,7 +298,8 @@
     private record FaultScenario(FaultDuration duration, boolean hasKill) {}
 
     /** Runs one combination; returns the failure, if any. */
-    private static Optional<String> runOne(FaultTarget target, String error, FaultScenario scenario, long seed) throws Exception {
+    private static Optional<String> runOne(FaultTarget target, String error, FaultScenario scenario, long seed)
+            throws Exception {
         try {
             new StorageFaultTest().run(target, error, scenario.duration(), scenario.hasKill(), seed);
             return Optional.empty();
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -42,7 +42,8 @@
         Operator read = of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
                 + "\ninterval 250\n  ms\nremember 90s\n");
         assertEquals(
-                new Durability(Durability.Mode.INTERVAL, 250_000), read.journal().durability());
+                new Durability(Durability.Mode.INTERVAL, 250_000),
+                read.journal().durability());
         assertEquals(90_000_000, read.journal().rememberMicros());
     }
 
