--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -455,15 +455,15 @@
      * written. On failure nothing changes.
      */
     private void fillAndAdd(String name, long length) throws IOException {
-        long usableBytes = fillWithZeros(name, length);
-        boolean isWorthKeeping = usableBytes > 2 * SegmentFormat.OVERHEAD_BYTES;
+        long writableBytes = fillWithZeros(name, length);
+        boolean isWorthKeeping = writableBytes > 2 * SegmentFormat.OVERHEAD_BYTES;
         if (!isWorthKeeping) {
             disk.delete(name);
         }
         allocatedBytes -=
-                SpacePolicy.roundUpToBlocks(length) - (isWorthKeeping ? SpacePolicy.roundUpToBlocks(usableBytes) : 0);
+                SpacePolicy.roundUpToBlocks(length) - (isWorthKeeping ? SpacePolicy.roundUpToBlocks(writableBytes) : 0);
         if (isWorthKeeping) {
-            preallocated.add(new PreallocatedFile(name, usableBytes));
+            preallocated.add(new PreallocatedFile(name, writableBytes));
         }
     }
 
@@ -476,13 +476,13 @@
                 writeZeros(file, 0, length);
                 return length;
             } catch (IOException e) {
-                long usableBytes =
+                long writableBytes =
                         firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
-                if (usableBytes == 0 && length > 0) {
+                if (writableBytes == 0 && length > 0) {
                     throw e; // the disk fails, not just the end of this file
                 }
-                file.truncate(usableBytes);
-                return usableBytes;
+                file.truncate(writableBytes);
+                return writableBytes;
             }
         }
     }
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -73,15 +73,15 @@
      */
     @Property(tries = 30, seed = "4711", shrinking = ShrinkingMode.BOUNDED)
     void acceptedMessagesNeverLackSpace(
-            @ForAll @IntRange(min = 100, max = 66_000) int largest,
-            @ForAll @IntRange(min = 10, max = 600) int hold,
+            @ForAll @IntRange(min = 100, max = 66_000) int maxBodyBytes,
+            @ForAll @IntRange(min = 10, max = 600) int targetPending,
             @ForAll long seed)
             throws IOException {
         SimDisk disk = new SimDisk();
         RandomRun randomRun = new RandomRun(disk, seed);
         try (SegmentedJournal journal = RandomRun.open(disk, 3 * QUOTA_BYTES, Durability.NONE)) {
             randomRun.useJournal(journal);
-            randomRun.runWithoutCheckpoints(2500, largest, hold);
+            randomRun.runWithoutCheckpoints(2500, maxBodyBytes, targetPending);
             assertEquals(0, randomRun.rejectedAttempts + journal.unwrittenCount() + (int) journal.failureCount());
             assertTrue(disk.totalBytes() <= 3 * QUOTA_BYTES);
         }
--- a/src/test/java/lilaclever/journal/RandomRun.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -56,20 +56,20 @@
     }
 
     /**
-     * Runs {@code steps} steps with bodies of up to {@code largest} bytes; about {@code hold} messages are kept
-     * pending.
+     * Runs {@code steps} steps with bodies of up to {@code maxBodyBytes} bytes; about {@code targetPending} messages
+     * are kept pending.
      */
-    void run(int steps, int largest, int hold) {
+    void run(int steps, int maxBodyBytes, int targetPending) {
         for (int i = 0; i < steps; i++) {
-            step(largest, hold);
+            step(maxBodyBytes, targetPending);
             addCheckpoint();
         }
     }
 
     /** Like {@link #run}, but does not record the state of each step. */
-    void runWithoutCheckpoints(int steps, int largest, int hold) {
+    void runWithoutCheckpoints(int steps, int maxBodyBytes, int targetPending) {
         for (int i = 0; i < steps; i++) {
-            step(largest, hold);
+            step(maxBodyBytes, targetPending);
         }
     }
 
@@ -77,11 +77,11 @@
         checkpoints.add(new Checkpoint(disk.operations.size(), describe(pending, remembered)));
     }
 
-    private void step(int largest, int hold) {
+    private void step(int maxBodyBytes, int targetPending) {
         nowMicros++;
         String id = pending.isEmpty() ? null : (String) pending.keySet().toArray()[random.applyAsInt(pending.size())];
-        if (id == null || random.applyAsInt(100) < (pending.size() < hold ? 50 : 15)) {
-            accept(largest);
+        if (id == null || random.applyAsInt(100) < (pending.size() < targetPending ? 50 : 15)) {
+            accept(maxBodyBytes);
         } else {
             change(id, pending.get(id));
         }
@@ -91,8 +91,8 @@
         }
     }
 
-    private void accept(int largest) {
-        byte[] body = new byte[random.applyAsInt(20) == 0 ? largest : random.applyAsInt(80)];
+    private void accept(int maxBodyBytes) {
+        byte[] body = new byte[random.applyAsInt(20) == 0 ? maxBodyBytes : random.applyAsInt(80)];
         new java.util.Random(nextNumber).nextBytes(body);
         Submission submission = new Submission(
                 "m" + nextNumber,
@@ -172,14 +172,14 @@
     static String describe(SegmentedJournal journal, long now) {
         TreeMap<String, PendingMessage> pending = new TreeMap<>();
         journal.owed().forEach(message -> pending.put(message.submission().id(), message));
-        TreeMap<String, CompletedMessage<FinalStatus>> kept = new TreeMap<>();
+        TreeMap<String, CompletedMessage<FinalStatus>> rememberedResults = new TreeMap<>();
         for (int i = 0; i < 10_000; i += 3) {
             CompletedMessage<FinalStatus> result = journal.remembered("identity-" + i);
             if (result != null) {
-                kept.put("identity-" + i, result);
+                rememberedResults.put("identity-" + i, result);
             }
         }
-        return describe(pending, kept);
+        return describe(pending, rememberedResults);
     }
 
     static String describe(Map<String, PendingMessage> pending, Map<String, CompletedMessage<FinalStatus>> remembered) {
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -89,7 +89,7 @@
 
     /** One flipped bit at any position: all records but one are read, and no payment is repeated on a guess. */
     @Test
-    void flippedBitLosesOneRecordAndNoAttempt() throws IOException {
+    void flippedBitLosesOneRecordAndAttemptsMayHaveRun() throws IOException {
         List<Integer> starts = new ArrayList<>();
         try (SegmentedJournal journal = open()) {
             for (int i = 0; i < 20; i++) {
