--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -7,7 +7,7 @@
 import lilaclever.journal.SegmentFormat.RecordWriter;
 import lilaclever.log.Logs;
 
-/** Empties the log from its oldest segment on: copies forward what is live, and releases what nothing rests on. */
+/** Compacts the log from its oldest segment on: copies live records forward and releases segments that hold none. */
 final class Compactor implements LogAppender.SpaceReclaimer {
     private final SegmentLog log;
     private final SpacePolicy policy;
@@ -17,21 +17,21 @@
     private final RecordWriter copies = new RecordWriter();
     private long copiedBytes;
 
-    Compactor(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LogAppender appender) {
+    Compactor(SegmentLog log, SpacePolicy policy, JournalState state, Syncer syncer, LogAppender appender) {
         this.log = log;
-        this.policy = plan;
+        this.policy = policy;
         this.state = state;
         this.syncer = syncer;
         this.appender = appender;
     }
 
     /**
-     * Copies all that is live out of the segments up to that number and releases them: damaged ones and those of the
-     * first format have no place in the log any more.
+     * Copies all live records out of the segments up to this sequence number and releases these segments. Used for
+     * damaged segments and the legacy file, which must not stay in the log.
      */
-    void migrateUpTo(long upTo) throws IOException {
-        while (log.oldest() != null && log.oldest().sequence <= upTo) {
-            copyOldest("carry over");
+    void migrateUpTo(long lastSequence) throws IOException {
+        while (log.oldest() != null && log.oldest().sequence <= lastSequence) {
+            copyOldest("migrate");
             if (log.oldest().liveRecords == 0) {
                 syncer.syncNow(log);
                 log.releaseOldest(state);
@@ -39,11 +39,11 @@
         }
     }
 
-    /** Copies all that is live into as few segments as hold it, and gives up the others. */
+    /** Copies all live records into as few segments as possible and removes the other files. */
     void compactAll() throws IOException {
         log.abandonActive();
-        long last = log.newestSequence();
-        while (log.oldest() != null && log.oldest().sequence <= last) {
+        long lastSequence = log.newestSequence();
+        while (log.oldest() != null && log.oldest().sequence <= lastSequence) {
             copyOldest("copy");
             syncer.syncNow(log);
             log.releaseOldest(state);
@@ -53,58 +53,59 @@
 
     private void copyOldest(String purpose) throws JournalException {
         if (!copyLiveRecords(Long.MAX_VALUE)) {
-            throw new JournalException("no room to " + purpose + " " + log.oldest().name);
+            throw new JournalException("no space to " + purpose + " " + log.oldest().name);
         }
     }
 
-    /** Empties segments where that can't wait for the turn's slice. */
+    /** Compacts segments where that can't wait for the slice of the current turn. */
     @Override
     public void reclaim(long bytes) {
         try {
             compactSegments(bytes);
         } catch (IOException e) {
-            // A segment that can't be renamed or deleted now stays; what is to be written may fit all the same.
+            // A segment that can't be renamed or deleted now stays in the log; the pending record may fit all the same.
             Logs.warn("journal", "release-failed", "an empty segment could not be released: " + e);
         }
     }
 
     private void compactSegments(long bytes) throws IOException {
-        int wanted = policy.forcedCompactions(log.spaceUsage(state));
-        for (int n = log.fileCount(); n > 0 && log.oldest() != null; n--) {
-            boolean enough = wanted-- <= 0 && log.canProvide(bytes, SpacePolicy.SEGMENTS_FOR_COMPACTION);
+        int segmentsLeft = policy.forcedCompactions(log.spaceUsage(state));
+        for (int filesLeft = log.fileCount(); filesLeft > 0 && log.oldest() != null; filesLeft--) {
+            boolean enough = segmentsLeft-- <= 0 && log.canProvide(bytes, SpacePolicy.SEGMENTS_FOR_COMPACTION);
             if (enough || !copyLiveRecords(Long.MAX_VALUE) || !releaseEmptySegments()) {
                 return;
             }
         }
     }
 
-    /** Does one turn's part: copies a slice of the oldest segment if the plan wants that. */
+    /** Does the work of one turn: copies a slice of the oldest segment if the policy asks for it. */
     void runSlice() throws IOException {
         releaseEmptySegments();
-        long slice = policy.sliceBytes(log.spaceUsage(state));
-        if (slice > 0 && log.oldest() != null) {
-            copyLiveRecords(slice);
+        long sliceBytes = policy.sliceBytes(log.spaceUsage(state));
+        if (sliceBytes > 0 && log.oldest() != null) {
+            copyLiveRecords(sliceBytes);
             releaseEmptySegments();
         }
     }
 
-    /** Copies live records of the oldest segment, so many bytes of them; false if they could not be written. */
-    private boolean copyLiveRecords(long most) {
+    /** Copies live records of the oldest segment, up to a number of bytes; false if they could not be written. */
+    private boolean copyLiveRecords(long maxBytes) {
         Segment from = log.oldest();
-        return copyEntries(state.pending, from, most, (out, id, o) -> RecordEncoder.snapshot(out, o))
-                && copyEntries(state.remembered, from, most, RecordEncoder::remembered);
+        return copyEntries(state.pending, from, maxBytes, (out, id, message) -> RecordEncoder.snapshot(out, message))
+                && copyEntries(state.remembered, from, maxBytes, RecordEncoder::remembered);
     }
 
     private interface Encoder<T> {
         void encode(RecordWriter out, String key, T value);
     }
 
-    private <T> boolean copyEntries(Map<String, JournalState.Entry<T>> map, Segment from, long most, Encoder<T> encoder) {
-        long left = most;
-        while (left > 0) {
+    private <T> boolean copyEntries(
+            Map<String, JournalState.Entry<T>> map, Segment from, long maxBytes, Encoder<T> encoder) {
+        long bytesLeft = maxBytes;
+        while (bytesLeft > 0) {
             List<String> keys = new ArrayList<>();
             List<Integer> sizes = new ArrayList<>();
-            fillBatch(map, from, left, encoder, keys, sizes);
+            fillBatch(map, from, bytesLeft, encoder, keys, sizes);
             if (keys.isEmpty()) {
                 return true;
             }
@@ -115,53 +116,53 @@
                 state.recordMoved(map, keys.get(i), log.active(), sizes.get(i));
             }
             copiedBytes += copies.size();
-            left -= copies.size();
+            bytesLeft -= copies.size();
         }
         return true;
     }
 
-    /** Fills {@link #copies} with records for one segment, and the lists with what they are of and their sizes. */
+    /** Fills {@link #copies} with records for one segment, and the lists with their keys and sizes. */
     private <T> void fillBatch(
             Map<String, JournalState.Entry<T>> map,
             Segment from,
-            long most,
+            long maxBytes,
             Encoder<T> encoder,
             List<String> keys,
             List<Integer> sizes) {
         copies.clear();
-        for (Map.Entry<String, JournalState.Entry<T>> e : map.entrySet()) {
-            JournalState.Entry<T> slot = e.getValue();
-            if (slot.segment != from || copies.size() >= most) {
+        for (Map.Entry<String, JournalState.Entry<T>> entry : map.entrySet()) {
+            JournalState.Entry<T> liveEntry = entry.getValue();
+            if (liveEntry.segment != from || copies.size() >= maxBytes) {
                 break;
             }
-            int before = copies.size();
-            encoder.encode(copies, e.getKey(), slot.value);
+            int sizeBefore = copies.size();
+            encoder.encode(copies, entry.getKey(), liveEntry.value);
             if (!keys.isEmpty() && copies.size() > log.activeBytesLeft()) {
-                copies.truncate(before); // it goes into the next segment, and none of this one's room is lost to a batch
+                copies.truncate(sizeBefore); // goes into the next segment, so that a batch wastes no space in this one
                 break;
             }
-            keys.add(e.getKey());
-            sizes.add(copies.size() - before);
+            keys.add(entry.getKey());
+            sizes.add(copies.size() - sizeBefore);
         }
     }
 
-    /** Takes segments out of the log on which nothing rests any more; true if there was one. */
+    /** Releases the oldest segments while they hold no live records; true if there was one. */
     private boolean releaseEmptySegments() throws IOException {
-        boolean any = false;
-        for (Segment s = log.oldest(); s != null && s.liveRecords == 0; s = log.oldest()) {
-            if (s.emptiedAtSync < 0) {
-                s.emptiedAtSync = syncer.started();
+        boolean released = false;
+        for (Segment oldest = log.oldest(); oldest != null && oldest.liveRecords == 0; oldest = log.oldest()) {
+            if (oldest.emptiedAtSync < 0) {
+                oldest.emptiedAtSync = syncer.started();
             }
-            if (!syncer.hasSucceededAfter(s.emptiedAtSync)) {
-                break; // its records' copies might not outlast the machine yet
+            if (!syncer.hasSucceededAfter(oldest.emptiedAtSync)) {
+                break; // the copies of its records may not be durable yet
             }
             log.releaseOldest(state);
-            any = true;
+            released = true;
         }
-        return any;
+        return released;
     }
 
-    /** Bytes copied so far. */
+    /** Returns the number of bytes copied so far. */
     long copiedBytes() {
         return copiedBytes;
     }
--- a/src/main/java/lilaclever/journal/Durability.java
+++ b/src/main/java/lilaclever/journal/Durability.java
@@ -1,15 +1,15 @@
 package lilaclever.journal;
 
 /**
- * When records are forced to the disk. A killed process loses nothing in any case; this is for a machine that fails.
+ * When records are synced to the disk. A killed process loses nothing in any case; this matters when the machine fails.
  *
- * @param mode the rule
- * @param intervalMicros with INTERVAL, the time between two forcings
+ * @param mode the sync mode
+ * @param intervalMicros in mode INTERVAL, the time between two syncs
  */
 public record Durability(Mode mode, long intervalMicros) {
     /**
-     * NONE: never. INTERVAL: every so often, and nothing waits for it. GROUP: all records of a turn together, and
-     * nothing that a record comes before happens until then.
+     * NONE: never. INTERVAL: periodically, and nothing waits for the sync. GROUP: all records of a turn together, and
+     * nothing that depends on a record happens before its sync.
      */
     public enum Mode {
         NONE,
@@ -17,6 +17,6 @@
         GROUP
     }
 
-    /** The platform's choice: its folder goes with its machine. */
+    /** The default: no syncs, for a platform where the folder is lost with its machine. */
     public static final Durability NONE = new Durability(Mode.NONE, 0);
 }
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -19,17 +19,17 @@
 import lilaclever.routing.Submission;
 
 /**
- * What people do with the folder of a program that is stopped: look into it, check it, make it small, and read out what
- * it holds. All but {@link #compact} only reads.
+ * The operator's commands for the journal of a stopped program: inspect, verify, compact and export. Only {@link
+ * #compact} writes.
  */
 public final class Inspection {
-    /** Exit codes: all is well; damage was found; the folder can't be used. */
+    /** Exit codes: no damage; damage was found; the folder can't be used. */
     public static final int GOOD = 0, DAMAGED = 1, UNUSABLE = 2;
 
     private final Path folder;
     private final PrintStream out;
 
-    /** Of this folder; what is found is printed there. */
+    /** Inspects this folder and prints the results to {@code out}. */
     public Inspection(Path folder, PrintStream out) {
         this.folder = folder;
         this.out = out;
@@ -42,49 +42,53 @@
         return FolderDisk.lock(folder);
     }
 
-    /** Prints each file with what is in it, and what the whole says. */
+    /** Prints each file with its contents, and a summary of the state. */
     public int inspect() throws IOException {
         try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
             Recovery recovery = new Recovery(disk, state, BootClock.UNKNOWN, line -> {});
             Recovery.Report report = recovery.scan();
             out.printf("%-26s %9s %9s %9s %7s  %s%n", "file", "bytes", "used", "live", "records", "of which");
-            for (Recovery.ScannedSegment f : recovery.scannedSegments()) {
-                Segment s = f.segment();
+            for (Recovery.ScannedSegment scanned : recovery.scannedSegments()) {
+                Segment segment = scanned.segment();
                 Map<String, Integer> counts = new TreeMap<>();
-                f.counts().forEach((type, n) -> counts.put(type.name().toLowerCase(), n));
+                scanned.counts().forEach((type, n) -> counts.put(type.name().toLowerCase(), n));
                 out.printf(
                         "%-26s %9d %9d %9d %7d  %s%s%n",
-                        s.name,
-                        s.lengthBytes,
-                        s.usedBytes,
-                        s.liveBytes,
-                        f.counts().values().stream().mapToInt(Integer::intValue).sum(),
-                        f.header() == null ? s.sequence == Segment.LEGACY_SEQUENCE ? "format 0" : "no header" : counts,
-                        s.damaged ? " damaged" : "");
+                        segment.name,
+                        segment.lengthBytes,
+                        segment.usedBytes,
+                        segment.liveBytes,
+                        scanned.counts().values().stream()
+                                .mapToInt(Integer::intValue)
+                                .sum(),
+                        scanned.header() == null
+                                ? segment.sequence == Segment.LEGACY_SEQUENCE ? "format 0" : "no header"
+                                : counts,
+                        segment.damaged ? " damaged" : "");
             }
             for (String name : disk.fileNames()) {
                 if (name.startsWith(SegmentLog.SPARE_PREFIX) || name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
             }
-            long out1 = state.pending.values().stream()
-                    .filter(s -> s.value.isInFlight())
+            long inFlight = state.pending.values().stream()
+                    .filter(segment -> segment.value.isInFlight())
                     .count();
-            long risky = state.pending.values().stream()
-                    .filter(s -> s.value.mayHaveRun())
+            long possiblyRun = state.pending.values().stream()
+                    .filter(segment -> segment.value.mayHaveRun())
                     .count();
-            long ends = state.pending.values().stream()
-                    .filter(s -> s.value.finalStatus() != null)
+            long decided = state.pending.values().stream()
+                    .filter(segment -> segment.value.finalStatus() != null)
                     .count();
-            out.println("owed " + state.pending.size() + ", of which out " + out1 + ", possibly run " + risky
-                    + ", end decided " + ends);
+            out.println("owed " + state.pending.size() + ", of which out " + inFlight + ", possibly run " + possiblyRun
+                    + ", end decided " + decided);
             out.println("remembered ends " + state.remembered.size());
             return printSummary(report);
         }
     }
 
-    /** Reads all and prints only what is wrong. */
+    /** Reads everything and prints only faults. */
     public int verify() throws IOException {
         try (FolderDisk disk = lockFolder()) {
             return printSummary(new Recovery(disk, new JournalState(), BootClock.UNKNOWN, line -> {}).scan());
@@ -92,8 +96,8 @@
     }
 
     private int printSummary(Recovery.Report report) {
-        for (Recovery.Damage d : report.damages()) {
-            out.println("damaged " + d.file() + " from byte " + d.from() + " to " + d.to());
+        for (Recovery.Damage damage : report.damages()) {
+            out.println("damaged " + damage.file() + " from byte " + damage.from() + " to " + damage.to());
         }
         if (report.missingSegments() > 0) {
             out.println("missing files " + report.missingSegments());
@@ -104,14 +108,15 @@
         return good ? GOOD : DAMAGED;
     }
 
-    /** Writes what is live into as few files as hold it; damaged files are kept aside. */
-    public int compact(long mostBytes) throws IOException {
+    /** Writes all live records into as few files as possible; damaged files are kept under another name. */
+    public int compact(long quotaBytes) throws IOException {
         FolderDisk disk = lockFolder();
         try (SegmentedJournal journal = new SegmentedJournal(
-                disk, mostBytes, new Durability(Durability.Mode.GROUP, 0), clocks(), new SplittableRandom())) {
-            long before = journal.allocatedBytes();
+                disk, quotaBytes, new Durability(Durability.Mode.GROUP, 0), clocks(), new SplittableRandom())) {
+            long bytesBefore = journal.allocatedBytes();
             journal.compactAll();
-            out.println("bytes before " + before + ", now " + journal.allocatedBytes() + ", files " + journal.fileCount());
+            out.println("bytes before " + bytesBefore + ", now " + journal.allocatedBytes() + ", files "
+                    + journal.fileCount());
             return printSummary(journal.recoveryReport());
         } catch (IOException e) {
             disk.close();
@@ -120,13 +125,13 @@
     }
 
     private static JournalClocks clocks() {
-        LongSupplier micros = () -> System.nanoTime() / 1000;
-        long wallLessMicros = System.currentTimeMillis() * 1000 - micros.getAsLong();
-        LongSupplier wall = () -> wallLessMicros + micros.getAsLong();
-        return new JournalClocks(micros, wall, BootClock.read(micros, wall));
+        LongSupplier monotonicMicros = () -> System.nanoTime() / 1000;
+        long offsetMicros = System.currentTimeMillis() * 1000 - monotonicMicros.getAsLong();
+        LongSupplier wallMicros = () -> offsetMicros + monotonicMicros.getAsLong();
+        return new JournalClocks(monotonicMicros, wallMicros, BootClock.read(monotonicMicros, wallMicros));
     }
 
-    /** Prints what is owed and what is remembered, one JSON object a line. */
+    /** Prints the pending messages and the remembered results, one JSON object per line. */
     public int export() throws IOException {
         try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
@@ -159,39 +164,39 @@
         out.println(text);
     }
 
-    private static void pendingMessage(JsonWriter json, PendingMessage o) throws IOException {
-        Submission h = o.submission();
-        json.name("owed").value(h.id()).name("front").value(o.front());
-        json.name("class").value(h.messageClass()).name("destination").value(h.destination());
-        if (h.identity() != null) {
-            json.name("identity").value(h.identity());
+    private static void pendingMessage(JsonWriter json, PendingMessage message) throws IOException {
+        Submission submission = message.submission();
+        json.name("owed").value(submission.id()).name("front").value(message.front());
+        json.name("class").value(submission.messageClass()).name("destination").value(submission.destination());
+        if (submission.identity() != null) {
+            json.name("identity").value(submission.identity());
         }
-        if (h.key() != null) {
-            json.name("key").value(h.key());
+        if (submission.key() != null) {
+            json.name("key").value(submission.key());
         }
-        json.name("deadline").value(instant(o.deadlineWallMicros()));
-        json.name("attempts").value(o.attempts()).name("out").value(o.isInFlight());
-        json.name("possibly_run").value(o.mayHaveRun() || o.isInFlight());
-        if (o.attempts() > 0) {
-            json.name("last_endpoint").value(o.lastHost());
+        json.name("deadline").value(instant(message.deadlineWallMicros()));
+        json.name("attempts").value(message.attempts()).name("out").value(message.isInFlight());
+        json.name("possibly_run").value(message.mayHaveRun() || message.isInFlight());
+        if (message.attempts() > 0) {
+            json.name("last_endpoint").value(message.lastHost());
         }
-        if (o.finalStatus() != null) {
-            finalStatus(json, o.finalStatus());
+        if (message.finalStatus() != null) {
+            finalStatus(json, message.finalStatus());
         }
-        if (!o.attachedSubmitters().isEmpty()) {
+        if (!message.attachedSubmitters().isEmpty()) {
             json.name("owed_also_to").beginArray();
-            for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
+            for (PendingMessage.Submitter claim : message.attachedSubmitters()) {
                 json.value(claim.front() + ' ' + claim.id());
             }
             json.endArray();
         }
-        json.name("body").value(Base64.getEncoder().encodeToString(h.body()));
+        json.name("body").value(Base64.getEncoder().encodeToString(submission.body()));
     }
 
-    private static void finalStatus(JsonWriter json, FinalStatus v) throws IOException {
-        json.name("end").value(v.kind().name().toLowerCase());
-        if (!v.detail().isEmpty()) {
-            json.name("detail").value(v.detail());
+    private static void finalStatus(JsonWriter json, FinalStatus status) throws IOException {
+        json.name("end").value(status.kind().name().toLowerCase());
+        if (!status.detail().isEmpty()) {
+            json.name("detail").value(status.detail());
         }
     }
 
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -12,14 +12,14 @@
 import lilaclever.routing.Submission;
 
 /**
- * The state that the records make: what is owed and what is remembered, each with the segment that it rests on. Both
- * maps are in the order of those segments. Does no I/O.
+ * The state that the records describe: pending messages and remembered results, each with the segment that holds its
+ * current record. Both maps are in the order of those segments. Does no I/O.
  */
 final class JournalState {
-    /** What a message's record may grow by: its attempts' hosts and its end, in a snapshot. */
+    /** How many bytes a message's record may grow by in a snapshot: the hosts of its attempts and its final status. */
     private static final int MESSAGE_GROWTH_BYTES = 640;
 
-    /** Something live, and the record that it rests on. */
+    /** A live entry, and the segment that holds its record. */
     static final class Entry<T> {
         final T value;
         Segment segment;
@@ -29,28 +29,28 @@
             this.value = value;
         }
 
-        private void moveTo(Segment on, int size) {
+        private void moveTo(Segment target, int size) {
             if (segment != null) {
                 segment.removeRecord(recordBytes);
             }
-            segment = on;
+            segment = target;
             recordBytes = size;
-            if (on != null) {
-                on.addRecord(size);
+            if (target != null) {
+                target.addRecord(size);
             }
         }
     }
 
     final Map<String, Entry<PendingMessage>> pending = new LinkedHashMap<>();
     final Map<String, Entry<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
-    /** The same by their time: windows differ, so the order of writing tells nothing of it. */
+    /** Remembered results by expiry time: repeat windows differ, so the order of writing does not show it. */
     private final TreeSet<Expiry> expiries = new TreeSet<>();
-    /** Counts of live records by the bits of their size: the largest is known without a sorted map. */
+    /** Number of live records by the bit length of their size, which bounds the largest without a sorted map. */
     private final int[] recordsByBitLength = new int[Integer.SIZE];
 
     private long liveBytes, growthBytes;
 
-    /** When a remembered end is forgotten. */
+    /** When a remembered result expires. */
     private record Expiry(long untilWall, String identity) implements Comparable<Expiry> {
         @Override
         public int compareTo(Expiry other) {
@@ -59,18 +59,19 @@
         }
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
-    /** Bytes that are live. */
+    // Sizes
+
+    /** Size of all live records in bytes. */
     long liveBytes() {
         return liveBytes;
     }
 
-    /** What they may still grow by. */
+    /** The number of bytes that live records may still grow by. */
     long growthBytes() {
         return growthBytes;
     }
 
-    /** No record that is live is larger; at most twice the largest. */
+    /** An upper bound on the size of live records, less than twice the largest. */
     long largestRecordBytes() {
         for (int bits = recordsByBitLength.length - 1; bits > 0; bits--) {
             if (recordsByBitLength[bits] > 0) {
@@ -80,35 +81,36 @@
         return 0;
     }
 
-    /** What a message may need beyond the record of its taking on. */
-    static long growthBytes(Submission h) {
-        return MESSAGE_GROWTH_BYTES + (h.identity() == null ? 0 : rememberedRecordBytes(h.identity()));
+    /** How many bytes a message may need beyond the record of its acceptance. */
+    static long growthBytes(Submission submission) {
+        return MESSAGE_GROWTH_BYTES
+                + (submission.identity() == null ? 0 : rememberedRecordBytes(submission.identity()));
     }
 
-    /** What a claim on a message's end adds to its record. */
+    /** How many bytes another claim on a message's result adds to its record. */
     static long growthBytes(PendingMessage.Submitter claim) {
         return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
     }
 
-    private static long growthBytes(PendingMessage o) {
-        long all = growthBytes(o.submission());
-        for (PendingMessage.Submitter claim : o.attachedSubmitters()) {
-            all += growthBytes(claim);
+    private static long growthBytes(PendingMessage message) {
+        long total = growthBytes(message.submission());
+        for (PendingMessage.Submitter claim : message.attachedSubmitters()) {
+            total += growthBytes(claim);
         }
-        return all;
+        return total;
     }
 
     private static long rememberedRecordBytes(String identity) {
         return SegmentFormat.FRAME_BYTES + 3 * (long) (identity.length() + RecordEncoder.MAX_DETAIL_CHARS) + 52;
     }
 
-    private <T> void moveRecord(Entry<T> slot, Segment on, int size) {
-        if (slot.segment != null) {
-            liveBytes -= slot.recordBytes;
-            recordsByBitLength[bitLength(slot.recordBytes)]--;
+    private <T> void moveRecord(Entry<T> entry, Segment target, int size) {
+        if (entry.segment != null) {
+            liveBytes -= entry.recordBytes;
+            recordsByBitLength[bitLength(entry.recordBytes)]--;
         }
-        slot.moveTo(on, size);
-        if (on != null) {
+        entry.moveTo(target, size);
+        if (target != null) {
             liveBytes += size;
             recordsByBitLength[bitLength(size)]++;
         }
@@ -118,21 +120,21 @@
         return Integer.SIZE - Integer.numberOfLeadingZeros(size);
     }
 
-    /** All messages that are owed, as a view, in the order of {@link #pending}. */
+    /** A view of all pending messages, in the order of {@link #pending}. */
     Collection<PendingMessage> pendingMessages() {
         return new AbstractCollection<>() {
             @Override
             public Iterator<PendingMessage> iterator() {
-                Iterator<Entry<PendingMessage>> slots = pending.values().iterator();
+                Iterator<Entry<PendingMessage>> entries = pending.values().iterator();
                 return new Iterator<>() {
                     @Override
                     public boolean hasNext() {
-                        return slots.hasNext();
+                        return entries.hasNext();
                     }
 
                     @Override
                     public PendingMessage next() {
-                        return slots.next().value;
+                        return entries.next().value;
                     }
                 };
             }
@@ -144,85 +146,88 @@
         };
     }
 
-    // ---- changes ----------------------------------------------------------------------------------------
-    /** A message is taken on. What ended under its identity was past its time: it is not this one's end. */
-    void addAccepted(PendingMessage o, Segment base, int size) {
-        if (o.submission().identity() != null) {
-            removeRemembered(o.submission().identity());
+    // Changes
+
+    /**
+     * Adds an accepted message. A result remembered under its identity has expired and does not belong to this message.
+     */
+    void addAccepted(PendingMessage message, Segment segment, int size) {
+        if (message.submission().identity() != null) {
+            removeRemembered(message.submission().identity());
         }
-        put(o, base, size);
+        put(message, segment, size);
     }
 
-    /** A message, or all that is known of one, stands in a record of the segment. */
-    void put(PendingMessage o, Segment base, int size) {
-        String id = o.submission().id();
+    /** Adds or replaces a message whose record, or complete snapshot, is in this segment. */
+    void put(PendingMessage message, Segment segment, int size) {
+        String id = message.submission().id();
         removeMessage(id);
-        Entry<PendingMessage> slot = new Entry<>(o);
-        pending.put(id, slot);
-        growthBytes += growthBytes(o);
-        moveRecord(slot, base, size);
+        Entry<PendingMessage> entry = new Entry<>(message);
+        pending.put(id, entry);
+        growthBytes += growthBytes(message);
+        moveRecord(entry, segment, size);
     }
 
-    /** The message has ended. */
+    /** Removes a message that has ended. */
     void removeMessage(String id) {
-        Entry<PendingMessage> slot = pending.remove(id);
-        if (slot != null) {
-            growthBytes -= growthBytes(slot.value);
-            moveRecord(slot, null, 0);
+        Entry<PendingMessage> entry = pending.remove(id);
+        if (entry != null) {
+            growthBytes -= growthBytes(entry.value);
+            moveRecord(entry, null, 0);
         }
     }
 
-    /** Somebody else is owed the end of a message. */
-    void addClaim(PendingMessage o, PendingMessage.Submitter claim) {
-        growthBytes -= growthBytes(o);
-        o.attach(claim);
-        growthBytes += growthBytes(o);
+    /** Adds another claim on the result of a message. */
+    void addClaim(PendingMessage message, PendingMessage.Submitter claim) {
+        growthBytes -= growthBytes(message);
+        message.attach(claim);
+        growthBytes += growthBytes(message);
     }
 
-    /** An end that is remembered stands in a record of the segment. */
-    void put(String identity, CompletedMessage<FinalStatus> p, Segment base, int size) {
+    /** Adds or replaces a remembered result whose record is in this segment. */
+    void put(String identity, CompletedMessage<FinalStatus> result, Segment segment, int size) {
         removeRemembered(identity);
-        Entry<CompletedMessage<FinalStatus>> slot = new Entry<>(p);
-        remembered.put(identity, slot);
-        expiries.add(new Expiry(p.untilWallMicros(), identity));
-        moveRecord(slot, base, size);
+        Entry<CompletedMessage<FinalStatus>> entry = new Entry<>(result);
+        remembered.put(identity, entry);
+        expiries.add(new Expiry(result.untilWallMicros(), identity));
+        moveRecord(entry, segment, size);
     }
 
-    /** The end is remembered no more. */
+    /** Removes a remembered result. */
     void removeRemembered(String identity) {
-        Entry<CompletedMessage<FinalStatus>> slot = remembered.remove(identity);
-        if (slot != null) {
-            expiries.remove(new Expiry(slot.value.untilWallMicros(), identity));
-            moveRecord(slot, null, 0);
+        Entry<CompletedMessage<FinalStatus>> entry = remembered.remove(identity);
+        if (entry != null) {
+            expiries.remove(new Expiry(entry.value.untilWallMicros(), identity));
+            moveRecord(entry, null, 0);
         }
     }
 
-    /** Forgets the end whose time is up soonest. */
+    /** Removes the remembered result that expires first. */
     void removeFirstToExpire() {
         if (!expiries.isEmpty()) {
             removeRemembered(expiries.first().identity());
         }
     }
 
-    /** The slot's record has been written anew: it goes to the end of its map. */
-    <T> void recordMoved(Map<String, Entry<T>> map, String key, Segment base, int size) {
-        Entry<T> slot = map.remove(key);
-        map.put(key, slot);
-        moveRecord(slot, base, size);
+    /** Notes that the entry's record was written again, which moves it to the end of its map. */
+    <T> void recordMoved(Map<String, Entry<T>> map, String key, Segment segment, int size) {
+        Entry<T> entry = map.remove(key);
+        map.put(key, entry);
+        moveRecord(entry, segment, size);
     }
 
-    /** Forgets ends whose time is up, so many at most; gives how many. */
-    int removeExpired(long nowWall, int most) {
-        int gone = 0;
-        while (gone < most && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
+    /** Removes up to {@code limit} expired results and returns their number. */
+    int removeExpired(long nowWall, int limit) {
+        int removed = 0;
+        while (removed < limit && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
             removeFirstToExpire();
-            gone++;
+            removed++;
         }
-        return gone;
+        return removed;
     }
 
-    /** Records are lost: all that is known of any message so far may be too little. */
+    /** Records were lost: any attempt of the messages known so far may have run without its record. */
     void markPossiblyRun() {
-        pending.values().forEach(slot -> slot.value.assumeLostAttempt());
+        pending.values().forEach(entry -> entry.value.assumeLostAttempt());
     }
 }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -10,12 +10,14 @@
 import lilaclever.routing.Submission;
 
 /**
- * Reads the one file of the first format: length, CRC32, content; no version and no marks, so nothing can be read
- * behind the first bad record. The file is only ever read: its live records are copied forward like a segment's.
+ * Reads the single file of the original format: length, CRC32, content. It has no version and no record markers, so
+ * nothing after the first bad record can be read. The file is only ever read: its live records are copied forward like
+ * those of a segment.
  */
 final class LegacyReader {
     static final String FILE_NAME = "journal", UNFINISHED_FILE_NAME = "journal.new";
     private static final int RECORD_HEADER_BYTES = 8, MAX_CONTENT_BYTES = 1 << 20;
+    /** Codes of the record types; those of the same name in {@link SegmentFormat.RecordType} have other codes. */
     private static final int TAKEN = 0, ATTEMPT = 1, OUTCOME = 2, VERDICT = 3, REMEMBERED = 5, ATTEMPT_SUMMARY = 6;
 
     private final JournalState state;
@@ -27,33 +29,33 @@
         this.segment = segment;
     }
 
-    /** Applies all records up to the first that is torn or bad; gives its position. */
+    /** Applies all records up to the first that is incomplete or corrupt, and returns the position of that one. */
     long read(Disk disk) throws IOException {
         long length = disk.length(FILE_NAME);
-        long at = 0;
+        long position = 0;
         try (Disk.DiskFile file = disk.open(FILE_NAME)) {
-            ByteBuffer head = ByteBuffer.allocate(RECORD_HEADER_BYTES);
-            while (file.readFully(head.clear(), at)) {
-                int size = head.getInt(0);
-                if (size <= 0 || size > MAX_CONTENT_BYTES || size > length - at - RECORD_HEADER_BYTES) {
+            ByteBuffer header = ByteBuffer.allocate(RECORD_HEADER_BYTES);
+            while (file.readFully(header.clear(), position)) {
+                int size = header.getInt(0);
+                if (size <= 0 || size > MAX_CONTENT_BYTES || size > length - position - RECORD_HEADER_BYTES) {
                     break;
                 }
                 ByteBuffer content = ByteBuffer.allocate(size);
-                file.readFully(content, at + RECORD_HEADER_BYTES);
+                file.readFully(content, position + RECORD_HEADER_BYTES);
                 CRC32 crc = new CRC32();
                 crc.update(content.flip().duplicate());
-                if ((int) crc.getValue() != head.getInt(4)) {
-                    damaged = true; // it is there whole, so its consequence may have happened
+                if ((int) crc.getValue() != header.getInt(4)) {
+                    damaged = true; // the record is complete, so what it announced may have happened
                     break;
                 }
                 apply(content, size + RECORD_HEADER_BYTES);
-                at += RECORD_HEADER_BYTES + size;
+                position += RECORD_HEADER_BYTES + size;
             }
         }
-        return at;
+        return position;
     }
 
-    /** True if the reading ended before a record that was written whole. */
+    /** True if reading stopped at a record that had been written completely. */
     boolean damaged() {
         return damaged;
     }
@@ -69,25 +71,25 @@
             state.put(id, new CompletedMessage<>(readFinalStatus(in), null, in.getLong()), segment, size);
             return;
         }
-        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
-        if (slot == null) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry == null) {
             return;
         }
-        PendingMessage owed = slot.value;
+        PendingMessage message = entry.value;
         switch (type) {
-            case ATTEMPT -> owed.attemptStarted(readText(in), in.getInt(), in.getLong());
-            case OUTCOME -> owed.attemptEnded(in.get() != 0);
+            case ATTEMPT -> message.attemptStarted(readText(in), in.getInt(), in.getLong());
+            case OUTCOME -> message.attemptEnded(in.get() != 0);
             case ATTEMPT_SUMMARY -> {
-                owed.restoreAttempts(in.getInt(), in.get() != 0, readText(in), in.getInt(), in.getLong());
+                message.restoreAttempts(in.getInt(), in.get() != 0, readText(in), in.getInt(), in.getLong());
                 boolean mayHaveRun = in.get() != 0;
                 String host = readText(in);
                 int zone = in.getInt();
-                long wall = in.getLong();
+                long wallMicros = in.getLong();
                 if (mayHaveRun) {
-                    owed.markPossiblyRun(host, zone, wall);
+                    message.markPossiblyRun(host, zone, wallMicros);
                 }
             }
-            case VERDICT -> owed.setFinalStatus(readFinalStatus(in));
+            case VERDICT -> message.setFinalStatus(readFinalStatus(in));
             default -> state.removeMessage(id);
         }
     }
@@ -124,7 +126,7 @@
         return new FinalStatus(FinalStatus.Kind.values()[in.get()], in.getLong(), readText(in));
     }
 
-    /** As DataOutput.writeUTF writes it; ids of that time were plain. */
+    /** Encoded by DataOutput.writeUTF; ids of that format were plain ASCII. */
     private static String readText(ByteBuffer in) {
         byte[] bytes = new byte[in.getShort() & 0xffff];
         in.get(bytes);
--- a/src/main/java/lilaclever/journal/LogAppender.java
+++ b/src/main/java/lilaclever/journal/LogAppender.java
@@ -6,13 +6,13 @@
 import lilaclever.log.Logs;
 
 /**
- * Appends records to the log, in a further segment where one fails. While the disk takes none it is left alone but for
- * a trial after each {@link SpacePolicy#DISK_RETRY_DELAY_MICROS}.
+ * Appends records to the log, in another segment if a write fails. While the disk accepts no records, writes are
+ * attempted only once per {@link SpacePolicy#DISK_RETRY_DELAY_MICROS}.
  */
 final class LogAppender {
-    /** Empties segments where a record finds no room. */
+    /** Frees segments when there is no space for a record. */
     interface SpaceReclaimer {
-        /** Makes room for so many bytes, if it can. */
+        /** Frees space for this number of bytes, if possible. */
         void reclaim(long bytes);
     }
 
@@ -30,20 +30,22 @@
     private long retryAtMicros;
     private long failureCount;
 
-    LogAppender(SegmentLog log, SpacePolicy plan, JournalState state, Syncer syncer, LongSupplier micros) {
+    LogAppender(SegmentLog log, SpacePolicy policy, JournalState state, Syncer syncer, LongSupplier micros) {
         this.log = log;
-        this.policy = plan;
+        this.policy = policy;
         this.state = state;
         this.syncer = syncer;
         this.monotonicMicros = micros;
     }
 
-    /** Appends the records, all or none, and leaves the room that copies need; false if no segment takes them. */
-    boolean append(RecordWriter records, SpaceReclaimer roomMaker) {
+    /**
+     * Appends the records, all or none, and leaves the space reserved for copies; false if no segment can take them.
+     */
+    boolean append(RecordWriter records, SpaceReclaimer reclaimer) {
         int size = records.size();
         return write(records, () -> {
             if (!log.fitsActive(size)) {
-                roomMaker.reclaim(size);
+                reclaimer.reclaim(size);
             }
             if (!log.fitsActive(size)) {
                 if (!log.canProvide(size, SpacePolicy.SEGMENTS_FOR_COMPACTION)) {
@@ -54,7 +56,7 @@
         });
     }
 
-    /** Appends copies of live records, for which all room may be used; false if no segment takes them. */
+    /** Appends copies of live records, which may use all space; false if no segment can take them. */
     boolean appendCopies(RecordWriter copies) {
         return write(copies, () -> {
             if (!log.fitsActive(copies.size())) {
@@ -63,26 +65,26 @@
         });
     }
 
-    private boolean write(RecordWriter records, IoAction makeFit) {
+    private boolean write(RecordWriter records, IoAction ensureFits) {
         if (isBackingOff()) {
             return false;
         }
-        IOException last = null;
-        for (int tries = log.fileCount() + 2; tries > 0; tries--) {
+        IOException lastFailure = null;
+        for (int triesLeft = log.fileCount() + 2; triesLeft > 0; triesLeft--) {
             try {
-                makeFit.run();
+                ensureFits.run();
                 log.write(records);
                 syncer.recordsWritten();
                 writeSucceeded();
                 return true;
             } catch (SegmentLog.OutOfSpace e) {
-                last = e;
+                lastFailure = e;
                 break;
             } catch (IOException e) {
-                last = e;
+                lastFailure = e;
             }
         }
-        writeFailed(last);
+        writeFailed(lastFailure);
         return false;
     }
 
@@ -93,7 +95,7 @@
         }
     }
 
-    /** The disk has failed: it is left alone for a while. */
+    /** Notes that the disk failed, and backs off for a while. */
     void writeFailed(IOException e) {
         failureCount++;
         retryAtMicros = monotonicMicros.getAsLong() + SpacePolicy.DISK_RETRY_DELAY_MICROS;
@@ -102,7 +104,8 @@
             Logs.error(
                     "journal",
                     "disk-bad",
-                    "the disk takes no records, asked again every " + SpacePolicy.DISK_RETRY_DELAY_MICROS / 1000 + " ms: " + e);
+                    "the disk takes no records, asked again every " + SpacePolicy.DISK_RETRY_DELAY_MICROS / 1000
+                            + " ms: " + e);
         }
     }
 
@@ -110,30 +113,33 @@
         return failing && monotonicMicros.getAsLong() < retryAtMicros;
     }
 
-    /** True if the disk has failed and is not tried at that time, microseconds. */
+    /** True if the disk has failed and is not to be tried yet at this time, in microseconds. */
     boolean isBackingOffAt(long nowMicros) {
         return failing && nowMicros < retryAtMicros;
     }
 
-    /** The disk is tried at once, also if it has just failed. */
+    /** Ends the backoff: the disk is tried at once, even if it has just failed. */
     void endBackoff() {
         retryAtMicros = Long.MIN_VALUE;
     }
 
-    /** True if there is room for a record of so many bytes that may grow by so many more; adds segments for it. */
-    boolean ensureSpace(long record, long growth) {
+    /**
+     * True if there is space for a record of this size and its later growth, both in bytes; allocates segments for it.
+     */
+    boolean ensureSpace(long recordBytes, long growthBytes) {
         if (isBackingOff()) {
             return false;
         }
-        while (!policy.hasSpace(log.spaceUsage(state), record, growth)) {
-            if (policy.newSegmentBytes(log.spaceUsage(state), record) == 0 || !log.preallocate(policy.segmentBytesFor(record))) {
+        while (!policy.hasSpace(log.spaceUsage(state), recordBytes, growthBytes)) {
+            if (policy.newSegmentBytes(log.spaceUsage(state), recordBytes) == 0
+                    || !log.preallocate(policy.segmentBytesFor(recordBytes))) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Times that the disk took nothing. */
+    /** How many times the disk accepted nothing. */
     long failureCount() {
         return failureCount;
     }
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -8,17 +8,20 @@
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
 
-/** Reads the records that {@link RecordEncoder} writes, and applies them to the state. */
+/** Decodes the records that {@link RecordEncoder} writes, and applies them to the state. */
 final class RecordDecoder {
     private final JournalState state;
-    /** What to add to walls that are read, microseconds. */
+    /** Added to decoded wall times, in microseconds. */
     private long wallShiftMicros;
 
     RecordDecoder(JournalState state) {
         this.state = state;
     }
 
-    /** The wall clock was set by so much since what is read from now on was written. */
+    /**
+     * Sets the shift of wall times for the following records: by how much the wall clock was set since they were
+     * written.
+     */
     void setWallShift(long micros) {
         wallShiftMicros = micros;
     }
@@ -27,26 +30,28 @@
         return in.getLong() + wallShiftMicros;
     }
 
-    /** Applies a record; false if its content makes no sense. */
+    /** Applies a record; false if its content is invalid. */
     boolean apply(RecordType type, ByteBuffer in, Segment segment, int size) {
         try {
             switch (type) {
                 case TAKEN -> state.addAccepted(readMessage(in), segment, size);
                 case SNAPSHOT -> {
-                    PendingMessage o = readMessage(in);
-                    readAttemptsAndStatus(in, o);
-                    state.put(o, segment, size);
+                    PendingMessage message = readMessage(in);
+                    readAttemptsAndStatus(in, message);
+                    state.put(message, segment, size);
                 }
                 case REMEMBERED -> {
                     String identity = SegmentFormat.readText(in);
-                    FinalStatus end = readFinalStatus(in);
-                    long until = readWallMicros(in);
+                    FinalStatus status = readFinalStatus(in);
+                    long untilWall = readWallMicros(in);
                     // Version 1 has no fingerprint.
-                    boolean compared = in.hasRemaining() && SegmentFormat.readFlag(in);
+                    boolean hasFingerprint = in.hasRemaining() && SegmentFormat.readFlag(in);
                     state.put(
                             identity,
                             new CompletedMessage<>(
-                                    end, compared ? new Fingerprint(in.getLong(), in.getLong()) : null, until),
+                                    status,
+                                    hasFingerprint ? new Fingerprint(in.getLong(), in.getLong()) : null,
+                                    untilWall),
                             segment,
                             size);
                 }
@@ -55,21 +60,24 @@
                 default -> applyToMessage(type, in);
             }
             return true;
-        } catch (RuntimeException e) { // too short, or a number out of its range
+        } catch (RuntimeException e) { // too short, or a number out of range
             return false;
         }
     }
 
     private void applyToMessage(RecordType type, ByteBuffer in) {
-        JournalState.Entry<PendingMessage> slot = state.pending.get(SegmentFormat.readText(in));
-        if (slot == null) {
-            return; // its message has ended, or a later record tells all of it
+        JournalState.Entry<PendingMessage> entry = state.pending.get(SegmentFormat.readText(in));
+        if (entry == null) {
+            return; // its message has ended, or a later snapshot covers it
         }
         switch (type) {
-            case ATTEMPT -> slot.value.attemptStarted(SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
-            case OUTCOME -> slot.value.attemptEnded(SegmentFormat.readFlag(in));
-            case JOINED -> state.addClaim(slot.value, new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
-            default -> slot.value.setFinalStatus(readFinalStatus(in));
+            case ATTEMPT -> entry.value.attemptStarted(SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+            case OUTCOME -> entry.value.attemptEnded(SegmentFormat.readFlag(in));
+            case JOINED ->
+                state.addClaim(
+                        entry.value,
+                        new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
+            default -> entry.value.setFinalStatus(readFinalStatus(in));
         }
     }
 
@@ -83,28 +91,37 @@
         boolean again = SegmentFormat.readFlag(in);
         boolean inherited = SegmentFormat.readFlag(in);
         long budget = in.getLong();
-        long deadline = readWallMicros(in);
+        long deadlineWall = readWallMicros(in);
         return new PendingMessage(
                 front,
                 new Submission(
-                        id, identity, messageClass, destination, key, SegmentFormat.readBytes(in), again, inherited, budget),
-                deadline);
+                        id,
+                        identity,
+                        messageClass,
+                        destination,
+                        key,
+                        SegmentFormat.readBytes(in),
+                        again,
+                        inherited,
+                        budget),
+                deadlineWall);
     }
 
-    private void readAttemptsAndStatus(ByteBuffer in, PendingMessage o) {
-        o.restoreAttempts(in.getInt(), SegmentFormat.readFlag(in), SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
+    private void readAttemptsAndStatus(ByteBuffer in, PendingMessage message) {
+        message.restoreAttempts(
+                in.getInt(), SegmentFormat.readFlag(in), SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
         boolean mayHaveRun = SegmentFormat.readFlag(in);
         String host = SegmentFormat.readText(in);
         int zone = in.getInt();
-        long wall = readWallMicros(in);
+        long wallMicros = readWallMicros(in);
         if (mayHaveRun) {
-            o.markPossiblyRun(host, zone, wall);
+            message.markPossiblyRun(host, zone, wallMicros);
         }
         if (SegmentFormat.readFlag(in)) {
-            o.setFinalStatus(readFinalStatus(in));
+            message.setFinalStatus(readFinalStatus(in));
         }
-        for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // version 1 knows nobody else
-            o.attach(new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
+        for (int n = in.hasRemaining() ? in.getInt() : 0; n > 0; n--) { // absent in version 1
+            message.attach(new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
         }
     }
 
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -7,104 +7,117 @@
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
 
-/** How each record is written; {@link RecordDecoder} reads them. */
+/** Encodes records; {@link RecordDecoder} decodes them. */
 final class RecordEncoder {
-    /** Of what an endpoint said for people, so many characters outlast the process. */
+    /** Maximum number of characters stored of the explanation that an endpoint gave. */
     static final int MAX_DETAIL_CHARS = 160;
 
     private RecordEncoder() {}
 
-    /** A message is taken on. */
-    static void accepted(RecordWriter out, PendingMessage o) {
+    /** A message was accepted. */
+    static void accepted(RecordWriter out, PendingMessage message) {
         out.beginRecord(RecordType.TAKEN);
-        putMessage(out, o);
+        putMessage(out, message);
         out.endRecord();
     }
 
-    /** An attempt has begun, at that time of the wall clock, microseconds. */
-    static void attempt(RecordWriter out, String id, String host, int zone, long wall) {
-        out.beginRecord(RecordType.ATTEMPT).putText(id).putText(host).putInt(zone).putLong(wall).endRecord();
+    /** An attempt begins at this wall time, in microseconds. */
+    static void attempt(RecordWriter out, String id, String host, int zone, long wallMicros) {
+        out.beginRecord(RecordType.ATTEMPT)
+                .putText(id)
+                .putText(host)
+                .putInt(zone)
+                .putLong(wallMicros)
+                .endRecord();
     }
 
-    /** The attempt that was out is over. */
+    /** The attempt in flight has finished. */
     static void outcome(RecordWriter out, String id, boolean neverRan) {
         out.beginRecord(RecordType.OUTCOME).putText(id).putFlag(neverRan).endRecord();
     }
 
-    /** How the message has ended. */
-    static void finalStatus(RecordWriter out, String id, FinalStatus v) {
+    /** The final status of the message is decided. */
+    static void finalStatus(RecordWriter out, String id, FinalStatus status) {
         out.beginRecord(RecordType.VERDICT).putText(id);
-        putFinalStatus(out, v);
+        putFinalStatus(out, status);
         out.endRecord();
     }
 
-    /** The message is over for good. */
+    /** The message is finished: no result is pending any more. */
     static void ended(RecordWriter out, String id) {
         out.beginRecord(RecordType.ENDED).putText(id).endRecord();
     }
 
-    /** An end that is remembered, under its identity. */
-    static void remembered(RecordWriter out, String identity, CompletedMessage<FinalStatus> p) {
+    /** The result remembered under an identity. */
+    static void remembered(RecordWriter out, String identity, CompletedMessage<FinalStatus> result) {
         out.beginRecord(RecordType.REMEMBERED).putText(identity);
-        putFinalStatus(out, p.result());
-        out.putLong(p.untilWallMicros()).putFlag(p.fingerprint() != null);
-        if (p.fingerprint() != null) {
-            out.putLong(p.fingerprint().high()).putLong(p.fingerprint().low());
+        putFinalStatus(out, result.result());
+        out.putLong(result.untilWallMicros()).putFlag(result.fingerprint() != null);
+        if (result.fingerprint() != null) {
+            out.putLong(result.fingerprint().high())
+                    .putLong(result.fingerprint().low());
         }
         out.endRecord();
     }
 
-    /** Somebody else is owed the end of a message. */
+    /** Another submission waits for the result of the message. */
     static void joined(RecordWriter out, String id, PendingMessage.Submitter claim) {
-        out.beginRecord(RecordType.JOINED).putText(id).putText(claim.front()).putText(claim.id()).endRecord();
+        out.beginRecord(RecordType.JOINED)
+                .putText(id)
+                .putText(claim.front())
+                .putText(claim.id())
+                .endRecord();
     }
 
-    /** All that is known of a message, in one record. */
-    static void snapshot(RecordWriter out, PendingMessage o) {
+    /** The whole state of a message in one record. */
+    static void snapshot(RecordWriter out, PendingMessage message) {
         out.beginRecord(RecordType.SNAPSHOT);
-        putMessage(out, o);
-        out.putInt(o.attempts())
-                .putFlag(o.isInFlight())
-                .putText(o.lastHost())
-                .putInt(o.lastZone())
-                .putLong(o.lastAttemptWallMicros());
-        out.putFlag(o.mayHaveRun())
-                .putText(o.possibleRunHost())
-                .putInt(o.possibleRunZone())
-                .putLong(o.possibleRunWallMicros());
-        out.putFlag(o.finalStatus() != null);
-        if (o.finalStatus() != null) {
-            putFinalStatus(out, o.finalStatus());
+        putMessage(out, message);
+        out.putInt(message.attempts())
+                .putFlag(message.isInFlight())
+                .putText(message.lastHost())
+                .putInt(message.lastZone())
+                .putLong(message.lastAttemptWallMicros());
+        out.putFlag(message.mayHaveRun())
+                .putText(message.possibleRunHost())
+                .putInt(message.possibleRunZone())
+                .putLong(message.possibleRunWallMicros());
+        out.putFlag(message.finalStatus() != null);
+        if (message.finalStatus() != null) {
+            putFinalStatus(out, message.finalStatus());
         }
-        out.putInt(o.attachedSubmitters().size());
-        o.attachedSubmitters().forEach(claim -> out.putText(claim.front()).putText(claim.id()));
+        out.putInt(message.attachedSubmitters().size());
+        message.attachedSubmitters().forEach(claim -> out.putText(claim.front()).putText(claim.id()));
         out.endRecord();
     }
 
-    /** Where the segment before this one ended. */
-    static void previous(RecordWriter out, long sequence, long end) {
-        out.beginRecord(RecordType.PREVIOUS).putLong(sequence).putLong(end).endRecord();
+    /** Where the previous segment ended. */
+    static void previous(RecordWriter out, long sequence, long endOffset) {
+        out.beginRecord(RecordType.PREVIOUS)
+                .putLong(sequence)
+                .putLong(endOffset)
+                .endRecord();
     }
 
-    private static void putMessage(RecordWriter out, PendingMessage o) {
-        Submission h = o.submission();
-        out.putText(o.front()).putText(h.id()).putFlag(h.identity() != null);
-        if (h.identity() != null) {
-            out.putText(h.identity());
+    private static void putMessage(RecordWriter out, PendingMessage message) {
+        Submission submission = message.submission();
+        out.putText(message.front()).putText(submission.id()).putFlag(submission.identity() != null);
+        if (submission.identity() != null) {
+            out.putText(submission.identity());
         }
-        out.putInt(h.messageClass()).putInt(h.destination()).putFlag(h.key() != null);
-        if (h.key() != null) {
-            out.putText(h.key());
+        out.putInt(submission.messageClass()).putInt(submission.destination()).putFlag(submission.key() != null);
+        if (submission.key() != null) {
+            out.putText(submission.key());
         }
-        out.putFlag(h.resubmitted())
-                .putFlag(h.inherited())
-                .putLong(h.budgetMicros())
-                .putLong(o.deadlineWallMicros())
-                .putBytes(h.body());
+        out.putFlag(submission.resubmitted())
+                .putFlag(submission.inherited())
+                .putLong(submission.budgetMicros())
+                .putLong(message.deadlineWallMicros())
+                .putBytes(submission.body());
     }
 
-    private static void putFinalStatus(RecordWriter out, FinalStatus v) {
-        String detail = v.detail().substring(0, Math.min(v.detail().length(), MAX_DETAIL_CHARS));
-        out.putInt(v.kind().ordinal()).putLong(v.retryAfterMicros()).putText(detail);
+    private static void putFinalStatus(RecordWriter out, FinalStatus status) {
+        String detail = status.detail().substring(0, Math.min(status.detail().length(), MAX_DETAIL_CHARS));
+        out.putInt(status.kind().ordinal()).putLong(status.retryAfterMicros()).putText(detail);
     }
 }
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -11,23 +11,31 @@
 import lilaclever.journal.SegmentFormat.RecordType;
 
 /**
- * Reads a folder into the state, and changes nothing in it. Segments are read in their order, through a window, so the
- * memory that it takes is that of what is live. Every header is looked at first: a folder of a newer version is refused
- * before anything else. {@link #handOver} then hands the files to the log; being killed in it does no harm, as it changes
- * nothing that the next reading would miss.
+ * Reads a journal folder into the state without changing the folder. Segments are read in order through a window, so
+ * memory use depends on the live records only. All headers are read first, so that a folder of a newer version is
+ * rejected before anything else. {@link #handOver} then passes the files to the log; a kill during that does no harm,
+ * since it changes nothing that the next recovery needs.
  */
 public final class Recovery {
     /** A part of a file that could not be read. */
     public record Damage(String file, long from, long to) {}
 
-    /** What was found: whole records, files, damage, and the last file that must be left behind. */
+    /**
+     * Results of recovery: number of complete records, segments, damage, missing segments, and the last segment that
+     * must be migrated out of the log.
+     */
     public record Report(
-            long records, int segments, List<Damage> damages, int missingSegments, boolean legacyFileFound, long lastToMigrate) {}
-
-    /** One segment that was read, and how many records of each type it has. */
+            long records,
+            int segments,
+            List<Damage> damages,
+            int missingSegments,
+            boolean legacyFileFound,
+            long lastToMigrate) {}
+
+    /** A segment that was read, and its number of records by type. */
     record ScannedSegment(Segment segment, SegmentFormat.Header header, EnumMap<RecordType, Integer> counts) {}
 
-    /** A segment's name, and where the one before it ends as it says; -1 if it does not. */
+    /** The name of a segment, and where the previous segment ends according to its first record; -1 if unknown. */
     private record SegmentStart(String name, long previousSegmentEnd) {}
 
     private final Disk disk;
@@ -43,16 +51,16 @@
     private boolean legacyFileFound;
     private long lastToMigrate = -1;
 
-    /** {@code log} hears of each damage, a line each. */
-    Recovery(Disk disk, JournalState state, BootClock clock, Consumer<String> log) {
+    /** Receives one line per fault in {@code faultLog}. */
+    Recovery(Disk disk, JournalState state, BootClock bootClock, Consumer<String> faultLog) {
         this.disk = disk;
         this.state = state;
         decoder = new RecordDecoder(state);
-        this.bootClock = clock;
-        this.faultLog = log;
+        this.bootClock = bootClock;
+        this.faultLog = faultLog;
     }
 
-    /** Reads all. */
+    /** Reads all files. */
     Report scan() throws IOException {
         fileNames = disk.fileNames();
         TreeMap<Long, SegmentStart> segments = new TreeMap<>();
@@ -67,24 +75,25 @@
             readLegacyFile();
         }
         readSegments(segments, legacyFileFound);
-        return new Report(records, segments.size(), List.copyOf(damages), missingSegments, legacyFileFound, lastToMigrate);
+        return new Report(
+                records, segments.size(), List.copyOf(damages), missingSegments, legacyFileFound, lastToMigrate);
     }
 
-    /** The segments in their order. */
+    /** The segments in order. */
     List<ScannedSegment> scannedSegments() {
         return scannedSegments;
     }
 
-    /** Hands what was found to the log, and ends what an earlier life had begun. */
-    void handOver(SegmentLog to) throws IOException {
-        scannedSegments.forEach(f -> to.addRecovered(f.segment()));
+    /** Hands the files over to the log, and finishes work that an earlier run left incomplete. */
+    void handOver(SegmentLog log) throws IOException {
+        scannedSegments.forEach(scanned -> log.addRecovered(scanned.segment()));
         for (String name : fileNames) {
             if (name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
-                to.addQuarantined(name);
+                log.addQuarantined(name);
             } else if (name.equals(LegacyReader.UNFINISHED_FILE_NAME)) {
                 deleteIfPossible(name);
             } else if (name.startsWith(SegmentLog.SPARE_PREFIX)) {
-                to.addRecoveredSpare(name);
+                log.addRecoveredSpare(name);
             }
         }
     }
@@ -93,11 +102,11 @@
         try {
             disk.delete(name);
         } catch (IOException e) {
-            faultLog.accept(name + " could not be deleted, which the next start does: " + e);
+            faultLog.accept(name + " could not be deleted, tried again at the next start: " + e);
         }
     }
 
-    /** Looks at a segment's beginning; one of a newer version is refused. */
+    /** Reads the start of a segment; a newer format version is rejected. */
     private SegmentStart readStart(String name) throws IOException {
         try (SegmentReader reader = new SegmentReader(disk, name)) {
             if (reader.header() != null && reader.header().version() > SegmentFormat.VERSION) {
@@ -109,35 +118,41 @@
         }
     }
 
-    /** The one file of the first format is read as the oldest segment, and copied forward like any other. */
+    /**
+     * Reads the single file of the legacy format as the oldest segment; its records are copied forward like any
+     * other's.
+     */
     private void readLegacyFile() throws IOException {
-        Segment all = new Segment(Segment.LEGACY_SEQUENCE, LegacyReader.FILE_NAME, SpacePolicy.roundUpToBlocks(disk.length(LegacyReader.FILE_NAME)));
-        LegacyReader reader = new LegacyReader(state, all);
-        all.usedBytes = reader.read(disk);
+        Segment segment = new Segment(
+                Segment.LEGACY_SEQUENCE,
+                LegacyReader.FILE_NAME,
+                SpacePolicy.roundUpToBlocks(disk.length(LegacyReader.FILE_NAME)));
+        LegacyReader reader = new LegacyReader(state, segment);
+        segment.usedBytes = reader.read(disk);
         lastToMigrate = Segment.LEGACY_SEQUENCE;
         if (reader.damaged()) {
-            addDamage(all, all.usedBytes, disk.length(LegacyReader.FILE_NAME));
+            addDamage(segment, segment.usedBytes, disk.length(LegacyReader.FILE_NAME));
         }
-        scannedSegments.add(new ScannedSegment(all, null, new EnumMap<>(RecordType.class)));
+        scannedSegments.add(new ScannedSegment(segment, null, new EnumMap<>(RecordType.class)));
     }
 
-    private void readSegments(TreeMap<Long, SegmentStart> segments, boolean legacy) throws IOException {
-        long expected = legacy && !segments.isEmpty() ? 1 : -1;
+    private void readSegments(TreeMap<Long, SegmentStart> segments, boolean hasLegacyFile) throws IOException {
+        long expectedSequence = hasLegacyFile && !segments.isEmpty() ? 1 : -1;
         for (Map.Entry<Long, SegmentStart> entry : segments.entrySet()) {
-            long gap = expected > 0 ? entry.getKey() - expected : 0;
+            long gap = expectedSequence > 0 ? entry.getKey() - expectedSequence : 0;
             if (gap > 0) {
                 missingSegments += (int) gap;
-                faultLog.accept(gap + " files missing before " + entry.getValue().name()
-                        + "; what was out before counts as possibly run");
+                faultLog.accept(gap + " files missing before "
+                        + entry.getValue().name() + "; earlier attempts in flight count as possibly run");
                 state.markPossiblyRun();
             }
             SegmentStart next = segments.get(entry.getKey() + 1);
             readSegment(entry.getKey(), entry.getValue().name(), next == null ? -1 : next.previousSegmentEnd());
-            expected = entry.getKey() + 1;
+            expectedSequence = entry.getKey() + 1;
         }
     }
 
-    private void readSegment(long sequence, String name, long end) throws IOException {
+    private void readSegment(long sequence, String name, long knownEnd) throws IOException {
         Segment segment = new Segment(sequence, name, SpacePolicy.roundUpToBlocks(disk.length(name)));
         EnumMap<RecordType, Integer> counts = new EnumMap<>(RecordType.class);
         try (SegmentReader reader = new SegmentReader(disk, name)) {
@@ -146,7 +161,7 @@
                     reader.header() == null
                             ? 0
                             : bootClock.wallShiftMicrosSince(reader.header().bootClock()));
-            segment.usedBytes = reader.read(end, new SegmentReader.Listener() {
+            segment.usedBytes = reader.read(knownEnd, new SegmentReader.Listener() {
                 @Override
                 public boolean onRecord(RecordType type, ByteBuffer content, long position, int size) {
                     records++;
@@ -160,8 +175,8 @@
                 }
             });
         }
-        if (end > 0) {
-            segment.usedBytes = end;
+        if (knownEnd > 0) {
+            segment.usedBytes = knownEnd;
         }
     }
 
@@ -170,7 +185,7 @@
         lastToMigrate = Math.max(lastToMigrate, segment.sequence);
         damages.add(new Damage(segment.name, from, to));
         faultLog.accept(segment.name + " can't be read from byte " + from + " to " + to
-                + "; what follows is read, and what was out before counts as possibly run");
+                + "; later records are read, and earlier attempts in flight count as possibly run");
         state.markPossiblyRun();
     }
 }
--- a/src/main/java/lilaclever/journal/Segment.java
+++ b/src/main/java/lilaclever/journal/Segment.java
@@ -1,39 +1,39 @@
 package lilaclever.journal;
 
-/** One file of the log, and what of it is still needed. */
+/** A file of the log, and its live records. */
 final class Segment {
     private static final String FILE_PREFIX = "segment-";
-    /** The number of a folder's one file of the first format, older than all segments. */
+    /** The sequence number of the legacy file, older than all segments. */
     static final long LEGACY_SEQUENCE = 0;
 
     final long sequence;
     final String name;
-    /** Bytes on disk, and how far records reach. */
+    /** Size on disk. {@link #usedBytes} is the end of the last record. */
     final long lengthBytes;
 
     long usedBytes;
-    /** Records that the state rests on, and their bytes. */
+    /** Live records in this segment, and their size. */
     int liveRecords;
 
     long liveBytes;
-    /** Forcings that had begun when nothing rested on it any more; -1 until then. */
+    /** Number of syncs started when the last live record left this segment; -1 until then. */
     long emptiedAtSync = -1;
-    /** Forcings that had begun when it was taken into use, and when it was written to last. */
+    /** Number of syncs started when the segment was put into use, and at its last write. */
     long startedAtSync, lastWrittenAtSync;
-    /** True if a part of it can't be read: it is kept aside, not used again. */
+    /** True if a part of it is unreadable: the file is then kept under another name instead of being reused. */
     boolean damaged;
 
-    Segment(long sequence, String name, long length) {
+    Segment(long sequence, String name, long lengthBytes) {
         this.sequence = sequence;
         this.name = name;
-        this.lengthBytes = length;
+        this.lengthBytes = lengthBytes;
     }
 
     static String fileName(long sequence) {
         return FILE_PREFIX + String.format("%016x", sequence);
     }
 
-    /** The sequence number in a file's name; -1 if it is no segment's. */
+    /** The sequence number in a file name; -1 if it does not name a segment. */
     static long sequenceOf(String name) {
         if (!name.startsWith(FILE_PREFIX)) {
             return -1;
--- a/src/main/java/lilaclever/journal/SegmentFormat.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -5,31 +5,34 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a segment. It begins with two copies of a header, 64 bytes apart: magic, format version, sequence
- * number, salt, time of making, which start of the machine and the wall clock's distance from it, CRC32C. Records
- * follow, to the first byte that is none:
+ * The binary format of a segment. It begins with two copies of a header, 64 bytes apart: magic number, format version,
+ * sequence number, salt, wall time of its creation, boot id and offset of the wall clock, CRC32C. Records follow, up to
+ * the first byte that does not begin one:
  * <pre>
  *   marker (2) | type (1) | length of the content (4) | CRC32C (4) | content | length again (4) | end (1)
  * </pre>
- * The last five bytes tell a record that was damaged after it was written from one whose writing was cut short.
- * The checksum covers the segment's salt, the type, the length and the content. As nobody outside knows the salt, no
- * content that a client chose can pass for a record when a reader looks for the next good one after damage; and what a
- * recycled file held before never passes either. All numbers are big-endian.
+ * The last five bytes distinguish a record that was damaged after it was written from one whose write was
+ * interrupted. The checksum covers the segment's salt, the type, the length and the content. As the salt is not known
+ * outside, no content that a client chose can pass for a record when a reader searches for the next valid one after
+ * damage; nor can the earlier content of a recycled file. All numbers are big-endian.
  */
 final class SegmentFormat {
-    /** 2: a message may be owed to several, and remembered ends have the fingerprint of what they ended. */
+    /**
+     * Since version 2 several requesters may wait for the result of a message, and remembered results hold the
+     * fingerprint of their message.
+     */
     static final int VERSION = 2;
-    /** Where the records begin. */
+    /** Offset of the first record. */
     static final int HEADER_BYTES = 128;
-    /** Of a record, all but its content. */
+    /** Size of a record without its content. */
     static final int FRAME_BYTES = 16;
-    /** The record at a segment's beginning that tells where the one before it ended. */
+    /** Size of the first record of a segment, which says where the previous segment ended. */
     static final int PREVIOUS_RECORD_BYTES = FRAME_BYTES + 16;
-    /** What a segment holds besides its records proper. */
+    /** Size of what a segment holds besides its records proper. */
     static final int OVERHEAD_BYTES = HEADER_BYTES + PREVIOUS_RECORD_BYTES;
-    /** A content longer than this is no record. */
+    /** A record with a longer content is invalid. */
     static final int MAX_CONTENT_BYTES = 1 << 22;
-    /** Files are counted in blocks of so many bytes. */
+    /** File sizes are counted in blocks. */
     static final int BLOCK_BYTES = 512;
 
     private static final long MAGIC = 0x4c494c41434a4e4cL;
@@ -41,7 +44,12 @@
 
     private static final int TYPE_OFFSET = 2, LENGTH_OFFSET = 3, CHECKSUM_OFFSET = 7, CONTENT_OFFSET = 11;
 
-    /** What a record says. The numbers are part of the format. */
+    /**
+     * The types of records; the codes are part of the format. A message is accepted (TAKEN), its attempts begin and
+     * finish (ATTEMPT, OUTCOME), its final status is decided (VERDICT), and at last no result is pending (ENDED).
+     * JOINED adds a requester to a pending message, REMEMBERED stores a result for repeated submissions, SNAPSHOT holds
+     * the whole state of a message, and PREVIOUS says where the previous segment ended.
+     */
     enum RecordType {
         TAKEN(1),
         ATTEMPT(2),
@@ -72,33 +80,34 @@
         }
     }
 
-    /** What a segment's header says. */
+    /** The content of a segment's header. */
     record Header(int version, long sequence, long salt, long createdWallMicros, BootClock bootClock) {}
 
     private SegmentFormat() {}
 
-    static ByteBuffer encodeHeader(Header h) {
-        ByteBuffer all = ByteBuffer.allocate(HEADER_BYTES);
+    static ByteBuffer encodeHeader(Header header) {
+        ByteBuffer bytes = ByteBuffer.allocate(HEADER_BYTES);
         for (int at = 0; at < HEADER_BYTES; at += HEADER_COPY_BYTES) {
-            all.position(at);
-            all.putLong(MAGIC)
-                    .putInt(h.version())
-                    .putLong(h.sequence())
-                    .putLong(h.salt())
-                    .putLong(h.createdWallMicros());
-            all.putLong(h.bootClock().bootId()).putLong(h.bootClock().offsetMicros());
-            all.putInt(checksum(all, at));
+            bytes.position(at);
+            bytes.putLong(MAGIC)
+                    .putInt(header.version())
+                    .putLong(header.sequence())
+                    .putLong(header.salt())
+                    .putLong(header.createdWallMicros());
+            bytes.putLong(header.bootClock().bootId())
+                    .putLong(header.bootClock().offsetMicros());
+            bytes.putInt(checksum(bytes, at));
         }
-        return all.position(0);
+        return bytes.position(0);
     }
 
-    private static int checksum(ByteBuffer all, int at) {
+    private static int checksum(ByteBuffer bytes, int at) {
         CRC32C crc = new CRC32C();
-        crc.update(all.duplicate().limit(at + HEADER_CONTENT_BYTES).position(at));
+        crc.update(bytes.duplicate().limit(at + HEADER_CONTENT_BYTES).position(at));
         return (int) crc.getValue();
     }
 
-    /** The header, from whichever copy is good; null if none is. */
+    /** Decodes the header from whichever copy is intact; null if neither is. */
     static Header decodeHeader(ByteBuffer bytes) {
         for (int at = 0; at < HEADER_BYTES; at += HEADER_COPY_BYTES) {
             if (bytes.limit() >= at + HEADER_CONTENT_BYTES + 4
@@ -115,7 +124,7 @@
         return null;
     }
 
-    /** What stands at a place in a segment. */
+    /** The result of checking a position of a segment for a record. */
     enum RecordCheck {
         VALID,
         INVALID,
@@ -123,7 +132,8 @@
     }
 
     /**
-     * GOOD: a whole record stands at the position. MORE: it may be one, if the buffer held more bytes. BAD: none.
+     * Checks the position of the buffer. VALID: it holds a complete record. INCOMPLETE: this can't be decided without
+     * more bytes. INVALID: it holds no valid record.
      */
     static RecordCheck checkRecord(ByteBuffer in, long salt) {
         int at = in.position();
@@ -140,11 +150,13 @@
         if (in.remaining() < length + FRAME_BYTES) {
             return RecordCheck.INCOMPLETE;
         }
-        boolean whole = in.get(at + length + FRAME_BYTES - 1) == END_MARKER; // else its last byte was never written
-        return whole && in.getInt(at + CHECKSUM_OFFSET) == checksum(in, at, length, salt) ? RecordCheck.VALID : RecordCheck.INVALID;
+        boolean complete = in.get(at + length + FRAME_BYTES - 1) == END_MARKER; // else its last byte was never written
+        return complete && in.getInt(at + CHECKSUM_OFFSET) == checksum(in, at, length, salt)
+                ? RecordCheck.VALID
+                : RecordCheck.INVALID;
     }
 
-    /** True if the bytes end as a record does that is as long as they are. */
+    /** True if the bytes end like a complete record of this length. */
     static boolean endsLikeCompleteRecord(long length, ByteBuffer lastFive) {
         return length >= FRAME_BYTES
                 && lastFive.remaining() == TRAILER_BYTES
@@ -152,12 +164,12 @@
                 && lastFive.get(TRAILER_BYTES - 1) == END_MARKER;
     }
 
-    /** The type of a good record at the position. */
+    /** The type of the valid record at the position. */
     static RecordType typeAt(ByteBuffer in) {
         return RecordType.of(in.get(in.position() + TYPE_OFFSET));
     }
 
-    /** The content of a good record at the position; moves behind it. */
+    /** The content of the valid record at the position; moves the position behind the record. */
     static ByteBuffer takeContent(ByteBuffer in) {
         int at = in.position();
         int length = in.getInt(at + LENGTH_OFFSET);
@@ -180,12 +192,12 @@
         }
     }
 
-    /** Builds records one behind the other in a buffer that grows; the checksum comes when the salt is known. */
+    /** Encodes consecutive records into a growing buffer; the checksums are added when the salt is known. */
     static final class RecordWriter {
         private ByteBuffer buffer = ByteBuffer.allocate(4096);
         private int recordStart;
 
-        /** Forgets all. */
+        /** Removes all records. */
         RecordWriter clear() {
             buffer.clear();
             return this;
@@ -198,7 +210,7 @@
             return this;
         }
 
-        /** Ends the record. */
+        /** Completes the current record. */
         RecordWriter endRecord() {
             ensureCapacity(TRAILER_BYTES);
             int length = buffer.position() - recordStart - CONTENT_OFFSET;
@@ -236,25 +248,25 @@
             return this;
         }
 
-        /** Takes back all behind so many bytes. */
+        /** Removes everything after the first {@code size} bytes. */
         void truncate(int size) {
             buffer.position(size);
         }
 
-        /** Bytes of all records so far. */
+        /** The size of all records so far, in bytes. */
         int size() {
             return buffer.position();
         }
 
         /** All records, with their checksums for a segment of this salt; valid until the next change. */
         ByteBuffer withChecksums(long salt) {
-            ByteBuffer all = buffer.duplicate().flip();
-            for (int at = 0; at < all.limit(); ) {
-                int length = all.getInt(at + LENGTH_OFFSET);
-                all.putInt(at + CHECKSUM_OFFSET, checksum(all, at, length, salt));
+            ByteBuffer records = buffer.duplicate().flip();
+            for (int at = 0; at < records.limit(); ) {
+                int length = records.getInt(at + LENGTH_OFFSET);
+                records.putInt(at + CHECKSUM_OFFSET, checksum(records, at, length, salt));
                 at += length + FRAME_BYTES;
             }
-            return all;
+            return records;
         }
 
         private void ensureCapacity(int bytes) {
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -13,22 +13,22 @@
 import lilaclever.log.Logs;
 
 /**
- * The files of the log: full ones in their order, the one in use, and spare ones. A file is allocated in full, with
- * zeros, before it is used, and given another name when its use changes; so room that was promised can't be taken by
- * others, and a kill at any moment leaves each file as one thing or the other.
+ * The files of the log: full segments in order, the active one, and preallocated ones. A file is filled with zeros
+ * before use, so that others can't take space that was promised, and is renamed when its role changes, so that a kill
+ * at any moment leaves each file in exactly one role.
  */
 final class SegmentLog {
     static final String SPARE_PREFIX = "spare-", DAMAGED_PREFIX = "damaged-";
     private static final int ZERO_BUFFER_BYTES = 64 * 1024;
 
-    /** A file without content, ready for use. */
+    /** A zero-filled file, ready for use. */
     private record PreallocatedFile(String name, long length) {}
 
     /**
-     * A file without content that is not filled with zeros yet.
+     * A file without live content that is not filled with zeros yet.
      *
-     * @param namedAtSync the forcings that had begun when it got its name: until a later one has ended well, a failure of
-     *     the machine may bring its old name back, and its old content has to be there then
+     * @param namedAtSync number of syncs started when the file got its name: until a later sync has succeeded, a
+     *     machine failure may restore its old name, and its old content must still be there then
      */
     private record UnfilledFile(String name, long length, long namedAtSync) {}
 
@@ -42,15 +42,15 @@
     private final ArrayDeque<Segment> fullSegments = new ArrayDeque<>();
     private final ArrayDeque<PreallocatedFile> preallocated = new ArrayDeque<>();
     private final ArrayDeque<UnfilledFile> unfilled = new ArrayDeque<>();
-    /** Files that hold records which may not outlast the machine yet. */
+    /** Open files of full segments whose records may not be durable yet. */
     private final List<Disk.DiskFile> unsyncedFiles = new ArrayList<>();
 
     private final boolean syncEnabled;
-    /** How many forcings have begun. */
+    /** Number of syncs started so far. */
     private final LongSupplier syncsStarted;
 
     private boolean folderChanged;
-    /** What the file in use begins with: its header and first record. */
+    /** The start of the active segment: its header and first record. */
     private byte[] segmentStart;
 
     private Segment active;
@@ -62,33 +62,34 @@
     private long quarantinedBytes, unfilledBytes;
     private boolean allocationFailed;
 
-    /** {@code forces}: files are to be forced, so they are kept open until then. */
+    /** With {@code syncEnabled}, files stay open until they are synced. */
     SegmentLog(
             Disk disk,
-            SpacePolicy plan,
-            long most,
+            SpacePolicy policy,
+            long quotaBytes,
             RandomGenerator random,
-            boolean forces,
-            LongSupplier forcings,
-            JournalClocks times) {
+            boolean syncEnabled,
+            LongSupplier syncsStarted,
+            JournalClocks clocks) {
         this.disk = disk;
-        this.policy = plan;
-        this.quotaBytes = most;
+        this.policy = policy;
+        this.quotaBytes = quotaBytes;
         this.random = random;
-        this.syncEnabled = forces;
-        this.syncsStarted = forcings;
-        this.clocks = times;
+        this.syncEnabled = syncEnabled;
+        this.syncsStarted = syncsStarted;
+        this.clocks = clocks;
     }
 
-    // ---- opening ----------------------------------------------------------------------------------------
-    /** A segment of an earlier life. In order. */
-    void addRecovered(Segment s) {
-        fullSegments.add(s);
-        allocatedBytes += s.lengthBytes;
-        nextSequence = Math.max(nextSequence, s.sequence + 1);
+    // Opening
+
+    /** Adds a segment of an earlier run; called in order of sequence numbers. */
+    void addRecovered(Segment segment) {
+        fullSegments.add(segment);
+        allocatedBytes += segment.lengthBytes;
+        nextSequence = Math.max(nextSequence, segment.sequence + 1);
     }
 
-    /** An empty file of an earlier life: it is made ready again, or given up. */
+    /** Adds a preallocated file of an earlier run: it is filled with zeros again, or deleted. */
     void addRecoveredSpare(String name) throws IOException {
         nextSpareNumber = Math.max(nextSpareNumber, 1 + spareNumber(name));
         long length = disk.length(name);
@@ -96,11 +97,11 @@
         fillOrDefer(name, length);
     }
 
-    /** A file that was kept aside for people to look at. */
+    /** Counts a damaged file that was kept for inspection by an operator. */
     void addQuarantined(String name) throws IOException {
-        long bytes = SpacePolicy.roundUpToBlocks(disk.length(name));
-        quarantinedBytes += bytes;
-        allocatedBytes += bytes;
+        long fileBytes = SpacePolicy.roundUpToBlocks(disk.length(name));
+        quarantinedBytes += fileBytes;
+        allocatedBytes += fileBytes;
     }
 
     private static long spareNumber(String spare) {
@@ -111,17 +112,18 @@
         }
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
+    // Sizes
+
     SpacePolicy.SpaceUsage spaceUsage(JournalState state) {
-        long free = activeBytesLeft();
-        for (PreallocatedFile s : preallocated) {
-            free += s.length() - SegmentFormat.OVERHEAD_BYTES;
+        long freeBytes = activeBytesLeft();
+        for (PreallocatedFile file : preallocated) {
+            freeBytes += file.length() - SegmentFormat.OVERHEAD_BYTES;
         }
-        // What can't grow now has all the room it will get.
+        // If allocation failed, the files have all the space they will get.
         return new SpacePolicy.SpaceUsage(
                 (allocationFailed ? allocatedBytes : quotaBytes) - quarantinedBytes - unfilledBytes,
                 allocatedBytes - quarantinedBytes - unfilledBytes,
-                free,
+                freeBytes,
                 state.liveBytes(),
                 state.growthBytes(),
                 state.largestRecordBytes(),
@@ -144,36 +146,43 @@
         return fullSegments.peekFirst();
     }
 
-    /** The sequence number of the newest file that is not in use any more; -1 if there is none. */
+    /** The sequence number of the newest full segment; -1 if there is none. */
     long newestSequence() {
         return fullSegments.isEmpty() ? -1 : fullSegments.peekLast().sequence;
     }
 
-    /** True if the bytes fit into the file in use. */
+    /** True if this number of bytes fits into the active segment. */
     boolean fitsActive(long bytes) {
         return active != null && bytes <= activeBytesLeft();
     }
 
-    /** True if a file for so many bytes can be had that leaves at least so many spare ones. */
-    boolean canProvide(long bytes, int keep) {
-        long room = quotaBytes - allocatedBytes;
-        int left = preallocated.size();
-        for (PreallocatedFile s : preallocated) {
-            if (s.length() >= bytes + SegmentFormat.OVERHEAD_BYTES && preallocated.size() > keep) {
+    /**
+     * True if a segment for this number of bytes can be provided that leaves at least {@code minSparesLeft}
+     * preallocated ones.
+     */
+    boolean canProvide(long bytes, int minSparesLeft) {
+        long available = quotaBytes - allocatedBytes;
+        int sparesLeft = preallocated.size();
+        for (PreallocatedFile file : preallocated) {
+            if (file.length() >= bytes + SegmentFormat.OVERHEAD_BYTES && preallocated.size() > minSparesLeft) {
                 return true;
             }
-            room += left-- > keep ? s.length() : 0; // it could make way for a longer one
+            available += sparesLeft-- > minSparesLeft ? file.length() : 0; // could be deleted to allocate a longer one
         }
-        return room >= policy.segmentBytesFor(bytes);
+        return available >= policy.segmentBytesFor(bytes);
     }
 
-    /** What the file in use still has room for. */
+    /** Space left in the active segment, in bytes. */
     long activeBytesLeft() {
         return active == null ? 0 : active.lengthBytes - active.usedBytes;
     }
 
-    // ---- writing ----------------------------------------------------------------------------------------
-    /** Writes the records behind the others; on a failure the file is cut off before them and not used further. */
+    // Writing
+
+    /**
+     * Appends the records to the active segment. On failure the segment is truncated to its previous end and not
+     * written to any more.
+     */
     void write(RecordWriter records) throws IOException {
         try {
             activeFile.write(records.withChecksums(salt), active.usedBytes);
@@ -186,19 +195,21 @@
         active.lastWrittenAtSync = syncsStarted.getAsLong();
     }
 
-    /** What a failed write left of a record must not pass for one: its consequence has not happened. */
+    /**
+     * Removes a partly written record, which must not be read as a complete one: what it announces has not happened.
+     */
     private void truncateFailedWrite() {
         try {
             activeFile.truncate(active.usedBytes);
         } catch (IOException e) {
-            Logs.warn("journal", "cut-failed", active.name + " could not be cut off: " + e, "segment", active.name);
+            Logs.warn("journal", "cut-failed", active.name + " could not be truncated: " + e, "segment", active.name);
         }
     }
 
     /**
-     * A file with records stays in the log. An empty one becomes a spare again: it would be emptied only after
-     * all files before it, and a disk that fails for some time would use up all spares, with none left to copy
-     * what is live to.
+     * A segment with records stays in the log. An empty one becomes a preallocated one again: it could be released only
+     * after all segments before it, and a disk that fails for some time would use up all preallocated segments, so that
+     * none would be left for copying live records.
      */
     private void retireAfterFailure() {
         if (active.usedBytes > SegmentFormat.OVERHEAD_BYTES) {
@@ -209,13 +220,13 @@
         try {
             disk.rename(active.name, name);
         } catch (IOException e) {
-            Logs.warn("journal", "rename-failed", active.name + " stays in use: " + e, "segment", active.name);
+            Logs.warn("journal", "rename-failed", active.name + " could not be renamed: " + e, "segment", active.name);
             return;
         }
         folderChanged = true;
         nextSequence = active.sequence;
         if (syncEnabled) {
-            unsyncedFiles.add(activeFile); // it may be under a forcing just now
+            unsyncedFiles.add(activeFile); // a sync of it may be in progress
         } else {
             close(activeFile);
         }
@@ -225,46 +236,49 @@
         fillOrDefer(name, length);
     }
 
-    /** Takes a file into use that has room for so many bytes, and notes in it where the last one ended. */
+    /**
+     * Puts a segment into use that has space for this number of bytes, and notes in it where the previous one ended.
+     */
     void roll(long bytes) throws IOException {
         retireActive();
-        PreallocatedFile spare = takePreallocated(bytes);
+        PreallocatedFile target = takePreallocated(bytes);
         long sequence = nextSequence;
-        Segment next = new Segment(sequence, Segment.fileName(sequence), spare.length());
+        Segment next = new Segment(sequence, Segment.fileName(sequence), target.length());
         Disk.DiskFile file = null;
         try {
             long nextSalt = random.nextLong();
-            file = disk.open(spare.name());
-            ByteBuffer start = encodeSegmentStart(sequence, nextSalt);
-            file.write(start.duplicate(), 0);
-            disk.rename(spare.name(), next.name);
+            file = disk.open(target.name());
+            ByteBuffer startBytes = encodeSegmentStart(sequence, nextSalt);
+            file.write(startBytes.duplicate(), 0);
+            disk.rename(target.name(), next.name);
             folderChanged = true;
             nextSequence++;
             next.usedBytes = SegmentFormat.OVERHEAD_BYTES;
             next.startedAtSync = syncsStarted.getAsLong();
             next.lastWrittenAtSync = next.startedAtSync;
-            segmentStart = start.array();
+            segmentStart = startBytes.array();
             active = next;
             activeFile = file;
             salt = nextSalt;
         } catch (IOException e) {
             close(file);
-            preallocated.addLast(spare);
+            preallocated.addLast(target);
             throw e;
         }
     }
 
     private ByteBuffer encodeSegmentStart(long sequence, long nextSalt) {
-        ByteBuffer all = ByteBuffer.allocate(SegmentFormat.OVERHEAD_BYTES);
-        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(
+        ByteBuffer startBytes = ByteBuffer.allocate(SegmentFormat.OVERHEAD_BYTES);
+        startBytes.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(
                 SegmentFormat.VERSION, sequence, nextSalt, clocks.wallMicros().getAsLong(), clocks.bootClock())));
-        Segment last = fullSegments.peekLast();
-        RecordWriter first = new RecordWriter();
-        RecordEncoder.previous(first, last == null ? 0 : last.sequence, last == null ? 0 : last.usedBytes);
-        return all.put(first.withChecksums(nextSalt)).flip();
+        Segment previous = fullSegments.peekLast();
+        RecordWriter firstRecord = new RecordWriter();
+        RecordEncoder.previous(
+                firstRecord, previous == null ? 0 : previous.sequence, previous == null ? 0 : previous.usedBytes);
+        return startBytes.put(firstRecord.withChecksums(nextSalt)).flip();
     }
 
-    /** Nothing more goes into the file in use. */
+    /** Closes the active segment for writing. */
     private void retireActive() {
         if (active == null) {
             return;
@@ -284,51 +298,52 @@
             try {
                 file.close();
             } catch (IOException e) {
-                Logs.warn("journal", "close-failed", "a file did not close: " + e);
+                Logs.warn("journal", "close-failed", "a file could not be closed: " + e);
             }
         }
     }
 
-    // ---- files ------------------------------------------------------------------------------------------
+    // Allocation and release
+
     private PreallocatedFile takePreallocated(long bytes) throws IOException {
-        long needed = bytes + SegmentFormat.OVERHEAD_BYTES;
+        long neededBytes = bytes + SegmentFormat.OVERHEAD_BYTES;
         for (Iterator<PreallocatedFile> all = preallocated.iterator(); all.hasNext(); ) {
-            PreallocatedFile spare = all.next();
-            if (spare.length() >= needed) {
+            PreallocatedFile file = all.next();
+            if (file.length() >= neededBytes) {
                 all.remove();
-                return spare;
+                return file;
             }
         }
-        long length = policy.segmentBytesFor(bytes);
-        while (allocatedBytes + length > quotaBytes && !preallocated.isEmpty()) {
-            // Spare files that are too short for this one record make way for a longer one.
+        long lengthBytes = policy.segmentBytesFor(bytes);
+        while (allocatedBytes + lengthBytes > quotaBytes && !preallocated.isEmpty()) {
+            // Files too short for this record are deleted to allocate a longer one.
             PreallocatedFile shortest = preallocated.peekFirst();
             disk.delete(shortest.name());
             preallocated.pollFirst();
             allocatedBytes -= SpacePolicy.roundUpToBlocks(shortest.length());
         }
-        if (allocatedBytes + length > quotaBytes) {
-            length = (quotaBytes - allocatedBytes) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
+        if (allocatedBytes + lengthBytes > quotaBytes) {
+            lengthBytes = (quotaBytes - allocatedBytes) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
         }
-        if (length < needed) {
+        if (lengthBytes < neededBytes) {
             throw new OutOfSpace();
         }
-        if (!preallocate(length)) {
+        if (!preallocate(lengthBytes)) {
             throw new OutOfSpace();
         }
         return preallocated.pollLast();
     }
 
-    /** No file is left to write to. */
+    /** Thrown if no segment has space for a record. */
     static final class OutOfSpace extends IOException {
         private static final long serialVersionUID = 1L;
 
         OutOfSpace() {
-            super("no room left in the journal's files");
+            super("no space left in the journal's files");
         }
     }
 
-    /** Makes a further spare file; false if the disk gives no room for it. */
+    /** Preallocates a further segment; false if the disk has no space for it. */
     boolean preallocate(long length) {
         String name = SPARE_PREFIX + nextSpareNumber++;
         allocationFailed = true;
@@ -345,7 +360,7 @@
         return true;
     }
 
-    /** Forgets that the disk gave no room, so that it is asked again. */
+    /** Resets the note that the disk has no space, so that allocation is tried again. */
     void resetAllocationFailure() {
         allocationFailed = false;
     }
@@ -357,7 +372,7 @@
         }
     }
 
-    /** Deletes a file that could not be filled; where that fails too it counts, and is filled later. */
+    /** Deletes a file that could not be filled; if that fails too, the file is counted and filled later. */
     private void deleteOrDefer(String name, long length) {
         try {
             disk.delete(name);
@@ -368,50 +383,57 @@
         }
     }
 
-    private void deferFill(String name, long length, long forcing) {
-        unfilled.addLast(new UnfilledFile(name, length, forcing));
+    private void deferFill(String name, long length, long namedAtSync) {
+        unfilled.addLast(new UnfilledFile(name, length, namedAtSync));
         unfilledBytes += SpacePolicy.roundUpToBlocks(length);
     }
 
-    /** Takes the oldest file, on which nothing rests any more, out of the log. */
+    /** Removes the oldest segment, which has no live records, from the log. */
     void releaseOldest(JournalState state) throws IOException {
-        Segment s = fullSegments.peekFirst();
-        assert s.liveRecords == 0 : s.name;
-        if (s.damaged && quarantinedBytes + s.lengthBytes <= quotaBytes / 8) {
-            disk.rename(s.name, DAMAGED_PREFIX + s.name);
+        Segment oldest = fullSegments.peekFirst();
+        assert oldest.liveRecords == 0 : oldest.name;
+        if (oldest.damaged && quarantinedBytes + oldest.lengthBytes <= quotaBytes / 8) {
+            disk.rename(oldest.name, DAMAGED_PREFIX + oldest.name);
             fullSegments.pollFirst();
-            quarantinedBytes += s.lengthBytes;
-        } else if (s.damaged || s.sequence == Segment.LEGACY_SEQUENCE || policy.isSurplus(spaceUsage(state), s.lengthBytes)) {
-            disk.delete(s.name);
+            quarantinedBytes += oldest.lengthBytes;
+        } else if (oldest.damaged
+                || oldest.sequence == Segment.LEGACY_SEQUENCE
+                || policy.isSurplus(spaceUsage(state), oldest.lengthBytes)) {
+            disk.delete(oldest.name);
             fullSegments.pollFirst();
-            allocatedBytes -= s.lengthBytes;
+            allocatedBytes -= oldest.lengthBytes;
         } else {
             String name = SPARE_PREFIX + nextSpareNumber++;
-            disk.rename(s.name, name);
+            disk.rename(oldest.name, name);
             fullSegments.pollFirst();
             if (syncEnabled) {
-                deferFill(name, s.lengthBytes, syncsStarted.getAsLong());
+                deferFill(name, oldest.lengthBytes, syncsStarted.getAsLong());
             } else {
-                fillOrDefer(name, s.lengthBytes);
+                fillOrDefer(name, oldest.lengthBytes);
             }
         }
         folderChanged = true;
     }
 
-    /** Makes a file without content a spare, now or as soon as the disk allows that. */
+    /** Turns a file without live content into a preallocated segment, now or as soon as the disk allows it. */
     private void fillOrDefer(String name, long length) {
         try {
             fillAndAdd(name, length);
         } catch (IOException e) {
-            Logs.warn("journal", "not-ready", name + " is made ready later: " + e, "segment", name);
+            Logs.warn(
+                    "journal",
+                    "not-ready",
+                    name + " could not be filled with zeros, tried again later: " + e,
+                    "segment",
+                    name);
             deferFill(name, length, NO_SYNC_NEEDED);
         }
     }
 
     /**
-     * Makes spares of files that are not ready yet, up to the first that fails or has to wait.
+     * Fills deferred files with zeros, up to the first one that fails or has to wait.
      *
-     * @param covers true if a forcing that began after the given count has ended well
+     * @param covers true if a sync that started after the given count has succeeded
      */
     void fillDeferred(LongPredicate covers) {
         for (UnfilledFile first = unfilled.peekFirst(); first != null; first = unfilled.peekFirst()) {
@@ -428,76 +450,84 @@
         }
     }
 
-    /** Makes a file without content a spare; one of which little can be written is given up. On a failure as before. */
+    /**
+     * Fills a file with zeros and adds it to the preallocated segments, or deletes it if only little of it can be
+     * written. On failure nothing changes.
+     */
     private void fillAndAdd(String name, long length) throws IOException {
-        long good = fillWithZeros(name, length);
-        boolean worthIt = good > 2 * SegmentFormat.OVERHEAD_BYTES;
-        if (!worthIt) {
+        long writableBytes = fillWithZeros(name, length);
+        boolean isWorthKeeping = writableBytes > 2 * SegmentFormat.OVERHEAD_BYTES;
+        if (!isWorthKeeping) {
             disk.delete(name);
         }
-        allocatedBytes -= SpacePolicy.roundUpToBlocks(length) - (worthIt ? SpacePolicy.roundUpToBlocks(good) : 0);
-        if (worthIt) {
-            preallocated.add(new PreallocatedFile(name, good));
+        allocatedBytes -=
+                SpacePolicy.roundUpToBlocks(length) - (isWorthKeeping ? SpacePolicy.roundUpToBlocks(writableBytes) : 0);
+        if (isWorthKeeping) {
+            preallocated.add(new PreallocatedFile(name, writableBytes));
         }
     }
 
-    /** Fills a file with zeros and gives its length then: where only the rest of it fails, it is cut off there. */
+    /**
+     * Fills a file with zeros and returns its length. If only the rest of it can't be written, it is truncated there.
+     */
     private long fillWithZeros(String name, long length) throws IOException {
         try (Disk.DiskFile file = disk.open(name)) {
             try {
                 writeZeros(file, 0, length);
                 return length;
             } catch (IOException e) {
-                long good = firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
-                if (good == 0 && length > 0) {
-                    throw e; // it is the disk that fails, not this file's end
+                long writableBytes =
+                        firstFailingOffset(file, length) / SegmentFormat.BLOCK_BYTES * SegmentFormat.BLOCK_BYTES;
+                if (writableBytes == 0 && length > 0) {
+                    throw e; // the disk fails, not just the end of this file
                 }
-                file.truncate(good);
-                return good;
+                file.truncate(writableBytes);
+                return writableBytes;
             }
         }
     }
 
     private static long firstFailingOffset(Disk.DiskFile file, long length) {
-        long at = 0;
+        long offset = 0;
         try {
-            for (; at < length; at += SegmentFormat.BLOCK_BYTES) {
-                file.write(ByteBuffer.allocate((int) Math.min(SegmentFormat.BLOCK_BYTES, length - at)), at);
+            for (; offset < length; offset += SegmentFormat.BLOCK_BYTES) {
+                file.write(ByteBuffer.allocate((int) Math.min(SegmentFormat.BLOCK_BYTES, length - offset)), offset);
             }
         } catch (IOException e) {
-            return at;
+            return offset;
         }
         return length;
     }
 
-    // ---- durability -------------------------------------------------------------------------------------
-    /** What must be forced so that all written so far outlasts the machine. */
+    // Durability
+
+    /** What must be synced to make everything written so far durable. */
     record SyncBatch(List<Disk.DiskFile> fullSegments, Disk.DiskFile active, boolean folderChanged) {}
 
-    /** Hands over what is to be forced; the full files are closed by whoever forces them. */
+    /** Hands over what is to be synced; whoever syncs the full segments closes them. */
     SyncBatch takeSyncBatch() {
-        SyncBatch p = new SyncBatch(List.copyOf(unsyncedFiles), activeFile, folderChanged);
+        SyncBatch batch = new SyncBatch(List.copyOf(unsyncedFiles), activeFile, folderChanged);
         unsyncedFiles.clear();
         folderChanged = false;
-        return p;
+        return batch;
     }
 
-    /** Deletes all files that are empty. */
+    /** Deletes all files without content. */
     void deletePreallocated() throws IOException {
-        for (PreallocatedFile s = preallocated.pollFirst(); s != null; s = preallocated.pollFirst()) {
-            disk.delete(s.name());
-            allocatedBytes -= SpacePolicy.roundUpToBlocks(s.length());
+        for (PreallocatedFile spare = preallocated.pollFirst(); spare != null; spare = preallocated.pollFirst()) {
+            disk.delete(spare.name());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(spare.length());
         }
-        for (UnfilledFile u = unfilled.pollFirst(); u != null; u = unfilled.pollFirst()) {
-            disk.delete(u.name());
-            unfilledBytes -= SpacePolicy.roundUpToBlocks(u.length());
-            allocatedBytes -= SpacePolicy.roundUpToBlocks(u.length());
+        for (UnfilledFile deferred = unfilled.pollFirst(); deferred != null; deferred = unfilled.pollFirst()) {
+            disk.delete(deferred.name());
+            unfilledBytes -= SpacePolicy.roundUpToBlocks(deferred.length());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(deferred.length());
         }
     }
 
     /**
-     * A forcing has failed, and the system may have dropped the beginning of the file in use: it is written again, so
-     * that the next forcing has something to write.
+     * After a failed sync the system may have dropped the start of the active segment. It is written again, so that the
+     * next sync has something to write.
      */
     void rewriteSegmentStart() {
         folderChanged = true;
@@ -510,14 +540,14 @@
         }
     }
 
-    /** A forcing has failed: what was copied from segments that are empty now may not outlast the machine. */
+    /** After a failed sync, copies of records from empty segments may not be durable. */
     void resetEmptied() {
-        for (Segment s : fullSegments) {
-            s.emptiedAtSync = -1;
+        for (Segment segment : fullSegments) {
+            segment.emptiedAtSync = -1;
         }
     }
 
-    /** The file in use is not used further. */
+    /** Stops writing to the active segment. */
     void abandonActive() {
         retireActive();
     }
--- a/src/main/java/lilaclever/journal/SegmentReader.java
+++ b/src/main/java/lilaclever/journal/SegmentReader.java
@@ -6,18 +6,18 @@
 import lilaclever.journal.SegmentFormat.RecordType;
 
 /**
- * Reads one segment through a window that is as large as its largest record, so that opening a journal takes the
- * memory of what is live and not of what is on disk.
+ * Reads a segment through a window as large as its largest record, so that opening a journal needs memory for live
+ * records only, not for all that is on disk.
  */
 final class SegmentReader implements AutoCloseable {
     private static final int INITIAL_WINDOW_BYTES = 64 * 1024;
 
-    /** Hears what stands in a segment, in its order. */
+    /** Receives the contents of a segment in order. */
     interface Listener {
-        /** A good record, its content and its size with the frame; false if the content makes no sense. */
+        /** Receives a valid record with its content and its full size; returns false if the content is invalid. */
         boolean onRecord(RecordType type, ByteBuffer content, long position, int size);
 
-        /** Bytes that can't be read, from one position to another. */
+        /** Receives a range of bytes that can't be read. */
         void onDamage(long from, long to);
     }
 
@@ -41,136 +41,138 @@
     }
 
     /**
-     * The header, if it is that of the segment by that name. Where a failure of the machine has kept a file's new name
-     * and not its new header, the old one is there, and records of the file's earlier use would pass for this one's.
+     * Returns the header if it belongs to the segment of this name. A machine failure may preserve the new name of a
+     * recycled file but not its new header; with the old header, records of the earlier use would pass for records of
+     * this segment.
      */
-    private static SegmentFormat.Header headerOfSegment(String name, SegmentFormat.Header found) {
+    private static SegmentFormat.Header headerOfSegment(String name, SegmentFormat.Header decoded) {
         long sequence = Segment.sequenceOf(name);
-        return found == null || sequence > 0 && found.sequence() != sequence ? null : found;
+        return decoded == null || sequence > 0 && decoded.sequence() != sequence ? null : decoded;
     }
 
-    /** The header; null if neither of its copies can be read, or it is another segment's. */
+    /** The header; null if neither copy is intact, or it belongs to another segment. */
     SegmentFormat.Header header() {
         return header;
     }
 
-    /** Where the segment before this one ended, as this one's first record says; -1 if it does not. */
+    /** Where the previous segment ended, according to the first record of this one; -1 if it does not say. */
     long previousSegmentEnd() throws IOException {
         if (header == null) {
             return -1;
         }
-        ByteBuffer at = moveWindow(SegmentFormat.HEADER_BYTES);
-        if (checkAt(SegmentFormat.HEADER_BYTES) != RecordCheck.VALID || SegmentFormat.typeAt(at) != RecordType.PREVIOUS) {
+        ByteBuffer record = moveWindow(SegmentFormat.HEADER_BYTES);
+        if (checkAt(SegmentFormat.HEADER_BYTES) != RecordCheck.VALID
+                || SegmentFormat.typeAt(record) != RecordType.PREVIOUS) {
             return -1;
         }
-        ByteBuffer content = SegmentFormat.takeContent(at);
+        ByteBuffer content = SegmentFormat.takeContent(record);
         return content.getLong() == header.sequence() - 1 ? content.getLong() : -1;
     }
 
     /**
-     * Reads all records. {@code end} is where they are known to end, or -1: then the first place where no record
-     * stands is the end, unless a good one stands behind it or what stands there was written whole.
-     * Gives the position behind the last good record.
+     * Reads all records. {@code knownEnd} is where they end, or -1: then they end at the first position without a valid
+     * record, unless a valid record follows or the record at this position was written completely. Returns the position
+     * after the last valid record.
      */
-    long read(long end, Listener to) throws IOException {
+    long read(long knownEnd, Listener listener) throws IOException {
         if (header == null) {
-            if (end < 0 ? lastNonZeroByte(0) >= 0 : end > 0) {
-                to.onDamage(0, end < 0 ? lengthBytes : end);
+            if (knownEnd < 0 ? lastNonZeroByte(0) >= 0 : knownEnd > 0) {
+                listener.onDamage(0, knownEnd < 0 ? lengthBytes : knownEnd);
             }
             return 0;
         }
-        long limit = end < 0 ? lengthBytes : Math.min(end, lengthBytes);
-        long at = SegmentFormat.HEADER_BYTES;
-        long good = at;
-        while (at < limit) {
-            if (checkAt(at) == RecordCheck.VALID && deliverRecord(at, to)) {
-                at = windowStart + window.position();
-                good = at;
+        long limit = knownEnd < 0 ? lengthBytes : Math.min(knownEnd, lengthBytes);
+        long position = SegmentFormat.HEADER_BYTES;
+        long validEnd = position;
+        while (position < limit) {
+            if (checkAt(position) == RecordCheck.VALID && deliverRecord(position, listener)) {
+                position = windowStart + window.position();
+                validEnd = position;
                 continue;
             }
-            long next = findNextValid(at + 1, limit);
-            if (next < 0) {
-                if (end >= 0 || isCompletelyWritten(at)) {
-                    to.onDamage(at, limit);
+            long nextValid = findNextValid(position + 1, limit);
+            if (nextValid < 0) {
+                if (knownEnd >= 0 || isCompletelyWritten(position)) {
+                    listener.onDamage(position, limit);
                 }
-                return good;
+                return validEnd;
             }
-            to.onDamage(at, next);
-            at = next;
+            listener.onDamage(position, nextValid);
+            position = nextValid;
         }
-        if (end > lengthBytes) {
-            to.onDamage(lengthBytes, end);
+        if (knownEnd > lengthBytes) {
+            listener.onDamage(lengthBytes, knownEnd);
         }
-        return good;
+        return validEnd;
     }
 
-    private boolean deliverRecord(long at, Listener to) {
+    private boolean deliverRecord(long position, Listener listener) {
         RecordType type = SegmentFormat.typeAt(window);
         ByteBuffer content = SegmentFormat.takeContent(window);
-        return to.onRecord(type, content, at, content.remaining() + SegmentFormat.FRAME_BYTES);
+        return listener.onRecord(type, content, position, content.remaining() + SegmentFormat.FRAME_BYTES);
     }
 
-    /** Looks at a place, with a window that is large enough to tell. */
-    private RecordCheck checkAt(long at) throws IOException {
-        moveWindow(at);
-        RecordCheck look = SegmentFormat.checkRecord(window, header.salt());
-        while (look == RecordCheck.INCOMPLETE && windowStart + window.limit() < lengthBytes) {
+    /** Checks for a record at a position; enlarges the window until the answer is certain. */
+    private RecordCheck checkAt(long position) throws IOException {
+        moveWindow(position);
+        RecordCheck check = SegmentFormat.checkRecord(window, header.salt());
+        while (check == RecordCheck.INCOMPLETE && windowStart + window.limit() < lengthBytes) {
             refill(
-                    at,
+                    position,
                     window.limit() - window.position() < window.capacity() ? window.capacity() : 2 * window.capacity());
-            look = SegmentFormat.checkRecord(window, header.salt());
+            check = SegmentFormat.checkRecord(window, header.salt());
         }
-        return look;
+        return check;
     }
 
     private long findNextValid(long from, long limit) throws IOException {
-        for (long at = from; at < limit; at++) {
-            if (checkAt(at) == RecordCheck.VALID) {
-                return at;
+        for (long position = from; position < limit; position++) {
+            if (checkAt(position) == RecordCheck.VALID) {
+                return position;
             }
         }
         return -1;
     }
 
-    /** A writing that was cut short leaves the beginning of a record; a whole one says at its end how long it is. */
-    private boolean isCompletelyWritten(long at) throws IOException {
-        long last = lastNonZeroByte(at);
+    /** An interrupted write leaves the beginning of a record; a complete record repeats its length at its end. */
+    private boolean isCompletelyWritten(long position) throws IOException {
+        long lastPosition = lastNonZeroByte(position);
         ByteBuffer trailer = ByteBuffer.allocate(5);
-        if (last - at >= trailer.capacity()) {
-            file.readFully(trailer, last + 1 - trailer.capacity());
+        if (lastPosition - position >= trailer.capacity()) {
+            file.readFully(trailer, lastPosition + 1 - trailer.capacity());
         }
-        return SegmentFormat.endsLikeCompleteRecord(last + 1 - at, trailer.flip());
+        return SegmentFormat.endsLikeCompleteRecord(lastPosition + 1 - position, trailer.flip());
     }
 
-    /** Where the last byte is, from here on, that is not zero; -1 if all are. */
+    /** The position of the last byte that is not zero, from here on; -1 if there is none. */
     private long lastNonZeroByte(long from) throws IOException {
-        long last = -1;
-        for (long at = from; at < lengthBytes; at++) {
-            ByteBuffer here = moveWindow(at);
-            if (!here.hasRemaining()) {
+        long lastPosition = -1;
+        for (long position = from; position < lengthBytes; position++) {
+            ByteBuffer bytes = moveWindow(position);
+            if (!bytes.hasRemaining()) {
                 break;
             }
-            last = here.get() != 0 ? at : last;
+            lastPosition = bytes.get() != 0 ? position : lastPosition;
         }
-        return last;
+        return lastPosition;
     }
 
-    /** The window, moved so that it begins at the position or before, with its own position there. */
-    private ByteBuffer moveWindow(long at) throws IOException {
-        if (at < windowStart || at >= windowStart + window.limit()) {
-            refill(at, window.capacity());
+    /** Moves the position of the window to a byte of the file; refills the window if it does not contain that byte. */
+    private ByteBuffer moveWindow(long position) throws IOException {
+        if (position < windowStart || position >= windowStart + window.limit()) {
+            refill(position, window.capacity());
         }
-        return window.position((int) (at - windowStart));
+        return window.position((int) (position - windowStart));
     }
 
-    private void refill(long at, int capacity) throws IOException {
+    private void refill(long position, int capacity) throws IOException {
         if (capacity != window.capacity()) {
             window = ByteBuffer.allocate(capacity);
         }
         window.clear();
-        file.readFully(window, at);
+        file.readFully(window, position);
         window.flip();
-        windowStart = at;
+        windowStart = position;
     }
 
     @Override
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -14,13 +14,13 @@
 import lilaclever.routing.Submission;
 
 /**
- * The journal: a log of segments that is emptied from its oldest end, a slice a turn, by copying forward what is live
- * ({@link Compactor}). What it says in memory and what the folder says may differ while a disk fails; each record that
- * could not be written is kept in mind and written, as the state of its message then, once the disk takes it ({@link
- * UnwrittenChanges}).
+ * The journal: a log of segments that is compacted from its oldest end, one slice a turn, by copying live records
+ * forward ({@link Compactor}). While the disk fails, the state in memory may be ahead of the folder. Each change that
+ * could not be written is noted, and the then current state of its message is written once the disk accepts records
+ * ({@link UnwrittenChanges}).
  */
 public final class SegmentedJournal implements Journal {
-    /** Files may be asked for again after so long without room, microseconds. */
+    /** How long to wait after a failed allocation before the next one. */
     private static final long ALLOCATION_RETRY_MICROS = 1_000_000;
 
     private static final int MAX_EXPIRIES_PER_TURN = 256;
@@ -36,57 +36,61 @@
     private final LogAppender appender;
     private final Compactor compactor;
     private final UnwrittenChanges unwrittenChanges;
-    /** After the disk failed: when files are asked for, segments released and spare files made ready again. */
+    /** After a disk failure: when to retry allocation, the release of segments, and zero-filling. */
     private long allocateAgainAtMicros, releaseAgainAtMicros, fillAgainAtMicros;
 
     /**
-     * Opens the journal in the folder and reads what an earlier life left.
+     * Opens the journal in the folder and recovers the state that an earlier run left.
      *
-     * @param mostBytes what all its files may take together, each in whole blocks of 512 bytes
-     * @param random where salts come from
+     * @param quotaBytes quota for all its files together, each counted in whole blocks of 512 bytes
+     * @param random source of the salts
      */
     public SegmentedJournal(
-            Disk disk, long mostBytes, Durability durability, JournalClocks times, RandomGenerator random)
+            Disk disk, long quotaBytes, Durability durability, JournalClocks clocks, RandomGenerator random)
             throws IOException {
         this.disk = disk;
-        monotonicMicros = times.monotonicMicros();
-        policy = new SpacePolicy(mostBytes);
+        monotonicMicros = clocks.monotonicMicros();
+        policy = new SpacePolicy(quotaBytes);
         syncer = new Syncer(durability, disk, new SyncListener());
-        log = new SegmentLog(disk, policy, mostBytes, random, syncer.isEnabled(), syncer::started, times);
+        log = new SegmentLog(disk, policy, quotaBytes, random, syncer.isEnabled(), syncer::started, clocks);
         appender = new LogAppender(log, policy, state, syncer, monotonicMicros);
         compactor = new Compactor(log, policy, state, syncer, appender);
         unwrittenChanges = new UnwrittenChanges(state, log, writer, syncer.isEnabled(), this::appendUnwritten);
-        Recovery recovery = new Recovery(disk, state, times.bootClock(), line -> Logs.warn("journal", "recovery", line));
+        Recovery recovery =
+                new Recovery(disk, state, clocks.bootClock(), line -> Logs.warn("journal", "recovery", line));
         recoveryReport = recovery.scan();
         recovery.handOver(log);
         compactor.migrateUpTo(recoveryReport.lastToMigrate());
     }
 
-    /** Copies all that is live into as few files as hold it, and gives up the others. For a program that is stopped. */
+    /** Copies all live records into as few files as possible and deletes the others. For a stopped program. */
     void compactAll() throws IOException {
         compactor.compactAll();
     }
 
-    // ---- records ----------------------------------------------------------------------------------------
+    // Records
+
     @Override
     public boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
         if (unwrittenChanges.isRewriting()) {
-            return false; // it could not be promised to outlast the machine
+            return false; // it could not be made durable
         }
-        PendingMessage owed = new PendingMessage(front, submission, deadlineWall);
-        RecordEncoder.accepted(writer.clear(), owed);
-        int size = writer.size();
-        if (size > SegmentFormat.MAX_CONTENT_BYTES || !appender.ensureSpace(size, JournalState.growthBytes(submission)) || !append()) {
+        PendingMessage message = new PendingMessage(front, submission, deadlineWall);
+        RecordEncoder.accepted(writer.clear(), message);
+        int recordBytes = writer.size();
+        if (recordBytes > SegmentFormat.MAX_CONTENT_BYTES
+                || !appender.ensureSpace(recordBytes, JournalState.growthBytes(submission))
+                || !append()) {
             return false;
         }
-        state.addAccepted(owed, log.active(), size);
+        state.addAccepted(message, log.active(), recordBytes);
         unwrittenChanges.messageWritten(submission.id());
         return true;
     }
 
     @Override
     public boolean recordAttempt(String id, String host, int zone, long wall) {
-        // Behind an earlier change that is not written this record would hide when the message may first have run.
+        // An earlier change is still unwritten. Behind it, this record would hide when the message may first have run.
         if (!unwrittenChanges.writeMessage(id)) {
             return false;
         }
@@ -95,29 +99,29 @@
             return false;
         }
         unwrittenChanges.messageWritten(id);
-        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
-        if (slot != null) {
-            slot.value.attemptStarted(host, zone, wall);
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry != null) {
+            entry.value.attemptStarted(host, zone, wall);
         }
         return true;
     }
 
     @Override
     public void recordOutcome(String id, boolean neverRan) {
-        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
-        if (slot != null) {
-            slot.value.attemptEnded(neverRan);
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry != null) {
+            entry.value.attemptEnded(neverRan);
             RecordEncoder.outcome(writer.clear(), id, neverRan);
             appendOrDefer(id);
         }
     }
 
     @Override
-    public void recordFinalStatus(String id, FinalStatus verdict) {
-        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
-        if (slot != null) {
-            slot.value.setFinalStatus(verdict);
-            RecordEncoder.finalStatus(writer.clear(), id, verdict);
+    public void recordFinalStatus(String id, FinalStatus status) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry != null) {
+            entry.value.setFinalStatus(status);
+            RecordEncoder.finalStatus(writer.clear(), id, status);
             appendOrDefer(id);
         }
     }
@@ -133,29 +137,31 @@
 
     @Override
     public boolean recordAttached(String id, String front, String claim) {
-        JournalState.Entry<PendingMessage> slot = state.pending.get(id);
-        if (slot == null) {
+        JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+        if (entry == null) {
             return false;
         }
-        PendingMessage.Submitter joins = new PendingMessage.Submitter(front, claim);
-        RecordEncoder.joined(writer.clear(), id, joins);
-        if (unwrittenChanges.hasMessage(id) || !appender.ensureSpace(writer.size(), JournalState.growthBytes(joins)) || !append()) {
+        PendingMessage.Submitter newClaim = new PendingMessage.Submitter(front, claim);
+        RecordEncoder.joined(writer.clear(), id, newClaim);
+        if (unwrittenChanges.hasMessage(id)
+                || !appender.ensureSpace(writer.size(), JournalState.growthBytes(newClaim))
+                || !append()) {
             return false;
         }
-        state.addClaim(slot.value, joins);
+        state.addClaim(entry.value, newClaim);
         unwrittenChanges.messageWritten(id);
         return true;
     }
 
     @Override
-    public void remember(String identity, CompletedMessage<FinalStatus> past) {
-        RecordEncoder.remembered(writer.clear(), identity, past);
-        int size = writer.size();
+    public void remember(String identity, CompletedMessage<FinalStatus> result) {
+        RecordEncoder.remembered(writer.clear(), identity, result);
+        int recordBytes = writer.size();
         if (append()) {
-            state.put(identity, past, log.active(), size);
+            state.put(identity, result, log.active(), recordBytes);
             unwrittenChanges.rememberedWritten(identity);
         } else {
-            state.put(identity, past, null, 0);
+            state.put(identity, result, null, 0);
             unwrittenChanges.addRemembered(identity);
         }
     }
@@ -167,8 +173,8 @@
 
     @Override
     public CompletedMessage<FinalStatus> remembered(String identity) {
-        JournalState.Entry<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
-        return slot == null ? null : slot.value;
+        JournalState.Entry<CompletedMessage<FinalStatus>> entry = state.remembered.get(identity);
+        return entry == null ? null : entry.value;
     }
 
     @Override
@@ -181,10 +187,11 @@
         return state.remembered.size();
     }
 
-    // ---- writing ----------------------------------------------------------------------------------------
+    // Writing
+
     private void appendOrDefer(String id) {
         if (unwrittenChanges.hasMessage(id) || !append()) {
-            unwrittenChanges.addMessage(id); // an earlier change of it is not written: only its whole state makes sense
+            unwrittenChanges.addMessage(id); // an earlier change is unwritten, so only a snapshot makes sense
         } else {
             unwrittenChanges.messageWritten(id);
         }
@@ -194,45 +201,46 @@
         return appender.append(writer, compactor);
     }
 
-    /** What a failed forcing was for may use all the room: segments are released only once it is forced. */
+    /** Rewriting after a failed sync may use all space, since segments are released only after a successful sync. */
     private boolean appendUnwritten(RecordWriter records) {
         return unwrittenChanges.isRewriting() ? appender.appendCopies(records) : appender.append(records, compactor);
     }
 
     @Override
     public void maintain(long nowWall) {
-        long now = monotonicMicros.getAsLong();
-        if (now >= allocateAgainAtMicros) {
-            allocateAgainAtMicros = now + ALLOCATION_RETRY_MICROS;
+        long nowMicros = monotonicMicros.getAsLong();
+        if (nowMicros >= allocateAgainAtMicros) {
+            allocateAgainAtMicros = nowMicros + ALLOCATION_RETRY_MICROS;
             log.resetAllocationFailure();
         }
-        if (now >= fillAgainAtMicros || syncer.isEnabled()) {
-            fillAgainAtMicros = now + SpacePolicy.DISK_RETRY_DELAY_MICROS;
+        if (nowMicros >= fillAgainAtMicros || syncer.isEnabled()) {
+            fillAgainAtMicros = nowMicros + SpacePolicy.DISK_RETRY_DELAY_MICROS;
             log.fillDeferred(
-                    syncer::hasSucceededAfter); // whether records are written or not: they may wait for just these files
+                    syncer::hasSucceededAfter); // even if records can't be written: they may wait for these files
         }
         unwrittenChanges.write();
         state.removeExpired(nowWall, MAX_EXPIRIES_PER_TURN);
-        if (!appender.isBackingOffAt(now)) {
-            compactSlice(now);
-            if (log.active() != null && policy.shouldPreallocate(log.spaceUsage(state))) { // nothing before the first record
+        if (!appender.isBackingOffAt(nowMicros)) {
+            compactSlice(nowMicros);
+            if (log.active() != null
+                    && policy.shouldPreallocate(log.spaceUsage(state))) { // none before the first record
                 log.preallocate(policy.segmentBytes());
             }
         }
         if (syncer.isProbing() || !unwrittenChanges.isRewriting()) {
-            syncer.startIfDue(now, log); // else a good forcing would stand in for the one that failed
+            syncer.startIfDue(nowMicros, log); // else a good sync would count in place of the failed one
         }
     }
 
-    /** A segment that can't be released is tried again later; records are written meanwhile. */
-    private void compactSlice(long now) {
-        if (now < releaseAgainAtMicros || unwrittenChanges.isRewriting()) {
+    /** Runs a slice of compaction. A segment that can't be released is retried later; records are written meanwhile. */
+    private void compactSlice(long nowMicros) {
+        if (nowMicros < releaseAgainAtMicros || unwrittenChanges.isRewriting()) {
             return;
         }
         try {
             compactor.runSlice();
         } catch (IOException e) {
-            releaseAgainAtMicros = now + SpacePolicy.DISK_RETRY_DELAY_MICROS;
+            releaseAgainAtMicros = nowMicros + SpacePolicy.DISK_RETRY_DELAY_MICROS;
             Logs.warn("journal", "release-failed", "an empty segment could not be released, tried again later: " + e);
         }
     }
@@ -273,8 +281,11 @@
         }
     }
 
-    // ---- durability -------------------------------------------------------------------------------------
-    /** Where the loop takes tasks from other threads; before anything is written by the loop. */
+    // Durability
+
+    /**
+     * Sets the executor of the event loop for tasks of other threads. Must be called before the loop writes anything.
+     */
     @Override
     public void setLoop(Executor loop) {
         syncer.attach(loop);
@@ -285,38 +296,39 @@
         syncer.whenDurable(consequence);
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
-    /** What the opening found. */
+    // Figures
+
+    /** The results of recovery. */
     public Recovery.Report recoveryReport() {
         return recoveryReport;
     }
 
-    /** Bytes that the files take, in whole blocks. */
+    /** The size of all files in whole blocks. */
     public long allocatedBytes() {
         return log.allocatedBytes();
     }
 
-    /** Files. */
+    /** The number of files. */
     public int fileCount() {
         return log.fileCount();
     }
 
-    /** Bytes copied forward so far. */
+    /** The number of bytes that compaction has copied so far. */
     public long copiedBytes() {
         return compactor.copiedBytes();
     }
 
-    /** Writes that no file took. */
+    /** The number of writes and syncs that failed. */
     public long failureCount() {
         return appender.failureCount() + syncer.failureCount();
     }
 
-    /** True while a forcing is under way. */
+    /** True while a sync is in progress. */
     boolean isSyncing() {
         return syncer.isRunning();
     }
 
-    /** Changes that are known in memory and not yet written. */
+    /** The number of changes in memory that are not written yet. */
     public int unwrittenCount() {
         return unwrittenChanges.count();
     }
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -9,8 +9,8 @@
 import lilaclever.log.Logs;
 
 /**
- * Forces records to the disk on a thread of its own, all that came together in one go, and runs on the loop what waited
- * for it. All but the forcing itself is on the loop thread.
+ * Syncs records to the disk on its own thread, all pending ones together, and then runs the tasks on the event loop
+ * that waited for it. Everything but the sync itself runs on the loop thread.
  */
 final class Syncer {
     private final Durability durability;
@@ -20,9 +20,12 @@
     private Executor loop = Runnable::run;
     private List<Runnable> waitingTasks = new ArrayList<>();
     private boolean running;
-    /** True from a failed forcing to the next that covers what is written. */
+    /** True from a failed sync until the next one that covers everything written. */
     private boolean lastFailed;
-    /** From a second failed forcing until one has gone well that proves nothing but that the disk forces again. */
+    /**
+     * True after two failed syncs in a row, until a probe sync succeeds. A probe shows that the disk works again, but
+     * makes no earlier record durable.
+     */
     private boolean probing;
 
     private boolean unsyncedWrites;
@@ -30,28 +33,31 @@
     private long lastStartedMicros;
     private long failureCount;
 
-    /** Hears of forcings, on the loop thread. */
+    /** Receives the progress of syncs, on the loop thread. */
     interface Listener {
-        /** What is written so far is being forced. */
+        /** A sync of everything written so far starts. */
         void syncStarted();
 
-        /** What was written before the beginning outlasts the machine. */
+        /** Everything written before the sync started is durable. */
         void syncSucceeded();
 
-        /** What was written since the last good one must be written again, elsewhere. */
+        /**
+         * The first sync failed: everything written since the last successful one must be written again, to another
+         * segment.
+         */
         void syncFailed();
 
-        /** That one failed too: nothing is written again before the disk forces anything. */
+        /** A further sync failed: nothing is written again until a probe sync succeeds. */
         void syncFailedAgain();
 
-        /** A trial is about to begin: there has to be something to force. */
+        /** A probe is about to start and needs something to sync. */
         void probeStarting();
 
-        /** The disk forces again: what was written since the last good one must be written again. */
+        /** The disk syncs again: everything written since the last successful sync must be written again. */
         void probeSucceeded();
     }
 
-    /** {@code listener} hears of each forcing but the last one, at the close. */
+    /** {@code listener} is notified of each sync but the one when the journal is closed. */
     Syncer(Durability durability, Disk disk, Listener listener) {
         this.durability = durability;
         this.disk = disk;
@@ -66,27 +72,27 @@
         return durability.mode() != Durability.Mode.NONE;
     }
 
-    /** True while the disk is not known to force again. */
+    /** True while probe syncs check whether the disk works again. */
     boolean isProbing() {
         return probing;
     }
 
-    /** The number of the last forcing that went well. */
+    /** The number of the last successful sync. */
     long lastSuccessful() {
         return lastSuccessful;
     }
 
-    /** Forcings begun so far: what is written now is covered by the next. */
+    /** The number of syncs started so far; the next one covers what is written now. */
     long started() {
         return started;
     }
 
-    /** True if a forcing that began after the given count has ended well. */
+    /** True if a sync that started after the given count has succeeded. */
     boolean hasSucceededAfter(long count) {
         return !isEnabled() || lastSuccessful > count;
     }
 
-    /** True while a forcing is under way. */
+    /** True while a sync is in progress. */
     boolean isRunning() {
         return running;
     }
@@ -99,17 +105,20 @@
         unsyncedWrites = true;
     }
 
-    void whenDurable(Runnable consequence) {
+    void whenDurable(Runnable task) {
         if (durability.mode() == Durability.Mode.GROUP) {
-            waitingTasks.add(consequence);
+            waitingTasks.add(task);
         } else {
-            consequence.run();
+            task.run();
         }
     }
 
-    /** Begins a forcing if one is due and none is under way. */
+    /** Starts a sync if one is due and none is in progress. */
     void startIfDue(long nowMicros, SegmentLog log) {
-        if (!running && (probing ? nowMicros - lastStartedMicros >= SpacePolicy.DISK_RETRY_DELAY_MICROS : isDue(nowMicros))) {
+        if (!running
+                && (probing
+                        ? nowMicros - lastStartedMicros >= SpacePolicy.DISK_RETRY_DELAY_MICROS
+                        : isDue(nowMicros))) {
             start(nowMicros, log);
         }
     }
@@ -133,24 +142,24 @@
         running = true;
         lastStartedMicros = nowMicros;
         long number = ++started;
-        List<Runnable> covered = new ArrayList<>();
+        List<Runnable> coveredTasks = new ArrayList<>();
         if (probing) {
             listener.probeStarting();
         } else {
             listener.syncStarted();
             unsyncedWrites = false;
-            covered = waitingTasks;
+            coveredTasks = waitingTasks;
             waitingTasks = new ArrayList<>();
         }
-        List<Runnable> consequences = covered;
-        SegmentLog.SyncBatch pending = log.takeSyncBatch();
+        List<Runnable> tasks = coveredTasks;
+        SegmentLog.SyncBatch batch = log.takeSyncBatch();
         thread.execute(() -> {
-            IOException failure = sync(disk, pending);
-            loop.execute(() -> finished(number, consequences, failure));
+            IOException failure = sync(disk, batch);
+            loop.execute(() -> finished(number, tasks, failure));
         });
     }
 
-    private void finished(long number, List<Runnable> covered, IOException failure) {
+    private void finished(long number, List<Runnable> coveredTasks, IOException failure) {
         running = false;
         if (failure == null && probing) {
             probing = false;
@@ -161,13 +170,13 @@
             lastFailed = false;
             lastSuccessful = number;
             listener.syncSucceeded();
-            covered.forEach(Runnable::run);
+            coveredTasks.forEach(Runnable::run);
             return;
         }
-        // The system may have dropped what it could not write: a second forcing of the same file would prove nothing.
+        // The system may have dropped the data it could not write: a second sync of the same file would prove nothing.
         failureCount++;
-        covered.addAll(waitingTasks);
-        waitingTasks = covered;
+        coveredTasks.addAll(waitingTasks);
+        waitingTasks = coveredTasks;
         unsyncedWrites = true;
         if (lastFailed) {
             probing = true;
@@ -179,7 +188,7 @@
         }
     }
 
-    /** Forces what is written, now and on the caller's thread, where anything is to be forced at all. */
+    /** Syncs everything written on the caller's thread, unless syncs are turned off. */
     void syncNow(SegmentLog log) throws IOException {
         if (isEnabled()) {
             IOException failure = sync(disk, log.takeSyncBatch());
@@ -189,23 +198,23 @@
         }
     }
 
-    /** Forces the files, closes those that are full; gives what failed first, or null. */
-    private static IOException sync(Disk disk, SegmentLog.SyncBatch pending) {
+    /** Syncs the files and closes the full segments; returns the first failure, or null. */
+    private static IOException sync(Disk disk, SegmentLog.SyncBatch batch) {
         IOException failure = null;
         try {
-            for (Disk.DiskFile file : pending.fullSegments()) {
+            for (Disk.DiskFile file : batch.fullSegments()) {
                 file.sync();
             }
-            if (pending.active() != null) {
-                pending.active().sync();
+            if (batch.active() != null) {
+                batch.active().sync();
             }
-            if (pending.folderChanged()) {
+            if (batch.folderChanged()) {
                 disk.syncFolder();
             }
         } catch (IOException e) {
             failure = e;
         }
-        for (Disk.DiskFile file : pending.fullSegments()) {
+        for (Disk.DiskFile file : batch.fullSegments()) {
             try {
                 file.close();
             } catch (IOException e) {
@@ -215,7 +224,7 @@
         return failure;
     }
 
-    /** Ends the thread; what is left is forced by the caller. */
+    /** Stops the thread; the caller syncs the rest. */
     void close() {
         if (thread != null) {
             thread.shutdown();
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -10,8 +10,8 @@
 import lilaclever.routing.PendingMessage;
 
 /**
- * What changed in memory while the disk took no records: messages and remembered ends whose last change is not written.
- * Each is written later as its state is then.
+ * Changes in memory that are not on disk because the disk failed: the messages and remembered results whose last change
+ * is unwritten. The state that each has then is written later.
  */
 final class UnwrittenChanges {
     private final JournalState state;
@@ -21,60 +21,65 @@
     private final boolean syncEnabled;
     private final Set<String> messages = new LinkedHashSet<>();
     private final Set<String> remembered = new LinkedHashSet<>();
-    /** Messages and remembered ends with records that are not forced: before the last forcing began, and since. */
+    /** Messages and remembered results with unsynced records: written before the last sync started, and after. */
     private final Set<String> messagesBeforeSync = new LinkedHashSet<>(), messagesSinceSync = new LinkedHashSet<>();
 
     private final Set<String> rememberedBeforeSync = new LinkedHashSet<>(), rememberedSinceSync = new LinkedHashSet<>();
-    /** True from a failed forcing until all that it was for is written again. */
+    /** True from a failed sync until everything it was to cover is written again. */
     private boolean rewriting;
-    /** True while the disk is not known to force again. */
+    /** True until a probe sync shows that the disk works again. */
     private boolean waitingForProbe;
 
     /**
-     * None yet.
+     * Creates an empty set of changes.
      *
-     * @param writer used for each record and left with the last
-     * @param forces true where records are forced to the disk
-     * @param append writes what is in the writer, behind all other records; false if that is not possible now
+     * @param writer used for each record; it keeps the last one
+     * @param syncEnabled true if records are synced to the disk
+     * @param append appends the records of the writer to the log; false if that is not possible now
      */
-    UnwrittenChanges(JournalState state, SegmentLog log, RecordWriter writer, boolean forces, Predicate<RecordWriter> append) {
+    UnwrittenChanges(
+            JournalState state,
+            SegmentLog log,
+            RecordWriter writer,
+            boolean syncEnabled,
+            Predicate<RecordWriter> append) {
         this.state = state;
         this.log = log;
         this.writer = writer;
         this.append = append;
-        this.syncEnabled = forces;
+        this.syncEnabled = syncEnabled;
     }
 
-    /** True if the message has a change that is not written. */
+    /** True if the message has an unwritten change. */
     boolean hasMessage(String id) {
         return !messages.isEmpty() && messages.contains(id);
     }
 
-    /** A message's change could not be written. */
+    /** Notes that a change of the message could not be written. */
     void addMessage(String id) {
         messages.add(id);
     }
 
-    /** A remembered end could not be written. */
+    /** Notes that a remembered result could not be written. */
     void addRemembered(String identity) {
         remembered.add(identity);
     }
 
-    /** A record of the message is written, or of its end: it has to be written again if its forcing fails. */
+    /** Notes a written record of the message. It must be written again if its sync fails. */
     void messageWritten(String id) {
         if (syncEnabled) {
             messagesSinceSync.add(id);
         }
     }
 
-    /** A remembered end is written. */
+    /** Notes that a remembered result was written. */
     void rememberedWritten(String identity) {
         if (syncEnabled) {
             rememberedSinceSync.add(identity);
         }
     }
 
-    /** What is written so far is being forced. */
+    /** A sync of everything written so far starts. */
     void syncStarted() {
         messagesBeforeSync.addAll(messagesSinceSync);
         messagesSinceSync.clear();
@@ -82,46 +87,47 @@
         rememberedSinceSync.clear();
     }
 
-    /** What was written before the forcing began outlasts the machine. */
+    /** Everything written before the sync started is durable. */
     void syncSucceeded() {
         messagesBeforeSync.clear();
         rememberedBeforeSync.clear();
     }
 
-    /** True while a forcing would not cover all that consequences wait for. */
+    /** True while a sync would not cover everything that tasks wait for. */
     boolean isRewriting() {
         rewriting &= waitingForProbe || count() > 0;
         return rewriting;
     }
 
-    /** Nothing is written again before the disk forces again. */
+    /** Writes nothing again until a probe sync succeeds. */
     void waitForProbe() {
         rewriting = true;
         waitingForProbe = true;
     }
 
-    /** A forcing has failed: all that is not forced since the last good one has to be written again. */
-    void addUnsynced(long lastGood) {
+    /** After a failed sync: everything that was not synced since the last successful one must be written again. */
+    void addUnsynced(long lastSuccessfulSync) {
         rewriting = true;
         waitingForProbe = false;
         syncStarted();
         messages.addAll(messagesBeforeSync);
         remembered.addAll(rememberedBeforeSync);
         syncSucceeded();
-        addUnsynced(state.pending, lastGood, messages);
-        addUnsynced(state.remembered, lastGood, remembered);
+        addUnsynced(state.pending, lastSuccessfulSync, messages);
+        addUnsynced(state.remembered, lastSuccessfulSync, remembered);
     }
 
-    /** Adds what rests on a segment that was written to since the last good forcing began: it may be a copy. */
-    private static <T> void addUnsynced(Map<String, JournalState.Entry<T>> map, long lastGood, Set<String> to) {
-        map.forEach((key, slot) -> {
-            if (slot.segment != null && slot.segment.lastWrittenAtSync >= lastGood) {
-                to.add(key);
+    /** Adds entries in segments written to since the last successful sync started: their records may be copies. */
+    private static <T> void addUnsynced(
+            Map<String, JournalState.Entry<T>> map, long lastSuccessfulSync, Set<String> target) {
+        map.forEach((key, entry) -> {
+            if (entry.segment != null && entry.segment.lastWrittenAtSync >= lastSuccessfulSync) {
+                target.add(key);
             }
         });
     }
 
-    /** Writes what it can. */
+    /** Writes as many changes as possible. */
     void write() {
         if (writeMessages()) {
             writeRemembered();
@@ -137,21 +143,21 @@
         return true;
     }
 
-    /** Writes the message's state if a change of it is not written; false if that is not possible now. */
+    /** Writes the state of the message if a change of it is unwritten; false if that is not possible now. */
     boolean writeMessage(String id) {
         if (hasMessage(id)) {
-            JournalState.Entry<PendingMessage> slot = state.pending.get(id);
-            if (slot == null) {
+            JournalState.Entry<PendingMessage> entry = state.pending.get(id);
+            if (entry == null) {
                 RecordEncoder.ended(writer.clear(), id);
             } else {
-                RecordEncoder.snapshot(writer.clear(), slot.value);
+                RecordEncoder.snapshot(writer.clear(), entry.value);
             }
-            int size = writer.size();
+            int recordBytes = writer.size();
             if (!append.test(writer)) {
                 return false;
             }
-            if (slot != null) {
-                state.recordMoved(state.pending, id, log.active(), size);
+            if (entry != null) {
+                state.recordMoved(state.pending, id, log.active(), recordBytes);
             }
             messageWritten(id);
             messages.remove(id);
@@ -162,21 +168,21 @@
     private void writeRemembered() {
         while (!remembered.isEmpty()) {
             String identity = remembered.iterator().next();
-            JournalState.Entry<CompletedMessage<FinalStatus>> slot = state.remembered.get(identity);
-            if (slot != null) {
-                RecordEncoder.remembered(writer.clear(), identity, slot.value);
-                int size = writer.size();
+            JournalState.Entry<CompletedMessage<FinalStatus>> entry = state.remembered.get(identity);
+            if (entry != null) {
+                RecordEncoder.remembered(writer.clear(), identity, entry.value);
+                int recordBytes = writer.size();
                 if (!append.test(writer)) {
                     return;
                 }
-                state.recordMoved(state.remembered, identity, log.active(), size);
+                state.recordMoved(state.remembered, identity, log.active(), recordBytes);
                 rememberedWritten(identity);
             }
             remembered.remove(identity);
         }
     }
 
-    /** Changes that are not written. */
+    /** The number of unwritten changes. */
     int count() {
         return messages.size() + remembered.size();
     }
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -13,139 +13,152 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Runs are recorded operation by operation, cut at each, and opened: what was acknowledged must be there, and nothing
- * else but the one change that was under way.
+ * Records the disk operations of a run, cuts them off at each one, and opens the journal: every acknowledged change
+ * must be there, and nothing else but the one change in progress.
  */
 class CrashTest {
     private static final long QUOTA_BYTES = 160 * 1024;
 
-    /** The states that may be found after a cut: as of the last step that was acknowledged, or the next one. */
-    private static void check(RandomRun script, int done, SimDisk disk, String what) throws IOException {
-        int k = 0;
-        while (k + 1 < script.checkpoints.size() && script.checkpoints.get(k + 1).operations() <= done) {
-            k++;
+    /** Checks the state found after a cut: that of the last acknowledged step, or of the next one. */
+    private static void check(RandomRun randomRun, int done, SimDisk disk, String description) throws IOException {
+        int checkpoint = 0;
+        while (checkpoint + 1 < randomRun.checkpoints.size()
+                && randomRun.checkpoints.get(checkpoint + 1).operations() <= done) {
+            checkpoint++;
         }
-        try (SegmentedJournal found = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE)) {
-            String state = RandomRun.describe(found, 0);
-            assertEquals(List.of(), found.recoveryReport().damages(), what);
-            boolean good = withoutRemembered(state).equals(withoutRemembered(script.checkpoints.get(k).state()))
-                    || k + 1 < script.checkpoints.size()
-                            && withoutRemembered(state).equals(withoutRemembered(script.checkpoints.get(k + 1).state()));
+        try (SegmentedJournal recovered = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE)) {
+            String state = RandomRun.describe(recovered, 0);
+            assertEquals(List.of(), recovered.recoveryReport().damages(), description);
+            boolean good = withoutRemembered(state)
+                            .equals(withoutRemembered(
+                                    randomRun.checkpoints.get(checkpoint).state()))
+                    || checkpoint + 1 < randomRun.checkpoints.size()
+                            && withoutRemembered(state)
+                                    .equals(withoutRemembered(randomRun
+                                            .checkpoints
+                                            .get(checkpoint + 1)
+                                            .state()));
             if (!good) {
-                assertEquals(script.checkpoints.get(k).state(), state, what);
+                assertEquals(randomRun.checkpoints.get(checkpoint).state(), state, description);
             }
-            assertTrue(disk.totalBytes() <= QUOTA_BYTES, what + ": " + disk.totalBytes());
+            assertTrue(disk.totalBytes() <= QUOTA_BYTES, description + ": " + disk.totalBytes());
         }
     }
 
-    /** Ends past their time are forgotten when there is a turn for it: they may be there or not. */
+    /** Expired results are removed as turns allow, so they may be there or not. */
     private static String withoutRemembered(String state) {
         return state.substring(0, state.lastIndexOf('{'));
     }
 
-    /** A kill at any operation and inside any write, compaction, rolls and reuse of files included. */
+    /** A kill at any operation and inside any write, including compaction, rolls and reuse of files. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4})
     void killAtAnyOperationLosesNoAcknowledgedChange(long seed) throws IOException {
         SimDisk disk = new SimDisk();
-        RandomRun script = new RandomRun(disk, seed);
+        RandomRun randomRun = new RandomRun(disk, seed);
         SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE);
-        script.useJournal(journal);
-        script.run(1500, 3000, 60);
+        randomRun.useJournal(journal);
+        randomRun.run(1500, 3000, 60);
         assertTrue(journal.copiedBytes() > 5_000, "copied forward: " + journal.copiedBytes());
         for (int done = 0; done <= disk.operations.size(); done++) {
-            check(script, done, SimDisk.afterKill(disk.operations, done, 0), "after " + done);
+            check(randomRun, done, SimDisk.afterKill(disk.operations, done, 0), "after " + done);
             if (done < disk.operations.size() && disk.operations.get(done).kind() == SimDisk.OperationKind.WRITE) {
                 int length = disk.operations.get(done).bytes().length;
                 for (int part : new int[] {1, length / 2, length - 1}) {
-                    check(script, done, SimDisk.afterKill(disk.operations, done, part), part + " bytes after " + done);
+                    check(
+                            randomRun,
+                            done,
+                            SimDisk.afterKill(disk.operations, done, part),
+                            part + " bytes after " + done);
                 }
             }
         }
     }
 
-    /** A second kill while the first one's folder is being opened, and a third. */
+    /** A second and a third kill while the journal is being opened after the first. */
     @Test
     void repeatedKillsDuringRecoveryLoseNothing() throws IOException {
         SimDisk disk = new SimDisk();
-        RandomRun script = new RandomRun(disk, 11);
-        script.useJournal(RandomRun.open(disk, QUOTA_BYTES, Durability.NONE));
-        script.run(800, 3000, 60);
+        RandomRun randomRun = new RandomRun(disk, 11);
+        randomRun.useJournal(RandomRun.open(disk, QUOTA_BYTES, Durability.NONE));
+        randomRun.run(800, 3000, 60);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
             int done = random.nextInt(disk.operations.size());
             List<SimDisk.Operation> ops = disk.operations.subList(0, done);
-            for (int life = 0; life < 2; life++) {
-                SimDisk again = SimDisk.afterKill(ops, ops.size(), 0);
-                try (SegmentedJournal found = RandomRun.open(again, QUOTA_BYTES, Durability.NONE)) {
-                    found.maintain(0);
+            for (int run = 0; run < 2; run++) {
+                SimDisk restarted = SimDisk.afterKill(ops, ops.size(), 0);
+                try (SegmentedJournal recovered = RandomRun.open(restarted, QUOTA_BYTES, Durability.NONE)) {
+                    recovered.maintain(0);
                 }
                 List<SimDisk.Operation> more = new ArrayList<>(ops);
-                more.addAll(again.operations.subList(0, random.nextInt(again.operations.size() + 1)));
+                more.addAll(restarted.operations.subList(0, random.nextInt(restarted.operations.size() + 1)));
                 ops = more;
             }
-            check(script, done, SimDisk.afterKill(ops, ops.size(), 0), "cut " + i + " after " + done);
+            check(randomRun, done, SimDisk.afterKill(ops, ops.size(), 0), "cut " + i + " after " + done);
         }
     }
 
-    /** With a group commit, what was acknowledged after a forcing outlasts a failure of the machine. */
+    /** With group commit, what was acknowledged after a sync survives a machine failure. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void powerCutLosesNoSyncedChange(long seed) throws Exception {
         SimDisk disk = new SimDisk();
         SplittableRandom random = new SplittableRandom(seed);
-        List<Integer> forcedAt = new ArrayList<>();
-        List<List<String>> idsThen = new ArrayList<>();
+        List<Integer> syncedAt = new ArrayList<>();
+        List<List<String>> messagesThen = new ArrayList<>();
         try (SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, new Durability(Durability.Mode.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.setLoop(loop::add);
-            RandomRun script = new RandomRun(disk, seed);
-            script.useJournal(journal);
+            RandomRun randomRun = new RandomRun(disk, seed);
+            randomRun.useJournal(journal);
             for (int turn = 0; turn < 150; turn++) {
-                script.run(8, 2000, 50);
+                randomRun.run(8, 2000, 50);
                 boolean[] durable = {false};
                 journal.whenDurable(() -> durable[0] = true);
                 List<String> ids = journal.pendingMessages().stream()
-                        .map(o -> o.submission().id() + " " + o.attempts())
+                        .map(message -> message.submission().id() + " " + message.attempts())
                         .toList();
                 while (!durable[0]) {
-                    journal.maintain(script.nowMicros);
+                    journal.maintain(randomRun.nowMicros);
                     if (!durable[0]) {
                         loop.take().run();
                     }
                 }
-                forcedAt.add(disk.operations.size());
-                idsThen.add(ids);
+                syncedAt.add(disk.operations.size());
+                messagesThen.add(ids);
             }
         }
-        for (int turn = 0; turn < forcedAt.size(); turn++) {
+        for (int turn = 0; turn < syncedAt.size(); turn++) {
             for (int cut = 0; cut < 4; cut++) {
-                int next = turn + 1 < forcedAt.size() ? forcedAt.get(turn + 1) : disk.operations.size();
-                int done = forcedAt.get(turn) + random.nextInt(next - forcedAt.get(turn) + 1);
-                SimDisk left = SimDisk.afterPowerCut(disk.operations, done, random);
-                try (SegmentedJournal found = RandomRun.open(left, 4 * QUOTA_BYTES, Durability.NONE)) {
-                    List<String> there = found.pendingMessages().stream()
-                            .map(o -> o.submission().id())
+                int next = turn + 1 < syncedAt.size() ? syncedAt.get(turn + 1) : disk.operations.size();
+                int done = syncedAt.get(turn) + random.nextInt(next - syncedAt.get(turn) + 1);
+                SimDisk remains = SimDisk.afterPowerCut(disk.operations, done, random);
+                try (SegmentedJournal recovered = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
+                    List<String> recoveredIds = recovered.pendingMessages().stream()
+                            .map(message -> message.submission().id())
                             .toList();
-                    List<String> later = turn + 1 < idsThen.size() ? idsThen.get(turn + 1) : List.of();
-                    for (String id : idsThen.get(turn)) {
-                        // What ended since may be gone or not; all else must be there.
+                    List<String> later = turn + 1 < messagesThen.size() ? messagesThen.get(turn + 1) : List.of();
+                    for (String id : messagesThen.get(turn)) {
+                        // What ended since may be there or not; everything else must be.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
-                        assertTrue(!stays || there.contains(id.split(" ")[0]), id + " cut at " + done);
+                        assertTrue(!stays || recoveredIds.contains(id.split(" ")[0]), id + " cut at " + done);
                     }
-                    for (PendingMessage o : found.pendingMessages()) {
-                        checkAttempts(o, idsThen.get(turn));
+                    for (PendingMessage message : recovered.pendingMessages()) {
+                        checkAttempts(message, messagesThen.get(turn));
                     }
                 }
             }
         }
     }
 
-    private static void checkAttempts(PendingMessage o, List<String> idsThen) {
-        for (String was : idsThen) {
-            if (was.startsWith(o.submission().id() + " ")) {
+    private static void checkAttempts(PendingMessage message, List<String> messagesThen) {
+        for (String was : messagesThen) {
+            if (was.startsWith(message.submission().id() + " ")) {
                 int attempts = Integer.parseInt(was.split(" ")[1]);
-                assertTrue(o.attempts() >= attempts || o.mayHaveRun(), was + " " + RandomRun.describe(o));
+                assertTrue(
+                        message.attempts() >= attempts || message.mayHaveRun(),
+                        was + " " + RandomRun.describe(message));
             }
         }
     }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a failing disk must not do, each case by itself. {@link StorageFaultTest} has the random runs. */
+/** Single cases of a failing disk; {@link StorageFaultTest} has random ones. */
 class DiskFailureTest {
     private static final long QUOTA_BYTES = 1024 * 1024;
     private static final Durability GROUP = new Durability(Durability.Mode.GROUP, 0);
@@ -32,8 +32,8 @@
     private long clockMicros;
 
     private SegmentedJournal open(Durability durability) throws IOException {
-        SegmentedJournal journal =
-                new SegmentedJournal(disk, QUOTA_BYTES, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
+        SegmentedJournal journal = new SegmentedJournal(
+                disk, QUOTA_BYTES, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
         journal.setLoop(loop::add);
         return journal;
     }
@@ -59,8 +59,9 @@
                 .toList();
     }
 
-    // ---- without forcing ------------------------------------------------------------------------------------
-    /** Files that can't be renamed or deleted for ten seconds keep nobody from writing records. */
+    // Without syncs
+
+    /** If files can't be renamed or deleted for ten seconds, records are still written. */
     @ParameterizedTest
     @EnumSource(
             value = SimDisk.OperationKind.class,
@@ -83,8 +84,8 @@
     }
 
     /**
-     * An attempt that may have run, whose outcome the disk did not take, and a further attempt that it takes: a restart
-     * still knows the first one's time, from which the window for repeats counts.
+     * The disk rejects the outcome of an attempt that may have run, but accepts a further attempt: after a restart the
+     * time of the first attempt is still known, from which the repeat window counts.
      */
     @Test
     void attemptIsNotWrittenBeforeOutcomeOfPreviousOne() throws IOException {
@@ -96,16 +97,18 @@
         repairDisk();
         clockMicros += 2 * SpacePolicy.DISK_RETRY_DELAY_MICROS;
         assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
-        try (SegmentedJournal next = RandomRun.open(SimDisk.afterKill(disk.operations, disk.operations.size(), 0), QUOTA_BYTES, Durability.NONE)) {
-            PendingMessage m = next.pendingMessages().iterator().next();
+        try (SegmentedJournal next = RandomRun.open(
+                SimDisk.afterKill(disk.operations, disk.operations.size(), 0), QUOTA_BYTES, Durability.NONE)) {
+            PendingMessage message = next.pendingMessages().iterator().next();
             assertEquals(
                     "2 true a 100",
-                    m.attempts() + " " + m.mayHaveRun() + " " + m.possibleRunHost() + " " + m.possibleRunWallMicros());
+                    message.attempts() + " " + message.mayHaveRun() + " " + message.possibleRunHost() + " "
+                            + message.possibleRunWallMicros());
         }
         journal.close();
     }
 
-    /** The folder is read at a start though nothing in it can be changed, and is used once it can be. */
+    /** A folder that can't be changed at start is read, and is written once that is possible. */
     @Test
     void readOnlyFolderIsReadAndUsedOnceWritable() throws IOException {
         try (SegmentedJournal journal = open(Durability.NONE)) {
@@ -128,8 +131,9 @@
         }
     }
 
-    // ---- with forcing ---------------------------------------------------------------------------------------
-    /** One turn, and the end of the forcing that it began, if it began one. */
+    // With syncs
+
+    /** Runs one turn, and finishes the sync that it started, if any. */
     private void runTurn(SegmentedJournal journal) throws InterruptedException {
         journal.maintain(0);
         clockMicros += TURN_MICROS;
@@ -138,38 +142,38 @@
 
     private void finishSync(SegmentedJournal journal) throws InterruptedException {
         if (journal.isSyncing()) {
-            Runnable ended = loop.poll(10, TimeUnit.SECONDS);
-            ended.run();
+            Runnable completion = loop.poll(10, TimeUnit.SECONDS);
+            completion.run();
         }
     }
 
-    /** A forcing that went well proves nothing while what the failed one was for is not written again. */
+    /** A successful sync does not count while the records of the failed one are not written again. */
     @Test
     void laterSyncDoesNotReplaceFailedOne() throws Exception {
         SegmentedJournal journal = open(GROUP);
         assertTrue(accept(journal, "m"));
-        boolean[] told = {false};
-        journal.whenDurable(() -> told[0] = true);
+        boolean[] completed = {false};
+        journal.whenDurable(() -> completed[0] = true);
         failOperations(EnumSet.of(SimDisk.OperationKind.SYNC));
         runTurn(journal);
-        failOperations(EnumSet.of(SimDisk.OperationKind.WRITE)); // forcings go well again, writes do not
+        failOperations(EnumSet.of(SimDisk.OperationKind.WRITE)); // syncs succeed again, writes do not
         for (int i = 0; i < 20; i++) {
             runTurn(journal);
-            assertFalse(told[0], "in turn " + i);
+            assertFalse(completed[0], "in turn " + i);
         }
         repairDisk();
         for (int i = 0; i < 20; i++) {
             runTurn(journal);
         }
-        assertTrue(told[0]);
-        SimDisk left = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(1));
-        try (SegmentedJournal next = RandomRun.open(left, QUOTA_BYTES, Durability.NONE)) {
+        assertTrue(completed[0]);
+        SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(1));
+        try (SegmentedJournal next = RandomRun.open(remains, QUOTA_BYTES, Durability.NONE)) {
             assertEquals(List.of("m"), ids(next));
         }
         journal.close();
     }
 
-    /** What ended before a forcing that failed stays ended: its record is written again too. */
+    /** A message that ended before a failed sync stays ended: that record is written again too. */
     @Test
     void unsyncedEndIsWrittenAgain() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -187,15 +191,16 @@
         }
         assertTrue(durable[0]);
         for (int seed = 0; seed < 50; seed++) {
-            SimDisk left = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(seed));
-            try (SegmentedJournal next = RandomRun.open(left, QUOTA_BYTES, Durability.NONE)) {
+            SimDisk remains =
+                    SimDisk.afterPowerCut(disk.operations, disk.operations.size(), new SplittableRandom(seed));
+            try (SegmentedJournal next = RandomRun.open(remains, QUOTA_BYTES, Durability.NONE)) {
                 assertEquals(List.of("other"), ids(next), "seed " + seed);
             }
         }
         journal.close();
     }
 
-    /** While forcings fail no message is taken that could not be promised to outlast the machine. */
+    /** While syncs fail, no message is accepted, as it could not be made durable. */
     @Test
     void newMessagesAreRejectedWhileSyncsFail() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -216,19 +221,19 @@
         journal.close();
     }
 
-    /** A full folder whose forcings fail for ten seconds: once they go well, all that waited goes on. */
+    /** A full folder whose syncs fail for ten seconds: once they succeed, all pending work continues. */
     @Test
     void fullFolderSurvivesTenSecondsOfFailedSyncs() throws Exception {
         SegmentedJournal journal = open(GROUP);
-        int taken = 0;
-        while (accept(journal, "m" + taken)) {
-            taken++;
+        int accepted = 0;
+        while (accept(journal, "m" + accepted)) {
+            accepted++;
             runTurn(journal);
         }
         failOperations(EnumSet.of(SimDisk.OperationKind.SYNC));
         boolean[] durable = {false};
         for (int turn = 0; turn * TURN_MICROS < TEN_SECONDS_MICROS; turn++) {
-            String id = "m" + turn % taken;
+            String id = "m" + turn % accepted;
             if (turn == 0) {
                 assertTrue(journal.recordAttempt(id, "a", 0, 1));
                 journal.whenDurable(() -> durable[0] = true);
@@ -242,21 +247,21 @@
         }
         assertTrue(durable[0]);
         assertEquals(0, journal.unwrittenCount());
-        for (int i = 0; i < taken; i++) {
-            assertTrue(journal.recordAttempt("m" + i, "a", 0, 2), "m" + i + " of " + taken);
+        for (int i = 0; i < accepted; i++) {
+            assertTrue(journal.recordAttempt("m" + i, "a", 0, 2), "m" + i + " of " + accepted);
             runTurn(journal);
         }
         journal.close();
     }
 
-    /** Random runs in which forcings, writes and changes of names fail: what was confirmed outlasts a power cut. */
+    /** Random runs in which syncs, writes and changes of file names fail: what was confirmed survives a power cut. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 4, 5, 6})
     void confirmedChangesSurvivePowerCutAfterAnyFaults(long seed) throws Exception {
         SplittableRandom random = new SplittableRandom(seed);
         SegmentedJournal journal = open(GROUP);
-        RandomRun script = new RandomRun(disk, seed);
-        script.useJournal(journal);
+        RandomRun randomRun = new RandomRun(disk, seed);
+        randomRun.useJournal(journal);
         List<EnumSet<SimDisk.OperationKind>> faults = List.of(
                 EnumSet.noneOf(SimDisk.OperationKind.class),
                 EnumSet.of(SimDisk.OperationKind.SYNC),
@@ -265,36 +270,36 @@
                 EnumSet.of(SimDisk.OperationKind.RENAME, SimDisk.OperationKind.DELETE),
                 EnumSet.allOf(SimDisk.OperationKind.class));
         List<String> confirmed = new ArrayList<>();
-        Set<String> gone = new java.util.HashSet<>();
+        Set<String> ended = new java.util.HashSet<>();
         int cuts = 0;
         for (int phase = 0; phase < 60; phase++) {
             failOperations(faults.get(random.nextInt(faults.size())));
             int turns = random.nextInt(10) == 0 ? (int) (TEN_SECONDS_MICROS / TURN_MICROS) : 1 + random.nextInt(20);
             for (int i = 0; i < turns; i++) {
                 for (int step = 0; step < 3; step++) {
-                    script.runWithoutCheckpoints(1, 2000, 40);
+                    randomRun.runWithoutCheckpoints(1, 2000, 40);
                     finishSync(journal); // so that the order of operations is the same each time
                 }
                 List<String> now = ids(journal);
                 Set<String> known = new java.util.HashSet<>(now);
                 boolean allWritten = journal.unwrittenCount() == 0;
                 journal.whenDurable(() -> {
-                    if (allWritten) { // an end that the disk did not take may be told all the same
-                        confirmed.stream().filter(id -> !known.contains(id)).forEach(gone::add);
+                    if (allWritten) { // a result that the disk did not accept may be reported all the same
+                        confirmed.stream().filter(id -> !known.contains(id)).forEach(ended::add);
                     }
                     confirmed.clear();
                     confirmed.addAll(now);
                 });
                 runTurn(journal);
             }
-            SimDisk left = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), random);
-            try (SegmentedJournal next = RandomRun.open(left, 4 * QUOTA_BYTES, Durability.NONE)) {
+            SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), random);
+            try (SegmentedJournal next = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
                 List<String> found = ids(next);
                 for (String id : confirmed) {
-                    boolean stays = script.pendingMessages().containsKey(id);
+                    boolean stays = randomRun.pendingMessages().containsKey(id);
                     assertTrue(!stays || found.contains(id), "phase " + phase + ": " + id + " is lost");
                 }
-                for (String id : gone) {
+                for (String id : ended) {
                     assertFalse(found.contains(id), "phase " + phase + ": " + id + " is back");
                 }
                 cuts++;
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -13,82 +13,119 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Spans of time that the journal keeps, where the wall clock is stepped: while it runs, and between kill and start. */
+/**
+ * Time spans that the journal stores, while the wall clock is set during a run, or between a kill and the next start.
+ */
 class JournalClocksTest {
     private static final long MS_MICROS = 1_000, SECOND_MICROS = 1_000_000, HOUR_MICROS = 3_600 * SECOND_MICROS;
     private static final long QUOTA_BYTES = 512 * 1024;
-    /** Of the first life, as its clocks show the moment of the kill; the second one begins 2 s later. */
-    private static final long WALL_AT_KILL_MICROS = 50_000 * HOUR_MICROS, MONOTONIC_AT_KILL_MICROS = 7 * HOUR_MICROS, DOWNTIME_MICROS = 2 * SECOND_MICROS;
-    /** What is left at the kill of a message's time and of a remembered end's, and how old its attempt is. */
-    private static final long TIME_LEFT_MICROS = 20 * SECOND_MICROS, REMEMBERED_FOR_MICROS = HOUR_MICROS, ATTEMPT_AGE_MICROS = 3 * SECOND_MICROS;
+    /** The clocks of the first run at the moment of the kill; the second run starts 2 s later. */
+    private static final long WALL_AT_KILL_MICROS = 50_000 * HOUR_MICROS,
+            MONOTONIC_AT_KILL_MICROS = 7 * HOUR_MICROS,
+            DOWNTIME_MICROS = 2 * SECOND_MICROS;
+    /**
+     * At the kill: time to the deadline of a message, time to the expiry of a remembered result, and age of the
+     * attempt.
+     */
+    private static final long TIME_LEFT_MICROS = 20 * SECOND_MICROS,
+            REMEMBERED_FOR_MICROS = HOUR_MICROS,
+            ATTEMPT_AGE_MICROS = 3 * SECOND_MICROS;
 
     private final SimDisk disk = new SimDisk();
 
-    private SegmentedJournal open(LongSupplier wall, BootClock clock) throws IOException {
+    private SegmentedJournal open(LongSupplier wallMicros, BootClock bootClock) throws IOException {
         return new SegmentedJournal(
-                disk, QUOTA_BYTES, Durability.NONE, new JournalClocks(() -> 0, wall, clock), new SplittableRandom(1));
+                disk,
+                QUOTA_BYTES,
+                Durability.NONE,
+                new JournalClocks(() -> 0, wallMicros, bootClock),
+                new SplittableRandom(1));
     }
 
     private void writeAndKill(SegmentedJournal journal) {
         Submission submission = new Submission("m", null, 2, 7, "key", new byte[3], false, false, TIME_LEFT_MICROS);
-        journal.recordAccepted("http", submission, WALL_AT_KILL_MICROS + TIME_LEFT_MICROS, WALL_AT_KILL_MICROS - ATTEMPT_AGE_MICROS);
+        journal.recordAccepted(
+                "http", submission, WALL_AT_KILL_MICROS + TIME_LEFT_MICROS, WALL_AT_KILL_MICROS - ATTEMPT_AGE_MICROS);
         journal.recordAttempt("m", "a", 0, WALL_AT_KILL_MICROS - ATTEMPT_AGE_MICROS);
-        journal.remember("identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL_AT_KILL_MICROS + REMEMBERED_FOR_MICROS);
+        journal.remember(
+                "identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL_AT_KILL_MICROS + REMEMBERED_FOR_MICROS);
     }
 
     private static void checkSpans(SegmentedJournal journal, long now, long error) {
-        PendingMessage m = journal.pendingMessages().iterator().next();
-        assertEquals(TIME_LEFT_MICROS - DOWNTIME_MICROS + error, m.deadlineWallMicros() - now, "time left");
+        PendingMessage message = journal.pendingMessages().iterator().next();
+        assertEquals(TIME_LEFT_MICROS - DOWNTIME_MICROS + error, message.deadlineWallMicros() - now, "time left");
         assertEquals(
                 ATTEMPT_AGE_MICROS + DOWNTIME_MICROS - error,
-                now - m.lastAttemptWallMicros(),
+                now - message.lastAttemptWallMicros(),
                 "age of the attempt, from which the window counts");
         assertEquals(
-                REMEMBERED_FOR_MICROS - DOWNTIME_MICROS + error, journal.remembered("identity").untilWallMicros() - now, "remembered for");
+                REMEMBERED_FOR_MICROS - DOWNTIME_MICROS + error,
+                journal.remembered("identity").untilWallMicros() - now,
+                "remembered for");
     }
 
-    /** Between kill and start, with the machine still up: every span goes on as if nothing had been set. */
+    /**
+     * The clock is set between a kill and a restart without a reboot: every time span continues as if it had not been.
+     */
     @ParameterizedTest
-    @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, -60 * MS_MICROS, 0, 60 * MS_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
+    @ValueSource(
+            longs = {
+                -HOUR_MICROS,
+                -5 * SECOND_MICROS,
+                -60 * MS_MICROS,
+                0,
+                60 * MS_MICROS,
+                5 * SECOND_MICROS,
+                HOUR_MICROS
+            })
     void stepBetweenKillAndStartChangesNoSpan(long step) throws IOException {
-        writeAndKill(open(() -> WALL_AT_KILL_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS)));
+        writeAndKill(
+                open(() -> WALL_AT_KILL_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS)));
         long now = WALL_AT_KILL_MICROS + DOWNTIME_MICROS + step;
-        try (SegmentedJournal next = open(() -> now, new BootClock(77, now - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
+        try (SegmentedJournal next =
+                open(() -> now, new BootClock(77, now - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
             checkSpans(next, now, 0);
         }
-        // What the second life has copied is read by a third one, after a step back to where the first one was.
+        // What the second run has copied is read by a third one, after the clock is set back to the time of the first.
         long later = WALL_AT_KILL_MICROS + DOWNTIME_MICROS;
-        try (SegmentedJournal last = open(() -> later, new BootClock(77, later - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
+        try (SegmentedJournal last =
+                open(() -> later, new BootClock(77, later - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
             checkSpans(last, later, 0);
         }
     }
 
-    /** While it runs: a life's wall clock goes on from its beginning; what a file's header says of it is for people. */
+    /**
+     * The clock is set during a run: the wall clock of a run continues from its start. The wall time in a file's header
+     * is only informative.
+     */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
     void stepDuringRunChangesNoSpan(long step) throws IOException {
-        long[] shown = {WALL_AT_KILL_MICROS};
-        SegmentedJournal journal = open(() -> shown[0], new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS));
+        long[] wallMicros = {WALL_AT_KILL_MICROS};
+        SegmentedJournal journal =
+                open(() -> wallMicros[0], new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS));
         for (int i = 0; i < 60; i++) {
             journal.recordAccepted(
                     "http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.recordSettled("x" + i);
         }
-        shown[0] += step; // the next files are made under the other clock
+        wallMicros[0] += step; // the next files are created under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
             journal.recordAccepted(
                     "http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.recordSettled("y" + i);
         }
-        try (SegmentedJournal next = open(() -> WALL_AT_KILL_MICROS + DOWNTIME_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS))) {
+        try (SegmentedJournal next = open(
+                () -> WALL_AT_KILL_MICROS + DOWNTIME_MICROS,
+                new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS))) {
             checkSpans(next, WALL_AT_KILL_MICROS + DOWNTIME_MICROS, 0);
         }
     }
 
     /**
-     * Not moved, and so a known limit: without a clock that outlasts the process (the machine was started anew, has
-     * slept, or the process's clocks are led) a step between kill and start is part of every span.
+     * A known limit: without a clock that outlasts the process (after a reboot or a suspension, or with simulated
+     * clocks), a step between kill and restart becomes part of every time span.
      */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
@@ -100,14 +137,14 @@
         }
     }
 
-    /** Guards the core's wall clock: it stands in a fixed distance from the monotonic one for all of a life. */
+    /** Guards the core's wall clock: its distance to the monotonic clock is constant for a whole run. */
     @Test
     void wallClockOfRunFollowsMonotonicClock() {
-        long distance = BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros);
-        assertEquals(distance, BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros), MS_MICROS);
+        long offset = BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros);
+        assertEquals(offset, BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros), MS_MICROS);
     }
 
-    /** A process that is held up for 150 ms between its readings of the two clocks still knows their distance. */
+    /** A process that is delayed for 150 ms between its readings of the two clocks still determines their offset. */
     @Test
     void delayBetweenReadingsIsNoStep() {
         long[] now = {0};
@@ -116,6 +153,7 @@
             now[0] += readings[0]++ == 0 ? 150 * MS_MICROS : 1;
             return now[0];
         };
-        assertEquals(9 * SECOND_MICROS, BootClock.wallOffsetMicros(monotonic, () -> now[0] + 9 * SECOND_MICROS), MS_MICROS);
+        assertEquals(
+                9 * SECOND_MICROS, BootClock.wallOffsetMicros(monotonic, () -> now[0] + 9 * SECOND_MICROS), MS_MICROS);
     }
 }
