--- a/src/test/java/lilaclever/journal/RandomRun.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -14,16 +14,16 @@
 import lilaclever.routing.PendingMessage;
 import lilaclever.routing.Submission;
 
-/** A random run of a journal beside a plain model of what it must know. */
+/** A random run of a journal, compared with a simple model of its state. */
 final class RandomRun {
     private static final long BUDGET_MICROS = 1000;
 
-    /** What the model says after some step, and how many operations the disk had seen by then. */
+    /** The model's state after a step, and the number of disk operations by then. */
     record Checkpoint(int operations, String state) {}
 
     final List<Checkpoint> checkpoints = new ArrayList<>();
     private final SimDisk disk;
-    /** Gives a number below the bound. */
+    /** Returns a number from 0 up to, but not including, its argument. */
     private final IntUnaryOperator random;
 
     private final TreeMap<String, PendingMessage> pending = new TreeMap<>();
@@ -42,8 +42,8 @@
         this.random = random;
     }
 
-    static SegmentedJournal open(SimDisk disk, long most, Durability durability) throws IOException {
-        return new SegmentedJournal(disk, most, durability, clocks(() -> 0), new SplittableRandom(7));
+    static SegmentedJournal open(SimDisk disk, long quotaBytes, Durability durability) throws IOException {
+        return new SegmentedJournal(disk, quotaBytes, durability, clocks(() -> 0), new SplittableRandom(7));
     }
 
     static JournalClocks clocks(LongSupplier micros) {
@@ -55,18 +55,21 @@
         addCheckpoint();
     }
 
-    /** So many steps, bodies up to so many bytes; about so many messages are held. */
-    void run(int steps, int largest, int hold) {
+    /**
+     * Runs {@code steps} steps with bodies of up to {@code maxBodyBytes} bytes; about {@code targetPending} messages
+     * are kept pending.
+     */
+    void run(int steps, int maxBodyBytes, int targetPending) {
         for (int i = 0; i < steps; i++) {
-            step(largest, hold);
+            step(maxBodyBytes, targetPending);
             addCheckpoint();
         }
     }
 
-    /** The same without a note of each step's state. */
-    void runWithoutCheckpoints(int steps, int largest, int hold) {
+    /** Like {@link #run}, but does not record the state of each step. */
+    void runWithoutCheckpoints(int steps, int maxBodyBytes, int targetPending) {
         for (int i = 0; i < steps; i++) {
-            step(largest, hold);
+            step(maxBodyBytes, targetPending);
         }
     }
 
@@ -74,13 +77,13 @@
         checkpoints.add(new Checkpoint(disk.operations.size(), describe(pending, remembered)));
     }
 
-    private void step(int largest, int hold) {
+    private void step(int maxBodyBytes, int targetPending) {
         nowMicros++;
-        String one = pending.isEmpty() ? null : (String) pending.keySet().toArray()[random.applyAsInt(pending.size())];
-        if (one == null || random.applyAsInt(100) < (pending.size() < hold ? 50 : 15)) {
-            accept(largest);
+        String id = pending.isEmpty() ? null : (String) pending.keySet().toArray()[random.applyAsInt(pending.size())];
+        if (id == null || random.applyAsInt(100) < (pending.size() < targetPending ? 50 : 15)) {
+            accept(maxBodyBytes);
         } else {
-            change(one, pending.get(one));
+            change(id, pending.get(id));
         }
         if (random.applyAsInt(3) == 0) {
             journal.maintain(nowMicros);
@@ -88,10 +91,10 @@
         }
     }
 
-    private void accept(int largest) {
-        byte[] body = new byte[random.applyAsInt(20) == 0 ? largest : random.applyAsInt(80)];
+    private void accept(int maxBodyBytes) {
+        byte[] body = new byte[random.applyAsInt(20) == 0 ? maxBodyBytes : random.applyAsInt(80)];
         new java.util.Random(nextNumber).nextBytes(body);
-        Submission h = new Submission(
+        Submission submission = new Submission(
                 "m" + nextNumber,
                 nextNumber % 3 == 0 ? "identity-" + nextNumber : null,
                 nextNumber % 3,
@@ -101,53 +104,55 @@
                 false,
                 true,
                 BUDGET_MICROS);
-        if (journal.recordAccepted("http", h, nextNumber + BUDGET_MICROS, nowMicros)) {
-            pending.put(h.id(), new PendingMessage("http", h, nextNumber + BUDGET_MICROS));
+        if (journal.recordAccepted("http", submission, nextNumber + BUDGET_MICROS, nowMicros)) {
+            pending.put(submission.id(), new PendingMessage("http", submission, nextNumber + BUDGET_MICROS));
         } else {
             rejectedMessages++;
         }
         nextNumber++;
     }
 
-    private void change(String id, PendingMessage o) {
+    private void change(String id, PendingMessage message) {
         switch (random.applyAsInt(4)) {
             case 0 -> {
-                if (!o.isInFlight() && o.finalStatus() == null) {
+                if (!message.isInFlight() && message.finalStatus() == null) {
                     if (journal.recordAttempt(id, "host-" + nextNumber % 5, 2, nowMicros)) {
-                        o.attemptStarted("host-" + nextNumber % 5, 2, nowMicros);
+                        message.attemptStarted("host-" + nextNumber % 5, 2, nowMicros);
                     } else {
                         rejectedAttempts++;
                     }
                 }
             }
             case 1 -> {
-                if (!o.isInFlight()) {
+                if (!message.isInFlight()) {
                     PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + nowMicros);
-                    if (o.attachedSubmitters().size() < 3 && journal.recordAttached(id, claim.front(), claim.id())) {
-                        o.attach(claim);
+                    if (message.attachedSubmitters().size() < 3
+                            && journal.recordAttached(id, claim.front(), claim.id())) {
+                        message.attach(claim);
                     }
                 } else {
                     boolean neverRan = random.applyAsInt(2) == 0;
                     journal.recordOutcome(id, neverRan);
-                    o.attemptEnded(neverRan);
+                    message.attemptEnded(neverRan);
                 }
             }
             case 2 -> {
-                FinalStatus v = new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy");
-                if (o.submission().identity() != null && random.applyAsInt(2) == 0) {
-                    CompletedMessage<FinalStatus> past = new CompletedMessage<>(
-                            v,
+                FinalStatus status = new FinalStatus(FinalStatus.Kind.REFUSED, 5, "busy");
+                if (message.submission().identity() != null && random.applyAsInt(2) == 0) {
+                    CompletedMessage<FinalStatus> result = new CompletedMessage<>(
+                            status,
                             random.applyAsInt(2) == 0 ? null : new Fingerprint(nowMicros, nextNumber),
                             nowMicros + 20 + random.applyAsInt(40)); // windows differ
-                    journal.remember(o.submission().identity(), past);
-                    remembered.put(o.submission().identity(), past);
+                    journal.remember(message.submission().identity(), result);
+                    remembered.put(message.submission().identity(), result);
                 } else {
-                    journal.recordFinalStatus(id, v);
-                    o.setFinalStatus(v);
+                    journal.recordFinalStatus(id, status);
+                    message.setFinalStatus(status);
                 }
             }
             default -> {
-                if (o.deadlineWallMicros() % 5 > 0) { // the others stay, and must be copied forward again and again
+                if (message.deadlineWallMicros() % 5
+                        > 0) { // the others stay pending and must be copied forward again and again
                     journal.recordSettled(id);
                     pending.remove(id);
                 }
@@ -155,54 +160,57 @@
         }
     }
 
-    /** What the model holds, by id. */
+    /** The pending messages of the model, by id. */
     Map<String, PendingMessage> pendingMessages() {
         return pending;
     }
 
-    /** What the model says now, without ends that may be forgotten at any time. */
+    /** The state of the model, without remembered results, which may expire at any time. */
     String describeModel() {
         return describe(pending, Map.of());
     }
 
-    static String describe(SegmentedJournal j, long now) {
-        TreeMap<String, PendingMessage> owed = new TreeMap<>();
-        j.pendingMessages().forEach(o -> owed.put(o.submission().id(), o));
-        TreeMap<String, CompletedMessage<FinalStatus>> kept = new TreeMap<>();
+    static String describe(SegmentedJournal journal, long now) {
+        TreeMap<String, PendingMessage> pending = new TreeMap<>();
+        journal.pendingMessages()
+                .forEach(message -> pending.put(message.submission().id(), message));
+        TreeMap<String, CompletedMessage<FinalStatus>> rememberedResults = new TreeMap<>();
         for (int i = 0; i < 10_000; i += 3) {
-            CompletedMessage<FinalStatus> r = j.remembered("identity-" + i);
-            if (r != null) {
-                kept.put("identity-" + i, r);
+            CompletedMessage<FinalStatus> result = journal.remembered("identity-" + i);
+            if (result != null) {
+                rememberedResults.put("identity-" + i, result);
             }
         }
-        return describe(owed, kept);
+        return describe(pending, rememberedResults);
     }
 
-    static String describe(Map<String, PendingMessage> owed, Map<String, CompletedMessage<FinalStatus>> remembered) {
-        StringBuilder all = new StringBuilder();
-        owed.values().forEach(o -> all.append(describe(o)).append('\n'));
-        return all.append(remembered).toString();
+    static String describe(Map<String, PendingMessage> pending, Map<String, CompletedMessage<FinalStatus>> remembered) {
+        StringBuilder description = new StringBuilder();
+        pending.values()
+                .forEach(message -> description.append(describe(message)).append('\n'));
+        return description.append(remembered).toString();
     }
 
-    static String describe(PendingMessage o) {
-        Submission h = o.submission();
+    static String describe(PendingMessage message) {
+        Submission submission = message.submission();
         return String.join(
                 " ",
-                o.front(),
-                h.id(),
-                h.identity(),
-                h.key(),
-                h.messageClass() + "/" + h.destination(),
-                "" + java.util.Arrays.hashCode(h.body()),
-                "" + h.budgetMicros(),
-                "" + o.deadlineWallMicros(),
-                o.attempts()
-                        + (o.isInFlight() ? " out" : "")
-                        + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
-                o.mayHaveRun()
-                        ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros()
+                message.front(),
+                submission.id(),
+                submission.identity(),
+                submission.key(),
+                submission.messageClass() + "/" + submission.destination(),
+                "" + java.util.Arrays.hashCode(submission.body()),
+                "" + submission.budgetMicros(),
+                "" + message.deadlineWallMicros(),
+                message.attempts()
+                        + (message.isInFlight() ? " out" : "")
+                        + (message.attempts() > 0 ? " " + message.lastHost() + message.lastAttemptWallMicros() : ""),
+                message.mayHaveRun()
+                        ? "risk " + message.possibleRunHost() + message.possibleRunZone() + "@"
+                                + message.possibleRunWallMicros()
                         : "",
-                String.valueOf(o.finalStatus()),
-                o.attachedSubmitters().toString());
+                String.valueOf(message.finalStatus()),
+                message.attachedSubmitters().toString());
     }
 }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The journal alone: what it says after a restart, what damage and a full disk do to it, and how large it gets. */
+/** The journal alone: state after a restart, damage, a full disk, and the size of the folder. */
 class SegmentedJournalTest {
     private static final long QUOTA_BYTES = 512 * 1024;
 
@@ -35,8 +35,9 @@
         return open(QUOTA_BYTES);
     }
 
-    private SegmentedJournal open(long most) throws IOException {
-        return new SegmentedJournal(disk, most, Durability.NONE, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
+    private SegmentedJournal open(long quotaBytes) throws IOException {
+        return new SegmentedJournal(
+                disk, quotaBytes, Durability.NONE, RandomRun.clocks(() -> clockMicros), new SplittableRandom(3));
     }
 
     private static boolean accept(SegmentedJournal journal, String id, int size) {
@@ -61,31 +62,34 @@
             journal.recordOutcome("m", false);
             journal.recordAttempt("m", "c", 3, 300);
         }
-        for (int life = 0; life < 2; life++) {
+        for (int run = 0; run < 2; run++) {
             try (SegmentedJournal journal = open()) {
-                PendingMessage e = pending(journal, "m");
+                PendingMessage message = pending(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " "
-                                + e.possibleRunZone() + " " + e.possibleRunWallMicros() + " " + e.deadlineWallMicros());
+                        message.attempts() + " " + message.isInFlight() + " " + message.mayHaveRun() + " "
+                                + message.possibleRunHost() + " " + message.possibleRunZone() + " "
+                                + message.possibleRunWallMicros() + " "
+                                + message.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
-                        e.front() + " " + e.submission().key() + " "
-                                + e.submission().destination() + " "
-                                + e.submission().messageClass() + " "
-                                + e.submission().body().length);
+                        message.front() + " " + message.submission().key() + " "
+                                + message.submission().destination() + " "
+                                + message.submission().messageClass() + " "
+                                + message.submission().body().length);
             }
         }
     }
 
-    // ---- damage -----------------------------------------------------------------------------------------
+    // Damage
+
     private void flipBit(String name, int at) {
         byte[] content = disk.content(name).clone();
         content[at] ^= 4;
         disk.putFile(name, content);
     }
 
-    /** One flipped bit, wherever: all but the one record is read, and no payment goes out again on a guess. */
+    /** One flipped bit at any position: all records but one are read, and no payment is repeated on a guess. */
     @Test
     void flippedBitLosesOneRecordAndAttemptsMayHaveRun() throws IOException {
         List<Integer> starts = new ArrayList<>();
@@ -108,13 +112,13 @@
             byte[] content = damaged.content(name);
             content[at] ^= 4;
             try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
-                int there = journal.pendingMessages().size();
-                assertTrue(there >= 19, "bit at " + at + ": " + there);
+                int recovered = journal.pendingMessages().size();
+                assertTrue(recovered >= 19, "bit at " + at + ": " + recovered);
                 for (PendingMessage o : journal.pendingMessages()) {
                     assertTrue(o.isInFlight() || o.mayHaveRun(), "bit at " + at + ": " + RandomRun.describe(o));
                 }
             }
-            // What was found is carried over: the next life knows it without the damaged file.
+            // The recovered state is migrated: the next run has it without the damaged file.
             try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
                 assertTrue(journal.pendingMessages().size() >= 19
                         && journal.recoveryReport().damages().isEmpty());
@@ -142,7 +146,10 @@
         }
     }
 
-    /** A client can't hide a record in a body, to be found when damage has the reader look for the next good one. */
+    /**
+     * A client can't hide a record in a body that would be read when recovery searches for the next valid one after
+     * damage.
+     */
     @Test
     void recordInsideBodyIsNeverRead() throws IOException {
         SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
@@ -171,7 +178,7 @@
         }
     }
 
-    /** Only the newest file may end in a torn record: one that lost its end before that has lost something. */
+    /** Only the newest segment may end in an incomplete record; in any other one a missing end is damage. */
     @Test
     void truncatedSegmentIsDamagedUnlessNewest() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -206,7 +213,8 @@
         }
     }
 
-    // ---- formats ----------------------------------------------------------------------------------------
+    // Formats
+
     private static byte[] legacy(Consumer<DataOutputStream> content) {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         content.accept(new DataOutputStream(bytes));
@@ -263,7 +271,7 @@
         return out.toByteArray();
     }
 
-    /** The first format is carried over once, also by a life that is killed in the middle of it. */
+    /** The legacy file is migrated once, also if the process is killed during that. */
     @Test
     void legacyFileIsMigratedWhereverThatIsInterrupted() throws IOException {
         byte[] torn = legacyTaken("torn");
@@ -286,7 +294,8 @@
         }
         assertFalse(disk.fileNames().contains("journal"), disk.fileNames().toString());
         for (int cut = before; cut <= disk.operations.size(); cut++) {
-            try (SegmentedJournal journal = RandomRun.open(SimDisk.afterKill(disk.operations, cut, 7), QUOTA_BYTES, Durability.NONE)) {
+            try (SegmentedJournal journal =
+                    RandomRun.open(SimDisk.afterKill(disk.operations, cut, 7), QUOTA_BYTES, Durability.NONE)) {
                 assertEquals(state, RandomRun.describe(journal, 0), "cut at " + cut);
             }
         }
@@ -296,16 +305,19 @@
     void newerFormatIsRejectedWithoutChanges() throws IOException {
         disk.putFile(
                 Segment.fileName(1),
-                SegmentFormat.encodeHeader(new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
+                SegmentFormat.encodeHeader(
+                                new SegmentFormat.Header(SegmentFormat.VERSION + 1, 1, 5, 0, BootClock.UNKNOWN))
                         .array());
         disk.putFile("journal.new", new byte[3]);
         int before = disk.operations.size();
         JournalException e = assertThrows(JournalException.class, this::open);
-        assertTrue(e.getMessage().contains(Segment.fileName(1) + " is of format " + (SegmentFormat.VERSION + 1)), e.getMessage());
+        assertTrue(
+                e.getMessage().contains(Segment.fileName(1) + " is of format " + (SegmentFormat.VERSION + 1)),
+                e.getMessage());
         assertEquals(before, disk.operations.size());
     }
 
-    /** Version 1 knew no fingerprints and nobody but the first to whom an end is owed. */
+    /** Version 1 had no fingerprints, and only one requester per result. */
     @Test
     void versionOneSegmentIsRead() throws IOException {
         SegmentFormat.RecordWriter out = new SegmentFormat.RecordWriter();
@@ -341,7 +353,8 @@
                 .putFlag(false)
                 .endRecord();
         java.nio.ByteBuffer all = java.nio.ByteBuffer.allocate(16 * 1024);
-        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN))).put(out.withChecksums(5));
+        all.put(SegmentFormat.encodeHeader(new SegmentFormat.Header(1, 1, 5, 0, BootClock.UNKNOWN)))
+                .put(out.withChecksums(5));
         disk.putFile(Segment.fileName(1), all.array());
         try (SegmentedJournal journal = open()) {
             assertEquals(List.of(), journal.recoveryReport().damages());
@@ -361,7 +374,10 @@
         }
     }
 
-    /** Windows differ: guards against an end that is over being kept, and told, since one before it is not. */
+    /**
+     * Repeat windows differ: guards against an expired result being kept, and reported, because an older one has not
+     * expired.
+     */
     @Test
     void remembersByExpiryTimeNotByOrder() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -376,13 +392,14 @@
         }
     }
 
-    /** Guards against the end of an earlier message being given to one that came under its identity later. */
+    /** Guards against the result of an earlier message being reported for a later one with the same identity. */
     @Test
     void newMessageDoesNotInheritEarlierResult() throws IOException {
-        Submission h = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
+        Submission submission = new Submission("m2", "i", 0, 7, null, new byte[1], false, false, 20);
         try (SegmentedJournal journal = open()) {
             journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), 10);
-            assertTrue(journal.recordAccepted("mllp", h, 99, 11)); // before the tidying that would have forgotten it
+            assertTrue(
+                    journal.recordAccepted("mllp", submission, 99, 11)); // before the turn that would have removed it
             assertNull(journal.remembered("i"));
         }
         try (SegmentedJournal journal = open()) {
@@ -400,45 +417,53 @@
         FolderDisk.lock(folder).close();
     }
 
-    // ---- clocks -----------------------------------------------------------------------------------------
+    // Clocks
+
     /**
-     * The clock is set back by an hour between two lives: an attempt must not look younger than it is, or an order
-     * would go out again after its window, and no message may live for an hour more.
+     * The clock is set back by an hour between two runs: an attempt must not look younger than it is, or an order would
+     * be repeated after its window, and no message may get an additional hour to its deadline.
      */
     @Test
     void storedTimesFollowWallClockStepBetweenRuns() throws IOException {
-        long hour = 3_600_000_000L;
-        long[] walls = {5 * hour, 4 * hour + 7_000_000, 4 * hour + 9_000_000};
-        long[] ups = {hour, hour + 7_000_000, 1_000};
-        long[] boots = {77, 77, 78};
-        for (int life = 0; life < 3; life++) {
-            long wall = walls[life];
-            JournalClocks times = new JournalClocks(() -> 0, () -> wall, new BootClock(boots[life], wall - ups[life]));
+        long hourMicros = 3_600_000_000L;
+        long[] walls = {5 * hourMicros, 4 * hourMicros + 7_000_000, 4 * hourMicros + 9_000_000};
+        long[] uptimes = {hourMicros, hourMicros + 7_000_000, 1_000};
+        long[] bootIds = {77, 77, 78};
+        for (int run = 0; run < 3; run++) {
+            long wall = walls[run];
+            JournalClocks clocks =
+                    new JournalClocks(() -> 0, () -> wall, new BootClock(bootIds[run], wall - uptimes[run]));
             try (SegmentedJournal journal =
-                    new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, times, new SplittableRandom(life))) {
-                if (life == 0) {
+                    new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, clocks, new SplittableRandom(run))) {
+                if (run == 0) {
                     journal.recordAccepted(
                             "http",
                             new Submission("m", null, 2, 7, null, new byte[3], false, false, 28_000_000),
                             wall + 28_000_000,
                             wall);
                     journal.recordAttempt("m", "a", 0, wall + 1_000_000);
-                    journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hour);
+                    journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hourMicros);
                 } else {
-                    // The second life is 7 s later by the machine's clock. The third has started the machine anew,
-                    // and must believe the wall clock of the segment that it finds.
+                    // The second run starts 7 s later by the monotonic clock. The third one follows a reboot and has to
+                    // trust the wall clock of the segment that it reads.
                     assertEquals(
-                            4 * hour + 28_000_000, pending(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
+                            4 * hourMicros + 28_000_000,
+                            pending(journal, "m").deadlineWallMicros() + (run == 2 ? -hourMicros : 0));
                     assertEquals(
-                            4 * hour + 1_000_000, pending(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
-                    assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
+                            4 * hourMicros + 1_000_000,
+                            pending(journal, "m").lastAttemptWallMicros() + (run == 2 ? -hourMicros : 0));
+                    assertEquals(
+                            5 * hourMicros, journal.remembered("i").untilWallMicros() + (run == 2 ? -hourMicros : 0));
                 }
             }
         }
     }
 
-    // ---- room -------------------------------------------------------------------------------------------
-    /** With the disk full of what is held, all its attempts must still be written; only new work is refused. */
+    // Space
+
+    /**
+     * With the disk full of pending messages, all their attempts must still be written; only new messages are rejected.
+     */
     @ParameterizedTest
     @ValueSource(ints = {10, 3000, 20_000, 65_536})
     void fullDiskHasSpaceForAttemptsWithinQuota(int large) throws IOException {
@@ -450,7 +475,7 @@
             for (int i = 0; accept(journal, "large" + i, large); i++) {
                 assertTrue(i < QUOTA_BYTES / large);
             }
-            int held = journal.pendingMessages().size();
+            int pendingCount = journal.pendingMessages().size();
             for (int attempt = 0; attempt < 16; attempt++) {
                 for (PendingMessage o : List.copyOf(journal.pendingMessages())) {
                     assertTrue(
@@ -467,7 +492,7 @@
                 journal.recordFinalStatus(
                         "a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
-            assertEquals(held, journal.pendingMessages().size());
+            assertEquals(pendingCount, journal.pendingMessages().size());
         }
         try (SegmentedJournal journal = open()) {
             assertEquals(16, pending(journal, "a-message-of-0").attempts());
@@ -475,16 +500,16 @@
         }
     }
 
-    /** Within one turn more may be written than the spare files hold: then files are emptied at once. */
+    /** Within one turn more may be written than the preallocated segments hold: then segments are compacted at once. */
     @Test
     void manyRecordsInOneTurnFindSpace() throws IOException {
         try (SegmentedJournal journal = open()) {
-            int held = 0;
-            while (accept(journal, "m" + held, 300)) {
-                held++;
+            int accepted = 0;
+            while (accept(journal, "m" + accepted, 300)) {
+                accepted++;
             }
             for (int attempt = 0; attempt < 16; attempt++) {
-                for (int i = 0; i < held; i++) {
+                for (int i = 0; i < accepted; i++) {
                     assertTrue(journal.recordAttempt("m" + i, "an-endpoint", 0, 1), attempt + " m" + i);
                     journal.recordOutcome("m" + i, false);
                 }
@@ -496,28 +521,31 @@
         }
     }
 
-    /** Others fill the disk: what was taken has its room, what is new is refused, and room that comes back is used. */
+    /**
+     * Other programs fill the disk: accepted messages keep their space, new ones are rejected, and freed space is used
+     * again.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"space", "file size"})
-    void diskFilledByOthersKeepsPromisedSpace(String what) throws IOException {
+    void diskFilledByOthersKeepsPromisedSpace(String limit) throws IOException {
         try (SegmentedJournal journal = open()) {
-            int taken = 0;
-            for (; taken < 150; taken++) {
-                assertTrue(accept(journal, "m" + taken, 300));
+            int accepted = 0;
+            for (; accepted < 150; accepted++) {
+                assertTrue(accept(journal, "m" + accepted, 300));
                 journal.maintain(0);
             }
-            if (what.equals("space")) {
+            if (limit.equals("space")) {
                 disk.quotaBytes = disk.totalBytes();
             } else {
-                disk.maxFileBytes = 15_000; // the file in use, and each further one, ends there
+                disk.maxFileBytes = 15_000; // the active segment and each further one end there
             }
-            int more = 0;
-            while (accept(journal, "new" + more, 300)) {
-                more++;
-                assertTrue(more < 1000);
+            int acceptedLater = 0;
+            while (accept(journal, "new" + acceptedLater, 300)) {
+                acceptedLater++;
+                assertTrue(acceptedLater < 1000);
             }
             for (int round = 0; round < 8; round++) {
-                for (int i = 0; i < taken; i++) {
+                for (int i = 0; i < accepted; i++) {
                     assertTrue(journal.recordAttempt("m" + i, "host", 0, 1), round + " m" + i);
                     journal.recordOutcome("m" + i, true);
                     journal.maintain(0);
@@ -535,7 +563,7 @@
         }
     }
 
-    /** No write works for a while: ends that could not be written are written later, without a restart. */
+    /** All writes fail for a while: the results that could not be written are written later, without a restart. */
     @Test
     void unwrittenResultsAreWrittenLater() throws IOException {
         try (SegmentedJournal journal = open()) {
@@ -575,7 +603,10 @@
         }
     }
 
-    /** A forcing that failed proves nothing of a later one: all is written again, and only then goes on. */
+    /**
+     * After a failed sync a later one proves nothing for the same data: everything is written again before any task
+     * runs.
+     */
     @Test
     void failedSyncRewritesAllBeforeTasksRun() throws Exception {
         try (SegmentedJournal journal = new SegmentedJournal(
@@ -587,25 +618,25 @@
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.setLoop(loop::add);
             accept(journal, "m", 10);
-            boolean[] told = {false};
-            journal.whenDurable(() -> told[0] = true);
+            boolean[] completed = {false};
+            journal.whenDurable(() -> completed[0] = true);
             disk.syncsFail = true;
             journal.maintain(0);
             loop.take().run();
-            assertFalse(told[0]);
+            assertFalse(completed[0]);
             assertEquals(1, journal.unwrittenCount());
             disk.syncsFail = false;
             journal.maintain(0);
             loop.take().run();
-            assertTrue(told[0]);
+            assertTrue(completed[0]);
         }
-        disk.delete(Segment.fileName(1)); // what the failed forcing was for
+        disk.delete(Segment.fileName(1)); // what the failed sync should have made durable
         try (SegmentedJournal journal = open()) {
             assertEquals(1, journal.pendingMessages().size());
         }
     }
 
-    /** A steady load that ends what it takes leaves a small folder, whatever has passed through. */
+    /** Under a steady load of messages that end, the folder stays small, however many have passed through. */
     @Test
     void endedMessagesTakeNoSpace() throws IOException {
         try (SegmentedJournal journal = open(16 << 20)) {
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -13,11 +13,11 @@
 import java.util.TreeMap;
 
 /**
- * A folder in memory that remembers each operation, so that a run can be cut after any of them, inside any write, and
- * with what was not forced lost; and that fails operations as real disks do.
+ * An in-memory folder that records each operation, so that a run can be cut off after any of them, inside any write,
+ * and with unsynced data lost. It can also fail operations as real disks do.
  */
 final class SimDisk implements Disk {
-    /** What is done to the content of a file, by its number, or to names. */
+    /** An operation on the content of a file, identified by its number, or on file names. */
     record Operation(OperationKind kind, int file, String name, String to, long position, byte[] bytes) {}
 
     enum OperationKind {
@@ -27,55 +27,55 @@
         RENAME,
         DELETE,
         SYNC,
-        /** A forcing that failed: what was written before it may be lost, whatever is forced later. */
+        /** A failed sync: earlier writes may be lost, whatever is synced later. */
         SYNC_FAILED,
         SYNC_FOLDER,
-        /** The opening of a file that is there: nothing is changed, and it may fail. */
+        /** Opening an existing file: changes nothing, but may fail. */
         OPEN
     }
 
-    /** How an operation fails, and how many bytes of a write are written before that. */
+    /** How an operation fails, and how many bytes of a write are written first. */
     record Failure(IOException problem, int bytes) {}
 
-    /** Decides for each operation whether it fails. Any thread. */
+    /** Decides for each operation whether it fails. Called on any thread. */
     interface FaultPlan {
         /** How the operation fails, or null. */
         Failure failureOf(OperationKind kind, String name);
     }
 
-    /** Which operations fail, beside those that the fields below have fail. */
+    /** Which operations fail, in addition to those that fail because of the fields below. */
     volatile FaultPlan faults = (kind, name) -> null;
 
     final List<Operation> operations = new ArrayList<>();
-    /** Bytes that all files may take together, and each; more is a failure of the system's. */
+    /** Limits on the size of all files together and of each one, in bytes; a write beyond them fails. */
     long quotaBytes = Long.MAX_VALUE, maxFileBytes = Long.MAX_VALUE;
-    /** Every write fails, and every forcing. */
+    /** Whether all writes fail, and all syncs. */
     boolean writesFail, syncsFail;
 
     private final TreeMap<String, Integer> names = new TreeMap<>();
     private final Map<Integer, byte[]> contents = new HashMap<>();
     private int nextFile;
 
-    private void apply(Operation op) {
-        switch (op.kind()) {
+    private void apply(Operation operation) {
+        switch (operation.kind()) {
             case CREATE -> {
-                names.put(op.name(), op.file());
-                contents.put(op.file(), new byte[0]);
-                nextFile = Math.max(nextFile, op.file() + 1);
+                names.put(operation.name(), operation.file());
+                contents.put(operation.file(), new byte[0]);
+                nextFile = Math.max(nextFile, operation.file() + 1);
             }
             case WRITE -> {
-                byte[] old = contents.getOrDefault(op.file(), new byte[0]);
-                long end = op.position() + op.bytes().length;
+                byte[] old = contents.getOrDefault(operation.file(), new byte[0]);
+                long end = operation.position() + operation.bytes().length;
                 byte[] now = end <= old.length ? old : Arrays.copyOf(old, (int) end);
-                System.arraycopy(op.bytes(), 0, now, (int) op.position(), op.bytes().length);
-                contents.put(op.file(), now);
+                System.arraycopy(operation.bytes(), 0, now, (int) operation.position(), operation.bytes().length);
+                contents.put(operation.file(), now);
             }
             case TRUNCATE -> {
-                byte[] old = contents.get(op.file());
-                contents.put(op.file(), Arrays.copyOf(old, (int) Math.min(old.length, op.position())));
+                byte[] old = contents.get(operation.file());
+                contents.put(operation.file(), Arrays.copyOf(old, (int) Math.min(old.length, operation.position())));
             }
-            case RENAME -> names.put(op.to(), names.remove(op.name()));
-            case DELETE -> names.remove(op.name());
+            case RENAME -> names.put(operation.to(), names.remove(operation.name()));
+            case DELETE -> names.remove(operation.name());
             default -> {}
         }
     }
@@ -87,68 +87,73 @@
         }
     }
 
-    /** Writers and the one who forces are two threads. */
+    /** Synchronized: writes and syncs come from two threads. */
     private synchronized void add(OperationKind kind, int file, String name, String to, long position, byte[] bytes) {
-        Operation op = new Operation(kind, file, name, to, position, bytes);
-        operations.add(op);
-        apply(op);
+        Operation operation = new Operation(kind, file, name, to, position, bytes);
+        operations.add(operation);
+        apply(operation);
     }
 
-    // ---- crashes ----------------------------------------------------------------------------------------
-    /** The folder as a kill leaves it: so many operations, and so many bytes of the next if that is a write. */
-    static SimDisk afterKill(List<Operation> ops, int done, int bytesOfNext) {
+    // Crashes
+
+    /** The folder after a kill: the first {@code done} operations, and part of the next one if that is a write. */
+    static SimDisk afterKill(List<Operation> operations, int done, int bytesOfNext) {
         SimDisk disk = new SimDisk();
-        ops.subList(0, done).forEach(disk::apply);
-        if (bytesOfNext > 0 && done < ops.size() && ops.get(done).kind() == OperationKind.WRITE) {
-            disk.apply(partOf(ops.get(done), 0, bytesOfNext));
+        operations.subList(0, done).forEach(disk::apply);
+        if (bytesOfNext > 0 && done < operations.size() && operations.get(done).kind() == OperationKind.WRITE) {
+            disk.apply(partOf(operations.get(done), 0, bytesOfNext));
         }
         return disk;
     }
 
-    private static Operation partOf(Operation op, int from, int to) {
+    private static Operation partOf(Operation operation, int from, int to) {
         return new Operation(
-                op.kind(),
-                op.file(),
-                op.name(),
-                op.to(),
-                op.position() + from,
-                Arrays.copyOfRange(op.bytes(), from, Math.min(to, op.bytes().length)));
+                operation.kind(),
+                operation.file(),
+                operation.name(),
+                operation.to(),
+                operation.position() + from,
+                Arrays.copyOfRange(operation.bytes(), from, Math.min(to, operation.bytes().length)));
     }
 
     /**
-     * The folder as a failure of the machine leaves it: what was not forced is there in part, in any order, 512 bytes
-     * at a time; names change in their order, as a file system's own journal keeps them, up to any of them.
+     * The folder after a machine failure: unsynced data is there in part, in any order, in blocks of 512 bytes; changes
+     * of names are kept in order, up to any of them, as in a journaling file system.
      */
-    static SimDisk afterPowerCut(List<Operation> ops, int done, SplittableRandom random) {
-        int namesForced = 0;
-        boolean[] forced = new boolean[done];
-        Map<Integer, Boolean> covered = new HashMap<>();
+    static SimDisk afterPowerCut(List<Operation> operations, int done, SplittableRandom random) {
+        int lastFolderSync = 0;
+        boolean[] synced = new boolean[done];
+        Map<Integer, Boolean> syncedFiles = new HashMap<>();
         for (int i = done - 1; i >= 0; i--) {
-            Operation op = ops.get(i);
-            if (op.kind() == OperationKind.SYNC_FOLDER) {
-                namesForced = Math.max(namesForced, i);
-            } else if (op.kind() == OperationKind.SYNC || op.kind() == OperationKind.SYNC_FAILED) {
-                covered.put(op.file(), op.kind() == OperationKind.SYNC);
+            Operation operation = operations.get(i);
+            if (operation.kind() == OperationKind.SYNC_FOLDER) {
+                lastFolderSync = Math.max(lastFolderSync, i);
+            } else if (operation.kind() == OperationKind.SYNC || operation.kind() == OperationKind.SYNC_FAILED) {
+                syncedFiles.put(operation.file(), operation.kind() == OperationKind.SYNC);
             }
-            forced[i] = covered.getOrDefault(op.file(), false);
+            synced[i] = syncedFiles.getOrDefault(operation.file(), false);
         }
-        int namesUntil = namesForced + random.nextInt(done - namesForced + 1);
+        int namesUntil = lastFolderSync + random.nextInt(done - lastFolderSync + 1);
         SimDisk disk = new SimDisk();
-        Set<Integer> known = new HashSet<>();
+        Set<Integer> existing = new HashSet<>();
         for (int i = 0; i < done; i++) {
-            Operation op = ops.get(i);
-            boolean ofNames = op.kind() == OperationKind.CREATE || op.kind() == OperationKind.RENAME || op.kind() == OperationKind.DELETE;
+            Operation operation = operations.get(i);
+            boolean ofNames = operation.kind() == OperationKind.CREATE
+                    || operation.kind() == OperationKind.RENAME
+                    || operation.kind() == OperationKind.DELETE;
             if (ofNames && i < namesUntil) {
-                disk.apply(op);
-                known.add(op.file());
-            } else if (!ofNames && known.contains(op.file())) {
-                if (forced[i] || op.kind() == OperationKind.TRUNCATE) {
-                    disk.apply(op);
-                } else if (op.kind() == OperationKind.WRITE) {
-                    for (int at = 0; at < op.bytes().length; ) {
-                        int to = at + SegmentFormat.BLOCK_BYTES - (int) ((op.position() + at) % SegmentFormat.BLOCK_BYTES);
+                disk.apply(operation);
+                existing.add(operation.file());
+            } else if (!ofNames && existing.contains(operation.file())) {
+                if (synced[i] || operation.kind() == OperationKind.TRUNCATE) {
+                    disk.apply(operation);
+                } else if (operation.kind() == OperationKind.WRITE) {
+                    for (int at = 0; at < operation.bytes().length; ) {
+                        int to = at
+                                + SegmentFormat.BLOCK_BYTES
+                                - (int) ((operation.position() + at) % SegmentFormat.BLOCK_BYTES);
                         if (random.nextBoolean()) {
-                            disk.apply(partOf(op, at, to));
+                            disk.apply(partOf(operation, at, to));
                         }
                         at = to;
                     }
@@ -158,7 +163,8 @@
         return disk;
     }
 
-    // ---- as the journal sees it -------------------------------------------------------------------------
+    // Operations of the journal
+
     long totalBytes() {
         return names.values().stream()
                 .mapToLong(f -> SpacePolicy.roundUpToBlocks(contents.get(f).length))
@@ -255,7 +261,8 @@
             long length = contents.get(number).length;
             long room = Math.min(maxFileBytes - position, bytes.remaining());
             if (quotaBytes < Long.MAX_VALUE && position + room > length) {
-                room = Math.min(room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
+                room = Math.min(
+                        room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
             }
             byte[] all = new byte[(int) Math.max(0, room)];
             int asked = bytes.remaining();
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -23,8 +23,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Random runs in which operations of the folder fail, each at a chosen step of the journal, once or for ten seconds of
- * the test's clock, and runs that are killed meanwhile. What was covered is counted: step, operation, error, duration,
+ * Random runs in which disk operations fail, each at a chosen step of the journal, once or for ten seconds of simulated
+ * time, with and without a kill meanwhile. The combinations covered are counted: step, operation, error, duration,
  * kill.
  */
 class StorageFaultTest {
@@ -33,7 +33,7 @@
     private static final long TURN_MICROS = 20_000;
     private static final int LARGEST_BODY_BYTES = 2000, PENDING_MESSAGES = 40;
 
-    /** What the journal was at as an operation failed. */
+    /** What the journal was doing when an operation failed. */
     enum Step {
         APPEND,
         ROTATION,
@@ -47,7 +47,7 @@
         TEN_SECONDS
     }
 
-    /** The operation that fails, at a step; what else of that kind fails at other steps goes well. */
+    /** The operation that fails, and the step at which it does; operations of this kind succeed at other steps. */
     record FaultTarget(Step step, SimDisk.OperationKind kind) {}
 
     private static final List<FaultTarget> TARGETS = List.of(
@@ -66,7 +66,7 @@
 
     private static final Set<String> COVERED = new TreeSet<>();
 
-    /** What a restart must know of a message; the earliest moment at which it may have run. */
+    /** What must be known of a message after a restart, with the earliest time at which it may have run. */
     private record KnownState(int attempts, long mayHaveRunSince) {
         static KnownState of(PendingMessage m) {
             long since = m.mayHaveRun()
@@ -80,11 +80,11 @@
         }
     }
 
-    /** The model after a step, and how many operations the disk had seen by then. */
+    /** The model after a step, and the number of disk operations by then. */
     private record Checkpoint(int operations, Map<String, KnownState> messages) {}
 
     private final SimDisk disk = new SimDisk();
-    /** Bytes that the files may take together. */
+    /** Quota for all files together, in bytes. */
     private long quotaBytes = QUOTA_BYTES;
 
     private final List<Checkpoint> checkpoints = new ArrayList<>();
@@ -92,7 +92,7 @@
     private SegmentedJournal journal;
     private RandomRun randomRun;
     private long clockMicros;
-    /** Whether operations fail now, and how many of them did. */
+    /** Whether operations fail now, and how many have failed. */
     private volatile boolean failing;
 
     private volatile int failures;
@@ -100,11 +100,13 @@
     /** Each target and any operation at all, both errors, both durations, with and without a kill. */
     @AfterAll
     static void everyCombinationWasCovered() {
-        assertEquals((TARGETS.size() + 1) * ERRORS.size() * FaultDuration.values().length * 2, COVERED.size(), "" + COVERED);
+        assertEquals(
+                (TARGETS.size() + 1) * ERRORS.size() * FaultDuration.values().length * 2, COVERED.size(), "" + COVERED);
     }
 
     private void open(Durability durability, long seed) throws IOException {
-        journal = new SegmentedJournal(disk, quotaBytes, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(seed));
+        journal = new SegmentedJournal(
+                disk, quotaBytes, durability, RandomRun.clocks(() -> clockMicros), new SplittableRandom(seed));
         journal.setLoop(loop::add);
         randomRun = new RandomRun(disk, seed);
         randomRun.useJournal(journal);
@@ -121,7 +123,7 @@
                         && frame.getMethodName().equals("roll")) {
                     steps.add(Step.ROTATION);
                 } else if (type.equals(SegmentLog.class.getName())
-                        && frame.getMethodName().equals("grow")) {
+                        && frame.getMethodName().equals("preallocate")) {
                     steps.add(Step.ALLOCATION);
                 } else if (type.startsWith(Compactor.class.getName())) {
                     steps.add(Step.COMPACTION);
@@ -149,7 +151,9 @@
         };
     }
 
-    /** One step of the run and a turn of the loop; the model and the journal's memory agree, and the quota holds. */
+    /**
+     * Runs one step and one turn of the loop. The model and the state in memory must agree, and the quota must hold.
+     */
     private void runTurn() throws InterruptedException {
         randomRun.runWithoutCheckpoints(1, LARGEST_BODY_BYTES, PENDING_MESSAGES);
         endTurn();
@@ -177,24 +181,27 @@
         return RandomRun.describe(all, Map.of());
     }
 
-    /** The disk is good again: all is written, room is not lost, and new messages are taken, with no restart. */
-    private void checkRecovered(String what) throws Exception {
+    /**
+     * Once the disk works again, all changes are written, no space is lost, and new messages are accepted, without a
+     * restart.
+     */
+    private void checkRecovered(String description) throws Exception {
         failing = false;
         clockMicros += 2_000_000;
         journal.maintain(randomRun.nowMicros);
         clockMicros += 2_000_000;
         journal.maintain(randomRun.nowMicros);
-        assertEquals(0, journal.unwrittenCount(), what);
-        checkFiles(what);
+        assertEquals(0, journal.unwrittenCount(), description);
+        checkFiles(description);
         endAllMessages();
         int refused = randomRun.rejectedMessages;
         runTurnsFor(50 * TURN_MICROS);
-        assertEquals(refused, randomRun.rejectedMessages, what + ": refused though the disk is good");
-        checkFiles(what);
+        assertEquals(refused, randomRun.rejectedMessages, description + ": rejected although the disk works");
+        checkFiles(description);
         journal.close();
         try (SegmentedJournal next = RandomRun.open(disk, quotaBytes, Durability.NONE)) {
-            assertEquals(randomRun.describeModel(), describePending(next), what);
-            assertEquals(List.of(), next.recoveryReport().damages(), what);
+            assertEquals(randomRun.describeModel(), describePending(next), description);
+            assertEquals(List.of(), next.recoveryReport().damages(), description);
         }
     }
 
@@ -206,49 +213,59 @@
         }
     }
 
-    /** The journal knows every file in the folder: one that it lost sight of would take room until a restart. */
-    private void checkFiles(String what) {
-        assertEquals(journal.fileCount(), disk.fileNames().size(), what + ": files " + disk.fileNames());
-        assertTrue(disk.totalBytes() <= journal.allocatedBytes(), what + ": " + disk.totalBytes() + " of " + journal.allocatedBytes());
+    /** The journal must know every file in the folder: a forgotten one would take space until a restart. */
+    private void checkFiles(String description) {
+        assertEquals(journal.fileCount(), disk.fileNames().size(), description + ": files " + disk.fileNames());
+        assertTrue(
+                disk.totalBytes() <= journal.allocatedBytes(),
+                description + ": " + disk.totalBytes() + " of " + journal.allocatedBytes());
     }
 
-    /** A kill after so many operations, inside the next write perhaps: what was acknowledged is there. */
-    private void checkKilled(int operations, int bytesOfNext, String what) throws IOException {
-        int k = 0;
-        while (k + 1 < checkpoints.size() && checkpoints.get(k + 1).operations() <= operations) {
-            k++;
+    /**
+     * Checks a kill after this many operations, perhaps inside the next write: every acknowledged change must be there.
+     */
+    private void checkKilled(int operations, int bytesOfNext, String description) throws IOException {
+        int checkpoint = 0;
+        while (checkpoint + 1 < checkpoints.size()
+                && checkpoints.get(checkpoint + 1).operations() <= operations) {
+            checkpoint++;
         }
-        Map<String, KnownState> before = checkpoints.get(k).messages();
-        Map<String, KnownState> after = k + 1 < checkpoints.size() ? checkpoints.get(k + 1).messages() : before;
-        Set<String> taken = new HashSet<>();
-        checkpoints.subList(0, Math.min(k + 2, checkpoints.size()))
-                .forEach(m -> taken.addAll(m.messages().keySet()));
-        SimDisk left = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
-        try (SegmentedJournal next = RandomRun.open(left, quotaBytes, Durability.NONE)) {
+        Map<String, KnownState> stateBefore = checkpoints.get(checkpoint).messages();
+        Map<String, KnownState> stateAfter = checkpoint + 1 < checkpoints.size()
+                ? checkpoints.get(checkpoint + 1).messages()
+                : stateBefore;
+        Set<String> seen = new HashSet<>();
+        checkpoints
+                .subList(0, Math.min(checkpoint + 2, checkpoints.size()))
+                .forEach(m -> seen.addAll(m.messages().keySet()));
+        SimDisk remains = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
+        try (SegmentedJournal next = RandomRun.open(remains, quotaBytes, Durability.NONE)) {
             Map<String, KnownState> found = new TreeMap<>();
             next.pendingMessages().forEach(m -> found.put(m.submission().id(), KnownState.of(m)));
-            before.forEach((id, known) -> {
-                if (after.containsKey(id)) {
-                    assertNotNull(found.get(id), what + ": " + id + " is lost");
-                    boolean covered =
-                            known.isCoveredBy(found.get(id)) || after.get(id).isCoveredBy(found.get(id));
-                    assertTrue(covered, what + ": " + id + " " + known + found.get(id));
+            stateBefore.forEach((id, known) -> {
+                if (stateAfter.containsKey(id)) {
+                    assertNotNull(found.get(id), description + ": " + id + " is lost");
+                    boolean covered = known.isCoveredBy(found.get(id))
+                            || stateAfter.get(id).isCoveredBy(found.get(id));
+                    assertTrue(covered, description + ": " + id + " " + known + found.get(id));
                 }
             });
             Set<String> unknown = new TreeSet<>(found.keySet());
-            unknown.removeAll(taken);
-            assertEquals(Set.of(), unknown, what + ": messages that were refused");
-            assertEquals(List.of(), next.recoveryReport().damages(), what);
+            unknown.removeAll(seen);
+            assertEquals(Set.of(), unknown, description + ": messages that were rejected");
+            assertEquals(List.of(), next.recoveryReport().damages(), description);
         }
     }
 
-    private void run(FaultTarget target, String error, FaultDuration duration, boolean kill, long seed) throws Exception {
-        String what = target + " " + error + " " + duration + (kill ? " kill" : "") + " seed " + seed;
+    private void run(FaultTarget target, String error, FaultDuration duration, boolean kill, long seed)
+            throws Exception {
+        String description = target + " " + error + " " + duration + (kill ? " kill" : "") + " seed " + seed;
         SplittableRandom random = new SplittableRandom(seed);
         quotaBytes = target != null && target.kind() == SimDisk.OperationKind.DELETE ? 4 * QUOTA_BYTES : QUOTA_BYTES;
         open(Durability.NONE, seed);
         if (quotaBytes > QUOTA_BYTES) {
-            randomRun.runWithoutCheckpoints(1500, LARGEST_BODY_BYTES, 400); // more files than what is live needs once it has ended: some are deleted
+            // more files than the live records need after their messages have ended, so that some are deleted
+            randomRun.runWithoutCheckpoints(1500, LARGEST_BODY_BYTES, 400);
         }
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
             runTurn();
@@ -273,19 +290,20 @@
         if (kill) {
             for (int i = 0; i < 60; i++) {
                 int at = from + random.nextInt(disk.operations.size() - from + 1);
-                checkKilled(at, random.nextInt(2) * random.nextInt(400), what + " after " + at);
+                checkKilled(at, random.nextInt(2) * random.nextInt(400), description + " after " + at);
             }
         }
-        checkRecovered(what);
+        checkRecovered(description);
     }
 
     /** How long operations fail, and whether the process is killed meanwhile. */
     private record FaultScenario(FaultDuration duration, boolean hasKill) {}
 
-    /** Plays one combination; gives what was broken. */
-    private static Optional<String> runOne(FaultTarget target, String error, FaultScenario outage, long seed) throws Exception {
+    /** Runs one combination; returns the failure, if any. */
+    private static Optional<String> runOne(FaultTarget target, String error, FaultScenario scenario, long seed)
+            throws Exception {
         try {
-            new StorageFaultTest().run(target, error, outage.duration(), outage.hasKill(), seed);
+            new StorageFaultTest().run(target, error, scenario.duration(), scenario.hasKill(), seed);
             return Optional.empty();
         } catch (AssertionError | RuntimeException e) {
             return Optional.of(e.toString().lines().findFirst().orElse(""));
@@ -295,21 +313,21 @@
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3})
     void everyStepSurvivesEveryFault(long seed) throws Exception {
-        List<String> broken = new ArrayList<>();
+        List<String> failedRuns = new ArrayList<>();
         int runs = 0;
         List<FaultTarget> targets = new ArrayList<>(TARGETS);
-        targets.add(null); // whatever the operation
-        List<FaultScenario> outages = Stream.of(FaultDuration.values())
+        targets.add(null); // any operation
+        List<FaultScenario> scenarios = Stream.of(FaultDuration.values())
                 .flatMap(duration -> Stream.of(new FaultScenario(duration, false), new FaultScenario(duration, true)))
                 .toList();
         for (FaultTarget target : targets) {
             for (String error : ERRORS) {
-                for (FaultScenario outage : outages) {
+                for (FaultScenario scenario : scenarios) {
                     runs++;
-                    runOne(target, error, outage, 1000 * seed + runs).ifPresent(broken::add);
+                    runOne(target, error, scenario, 1000 * seed + runs).ifPresent(failedRuns::add);
                 }
             }
         }
-        assertEquals(List.of(), broken, broken.size() + " of " + runs);
+        assertEquals(List.of(), failedRuns, failedRuns.size() + " of " + runs);
     }
 }
