--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -16,7 +16,7 @@
 import lilaclever.journal.JournalClocks;
 import lilaclever.journal.SegmentedJournal;
 import lilaclever.log.Logs;
-import lilaclever.protocol.http.Directory;
+import lilaclever.protocol.http.DirectoryClient;
 import lilaclever.protocol.http.HttpDeliverer;
 import lilaclever.protocol.http.HttpFront;
 import lilaclever.protocol.http.Notices;
@@ -46,7 +46,7 @@
     private Config config;
 
     private final Notices notices;
-    private final Directory directory;
+    private final DirectoryClient directory;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
     private final List<MailFront> mailFronts = new ArrayList<>();
@@ -79,12 +79,12 @@
         EndpointMembership membership = new EndpointMembership(
                 DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
         counters.entryGauge("departed", membership::departureCount);
-        directory = new Directory(
+        directory = new DirectoryClient(
                 core,
                 transport,
                 config.discovery(),
                 deliverer,
-                new Directory.Names(config.kinds(), config.zones(), settings.kinds()),
+                new DirectoryClient.Names(config.kinds(), config.zones(), settings.kinds()),
                 connect,
                 keep,
                 membership,
@@ -109,7 +109,7 @@
             mllpFront = new MllpFront(core, operator.mllp());
             core.add(mllpFront);
         }
-        Directory.Known known = config.known() == null ? null : directory.known(config.known());
+        DirectoryClient.Known known = config.known() == null ? null : directory.known(config.known());
         deliverer.start();
         List<Core.ListedEndpoint> listed = known == null ? List.of() : known.listed();
         directory.start(known == null ? -1 : known.index(), listed);
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -15,7 +15,7 @@
  * Watches the platform's list of endpoints and tells its changes. How the agents are asked is {@link DiscoveryWatch}'s,
  * what is believed of their answers {@link EndpointMembership}'s. Loop thread.
  */
-public final class Directory {
+public final class DirectoryClient {
     /**
      * What the agent has counts as told from the first moment of a new process, so the known list alone, which may
      * name endpoints that have left since, must not be acted upon while the agent may still answer. An agent answers
@@ -62,7 +62,7 @@
     }
 
     /** Watches the list at the address; {@code membership} decides what is believed of it. */
-    public Directory(
+    public DirectoryClient(
             Core core,
             Transport transport,
             String address,
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -120,13 +120,13 @@
         journal.close();
     }
 
-    private Directory watch(String address) throws InterruptedException {
-        Directory directory = new Directory(
+    private DirectoryClient watch(String address) throws InterruptedException {
+        DirectoryClient directory = new DirectoryClient(
                 core,
                 transport,
                 address,
                 null,
-                new Directory.Names(List.of("lab"), List.of("z"), List.of()),
+                new DirectoryClient.Names(List.of("lab"), List.of("z"), List.of()),
                 1_500_000,
                 15_000_000,
                 new EndpointMembership(List.of(), departures -> {}),
@@ -139,7 +139,7 @@
     /** Has the first call come back, and the time pass after which the known list is told without an answer. */
     private void passFirstAnswerWait() throws InterruptedException {
         untilCallIsBack(NOTICED_BY);
-        clock.micros += Directory.FIRST_ANSWER_WAIT;
+        clock.micros += DirectoryClient.FIRST_ANSWER_WAIT;
         core.runTurn();
         assertEquals(1, told);
     }
@@ -191,7 +191,7 @@
     void oneThatAnswersWhatCannotBeReadIsAskedAgainInTime() throws Exception {
         try (Socket refusing = refusing();
                 ServerSocket answering = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
-            Directory directory = watch("127.0.0.1:" + refusing.getLocalPort());
+            DirectoryClient directory = watch("127.0.0.1:" + refusing.getLocalPort());
             for (int i = 0; i < 5; i++) {
                 untilNextCall(NOTICED_BY);
             }
