--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -109,7 +109,7 @@
             mllpFront = new MllpFront(core, operator.mllp());
             core.add(mllpFront);
         }
-        DirectoryClient.Known known = config.known() == null ? null : directory.known(config.known());
+        DirectoryClient.ResolvedList known = config.known() == null ? null : directory.known(config.known());
         deliverer.start();
         List<Core.ListedEndpoint> listed = known == null ? List.of() : known.listed();
         directory.start(known == null ? -1 : known.index(), listed);
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -32,7 +32,7 @@
     }
 
     /** A list as the platform writes it. */
-    public record Known(long index, boolean whole, List<Core.ListedEndpoint> listed) {}
+    public record ResolvedList(long index, boolean whole, List<Core.ListedEndpoint> listed) {}
 
     private final Core core;
     private final HttpClient client;
@@ -181,10 +181,10 @@
     }
 
     /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
-    public Known known(EndpointList list) {
+    public ResolvedList known(EndpointList list) {
         List<Core.ListedEndpoint> all = new ArrayList<>(list.endpoints().size());
         list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
-        return new Known(list.version(), list.isWhole(), all);
+        return new ResolvedList(list.version(), list.isWhole(), all);
     }
 
     private Core.ListedEndpoint listed(EndpointList.Endpoint endpoint) {
