--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -112,8 +112,8 @@
         DirectoryClient.ResolvedList known = config.known() == null ? null : directory.known(config.known());
         deliverer.start();
         List<Core.ListedEndpoint> listed = known == null ? List.of() : known.listed();
-        directory.start(known == null ? -1 : known.index(), listed);
-        long version = known == null ? 0 : known.index();
+        directory.start(known == null ? -1 : known.version(), listed);
+        long version = known == null ? 0 : known.version();
         core.start(
                 suspensions.withSuspensions(
                         DecisionModule.ListingKind.REMEMBERED,
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -32,7 +32,7 @@
     }
 
     /** A list as the platform writes it. */
-    public record ResolvedList(long index, boolean whole, List<Core.ListedEndpoint> listed) {}
+    public record ResolvedList(long version, boolean whole, List<Core.ListedEndpoint> listed) {}
 
     private final Core core;
     private final HttpClient client;
