--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -111,7 +111,7 @@
         }
         DirectoryClient.ResolvedList known = config.known() == null ? null : directory.known(config.known());
         deliverer.start();
-        List<Core.ListedEndpoint> listed = known == null ? List.of() : known.listed();
+        List<Core.ListedEndpoint> listed = known == null ? List.of() : known.entries();
         directory.start(known == null ? -1 : known.version(), listed);
         long version = known == null ? 0 : known.version();
         core.start(
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -32,7 +32,7 @@
     }
 
     /** A list as the platform writes it. */
-    public record ResolvedList(long version, boolean whole, List<Core.ListedEndpoint> listed) {}
+    public record ResolvedList(long version, boolean whole, List<Core.ListedEndpoint> entries) {}
 
     private final Core core;
     private final HttpClient client;
@@ -135,7 +135,7 @@
                         list.version(),
                         list.isWhole(),
                         list.isCut(),
-                        known(list).listed(),
+                        known(list).entries(),
                         list.unusable()),
                 core.nowMicros(),
                 Core.wallMicros());
