--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -84,7 +84,7 @@
                 transport,
                 config.discovery(),
                 deliverer,
-                new DirectoryClient.Names(config.kinds(), config.zones(), settings.kinds()),
+                new DirectoryClient.KindsAndZones(config.kinds(), config.zones(), settings.kinds()),
                 connect,
                 keep,
                 membership,
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -37,7 +37,7 @@
     private final Core core;
     private final HttpClient client;
     private final Deliverer deliverer;
-    private final Names names;
+    private final KindsAndZones names;
     private final EndpointMembership membership;
     private final Listener listener;
     private final SplittableRandom random = new SplittableRandom();
@@ -53,7 +53,7 @@
     private Deadlines.Key firstAnswerDue;
 
     /** What the settings call kinds and zones, in order, and what they say of each kind. */
-    public record Names(List<String> kinds, List<String> zones, List<DecisionModule.EndpointKind> ofKinds) {
+    public record KindsAndZones(List<String> kinds, List<String> zones, List<DecisionModule.EndpointKind> ofKinds) {
         private static final DecisionModule.EndpointKind UNKNOWN = new DecisionModule.EndpointKind(false, 1);
 
         DecisionModule.EndpointKind kind(int index) {
@@ -67,7 +67,7 @@
             Transport transport,
             String address,
             Deliverer deliverer,
-            Names names,
+            KindsAndZones names,
             long connectMicros,
             long keepAliveMicros,
             EndpointMembership membership,
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -126,7 +126,7 @@
                 transport,
                 address,
                 null,
-                new DirectoryClient.Names(List.of("lab"), List.of("z"), List.of()),
+                new DirectoryClient.KindsAndZones(List.of("lab"), List.of("z"), List.of()),
                 1_500_000,
                 15_000_000,
                 new EndpointMembership(List.of(), departures -> {}),
