--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -197,7 +197,7 @@
                 Logs.warn("", "discovery-not-noted", "a restart may go to the old discovery: " + e);
             }
             core.post(() -> {
-                directory.move(read.discovery());
+                directory.moveTo(read.discovery());
                 notices.move(read.discovery());
             });
             Logs.info("", "reloaded", "configuration read again, discovery at " + read.discovery());
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -105,7 +105,7 @@
      * so it is asked for the whole list: what is not in it has gone. Until it has given that, the agent that answered
      * last is watched too.
      */
-    public void move(String to) {
+    public void moveTo(String to) {
         if (to.equals(current.address())) {
             return;
         }
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -199,7 +199,7 @@
             Thread answers = new Thread(() -> answerWithErrors(answering, requests));
             answers.setDaemon(true);
             answers.start();
-            directory.move("127.0.0.1:" + answering.getLocalPort());
+            directory.moveTo("127.0.0.1:" + answering.getLocalPort());
             for (int i = 0; i < 10; i++) {
                 assertNotNull(requests.poll(10, TimeUnit.SECONDS), "call " + i);
                 untilNextCall(AFTER_ANSWER);
