--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -109,7 +109,7 @@
             mllpFront = new MllpFront(core, operator.mllp());
             core.add(mllpFront);
         }
-        DirectoryClient.ResolvedList known = config.known() == null ? null : directory.known(config.known());
+        DirectoryClient.ResolvedList known = config.known() == null ? null : directory.resolve(config.known());
         deliverer.start();
         List<Core.ListedEndpoint> listed = known == null ? List.of() : known.entries();
         directory.start(known == null ? -1 : known.version(), listed);
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -135,7 +135,7 @@
                         list.version(),
                         list.isWhole(),
                         list.isCut(),
-                        known(list).entries(),
+                        resolve(list).entries(),
                         list.unusable()),
                 core.nowMicros(),
                 Core.wallMicros());
@@ -181,7 +181,7 @@
     }
 
     /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
-    public ResolvedList known(EndpointList list) {
+    public ResolvedList resolve(EndpointList list) {
         List<Core.ListedEndpoint> all = new ArrayList<>(list.endpoints().size());
         list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
         return new ResolvedList(list.version(), list.isWhole(), all);
