--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -216,7 +216,7 @@
         CountDownLatch inForce = new CountDownLatch(1);
         core.post(() -> {
             core.updateSettings(next.settings());
-            front.renew(next.classNames(), next.settings().classes());
+            front.updateClasses(next.classNames(), next.settings().classes());
             inForce.countDown();
         });
         try {
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -57,7 +57,7 @@
             String practiceHeader) {
         this.core = core;
         this.practiceHeader = practiceHeader;
-        renew(classNames, classes);
+        updateClasses(classNames, classes);
         this.intake = new IntakeFilter(core, mostClients, crowd, this::request);
         this.notices = notices;
         core.counters().entryGauge("waiting_clients", waiting::size);
@@ -73,7 +73,7 @@
     private record Classes(List<String> names, List<DecisionModule.MessageClass> all) {}
 
     /** Other classes may be handed in from now on. Loop thread, once the module knows them. */
-    public void renew(List<String> classNames, List<DecisionModule.MessageClass> all) {
+    public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> all) {
         classes = new Classes(List.copyOf(classNames), List.copyOf(all));
     }
 
