--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -207,7 +207,7 @@
                 request.body(),
                 !retry.isEmpty(),
                 retry.equals("again"),
-                budget(deadline, Core.monotonicMicros() - request.arrivedMicros()));
+                budgetMicros(deadline, Core.monotonicMicros() - request.arrivedMicros()));
     }
 
     private String identity(Map<String, String> headers, String key) {
@@ -227,7 +227,7 @@
      * 400 ms to hear that it is taken on, and just after a start that much goes by, while its end is lost when told
      * 300 ms after its time. So a part of a long time is left for that.
      */
-    public static long budget(long deadline, long sinceRead) {
+    public static long budgetMicros(long deadline, long sinceRead) {
         return Math.max(0, deadline - Math.min(UNREAD, deadline / UNREAD_PART) - Math.max(0, sinceRead));
     }
 
--- a/src/test/java/lilaclever/protocol/http/MessageReaderTest.java
+++ b/src/test/java/lilaclever/protocol/http/MessageReaderTest.java
@@ -109,6 +109,6 @@
     @ParameterizedTest
     @CsvSource({"12000000, 0, 11880000", "6000000, 1000000, 4880000", "500000, -5, 490000", "50000, 90000, 0"})
     void theTimeThatARequestLayUnreadIsTakenOff(long deadline, long sinceRead, long budget) {
-        assertEquals(budget, HttpFront.budget(deadline, sinceRead));
+        assertEquals(budget, HttpFront.budgetMicros(deadline, sinceRead));
     }
 }
