--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -19,7 +19,7 @@
 import lilaclever.protocol.http.DirectoryClient;
 import lilaclever.protocol.http.HttpDeliverer;
 import lilaclever.protocol.http.HttpFront;
-import lilaclever.protocol.http.Notices;
+import lilaclever.protocol.http.NoticeSender;
 import lilaclever.protocol.mail.MailDeliverer;
 import lilaclever.protocol.mail.MailFront;
 import lilaclever.protocol.mail.MailSettings;
@@ -45,7 +45,7 @@
     /** As it is in force: renewed at SIGHUP. */
     private Config config;
 
-    private final Notices notices;
+    private final NoticeSender notices;
     private final DirectoryClient directory;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
@@ -74,7 +74,7 @@
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
         ManualDrains suspensions = new ManualDrains(core, config.suspended(), ids -> Config.noteSuspended(state, ids));
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.mostIdle());
-        notices = new Notices(core, transport, config.discovery(), connect, keep);
+        notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
         long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
                 DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -31,7 +31,7 @@
 
     private final Core core;
     private volatile Classes classes;
-    private final Notices notices;
+    private final NoticeSender notices;
     private final IntakeFilter intake;
     /** Who waits to hear that a message is taken on: more than one where it came again meanwhile. */
     private final Map<Message, List<Waiting>> waiting = new HashMap<>();
@@ -53,7 +53,7 @@
             List<DecisionModule.MessageClass> classes,
             int mostClients,
             int crowd,
-            Notices notices,
+            NoticeSender notices,
             String practiceHeader) {
         this.core = core;
         this.practiceHeader = practiceHeader;
--- a/src/main/java/lilaclever/protocol/http/Notices.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -12,7 +12,7 @@
 import lilaclever.transport.Transport;
 
 /** Tells the platform how messages ended, again and again until it says that it has heard. Loop thread. */
-public final class Notices {
+public final class NoticeSender {
     /**
      * The platform answers at once, and an end counts as lost 300 ms after its message's time: a connection that has
      * fallen silent or is closed must be noticed well within that. A platform that is slow is given longer, time and
@@ -40,7 +40,7 @@
     private Deadlines.Key again;
 
     /** Notices to the address. */
-    public Notices(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
+    public NoticeSender(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
         this.core = core;
         this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MOST_ANSWER);
         this.address = address;
