--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -198,7 +198,7 @@
             }
             core.post(() -> {
                 directory.moveTo(read.discovery());
-                notices.move(read.discovery());
+                notices.moveTo(read.discovery());
             });
             Logs.info("", "reloaded", "configuration read again, discovery at " + read.discovery());
         } catch (ConfigurationException e) {
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -62,7 +62,7 @@
     }
 
     /** Tells the new address from now on, what the old one has not confirmed too: a second notice does no harm. */
-    public void move(String to) {
+    public void moveTo(String to) {
         client.closeIdle(address);
         address = to;
         if (busy) {
