--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -20,7 +20,7 @@
  */
 public final class OperatorPort extends BaseFilter {
     /** Connections at most: callers are few and ask once. */
-    public static final int MOST = 8;
+    public static final int MAX_CONNECTIONS = 8;
 
     private static final int LONGEST = 256;
     private static final long LINE_BY = 5_000_000;
@@ -81,7 +81,7 @@
         Caller oldest = null;
         synchronized (callers) {
             callers.addLast(caller);
-            if (callers.size() > MOST) {
+            if (callers.size() > MAX_CONNECTIONS) {
                 oldest = callers.removeFirst();
             }
         }
