--- a/src/main/java/lilaclever/protocol/http/SeveralAnswer.java
+++ b/src/main/java/lilaclever/protocol/http/BatchResponse.java
@@ -9,7 +9,7 @@
  * The body of a 200 to a call of several messages: a line with id and result for each, ended by CRLF. It counts
  * only as a whole: where a line is cut off, unknown, repeated or missing, nothing in it may be believed.
  */
-final class SeveralAnswer {
+final class BatchResponse {
     private static final String LINE_END = "\r\n";
 
     /** How an endpoint says that one of the messages ended. */
@@ -21,7 +21,7 @@
         NO_MORE
     }
 
-    private static final Map<String, Result> WORDS = Map.of(
+    private static final Map<String, Result> RESULTS_BY_WORD = Map.of(
             "accepted",
             Result.ACCEPTED,
             "fault",
@@ -35,12 +35,12 @@
 
     private final Map<String, Result> results;
 
-    private SeveralAnswer(Map<String, Result> results) {
+    private BatchResponse(Map<String, Result> results) {
         this.results = results;
     }
 
     /** The results by message id; empty if the body is not a sequence of whole lines, each for another message. */
-    static Optional<SeveralAnswer> parse(byte[] body) {
+    static Optional<BatchResponse> parse(byte[] body) {
         String text = new String(body, StandardCharsets.ISO_8859_1);
         Map<String, Result> results = new HashMap<>();
         int at = 0;
@@ -50,17 +50,17 @@
             if (end < 0 || space <= at || space > end) {
                 return Optional.empty();
             }
-            Result result = WORDS.get(text.substring(space + 1, end).strip());
+            Result result = RESULTS_BY_WORD.get(text.substring(space + 1, end).strip());
             if (result == null || results.put(text.substring(at, space), result) != null) {
                 return Optional.empty();
             }
             at = end + LINE_END.length();
         }
-        return Optional.of(new SeveralAnswer(results));
+        return Optional.of(new BatchResponse(results));
     }
 
     /** The result of the message, or null if the answer has none. */
-    Result of(String id) {
+    Result resultOf(String id) {
         return results.get(id);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -21,23 +21,23 @@
      * name endpoints that have left since, must not be acted upon while the agent may still answer. An agent answers
      * at once; one that has not in this time is slow or down, and messages can't wait for it much longer.
      */
-    static final long FIRST_ANSWER_WAIT = 1_500_000;
+    static final long FIRST_RESPONSE_WAIT_MICROS = 1_500_000;
 
-    private static final int MOST_IDLE = 1;
+    private static final int MAX_IDLE_CONNECTIONS = 1;
 
     /** Who hears what the list says. */
     public interface Listener {
         /** A change of the list; the first one is the remembered list. */
-        void listing(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries);
+        void onChange(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries);
     }
 
     /** A list as the platform writes it. */
-    public record ResolvedList(long version, boolean whole, List<Core.ListedEndpoint> entries) {}
+    public record ResolvedList(long version, boolean isWhole, List<Core.ListedEndpoint> entries) {}
 
     private final Core core;
     private final HttpClient client;
     private final Deliverer deliverer;
-    private final KindsAndZones names;
+    private final KindsAndZones kindsAndZones;
     private final EndpointMembership membership;
     private final Listener listener;
     private final SplittableRandom random = new SplittableRandom();
@@ -46,18 +46,18 @@
     /** The watch at an earlier address whose agent has answered, until the one in force has; else null. */
     private DiscoveryWatch previous;
     /** Whether the agent of the address in force has answered: where no version was known, with its whole list. */
-    private boolean isCurrentConfirmed;
+    private boolean hasCurrentResponded;
     /** What is told once the first answer is here, or is waited for no longer; null from then on. */
-    private List<EndpointMembership.CoreUpdate> withheld = new ArrayList<>();
+    private List<EndpointMembership.CoreUpdate> pendingChanges = new ArrayList<>();
 
-    private Deadlines.Key firstAnswerDue;
+    private Deadlines.Key firstResponseDeadline;
 
     /** What the settings call kinds and zones, in order, and what they say of each kind. */
-    public record KindsAndZones(List<String> kinds, List<String> zones, List<DecisionModule.EndpointKind> ofKinds) {
-        private static final DecisionModule.EndpointKind UNKNOWN = new DecisionModule.EndpointKind(false, 1);
+    public record KindsAndZones(List<String> kindNames, List<String> zoneNames, List<DecisionModule.EndpointKind> kindSettings) {
+        private static final DecisionModule.EndpointKind UNKNOWN_KIND = new DecisionModule.EndpointKind(false, 1);
 
-        DecisionModule.EndpointKind kind(int index) {
-            return index >= 0 && index < ofKinds.size() ? ofKinds.get(index) : UNKNOWN;
+        DecisionModule.EndpointKind settingsOfKind(int index) {
+            return index >= 0 && index < kindSettings.size() ? kindSettings.get(index) : UNKNOWN_KIND;
         }
     }
 
@@ -80,23 +80,23 @@
                 "directory",
                 connectMicros,
                 keepAliveMicros,
-                MOST_IDLE,
-                DiscoveryWatch.MOST_ANSWER,
+                MAX_IDLE_CONNECTIONS,
+                DiscoveryWatch.MAX_RESPONSE_BYTES,
                 true);
         this.deliverer = deliverer;
-        this.names = names;
+        this.kindsAndZones = names;
         this.membership = membership;
         this.current = watchAt(address);
     }
 
     /**
      * Starts to watch after the list that is known; {@code knownIndex} is below 0 where there is none, and the list is
-     * fetched whole. The known list is told as remembered with the first answer, or after {@link #FIRST_ANSWER_WAIT};
+     * fetched whole. The known list is told as remembered with the first answer, or after {@link #FIRST_RESPONSE_WAIT_MICROS};
      * nothing is told before.
      */
     public void start(long knownIndex, List<Core.ListedEndpoint> known) {
-        withheld.add(membership.applyInitialList(Math.max(0, knownIndex), known));
-        firstAnswerDue = core.deadlines().schedule(core.nowMicros() + FIRST_ANSWER_WAIT, this::tellWithheld);
+        pendingChanges.add(membership.applyInitialList(Math.max(0, knownIndex), known));
+        firstResponseDeadline = core.deadlines().schedule(core.nowMicros() + FIRST_RESPONSE_WAIT_MICROS, this::reportPendingChanges);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
     }
 
@@ -111,14 +111,14 @@
         }
         boolean isReturn = previous != null && to.equals(previous.address());
         DiscoveryWatch next = isReturn ? previous : watchAt(to);
-        if (isCurrentConfirmed) {
+        if (hasCurrentResponded) {
             previous = current;
         } else {
             current.close();
             previous = isReturn ? null : previous;
         }
         current = next;
-        isCurrentConfirmed = isReturn;
+        hasCurrentResponded = isReturn;
         if (!isReturn) {
             current.start(EndpointList.NO_VERSION);
         }
@@ -134,7 +134,7 @@
                         source.address(),
                         list.version(),
                         list.isWhole(),
-                        list.isCut(),
+                        list.isTruncated(),
                         resolve(list).entries(),
                         list.unusable()),
                 core.nowMicros(),
@@ -143,37 +143,37 @@
             source.requestWholeList();
         }
         if (isInOrder) {
-            tellWithheld();
+            reportPendingChanges();
         }
-        if (withheld != null) {
-            withheld.add(change);
+        if (pendingChanges != null) {
+            pendingChanges.add(change);
         } else {
-            tell(change);
+            report(change);
         }
         if (source == current && isInOrder) {
             confirmCurrent();
         }
     }
 
-    private void tellWithheld() {
-        core.deadlines().cancel(firstAnswerDue);
-        if (withheld != null) {
-            List<EndpointMembership.CoreUpdate> changes = withheld;
-            withheld = null;
-            changes.forEach(this::tell);
+    private void reportPendingChanges() {
+        core.deadlines().cancel(firstResponseDeadline);
+        if (pendingChanges != null) {
+            List<EndpointMembership.CoreUpdate> changes = pendingChanges;
+            pendingChanges = null;
+            changes.forEach(this::report);
         }
     }
 
-    private void tell(EndpointMembership.CoreUpdate change) {
+    private void report(EndpointMembership.CoreUpdate change) {
         if (change.kind() != DecisionModule.ListingKind.CHANGES
                 || !change.entries().isEmpty()) {
-            listener.listing(change.kind(), change.version(), change.entries());
+            listener.onChange(change.kind(), change.version(), change.entries());
         }
     }
 
     /** The agent in force tells all that there is: the one before is needed no longer. */
     private void confirmCurrent() {
-        isCurrentConfirmed = true;
+        hasCurrentResponded = true;
         if (previous != null) {
             previous.close();
             previous = null;
@@ -183,13 +183,13 @@
     /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
     public ResolvedList resolve(EndpointList list) {
         List<Core.ListedEndpoint> all = new ArrayList<>(list.endpoints().size());
-        list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
+        list.endpoints().forEach(endpoint -> all.add(resolveEndpoint(endpoint)));
         return new ResolvedList(list.version(), list.isWhole(), all);
     }
 
-    private Core.ListedEndpoint listed(EndpointList.Endpoint endpoint) {
-        int kind = names.kinds().indexOf(endpoint.type());
-        int zone = Math.max(0, names.zones().indexOf(endpoint.zone()));
+    private Core.ListedEndpoint resolveEndpoint(EndpointList.Endpoint endpoint) {
+        int kind = kindsAndZones.kindNames().indexOf(endpoint.type());
+        int zone = Math.max(0, kindsAndZones.zoneNames().indexOf(endpoint.zone()));
         DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
                 endpoint.name(),
                 endpoint.destination(),
@@ -197,7 +197,7 @@
                 kind,
                 endpoint.presence(),
                 endpoint.weight(),
-                sinceMicros(endpoint.sinceMillis()));
+                toLoopMicros(endpoint.sinceMillis()));
         return new Core.ListedEndpoint(
                 entry,
                 new Call.Endpoint(
@@ -205,13 +205,13 @@
                         endpoint.address(),
                         endpoint.destination(),
                         zone,
-                        names.kind(kind).maxBatchSize(),
-                        names.kind(kind).limitPerEndpoint(),
+                        kindsAndZones.settingsOfKind(kind).maxBatchSize(),
+                        kindsAndZones.settingsOfKind(kind).limitPerEndpoint(),
                         deliverer));
     }
 
     /** A moment of the wall clock on the loop's clock; 0 stays 0, which means that it is not known. */
-    private long sinceMicros(long sinceMillis) {
+    private long toLoopMicros(long sinceMillis) {
         return sinceMillis == 0 ? 0 : Math.max(1, core.nowMicros() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/EndpointList.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointList.java
@@ -12,7 +12,7 @@
  *
  * @param version grows with each change of the list; {@link #NO_VERSION} where it can't be read
  * @param isWhole false where only changes since an earlier version are listed, or where that can't be read
- * @param isCut whether entries may be missing behind the last one: what is not listed may be there all the same
+ * @param isTruncated whether entries may be missing behind the last one: what is not listed may be there all the same
  * @param endpoints entries that can be used, in the list's order; a name that comes twice is here twice
  * @param unusable names of entries that can't be used
  * @param faults what could not be read; empty for a list in order
@@ -20,7 +20,7 @@
 public record EndpointList(
         long version,
         boolean isWhole,
-        boolean isCut,
+        boolean isTruncated,
         List<Endpoint> endpoints,
         Set<String> unusable,
         List<Fault> faults) {
@@ -53,7 +53,7 @@
      * @param problem what is wrong, in words
      */
     public record Fault(int entry, String name, String key, String problem) {
-        private static final int LONGEST_NAME = 64;
+        private static final int MAX_NAME_LENGTH = 64;
         /** What is said of a name that has come before in the list. */
         static final String LISTED_TWICE = "listed twice";
 
@@ -70,7 +70,7 @@
         }
 
         private static String shortened(String name) {
-            return name.length() <= LONGEST_NAME ? name : name.substring(0, LONGEST_NAME) + "...";
+            return name.length() <= MAX_NAME_LENGTH ? name : name.substring(0, MAX_NAME_LENGTH) + "...";
         }
     }
 
@@ -84,7 +84,7 @@
     }
 
     /** The same list, where it is known from elsewhere that its end is missing. */
-    EndpointList cut() {
+    EndpointList truncated() {
         return new EndpointList(version, isWhole, true, endpoints, unusable, faults);
     }
 
@@ -115,7 +115,7 @@
 
     private static void add(JsonElement entry, EndpointListBuilder builder) {
         if (!entry.isJsonObject()) {
-            builder.noEntry();
+            builder.invalidEntry();
             return;
         }
         builder.beginEntry();
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -23,48 +23,48 @@
  * to its owner. Used from the loop thread; requests are written and answers read on the selector thread.
  */
 final class HttpClient {
-    private static final long SWEEP = 500_000;
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
     /** Part of the time that an endpoint keeps an idle connection after which it is dropped here. */
-    private static final double KEEP_PART = 0.8;
+    private static final double KEEP_ALIVE_FRACTION = 0.8;
     /** Once a first line is here the rest follows at once, or the answer is spoilt. */
-    private static final long REST_BY = 250_000;
+    private static final long REMAINDER_TIMEOUT_MICROS = 250_000;
 
-    private static final int TOO_LARGE = 413;
+    private static final int CONTENT_TOO_LARGE = 413;
 
     /** How a request went; one of the two is called, once, on the loop thread. */
     interface Listener {
         /** The whole answer is here. */
-        void answered(int status, Map<String, String> headers, byte[] body);
+        void onResponse(int status, Map<String, String> headers, byte[] body);
 
         /**
          * No answer will come, or none that can be read. {@code written}: the request's last byte had been written.
          * {@code status}: what the answer's first line said, else 0.
          */
-        void broke(boolean written, int status);
+        void onFailure(boolean written, int status);
 
         /**
          * What an answer's head says, as soon as it is here, though the rest may never come or nobody may wait for it
          * any more; of one that can't be read, the part that can. Selector thread.
          */
-        default void head(Map<String, String> headers) {}
+        default void onHead(Map<String, String> headers) {}
 
         /** Whether the server is to get nothing new and keep no connection. Selector thread and loop thread. */
-        default boolean isServerLeaving() {
+        default boolean isServerDraining() {
             return false;
         }
 
         /** Whether the request may go out at this moment, when all that had come before was read. Selector thread. */
-        default boolean mayGo() {
+        default boolean maySend() {
             return true;
         }
 
         /** Whether its time is up: from then on it is not written. Selector thread. */
-        default boolean isTooLate() {
+        default boolean isExpired() {
             return false;
         }
 
         /** It might not go out any more, so its last byte was not written: called in place of the others. */
-        default void withheld() {}
+        default void onWithheld() {}
     }
 
     /**
@@ -75,18 +75,18 @@
      * @param body as far as it came, up to the client's bound
      * @param isTooLarge whether it was refused because its body is longer than the bound
      */
-    record PartialAnswer(int status, Map<String, String> headers, byte[] body, boolean isTooLarge) {}
+    record PartialResponse(int status, Map<String, String> headers, byte[] body, boolean isTooLarge) {}
 
     private final Core core;
     private final Transport transport;
     private final long connectMicros;
-    private final int mostAnswer;
-    private final boolean keepsPartialAnswers;
+    private final int maxResponseBytes;
+    private final boolean keepsPartialResponses;
     private final ConnectionPool<Connection<?>> pool;
-    private final FilterChain chain = Transport.chain(new AnswerFilter());
-    private final Attribute<Link> links;
+    private final FilterChain chain = Transport.chain(new ResponseFilter());
+    private final Attribute<ConnectionState> connectionStates;
     /** Requests whose first bytes are written and whose last are not, as the other side reads slowly. */
-    private final Set<Exchange> partly = ConcurrentHashMap.newKeySet();
+    private final Set<Exchange> partlyWritten = ConcurrentHashMap.newKeySet();
 
     /** A client whose answers have bodies up to so many bytes. */
     HttpClient(
@@ -102,7 +102,7 @@
 
     /**
      * The same. {@code keepsPartialAnswers}: what had come of an answer that breaks off, is given up or is too large
-     * is kept for the owner of its request ({@link Exchange#partialAnswer}), who alone bounds the time that an answer
+     * is kept for the owner of its request ({@link Exchange#partialResponsese}), who alone bounds the time that an answer
      * may take.
      */
     HttpClient(
@@ -114,21 +114,21 @@
             int mostIdle,
             int mostAnswer,
             boolean keepsPartialAnswers) {
-        this.keepsPartialAnswers = keepsPartialAnswers;
+        this.keepsPartialResponses = keepsPartialAnswers;
         this.core = core;
         this.transport = transport;
         this.connectMicros = connectMicros;
-        this.mostAnswer = mostAnswer;
-        this.pool = ConnectionPool.ofSockets((long) (KEEP_PART * keepAliveMicros), mostIdle);
+        this.maxResponseBytes = mostAnswer;
+        this.pool = ConnectionPool.ofSockets((long) (KEEP_ALIVE_FRACTION * keepAliveMicros), mostIdle);
         core.counters().entryGauge("idle_" + name, pool::size);
-        core.counters().entryGauge("partly_written_" + name, partly::size);
-        this.links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
+        core.counters().entryGauge("partly_written_" + name, partlyWritten::size);
+        this.connectionStates = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
     }
 
     /** Starts to drop connections that were idle for too long. */
     void start() {
         pool.closeExpired(core.nowMicros());
-        core.deadlines().schedule(core.nowMicros() + SWEEP, this::start);
+        core.deadlines().schedule(core.nowMicros() + SWEEP_INTERVAL_MICROS, this::start);
     }
 
     /** Closes what is idle under the name. */
@@ -146,228 +146,228 @@
             byte[] body,
             Listener listener) {
         Exchange exchange =
-                new Exchange(owner, address, of -> Head.request(method, path, address, headers, of), body, listener);
-        exchange.begin();
+                new Exchange(owner, address, of -> HttpMessageWriter.request(method, path, address, headers, of), body, listener);
+        exchange.start();
         return exchange;
     }
 
     /** A connection, and what is read from it. Selector thread. */
-    private final class Link {
+    private final class ConnectionState {
         private final Connection<?> connection;
-        private final MessageReader reader = new MessageReader(true, mostAnswer, keepsPartialAnswers);
-        private volatile Exchange current;
+        private final HttpMessageReader reader = new HttpMessageReader(true, maxResponseBytes, keepsPartialResponses);
+        private volatile Exchange currentExchange;
         /** More came than was asked for: nobody may ask here again. */
-        private volatile boolean spoilt;
+        private volatile boolean isUnusable;
 
-        private boolean headTold;
+        private boolean isHeadReported;
 
-        Link(Connection<?> connection) {
+        ConnectionState(Connection<?> connection) {
             this.connection = connection;
         }
 
         /** Writes the request, unless it was given up meanwhile or the connection is not as it should be. */
-        boolean take(Exchange exchange) {
-            if (spoilt || !Transport.isOpenAndSilent(connection)) {
+        boolean startExchange(Exchange exchange) {
+            if (isUnusable || !Transport.isOpenAndSilent(connection)) {
                 // Its idle time was used to close it, or for a word too many: that must not answer this request.
                 connection.closeSilently();
                 return false;
             }
-            if (exchange.mayBegin()) {
-                current = exchange;
+            if (exchange.mayStart()) {
+                currentExchange = exchange;
                 exchange.write(this);
             } else {
-                exchange.withheld(connection);
+                exchange.reportWithheld(connection);
             }
             return true;
         }
 
-        void bytes(byte[] in) {
-            Exchange exchange = current;
+        void onBytes(byte[] in) {
+            Exchange exchange = currentExchange;
             if (exchange == null) {
-                refuse(); // nobody asked: what follows can't be told from an answer
+                discard(); // nobody asked: what follows can't be told from an answer
                 return;
             }
             try {
                 int at = reader.read(in, 0, in.length);
                 if (reader.hasHead()) {
-                    head(exchange);
+                    reportHead(exchange);
                 }
-                if (!exchange.written) {
-                    refuse(); // it could not wait for the end of what it was asked
+                if (!exchange.isWritten) {
+                    discard(); // it could not wait for the end of what it was asked
                     return;
                 }
                 exchange.status = reader.status();
                 if (reader.isComplete()) {
-                    complete(exchange, reader.keeps() && at == in.length);
+                    complete(exchange, reader.keepsConnection() && at == in.length);
                 } else if (exchange.status != 0) {
-                    exchange.begun();
+                    exchange.onStatusLine();
                 }
-            } catch (MessageReader.Spoilt e) {
-                exchange.status = exchange.written ? reader.status() : 0;
-                keepPartial(exchange, e.status == TOO_LARGE);
-                head(exchange);
-                refuse();
+            } catch (HttpMessageReader.InvalidMessageException e) {
+                exchange.status = exchange.isWritten ? reader.status() : 0;
+                savePartialResponse(exchange, e.status == CONTENT_TOO_LARGE);
+                reportHead(exchange);
+                discard();
             }
         }
 
         /** Keeps what has come of the answer, before the connection is closed. Selector thread. */
-        private void keepPartial(Exchange exchange, boolean isTooLarge) {
-            if (keepsPartialAnswers && exchange.written && exchange.partialAnswer == null && reader.status() != 0) {
-                exchange.partialAnswer =
-                        new PartialAnswer(reader.status(), reader.headers(), reader.body(), isTooLarge);
+        private void savePartialResponse(Exchange exchange, boolean isTooLarge) {
+            if (keepsPartialResponses && exchange.isWritten && exchange.partialResponse == null && reader.status() != 0) {
+                exchange.partialResponse =
+                        new PartialResponse(reader.status(), reader.headers(), reader.body(), isTooLarge);
             }
         }
 
-        private void refuse() {
-            spoilt = true;
+        private void discard() {
+            isUnusable = true;
             connection.closeSilently();
         }
 
-        private void head(Exchange exchange) {
-            if (!headTold) {
-                headTold = true;
-                exchange.listener.head(reader.headers());
-                partly.forEach(Exchange::cutIfHeld);
+        private void reportHead(Exchange exchange) {
+            if (!isHeadReported) {
+                isHeadReported = true;
+                exchange.listener.onHead(reader.headers());
+                partlyWritten.forEach(Exchange::abortIfWithheld);
             }
         }
 
         private void complete(Exchange exchange, boolean keep) {
             // From now on whatever comes is one too many, also before the loop has seen this answer.
-            current = null;
-            headTold = false;
-            spoilt |= !keep;
+            currentExchange = null;
+            isHeadReported = false;
+            isUnusable |= !keep;
             exchange.trace("answered");
             int status = reader.status();
             Map<String, String> headers = reader.headers();
             byte[] body = reader.body();
-            reader.next();
-            core.post(() -> exchange.answered(status, headers, body));
+            reader.reset();
+            core.post(() -> exchange.reportResponse(status, headers, body));
         }
 
         /** {@code remotely}: by the other side; an answer without a length ends so, and not by a close from here. */
-        void closed(boolean remotely) {
-            Exchange exchange = current;
-            current = null;
-            spoilt = true;
+        void onClosed(boolean remotely) {
+            Exchange exchange = currentExchange;
+            currentExchange = null;
+            isUnusable = true;
             if (exchange != null) {
-                partly.remove(exchange);
-                head(exchange);
+                partlyWritten.remove(exchange);
+                reportHead(exchange);
             }
-            if (exchange != null && exchange.written && remotely && reader.status() != 0 && reader.ends()) {
+            if (exchange != null && exchange.isWritten && remotely && reader.status() != 0 && reader.completeAtClose()) {
                 complete(exchange, false);
             } else if (exchange != null) {
-                keepPartial(exchange, false);
-                core.post(exchange::broke);
+                savePartialResponse(exchange, false);
+                core.post(exchange::fail);
             }
         }
     }
 
     /** One request and what becomes of it. */
     final class Exchange {
-        private final String owner, address;
-        private final UnaryOperator<byte[]> form;
+        private final String poolKey, address;
+        private final UnaryOperator<byte[]> encoder;
         private final Listener listener;
-        private Deadlines.Key due;
-        private boolean done;
+        private Deadlines.Key timeout;
+        private boolean isDone;
         /** What is run once it is closed after a giving up. */
-        private Runnable givingUp;
+        private Runnable onGivenUp;
         /** Guarded by this: a request that was given up is not written, one that is being written is not unsent. */
-        private boolean givenUp;
+        private boolean isGivenUp;
 
-        private byte[] request;
-        private Link link;
+        private byte[] requestBytes;
+        private ConnectionState connectionState;
         /** Set on the selector thread before the answer can be read there. */
-        private volatile boolean written;
+        private volatile boolean isWritten;
 
         private volatile int status;
         /** What had come of an answer that is not whole; null if nothing had, or nobody wants it. */
-        private volatile PartialAnswer partialAnswer;
+        private volatile PartialResponse partialResponse;
         /** Its connection was closed before its last byte was written, since it might not go out any more. */
-        private volatile boolean cut;
+        private volatile boolean isAborted;
 
-        private boolean fresh;
+        private boolean usesNewConnection;
         /** Gives up a connection that is opened for it and is not up yet. */
-        private Runnable connecting = () -> {};
+        private Runnable cancelConnect = () -> {};
 
         private Exchange(String owner, String address, UnaryOperator<byte[]> form, byte[] body, Listener listener) {
-            this.owner = owner;
+            this.poolKey = owner;
             this.address = address;
-            this.form = form;
-            this.request = form.apply(body);
+            this.encoder = form;
+            this.requestBytes = form.apply(body);
             this.listener = listener;
         }
 
         /** On an idle connection if there is one that is good, else on a new one. */
-        private void begin() {
-            if (done) {
+        private void start() {
+            if (isDone) {
                 return;
             }
-            Connection<?> idle = pool.acquire(owner, core.nowMicros());
+            Connection<?> idle = pool.acquire(poolKey, core.nowMicros());
             if (idle == null) {
                 connect();
                 return;
             }
-            Link kept = links.get(idle);
+            ConnectionState kept = connectionStates.get(idle);
             Transport.runAfterReading(idle, () -> {
-                if (!kept.take(this)) {
-                    core.post(this::begin); // nothing was written: another one
+                if (!kept.startExchange(this)) {
+                    core.post(this::start); // nothing was written: another one
                 }
             });
         }
 
         private void connect() {
-            fresh = true;
-            due = core.deadlines().schedule(core.nowMicros() + connectMicros, this::late);
+            usesNewConnection = true;
+            timeout = core.deadlines().schedule(core.nowMicros() + connectMicros, this::onTimeout);
             core.counters().add(Counters.Name.CONNECTIONS);
-            connecting = transport.connect(
+            cancelConnect = transport.connect(
                     Transport.parseAddress(address),
                     chain,
                     up -> {
                         trace("connected");
-                        Link opened = new Link(up);
-                        links.set(up, opened);
-                        core.post(() -> core.deadlines().cancel(due));
+                        ConnectionState opened = new ConnectionState(up);
+                        connectionStates.set(up, opened);
+                        core.post(() -> core.deadlines().cancel(timeout));
                         Transport.runAfterReading(up, () -> {
-                            if (!opened.take(this)) {
-                                core.post(this::broke);
+                            if (!opened.startExchange(this)) {
+                                core.post(this::fail);
                             }
                         });
                     },
-                    problem -> core.post(this::broke));
+                    problem -> core.post(this::fail));
         }
 
         /** The list, a wait or its own time may have changed since the loop began it. */
-        private boolean mayBegin() {
-            return !listener.isServerLeaving() && listener.mayGo() && !listener.isTooLate();
+        private boolean mayStart() {
+            return !listener.isServerDraining() && listener.maySend() && !listener.isExpired();
         }
 
-        private synchronized void write(Link on) {
-            if (givenUp) {
+        private synchronized void write(ConnectionState on) {
+            if (isGivenUp) {
                 on.connection.closeSilently();
                 return;
             }
-            link = on;
-            Transport.write(on.connection, request, this::written, on.connection::closeSilently);
-            if (!written) {
-                partly.add(this);
+            connectionState = on;
+            Transport.write(on.connection, requestBytes, this::onWritten, on.connection::closeSilently);
+            if (!isWritten) {
+                partlyWritten.add(this);
             }
         }
 
-        private void written() {
-            written = true;
-            partly.remove(this);
+        private void onWritten() {
+            isWritten = true;
+            partlyWritten.remove(this);
             trace("written");
-            if (!listener.mayGo()) {
+            if (!listener.maySend()) {
                 core.post(() -> core.counters().checkInvariant(false, listener + " was written under no wait"));
             }
         }
 
         /** The rest of a request that is half written must not follow. Selector thread. */
-        private void cutIfHeld() {
-            if (!written && !listener.mayGo()) {
-                cut = true;
-                partly.remove(this);
-                link.connection.terminateSilently(); // to close it would first write what is left
+        private void abortIfWithheld() {
+            if (!isWritten && !listener.maySend()) {
+                isAborted = true;
+                partlyWritten.remove(this);
+                connectionState.connection.terminateSilently(); // to close it would first write what is left
             }
         }
 
@@ -378,66 +378,66 @@
         }
 
         /** Nothing is written: the connection is as good as before. Selector thread. */
-        private void withheld(Connection<?> unused) {
+        private void reportWithheld(Connection<?> unused) {
             trace("withheld");
             core.post(() -> {
-                if (done) {
+                if (isDone) {
                     unused.closeSilently();
                     return;
                 }
-                done = true;
-                core.deadlines().cancel(due);
-                keepOrClose(unused);
-                listener.withheld();
+                isDone = true;
+                core.deadlines().cancel(timeout);
+                releaseConnection(unused);
+                listener.onWithheld();
             });
         }
 
         /** The first line is here. Selector thread. */
-        private void begun() {
-            if (keepsPartialAnswers) {
+        private void onStatusLine() {
+            if (keepsPartialResponses) {
                 return; // the owner bounds the whole span of the answer
             }
             core.post(() -> {
-                if (!done) {
-                    core.deadlines().cancel(due);
-                    due = core.deadlines().schedule(core.nowMicros() + REST_BY, this::late);
+                if (!isDone) {
+                    core.deadlines().cancel(timeout);
+                    timeout = core.deadlines().schedule(core.nowMicros() + REMAINDER_TIMEOUT_MICROS, this::onTimeout);
                 }
             });
         }
 
-        private void answered(int said, Map<String, String> headers, byte[] body) {
-            if (!done) {
-                done = true;
-                core.deadlines().cancel(due);
-                if (link.spoilt || !link.connection.isOpen()) {
-                    link.connection.closeSilently();
+        private void reportResponse(int said, Map<String, String> headers, byte[] body) {
+            if (!isDone) {
+                isDone = true;
+                core.deadlines().cancel(timeout);
+                if (connectionState.isUnusable || !connectionState.connection.isOpen()) {
+                    connectionState.connection.closeSilently();
                 } else {
-                    keepOrClose(link.connection);
+                    releaseConnection(connectionState.connection);
                 }
-                listener.answered(said, headers, body);
+                listener.onResponse(said, headers, body);
             }
         }
 
-        private void keepOrClose(Connection<?> unused) {
-            if (listener.isServerLeaving()) {
+        private void releaseConnection(Connection<?> unused) {
+            if (listener.isServerDraining()) {
                 unused.closeSilently();
             } else {
-                pool.release(owner, unused, core.nowMicros());
+                pool.release(poolKey, unused, core.nowMicros());
             }
         }
 
-        private void broke() {
-            if (!done) {
+        private void fail() {
+            if (!isDone) {
                 close();
-                tellBroken();
+                reportFailure();
             }
         }
 
-        private void tellBroken() {
-            if (cut) {
-                listener.withheld();
+        private void reportFailure() {
+            if (isAborted) {
+                listener.onWithheld();
             } else {
-                listener.broke(written, status);
+                listener.onFailure(isWritten, status);
             }
         }
 
@@ -445,32 +445,32 @@
          * Its time to connect, or to get the rest of its answer, is up. The selector thread may be writing it just now:
          * only there it is known whether its last byte has gone.
          */
-        private void late() {
-            if (!done) {
-                giveUp(this::tellBroken);
+        private void onTimeout() {
+            if (!isDone) {
+                giveUp(this::reportFailure);
             }
         }
 
         /** Has it carry another body; false if the first one may be on its way. */
         synchronized boolean replaceBody(byte[] body) {
-            if (link != null || givenUp) {
+            if (connectionState != null || isGivenUp) {
                 return false;
             }
-            request = form.apply(body);
+            requestBytes = encoder.apply(body);
             return true;
         }
 
         /** Whether its connection was opened for it. */
-        boolean isFresh() {
-            return fresh;
+        boolean usesNewConnection() {
+            return usesNewConnection;
         }
 
         /**
          * What had come of an answer that is not whole, once it broke off or was given up; null if nothing had, or this
          * client keeps none.
          */
-        PartialAnswer partialAnswer() {
-            return partialAnswer;
+        PartialResponse partialResponse() {
+            return partialResponse;
         }
 
         /** What the first line of the answer has said so far; else 0. */
@@ -480,8 +480,8 @@
 
         /** Gives the request up by closing its connection; nothing more is told of it. */
         void close() {
-            givingUp = null;
-            Link open = leave();
+            onGivenUp = null;
+            ConnectionState open = finish();
             if (open != null) {
                 open.connection.terminateSilently(); // to close it would first write what is left
             }
@@ -493,24 +493,24 @@
          * thread; from then on {@link #isWritten} does not change.
          */
         void giveUp(Runnable closed) {
-            givingUp = closed;
-            Link open = leave();
+            onGivenUp = closed;
+            ConnectionState open = finish();
             if (open == null) {
-                core.post(this::givenUp);
+                core.post(this::reportGivenUp);
                 return;
             }
             Transport.runAfterReading(open.connection, () -> {
-                if (open.current == this) {
-                    open.keepPartial(this, false);
+                if (open.currentExchange == this) {
+                    open.savePartialResponse(this, false);
                 }
                 open.connection.terminateSilently(); // on this thread nothing is being written meanwhile
-                core.post(this::givenUp);
+                core.post(this::reportGivenUp);
             });
         }
 
-        private void givenUp() {
-            Runnable closed = givingUp;
-            givingUp = null;
+        private void reportGivenUp() {
+            Runnable closed = onGivenUp;
+            onGivenUp = null;
             if (closed != null) {
                 closed.run();
             }
@@ -519,51 +519,51 @@
         /** Gives the request up if none of its bytes is written, and says whether it did. */
         boolean withdraw() {
             synchronized (this) {
-                if (link != null || givenUp || done) {
+                if (connectionState != null || isGivenUp || isDone) {
                     return false;
                 }
-                givenUp = true;
+                isGivenUp = true;
             }
-            leave();
+            finish();
             return true;
         }
 
         /** Whether its last byte has been written. */
         boolean isWritten() {
-            return written;
+            return isWritten;
         }
 
         /** Nobody waits for the answer any more; gives the connection that it may be on its way on, or null. */
-        private Link leave() {
-            done = true;
-            core.deadlines().cancel(due);
-            connecting.run();
+        private ConnectionState finish() {
+            isDone = true;
+            core.deadlines().cancel(timeout);
+            cancelConnect.run();
             synchronized (this) {
-                givenUp = true;
-                return link;
+                isGivenUp = true;
+                return connectionState;
             }
         }
     }
 
     /** Hands what is read to its link. */
-    private final class AnswerFilter extends BaseFilter {
+    private final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext context) {
-            Link link = links.get(context.getConnection());
+            ConnectionState link = connectionStates.get(context.getConnection());
             byte[] bytes = Transport.toBytes(context.getMessage());
             if (link == null) {
                 context.getConnection().closeSilently(); // it spoke before it was asked
             } else {
-                link.bytes(bytes);
+                link.onBytes(bytes);
             }
             return context.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            Link link = links.get(context.getConnection());
+            ConnectionState link = connectionStates.get(context.getConnection());
             if (link != null) {
-                link.closed(Transport.isClosedByPeer(context.getConnection()));
+                link.onClosed(Transport.isClosedByPeer(context.getConnection()));
             }
             return context.getInvokeAction();
         }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -21,37 +21,37 @@
 
 /** Calls over the platform's protocol: requests out, answers to endings. */
 public final class HttpDeliverer implements Deliverer {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
     private static final byte[] CRLF = {'\r', '\n'};
-    private static final String DEADLINE = "Req-Deadline";
+    private static final String DEADLINE_HEADER = "Req-Deadline";
     /** What an endpoint has to say is short; whatever says more is spoilt. */
-    private static final int MOST_ANSWER = 64 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     /** Longer than any message lives or any process runs, and far from an overflow: ten years, microseconds. */
-    private static final long MOST_WAIT = 315_360_000_000_000L;
+    private static final long MAX_RETRY_AFTER_MICROS = 315_360_000_000_000L;
 
-    private static final long SWEEP = 500_000;
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
 
     /** A request to an endpoint: not written while it drains or has asked for a wait; a wait in its answer binds. */
-    private abstract class Heedful implements HttpClient.Listener {
+    private abstract class EndpointListener implements HttpClient.Listener {
         private final Call.Endpoint endpoint;
 
-        Heedful(Call.Endpoint endpoint) {
+        EndpointListener(Call.Endpoint endpoint) {
             this.endpoint = endpoint;
         }
 
         @Override
-        public void head(Map<String, String> answer) {
-            heed(endpoint, answer);
+        public void onHead(Map<String, String> answer) {
+            recordRetryAfter(endpoint, answer);
         }
 
         @Override
-        public boolean isServerLeaving() {
+        public boolean isServerDraining() {
             return !core.activeEndpoints().mayReceive(endpoint);
         }
 
         @Override
-        public boolean mayGo() {
-            return waits.remainingMicros(endpoint, Core.monotonicMicros()) == 0;
+        public boolean maySend() {
+            return retryAfterTable.remainingMicros(endpoint, Core.monotonicMicros()) == 0;
         }
     }
 
@@ -59,30 +59,30 @@
      * What is out for a call, and the headers that it is written with; {@code several}: its answer tells the end of
      * each message, however many are left.
      */
-    private record Out(HttpClient.Exchange exchange, Map<String, String> headers, boolean several) {}
+    private record PendingCall(HttpClient.Exchange exchange, Map<String, String> headers, boolean isBatch) {}
 
     private final Core core;
     private final HttpClient client;
-    private final long probeMicros;
-    private final RetryAfterTable waits = new RetryAfterTable();
+    private final long probeTimeoutMicros;
+    private final RetryAfterTable retryAfterTable = new RetryAfterTable();
 
     /** A deliverer with connections of its own. */
     public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int mostIdle) {
         this.core = core;
-        this.probeMicros = connectMicros;
-        this.client = new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, mostIdle, MOST_ANSWER);
+        this.probeTimeoutMicros = connectMicros;
+        this.client = new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, mostIdle, MAX_RESPONSE_BYTES);
     }
 
     /** Starts its housekeeping. */
     public void start() {
         client.start();
-        core.counters().entryGauge("waits", waits::size);
+        core.counters().entryGauge("waits", retryAfterTable::size);
         sweep();
     }
 
     private void sweep() {
-        waits.removeExpired(core.nowMicros());
-        core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
+        retryAfterTable.removeExpired(core.nowMicros());
+        core.deadlines().schedule(core.nowMicros() + SWEEP_INTERVAL_MICROS, this::sweep);
     }
 
     @Override
@@ -90,23 +90,23 @@
         List<Message> messages = call.messages;
         boolean several = messages.size() > 1;
         Map<String, String> headers = new LinkedHashMap<>();
-        headers.put(DEADLINE, waitOf(call, messages));
-        HttpClient.Listener listener = new Heedful(call.endpoint) {
+        headers.put(DEADLINE_HEADER, timeoutSeconds(call, messages));
+        HttpClient.Listener listener = new EndpointListener(call.endpoint) {
             @Override
-            public void answered(int status, Map<String, String> answer, byte[] body) {
-                outcomes(call, several, status, answer, body);
+            public void onResponse(int status, Map<String, String> answer, byte[] body) {
+                reportResponse(call, several, status, answer, body);
             }
 
             @Override
-            public void broke(boolean written, int status) {
+            public void onFailure(boolean written, int status) {
                 // Before the last byte the endpoint has not begun; after it nobody knows, but for a call of one
                 // message whose answer's first line still says that it is delivered.
                 if (status != 0) {
                     core.counters().add(Counters.Name.SPOILT_ANSWERS);
                 }
-                all(
+                reportAll(
                         call,
-                        saysDelivered(several, status)
+                        confirmsDelivery(several, status)
                                 ? AttemptResult.DELIVERED
                                 : written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION,
                         false,
@@ -114,13 +114,13 @@
             }
 
             @Override
-            public boolean isTooLate() {
+            public boolean isExpired() {
                 return Core.monotonicMicros() >= call.writeByMicros();
             }
 
             @Override
-            public void withheld() {
-                all(call, AttemptResult.WITHHELD, false, false);
+            public void onWithheld() {
+                reportAll(call, AttemptResult.WITHHELD, false, false);
             }
 
             @Override
@@ -132,7 +132,7 @@
         };
         byte[] body;
         if (several) {
-            body = many(messages);
+            body = encodeBatch(messages);
         } else {
             Message m = messages.get(0);
             headers.put("Req-Id", m.id());
@@ -141,9 +141,9 @@
             }
             body = m.submission.body();
         }
-        call.attachment = new Out(
+        call.attachment = new PendingCall(
                 client.send(
-                        owner(call.endpoint),
+                        poolKey(call.endpoint),
                         call.endpoint.address(),
                         "POST",
                         several ? "/receive-many" : "/receive",
@@ -155,27 +155,27 @@
     }
 
     /** How long a call of the given messages waits for its answer, as its endpoint is told. */
-    private static String waitOf(Call call, List<Message> messages) {
+    private static String timeoutSeconds(Call call, List<Message> messages) {
         return seconds(Math.max(0, Call.expiryMicrosOf(messages) - call.startedAtMicros));
     }
 
     @Override
     public void removeMessage(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
-        if (call.attachment instanceof Out out) {
-            out.headers().put(DEADLINE, waitOf(call, rest)); // written anew with the body, or not at all
-            if (out.exchange().replaceBody(many(rest))) {
+        if (call.attachment instanceof PendingCall out) {
+            out.headers().put(DEADLINE_HEADER, timeoutSeconds(call, rest)); // written anew with the body, or not at all
+            if (out.exchange().replaceBody(encodeBatch(rest))) {
                 call.removeMessage(m);
-                core.post(() -> outcome(call, m, AttemptResult.NOT_SENT, false, false));
+                core.post(() -> report(call, m, AttemptResult.NOT_SENT, false, false));
             }
         }
     }
 
-    private static boolean saysDelivered(boolean several, int status) {
+    private static boolean confirmsDelivery(boolean several, int status) {
         return status == 200 && !several;
     }
 
-    private static byte[] many(List<Message> messages) {
+    private static byte[] encodeBatch(List<Message> messages) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (Message m : messages) {
             String key = m.submission.key() == null ? "-" : m.submission.key();
@@ -188,28 +188,28 @@
         return out.toByteArray();
     }
 
-    private void outcomes(Call call, boolean several, int status, Map<String, String> headers, byte[] body) {
+    private void reportResponse(Call call, boolean several, int status, Map<String, String> headers, byte[] body) {
         switch (status) {
             case 200 -> {
                 if (several) {
-                    each(call, body);
+                    reportEach(call, body);
                 } else {
-                    all(call, AttemptResult.DELIVERED, false, false);
+                    reportAll(call, AttemptResult.DELIVERED, false, false);
                 }
             }
             case 429, 503 -> {
                 boolean noSlot = "1".equals(headers.get("x-no-slot"));
-                all(
+                reportAll(
                         call,
                         noSlot
                                 ? AttemptResult.NOT_SENT
-                                : noRoom(call, status, headers) ? AttemptResult.NO_ROOM : AttemptResult.FULL,
+                                : isConnectionLimit(call, status, headers) ? AttemptResult.NO_ROOM : AttemptResult.FULL,
                         noSlot,
                         false);
             }
-            case 504, 413, 400 -> all(call, AttemptResult.NOT_SENT, false, false);
-            case 410 -> all(call, AttemptResult.NOT_SENT, false, true);
-            default -> all(call, AttemptResult.ERROR, false, false);
+            case 504, 413, 400 -> reportAll(call, AttemptResult.NOT_SENT, false, false);
+            case 410 -> reportAll(call, AttemptResult.NOT_SENT, false, true);
+            default -> reportAll(call, AttemptResult.ERROR, false, false);
         }
     }
 
@@ -218,30 +218,30 @@
      * over its limit keeps the connection. To take the first for the second would slow all calls there, and change
      * nothing.
      */
-    private static boolean noRoom(Call call, int status, Map<String, String> headers) {
+    private static boolean isConnectionLimit(Call call, int status, Map<String, String> headers) {
         return status == 503
-                && call.attachment instanceof Out out
-                && out.exchange().isFresh()
+                && call.attachment instanceof PendingCall out
+                && out.exchange().usesNewConnection()
                 && "close"
                         .equalsIgnoreCase(headers.getOrDefault("connection", "").strip());
     }
 
     /** Ends each message as the answer says, or all as calls that may have run where the answer is not whole. */
-    private void each(Call call, byte[] body) {
-        Optional<SeveralAnswer> answer =
-                SeveralAnswer.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.of(m.id()) != null));
+    private void reportEach(Call call, byte[] body) {
+        Optional<BatchResponse> answer =
+                BatchResponse.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.resultOf(m.id()) != null));
         if (answer.isEmpty()) {
             core.counters().add(Counters.Name.SPOILT_ANSWERS);
-            all(call, AttemptResult.RESET, false, false);
+            reportAll(call, AttemptResult.RESET, false, false);
             return;
         }
         for (Message m : List.copyOf(call.messages)) {
-            switch (answer.get().of(m.id())) {
-                case ACCEPTED -> outcome(call, m, AttemptResult.DELIVERED, false, false);
-                case DEFERRED -> outcome(call, m, AttemptResult.FULL, false, false);
-                case EXPIRED -> outcome(call, m, AttemptResult.NOT_SENT, false, true);
-                case NO_MORE -> outcome(call, m, AttemptResult.NOT_SENT, false, false);
-                default -> outcome(call, m, AttemptResult.ERROR, false, false);
+            switch (answer.get().resultOf(m.id())) {
+                case ACCEPTED -> report(call, m, AttemptResult.DELIVERED, false, false);
+                case DEFERRED -> report(call, m, AttemptResult.FULL, false, false);
+                case EXPIRED -> report(call, m, AttemptResult.NOT_SENT, false, true);
+                case NO_MORE -> report(call, m, AttemptResult.NOT_SENT, false, false);
+                default -> report(call, m, AttemptResult.ERROR, false, false);
             }
         }
     }
@@ -250,14 +250,14 @@
      * Keeps the wait that an answer asks for, whatever else it says: the longest, if it names several. It runs from the
      * answer's writing, so one counted from its reading ends no sooner. What is no number is none.
      */
-    private void heed(Call.Endpoint endpoint, Map<String, String> answer) {
+    private void recordRetryAfter(Call.Endpoint endpoint, Map<String, String> answer) {
         long longest = 0;
         for (String wait : answer.getOrDefault("x-retry-in-ms", "").split(",")) {
-            longest = Math.max(longest, Figures.atLeast(wait.strip(), 3, MOST_WAIT));
+            longest = Math.max(longest, HeaderValues.shiftedDecimalUpTo(wait.strip(), 3, MAX_RETRY_AFTER_MICROS));
         }
         if (longest > 0) {
             long now = Core.monotonicMicros() + 1; // the clock is cut to whole microseconds
-            waits.recordRetryAfter(endpoint, now + longest);
+            retryAfterTable.recordRetryAfter(endpoint, now + longest);
             Logs.debug(
                     "",
                     "wait",
@@ -269,13 +269,13 @@
         }
     }
 
-    private void all(Call call, AttemptResult ending, boolean noSlot, boolean over) {
-        List.copyOf(call.messages).forEach(m -> outcome(call, m, ending, noSlot, over));
+    private void reportAll(Call call, AttemptResult ending, boolean noSlot, boolean over) {
+        List.copyOf(call.messages).forEach(m -> report(call, m, ending, noSlot, over));
     }
 
     /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
-    private void outcome(Call call, Message m, AttemptResult ending, boolean noSlot, boolean over) {
-        core.attemptEnded(call, m, ending, waits.remainingMicros(call.endpoint, core.nowMicros()), noSlot, over);
+    private void report(Call call, Message m, AttemptResult ending, boolean noSlot, boolean over) {
+        core.attemptEnded(call, m, ending, retryAfterTable.remainingMicros(call.endpoint, core.nowMicros()), noSlot, over);
     }
 
     /** Seconds with decimals, as the protocol writes them. */
@@ -285,14 +285,14 @@
 
     @Override
     public void abort(Call call) {
-        if (!(call.attachment instanceof Out out)) { // its start has failed
-            core.post(() -> all(call, AttemptResult.NO_CONNECTION, false, false));
+        if (!(call.attachment instanceof PendingCall out)) { // its start has failed
+            core.post(() -> reportAll(call, AttemptResult.NO_CONNECTION, false, false));
             return;
         }
         // The slot is free once the other side has seen the close: a call in this same turn would find none.
-        boolean delivered = saysDelivered(out.several(), out.exchange().status()); // not what comes from now on
+        boolean delivered = confirmsDelivery(out.isBatch(), out.exchange().status()); // not what comes from now on
         out.exchange()
-                .giveUp(() -> all(
+                .giveUp(() -> reportAll(
                         call,
                         delivered
                                 ? AttemptResult.DELIVERED
@@ -303,18 +303,18 @@
 
     @Override
     public void cancelUnsent(Call call) {
-        if (call.attachment instanceof Out out && out.exchange().withdraw()) {
-            core.post(() -> all(call, AttemptResult.WITHHELD, false, false));
+        if (call.attachment instanceof PendingCall out && out.exchange().withdraw()) {
+            core.post(() -> reportAll(call, AttemptResult.WITHHELD, false, false));
         }
     }
 
     @Override
     public void closeIdle(Call.Endpoint endpoint) {
-        client.closeIdle(owner(endpoint));
+        client.closeIdle(poolKey(endpoint));
     }
 
     /** Whose connections are found again: an endpoint that comes to the address of another inherits none. */
-    private static String owner(Call.Endpoint endpoint) {
+    private static String poolKey(Call.Endpoint endpoint) {
         return endpoint.host() + '@' + endpoint.address();
     }
 
@@ -324,15 +324,15 @@
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
         Deadlines.Key late = core.deadlines()
                 .schedule(
-                        started + probeMicros,
-                        () -> exchange[0].giveUp(() -> probed(
+                        started + probeTimeoutMicros,
+                        () -> exchange[0].giveUp(() -> reportProbe(
                                 endpoint,
                                 exchange[0].isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
                                 started)));
         exchange[0] = client.send(
-                owner(endpoint), endpoint.address(), "GET", "/health/live", Map.of(), NOTHING, new Heedful(endpoint) {
+                poolKey(endpoint), endpoint.address(), "GET", "/health/live", Map.of(), EMPTY_BODY, new EndpointListener(endpoint) {
                     @Override
-                    public void answered(int status, Map<String, String> headers, byte[] body) {
+                    public void onResponse(int status, Map<String, String> headers, byte[] body) {
                         end(
                                 status == 200
                                         ? AttemptResult.DELIVERED
@@ -340,23 +340,23 @@
                     }
 
                     @Override
-                    public void broke(boolean written, int status) {
+                    public void onFailure(boolean written, int status) {
                         end(written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION);
                     }
 
                     @Override
-                    public void withheld() {
+                    public void onWithheld() {
                         end(AttemptResult.WITHHELD);
                     }
 
                     private void end(AttemptResult ending) {
                         core.deadlines().cancel(late);
-                        probed(endpoint, ending, started);
+                        reportProbe(endpoint, ending, started);
                     }
                 });
     }
 
-    private void probed(Call.Endpoint endpoint, AttemptResult ending, long started) {
+    private void reportProbe(Call.Endpoint endpoint, AttemptResult ending, long started) {
         core.probeEnded(endpoint.host(), ending, core.nowMicros() - started);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -21,27 +21,27 @@
 
 /** The platform's front: clients hand in over HTTP; later ends go to the platform as notices. */
 public final class HttpFront implements Front {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
     /** Nobody waits for longer. */
-    private static final long LONGEST = 3_600_000_000L;
+    private static final long MAX_DEADLINE_MICROS = 3_600_000_000L;
     /** Selections at most in which those are accepted who came before the listener closes. */
-    private static final int MOST_WAITING = 512;
+    private static final int MAX_ACCEPT_ROUNDS = 512;
 
-    private static final long UNREAD = 120_000, UNREAD_PART = 50;
+    private static final long MAX_UNREAD_ALLOWANCE_MICROS = 120_000, UNREAD_ALLOWANCE_DIVISOR = 50;
 
     private final Core core;
-    private volatile Classes classes;
+    private volatile MessageClasses classes;
     private final NoticeSender notices;
-    private final IntakeFilter intake;
+    private final HttpServerFilter serverFilter;
     /** Who waits to hear that a message is taken on: more than one where it came again meanwhile. */
-    private final Map<Message, List<Waiting>> waiting = new HashMap<>();
+    private final Map<Message, List<WaitingRequest>> waitingRequests = new HashMap<>();
     /** The header that names the practice, in lower case, where identities are shared with other ports; else null. */
     private final String practiceHeader;
 
     private Connection<?> listener;
 
     /** A request that waits, under the id that it came with. */
-    private record Waiting(IntakeFilter.Exchange exchange, String id) {}
+    private record WaitingRequest(HttpServerFilter.Exchange exchange, String id) {}
 
     /**
      * Classes by the name that clients use; at most so many connections of clients, none idle above a crowd. Requests
@@ -58,10 +58,10 @@
         this.core = core;
         this.practiceHeader = practiceHeader;
         updateClasses(classNames, classes);
-        this.intake = new IntakeFilter(core, mostClients, crowd, this::request);
+        this.serverFilter = new HttpServerFilter(core, mostClients, crowd, this::handle);
         this.notices = notices;
-        core.counters().entryGauge("waiting_clients", waiting::size);
-        core.counters().entryGauge("clients", intake::size);
+        core.counters().entryGauge("waiting_clients", waitingRequests::size);
+        core.counters().entryGauge("clients", serverFilter::connectionCount);
     }
 
     @Override
@@ -70,25 +70,25 @@
     }
 
     /** Classes by number, and the names of those that may be handed in. */
-    private record Classes(List<String> names, List<DecisionModule.MessageClass> all) {}
+    private record MessageClasses(List<String> names, List<DecisionModule.MessageClass> all) {}
 
     /** Other classes may be handed in from now on. Loop thread, once the module knows them. */
     public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> all) {
-        classes = new Classes(List.copyOf(classNames), List.copyOf(all));
+        classes = new MessageClasses(List.copyOf(classNames), List.copyOf(all));
     }
 
     /** Listens from now on. */
     public SocketAddress listen(Transport transport, SocketAddress address) throws IOException {
-        var server = transport.listen(address, intake.chain());
+        var server = transport.listen(address, serverFilter.chain());
         listener = server;
         return server.getLocalAddress();
     }
 
     /** Accepts no more, and closes idle connections; the others close after their answers. */
     public void close() {
-        intake.close();
+        serverFilter.close();
         if (listener != null) {
-            stopListening(MOST_WAITING);
+            stopListening(MAX_ACCEPT_ROUNDS);
         }
     }
 
@@ -96,9 +96,9 @@
      * Closes the listener once nobody waits to be accepted there: those would be reset, and are turned down in words.
      */
     private void stopListening(int most) {
-        int before = intake.accepted();
+        int before = serverFilter.acceptedCount();
         Transport.runAfterReading(listener, () -> {
-            if (most > 0 && intake.accepted() != before) {
+            if (most > 0 && serverFilter.acceptedCount() != before) {
                 stopListening(most - 1);
             } else {
                 listener.closeSilently();
@@ -108,94 +108,94 @@
 
     /** True once it has closed and no client waits for an answer. */
     public boolean isClosed() {
-        return (listener == null || !listener.isOpen()) && intake.isClosed();
+        return (listener == null || !listener.isOpen()) && serverFilter.isClosed();
     }
 
     // ---- requests: on the selector thread until they are posted -------------------------------------------
-    private void request(IntakeFilter.Request request) {
+    private void handle(HttpServerFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
-            case "POST /api" -> check(request);
-            case "GET /health/ready", "GET /health/live" -> answer(request.exchange(), 200, Map.of(), "ready\n");
+            case "POST /api" -> validate(request);
+            case "GET /health/ready", "GET /health/live" -> respond(request.exchange(), 200, Map.of(), "ready\n");
             case "GET /counters" ->
-                core.post(() -> answer(
+                core.post(() -> respond(
                         request.exchange(), 200, Map.of(), core.counters().toText()));
-            default -> answer(request.exchange(), 404, Map.of(), "");
+            default -> respond(request.exchange(), 404, Map.of(), "");
         }
     }
 
-    private static void answer(IntakeFilter.Exchange exchange, int status, Map<String, String> headers, String body) {
-        exchange.answer(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
+    private static void respond(HttpServerFilter.Exchange exchange, int status, Map<String, String> headers, String body) {
+        exchange.respond(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
     /** What can't be a message is turned away here: nonsense that comes fast must not take the loop's time. */
-    private void check(IntakeFilter.Request request) {
+    private void validate(HttpServerFilter.Request request) {
         Submission submission;
         try {
-            submission = submission(request);
+            submission = parseSubmission(request);
         } catch (IllegalArgumentException e) {
             core.counters().add(Name.BAD_REQUESTS);
-            answer(request.exchange(), 400, Map.of(), e.getMessage() + "\n");
+            respond(request.exchange(), 400, Map.of(), e.getMessage() + "\n");
             return;
         }
-        core.post(() -> handInOrFail(request, submission));
+        core.post(() -> submitOrFail(request, submission));
     }
 
     /** A fault of the program's must not leave the client without an answer. */
-    private void handInOrFail(IntakeFilter.Request request, Submission submission) {
+    private void submitOrFail(HttpServerFilter.Request request, Submission submission) {
         try {
-            handIn(request, submission);
+            submit(request, submission);
         } catch (RuntimeException e) {
-            answer(request.exchange(), 500, Map.of(), "");
+            respond(request.exchange(), 500, Map.of(), "");
             throw e; // the loop counts and logs it
         }
     }
 
-    private void handIn(IntakeFilter.Request request, Submission submission) {
-        IntakeFilter.Exchange exchange = request.exchange();
-        if (exchange.gone()) {
+    private void submit(HttpServerFilter.Request request, Submission submission) {
+        HttpServerFilter.Exchange exchange = request.exchange();
+        if (exchange.isClientGone()) {
             return; // the client has stopped waiting and hands it in again
         }
         if (!core.isKnownDestination(submission.destination())) {
             // Discovery is seconds late: it may be new. Held it would wait for nothing, and its room is scarce.
-            answer(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
+            respond(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
         }
         Message m = core.submit(this, submission);
         if (m.isAccepted()) {
             // Handed in under the same id before: it makes no second message, whoever asks.
-            core.whenDurable(() -> exchange.answer(202, Map.of(), NOTHING, () -> {}));
+            core.whenDurable(() -> exchange.respond(202, Map.of(), EMPTY_BODY, () -> {}));
         } else if (m.isOpen()) {
-            waiting.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new Waiting(exchange, submission.id()));
+            waitingRequests.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new WaitingRequest(exchange, submission.id()));
         } else {
-            refuse(exchange, m.finalStatus());
+            respondFinal(exchange, m.finalStatus());
         }
     }
 
-    private Submission submission(IntakeFilter.Request request) {
+    private Submission parseSubmission(HttpServerFilter.Request request) {
         Map<String, String> headers = request.headers();
-        String id = needed(headers, "req-id");
-        check(Figures.isWord(id), "Req-Id: not an id");
-        Classes known = classes;
-        String kind = needed(headers, "req-kind");
+        String id = requiredHeader(headers, "req-id");
+        require(HeaderValues.isIdentifier(id), "Req-Id: not an id");
+        MessageClasses known = classes;
+        String kind = requiredHeader(headers, "req-kind");
         int number = known.names().indexOf(kind);
-        check(number >= 0 && !kind.isEmpty(), "Req-Kind: unknown class");
+        require(number >= 0 && !kind.isEmpty(), "Req-Kind: unknown class");
         Integer destination = null;
-        for (String part : needed(headers, "x-envelope").split("[,; ]+")) {
+        for (String part : requiredHeader(headers, "x-envelope").split("[,; ]+")) {
             if (part.startsWith("dest=")) {
-                check(destination == null, "X-Envelope: more than one dest");
-                destination = Figures.whole(part.substring(5));
-                check(destination != null, "X-Envelope: dest: not a whole number");
+                require(destination == null, "X-Envelope: more than one dest");
+                destination = HeaderValues.wholeNumber(part.substring(5));
+                require(destination != null, "X-Envelope: dest: not a whole number");
             }
         }
-        check(destination != null, "X-Envelope: no dest");
-        Long deadline = Figures.decimal(needed(headers, "req-deadline"), 6);
-        check(deadline != null && deadline <= LONGEST, "Req-Deadline: not a time to wait for");
+        require(destination != null, "X-Envelope: no dest");
+        Long deadline = HeaderValues.shiftedDecimal(requiredHeader(headers, "req-deadline"), 6);
+        require(deadline != null && deadline <= MAX_DEADLINE_MICROS, "Req-Deadline: not a time to wait for");
         String key = headers.get("idempotency-key");
         // Among others a message without a key is written with a '-' in its place.
-        check(
+        require(
                 key == null
                         ? known.all().get(number).repeat() != DecisionModule.RepeatSafety.KEYED
-                        : Figures.isWord(key) && !key.equals("-"),
+                        : HeaderValues.isIdentifier(key) && !key.equals("-"),
                 "Idempotency-Key: " + (key == null ? "missing" : "not a key"));
         String retry = headers.getOrDefault("req-retry", "");
         return new Submission(
@@ -228,25 +228,25 @@
      * 300 ms after its time. So a part of a long time is left for that.
      */
     public static long budgetMicros(long deadline, long sinceRead) {
-        return Math.max(0, deadline - Math.min(UNREAD, deadline / UNREAD_PART) - Math.max(0, sinceRead));
+        return Math.max(0, deadline - Math.min(MAX_UNREAD_ALLOWANCE_MICROS, deadline / UNREAD_ALLOWANCE_DIVISOR) - Math.max(0, sinceRead));
     }
 
-    private static void check(boolean good, String problem) {
+    private static void require(boolean good, String problem) {
         if (!good) {
             throw new IllegalArgumentException(problem);
         }
     }
 
-    private static String needed(Map<String, String> headers, String name) {
+    private static String requiredHeader(Map<String, String> headers, String name) {
         String value = headers.get(name);
-        check(value != null && !value.isEmpty(), name + ": missing");
+        require(value != null && !value.isEmpty(), name + ": missing");
         return value;
     }
 
     // ---- answers: on the loop thread ----------------------------------------------------------------------
     @Override
     public void onAccepted(Message message) {
-        List<Waiting> all = waiting.remove(message);
+        List<WaitingRequest> all = waitingRequests.remove(message);
         if (all == null) {
             return; // it came on another port, and a client of this one joined it and has left
         }
@@ -254,12 +254,12 @@
         // on a connection that was closed as it came and on the next one.
         Map<String, Integer> lost = new HashMap<>();
         all.forEach(w -> lost.merge(w.id(), 1, Integer::sum));
-        for (Waiting w : all) {
+        for (WaitingRequest w : all) {
             w.exchange()
-                    .answer(
+                    .respond(
                             202,
                             Map.of(),
-                            NOTHING,
+                            EMPTY_BODY,
                             () -> core.post(() -> {
                                 if (lost.merge(w.id(), -1, Integer::sum) == 0) {
                                     core.withdrawSubmitter(message, this, w.id());
@@ -270,32 +270,32 @@
 
     @Override
     public void onRejected(Message message, FinalStatus verdict) {
-        List<Waiting> all = waiting.remove(message);
+        List<WaitingRequest> all = waitingRequests.remove(message);
         if (all != null) {
-            all.forEach(w -> refuse(w.exchange(), verdict));
+            all.forEach(w -> respondFinal(w.exchange(), verdict));
         }
     }
 
     @Override
     public void onAttachRejected(Message message, String id, FinalStatus verdict) {
-        List<Waiting> all = waiting.getOrDefault(message, List.of());
-        all.stream().filter(w -> w.id().equals(id)).forEach(w -> refuse(w.exchange(), verdict));
+        List<WaitingRequest> all = waitingRequests.getOrDefault(message, List.of());
+        all.stream().filter(w -> w.id().equals(id)).forEach(w -> respondFinal(w.exchange(), verdict));
         all.removeIf(w -> w.id().equals(id));
     }
 
-    private static void refuse(IntakeFilter.Exchange exchange, FinalStatus verdict) {
+    private static void respondFinal(HttpServerFilter.Exchange exchange, FinalStatus verdict) {
         if (verdict.kind() == FinalStatus.Kind.REFUSED) {
             Map<String, String> headers = new LinkedHashMap<>();
             if (verdict.retryAfterMicros() > 0) {
                 headers.put("Retry-After", HttpDeliverer.seconds(verdict.retryAfterMicros()));
             }
-            answer(exchange, 503, headers, "");
+            respond(exchange, 503, headers, "");
         } else if (verdict.kind() == FinalStatus.Kind.DELIVERED) {
-            answer(exchange, 200, Map.of(), ""); // it came before, and nothing more is owed
+            respond(exchange, 200, Map.of(), ""); // it came before, and nothing more is owed
         } else if (verdict.kind() == FinalStatus.Kind.CLASH) {
-            answer(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
+            respond(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
         } else {
-            answer(exchange, 500, Map.of(), "");
+            respond(exchange, 500, Map.of(), "");
         }
     }
 
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
@@ -37,32 +37,32 @@
  * <p>Every close from this side is a lingering close (RFC 9112, 9.6): only our sending ends, what still comes is read
  * and dropped, and the client closes. A close over unread bytes is a reset, which can destroy an answer on its way.
  */
-final class IntakeFilter extends BaseFilter {
-    static final int LARGEST_BODY = 64 * 1024;
+final class HttpServerFilter extends BaseFilter {
+    static final int MAX_BODY_BYTES = 64 * 1024;
     /** Bytes of further requests kept while one is answered. */
-    private static final int MOST_AHEAD = 16 * 1024;
+    private static final int MAX_PIPELINED_BYTES = 16 * 1024;
     /** Bytes of requests that are not whole, over all connections. */
-    private static final long MOST_GATHERED = 6 << 20;
+    private static final long MAX_INCOMPLETE_BYTES = 6 << 20;
     /** A connection that has said nothing is closed after this, and a request must be whole after this. */
-    private static final long SILENT = 2_000_000, WHOLE_BY = 2_000_000;
+    private static final long FIRST_BYTE_TIMEOUT_MICROS = 2_000_000, REQUEST_TIMEOUT_MICROS = 2_000_000;
     /** A connection with no open request is closed after so long, and sooner where many are open. */
-    private static final long IDLE = 15_000_000, IDLE_CROWDED = 2_200_000;
+    private static final long IDLE_TIMEOUT_MICROS = 15_000_000, CROWDED_IDLE_TIMEOUT_MICROS = 2_200_000;
 
-    private static final long LOOK = 500_000, LEAST_LOOK = 20_000;
+    private static final long MAX_CHECK_INTERVAL_MICROS = 500_000, MIN_CHECK_INTERVAL_MICROS = 20_000;
     /** How long the first request of a new connection may be on its way when room is made. */
-    private static final long NEW = 100_000;
+    private static final long NEW_CONNECTION_GRACE_MICROS = 100_000;
     /** A client has to take its last answer within this; after it the connection is closed over what is unwritten. */
-    private static final long WRITTEN_BY = 2_000_000;
+    private static final long WRITE_TIMEOUT_MICROS = 2_000_000;
     /** How long, and over how many bytes, a connection whose sending we have ended waits for the client to close it. */
-    private static final long LINGER = 1_000_000, MOST_DROPPED = 1 << 20;
+    private static final long LINGER_MICROS = 1_000_000, MAX_LINGER_BYTES = 1 << 20;
     /**
      * Part of the room for connections that is left for those that linger, and for newcomers who are told to come
      * again.
      */
-    private static final int LEAVING_PART = 8;
+    private static final int CLOSING_RESERVE_DIVISOR = 8;
 
-    private static final int READ_BUFFER = 16 * 1024;
-    private static final byte[] NOTHING = {};
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final byte[] EMPTY_BODY = {};
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** One request; headers by lower-case name. */
@@ -75,55 +75,55 @@
             Exchange exchange) {}
 
     private final Core core;
-    private final int most, crowd;
+    private final int maxConnections, keepAliveLimit;
     private final Consumer<Request> handler;
     private final Set<Client> clients = new LinkedHashSet<>();
     /** Those of them that are to close or linger, the first one first; guarded by the clients. */
-    private final Set<Client> leaving = new LinkedHashSet<>();
+    private final Set<Client> closingClients = new LinkedHashSet<>();
 
-    private final Attribute<Client> clientOf = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("IntakeFilter.client");
-    private final AtomicLong gathered = new AtomicLong();
-    private volatile boolean closing;
-    private volatile int accepted;
+    private final Attribute<Client> clientAttribute = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("IntakeFilter.client");
+    private final AtomicLong incompleteBytes = new AtomicLong();
+    private volatile boolean isClosing;
+    private volatile int acceptedCount;
 
     /**
      * At most so many connections. With more than {@code crowd} of them none stays idle: a platform with few
      * descriptors has none left for the next client otherwise. The handler is called on the selector thread.
      */
-    IntakeFilter(Core core, int most, int crowd, Consumer<Request> handler) {
+    HttpServerFilter(Core core, int most, int crowd, Consumer<Request> handler) {
         this.core = core;
-        this.most = most;
-        this.crowd = crowd;
+        this.maxConnections = most;
+        this.keepAliveLimit = crowd;
         this.handler = handler;
     }
 
     /** One connection. Bytes come on the selector thread, answers go out on the loop's: one of them at a time is in. */
     private final class Client {
         private final Connection<?> connection;
-        private final MessageReader reader = new MessageReader(false, LARGEST_BODY);
-        private final ByteArrayOutputStream ahead = new ByteArrayOutputStream(0);
-        private final AtomicLong counted = new AtomicLong();
+        private final HttpMessageReader reader = new HttpMessageReader(false, MAX_BODY_BYTES);
+        private final ByteArrayOutputStream pipelined = new ByteArrayOutputStream(0);
+        private final AtomicLong countedBytes = new AtomicLong();
         /** Since when it is as it is: opened, or the first byte of a request, or the end of an answer. */
-        private volatile long since = Core.monotonicMicros();
+        private volatile long stateSinceMicros = Core.monotonicMicros();
 
-        private volatile boolean asked, partial, answering, lingering;
+        private volatile boolean hasRequested, isPartlyRead, hasOpenRequest, isLingering;
         /** The last answer is given: what still comes is dropped. */
-        private volatile boolean ended;
+        private volatile boolean isFinished;
         /** The client has ended its sending, and may still read. */
-        private volatile boolean inputEnded;
+        private volatile boolean isInputEnded;
         /** Bytes that were read and are not looked at yet, as a request before them is being handled. */
-        private volatile int unprocessed;
+        private volatile int unprocessedBytes;
         /** More was sent ahead than there is room for, and what did not fit is gone. */
-        private boolean truncated;
+        private boolean isTruncated;
         /** The open request is of HTTP/1.1. */
-        private boolean takesInterimAnswers;
+        private boolean acceptsInterimResponses;
         /** Writes that are not wholly in the socket's buffer yet. */
-        private int writes;
+        private int pendingWrites;
 
         /** It came where all the room is taken by those who wait for an answer: it is told to come again. */
-        private volatile boolean tooMany;
+        private volatile boolean isOverLimit;
 
-        private long dropped;
+        private long droppedBytes;
 
         Client(Connection<?> connection) {
             this.connection = connection;
@@ -131,12 +131,12 @@
 
         /** Takes what was read from the socket. */
         synchronized void received(byte[] in) {
-            if (lingering) {
-                dropped += in.length;
-                if (dropped > MOST_DROPPED) {
+            if (isLingering) {
+                droppedBytes += in.length;
+                if (droppedBytes > MAX_LINGER_BYTES) {
                     connection.terminateSilently();
                 }
-            } else if (!truncated) {
+            } else if (!isTruncated) {
                 process(in);
             }
         }
@@ -146,88 +146,88 @@
          * before something is written: a client that has closed answers that with a reset. An interim answer, which any
          * client of HTTP/1.1 has to pass over, tells in time; true if the connection stays open for an answer.
          */
-        synchronized boolean endOfInput() {
-            boolean isBeingWritten = writes > 0 && (ended || !answering) && !lingering;
-            boolean awaitsAnswer = answering && !ended && takesInterimAnswers;
-            inputEnded = isBeingWritten || awaitsAnswer;
+        synchronized boolean onEndOfInput() {
+            boolean isBeingWritten = pendingWrites > 0 && (isFinished || !hasOpenRequest) && !isLingering;
+            boolean awaitsAnswer = hasOpenRequest && !isFinished && acceptsInterimResponses;
+            isInputEnded = isBeingWritten || awaitsAnswer;
             if (isBeingWritten) {
                 closeOnceWritten();
             } else if (awaitsAnswer) {
-                probe();
+                sendProbe();
             }
-            return inputEnded;
+            return isInputEnded;
         }
 
-        private synchronized void probe() {
-            if (!ended) {
+        private synchronized void sendProbe() {
+            if (!isFinished) {
                 write(CONTINUE, () -> {});
             }
         }
 
         /** True if nobody reads an answer any more, as far as is known. */
         boolean isGone() {
-            if (inputEnded && connection.isOpen()) {
-                probe();
+            if (isInputEnded && connection.isOpen()) {
+                sendProbe();
             }
             return !connection.isOpen();
         }
 
         private void process(byte[] in) {
             int at = 0;
-            while (at < in.length && !ended) {
-                if (answering) {
-                    keepForLater(in, at);
+            while (at < in.length && !isFinished) {
+                if (hasOpenRequest) {
+                    bufferPipelined(in, at);
                     at = in.length;
                 } else {
                     at = read(in, at);
                 }
-                unprocessed = in.length - at;
-                if (!answering && !ended && reader.isComplete()) {
-                    whole();
+                unprocessedBytes = in.length - at;
+                if (!hasOpenRequest && !isFinished && reader.isComplete()) {
+                    onRequest();
                 }
             }
-            unprocessed = 0;
+            unprocessedBytes = 0;
         }
 
         /** Another request before the answer to the first waits for its turn, as far as there is room. */
-        private void keepForLater(byte[] in, int from) {
-            int size = Math.min(MOST_AHEAD - ahead.size(), in.length - from);
-            ahead.write(in, from, size);
-            truncated |= size < in.length - from;
+        private void bufferPipelined(byte[] in, int from) {
+            int size = Math.min(MAX_PIPELINED_BYTES - pipelined.size(), in.length - from);
+            pipelined.write(in, from, size);
+            isTruncated |= size < in.length - from;
         }
 
         /** Reads up to the end of a request; gives where the next one begins. */
         private int read(byte[] in, int from) {
-            if (!partial) {
-                partial = true;
-                since = asked ? Core.monotonicMicros() : since; // the first one is due since the connection opened
+            if (!isPartlyRead) {
+                isPartlyRead = true;
+                stateSinceMicros = hasRequested ? Core.monotonicMicros() : stateSinceMicros; // the first one is due since the connection opened
             }
             try {
                 int at = reader.read(in, from, in.length);
-                count(reader.isComplete() ? 0 : reader.size());
-                if (gathered.get() > MOST_GATHERED) {
-                    refuse(503);
+                countIncomplete(reader.isComplete() ? 0 : reader.bufferedBytes());
+                if (incompleteBytes.get() > MAX_INCOMPLETE_BYTES) {
+                    reject(503);
                 } else if (reader.awaitsContinue()) {
                     write(CONTINUE, () -> {});
                 }
                 return at;
-            } catch (MessageReader.Spoilt e) {
-                refuse(e.status);
+            } catch (HttpMessageReader.InvalidMessageException e) {
+                reject(e.status);
                 return in.length;
             }
         }
 
-        private void count(long size) {
-            gathered.addAndGet(size - counted.getAndSet(size));
+        private void countIncomplete(long size) {
+            incompleteBytes.addAndGet(size - countedBytes.getAndSet(size));
         }
 
-        private void whole() {
-            partial = false;
-            asked = true;
-            answering = true;
-            takesInterimAnswers = reader.takesInterimAnswers();
-            if (tooMany) {
-                refuse(503);
+        private void onRequest() {
+            isPartlyRead = false;
+            hasRequested = true;
+            hasOpenRequest = true;
+            acceptsInterimResponses = reader.acceptsInterimResponses();
+            if (isOverLimit) {
+                reject(503);
                 return;
             }
             Request request = new Request(
@@ -236,105 +236,105 @@
                     reader.headers(),
                     reader.body(),
                     Core.monotonicMicros(),
-                    new Exchange(this, reader.keeps()));
-            reader.next();
+                    new Exchange(this, reader.keepsConnection()));
+            reader.reset();
             try {
                 handler.accept(request);
             } catch (RuntimeException e) {
                 Logs.error("", "request-failed", "a request could not be handled: " + e, e);
-                request.exchange().answer(500, Map.of(), NOTHING, () -> {});
+                request.exchange().respond(500, Map.of(), EMPTY_BODY, () -> {});
             }
         }
 
         /** Tells what is wrong and closes: what follows on the connection can't be told from the rest of this. */
-        private synchronized void refuse(int status) {
-            if (!ended) {
+        private synchronized void reject(int status) {
+            if (!isFinished) {
                 core.counters().add(Name.BAD_REQUESTS);
                 Map<String, String> headers = status == 503 ? Map.of("Retry-After", "1") : Map.of();
-                write(Head.answer(status, headers, true, NOTHING), () -> {});
+                write(HttpMessageWriter.response(status, headers, true, EMPTY_BODY), () -> {});
                 closeOnceWritten();
             }
         }
 
         /** Writes behind what is being written; {@code failed} is run if that could not be. */
         private synchronized void write(byte[] bytes, Runnable failed) {
-            writes++;
-            Transport.write(connection, bytes, this::written, () -> {
+            pendingWrites++;
+            Transport.write(connection, bytes, this::onWritten, () -> {
                 connection.closeSilently();
                 failed.run();
             });
         }
 
-        private synchronized void written() {
-            writes--;
-            if (ended) {
-                linger();
+        private synchronized void onWritten() {
+            pendingWrites--;
+            if (isFinished) {
+                lingerOnceWritten();
             }
         }
 
-        private synchronized void answered() {
-            since = Core.monotonicMicros();
-            answering = false;
-            byte[] waiting = ahead.toByteArray();
-            ahead.reset();
+        private synchronized void onResponded() {
+            stateSinceMicros = Core.monotonicMicros();
+            hasOpenRequest = false;
+            byte[] waiting = pipelined.toByteArray();
+            pipelined.reset();
             if (waiting.length > 0) {
                 process(waiting);
             }
-            if (truncated && !answering && unprocessed == 0) {
-                refuse(503); // the rest of what was sent ahead is not there
-            } else if (inputEnded && !answering && unprocessed == 0) {
+            if (isTruncated && !hasOpenRequest && unprocessedBytes == 0) {
+                reject(503); // the rest of what was sent ahead is not there
+            } else if (isInputEnded && !hasOpenRequest && unprocessedBytes == 0) {
                 closeOnceWritten(); // what is not whole will never be
-            } else if (closing) {
+            } else if (isClosing) {
                 closeIfIdle(); // the others that were idle are closed already
             }
         }
 
         /** True if requests that were read, or parts of one, wait for this one's answer. */
-        private boolean hasMore() {
-            return ahead.size() > 0 || truncated || unprocessed > 0;
+        private boolean hasPipelined() {
+            return pipelined.size() > 0 || isTruncated || unprocessedBytes > 0;
         }
 
         /** The last answer is given: what comes from now on is dropped, until the client closes. */
         private synchronized void closeOnceWritten() {
-            if (!ended) {
-                ended = true;
-                since = Core.monotonicMicros();
-                linger();
+            if (!isFinished) {
+                isFinished = true;
+                stateSinceMicros = Core.monotonicMicros();
+                lingerOnceWritten();
             }
         }
 
         /** Ends our sending once all that was written has gone: an end before that would cut an answer off. */
-        private void linger() {
-            if (writes == 0 && !lingering && connection.isOpen()) {
-                lingering = true;
-                since = Core.monotonicMicros();
+        private void lingerOnceWritten() {
+            if (pendingWrites == 0 && !isLingering && connection.isOpen()) {
+                isLingering = true;
+                stateSinceMicros = Core.monotonicMicros();
                 synchronized (clients) {
-                    leaving.add(this);
+                    closingClients.add(this);
                 }
                 Transport.shutdownOutput(connection);
-                if (inputEnded) {
+                if (isInputEnded) {
                     connection.closeSilently(); // nothing is left to be read
                 }
             }
         }
 
         private boolean isIdle() {
-            return !answering && !partial && unprocessed == 0;
+            return !hasOpenRequest && !isPartlyRead && unprocessedBytes == 0;
         }
 
         /** When it has to go if it stays as it is. */
-        private long due() {
-            if (lingering) {
-                return since + LINGER;
+        private long expiresAtMicros() {
+            if (isLingering) {
+                return stateSinceMicros + LINGER_MICROS;
             }
-            if (ended) {
-                return since + WRITTEN_BY;
+            if (isFinished) {
+                return stateSinceMicros + WRITE_TIMEOUT_MICROS;
             }
-            if (answering) {
+            if (hasOpenRequest) {
                 return Long.MAX_VALUE;
             }
-            long time = partial ? WHOLE_BY : !asked ? SILENT : size() > crowd ? IDLE_CROWDED : IDLE;
-            return since + time;
+            long time = isPartlyRead ? REQUEST_TIMEOUT_MICROS : !hasRequested ? FIRST_BYTE_TIMEOUT_MICROS : connectionCount() > keepAliveLimit ? CROWDED_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS;
+            return stateSinceMicros + time;
         }
 
         /**
@@ -342,14 +342,14 @@
          * lain in the socket of one that looked idle. What comes after is sent again on another connection, and must
          * not be read as a request here.
          */
-        private synchronized void over() {
-            if (Core.monotonicMicros() < due()) {
+        private synchronized void closeIfExpired() {
+            if (Core.monotonicMicros() < expiresAtMicros()) {
                 return;
             }
-            if (ended) {
+            if (isFinished) {
                 connection.closeSilently();
-            } else if (partial) {
-                refuse(408);
+            } else if (isPartlyRead) {
+                reject(408);
             } else {
                 closeOnceWritten();
             }
@@ -363,52 +363,52 @@
         }
 
         /** Makes room, unless it has asked meanwhile: then its answer closes it, as there is a crowd. */
-        private synchronized void makeRoom() {
+        private synchronized void evict() {
             if (isIdle()) {
                 closeOnceWritten();
-            } else if (!ended) {
+            } else if (!isFinished) {
                 synchronized (clients) {
-                    leaving.remove(this);
+                    closingClients.remove(this);
                 }
             }
         }
 
         /** Closes it now, unless a request of it is open or its answer is not written yet; false then. */
-        private synchronized boolean closeNow() {
-            boolean free = lingering || isIdle() && writes == 0;
+        private synchronized boolean tryCloseNow() {
+            boolean free = isLingering || isIdle() && pendingWrites == 0;
             if (free) {
-                ended = true;
+                isFinished = true;
                 connection.closeSilently();
             }
             return free;
         }
 
         /** Looks at it until it is closed. Loop thread. */
-        private void look() {
+        private void checkExpiry() {
             if (!connection.isOpen()) {
                 return;
             }
             long now = core.nowMicros();
-            if (now >= due()) {
-                Transport.runAfterReading(connection, this::over);
+            if (now >= expiresAtMicros()) {
+                Transport.runAfterReading(connection, this::closeIfExpired);
             }
-            core.deadlines().schedule(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
+            core.deadlines().schedule(now + Math.max(MIN_CHECK_INTERVAL_MICROS, Math.min(MAX_CHECK_INTERVAL_MICROS, expiresAtMicros() - now)), this::checkExpiry);
         }
     }
 
     /** One request's answer. */
     final class Exchange {
         private final Client client;
-        private final boolean keep;
+        private final boolean keepAlive;
         /** Guarded by the client. */
-        private boolean answered;
+        private boolean isAnswered;
 
         private Exchange(Client client, boolean keep) {
             this.client = client;
-            this.keep = keep;
+            this.keepAlive = keep;
         }
 
-        boolean gone() {
+        boolean isClientGone() {
             return client.isGone();
         }
 
@@ -417,18 +417,18 @@
          * request, before this returns: that one must not be taken for one that came before its turn. A connection
          * that is to close does so behind the last request that was read whole. A second answer is passed over.
          */
-        void answer(int status, Map<String, String> headers, byte[] body, Runnable lost) {
+        void respond(int status, Map<String, String> headers, byte[] body, Runnable lost) {
             synchronized (client) {
-                if (answered) {
+                if (isAnswered) {
                     return;
                 }
-                answered = true;
-                boolean stay = keep
-                        && !client.ended
-                        && (client.hasMore() || !closing && !client.inputEnded && size() <= crowd);
-                client.write(Head.answer(status, headers, !stay, body), lost);
+                isAnswered = true;
+                boolean stay = keepAlive
+                        && !client.isFinished
+                        && (client.hasPipelined() || !isClosing && !client.isInputEnded && connectionCount() <= keepAliveLimit);
+                client.write(HttpMessageWriter.response(status, headers, !stay, body), lost);
                 if (stay) {
-                    client.answered();
+                    client.onResponded();
                 } else {
                     client.closeOnceWritten();
                 }
@@ -444,7 +444,7 @@
     /** Reads and writes the socket. The end of a client's sending does not close the connection under an answer. */
     private final class SocketFilter extends TransportFilter {
         /** Used on the selector thread alone. */
-        private final ByteBuffer buffer = ByteBuffer.allocateDirect(READ_BUFFER);
+        private final ByteBuffer buffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
         @Override
         public NextAction handleRead(FilterChainContext context) throws IOException {
@@ -458,8 +458,8 @@
                 return context.getInvokeAction();
             }
             if (size < 0) {
-                Client client = clientOf.get(connection);
-                if (client != null && client.endOfInput()) {
+                Client client = clientAttribute.get(connection);
+                if (client != null && client.onEndOfInput()) {
                     connection.disableIOEvent(IOEvent.READ); // or the end would be read again and again
                 } else {
                     connection.terminateSilently();
@@ -470,7 +470,7 @@
     }
 
     /** How many connections there are. */
-    int size() {
+    int connectionCount() {
         synchronized (clients) {
             return clients.size();
         }
@@ -478,7 +478,7 @@
 
     /** Closes idle connections, each other one after its answer, and new ones at once. */
     void close() {
-        closing = true;
+        isClosing = true;
         List<Client> all;
         synchronized (clients) {
             all = List.copyOf(clients);
@@ -487,13 +487,13 @@
     }
 
     /** How many connections have been accepted since the start. */
-    int accepted() {
-        return accepted;
+    int acceptedCount() {
+        return acceptedCount;
     }
 
     /** True once no connection is left: until then a request may be read that still wants its answer. */
     boolean isClosed() {
-        return size() == 0;
+        return connectionCount() == 0;
     }
 
     /**
@@ -501,21 +501,21 @@
      * one that is idle for longest, as its client comes again on a new connection; then whoever has not asked. A
      * newcomer only where all others wait for an answer: its request would have failed.
      */
-    private Client leastWanted(Client newest) {
+    private Client evictionCandidate(Client newest) {
         long now = Core.monotonicMicros();
         Client silent = null, idle = null;
         for (Client c : clients) {
-            if (leaving.contains(c)) {
+            if (closingClients.contains(c)) {
                 continue;
             }
-            if (!c.asked && c != newest && silent == null) {
+            if (!c.hasRequested && c != newest && silent == null) {
                 silent = c; // in the order of opening: the first is the oldest
             }
-            if (c.asked && c.isIdle() && (idle == null || c.since < idle.since)) {
+            if (c.hasRequested && c.isIdle() && (idle == null || c.stateSinceMicros < idle.stateSinceMicros)) {
                 idle = c;
             }
         }
-        return silent != null && (now - silent.since > NEW || idle == null) ? silent : idle != null ? idle : newest;
+        return silent != null && (now - silent.stateSinceMicros > NEW_CONNECTION_GRACE_MICROS || idle == null) ? silent : idle != null ? idle : newest;
     }
 
     /**
@@ -526,21 +526,21 @@
         Client out = null;
         boolean full;
         synchronized (clients) {
-            if (clients.size() - leaving.size() > most - most / LEAVING_PART) {
-                out = leastWanted(newest);
-                out.tooMany = out == newest;
-                leaving.add(out);
+            if (clients.size() - closingClients.size() > maxConnections - maxConnections / CLOSING_RESERVE_DIVISOR) {
+                out = evictionCandidate(newest);
+                out.isOverLimit = out == newest;
+                closingClients.add(out);
             }
-            full = clients.size() > most;
+            full = clients.size() > maxConnections;
         }
         if (out != null) {
             core.counters().add(Name.CROWDED_OUT);
             if (out != newest) {
-                Transport.runAfterReading(out.connection, out::makeRoom);
+                Transport.runAfterReading(out.connection, out::evict);
             }
         }
         if (full) {
-            closeOneOfLeaving(newest);
+            closeOneClosing(newest);
         }
     }
 
@@ -548,56 +548,56 @@
      * Closes the first of those that leave and owe no answer; else the newcomer, of which nothing is read. One that was
      * chosen to leave while it was idle may have asked since then, and has to be answered.
      */
-    private void closeOneOfLeaving(Client newest) {
+    private void closeOneClosing(Client newest) {
         List<Client> candidates;
         synchronized (clients) {
-            candidates = new ArrayList<>(leaving);
+            candidates = new ArrayList<>(closingClients);
         }
         candidates.remove(newest);
-        candidates.sort(Comparator.comparing(each -> !each.lingering)); // stable: the first of each kind goes first
+        candidates.sort(Comparator.comparing(each -> !each.isLingering)); // stable: the first of each kind goes first
         for (Client each : candidates) {
-            if (each.closeNow()) {
-                forget(each);
+            if (each.tryCloseNow()) {
+                remove(each);
                 return;
             }
         }
-        newest.closeNow();
-        forget(newest);
+        newest.tryCloseNow();
+        remove(newest);
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext context) {
         Client client = new Client(context.getConnection());
-        clientOf.set(client.connection, client);
-        accepted++; // on the selector thread alone
+        clientAttribute.set(client.connection, client);
+        acceptedCount++; // on the selector thread alone
         synchronized (clients) {
             clients.add(client);
         }
         evictFor(client);
-        core.post(client::look);
+        core.post(client::checkExpiry);
         return context.getInvokeAction();
     }
 
-    private void forget(Client client) {
-        client.count(0);
+    private void remove(Client client) {
+        client.countIncomplete(0);
         synchronized (clients) {
             clients.remove(client);
-            leaving.remove(client);
+            closingClients.remove(client);
         }
     }
 
     @Override
     public NextAction handleClose(FilterChainContext context) {
-        Client client = clientOf.get(context.getConnection());
+        Client client = clientAttribute.get(context.getConnection());
         if (client != null) {
-            forget(client);
+            remove(client);
         }
         return context.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext context) {
-        Client client = clientOf.get(context.getConnection());
+        Client client = clientAttribute.get(context.getConnection());
         byte[] bytes = context.getMessage();
         if (client != null) {
             client.received(bytes);
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -18,33 +18,33 @@
      * fallen silent or is closed must be noticed well within that. A platform that is slow is given longer, time and
      * again twice as long.
      */
-    private static final long FIRST_ANSWER_BY = 100_000, LAST_ANSWER_BY = 1_000_000;
+    private static final long INITIAL_TIMEOUT_MICROS = 100_000, MAX_TIMEOUT_MICROS = 1_000_000;
 
-    private static final long FIRST_PAUSE = 10_000, LAST_PAUSE = 100_000;
-    private static final int MOST_DOUBLINGS = 4;
-    private static final int MOST = 200;
-    private static final int MOST_ANSWER = 16 * 1024;
+    private static final long INITIAL_RETRY_DELAY_MICROS = 10_000, MAX_RETRY_DELAY_MICROS = 100_000;
+    private static final int MAX_DOUBLINGS = 4;
+    private static final int MAX_BATCH_SIZE = 200;
+    private static final int MAX_RESPONSE_BYTES = 16 * 1024;
 
     private record Notice(String line, Runnable settled) {}
 
     private final Core core;
     private final HttpClient client;
-    private final List<Notice> open = new ArrayList<>();
+    private final List<Notice> pending = new ArrayList<>();
     private String address;
-    private boolean busy;
+    private boolean isSending;
     /** Batches in a row that were not confirmed. */
-    private int failures;
+    private int consecutiveFailures;
     /** The batch that is on its way, and when it is given up or sent again. */
-    private HttpClient.Exchange sending;
+    private HttpClient.Exchange inFlight;
 
-    private Deadlines.Key again;
+    private Deadlines.Key timer;
 
     /** Notices to the address. */
     public NoticeSender(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
         this.core = core;
-        this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MOST_ANSWER);
+        this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MAX_RESPONSE_BYTES);
         this.address = address;
-        core.counters().entryGauge("notices", open::size);
+        core.counters().entryGauge("notices", pending::size);
     }
 
     void add(String id, String status, long againMicros, Runnable settled) {
@@ -54,10 +54,10 @@
         if (againMicros > 0) {
             line.addProperty("again_ms", (againMicros + 999) / 1000);
         }
-        open.add(new Notice(line.toString() + '\n', settled));
-        if (!busy) {
-            busy = true;
-            again = core.deadlines().schedule(core.nowMicros() + 1, this::send); // with what else ends in this turn
+        pending.add(new Notice(line.toString() + '\n', settled));
+        if (!isSending) {
+            isSending = true;
+            timer = core.deadlines().schedule(core.nowMicros() + 1, this::send); // with what else ends in this turn
         }
     }
 
@@ -65,30 +65,30 @@
     public void moveTo(String to) {
         client.closeIdle(address);
         address = to;
-        if (busy) {
-            core.deadlines().cancel(again);
-            if (sending != null) {
-                sending.close();
+        if (isSending) {
+            core.deadlines().cancel(timer);
+            if (inFlight != null) {
+                inFlight.close();
             }
             send();
         }
     }
 
     private void send() {
-        sending = null;
-        if (open.isEmpty()) {
-            busy = false;
+        inFlight = null;
+        if (pending.isEmpty()) {
+            isSending = false;
             return;
         }
-        List<Notice> batch = List.copyOf(open.subList(0, Math.min(MOST, open.size())));
+        List<Notice> batch = List.copyOf(pending.subList(0, Math.min(MAX_BATCH_SIZE, pending.size())));
         StringBuilder body = new StringBuilder();
         batch.forEach(n -> body.append(n.line()));
-        again = core.deadlines()
-                .schedule(core.nowMicros() + Math.min(LAST_ANSWER_BY, FIRST_ANSWER_BY << failures), () -> {
-                    sending.close();
-                    later();
+        timer = core.deadlines()
+                .schedule(core.nowMicros() + Math.min(MAX_TIMEOUT_MICROS, INITIAL_TIMEOUT_MICROS << consecutiveFailures), () -> {
+                    inFlight.close();
+                    retryLater();
                 });
-        sending = client.send(
+        inFlight = client.send(
                 address,
                 address,
                 "POST",
@@ -97,15 +97,15 @@
                 body.toString().getBytes(StandardCharsets.UTF_8),
                 new HttpClient.Listener() {
                     @Override
-                    public void answered(int status, Map<String, String> headers, byte[] answer) {
-                        core.deadlines().cancel(again);
+                    public void onResponse(int status, Map<String, String> headers, byte[] answer) {
+                        core.deadlines().cancel(timer);
                         if (status != 204) {
                             Logs.warn("", "notices-refused", "notices answered with " + status);
-                            later();
+                            retryLater();
                             return;
                         }
-                        failures = 0;
-                        open.subList(0, batch.size()).clear();
+                        consecutiveFailures = 0;
+                        pending.subList(0, batch.size()).clear();
                         batch.forEach(n -> {
                             core.counters().add(Counters.Name.NOTICES);
                             n.settled().run();
@@ -114,16 +114,16 @@
                     }
 
                     @Override
-                    public void broke(boolean written, int status) {
-                        core.deadlines().cancel(again);
-                        later();
+                    public void onFailure(boolean written, int status) {
+                        core.deadlines().cancel(timer);
+                        retryLater();
                     }
                 });
     }
 
-    private void later() {
-        sending = null;
-        again = core.deadlines().schedule(core.nowMicros() + Math.min(LAST_PAUSE, FIRST_PAUSE << failures), this::send);
-        failures = Math.min(failures + 1, MOST_DOUBLINGS);
+    private void retryLater() {
+        inFlight = null;
+        timer = core.deadlines().schedule(core.nowMicros() + Math.min(MAX_RETRY_DELAY_MICROS, INITIAL_RETRY_DELAY_MICROS << consecutiveFailures), this::send);
+        consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_DOUBLINGS);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/RetryPause.java
+++ b/src/main/java/lilaclever/protocol/http/RetryBackoff.java
@@ -7,34 +7,34 @@
  * to a bound, and spread at random, so that clients of one server don't come all at once. All times in microseconds.
  * Used from one thread at a time.
  */
-final class RetryPause {
+final class RetryBackoff {
     /** The least part of a step that a pause lasts. */
-    private static final double LEAST_PART = 0.75;
+    private static final double MIN_STEP_FRACTION = 0.75;
 
-    private static final int GROWTH = 2;
+    private static final int GROWTH_FACTOR = 2;
 
-    private final long firstMicros;
-    private final long longestMicros;
+    private final long initialMicros;
+    private final long maxMicros;
     private final SplittableRandom random;
     private long stepMicros;
 
     /** Pauses that begin with at most {@code firstMicros} and grow up to {@code longestMicros}. */
-    RetryPause(long firstMicros, long longestMicros, SplittableRandom random) {
-        this.firstMicros = firstMicros;
-        this.longestMicros = longestMicros;
+    RetryBackoff(long firstMicros, long longestMicros, SplittableRandom random) {
+        this.initialMicros = firstMicros;
+        this.maxMicros = longestMicros;
         this.random = random;
         this.stepMicros = firstMicros;
     }
 
     /** The pause after one more failure; above 0 and never above the bound. */
-    long next() {
+    long nextDelayMicros() {
         long step = stepMicros;
-        stepMicros = Math.min(longestMicros, step * GROWTH);
-        return (long) (step * random.nextDouble(LEAST_PART, 1));
+        stepMicros = Math.min(maxMicros, step * GROWTH_FACTOR);
+        return (long) (step * random.nextDouble(MIN_STEP_FRACTION, 1));
     }
 
     /** The server has answered, or another one is meant: the next pause is a first one. */
     void reset() {
-        stepMicros = firstMicros;
+        stepMicros = initialMicros;
     }
 }
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -36,14 +36,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** When the directory is asked again: real sockets, and a clock that goes on only when the test says so. */
-class DirectoryTest {
-    private static final long SECOND = 1_000_000;
+class DirectoryClientTest {
+    private static final long SECOND_MICROS = 1_000_000;
     /** The least time between two turns: due after it is what has come meanwhile. */
-    private static final long ROUND = 2_000;
+    private static final long TURN_INTERVAL_MICROS = 2_000;
     /** The platform's rule: a call follows an answered one within this. */
-    private static final long AFTER_ANSWER = 200_000;
+    private static final long MAX_DELAY_AFTER_RESPONSE_MICROS = 200_000;
     /** A directory that is back is to be noticed within this. */
-    private static final long NOTICED_BY = 300_000;
+    private static final long MAX_RECOVERY_DETECTION_MICROS = 300_000;
 
     private static final String SETTINGS = """
             {"roundS": 0.002, "groupSize": 1, "shapes": ["lab"], "zones": ["z"],
@@ -54,9 +54,9 @@
               "overloadForS": 3, "drainGraceS": 0.5, "askWithinS": 10}}""";
 
     /** A clock that stands still until it is set, and tells that a task has come for the loop. */
-    private static final class SetClock implements Clock {
+    private static final class ManualClock implements Clock {
         private final Semaphore posted = new Semaphore(0);
-        private long micros = SECOND;
+        private long micros = SECOND_MICROS;
 
         @Override
         public long monotonicMicros() {
@@ -84,7 +84,7 @@
         }
     }
 
-    private final SetClock clock = new SetClock();
+    private final ManualClock clock = new ManualClock();
 
     @TempDir
     private Path state;
@@ -93,7 +93,7 @@
     private Transport transport;
     private Core core;
     /** Lists that were told. */
-    private int told;
+    private int listsReported;
 
     @BeforeEach
     void start() throws Exception {
@@ -130,37 +130,37 @@
                 1_500_000,
                 15_000_000,
                 new EndpointMembership(List.of(), departures -> {}),
-                (kind, version, entries) -> told++);
+                (kind, version, entries) -> listsReported++);
         directory.start(1, List.of());
-        passFirstAnswerWait();
+        passFirstResponseWait();
         return directory;
     }
 
     /** Has the first call come back, and the time pass after which the known list is told without an answer. */
-    private void passFirstAnswerWait() throws InterruptedException {
-        untilCallIsBack(NOTICED_BY);
-        clock.micros += DirectoryClient.FIRST_ANSWER_WAIT;
+    private void passFirstResponseWait() throws InterruptedException {
+        awaitRequestEnd(MAX_RECOVERY_DETECTION_MICROS);
+        clock.micros += DirectoryClient.FIRST_RESPONSE_WAIT_MICROS;
         core.runTurn();
-        assertEquals(1, told);
+        assertEquals(1, listsReported);
     }
 
     /**
      * Has the call that is out come back; gives how long the next one has to wait, which must be the limit at most. Of
      * the same call more than one task may come for the loop.
      */
-    private long untilCallIsBack(long limit) throws InterruptedException {
+    private long awaitRequestEnd(long limit) throws InterruptedException {
         long pause;
         do {
             assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no call is due within " + limit + " us");
             core.runTurn();
             pause = core.nextTurnMicros() - clock.micros;
-        } while (pause <= ROUND || pause > limit);
+        } while (pause <= TURN_INTERVAL_MICROS || pause > limit);
         return pause;
     }
 
     /** The same, and the next call goes out. */
-    private long untilNextCall(long limit) throws InterruptedException {
-        long pause = untilCallIsBack(limit);
+    private long advanceToNextRequest(long limit) throws InterruptedException {
+        long pause = awaitRequestEnd(limit);
         clock.micros += pause;
         core.runTurn();
         return pause;
@@ -174,13 +174,13 @@
     }
 
     @Test
-    void aDirectoryThatRefusesIsAskedSeldomAndItsReturnIsNoticedSoon() throws Exception {
+    void refusedConnectionsAreRetriedWithBoundedBackoff() throws Exception {
         try (Socket refusing = refusing()) {
             watch("127.0.0.1:" + refusing.getLocalPort());
             int calls = 1;
             List<Long> pauses = new ArrayList<>();
-            for (long until = clock.micros + 10 * SECOND; clock.micros < until; calls++) {
-                pauses.add(untilNextCall(NOTICED_BY));
+            for (long until = clock.micros + 10 * SECOND_MICROS; clock.micros < until; calls++) {
+                pauses.add(advanceToNextRequest(MAX_RECOVERY_DETECTION_MICROS));
             }
             assertTrue(calls <= 50, "calls in 10 s: " + calls);
             assertTrue(pauses.stream().distinct().count() > pauses.size() / 2, "pauses are spread: " + pauses);
@@ -188,27 +188,27 @@
     }
 
     @Test
-    void oneThatAnswersWhatCannotBeReadIsAskedAgainInTime() throws Exception {
+    void unreadableResponsesAreRetriedInTime() throws Exception {
         try (Socket refusing = refusing();
                 ServerSocket answering = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             DirectoryClient directory = watch("127.0.0.1:" + refusing.getLocalPort());
             for (int i = 0; i < 5; i++) {
-                untilNextCall(NOTICED_BY);
+                advanceToNextRequest(MAX_RECOVERY_DETECTION_MICROS);
             }
             LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
-            Thread answers = new Thread(() -> answerWithErrors(answering, requests));
+            Thread answers = new Thread(() -> respondWithErrors(answering, requests));
             answers.setDaemon(true);
             answers.start();
             directory.moveTo("127.0.0.1:" + answering.getLocalPort());
             for (int i = 0; i < 10; i++) {
                 assertNotNull(requests.poll(10, TimeUnit.SECONDS), "call " + i);
-                untilNextCall(AFTER_ANSWER);
+                advanceToNextRequest(MAX_DELAY_AFTER_RESPONSE_MICROS);
             }
             assertEquals(0, core.counters().get(Counters.Name.TASKS_FAILED));
         }
     }
 
-    private static void answerWithErrors(ServerSocket server, BlockingQueue<String> requests) {
+    private static void respondWithErrors(ServerSocket server, BlockingQueue<String> requests) {
         try {
             while (true) {
                 try (Wire wire = new Wire(server.accept())) {
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -20,34 +20,34 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Requests and connections at the moments where the loop and the selector thread cross. */
-class HttpClientTest extends TwoThreads {
+class HttpClientTest extends TwoThreadFixture {
     private HttpClient.Listener listener(boolean tooLate) {
         return new HttpClient.Listener() {
             @Override
-            public void answered(int status, Map<String, String> headers, byte[] body) {
-                told.add("answered " + status);
+            public void onResponse(int status, Map<String, String> headers, byte[] body) {
+                reports.add("answered " + status);
             }
 
             @Override
-            public void broke(boolean written, int status) {
-                told.add("broke " + written);
+            public void onFailure(boolean written, int status) {
+                reports.add("broke " + written);
             }
 
             @Override
-            public boolean isTooLate() {
+            public boolean isExpired() {
                 return tooLate;
             }
 
             @Override
-            public void withheld() {
-                told.add("withheld");
+            public void onWithheld() {
+                reports.add("withheld");
             }
         };
     }
 
     private HttpClient.Exchange send(HttpClient client, boolean tooLate) throws InterruptedException {
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
-        onLoop(() -> exchange[0] =
+        runOnLoop(() -> exchange[0] =
                 client.send("e", address(), "POST", "/receive", Map.of(), new byte[0], listener(tooLate)));
         return exchange[0];
     }
@@ -60,18 +60,18 @@
      * An answer that crosses the giving up of its call comes after the time that was told: only the giving up counts.
      */
     @Test
-    void anAnswerThatCrossesTheGivingUpCountsForNothing() throws Exception {
+    void aResponseThatCrossesGiveUpIsIgnored() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read();
-            CountDownLatch free = hold();
+            CountDownLatch free = blockSelector();
             endpoint.answer("200 OK", "all accepted");
-            onLoop(() -> exchange.giveUp(() -> told.add("given up")));
+            runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
             free.countDown();
-            assertEquals("given up", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("given up", reports.poll(20, TimeUnit.SECONDS));
             assertNull(endpoint.read(), "closed");
-            onLoop(() -> {});
-            assertNull(told.poll());
+            runOnLoop(() -> {});
+            assertNull(reports.poll());
         }
     }
 
@@ -80,19 +80,19 @@
      * one's.
      */
     @Test
-    void nothingIsToldAfterAClose() throws Exception {
+    void nothingIsReportedAfterAClose() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read();
-            CountDownLatch free = hold();
-            onLoop(() -> exchange.giveUp(() -> told.add("given up")));
-            onLoop(exchange::close);
+            CountDownLatch free = blockSelector();
+            runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
+            runOnLoop(exchange::close);
             free.countDown();
             assertNull(endpoint.read(), "closed");
-            CountDownLatch after = hold(); // what was to be posted has been
+            CountDownLatch after = blockSelector(); // what was to be posted has been
             after.countDown();
-            onLoop(() -> {});
-            assertNull(told.poll());
+            runOnLoop(() -> {});
+            assertNull(reports.poll());
         }
     }
 
@@ -100,18 +100,18 @@
      * The connection comes up as its time is up: whether the request went is told by the thread that writes, as it was.
      */
     @Test
-    void aRequestWhoseConnectionComesUpAtItsTimeOutHasEitherGoneOrNot() throws Exception {
+    void giveUpDuringConnectReportsWhetherTheRequestWasWritten() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read(); // it has gone
-            onLoop(() -> exchange.giveUp(() -> told.add("written " + exchange.isWritten())));
-            assertEquals("written true", told.poll(20, TimeUnit.SECONDS));
+            runOnLoop(() -> exchange.giveUp(() -> reports.add("written " + exchange.isWritten())));
+            assertEquals("written true", reports.poll(20, TimeUnit.SECONDS));
         }
-        CountDownLatch free = hold();
+        CountDownLatch free = blockSelector();
         HttpClient.Exchange second = send(client(), false);
-        onLoop(() -> second.giveUp(() -> told.add("written " + second.isWritten())));
+        runOnLoop(() -> second.giveUp(() -> reports.add("written " + second.isWritten())));
         free.countDown();
-        assertEquals("written false", told.poll(20, TimeUnit.SECONDS));
+        assertEquals("written false", reports.poll(20, TimeUnit.SECONDS));
         server.accept().close(); // the one that held the thread
         try (Wire endpoint = accept()) {
             assertNull(endpoint.read(), "not a byte");
@@ -120,10 +120,10 @@
 
     /** A request whose time is up is not written, though the loop has not come to give it up yet. */
     @Test
-    void whatIsTooLateIsNotWritten() throws Exception {
+    void anExpiredRequestIsNotWritten() throws Exception {
         send(client(), true);
         try (Wire endpoint = accept()) {
-            assertEquals("withheld", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("withheld", reports.poll(20, TimeUnit.SECONDS));
             endpoint.patience(50);
             assertThrows(SocketTimeoutException.class, endpoint::read, "not a byte");
         }
@@ -145,22 +145,22 @@
                 "Transfer-Encoding: chunked~~c~a accepted~~0~           | false | broke true",
                 "Transfer-Encoding: chunked~~c~a accepted~~0~~         | true  | answered 200"
             })
-    void anAnswerIsWholeByItsFraming(String rest, boolean reset, String expected) throws Exception {
+    void aResponseIsCompleteByItsFraming(String rest, boolean reset, String expected) throws Exception {
         CountDownLatch read = new CountDownLatch(1);
-        onLoop(() -> client().send(
+        runOnLoop(() -> client().send(
                         "e", address(), "POST", "/receive-many", Map.of(), new byte[0], new HttpClient.Listener() {
                             @Override
-                            public void answered(int status, Map<String, String> headers, byte[] body) {
-                                told.add("answered " + status);
+                            public void onResponse(int status, Map<String, String> headers, byte[] body) {
+                                reports.add("answered " + status);
                             }
 
                             @Override
-                            public void broke(boolean written, int status) {
-                                told.add("broke " + written);
+                            public void onFailure(boolean written, int status) {
+                                reports.add("broke " + written);
                             }
 
                             @Override
-                            public void head(Map<String, String> headers) {
+                            public void onHead(Map<String, String> headers) {
                                 read.countDown();
                             }
                         }));
@@ -172,26 +172,26 @@
                 endpoint.reset();
             }
         }
-        assertEquals(expected, told.poll(20, TimeUnit.SECONDS));
+        assertEquals(expected, reports.poll(20, TimeUnit.SECONDS));
     }
 
     /** A probe is a call to its destination: a wait told in its answer binds, and none is written under a wait. */
     @Test
-    void aProbeKeepsAndTellsWaits() throws Exception {
+    void aProbeObservesAndRecordsRetryAfter() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
         Call.Endpoint one = new Call.Endpoint("e1", address(), 7, 0, 1, false, deliverer);
         Call.Endpoint other = new Call.Endpoint("e2", address(), 8, 0, 1, false, deliverer);
-        onLoop(deliverer::start);
-        onLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
-        onLoop(() -> deliverer.probe(one));
+        runOnLoop(deliverer::start);
+        runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
+        runOnLoop(() -> deliverer.probe(one));
         try (Wire first = accept()) {
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
-                onLoop(() -> {}); // its answer is on its way
+                runOnLoop(() -> {}); // its answer is on its way
             }
-            onLoop(() -> deliverer.probe(one));
-            onLoop(() -> deliverer.probe(other));
+            runOnLoop(() -> deliverer.probe(one));
+            runOnLoop(() -> deliverer.probe(other));
             try (Wire second = accept()) {
                 second.read();
                 first.patience(50);
@@ -205,18 +205,18 @@
     void aProbeOfADrainingEndpointIsNotWritten() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
         Call.Endpoint one = new Call.Endpoint("e1", address(), 7, 0, 1, false, deliverer);
-        onLoop(deliverer::start);
-        onLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
-        onLoop(() -> deliverer.probe(one));
+        runOnLoop(deliverer::start);
+        runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
+        runOnLoop(() -> deliverer.probe(one));
         try (Wire first = accept()) {
             first.read();
             first.answer("200 OK", "");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
-                onLoop(() -> {}); // its answer is on its way
+                runOnLoop(() -> {}); // its answer is on its way
             }
-            CountDownLatch free = hold();
-            onLoop(() -> deliverer.probe(one));
-            onLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
+            CountDownLatch free = blockSelector();
+            runOnLoop(() -> deliverer.probe(one));
+            runOnLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
             free.countDown();
             assertNull(first.read(), "closed without a byte");
         }
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The clients' front where what is below it fails. */
-class HttpFrontTest extends TwoThreads {
+class HttpFrontTest extends TwoThreadFixture {
     /** A journal that fails where it is asked whether a message has ended before. */
     private static Journal failingJournal() {
         return (Journal) Proxy.newProxyInstance(
@@ -33,7 +33,7 @@
 
     /** A message that can't be taken in because of a fault of the program's is answered as failed. */
     @Test
-    void aMessageWhoseTakingInFailsIsAnswered() throws Exception {
+    void aMessageThatFailsToBeAcceptedGetsAnErrorResponse() throws Exception {
         var settings = SettingsReader.read(SETTINGS, 0);
         Core faulty = new Core(
                 settings, 1, failingJournal(), new Counters(), new IdempotencyWindows(List.of(), 60_000_000, 1));
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -27,32 +27,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Clients' connections at the moments where the loop and the selector thread cross. */
-class IntakeFilterTest extends TwoThreads {
-    private final LinkedBlockingQueue<IntakeFilter.Request> requests = new LinkedBlockingQueue<>();
-    private IntakeFilter intake;
+class HttpServerFilterTest extends TwoThreadFixture {
+    private final LinkedBlockingQueue<HttpServerFilter.Request> requests = new LinkedBlockingQueue<>();
+    private HttpServerFilter serverFilter;
 
     private InetSocketAddress listen(BaseFilter filter) throws IOException {
-        var chain = intake.chain();
+        var chain = serverFilter.chain();
         chain.set(1, filter); // in the intake's place, which it calls
         TCPNIOServerConnection listener = transport.listen(new InetSocketAddress("127.0.0.1", 0), chain);
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static Wire to(InetSocketAddress address) throws IOException {
+    private static Wire connect(InetSocketAddress address) throws IOException {
         Wire wire = new Wire(new Socket(address.getAddress(), address.getPort()));
         wire.patience(20_000);
         return wire;
     }
 
-    private IntakeFilter.Request next() throws InterruptedException {
+    private HttpServerFilter.Request nextRequest() throws InterruptedException {
         return requests.poll(20, TimeUnit.SECONDS);
     }
 
-    private static void answer(IntakeFilter.Request request, String body) {
-        request.exchange().answer(200, Map.of(), body.getBytes(StandardCharsets.UTF_8), () -> {});
+    private static void respond(HttpServerFilter.Request request, String body) {
+        request.exchange().respond(200, Map.of(), body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
-    private static String asks(String path, int length) {
+    private static String requestText(String path, int length) {
         return "GET " + path + " HTTP/1.1\r\nContent-Length: " + length + "\r\n\r\n" + "x".repeat(length);
     }
 
@@ -60,23 +60,23 @@
      * Its write of an answer is over only once the next request has been read, or cannot be: the order that a race may
      * take.
      */
-    private final class Late extends BaseFilter {
-        private final CountDownLatch second = new CountDownLatch(2);
+    private final class DelayedWriteFilter extends BaseFilter {
+        private final CountDownLatch secondRead = new CountDownLatch(2);
 
         @Override
         public NextAction handleAccept(FilterChainContext context) {
-            return intake.handleAccept(context);
+            return serverFilter.handleAccept(context);
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            return intake.handleClose(context);
+            return serverFilter.handleClose(context);
         }
 
         @Override
         public NextAction handleRead(FilterChainContext context) {
-            NextAction action = intake.handleRead(context);
-            second.countDown();
+            NextAction action = serverFilter.handleRead(context);
+            secondRead.countDown();
             return action;
         }
 
@@ -88,7 +88,7 @@
                 @Override
                 public void completed(Object result) {
                     try {
-                        second.await(500, TimeUnit.MILLISECONDS);
+                        secondRead.await(500, TimeUnit.MILLISECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -101,15 +101,15 @@
 
     /** Guards large requests on the heels of an answer: they were taken for pipelined ones without room, and lost. */
     @Test
-    void aLargeRequestMayComeBeforeItsAnswersWriteIsOver() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(new Late()))) {
-            client.say(asks("/1", 0));
-            IntakeFilter.Request first = next();
-            core.post(() -> answer(first, ""));
+    void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        try (Wire client = connect(listen(new DelayedWriteFilter()))) {
+            client.say(requestText("/1", 0));
+            HttpServerFilter.Request first = nextRequest();
+            core.post(() -> respond(first, ""));
             assertEquals("200", client.read().target());
-            client.say(asks("/2", 60_000));
-            answer(next(), "");
+            client.say(requestText("/2", 60_000));
+            respond(nextRequest(), "");
             assertEquals("200", client.read().target());
         }
     }
@@ -119,19 +119,19 @@
      */
     @Test
     void anUnreadRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
-        try (Wire client = to(address)) {
-            client.say(asks("/1", 0));
-            answer(next(), "");
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
+        try (Wire client = connect(address)) {
+            client.say(requestText("/1", 0));
+            respond(nextRequest(), "");
             assertEquals("200", client.read().target());
-            CountDownLatch free = hold();
-            client.say(asks("/2", 0));
-            onLoop(intake::close);
+            CountDownLatch free = blockSelector();
+            client.say(requestText("/2", 0));
+            runOnLoop(serverFilter::close);
             free.countDown();
-            IntakeFilter.Request second = next();
+            HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second.path());
-            answer(second, "");
+            respond(second, "");
             Wire.Head last = client.read();
             assertEquals("close", last.headers().get("Connection"));
             assertNull(client.read());
@@ -140,17 +140,17 @@
 
     /** Where all the room is taken by those who wait for an answer, a newcomer is told to come again, in words. */
     @Test
-    void aNewcomerWithoutRoomIsToldSo() throws Exception {
-        intake = new IntakeFilter(core, 8, 8, requests::add); // one place of them is for those who leave
-        InetSocketAddress address = listen(intake);
+    void aNewConnectionWithoutCapacityIsRejectedWithAResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // one place of them is for those who leave
+        InetSocketAddress address = listen(serverFilter);
         Wire[] waiting = new Wire[7];
         for (int i = 0; i < 7; i++) {
-            waiting[i] = to(address);
-            waiting[i].say(asks("/" + i, 0));
-            assertTrue(next() != null);
+            waiting[i] = connect(address);
+            waiting[i].say(requestText("/" + i, 0));
+            assertTrue(nextRequest() != null);
         }
-        try (Wire newcomer = to(address)) {
-            newcomer.say(asks("/8", 0));
+        try (Wire newcomer = connect(address)) {
+            newcomer.say(requestText("/8", 0));
             Wire.Head answer = newcomer.read();
             assertEquals("503", answer.target());
             assertEquals("1", answer.headers().get("Retry-After"));
@@ -162,7 +162,7 @@
     }
 
     /** Waits until the selector thread has read what had come, so many times over. */
-    private void selections(int times) throws InterruptedException {
+    private void awaitSelections(int times) throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         InetSocketAddress anywhere = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
         transport.connect(anywhere, Transport.chain(new BaseFilter() {}), up::add, Throwable::printStackTrace);
@@ -175,10 +175,10 @@
     }
 
     // ---- requests that were read ---------------------------------------------------------------------------
-    private Wire answeredOnce(InetSocketAddress address, int number) throws Exception {
-        Wire wire = to(address);
-        wire.say(asks("/first" + number, 0));
-        answer(next(), "");
+    private Wire connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
+        Wire wire = connect(address);
+        wire.say(requestText("/first" + number, 0));
+        respond(nextRequest(), "");
         assertEquals("200", wire.read().target());
         return wire;
     }
@@ -191,22 +191,22 @@
     @Test
     void anEvictedConnectionWhoseRequestWasReadIsAnswered() throws Exception {
         for (int round = 0; round < 5; round++) {
-            intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, and one place is for those who leave
-            InetSocketAddress address = listen(intake);
+            serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // seven stay, and one place is for those who leave
+            InetSocketAddress address = listen(serverFilter);
             Wire[] clients = new Wire[7];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = answeredOnce(address, i);
+                clients[i] = connectAndCompleteRequest(address, i);
             }
-            CountDownLatch free = hold();
+            CountDownLatch free = blockSelector();
             for (int i = 0; i < clients.length; i++) {
-                clients[i].say(asks("/" + i, 0));
+                clients[i].say(requestText("/" + i, 0));
             }
-            Wire[] newcomers = {to(address), to(address), to(address)};
+            Wire[] newcomers = {connect(address), connect(address), connect(address)};
             free.countDown();
-            for (IntakeFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
+            for (HttpServerFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
-                answer(r, "");
+                respond(r, "");
                 Wire.Head head = clients[Integer.parseInt(r.path().substring(1))].read();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
@@ -223,19 +223,19 @@
     @ParameterizedTest
     @ValueSource(strings = {"shutdown", "many connections"})
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
-        intake = new IntakeFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0) + asks("/2", 0) + asks("/3", 0));
-            IntakeFilter.Request first = next();
+        serverFilter = new HttpServerFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0) + requestText("/2", 0) + requestText("/3", 0));
+            HttpServerFilter.Request first = nextRequest();
             if (cause.equals("shutdown")) {
-                onLoop(intake::close);
+                runOnLoop(serverFilter::close);
             }
-            answer(first, "");
+            respond(first, "");
             assertEquals("200", client.read().target());
             for (String path : List.of("/2", "/3")) {
-                IntakeFilter.Request request = next();
+                HttpServerFilter.Request request = nextRequest();
                 assertEquals(path, request == null ? "none" : request.path());
-                answer(request, "");
+                respond(request, "");
                 assertEquals("200", client.read().target());
             }
             assertNull(client.read());
@@ -244,18 +244,18 @@
 
     /** Of requests sent ahead those that fit are answered, and the one that does not is told to come again. */
     @Test
-    void whatIsSentAheadBeyondTheRoomIsRefusedInWords() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
-            IntakeFilter.Request first = next();
-            client.say(asks("/2", 0) + asks("/3", 40_000));
-            selections(4); // each reads up to 16 KiB
-            answer(first, "");
+    void excessPipelinedDataIsRejectedWithAResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0));
+            HttpServerFilter.Request first = nextRequest();
+            client.say(requestText("/2", 0) + requestText("/3", 40_000));
+            awaitSelections(4); // each reads up to 16 KiB
+            respond(first, "");
             assertEquals("200", client.read().target());
-            IntakeFilter.Request second = next();
+            HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second == null ? "none" : second.path());
-            answer(second, "");
+            respond(second, "");
             assertEquals("200", client.read().target());
             assertEquals("503", client.read().target());
             assertNull(client.read());
@@ -264,13 +264,13 @@
 
     /** A request is answered whatever its client sends behind it. */
     @Test
-    void muchThatFollowsARequestDoesNotCutItsAnswer() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
-            IntakeFilter.Request first = next();
+    void excessDataAfterARequestDoesNotCutOffItsResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0));
+            HttpServerFilter.Request first = nextRequest();
             client.write("", new byte[12 << 20]);
-            answer(first, "");
+            respond(first, "");
             assertEquals("200", client.read().target());
         }
     }
@@ -278,11 +278,11 @@
     /** A request whose handling fails is answered as failed. */
     @Test
     void aRequestWhoseHandlerFailsIsAnswered() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, request -> {
+        serverFilter = new HttpServerFilter(core, 10, 10, request -> {
             throw new IllegalStateException("a fault of the handler's");
         });
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0));
             Wire.Head head = client.read();
             assertEquals("500", head == null ? "closed" : head.target());
         }
@@ -290,35 +290,35 @@
 
     /** A close while an answer is still being written, as its client reads slowly, waits for the answer's last byte. */
     @Test
-    void aCloseWaitsForAnAnswerThatIsBeingWritten() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
+    void aCloseWaitsForAResponseBeingWritten() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
         socket.connect(address);
         try (Wire client = new Wire(socket)) {
             client.patience(20_000);
-            client.say(asks("/1", 0));
-            answer(next(), "x".repeat(4 << 20));
-            onLoop(intake::close);
-            selections(2); // the close has been carried out
+            client.say(requestText("/1", 0));
+            respond(nextRequest(), "x".repeat(4 << 20));
+            runOnLoop(serverFilter::close);
+            awaitSelections(2); // the close has been carried out
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
     }
     /** A client that ends its sending behind a request still reads, and gets its answer. */
     @Test
-    void aClientThatEndsItsSendingIsAnswered() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
+    void aHalfClosedClientIsAnswered() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
         try (Socket socket = new Socket(address.getAddress(), address.getPort());
                 Wire client = new Wire(socket)) {
             client.patience(20_000);
-            client.say(asks("/1", 0));
+            client.say(requestText("/1", 0));
             socket.shutdownOutput();
-            IntakeFilter.Request first = next();
-            selections(1); // the end of its sending has been read
-            answer(first, "");
+            HttpServerFilter.Request first = nextRequest();
+            awaitSelections(1); // the end of its sending has been read
+            respond(first, "");
             Wire.Head head = client.read();
             while (head != null && head.target().equals("100")) {
                 head = client.read();
@@ -330,18 +330,18 @@
 
     /** The end of a client's sending does not cut an answer off that it is still reading. */
     @Test
-    void aClientThatEndsItsSendingReadsItsAnswerToTheEnd() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
+    void aHalfClosedClientReceivesItsWholeResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4096);
             socket.connect(address);
             Wire client = new Wire(socket);
             client.patience(20_000);
-            client.say(asks("/1", 0));
-            answer(next(), "x".repeat(4 << 20));
+            client.say(requestText("/1", 0));
+            respond(nextRequest(), "x".repeat(4 << 20));
             socket.shutdownOutput();
-            selections(1); // the end of its sending has been read
+            awaitSelections(1); // the end of its sending has been read
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
@@ -350,13 +350,13 @@
     /** One that has closed its connection is gone: its message is not taken on, as it is handed in again. */
     @Test
     void aClientThatHasClosedIsGone() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
-        Wire client = to(address);
-        client.say(asks("/1", 0));
-        IntakeFilter.Request first = next();
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
+        Wire client = connect(address);
+        client.say(requestText("/1", 0));
+        HttpServerFilter.Request first = nextRequest();
         client.close();
-        selections(1); // the end has been read
-        assertTrue(first.exchange().gone());
+        awaitSelections(1); // the end has been read
+        assertTrue(first.exchange().isClientGone());
     }
 }
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A real loop and a real selector thread, either of which a test can have stand still while something else comes. */
-abstract class TwoThreads {
+abstract class TwoThreadFixture {
     static final String SETTINGS = """
             {"roundS": 0.002, "groupSize": 1, "shapes": ["lab"], "zones": ["z"],
              "familyInfo": {"callSlots": 20, "kindBatch": [1], "ownLimits": [false]},
@@ -41,7 +41,7 @@
     @TempDir
     private Path state;
 
-    final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+    final LinkedBlockingQueue<String> reports = new LinkedBlockingQueue<>();
     private SegmentedJournal journal;
     Core core;
     Transport transport;
@@ -82,7 +82,7 @@
     }
 
     /** Runs the task on the loop and waits for it. */
-    final void onLoop(Runnable task) throws InterruptedException {
+    final void runOnLoop(Runnable task) throws InterruptedException {
         CountDownLatch ran = new CountDownLatch(1);
         core.post(() -> {
             task.run();
@@ -92,7 +92,7 @@
     }
 
     /** Has the selector thread stand still until the latch is released. */
-    final CountDownLatch hold() throws InterruptedException {
+    final CountDownLatch blockSelector() throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         transport.connect(
                 new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
