--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -79,7 +79,7 @@
 
     private final Core core;
     private final Transport transport;
-    private final long connectMicros;
+    private final long connectTimeoutMicros;
     private final int maxResponseBytes;
     private final boolean keepsPartialResponses;
     private final ConnectionPool<Connection<?>> pool;
@@ -117,7 +117,7 @@
         this.keepsPartialResponses = keepsPartialAnswers;
         this.core = core;
         this.transport = transport;
-        this.connectMicros = connectMicros;
+        this.connectTimeoutMicros = connectMicros;
         this.maxResponseBytes = mostAnswer;
         this.pool = ConnectionPool.ofSockets((long) (KEEP_ALIVE_FRACTION * keepAliveMicros), mostIdle);
         core.counters().entryGauge("idle_" + name, pool::size);
@@ -317,7 +317,7 @@
 
         private void connect() {
             usesNewConnection = true;
-            timeout = core.deadlines().schedule(core.nowMicros() + connectMicros, this::onTimeout);
+            timeout = core.deadlines().schedule(core.nowMicros() + connectTimeoutMicros, this::onTimeout);
             core.counters().add(Counters.Name.CONNECTIONS);
             cancelConnect = transport.connect(
                     Transport.parseAddress(address),
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -114,7 +114,7 @@
     // ---- requests: on the selector thread until they are posted -------------------------------------------
     private void handle(HttpServerFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
-            case "POST /api" -> validate(request);
+            case "POST /api" -> parseAndPost(request);
             case "GET /health/ready", "GET /health/live" -> respond(request.exchange(), 200, Map.of(), "ready\n");
             case "GET /counters" ->
                 core.post(() -> respond(
@@ -128,7 +128,7 @@
     }
 
     /** What can't be a message is turned away here: nonsense that comes fast must not take the loop's time. */
-    private void validate(HttpServerFilter.Request request) {
+    private void parseAndPost(HttpServerFilter.Request request) {
         Submission submission;
         try {
             submission = parseSubmission(request);
