--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/Directory.java
@@ -12,26 +12,26 @@
 import lilaclever.transport.Transport;
 
 /**
- * Watches the platform's list of endpoints and tells its changes. How the agents are asked is {@link DiscoveryWatch}'s,
- * what is believed of their answers {@link EndpointMembership}'s. Loop thread.
+ * Watches the platform's endpoint list and reports its changes. {@link DiscoveryWatch} polls the discovery agents;
+ * {@link EndpointMembership} decides which parts of their responses are accepted. Loop thread.
  */
 public final class Directory {
     /**
-     * What the agent has counts as told from the first moment of a new process, so the known list alone, which may
-     * name endpoints that have left since, must not be acted upon while the agent may still answer. An agent answers
-     * at once; one that has not in this time is slow or down, and messages can't wait for it much longer.
+     * The agent's data counts as known from the first moment of a new process, so the known list alone, which may name
+     * endpoints that have left since, must not be used while the agent may still answer. An agent answers at once; one
+     * that has not answered after this time is slow or down, and messages can't wait for it much longer.
      */
     static final long FIRST_ANSWER_WAIT = 1_500_000;
 
     private static final int MOST_IDLE = 1;
 
-    /** Who hears what the list says. */
+    /** Receives the changes of the endpoint list. */
     public interface Listener {
-        /** A change of the list; the first one is the remembered list. */
+        /** Reports a change of the list; the first one is the remembered list. */
         void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> entries);
     }
 
-    /** A list as the platform writes it. */
+    /** An endpoint list with the numbers and the deliverer that this forwarder uses for each endpoint. */
     public record Known(long index, boolean whole, List<Core.Listed> listed) {}
 
     private final Core core;
@@ -41,18 +41,18 @@
     private final EndpointMembership membership;
     private final Listener listener;
     private final SplittableRandom random = new SplittableRandom();
-    /** The watch at the address in force. */
+    /** The watch at the configured address. */
     private DiscoveryWatch current;
-    /** The watch at an earlier address whose agent has answered, until the one in force has; else null. */
+    /** The watch at an earlier address whose agent has answered, until the current one has; else null. */
     private DiscoveryWatch previous;
-    /** Whether the agent of the address in force has answered: where no version was known, with its whole list. */
+    /** Whether the current agent has answered; where no version was known, with its whole list. */
     private boolean isCurrentConfirmed;
-    /** What is told once the first answer is here, or is waited for no longer; null from then on. */
+    /** Changes that are reported once the first response arrives or is no longer waited for; null from then on. */
     private List<EndpointMembership.Change> withheld = new ArrayList<>();
 
     private Deadlines.Key firstAnswerDue;
 
-    /** What the settings call kinds and zones, in order, and what they say of each kind. */
+    /** The names of kinds and zones, in the order of the settings, and the settings of each kind. */
     public record Names(List<String> kinds, List<String> zones, List<DecisionModule.Kind> ofKinds) {
         private static final DecisionModule.Kind UNKNOWN = new DecisionModule.Kind(false, 1);
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Watches the list at the address; {@code membership} decides what is believed of it. */
+    /** Watches the list at the address; {@code membership} decides which entries are accepted. */
     public Directory(
             Core core,
             Transport transport,
@@ -90,9 +90,9 @@
     }
 
     /**
-     * Starts to watch after the list that is known; {@code knownIndex} is below 0 where there is none, and the list is
-     * fetched whole. The known list is told as remembered with the first answer, or after {@link #FIRST_ANSWER_WAIT};
-     * nothing is told before.
+     * Starts to watch from the known list. A {@code knownIndex} below 0 means that no list is known: the whole list is
+     * then fetched. The known list is reported as remembered with the first response, or after {@link
+     * #FIRST_ANSWER_WAIT}; nothing is reported before.
      */
     public void start(long knownIndex, List<Core.Listed> known) {
         withheld.add(membership.remembered(Math.max(0, knownIndex), known));
@@ -101,9 +101,9 @@
     }
 
     /**
-     * Watches at another address at once; the address in force changes nothing. The new agent may count other versions,
-     * so it is asked for the whole list: what is not in it has gone. Until it has given that, the agent that answered
-     * last is watched too.
+     * Switches to another address at once; nothing happens if the address is unchanged. The new agent may number its
+     * versions differently, so it is asked for the whole list: endpoints that are not in it have left. Until it has
+     * delivered the whole list, the agent that answered last is watched too.
      */
     public void move(String to) {
         if (to.equals(current.address())) {
@@ -171,7 +171,7 @@
         }
     }
 
-    /** The agent in force tells all that there is: the one before is needed no longer. */
+    /** The current agent has delivered its list, so the previous one is no longer needed. */
     private void confirmCurrent() {
         isCurrentConfirmed = true;
         if (previous != null) {
@@ -180,7 +180,7 @@
         }
     }
 
-    /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
+    /** Resolves kinds and zones to their numbers and adds the deliverer of each endpoint. */
     public Known known(EndpointList list) {
         List<Core.Listed> all = new ArrayList<>(list.endpoints().size());
         list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
@@ -210,7 +210,7 @@
                         deliverer));
     }
 
-    /** A moment of the wall clock on the loop's clock; 0 stays 0, which means that it is not known. */
+    /** Converts a wall clock time to the loop's clock; 0, which means unknown, stays 0. */
     private long sinceMicros(long sinceMillis) {
         return sinceMillis == 0 ? 0 : Math.max(1, core.now() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -8,53 +8,58 @@
 import lilaclever.routing.Deadlines;
 
 /**
- * Watches the list of endpoints at one agent's address: a chain of requests, each sent as the one before is answered or
- * is late. A late request stays open beside its successor, one at a time, since a slow agent answers it in the end
- * ({@code docs/discovery.md} has the arithmetic). What the answers mean for the endpoints is decided elsewhere. All
- * times in microseconds. Loop thread.
+ * Watches the endpoint list at one agent's address with a chain of requests: each is sent once its predecessor is
+ * answered or has timed out. A request that has timed out stays open beside its successor, one at a time, since a slow
+ * agent answers it in the end ({@code docs/discovery.md} has the arithmetic). The effect of a response on the endpoints
+ * is decided elsewhere. All times in microseconds. Loop thread.
  */
 final class DiscoveryWatch {
     /**
-     * A change counts as told 6 s after discovery had it, also where the watch that should bring it has fallen silent.
-     * A watch that waits for a third of that leaves time to find out, and to ask again some times. One that brings
-     * nothing costs nothing.
+     * A change counts as known 6 s after discovery has it, even where the watch that should report it has become
+     * unresponsive. A long poll of a third of that time leaves time to detect the failure and to retry several times. A
+     * poll that brings no change costs nothing.
      */
     private static final long WATCH_WAIT = 2_000_000;
-    /** A watch that is not answered so long after its wait is late. */
+    /** A long poll without a response this long after its wait has timed out. */
     private static final long WATCH_MARGIN = 400_000;
-    /** What is answered at once or, while discovery is down, not at all; its return counts as told at once. */
+    /**
+     * A request with this wait is answered at once or, while discovery is down, not at all; a recovery of discovery
+     * counts as known at once.
+     */
     private static final long LOOK_WAIT = 1_000;
 
     private static final long LOOK_ANSWER_BY = 300_000;
-    /** From its sending to the end of its answer a request may take so long, late or not, in pieces or not. */
+    /**
+     * Limit from sending a request to the end of its response, whether or not it has timed out or arrives in pieces.
+     */
     private static final long LONGEST_SPAN = 3_000_000;
-    /** After an answer that can't be built on; the next request belongs to the same watch for 200 ms. */
+    /** Retry delays after an unusable response; the next request within 200 ms belongs to the same watch. */
     private static final long FIRST_PAUSE = 50_000, LONGEST_ANSWER_PAUSE = 150_000;
     /**
-     * The longest pause where no connection comes up or it is closed with no answer. To ask costs processor time on
-     * every forwarder; a directory that is back is noticed after this at the latest, as one that was silent is ({@link
-     * #LOOK_ANSWER_BY}).
+     * Longest retry delay where connecting fails or the connection is closed without a response. Requests cost
+     * processor time on every forwarder; a directory that has recovered is noticed after this delay at the latest, as
+     * is one that was unresponsive ({@link #LOOK_ANSWER_BY}).
      */
     private static final long LONGEST_CONNECT_PAUSE = 300_000;
-    /** The whole list is asked for again at least this often while it can't be read in full; changes go on. */
+    /** The whole list is requested at least this often while it can't be read in full; changes are still followed. */
     private static final long LONGEST_WHOLE_PAUSE = 5_000_000;
-    /** The whole list is asked for again so seldom where it is over the bound; changes go on. */
+    /** The interval for requesting a whole list that is over the size limit; changes are still followed. */
     private static final long TOO_LARGE_PAUSE = 60_000_000;
-    /** The same faults are logged again after this. */
+    /** The same faults are logged again after this interval. */
     private static final long LOG_AGAIN = 60_000_000;
 
     private static final int MOST_FAULTS_LOGGED = 20;
-    /** A list of 20,000 endpoints of 200 bytes; room is taken as it comes. */
+    /** Enough for a list of 20,000 endpoints of 200 bytes; memory is allocated as data arrives. */
     static final int MOST_ANSWER = 4 << 20;
 
     private static final int HTTP_OK = 200;
     private static final String PART = "directory";
 
-    /** Who gets the lists. */
+    /** Receives the lists. */
     interface Listener {
         /**
-         * An answer has come, whole or as far as it goes. {@code isInOrder}: it came in full and is no older than what
-         * came before.
+         * A response has arrived, in full or in part. {@code isInOrder}: it is complete and no older than the responses
+         * before it.
          */
         void onList(DiscoveryWatch source, EndpointList list, boolean isInOrder);
     }
@@ -68,23 +73,25 @@
     private final RetryPause answerPause;
     private final RetryPause wholePause;
 
-    /** The version that the next changes follow. */
+    /** The version that the next changes are based on. */
     private long version = EndpointList.NO_VERSION;
-    /** The last request has failed or is late: the next must tell at once whether discovery is there. */
+    /** The last request has failed or timed out: the next one must show at once whether discovery is available. */
     private boolean isUnconfirmed = true;
-    /** What came can't be built on: the whole list is to be asked for, once its time has come. */
+    /**
+     * An unusable response has arrived: the whole list is to be requested once {@code wholeListDueAtMicros} is reached.
+     */
     private boolean needsWhole;
 
     private long wholeDueAt;
-    /** Until when the whole list is not asked for, as it is over the bound. */
+    /** Until when the whole list is not requested because it is over the size limit. */
     private long tooLargeUntil;
-    /** Requests are numbered as they are sent; this is the last whose answer was in order. */
+    /** Requests are numbered as they are sent; this is the last one whose response was in order. */
     private long lastInOrder;
 
     private long sent;
-    /** The request whose answer is expected in time; null while the next one waits for its pause. */
+    /** The request whose response is expected in time; null while the next one waits for its delay. */
     private PendingRequest primary;
-    /** The late request that is still open, or null. */
+    /** The request that has timed out and is still open, or null. */
     private PendingRequest patient;
 
     private Deadlines.Key retry;
@@ -92,7 +99,7 @@
     private List<EndpointList.Fault> loggedFaults = List.of();
     private long loggedAt;
 
-    /** A watch at the address, over the client's connections. */
+    /** Creates a watch at the address that uses the client's connections. */
     DiscoveryWatch(Core core, HttpClient client, String address, SplittableRandom random, Listener listener) {
         this.core = core;
         this.client = client;
@@ -108,8 +115,8 @@
     }
 
     /**
-     * Starts to watch with the whole list. A version known from elsewhere, else {@link EndpointList#NO_VERSION}, counts
-     * only where the whole list can't be had: it may be of another agent's count.
+     * Starts with a request for the whole list. A version known from elsewhere, else {@link EndpointList#NO_VERSION},
+     * is used only where the whole list can't be fetched, as it may stem from another agent's numbering.
      */
     void start(long knownVersion) {
         version = knownVersion;
@@ -117,7 +124,7 @@
         sendNext();
     }
 
-    /** Gives up all that is open; nothing more is told. */
+    /** Cancels all open requests; nothing more is reported. */
     void close() {
         isClosed = true;
         core.deadlines().cancel(retry);
@@ -133,7 +140,7 @@
         }
     }
 
-    // ---- sending ------------------------------------------------------------------------------------------
+    // Requests
     private void sendNext() {
         core.deadlines().cancel(retry);
         retry = null;
@@ -151,7 +158,7 @@
         return version == EndpointList.NO_VERSION || needsWhole && core.now() >= wholeDueAt;
     }
 
-    /** A watch ends early where the whole list is due. */
+    /** A long poll ends early where the whole list becomes due. */
     private long watchWait() {
         return needsWhole ? Math.max(LOOK_WAIT, Math.min(WATCH_WAIT, wholeDueAt - core.now())) : WATCH_WAIT;
     }
@@ -161,21 +168,21 @@
         retry = core.deadlines().at(core.now() + pause, this::sendNext);
     }
 
-    /** After an answer that can't be built on: until the whole list is due, if that is soon. */
+    /** The delay after an unusable response: until the whole list is due, if that is soon. */
     private long pauseAfterAnswer() {
         long pause = answerPause.next();
         long untilWhole = wholeDueAt - core.now();
         return needsWhole && untilWhole > 0 && untilWhole <= LONGEST_ANSWER_PAUSE ? untilWhole : pause;
     }
 
-    /** Has the whole list asked for, at a pace that falls while it is asked for again and again. */
+    /** Has the whole list requested, at growing intervals while requests repeat. */
     void requestWholeList() {
         needWhole();
     }
 
     /**
-     * Discovery may have restarted since its last answer, and count anew: what it has changed below the version that is
-     * held would never be among its changes.
+     * Discovery may have restarted since its last response and have reset its versions: changes it makes below the
+     * known version would never be reported as changes.
      */
     private void onLostTouch() {
         isUnconfirmed = true;
@@ -194,7 +201,7 @@
         }
     }
 
-    // ---- answers ------------------------------------------------------------------------------------------
+    // Responses
     private void onAnswer(PendingRequest request, int status, byte[] body) {
         connectPause.reset();
         boolean isGood = status == HTTP_OK ? onBody(request, body) : onError(status);
@@ -203,10 +210,10 @@
         }
     }
 
-    /** The chain goes on behind an answer of its latest request, and behind that of a late one while it looks. */
+    /** Continues the chain after a response to its latest request, and after one to a late request during a poll. */
     private void sendAfterAnswer(boolean isGood) {
         if (primary != null && isGood && primary.isLook) {
-            closeRequest(primary); // its successor is a watch, which brings all that the look would
+            closeRequest(primary); // its successor is a long poll, which returns all that this request would
             primary = null;
         }
         if (primary == null && isGood) {
@@ -223,7 +230,7 @@
         return false;
     }
 
-    /** Whether the next request may follow at once: the answer can be built on, and all of it was read. */
+    /** Returns whether the next request may follow at once: the response is usable and was read without faults. */
     private boolean onBody(PendingRequest request, byte[] body) {
         EndpointList list;
         try {
@@ -241,7 +248,9 @@
         return isInOrder && list.faults().isEmpty();
     }
 
-    /** Goes on from the list's version where changes can follow it, and says so; else the whole list is needed. */
+    /**
+     * Advances to the list's version and returns true if changes can build on it; otherwise the whole list is needed.
+     */
     private boolean advance(PendingRequest request, EndpointList list) {
         boolean isOvertaken = request.number < lastInOrder;
         boolean isOlder = list.version() < version;
@@ -250,14 +259,14 @@
             return false;
         }
         if (isOvertaken && isOlder) {
-            return true; // sent before what is held
+            return true; // sent before the known version arrived
         }
         if (isOlder && !request.asksWhole) {
             Logs.warn(
                     PART,
                     "older",
                     "version " + list.version() + " of " + address + " is older than " + version
-                            + ": what leaves there counts, and the whole list is asked for");
+                            + ": its removals are applied, and the whole list is requested");
             needWhole();
             return false;
         }
@@ -265,7 +274,7 @@
             Logs.warn(
                     PART,
                     "older",
-                    "the whole list of " + address + " has version " + list.version() + " behind " + version
+                    "the whole list of " + address + " has version " + list.version() + " , older than " + version
                             + ": changes count from there");
         }
         version = list.version();
@@ -283,7 +292,7 @@
         if (list.isWhole()) {
             needsWhole = false;
         } else if (!needsWhole && !request.asksWhole) {
-            wholePause.reset(); // only now: a list that is in order and followed by disorder is not asked for at once
+            wholePause.reset(); // only now: after an orderly whole list, further faults must not trigger an immediate request
         }
     }
 
@@ -300,18 +309,18 @@
             }
             listener.onList(this, list, false);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(PART, "unreadable", "the part of an answer of " + address + " is no list: " + e.getMessage());
+            Logs.warn(PART, "unreadable", "the partial response of " + address + " is no list: " + e.getMessage());
         }
     }
 
     private String describe(HttpClient.PartialAnswer partial, String reason) {
         String announced = partial.headers().getOrDefault("content-length", "unknown");
-        return "an answer of " + address + " " + (partial.isTooLarge() ? "is larger than " + MOST_ANSWER : reason)
+        return "the response of " + address + " " + (partial.isTooLarge() ? "is larger than " + MOST_ANSWER : reason)
                 + ": " + partial.body().length + " bytes were read, its length is " + announced
-                + ": what leaves there counts, and the whole list is asked for";
+                + ": its removals are applied, and the whole list is requested";
     }
 
-    /** A whole list over the bound never comes: changes are watched, without a version held from where it stands. */
+    /** A whole list over the size limit never arrives: changes are followed from its version if none is known. */
     private void onTooLarge(PendingRequest request, EndpointList list) {
         if (!request.asksWhole) {
             return;
@@ -341,11 +350,11 @@
         }
     }
 
-    /** One request, from its sending until it is answered, breaks or is given up. */
+    /** One request, from its sending until it is answered, fails or is cancelled. */
     private final class PendingRequest implements HttpClient.Listener {
         private final long number;
         private final boolean asksWhole;
-        /** Whether it is answered at once. */
+        /** Whether the agent answers it at once. */
         private final boolean isLook;
 
         private final String query;
@@ -374,9 +383,9 @@
         public void broke(boolean written, int status) {
             boolean wasPrimary = primary == this;
             forget();
-            if (status != 0) { // an answer that did not come whole is one all the same
+            if (status != 0) { // a partial response still proves that the agent is reachable
                 connectPause.reset();
-                onPartialAnswer(this, exchange.partialAnswer(), "broke off");
+                onPartialAnswer(this, exchange.partialAnswer(), "was cut off");
             }
             if (!isClosed && wasPrimary) {
                 onBrokenAnswer(status);
@@ -392,7 +401,7 @@
             }
         }
 
-        /** Not answered in time: it stays open if no other late one does, and the next is sent. */
+        /** No response in time: the request stays open unless another late one does, and the next one is sent. */
         void onLate() {
             onLostTouch();
             primary = null;
@@ -407,7 +416,7 @@
 
         private void giveUp() {
             forget();
-            exchange.giveUp(() -> onPartialAnswer(this, exchange.partialAnswer(), "was given up"));
+            exchange.giveUp(() -> onPartialAnswer(this, exchange.partialAnswer(), "was not complete in time"));
         }
 
         private void forget() {
--- a/src/main/java/lilaclever/protocol/http/EndpointList.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointList.java
@@ -8,13 +8,13 @@
 import lilaclever.DecisionModule;
 
 /**
- * A list of endpoints in the platform's form, read into values: nothing of the text that it came from is kept.
+ * An endpoint list parsed from the platform's format. It keeps none of the text that it was read from.
  *
  * @param version grows with each change of the list; {@link #NO_VERSION} where it can't be read
- * @param isWhole false where only changes since an earlier version are listed, or where that can't be read
- * @param isCut whether entries may be missing behind the last one: what is not listed may be there all the same
- * @param endpoints entries that can be used, in the list's order; a name that comes twice is here twice
- * @param unusable names of entries that can't be used
+ * @param isWhole false where the list has only the changes since an earlier version, or where that can't be read
+ * @param isTruncated whether entries may be missing after the last one, so that absence from the list proves nothing
+ * @param endpoints the usable entries, in the list's order; a name that is listed twice is here twice
+ * @param unusable names of the entries that can't be used
  * @param faults what could not be read; empty for a list in order
  */
 public record EndpointList(
@@ -24,7 +24,7 @@
         List<Endpoint> endpoints,
         Set<String> unusable,
         List<Fault> faults) {
-    /** The version of a list that tells none. */
+    /** The version of a list without a readable one. */
     public static final long NO_VERSION = -1;
 
     /**
@@ -32,7 +32,7 @@
      *
      * @param type name of its kind in the settings
      * @param zone name of its zone in the settings
-     * @param sinceMillis when it got this presence, wall clock, milliseconds since 1970; 0 where that is not told
+     * @param sinceMillis when it took on this presence, wall clock, milliseconds since 1970; 0 where that is unknown
      */
     public record Endpoint(
             String name,
@@ -45,19 +45,21 @@
             long sinceMillis) {}
 
     /**
-     * Something that could not be read.
+     * A part of the list that could not be read.
      *
      * @param entry number of the entry in the list, from 1; 0 for the list itself
      * @param name the entry's name; null where that can't be read
-     * @param key the key at fault; null where it is the whole entry or list
-     * @param problem what is wrong, in words
+     * @param key the faulty key; null where the whole entry or list is faulty
+     * @param problem a description of the fault
      */
     public record Fault(int entry, String name, String key, String problem) {
         private static final int LONGEST_NAME = 64;
-        /** What is said of a name that has come before in the list. */
+        /** The problem reported for a name that occurred earlier in the list. */
         static final String LISTED_TWICE = "listed twice";
 
-        /** Whether the list can be used all the same, the more cautious of two entries counting. */
+        /**
+         * Whether the list is usable in spite of this fault: of two entries of one name the more cautious one applies.
+         */
         boolean isRepetition() {
             return LISTED_TWICE.equals(problem);
         }
@@ -74,7 +76,7 @@
         }
     }
 
-    /** A text that is no list of endpoints at all, or one with faults where none is allowed. */
+    /** Thrown for a text that is not an endpoint list at all, or for one with faults where none are allowed. */
     public static final class UnreadableListException extends Exception {
         private static final long serialVersionUID = 1;
 
@@ -83,15 +85,15 @@
         }
     }
 
-    /** The same list, where it is known from elsewhere that its end is missing. */
+    /** Returns the same list marked as truncated, where that is known from elsewhere. */
     EndpointList cut() {
         return new EndpointList(version, isWhole, true, endpoints, unusable, faults);
     }
 
     /**
-     * Reads a list that must be in order, such as one from a configuration; a name may come twice in it.
+     * Reads a list that must be without faults, such as one from a configuration; only duplicate names are allowed.
      *
-     * @throws IllegalArgumentException names the first entry and key at fault
+     * @throws IllegalArgumentException names the first faulty entry and key
      */
     public static EndpointList read(JsonObject list) {
         EndpointListBuilder builder = new EndpointListBuilder();
--- a/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
@@ -12,13 +12,11 @@
 import lilaclever.transport.Transport;
 
 /**
- * Makes a list of endpoints from the members of its JSON objects, one after the other, and notes what can't be read of
- * it. A value is given as its text, or as null where it is no text, number or truth value. Used from one thread.
+ * Builds an endpoint list from the members of its JSON objects, passed one after the other, and records what can't be
+ * read. A value is passed as its text, or as null if it is not a string, number or boolean. Used from one thread.
  */
 final class EndpointListBuilder {
-    /** Keys of the list. */
     static final String VERSION = "index", WHOLE = "snapshot", ENTRIES = "endpoints";
-    /** Keys of an entry. */
     private static final String NAME = "name",
             ADDRESS = "address",
             DESTINATION = "group",
@@ -32,15 +30,15 @@
     private static final Set<String> ENTRY_KEYS = Set.of(NAME, ADDRESS, DESTINATION, STATUS, TYPE, ZONE, WEIGHT, SINCE);
 
     private static final double DEFAULT_WEIGHT = 1;
-    /** What the kind or zone of an entry counts as that tells none: no name of the settings. */
+    /** Stands for a missing kind or zone; matches no name of the settings. */
     private static final String UNNAMED = "";
-    /** The year 5138, milliseconds: larger ones would overflow in microseconds. */
+    /** In the year 5138: larger values would overflow when converted to microseconds. */
     private static final long LATEST_SINCE = 100_000_000_000_000L;
 
     private static final int LARGEST_PORT = 65_535;
 
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])";
-    /** Anything else in digits and dots would be looked up as a name, which may take seconds. */
+    /** Other hosts of digits and dots would be resolved as names, which may take seconds. */
     private static final Pattern IPV4 = Pattern.compile("(" + OCTET + "\\.){3}" + OCTET);
 
     private static final Pattern PORT = Pattern.compile("[0-9]{1,5}");
@@ -56,7 +54,7 @@
     private Members entry;
     private boolean entryIsUsable;
 
-    /** The members of one JSON object; of a key that comes twice with different values none counts. */
+    /** The members of one JSON object; a key that occurs twice with different values has none. */
     private static final class Members {
         private final Set<String> keys;
         private final Map<String, String> values = new HashMap<>();
@@ -79,7 +77,7 @@
             }
         }
 
-        /** The value's text; null where there is none that counts. */
+        /** The value's text, or null without a usable value. */
         String text(String key) {
             return problems.containsKey(key) ? null : values.get(key);
         }
@@ -95,28 +93,28 @@
         }
     }
 
-    /** A member of the list itself, other than its entries. */
+    /** Adds a member of the list itself, other than its entries. */
     void member(String key, String value) {
         list.add(key, value);
     }
 
-    /** The list's entries follow. */
+    /** Marks the start of the list's entries. */
     void beginEntries() {
         hasEntries = true;
     }
 
-    /** An entry's members follow. */
+    /** Marks the start of an entry. */
     void beginEntry() {
         number++;
         entry = new Members(ENTRY_KEYS);
     }
 
-    /** A member of the entry. */
+    /** Adds a member of the current entry. */
     void entryMember(String key, String value) {
         entry.add(key, value);
     }
 
-    /** All members of the entry are here. */
+    /** Marks the end of the current entry. */
     void endEntry() {
         entryIsUsable = true;
         String name = name();
@@ -137,24 +135,24 @@
         }
     }
 
-    /** Something that is no entry stands in the place of one. */
+    /** Records a value in place of an entry that is not an entry. */
     void noEntry() {
         number++;
         fault(null, null, "not an object");
     }
 
-    /** The text ends or can't be read from here on. */
+    /** Marks the list as truncated: the text ends here or can't be read any further. */
     void cut(String problem) {
         isCut = true;
-        faults.add(new EndpointList.Fault(0, null, null, "cut behind entry " + number + ": " + problem));
+        faults.add(new EndpointList.Fault(0, null, null, "truncated after entry " + number + ": " + problem));
     }
 
-    /** Something about the list as a whole. */
+    /** Records a fault of the list as a whole. */
     void listFault(String problem) {
         faults.add(new EndpointList.Fault(0, null, null, problem));
     }
 
-    /** The list as far as it was given. */
+    /** Returns the list as far as it was read. */
     EndpointList build() {
         if (!hasEntries) {
             isCut = true;
@@ -163,7 +161,7 @@
         return new EndpointList(version(), isWhole(), isCut, endpoints, unusable, faults);
     }
 
-    // ---- the list's own values ----------------------------------------------------------------------------
+    // Values of the list
     private long version() {
         Long version = wholeNumber(list.text(VERSION));
         if (version == null || version < 0) {
@@ -182,7 +180,7 @@
         return false;
     }
 
-    // ---- an entry's values --------------------------------------------------------------------------------
+    // Values of an entry
     private String name() {
         String name = entry.text(NAME);
         if (name == null || name.isEmpty()) {
@@ -265,13 +263,13 @@
         return !entry.values.containsKey(key) && !entry.problems.containsKey(key);
     }
 
-    /** The entry can't be used without this value. */
+    /** Marks the entry as unusable, since this value is missing or invalid. */
     private void unusable(String key) {
         entryIsUsable = false;
         fault(entry.text(NAME), key, entry.problem(key));
     }
 
-    /** The default stands in for this value. */
+    /** Records a fault in a value that is replaced by its default. */
     private void defaulted(String key) {
         fault(entry.text(NAME), key, entry.problem(key) + "; the default counts");
     }
@@ -280,7 +278,7 @@
         faults.add(new EndpointList.Fault(number, name, key, problem));
     }
 
-    // ---- forms ----------------------------------------------------------------------------------------------
+    // Formats
     private static Long wholeNumber(String text) {
         Double value = number(text);
         if (value == null || value != Math.rint(value)) {
@@ -305,7 +303,7 @@
         }
     }
 
-    /** Whether it is an IP address and a port that can be connected to; a name is not. */
+    /** Whether the text is an IP address and port that can be connected to; host names are not accepted. */
     static boolean isAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !PORT.matcher(text.substring(colon + 1)).matches()) {
--- a/src/main/java/lilaclever/protocol/http/EndpointListReader.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListReader.java
@@ -9,11 +9,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads a list of endpoints from the bytes of an answer, entry by entry and without a tree of it: an answer of some MiB
- * has to fit a small heap. What can't be read is noted, and the rest counts.
+ * Reads an endpoint list from the bytes of a response, entry by entry and without building a tree: a response of some
+ * MiB has to fit a small heap. Unreadable parts are recorded as faults, and the rest is used.
  */
 final class EndpointListReader {
-    /** Objects and arrays within each other in a value that is passed over. */
+    /** Maximum nesting of objects and arrays in a value that is skipped. */
     private static final int MOST_NESTED = 32;
 
     private final JsonReader json;
@@ -24,9 +24,9 @@
     }
 
     /**
-     * Reads a list as far as it goes: one that breaks off or can't be read from some point on is cut there.
+     * Reads a list as far as possible: a list that ends early or becomes unreadable is truncated there.
      *
-     * @throws EndpointList.UnreadableListException if it is no JSON object, or nothing of it can be read
+     * @throws EndpointList.UnreadableListException if the text is not a JSON object, or nothing of it can be read
      */
     static EndpointList read(byte[] body) throws EndpointList.UnreadableListException {
         return new EndpointListReader(body).read();
@@ -62,7 +62,7 @@
         json.endObject();
     }
 
-    /** What stands behind the list is reported; the list counts. */
+    /** Records anything that follows the list as a fault; the list stays usable. */
     private void readEnd() {
         try {
             if (json.peek() == JsonToken.END_DOCUMENT) {
@@ -98,7 +98,7 @@
         builder.endEntry();
     }
 
-    /** The text of a plain value; null for any other, which is passed over. */
+    /** Returns the text of a plain value; skips any other value and returns null. */
     private String value() throws IOException {
         switch (json.peek()) {
             case STRING, NUMBER:
@@ -111,7 +111,10 @@
         }
     }
 
-    /** As {@link JsonReader#skipValue}, which takes room for each level of nesting without a bound. */
+    /**
+     * Skips a value as {@link JsonReader#skipValue} does, which allocates memory for each level of nesting without a
+     * limit.
+     */
     private void skipValue() throws IOException {
         int depth = 0;
         do {
--- a/src/main/java/lilaclever/protocol/http/Figures.java
+++ b/src/main/java/lilaclever/protocol/http/Figures.java
@@ -4,27 +4,27 @@
 import java.math.RoundingMode;
 import java.util.regex.Pattern;
 
-/** Texts from outside: what may be a number or an id here. */
+/** Parsers for numbers and identifiers in untrusted text. */
 final class Figures {
-    /** Bounded before it is computed with: a short text such as 1e999999999 is a number of a billion digits. */
+    /** Limited before it is evaluated: a short text such as 1e999999999 is a number with a billion digits. */
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,9}(\\.[0-9]{0,12})?");
-    /** Of any length: the reader's bound on a head is enough, as there is no exponent. */
+    /** Of any length: without an exponent, the reader's limit on the size of a head is sufficient. */
     private static final Pattern LONG_DECIMAL = Pattern.compile("[0-9]+(\\.[0-9]*)?");
 
     private static final Pattern WHOLE = Pattern.compile("[0-9]{1,9}");
-    /** Ids and keys travel in heads, in lines with spaces between, and in the journal. */
+    /** Ids and keys are written to heads, to space-separated lines and to the journal. */
     private static final Pattern WORD = Pattern.compile("[!-~]{1,128}");
 
     private Figures() {}
 
-    /** A decimal, not negative, with the point moved to the right; null if it is none. */
+    /** Parses a non-negative decimal and shifts its point to the right; returns null if the text is not one. */
     static Long decimal(String text, int places) {
         return DECIMAL.matcher(text).matches()
                 ? new BigDecimal(text).movePointRight(places).longValue()
                 : null;
     }
 
-    /** The same rounded up, and the given figure at the most, however long the text; 0 if it is no such number. */
+    /** The same, rounded up and limited to {@code max}, for text of any length; 0 if the text is not such a number. */
     static long atLeast(String text, int places, long most) {
         return LONG_DECIMAL.matcher(text).matches()
                 ? new BigDecimal(text)
@@ -35,12 +35,12 @@
                 : 0;
     }
 
-    /** A whole number, not negative; null if it is none. */
+    /** Parses a non-negative whole number; returns null if the text is not one. */
     static Integer whole(String text) {
         return WHOLE.matcher(text).matches() ? Integer.valueOf(text) : null;
     }
 
-    /** True if the text can be an id or a key. */
+    /** Whether the text is usable as an id or a key. */
     static boolean isWord(String text) {
         return WORD.matcher(text).matches();
     }
--- a/src/main/java/lilaclever/protocol/http/Head.java
+++ b/src/main/java/lilaclever/protocol/http/Head.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes a head and its body as one piece of bytes. */
+/** Encodes an HTTP message, head and body, as one byte array. */
 final class Head {
     private final StringBuilder text;
 
@@ -11,7 +11,7 @@
         text = new StringBuilder(256).append(first).append("\r\n");
     }
 
-    /** A request; the body's length is told even if it is nothing. */
+    /** Encodes a request; Content-Length is written even for an empty body. */
     static byte[] request(String method, String path, String host, Map<String, String> headers, byte[] body) {
         return new Head(method + ' ' + path + " HTTP/1.1")
                 .with("Host", host)
@@ -19,7 +19,7 @@
                 .end(body);
     }
 
-    /** An answer. */
+    /** Encodes a response. */
     static byte[] answer(int status, Map<String, String> headers, boolean close, byte[] body) {
         Head head = new Head("HTTP/1.1 " + status + ' ' + reason(status)).with(headers);
         return (close ? head.with("Connection", "close") : head).end(body);
@@ -48,7 +48,7 @@
     }
 
     private Head with(String name, String value) {
-        // What reached us from outside was checked where it came in: a line's end here would forge a header.
+        // Values from outside were validated on arrival: a line break here would inject a header.
         assert value.chars().allMatch(c -> c >= ' ' && c != 0x7f) : name;
         text.append(name).append(": ").append(value).append("\r\n");
         return this;
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -19,61 +19,64 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Requests over HTTP/1.1, one at a time on a connection. Nothing is ever sent twice: a request that breaks is told
- * to its owner. Used from the loop thread; requests are written and answers read on the selector thread.
+ * HTTP/1.1 client with one request at a time on a connection. Requests are never resent: a failed request is reported
+ * to its caller. Used from the loop thread; requests are written and responses read on the selector thread.
  */
 final class HttpClient {
     private static final long SWEEP = 500_000;
-    /** Part of the time that an endpoint keeps an idle connection after which it is dropped here. */
+    /** Idle connections are dropped after this fraction of the time for which an endpoint keeps them. */
     private static final double KEEP_PART = 0.8;
-    /** Once a first line is here the rest follows at once, or the answer is spoilt. */
+    /** After a status line the rest follows at once; otherwise the response is malformed. */
     private static final long REST_BY = 250_000;
 
     private static final int TOO_LARGE = 413;
 
-    /** How a request went; one of the two is called, once, on the loop thread. */
+    /** Receives the outcome of a request. Exactly one of the outcome methods is called, once, on the loop thread. */
     interface Listener {
-        /** The whole answer is here. */
+        /** The whole response has arrived. */
         void answered(int status, Map<String, String> headers, byte[] body);
 
         /**
-         * No answer will come, or none that can be read. {@code written}: the request's last byte had been written.
-         * {@code status}: what the answer's first line said, else 0.
+         * No readable response will arrive. {@code written}: the request's last byte had been written. {@code status}:
+         * the status from the response's status line, else 0.
          */
         void broke(boolean written, int status);
 
         /**
-         * What an answer's head says, as soon as it is here, though the rest may never come or nobody may wait for it
-         * any more; of one that can't be read, the part that can. Selector thread.
+         * The headers of a response, as soon as they have arrived, even if the rest never arrives or the request was
+         * given up; of a malformed head, the readable part. Selector thread.
          */
         default void head(Map<String, String> headers) {}
 
-        /** Whether the server is to get nothing new and keep no connection. Selector thread and loop thread. */
+        /** Whether the server may get no new request and keep no connection. Selector thread and loop thread. */
         default boolean isServerLeaving() {
             return false;
         }
 
-        /** Whether the request may go out at this moment, when all that had come before was read. Selector thread. */
+        /** Whether the request may be sent at this moment, given all that was read before. Selector thread. */
         default boolean mayGo() {
             return true;
         }
 
-        /** Whether its time is up: from then on it is not written. Selector thread. */
+        /** Whether the request has expired; it is not written from then on. Selector thread. */
         default boolean isTooLate() {
             return false;
         }
 
-        /** It might not go out any more, so its last byte was not written: called in place of the others. */
+        /**
+         * The request was not allowed to be sent, so its last byte was not written: called instead of the other
+         * outcomes.
+         */
         default void withheld() {}
     }
 
     /**
-     * What had come of an answer that is not whole.
+     * An incomplete response as far as it was received.
      *
-     * @param status what its first line says
-     * @param headers by lower-case name, as far as they came
-     * @param body as far as it came, up to the client's bound
-     * @param isTooLarge whether it was refused because its body is longer than the bound
+     * @param status from its status line
+     * @param headers by lower-case name, as far as they arrived
+     * @param body as far as it arrived, up to the client's limit
+     * @param isTooLarge whether it was rejected because its body exceeds the limit
      */
     record PartialAnswer(int status, Map<String, String> headers, byte[] body, boolean isTooLarge) {}
 
@@ -85,10 +88,10 @@
     private final ConnectionPool<Connection<?>> pool;
     private final FilterChain chain = Transport.chain(new AnswerFilter());
     private final Attribute<Link> links;
-    /** Requests whose first bytes are written and whose last are not, as the other side reads slowly. */
+    /** Requests of which some but not all bytes are written, as the server reads slowly. */
     private final Set<Exchange> partly = ConcurrentHashMap.newKeySet();
 
-    /** A client whose answers have bodies up to so many bytes. */
+    /** Creates a client that accepts response bodies up to the given size. */
     HttpClient(
             Core core,
             Transport transport,
@@ -101,9 +104,8 @@
     }
 
     /**
-     * The same. {@code keepsPartialAnswers}: what had come of an answer that breaks off, is given up or is too large
-     * is kept for the owner of its request ({@link Exchange#partialAnswer}), who alone bounds the time that an answer
-     * may take.
+     * Creates a client. {@code keepsPartialResponses}: an incomplete or too large response is kept for the caller of
+     * the request ({@link Exchange#partialAnswer}), who then limits the time of a response alone.
      */
     HttpClient(
             Core core,
@@ -125,18 +127,18 @@
         this.links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
     }
 
-    /** Starts to drop connections that were idle for too long. */
+    /** Starts the periodic removal of connections that were idle for too long. */
     void start() {
         pool.sweep(core.now());
         core.deadlines().at(core.now() + SWEEP, this::start);
     }
 
-    /** Closes what is idle under the name. */
+    /** Closes the idle connections of a pool key. */
     void closeIdle(String name) {
         pool.closeIdle(name);
     }
 
-    /** Sends a request; headers by name. Connections are kept and found again under the owner's name. */
+    /** Sends a request. Idle connections are pooled under the key. */
     Exchange send(
             String owner,
             String address,
@@ -151,12 +153,12 @@
         return exchange;
     }
 
-    /** A connection, and what is read from it. Selector thread. */
+    /** A connection and the state of reading from it. Selector thread. */
     private final class Link {
         private final Connection<?> connection;
         private final MessageReader reader = new MessageReader(true, mostAnswer, keepsPartialAnswers);
         private volatile Exchange current;
-        /** More came than was asked for: nobody may ask here again. */
+        /** Unsolicited bytes have arrived: no further request may use this connection. */
         private volatile boolean spoilt;
 
         private boolean headTold;
@@ -165,10 +167,10 @@
             this.connection = connection;
         }
 
-        /** Writes the request, unless it was given up meanwhile or the connection is not as it should be. */
+        /** Writes the request, unless it was given up meanwhile or the connection is unusable. */
         boolean take(Exchange exchange) {
             if (spoilt || !Transport.isQuiet(connection)) {
-                // Its idle time was used to close it, or for a word too many: that must not answer this request.
+                // While idle it was closed or received unsolicited bytes, which must not be taken for this response.
                 connection.closeSilently();
                 return false;
             }
@@ -184,7 +186,7 @@
         void bytes(byte[] in) {
             Exchange exchange = current;
             if (exchange == null) {
-                refuse(); // nobody asked: what follows can't be told from an answer
+                refuse(); // unsolicited bytes: what follows can't be told apart from a response
                 return;
             }
             try {
@@ -193,7 +195,7 @@
                     head(exchange);
                 }
                 if (!exchange.written) {
-                    refuse(); // it could not wait for the end of what it was asked
+                    refuse(); // a response before the end of its request
                     return;
                 }
                 exchange.status = reader.status();
@@ -210,7 +212,7 @@
             }
         }
 
-        /** Keeps what has come of the answer, before the connection is closed. Selector thread. */
+        /** Saves what was received of the response, before the connection is closed. Selector thread. */
         private void keepPartial(Exchange exchange, boolean isTooLarge) {
             if (keepsPartialAnswers && exchange.written && exchange.partialAnswer == null && reader.status() != 0) {
                 exchange.partialAnswer =
@@ -232,7 +234,7 @@
         }
 
         private void complete(Exchange exchange, boolean keep) {
-            // From now on whatever comes is one too many, also before the loop has seen this answer.
+            // Any further bytes are unsolicited from now on, even before the loop has processed this response.
             current = null;
             headTold = false;
             spoilt |= !keep;
@@ -244,7 +246,10 @@
             core.post(() -> exchange.answered(status, headers, body));
         }
 
-        /** {@code remotely}: by the other side; an answer without a length ends so, and not by a close from here. */
+        /**
+         * {@code remotely}: closed by the server, which ends a response without a length; a close by the client does
+         * not.
+         */
         void closed(boolean remotely) {
             Exchange exchange = current;
             current = null;
@@ -262,31 +267,36 @@
         }
     }
 
-    /** One request and what becomes of it. */
+    /** One request and its outcome. */
     final class Exchange {
         private final String owner, address;
         private final UnaryOperator<byte[]> form;
         private final Listener listener;
         private Deadlines.Key due;
         private boolean done;
-        /** What is run once it is closed after a giving up. */
+        /** Runs once the connection is closed after {@link #giveUp}. */
         private Runnable givingUp;
-        /** Guarded by this: a request that was given up is not written, one that is being written is not unsent. */
+        /**
+         * Guarded by this: a request that was given up is not written, and one that is being written is not taken back.
+         */
         private boolean givenUp;
 
         private byte[] request;
         private Link link;
-        /** Set on the selector thread before the answer can be read there. */
+        /** Set on the selector thread before the response can be read there. */
         private volatile boolean written;
 
         private volatile int status;
-        /** What had come of an answer that is not whole; null if nothing had, or nobody wants it. */
+        /** What was received of an incomplete response; null if nothing was, or if this client keeps none. */
         private volatile PartialAnswer partialAnswer;
-        /** Its connection was closed before its last byte was written, since it might not go out any more. */
+        /**
+         * The connection was closed before the last byte was written, since the request was no longer allowed to be
+         * sent.
+         */
         private volatile boolean cut;
 
         private boolean fresh;
-        /** Gives up a connection that is opened for it and is not up yet. */
+        /** Cancels opening a connection for this request while it is not established. */
         private Runnable connecting = () -> {};
 
         private Exchange(String owner, String address, UnaryOperator<byte[]> form, byte[] body, Listener listener) {
@@ -297,7 +307,7 @@
             this.listener = listener;
         }
 
-        /** On an idle connection if there is one that is good, else on a new one. */
+        /** Uses an idle connection if a good one exists, else opens a new one. */
         private void begin() {
             if (done) {
                 return;
@@ -310,7 +320,7 @@
             Link kept = links.get(idle);
             Transport.afterReading(idle, () -> {
                 if (!kept.take(this)) {
-                    core.post(this::begin); // nothing was written: another one
+                    core.post(this::begin); // nothing was written: try another one
                 }
             });
         }
@@ -336,7 +346,9 @@
                     problem -> core.post(this::broke));
         }
 
-        /** The list, a wait or its own time may have changed since the loop began it. */
+        /**
+         * The endpoint list, a retry-after period or the request's own time may have changed since the loop started it.
+         */
         private boolean mayBegin() {
             return !listener.isServerLeaving() && listener.mayGo() && !listener.isTooLate();
         }
@@ -358,16 +370,16 @@
             partly.remove(this);
             trace("written");
             if (!listener.mayGo()) {
-                core.post(() -> core.counters().holds(false, listener + " was written under no wait"));
+                core.post(() -> core.counters().holds(false, listener + " was written outside of any retry-after period"));
             }
         }
 
-        /** The rest of a request that is half written must not follow. Selector thread. */
+        /** Aborts a partly written request that must not be sent any more. Selector thread. */
         private void cutIfHeld() {
             if (!written && !listener.mayGo()) {
                 cut = true;
                 partly.remove(this);
-                link.connection.terminateSilently(); // to close it would first write what is left
+                link.connection.terminateSilently(); // a plain close would first write the rest
             }
         }
 
@@ -377,7 +389,7 @@
             }
         }
 
-        /** Nothing is written: the connection is as good as before. Selector thread. */
+        /** Nothing was written, so the connection stays usable. Selector thread. */
         private void withheld(Connection<?> unused) {
             trace("withheld");
             core.post(() -> {
@@ -392,10 +404,10 @@
             });
         }
 
-        /** The first line is here. Selector thread. */
+        /** The status line has arrived. Selector thread. */
         private void begun() {
             if (keepsPartialAnswers) {
-                return; // the owner bounds the whole span of the answer
+                return; // the caller limits the time of the whole response
             }
             core.post(() -> {
                 if (!done) {
@@ -442,8 +454,8 @@
         }
 
         /**
-         * Its time to connect, or to get the rest of its answer, is up. The selector thread may be writing it just now:
-         * only there it is known whether its last byte has gone.
+         * The time to connect, or to receive the rest of the response, is over. The selector thread may be writing the
+         * request just now, so only that thread knows whether its last byte was sent.
          */
         private void late() {
             if (!done) {
@@ -451,7 +463,7 @@
             }
         }
 
-        /** Has it carry another body; false if the first one may be on its way. */
+        /** Replaces the body; returns false if the previous one may already be in flight. */
         synchronized boolean replaceBody(byte[] body) {
             if (link != null || givenUp) {
                 return false;
@@ -460,37 +472,37 @@
             return true;
         }
 
-        /** Whether its connection was opened for it. */
+        /** Whether a new connection was opened for this request. */
         boolean isFresh() {
             return fresh;
         }
 
         /**
-         * What had come of an answer that is not whole, once it broke off or was given up; null if nothing had, or this
+         * What was received of an incomplete response, after it failed or was given up; null if nothing was, or if this
          * client keeps none.
          */
         PartialAnswer partialAnswer() {
             return partialAnswer;
         }
 
-        /** What the first line of the answer has said so far; else 0. */
+        /** The status of the response received so far; else 0. */
         int status() {
             return status;
         }
 
-        /** Gives the request up by closing its connection; nothing more is told of it. */
+        /** Cancels the request by closing its connection; nothing more is reported. */
         void close() {
             givingUp = null;
             Link open = leave();
             if (open != null) {
-                open.connection.terminateSilently(); // to close it would first write what is left
+                open.connection.terminateSilently(); // a plain close would first write the rest
             }
         }
 
         /**
-         * The same, once what its endpoint has said until now is read: that may be a wait. An answer that crosses this
-         * counts for nothing: it comes after the time that the endpoint was told. {@code closed} is run on the loop
-         * thread; from then on {@link #isWritten} does not change.
+         * The same, after reading what the endpoint has sent so far, which may be a retry-after. A response that
+         * crosses this is ignored: it arrives after the time that the endpoint was given. {@code closed} runs on the
+         * loop thread; from then on {@link #isWritten} does not change.
          */
         void giveUp(Runnable closed) {
             givingUp = closed;
@@ -503,7 +515,7 @@
                 if (open.current == this) {
                     open.keepPartial(this, false);
                 }
-                open.connection.terminateSilently(); // on this thread nothing is being written meanwhile
+                open.connection.terminateSilently(); // nothing is being written meanwhile on this thread
                 core.post(this::givenUp);
             });
         }
@@ -516,7 +528,7 @@
             }
         }
 
-        /** Gives the request up if none of its bytes is written, and says whether it did. */
+        /** Gives the request up if none of its bytes is written, and returns whether it did. */
         boolean withdraw() {
             synchronized (this) {
                 if (link != null || givenUp || done) {
@@ -528,12 +540,11 @@
             return true;
         }
 
-        /** Whether its last byte has been written. */
         boolean isWritten() {
             return written;
         }
 
-        /** Nobody waits for the answer any more; gives the connection that it may be on its way on, or null. */
+        /** Marks the request as finished; returns the connection that it may be in flight on, or null. */
         private Link leave() {
             done = true;
             core.deadlines().cancel(due);
@@ -545,14 +556,14 @@
         }
     }
 
-    /** Hands what is read to its link. */
+    /** Passes received bytes to the connection's state. */
     private final class AnswerFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext context) {
             Link link = links.get(context.getConnection());
             byte[] bytes = Transport.bytes(context.getMessage());
             if (link == null) {
-                context.getConnection().closeSilently(); // it spoke before it was asked
+                context.getConnection().closeSilently(); // bytes before any request
             } else {
                 link.bytes(bytes);
             }
@@ -570,7 +581,7 @@
 
         @Override
         public void exceptionOccurred(FilterChainContext context, Throwable error) {
-            context.getConnection().closeSilently(); // what can't be read is as good as a broken connection
+            context.getConnection().closeSilently(); // a read error is treated as a broken connection
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -19,19 +19,22 @@
 import lilaclever.routing.RetryAfterTable;
 import lilaclever.transport.Transport;
 
-/** Calls over the platform's protocol: requests out, answers to endings. */
+/** Makes calls over the platform's HTTP protocol and translates the responses to outcomes. */
 public final class HttpDeliverer implements Deliverer {
     private static final byte[] NOTHING = {};
     private static final byte[] CRLF = {'\r', '\n'};
     private static final String DEADLINE = "Req-Deadline";
-    /** What an endpoint has to say is short; whatever says more is spoilt. */
+    /** Responses of endpoints are short; longer ones are treated as malformed. */
     private static final int MOST_ANSWER = 64 * 1024;
-    /** Longer than any message lives or any process runs, and far from an overflow: ten years, microseconds. */
+    /** Ten years in microseconds: longer than any message's lifetime and any process run, and far from an overflow. */
     private static final long MOST_WAIT = 315_360_000_000_000L;
 
     private static final long SWEEP = 500_000;
 
-    /** A request to an endpoint: not written while it drains or has asked for a wait; a wait in its answer binds. */
+    /**
+     * A request to an endpoint. It isn't written while the endpoint drains or within a retry-after period; a
+     * retry-after in its response is recorded.
+     */
     private abstract class Heedful implements HttpClient.Listener {
         private final Call.Endpoint endpoint;
 
@@ -56,8 +59,8 @@
     }
 
     /**
-     * What is out for a call, and the headers that it is written with; {@code several}: its answer tells the end of
-     * each message, however many are left.
+     * An in-flight call with the headers that it is written with. {@code isBatch}: its response has a result for each
+     * message, however many are left.
      */
     private record Out(HttpClient.Exchange exchange, Map<String, String> headers, boolean several) {}
 
@@ -66,14 +69,14 @@
     private final long probeMicros;
     private final RetryAfterTable waits = new RetryAfterTable();
 
-    /** A deliverer with connections of its own. */
+    /** Creates a deliverer with its own connections. */
     public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int mostIdle) {
         this.core = core;
         this.probeMicros = connectMicros;
         this.client = new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, mostIdle, MOST_ANSWER);
     }
 
-    /** Starts its housekeeping. */
+    /** Starts the periodic cleanup. */
     public void start() {
         client.start();
         core.counters().gauge("waits", waits::size);
@@ -99,8 +102,8 @@
 
             @Override
             public void broke(boolean written, int status) {
-                // Before the last byte the endpoint has not begun; after it nobody knows, but for a call of one
-                // message whose answer's first line still says that it is delivered.
+                // Before its last byte is written the endpoint has not begun. After that the outcome is unknown, except
+                // that a status line confirms the delivery of a call of one message.
                 if (status != 0) {
                     core.counters().add(Counters.Name.SPOILT_ANSWERS);
                 }
@@ -154,7 +157,7 @@
                 several);
     }
 
-    /** How long a call of the given messages waits for its answer, as its endpoint is told. */
+    /** Returns the time that a call of the given messages waits for its response, as written to the endpoint. */
     private static String waitOf(Call call, List<Message> messages) {
         return seconds(Math.max(0, Call.expiryOf(messages) - call.startedAt));
     }
@@ -163,7 +166,7 @@
     public void leaveOut(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
         if (call.attachment instanceof Out out) {
-            out.headers().put(DEADLINE, waitOf(call, rest)); // written anew with the body, or not at all
+            out.headers().put(DEADLINE, waitOf(call, rest)); // sent only if the body is replaced as well
             if (out.exchange().replaceBody(many(rest))) {
                 call.leftOut(m);
                 core.post(() -> outcome(call, m, Ending.NOT_SENT, false, false));
@@ -212,9 +215,9 @@
     }
 
     /**
-     * Whether it was the connection that the endpoint has no room for: it closes what was opened just now. One that is
-     * over its limit keeps the connection. To take the first for the second would slow all calls there, and change
-     * nothing.
+     * Whether the endpoint has reached its limit of connections: it closes a connection that was just opened. An
+     * endpoint over its call limit keeps the connection. To take the first for the second would slow all calls there to
+     * no effect.
      */
     private static boolean noRoom(Call call, int status, Map<String, String> headers) {
         return status == 503
@@ -224,7 +227,7 @@
                         .equalsIgnoreCase(headers.getOrDefault("connection", "").strip());
     }
 
-    /** Ends each message as the answer says, or all as calls that may have run where the answer is not whole. */
+    /** Reports the result of each message, or all messages as possibly executed if the response is incomplete. */
     private void each(Call call, byte[] body) {
         Optional<SeveralAnswer> answer =
                 SeveralAnswer.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.of(m.id()) != null));
@@ -245,8 +248,8 @@
     }
 
     /**
-     * Keeps the wait that an answer asks for, whatever else it says: the longest, if it names several. It runs from the
-     * answer's writing, so one counted from its reading ends no sooner. What is no number is none.
+     * Records the longest retry-after period of a response, whatever its status. It starts when the response is
+     * written, so counting from when it is read ends no sooner. Values that aren't numbers are ignored.
      */
     private void heed(Call.Endpoint endpoint, Map<String, String> answer) {
         long longest = 0;
@@ -254,12 +257,12 @@
             longest = Math.max(longest, Figures.atLeast(wait.strip(), 3, MOST_WAIT));
         }
         if (longest > 0) {
-            long now = Core.micros() + 1; // the clock is cut to whole microseconds
+            long now = Core.micros() + 1; // the clock is truncated to whole microseconds
             waits.told(endpoint, now + longest);
             Logs.debug(
                     "",
                     "wait",
-                    "told to wait until " + (now + longest),
+                    "retry-after until " + (now + longest),
                     "partner",
                     endpoint.destination(),
                     "endpoint",
@@ -271,24 +274,26 @@
         List.copyOf(call.messages).forEach(m -> outcome(call, m, ending, noSlot, over));
     }
 
-    /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
+    /**
+     * Each outcome carries the current retry-after, which may stem from a response that nothing waited for any more.
+     */
     private void outcome(Call call, Message m, Ending ending, boolean noSlot, boolean over) {
         core.outcome(call, m, ending, waits.left(call.endpoint, core.now()), noSlot, over);
     }
 
-    /** Seconds with decimals, as the protocol writes them. */
+    /** Formats seconds with decimals, as the protocol writes them. */
     static String seconds(long micros) {
         return String.format(Locale.ROOT, "%.3f", micros / 1e6);
     }
 
     @Override
     public void giveUp(Call call) {
-        if (!(call.attachment instanceof Out out)) { // its start has failed
+        if (!(call.attachment instanceof Out out)) { // starting it failed
             core.post(() -> all(call, Ending.NO_CONNECTION, false, false));
             return;
         }
-        // The slot is free once the other side has seen the close: a call in this same turn would find none.
-        boolean delivered = saysDelivered(out.several(), out.exchange().status()); // not what comes from now on
+        // The slot is free only once the other side has seen the close: a new call in this same turn would find none.
+        boolean delivered = saysDelivered(out.several(), out.exchange().status()); // responses that arrive from now on are ignored
         out.exchange()
                 .giveUp(() -> all(
                         call,
@@ -311,7 +316,10 @@
         client.closeIdle(owner(endpoint));
     }
 
-    /** Whose connections are found again: an endpoint that comes to the address of another inherits none. */
+    /**
+     * The pool key of an endpoint. It has host and address, so that an endpoint at a reused address gets no connections
+     * of its predecessor.
+     */
     private static String owner(Call.Endpoint endpoint) {
         return endpoint.host() + '@' + endpoint.address();
     }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -19,12 +19,15 @@
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.Connection;
 
-/** The platform's front: clients hand in over HTTP; later ends go to the platform as notices. */
+/**
+ * The platform's front: clients submit messages over HTTP; final statuses that come later are sent to the platform as
+ * notices.
+ */
 public final class HttpFront implements Front {
     private static final byte[] NOTHING = {};
-    /** Nobody waits for longer. */
+    /** Longest time that a client may set as the deadline. */
     private static final long LONGEST = 3_600_000_000L;
-    /** Selections at most in which those are accepted who came before the listener closes. */
+    /** Limit on the selections that closing the listener waits for, in which pending connections are still accepted. */
     private static final int MOST_WAITING = 512;
 
     private static final long UNREAD = 120_000, UNREAD_PART = 50;
@@ -33,19 +36,20 @@
     private volatile Classes classes;
     private final Notices notices;
     private final IntakeFilter intake;
-    /** Who waits to hear that a message is taken on: more than one where it came again meanwhile. */
+    /** Requests that wait for their message to be accepted; several where a client resubmitted it meanwhile. */
     private final Map<Message, List<Waiting>> waiting = new HashMap<>();
     /** The header that names the practice, in lower case, where identities are shared with other ports; else null. */
     private final String practiceHeader;
 
     private Connection<?> listener;
 
-    /** A request that waits, under the id that it came with. */
+    /** A request that waits for its response, with the id that it was submitted under. */
     private record Waiting(IntakeFilter.Exchange exchange, String id) {}
 
     /**
-     * Classes by the name that clients use; at most so many connections of clients, none idle above a crowd. Requests
-     * with the header for the practice and a key are the same message as those with both on another port; null: none.
+     * Creates a front for classes under the names that clients use. At most {@code maxClients} client connections are
+     * open; above {@code keepAliveLimit} none is kept idle. Requests with the practice header and a key are the same
+     * message as those with both on another port; a null header disables that.
      */
     public HttpFront(
             Core core,
@@ -69,22 +73,22 @@
         return "http";
     }
 
-    /** Classes by number, and the names of those that may be handed in. */
+    /** Message classes by number, and the names of those that clients may submit. */
     private record Classes(List<String> names, List<DecisionModule.MessageClass> all) {}
 
-    /** Other classes may be handed in from now on. Loop thread, once the module knows them. */
+    /** Replaces the classes that clients may submit. Loop thread, once the module knows the new ones. */
     public void renew(List<String> classNames, List<DecisionModule.MessageClass> all) {
         classes = new Classes(List.copyOf(classNames), List.copyOf(all));
     }
 
-    /** Listens from now on. */
+    /** Starts to listen at the address. */
     public SocketAddress listen(Transport transport, SocketAddress address) throws IOException {
         var server = transport.listen(address, intake.chain());
         listener = server;
         return server.getLocalAddress();
     }
 
-    /** Accepts no more, and closes idle connections; the others close after their answers. */
+    /** Stops accepting connections and closes idle ones; the others close after their responses. */
     public void close() {
         intake.close();
         if (listener != null) {
@@ -93,7 +97,8 @@
     }
 
     /**
-     * Closes the listener once nobody waits to be accepted there: those would be reset, and are turned down in words.
+     * Closes the listener once no connection waits to be accepted. Closing it earlier would reset those connections,
+     * which are to be rejected with a response.
      */
     private void stopListening(int most) {
         int before = intake.accepted();
@@ -106,12 +111,12 @@
         });
     }
 
-    /** True once it has closed and no client waits for an answer. */
+    /** Whether the front has closed and no client waits for a response. */
     public boolean isClosed() {
         return (listener == null || !listener.isOpen()) && intake.isClosed();
     }
 
-    // ---- requests: on the selector thread until they are posted -------------------------------------------
+    // Requests: on the selector thread until they are posted to the loop
     private void request(IntakeFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
             case "POST /api" -> check(request);
@@ -127,7 +132,7 @@
         exchange.answer(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
-    /** What can't be a message is turned away here: nonsense that comes fast must not take the loop's time. */
+    /** Rejects invalid requests on the selector thread, so that a flood of them does not take the event loop's time. */
     private void check(IntakeFilter.Request request) {
         Submission submission;
         try {
@@ -140,7 +145,7 @@
         core.post(() -> handInOrFail(request, submission));
     }
 
-    /** A fault of the program's must not leave the client without an answer. */
+    /** An internal error must not leave the client without a response. */
     private void handInOrFail(IntakeFilter.Request request, Submission submission) {
         try {
             handIn(request, submission);
@@ -153,16 +158,17 @@
     private void handIn(IntakeFilter.Request request, Submission submission) {
         IntakeFilter.Exchange exchange = request.exchange();
         if (exchange.gone()) {
-            return; // the client has stopped waiting and hands it in again
+            return; // the client has stopped waiting and will resubmit the message
         }
         if (!core.knows(submission.destination())) {
-            // Discovery is seconds late: it may be new. Held it would wait for nothing, and its room is scarce.
+            // Discovery is seconds late, so the destination may be new. Keeping the message pending would gain nothing
+            // and use scarce capacity.
             answer(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
         }
         Message m = core.handIn(this, submission);
         if (m.isTakenOn()) {
-            // Handed in under the same id before: it makes no second message, whoever asks.
+            // Submitted under the same id before: no second message is created, whichever client asks.
             core.whenDurable(() -> exchange.answer(202, Map.of(), NOTHING, () -> {}));
         } else if (m.isOpen()) {
             waiting.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new Waiting(exchange, submission.id()));
@@ -191,7 +197,7 @@
         Long deadline = Figures.decimal(needed(headers, "req-deadline"), 6);
         check(deadline != null && deadline <= LONGEST, "Req-Deadline: not a time to wait for");
         String key = headers.get("idempotency-key");
-        // Among others a message without a key is written with a '-' in its place.
+        // In a call of several messages '-' stands for a missing key.
         check(
                 key == null
                         ? known.all().get(number).repeat() != DecisionModule.Repeat.KEYED
@@ -223,9 +229,10 @@
     }
 
     /**
-     * How long the message may still take. It may have lain in the socket for longer than is known: a client waits
-     * 400 ms to hear that it is taken on, and just after a start that much goes by, while its end is lost when told
-     * 300 ms after its time. So a part of a long time is left for that.
+     * Returns the time that is left to deliver the message. The request may have been in the socket for an unknown
+     * time: a client waits 400 ms for the message to be accepted, and just after a start that much passes, while a
+     * final status is lost when it is sent 300 ms after the deadline. So a fraction of a long deadline is reserved for
+     * that.
      */
     public static long budget(long deadline, long sinceRead) {
         return Math.max(0, deadline - Math.min(UNREAD, deadline / UNREAD_PART) - Math.max(0, sinceRead));
@@ -243,15 +250,15 @@
         return value;
     }
 
-    // ---- answers: on the loop thread ----------------------------------------------------------------------
+    // Responses: on the loop thread
     @Override
     public void taken(Message message) {
         List<Waiting> all = waiting.remove(message);
         if (all == null) {
-            return; // it came on another port, and a client of this one joined it and has left
+            return; // it was submitted on another port; a client of this one attached to it and has left
         }
-        // Nobody is left to hear of it: it is handed in again. One is enough, as one message may have come twice,
-        // on a connection that was closed as it came and on the next one.
+        // If the responses to all requests of an id are lost, the client submits the message again. One response
+        // suffices: a message may be submitted twice, on a connection closed meanwhile and on its successor.
         Map<String, Integer> lost = new HashMap<>();
         all.forEach(w -> lost.merge(w.id(), 1, Integer::sum));
         for (Waiting w : all) {
@@ -291,7 +298,7 @@
             }
             answer(exchange, 503, headers, "");
         } else if (verdict.kind() == FinalStatus.Kind.DELIVERED) {
-            answer(exchange, 200, Map.of(), ""); // it came before, and nothing more is owed
+            answer(exchange, 200, Map.of(), ""); // it was delivered before, and no further notification is pending
         } else if (verdict.kind() == FinalStatus.Kind.CLASH) {
             answer(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
         } else {
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -30,34 +30,40 @@
 import org.glassfish.grizzly.nio.NIOConnection;
 
 /**
- * The server's side of HTTP: gathers requests and writes answers, one after the other on a connection. Whoever says
- * nothing, half a request or nonsense is answered with an error or closed in good time, and is not let take the room
- * of those who ask: so many connections, so many bytes of requests that are not whole, so much time for each.
+ * The server side of HTTP: assembles requests and writes responses, one after the other on a connection. A client that
+ * sends nothing, an incomplete request or malformed data gets an error or is closed in good time, and can't take the
+ * capacity of the others: connections, bytes of incomplete requests and the time for each request are limited.
  *
- * <p>Every close from this side is a lingering close (RFC 9112, 9.6): only our sending ends, what still comes is read
- * and dropped, and the client closes. A close over unread bytes is a reset, which can destroy an answer on its way.
+ * <p>Every close from this side is a lingering close (RFC 9112, section 9.6): only the sending direction is closed,
+ * further input is read and dropped, and the client closes the connection. A close with unread input resets the
+ * connection, which can destroy a response in flight.
  */
 final class IntakeFilter extends BaseFilter {
     static final int LARGEST_BODY = 64 * 1024;
-    /** Bytes of further requests kept while one is answered. */
+    /** Bytes of pipelined requests buffered while an earlier request is open. */
     private static final int MOST_AHEAD = 16 * 1024;
-    /** Bytes of requests that are not whole, over all connections. */
+    /** Bytes of incomplete requests over all connections. */
     private static final long MOST_GATHERED = 6 << 20;
-    /** A connection that has said nothing is closed after this, and a request must be whole after this. */
+    /** Time for a new connection to send its first request, and for a request to be complete after its first byte. */
     private static final long SILENT = 2_000_000, WHOLE_BY = 2_000_000;
-    /** A connection with no open request is closed after so long, and sooner where many are open. */
+    /** Time that an idle connection stays open, and the shorter one above {@code keepAliveLimit}. */
     private static final long IDLE = 15_000_000, IDLE_CROWDED = 2_200_000;
 
     private static final long LOOK = 500_000, LEAST_LOOK = 20_000;
-    /** How long the first request of a new connection may be on its way when room is made. */
+    /**
+     * Time for the first request of a new connection to arrive before the connection may be evicted for lack of room.
+     */
     private static final long NEW = 100_000;
-    /** A client has to take its last answer within this; after it the connection is closed over what is unwritten. */
+    /** Time for the client to receive its last response; after it the connection is closed with the rest unwritten. */
     private static final long WRITTEN_BY = 2_000_000;
-    /** How long, and over how many bytes, a connection whose sending we have ended waits for the client to close it. */
+    /**
+     * How long, and over how many bytes, a connection whose sending direction is closed waits for the client to close
+     * it.
+     */
     private static final long LINGER = 1_000_000, MOST_DROPPED = 1 << 20;
     /**
-     * Part of the room for connections that is left for those that linger, and for newcomers who are told to come
-     * again.
+     * This fraction of the connections is reserved for those that linger, and for new ones that are told to retry
+     * later.
      */
     private static final int LEAVING_PART = 8;
 
@@ -65,7 +71,7 @@
     private static final byte[] NOTHING = {};
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
-    /** One request; headers by lower-case name. */
+    /** A request; headers by lower-case name. */
     record Request(
             String method,
             String path,
@@ -78,17 +84,18 @@
     private final int most, crowd;
     private final Consumer<Request> handler;
     private final Set<Client> clients = new LinkedHashSet<>();
-    /** Those of them that are to close or linger, the first one first; guarded by the clients. */
+    /** The clients that are to close or that linger, oldest first; guarded by {@code clients}. */
     private final Set<Client> leaving = new LinkedHashSet<>();
 
-    private final Attribute<Client> clientOf = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("IntakeFilter.client");
+    private final Attribute<Client> clientOf = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpServerFilter.client");
     private final AtomicLong gathered = new AtomicLong();
     private volatile boolean closing;
     private volatile int accepted;
 
     /**
-     * At most so many connections. With more than {@code crowd} of them none stays idle: a platform with few
-     * descriptors has none left for the next client otherwise. The handler is called on the selector thread.
+     * At most {@code maxConnections} connections. With more than {@code keepAliveLimit} of them none stays idle:
+     * otherwise a platform with few descriptors would have none left for the next client. The handler is called on the
+     * selector thread.
      */
     IntakeFilter(Core core, int most, int crowd, Consumer<Request> handler) {
         this.core = core;
@@ -97,30 +104,33 @@
         this.handler = handler;
     }
 
-    /** One connection. Bytes come on the selector thread, answers go out on the loop's: one of them at a time is in. */
+    /**
+     * One connection. Bytes arrive on the selector thread and responses are written on the loop thread; a lock admits
+     * one at a time.
+     */
     private final class Client {
         private final Connection<?> connection;
         private final MessageReader reader = new MessageReader(false, LARGEST_BODY);
         private final ByteArrayOutputStream ahead = new ByteArrayOutputStream(0);
         private final AtomicLong counted = new AtomicLong();
-        /** Since when it is as it is: opened, or the first byte of a request, or the end of an answer. */
+        /** Start of the current state: connection opened, first byte of a request received, or response finished. */
         private volatile long since = Core.micros();
 
         private volatile boolean asked, partial, answering, lingering;
-        /** The last answer is given: what still comes is dropped. */
+        /** The last response has been passed on: further input is dropped. */
         private volatile boolean ended;
-        /** The client has ended its sending, and may still read. */
+        /** The client has closed its sending direction, and may still read. */
         private volatile boolean inputEnded;
-        /** Bytes that were read and are not looked at yet, as a request before them is being handled. */
+        /** Bytes that were read but not parsed, as a request before them is being handled. */
         private volatile int unprocessed;
-        /** More was sent ahead than there is room for, and what did not fit is gone. */
+        /** More pipelined data arrived than there is room for, and the excess is lost. */
         private boolean truncated;
-        /** The open request is of HTTP/1.1. */
+        /** Whether the open request is of HTTP/1.1. */
         private boolean takesInterimAnswers;
         /** Writes that are not wholly in the socket's buffer yet. */
         private int writes;
 
-        /** It came where all the room is taken by those who wait for an answer: it is told to come again. */
+        /** It arrived while all capacity was taken by clients waiting for a response, and is told to retry later. */
         private volatile boolean tooMany;
 
         private long dropped;
@@ -129,7 +139,7 @@
             this.connection = connection;
         }
 
-        /** Takes what was read from the socket. */
+        /** Processes bytes read from the socket. */
         synchronized void received(byte[] in) {
             if (lingering) {
                 dropped += in.length;
@@ -142,9 +152,9 @@
         }
 
         /**
-         * The client has ended its sending (a TCP half-close) or has closed the connection, which can't be told apart
-         * before something is written: a client that has closed answers that with a reset. An interim answer, which any
-         * client of HTTP/1.1 has to pass over, tells in time; true if the connection stays open for an answer.
+         * Handles the end of the input. The client has either half-closed or closed the connection, which can't be told
+         * apart before something is written: a closed one answers that with a reset. An interim response, which any
+         * HTTP/1.1 client has to ignore, shows it in time. Returns whether the connection stays open for a response.
          */
         synchronized boolean endOfInput() {
             boolean isBeingWritten = writes > 0 && (ended || !answering) && !lingering;
@@ -164,7 +174,7 @@
             }
         }
 
-        /** True if nobody reads an answer any more, as far as is known. */
+        /** Whether the client has gone, as far as is known, so that nothing would read a response. */
         boolean isGone() {
             if (inputEnded && connection.isOpen()) {
                 probe();
@@ -189,18 +199,18 @@
             unprocessed = 0;
         }
 
-        /** Another request before the answer to the first waits for its turn, as far as there is room. */
+        /** Buffers a pipelined request until the open one has its response, as far as there is room. */
         private void keepForLater(byte[] in, int from) {
             int size = Math.min(MOST_AHEAD - ahead.size(), in.length - from);
             ahead.write(in, from, size);
             truncated |= size < in.length - from;
         }
 
-        /** Reads up to the end of a request; gives where the next one begins. */
+        /** Reads up to the end of a request; returns the offset of the next one. */
         private int read(byte[] in, int from) {
             if (!partial) {
                 partial = true;
-                since = asked ? Core.micros() : since; // the first one is due since the connection opened
+                since = asked ? Core.micros() : since; // the time for the first one runs from the opening of the connection
             }
             try {
                 int at = reader.read(in, from, in.length);
@@ -246,7 +256,7 @@
             }
         }
 
-        /** Tells what is wrong and closes: what follows on the connection can't be told from the rest of this. */
+        /** Responds with an error and closes: what follows can't be told apart from the rest of this request. */
         private synchronized void refuse(int status) {
             if (!ended) {
                 core.counters().add(Name.BAD_REQUESTS);
@@ -256,7 +266,7 @@
             }
         }
 
-        /** Writes behind what is being written; {@code failed} is run if that could not be. */
+        /** Queues bytes behind those being written; {@code failed} runs if they can't be written. */
         private synchronized void write(byte[] bytes, Runnable failed) {
             writes++;
             Transport.write(connection, bytes, this::written, () -> {
@@ -281,20 +291,20 @@
                 process(waiting);
             }
             if (truncated && !answering && unprocessed == 0) {
-                refuse(503); // the rest of what was sent ahead is not there
+                refuse(503); // the rest of the pipelined data is lost
             } else if (inputEnded && !answering && unprocessed == 0) {
-                closeOnceWritten(); // what is not whole will never be
+                closeOnceWritten(); // an incomplete request will never be completed
             } else if (closing) {
-                closeIfIdle(); // the others that were idle are closed already
+                closeIfIdle(); // the connections that were idle are closed already
             }
         }
 
-        /** True if requests that were read, or parts of one, wait for this one's answer. */
+        /** Whether pipelined requests, or parts of one, wait for the response to this one. */
         private boolean hasMore() {
             return ahead.size() > 0 || truncated || unprocessed > 0;
         }
 
-        /** The last answer is given: what comes from now on is dropped, until the client closes. */
+        /** Marks the last response as passed on: input is dropped from now on until the client closes. */
         private synchronized void closeOnceWritten() {
             if (!ended) {
                 ended = true;
@@ -303,7 +313,7 @@
             }
         }
 
-        /** Ends our sending once all that was written has gone: an end before that would cut an answer off. */
+        /** Closes the sending direction once all is written: an earlier end would cut a response off. */
         private void linger() {
             if (writes == 0 && !lingering && connection.isOpen()) {
                 lingering = true;
@@ -313,7 +323,7 @@
                 }
                 Transport.endSending(connection);
                 if (inputEnded) {
-                    connection.closeSilently(); // nothing is left to be read
+                    connection.closeSilently(); // no input is left to read
                 }
             }
         }
@@ -322,7 +332,7 @@
             return !answering && !partial && unprocessed == 0;
         }
 
-        /** When it has to go if it stays as it is. */
+        /** The time at which the connection expires unless its state changes. */
         private long due() {
             if (lingering) {
                 return since + LINGER;
@@ -338,9 +348,9 @@
         }
 
         /**
-         * Ends it if it still has to go. On the selector thread alone, once what had come is read: a request may have
-         * lain in the socket of one that looked idle. What comes after is sent again on another connection, and must
-         * not be read as a request here.
+         * Closes the connection if it has still expired. Runs on the selector thread once pending input is read, since
+         * a connection that looked idle may have a request in its socket. Later input is sent again by the client on
+         * another connection and must not be read as a request here.
          */
         private synchronized void over() {
             if (Core.micros() < due()) {
@@ -355,14 +365,17 @@
             }
         }
 
-        /** The same for one that is idle, whatever the time. */
+        /** Closes the connection if it is idle, whatever the time. */
         private synchronized void closeIfIdle() {
             if (isIdle()) {
                 closeOnceWritten();
             }
         }
 
-        /** Makes room, unless it has asked meanwhile: then its answer closes it, as there is a crowd. */
+        /**
+         * Closes the connection to make room, unless a request has arrived meanwhile: its response then closes it, as
+         * there are too many connections.
+         */
         private synchronized void makeRoom() {
             if (isIdle()) {
                 closeOnceWritten();
@@ -373,7 +386,7 @@
             }
         }
 
-        /** Closes it now, unless a request of it is open or its answer is not written yet; false then. */
+        /** Closes the connection now unless it has an open request or an unwritten response; returns whether it did. */
         private synchronized boolean closeNow() {
             boolean free = lingering || isIdle() && writes == 0;
             if (free) {
@@ -383,7 +396,7 @@
             return free;
         }
 
-        /** Looks at it until it is closed. Loop thread. */
+        /** Checks the connection for expiry until it is closed. Loop thread. */
         private void look() {
             if (!connection.isOpen()) {
                 return;
@@ -396,7 +409,7 @@
         }
     }
 
-    /** One request's answer. */
+    /** The response to one request. */
     final class Exchange {
         private final Client client;
         private final boolean keep;
@@ -413,9 +426,9 @@
         }
 
         /**
-         * Writes the answer; {@code lost} is run if it could not be written. The client may have it, and send its next
-         * request, before this returns: that one must not be taken for one that came before its turn. A connection
-         * that is to close does so behind the last request that was read whole. A second answer is passed over.
+         * Writes the response; {@code onLost} runs if that fails. The client may receive it, and send its next request,
+         * before this returns: that request must not be taken for a pipelined one. A connection that is to close does
+         * so after the last request that was read in full. A second response is ignored.
          */
         void answer(int status, Map<String, String> headers, byte[] body, Runnable lost) {
             synchronized (client) {
@@ -436,12 +449,12 @@
         }
     }
 
-    /** The chain of a client's connection. */
+    /** Returns the filter chain of a client connection. */
     FilterChain chain() {
         return FilterChainBuilder.stateless().add(new SocketFilter()).add(this).build();
     }
 
-    /** Reads and writes the socket. The end of a client's sending does not close the connection under an answer. */
+    /** Reads and writes the socket. The end of the client's input does not close the connection before a response. */
     private final class SocketFilter extends TransportFilter {
         /** Used on the selector thread alone. */
         private final ByteBuffer buffer = ByteBuffer.allocateDirect(READ_BUFFER);
@@ -460,7 +473,7 @@
             if (size < 0) {
                 Client client = clientOf.get(connection);
                 if (client != null && client.endOfInput()) {
-                    connection.disableIOEvent(IOEvent.READ); // or the end would be read again and again
+                    connection.disableIOEvent(IOEvent.READ); // otherwise the end of input would be read over and over
                 } else {
                     connection.terminateSilently();
                 }
@@ -469,14 +482,14 @@
         }
     }
 
-    /** How many connections there are. */
+    /** Returns the number of connections. */
     int size() {
         synchronized (clients) {
             return clients.size();
         }
     }
 
-    /** Closes idle connections, each other one after its answer, and new ones at once. */
+    /** Closes idle connections at once, the others after their response, and new ones on arrival. */
     void close() {
         closing = true;
         List<Client> all;
@@ -486,20 +499,20 @@
         all.forEach(c -> Transport.afterReading(c.connection, c::closeIfIdle));
     }
 
-    /** How many connections have been accepted since the start. */
+    /** Returns the number of connections accepted since the start. */
     int accepted() {
         return accepted;
     }
 
-    /** True once no connection is left: until then a request may be read that still wants its answer. */
+    /** Whether no connection is left; before that, a request may still be read that needs its response. */
     boolean isClosed() {
         return size() == 0;
     }
 
     /**
-     * The one to close where there is no more room: the oldest that has never asked, if it had the time to; then the
-     * one that is idle for longest, as its client comes again on a new connection; then whoever has not asked. A
-     * newcomer only where all others wait for an answer: its request would have failed.
+     * Chooses the connection to evict: the oldest without a request, if it had time to send one; then the one idle for
+     * longest, as its client will open a new connection; then any without a request. The newest is chosen only where
+     * all others wait for a response: its request would have failed.
      */
     private Client leastWanted(Client newest) {
         long now = Core.micros();
@@ -519,8 +532,7 @@
     }
 
     /**
-     * Makes room for a newcomer: one of those who stay has to leave, and where there is no room for that either, one
-     * goes now.
+     * Makes room for a new connection: one of the others is evicted, and where all room is taken, one is closed now.
      */
     private void evictFor(Client newest) {
         Client out = null;
@@ -545,8 +557,8 @@
     }
 
     /**
-     * Closes the first of those that leave and owe no answer; else the newcomer, of which nothing is read. One that was
-     * chosen to leave while it was idle may have asked since then, and has to be answered.
+     * Closes the first of the closing connections without a pending response; else the newest one, which nothing was
+     * read from. One that was chosen while idle may have received a request since, which has to be answered.
      */
     private void closeOneOfLeaving(Client newest) {
         List<Client> candidates;
@@ -554,7 +566,7 @@
             candidates = new ArrayList<>(leaving);
         }
         candidates.remove(newest);
-        candidates.sort(Comparator.comparing(each -> !each.lingering)); // stable: the first of each kind goes first
+        candidates.sort(Comparator.comparing(each -> !each.lingering)); // stable: keeps the order within each group
         for (Client each : candidates) {
             if (each.closeNow()) {
                 forget(each);
--- a/src/main/java/lilaclever/protocol/http/MessageReader.java
+++ b/src/main/java/lilaclever/protocol/http/MessageReader.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages from the bytes of one connection, one after the other. It is strict, since what two readers
- * can take in two ways may hide a message in another, and it holds no more than its bounds, whatever comes: a general
- * codec gathers what it is told to expect, passes over what it can't place, and keeps the status of a spoilt answer to
- * itself. Used from one thread at a time.
+ * Reads consecutive HTTP/1.1 messages from the bytes of one connection. It is strict, since a message that two readers
+ * can interpret differently may smuggle another, and its memory use is limited whatever arrives: a general codec
+ * buffers what a peer announces, skips what it can't interpret, and does not report the status of a malformed response.
+ * Used from one thread at a time.
  */
 final class MessageReader {
     private static final int MOST_HEAD = 8 * 1024, MOST_HEADERS = 64, MOST_LENGTH_DIGITS = 10, MOST_SIZE_DIGITS = 7;
     private static final String TOKEN_MARKS = "!#$%&'*+-.^_`|~";
     private static final byte[] NOTHING = {};
 
-    /** What can't be read, or is too much; the status is what a client is told. */
+    /** Thrown for a message that is malformed or too large; the status is for the response to a client. */
     static final class Spoilt extends Exception {
         private static final long serialVersionUID = 1L;
         final int status;
 
         Spoilt(int status, String problem) {
-            super(problem, null, false, false); // bad clients come fast: no stack trace for each
+            super(problem, null, false, false); // malformed input may come fast: no stack trace for each
             this.status = status;
         }
     }
@@ -42,7 +42,7 @@
 
     private final boolean answers;
     private final int mostBody;
-    /** Whether a body over the bound is taken up to it before the message is refused. */
+    /** Whether a body over the limit is read up to it before the message is rejected. */
     private final boolean readsUpToBound;
 
     private Part part = Part.FIRST;
@@ -56,14 +56,14 @@
     private String method, target, version;
     private int status;
 
-    /** Reads answers or else requests, with bodies up to so many bytes. */
+    /** Creates a reader of responses or of requests with bodies up to the given size. */
     MessageReader(boolean answers, int mostBody) {
         this(answers, mostBody, false);
     }
 
     /**
-     * The same. {@code readsUpToBound}: a body that is longer is taken up to the bound and refused there, also where
-     * its head announces the length; else it is refused from the head.
+     * Creates a reader. {@code readsUpToBound}: a body over the limit is read up to it and rejected there, even if the
+     * head announces its length; otherwise it is rejected at the head.
      */
     MessageReader(boolean answers, int mostBody, boolean readsUpToBound) {
         this.answers = answers;
@@ -71,7 +71,7 @@
         this.readsUpToBound = readsUpToBound;
     }
 
-    /** Takes bytes up to the end of the message; gives where the next one begins. */
+    /** Reads up to the end of the message; returns the offset of the next one. */
     int read(byte[] in, int from, int to) throws Spoilt {
         int at = from;
         while (at < to && part != Part.COMPLETE) {
@@ -100,28 +100,28 @@
             if (readsUpToBound) {
                 append(in, from, mostBody - bodyLength);
             }
-            throw new Spoilt(413, "a body of more than " + mostBody + " bytes");
+            throw new Spoilt(413, "body of more than " + mostBody + " bytes");
         }
         append(in, from, size);
     }
 
     private void append(byte[] in, int from, int size) {
         if (bodyLength + size > body.length) {
-            // It grows with what has come, not with what is announced.
+            // It grows with the data received, not with the announced length.
             body = Arrays.copyOf(body, Math.min(mostBody, Math.max(2 * body.length, bodyLength + size)));
         }
         System.arraycopy(in, from, body, bodyLength, size);
         bodyLength += size;
     }
 
-    /** Takes a line or a part of one; a line ends in CRLF, and neither of the two stands alone. */
+    /** Reads a line or a part of one; a line ends in CRLF, and neither CR nor LF may stand alone. */
     private int readLine(byte[] in, int from, int to) throws Spoilt {
         int at = from;
         while (at < to) {
             byte b = in[at++];
             boolean returned = lineLength > 0 && line[lineLength - 1] == '\r';
             if (++headLength > MOST_HEAD) {
-                throw new Spoilt(431, "a head of more than " + MOST_HEAD + " bytes");
+                throw new Spoilt(431, "head of more than " + MOST_HEAD + " bytes");
             }
             if (b == '\n' && returned) {
                 String text = new String(line, 0, lineLength - 1, StandardCharsets.ISO_8859_1);
@@ -130,7 +130,7 @@
                 return at;
             }
             if (b == '\n' || returned || b >= 0 && b < ' ' && b != '\r' && b != '\t' || b == 0x7f) {
-                throw new Spoilt(400, "a control character in a line");
+                throw new Spoilt(400, "control character in a line");
             }
             if (lineLength == line.length) {
                 line = Arrays.copyOf(line, Math.max(128, 2 * lineLength));
@@ -146,7 +146,7 @@
                 if (answers) {
                     statusLine(text);
                     part = Part.HEADER;
-                } else if (!text.isEmpty()) { // an empty line before a request is passed over, as the standard asks
+                } else if (!text.isEmpty()) { // an empty line before a request is ignored (RFC 9112, section 2.2)
                     requestLine(text);
                     part = Part.HEADER;
                 }
@@ -161,7 +161,7 @@
             case SIZE -> chunk(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new Spoilt(400, "a chunk that does not end where it should");
+                    throw new Spoilt(400, "chunk data longer than the chunk size");
                 }
                 part = Part.SIZE;
                 headLength = 0;
@@ -177,7 +177,7 @@
     private void requestLine(String text) throws Spoilt {
         String[] parts = text.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || parts[1].isEmpty() || text.indexOf('\t') >= 0) {
-            throw new Spoilt(400, "not a request line");
+            throw new Spoilt(400, "invalid request line");
         }
         if (!parts[2].equals("HTTP/1.1") && !parts[2].equals("HTTP/1.0")) {
             throw new Spoilt(parts[2].startsWith("HTTP/") ? 505 : 400, "not HTTP/1.1");
@@ -197,7 +197,7 @@
             good = text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
         if (!good) {
-            throw new Spoilt(502, "not a status line");
+            throw new Spoilt(502, "invalid status line");
         }
         version = text.substring(0, 8);
         status = Integer.parseInt(text.substring(9, 12));
@@ -206,12 +206,12 @@
     private void header(String text) throws Spoilt {
         int colon = text.indexOf(':');
         if (colon <= 0 || !isToken(text.substring(0, colon))) {
-            throw new Spoilt(400, "not a header");
+            throw new Spoilt(400, "invalid header");
         }
         if (headers.size() >= MOST_HEADERS) {
             throw new Spoilt(431, "more than " + MOST_HEADERS + " headers");
         }
-        // The same name twice gives a list; nothing that is one number or one id survives that.
+        // Repeated headers are joined to a list, which is then invalid as a single number or id.
         headers.merge(
                 text.substring(0, colon).toLowerCase(Locale.ROOT),
                 text.substring(colon + 1).strip(),
@@ -231,13 +231,13 @@
         return !text.isEmpty();
     }
 
-    /** The head is here: how long is the body? Where that is not clear, nothing behind the head can be believed. */
+    /** Determines the length of the body from the head. If that is ambiguous, nothing after the head can be trusted. */
     private void headEnds() throws Spoilt {
         if (answers && status / 100 == 1) {
             if (status == 101) {
-                throw new Spoilt(502, "another protocol");
+                throw new Spoilt(502, "unsupported switch of protocols");
             }
-            status = 0; // an answer on the way: the real one follows, within the same bound
+            status = 0; // an interim response: the final one follows, within the same size limit
             headers = new LinkedHashMap<>();
             part = Part.FIRST;
             return;
@@ -246,7 +246,7 @@
         String length = headers.get("content-length");
         if (encoding != null
                 && (length != null || !encoding.equalsIgnoreCase("chunked") || version.equals("HTTP/1.0"))) {
-            throw new Spoilt(length != null ? 400 : 501, "a length that is not clear");
+            throw new Spoilt(length != null ? 400 : 501, "ambiguous body length");
         }
         if (answers && (status == 204 || status == 304)) {
             part = Part.COMPLETE;
@@ -256,13 +256,13 @@
         } else if (length != null) {
             left = number(length);
             if (left > mostBody && !readsUpToBound) {
-                throw new Spoilt(413, "a body of more than " + mostBody + " bytes");
+                throw new Spoilt(413, "body of more than " + mostBody + " bytes");
             }
             part = left == 0 ? Part.COMPLETE : Part.FIXED;
         } else if (answers) {
             part = Part.REST;
         } else if (method.equals("POST") || method.equals("PUT")) {
-            throw new Spoilt(411, "a body without a length");
+            throw new Spoilt(411, "Content-Length is missing");
         } else {
             part = Part.COMPLETE;
         }
@@ -282,19 +282,19 @@
         int end = text.indexOf(';');
         String size = (end < 0 ? text : text.substring(0, end)).strip();
         if (size.isEmpty() || !size.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
-            throw new Spoilt(400, "not the size of a chunk");
+            throw new Spoilt(400, "invalid chunk size");
         }
         if (size.length() > MOST_SIZE_DIGITS) {
-            throw new Spoilt(413, "a chunk that is too large");
+            throw new Spoilt(413, "chunk size is too large");
         }
         left = Long.parseLong(size, 16);
         if (bodyLength + left > mostBody && !readsUpToBound) {
-            throw new Spoilt(413, "a body of more than " + mostBody + " bytes");
+            throw new Spoilt(413, "body of more than " + mostBody + " bytes");
         }
         part = left == 0 ? Part.TRAILER : Part.CHUNK;
     }
 
-    /** The connection has ended: true if that was the end of the message too. */
+    /** Handles the end of the connection; returns whether the message is complete. */
     boolean ends() {
         if (part == Part.REST) {
             part = Part.COMPLETE;
@@ -302,7 +302,7 @@
         return part == Part.COMPLETE;
     }
 
-    /** Makes ready for the next message and lets go of this one. */
+    /** Discards the message and prepares for the next one. */
     void next() {
         part = Part.FIRST;
         line = NOTHING;
@@ -314,7 +314,7 @@
         status = 0;
     }
 
-    /** True once the whole head has come. */
+    /** Whether the whole head has arrived. */
     boolean hasHead() {
         return part != Part.FIRST && part != Part.HEADER;
     }
@@ -323,12 +323,12 @@
         return part == Part.COMPLETE;
     }
 
-    /** True if nothing of a message has come. */
+    /** Whether nothing of a message has arrived. */
     boolean isFresh() {
         return part == Part.FIRST && headLength == 0;
     }
 
-    /** True if the client waits for a word before it sends the body. */
+    /** Whether the client waits for an interim response before it sends the body. */
     boolean awaitsContinue() {
         return !answers
                 && (part == Part.FIXED || part == Part.SIZE)
@@ -336,23 +336,23 @@
                 && "100-continue".equalsIgnoreCase(headers.get("expect"));
     }
 
-    /** True if the other side speaks HTTP/1.1, and so passes over interim answers. */
+    /** Whether the peer uses HTTP/1.1, and so ignores interim responses. */
     boolean takesInterimAnswers() {
         return version.equals("HTTP/1.1");
     }
 
-    /** True if the other side lets the connection stay. */
+    /** Whether the peer keeps the connection open. */
     boolean keeps() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
         return version.equals("HTTP/1.0") ? connection.contains("keep-alive") : !connection.contains("close");
     }
 
-    /** Bytes held for the message. */
+    /** The number of bytes buffered for the message. */
     int size() {
         return line.length + body.length;
     }
 
-    /** The status that the first line said; 0 before that. */
+    /** The status from the status line; 0 before that. */
     int status() {
         return status;
     }
@@ -361,13 +361,13 @@
         return method;
     }
 
-    /** The path, without a query. */
+    /** The path without its query. */
     String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** By lower-case name. */
+    /** The headers by lower-case name. */
     Map<String, String> headers() {
         return headers;
     }
--- a/src/main/java/lilaclever/protocol/http/Notices.java
+++ b/src/main/java/lilaclever/protocol/http/Notices.java
@@ -11,12 +11,15 @@
 import lilaclever.routing.Deadlines;
 import lilaclever.transport.Transport;
 
-/** Tells the platform how messages ended, again and again until it says that it has heard. Loop thread. */
+/**
+ * Notifies the platform of the final status of messages, and repeats each notice until the platform confirms it. Loop
+ * thread.
+ */
 public final class Notices {
     /**
-     * The platform answers at once, and an end counts as lost 300 ms after its message's time: a connection that has
-     * fallen silent or is closed must be noticed well within that. A platform that is slow is given longer, time and
-     * again twice as long.
+     * The platform answers at once, and a final status counts as lost 300 ms after its message's deadline: a connection
+     * that is closed or unresponsive must be noticed well within that. A slow platform gets a timeout that doubles with
+     * each failure.
      */
     private static final long FIRST_ANSWER_BY = 100_000, LAST_ANSWER_BY = 1_000_000;
 
@@ -32,14 +35,14 @@
     private final List<Notice> open = new ArrayList<>();
     private String address;
     private boolean busy;
-    /** Batches in a row that were not confirmed. */
+    /** Consecutive batches that were not confirmed. */
     private int failures;
-    /** The batch that is on its way, and when it is given up or sent again. */
+    /** The batch in flight. */
     private HttpClient.Exchange sending;
 
     private Deadlines.Key again;
 
-    /** Notices to the address. */
+    /** Sends notices to the address. */
     public Notices(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
         this.core = core;
         this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MOST_ANSWER);
@@ -57,11 +60,13 @@
         open.add(new Notice(line.toString() + '\n', settled));
         if (!busy) {
             busy = true;
-            again = core.deadlines().at(core.now() + 1, this::send); // with what else ends in this turn
+            again = core.deadlines().at(core.now() + 1, this::send); // together with the other final statuses of this turn
         }
     }
 
-    /** Tells the new address from now on, what the old one has not confirmed too: a second notice does no harm. */
+    /**
+     * Switches to a new address, also for notices that the old one has not confirmed: a repeated notice does no harm.
+     */
     public void move(String to) {
         client.closeIdle(address);
         address = to;
@@ -99,7 +104,7 @@
                     public void answered(int status, Map<String, String> headers, byte[] answer) {
                         core.deadlines().cancel(again);
                         if (status != 204) {
-                            Logs.warn("", "notices-refused", "notices answered with " + status);
+                            Logs.warn("", "notices-refused", "the platform answered notices with status " + status);
                             later();
                             return;
                         }
--- a/src/main/java/lilaclever/protocol/http/RetryPause.java
+++ b/src/main/java/lilaclever/protocol/http/RetryPause.java
@@ -3,12 +3,12 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait before a server that can't be reached is tried again: each pause is up to twice the one before, up
- * to a bound, and spread at random, so that clients of one server don't come all at once. All times in microseconds.
- * Used from one thread at a time.
+ * Randomized exponential backoff before an unreachable server is tried again: delays double up to a limit and are
+ * jittered, so that the clients of one server don't retry all at once. All times in microseconds. Used from one thread
+ * at a time.
  */
 final class RetryPause {
-    /** The least part of a step that a pause lasts. */
+    /** A delay is at least this fraction of the current step. */
     private static final double LEAST_PART = 0.75;
 
     private static final int GROWTH = 2;
@@ -18,7 +18,7 @@
     private final SplittableRandom random;
     private long stepMicros;
 
-    /** Pauses that begin with at most {@code firstMicros} and grow up to {@code longestMicros}. */
+    /** Creates a backoff whose delays start with at most {@code initialMicros} and grow up to {@code maxMicros}. */
     RetryPause(long firstMicros, long longestMicros, SplittableRandom random) {
         this.firstMicros = firstMicros;
         this.longestMicros = longestMicros;
@@ -26,14 +26,14 @@
         this.stepMicros = firstMicros;
     }
 
-    /** The pause after one more failure; above 0 and never above the bound. */
+    /** Returns the delay after one more failure; above 0 and never above the limit. */
     long next() {
         long step = stepMicros;
         stepMicros = Math.min(longestMicros, step * GROWTH);
         return (long) (step * random.nextDouble(LEAST_PART, 1));
     }
 
-    /** The server has answered, or another one is meant: the next pause is a first one. */
+    /** Starts again with the initial delay, once the server has answered or another server is used. */
     void reset() {
         stepMicros = firstMicros;
     }
--- a/src/main/java/lilaclever/protocol/http/SeveralAnswer.java
+++ b/src/main/java/lilaclever/protocol/http/SeveralAnswer.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * The body of a 200 to a call of several messages: a line with id and result for each, ended by CRLF. It counts
- * only as a whole: where a line is cut off, unknown, repeated or missing, nothing in it may be believed.
+ * The body of a 200 response to a call of several messages: a line of id and result for each, ended by CRLF. It is
+ * trusted only as a whole: if a line is truncated, unknown, repeated or missing, all results are ignored.
  */
 final class SeveralAnswer {
     private static final String LINE_END = "\r\n";
 
-    /** How an endpoint says that one of the messages ended. */
+    /** The result of one message as reported by an endpoint. */
     enum Result {
         ACCEPTED,
         FAULT,
@@ -39,7 +39,10 @@
         this.results = results;
     }
 
-    /** The results by message id; empty if the body is not a sequence of whole lines, each for another message. */
+    /**
+     * Parses the results by message id; empty if the body is not a sequence of complete lines, each for another
+     * message.
+     */
     static Optional<SeveralAnswer> parse(byte[] body) {
         String text = new String(body, StandardCharsets.ISO_8859_1);
         Map<String, Result> results = new HashMap<>();
@@ -59,7 +62,7 @@
         return Optional.of(new SeveralAnswer(results));
     }
 
-    /** The result of the message, or null if the answer has none. */
+    /** Returns the result of the message, or null if the response has none. */
     Result of(String id) {
         return results.get(id);
     }
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -15,11 +15,11 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The address that serves operators alone: a line for each connection, and a line in answer. So many connections at
- * most; whoever connects and finishes no line makes room for the next caller, the oldest first.
+ * A port for operators alone: one command line on each connection, and one line in response. The number of connections
+ * is limited; a new one evicts the oldest if all are taken.
  */
 public final class OperatorPort extends BaseFilter {
-    /** Connections at most: callers are few and ask once. */
+    /** Maximum number of connections: operators are few and send one command. */
     public static final int MOST = 8;
 
     private static final int LONGEST = 256;
@@ -30,14 +30,14 @@
     private final ArrayDeque<Caller> callers = new ArrayDeque<>();
     private final Attribute<Caller> callerOf = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("OperatorPort.caller");
 
-    /** One that carries out calls on the loop's thread. */
+    /** Creates a port whose commands are executed on the loop thread. */
     public OperatorPort(Core core, ManualDrains suspensions) {
         this.core = core;
         this.suspensions = suspensions;
         core.counters().gauge("operators", this::size);
     }
 
-    /** A connection and what it has said. Selector thread. */
+    /** A connection and what it has received. Selector thread. */
     private static final class Caller {
         private final Connection<?> connection;
         private final byte[] said = new byte[LONGEST];
@@ -48,7 +48,7 @@
             this.connection = connection;
         }
 
-        /** The line, once it is whole; null before, and an empty one if it is too long. */
+        /** Appends bytes; returns the line once it is complete, an empty one if it is too long, and null before. */
         String line(byte[] bytes) {
             for (byte b : bytes) {
                 if (b == '\n') {
@@ -63,7 +63,7 @@
         }
     }
 
-    /** Listens from now on. */
+    /** Starts to listen at the address. */
     public SocketAddress listen(Transport transport, SocketAddress address) throws IOException {
         return transport.listen(address, Transport.chain(this)).getLocalAddress();
     }
@@ -117,7 +117,7 @@
         context.getConnection().closeSilently();
     }
 
-    /** Carries a call out. Loop thread. */
+    /** Executes a command. Loop thread. */
     private String reply(String line) {
         String[] words = line.split(" +");
         try {
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -35,14 +35,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When the directory is asked again: real sockets, and a clock that goes on only when the test says so. */
+/** Retry intervals of the directory client: real sockets, and a clock that advances only when the test sets it. */
 class DirectoryTest {
     private static final long SECOND = 1_000_000;
-    /** The least time between two turns: due after it is what has come meanwhile. */
+    /** The least time between two turns; anything due sooner stems from tasks that arrived meanwhile. */
     private static final long ROUND = 2_000;
-    /** The platform's rule: a call follows an answered one within this. */
+    /** The platform's rule: a response is followed by the next request within this time. */
     private static final long AFTER_ANSWER = 200_000;
-    /** A directory that is back is to be noticed within this. */
+    /** A directory that has recovered is to be noticed within this time. */
     private static final long NOTICED_BY = 300_000;
 
     private static final String SETTINGS = """
@@ -53,7 +53,7 @@
              "rules": {"answerSlackS": 0.02, "coldFrom": 0.5, "tipMultiple": 1.5, "rampTimeS": 0.1,
               "overloadForS": 3, "drainGraceS": 0.5, "askWithinS": 10}}""";
 
-    /** A clock that stands still until it is set, and tells that a task has come for the loop. */
+    /** A clock that stands still until it is set, and signals that a task was posted to the loop. */
     private static final class SetClock implements Clock {
         private final Semaphore posted = new Semaphore(0);
         private long micros = SECOND;
@@ -70,12 +70,12 @@
 
         @Override
         public Runnable await(BlockingQueue<Runnable> ready, long untilMicros) {
-            throw new IllegalStateException("the test does the loop's part");
+            throw new IllegalStateException("the test drives the loop");
         }
 
         @Override
         public void pause(long micros) {
-            throw new IllegalStateException("the test does the loop's part");
+            throw new IllegalStateException("the test drives the loop");
         }
 
         @Override
@@ -92,7 +92,7 @@
     private SegmentedJournal journal;
     private Transport transport;
     private Core core;
-    /** Lists that were told. */
+    /** Number of lists reported. */
     private int told;
 
     @BeforeEach
@@ -136,7 +136,10 @@
         return directory;
     }
 
-    /** Has the first call come back, and the time pass after which the known list is told without an answer. */
+    /**
+     * Waits for the first call to return, and lets the time pass after which the known list is reported without a
+     * response.
+     */
     private void passFirstAnswerWait() throws InterruptedException {
         untilCallIsBack(NOTICED_BY);
         clock.micros += Directory.FIRST_ANSWER_WAIT;
@@ -145,20 +148,20 @@
     }
 
     /**
-     * Has the call that is out come back; gives how long the next one has to wait, which must be the limit at most. Of
-     * the same call more than one task may come for the loop.
+     * Waits for the call in flight to return; returns the delay until the next one, which must be at most the limit.
+     * One call may post more than one task to the loop.
      */
     private long untilCallIsBack(long limit) throws InterruptedException {
         long pause;
         do {
-            assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no call is due within " + limit + " us");
+            assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no request is due within " + limit + " us");
             core.step();
             pause = core.due() - clock.micros;
         } while (pause <= ROUND || pause > limit);
         return pause;
     }
 
-    /** The same, and the next call goes out. */
+    /** The same; then the next call is sent. */
     private long untilNextCall(long limit) throws InterruptedException {
         long pause = untilCallIsBack(limit);
         clock.micros += pause;
@@ -166,7 +169,7 @@
         return pause;
     }
 
-    /** An address where connections are refused: it is taken, and nobody listens. */
+    /** An address that refuses connections: it is bound, and nothing listens. */
     private static Socket refusing() throws IOException {
         Socket taken = new Socket();
         taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -182,8 +185,8 @@
             for (long until = clock.micros + 10 * SECOND; clock.micros < until; calls++) {
                 pauses.add(untilNextCall(NOTICED_BY));
             }
-            assertTrue(calls <= 50, "calls in 10 s: " + calls);
-            assertTrue(pauses.stream().distinct().count() > pauses.size() / 2, "pauses are spread: " + pauses);
+            assertTrue(calls <= 50, "requests in 10 s: " + calls);
+            assertTrue(pauses.stream().distinct().count() > pauses.size() / 2, "delays are spread: " + pauses);
         }
     }
 
@@ -201,7 +204,7 @@
             answers.start();
             directory.move("127.0.0.1:" + answering.getLocalPort());
             for (int i = 0; i < 10; i++) {
-                assertNotNull(requests.poll(10, TimeUnit.SECONDS), "call " + i);
+                assertNotNull(requests.poll(10, TimeUnit.SECONDS), "request " + i);
                 untilNextCall(AFTER_ANSWER);
             }
             assertEquals(0, core.counters().get(Counters.Name.TASKS_FAILED));
--- a/src/test/java/lilaclever/protocol/http/EndpointListTest.java
+++ b/src/test/java/lilaclever/protocol/http/EndpointListTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What is read of lists that are in order, faulty or cut. */
+/** Reading of valid, faulty and truncated endpoint lists. */
 class EndpointListTest {
     private static final String LIST = """
             {"index":41,"snapshot":true,"endpoints":[
@@ -51,7 +51,7 @@
         assertEquals(expected, read(LIST.replace("\n", "\r\n    ")), "indented");
     }
 
-    /** Of a list that ends anywhere, what had come in full counts, and it is never taken for a whole one. */
+    /** Of a truncated list all complete entries count, and it is never taken for a whole one. */
     @Test
     void aListThatIsCutAnywhereIsReadAsFarAsItGoes() {
         byte[] bytes = LIST.strip().getBytes(StandardCharsets.UTF_8);
@@ -71,7 +71,7 @@
         assertEquals(ENDPOINTS.size(), seen);
     }
 
-    /** Whatever a byte turns into, reading ends in a list or the one exception that callers expect. */
+    /** Whatever bytes are corrupted, reading returns a list or throws the one declared exception. */
     @Test
     void noByteThatIsSpoiltEndsInAnotherException() {
         SplittableRandom random = new SplittableRandom(35);
@@ -90,7 +90,7 @@
         }
     }
 
-    /** An entry is out of use where it can't be known what it is, with a default where that changes little. */
+    /** A fault that leaves an entry's meaning open makes it unusable; elsewhere a default applies. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
@@ -123,7 +123,7 @@
                 IllegalArgumentException.class,
                 () -> EndpointList.read(
                         JsonParser.parseString(replaced(good, bad)).getAsJsonObject()),
-                "a configuration has no faults");
+                "faults in a configuration are errors");
         assertTrue(strict.getMessage().startsWith("entry 2 (e2): " + key + ": "), strict.getMessage());
     }
 
@@ -141,7 +141,7 @@
     @ValueSource(strings = {"\"name\":7.5e", "\"name\":null", "\"name\":\"\"", "\"nom\":\"e2\""})
     void anEntryWithoutANameIsOutOfUse(String name) throws Exception {
         EndpointList list = read(replaced("\"name\":\"e2\"", name));
-        if (name.endsWith("e")) { // no number, so nothing behind it can be told apart
+        if (name.endsWith("e")) { // not a number, so nothing after it can be parsed
             assertTrue(list.isCut());
             assertEquals(List.of(ENDPOINTS.get(0)), list.endpoints());
         } else {
@@ -151,7 +151,7 @@
         assertEquals(Set.of(), list.unusable());
     }
 
-    /** Which of the two counts is not decided here. */
+    /** The reader doesn't decide which of the two entries applies. */
     @Test
     void aNameThatComesTwiceIsReportedAndBothAreGivenOn() throws Exception {
         EndpointList list = read(replaced("\"name\":\"e2\"", "\"name\":\"e1\""));
@@ -170,7 +170,7 @@
                 list.faults());
     }
 
-    /** Without its entries a list shows nobody to be absent. */
+    /** A list without its entries is no proof that an endpoint has left. */
     @ParameterizedTest
     @ValueSource(strings = {"{\"index\":1,\"snapshot\":true}", "{\"index\":1,\"snapshot\":true,\"endpoints\":{}}"})
     void aListWithoutEntriesIsCut(String text) throws Exception {
@@ -202,7 +202,7 @@
         assertThrows(UnreadableListException.class, () -> read(text));
     }
 
-    /** Levels without end would take room for each. */
+    /** Guards against a list whose nesting takes memory for each level without a limit. */
     @Test
     void valuesNestedWithoutEndCutTheList() throws Exception {
         EndpointList list = read(replaced("\"more\":[{}]", "\"more\":" + "[".repeat(2_000_000)));
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests and connections at the moments where the loop and the selector thread cross. */
+/** Requests and connections where the event loop and the selector thread race. */
 class HttpClientTest extends TwoThreads {
     private HttpClient.Listener listener(boolean tooLate) {
         return new HttpClient.Listener() {
@@ -57,7 +57,8 @@
     }
 
     /**
-     * An answer that crosses the giving up of its call comes after the time that was told: only the giving up counts.
+     * A response that arrives while its call is given up comes after the time that the endpoint was given: it is
+     * ignored.
      */
     @Test
     void anAnswerThatCrossesTheGivingUpCountsForNothing() throws Exception {
@@ -76,8 +77,8 @@
     }
 
     /**
-     * Whoever closes a request that is being given up has moved on: a word of it later would be taken for the next
-     * one's.
+     * The caller that closes a request during {@code giveUp} has moved on: a later report would be taken for one on its
+     * next request.
      */
     @Test
     void nothingIsToldAfterAClose() throws Exception {
@@ -89,7 +90,7 @@
             onLoop(exchange::close);
             free.countDown();
             assertNull(endpoint.read(), "closed");
-            CountDownLatch after = hold(); // what was to be posted has been
+            CountDownLatch after = hold(); // all that was to be posted has been posted
             after.countDown();
             onLoop(() -> {});
             assertNull(told.poll());
@@ -97,13 +98,14 @@
     }
 
     /**
-     * The connection comes up as its time is up: whether the request went is told by the thread that writes, as it was.
+     * A connection is established just as its request is given up: the selector thread reports whether the request was
+     * written.
      */
     @Test
     void aRequestWhoseConnectionComesUpAtItsTimeOutHasEitherGoneOrNot() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
-            endpoint.read(); // it has gone
+            endpoint.read(); // the request was written
             onLoop(() -> exchange.giveUp(() -> told.add("written " + exchange.isWritten())));
             assertEquals("written true", told.poll(20, TimeUnit.SECONDS));
         }
@@ -112,13 +114,13 @@
         onLoop(() -> second.giveUp(() -> told.add("written " + second.isWritten())));
         free.countDown();
         assertEquals("written false", told.poll(20, TimeUnit.SECONDS));
-        server.accept().close(); // the one that held the thread
+        server.accept().close(); // the connection that blocked the selector thread
         try (Wire endpoint = accept()) {
             assertNull(endpoint.read(), "not a byte");
         }
     }
 
-    /** A request whose time is up is not written, though the loop has not come to give it up yet. */
+    /** An expired request is not written, even if the loop has not yet given it up. */
     @Test
     void whatIsTooLateIsNotWritten() throws Exception {
         send(client(), true);
@@ -130,9 +132,8 @@
     }
 
     /**
-     * An answer is believed only as a whole, as RFC 9112 says in section 8: without a length it ends with the
-     * connection; a length or chunks that are not all there are never whole, nor is what is cut off here as it is too
-     * much (#).
+     * A response counts only if it is complete (RFC 9112, section 8): without a length it ends with the connection; a
+     * truncated length or truncated chunks are never complete, nor is a response that is cut off here for its size (#).
      */
     @ParameterizedTest
     @CsvSource(
@@ -167,7 +168,7 @@
         try (Wire endpoint = accept()) {
             endpoint.read();
             endpoint.say("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
-            assertTrue(read.await(20, TimeUnit.SECONDS), "a reset must not overtake it");
+            assertTrue(read.await(20, TimeUnit.SECONDS), "the head must be read before the reset");
             if (reset) {
                 endpoint.reset();
             }
@@ -175,7 +176,10 @@
         assertEquals(expected, told.poll(20, TimeUnit.SECONDS));
     }
 
-    /** A probe is a call to its destination: a wait told in its answer binds, and none is written under a wait. */
+    /**
+     * A probe is a call to its destination: a retry-after in its response is recorded, and none is written within such
+     * a period.
+     */
     @Test
     void aProbeKeepsAndTellsWaits() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
@@ -188,19 +192,19 @@
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
-                onLoop(() -> {}); // its answer is on its way
+                onLoop(() -> {}); // its response is in flight
             }
             onLoop(() -> deliverer.probe(one));
             onLoop(() -> deliverer.probe(other));
             try (Wire second = accept()) {
                 second.read();
                 first.patience(50);
-                assertThrows(SocketTimeoutException.class, first::read, "nothing more came there");
+                assertThrows(SocketTimeoutException.class, first::read, "no further request on this connection");
             }
         }
     }
 
-    /** A probe is a call to its endpoint: it is not written to one that drains, also on a connection that is idle. */
+    /** A probe is a call to its endpoint: it is not written to a draining one, not even on an idle connection. */
     @Test
     void aProbeOfADrainingEndpointIsNotWritten() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
@@ -212,7 +216,7 @@
             first.read();
             first.answer("200 OK", "");
             while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
-                onLoop(() -> {}); // its answer is on its way
+                onLoop(() -> {}); // its response is in flight
             }
             CountDownLatch free = hold();
             onLoop(() -> deliverer.probe(one));
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -14,14 +14,14 @@
 import lilaclever.routing.Journal;
 import org.junit.jupiter.api.Test;
 
-/** The clients' front where what is below it fails. */
+/** The HTTP front when the layers below it fail. */
 class HttpFrontTest extends TwoThreads {
-    /** A journal that fails where it is asked whether a message has ended before. */
+    /** A journal that fails on the look-up of messages that ended before. */
     private static Journal failingJournal() {
         return (Journal) Proxy.newProxyInstance(
                 Journal.class.getClassLoader(), new Class<?>[] {Journal.class}, (proxy, method, arguments) -> {
                     if (method.getName().equals("remembered")) {
-                        throw new IllegalStateException("a fault of the journal's");
+                        throw new IllegalStateException("journal failure");
                     }
                     return switch (method.getName()) {
                         case "owed" -> List.of();
@@ -31,7 +31,7 @@
                 });
     }
 
-    /** A message that can't be taken in because of a fault of the program's is answered as failed. */
+    /** A message that can't be accepted because of an internal error gets an error response. */
     @Test
     void aMessageWhoseTakingInFailsIsAnswered() throws Exception {
         var settings = SettingsReader.read(SETTINGS, 0);
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients' connections at the moments where the loop and the selector thread cross. */
+/** Client connections where the event loop and the selector thread race. */
 class IntakeFilterTest extends TwoThreads {
     private final LinkedBlockingQueue<IntakeFilter.Request> requests = new LinkedBlockingQueue<>();
     private IntakeFilter intake;
 
     private InetSocketAddress listen(BaseFilter filter) throws IOException {
         var chain = intake.chain();
-        chain.set(1, filter); // in the intake's place, which it calls
+        chain.set(1, filter); // in place of the server filter, to which it delegates
         TCPNIOServerConnection listener = transport.listen(new InetSocketAddress("127.0.0.1", 0), chain);
         return (InetSocketAddress) listener.getLocalAddress();
     }
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Its write of an answer is over only once the next request has been read, or cannot be: the order that a race may
-     * take.
+     * Completes the write of a response only after the next request has been read, or after a while: an order that a
+     * race can produce.
      */
     private final class Late extends BaseFilter {
         private final CountDownLatch second = new CountDownLatch(2);
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Guards large requests on the heels of an answer: they were taken for pipelined ones without room, and lost. */
+    /** Guards against a large request right after a response being taken for a pipelined one without room, and lost. */
     @Test
     void aLargeRequestMayComeBeforeItsAnswersWriteIsOver() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -114,9 +114,7 @@
         }
     }
 
-    /**
-     * A request that lies unread in the socket of a connection that looks idle, as it is to close, is answered first.
-     */
+    /** A request unread in the socket of a connection that looks idle is answered before the connection is closed. */
     @Test
     void anUnreadRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -138,10 +136,13 @@
         }
     }
 
-    /** Where all the room is taken by those who wait for an answer, a newcomer is told to come again, in words. */
+    /**
+     * When all capacity is taken by clients that wait for a response, a new one gets a response that tells it to retry
+     * later.
+     */
     @Test
     void aNewcomerWithoutRoomIsToldSo() throws Exception {
-        intake = new IntakeFilter(core, 8, 8, requests::add); // one place of them is for those who leave
+        intake = new IntakeFilter(core, 8, 8, requests::add); // one place of them is reserved for closing connections
         InetSocketAddress address = listen(intake);
         Wire[] waiting = new Wire[7];
         for (int i = 0; i < 7; i++) {
@@ -161,7 +162,7 @@
         }
     }
 
-    /** Waits until the selector thread has read what had come, so many times over. */
+    /** Waits until the selector thread has read pending input the given number of times. */
     private void selections(int times) throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         InetSocketAddress anywhere = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
@@ -174,7 +175,7 @@
         }
     }
 
-    // ---- requests that were read ---------------------------------------------------------------------------
+    // Requests that were read
     private Wire answeredOnce(InetSocketAddress address, int number) throws Exception {
         Wire wire = to(address);
         wire.say(asks("/first" + number, 0));
@@ -184,14 +185,14 @@
     }
 
     /**
-     * Connections that were chosen for eviction while idle, and whose next request is read before they are closed: the
-     * request is answered, whoever else comes. The order of events within one selection is the system's: of several
-     * rounds nearly every one evicts a connection whose request is read in that same selection.
+     * Connections are chosen for eviction while idle, and their next requests are read before they are closed: the
+     * requests are answered whatever connections follow. The system orders the events within one selection, but over
+     * several rounds nearly every round evicts a connection whose request is read in the same selection.
      */
     @Test
     void anEvictedConnectionWhoseRequestWasReadIsAnswered() throws Exception {
         for (int round = 0; round < 5; round++) {
-            intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, and one place is for those who leave
+            intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, and one place is reserved for closing connections
             InetSocketAddress address = listen(intake);
             Wire[] clients = new Wire[7];
             for (int i = 0; i < clients.length; i++) {
@@ -219,7 +220,7 @@
         }
     }
 
-    /** Requests that were read while an earlier one was open are answered before the connection closes. */
+    /** Pipelined requests that were read are answered before the connection closes. */
     @ParameterizedTest
     @ValueSource(strings = {"shutdown", "many connections"})
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
@@ -242,7 +243,9 @@
         }
     }
 
-    /** Of requests sent ahead those that fit are answered, and the one that does not is told to come again. */
+    /**
+     * Of pipelined requests those that fit are answered, and the first that does not is rejected with a retry-after.
+     */
     @Test
     void whatIsSentAheadBeyondTheRoomIsRefusedInWords() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -262,7 +265,7 @@
         }
     }
 
-    /** A request is answered whatever its client sends behind it. */
+    /** A request is answered whatever its client sends after it. */
     @Test
     void muchThatFollowsARequestDoesNotCutItsAnswer() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -275,11 +278,11 @@
         }
     }
 
-    /** A request whose handling fails is answered as failed. */
+    /** A request whose handling fails gets an error response. */
     @Test
     void aRequestWhoseHandlerFailsIsAnswered() throws Exception {
         intake = new IntakeFilter(core, 10, 10, request -> {
-            throw new IllegalStateException("a fault of the handler's");
+            throw new IllegalStateException("handler failure");
         });
         try (Wire client = to(listen(intake))) {
             client.say(asks("/1", 0));
@@ -288,7 +291,7 @@
         }
     }
 
-    /** A close while an answer is still being written, as its client reads slowly, waits for the answer's last byte. */
+    /** A close while a slow client is still receiving a response waits for the response's last byte. */
     @Test
     void aCloseWaitsForAnAnswerThatIsBeingWritten() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -301,12 +304,12 @@
             client.say(asks("/1", 0));
             answer(next(), "x".repeat(4 << 20));
             onLoop(intake::close);
-            selections(2); // the close has been carried out
+            selections(2); // the close has been executed
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
     }
-    /** A client that ends its sending behind a request still reads, and gets its answer. */
+    /** A client that half-closes after a request still reads, and gets its response. */
     @Test
     void aClientThatEndsItsSendingIsAnswered() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -317,7 +320,7 @@
             client.say(asks("/1", 0));
             socket.shutdownOutput();
             IntakeFilter.Request first = next();
-            selections(1); // the end of its sending has been read
+            selections(1); // the end of its input has been read
             answer(first, "");
             Wire.Head head = client.read();
             while (head != null && head.target().equals("100")) {
@@ -328,7 +331,7 @@
         }
     }
 
-    /** The end of a client's sending does not cut an answer off that it is still reading. */
+    /** The end of a client's input does not cut off a response that the client is still receiving. */
     @Test
     void aClientThatEndsItsSendingReadsItsAnswerToTheEnd() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -341,13 +344,13 @@
             client.say(asks("/1", 0));
             answer(next(), "x".repeat(4 << 20));
             socket.shutdownOutput();
-            selections(1); // the end of its sending has been read
+            selections(1); // the end of its input has been read
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
     }
 
-    /** One that has closed its connection is gone: its message is not taken on, as it is handed in again. */
+    /** A client that has closed its connection is gone: its message is not accepted, as it will be submitted again. */
     @Test
     void aClientThatHasClosedIsGone() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
@@ -356,7 +359,7 @@
         client.say(asks("/1", 0));
         IntakeFilter.Request first = next();
         client.close();
-        selections(1); // the end has been read
+        selections(1); // the end of its input has been read
         assertTrue(first.exchange().gone());
     }
 }
--- a/src/test/java/lilaclever/protocol/http/MessageReaderTest.java
+++ b/src/test/java/lilaclever/protocol/http/MessageReaderTest.java
@@ -6,9 +6,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a message is and what is none, however its bytes are cut. */
+/** Parsing of valid and invalid HTTP messages, in pieces of any size. */
 class MessageReaderTest {
-    /** What becomes of the text, cut into pieces of the given size: what was read, what is left, or the status. */
+    /** Reads the text in pieces of the given size; returns what was read and what is left, or the error's status. */
     private static String read(boolean answers, String text, int piece) {
         byte[] in = text.getBytes(StandardCharsets.ISO_8859_1);
         MessageReader reader = new MessageReader(answers, 100);
@@ -18,7 +18,7 @@
                 at = reader.read(in, at, Math.min(in.length, at + piece));
             }
         } catch (MessageReader.Spoilt e) {
-            return "spoilt " + (answers ? reader.status() : e.status);
+            return "invalid " + (answers ? reader.status() : e.status);
         }
         return !reader.isComplete()
                 ? "more"
@@ -42,23 +42,23 @@
                 "POST /api?x HTTP/1.1~Content-Length: 3~~abcGET | /api abc keeps 3",
                 "~GET /a HTTP/1.1~Connection: Close~~ | /a  closes 0",
                 "POST /a HTTP/1.1~Transfer-Encoding: chunked~~3;x~abc~2~de~0~t: u~~ | /a abcde keeps 0",
-                "POST /a HTTP/1.1~Transfer-Encoding: chunked~Content-Length: 3~~0~~ | spoilt 400",
-                "POST /a HTTP/1.1~Content-Length: 3~Content-Length: 3~~abc | spoilt 400",
-                "POST /a HTTP/1.1~Content-Length: -3~~abc | spoilt 400",
-                "POST /a HTTP/1.1~Content-Length: +3~~abc | spoilt 400",
-                "POST /a HTTP/1.1~Content-Length: 99999999999999999999~~ | spoilt 413",
-                "POST /a HTTP/1.1~Content-Length: 101~~ | spoilt 413",
-                "POST /a HTTP/1.1~Content-Length : 3~~abc | spoilt 400",
-                "POST /a HTTP/1.1~X: a~ b~Content-Length: 3~~abc | spoilt 400",
-                "POST /a HTTP/1.1~X: #~Content-Length: 3~~abc | spoilt 400",
-                "POST /a HTTP/1.1^Content-Length: 3^^abc | spoilt 400",
-                "POST /a HTTP/1.1~~ | spoilt 411",
-                "POST /a HTTP/1.1~Transfer-Encoding: gzip~~ | spoilt 501",
-                "POST /a HTTP/1.1~Transfer-Encoding: chunked~~FFFFFFFFF~ | spoilt 413",
-                "POST /a HTTP/1.1~Transfer-Encoding: chunked~~-1~ | spoilt 400",
-                "POST /a HTTP/1.1~Transfer-Encoding: chunked~~1~ab~ | spoilt 400",
-                "GET /a HTTP/2.7~~ | spoilt 505",
-                "what is this~~ | spoilt 400",
+                "POST /a HTTP/1.1~Transfer-Encoding: chunked~Content-Length: 3~~0~~ | invalid 400",
+                "POST /a HTTP/1.1~Content-Length: 3~Content-Length: 3~~abc | invalid 400",
+                "POST /a HTTP/1.1~Content-Length: -3~~abc | invalid 400",
+                "POST /a HTTP/1.1~Content-Length: +3~~abc | invalid 400",
+                "POST /a HTTP/1.1~Content-Length: 99999999999999999999~~ | invalid 413",
+                "POST /a HTTP/1.1~Content-Length: 101~~ | invalid 413",
+                "POST /a HTTP/1.1~Content-Length : 3~~abc | invalid 400",
+                "POST /a HTTP/1.1~X: a~ b~Content-Length: 3~~abc | invalid 400",
+                "POST /a HTTP/1.1~X: #~Content-Length: 3~~abc | invalid 400",
+                "POST /a HTTP/1.1^Content-Length: 3^^abc | invalid 400",
+                "POST /a HTTP/1.1~~ | invalid 411",
+                "POST /a HTTP/1.1~Transfer-Encoding: gzip~~ | invalid 501",
+                "POST /a HTTP/1.1~Transfer-Encoding: chunked~~FFFFFFFFF~ | invalid 413",
+                "POST /a HTTP/1.1~Transfer-Encoding: chunked~~-1~ | invalid 400",
+                "POST /a HTTP/1.1~Transfer-Encoding: chunked~~1~ab~ | invalid 400",
+                "GET /a HTTP/2.7~~ | invalid 505",
+                "what is this~~ | invalid 400",
                 "POST /a HTTP/1.1~Content-Length: 3~~ab | more"
             })
     void requests(String text, String expected) {
@@ -72,12 +72,12 @@
                 "HTTP/1.1 200 OK~Content-Length: 2~~okHTTP/1.1 200 OK~ | 200 ok keeps 17",
                 "HTTP/1.1 100 Go on~~HTTP/1.1 103 Hints~a: b~~HTTP/1.1 503 no~Content-Length: 0~~ | 503  keeps 0",
                 "HTTP/1.1 204 fine~~ | 204  keeps 0",
-                "HTTP/1.1 200 OK~Content-Length: 3000000000~~xxx | spoilt 200",
-                "HTTP/1.1 200 OK~no header~ | spoilt 200",
-                "HTTP/1.1 200 OK~Content-Length: -1~~ | spoilt 200",
-                "HTTP/1.1 101 Other~~ | spoilt 101",
-                "HTTP/1.1 2x0 OK~ | spoilt 0",
-                "noise#~ | spoilt 0",
+                "HTTP/1.1 200 OK~Content-Length: 3000000000~~xxx | invalid 200",
+                "HTTP/1.1 200 OK~no header~ | invalid 200",
+                "HTTP/1.1 200 OK~Content-Length: -1~~ | invalid 200",
+                "HTTP/1.1 101 Other~~ | invalid 101",
+                "HTTP/1.1 2x0 OK~ | invalid 0",
+                "noise#~ | invalid 0",
                 "HTTP/1.1 200 OK~~what | more",
                 "HTTP/1.1 200 OK | more"
             })
@@ -94,7 +94,7 @@
         "POST /a HTTP/1.1~Transfer-Encoding: chunked~~, 1~a~, 413"
     })
     void nothingWithoutEndIsGathered(String begin, String again, int status) {
-        assertEquals("spoilt " + status, read(false, (begin + again.repeat(9_000)).replace("~", "\r\n"), 1000));
+        assertEquals("invalid " + status, read(false, (begin + again.repeat(9_000)).replace("~", "\r\n"), 1000));
     }
 
     @ParameterizedTest
@@ -105,7 +105,7 @@
         assertEquals(expected, read == null ? "" : read.toString());
     }
 
-    /** Of a long time a part is left for the request's stay in the socket, which nobody sees; of a short one less. */
+    /** Part of a long deadline is reserved for the unobservable time in the socket; of a short one, less. */
     @ParameterizedTest
     @CsvSource({"12000000, 0, 11880000", "6000000, 1000000, 4880000", "500000, -5, 490000", "50000, 90000, 0"})
     void theTimeThatARequestLayUnreadIsTakenOff(long deadline, long sinceRead, long budget) {
--- a/src/test/java/lilaclever/protocol/http/RetryPauseTest.java
+++ b/src/test/java/lilaclever/protocol/http/RetryPauseTest.java
@@ -10,7 +10,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Pauses before a server that can't be reached is tried again. */
+/** Delays before an unreachable server is tried again. */
 class RetryPauseTest {
     private static final long FIRST = 50_000, LONGEST = 300_000;
 
@@ -28,7 +28,7 @@
         Set<Long> lengths = new HashSet<>();
         IntStream.range(0, 100)
                 .forEach(i -> lengths.add(new RetryPause(FIRST, LONGEST, new SplittableRandom(i)).next()));
-        assertTrue(lengths.size() > 90, "of a hundred clients so many pause for different times: " + lengths.size());
+        assertTrue(lengths.size() > 90, "distinct delays of 100 clients: " + lengths.size());
     }
 
     @Test
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real loop and a real selector thread, either of which a test can have stand still while something else comes. */
+/** Runs a real event loop and a real selector thread, either of which a test can block while something else happens. */
 abstract class TwoThreads {
     static final String SETTINGS = """
             {"roundS": 0.002, "groupSize": 1, "shapes": ["lab"], "zones": ["z"],
@@ -91,7 +91,7 @@
         assertTrue(ran.await(20, TimeUnit.SECONDS));
     }
 
-    /** Has the selector thread stand still until the latch is released. */
+    /** Blocks the selector thread until the returned latch is released. */
     final CountDownLatch hold() throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         transport.connect(
