--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -210,7 +210,10 @@
         }
     }
 
-    /** Continues the chain after a response to its latest request, and after one to a late request during a poll. */
+    /**
+     * Continues the chain after a response to its latest request, and after one to a late request while the latest is
+     * a short poll.
+     */
     private void sendAfterAnswer(boolean isGood) {
         if (primary != null && isGood && primary.isLook) {
             closeRequest(primary); // its successor is a long poll, which returns all that this request would
@@ -292,7 +295,8 @@
         if (list.isWhole()) {
             needsWhole = false;
         } else if (!needsWhole && !request.asksWhole) {
-            wholePause.reset(); // only now: after an orderly whole list, further faults must not trigger an immediate request
+            // Only now: faults that follow a valid whole list must not trigger an immediate request.
+            wholePause.reset();
         }
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -105,7 +105,7 @@
 
     /**
      * Creates a client. {@code keepsPartialResponses}: an incomplete or too large response is kept for the caller of
-     * the request ({@link Exchange#partialAnswer}), who then limits the time of a response alone.
+     * the request ({@link Exchange#partialAnswer}), who alone limits the time that a response may take.
      */
     HttpClient(
             Core core,
@@ -247,8 +247,8 @@
         }
 
         /**
-         * {@code remotely}: closed by the server, which ends a response without a length; a close by the client does
-         * not.
+         * {@code isRemoteClose}: closed by the server, which ends a response without a length; a close by the client
+         * does not.
          */
         void closed(boolean remotely) {
             Exchange exchange = current;
@@ -370,7 +370,7 @@
             partly.remove(this);
             trace("written");
             if (!listener.mayGo()) {
-                core.post(() -> core.counters().holds(false, listener + " was written outside of any retry-after period"));
+                core.post(() -> core.counters().holds(false, listener + " was written outside any retry-after period"));
             }
         }
 
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -216,8 +216,8 @@
 
     /**
      * Whether the endpoint has reached its limit of connections: it closes a connection that was just opened. An
-     * endpoint over its call limit keeps the connection. To take the first for the second would slow all calls there to
-     * no effect.
+     * endpoint over its call limit keeps the connection. Mistaking the first for the second would slow all calls there
+     * to no effect.
      */
     private static boolean noRoom(Call call, int status, Map<String, String> headers) {
         return status == 503
@@ -293,7 +293,8 @@
             return;
         }
         // The slot is free only once the other side has seen the close: a new call in this same turn would find none.
-        boolean delivered = saysDelivered(out.several(), out.exchange().status()); // responses that arrive from now on are ignored
+        // Responses that arrive from now on are ignored.
+        boolean delivered = saysDelivered(out.several(), out.exchange().status());
         out.exchange()
                 .giveUp(() -> all(
                         call,
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/IntakeFilter.java
@@ -44,7 +44,7 @@
     private static final int MOST_AHEAD = 16 * 1024;
     /** Bytes of incomplete requests over all connections. */
     private static final long MOST_GATHERED = 6 << 20;
-    /** Time for a new connection to send its first request, and for a request to be complete after its first byte. */
+    /** Time for a new connection to send its first byte, and for a request to be complete. */
     private static final long SILENT = 2_000_000, WHOLE_BY = 2_000_000;
     /** Time that an idle connection stays open, and the shorter one above {@code keepAliveLimit}. */
     private static final long IDLE = 15_000_000, IDLE_CROWDED = 2_200_000;
@@ -62,8 +62,7 @@
      */
     private static final long LINGER = 1_000_000, MOST_DROPPED = 1 << 20;
     /**
-     * This fraction of the connections is reserved for those that linger, and for new ones that are told to retry
-     * later.
+     * One in this many connections is reserved for those that linger, and for new ones that are told to retry later.
      */
     private static final int LEAVING_PART = 8;
 
@@ -210,7 +209,7 @@
         private int read(byte[] in, int from) {
             if (!partial) {
                 partial = true;
-                since = asked ? Core.micros() : since; // the time for the first one runs from the opening of the connection
+                since = asked ? Core.micros() : since; // the first one: since the connection opened
             }
             try {
                 int at = reader.read(in, from, in.length);
@@ -266,7 +265,7 @@
             }
         }
 
-        /** Queues bytes behind those being written; {@code failed} runs if they can't be written. */
+        /** Queues bytes behind those being written; {@code onFailed} runs if they can't be written. */
         private synchronized void write(byte[] bytes, Runnable failed) {
             writes++;
             Transport.write(connection, bytes, this::written, () -> {
@@ -348,7 +347,7 @@
         }
 
         /**
-         * Closes the connection if it has still expired. Runs on the selector thread once pending input is read, since
+         * Closes the connection if it is still expired. Runs on the selector thread once pending input is read, since
          * a connection that looked idle may have a request in its socket. Later input is sent again by the client on
          * another connection and must not be read as a request here.
          */
--- a/src/main/java/lilaclever/protocol/http/MessageReader.java
+++ b/src/main/java/lilaclever/protocol/http/MessageReader.java
@@ -161,7 +161,7 @@
             case SIZE -> chunk(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new Spoilt(400, "chunk data longer than the chunk size");
+                    throw new Spoilt(400, "missing line break after a chunk");
                 }
                 part = Part.SIZE;
                 headLength = 0;
--- a/src/main/java/lilaclever/protocol/http/Notices.java
+++ b/src/main/java/lilaclever/protocol/http/Notices.java
@@ -60,7 +60,7 @@
         open.add(new Notice(line.toString() + '\n', settled));
         if (!busy) {
             busy = true;
-            again = core.deadlines().at(core.now() + 1, this::send); // together with the other final statuses of this turn
+            again = core.deadlines().at(core.now() + 1, this::send); // batches what ends in this turn
         }
     }
 
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
@@ -192,7 +192,7 @@
     @Test
     void anEvictedConnectionWhoseRequestWasReadIsAnswered() throws Exception {
         for (int round = 0; round < 5; round++) {
-            intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, and one place is reserved for closing connections
+            intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, one is reserved
             InetSocketAddress address = listen(intake);
             Wire[] clients = new Wire[7];
             for (int i = 0; i < clients.length; i++) {
