--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -30,7 +30,7 @@
 
             @Override
             public void broke(boolean written, int status) {
-                told.add("broke " + written);
+                told.add("failed " + written);
             }
 
             @Override
@@ -140,10 +140,10 @@
             delimiter = '|',
             value = {
                 "Connection: close~~a accepted~                         | false | answered 200",
-                "Connection: close~~#                                   | false | broke true",
-                "Content-Length: 99~~a accepted~                        | false | broke true",
-                "Transfer-Encoding: chunked~~c~a accepted~~             | false | broke true",
-                "Transfer-Encoding: chunked~~c~a accepted~~0~           | false | broke true",
+                "Connection: close~~#                                   | false | failed true",
+                "Content-Length: 99~~a accepted~                        | false | failed true",
+                "Transfer-Encoding: chunked~~c~a accepted~~             | false | failed true",
+                "Transfer-Encoding: chunked~~c~a accepted~~0~           | false | failed true",
                 "Transfer-Encoding: chunked~~c~a accepted~~0~~         | true  | answered 200"
             })
     void anAnswerIsWholeByItsFraming(String rest, boolean reset, String expected) throws Exception {
@@ -157,7 +157,7 @@
 
                             @Override
                             public void broke(boolean written, int status) {
-                                told.add("broke " + written);
+                                told.add("failed " + written);
                             }
 
                             @Override
