--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -137,7 +137,7 @@
     }
 
     /**
-     * Waits for the first call to return, and lets the time pass after which the known list is reported without a
+     * Waits for the first request to end, and lets the time pass after which the known list is reported without a
      * response.
      */
     private void passFirstAnswerWait() throws InterruptedException {
@@ -148,8 +148,8 @@
     }
 
     /**
-     * Waits for the call in flight to return; returns the delay until the next one, which must be at most the limit.
-     * One call may post more than one task to the loop.
+     * Waits for the request in flight to end; returns the delay until the next one, which must be at most the limit.
+     * One request may post several tasks to the loop.
      */
     private long untilCallIsBack(long limit) throws InterruptedException {
         long pause;
@@ -161,7 +161,7 @@
         return pause;
     }
 
-    /** The same; then the next call is sent. */
+    /** The same; then the next request is sent. */
     private long untilNextCall(long limit) throws InterruptedException {
         long pause = untilCallIsBack(limit);
         clock.micros += pause;
