--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -209,7 +209,7 @@
                 new byte[64],
                 false,
                 false,
-                HttpFront.budget(left, 0));
+                HttpFront.budgetMicros(left, 0));
         core.post(() -> {
             if (!core.knows(submission.destination())) {
                 world.onRefused(submission.id(), 0);
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -290,7 +290,7 @@
      * Connections of clients at most: what the program itself, calls, idle connections, mail and other fronts leave.
      */
     int mostClients(boolean mail, int otherFronts) {
-        int operators = operator == null ? 0 : OperatorPort.MOST + 1;
+        int operators = operator == null ? 0 : OperatorPort.MAX_CONNECTIONS + 1;
         return Math.max(
                 1,
                 sockets
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -16,10 +16,10 @@
 import lilaclever.journal.JournalClocks;
 import lilaclever.journal.SegmentedJournal;
 import lilaclever.log.Logs;
-import lilaclever.protocol.http.Directory;
+import lilaclever.protocol.http.DirectoryClient;
 import lilaclever.protocol.http.HttpDeliverer;
 import lilaclever.protocol.http.HttpFront;
-import lilaclever.protocol.http.Notices;
+import lilaclever.protocol.http.NoticeSender;
 import lilaclever.protocol.mail.MailDeliverer;
 import lilaclever.protocol.mail.MailFront;
 import lilaclever.protocol.mail.MailSettings;
@@ -45,8 +45,8 @@
     /** As it is in force: renewed at SIGHUP. */
     private Config config;
 
-    private final Notices notices;
-    private final Directory directory;
+    private final NoticeSender notices;
+    private final DirectoryClient directory;
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
     private final List<MailFront> mailFronts = new ArrayList<>();
@@ -71,17 +71,17 @@
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
         ManualDrains suspensions = new ManualDrains(core, config.suspended(), ids -> Config.noteSuspended(state, ids));
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.mostIdle());
-        notices = new Notices(core, transport, config.discovery(), connect, keep);
+        notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
         long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
                 DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
         counters.gauge("departed", membership::departureCount);
-        directory = new Directory(
+        directory = new DirectoryClient(
                 core,
                 transport,
                 config.discovery(),
                 deliverer,
-                new Directory.Names(config.kinds(), config.zones(), settings.kinds()),
+                new DirectoryClient.KindsAndZones(config.kinds(), config.zones(), settings.kinds()),
                 connect,
                 keep,
                 membership,
@@ -106,11 +106,11 @@
             mllpFront = new MllpFront(core, operator.mllp());
             core.add(mllpFront);
         }
-        Directory.Known known = config.known() == null ? null : directory.known(config.known());
+        DirectoryClient.ResolvedList known = config.known() == null ? null : directory.resolve(config.known());
         deliverer.start();
-        List<Core.Listed> listed = known == null ? List.of() : known.listed();
-        directory.start(known == null ? -1 : known.index(), listed);
-        long version = known == null ? 0 : known.index();
+        List<Core.Listed> listed = known == null ? List.of() : known.entries();
+        directory.start(known == null ? -1 : known.version(), listed);
+        long version = known == null ? 0 : known.version();
         core.start(
                 suspensions.heard(
                         DecisionModule.ListingKind.REMEMBERED,
@@ -192,8 +192,8 @@
                 Logs.warn("", "discovery-not-noted", "a restart may go to the old discovery: " + e);
             }
             core.post(() -> {
-                directory.move(read.discovery());
-                notices.move(read.discovery());
+                directory.moveTo(read.discovery());
+                notices.moveTo(read.discovery());
             });
             Logs.info("", "reloaded", "configuration read again, discovery at " + read.discovery());
         } catch (ConfigurationException e) {
@@ -211,7 +211,7 @@
         CountDownLatch inForce = new CountDownLatch(1);
         core.post(() -> {
             core.renew(next.settings());
-            front.renew(next.classNames(), next.settings().classes());
+            front.updateClasses(next.classNames(), next.settings().classes());
             inForce.countDown();
         });
         try {
--- a/src/main/java/lilaclever/protocol/http/SeveralAnswer.java
+++ b/src/main/java/lilaclever/protocol/http/BatchResponse.java
@@ -9,7 +9,7 @@
  * The body of a 200 response to a call of several messages: a line of id and result for each, ended by CRLF. It is
  * trusted only as a whole: if a line is truncated, unknown, repeated or missing, all results are ignored.
  */
-final class SeveralAnswer {
+final class BatchResponse {
     private static final String LINE_END = "\r\n";
 
     /** The result of one message as reported by an endpoint. */
@@ -21,7 +21,7 @@
         NO_MORE
     }
 
-    private static final Map<String, Result> WORDS = Map.of(
+    private static final Map<String, Result> RESULTS_BY_WORD = Map.of(
             "accepted",
             Result.ACCEPTED,
             "fault",
@@ -35,7 +35,7 @@
 
     private final Map<String, Result> results;
 
-    private SeveralAnswer(Map<String, Result> results) {
+    private BatchResponse(Map<String, Result> results) {
         this.results = results;
     }
 
@@ -43,7 +43,7 @@
      * Parses the results by message id; empty if the body is not a sequence of complete lines, each for another
      * message.
      */
-    static Optional<SeveralAnswer> parse(byte[] body) {
+    static Optional<BatchResponse> parse(byte[] body) {
         String text = new String(body, StandardCharsets.ISO_8859_1);
         Map<String, Result> results = new HashMap<>();
         int at = 0;
@@ -53,17 +53,17 @@
             if (end < 0 || space <= at || space > end) {
                 return Optional.empty();
             }
-            Result result = WORDS.get(text.substring(space + 1, end).strip());
+            Result result = RESULTS_BY_WORD.get(text.substring(space + 1, end).strip());
             if (result == null || results.put(text.substring(at, space), result) != null) {
                 return Optional.empty();
             }
             at = end + LINE_END.length();
         }
-        return Optional.of(new SeveralAnswer(results));
+        return Optional.of(new BatchResponse(results));
     }
 
     /** Returns the result of the message, or null if the response has none. */
-    Result of(String id) {
+    Result resultOf(String id) {
         return results.get(id);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/Directory.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -15,29 +15,29 @@
  * Watches the platform's endpoint list and reports its changes. {@link DiscoveryWatch} polls the discovery agents;
  * {@link EndpointMembership} decides which parts of their responses are accepted. Loop thread.
  */
-public final class Directory {
+public final class DirectoryClient {
     /**
      * The agent's data counts as known from the first moment of a new process, so the known list alone, which may name
      * endpoints that have left since, must not be used while the agent may still answer. An agent answers at once; one
      * that has not answered after this time is slow or down, and messages can't wait for it much longer.
      */
-    static final long FIRST_ANSWER_WAIT = 1_500_000;
+    static final long FIRST_RESPONSE_WAIT_MICROS = 1_500_000;
 
-    private static final int MOST_IDLE = 1;
+    private static final int MAX_IDLE_CONNECTIONS = 1;
 
     /** Receives the changes of the endpoint list. */
     public interface Listener {
         /** Reports a change of the list; the first one is the remembered list. */
-        void listing(DecisionModule.ListingKind kind, long version, List<Core.Listed> entries);
+        void onChange(DecisionModule.ListingKind kind, long version, List<Core.Listed> entries);
     }
 
     /** An endpoint list with the numbers and the deliverer that this forwarder uses for each endpoint. */
-    public record Known(long index, boolean whole, List<Core.Listed> listed) {}
+    public record ResolvedList(long version, boolean isWhole, List<Core.Listed> entries) {}
 
     private final Core core;
     private final HttpClient client;
     private final Deliverer deliverer;
-    private final Names names;
+    private final KindsAndZones kindsAndZones;
     private final EndpointMembership membership;
     private final Listener listener;
     private final SplittableRandom random = new SplittableRandom();
@@ -46,28 +46,29 @@
     /** The watch at an earlier address whose agent has answered, until the current one has; else null. */
     private DiscoveryWatch previous;
     /** Whether the current agent has answered; where no version was known, with its whole list. */
-    private boolean isCurrentConfirmed;
+    private boolean hasCurrentResponded;
     /** Changes that are reported once the first response arrives or is no longer waited for; null from then on. */
-    private List<EndpointMembership.Change> withheld = new ArrayList<>();
+    private List<EndpointMembership.Change> pendingChanges = new ArrayList<>();
 
-    private Deadlines.Key firstAnswerDue;
+    private Deadlines.Key firstResponseDeadline;
 
     /** The names of kinds and zones, in the order of the settings, and the settings of each kind. */
-    public record Names(List<String> kinds, List<String> zones, List<DecisionModule.Kind> ofKinds) {
-        private static final DecisionModule.Kind UNKNOWN = new DecisionModule.Kind(false, 1);
+    public record KindsAndZones(
+            List<String> kindNames, List<String> zoneNames, List<DecisionModule.Kind> kindSettings) {
+        private static final DecisionModule.Kind UNKNOWN_KIND = new DecisionModule.Kind(false, 1);
 
-        DecisionModule.Kind kind(int index) {
-            return index >= 0 && index < ofKinds.size() ? ofKinds.get(index) : UNKNOWN;
+        DecisionModule.Kind settingsOfKind(int index) {
+            return index >= 0 && index < kindSettings.size() ? kindSettings.get(index) : UNKNOWN_KIND;
         }
     }
 
     /** Watches the list at the address; {@code membership} decides which entries are accepted. */
-    public Directory(
+    public DirectoryClient(
             Core core,
             Transport transport,
             String address,
             Deliverer deliverer,
-            Names names,
+            KindsAndZones kindsAndZones,
             long connectMicros,
             long keepAliveMicros,
             EndpointMembership membership,
@@ -80,11 +81,11 @@
                 "directory",
                 connectMicros,
                 keepAliveMicros,
-                MOST_IDLE,
-                DiscoveryWatch.MOST_ANSWER,
+                MAX_IDLE_CONNECTIONS,
+                DiscoveryWatch.MAX_RESPONSE_BYTES,
                 true);
         this.deliverer = deliverer;
-        this.names = names;
+        this.kindsAndZones = kindsAndZones;
         this.membership = membership;
         this.current = watchAt(address);
     }
@@ -92,11 +93,12 @@
     /**
      * Starts to watch from the known list. A {@code knownIndex} below 0 means that no list is known: the whole list is
      * then fetched. The known list is reported as remembered with the first response, or after {@link
-     * #FIRST_ANSWER_WAIT}; nothing is reported before.
+     * #FIRST_RESPONSE_WAIT_MICROS}; nothing is reported before.
      */
     public void start(long knownIndex, List<Core.Listed> known) {
-        withheld.add(membership.remembered(Math.max(0, knownIndex), known));
-        firstAnswerDue = core.deadlines().at(core.now() + FIRST_ANSWER_WAIT, this::tellWithheld);
+        pendingChanges.add(membership.remembered(Math.max(0, knownIndex), known));
+        firstResponseDeadline =
+                core.deadlines().at(core.now() + FIRST_RESPONSE_WAIT_MICROS, this::reportPendingChanges);
         current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
     }
 
@@ -105,20 +107,20 @@
      * versions differently, so it is asked for the whole list: endpoints that are not in it have left. Until it has
      * delivered the whole list, the agent that answered last is watched too.
      */
-    public void move(String to) {
-        if (to.equals(current.address())) {
+    public void moveTo(String newAddress) {
+        if (newAddress.equals(current.address())) {
             return;
         }
-        boolean isReturn = previous != null && to.equals(previous.address());
-        DiscoveryWatch next = isReturn ? previous : watchAt(to);
-        if (isCurrentConfirmed) {
+        boolean isReturn = previous != null && newAddress.equals(previous.address());
+        DiscoveryWatch next = isReturn ? previous : watchAt(newAddress);
+        if (hasCurrentResponded) {
             previous = current;
         } else {
             current.close();
             previous = isReturn ? null : previous;
         }
         current = next;
-        isCurrentConfirmed = isReturn;
+        hasCurrentResponded = isReturn;
         if (!isReturn) {
             current.start(EndpointList.NO_VERSION);
         }
@@ -134,8 +136,8 @@
                         source.address(),
                         list.version(),
                         list.isWhole(),
-                        list.isCut(),
-                        known(list).listed(),
+                        list.isTruncated(),
+                        resolve(list).entries(),
                         list.unusable()),
                 core.now(),
                 Core.wall());
@@ -143,37 +145,37 @@
             source.requestWholeList();
         }
         if (isInOrder) {
-            tellWithheld();
+            reportPendingChanges();
         }
-        if (withheld != null) {
-            withheld.add(change);
+        if (pendingChanges != null) {
+            pendingChanges.add(change);
         } else {
-            tell(change);
+            report(change);
         }
         if (source == current && isInOrder) {
             confirmCurrent();
         }
     }
 
-    private void tellWithheld() {
-        core.deadlines().cancel(firstAnswerDue);
-        if (withheld != null) {
-            List<EndpointMembership.Change> changes = withheld;
-            withheld = null;
-            changes.forEach(this::tell);
+    private void reportPendingChanges() {
+        core.deadlines().cancel(firstResponseDeadline);
+        if (pendingChanges != null) {
+            List<EndpointMembership.Change> changes = pendingChanges;
+            pendingChanges = null;
+            changes.forEach(this::report);
         }
     }
 
-    private void tell(EndpointMembership.Change change) {
+    private void report(EndpointMembership.Change change) {
         if (change.kind() != DecisionModule.ListingKind.CHANGES
                 || !change.entries().isEmpty()) {
-            listener.listing(change.kind(), change.version(), change.entries());
+            listener.onChange(change.kind(), change.version(), change.entries());
         }
     }
 
     /** The current agent has delivered its list, so the previous one is no longer needed. */
     private void confirmCurrent() {
-        isCurrentConfirmed = true;
+        hasCurrentResponded = true;
         if (previous != null) {
             previous.close();
             previous = null;
@@ -181,15 +183,15 @@
     }
 
     /** Resolves kinds and zones to their numbers and adds the deliverer of each endpoint. */
-    public Known known(EndpointList list) {
-        List<Core.Listed> all = new ArrayList<>(list.endpoints().size());
-        list.endpoints().forEach(endpoint -> all.add(listed(endpoint)));
-        return new Known(list.version(), list.isWhole(), all);
+    public ResolvedList resolve(EndpointList list) {
+        List<Core.Listed> resolved = new ArrayList<>(list.endpoints().size());
+        list.endpoints().forEach(endpoint -> resolved.add(resolveEndpoint(endpoint)));
+        return new ResolvedList(list.version(), list.isWhole(), resolved);
     }
 
-    private Core.Listed listed(EndpointList.Endpoint endpoint) {
-        int kind = names.kinds().indexOf(endpoint.type());
-        int zone = Math.max(0, names.zones().indexOf(endpoint.zone()));
+    private Core.Listed resolveEndpoint(EndpointList.Endpoint endpoint) {
+        int kind = kindsAndZones.kindNames().indexOf(endpoint.type());
+        int zone = Math.max(0, kindsAndZones.zoneNames().indexOf(endpoint.zone()));
         DecisionModule.Entry entry = new DecisionModule.Entry(
                 endpoint.name(),
                 endpoint.destination(),
@@ -197,7 +199,7 @@
                 kind,
                 endpoint.presence(),
                 endpoint.weight(),
-                sinceMicros(endpoint.sinceMillis()));
+                toLoopMicros(endpoint.sinceMillis()));
         return new Core.Listed(
                 entry,
                 new Call.Endpoint(
@@ -205,13 +207,13 @@
                         endpoint.address(),
                         endpoint.destination(),
                         zone,
-                        names.kind(kind).batch(),
-                        names.kind(kind).ownLimits(),
+                        kindsAndZones.settingsOfKind(kind).batch(),
+                        kindsAndZones.settingsOfKind(kind).ownLimits(),
                         deliverer));
     }
 
     /** Converts a wall clock time to the loop's clock; 0, which means unknown, stays 0. */
-    private long sinceMicros(long sinceMillis) {
+    private long toLoopMicros(long sinceMillis) {
         return sinceMillis == 0 ? 0 : Math.max(1, core.now() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -19,41 +19,41 @@
      * unresponsive. A long poll of a third of that time leaves time to detect the failure and to retry several times. A
      * poll that brings no change costs nothing.
      */
-    private static final long WATCH_WAIT = 2_000_000;
+    private static final long LONG_POLL_WAIT_MICROS = 2_000_000;
     /** A long poll without a response this long after its wait has timed out. */
-    private static final long WATCH_MARGIN = 400_000;
+    private static final long LONG_POLL_MARGIN_MICROS = 400_000;
     /**
      * A request with this wait is answered at once or, while discovery is down, not at all; a recovery of discovery
      * counts as known at once.
      */
-    private static final long LOOK_WAIT = 1_000;
+    private static final long SHORT_POLL_WAIT_MICROS = 1_000;
 
-    private static final long LOOK_ANSWER_BY = 300_000;
+    private static final long SHORT_POLL_TIMEOUT_MICROS = 300_000;
     /**
      * Limit from sending a request to the end of its response, whether or not it has timed out or arrives in pieces.
      */
-    private static final long LONGEST_SPAN = 3_000_000;
+    private static final long MAX_REQUEST_MICROS = 3_000_000;
     /** Retry delays after an unusable response; the next request within 200 ms belongs to the same watch. */
-    private static final long FIRST_PAUSE = 50_000, LONGEST_ANSWER_PAUSE = 150_000;
+    private static final long INITIAL_RETRY_DELAY_MICROS = 50_000, MAX_RESPONSE_RETRY_DELAY_MICROS = 150_000;
     /**
      * Longest retry delay where connecting fails or the connection is closed without a response. Requests cost
      * processor time on every forwarder; a directory that has recovered is noticed after this delay at the latest, as
-     * is one that was unresponsive ({@link #LOOK_ANSWER_BY}).
+     * is one that was unresponsive ({@link #SHORT_POLL_TIMEOUT_MICROS}).
      */
-    private static final long LONGEST_CONNECT_PAUSE = 300_000;
+    private static final long MAX_CONNECT_RETRY_DELAY_MICROS = 300_000;
     /** The whole list is requested at least this often while it can't be read in full; changes are still followed. */
-    private static final long LONGEST_WHOLE_PAUSE = 5_000_000;
+    private static final long MAX_WHOLE_LIST_DELAY_MICROS = 5_000_000;
     /** The interval for requesting a whole list that is over the size limit; changes are still followed. */
-    private static final long TOO_LARGE_PAUSE = 60_000_000;
+    private static final long OVERSIZED_LIST_DELAY_MICROS = 60_000_000;
     /** The same faults are logged again after this interval. */
-    private static final long LOG_AGAIN = 60_000_000;
+    private static final long FAULT_LOG_INTERVAL_MICROS = 60_000_000;
 
-    private static final int MOST_FAULTS_LOGGED = 20;
+    private static final int MAX_FAULTS_LOGGED = 20;
     /** Enough for a list of 20,000 endpoints of 200 bytes; memory is allocated as data arrives. */
-    static final int MOST_ANSWER = 4 << 20;
+    static final int MAX_RESPONSE_BYTES = 4 << 20;
 
     private static final int HTTP_OK = 200;
-    private static final String PART = "directory";
+    private static final String LOG_PART = "directory";
 
     /** Receives the lists. */
     interface Listener {
@@ -69,9 +69,9 @@
     private final String address;
     private final Listener listener;
 
-    private final RetryPause connectPause;
-    private final RetryPause answerPause;
-    private final RetryPause wholePause;
+    private final RetryBackoff connectBackoff;
+    private final RetryBackoff responseBackoff;
+    private final RetryBackoff wholeListBackoff;
 
     /** The version that the next changes are based on. */
     private long version = EndpointList.NO_VERSION;
@@ -80,24 +80,24 @@
     /**
      * An unusable response has arrived: the whole list is to be requested once {@code wholeListDueAtMicros} is reached.
      */
-    private boolean needsWhole;
+    private boolean needsWholeList;
 
-    private long wholeDueAt;
+    private long wholeListDueAtMicros;
     /** Until when the whole list is not requested because it is over the size limit. */
-    private long tooLargeUntil;
+    private long oversizedUntilMicros;
     /** Requests are numbered as they are sent; this is the last one whose response was in order. */
-    private long lastInOrder;
+    private long lastInOrderNumber;
 
-    private long sent;
+    private long requestsSent;
     /** The request whose response is expected in time; null while the next one waits for its delay. */
-    private PendingRequest primary;
+    private PendingRequest currentRequest;
     /** The request that has timed out and is still open, or null. */
-    private PendingRequest patient;
+    private PendingRequest lateRequest;
 
-    private Deadlines.Key retry;
+    private Deadlines.Key retryTimer;
     private boolean isClosed;
     private List<EndpointList.Fault> loggedFaults = List.of();
-    private long loggedAt;
+    private long faultsLoggedAtMicros;
 
     /** Creates a watch at the address that uses the client's connections. */
     DiscoveryWatch(Core core, HttpClient client, String address, SplittableRandom random, Listener listener) {
@@ -105,9 +105,9 @@
         this.client = client;
         this.address = address;
         this.listener = listener;
-        this.connectPause = new RetryPause(FIRST_PAUSE, LONGEST_CONNECT_PAUSE, random);
-        this.answerPause = new RetryPause(FIRST_PAUSE, LONGEST_ANSWER_PAUSE, random);
-        this.wholePause = new RetryPause(FIRST_PAUSE, LONGEST_WHOLE_PAUSE, random);
+        this.connectBackoff = new RetryBackoff(INITIAL_RETRY_DELAY_MICROS, MAX_CONNECT_RETRY_DELAY_MICROS, random);
+        this.responseBackoff = new RetryBackoff(INITIAL_RETRY_DELAY_MICROS, MAX_RESPONSE_RETRY_DELAY_MICROS, random);
+        this.wholeListBackoff = new RetryBackoff(INITIAL_RETRY_DELAY_MICROS, MAX_WHOLE_LIST_DELAY_MICROS, random);
     }
 
     String address() {
@@ -120,16 +120,16 @@
      */
     void start(long knownVersion) {
         version = knownVersion;
-        needWholeAtOnce();
+        needWholeListNow();
         sendNext();
     }
 
     /** Cancels all open requests; nothing more is reported. */
     void close() {
         isClosed = true;
-        core.deadlines().cancel(retry);
-        closeRequest(primary);
-        closeRequest(patient);
+        core.deadlines().cancel(retryTimer);
+        closeRequest(currentRequest);
+        closeRequest(lateRequest);
         client.closeIdle(address);
     }
 
@@ -142,71 +142,80 @@
 
     // Requests
     private void sendNext() {
-        core.deadlines().cancel(retry);
-        retry = null;
-        boolean asksWhole = isWholeDue();
-        boolean isLook = asksWhole || isUnconfirmed;
-        long wait = isLook ? LOOK_WAIT : watchWait();
-        primary = new PendingRequest(
-                ++sent, asksWhole, isLook, asksWhole ? "" : "?after=" + version + "&wait_ms=" + wait / 1000);
-        primary.timeout =
-                core.deadlines().at(core.now() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
-        primary.send();
+        core.deadlines().cancel(retryTimer);
+        retryTimer = null;
+        boolean asksWholeList = isWholeListDue();
+        boolean isShortPoll = asksWholeList || isUnconfirmed;
+        long waitMicros = isShortPoll ? SHORT_POLL_WAIT_MICROS : longPollWaitMicros();
+        currentRequest = new PendingRequest(
+                ++requestsSent,
+                asksWholeList,
+                isShortPoll,
+                asksWholeList ? "" : "?after=" + version + "&wait_ms=" + waitMicros / 1000);
+        currentRequest.timeout = core.deadlines()
+                .at(
+                        core.now() + (isShortPoll ? SHORT_POLL_TIMEOUT_MICROS : waitMicros + LONG_POLL_MARGIN_MICROS),
+                        currentRequest::onTimeout);
+        currentRequest.send();
     }
 
-    private boolean isWholeDue() {
-        return version == EndpointList.NO_VERSION || needsWhole && core.now() >= wholeDueAt;
+    private boolean isWholeListDue() {
+        return version == EndpointList.NO_VERSION || needsWholeList && core.now() >= wholeListDueAtMicros;
     }
 
     /** A long poll ends early where the whole list becomes due. */
-    private long watchWait() {
-        return needsWhole ? Math.max(LOOK_WAIT, Math.min(WATCH_WAIT, wholeDueAt - core.now())) : WATCH_WAIT;
+    private long longPollWaitMicros() {
+        return needsWholeList
+                ? Math.max(SHORT_POLL_WAIT_MICROS, Math.min(LONG_POLL_WAIT_MICROS, wholeListDueAtMicros - core.now()))
+                : LONG_POLL_WAIT_MICROS;
     }
 
-    private void sendAfter(long pause) {
-        core.deadlines().cancel(retry);
-        retry = core.deadlines().at(core.now() + pause, this::sendNext);
+    private void sendAfter(long delayMicros) {
+        core.deadlines().cancel(retryTimer);
+        retryTimer = core.deadlines().at(core.now() + delayMicros, this::sendNext);
     }
 
     /** The delay after an unusable response: until the whole list is due, if that is soon. */
-    private long pauseAfterAnswer() {
-        long pause = answerPause.next();
-        long untilWhole = wholeDueAt - core.now();
-        return needsWhole && untilWhole > 0 && untilWhole <= LONGEST_ANSWER_PAUSE ? untilWhole : pause;
+    private long delayAfterResponse() {
+        long delayMicros = responseBackoff.nextDelayMicros();
+        long untilWholeListMicros = wholeListDueAtMicros - core.now();
+        return needsWholeList && untilWholeListMicros > 0 && untilWholeListMicros <= MAX_RESPONSE_RETRY_DELAY_MICROS
+                ? untilWholeListMicros
+                : delayMicros;
     }
 
     /** Has the whole list requested, at growing intervals while requests repeat. */
     void requestWholeList() {
-        needWhole();
+        needWholeList();
     }
 
     /**
      * Discovery may have restarted since its last response and have reset its versions: changes it makes below the
      * known version would never be reported as changes.
      */
-    private void onLostTouch() {
+    private void onContactLost() {
         isUnconfirmed = true;
-        needWholeAtOnce();
+        needWholeListNow();
     }
 
-    private void needWholeAtOnce() {
-        needsWhole = true;
-        wholeDueAt = Math.max(core.now(), tooLargeUntil);
+    private void needWholeListNow() {
+        needsWholeList = true;
+        wholeListDueAtMicros = Math.max(core.now(), oversizedUntilMicros);
     }
 
-    private void needWhole() {
-        if (!needsWhole || core.now() >= wholeDueAt) {
-            needsWhole = true;
-            wholeDueAt = core.now() + wholePause.next();
+    private void needWholeList() {
+        if (!needsWholeList || core.now() >= wholeListDueAtMicros) {
+            needsWholeList = true;
+            wholeListDueAtMicros = core.now() + wholeListBackoff.nextDelayMicros();
         }
     }
 
     // Responses
-    private void onAnswer(PendingRequest request, int status, byte[] body) {
-        connectPause.reset();
-        boolean isGood = status == HTTP_OK ? onBody(request, body) : onError(status);
+    private void handleResponse(PendingRequest request, int status, byte[] body) {
+        connectBackoff.reset();
+        boolean isUsable = status == HTTP_OK ? onBody(request, body) : onError(status);
         if (!isClosed) {
-            sendAfterAnswer(isGood);
+            sendAfterResponse(isUsable);
         }
     }
 
@@ -214,22 +223,22 @@
      * Continues the chain after a response to its latest request, and after one to a late request while the latest is
      * a short poll.
      */
-    private void sendAfterAnswer(boolean isGood) {
-        if (primary != null && isGood && primary.isLook) {
-            closeRequest(primary); // its successor is a long poll, which returns all that this request would
-            primary = null;
+    private void sendAfterResponse(boolean isUsable) {
+        if (currentRequest != null && isUsable && currentRequest.isShortPoll) {
+            closeRequest(currentRequest); // its successor is a long poll, which returns all that this request would
+            currentRequest = null;
         }
-        if (primary == null && isGood) {
+        if (currentRequest == null && isUsable) {
             sendNext();
-        } else if (primary == null && retry == null) {
-            sendAfter(pauseAfterAnswer());
+        } else if (currentRequest == null && retryTimer == null) {
+            sendAfter(delayAfterResponse());
         }
     }
 
     private boolean onError(int status) {
-        Logs.warn(PART, "unreadable", address + " answers with status " + status);
+        Logs.warn(LOG_PART, "unreadable", address + " answers with status " + status);
         isUnconfirmed = true;
-        needWhole();
+        needWholeList();
         return false;
     }
 
@@ -239,9 +248,9 @@
         try {
             list = EndpointListReader.read(body);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(PART, "unreadable", "the answer of " + address + " is no list: " + e.getMessage());
+            Logs.warn(LOG_PART, "unreadable", "the answer of " + address + " is no list: " + e.getMessage());
             isUnconfirmed = true;
-            needWhole();
+            needWholeList();
             return false;
         }
         logFaults(list);
@@ -255,121 +264,125 @@
      * Advances to the list's version and returns true if changes can build on it; otherwise the whole list is needed.
      */
     private boolean advance(PendingRequest request, EndpointList list) {
-        boolean isOvertaken = request.number < lastInOrder;
+        boolean isOvertaken = request.number < lastInOrderNumber;
         boolean isOlder = list.version() < version;
-        if (list.isCut() || list.version() == EndpointList.NO_VERSION || request.asksWhole && !list.isWhole()) {
-            needWhole();
+        if (list.isTruncated()
+                || list.version() == EndpointList.NO_VERSION
+                || request.asksWholeList && !list.isWhole()) {
+            needWholeList();
             return false;
         }
         if (isOvertaken && isOlder) {
             return true; // sent before the known version arrived
         }
-        if (isOlder && !request.asksWhole) {
+        if (isOlder && !request.asksWholeList) {
             Logs.warn(
-                    PART,
+                    LOG_PART,
                     "older",
                     "version " + list.version() + " of " + address + " is older than " + version
                             + ": its removals are applied, and the whole list is requested");
-            needWhole();
+            needWholeList();
             return false;
         }
         if (isOlder) {
             Logs.warn(
-                    PART,
+                    LOG_PART,
                     "older",
                     "the whole list of " + address + " has version " + list.version() + " , older than " + version
                             + ": changes count from there");
         }
         version = list.version();
-        lastInOrder = Math.max(lastInOrder, request.number);
-        noteOrder(request, list);
+        lastInOrderNumber = Math.max(lastInOrderNumber, request.number);
+        updateWholeListNeed(request, list);
         return true;
     }
 
-    private void noteOrder(PendingRequest request, EndpointList list) {
+    private void updateWholeListNeed(PendingRequest request, EndpointList list) {
         if (!list.faults().isEmpty()) {
-            needWhole();
+            needWholeList();
             return;
         }
-        answerPause.reset();
+        responseBackoff.reset();
         if (list.isWhole()) {
-            needsWhole = false;
-        } else if (!needsWhole && !request.asksWhole) {
+            needsWholeList = false;
+        } else if (!needsWholeList && !request.asksWholeList) {
             // Only now: faults that follow a valid whole list must not trigger an immediate request.
-            wholePause.reset();
+            wholeListBackoff.reset();
         }
     }
 
-    private void onPartialAnswer(PendingRequest request, HttpClient.PartialAnswer partial, String reason) {
+    private void onPartialResponse(PendingRequest request, HttpClient.PartialResponse partial, String reason) {
         if (isClosed || partial == null || partial.status() != HTTP_OK || partial.body().length == 0) {
             return;
         }
-        Logs.warn(PART, "cut", describe(partial, reason));
-        needWhole();
+        Logs.warn(LOG_PART, "cut", describe(partial, reason));
+        needWholeList();
         try {
-            EndpointList list = EndpointListReader.read(partial.body()).cut();
+            EndpointList list = EndpointListReader.read(partial.body()).truncated();
             if (partial.isTooLarge()) {
-                onTooLarge(request, list);
+                onOversizedList(request, list);
             }
             listener.onList(this, list, false);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(PART, "unreadable", "the partial response of " + address + " is no list: " + e.getMessage());
+            Logs.warn(LOG_PART, "unreadable", "the partial response of " + address + " is no list: " + e.getMessage());
         }
     }
 
-    private String describe(HttpClient.PartialAnswer partial, String reason) {
+    private String describe(HttpClient.PartialResponse partial, String reason) {
         String announced = partial.headers().getOrDefault("content-length", "unknown");
-        return "the response of " + address + " " + (partial.isTooLarge() ? "is larger than " + MOST_ANSWER : reason)
+        return "the response of " + address + " "
+                + (partial.isTooLarge() ? "is larger than " + MAX_RESPONSE_BYTES : reason)
                 + ": " + partial.body().length + " bytes were read, its length is " + announced
                 + ": its removals are applied, and the whole list is requested";
     }
 
     /** A whole list over the size limit never arrives: changes are followed from its version if none is known. */
-    private void onTooLarge(PendingRequest request, EndpointList list) {
-        if (!request.asksWhole) {
+    private void onOversizedList(PendingRequest request, EndpointList list) {
+        if (!request.asksWholeList) {
             return;
         }
         if (version == EndpointList.NO_VERSION) {
             version = list.version();
         }
         if (version != EndpointList.NO_VERSION) {
-            tooLargeUntil = core.now() + TOO_LARGE_PAUSE;
-            wholeDueAt = tooLargeUntil;
-            answerPause.reset();
+            oversizedUntilMicros = core.now() + OVERSIZED_LIST_DELAY_MICROS;
+            wholeListDueAtMicros = oversizedUntilMicros;
+            responseBackoff.reset();
         }
     }
 
     private void logFaults(EndpointList list) {
         List<EndpointList.Fault> faults = list.faults();
-        if (faults.isEmpty() || faults.equals(loggedFaults) && core.now() - loggedAt < LOG_AGAIN) {
+        if (faults.isEmpty()
+                || faults.equals(loggedFaults) && core.now() - faultsLoggedAtMicros < FAULT_LOG_INTERVAL_MICROS) {
             return;
         }
-        loggedFaults = List.copyOf(faults.subList(0, Math.min(faults.size(), MOST_FAULTS_LOGGED)));
-        loggedAt = core.now();
+        loggedFaults = List.copyOf(faults.subList(0, Math.min(faults.size(), MAX_FAULTS_LOGGED)));
+        faultsLoggedAtMicros = core.now();
         for (EndpointList.Fault fault : loggedFaults) {
-            Logs.warn(PART, "fault", address + ": " + fault, "endpoint", fault.name());
+            Logs.warn(LOG_PART, "fault", address + ": " + fault, "endpoint", fault.name());
         }
-        if (faults.size() > MOST_FAULTS_LOGGED) {
-            Logs.warn(PART, "fault", address + ": " + (faults.size() - MOST_FAULTS_LOGGED) + " more");
+        if (faults.size() > MAX_FAULTS_LOGGED) {
+            Logs.warn(LOG_PART, "fault", address + ": " + (faults.size() - MAX_FAULTS_LOGGED) + " more");
         }
     }
 
     /** One request, from its sending until it is answered, fails or is cancelled. */
     private final class PendingRequest implements HttpClient.Listener {
         private final long number;
-        private final boolean asksWhole;
+        private final boolean asksWholeList;
         /** Whether the agent answers it at once. */
-        private final boolean isLook;
+        private final boolean isShortPoll;
 
         private final String query;
-        private final long sentAt = core.now();
+        private final long sentAtMicros = core.now();
         private HttpClient.Exchange exchange;
         private Deadlines.Key timeout;
 
-        PendingRequest(long number, boolean asksWhole, boolean isLook, String query) {
+        PendingRequest(long number, boolean asksWholeList, boolean isShortPoll, String query) {
             this.number = number;
-            this.asksWhole = asksWhole;
-            this.isLook = isLook;
+            this.asksWholeList = asksWholeList;
+            this.isShortPoll = isShortPoll;
             this.query = query;
         }
 
@@ -378,40 +391,40 @@
         }
 
         @Override
-        public void answered(int status, Map<String, String> headers, byte[] body) {
-            forget();
-            onAnswer(this, status, body);
+        public void onResponse(int status, Map<String, String> headers, byte[] body) {
+            remove();
+            handleResponse(this, status, body);
         }
 
         @Override
-        public void broke(boolean written, int status) {
-            boolean wasPrimary = primary == this;
-            forget();
+        public void onFailure(boolean written, int status) {
+            boolean wasCurrent = currentRequest == this;
+            remove();
             if (status != 0) { // a partial response still proves that the agent is reachable
-                connectPause.reset();
-                onPartialAnswer(this, exchange.partialAnswer(), "was cut off");
+                connectBackoff.reset();
+                onPartialResponse(this, exchange.partialResponse(), "was cut off");
             }
-            if (!isClosed && wasPrimary) {
-                onBrokenAnswer(status);
-                sendAfter(status == 0 ? connectPause.next() : pauseAfterAnswer());
+            if (!isClosed && wasCurrent) {
+                onFailedResponse(status);
+                sendAfter(status == 0 ? connectBackoff.nextDelayMicros() : delayAfterResponse());
             }
         }
 
-        private void onBrokenAnswer(int status) {
+        private void onFailedResponse(int status) {
             if (status == 0) {
-                onLostTouch();
+                onContactLost();
             } else {
                 isUnconfirmed = true;
             }
         }
 
         /** No response in time: the request stays open unless another late one does, and the next one is sent. */
-        void onLate() {
-            onLostTouch();
-            primary = null;
-            if (patient == null) {
-                patient = this;
-                timeout = core.deadlines().at(sentAt + LONGEST_SPAN, this::giveUp);
+        void onTimeout() {
+            onContactLost();
+            currentRequest = null;
+            if (lateRequest == null) {
+                lateRequest = this;
+                timeout = core.deadlines().at(sentAtMicros + MAX_REQUEST_MICROS, this::giveUp);
             } else {
                 giveUp();
             }
@@ -419,14 +432,14 @@
         }
 
         private void giveUp() {
-            forget();
-            exchange.giveUp(() -> onPartialAnswer(this, exchange.partialAnswer(), "was not complete in time"));
+            remove();
+            exchange.giveUp(() -> onPartialResponse(this, exchange.partialResponse(), "was not complete in time"));
         }
 
-        private void forget() {
+        private void remove() {
             core.deadlines().cancel(timeout);
-            primary = primary == this ? null : primary;
-            patient = patient == this ? null : patient;
+            currentRequest = currentRequest == this ? null : currentRequest;
+            lateRequest = lateRequest == this ? null : lateRequest;
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/http/EndpointList.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointList.java
@@ -20,7 +20,7 @@
 public record EndpointList(
         long version,
         boolean isWhole,
-        boolean isCut,
+        boolean isTruncated,
         List<Endpoint> endpoints,
         Set<String> unusable,
         List<Fault> faults) {
@@ -53,7 +53,7 @@
      * @param problem a description of the fault
      */
     public record Fault(int entry, String name, String key, String problem) {
-        private static final int LONGEST_NAME = 64;
+        private static final int MAX_NAME_LENGTH = 64;
         /** The problem reported for a name that occurred earlier in the list. */
         static final String LISTED_TWICE = "listed twice";
 
@@ -72,7 +72,7 @@
         }
 
         private static String shortened(String name) {
-            return name.length() <= LONGEST_NAME ? name : name.substring(0, LONGEST_NAME) + "...";
+            return name.length() <= MAX_NAME_LENGTH ? name : name.substring(0, MAX_NAME_LENGTH) + "...";
         }
     }
 
@@ -86,7 +86,7 @@
     }
 
     /** Returns the same list marked as truncated, where that is known from elsewhere. */
-    EndpointList cut() {
+    EndpointList truncated() {
         return new EndpointList(version, isWhole, true, endpoints, unusable, faults);
     }
 
@@ -117,7 +117,7 @@
 
     private static void add(JsonElement entry, EndpointListBuilder builder) {
         if (!entry.isJsonObject()) {
-            builder.noEntry();
+            builder.invalidEntry();
             return;
         }
         builder.beginEntry();
--- a/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
@@ -33,9 +33,9 @@
     /** Stands for a missing kind or zone; matches no name of the settings. */
     private static final String UNNAMED = "";
     /** In the year 5138: larger values would overflow when converted to microseconds. */
-    private static final long LATEST_SINCE = 100_000_000_000_000L;
+    private static final long MAX_SINCE_MILLIS = 100_000_000_000_000L;
 
-    private static final int LARGEST_PORT = 65_535;
+    private static final int MAX_PORT = 65_535;
 
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])";
     /** Other hosts of digits and dots would be resolved as names, which may take seconds. */
@@ -43,15 +43,15 @@
 
     private static final Pattern PORT = Pattern.compile("[0-9]{1,5}");
 
-    private final Members list = new Members(LIST_KEYS);
+    private final Members listMembers = new Members(LIST_KEYS);
     private final List<EndpointList.Endpoint> endpoints = new ArrayList<>();
     private final Set<String> names = new HashSet<>();
     private final Set<String> unusable = new LinkedHashSet<>();
     private final List<EndpointList.Fault> faults = new ArrayList<>();
     private boolean hasEntries;
-    private boolean isCut;
-    private int number;
-    private Members entry;
+    private boolean isTruncated;
+    private int entryNumber;
+    private Members entryMembers;
     private boolean entryIsUsable;
 
     /** The members of one JSON object; a key that occurs twice with different values has none. */
@@ -87,15 +87,15 @@
         }
 
         private String excerpt(String key) {
-            int longest = 40;
+            int maxLength = 40;
             String value = values.get(key);
-            return value.length() <= longest ? value : value.substring(0, longest) + "...";
+            return value.length() <= maxLength ? value : value.substring(0, maxLength) + "...";
         }
     }
 
     /** Adds a member of the list itself, other than its entries. */
     void member(String key, String value) {
-        list.add(key, value);
+        listMembers.add(key, value);
     }
 
     /** Marks the start of the list's entries. */
@@ -105,13 +105,13 @@
 
     /** Marks the start of an entry. */
     void beginEntry() {
-        number++;
-        entry = new Members(ENTRY_KEYS);
+        entryNumber++;
+        entryMembers = new Members(ENTRY_KEYS);
     }
 
     /** Adds a member of the current entry. */
     void entryMember(String key, String value) {
-        entry.add(key, value);
+        entryMembers.add(key, value);
     }
 
     /** Marks the end of the current entry. */
@@ -121,30 +121,31 @@
         String address = address();
         int destination = destination();
         DecisionModule.Presence presence = presence();
-        String type = named(TYPE);
-        String zone = named(ZONE);
+        String type = nameOrDefault(TYPE);
+        String zone = nameOrDefault(ZONE);
         double weight = weight();
-        long since = sinceMillis();
+        long sinceMillis = sinceMillis();
         if (name != null && !names.add(name)) {
             fault(name, NAME, EndpointList.Fault.LISTED_TWICE);
         }
         if (entryIsUsable) {
-            endpoints.add(new EndpointList.Endpoint(name, address, destination, type, zone, presence, weight, since));
+            endpoints.add(
+                    new EndpointList.Endpoint(name, address, destination, type, zone, presence, weight, sinceMillis));
         } else if (name != null) {
             unusable.add(name);
         }
     }
 
     /** Records a value in place of an entry that is not an entry. */
-    void noEntry() {
-        number++;
+    void invalidEntry() {
+        entryNumber++;
         fault(null, null, "not an object");
     }
 
     /** Marks the list as truncated: the text ends here or can't be read any further. */
-    void cut(String problem) {
-        isCut = true;
-        faults.add(new EndpointList.Fault(0, null, null, "truncated after entry " + number + ": " + problem));
+    void truncate(String problem) {
+        isTruncated = true;
+        faults.add(new EndpointList.Fault(0, null, null, "truncated after entry " + entryNumber + ": " + problem));
     }
 
     /** Records a fault of the list as a whole. */
@@ -155,61 +156,61 @@
     /** Returns the list as far as it was read. */
     EndpointList build() {
         if (!hasEntries) {
-            isCut = true;
+            isTruncated = true;
             faults.add(new EndpointList.Fault(0, null, ENTRIES, "missing or not an array"));
         }
-        return new EndpointList(version(), isWhole(), isCut, endpoints, unusable, faults);
+        return new EndpointList(version(), isWhole(), isTruncated, endpoints, unusable, faults);
     }
 
     // Values of the list
     private long version() {
-        Long version = wholeNumber(list.text(VERSION));
+        Long version = parseWholeNumber(listMembers.text(VERSION));
         if (version == null || version < 0) {
-            faults.add(new EndpointList.Fault(0, null, VERSION, list.problem(VERSION)));
+            faults.add(new EndpointList.Fault(0, null, VERSION, listMembers.problem(VERSION)));
             return EndpointList.NO_VERSION;
         }
         return version;
     }
 
     private boolean isWhole() {
-        String whole = list.text(WHOLE);
+        String whole = listMembers.text(WHOLE);
         if ("true".equals(whole) || "false".equals(whole)) {
             return whole.equals("true");
         }
-        faults.add(new EndpointList.Fault(0, null, WHOLE, list.problem(WHOLE)));
+        faults.add(new EndpointList.Fault(0, null, WHOLE, listMembers.problem(WHOLE)));
         return false;
     }
 
     // Values of an entry
     private String name() {
-        String name = entry.text(NAME);
+        String name = entryMembers.text(NAME);
         if (name == null || name.isEmpty()) {
             entryIsUsable = false;
-            fault(null, NAME, entry.problem(NAME));
+            fault(null, NAME, entryMembers.problem(NAME));
             return null;
         }
         return name;
     }
 
     private String address() {
-        String address = entry.text(ADDRESS);
+        String address = entryMembers.text(ADDRESS);
         if (address == null || !isAddress(address)) {
-            unusable(ADDRESS);
+            markUnusable(ADDRESS);
         }
         return address;
     }
 
     private int destination() {
-        Long destination = wholeNumber(entry.text(DESTINATION));
+        Long destination = parseWholeNumber(entryMembers.text(DESTINATION));
         if (destination == null || destination < Integer.MIN_VALUE || destination > Integer.MAX_VALUE) {
-            unusable(DESTINATION);
+            markUnusable(DESTINATION);
             return 0;
         }
         return destination.intValue();
     }
 
     private DecisionModule.Presence presence() {
-        String status = entry.text(STATUS);
+        String status = entryMembers.text(STATUS);
         if (status != null) {
             switch (status) {
                 case "active":
@@ -222,14 +223,14 @@
                     break;
             }
         }
-        unusable(STATUS);
+        markUnusable(STATUS);
         return DecisionModule.Presence.LEFT;
     }
 
-    private String named(String key) {
-        String value = entry.text(key);
+    private String nameOrDefault(String key) {
+        String value = entryMembers.text(key);
         if (value == null) {
-            defaulted(key);
+            reportDefault(key);
             return UNNAMED;
         }
         return value;
@@ -239,9 +240,9 @@
         if (isAbsent(WEIGHT)) {
             return DEFAULT_WEIGHT;
         }
-        Double weight = number(entry.text(WEIGHT));
+        Double weight = parseNumber(entryMembers.text(WEIGHT));
         if (weight == null || weight < 0) {
-            defaulted(WEIGHT);
+            reportDefault(WEIGHT);
             return DEFAULT_WEIGHT;
         }
         return weight;
@@ -251,36 +252,36 @@
         if (isAbsent(SINCE)) {
             return 0;
         }
-        Long since = wholeNumber(entry.text(SINCE));
-        if (since == null || since < 0 || since > LATEST_SINCE) {
-            defaulted(SINCE);
+        Long since = parseWholeNumber(entryMembers.text(SINCE));
+        if (since == null || since < 0 || since > MAX_SINCE_MILLIS) {
+            reportDefault(SINCE);
             return 0;
         }
         return since;
     }
 
     private boolean isAbsent(String key) {
-        return !entry.values.containsKey(key) && !entry.problems.containsKey(key);
+        return !entryMembers.values.containsKey(key) && !entryMembers.problems.containsKey(key);
     }
 
     /** Marks the entry as unusable, since this value is missing or invalid. */
-    private void unusable(String key) {
+    private void markUnusable(String key) {
         entryIsUsable = false;
-        fault(entry.text(NAME), key, entry.problem(key));
+        fault(entryMembers.text(NAME), key, entryMembers.problem(key));
     }
 
     /** Records a fault in a value that is replaced by its default. */
-    private void defaulted(String key) {
-        fault(entry.text(NAME), key, entry.problem(key) + "; the default counts");
+    private void reportDefault(String key) {
+        fault(entryMembers.text(NAME), key, entryMembers.problem(key) + "; the default counts");
     }
 
     private void fault(String name, String key, String problem) {
-        faults.add(new EndpointList.Fault(number, name, key, problem));
+        faults.add(new EndpointList.Fault(entryNumber, name, key, problem));
     }
 
     // Formats
-    private static Long wholeNumber(String text) {
-        Double value = number(text);
+    private static Long parseWholeNumber(String text) {
+        Double value = parseNumber(text);
         if (value == null || value != Math.rint(value)) {
             return null;
         }
@@ -291,7 +292,7 @@
         }
     }
 
-    private static Double number(String text) {
+    private static Double parseNumber(String text) {
         if (text == null) {
             return null;
         }
@@ -312,7 +313,7 @@
         int port = Integer.parseInt(text.substring(colon + 1));
         String host = text.substring(0, colon);
         if (port == 0
-                || port > LARGEST_PORT
+                || port > MAX_PORT
                 || !host.startsWith("[") && !IPV4.matcher(host).matches()) {
             return false;
         }
--- a/src/main/java/lilaclever/protocol/http/EndpointListReader.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListReader.java
@@ -14,7 +14,7 @@
  */
 final class EndpointListReader {
     /** Maximum nesting of objects and arrays in a value that is skipped. */
-    private static final int MOST_NESTED = 32;
+    private static final int MAX_NESTING = 32;
 
     private final JsonReader json;
     private final EndpointListBuilder builder = new EndpointListBuilder();
@@ -45,7 +45,7 @@
             readMembers();
             readEnd();
         } catch (IOException | IllegalStateException | NumberFormatException e) {
-            builder.cut(e.getMessage());
+            builder.truncate(e.getMessage());
         }
         return builder.build();
     }
@@ -82,7 +82,7 @@
                 readEntry();
             } else {
                 skipValue();
-                builder.noEntry();
+                builder.invalidEntry();
             }
         }
         json.endArray();
@@ -142,8 +142,8 @@
                     json.skipValue();
                     break;
             }
-            if (depth > MOST_NESTED) {
-                throw new MalformedJsonException("more than " + MOST_NESTED + " levels");
+            if (depth > MAX_NESTING) {
+                throw new MalformedJsonException("more than " + MAX_NESTING + " levels");
             }
         } while (depth > 0);
     }
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -23,43 +23,43 @@
  * to its caller. Used from the loop thread; requests are written and responses read on the selector thread.
  */
 final class HttpClient {
-    private static final long SWEEP = 500_000;
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
     /** Idle connections are dropped after this fraction of the time for which an endpoint keeps them. */
-    private static final double KEEP_PART = 0.8;
+    private static final double KEEP_ALIVE_FRACTION = 0.8;
     /** After a status line the rest follows at once; otherwise the response is malformed. */
-    private static final long REST_BY = 250_000;
+    private static final long REMAINDER_TIMEOUT_MICROS = 250_000;
 
-    private static final int TOO_LARGE = 413;
+    private static final int CONTENT_TOO_LARGE = 413;
 
     /** Receives the outcome of a request. Exactly one of the outcome methods is called, once, on the loop thread. */
     interface Listener {
         /** The whole response has arrived. */
-        void answered(int status, Map<String, String> headers, byte[] body);
+        void onResponse(int status, Map<String, String> headers, byte[] body);
 
         /**
          * No readable response will arrive. {@code written}: the request's last byte had been written. {@code status}:
          * the status from the response's status line, else 0.
          */
-        void broke(boolean written, int status);
+        void onFailure(boolean written, int status);
 
         /**
          * The headers of a response, as soon as they have arrived, even if the rest never arrives or the request was
          * given up; of a malformed head, the readable part. Selector thread.
          */
-        default void head(Map<String, String> headers) {}
+        default void onHead(Map<String, String> headers) {}
 
         /** Whether the server may get no new request and keep no connection. Selector thread and loop thread. */
-        default boolean isServerLeaving() {
+        default boolean isServerDraining() {
             return false;
         }
 
         /** Whether the request may be sent at this moment, given all that was read before. Selector thread. */
-        default boolean mayGo() {
+        default boolean maySend() {
             return true;
         }
 
         /** Whether the request has expired; it is not written from then on. Selector thread. */
-        default boolean isTooLate() {
+        default boolean isExpired() {
             return false;
         }
 
@@ -67,7 +67,7 @@
          * The request was not allowed to be sent, so its last byte was not written: called instead of the other
          * outcomes.
          */
-        default void withheld() {}
+        default void onWithheld() {}
     }
 
     /**
@@ -78,18 +78,18 @@
      * @param body as far as it arrived, up to the client's limit
      * @param isTooLarge whether it was rejected because its body exceeds the limit
      */
-    record PartialAnswer(int status, Map<String, String> headers, byte[] body, boolean isTooLarge) {}
+    record PartialResponse(int status, Map<String, String> headers, byte[] body, boolean isTooLarge) {}
 
     private final Core core;
     private final Transport transport;
     private final long connectMicros;
-    private final int mostAnswer;
-    private final boolean keepsPartialAnswers;
+    private final int maxResponseBytes;
+    private final boolean keepsPartialResponses;
     private final ConnectionPool<Connection<?>> pool;
-    private final FilterChain chain = Transport.chain(new AnswerFilter());
-    private final Attribute<Link> links;
+    private final FilterChain chain = Transport.chain(new ResponseFilter());
+    private final Attribute<ConnectionState> connectionStates;
     /** Requests of which some but not all bytes are written, as the server reads slowly. */
-    private final Set<Exchange> partly = ConcurrentHashMap.newKeySet();
+    private final Set<Exchange> partlyWritten = ConcurrentHashMap.newKeySet();
 
     /** Creates a client that accepts response bodies up to the given size. */
     HttpClient(
@@ -98,14 +98,14 @@
             String name,
             long connectMicros,
             long keepAliveMicros,
-            int mostIdle,
-            int mostAnswer) {
-        this(core, transport, name, connectMicros, keepAliveMicros, mostIdle, mostAnswer, false);
+            int maxIdle,
+            int maxResponseBytes) {
+        this(core, transport, name, connectMicros, keepAliveMicros, maxIdle, maxResponseBytes, false);
     }
 
     /**
      * Creates a client. {@code keepsPartialResponses}: an incomplete or too large response is kept for the caller of
-     * the request ({@link Exchange#partialAnswer}), who alone limits the time that a response may take.
+     * the request ({@link Exchange#partialResponse}), who alone limits the time that a response may take.
      */
     HttpClient(
             Core core,
@@ -113,273 +113,281 @@
             String name,
             long connectMicros,
             long keepAliveMicros,
-            int mostIdle,
-            int mostAnswer,
-            boolean keepsPartialAnswers) {
-        this.keepsPartialAnswers = keepsPartialAnswers;
+            int maxIdle,
+            int maxResponseBytes,
+            boolean keepsPartialResponses) {
+        this.keepsPartialResponses = keepsPartialResponses;
         this.core = core;
         this.transport = transport;
         this.connectMicros = connectMicros;
-        this.mostAnswer = mostAnswer;
-        this.pool = ConnectionPool.ofSockets((long) (KEEP_PART * keepAliveMicros), mostIdle);
+        this.maxResponseBytes = maxResponseBytes;
+        this.pool = ConnectionPool.ofSockets((long) (KEEP_ALIVE_FRACTION * keepAliveMicros), maxIdle);
         core.counters().gauge("idle_" + name, pool::size);
-        core.counters().gauge("partly_written_" + name, partly::size);
-        this.links = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
+        core.counters().gauge("partly_written_" + name, partlyWritten::size);
+        this.connectionStates = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
     }
 
     /** Starts the periodic removal of connections that were idle for too long. */
     void start() {
         pool.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::start);
+        core.deadlines().at(core.now() + SWEEP_INTERVAL_MICROS, this::start);
     }
 
     /** Closes the idle connections of a pool key. */
-    void closeIdle(String name) {
-        pool.closeIdle(name);
+    void closeIdle(String poolKey) {
+        pool.closeIdle(poolKey);
     }
 
     /** Sends a request. Idle connections are pooled under the key. */
     Exchange send(
-            String owner,
+            String poolKey,
             String address,
             String method,
             String path,
             Map<String, String> headers,
             byte[] body,
             Listener listener) {
-        Exchange exchange =
-                new Exchange(owner, address, of -> Head.request(method, path, address, headers, of), body, listener);
-        exchange.begin();
+        Exchange exchange = new Exchange(
+                poolKey, address, of -> HttpMessageWriter.request(method, path, address, headers, of), body, listener);
+        exchange.start();
         return exchange;
     }
 
     /** A connection and the state of reading from it. Selector thread. */
-    private final class Link {
+    private final class ConnectionState {
         private final Connection<?> connection;
-        private final MessageReader reader = new MessageReader(true, mostAnswer, keepsPartialAnswers);
-        private volatile Exchange current;
+        private final HttpMessageReader reader = new HttpMessageReader(true, maxResponseBytes, keepsPartialResponses);
+        private volatile Exchange currentExchange;
         /** Unsolicited bytes have arrived: no further request may use this connection. */
-        private volatile boolean spoilt;
+        private volatile boolean isUnusable;
 
-        private boolean headTold;
+        private boolean isHeadReported;
 
-        Link(Connection<?> connection) {
+        ConnectionState(Connection<?> connection) {
             this.connection = connection;
         }
 
         /** Writes the request, unless it was given up meanwhile or the connection is unusable. */
-        boolean take(Exchange exchange) {
-            if (spoilt || !Transport.isQuiet(connection)) {
+        boolean startExchange(Exchange exchange) {
+            if (isUnusable || !Transport.isQuiet(connection)) {
                 // While idle it was closed or received unsolicited bytes, which must not be taken for this response.
                 connection.closeSilently();
                 return false;
             }
-            if (exchange.mayBegin()) {
-                current = exchange;
+            if (exchange.mayStart()) {
+                currentExchange = exchange;
                 exchange.write(this);
             } else {
-                exchange.withheld(connection);
+                exchange.reportWithheld(connection);
             }
             return true;
         }
 
-        void bytes(byte[] in) {
-            Exchange exchange = current;
+        void onBytes(byte[] in) {
+            Exchange exchange = currentExchange;
             if (exchange == null) {
-                refuse(); // unsolicited bytes: what follows can't be told apart from a response
+                discard(); // unsolicited bytes: what follows can't be told apart from a response
                 return;
             }
             try {
                 int at = reader.read(in, 0, in.length);
                 if (reader.hasHead()) {
-                    head(exchange);
+                    reportHead(exchange);
                 }
-                if (!exchange.written) {
-                    refuse(); // a response before the end of its request
+                if (!exchange.isWritten) {
+                    discard(); // a response before the end of its request
                     return;
                 }
                 exchange.status = reader.status();
                 if (reader.isComplete()) {
-                    complete(exchange, reader.keeps() && at == in.length);
+                    complete(exchange, reader.keepsConnection() && at == in.length);
                 } else if (exchange.status != 0) {
-                    exchange.begun();
+                    exchange.onStatusLine();
                 }
-            } catch (MessageReader.Spoilt e) {
-                exchange.status = exchange.written ? reader.status() : 0;
-                keepPartial(exchange, e.status == TOO_LARGE);
-                head(exchange);
-                refuse();
+            } catch (HttpMessageReader.InvalidMessageException e) {
+                exchange.status = exchange.isWritten ? reader.status() : 0;
+                savePartialResponse(exchange, e.status == CONTENT_TOO_LARGE);
+                reportHead(exchange);
+                discard();
             }
         }
 
         /** Saves what was received of the response, before the connection is closed. Selector thread. */
-        private void keepPartial(Exchange exchange, boolean isTooLarge) {
-            if (keepsPartialAnswers && exchange.written && exchange.partialAnswer == null && reader.status() != 0) {
-                exchange.partialAnswer =
-                        new PartialAnswer(reader.status(), reader.headers(), reader.body(), isTooLarge);
+        private void savePartialResponse(Exchange exchange, boolean isTooLarge) {
+            if (keepsPartialResponses
+                    && exchange.isWritten
+                    && exchange.partialResponse == null
+                    && reader.status() != 0) {
+                exchange.partialResponse =
+                        new PartialResponse(reader.status(), reader.headers(), reader.body(), isTooLarge);
             }
         }
 
-        private void refuse() {
-            spoilt = true;
+        private void discard() {
+            isUnusable = true;
             connection.closeSilently();
         }
 
-        private void head(Exchange exchange) {
-            if (!headTold) {
-                headTold = true;
-                exchange.listener.head(reader.headers());
-                partly.forEach(Exchange::cutIfHeld);
+        private void reportHead(Exchange exchange) {
+            if (!isHeadReported) {
+                isHeadReported = true;
+                exchange.listener.onHead(reader.headers());
+                partlyWritten.forEach(Exchange::abortIfWithheld);
             }
         }
 
-        private void complete(Exchange exchange, boolean keep) {
+        private void complete(Exchange exchange, boolean keepAlive) {
             // Any further bytes are unsolicited from now on, even before the loop has processed this response.
-            current = null;
-            headTold = false;
-            spoilt |= !keep;
+            currentExchange = null;
+            isHeadReported = false;
+            isUnusable |= !keepAlive;
             exchange.trace("answered");
             int status = reader.status();
             Map<String, String> headers = reader.headers();
             byte[] body = reader.body();
-            reader.next();
-            core.post(() -> exchange.answered(status, headers, body));
+            reader.reset();
+            core.post(() -> exchange.reportResponse(status, headers, body));
         }
 
         /**
          * {@code isRemoteClose}: closed by the server, which ends a response without a length; a close by the client
          * does not.
          */
-        void closed(boolean remotely) {
-            Exchange exchange = current;
-            current = null;
-            spoilt = true;
+        void onClosed(boolean isRemoteClose) {
+            Exchange exchange = currentExchange;
+            currentExchange = null;
+            isUnusable = true;
             if (exchange != null) {
-                partly.remove(exchange);
-                head(exchange);
+                partlyWritten.remove(exchange);
+                reportHead(exchange);
             }
-            if (exchange != null && exchange.written && remotely && reader.status() != 0 && reader.ends()) {
+            if (exchange != null
+                    && exchange.isWritten
+                    && isRemoteClose
+                    && reader.status() != 0
+                    && reader.completeAtClose()) {
                 complete(exchange, false);
             } else if (exchange != null) {
-                keepPartial(exchange, false);
-                core.post(exchange::broke);
+                savePartialResponse(exchange, false);
+                core.post(exchange::fail);
             }
         }
     }
 
     /** One request and its outcome. */
     final class Exchange {
-        private final String owner, address;
-        private final UnaryOperator<byte[]> form;
+        private final String poolKey, address;
+        private final UnaryOperator<byte[]> encoder;
         private final Listener listener;
-        private Deadlines.Key due;
-        private boolean done;
+        private Deadlines.Key timeout;
+        private boolean isDone;
         /** Runs once the connection is closed after {@link #giveUp}. */
-        private Runnable givingUp;
+        private Runnable onGivenUp;
         /**
          * Guarded by this: a request that was given up is not written, and one that is being written is not taken back.
          */
-        private boolean givenUp;
+        private boolean isGivenUp;
 
-        private byte[] request;
-        private Link link;
+        private byte[] requestBytes;
+        private ConnectionState connectionState;
         /** Set on the selector thread before the response can be read there. */
-        private volatile boolean written;
+        private volatile boolean isWritten;
 
         private volatile int status;
         /** What was received of an incomplete response; null if nothing was, or if this client keeps none. */
-        private volatile PartialAnswer partialAnswer;
+        private volatile PartialResponse partialResponse;
         /**
          * The connection was closed before the last byte was written, since the request was no longer allowed to be
          * sent.
          */
-        private volatile boolean cut;
+        private volatile boolean isAborted;
 
-        private boolean fresh;
+        private boolean usesNewConnection;
         /** Cancels opening a connection for this request while it is not established. */
-        private Runnable connecting = () -> {};
+        private Runnable cancelConnect = () -> {};
 
-        private Exchange(String owner, String address, UnaryOperator<byte[]> form, byte[] body, Listener listener) {
-            this.owner = owner;
+        private Exchange(
+                String poolKey, String address, UnaryOperator<byte[]> encoder, byte[] body, Listener listener) {
+            this.poolKey = poolKey;
             this.address = address;
-            this.form = form;
-            this.request = form.apply(body);
+            this.encoder = encoder;
+            this.requestBytes = encoder.apply(body);
             this.listener = listener;
         }
 
         /** Uses an idle connection if a good one exists, else opens a new one. */
-        private void begin() {
-            if (done) {
+        private void start() {
+            if (isDone) {
                 return;
             }
-            Connection<?> idle = pool.take(owner, core.now());
+            Connection<?> idle = pool.take(poolKey, core.now());
             if (idle == null) {
                 connect();
                 return;
             }
-            Link kept = links.get(idle);
+            ConnectionState idleState = connectionStates.get(idle);
             Transport.afterReading(idle, () -> {
-                if (!kept.take(this)) {
-                    core.post(this::begin); // nothing was written: try another one
+                if (!idleState.startExchange(this)) {
+                    core.post(this::start); // nothing was written: try another one
                 }
             });
         }
 
         private void connect() {
-            fresh = true;
-            due = core.deadlines().at(core.now() + connectMicros, this::late);
+            usesNewConnection = true;
+            timeout = core.deadlines().at(core.now() + connectMicros, this::onTimeout);
             core.counters().add(Counters.Name.CONNECTIONS);
-            connecting = transport.connect(
+            cancelConnect = transport.connect(
                     Transport.address(address),
                     chain,
                     up -> {
                         trace("connected");
-                        Link opened = new Link(up);
-                        links.set(up, opened);
-                        core.post(() -> core.deadlines().cancel(due));
+                        ConnectionState newState = new ConnectionState(up);
+                        connectionStates.set(up, newState);
+                        core.post(() -> core.deadlines().cancel(timeout));
                         Transport.afterReading(up, () -> {
-                            if (!opened.take(this)) {
-                                core.post(this::broke);
+                            if (!newState.startExchange(this)) {
+                                core.post(this::fail);
                             }
                         });
                     },
-                    problem -> core.post(this::broke));
+                    problem -> core.post(this::fail));
         }
 
         /**
          * The endpoint list, a retry-after period or the request's own time may have changed since the loop started it.
          */
-        private boolean mayBegin() {
-            return !listener.isServerLeaving() && listener.mayGo() && !listener.isTooLate();
+        private boolean mayStart() {
+            return !listener.isServerDraining() && listener.maySend() && !listener.isExpired();
         }
 
-        private synchronized void write(Link on) {
-            if (givenUp) {
-                on.connection.closeSilently();
+        private synchronized void write(ConnectionState state) {
+            if (isGivenUp) {
+                state.connection.closeSilently();
                 return;
             }
-            link = on;
-            Transport.write(on.connection, request, this::written, on.connection::closeSilently);
-            if (!written) {
-                partly.add(this);
+            connectionState = state;
+            Transport.write(state.connection, requestBytes, this::onWritten, state.connection::closeSilently);
+            if (!isWritten) {
+                partlyWritten.add(this);
             }
         }
 
-        private void written() {
-            written = true;
-            partly.remove(this);
+        private void onWritten() {
+            isWritten = true;
+            partlyWritten.remove(this);
             trace("written");
-            if (!listener.mayGo()) {
+            if (!listener.maySend()) {
                 core.post(() -> core.counters().holds(false, listener + " was written outside any retry-after period"));
             }
         }
 
         /** Aborts a partly written request that must not be sent any more. Selector thread. */
-        private void cutIfHeld() {
-            if (!written && !listener.mayGo()) {
-                cut = true;
-                partly.remove(this);
-                link.connection.terminateSilently(); // a plain close would first write the rest
+        private void abortIfWithheld() {
+            if (!isWritten && !listener.maySend()) {
+                isAborted = true;
+                partlyWritten.remove(this);
+                connectionState.connection.terminateSilently(); // a plain close would first write the rest
             }
         }
 
@@ -390,66 +398,66 @@
         }
 
         /** Nothing was written, so the connection stays usable. Selector thread. */
-        private void withheld(Connection<?> unused) {
+        private void reportWithheld(Connection<?> unused) {
             trace("withheld");
             core.post(() -> {
-                if (done) {
+                if (isDone) {
                     unused.closeSilently();
                     return;
                 }
-                done = true;
-                core.deadlines().cancel(due);
-                keepOrClose(unused);
-                listener.withheld();
+                isDone = true;
+                core.deadlines().cancel(timeout);
+                releaseConnection(unused);
+                listener.onWithheld();
             });
         }
 
         /** The status line has arrived. Selector thread. */
-        private void begun() {
-            if (keepsPartialAnswers) {
+        private void onStatusLine() {
+            if (keepsPartialResponses) {
                 return; // the caller limits the time of the whole response
             }
             core.post(() -> {
-                if (!done) {
-                    core.deadlines().cancel(due);
-                    due = core.deadlines().at(core.now() + REST_BY, this::late);
+                if (!isDone) {
+                    core.deadlines().cancel(timeout);
+                    timeout = core.deadlines().at(core.now() + REMAINDER_TIMEOUT_MICROS, this::onTimeout);
                 }
             });
         }
 
-        private void answered(int said, Map<String, String> headers, byte[] body) {
-            if (!done) {
-                done = true;
-                core.deadlines().cancel(due);
-                if (link.spoilt || !link.connection.isOpen()) {
-                    link.connection.closeSilently();
+        private void reportResponse(int responseStatus, Map<String, String> headers, byte[] body) {
+            if (!isDone) {
+                isDone = true;
+                core.deadlines().cancel(timeout);
+                if (connectionState.isUnusable || !connectionState.connection.isOpen()) {
+                    connectionState.connection.closeSilently();
                 } else {
-                    keepOrClose(link.connection);
+                    releaseConnection(connectionState.connection);
                 }
-                listener.answered(said, headers, body);
+                listener.onResponse(responseStatus, headers, body);
             }
         }
 
-        private void keepOrClose(Connection<?> unused) {
-            if (listener.isServerLeaving()) {
+        private void releaseConnection(Connection<?> unused) {
+            if (listener.isServerDraining()) {
                 unused.closeSilently();
             } else {
-                pool.giveBack(owner, unused, core.now());
+                pool.giveBack(poolKey, unused, core.now());
             }
         }
 
-        private void broke() {
-            if (!done) {
+        private void fail() {
+            if (!isDone) {
                 close();
-                tellBroken();
+                reportFailure();
             }
         }
 
-        private void tellBroken() {
-            if (cut) {
-                listener.withheld();
+        private void reportFailure() {
+            if (isAborted) {
+                listener.onWithheld();
             } else {
-                listener.broke(written, status);
+                listener.onFailure(isWritten, status);
             }
         }
 
@@ -457,32 +465,32 @@
          * The time to connect, or to receive the rest of the response, is over. The selector thread may be writing the
          * request just now, so only that thread knows whether its last byte was sent.
          */
-        private void late() {
-            if (!done) {
-                giveUp(this::tellBroken);
+        private void onTimeout() {
+            if (!isDone) {
+                giveUp(this::reportFailure);
             }
         }
 
         /** Replaces the body; returns false if the previous one may already be in flight. */
         synchronized boolean replaceBody(byte[] body) {
-            if (link != null || givenUp) {
+            if (connectionState != null || isGivenUp) {
                 return false;
             }
-            request = form.apply(body);
+            requestBytes = encoder.apply(body);
             return true;
         }
 
         /** Whether a new connection was opened for this request. */
-        boolean isFresh() {
-            return fresh;
+        boolean usesNewConnection() {
+            return usesNewConnection;
         }
 
         /**
          * What was received of an incomplete response, after it failed or was given up; null if nothing was, or if this
          * client keeps none.
          */
-        PartialAnswer partialAnswer() {
-            return partialAnswer;
+        PartialResponse partialResponse() {
+            return partialResponse;
         }
 
         /** The status of the response received so far; else 0. */
@@ -492,10 +500,10 @@
 
         /** Cancels the request by closing its connection; nothing more is reported. */
         void close() {
-            givingUp = null;
-            Link open = leave();
-            if (open != null) {
-                open.connection.terminateSilently(); // a plain close would first write the rest
+            onGivenUp = null;
+            ConnectionState state = finish();
+            if (state != null) {
+                state.connection.terminateSilently(); // a plain close would first write the rest
             }
         }
 
@@ -505,24 +513,24 @@
          * loop thread; from then on {@link #isWritten} does not change.
          */
         void giveUp(Runnable closed) {
-            givingUp = closed;
-            Link open = leave();
-            if (open == null) {
-                core.post(this::givenUp);
+            onGivenUp = closed;
+            ConnectionState state = finish();
+            if (state == null) {
+                core.post(this::reportGivenUp);
                 return;
             }
-            Transport.afterReading(open.connection, () -> {
-                if (open.current == this) {
-                    open.keepPartial(this, false);
+            Transport.afterReading(state.connection, () -> {
+                if (state.currentExchange == this) {
+                    state.savePartialResponse(this, false);
                 }
-                open.connection.terminateSilently(); // nothing is being written meanwhile on this thread
-                core.post(this::givenUp);
+                state.connection.terminateSilently(); // nothing is being written meanwhile on this thread
+                core.post(this::reportGivenUp);
             });
         }
 
-        private void givenUp() {
-            Runnable closed = givingUp;
-            givingUp = null;
+        private void reportGivenUp() {
+            Runnable closed = onGivenUp;
+            onGivenUp = null;
             if (closed != null) {
                 closed.run();
             }
@@ -531,50 +539,50 @@
         /** Gives the request up if none of its bytes is written, and returns whether it did. */
         boolean withdraw() {
             synchronized (this) {
-                if (link != null || givenUp || done) {
+                if (connectionState != null || isGivenUp || isDone) {
                     return false;
                 }
-                givenUp = true;
+                isGivenUp = true;
             }
-            leave();
+            finish();
             return true;
         }
 
         boolean isWritten() {
-            return written;
+            return isWritten;
         }
 
         /** Marks the request as finished; returns the connection that it may be in flight on, or null. */
-        private Link leave() {
-            done = true;
-            core.deadlines().cancel(due);
-            connecting.run();
+        private ConnectionState finish() {
+            isDone = true;
+            core.deadlines().cancel(timeout);
+            cancelConnect.run();
             synchronized (this) {
-                givenUp = true;
-                return link;
+                isGivenUp = true;
+                return connectionState;
             }
         }
     }
 
     /** Passes received bytes to the connection's state. */
-    private final class AnswerFilter extends BaseFilter {
+    private final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext context) {
-            Link link = links.get(context.getConnection());
+            ConnectionState state = connectionStates.get(context.getConnection());
             byte[] bytes = Transport.bytes(context.getMessage());
-            if (link == null) {
+            if (state == null) {
                 context.getConnection().closeSilently(); // bytes before any request
             } else {
-                link.bytes(bytes);
+                state.onBytes(bytes);
             }
             return context.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            Link link = links.get(context.getConnection());
-            if (link != null) {
-                link.closed(Transport.isEndedRemotely(context.getConnection()));
+            ConnectionState state = connectionStates.get(context.getConnection());
+            if (state != null) {
+                state.onClosed(Transport.isEndedRemotely(context.getConnection()));
             }
             return context.getInvokeAction();
         }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -21,40 +21,40 @@
 
 /** Makes calls over the platform's HTTP protocol and translates the responses to outcomes. */
 public final class HttpDeliverer implements Deliverer {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
     private static final byte[] CRLF = {'\r', '\n'};
-    private static final String DEADLINE = "Req-Deadline";
+    private static final String DEADLINE_HEADER = "Req-Deadline";
     /** Responses of endpoints are short; longer ones are treated as malformed. */
-    private static final int MOST_ANSWER = 64 * 1024;
+    private static final int MAX_RESPONSE_BYTES = 64 * 1024;
     /** Ten years in microseconds: longer than any message's lifetime and any process run, and far from an overflow. */
-    private static final long MOST_WAIT = 315_360_000_000_000L;
+    private static final long MAX_RETRY_AFTER_MICROS = 315_360_000_000_000L;
 
-    private static final long SWEEP = 500_000;
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
 
     /**
      * A request to an endpoint. It isn't written while the endpoint drains or within a retry-after period; a
      * retry-after in its response is recorded.
      */
-    private abstract class Heedful implements HttpClient.Listener {
+    private abstract class EndpointListener implements HttpClient.Listener {
         private final Call.Endpoint endpoint;
 
-        Heedful(Call.Endpoint endpoint) {
+        EndpointListener(Call.Endpoint endpoint) {
             this.endpoint = endpoint;
         }
 
         @Override
-        public void head(Map<String, String> answer) {
-            heed(endpoint, answer);
+        public void onHead(Map<String, String> responseHeaders) {
+            recordRetryAfter(endpoint, responseHeaders);
         }
 
         @Override
-        public boolean isServerLeaving() {
+        public boolean isServerDraining() {
             return !core.activeEndpoints().mayReceive(endpoint);
         }
 
         @Override
-        public boolean mayGo() {
-            return waits.left(endpoint, Core.micros()) == 0;
+        public boolean maySend() {
+            return retryAfterTable.left(endpoint, Core.micros()) == 0;
         }
     }
 
@@ -62,54 +62,55 @@
      * An in-flight call with the headers that it is written with. {@code isBatch}: its response has a result for each
      * message, however many are left.
      */
-    private record Out(HttpClient.Exchange exchange, Map<String, String> headers, boolean several) {}
+    private record PendingCall(HttpClient.Exchange exchange, Map<String, String> headers, boolean isBatch) {}
 
     private final Core core;
     private final HttpClient client;
-    private final long probeMicros;
-    private final RetryAfterTable waits = new RetryAfterTable();
+    private final long probeTimeoutMicros;
+    private final RetryAfterTable retryAfterTable = new RetryAfterTable();
 
     /** Creates a deliverer with its own connections. */
-    public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int mostIdle) {
+    public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int maxIdle) {
         this.core = core;
-        this.probeMicros = connectMicros;
-        this.client = new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, mostIdle, MOST_ANSWER);
+        this.probeTimeoutMicros = connectMicros;
+        this.client =
+                new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, maxIdle, MAX_RESPONSE_BYTES);
     }
 
     /** Starts the periodic cleanup. */
     public void start() {
         client.start();
-        core.counters().gauge("waits", waits::size);
+        core.counters().gauge("waits", retryAfterTable::size);
         sweep();
     }
 
     private void sweep() {
-        waits.sweep(core.now());
-        core.deadlines().at(core.now() + SWEEP, this::sweep);
+        retryAfterTable.sweep(core.now());
+        core.deadlines().at(core.now() + SWEEP_INTERVAL_MICROS, this::sweep);
     }
 
     @Override
     public void start(Call call) {
         List<Message> messages = call.messages;
-        boolean several = messages.size() > 1;
+        boolean isBatch = messages.size() > 1;
         Map<String, String> headers = new LinkedHashMap<>();
-        headers.put(DEADLINE, waitOf(call, messages));
-        HttpClient.Listener listener = new Heedful(call.endpoint) {
+        headers.put(DEADLINE_HEADER, timeoutSeconds(call, messages));
+        HttpClient.Listener listener = new EndpointListener(call.endpoint) {
             @Override
-            public void answered(int status, Map<String, String> answer, byte[] body) {
-                outcomes(call, several, status, answer, body);
+            public void onResponse(int status, Map<String, String> responseHeaders, byte[] body) {
+                reportResponse(call, isBatch, status, responseHeaders, body);
             }
 
             @Override
-            public void broke(boolean written, int status) {
+            public void onFailure(boolean written, int status) {
                 // Before its last byte is written the endpoint has not begun. After that the outcome is unknown, except
                 // that a status line confirms the delivery of a call of one message.
                 if (status != 0) {
                     core.counters().add(Counters.Name.SPOILT_ANSWERS);
                 }
-                all(
+                reportAll(
                         call,
-                        saysDelivered(several, status)
+                        confirmsDelivery(isBatch, status)
                                 ? Ending.DELIVERED
                                 : written ? Ending.RESET : Ending.NO_CONNECTION,
                         false,
@@ -117,13 +118,13 @@
             }
 
             @Override
-            public boolean isTooLate() {
+            public boolean isExpired() {
                 return Core.micros() >= call.writeBy();
             }
 
             @Override
-            public void withheld() {
-                all(call, Ending.WITHHELD, false, false);
+            public void onWithheld() {
+                reportAll(call, Ending.WITHHELD, false, false);
             }
 
             @Override
@@ -134,8 +135,8 @@
             }
         };
         byte[] body;
-        if (several) {
-            body = many(messages);
+        if (isBatch) {
+            body = encodeBatch(messages);
         } else {
             Message m = messages.get(0);
             headers.put("Req-Id", m.id());
@@ -144,41 +145,42 @@
             }
             body = m.submission.body();
         }
-        call.attachment = new Out(
+        call.attachment = new PendingCall(
                 client.send(
-                        owner(call.endpoint),
+                        poolKey(call.endpoint),
                         call.endpoint.address(),
                         "POST",
-                        several ? "/receive-many" : "/receive",
+                        isBatch ? "/receive-many" : "/receive",
                         headers,
                         body,
                         listener),
                 headers,
-                several);
+                isBatch);
     }
 
     /** Returns the time that a call of the given messages waits for its response, as written to the endpoint. */
-    private static String waitOf(Call call, List<Message> messages) {
+    private static String timeoutSeconds(Call call, List<Message> messages) {
         return seconds(Math.max(0, Call.expiryOf(messages) - call.startedAt));
     }
 
     @Override
     public void leaveOut(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
-        if (call.attachment instanceof Out out) {
-            out.headers().put(DEADLINE, waitOf(call, rest)); // sent only if the body is replaced as well
-            if (out.exchange().replaceBody(many(rest))) {
+        if (call.attachment instanceof PendingCall pending) {
+            pending.headers()
+                    .put(DEADLINE_HEADER, timeoutSeconds(call, rest)); // sent only if the body is replaced as well
+            if (pending.exchange().replaceBody(encodeBatch(rest))) {
                 call.leftOut(m);
-                core.post(() -> outcome(call, m, Ending.NOT_SENT, false, false));
+                core.post(() -> report(call, m, Ending.NOT_SENT, false, false));
             }
         }
     }
 
-    private static boolean saysDelivered(boolean several, int status) {
-        return status == 200 && !several;
+    private static boolean confirmsDelivery(boolean isBatch, int status) {
+        return status == 200 && !isBatch;
     }
 
-    private static byte[] many(List<Message> messages) {
+    private static byte[] encodeBatch(List<Message> messages) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         for (Message m : messages) {
             String key = m.submission.key() == null ? "-" : m.submission.key();
@@ -191,26 +193,28 @@
         return out.toByteArray();
     }
 
-    private void outcomes(Call call, boolean several, int status, Map<String, String> headers, byte[] body) {
+    private void reportResponse(Call call, boolean isBatch, int status, Map<String, String> headers, byte[] body) {
         switch (status) {
             case 200 -> {
-                if (several) {
-                    each(call, body);
+                if (isBatch) {
+                    reportEach(call, body);
                 } else {
-                    all(call, Ending.DELIVERED, false, false);
+                    reportAll(call, Ending.DELIVERED, false, false);
                 }
             }
             case 429, 503 -> {
                 boolean noSlot = "1".equals(headers.get("x-no-slot"));
-                all(
+                reportAll(
                         call,
-                        noSlot ? Ending.NOT_SENT : noRoom(call, status, headers) ? Ending.NO_ROOM : Ending.FULL,
+                        noSlot
+                                ? Ending.NOT_SENT
+                                : isConnectionLimit(call, status, headers) ? Ending.NO_ROOM : Ending.FULL,
                         noSlot,
                         false);
             }
-            case 504, 413, 400 -> all(call, Ending.NOT_SENT, false, false);
-            case 410 -> all(call, Ending.NOT_SENT, false, true);
-            default -> all(call, Ending.ERROR, false, false);
+            case 504, 413, 400 -> reportAll(call, Ending.NOT_SENT, false, false);
+            case 410 -> reportAll(call, Ending.NOT_SENT, false, true);
+            default -> reportAll(call, Ending.ERROR, false, false);
         }
     }
 
@@ -219,30 +223,30 @@
      * endpoint over its call limit keeps the connection. Mistaking the first for the second would slow all calls there
      * to no effect.
      */
-    private static boolean noRoom(Call call, int status, Map<String, String> headers) {
+    private static boolean isConnectionLimit(Call call, int status, Map<String, String> headers) {
         return status == 503
-                && call.attachment instanceof Out out
-                && out.exchange().isFresh()
+                && call.attachment instanceof PendingCall pending
+                && pending.exchange().usesNewConnection()
                 && "close"
                         .equalsIgnoreCase(headers.getOrDefault("connection", "").strip());
     }
 
     /** Reports the result of each message, or all messages as possibly executed if the response is incomplete. */
-    private void each(Call call, byte[] body) {
-        Optional<SeveralAnswer> answer =
-                SeveralAnswer.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.of(m.id()) != null));
-        if (answer.isEmpty()) {
+    private void reportEach(Call call, byte[] body) {
+        Optional<BatchResponse> response =
+                BatchResponse.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.resultOf(m.id()) != null));
+        if (response.isEmpty()) {
             core.counters().add(Counters.Name.SPOILT_ANSWERS);
-            all(call, Ending.RESET, false, false);
+            reportAll(call, Ending.RESET, false, false);
             return;
         }
         for (Message m : List.copyOf(call.messages)) {
-            switch (answer.get().of(m.id())) {
-                case ACCEPTED -> outcome(call, m, Ending.DELIVERED, false, false);
-                case DEFERRED -> outcome(call, m, Ending.FULL, false, false);
-                case EXPIRED -> outcome(call, m, Ending.NOT_SENT, false, true);
-                case NO_MORE -> outcome(call, m, Ending.NOT_SENT, false, false);
-                default -> outcome(call, m, Ending.ERROR, false, false);
+            switch (response.get().resultOf(m.id())) {
+                case ACCEPTED -> report(call, m, Ending.DELIVERED, false, false);
+                case DEFERRED -> report(call, m, Ending.FULL, false, false);
+                case EXPIRED -> report(call, m, Ending.NOT_SENT, false, true);
+                case NO_MORE -> report(call, m, Ending.NOT_SENT, false, false);
+                default -> report(call, m, Ending.ERROR, false, false);
             }
         }
     }
@@ -251,18 +255,19 @@
      * Records the longest retry-after period of a response, whatever its status. It starts when the response is
      * written, so counting from when it is read ends no sooner. Values that aren't numbers are ignored.
      */
-    private void heed(Call.Endpoint endpoint, Map<String, String> answer) {
-        long longest = 0;
-        for (String wait : answer.getOrDefault("x-retry-in-ms", "").split(",")) {
-            longest = Math.max(longest, Figures.atLeast(wait.strip(), 3, MOST_WAIT));
+    private void recordRetryAfter(Call.Endpoint endpoint, Map<String, String> responseHeaders) {
+        long longestMicros = 0;
+        for (String value : responseHeaders.getOrDefault("x-retry-in-ms", "").split(",")) {
+            longestMicros =
+                    Math.max(longestMicros, HeaderValues.shiftedDecimalUpTo(value.strip(), 3, MAX_RETRY_AFTER_MICROS));
         }
-        if (longest > 0) {
+        if (longestMicros > 0) {
             long now = Core.micros() + 1; // the clock is truncated to whole microseconds
-            waits.told(endpoint, now + longest);
+            retryAfterTable.told(endpoint, now + longestMicros);
             Logs.debug(
                     "",
                     "wait",
-                    "retry-after until " + (now + longest),
+                    "retry-after until " + (now + longestMicros),
                     "partner",
                     endpoint.destination(),
                     "endpoint",
@@ -270,15 +275,15 @@
         }
     }
 
-    private void all(Call call, Ending ending, boolean noSlot, boolean over) {
-        List.copyOf(call.messages).forEach(m -> outcome(call, m, ending, noSlot, over));
+    private void reportAll(Call call, Ending outcome, boolean noSlot, boolean isSettled) {
+        List.copyOf(call.messages).forEach(m -> report(call, m, outcome, noSlot, isSettled));
     }
 
     /**
      * Each outcome carries the current retry-after, which may stem from a response that nothing waited for any more.
      */
-    private void outcome(Call call, Message m, Ending ending, boolean noSlot, boolean over) {
-        core.outcome(call, m, ending, waits.left(call.endpoint, core.now()), noSlot, over);
+    private void report(Call call, Message m, Ending outcome, boolean noSlot, boolean isSettled) {
+        core.outcome(call, m, outcome, retryAfterTable.left(call.endpoint, core.now()), noSlot, isSettled);
     }
 
     /** Formats seconds with decimals, as the protocol writes them. */
@@ -288,77 +293,86 @@
 
     @Override
     public void giveUp(Call call) {
-        if (!(call.attachment instanceof Out out)) { // starting it failed
-            core.post(() -> all(call, Ending.NO_CONNECTION, false, false));
+        if (!(call.attachment instanceof PendingCall pending)) { // starting it failed
+            core.post(() -> reportAll(call, Ending.NO_CONNECTION, false, false));
             return;
         }
         // The slot is free only once the other side has seen the close: a new call in this same turn would find none.
         // Responses that arrive from now on are ignored.
-        boolean delivered = saysDelivered(out.several(), out.exchange().status());
-        out.exchange()
-                .giveUp(() -> all(
+        boolean delivered =
+                confirmsDelivery(pending.isBatch(), pending.exchange().status());
+        pending.exchange()
+                .giveUp(() -> reportAll(
                         call,
                         delivered
                                 ? Ending.DELIVERED
-                                : out.exchange().isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
+                                : pending.exchange().isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
                         false,
                         false));
     }
 
     @Override
     public void withdraw(Call call) {
-        if (call.attachment instanceof Out out && out.exchange().withdraw()) {
-            core.post(() -> all(call, Ending.WITHHELD, false, false));
+        if (call.attachment instanceof PendingCall pending && pending.exchange().withdraw()) {
+            core.post(() -> reportAll(call, Ending.WITHHELD, false, false));
         }
     }
 
     @Override
     public void closeIdle(Call.Endpoint endpoint) {
-        client.closeIdle(owner(endpoint));
+        client.closeIdle(poolKey(endpoint));
     }
 
     /**
      * The pool key of an endpoint. It has host and address, so that an endpoint at a reused address gets no connections
      * of its predecessor.
      */
-    private static String owner(Call.Endpoint endpoint) {
+    private static String poolKey(Call.Endpoint endpoint) {
         return endpoint.host() + '@' + endpoint.address();
     }
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.now();
+        long startedAtMicros = core.now();
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
-        Deadlines.Key late = core.deadlines()
+        Deadlines.Key timeout = core.deadlines()
                 .at(
-                        started + probeMicros,
-                        () -> exchange[0].giveUp(() -> probed(
-                                endpoint, exchange[0].isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION, started)));
+                        startedAtMicros + probeTimeoutMicros,
+                        () -> exchange[0].giveUp(() -> reportProbe(
+                                endpoint,
+                                exchange[0].isWritten() ? Ending.TIMED_OUT : Ending.NO_CONNECTION,
+                                startedAtMicros)));
         exchange[0] = client.send(
-                owner(endpoint), endpoint.address(), "GET", "/health/live", Map.of(), NOTHING, new Heedful(endpoint) {
+                poolKey(endpoint),
+                endpoint.address(),
+                "GET",
+                "/health/live",
+                Map.of(),
+                EMPTY_BODY,
+                new EndpointListener(endpoint) {
                     @Override
-                    public void answered(int status, Map<String, String> headers, byte[] body) {
+                    public void onResponse(int status, Map<String, String> headers, byte[] body) {
                         end(status == 200 ? Ending.DELIVERED : status == 503 ? Ending.FULL : Ending.ERROR);
                     }
 
                     @Override
-                    public void broke(boolean written, int status) {
+                    public void onFailure(boolean written, int status) {
                         end(written ? Ending.RESET : Ending.NO_CONNECTION);
                     }
 
                     @Override
-                    public void withheld() {
+                    public void onWithheld() {
                         end(Ending.WITHHELD);
                     }
 
-                    private void end(Ending ending) {
-                        core.deadlines().cancel(late);
-                        probed(endpoint, ending, started);
+                    private void end(Ending outcome) {
+                        core.deadlines().cancel(timeout);
+                        reportProbe(endpoint, outcome, startedAtMicros);
                     }
                 });
     }
 
-    private void probed(Call.Endpoint endpoint, Ending ending, long started) {
-        core.probed(endpoint.host(), ending, core.now() - started);
+    private void reportProbe(Call.Endpoint endpoint, Ending outcome, long startedAtMicros) {
+        core.probed(endpoint.host(), outcome, core.now() - startedAtMicros);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -24,27 +24,27 @@
  * notices.
  */
 public final class HttpFront implements Front {
-    private static final byte[] NOTHING = {};
+    private static final byte[] EMPTY_BODY = {};
     /** Longest time that a client may set as the deadline. */
-    private static final long LONGEST = 3_600_000_000L;
+    private static final long MAX_DEADLINE_MICROS = 3_600_000_000L;
     /** Limit on the selections that closing the listener waits for, in which pending connections are still accepted. */
-    private static final int MOST_WAITING = 512;
+    private static final int MAX_ACCEPT_ROUNDS = 512;
 
-    private static final long UNREAD = 120_000, UNREAD_PART = 50;
+    private static final long MAX_UNREAD_ALLOWANCE_MICROS = 120_000, UNREAD_ALLOWANCE_DIVISOR = 50;
 
     private final Core core;
-    private volatile Classes classes;
-    private final Notices notices;
-    private final IntakeFilter intake;
+    private volatile MessageClasses classes;
+    private final NoticeSender notices;
+    private final HttpServerFilter serverFilter;
     /** Requests that wait for their message to be accepted; several where a client resubmitted it meanwhile. */
-    private final Map<Message, List<Waiting>> waiting = new HashMap<>();
+    private final Map<Message, List<WaitingRequest>> waitingRequests = new HashMap<>();
     /** The header that names the practice, in lower case, where identities are shared with other ports; else null. */
     private final String practiceHeader;
 
     private Connection<?> listener;
 
     /** A request that waits for its response, with the id that it was submitted under. */
-    private record Waiting(IntakeFilter.Exchange exchange, String id) {}
+    private record WaitingRequest(HttpServerFilter.Exchange exchange, String id) {}
 
     /**
      * Creates a front for classes under the names that clients use. At most {@code maxClients} client connections are
@@ -55,17 +55,17 @@
             Core core,
             List<String> classNames,
             List<DecisionModule.MessageClass> classes,
-            int mostClients,
-            int crowd,
-            Notices notices,
+            int maxClients,
+            int keepAliveLimit,
+            NoticeSender notices,
             String practiceHeader) {
         this.core = core;
         this.practiceHeader = practiceHeader;
-        renew(classNames, classes);
-        this.intake = new IntakeFilter(core, mostClients, crowd, this::request);
+        updateClasses(classNames, classes);
+        this.serverFilter = new HttpServerFilter(core, maxClients, keepAliveLimit, this::handle);
         this.notices = notices;
-        core.counters().gauge("waiting_clients", waiting::size);
-        core.counters().gauge("clients", intake::size);
+        core.counters().gauge("waiting_clients", waitingRequests::size);
+        core.counters().gauge("clients", serverFilter::connectionCount);
     }
 
     @Override
@@ -74,25 +74,25 @@
     }
 
     /** Message classes by number, and the names of those that clients may submit. */
-    private record Classes(List<String> names, List<DecisionModule.MessageClass> all) {}
+    private record MessageClasses(List<String> names, List<DecisionModule.MessageClass> all) {}
 
     /** Replaces the classes that clients may submit. Loop thread, once the module knows the new ones. */
-    public void renew(List<String> classNames, List<DecisionModule.MessageClass> all) {
-        classes = new Classes(List.copyOf(classNames), List.copyOf(all));
+    public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> allClasses) {
+        classes = new MessageClasses(List.copyOf(classNames), List.copyOf(allClasses));
     }
 
     /** Starts to listen at the address. */
     public SocketAddress listen(Transport transport, SocketAddress address) throws IOException {
-        var server = transport.listen(address, intake.chain());
+        var server = transport.listen(address, serverFilter.chain());
         listener = server;
         return server.getLocalAddress();
     }
 
     /** Stops accepting connections and closes idle ones; the others close after their responses. */
     public void close() {
-        intake.close();
+        serverFilter.close();
         if (listener != null) {
-            stopListening(MOST_WAITING);
+            stopListening(MAX_ACCEPT_ROUNDS);
         }
     }
 
@@ -100,11 +100,11 @@
      * Closes the listener once no connection waits to be accepted. Closing it earlier would reset those connections,
      * which are to be rejected with a response.
      */
-    private void stopListening(int most) {
-        int before = intake.accepted();
+    private void stopListening(int roundsLeft) {
+        int acceptedBefore = serverFilter.acceptedCount();
         Transport.afterReading(listener, () -> {
-            if (most > 0 && intake.accepted() != before) {
-                stopListening(most - 1);
+            if (roundsLeft > 0 && serverFilter.acceptedCount() != acceptedBefore) {
+                stopListening(roundsLeft - 1);
             } else {
                 listener.closeSilently();
             }
@@ -113,107 +113,112 @@
 
     /** Whether the front has closed and no client waits for a response. */
     public boolean isClosed() {
-        return (listener == null || !listener.isOpen()) && intake.isClosed();
+        return (listener == null || !listener.isOpen()) && serverFilter.isClosed();
     }
 
     // Requests: on the selector thread until they are posted to the loop
-    private void request(IntakeFilter.Request request) {
+    private void handle(HttpServerFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
-            case "POST /api" -> check(request);
-            case "GET /health/ready", "GET /health/live" -> answer(request.exchange(), 200, Map.of(), "ready\n");
+            case "POST /api" -> validate(request);
+            case "GET /health/ready", "GET /health/live" -> respond(request.exchange(), 200, Map.of(), "ready\n");
             case "GET /counters" ->
-                core.post(() -> answer(
+                core.post(() -> respond(
                         request.exchange(), 200, Map.of(), core.counters().text()));
-            default -> answer(request.exchange(), 404, Map.of(), "");
+            default -> respond(request.exchange(), 404, Map.of(), "");
         }
     }
 
-    private static void answer(IntakeFilter.Exchange exchange, int status, Map<String, String> headers, String body) {
-        exchange.answer(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
+    private static void respond(
+            HttpServerFilter.Exchange exchange, int status, Map<String, String> headers, String body) {
+        exchange.respond(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
     /** Rejects invalid requests on the selector thread, so that a flood of them does not take the event loop's time. */
-    private void check(IntakeFilter.Request request) {
+    private void validate(HttpServerFilter.Request request) {
         Submission submission;
         try {
-            submission = submission(request);
+            submission = parseSubmission(request);
         } catch (IllegalArgumentException e) {
             core.counters().add(Name.BAD_REQUESTS);
-            answer(request.exchange(), 400, Map.of(), e.getMessage() + "\n");
+            respond(request.exchange(), 400, Map.of(), e.getMessage() + "\n");
             return;
         }
-        core.post(() -> handInOrFail(request, submission));
+        core.post(() -> submitOrFail(request, submission));
     }
 
     /** An internal error must not leave the client without a response. */
-    private void handInOrFail(IntakeFilter.Request request, Submission submission) {
+    private void submitOrFail(HttpServerFilter.Request request, Submission submission) {
         try {
-            handIn(request, submission);
+            submit(request, submission);
         } catch (RuntimeException e) {
-            answer(request.exchange(), 500, Map.of(), "");
+            respond(request.exchange(), 500, Map.of(), "");
             throw e; // the loop counts and logs it
         }
     }
 
-    private void handIn(IntakeFilter.Request request, Submission submission) {
-        IntakeFilter.Exchange exchange = request.exchange();
-        if (exchange.gone()) {
+    private void submit(HttpServerFilter.Request request, Submission submission) {
+        HttpServerFilter.Exchange exchange = request.exchange();
+        if (exchange.isClientGone()) {
             return; // the client has stopped waiting and will resubmit the message
         }
         if (!core.knows(submission.destination())) {
             // Discovery is seconds late, so the destination may be new. Keeping the message pending would gain nothing
             // and use scarce capacity.
-            answer(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
+            respond(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
         }
         Message m = core.handIn(this, submission);
         if (m.isTakenOn()) {
             // Submitted under the same id before: no second message is created, whichever client asks.
-            core.whenDurable(() -> exchange.answer(202, Map.of(), NOTHING, () -> {}));
+            core.whenDurable(() -> exchange.respond(202, Map.of(), EMPTY_BODY, () -> {}));
         } else if (m.isOpen()) {
-            waiting.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new Waiting(exchange, submission.id()));
+            waitingRequests
+                    .computeIfAbsent(m, x -> new ArrayList<>(1))
+                    .add(new WaitingRequest(exchange, submission.id()));
         } else {
-            refuse(exchange, m.verdict());
+            respondFinal(exchange, m.verdict());
         }
     }
 
-    private Submission submission(IntakeFilter.Request request) {
+    private Submission parseSubmission(HttpServerFilter.Request request) {
         Map<String, String> headers = request.headers();
-        String id = needed(headers, "req-id");
-        check(Figures.isWord(id), "Req-Id: not an id");
-        Classes known = classes;
-        String kind = needed(headers, "req-kind");
-        int number = known.names().indexOf(kind);
-        check(number >= 0 && !kind.isEmpty(), "Req-Kind: unknown class");
+        String id = requiredHeader(headers, "req-id");
+        require(HeaderValues.isIdentifier(id), "Req-Id: not an id");
+        MessageClasses knownClasses = classes;
+        String className = requiredHeader(headers, "req-kind");
+        int classNumber = knownClasses.names().indexOf(className);
+        require(classNumber >= 0 && !className.isEmpty(), "Req-Kind: unknown class");
         Integer destination = null;
-        for (String part : needed(headers, "x-envelope").split("[,; ]+")) {
+        for (String part : requiredHeader(headers, "x-envelope").split("[,; ]+")) {
             if (part.startsWith("dest=")) {
-                check(destination == null, "X-Envelope: more than one dest");
-                destination = Figures.whole(part.substring(5));
-                check(destination != null, "X-Envelope: dest: not a whole number");
+                require(destination == null, "X-Envelope: more than one dest");
+                destination = HeaderValues.wholeNumber(part.substring(5));
+                require(destination != null, "X-Envelope: dest: not a whole number");
             }
         }
-        check(destination != null, "X-Envelope: no dest");
-        Long deadline = Figures.decimal(needed(headers, "req-deadline"), 6);
-        check(deadline != null && deadline <= LONGEST, "Req-Deadline: not a time to wait for");
+        require(destination != null, "X-Envelope: no dest");
+        Long deadlineMicros = HeaderValues.shiftedDecimal(requiredHeader(headers, "req-deadline"), 6);
+        require(
+                deadlineMicros != null && deadlineMicros <= MAX_DEADLINE_MICROS,
+                "Req-Deadline: not a time to wait for");
         String key = headers.get("idempotency-key");
         // In a call of several messages '-' stands for a missing key.
-        check(
+        require(
                 key == null
-                        ? known.all().get(number).repeat() != DecisionModule.Repeat.KEYED
-                        : Figures.isWord(key) && !key.equals("-"),
+                        ? knownClasses.all().get(classNumber).repeat() != DecisionModule.Repeat.KEYED
+                        : HeaderValues.isIdentifier(key) && !key.equals("-"),
                 "Idempotency-Key: " + (key == null ? "missing" : "not a key"));
         String retry = headers.getOrDefault("req-retry", "");
         return new Submission(
                 id,
                 identity(headers, key),
-                number,
+                classNumber,
                 destination,
                 key,
                 request.body(),
                 !retry.isEmpty(),
                 retry.equals("again"),
-                budget(deadline, Core.micros() - request.arrivedMicros()));
+                budgetMicros(deadlineMicros, Core.micros() - request.arrivedMicros()));
     }
 
     private String identity(Map<String, String> headers, String key) {
@@ -234,82 +239,89 @@
      * final status is lost when it is sent 300 ms after the deadline. So a fraction of a long deadline is reserved for
      * that.
      */
-    public static long budget(long deadline, long sinceRead) {
-        return Math.max(0, deadline - Math.min(UNREAD, deadline / UNREAD_PART) - Math.max(0, sinceRead));
+    public static long budgetMicros(long deadlineMicros, long sinceReadMicros) {
+        return Math.max(
+                0,
+                deadlineMicros
+                        - Math.min(MAX_UNREAD_ALLOWANCE_MICROS, deadlineMicros / UNREAD_ALLOWANCE_DIVISOR)
+                        - Math.max(0, sinceReadMicros));
     }
 
-    private static void check(boolean good, String problem) {
-        if (!good) {
+    private static void require(boolean isValid, String problem) {
+        if (!isValid) {
             throw new IllegalArgumentException(problem);
         }
     }
 
-    private static String needed(Map<String, String> headers, String name) {
+    private static String requiredHeader(Map<String, String> headers, String name) {
         String value = headers.get(name);
-        check(value != null && !value.isEmpty(), name + ": missing");
+        require(value != null && !value.isEmpty(), name + ": missing");
         return value;
     }
 
     // Responses: on the loop thread
     @Override
     public void taken(Message message) {
-        List<Waiting> all = waiting.remove(message);
-        if (all == null) {
+        List<WaitingRequest> requests = waitingRequests.remove(message);
+        if (requests == null) {
             return; // it was submitted on another port; a client of this one attached to it and has left
         }
         // If the responses to all requests of an id are lost, the client submits the message again. One response
         // suffices: a message may be submitted twice, on a connection closed meanwhile and on its successor.
-        Map<String, Integer> lost = new HashMap<>();
-        all.forEach(w -> lost.merge(w.id(), 1, Integer::sum));
-        for (Waiting w : all) {
-            w.exchange()
-                    .answer(
+        Map<String, Integer> pendingResponses = new HashMap<>();
+        requests.forEach(waitingRequest -> pendingResponses.merge(waitingRequest.id(), 1, Integer::sum));
+        for (WaitingRequest waitingRequest : requests) {
+            waitingRequest
+                    .exchange()
+                    .respond(
                             202,
                             Map.of(),
-                            NOTHING,
+                            EMPTY_BODY,
                             () -> core.post(() -> {
-                                if (lost.merge(w.id(), -1, Integer::sum) == 0) {
-                                    core.clientGone(message, this, w.id());
+                                if (pendingResponses.merge(waitingRequest.id(), -1, Integer::sum) == 0) {
+                                    core.clientGone(message, this, waitingRequest.id());
                                 }
                             }));
         }
     }
 
     @Override
-    public void turnedDown(Message message, FinalStatus verdict) {
-        List<Waiting> all = waiting.remove(message);
-        if (all != null) {
-            all.forEach(w -> refuse(w.exchange(), verdict));
+    public void turnedDown(Message message, FinalStatus finalStatus) {
+        List<WaitingRequest> requests = waitingRequests.remove(message);
+        if (requests != null) {
+            requests.forEach(waitingRequest -> respondFinal(waitingRequest.exchange(), finalStatus));
         }
     }
 
     @Override
-    public void notJoined(Message message, String id, FinalStatus verdict) {
-        List<Waiting> all = waiting.getOrDefault(message, List.of());
-        all.stream().filter(w -> w.id().equals(id)).forEach(w -> refuse(w.exchange(), verdict));
-        all.removeIf(w -> w.id().equals(id));
+    public void notJoined(Message message, String id, FinalStatus finalStatus) {
+        List<WaitingRequest> requests = waitingRequests.getOrDefault(message, List.of());
+        requests.stream()
+                .filter(waitingRequest -> waitingRequest.id().equals(id))
+                .forEach(waitingRequest -> respondFinal(waitingRequest.exchange(), finalStatus));
+        requests.removeIf(waitingRequest -> waitingRequest.id().equals(id));
     }
 
-    private static void refuse(IntakeFilter.Exchange exchange, FinalStatus verdict) {
-        if (verdict.kind() == FinalStatus.Kind.REFUSED) {
+    private static void respondFinal(HttpServerFilter.Exchange exchange, FinalStatus finalStatus) {
+        if (finalStatus.kind() == FinalStatus.Kind.REFUSED) {
             Map<String, String> headers = new LinkedHashMap<>();
-            if (verdict.comeBackMicros() > 0) {
-                headers.put("Retry-After", HttpDeliverer.seconds(verdict.comeBackMicros()));
+            if (finalStatus.comeBackMicros() > 0) {
+                headers.put("Retry-After", HttpDeliverer.seconds(finalStatus.comeBackMicros()));
             }
-            answer(exchange, 503, headers, "");
-        } else if (verdict.kind() == FinalStatus.Kind.DELIVERED) {
-            answer(exchange, 200, Map.of(), ""); // it was delivered before, and no further notification is pending
-        } else if (verdict.kind() == FinalStatus.Kind.CLASH) {
-            answer(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
+            respond(exchange, 503, headers, "");
+        } else if (finalStatus.kind() == FinalStatus.Kind.DELIVERED) {
+            respond(exchange, 200, Map.of(), ""); // it was delivered before, and no further notification is pending
+        } else if (finalStatus.kind() == FinalStatus.Kind.CLASH) {
+            respond(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
         } else {
-            answer(exchange, 500, Map.of(), "");
+            respond(exchange, 500, Map.of(), "");
         }
     }
 
     @Override
-    public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
-        switch (verdict.kind()) {
-            case REFUSED -> notices.add(id, "deferred", verdict.comeBackMicros(), settled);
+    public void ended(Message message, String id, FinalStatus finalStatus, Runnable settled) {
+        switch (finalStatus.kind()) {
+            case REFUSED -> notices.add(id, "deferred", finalStatus.comeBackMicros(), settled);
             case FAILED -> notices.add(id, "undeliverable", 0, settled);
             default -> settled.run();
         }
--- a/src/main/java/lilaclever/protocol/http/Head.java
+++ b/src/main/java/lilaclever/protocol/http/HttpMessageWriter.java
@@ -4,25 +4,25 @@
 import java.util.Map;
 
 /** Encodes an HTTP message, head and body, as one byte array. */
-final class Head {
+final class HttpMessageWriter {
     private final StringBuilder text;
 
-    private Head(String first) {
-        text = new StringBuilder(256).append(first).append("\r\n");
+    private HttpMessageWriter(String startLine) {
+        text = new StringBuilder(256).append(startLine).append("\r\n");
     }
 
     /** Encodes a request; Content-Length is written even for an empty body. */
     static byte[] request(String method, String path, String host, Map<String, String> headers, byte[] body) {
-        return new Head(method + ' ' + path + " HTTP/1.1")
+        return new HttpMessageWriter(method + ' ' + path + " HTTP/1.1")
                 .with("Host", host)
                 .with(headers)
-                .end(body);
+                .build(body);
     }
 
     /** Encodes a response. */
-    static byte[] answer(int status, Map<String, String> headers, boolean close, byte[] body) {
-        Head head = new Head("HTTP/1.1 " + status + ' ' + reason(status)).with(headers);
-        return (close ? head.with("Connection", "close") : head).end(body);
+    static byte[] response(int status, Map<String, String> headers, boolean close, byte[] body) {
+        HttpMessageWriter writer = new HttpMessageWriter("HTTP/1.1 " + status + ' ' + reason(status)).with(headers);
+        return (close ? writer.with("Connection", "close") : writer).build(body);
     }
 
     private static String reason(int status) {
@@ -42,19 +42,19 @@
         };
     }
 
-    private Head with(Map<String, String> headers) {
+    private HttpMessageWriter with(Map<String, String> headers) {
         headers.forEach(this::with);
         return this;
     }
 
-    private Head with(String name, String value) {
+    private HttpMessageWriter with(String name, String value) {
         // Values from outside were validated on arrival: a line break here would inject a header.
         assert value.chars().allMatch(c -> c >= ' ' && c != 0x7f) : name;
         text.append(name).append(": ").append(value).append("\r\n");
         return this;
     }
 
-    private byte[] end(byte[] body) {
+    private byte[] build(byte[] body) {
         byte[] head = text.append("Content-Length: ")
                 .append(body.length)
                 .append("\r\n\r\n")
--- a/src/main/java/lilaclever/protocol/http/IntakeFilter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
@@ -38,36 +38,36 @@
  * further input is read and dropped, and the client closes the connection. A close with unread input resets the
  * connection, which can destroy a response in flight.
  */
-final class IntakeFilter extends BaseFilter {
-    static final int LARGEST_BODY = 64 * 1024;
+final class HttpServerFilter extends BaseFilter {
+    static final int MAX_BODY_BYTES = 64 * 1024;
     /** Bytes of pipelined requests buffered while an earlier request is open. */
-    private static final int MOST_AHEAD = 16 * 1024;
+    private static final int MAX_PIPELINED_BYTES = 16 * 1024;
     /** Bytes of incomplete requests over all connections. */
-    private static final long MOST_GATHERED = 6 << 20;
+    private static final long MAX_INCOMPLETE_BYTES = 6 << 20;
     /** Time for a new connection to send its first byte, and for a request to be complete. */
-    private static final long SILENT = 2_000_000, WHOLE_BY = 2_000_000;
+    private static final long FIRST_BYTE_TIMEOUT_MICROS = 2_000_000, REQUEST_TIMEOUT_MICROS = 2_000_000;
     /** Time that an idle connection stays open, and the shorter one above {@code keepAliveLimit}. */
-    private static final long IDLE = 15_000_000, IDLE_CROWDED = 2_200_000;
+    private static final long IDLE_TIMEOUT_MICROS = 15_000_000, CROWDED_IDLE_TIMEOUT_MICROS = 2_200_000;
 
-    private static final long LOOK = 500_000, LEAST_LOOK = 20_000;
+    private static final long MAX_CHECK_INTERVAL_MICROS = 500_000, MIN_CHECK_INTERVAL_MICROS = 20_000;
     /**
      * Time for the first request of a new connection to arrive before the connection may be evicted for lack of room.
      */
-    private static final long NEW = 100_000;
+    private static final long NEW_CONNECTION_GRACE_MICROS = 100_000;
     /** Time for the client to receive its last response; after it the connection is closed with the rest unwritten. */
-    private static final long WRITTEN_BY = 2_000_000;
+    private static final long WRITE_TIMEOUT_MICROS = 2_000_000;
     /**
      * How long, and over how many bytes, a connection whose sending direction is closed waits for the client to close
      * it.
      */
-    private static final long LINGER = 1_000_000, MOST_DROPPED = 1 << 20;
+    private static final long LINGER_MICROS = 1_000_000, MAX_LINGER_BYTES = 1 << 20;
     /**
      * One in this many connections is reserved for those that linger, and for new ones that are told to retry later.
      */
-    private static final int LEAVING_PART = 8;
+    private static final int CLOSING_RESERVE_DIVISOR = 8;
 
-    private static final int READ_BUFFER = 16 * 1024;
-    private static final byte[] NOTHING = {};
+    private static final int READ_BUFFER_BYTES = 16 * 1024;
+    private static final byte[] EMPTY_BODY = {};
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /** A request; headers by lower-case name. */
@@ -80,26 +80,27 @@
             Exchange exchange) {}
 
     private final Core core;
-    private final int most, crowd;
+    private final int maxConnections, keepAliveLimit;
     private final Consumer<Request> handler;
     private final Set<Client> clients = new LinkedHashSet<>();
     /** The clients that are to close or that linger, oldest first; guarded by {@code clients}. */
-    private final Set<Client> leaving = new LinkedHashSet<>();
+    private final Set<Client> closingClients = new LinkedHashSet<>();
 
-    private final Attribute<Client> clientOf = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpServerFilter.client");
-    private final AtomicLong gathered = new AtomicLong();
-    private volatile boolean closing;
-    private volatile int accepted;
+    private final Attribute<Client> clientAttribute =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpServerFilter.client");
+    private final AtomicLong incompleteBytes = new AtomicLong();
+    private volatile boolean isClosing;
+    private volatile int acceptedCount;
 
     /**
      * At most {@code maxConnections} connections. With more than {@code keepAliveLimit} of them none stays idle:
      * otherwise a platform with few descriptors would have none left for the next client. The handler is called on the
      * selector thread.
      */
-    IntakeFilter(Core core, int most, int crowd, Consumer<Request> handler) {
+    HttpServerFilter(Core core, int maxConnections, int keepAliveLimit, Consumer<Request> handler) {
         this.core = core;
-        this.most = most;
-        this.crowd = crowd;
+        this.maxConnections = maxConnections;
+        this.keepAliveLimit = keepAliveLimit;
         this.handler = handler;
     }
 
@@ -109,30 +110,30 @@
      */
     private final class Client {
         private final Connection<?> connection;
-        private final MessageReader reader = new MessageReader(false, LARGEST_BODY);
-        private final ByteArrayOutputStream ahead = new ByteArrayOutputStream(0);
-        private final AtomicLong counted = new AtomicLong();
+        private final HttpMessageReader reader = new HttpMessageReader(false, MAX_BODY_BYTES);
+        private final ByteArrayOutputStream pipelined = new ByteArrayOutputStream(0);
+        private final AtomicLong countedBytes = new AtomicLong();
         /** Start of the current state: connection opened, first byte of a request received, or response finished. */
-        private volatile long since = Core.micros();
+        private volatile long stateSinceMicros = Core.micros();
 
-        private volatile boolean asked, partial, answering, lingering;
+        private volatile boolean hasRequested, isPartlyRead, hasOpenRequest, isLingering;
         /** The last response has been passed on: further input is dropped. */
-        private volatile boolean ended;
+        private volatile boolean isFinished;
         /** The client has closed its sending direction, and may still read. */
-        private volatile boolean inputEnded;
+        private volatile boolean isInputEnded;
         /** Bytes that were read but not parsed, as a request before them is being handled. */
-        private volatile int unprocessed;
+        private volatile int unprocessedBytes;
         /** More pipelined data arrived than there is room for, and the excess is lost. */
-        private boolean truncated;
+        private boolean isTruncated;
         /** Whether the open request is of HTTP/1.1. */
-        private boolean takesInterimAnswers;
+        private boolean acceptsInterimResponses;
         /** Writes that are not wholly in the socket's buffer yet. */
-        private int writes;
+        private int pendingWrites;
 
         /** It arrived while all capacity was taken by clients waiting for a response, and is told to retry later. */
-        private volatile boolean tooMany;
+        private volatile boolean isOverLimit;
 
-        private long dropped;
+        private long droppedBytes;
 
         Client(Connection<?> connection) {
             this.connection = connection;
@@ -140,12 +141,12 @@
 
         /** Processes bytes read from the socket. */
         synchronized void received(byte[] in) {
-            if (lingering) {
-                dropped += in.length;
-                if (dropped > MOST_DROPPED) {
+            if (isLingering) {
+                droppedBytes += in.length;
+                if (droppedBytes > MAX_LINGER_BYTES) {
                     connection.terminateSilently();
                 }
-            } else if (!truncated) {
+            } else if (!isTruncated) {
                 process(in);
             }
         }
@@ -155,88 +156,89 @@
          * apart before something is written: a closed one answers that with a reset. An interim response, which any
          * HTTP/1.1 client has to ignore, shows it in time. Returns whether the connection stays open for a response.
          */
-        synchronized boolean endOfInput() {
-            boolean isBeingWritten = writes > 0 && (ended || !answering) && !lingering;
-            boolean awaitsAnswer = answering && !ended && takesInterimAnswers;
-            inputEnded = isBeingWritten || awaitsAnswer;
+        synchronized boolean onEndOfInput() {
+            boolean isBeingWritten = pendingWrites > 0 && (isFinished || !hasOpenRequest) && !isLingering;
+            boolean awaitsResponse = hasOpenRequest && !isFinished && acceptsInterimResponses;
+            isInputEnded = isBeingWritten || awaitsResponse;
             if (isBeingWritten) {
                 closeOnceWritten();
-            } else if (awaitsAnswer) {
-                probe();
+            } else if (awaitsResponse) {
+                sendProbe();
             }
-            return inputEnded;
+            return isInputEnded;
         }
 
-        private synchronized void probe() {
-            if (!ended) {
+        private synchronized void sendProbe() {
+            if (!isFinished) {
                 write(CONTINUE, () -> {});
             }
         }
 
         /** Whether the client has gone, as far as is known, so that nothing would read a response. */
         boolean isGone() {
-            if (inputEnded && connection.isOpen()) {
-                probe();
+            if (isInputEnded && connection.isOpen()) {
+                sendProbe();
             }
             return !connection.isOpen();
         }
 
         private void process(byte[] in) {
             int at = 0;
-            while (at < in.length && !ended) {
-                if (answering) {
-                    keepForLater(in, at);
+            while (at < in.length && !isFinished) {
+                if (hasOpenRequest) {
+                    bufferPipelined(in, at);
                     at = in.length;
                 } else {
                     at = read(in, at);
                 }
-                unprocessed = in.length - at;
-                if (!answering && !ended && reader.isComplete()) {
-                    whole();
+                unprocessedBytes = in.length - at;
+                if (!hasOpenRequest && !isFinished && reader.isComplete()) {
+                    onRequest();
                 }
             }
-            unprocessed = 0;
+            unprocessedBytes = 0;
         }
 
         /** Buffers a pipelined request until the open one has its response, as far as there is room. */
-        private void keepForLater(byte[] in, int from) {
-            int size = Math.min(MOST_AHEAD - ahead.size(), in.length - from);
-            ahead.write(in, from, size);
-            truncated |= size < in.length - from;
+        private void bufferPipelined(byte[] in, int from) {
+            int size = Math.min(MAX_PIPELINED_BYTES - pipelined.size(), in.length - from);
+            pipelined.write(in, from, size);
+            isTruncated |= size < in.length - from;
         }
 
         /** Reads up to the end of a request; returns the offset of the next one. */
         private int read(byte[] in, int from) {
-            if (!partial) {
-                partial = true;
-                since = asked ? Core.micros() : since; // the first one: since the connection opened
+            if (!isPartlyRead) {
+                isPartlyRead = true;
+                stateSinceMicros =
+                        hasRequested ? Core.micros() : stateSinceMicros; // the first one: since the connection opened
             }
             try {
                 int at = reader.read(in, from, in.length);
-                count(reader.isComplete() ? 0 : reader.size());
-                if (gathered.get() > MOST_GATHERED) {
-                    refuse(503);
+                countIncomplete(reader.isComplete() ? 0 : reader.bufferedBytes());
+                if (incompleteBytes.get() > MAX_INCOMPLETE_BYTES) {
+                    reject(503);
                 } else if (reader.awaitsContinue()) {
                     write(CONTINUE, () -> {});
                 }
                 return at;
-            } catch (MessageReader.Spoilt e) {
-                refuse(e.status);
+            } catch (HttpMessageReader.InvalidMessageException e) {
+                reject(e.status);
                 return in.length;
             }
         }
 
-        private void count(long size) {
-            gathered.addAndGet(size - counted.getAndSet(size));
+        private void countIncomplete(long size) {
+            incompleteBytes.addAndGet(size - countedBytes.getAndSet(size));
         }
 
-        private void whole() {
-            partial = false;
-            asked = true;
-            answering = true;
-            takesInterimAnswers = reader.takesInterimAnswers();
-            if (tooMany) {
-                refuse(503);
+        private void onRequest() {
+            isPartlyRead = false;
+            hasRequested = true;
+            hasOpenRequest = true;
+            acceptsInterimResponses = reader.acceptsInterimResponses();
+            if (isOverLimit) {
+                reject(503);
                 return;
             }
             Request request = new Request(
@@ -245,105 +247,109 @@
                     reader.headers(),
                     reader.body(),
                     Core.micros(),
-                    new Exchange(this, reader.keeps()));
-            reader.next();
+                    new Exchange(this, reader.keepsConnection()));
+            reader.reset();
             try {
                 handler.accept(request);
             } catch (RuntimeException e) {
                 Logs.error("", "request-failed", "a request could not be handled: " + e, e);
-                request.exchange().answer(500, Map.of(), NOTHING, () -> {});
+                request.exchange().respond(500, Map.of(), EMPTY_BODY, () -> {});
             }
         }
 
         /** Responds with an error and closes: what follows can't be told apart from the rest of this request. */
-        private synchronized void refuse(int status) {
-            if (!ended) {
+        private synchronized void reject(int status) {
+            if (!isFinished) {
                 core.counters().add(Name.BAD_REQUESTS);
                 Map<String, String> headers = status == 503 ? Map.of("Retry-After", "1") : Map.of();
-                write(Head.answer(status, headers, true, NOTHING), () -> {});
+                write(HttpMessageWriter.response(status, headers, true, EMPTY_BODY), () -> {});
                 closeOnceWritten();
             }
         }
 
         /** Queues bytes behind those being written; {@code onFailed} runs if they can't be written. */
-        private synchronized void write(byte[] bytes, Runnable failed) {
-            writes++;
-            Transport.write(connection, bytes, this::written, () -> {
+        private synchronized void write(byte[] bytes, Runnable onFailed) {
+            pendingWrites++;
+            Transport.write(connection, bytes, this::onWritten, () -> {
                 connection.closeSilently();
-                failed.run();
+                onFailed.run();
             });
         }
 
-        private synchronized void written() {
-            writes--;
-            if (ended) {
-                linger();
+        private synchronized void onWritten() {
+            pendingWrites--;
+            if (isFinished) {
+                lingerOnceWritten();
             }
         }
 
-        private synchronized void answered() {
-            since = Core.micros();
-            answering = false;
-            byte[] waiting = ahead.toByteArray();
-            ahead.reset();
+        private synchronized void onResponded() {
+            stateSinceMicros = Core.micros();
+            hasOpenRequest = false;
+            byte[] waiting = pipelined.toByteArray();
+            pipelined.reset();
             if (waiting.length > 0) {
                 process(waiting);
             }
-            if (truncated && !answering && unprocessed == 0) {
-                refuse(503); // the rest of the pipelined data is lost
-            } else if (inputEnded && !answering && unprocessed == 0) {
+            if (isTruncated && !hasOpenRequest && unprocessedBytes == 0) {
+                reject(503); // the rest of the pipelined data is lost
+            } else if (isInputEnded && !hasOpenRequest && unprocessedBytes == 0) {
                 closeOnceWritten(); // an incomplete request will never be completed
-            } else if (closing) {
+            } else if (isClosing) {
                 closeIfIdle(); // the connections that were idle are closed already
             }
         }
 
         /** Whether pipelined requests, or parts of one, wait for the response to this one. */
-        private boolean hasMore() {
-            return ahead.size() > 0 || truncated || unprocessed > 0;
+        private boolean hasPipelined() {
+            return pipelined.size() > 0 || isTruncated || unprocessedBytes > 0;
         }
 
         /** Marks the last response as passed on: input is dropped from now on until the client closes. */
         private synchronized void closeOnceWritten() {
-            if (!ended) {
-                ended = true;
-                since = Core.micros();
-                linger();
+            if (!isFinished) {
+                isFinished = true;
+                stateSinceMicros = Core.micros();
+                lingerOnceWritten();
             }
         }
 
         /** Closes the sending direction once all is written: an earlier end would cut a response off. */
-        private void linger() {
-            if (writes == 0 && !lingering && connection.isOpen()) {
-                lingering = true;
-                since = Core.micros();
+        private void lingerOnceWritten() {
+            if (pendingWrites == 0 && !isLingering && connection.isOpen()) {
+                isLingering = true;
+                stateSinceMicros = Core.micros();
                 synchronized (clients) {
-                    leaving.add(this);
+                    closingClients.add(this);
                 }
                 Transport.endSending(connection);
-                if (inputEnded) {
+                if (isInputEnded) {
                     connection.closeSilently(); // no input is left to read
                 }
             }
         }
 
         private boolean isIdle() {
-            return !answering && !partial && unprocessed == 0;
+            return !hasOpenRequest && !isPartlyRead && unprocessedBytes == 0;
         }
 
         /** The time at which the connection expires unless its state changes. */
-        private long due() {
-            if (lingering) {
-                return since + LINGER;
+        private long expiresAtMicros() {
+            if (isLingering) {
+                return stateSinceMicros + LINGER_MICROS;
             }
-            if (ended) {
-                return since + WRITTEN_BY;
+            if (isFinished) {
+                return stateSinceMicros + WRITE_TIMEOUT_MICROS;
             }
-            if (answering) {
+            if (hasOpenRequest) {
                 return Long.MAX_VALUE;
             }
-            long time = partial ? WHOLE_BY : !asked ? SILENT : size() > crowd ? IDLE_CROWDED : IDLE;
-            return since + time;
+            long timeoutMicros = isPartlyRead
+                    ? REQUEST_TIMEOUT_MICROS
+                    : !hasRequested
+                            ? FIRST_BYTE_TIMEOUT_MICROS
+                            : connectionCount() > keepAliveLimit ? CROWDED_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS;
+            return stateSinceMicros + timeoutMicros;
         }
 
         /**
@@ -351,14 +357,14 @@
          * a connection that looked idle may have a request in its socket. Later input is sent again by the client on
          * another connection and must not be read as a request here.
          */
-        private synchronized void over() {
-            if (Core.micros() < due()) {
+        private synchronized void closeIfExpired() {
+            if (Core.micros() < expiresAtMicros()) {
                 return;
             }
-            if (ended) {
+            if (isFinished) {
                 connection.closeSilently();
-            } else if (partial) {
-                refuse(408);
+            } else if (isPartlyRead) {
+                reject(408);
             } else {
                 closeOnceWritten();
             }
@@ -375,52 +381,58 @@
          * Closes the connection to make room, unless a request has arrived meanwhile: its response then closes it, as
          * there are too many connections.
          */
-        private synchronized void makeRoom() {
+        private synchronized void evict() {
             if (isIdle()) {
                 closeOnceWritten();
-            } else if (!ended) {
+            } else if (!isFinished) {
                 synchronized (clients) {
-                    leaving.remove(this);
+                    closingClients.remove(this);
                 }
             }
         }
 
         /** Closes the connection now unless it has an open request or an unwritten response; returns whether it did. */
-        private synchronized boolean closeNow() {
-            boolean free = lingering || isIdle() && writes == 0;
-            if (free) {
-                ended = true;
+        private synchronized boolean tryCloseNow() {
+            boolean isFree = isLingering || isIdle() && pendingWrites == 0;
+            if (isFree) {
+                isFinished = true;
                 connection.closeSilently();
             }
-            return free;
+            return isFree;
         }
 
         /** Checks the connection for expiry until it is closed. Loop thread. */
-        private void look() {
+        private void checkExpiry() {
             if (!connection.isOpen()) {
                 return;
             }
             long now = core.now();
-            if (now >= due()) {
-                Transport.afterReading(connection, this::over);
+            if (now >= expiresAtMicros()) {
+                Transport.afterReading(connection, this::closeIfExpired);
             }
-            core.deadlines().at(now + Math.max(LEAST_LOOK, Math.min(LOOK, due() - now)), this::look);
+            core.deadlines()
+                    .at(
+                            now
+                                    + Math.max(
+                                            MIN_CHECK_INTERVAL_MICROS,
+                                            Math.min(MAX_CHECK_INTERVAL_MICROS, expiresAtMicros() - now)),
+                            this::checkExpiry);
         }
     }
 
     /** The response to one request. */
     final class Exchange {
         private final Client client;
-        private final boolean keep;
+        private final boolean keepAlive;
         /** Guarded by the client. */
-        private boolean answered;
+        private boolean isAnswered;
 
-        private Exchange(Client client, boolean keep) {
+        private Exchange(Client client, boolean keepAlive) {
             this.client = client;
-            this.keep = keep;
+            this.keepAlive = keepAlive;
         }
 
-        boolean gone() {
+        boolean isClientGone() {
             return client.isGone();
         }
 
@@ -429,18 +441,19 @@
          * before this returns: that request must not be taken for a pipelined one. A connection that is to close does
          * so after the last request that was read in full. A second response is ignored.
          */
-        void answer(int status, Map<String, String> headers, byte[] body, Runnable lost) {
+        void respond(int status, Map<String, String> headers, byte[] body, Runnable onLost) {
             synchronized (client) {
-                if (answered) {
+                if (isAnswered) {
                     return;
                 }
-                answered = true;
-                boolean stay = keep
-                        && !client.ended
-                        && (client.hasMore() || !closing && !client.inputEnded && size() <= crowd);
-                client.write(Head.answer(status, headers, !stay, body), lost);
-                if (stay) {
-                    client.answered();
+                isAnswered = true;
+                boolean staysOpen = keepAlive
+                        && !client.isFinished
+                        && (client.hasPipelined()
+                                || !isClosing && !client.isInputEnded && connectionCount() <= keepAliveLimit);
+                client.write(HttpMessageWriter.response(status, headers, !staysOpen, body), onLost);
+                if (staysOpen) {
+                    client.onResponded();
                 } else {
                     client.closeOnceWritten();
                 }
@@ -456,7 +469,7 @@
     /** Reads and writes the socket. The end of the client's input does not close the connection before a response. */
     private final class SocketFilter extends TransportFilter {
         /** Used on the selector thread alone. */
-        private final ByteBuffer buffer = ByteBuffer.allocateDirect(READ_BUFFER);
+        private final ByteBuffer buffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
 
         @Override
         public NextAction handleRead(FilterChainContext context) throws IOException {
@@ -470,8 +483,8 @@
                 return context.getInvokeAction();
             }
             if (size < 0) {
-                Client client = clientOf.get(connection);
-                if (client != null && client.endOfInput()) {
+                Client client = clientAttribute.get(connection);
+                if (client != null && client.onEndOfInput()) {
                     connection.disableIOEvent(IOEvent.READ); // otherwise the end of input would be read over and over
                 } else {
                     connection.terminateSilently();
@@ -482,7 +495,7 @@
     }
 
     /** Returns the number of connections. */
-    int size() {
+    int connectionCount() {
         synchronized (clients) {
             return clients.size();
         }
@@ -490,7 +503,7 @@
 
     /** Closes idle connections at once, the others after their response, and new ones on arrival. */
     void close() {
-        closing = true;
+        isClosing = true;
         List<Client> all;
         synchronized (clients) {
             all = List.copyOf(clients);
@@ -499,13 +512,13 @@
     }
 
     /** Returns the number of connections accepted since the start. */
-    int accepted() {
-        return accepted;
+    int acceptedCount() {
+        return acceptedCount;
     }
 
     /** Whether no connection is left; before that, a request may still be read that needs its response. */
     boolean isClosed() {
-        return size() == 0;
+        return connectionCount() == 0;
     }
 
     /**
@@ -513,45 +526,47 @@
      * longest, as its client will open a new connection; then any without a request. The newest is chosen only where
      * all others wait for a response: its request would have failed.
      */
-    private Client leastWanted(Client newest) {
+    private Client evictionCandidate(Client newest) {
         long now = Core.micros();
         Client silent = null, idle = null;
         for (Client c : clients) {
-            if (leaving.contains(c)) {
+            if (closingClients.contains(c)) {
                 continue;
             }
-            if (!c.asked && c != newest && silent == null) {
+            if (!c.hasRequested && c != newest && silent == null) {
                 silent = c; // in the order of opening: the first is the oldest
             }
-            if (c.asked && c.isIdle() && (idle == null || c.since < idle.since)) {
+            if (c.hasRequested && c.isIdle() && (idle == null || c.stateSinceMicros < idle.stateSinceMicros)) {
                 idle = c;
             }
         }
-        return silent != null && (now - silent.since > NEW || idle == null) ? silent : idle != null ? idle : newest;
+        return silent != null && (now - silent.stateSinceMicros > NEW_CONNECTION_GRACE_MICROS || idle == null)
+                ? silent
+                : idle != null ? idle : newest;
     }
 
     /**
      * Makes room for a new connection: one of the others is evicted, and where all room is taken, one is closed now.
      */
     private void evictFor(Client newest) {
-        Client out = null;
-        boolean full;
+        Client evicted = null;
+        boolean isFull;
         synchronized (clients) {
-            if (clients.size() - leaving.size() > most - most / LEAVING_PART) {
-                out = leastWanted(newest);
-                out.tooMany = out == newest;
-                leaving.add(out);
+            if (clients.size() - closingClients.size() > maxConnections - maxConnections / CLOSING_RESERVE_DIVISOR) {
+                evicted = evictionCandidate(newest);
+                evicted.isOverLimit = evicted == newest;
+                closingClients.add(evicted);
             }
-            full = clients.size() > most;
+            isFull = clients.size() > maxConnections;
         }
-        if (out != null) {
+        if (evicted != null) {
             core.counters().add(Name.CROWDED_OUT);
-            if (out != newest) {
-                Transport.afterReading(out.connection, out::makeRoom);
+            if (evicted != newest) {
+                Transport.afterReading(evicted.connection, evicted::evict);
             }
         }
-        if (full) {
-            closeOneOfLeaving(newest);
+        if (isFull) {
+            closeOneClosing(newest);
         }
     }
 
@@ -559,56 +574,56 @@
      * Closes the first of the closing connections without a pending response; else the newest one, which nothing was
      * read from. One that was chosen while idle may have received a request since, which has to be answered.
      */
-    private void closeOneOfLeaving(Client newest) {
+    private void closeOneClosing(Client newest) {
         List<Client> candidates;
         synchronized (clients) {
-            candidates = new ArrayList<>(leaving);
+            candidates = new ArrayList<>(closingClients);
         }
         candidates.remove(newest);
-        candidates.sort(Comparator.comparing(each -> !each.lingering)); // stable: keeps the order within each group
+        candidates.sort(Comparator.comparing(each -> !each.isLingering)); // stable: keeps the order within each group
         for (Client each : candidates) {
-            if (each.closeNow()) {
-                forget(each);
+            if (each.tryCloseNow()) {
+                remove(each);
                 return;
             }
         }
-        newest.closeNow();
-        forget(newest);
+        newest.tryCloseNow();
+        remove(newest);
     }
 
     @Override
     public NextAction handleAccept(FilterChainContext context) {
         Client client = new Client(context.getConnection());
-        clientOf.set(client.connection, client);
-        accepted++; // on the selector thread alone
+        clientAttribute.set(client.connection, client);
+        acceptedCount++; // on the selector thread alone
         synchronized (clients) {
             clients.add(client);
         }
         evictFor(client);
-        core.post(client::look);
+        core.post(client::checkExpiry);
         return context.getInvokeAction();
     }
 
-    private void forget(Client client) {
-        client.count(0);
+    private void remove(Client client) {
+        client.countIncomplete(0);
         synchronized (clients) {
             clients.remove(client);
-            leaving.remove(client);
+            closingClients.remove(client);
         }
     }
 
     @Override
     public NextAction handleClose(FilterChainContext context) {
-        Client client = clientOf.get(context.getConnection());
+        Client client = clientAttribute.get(context.getConnection());
         if (client != null) {
-            forget(client);
+            remove(client);
         }
         return context.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext context) {
-        Client client = clientOf.get(context.getConnection());
+        Client client = clientAttribute.get(context.getConnection());
         byte[] bytes = context.getMessage();
         if (client != null) {
             client.received(bytes);
--- /dev/null
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -0,0 +1,138 @@
+package lilaclever.protocol.http;
+
+import com.google.gson.JsonObject;
+import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import lilaclever.log.Logs;
+import lilaclever.routing.Core;
+import lilaclever.routing.Counters;
+import lilaclever.routing.Deadlines;
+import lilaclever.transport.Transport;
+
+/**
+ * Notifies the platform of the final status of messages, and repeats each notice until the platform confirms it. Loop
+ * thread.
+ */
+public final class NoticeSender {
+    /**
+     * The platform answers at once, and a final status counts as lost 300 ms after its message's deadline: a connection
+     * that is closed or unresponsive must be noticed well within that. A slow platform gets a timeout that doubles with
+     * each failure.
+     */
+    private static final long INITIAL_TIMEOUT_MICROS = 100_000, MAX_TIMEOUT_MICROS = 1_000_000;
+
+    private static final long INITIAL_RETRY_DELAY_MICROS = 10_000, MAX_RETRY_DELAY_MICROS = 100_000;
+    private static final int MAX_DOUBLINGS = 4;
+    private static final int MAX_BATCH_SIZE = 200;
+    private static final int MAX_RESPONSE_BYTES = 16 * 1024;
+
+    private record Notice(String line, Runnable settled) {}
+
+    private final Core core;
+    private final HttpClient client;
+    private final List<Notice> pending = new ArrayList<>();
+    private String address;
+    private boolean isSending;
+    /** Consecutive batches that were not confirmed. */
+    private int consecutiveFailures;
+    /** The batch in flight. */
+    private HttpClient.Exchange inFlight;
+
+    private Deadlines.Key timer;
+
+    /** Sends notices to the address. */
+    public NoticeSender(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
+        this.core = core;
+        this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MAX_RESPONSE_BYTES);
+        this.address = address;
+        core.counters().gauge("notices", pending::size);
+    }
+
+    void add(String id, String status, long retryAfterMicros, Runnable settled) {
+        JsonObject line = new JsonObject();
+        line.addProperty("id", id);
+        line.addProperty("status", status);
+        if (retryAfterMicros > 0) {
+            line.addProperty("again_ms", (retryAfterMicros + 999) / 1000);
+        }
+        pending.add(new Notice(line.toString() + '\n', settled));
+        if (!isSending) {
+            isSending = true;
+            timer = core.deadlines().at(core.now() + 1, this::send); // batches what ends in this turn
+        }
+    }
+
+    /**
+     * Switches to a new address, also for notices that the old one has not confirmed: a repeated notice does no harm.
+     */
+    public void moveTo(String newAddress) {
+        client.closeIdle(address);
+        address = newAddress;
+        if (isSending) {
+            core.deadlines().cancel(timer);
+            if (inFlight != null) {
+                inFlight.close();
+            }
+            send();
+        }
+    }
+
+    private void send() {
+        inFlight = null;
+        if (pending.isEmpty()) {
+            isSending = false;
+            return;
+        }
+        List<Notice> batch = List.copyOf(pending.subList(0, Math.min(MAX_BATCH_SIZE, pending.size())));
+        StringBuilder body = new StringBuilder();
+        batch.forEach(n -> body.append(n.line()));
+        timer = core.deadlines()
+                .at(core.now() + Math.min(MAX_TIMEOUT_MICROS, INITIAL_TIMEOUT_MICROS << consecutiveFailures), () -> {
+                    inFlight.close();
+                    retryLater();
+                });
+        inFlight = client.send(
+                address,
+                address,
+                "POST",
+                "/status",
+                Map.of("Content-Type", "application/json"),
+                body.toString().getBytes(StandardCharsets.UTF_8),
+                new HttpClient.Listener() {
+                    @Override
+                    public void onResponse(int status, Map<String, String> headers, byte[] answer) {
+                        core.deadlines().cancel(timer);
+                        if (status != 204) {
+                            Logs.warn("", "notices-refused", "the platform answered notices with status " + status);
+                            retryLater();
+                            return;
+                        }
+                        consecutiveFailures = 0;
+                        pending.subList(0, batch.size()).clear();
+                        batch.forEach(n -> {
+                            core.counters().add(Counters.Name.NOTICES);
+                            n.settled().run();
+                        });
+                        send();
+                    }
+
+                    @Override
+                    public void onFailure(boolean written, int status) {
+                        core.deadlines().cancel(timer);
+                        retryLater();
+                    }
+                });
+    }
+
+    private void retryLater() {
+        inFlight = null;
+        timer = core.deadlines()
+                .at(
+                        core.now()
+                                + Math.min(MAX_RETRY_DELAY_MICROS, INITIAL_RETRY_DELAY_MICROS << consecutiveFailures),
+                        this::send);
+        consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_DOUBLINGS);
+    }
+}
--- a/src/main/java/lilaclever/protocol/http/RetryPause.java
+++ b/src/main/java/lilaclever/protocol/http/RetryBackoff.java
@@ -7,34 +7,34 @@
  * jittered, so that the clients of one server don't retry all at once. All times in microseconds. Used from one thread
  * at a time.
  */
-final class RetryPause {
+final class RetryBackoff {
     /** A delay is at least this fraction of the current step. */
-    private static final double LEAST_PART = 0.75;
+    private static final double MIN_STEP_FRACTION = 0.75;
 
-    private static final int GROWTH = 2;
+    private static final int GROWTH_FACTOR = 2;
 
-    private final long firstMicros;
-    private final long longestMicros;
+    private final long initialMicros;
+    private final long maxMicros;
     private final SplittableRandom random;
     private long stepMicros;
 
     /** Creates a backoff whose delays start with at most {@code initialMicros} and grow up to {@code maxMicros}. */
-    RetryPause(long firstMicros, long longestMicros, SplittableRandom random) {
-        this.firstMicros = firstMicros;
-        this.longestMicros = longestMicros;
+    RetryBackoff(long initialMicros, long maxMicros, SplittableRandom random) {
+        this.initialMicros = initialMicros;
+        this.maxMicros = maxMicros;
         this.random = random;
-        this.stepMicros = firstMicros;
+        this.stepMicros = initialMicros;
     }
 
     /** Returns the delay after one more failure; above 0 and never above the limit. */
-    long next() {
-        long step = stepMicros;
-        stepMicros = Math.min(longestMicros, step * GROWTH);
-        return (long) (step * random.nextDouble(LEAST_PART, 1));
+    long nextDelayMicros() {
+        long currentStepMicros = stepMicros;
+        stepMicros = Math.min(maxMicros, currentStepMicros * GROWTH_FACTOR);
+        return (long) (currentStepMicros * random.nextDouble(MIN_STEP_FRACTION, 1));
     }
 
     /** Starts again with the initial delay, once the server has answered or another server is used. */
     void reset() {
-        stepMicros = firstMicros;
+        stepMicros = initialMicros;
     }
 }
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -20,44 +20,45 @@
  */
 public final class OperatorPort extends BaseFilter {
     /** Maximum number of connections: operators are few and send one command. */
-    public static final int MOST = 8;
+    public static final int MAX_CONNECTIONS = 8;
 
-    private static final int LONGEST = 256;
-    private static final long LINE_BY = 5_000_000;
+    private static final int MAX_LINE_BYTES = 256;
+    private static final long LINE_TIMEOUT_MICROS = 5_000_000;
 
     private final Core core;
-    private final ManualDrains suspensions;
+    private final ManualDrains manualDrains;
     private final ArrayDeque<Caller> callers = new ArrayDeque<>();
-    private final Attribute<Caller> callerOf = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("OperatorPort.caller");
+    private final Attribute<Caller> callerAttribute =
+            Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("OperatorPort.caller");
 
     /** Creates a port whose commands are executed on the loop thread. */
-    public OperatorPort(Core core, ManualDrains suspensions) {
+    public OperatorPort(Core core, ManualDrains manualDrains) {
         this.core = core;
-        this.suspensions = suspensions;
+        this.manualDrains = manualDrains;
         core.counters().gauge("operators", this::size);
     }
 
     /** A connection and what it has received. Selector thread. */
     private static final class Caller {
         private final Connection<?> connection;
-        private final byte[] said = new byte[LONGEST];
-        private int length;
-        private boolean asked;
+        private final byte[] lineBuffer = new byte[MAX_LINE_BYTES];
+        private int lineLength;
+        private boolean hasCommand;
 
         Caller(Connection<?> connection) {
             this.connection = connection;
         }
 
         /** Appends bytes; returns the line once it is complete, an empty one if it is too long, and null before. */
-        String line(byte[] bytes) {
+        String append(byte[] bytes) {
             for (byte b : bytes) {
                 if (b == '\n') {
-                    return new String(said, 0, length, StandardCharsets.ISO_8859_1).strip();
+                    return new String(lineBuffer, 0, lineLength, StandardCharsets.ISO_8859_1).strip();
                 }
-                if (length == LONGEST) {
+                if (lineLength == MAX_LINE_BYTES) {
                     return "";
                 }
-                said[length++] = b;
+                lineBuffer[lineLength++] = b;
             }
             return null;
         }
@@ -77,37 +78,37 @@
     @Override
     public NextAction handleAccept(FilterChainContext context) {
         Caller caller = new Caller(context.getConnection());
-        callerOf.set(caller.connection, caller);
+        callerAttribute.set(caller.connection, caller);
         Caller oldest = null;
         synchronized (callers) {
             callers.addLast(caller);
-            if (callers.size() > MOST) {
+            if (callers.size() > MAX_CONNECTIONS) {
                 oldest = callers.removeFirst();
             }
         }
         if (oldest != null) {
             oldest.connection.closeSilently();
         }
-        core.post(() -> core.deadlines().at(core.now() + LINE_BY, caller.connection::closeSilently));
+        core.post(() -> core.deadlines().at(core.now() + LINE_TIMEOUT_MICROS, caller.connection::closeSilently));
         return context.getInvokeAction();
     }
 
     @Override
     public NextAction handleClose(FilterChainContext context) {
         synchronized (callers) {
-            callers.remove(callerOf.get(context.getConnection()));
+            callers.remove(callerAttribute.get(context.getConnection()));
         }
         return context.getInvokeAction();
     }
 
     @Override
     public NextAction handleRead(FilterChainContext context) {
-        Caller caller = callerOf.get(context.getConnection());
+        Caller caller = callerAttribute.get(context.getConnection());
         byte[] bytes = Transport.bytes(context.getMessage());
-        String line = caller.asked ? null : caller.line(bytes);
+        String line = caller.hasCommand ? null : caller.append(bytes);
         if (line != null) {
-            caller.asked = true;
-            core.post(() -> answer(caller.connection, reply(line)));
+            caller.hasCommand = true;
+            core.post(() -> answer(caller.connection, execute(line)));
         }
         return context.getStopAction();
     }
@@ -118,17 +119,17 @@
     }
 
     /** Executes a command. Loop thread. */
-    private String reply(String line) {
+    private String execute(String line) {
         String[] words = line.split(" +");
         try {
             switch (words[0] + '/' + words.length) {
                 case "STATUS/1" -> {
                     return "200 ready";
                 }
-                case "SUSPEND/2" -> suspensions.suspend(words[1]);
-                case "RESTORE/2" -> suspensions.restore(words[1]);
+                case "SUSPEND/2" -> manualDrains.suspend(words[1]);
+                case "RESTORE/2" -> manualDrains.restore(words[1]);
                 default -> {
-                    return "400 STATUS, SUSPEND ID or RESTORE ID, in a line of up to " + LONGEST + " bytes";
+                    return "400 STATUS, SUSPEND ID or RESTORE ID, in a line of up to " + MAX_LINE_BYTES + " bytes";
                 }
             }
             return "200 " + words[1];
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -113,7 +113,7 @@
                 Peer platform = platform(endpoint)) {
             serve(platform, endpoint);
             List<Wire> silent = new ArrayList<>();
-            for (int i = 0; i < 3 * OperatorPort.MOST; i++) {
+            for (int i = 0; i < 3 * OperatorPort.MAX_CONNECTIONS; i++) {
                 silent.add(Wire.to(operators()));
                 silent.get(i).say("STAT");
             }
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -36,14 +36,14 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Retry intervals of the directory client: real sockets, and a clock that advances only when the test sets it. */
-class DirectoryTest {
-    private static final long SECOND = 1_000_000;
+class DirectoryClientTest {
+    private static final long SECOND_MICROS = 1_000_000;
     /** The least time between two turns; anything due sooner stems from tasks that arrived meanwhile. */
-    private static final long ROUND = 2_000;
+    private static final long TURN_INTERVAL_MICROS = 2_000;
     /** The platform's rule: a response is followed by the next request within this time. */
-    private static final long AFTER_ANSWER = 200_000;
+    private static final long MAX_DELAY_AFTER_RESPONSE_MICROS = 200_000;
     /** A directory that has recovered is to be noticed within this time. */
-    private static final long NOTICED_BY = 300_000;
+    private static final long MAX_RECOVERY_DETECTION_MICROS = 300_000;
 
     private static final String SETTINGS = """
             {"roundS": 0.002, "groupSize": 1, "shapes": ["lab"], "zones": ["z"],
@@ -54,9 +54,9 @@
               "overloadForS": 3, "drainGraceS": 0.5, "askWithinS": 10}}""";
 
     /** A clock that stands still until it is set, and signals that a task was posted to the loop. */
-    private static final class SetClock implements Clock {
+    private static final class ManualClock implements Clock {
         private final Semaphore posted = new Semaphore(0);
-        private long micros = SECOND;
+        private long micros = SECOND_MICROS;
 
         @Override
         public long micros() {
@@ -84,7 +84,7 @@
         }
     }
 
-    private final SetClock clock = new SetClock();
+    private final ManualClock clock = new ManualClock();
 
     @TempDir
     private Path state;
@@ -93,7 +93,7 @@
     private Transport transport;
     private Core core;
     /** Number of lists reported. */
-    private int told;
+    private int listsReported;
 
     @BeforeEach
     void start() throws Exception {
@@ -120,19 +120,19 @@
         journal.close();
     }
 
-    private Directory watch(String address) throws InterruptedException {
-        Directory directory = new Directory(
+    private DirectoryClient watch(String address) throws InterruptedException {
+        DirectoryClient directory = new DirectoryClient(
                 core,
                 transport,
                 address,
                 null,
-                new Directory.Names(List.of("lab"), List.of("z"), List.of()),
+                new DirectoryClient.KindsAndZones(List.of("lab"), List.of("z"), List.of()),
                 1_500_000,
                 15_000_000,
                 new EndpointMembership(List.of(), departures -> {}),
-                (kind, version, entries) -> told++);
+                (kind, version, entries) -> listsReported++);
         directory.start(1, List.of());
-        passFirstAnswerWait();
+        passFirstResponseWait();
         return directory;
     }
 
@@ -140,33 +140,34 @@
      * Waits for the first request to end, and lets the time pass after which the known list is reported without a
      * response.
      */
-    private void passFirstAnswerWait() throws InterruptedException {
-        untilCallIsBack(NOTICED_BY);
-        clock.micros += Directory.FIRST_ANSWER_WAIT;
+    private void passFirstResponseWait() throws InterruptedException {
+        awaitRequestEnd(MAX_RECOVERY_DETECTION_MICROS);
+        clock.micros += DirectoryClient.FIRST_RESPONSE_WAIT_MICROS;
         core.step();
-        assertEquals(1, told);
+        assertEquals(1, listsReported);
     }
 
     /**
      * Waits for the request in flight to end; returns the delay until the next one, which must be at most the limit.
      * One request may post several tasks to the loop.
      */
-    private long untilCallIsBack(long limit) throws InterruptedException {
-        long pause;
+    private long awaitRequestEnd(long limitMicros) throws InterruptedException {
+        long delayMicros;
         do {
-            assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no request is due within " + limit + " us");
+            assertTrue(
+                    clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no request is due within " + limitMicros + " us");
             core.step();
-            pause = core.due() - clock.micros;
-        } while (pause <= ROUND || pause > limit);
-        return pause;
+            delayMicros = core.due() - clock.micros;
+        } while (delayMicros <= TURN_INTERVAL_MICROS || delayMicros > limitMicros);
+        return delayMicros;
     }
 
     /** The same; then the next request is sent. */
-    private long untilNextCall(long limit) throws InterruptedException {
-        long pause = untilCallIsBack(limit);
-        clock.micros += pause;
+    private long advanceToNextRequest(long limitMicros) throws InterruptedException {
+        long delayMicros = awaitRequestEnd(limitMicros);
+        clock.micros += delayMicros;
         core.step();
-        return pause;
+        return delayMicros;
     }
 
     /** An address that refuses connections: it is bound, and nothing listens. */
@@ -177,41 +178,43 @@
     }
 
     @Test
-    void aDirectoryThatRefusesIsAskedSeldomAndItsReturnIsNoticedSoon() throws Exception {
+    void refusedConnectionsAreRetriedWithBoundedBackoff() throws Exception {
         try (Socket refusing = refusing()) {
             watch("127.0.0.1:" + refusing.getLocalPort());
-            int calls = 1;
-            List<Long> pauses = new ArrayList<>();
-            for (long until = clock.micros + 10 * SECOND; clock.micros < until; calls++) {
-                pauses.add(untilNextCall(NOTICED_BY));
+            int requestCount = 1;
+            List<Long> delaysMicros = new ArrayList<>();
+            for (long endMicros = clock.micros + 10 * SECOND_MICROS; clock.micros < endMicros; requestCount++) {
+                delaysMicros.add(advanceToNextRequest(MAX_RECOVERY_DETECTION_MICROS));
             }
-            assertTrue(calls <= 50, "requests in 10 s: " + calls);
-            assertTrue(pauses.stream().distinct().count() > pauses.size() / 2, "delays are spread: " + pauses);
+            assertTrue(requestCount <= 50, "requests in 10 s: " + requestCount);
+            assertTrue(
+                    delaysMicros.stream().distinct().count() > delaysMicros.size() / 2,
+                    "delays are spread: " + delaysMicros);
         }
     }
 
     @Test
-    void oneThatAnswersWhatCannotBeReadIsAskedAgainInTime() throws Exception {
+    void unreadableResponsesAreRetriedInTime() throws Exception {
         try (Socket refusing = refusing();
                 ServerSocket answering = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
-            Directory directory = watch("127.0.0.1:" + refusing.getLocalPort());
+            DirectoryClient directory = watch("127.0.0.1:" + refusing.getLocalPort());
             for (int i = 0; i < 5; i++) {
-                untilNextCall(NOTICED_BY);
+                advanceToNextRequest(MAX_RECOVERY_DETECTION_MICROS);
             }
             LinkedBlockingQueue<String> requests = new LinkedBlockingQueue<>();
-            Thread answers = new Thread(() -> answerWithErrors(answering, requests));
+            Thread answers = new Thread(() -> respondWithErrors(answering, requests));
             answers.setDaemon(true);
             answers.start();
-            directory.move("127.0.0.1:" + answering.getLocalPort());
+            directory.moveTo("127.0.0.1:" + answering.getLocalPort());
             for (int i = 0; i < 10; i++) {
                 assertNotNull(requests.poll(10, TimeUnit.SECONDS), "request " + i);
-                untilNextCall(AFTER_ANSWER);
+                advanceToNextRequest(MAX_DELAY_AFTER_RESPONSE_MICROS);
             }
             assertEquals(0, core.counters().get(Counters.Name.TASKS_FAILED));
         }
     }
 
-    private static void answerWithErrors(ServerSocket server, BlockingQueue<String> requests) {
+    private static void respondWithErrors(ServerSocket server, BlockingQueue<String> requests) {
         try {
             while (true) {
                 try (Wire wire = new Wire(server.accept())) {
--- a/src/test/java/lilaclever/protocol/http/EndpointListTest.java
+++ b/src/test/java/lilaclever/protocol/http/EndpointListTest.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aListInOrderIsReadInFull() throws Exception {
+    void aValidListIsReadInFull() throws Exception {
         EndpointList expected = new EndpointList(41, true, false, ENDPOINTS, Set.of(), List.of());
         assertEquals(expected, read(LIST));
         assertEquals(expected, EndpointList.read(JsonParser.parseString(LIST).getAsJsonObject()));
@@ -53,36 +53,36 @@
 
     /** Of a truncated list all complete entries count, and it is never taken for a whole one. */
     @Test
-    void aListThatIsCutAnywhereIsReadAsFarAsItGoes() {
+    void aTruncatedListIsReadAsFarAsItGoes() {
         byte[] bytes = LIST.strip().getBytes(StandardCharsets.UTF_8);
-        int seen = 0;
+        int endpointsRead = 0;
         for (int length = 0; length < bytes.length; length++) {
             try {
-                EndpointList cut = EndpointListReader.read(Arrays.copyOf(bytes, length));
-                assertTrue(cut.isCut(), "after " + length);
-                assertTrue(cut.endpoints().size() >= seen);
-                seen = cut.endpoints().size();
-                assertEquals(ENDPOINTS.subList(0, seen), cut.endpoints());
-                assertFalse(cut.faults().isEmpty());
+                EndpointList truncated = EndpointListReader.read(Arrays.copyOf(bytes, length));
+                assertTrue(truncated.isTruncated(), "after " + length);
+                assertTrue(truncated.endpoints().size() >= endpointsRead);
+                endpointsRead = truncated.endpoints().size();
+                assertEquals(ENDPOINTS.subList(0, endpointsRead), truncated.endpoints());
+                assertFalse(truncated.faults().isEmpty());
             } catch (UnreadableListException e) {
-                assertEquals(0, seen, "after " + length);
+                assertEquals(0, endpointsRead, "after " + length);
             }
         }
-        assertEquals(ENDPOINTS.size(), seen);
+        assertEquals(ENDPOINTS.size(), endpointsRead);
     }
 
     /** Whatever bytes are corrupted, reading returns a list or throws the one declared exception. */
     @Test
-    void noByteThatIsSpoiltEndsInAnotherException() {
+    void corruptBytesCauseNoOtherException() {
         SplittableRandom random = new SplittableRandom(35);
         for (int i = 0; i < 20_000; i++) {
             byte[] bytes = LIST.getBytes(StandardCharsets.UTF_8);
-            for (int spoilt = random.nextInt(1, 4); spoilt > 0; spoilt--) {
+            for (int corruptions = random.nextInt(1, 4); corruptions > 0; corruptions--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt(256);
             }
             try {
                 EndpointList list = EndpointListReader.read(bytes);
-                assertTrue(list.isCut()
+                assertTrue(list.isTruncated()
                         || list.endpoints().size() + list.unusable().size() <= ENDPOINTS.size());
             } catch (UnreadableListException e) {
                 assertFalse(e.getMessage().isEmpty());
@@ -111,13 +111,13 @@
                 "\"group\":4 | \"group\":4,\"weight\":\"NaN\" | weight | can't be read: NaN; the default counts | true",
                 "\"group\":4 | \"group\":4,\"since_ms\":-5 | since_ms | can't be read: -5; the default counts | true",
             })
-    void aFaultIsNamedWithItsEntryAndKey(String good, String bad, String key, String problem, boolean isUsable)
+    void aFaultIsReportedWithItsEntryAndKey(String good, String bad, String key, String problem, boolean isUsable)
             throws Exception {
         EndpointList list = read(replaced(good, bad));
         assertEquals(List.of(new Fault(2, "e2", key, problem)), list.faults());
         assertEquals(isUsable ? 3 : 2, list.endpoints().size());
         assertEquals(isUsable ? Set.of() : Set.of("e2"), list.unusable());
-        assertFalse(list.isCut());
+        assertFalse(list.isTruncated());
         assertEquals(41, list.version());
         IllegalArgumentException strict = assertThrows(
                 IllegalArgumentException.class,
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void aKeyThatComesTwiceWithDifferentValuesCountsAsUnreadable() throws Exception {
+    void aRepeatedKeyWithDifferentValuesIsAFault() throws Exception {
         EndpointList list = read(replaced("\"status\":\"leaving\"", "\"status\":\"leaving\",\"status\":\"active\""));
         assertEquals(List.of(new Fault(2, "e2", "status", "comes twice")), list.faults());
         assertEquals(Set.of("e2"), list.unusable());
@@ -139,10 +139,10 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"\"name\":7.5e", "\"name\":null", "\"name\":\"\"", "\"nom\":\"e2\""})
-    void anEntryWithoutANameIsOutOfUse(String name) throws Exception {
+    void anEntryWithoutANameIsUnusable(String name) throws Exception {
         EndpointList list = read(replaced("\"name\":\"e2\"", name));
         if (name.endsWith("e")) { // not a number, so nothing after it can be parsed
-            assertTrue(list.isCut());
+            assertTrue(list.isTruncated());
             assertEquals(List.of(ENDPOINTS.get(0)), list.endpoints());
         } else {
             assertEquals(List.of(ENDPOINTS.get(0), ENDPOINTS.get(2)), list.endpoints());
@@ -153,7 +153,7 @@
 
     /** The reader doesn't decide which of the two entries applies. */
     @Test
-    void aNameThatComesTwiceIsReportedAndBothAreGivenOn() throws Exception {
+    void aDuplicateNameIsReportedAndBothEntriesAreReturned() throws Exception {
         EndpointList list = read(replaced("\"name\":\"e2\"", "\"name\":\"e1\""));
         assertEquals(List.of(new Fault(2, "e1", "name", "listed twice")), list.faults());
         assertEquals(
@@ -162,7 +162,7 @@
     }
 
     @Test
-    void whatIsNoEntryIsReportedByItsNumber() throws Exception {
+    void anInvalidEntryIsReportedByItsNumber() throws Exception {
         EndpointList list = read(replaced("{\"name\":\"e2\"", "7,[[]],{\"name\":\"e2\""));
         assertEquals(ENDPOINTS, list.endpoints());
         assertEquals(
@@ -173,15 +173,15 @@
     /** A list without its entries is no proof that an endpoint has left. */
     @ParameterizedTest
     @ValueSource(strings = {"{\"index\":1,\"snapshot\":true}", "{\"index\":1,\"snapshot\":true,\"endpoints\":{}}"})
-    void aListWithoutEntriesIsCut(String text) throws Exception {
+    void aListWithoutEntriesIsTruncated(String text) throws Exception {
         EndpointList list = read(text);
-        assertTrue(list.isCut());
+        assertTrue(list.isTruncated());
         assertEquals("endpoints", list.faults().get(0).key());
     }
 
     @ParameterizedTest
     @ValueSource(strings = {"\"index\":\"many\"", "\"index\":-3", "\"index\":1.5", "\"version\":41", "\"index\":null"})
-    void aListWithoutAnIndexHasNone(String index) throws Exception {
+    void aListWithoutAnIndexHasNoVersion(String index) throws Exception {
         EndpointList list = read(replaced("\"index\":41", index));
         assertEquals(EndpointList.NO_VERSION, list.version());
         assertEquals("index", list.faults().get(0).key());
@@ -190,7 +190,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"\"snapshot\":\"yes\"", "\"snapshot\":0", "\"x\":true"})
-    void aListThatDoesNotSayWhetherItIsWholeHasChanges(String whole) throws Exception {
+    void aListWithoutASnapshotFlagIsTakenAsChanges(String whole) throws Exception {
         EndpointList list = read(replaced("\"snapshot\":true", whole));
         assertFalse(list.isWhole());
         assertEquals("snapshot", list.faults().get(0).key());
@@ -198,23 +198,23 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "[]", "null", "<html>", "7"})
-    void whatIsNoListIsRefused(String text) {
+    void textThatIsNotAListIsRejected(String text) {
         assertThrows(UnreadableListException.class, () -> read(text));
     }
 
     /** Guards against a list whose nesting takes memory for each level without a limit. */
     @Test
-    void valuesNestedWithoutEndCutTheList() throws Exception {
+    void excessiveNestingTruncatesTheList() throws Exception {
         EndpointList list = read(replaced("\"more\":[{}]", "\"more\":" + "[".repeat(2_000_000)));
-        assertTrue(list.isCut());
+        assertTrue(list.isTruncated());
         assertEquals(ENDPOINTS.subList(0, 2), list.endpoints());
     }
 
     @Test
-    void whatFollowsAListIsReported() throws Exception {
+    void dataAfterTheListIsReported() throws Exception {
         EndpointList list = read(LIST + "{}");
         assertEquals(ENDPOINTS, list.endpoints());
         assertEquals("list: something follows its end", list.faults().get(0).toString());
-        assertFalse(list.isCut());
+        assertFalse(list.isTruncated());
     }
 }
