--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -20,35 +20,35 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Requests and connections where the event loop and the selector thread race. */
-class HttpClientTest extends TwoThreads {
-    private HttpClient.Listener listener(boolean tooLate) {
+class HttpClientTest extends TwoThreadFixture {
+    private HttpClient.Listener listener(boolean isExpired) {
         return new HttpClient.Listener() {
             @Override
-            public void answered(int status, Map<String, String> headers, byte[] body) {
-                told.add("answered " + status);
+            public void onResponse(int status, Map<String, String> headers, byte[] body) {
+                reports.add("answered " + status);
             }
 
             @Override
-            public void broke(boolean written, int status) {
-                told.add("failed " + written);
+            public void onFailure(boolean written, int status) {
+                reports.add("failed " + written);
             }
 
             @Override
-            public boolean isTooLate() {
-                return tooLate;
+            public boolean isExpired() {
+                return isExpired;
             }
 
             @Override
-            public void withheld() {
-                told.add("withheld");
+            public void onWithheld() {
+                reports.add("withheld");
             }
         };
     }
 
-    private HttpClient.Exchange send(HttpClient client, boolean tooLate) throws InterruptedException {
+    private HttpClient.Exchange send(HttpClient client, boolean isExpired) throws InterruptedException {
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
-        onLoop(() -> exchange[0] =
-                client.send("e", address(), "POST", "/receive", Map.of(), new byte[0], listener(tooLate)));
+        runOnLoop(() -> exchange[0] =
+                client.send("e", address(), "POST", "/receive", Map.of(), new byte[0], listener(isExpired)));
         return exchange[0];
     }
 
@@ -61,18 +61,18 @@
      * ignored.
      */
     @Test
-    void anAnswerThatCrossesTheGivingUpCountsForNothing() throws Exception {
+    void aResponseThatCrossesGiveUpIsIgnored() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read();
-            CountDownLatch free = hold();
+            CountDownLatch release = blockSelector();
             endpoint.answer("200 OK", "all accepted");
-            onLoop(() -> exchange.giveUp(() -> told.add("given up")));
-            free.countDown();
-            assertEquals("given up", told.poll(20, TimeUnit.SECONDS));
+            runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
+            release.countDown();
+            assertEquals("given up", reports.poll(20, TimeUnit.SECONDS));
             assertNull(endpoint.read(), "closed");
-            onLoop(() -> {});
-            assertNull(told.poll());
+            runOnLoop(() -> {});
+            assertNull(reports.poll());
         }
     }
 
@@ -81,19 +81,19 @@
      * next request.
      */
     @Test
-    void nothingIsToldAfterAClose() throws Exception {
+    void nothingIsReportedAfterAClose() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read();
-            CountDownLatch free = hold();
-            onLoop(() -> exchange.giveUp(() -> told.add("given up")));
-            onLoop(exchange::close);
-            free.countDown();
+            CountDownLatch release = blockSelector();
+            runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
+            runOnLoop(exchange::close);
+            release.countDown();
             assertNull(endpoint.read(), "closed");
-            CountDownLatch after = hold(); // all that was to be posted has been posted
+            CountDownLatch after = blockSelector(); // all that was to be posted has been posted
             after.countDown();
-            onLoop(() -> {});
-            assertNull(told.poll());
+            runOnLoop(() -> {});
+            assertNull(reports.poll());
         }
     }
 
@@ -102,18 +102,18 @@
      * written.
      */
     @Test
-    void aRequestWhoseConnectionComesUpAtItsTimeOutHasEitherGoneOrNot() throws Exception {
+    void giveUpDuringConnectReportsWhetherTheRequestWasWritten() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read(); // the request was written
-            onLoop(() -> exchange.giveUp(() -> told.add("written " + exchange.isWritten())));
-            assertEquals("written true", told.poll(20, TimeUnit.SECONDS));
+            runOnLoop(() -> exchange.giveUp(() -> reports.add("written " + exchange.isWritten())));
+            assertEquals("written true", reports.poll(20, TimeUnit.SECONDS));
         }
-        CountDownLatch free = hold();
+        CountDownLatch release = blockSelector();
         HttpClient.Exchange second = send(client(), false);
-        onLoop(() -> second.giveUp(() -> told.add("written " + second.isWritten())));
-        free.countDown();
-        assertEquals("written false", told.poll(20, TimeUnit.SECONDS));
+        runOnLoop(() -> second.giveUp(() -> reports.add("written " + second.isWritten())));
+        release.countDown();
+        assertEquals("written false", reports.poll(20, TimeUnit.SECONDS));
         server.accept().close(); // the connection that blocked the selector thread
         try (Wire endpoint = accept()) {
             assertNull(endpoint.read(), "not a byte");
@@ -122,10 +122,10 @@
 
     /** An expired request is not written, even if the loop has not yet given it up. */
     @Test
-    void whatIsTooLateIsNotWritten() throws Exception {
+    void anExpiredRequestIsNotWritten() throws Exception {
         send(client(), true);
         try (Wire endpoint = accept()) {
-            assertEquals("withheld", told.poll(20, TimeUnit.SECONDS));
+            assertEquals("withheld", reports.poll(20, TimeUnit.SECONDS));
             endpoint.patience(50);
             assertThrows(SocketTimeoutException.class, endpoint::read, "not a byte");
         }
@@ -146,22 +146,22 @@
                 "Transfer-Encoding: chunked~~c~a accepted~~0~           | false | failed true",
                 "Transfer-Encoding: chunked~~c~a accepted~~0~~         | true  | answered 200"
             })
-    void anAnswerIsWholeByItsFraming(String rest, boolean reset, String expected) throws Exception {
+    void aResponseIsCompleteByItsFraming(String rest, boolean reset, String expected) throws Exception {
         CountDownLatch read = new CountDownLatch(1);
-        onLoop(() -> client().send(
+        runOnLoop(() -> client().send(
                         "e", address(), "POST", "/receive-many", Map.of(), new byte[0], new HttpClient.Listener() {
                             @Override
-                            public void answered(int status, Map<String, String> headers, byte[] body) {
-                                told.add("answered " + status);
+                            public void onResponse(int status, Map<String, String> headers, byte[] body) {
+                                reports.add("answered " + status);
                             }
 
                             @Override
-                            public void broke(boolean written, int status) {
-                                told.add("failed " + written);
+                            public void onFailure(boolean written, int status) {
+                                reports.add("failed " + written);
                             }
 
                             @Override
-                            public void head(Map<String, String> headers) {
+                            public void onHead(Map<String, String> headers) {
                                 read.countDown();
                             }
                         }));
@@ -173,7 +173,7 @@
                 endpoint.reset();
             }
         }
-        assertEquals(expected, told.poll(20, TimeUnit.SECONDS));
+        assertEquals(expected, reports.poll(20, TimeUnit.SECONDS));
     }
 
     /**
@@ -181,21 +181,21 @@
      * a period.
      */
     @Test
-    void aProbeKeepsAndTellsWaits() throws Exception {
+    void aProbeObservesAndRecordsRetryAfter() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
         Call.Endpoint one = new Call.Endpoint("e1", address(), 7, 0, 1, false, deliverer);
         Call.Endpoint other = new Call.Endpoint("e2", address(), 8, 0, 1, false, deliverer);
-        onLoop(deliverer::start);
-        onLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
-        onLoop(() -> deliverer.probe(one));
+        runOnLoop(deliverer::start);
+        runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
+        runOnLoop(() -> deliverer.probe(one));
         try (Wire first = accept()) {
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
-                onLoop(() -> {}); // its response is in flight
+                runOnLoop(() -> {}); // its response is in flight
             }
-            onLoop(() -> deliverer.probe(one));
-            onLoop(() -> deliverer.probe(other));
+            runOnLoop(() -> deliverer.probe(one));
+            runOnLoop(() -> deliverer.probe(other));
             try (Wire second = accept()) {
                 second.read();
                 first.patience(50);
@@ -209,19 +209,19 @@
     void aProbeOfADrainingEndpointIsNotWritten() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
         Call.Endpoint one = new Call.Endpoint("e1", address(), 7, 0, 1, false, deliverer);
-        onLoop(deliverer::start);
-        onLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
-        onLoop(() -> deliverer.probe(one));
+        runOnLoop(deliverer::start);
+        runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
+        runOnLoop(() -> deliverer.probe(one));
         try (Wire first = accept()) {
             first.read();
             first.answer("200 OK", "");
             while (!core.counters().text().contains("\nentries_idle_calls 1\n")) {
-                onLoop(() -> {}); // its response is in flight
+                runOnLoop(() -> {}); // its response is in flight
             }
-            CountDownLatch free = hold();
-            onLoop(() -> deliverer.probe(one));
-            onLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
-            free.countDown();
+            CountDownLatch release = blockSelector();
+            runOnLoop(() -> deliverer.probe(one));
+            runOnLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
+            release.countDown();
             assertNull(first.read(), "closed without a byte");
         }
     }
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The HTTP front when the layers below it fail. */
-class HttpFrontTest extends TwoThreads {
+class HttpFrontTest extends TwoThreadFixture {
     /** A journal that fails on the look-up of messages that ended before. */
     private static Journal failingJournal() {
         return (Journal) Proxy.newProxyInstance(
@@ -33,7 +33,7 @@
 
     /** A message that can't be accepted because of an internal error gets an error response. */
     @Test
-    void aMessageWhoseTakingInFailsIsAnswered() throws Exception {
+    void aMessageThatFailsToBeAcceptedGetsAnErrorResponse() throws Exception {
         var settings = SettingsReader.read(SETTINGS, 0);
         Core faulty = new Core(
                 settings, 1, failingJournal(), new Counters(), new IdempotencyWindows(List.of(), 60_000_000, 1));
--- a/src/test/java/lilaclever/protocol/http/MessageReaderTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpMessageReaderTest.java
@@ -7,31 +7,31 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Parsing of valid and invalid HTTP messages, in pieces of any size. */
-class MessageReaderTest {
+class HttpMessageReaderTest {
     /** Reads the text in pieces of the given size; returns what was read and what is left, or the error's status. */
-    private static String read(boolean answers, String text, int piece) {
+    private static String read(boolean readsResponses, String text, int pieceSize) {
         byte[] in = text.getBytes(StandardCharsets.ISO_8859_1);
-        MessageReader reader = new MessageReader(answers, 100);
+        HttpMessageReader reader = new HttpMessageReader(readsResponses, 100);
         int at = 0;
         try {
             while (at < in.length && !reader.isComplete()) {
-                at = reader.read(in, at, Math.min(in.length, at + piece));
+                at = reader.read(in, at, Math.min(in.length, at + pieceSize));
             }
-        } catch (MessageReader.Spoilt e) {
-            return "invalid " + (answers ? reader.status() : e.status);
+        } catch (HttpMessageReader.InvalidMessageException e) {
+            return "invalid " + (readsResponses ? reader.status() : e.status);
         }
         return !reader.isComplete()
                 ? "more"
-                : (answers ? reader.status() : reader.path()) + " "
+                : (readsResponses ? reader.status() : reader.path()) + " "
                         + new String(reader.body(), StandardCharsets.ISO_8859_1)
-                        + (reader.keeps() ? " keeps " : " closes ")
+                        + (reader.keepsConnection() ? " keeps " : " closes ")
                         + (in.length - at);
     }
 
-    private static void expect(String expected, boolean answers, String text) {
+    private static void expect(String expected, boolean readsResponses, String text) {
         String bytes = text.replace("~", "\r\n").replace("^", "\n").replace("#", "\0");
-        for (int piece : new int[] {1, 2, 3, 7, bytes.length()}) {
-            assertEquals(expected, read(answers, bytes, piece), text + " in pieces of " + piece);
+        for (int pieceSize : new int[] {1, 2, 3, 7, bytes.length()}) {
+            assertEquals(expected, read(readsResponses, bytes, pieceSize), text + " in pieces of " + pieceSize);
         }
     }
 
@@ -81,7 +81,7 @@
                 "HTTP/1.1 200 OK~~what | more",
                 "HTTP/1.1 200 OK | more"
             })
-    void answers(String text, String expected) {
+    void responses(String text, String expected) {
         expect(expected, true, text);
     }
 
@@ -93,22 +93,22 @@
         "GET /, x, 431",
         "POST /a HTTP/1.1~Transfer-Encoding: chunked~~, 1~a~, 413"
     })
-    void nothingWithoutEndIsGathered(String begin, String again, int status) {
+    void endlessInputIsRejected(String begin, String again, int status) {
         assertEquals("invalid " + status, read(false, (begin + again.repeat(9_000)).replace("~", "\r\n"), 1000));
     }
 
     @ParameterizedTest
     @CsvSource({"1.5, 1500000", "0, 0", "1e999999999, ''", "-1, ''", "soon, ''", "1234567890, ''", "1.0000000000001, ''"
     })
-    void figuresAreBoundedBeforeTheyAreComputed(String text, String expected) {
-        Long read = Figures.decimal(text, 6);
+    void numbersAreBoundedBeforeEvaluation(String text, String expected) {
+        Long read = HeaderValues.shiftedDecimal(text, 6);
         assertEquals(expected, read == null ? "" : read.toString());
     }
 
     /** Part of a long deadline is reserved for the unobservable time in the socket; of a short one, less. */
     @ParameterizedTest
     @CsvSource({"12000000, 0, 11880000", "6000000, 1000000, 4880000", "500000, -5, 490000", "50000, 90000, 0"})
-    void theTimeThatARequestLayUnreadIsTakenOff(long deadline, long sinceRead, long budget) {
-        assertEquals(budget, HttpFront.budget(deadline, sinceRead));
+    void timeInTheSocketIsDeductedFromTheBudget(long deadline, long sinceRead, long budget) {
+        assertEquals(budget, HttpFront.budgetMicros(deadline, sinceRead));
     }
 }
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -27,32 +27,32 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Client connections where the event loop and the selector thread race. */
-class IntakeFilterTest extends TwoThreads {
-    private final LinkedBlockingQueue<IntakeFilter.Request> requests = new LinkedBlockingQueue<>();
-    private IntakeFilter intake;
+class HttpServerFilterTest extends TwoThreadFixture {
+    private final LinkedBlockingQueue<HttpServerFilter.Request> requests = new LinkedBlockingQueue<>();
+    private HttpServerFilter serverFilter;
 
     private InetSocketAddress listen(BaseFilter filter) throws IOException {
-        var chain = intake.chain();
+        var chain = serverFilter.chain();
         chain.set(1, filter); // in place of the server filter, to which it delegates
         TCPNIOServerConnection listener = transport.listen(new InetSocketAddress("127.0.0.1", 0), chain);
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static Wire to(InetSocketAddress address) throws IOException {
+    private static Wire connect(InetSocketAddress address) throws IOException {
         Wire wire = new Wire(new Socket(address.getAddress(), address.getPort()));
         wire.patience(20_000);
         return wire;
     }
 
-    private IntakeFilter.Request next() throws InterruptedException {
+    private HttpServerFilter.Request nextRequest() throws InterruptedException {
         return requests.poll(20, TimeUnit.SECONDS);
     }
 
-    private static void answer(IntakeFilter.Request request, String body) {
-        request.exchange().answer(200, Map.of(), body.getBytes(StandardCharsets.UTF_8), () -> {});
+    private static void respond(HttpServerFilter.Request request, String body) {
+        request.exchange().respond(200, Map.of(), body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
-    private static String asks(String path, int length) {
+    private static String requestText(String path, int length) {
         return "GET " + path + " HTTP/1.1\r\nContent-Length: " + length + "\r\n\r\n" + "x".repeat(length);
     }
 
@@ -60,23 +60,23 @@
      * Completes the write of a response only after the next request has been read, or after a while: an order that a
      * race can produce.
      */
-    private final class Late extends BaseFilter {
-        private final CountDownLatch second = new CountDownLatch(2);
+    private final class DelayedWriteFilter extends BaseFilter {
+        private final CountDownLatch secondRead = new CountDownLatch(2);
 
         @Override
         public NextAction handleAccept(FilterChainContext context) {
-            return intake.handleAccept(context);
+            return serverFilter.handleAccept(context);
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            return intake.handleClose(context);
+            return serverFilter.handleClose(context);
         }
 
         @Override
         public NextAction handleRead(FilterChainContext context) {
-            NextAction action = intake.handleRead(context);
-            second.countDown();
+            NextAction action = serverFilter.handleRead(context);
+            secondRead.countDown();
             return action;
         }
 
@@ -88,7 +88,7 @@
                 @Override
                 public void completed(Object result) {
                     try {
-                        second.await(500, TimeUnit.MILLISECONDS);
+                        secondRead.await(500, TimeUnit.MILLISECONDS);
                     } catch (InterruptedException e) {
                         Thread.currentThread().interrupt();
                     }
@@ -101,15 +101,15 @@
 
     /** Guards against a large request right after a response being taken for a pipelined one without room, and lost. */
     @Test
-    void aLargeRequestMayComeBeforeItsAnswersWriteIsOver() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(new Late()))) {
-            client.say(asks("/1", 0));
-            IntakeFilter.Request first = next();
-            core.post(() -> answer(first, ""));
+    void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        try (Wire client = connect(listen(new DelayedWriteFilter()))) {
+            client.say(requestText("/1", 0));
+            HttpServerFilter.Request first = nextRequest();
+            core.post(() -> respond(first, ""));
             assertEquals("200", client.read().target());
-            client.say(asks("/2", 60_000));
-            answer(next(), "");
+            client.say(requestText("/2", 60_000));
+            respond(nextRequest(), "");
             assertEquals("200", client.read().target());
         }
     }
@@ -117,19 +117,19 @@
     /** A request unread in the socket of a connection that looks idle is answered before the connection is closed. */
     @Test
     void anUnreadRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
-        try (Wire client = to(address)) {
-            client.say(asks("/1", 0));
-            answer(next(), "");
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
+        try (Wire client = connect(address)) {
+            client.say(requestText("/1", 0));
+            respond(nextRequest(), "");
             assertEquals("200", client.read().target());
-            CountDownLatch free = hold();
-            client.say(asks("/2", 0));
-            onLoop(intake::close);
-            free.countDown();
-            IntakeFilter.Request second = next();
+            CountDownLatch release = blockSelector();
+            client.say(requestText("/2", 0));
+            runOnLoop(serverFilter::close);
+            release.countDown();
+            HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second.path());
-            answer(second, "");
+            respond(second, "");
             Wire.Head last = client.read();
             assertEquals("close", last.headers().get("Connection"));
             assertNull(client.read());
@@ -141,17 +141,18 @@
      * later.
      */
     @Test
-    void aNewcomerWithoutRoomIsToldSo() throws Exception {
-        intake = new IntakeFilter(core, 8, 8, requests::add); // one place of them is reserved for closing connections
-        InetSocketAddress address = listen(intake);
+    void aNewConnectionWithoutCapacityIsRejectedWithAResponse() throws Exception {
+        serverFilter = new HttpServerFilter(
+                core, 8, 8, requests::add); // one place of them is reserved for closing connections
+        InetSocketAddress address = listen(serverFilter);
         Wire[] waiting = new Wire[7];
         for (int i = 0; i < 7; i++) {
-            waiting[i] = to(address);
-            waiting[i].say(asks("/" + i, 0));
-            assertTrue(next() != null);
+            waiting[i] = connect(address);
+            waiting[i].say(requestText("/" + i, 0));
+            assertTrue(nextRequest() != null);
         }
-        try (Wire newcomer = to(address)) {
-            newcomer.say(asks("/8", 0));
+        try (Wire newcomer = connect(address)) {
+            newcomer.say(requestText("/8", 0));
             Wire.Head answer = newcomer.read();
             assertEquals("503", answer.target());
             assertEquals("1", answer.headers().get("Retry-After"));
@@ -163,23 +164,23 @@
     }
 
     /** Waits until the selector thread has read pending input the given number of times. */
-    private void selections(int times) throws InterruptedException {
+    private void awaitSelections(int times) throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         InetSocketAddress anywhere = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
         transport.connect(anywhere, Transport.chain(new BaseFilter() {}), up::add, Throwable::printStackTrace);
-        Connection<?> any = up.poll(20, TimeUnit.SECONDS);
+        Connection<?> connection = up.poll(20, TimeUnit.SECONDS);
         for (int i = 0; i < times; i++) {
             CountDownLatch read = new CountDownLatch(1);
-            Transport.afterReading(any, read::countDown);
+            Transport.afterReading(connection, read::countDown);
             assertTrue(read.await(20, TimeUnit.SECONDS));
         }
     }
 
     // Requests that were read
-    private Wire answeredOnce(InetSocketAddress address, int number) throws Exception {
-        Wire wire = to(address);
-        wire.say(asks("/first" + number, 0));
-        answer(next(), "");
+    private Wire connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
+        Wire wire = connect(address);
+        wire.say(requestText("/first" + number, 0));
+        respond(nextRequest(), "");
         assertEquals("200", wire.read().target());
         return wire;
     }
@@ -192,22 +193,22 @@
     @Test
     void anEvictedConnectionWhoseRequestWasReadIsAnswered() throws Exception {
         for (int round = 0; round < 5; round++) {
-            intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, one is reserved
-            InetSocketAddress address = listen(intake);
+            serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // seven stay, one is reserved
+            InetSocketAddress address = listen(serverFilter);
             Wire[] clients = new Wire[7];
             for (int i = 0; i < clients.length; i++) {
-                clients[i] = answeredOnce(address, i);
+                clients[i] = connectAndCompleteRequest(address, i);
             }
-            CountDownLatch free = hold();
+            CountDownLatch release = blockSelector();
             for (int i = 0; i < clients.length; i++) {
-                clients[i].say(asks("/" + i, 0));
+                clients[i].say(requestText("/" + i, 0));
             }
-            Wire[] newcomers = {to(address), to(address), to(address)};
-            free.countDown();
-            for (IntakeFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
+            Wire[] newcomers = {connect(address), connect(address), connect(address)};
+            release.countDown();
+            for (HttpServerFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
-                answer(r, "");
+                respond(r, "");
                 Wire.Head head = clients[Integer.parseInt(r.path().substring(1))].read();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
@@ -224,19 +225,19 @@
     @ParameterizedTest
     @ValueSource(strings = {"shutdown", "many connections"})
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
-        intake = new IntakeFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0) + asks("/2", 0) + asks("/3", 0));
-            IntakeFilter.Request first = next();
+        serverFilter = new HttpServerFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0) + requestText("/2", 0) + requestText("/3", 0));
+            HttpServerFilter.Request first = nextRequest();
             if (cause.equals("shutdown")) {
-                onLoop(intake::close);
+                runOnLoop(serverFilter::close);
             }
-            answer(first, "");
+            respond(first, "");
             assertEquals("200", client.read().target());
             for (String path : List.of("/2", "/3")) {
-                IntakeFilter.Request request = next();
+                HttpServerFilter.Request request = nextRequest();
                 assertEquals(path, request == null ? "none" : request.path());
-                answer(request, "");
+                respond(request, "");
                 assertEquals("200", client.read().target());
             }
             assertNull(client.read());
@@ -247,18 +248,18 @@
      * Of pipelined requests those that fit are answered, and the first that does not is rejected with a retry-after.
      */
     @Test
-    void whatIsSentAheadBeyondTheRoomIsRefusedInWords() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
-            IntakeFilter.Request first = next();
-            client.say(asks("/2", 0) + asks("/3", 40_000));
-            selections(4); // each reads up to 16 KiB
-            answer(first, "");
+    void excessPipelinedDataIsRejectedWithAResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0));
+            HttpServerFilter.Request first = nextRequest();
+            client.say(requestText("/2", 0) + requestText("/3", 40_000));
+            awaitSelections(4); // each reads up to 16 KiB
+            respond(first, "");
             assertEquals("200", client.read().target());
-            IntakeFilter.Request second = next();
+            HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second == null ? "none" : second.path());
-            answer(second, "");
+            respond(second, "");
             assertEquals("200", client.read().target());
             assertEquals("503", client.read().target());
             assertNull(client.read());
@@ -267,13 +268,13 @@
 
     /** A request is answered whatever its client sends after it. */
     @Test
-    void muchThatFollowsARequestDoesNotCutItsAnswer() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
-            IntakeFilter.Request first = next();
+    void excessDataAfterARequestDoesNotCutOffItsResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0));
+            HttpServerFilter.Request first = nextRequest();
             client.write("", new byte[12 << 20]);
-            answer(first, "");
+            respond(first, "");
             assertEquals("200", client.read().target());
         }
     }
@@ -281,11 +282,11 @@
     /** A request whose handling fails gets an error response. */
     @Test
     void aRequestWhoseHandlerFailsIsAnswered() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, request -> {
+        serverFilter = new HttpServerFilter(core, 10, 10, request -> {
             throw new IllegalStateException("handler failure");
         });
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
+        try (Wire client = connect(listen(serverFilter))) {
+            client.say(requestText("/1", 0));
             Wire.Head head = client.read();
             assertEquals("500", head == null ? "closed" : head.target());
         }
@@ -293,35 +294,35 @@
 
     /** A close while a slow client is still receiving a response waits for the response's last byte. */
     @Test
-    void aCloseWaitsForAnAnswerThatIsBeingWritten() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
+    void aCloseWaitsForAResponseBeingWritten() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
         socket.connect(address);
         try (Wire client = new Wire(socket)) {
             client.patience(20_000);
-            client.say(asks("/1", 0));
-            answer(next(), "x".repeat(4 << 20));
-            onLoop(intake::close);
-            selections(2); // the close has been executed
+            client.say(requestText("/1", 0));
+            respond(nextRequest(), "x".repeat(4 << 20));
+            runOnLoop(serverFilter::close);
+            awaitSelections(2); // the close has been executed
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
     }
     /** A client that half-closes after a request still reads, and gets its response. */
     @Test
-    void aClientThatEndsItsSendingIsAnswered() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
+    void aHalfClosedClientIsAnswered() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
         try (Socket socket = new Socket(address.getAddress(), address.getPort());
                 Wire client = new Wire(socket)) {
             client.patience(20_000);
-            client.say(asks("/1", 0));
+            client.say(requestText("/1", 0));
             socket.shutdownOutput();
-            IntakeFilter.Request first = next();
-            selections(1); // the end of its input has been read
-            answer(first, "");
+            HttpServerFilter.Request first = nextRequest();
+            awaitSelections(1); // the end of its input has been read
+            respond(first, "");
             Wire.Head head = client.read();
             while (head != null && head.target().equals("100")) {
                 head = client.read();
@@ -333,18 +334,18 @@
 
     /** The end of a client's input does not cut off a response that the client is still receiving. */
     @Test
-    void aClientThatEndsItsSendingReadsItsAnswerToTheEnd() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
+    void aHalfClosedClientReceivesItsWholeResponse() throws Exception {
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4096);
             socket.connect(address);
             Wire client = new Wire(socket);
             client.patience(20_000);
-            client.say(asks("/1", 0));
-            answer(next(), "x".repeat(4 << 20));
+            client.say(requestText("/1", 0));
+            respond(nextRequest(), "x".repeat(4 << 20));
             socket.shutdownOutput();
-            selections(1); // the end of its input has been read
+            awaitSelections(1); // the end of its input has been read
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
@@ -353,13 +354,13 @@
     /** A client that has closed its connection is gone: its message is not accepted, as it will be submitted again. */
     @Test
     void aClientThatHasClosedIsGone() throws Exception {
-        intake = new IntakeFilter(core, 10, 10, requests::add);
-        InetSocketAddress address = listen(intake);
-        Wire client = to(address);
-        client.say(asks("/1", 0));
-        IntakeFilter.Request first = next();
+        serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
+        InetSocketAddress address = listen(serverFilter);
+        Wire client = connect(address);
+        client.say(requestText("/1", 0));
+        HttpServerFilter.Request first = nextRequest();
         client.close();
-        selections(1); // the end of its input has been read
-        assertTrue(first.exchange().gone());
+        awaitSelections(1); // the end of its input has been read
+        assertTrue(first.exchange().isClientGone());
     }
 }
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Runs a real event loop and a real selector thread, either of which a test can block while something else happens. */
-abstract class TwoThreads {
+abstract class TwoThreadFixture {
     static final String SETTINGS = """
             {"roundS": 0.002, "groupSize": 1, "shapes": ["lab"], "zones": ["z"],
              "familyInfo": {"callSlots": 20, "kindBatch": [1], "ownLimits": [false]},
@@ -41,7 +41,7 @@
     @TempDir
     private Path state;
 
-    final LinkedBlockingQueue<String> told = new LinkedBlockingQueue<>();
+    final LinkedBlockingQueue<String> reports = new LinkedBlockingQueue<>();
     private SegmentedJournal journal;
     Core core;
     Transport transport;
@@ -82,7 +82,7 @@
     }
 
     /** Runs the task on the loop and waits for it. */
-    final void onLoop(Runnable task) throws InterruptedException {
+    final void runOnLoop(Runnable task) throws InterruptedException {
         CountDownLatch ran = new CountDownLatch(1);
         core.post(() -> {
             task.run();
@@ -92,25 +92,25 @@
     }
 
     /** Blocks the selector thread until the returned latch is released. */
-    final CountDownLatch hold() throws InterruptedException {
+    final CountDownLatch blockSelector() throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         transport.connect(
                 new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
                 Transport.chain(new BaseFilter() {}),
                 up::add,
                 Throwable::printStackTrace);
-        Connection<?> any = up.poll(20, TimeUnit.SECONDS);
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
-        Transport.onSelector(any, () -> {
-            held.countDown();
+        Connection<?> connection = up.poll(20, TimeUnit.SECONDS);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        Transport.onSelector(connection, () -> {
+            blocked.countDown();
             try {
-                free.await(20, TimeUnit.SECONDS);
+                release.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(held.await(20, TimeUnit.SECONDS));
-        return free;
+        assertTrue(blocked.await(20, TimeUnit.SECONDS));
+        return release;
     }
 }
