--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -91,7 +91,7 @@
     }
 
     /**
-     * Starts to watch from the known list. A {@code knownIndex} below 0 means that no list is known: the whole list is
+     * Starts to watch from the known list. A {@code knownVersion} below 0 means that no list is known: the whole list is
      * then fetched. The known list is reported as remembered with the first response, or after {@link
      * #FIRST_RESPONSE_WAIT_MICROS}; nothing is reported before.
      */
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -248,7 +248,7 @@
         try {
             list = EndpointListReader.read(body);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(LOG_PART, "unreadable", "the answer of " + address + " is no list: " + e.getMessage());
+            Logs.warn(LOG_PART, "unreadable", "the response of " + address + " is not an endpoint list: " + e.getMessage());
             isUnconfirmed = true;
             needWholeList();
             return false;
@@ -288,7 +288,7 @@
             Logs.warn(
                     LOG_PART,
                     "older",
-                    "the whole list of " + address + " has version " + list.version() + " , older than " + version
+                    "the whole list of " + address + " has version " + list.version() + ", older than " + version
                             + ": changes count from there");
         }
         version = list.version();
@@ -324,7 +324,7 @@
             }
             listener.onList(this, list, false);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(LOG_PART, "unreadable", "the partial response of " + address + " is no list: " + e.getMessage());
+            Logs.warn(LOG_PART, "unreadable", "the partial response of " + address + " is not an endpoint list: " + e.getMessage());
         }
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -167,8 +167,8 @@
     public void leaveOut(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
         if (call.attachment instanceof PendingCall pending) {
-            pending.headers()
-                    .put(DEADLINE_HEADER, timeoutSeconds(call, rest)); // sent only if the body is replaced as well
+            // Sent only if the body is replaced as well.
+            pending.headers().put(DEADLINE_HEADER, timeoutSeconds(call, rest));
             if (pending.exchange().replaceBody(encodeBatch(rest))) {
                 call.leftOut(m);
                 core.post(() -> report(call, m, Ending.NOT_SENT, false, false));
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -133,7 +133,7 @@
         exchange.respond(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
-    /** Rejects invalid requests on the selector thread, so that a flood of them does not take the event loop's time. */
+    /** Rejects invalid requests on the selector thread, so that a flood of them takes no time of the event loop. */
     private void validate(HttpServerFilter.Request request) {
         Submission submission;
         try {
--- a/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
@@ -50,9 +50,7 @@
     private static final long IDLE_TIMEOUT_MICROS = 15_000_000, CROWDED_IDLE_TIMEOUT_MICROS = 2_200_000;
 
     private static final long MAX_CHECK_INTERVAL_MICROS = 500_000, MIN_CHECK_INTERVAL_MICROS = 20_000;
-    /**
-     * Time for the first request of a new connection to arrive before the connection may be evicted for lack of room.
-     */
+    /** Time for a new connection's first request to arrive before it is evicted in preference to an idle one. */
     private static final long NEW_CONNECTION_GRACE_MICROS = 100_000;
     /** Time for the client to receive its last response; after it the connection is closed with the rest unwritten. */
     private static final long WRITE_TIMEOUT_MICROS = 2_000_000;
@@ -210,8 +208,8 @@
         private int read(byte[] in, int from) {
             if (!isPartlyRead) {
                 isPartlyRead = true;
-                stateSinceMicros =
-                        hasRequested ? Core.micros() : stateSinceMicros; // the first one: since the connection opened
+                // The time for the first request runs from the opening of the connection.
+                stateSinceMicros = hasRequested ? Core.micros() : stateSinceMicros;
             }
             try {
                 int at = reader.read(in, from, in.length);
