--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -95,11 +95,11 @@
      * then fetched. The known list is reported as remembered with the first response, or after {@link
      * #FIRST_RESPONSE_WAIT_MICROS}; nothing is reported before.
      */
-    public void start(long knownIndex, List<Core.Listed> known) {
-        pendingChanges.add(membership.remembered(Math.max(0, knownIndex), known));
+    public void start(long knownVersion, List<Core.Listed> known) {
+        pendingChanges.add(membership.remembered(Math.max(0, knownVersion), known));
         firstResponseDeadline =
                 core.deadlines().at(core.now() + FIRST_RESPONSE_WAIT_MICROS, this::reportPendingChanges);
-        current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
+        current.start(Math.max(EndpointList.NO_VERSION, knownVersion));
     }
 
     /**
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -248,7 +248,10 @@
         try {
             list = EndpointListReader.read(body);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(LOG_PART, "unreadable", "the response of " + address + " is not an endpoint list: " + e.getMessage());
+            Logs.warn(
+                    LOG_PART,
+                    "unreadable",
+                    "the response of " + address + " is not an endpoint list: " + e.getMessage());
             isUnconfirmed = true;
             needWholeList();
             return false;
@@ -324,7 +327,10 @@
             }
             listener.onList(this, list, false);
         } catch (EndpointList.UnreadableListException e) {
-            Logs.warn(LOG_PART, "unreadable", "the partial response of " + address + " is not an endpoint list: " + e.getMessage());
+            Logs.warn(
+                    LOG_PART,
+                    "unreadable",
+                    "the partial response of " + address + " is not an endpoint list: " + e.getMessage());
         }
     }
 
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -82,7 +82,7 @@
 
     private final Core core;
     private final Transport transport;
-    private final long connectMicros;
+    private final long connectTimeoutMicros;
     private final int maxResponseBytes;
     private final boolean keepsPartialResponses;
     private final ConnectionPool<Connection<?>> pool;
@@ -96,11 +96,11 @@
             Core core,
             Transport transport,
             String name,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
             int maxIdle,
             int maxResponseBytes) {
-        this(core, transport, name, connectMicros, keepAliveMicros, maxIdle, maxResponseBytes, false);
+        this(core, transport, name, connectTimeoutMicros, keepAliveMicros, maxIdle, maxResponseBytes, false);
     }
 
     /**
@@ -111,7 +111,7 @@
             Core core,
             Transport transport,
             String name,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
             int maxIdle,
             int maxResponseBytes,
@@ -119,7 +119,7 @@
         this.keepsPartialResponses = keepsPartialResponses;
         this.core = core;
         this.transport = transport;
-        this.connectMicros = connectMicros;
+        this.connectTimeoutMicros = connectTimeoutMicros;
         this.maxResponseBytes = maxResponseBytes;
         this.pool = ConnectionPool.ofSockets((long) (KEEP_ALIVE_FRACTION * keepAliveMicros), maxIdle);
         core.counters().gauge("idle_" + name, pool::size);
@@ -335,7 +335,7 @@
 
         private void connect() {
             usesNewConnection = true;
-            timeout = core.deadlines().at(core.now() + connectMicros, this::onTimeout);
+            timeout = core.deadlines().at(core.now() + connectTimeoutMicros, this::onTimeout);
             core.counters().add(Counters.Name.CONNECTIONS);
             cancelConnect = transport.connect(
                     Transport.address(address),
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -119,7 +119,7 @@
     // Requests: on the selector thread until they are posted to the loop
     private void handle(HttpServerFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
-            case "POST /api" -> validate(request);
+            case "POST /api" -> parseAndPost(request);
             case "GET /health/ready", "GET /health/live" -> respond(request.exchange(), 200, Map.of(), "ready\n");
             case "GET /counters" ->
                 core.post(() -> respond(
@@ -134,7 +134,7 @@
     }
 
     /** Rejects invalid requests on the selector thread, so that a flood of them takes no time of the event loop. */
-    private void validate(HttpServerFilter.Request request) {
+    private void parseAndPost(HttpServerFilter.Request request) {
         Submission submission;
         try {
             submission = parseSubmission(request);
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -102,7 +102,7 @@
                 body.toString().getBytes(StandardCharsets.UTF_8),
                 new HttpClient.Listener() {
                     @Override
-                    public void onResponse(int status, Map<String, String> headers, byte[] answer) {
+                    public void onResponse(int status, Map<String, String> headers, byte[] responseBody) {
                         core.deadlines().cancel(timer);
                         if (status != 204) {
                             Logs.warn("", "notices-refused", "the platform answered notices with status " + status);
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -153,9 +153,9 @@
         }
         try (Wire newcomer = connect(address)) {
             newcomer.say(requestText("/8", 0));
-            Wire.Head answer = newcomer.read();
-            assertEquals("503", answer.target());
-            assertEquals("1", answer.headers().get("Retry-After"));
+            Wire.Head response = newcomer.read();
+            assertEquals("503", response.target());
+            assertEquals("1", response.headers().get("Retry-After"));
             assertNull(newcomer.read());
         }
         for (Wire each : waiting) {
