--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -91,8 +91,8 @@
     }
 
     /**
-     * Starts to watch from the known list. A {@code knownVersion} below 0 means that no list is known: the whole list is
-     * then fetched. The known list is reported as remembered with the first response, or after {@link
+     * Starts to watch from the known list. A {@code knownVersion} below 0 means that no list is known: the whole list
+     * is then fetched. The known list is reported as remembered with the first response, or after {@link
      * #FIRST_RESPONSE_WAIT_MICROS}; nothing is reported before.
      */
     public void start(long knownVersion, List<Core.Listed> known) {
