--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -12,26 +12,26 @@
 import lilaclever.transport.Transport;
 
 /**
- * Watches the platform's list of endpoints and tells its changes. How the agents are asked is {@link DiscoveryWatch}'s,
- * what is believed of their answers {@link EndpointMembership}'s. Loop thread.
+ * Watches the platform's endpoint list and reports its changes. {@link DiscoveryWatch} polls the discovery agents;
+ * {@link EndpointMembership} decides which parts of their responses are accepted. Loop thread.
  */
 public final class DirectoryClient {
     /**
-     * What the agent has counts as told from the first moment of a new process, so the known list alone, which may
-     * name endpoints that have left since, must not be acted upon while the agent may still answer. An agent answers
-     * at once; one that has not in this time is slow or down, and messages can't wait for it much longer.
+     * The agent's data counts as known from the first moment of a new process, so the known list alone, which may name
+     * endpoints that have left since, must not be used while the agent may still answer. An agent answers at once; one
+     * that has not answered after this time is slow or down, and messages can't wait for it much longer.
      */
     static final long FIRST_RESPONSE_WAIT_MICROS = 1_500_000;
 
     private static final int MAX_IDLE_CONNECTIONS = 1;
 
-    /** Who hears what the list says. */
+    /** Receives the changes of the endpoint list. */
     public interface Listener {
-        /** A change of the list; the first one is the remembered list. */
+        /** Reports a change of the list; the first one is the remembered list. */
         void onChange(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries);
     }
 
-    /** A list as the platform writes it. */
+    /** An endpoint list with the numbers and the deliverer that this forwarder uses for each endpoint. */
     public record ResolvedList(long version, boolean isWhole, List<Core.ListedEndpoint> entries) {}
 
     private final Core core;
@@ -41,19 +41,20 @@
     private final EndpointMembership membership;
     private final Listener listener;
     private final SplittableRandom random = new SplittableRandom();
-    /** The watch at the address in force. */
+    /** The watch at the configured address. */
     private DiscoveryWatch current;
-    /** The watch at an earlier address whose agent has answered, until the one in force has; else null. */
+    /** The watch at an earlier address whose agent has answered, until the current one has; else null. */
     private DiscoveryWatch previous;
-    /** Whether the agent of the address in force has answered: where no version was known, with its whole list. */
+    /** Whether the current agent has answered; where no version was known, with its whole list. */
     private boolean hasCurrentResponded;
-    /** What is told once the first answer is here, or is waited for no longer; null from then on. */
+    /** Changes that are reported once the first response arrives or is no longer waited for; null from then on. */
     private List<EndpointMembership.CoreUpdate> pendingChanges = new ArrayList<>();
 
     private Deadlines.Key firstResponseDeadline;
 
-    /** What the settings call kinds and zones, in order, and what they say of each kind. */
-    public record KindsAndZones(List<String> kindNames, List<String> zoneNames, List<DecisionModule.EndpointKind> kindSettings) {
+    /** The names of kinds and zones, in the order of the settings, and the settings of each kind. */
+    public record KindsAndZones(
+            List<String> kindNames, List<String> zoneNames, List<DecisionModule.EndpointKind> kindSettings) {
         private static final DecisionModule.EndpointKind UNKNOWN_KIND = new DecisionModule.EndpointKind(false, 1);
 
         DecisionModule.EndpointKind settingsOfKind(int index) {
@@ -61,13 +62,13 @@
         }
     }
 
-    /** Watches the list at the address; {@code membership} decides what is believed of it. */
+    /** Watches the list at the address; {@code membership} decides which entries are accepted. */
     public DirectoryClient(
             Core core,
             Transport transport,
             String address,
             Deliverer deliverer,
-            KindsAndZones names,
+            KindsAndZones kindsAndZones,
             long connectMicros,
             long keepAliveMicros,
             EndpointMembership membership,
@@ -84,33 +85,34 @@
                 DiscoveryWatch.MAX_RESPONSE_BYTES,
                 true);
         this.deliverer = deliverer;
-        this.kindsAndZones = names;
+        this.kindsAndZones = kindsAndZones;
         this.membership = membership;
         this.current = watchAt(address);
     }
 
     /**
-     * Starts to watch after the list that is known; {@code knownIndex} is below 0 where there is none, and the list is
-     * fetched whole. The known list is told as remembered with the first answer, or after {@link #FIRST_RESPONSE_WAIT_MICROS};
-     * nothing is told before.
+     * Starts to watch from the known list. A {@code knownVersion} below 0 means that no list is known: the whole list
+     * is then fetched. The known list is reported as remembered with the first response, or after {@link
+     * #FIRST_RESPONSE_WAIT_MICROS}; nothing is reported before.
      */
-    public void start(long knownIndex, List<Core.ListedEndpoint> known) {
-        pendingChanges.add(membership.applyInitialList(Math.max(0, knownIndex), known));
-        firstResponseDeadline = core.deadlines().schedule(core.nowMicros() + FIRST_RESPONSE_WAIT_MICROS, this::reportPendingChanges);
-        current.start(Math.max(EndpointList.NO_VERSION, knownIndex));
+    public void start(long knownVersion, List<Core.ListedEndpoint> known) {
+        pendingChanges.add(membership.applyInitialList(Math.max(0, knownVersion), known));
+        firstResponseDeadline =
+                core.deadlines().schedule(core.nowMicros() + FIRST_RESPONSE_WAIT_MICROS, this::reportPendingChanges);
+        current.start(Math.max(EndpointList.NO_VERSION, knownVersion));
     }
 
     /**
-     * Watches at another address at once; the address in force changes nothing. The new agent may count other versions,
-     * so it is asked for the whole list: what is not in it has gone. Until it has given that, the agent that answered
-     * last is watched too.
+     * Switches to another address at once; nothing happens if the address is unchanged. The new agent may number its
+     * versions differently, so it is asked for the whole list: endpoints that are not in it have left. Until it has
+     * delivered the whole list, the agent that answered last is watched too.
      */
-    public void moveTo(String to) {
-        if (to.equals(current.address())) {
+    public void moveTo(String newAddress) {
+        if (newAddress.equals(current.address())) {
             return;
         }
-        boolean isReturn = previous != null && to.equals(previous.address());
-        DiscoveryWatch next = isReturn ? previous : watchAt(to);
+        boolean isReturn = previous != null && newAddress.equals(previous.address());
+        DiscoveryWatch next = isReturn ? previous : watchAt(newAddress);
         if (hasCurrentResponded) {
             previous = current;
         } else {
@@ -171,7 +173,7 @@
         }
     }
 
-    /** The agent in force tells all that there is: the one before is needed no longer. */
+    /** The current agent has delivered its list, so the previous one is no longer needed. */
     private void confirmCurrent() {
         hasCurrentResponded = true;
         if (previous != null) {
@@ -180,11 +182,11 @@
         }
     }
 
-    /** The list as this forwarder uses it: with the numbers of kinds and zones, and who delivers to each endpoint. */
+    /** Resolves kinds and zones to their numbers and adds the deliverer of each endpoint. */
     public ResolvedList resolve(EndpointList list) {
-        List<Core.ListedEndpoint> all = new ArrayList<>(list.endpoints().size());
-        list.endpoints().forEach(endpoint -> all.add(resolveEndpoint(endpoint)));
-        return new ResolvedList(list.version(), list.isWhole(), all);
+        List<Core.ListedEndpoint> resolved = new ArrayList<>(list.endpoints().size());
+        list.endpoints().forEach(endpoint -> resolved.add(resolveEndpoint(endpoint)));
+        return new ResolvedList(list.version(), list.isWhole(), resolved);
     }
 
     private Core.ListedEndpoint resolveEndpoint(EndpointList.Endpoint endpoint) {
@@ -210,7 +212,7 @@
                         deliverer));
     }
 
-    /** A moment of the wall clock on the loop's clock; 0 stays 0, which means that it is not known. */
+    /** Converts a wall clock time to the loop's clock; 0, which means unknown, stays 0. */
     private long toLoopMicros(long sinceMillis) {
         return sinceMillis == 0 ? 0 : Math.max(1, core.nowMicros() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
--- a/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
@@ -12,13 +12,11 @@
 import lilaclever.transport.Transport;
 
 /**
- * Makes a list of endpoints from the members of its JSON objects, one after the other, and notes what can't be read of
- * it. A value is given as its text, or as null where it is no text, number or truth value. Used from one thread.
+ * Builds an endpoint list from the members of its JSON objects, passed one after the other, and records what can't be
+ * read. A value is passed as its text, or as null if it is not a string, number or boolean. Used from one thread.
  */
 final class EndpointListBuilder {
-    /** Keys of the list. */
     static final String VERSION = "index", WHOLE = "snapshot", ENTRIES = "endpoints";
-    /** Keys of an entry. */
     private static final String NAME = "name",
             ADDRESS = "address",
             DESTINATION = "group",
@@ -32,15 +30,15 @@
     private static final Set<String> ENTRY_KEYS = Set.of(NAME, ADDRESS, DESTINATION, STATUS, TYPE, ZONE, WEIGHT, SINCE);
 
     private static final double DEFAULT_WEIGHT = 1;
-    /** What the kind or zone of an entry counts as that tells none: no name of the settings. */
+    /** Stands for a missing kind or zone; matches no name of the settings. */
     private static final String UNNAMED = "";
-    /** The year 5138, milliseconds: larger ones would overflow in microseconds. */
+    /** In the year 5138: larger values would overflow when converted to microseconds. */
     private static final long MAX_SINCE_MILLIS = 100_000_000_000_000L;
 
     private static final int MAX_PORT = 65_535;
 
     private static final String OCTET = "(25[0-5]|2[0-4][0-9]|1[0-9][0-9]|[1-9]?[0-9])";
-    /** Anything else in digits and dots would be looked up as a name, which may take seconds. */
+    /** Other hosts of digits and dots would be resolved as names, which may take seconds. */
     private static final Pattern IPV4 = Pattern.compile("(" + OCTET + "\\.){3}" + OCTET);
 
     private static final Pattern PORT = Pattern.compile("[0-9]{1,5}");
@@ -56,7 +54,7 @@
     private Members entryMembers;
     private boolean entryIsUsable;
 
-    /** The members of one JSON object; of a key that comes twice with different values none counts. */
+    /** The members of one JSON object; a key that occurs twice with different values has none. */
     private static final class Members {
         private final Set<String> keys;
         private final Map<String, String> values = new HashMap<>();
@@ -79,7 +77,7 @@
             }
         }
 
-        /** The value's text; null where there is none that counts. */
+        /** The value's text, or null without a usable value. */
         String text(String key) {
             return problems.containsKey(key) ? null : values.get(key);
         }
@@ -89,34 +87,34 @@
         }
 
         private String excerpt(String key) {
-            int longest = 40;
+            int maxLength = 40;
             String value = values.get(key);
-            return value.length() <= longest ? value : value.substring(0, longest) + "...";
+            return value.length() <= maxLength ? value : value.substring(0, maxLength) + "...";
         }
     }
 
-    /** A member of the list itself, other than its entries. */
+    /** Adds a member of the list itself, other than its entries. */
     void member(String key, String value) {
         listMembers.add(key, value);
     }
 
-    /** The list's entries follow. */
+    /** Marks the start of the list's entries. */
     void beginEntries() {
         hasEntries = true;
     }
 
-    /** An entry's members follow. */
+    /** Marks the start of an entry. */
     void beginEntry() {
         entryNumber++;
         entryMembers = new Members(ENTRY_KEYS);
     }
 
-    /** A member of the entry. */
+    /** Adds a member of the current entry. */
     void entryMember(String key, String value) {
         entryMembers.add(key, value);
     }
 
-    /** All members of the entry are here. */
+    /** Marks the end of the current entry. */
     void endEntry() {
         entryIsUsable = true;
         String name = name();
@@ -126,35 +124,36 @@
         String type = nameOrDefault(TYPE);
         String zone = nameOrDefault(ZONE);
         double weight = weight();
-        long since = sinceMillis();
+        long sinceMillis = sinceMillis();
         if (name != null && !names.add(name)) {
             fault(name, NAME, EndpointList.Fault.LISTED_TWICE);
         }
         if (entryIsUsable) {
-            endpoints.add(new EndpointList.Endpoint(name, address, destination, type, zone, presence, weight, since));
+            endpoints.add(
+                    new EndpointList.Endpoint(name, address, destination, type, zone, presence, weight, sinceMillis));
         } else if (name != null) {
             unusable.add(name);
         }
     }
 
-    /** Something that is no entry stands in the place of one. */
+    /** Records a value in place of an entry that is not an entry. */
     void invalidEntry() {
         entryNumber++;
         fault(null, null, "not an object");
     }
 
-    /** The text ends or can't be read from here on. */
+    /** Marks the list as truncated: the text ends here or can't be read any further. */
     void truncate(String problem) {
         isTruncated = true;
-        faults.add(new EndpointList.Fault(0, null, null, "cut behind entry " + entryNumber + ": " + problem));
+        faults.add(new EndpointList.Fault(0, null, null, "truncated after entry " + entryNumber + ": " + problem));
     }
 
-    /** Something about the list as a whole. */
+    /** Records a fault of the list as a whole. */
     void listFault(String problem) {
         faults.add(new EndpointList.Fault(0, null, null, problem));
     }
 
-    /** The list as far as it was given. */
+    /** Returns the list as far as it was read. */
     EndpointList build() {
         if (!hasEntries) {
             isTruncated = true;
@@ -163,7 +162,7 @@
         return new EndpointList(version(), isWhole(), isTruncated, endpoints, unusable, faults);
     }
 
-    // ---- the list's own values ----------------------------------------------------------------------------
+    // Values of the list
     private long version() {
         Long version = parseWholeNumber(listMembers.text(VERSION));
         if (version == null || version < 0) {
@@ -182,7 +181,7 @@
         return false;
     }
 
-    // ---- an entry's values --------------------------------------------------------------------------------
+    // Values of an entry
     private String name() {
         String name = entryMembers.text(NAME);
         if (name == null || name.isEmpty()) {
@@ -265,13 +264,13 @@
         return !entryMembers.values.containsKey(key) && !entryMembers.problems.containsKey(key);
     }
 
-    /** The entry can't be used without this value. */
+    /** Marks the entry as unusable, since this value is missing or invalid. */
     private void markUnusable(String key) {
         entryIsUsable = false;
         fault(entryMembers.text(NAME), key, entryMembers.problem(key));
     }
 
-    /** The default stands in for this value. */
+    /** Records a fault in a value that is replaced by its default. */
     private void reportDefault(String key) {
         fault(entryMembers.text(NAME), key, entryMembers.problem(key) + "; the default counts");
     }
@@ -280,7 +279,7 @@
         faults.add(new EndpointList.Fault(entryNumber, name, key, problem));
     }
 
-    // ---- forms ----------------------------------------------------------------------------------------------
+    // Formats
     private static Long parseWholeNumber(String text) {
         Double value = parseNumber(text);
         if (value == null || value != Math.rint(value)) {
@@ -305,7 +304,7 @@
         }
     }
 
-    /** Whether it is an IP address and a port that can be connected to; a name is not. */
+    /** Whether the text is an IP address and port that can be connected to; host names are not accepted. */
     static boolean isAddress(String text) {
         int colon = text.lastIndexOf(':');
         if (colon <= 0 || !PORT.matcher(text.substring(colon + 1)).matches()) {
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -19,61 +19,64 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Requests over HTTP/1.1, one at a time on a connection. Nothing is ever sent twice: a request that breaks is told
- * to its owner. Used from the loop thread; requests are written and answers read on the selector thread.
+ * HTTP/1.1 client with one request at a time on a connection. Requests are never resent: a failed request is reported
+ * to its caller. Used from the loop thread; requests are written and responses read on the selector thread.
  */
 final class HttpClient {
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
-    /** Part of the time that an endpoint keeps an idle connection after which it is dropped here. */
+    /** Idle connections are dropped after this fraction of the time for which an endpoint keeps them. */
     private static final double KEEP_ALIVE_FRACTION = 0.8;
-    /** Once a first line is here the rest follows at once, or the answer is spoilt. */
+    /** After a status line the rest follows at once; otherwise the response is malformed. */
     private static final long REMAINDER_TIMEOUT_MICROS = 250_000;
 
     private static final int CONTENT_TOO_LARGE = 413;
 
-    /** How a request went; one of the two is called, once, on the loop thread. */
+    /** Receives the outcome of a request. Exactly one of the outcome methods is called, once, on the loop thread. */
     interface Listener {
-        /** The whole answer is here. */
+        /** The whole response has arrived. */
         void onResponse(int status, Map<String, String> headers, byte[] body);
 
         /**
-         * No answer will come, or none that can be read. {@code written}: the request's last byte had been written.
-         * {@code status}: what the answer's first line said, else 0.
+         * No readable response will arrive. {@code written}: the request's last byte had been written. {@code status}:
+         * the status from the response's status line, else 0.
          */
         void onFailure(boolean written, int status);
 
         /**
-         * What an answer's head says, as soon as it is here, though the rest may never come or nobody may wait for it
-         * any more; of one that can't be read, the part that can. Selector thread.
+         * The headers of a response, as soon as they have arrived, even if the rest never arrives or the request was
+         * given up; of a malformed head, the readable part. Selector thread.
          */
         default void onHead(Map<String, String> headers) {}
 
-        /** Whether the server is to get nothing new and keep no connection. Selector thread and loop thread. */
+        /** Whether the server may get no new request and keep no connection. Selector thread and loop thread. */
         default boolean isServerDraining() {
             return false;
         }
 
-        /** Whether the request may go out at this moment, when all that had come before was read. Selector thread. */
+        /** Whether the request may be sent at this moment, given all that was read before. Selector thread. */
         default boolean maySend() {
             return true;
         }
 
-        /** Whether its time is up: from then on it is not written. Selector thread. */
+        /** Whether the request has expired; it is not written from then on. Selector thread. */
         default boolean isExpired() {
             return false;
         }
 
-        /** It might not go out any more, so its last byte was not written: called in place of the others. */
+        /**
+         * The request was not allowed to be sent, so its last byte was not written: called instead of the other
+         * outcomes.
+         */
         default void onWithheld() {}
     }
 
     /**
-     * What had come of an answer that is not whole.
+     * An incomplete response as far as it was received.
      *
-     * @param status what its first line says
-     * @param headers by lower-case name, as far as they came
-     * @param body as far as it came, up to the client's bound
-     * @param isTooLarge whether it was refused because its body is longer than the bound
+     * @param status from its status line
+     * @param headers by lower-case name, as far as they arrived
+     * @param body as far as it arrived, up to the client's limit
+     * @param isTooLarge whether it was rejected because its body exceeds the limit
      */
     record PartialResponse(int status, Map<String, String> headers, byte[] body, boolean isTooLarge) {}
 
@@ -85,78 +88,77 @@
     private final ConnectionPool<Connection<?>> pool;
     private final FilterChain chain = Transport.chain(new ResponseFilter());
     private final Attribute<ConnectionState> connectionStates;
-    /** Requests whose first bytes are written and whose last are not, as the other side reads slowly. */
+    /** Requests of which some but not all bytes are written, as the server reads slowly. */
     private final Set<Exchange> partlyWritten = ConcurrentHashMap.newKeySet();
 
-    /** A client whose answers have bodies up to so many bytes. */
+    /** Creates a client that accepts response bodies up to the given size. */
     HttpClient(
             Core core,
             Transport transport,
             String name,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
-            int mostIdle,
-            int mostAnswer) {
-        this(core, transport, name, connectMicros, keepAliveMicros, mostIdle, mostAnswer, false);
+            int maxIdle,
+            int maxResponseBytes) {
+        this(core, transport, name, connectTimeoutMicros, keepAliveMicros, maxIdle, maxResponseBytes, false);
     }
 
     /**
-     * The same. {@code keepsPartialAnswers}: what had come of an answer that breaks off, is given up or is too large
-     * is kept for the owner of its request ({@link Exchange#partialResponsese}), who alone bounds the time that an answer
-     * may take.
+     * Creates a client. {@code keepsPartialResponses}: an incomplete or too large response is kept for the caller of
+     * the request ({@link Exchange#partialResponse}), who alone limits the time that a response may take.
      */
     HttpClient(
             Core core,
             Transport transport,
             String name,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
-            int mostIdle,
-            int mostAnswer,
-            boolean keepsPartialAnswers) {
-        this.keepsPartialResponses = keepsPartialAnswers;
+            int maxIdle,
+            int maxResponseBytes,
+            boolean keepsPartialResponses) {
+        this.keepsPartialResponses = keepsPartialResponses;
         this.core = core;
         this.transport = transport;
-        this.connectTimeoutMicros = connectMicros;
-        this.maxResponseBytes = mostAnswer;
-        this.pool = ConnectionPool.ofSockets((long) (KEEP_ALIVE_FRACTION * keepAliveMicros), mostIdle);
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.maxResponseBytes = maxResponseBytes;
+        this.pool = ConnectionPool.ofSockets((long) (KEEP_ALIVE_FRACTION * keepAliveMicros), maxIdle);
         core.counters().entryGauge("idle_" + name, pool::size);
         core.counters().entryGauge("partly_written_" + name, partlyWritten::size);
         this.connectionStates = Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("HttpClient." + name);
     }
 
-    /** Starts to drop connections that were idle for too long. */
+    /** Starts the periodic removal of connections that were idle for too long. */
     void start() {
         pool.closeExpired(core.nowMicros());
         core.deadlines().schedule(core.nowMicros() + SWEEP_INTERVAL_MICROS, this::start);
     }
 
-    /** Closes what is idle under the name. */
-    void closeIdle(String name) {
-        pool.closeIdle(name);
+    /** Closes the idle connections of a pool key. */
+    void closeIdle(String poolKey) {
+        pool.closeIdle(poolKey);
     }
 
-    /** Sends a request; headers by name. Connections are kept and found again under the owner's name. */
+    /** Sends a request. Idle connections are pooled under the key. */
     Exchange send(
-            String owner,
+            String poolKey,
             String address,
             String method,
             String path,
             Map<String, String> headers,
             byte[] body,
             Listener listener) {
-        Exchange exchange =
-                new Exchange(owner, address, of -> HttpMessageWriter.request(method, path, address, headers, of), body, listener);
+        Exchange exchange = new Exchange(
+                poolKey, address, of -> HttpMessageWriter.request(method, path, address, headers, of), body, listener);
         exchange.start();
         return exchange;
     }
 
-    /** A connection, and what is read from it. Selector thread. */
+    /** A connection and the state of reading from it. Selector thread. */
     private final class ConnectionState {
         private final Connection<?> connection;
         private final HttpMessageReader reader = new HttpMessageReader(true, maxResponseBytes, keepsPartialResponses);
         private volatile Exchange currentExchange;
-        /** More came than was asked for: nobody may ask here again. */
+        /** Unsolicited bytes have arrived: no further request may use this connection. */
         private volatile boolean isUnusable;
 
         private boolean isHeadReported;
@@ -165,10 +167,10 @@
             this.connection = connection;
         }
 
-        /** Writes the request, unless it was given up meanwhile or the connection is not as it should be. */
+        /** Writes the request, unless it was given up meanwhile or the connection is unusable. */
         boolean startExchange(Exchange exchange) {
             if (isUnusable || !Transport.isOpenAndSilent(connection)) {
-                // Its idle time was used to close it, or for a word too many: that must not answer this request.
+                // While idle it was closed or received unsolicited bytes, which must not be taken for this response.
                 connection.closeSilently();
                 return false;
             }
@@ -184,7 +186,7 @@
         void onBytes(byte[] in) {
             Exchange exchange = currentExchange;
             if (exchange == null) {
-                discard(); // nobody asked: what follows can't be told from an answer
+                discard(); // unsolicited bytes: what follows can't be told apart from a response
                 return;
             }
             try {
@@ -193,7 +195,7 @@
                     reportHead(exchange);
                 }
                 if (!exchange.isWritten) {
-                    discard(); // it could not wait for the end of what it was asked
+                    discard(); // a response before the end of its request
                     return;
                 }
                 exchange.status = reader.status();
@@ -210,9 +212,12 @@
             }
         }
 
-        /** Keeps what has come of the answer, before the connection is closed. Selector thread. */
+        /** Saves what was received of the response, before the connection is closed. Selector thread. */
         private void savePartialResponse(Exchange exchange, boolean isTooLarge) {
-            if (keepsPartialResponses && exchange.isWritten && exchange.partialResponse == null && reader.status() != 0) {
+            if (keepsPartialResponses
+                    && exchange.isWritten
+                    && exchange.partialResponse == null
+                    && reader.status() != 0) {
                 exchange.partialResponse =
                         new PartialResponse(reader.status(), reader.headers(), reader.body(), isTooLarge);
             }
@@ -231,11 +236,11 @@
             }
         }
 
-        private void complete(Exchange exchange, boolean keep) {
-            // From now on whatever comes is one too many, also before the loop has seen this answer.
+        private void complete(Exchange exchange, boolean keepAlive) {
+            // Any further bytes are unsolicited from now on, even before the loop has processed this response.
             currentExchange = null;
             isHeadReported = false;
-            isUnusable |= !keep;
+            isUnusable |= !keepAlive;
             exchange.trace("answered");
             int status = reader.status();
             Map<String, String> headers = reader.headers();
@@ -244,8 +249,11 @@
             core.post(() -> exchange.reportResponse(status, headers, body));
         }
 
-        /** {@code remotely}: by the other side; an answer without a length ends so, and not by a close from here. */
-        void onClosed(boolean remotely) {
+        /**
+         * {@code isRemoteClose}: closed by the server, which ends a response without a length; a close by the client
+         * does not.
+         */
+        void onClosed(boolean isRemoteClose) {
             Exchange exchange = currentExchange;
             currentExchange = null;
             isUnusable = true;
@@ -253,7 +261,11 @@
                 partlyWritten.remove(exchange);
                 reportHead(exchange);
             }
-            if (exchange != null && exchange.isWritten && remotely && reader.status() != 0 && reader.completeAtClose()) {
+            if (exchange != null
+                    && exchange.isWritten
+                    && isRemoteClose
+                    && reader.status() != 0
+                    && reader.completeAtClose()) {
                 complete(exchange, false);
             } else if (exchange != null) {
                 savePartialResponse(exchange, false);
@@ -262,42 +274,48 @@
         }
     }
 
-    /** One request and what becomes of it. */
+    /** One request and its outcome. */
     final class Exchange {
         private final String poolKey, address;
         private final UnaryOperator<byte[]> encoder;
         private final Listener listener;
         private Deadlines.Key timeout;
         private boolean isDone;
-        /** What is run once it is closed after a giving up. */
+        /** Runs once the connection is closed after {@link #giveUp}. */
         private Runnable onGivenUp;
-        /** Guarded by this: a request that was given up is not written, one that is being written is not unsent. */
+        /**
+         * Guarded by this: a request that was given up is not written, and one that is being written is not taken back.
+         */
         private boolean isGivenUp;
 
         private byte[] requestBytes;
         private ConnectionState connectionState;
-        /** Set on the selector thread before the answer can be read there. */
+        /** Set on the selector thread before the response can be read there. */
         private volatile boolean isWritten;
 
         private volatile int status;
-        /** What had come of an answer that is not whole; null if nothing had, or nobody wants it. */
+        /** What was received of an incomplete response; null if nothing was, or if this client keeps none. */
         private volatile PartialResponse partialResponse;
-        /** Its connection was closed before its last byte was written, since it might not go out any more. */
+        /**
+         * The connection was closed before the last byte was written, since the request was no longer allowed to be
+         * sent.
+         */
         private volatile boolean isAborted;
 
         private boolean usesNewConnection;
-        /** Gives up a connection that is opened for it and is not up yet. */
+        /** Cancels opening a connection for this request while it is not established. */
         private Runnable cancelConnect = () -> {};
 
-        private Exchange(String owner, String address, UnaryOperator<byte[]> form, byte[] body, Listener listener) {
-            this.poolKey = owner;
+        private Exchange(
+                String poolKey, String address, UnaryOperator<byte[]> encoder, byte[] body, Listener listener) {
+            this.poolKey = poolKey;
             this.address = address;
-            this.encoder = form;
-            this.requestBytes = form.apply(body);
+            this.encoder = encoder;
+            this.requestBytes = encoder.apply(body);
             this.listener = listener;
         }
 
-        /** On an idle connection if there is one that is good, else on a new one. */
+        /** Uses an idle connection if a good one exists, else opens a new one. */
         private void start() {
             if (isDone) {
                 return;
@@ -307,10 +325,10 @@
                 connect();
                 return;
             }
-            ConnectionState kept = connectionStates.get(idle);
+            ConnectionState idleState = connectionStates.get(idle);
             Transport.runAfterReading(idle, () -> {
-                if (!kept.startExchange(this)) {
-                    core.post(this::start); // nothing was written: another one
+                if (!idleState.startExchange(this)) {
+                    core.post(this::start); // nothing was written: try another one
                 }
             });
         }
@@ -324,11 +342,11 @@
                     chain,
                     up -> {
                         trace("connected");
-                        ConnectionState opened = new ConnectionState(up);
-                        connectionStates.set(up, opened);
+                        ConnectionState newState = new ConnectionState(up);
+                        connectionStates.set(up, newState);
                         core.post(() -> core.deadlines().cancel(timeout));
                         Transport.runAfterReading(up, () -> {
-                            if (!opened.startExchange(this)) {
+                            if (!newState.startExchange(this)) {
                                 core.post(this::fail);
                             }
                         });
@@ -336,18 +354,20 @@
                     problem -> core.post(this::fail));
         }
 
-        /** The list, a wait or its own time may have changed since the loop began it. */
+        /**
+         * The endpoint list, a retry-after period or the request's own time may have changed since the loop started it.
+         */
         private boolean mayStart() {
             return !listener.isServerDraining() && listener.maySend() && !listener.isExpired();
         }
 
-        private synchronized void write(ConnectionState on) {
+        private synchronized void write(ConnectionState state) {
             if (isGivenUp) {
-                on.connection.closeSilently();
+                state.connection.closeSilently();
                 return;
             }
-            connectionState = on;
-            Transport.write(on.connection, requestBytes, this::onWritten, on.connection::closeSilently);
+            connectionState = state;
+            Transport.write(state.connection, requestBytes, this::onWritten, state.connection::closeSilently);
             if (!isWritten) {
                 partlyWritten.add(this);
             }
@@ -358,16 +378,17 @@
             partlyWritten.remove(this);
             trace("written");
             if (!listener.maySend()) {
-                core.post(() -> core.counters().checkInvariant(false, listener + " was written under no wait"));
+                core.post(() -> core.counters()
+                        .checkInvariant(false, listener + " was written outside any retry-after period"));
             }
         }
 
-        /** The rest of a request that is half written must not follow. Selector thread. */
+        /** Aborts a partly written request that must not be sent any more. Selector thread. */
         private void abortIfWithheld() {
             if (!isWritten && !listener.maySend()) {
                 isAborted = true;
                 partlyWritten.remove(this);
-                connectionState.connection.terminateSilently(); // to close it would first write what is left
+                connectionState.connection.terminateSilently(); // a plain close would first write the rest
             }
         }
 
@@ -377,7 +398,7 @@
             }
         }
 
-        /** Nothing is written: the connection is as good as before. Selector thread. */
+        /** Nothing was written, so the connection stays usable. Selector thread. */
         private void reportWithheld(Connection<?> unused) {
             trace("withheld");
             core.post(() -> {
@@ -392,10 +413,10 @@
             });
         }
 
-        /** The first line is here. Selector thread. */
+        /** The status line has arrived. Selector thread. */
         private void onStatusLine() {
             if (keepsPartialResponses) {
-                return; // the owner bounds the whole span of the answer
+                return; // the caller limits the time of the whole response
             }
             core.post(() -> {
                 if (!isDone) {
@@ -405,7 +426,7 @@
             });
         }
 
-        private void reportResponse(int said, Map<String, String> headers, byte[] body) {
+        private void reportResponse(int responseStatus, Map<String, String> headers, byte[] body) {
             if (!isDone) {
                 isDone = true;
                 core.deadlines().cancel(timeout);
@@ -414,7 +435,7 @@
                 } else {
                     releaseConnection(connectionState.connection);
                 }
-                listener.onResponse(said, headers, body);
+                listener.onResponse(responseStatus, headers, body);
             }
         }
 
@@ -442,8 +463,8 @@
         }
 
         /**
-         * Its time to connect, or to get the rest of its answer, is up. The selector thread may be writing it just now:
-         * only there it is known whether its last byte has gone.
+         * The time to connect, or to receive the rest of the response, is over. The selector thread may be writing the
+         * request just now, so only that thread knows whether its last byte was sent.
          */
         private void onTimeout() {
             if (!isDone) {
@@ -451,7 +472,7 @@
             }
         }
 
-        /** Has it carry another body; false if the first one may be on its way. */
+        /** Replaces the body; returns false if the previous one may already be in flight. */
         synchronized boolean replaceBody(byte[] body) {
             if (connectionState != null || isGivenUp) {
                 return false;
@@ -460,50 +481,50 @@
             return true;
         }
 
-        /** Whether its connection was opened for it. */
+        /** Whether a new connection was opened for this request. */
         boolean usesNewConnection() {
             return usesNewConnection;
         }
 
         /**
-         * What had come of an answer that is not whole, once it broke off or was given up; null if nothing had, or this
+         * What was received of an incomplete response, after it failed or was given up; null if nothing was, or if this
          * client keeps none.
          */
         PartialResponse partialResponse() {
             return partialResponse;
         }
 
-        /** What the first line of the answer has said so far; else 0. */
+        /** The status of the response received so far; else 0. */
         int status() {
             return status;
         }
 
-        /** Gives the request up by closing its connection; nothing more is told of it. */
+        /** Cancels the request by closing its connection; nothing more is reported. */
         void close() {
             onGivenUp = null;
-            ConnectionState open = finish();
-            if (open != null) {
-                open.connection.terminateSilently(); // to close it would first write what is left
+            ConnectionState state = finish();
+            if (state != null) {
+                state.connection.terminateSilently(); // a plain close would first write the rest
             }
         }
 
         /**
-         * The same, once what its endpoint has said until now is read: that may be a wait. An answer that crosses this
-         * counts for nothing: it comes after the time that the endpoint was told. {@code closed} is run on the loop
-         * thread; from then on {@link #isWritten} does not change.
+         * The same, after reading what the endpoint has sent so far, which may be a retry-after. A response that
+         * crosses this is ignored: it arrives after the time that the endpoint was given. {@code closed} runs on the
+         * loop thread; from then on {@link #isWritten} does not change.
          */
         void giveUp(Runnable closed) {
             onGivenUp = closed;
-            ConnectionState open = finish();
-            if (open == null) {
+            ConnectionState state = finish();
+            if (state == null) {
                 core.post(this::reportGivenUp);
                 return;
             }
-            Transport.runAfterReading(open.connection, () -> {
-                if (open.currentExchange == this) {
-                    open.savePartialResponse(this, false);
+            Transport.runAfterReading(state.connection, () -> {
+                if (state.currentExchange == this) {
+                    state.savePartialResponse(this, false);
                 }
-                open.connection.terminateSilently(); // on this thread nothing is being written meanwhile
+                state.connection.terminateSilently(); // nothing is being written meanwhile on this thread
                 core.post(this::reportGivenUp);
             });
         }
@@ -516,7 +537,7 @@
             }
         }
 
-        /** Gives the request up if none of its bytes is written, and says whether it did. */
+        /** Gives the request up if none of its bytes is written, and returns whether it did. */
         boolean withdraw() {
             synchronized (this) {
                 if (connectionState != null || isGivenUp || isDone) {
@@ -528,12 +549,11 @@
             return true;
         }
 
-        /** Whether its last byte has been written. */
         boolean isWritten() {
             return isWritten;
         }
 
-        /** Nobody waits for the answer any more; gives the connection that it may be on its way on, or null. */
+        /** Marks the request as finished; returns the connection that it may be in flight on, or null. */
         private ConnectionState finish() {
             isDone = true;
             core.deadlines().cancel(timeout);
@@ -545,32 +565,32 @@
         }
     }
 
-    /** Hands what is read to its link. */
+    /** Passes received bytes to the connection's state. */
     private final class ResponseFilter extends BaseFilter {
         @Override
         public NextAction handleRead(FilterChainContext context) {
-            ConnectionState link = connectionStates.get(context.getConnection());
+            ConnectionState state = connectionStates.get(context.getConnection());
             byte[] bytes = Transport.toBytes(context.getMessage());
-            if (link == null) {
-                context.getConnection().closeSilently(); // it spoke before it was asked
+            if (state == null) {
+                context.getConnection().closeSilently(); // bytes before any request
             } else {
-                link.onBytes(bytes);
+                state.onBytes(bytes);
             }
             return context.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            ConnectionState link = connectionStates.get(context.getConnection());
-            if (link != null) {
-                link.onClosed(Transport.isClosedByPeer(context.getConnection()));
+            ConnectionState state = connectionStates.get(context.getConnection());
+            if (state != null) {
+                state.onClosed(Transport.isClosedByPeer(context.getConnection()));
             }
             return context.getInvokeAction();
         }
 
         @Override
         public void exceptionOccurred(FilterChainContext context, Throwable error) {
-            context.getConnection().closeSilently(); // what can't be read is as good as a broken connection
+            context.getConnection().closeSilently(); // a read error is treated as a broken connection
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -19,19 +19,22 @@
 import lilaclever.routing.RetryAfterTable;
 import lilaclever.transport.Transport;
 
-/** Calls over the platform's protocol: requests out, answers to endings. */
+/** Makes calls over the platform's HTTP protocol and translates the responses to outcomes. */
 public final class HttpDeliverer implements Deliverer {
     private static final byte[] EMPTY_BODY = {};
     private static final byte[] CRLF = {'\r', '\n'};
     private static final String DEADLINE_HEADER = "Req-Deadline";
-    /** What an endpoint has to say is short; whatever says more is spoilt. */
+    /** Responses of endpoints are short; longer ones are treated as malformed. */
     private static final int MAX_RESPONSE_BYTES = 64 * 1024;
-    /** Longer than any message lives or any process runs, and far from an overflow: ten years, microseconds. */
+    /** Ten years in microseconds: longer than any message's lifetime and any process run, and far from an overflow. */
     private static final long MAX_RETRY_AFTER_MICROS = 315_360_000_000_000L;
 
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
 
-    /** A request to an endpoint: not written while it drains or has asked for a wait; a wait in its answer binds. */
+    /**
+     * A request to an endpoint. It isn't written while the endpoint drains or within a retry-after period; a
+     * retry-after in its response is recorded.
+     */
     private abstract class EndpointListener implements HttpClient.Listener {
         private final Call.Endpoint endpoint;
 
@@ -40,8 +43,8 @@
         }
 
         @Override
-        public void onHead(Map<String, String> answer) {
-            recordRetryAfter(endpoint, answer);
+        public void onHead(Map<String, String> responseHeaders) {
+            recordRetryAfter(endpoint, responseHeaders);
         }
 
         @Override
@@ -56,8 +59,8 @@
     }
 
     /**
-     * What is out for a call, and the headers that it is written with; {@code several}: its answer tells the end of
-     * each message, however many are left.
+     * An in-flight call with the headers that it is written with. {@code isBatch}: its response has a result for each
+     * message, however many are left.
      */
     private record PendingCall(HttpClient.Exchange exchange, Map<String, String> headers, boolean isBatch) {}
 
@@ -66,14 +69,15 @@
     private final long probeTimeoutMicros;
     private final RetryAfterTable retryAfterTable = new RetryAfterTable();
 
-    /** A deliverer with connections of its own. */
-    public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int mostIdle) {
+    /** Creates a deliverer with its own connections. */
+    public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int maxIdle) {
         this.core = core;
         this.probeTimeoutMicros = connectMicros;
-        this.client = new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, mostIdle, MAX_RESPONSE_BYTES);
+        this.client =
+                new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, maxIdle, MAX_RESPONSE_BYTES);
     }
 
-    /** Starts its housekeeping. */
+    /** Starts the periodic cleanup. */
     public void start() {
         client.start();
         core.counters().entryGauge("waits", retryAfterTable::size);
@@ -88,25 +92,25 @@
     @Override
     public void start(Call call) {
         List<Message> messages = call.messages;
-        boolean several = messages.size() > 1;
+        boolean isBatch = messages.size() > 1;
         Map<String, String> headers = new LinkedHashMap<>();
         headers.put(DEADLINE_HEADER, timeoutSeconds(call, messages));
         HttpClient.Listener listener = new EndpointListener(call.endpoint) {
             @Override
-            public void onResponse(int status, Map<String, String> answer, byte[] body) {
-                reportResponse(call, several, status, answer, body);
+            public void onResponse(int status, Map<String, String> responseHeaders, byte[] body) {
+                reportResponse(call, isBatch, status, responseHeaders, body);
             }
 
             @Override
             public void onFailure(boolean written, int status) {
-                // Before the last byte the endpoint has not begun; after it nobody knows, but for a call of one
-                // message whose answer's first line still says that it is delivered.
+                // Before its last byte is written the endpoint has not begun. After that the outcome is unknown, except
+                // that a status line confirms the delivery of a call of one message.
                 if (status != 0) {
                     core.counters().add(Counters.Name.SPOILT_ANSWERS);
                 }
                 reportAll(
                         call,
-                        confirmsDelivery(several, status)
+                        confirmsDelivery(isBatch, status)
                                 ? AttemptResult.DELIVERED
                                 : written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION,
                         false,
@@ -131,7 +135,7 @@
             }
         };
         byte[] body;
-        if (several) {
+        if (isBatch) {
             body = encodeBatch(messages);
         } else {
             Message m = messages.get(0);
@@ -146,15 +150,15 @@
                         poolKey(call.endpoint),
                         call.endpoint.address(),
                         "POST",
-                        several ? "/receive-many" : "/receive",
+                        isBatch ? "/receive-many" : "/receive",
                         headers,
                         body,
                         listener),
                 headers,
-                several);
+                isBatch);
     }
 
-    /** How long a call of the given messages waits for its answer, as its endpoint is told. */
+    /** Returns the time that a call of the given messages waits for its response, as written to the endpoint. */
     private static String timeoutSeconds(Call call, List<Message> messages) {
         return seconds(Math.max(0, Call.expiryMicrosOf(messages) - call.startedAtMicros));
     }
@@ -162,17 +166,18 @@
     @Override
     public void removeMessage(Call call, Message m) {
         List<Message> rest = call.messages.stream().filter(x -> x != m).toList();
-        if (call.attachment instanceof PendingCall out) {
-            out.headers().put(DEADLINE_HEADER, timeoutSeconds(call, rest)); // written anew with the body, or not at all
-            if (out.exchange().replaceBody(encodeBatch(rest))) {
+        if (call.attachment instanceof PendingCall pending) {
+            // Sent only if the body is replaced as well.
+            pending.headers().put(DEADLINE_HEADER, timeoutSeconds(call, rest));
+            if (pending.exchange().replaceBody(encodeBatch(rest))) {
                 call.removeMessage(m);
                 core.post(() -> report(call, m, AttemptResult.NOT_SENT, false, false));
             }
         }
     }
 
-    private static boolean confirmsDelivery(boolean several, int status) {
-        return status == 200 && !several;
+    private static boolean confirmsDelivery(boolean isBatch, int status) {
+        return status == 200 && !isBatch;
     }
 
     private static byte[] encodeBatch(List<Message> messages) {
@@ -188,10 +193,10 @@
         return out.toByteArray();
     }
 
-    private void reportResponse(Call call, boolean several, int status, Map<String, String> headers, byte[] body) {
+    private void reportResponse(Call call, boolean isBatch, int status, Map<String, String> headers, byte[] body) {
         switch (status) {
             case 200 -> {
-                if (several) {
+                if (isBatch) {
                     reportEach(call, body);
                 } else {
                     reportAll(call, AttemptResult.DELIVERED, false, false);
@@ -214,29 +219,29 @@
     }
 
     /**
-     * Whether it was the connection that the endpoint has no room for: it closes what was opened just now. One that is
-     * over its limit keeps the connection. To take the first for the second would slow all calls there, and change
-     * nothing.
+     * Whether the endpoint has reached its limit of connections: it closes a connection that was just opened. An
+     * endpoint over its call limit keeps the connection. Mistaking the first for the second would slow all calls there
+     * to no effect.
      */
     private static boolean isConnectionLimit(Call call, int status, Map<String, String> headers) {
         return status == 503
-                && call.attachment instanceof PendingCall out
-                && out.exchange().usesNewConnection()
+                && call.attachment instanceof PendingCall pending
+                && pending.exchange().usesNewConnection()
                 && "close"
                         .equalsIgnoreCase(headers.getOrDefault("connection", "").strip());
     }
 
-    /** Ends each message as the answer says, or all as calls that may have run where the answer is not whole. */
+    /** Reports the result of each message, or all messages as possibly executed if the response is incomplete. */
     private void reportEach(Call call, byte[] body) {
-        Optional<BatchResponse> answer =
+        Optional<BatchResponse> response =
                 BatchResponse.parse(body).filter(x -> call.messages.stream().allMatch(m -> x.resultOf(m.id()) != null));
-        if (answer.isEmpty()) {
+        if (response.isEmpty()) {
             core.counters().add(Counters.Name.SPOILT_ANSWERS);
             reportAll(call, AttemptResult.RESET, false, false);
             return;
         }
         for (Message m : List.copyOf(call.messages)) {
-            switch (answer.get().resultOf(m.id())) {
+            switch (response.get().resultOf(m.id())) {
                 case ACCEPTED -> report(call, m, AttemptResult.DELIVERED, false, false);
                 case DEFERRED -> report(call, m, AttemptResult.FULL, false, false);
                 case EXPIRED -> report(call, m, AttemptResult.NOT_SENT, false, true);
@@ -247,21 +252,22 @@
     }
 
     /**
-     * Keeps the wait that an answer asks for, whatever else it says: the longest, if it names several. It runs from the
-     * answer's writing, so one counted from its reading ends no sooner. What is no number is none.
+     * Records the longest retry-after period of a response, whatever its status. It starts when the response is
+     * written, so counting from when it is read ends no sooner. Values that aren't numbers are ignored.
      */
-    private void recordRetryAfter(Call.Endpoint endpoint, Map<String, String> answer) {
-        long longest = 0;
-        for (String wait : answer.getOrDefault("x-retry-in-ms", "").split(",")) {
-            longest = Math.max(longest, HeaderValues.shiftedDecimalUpTo(wait.strip(), 3, MAX_RETRY_AFTER_MICROS));
+    private void recordRetryAfter(Call.Endpoint endpoint, Map<String, String> responseHeaders) {
+        long longestMicros = 0;
+        for (String value : responseHeaders.getOrDefault("x-retry-in-ms", "").split(",")) {
+            longestMicros =
+                    Math.max(longestMicros, HeaderValues.shiftedDecimalUpTo(value.strip(), 3, MAX_RETRY_AFTER_MICROS));
         }
-        if (longest > 0) {
-            long now = Core.monotonicMicros() + 1; // the clock is cut to whole microseconds
-            retryAfterTable.recordRetryAfter(endpoint, now + longest);
+        if (longestMicros > 0) {
+            long now = Core.monotonicMicros() + 1; // the clock is truncated to whole microseconds
+            retryAfterTable.recordRetryAfter(endpoint, now + longestMicros);
             Logs.debug(
                     "",
                     "wait",
-                    "told to wait until " + (now + longest),
+                    "retry-after until " + (now + longestMicros),
                     "partner",
                     endpoint.destination(),
                     "endpoint",
@@ -269,41 +275,48 @@
         }
     }
 
-    private void reportAll(Call call, AttemptResult ending, boolean noSlot, boolean over) {
-        List.copyOf(call.messages).forEach(m -> report(call, m, ending, noSlot, over));
+    private void reportAll(Call call, AttemptResult outcome, boolean noSlot, boolean isSettled) {
+        List.copyOf(call.messages).forEach(m -> report(call, m, outcome, noSlot, isSettled));
     }
 
-    /** Any outcome tells what is known of waits: a wait may have come with an answer that nobody waited for. */
-    private void report(Call call, Message m, AttemptResult ending, boolean noSlot, boolean over) {
-        core.attemptEnded(call, m, ending, retryAfterTable.remainingMicros(call.endpoint, core.nowMicros()), noSlot, over);
+    /**
+     * Each outcome carries the current retry-after, which may stem from a response that nothing waited for any more.
+     */
+    private void report(Call call, Message m, AttemptResult outcome, boolean noSlot, boolean isSettled) {
+        core.attemptEnded(
+                call, m, outcome, retryAfterTable.remainingMicros(call.endpoint, core.nowMicros()), noSlot, isSettled);
     }
 
-    /** Seconds with decimals, as the protocol writes them. */
+    /** Formats seconds with decimals, as the protocol writes them. */
     static String seconds(long micros) {
         return String.format(Locale.ROOT, "%.3f", micros / 1e6);
     }
 
     @Override
     public void abort(Call call) {
-        if (!(call.attachment instanceof PendingCall out)) { // its start has failed
+        if (!(call.attachment instanceof PendingCall pending)) { // starting it failed
             core.post(() -> reportAll(call, AttemptResult.NO_CONNECTION, false, false));
             return;
         }
-        // The slot is free once the other side has seen the close: a call in this same turn would find none.
-        boolean delivered = confirmsDelivery(out.isBatch(), out.exchange().status()); // not what comes from now on
-        out.exchange()
+        // The slot is free only once the other side has seen the close: a new call in this same turn would find none.
+        // Responses that arrive from now on are ignored.
+        boolean delivered =
+                confirmsDelivery(pending.isBatch(), pending.exchange().status());
+        pending.exchange()
                 .giveUp(() -> reportAll(
                         call,
                         delivered
                                 ? AttemptResult.DELIVERED
-                                : out.exchange().isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
+                                : pending.exchange().isWritten()
+                                        ? AttemptResult.TIMED_OUT
+                                        : AttemptResult.NO_CONNECTION,
                         false,
                         false));
     }
 
     @Override
     public void cancelUnsent(Call call) {
-        if (call.attachment instanceof PendingCall out && out.exchange().withdraw()) {
+        if (call.attachment instanceof PendingCall pending && pending.exchange().withdraw()) {
             core.post(() -> reportAll(call, AttemptResult.WITHHELD, false, false));
         }
     }
@@ -313,24 +326,33 @@
         client.closeIdle(poolKey(endpoint));
     }
 
-    /** Whose connections are found again: an endpoint that comes to the address of another inherits none. */
+    /**
+     * The pool key of an endpoint. It has host and address, so that an endpoint at a reused address gets no connections
+     * of its predecessor.
+     */
     private static String poolKey(Call.Endpoint endpoint) {
         return endpoint.host() + '@' + endpoint.address();
     }
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.nowMicros();
+        long startedAtMicros = core.nowMicros();
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
-        Deadlines.Key late = core.deadlines()
+        Deadlines.Key timeout = core.deadlines()
                 .schedule(
-                        started + probeTimeoutMicros,
+                        startedAtMicros + probeTimeoutMicros,
                         () -> exchange[0].giveUp(() -> reportProbe(
                                 endpoint,
                                 exchange[0].isWritten() ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION,
-                                started)));
+                                startedAtMicros)));
         exchange[0] = client.send(
-                poolKey(endpoint), endpoint.address(), "GET", "/health/live", Map.of(), EMPTY_BODY, new EndpointListener(endpoint) {
+                poolKey(endpoint),
+                endpoint.address(),
+                "GET",
+                "/health/live",
+                Map.of(),
+                EMPTY_BODY,
+                new EndpointListener(endpoint) {
                     @Override
                     public void onResponse(int status, Map<String, String> headers, byte[] body) {
                         end(
@@ -349,14 +371,14 @@
                         end(AttemptResult.WITHHELD);
                     }
 
-                    private void end(AttemptResult ending) {
-                        core.deadlines().cancel(late);
-                        reportProbe(endpoint, ending, started);
+                    private void end(AttemptResult outcome) {
+                        core.deadlines().cancel(timeout);
+                        reportProbe(endpoint, outcome, startedAtMicros);
                     }
                 });
     }
 
-    private void reportProbe(Call.Endpoint endpoint, AttemptResult ending, long started) {
-        core.probeEnded(endpoint.host(), ending, core.nowMicros() - started);
+    private void reportProbe(Call.Endpoint endpoint, AttemptResult outcome, long startedAtMicros) {
+        core.probeEnded(endpoint.host(), outcome, core.nowMicros() - startedAtMicros);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -19,12 +19,15 @@
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.Connection;
 
-/** The platform's front: clients hand in over HTTP; later ends go to the platform as notices. */
+/**
+ * The platform's front: clients submit messages over HTTP; final statuses that come later are sent to the platform as
+ * notices.
+ */
 public final class HttpFront implements Front {
     private static final byte[] EMPTY_BODY = {};
-    /** Nobody waits for longer. */
+    /** Longest time that a client may set as the deadline. */
     private static final long MAX_DEADLINE_MICROS = 3_600_000_000L;
-    /** Selections at most in which those are accepted who came before the listener closes. */
+    /** Limit on the selections that closing the listener waits for, in which pending connections are still accepted. */
     private static final int MAX_ACCEPT_ROUNDS = 512;
 
     private static final long MAX_UNREAD_ALLOWANCE_MICROS = 120_000, UNREAD_ALLOWANCE_DIVISOR = 50;
@@ -33,32 +36,33 @@
     private volatile MessageClasses classes;
     private final NoticeSender notices;
     private final HttpServerFilter serverFilter;
-    /** Who waits to hear that a message is taken on: more than one where it came again meanwhile. */
+    /** Requests that wait for their message to be accepted; several where a client resubmitted it meanwhile. */
     private final Map<Message, List<WaitingRequest>> waitingRequests = new HashMap<>();
     /** The header that names the practice, in lower case, where identities are shared with other ports; else null. */
     private final String practiceHeader;
 
     private Connection<?> listener;
 
-    /** A request that waits, under the id that it came with. */
+    /** A request that waits for its response, with the id that it was submitted under. */
     private record WaitingRequest(HttpServerFilter.Exchange exchange, String id) {}
 
     /**
-     * Classes by the name that clients use; at most so many connections of clients, none idle above a crowd. Requests
-     * with the header for the practice and a key are the same message as those with both on another port; null: none.
+     * Creates a front for classes under the names that clients use. At most {@code maxClients} client connections are
+     * open; above {@code keepAliveLimit} none is kept idle. Requests with the practice header and a key are the same
+     * message as those with both on another port; a null header disables that.
      */
     public HttpFront(
             Core core,
             List<String> classNames,
             List<DecisionModule.MessageClass> classes,
-            int mostClients,
-            int crowd,
+            int maxClients,
+            int keepAliveLimit,
             NoticeSender notices,
             String practiceHeader) {
         this.core = core;
         this.practiceHeader = practiceHeader;
         updateClasses(classNames, classes);
-        this.serverFilter = new HttpServerFilter(core, mostClients, crowd, this::handle);
+        this.serverFilter = new HttpServerFilter(core, maxClients, keepAliveLimit, this::handle);
         this.notices = notices;
         core.counters().entryGauge("waiting_clients", waitingRequests::size);
         core.counters().entryGauge("clients", serverFilter::connectionCount);
@@ -69,22 +73,22 @@
         return "http";
     }
 
-    /** Classes by number, and the names of those that may be handed in. */
+    /** Message classes by number, and the names of those that clients may submit. */
     private record MessageClasses(List<String> names, List<DecisionModule.MessageClass> all) {}
 
-    /** Other classes may be handed in from now on. Loop thread, once the module knows them. */
-    public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> all) {
-        classes = new MessageClasses(List.copyOf(classNames), List.copyOf(all));
+    /** Replaces the classes that clients may submit. Loop thread, once the module knows the new ones. */
+    public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> allClasses) {
+        classes = new MessageClasses(List.copyOf(classNames), List.copyOf(allClasses));
     }
 
-    /** Listens from now on. */
+    /** Starts to listen at the address. */
     public SocketAddress listen(Transport transport, SocketAddress address) throws IOException {
         var server = transport.listen(address, serverFilter.chain());
         listener = server;
         return server.getLocalAddress();
     }
 
-    /** Accepts no more, and closes idle connections; the others close after their answers. */
+    /** Stops accepting connections and closes idle ones; the others close after their responses. */
     public void close() {
         serverFilter.close();
         if (listener != null) {
@@ -93,25 +97,26 @@
     }
 
     /**
-     * Closes the listener once nobody waits to be accepted there: those would be reset, and are turned down in words.
+     * Closes the listener once no connection waits to be accepted. Closing it earlier would reset those connections,
+     * which are to be rejected with a response.
      */
-    private void stopListening(int most) {
-        int before = serverFilter.acceptedCount();
+    private void stopListening(int roundsLeft) {
+        int acceptedBefore = serverFilter.acceptedCount();
         Transport.runAfterReading(listener, () -> {
-            if (most > 0 && serverFilter.acceptedCount() != before) {
-                stopListening(most - 1);
+            if (roundsLeft > 0 && serverFilter.acceptedCount() != acceptedBefore) {
+                stopListening(roundsLeft - 1);
             } else {
                 listener.closeSilently();
             }
         });
     }
 
-    /** True once it has closed and no client waits for an answer. */
+    /** Whether the front has closed and no client waits for a response. */
     public boolean isClosed() {
         return (listener == null || !listener.isOpen()) && serverFilter.isClosed();
     }
 
-    // ---- requests: on the selector thread until they are posted -------------------------------------------
+    // Requests: on the selector thread until they are posted to the loop
     private void handle(HttpServerFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
             case "POST /api" -> parseAndPost(request);
@@ -123,11 +128,12 @@
         }
     }
 
-    private static void respond(HttpServerFilter.Exchange exchange, int status, Map<String, String> headers, String body) {
+    private static void respond(
+            HttpServerFilter.Exchange exchange, int status, Map<String, String> headers, String body) {
         exchange.respond(status, headers, body.getBytes(StandardCharsets.UTF_8), () -> {});
     }
 
-    /** What can't be a message is turned away here: nonsense that comes fast must not take the loop's time. */
+    /** Rejects invalid requests on the selector thread, so that a flood of them takes no time of the event loop. */
     private void parseAndPost(HttpServerFilter.Request request) {
         Submission submission;
         try {
@@ -140,7 +146,7 @@
         core.post(() -> submitOrFail(request, submission));
     }
 
-    /** A fault of the program's must not leave the client without an answer. */
+    /** An internal error must not leave the client without a response. */
     private void submitOrFail(HttpServerFilter.Request request, Submission submission) {
         try {
             submit(request, submission);
@@ -153,19 +159,22 @@
     private void submit(HttpServerFilter.Request request, Submission submission) {
         HttpServerFilter.Exchange exchange = request.exchange();
         if (exchange.isClientGone()) {
-            return; // the client has stopped waiting and hands it in again
+            return; // the client has stopped waiting and will resubmit the message
         }
         if (!core.isKnownDestination(submission.destination())) {
-            // Discovery is seconds late: it may be new. Held it would wait for nothing, and its room is scarce.
+            // Discovery is seconds late, so the destination may be new. Keeping the message pending would gain nothing
+            // and use scarce capacity.
             respond(exchange, 503, Map.of(), "X-Envelope: dest: no such destination\n");
             return;
         }
         Message m = core.submit(this, submission);
         if (m.isAccepted()) {
-            // Handed in under the same id before: it makes no second message, whoever asks.
+            // Submitted under the same id before: no second message is created, whichever client asks.
             core.whenDurable(() -> exchange.respond(202, Map.of(), EMPTY_BODY, () -> {}));
         } else if (m.isOpen()) {
-            waitingRequests.computeIfAbsent(m, x -> new ArrayList<>(1)).add(new WaitingRequest(exchange, submission.id()));
+            waitingRequests
+                    .computeIfAbsent(m, x -> new ArrayList<>(1))
+                    .add(new WaitingRequest(exchange, submission.id()));
         } else {
             respondFinal(exchange, m.finalStatus());
         }
@@ -175,10 +184,10 @@
         Map<String, String> headers = request.headers();
         String id = requiredHeader(headers, "req-id");
         require(HeaderValues.isIdentifier(id), "Req-Id: not an id");
-        MessageClasses known = classes;
-        String kind = requiredHeader(headers, "req-kind");
-        int number = known.names().indexOf(kind);
-        require(number >= 0 && !kind.isEmpty(), "Req-Kind: unknown class");
+        MessageClasses knownClasses = classes;
+        String className = requiredHeader(headers, "req-kind");
+        int classNumber = knownClasses.names().indexOf(className);
+        require(classNumber >= 0 && !className.isEmpty(), "Req-Kind: unknown class");
         Integer destination = null;
         for (String part : requiredHeader(headers, "x-envelope").split("[,; ]+")) {
             if (part.startsWith("dest=")) {
@@ -188,26 +197,28 @@
             }
         }
         require(destination != null, "X-Envelope: no dest");
-        Long deadline = HeaderValues.shiftedDecimal(requiredHeader(headers, "req-deadline"), 6);
-        require(deadline != null && deadline <= MAX_DEADLINE_MICROS, "Req-Deadline: not a time to wait for");
+        Long deadlineMicros = HeaderValues.shiftedDecimal(requiredHeader(headers, "req-deadline"), 6);
+        require(
+                deadlineMicros != null && deadlineMicros <= MAX_DEADLINE_MICROS,
+                "Req-Deadline: not a time to wait for");
         String key = headers.get("idempotency-key");
-        // Among others a message without a key is written with a '-' in its place.
+        // In a call of several messages '-' stands for a missing key.
         require(
                 key == null
-                        ? known.all().get(number).repeat() != DecisionModule.RepeatSafety.KEYED
+                        ? knownClasses.all().get(classNumber).repeat() != DecisionModule.RepeatSafety.KEYED
                         : HeaderValues.isIdentifier(key) && !key.equals("-"),
                 "Idempotency-Key: " + (key == null ? "missing" : "not a key"));
         String retry = headers.getOrDefault("req-retry", "");
         return new Submission(
                 id,
                 identity(headers, key),
-                number,
+                classNumber,
                 destination,
                 key,
                 request.body(),
                 !retry.isEmpty(),
                 retry.equals("again"),
-                budgetMicros(deadline, Core.monotonicMicros() - request.arrivedMicros()));
+                budgetMicros(deadlineMicros, Core.monotonicMicros() - request.arrivedMicros()));
     }
 
     private String identity(Map<String, String> headers, String key) {
@@ -223,16 +234,21 @@
     }
 
     /**
-     * How long the message may still take. It may have lain in the socket for longer than is known: a client waits
-     * 400 ms to hear that it is taken on, and just after a start that much goes by, while its end is lost when told
-     * 300 ms after its time. So a part of a long time is left for that.
+     * Returns the time that is left to deliver the message. The request may have been in the socket for an unknown
+     * time: a client waits 400 ms for the message to be accepted, and just after a start that much passes, while a
+     * final status is lost when it is sent 300 ms after the deadline. So a fraction of a long deadline is reserved for
+     * that.
      */
-    public static long budgetMicros(long deadline, long sinceRead) {
-        return Math.max(0, deadline - Math.min(MAX_UNREAD_ALLOWANCE_MICROS, deadline / UNREAD_ALLOWANCE_DIVISOR) - Math.max(0, sinceRead));
+    public static long budgetMicros(long deadlineMicros, long sinceReadMicros) {
+        return Math.max(
+                0,
+                deadlineMicros
+                        - Math.min(MAX_UNREAD_ALLOWANCE_MICROS, deadlineMicros / UNREAD_ALLOWANCE_DIVISOR)
+                        - Math.max(0, sinceReadMicros));
     }
 
-    private static void require(boolean good, String problem) {
-        if (!good) {
+    private static void require(boolean isValid, String problem) {
+        if (!isValid) {
             throw new IllegalArgumentException(problem);
         }
     }
@@ -243,56 +259,59 @@
         return value;
     }
 
-    // ---- answers: on the loop thread ----------------------------------------------------------------------
+    // Responses: on the loop thread
     @Override
     public void onAccepted(Message message) {
-        List<WaitingRequest> all = waitingRequests.remove(message);
-        if (all == null) {
-            return; // it came on another port, and a client of this one joined it and has left
+        List<WaitingRequest> requests = waitingRequests.remove(message);
+        if (requests == null) {
+            return; // it was submitted on another port; a client of this one attached to it and has left
         }
-        // Nobody is left to hear of it: it is handed in again. One is enough, as one message may have come twice,
-        // on a connection that was closed as it came and on the next one.
-        Map<String, Integer> lost = new HashMap<>();
-        all.forEach(w -> lost.merge(w.id(), 1, Integer::sum));
-        for (WaitingRequest w : all) {
-            w.exchange()
+        // If the responses to all requests of an id are lost, the client submits the message again. One response
+        // suffices: a message may be submitted twice, on a connection closed meanwhile and on its successor.
+        Map<String, Integer> pendingResponses = new HashMap<>();
+        requests.forEach(waitingRequest -> pendingResponses.merge(waitingRequest.id(), 1, Integer::sum));
+        for (WaitingRequest waitingRequest : requests) {
+            waitingRequest
+                    .exchange()
                     .respond(
                             202,
                             Map.of(),
                             EMPTY_BODY,
                             () -> core.post(() -> {
-                                if (lost.merge(w.id(), -1, Integer::sum) == 0) {
-                                    core.withdrawSubmitter(message, this, w.id());
+                                if (pendingResponses.merge(waitingRequest.id(), -1, Integer::sum) == 0) {
+                                    core.withdrawSubmitter(message, this, waitingRequest.id());
                                 }
                             }));
         }
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        List<WaitingRequest> all = waitingRequests.remove(message);
-        if (all != null) {
-            all.forEach(w -> respondFinal(w.exchange(), verdict));
+    public void onRejected(Message message, FinalStatus finalStatus) {
+        List<WaitingRequest> requests = waitingRequests.remove(message);
+        if (requests != null) {
+            requests.forEach(waitingRequest -> respondFinal(waitingRequest.exchange(), finalStatus));
         }
     }
 
     @Override
-    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
-        List<WaitingRequest> all = waitingRequests.getOrDefault(message, List.of());
-        all.stream().filter(w -> w.id().equals(id)).forEach(w -> respondFinal(w.exchange(), verdict));
-        all.removeIf(w -> w.id().equals(id));
+    public void onAttachRejected(Message message, String id, FinalStatus finalStatus) {
+        List<WaitingRequest> requests = waitingRequests.getOrDefault(message, List.of());
+        requests.stream()
+                .filter(waitingRequest -> waitingRequest.id().equals(id))
+                .forEach(waitingRequest -> respondFinal(waitingRequest.exchange(), finalStatus));
+        requests.removeIf(waitingRequest -> waitingRequest.id().equals(id));
     }
 
-    private static void respondFinal(HttpServerFilter.Exchange exchange, FinalStatus verdict) {
-        if (verdict.kind() == FinalStatus.Kind.REFUSED) {
+    private static void respondFinal(HttpServerFilter.Exchange exchange, FinalStatus finalStatus) {
+        if (finalStatus.kind() == FinalStatus.Kind.REFUSED) {
             Map<String, String> headers = new LinkedHashMap<>();
-            if (verdict.retryAfterMicros() > 0) {
-                headers.put("Retry-After", HttpDeliverer.seconds(verdict.retryAfterMicros()));
+            if (finalStatus.retryAfterMicros() > 0) {
+                headers.put("Retry-After", HttpDeliverer.seconds(finalStatus.retryAfterMicros()));
             }
             respond(exchange, 503, headers, "");
-        } else if (verdict.kind() == FinalStatus.Kind.DELIVERED) {
-            respond(exchange, 200, Map.of(), ""); // it came before, and nothing more is owed
-        } else if (verdict.kind() == FinalStatus.Kind.CLASH) {
+        } else if (finalStatus.kind() == FinalStatus.Kind.DELIVERED) {
+            respond(exchange, 200, Map.of(), ""); // it was delivered before, and no further notification is pending
+        } else if (finalStatus.kind() == FinalStatus.Kind.CLASH) {
             respond(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
         } else {
             respond(exchange, 500, Map.of(), "");
@@ -300,9 +319,9 @@
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
-        switch (verdict.kind()) {
-            case REFUSED -> notices.add(id, "deferred", verdict.retryAfterMicros(), settled);
+    public void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled) {
+        switch (finalStatus.kind()) {
+            case REFUSED -> notices.add(id, "deferred", finalStatus.retryAfterMicros(), settled);
             case FAILED -> notices.add(id, "undeliverable", 0, settled);
             default -> settled.run();
         }
--- a/src/main/java/lilaclever/protocol/http/HttpMessageReader.java
+++ b/src/main/java/lilaclever/protocol/http/HttpMessageReader.java
@@ -7,23 +7,26 @@
 import java.util.Map;
 
 /**
- * Reads HTTP/1.1 messages from the bytes of one connection, one after the other. It is strict, since what two readers
- * can take in two ways may hide a message in another, and it holds no more than its bounds, whatever comes: a general
- * codec gathers what it is told to expect, passes over what it can't place, and keeps the status of a spoilt answer to
- * itself. Used from one thread at a time.
+ * Reads consecutive HTTP/1.1 messages from the bytes of one connection. It is strict, since a message that two readers
+ * can interpret differently may smuggle another, and its memory use is limited whatever arrives: a general codec
+ * buffers what a peer announces, skips what it can't interpret, and does not report the status of a malformed response.
+ * Used from one thread at a time.
  */
 final class HttpMessageReader {
-    private static final int MAX_HEAD_BYTES = 8 * 1024, MAX_HEADERS = 64, MAX_LENGTH_DIGITS = 10, MAX_CHUNK_SIZE_DIGITS = 7;
+    private static final int MAX_HEAD_BYTES = 8 * 1024,
+            MAX_HEADERS = 64,
+            MAX_LENGTH_DIGITS = 10,
+            MAX_CHUNK_SIZE_DIGITS = 7;
     private static final String TOKEN_PUNCTUATION = "!#$%&'*+-.^_`|~";
     private static final byte[] EMPTY = {};
 
-    /** What can't be read, or is too much; the status is what a client is told. */
+    /** Thrown for a message that is malformed or too large; the status is for the response to a client. */
     static final class InvalidMessageException extends Exception {
         private static final long serialVersionUID = 1L;
         final int status;
 
         InvalidMessageException(int status, String problem) {
-            super(problem, null, false, false); // bad clients come fast: no stack trace for each
+            super(problem, null, false, false); // malformed input may come fast: no stack trace for each
             this.status = status;
         }
     }
@@ -42,7 +45,7 @@
 
     private final boolean readsResponses;
     private final int maxBodyBytes;
-    /** Whether a body over the bound is taken up to it before the message is refused. */
+    /** Whether a body over the limit is read up to it before the message is rejected. */
     private final boolean readsUpToBound;
 
     private State state = State.START_LINE;
@@ -56,22 +59,22 @@
     private String method, target, version;
     private int status;
 
-    /** Reads answers or else requests, with bodies up to so many bytes. */
-    HttpMessageReader(boolean answers, int mostBody) {
-        this(answers, mostBody, false);
+    /** Creates a reader of responses or of requests with bodies up to the given size. */
+    HttpMessageReader(boolean readsResponses, int maxBodyBytes) {
+        this(readsResponses, maxBodyBytes, false);
     }
 
     /**
-     * The same. {@code readsUpToBound}: a body that is longer is taken up to the bound and refused there, also where
-     * its head announces the length; else it is refused from the head.
+     * Creates a reader. {@code readsUpToBound}: a body over the limit is read up to it and rejected there, even if the
+     * head announces its length; otherwise it is rejected at the head.
      */
-    HttpMessageReader(boolean answers, int mostBody, boolean readsUpToBound) {
-        this.readsResponses = answers;
-        this.maxBodyBytes = mostBody;
+    HttpMessageReader(boolean readsResponses, int maxBodyBytes, boolean readsUpToBound) {
+        this.readsResponses = readsResponses;
+        this.maxBodyBytes = maxBodyBytes;
         this.readsUpToBound = readsUpToBound;
     }
 
-    /** Takes bytes up to the end of the message; gives where the next one begins. */
+    /** Reads up to the end of the message; returns the offset of the next one. */
     int read(byte[] in, int from, int to) throws InvalidMessageException {
         int at = from;
         while (at < to && state != State.COMPLETE) {
@@ -100,37 +103,37 @@
             if (readsUpToBound) {
                 copyToBody(in, from, maxBodyBytes - bodyLength);
             }
-            throw new InvalidMessageException(413, "a body of more than " + maxBodyBytes + " bytes");
+            throw new InvalidMessageException(413, "body of more than " + maxBodyBytes + " bytes");
         }
         copyToBody(in, from, size);
     }
 
     private void copyToBody(byte[] in, int from, int size) {
         if (bodyLength + size > body.length) {
-            // It grows with what has come, not with what is announced.
+            // It grows with the data received, not with the announced length.
             body = Arrays.copyOf(body, Math.min(maxBodyBytes, Math.max(2 * body.length, bodyLength + size)));
         }
         System.arraycopy(in, from, body, bodyLength, size);
         bodyLength += size;
     }
 
-    /** Takes a line or a part of one; a line ends in CRLF, and neither of the two stands alone. */
+    /** Reads a line or a part of one; a line ends in CRLF, and neither CR nor LF may stand alone. */
     private int readLine(byte[] in, int from, int to) throws InvalidMessageException {
         int at = from;
         while (at < to) {
             byte b = in[at++];
-            boolean returned = lineLength > 0 && line[lineLength - 1] == '\r';
+            boolean isAfterCarriageReturn = lineLength > 0 && line[lineLength - 1] == '\r';
             if (++headLength > MAX_HEAD_BYTES) {
-                throw new InvalidMessageException(431, "a head of more than " + MAX_HEAD_BYTES + " bytes");
+                throw new InvalidMessageException(431, "head of more than " + MAX_HEAD_BYTES + " bytes");
             }
-            if (b == '\n' && returned) {
+            if (b == '\n' && isAfterCarriageReturn) {
                 String text = new String(line, 0, lineLength - 1, StandardCharsets.ISO_8859_1);
                 lineLength = 0;
                 onLine(text);
                 return at;
             }
-            if (b == '\n' || returned || b >= 0 && b < ' ' && b != '\r' && b != '\t' || b == 0x7f) {
-                throw new InvalidMessageException(400, "a control character in a line");
+            if (b == '\n' || isAfterCarriageReturn || b >= 0 && b < ' ' && b != '\r' && b != '\t' || b == 0x7f) {
+                throw new InvalidMessageException(400, "control character in a line");
             }
             if (lineLength == line.length) {
                 line = Arrays.copyOf(line, Math.max(128, 2 * lineLength));
@@ -146,7 +149,7 @@
                 if (readsResponses) {
                     parseStatusLine(text);
                     state = State.HEADERS;
-                } else if (!text.isEmpty()) { // an empty line before a request is passed over, as the standard asks
+                } else if (!text.isEmpty()) { // an empty line before a request is ignored (RFC 9112, section 2.2)
                     parseRequestLine(text);
                     state = State.HEADERS;
                 }
@@ -161,7 +164,7 @@
             case CHUNK_SIZE -> parseChunkSize(text);
             case CHUNK_END -> {
                 if (!text.isEmpty()) {
-                    throw new InvalidMessageException(400, "a chunk that does not end where it should");
+                    throw new InvalidMessageException(400, "missing line break after a chunk");
                 }
                 state = State.CHUNK_SIZE;
                 headLength = 0;
@@ -177,7 +180,7 @@
     private void parseRequestLine(String text) throws InvalidMessageException {
         String[] parts = text.split(" ", -1);
         if (parts.length != 3 || !isToken(parts[0]) || parts[1].isEmpty() || text.indexOf('\t') >= 0) {
-            throw new InvalidMessageException(400, "not a request line");
+            throw new InvalidMessageException(400, "invalid request line");
         }
         if (!parts[2].equals("HTTP/1.1") && !parts[2].equals("HTTP/1.0")) {
             throw new InvalidMessageException(parts[2].startsWith("HTTP/") ? 505 : 400, "not HTTP/1.1");
@@ -188,16 +191,16 @@
     }
 
     private void parseStatusLine(String text) throws InvalidMessageException {
-        boolean good = text.length() >= 12
+        boolean isValid = text.length() >= 12
                 && text.startsWith("HTTP/1.")
                 && Character.isDigit(text.charAt(7))
                 && text.charAt(8) == ' '
                 && (text.length() == 12 || text.charAt(12) == ' ');
-        for (int i = 9; good && i < 12; i++) {
-            good = text.charAt(i) >= '0' && text.charAt(i) <= '9';
+        for (int i = 9; isValid && i < 12; i++) {
+            isValid = text.charAt(i) >= '0' && text.charAt(i) <= '9';
         }
-        if (!good) {
-            throw new InvalidMessageException(502, "not a status line");
+        if (!isValid) {
+            throw new InvalidMessageException(502, "invalid status line");
         }
         version = text.substring(0, 8);
         status = Integer.parseInt(text.substring(9, 12));
@@ -206,12 +209,12 @@
     private void parseHeader(String text) throws InvalidMessageException {
         int colon = text.indexOf(':');
         if (colon <= 0 || !isToken(text.substring(0, colon))) {
-            throw new InvalidMessageException(400, "not a header");
+            throw new InvalidMessageException(400, "invalid header");
         }
         if (headers.size() >= MAX_HEADERS) {
             throw new InvalidMessageException(431, "more than " + MAX_HEADERS + " headers");
         }
-        // The same name twice gives a list; nothing that is one number or one id survives that.
+        // Repeated headers are joined to a list, which is then invalid as a single number or id.
         headers.merge(
                 text.substring(0, colon).toLowerCase(Locale.ROOT),
                 text.substring(colon + 1).strip(),
@@ -231,13 +234,13 @@
         return !text.isEmpty();
     }
 
-    /** The head is here: how long is the body? Where that is not clear, nothing behind the head can be believed. */
+    /** Determines the length of the body from the head. If that is ambiguous, nothing after the head can be trusted. */
     private void onHeadEnd() throws InvalidMessageException {
         if (readsResponses && status / 100 == 1) {
             if (status == 101) {
-                throw new InvalidMessageException(502, "another protocol");
+                throw new InvalidMessageException(502, "unsupported switch of protocols");
             }
-            status = 0; // an answer on the way: the real one follows, within the same bound
+            status = 0; // an interim response: the final one follows, within the same size limit
             headers = new LinkedHashMap<>();
             state = State.START_LINE;
             return;
@@ -246,7 +249,7 @@
         String length = headers.get("content-length");
         if (encoding != null
                 && (length != null || !encoding.equalsIgnoreCase("chunked") || version.equals("HTTP/1.0"))) {
-            throw new InvalidMessageException(length != null ? 400 : 501, "a length that is not clear");
+            throw new InvalidMessageException(length != null ? 400 : 501, "ambiguous body length");
         }
         if (readsResponses && (status == 204 || status == 304)) {
             state = State.COMPLETE;
@@ -256,13 +259,13 @@
         } else if (length != null) {
             remainingBytes = parseLength(length);
             if (remainingBytes > maxBodyBytes && !readsUpToBound) {
-                throw new InvalidMessageException(413, "a body of more than " + maxBodyBytes + " bytes");
+                throw new InvalidMessageException(413, "body of more than " + maxBodyBytes + " bytes");
             }
             state = remainingBytes == 0 ? State.COMPLETE : State.FIXED_LENGTH_BODY;
         } else if (readsResponses) {
             state = State.BODY_UNTIL_CLOSE;
         } else if (method.equals("POST") || method.equals("PUT")) {
-            throw new InvalidMessageException(411, "a body without a length");
+            throw new InvalidMessageException(411, "Content-Length is missing");
         } else {
             state = State.COMPLETE;
         }
@@ -282,19 +285,19 @@
         int end = text.indexOf(';');
         String size = (end < 0 ? text : text.substring(0, end)).strip();
         if (size.isEmpty() || !size.chars().allMatch(c -> Character.digit(c, 16) >= 0 && c < 128)) {
-            throw new InvalidMessageException(400, "not the size of a chunk");
+            throw new InvalidMessageException(400, "invalid chunk size");
         }
         if (size.length() > MAX_CHUNK_SIZE_DIGITS) {
-            throw new InvalidMessageException(413, "a chunk that is too large");
+            throw new InvalidMessageException(413, "chunk size is too large");
         }
         remainingBytes = Long.parseLong(size, 16);
         if (bodyLength + remainingBytes > maxBodyBytes && !readsUpToBound) {
-            throw new InvalidMessageException(413, "a body of more than " + maxBodyBytes + " bytes");
+            throw new InvalidMessageException(413, "body of more than " + maxBodyBytes + " bytes");
         }
         state = remainingBytes == 0 ? State.TRAILER : State.CHUNK_DATA;
     }
 
-    /** The connection has ended: true if that was the end of the message too. */
+    /** Handles the end of the connection; returns whether the message is complete. */
     boolean completeAtClose() {
         if (state == State.BODY_UNTIL_CLOSE) {
             state = State.COMPLETE;
@@ -302,7 +305,7 @@
         return state == State.COMPLETE;
     }
 
-    /** Makes ready for the next message and lets go of this one. */
+    /** Discards the message and prepares for the next one. */
     void reset() {
         state = State.START_LINE;
         line = EMPTY;
@@ -314,7 +317,7 @@
         status = 0;
     }
 
-    /** True once the whole head has come. */
+    /** Whether the whole head has arrived. */
     boolean hasHead() {
         return state != State.START_LINE && state != State.HEADERS;
     }
@@ -323,12 +326,12 @@
         return state == State.COMPLETE;
     }
 
-    /** True if nothing of a message has come. */
+    /** Whether nothing of a message has arrived. */
     boolean isAtStart() {
         return state == State.START_LINE && headLength == 0;
     }
 
-    /** True if the client waits for a word before it sends the body. */
+    /** Whether the client waits for an interim response before it sends the body. */
     boolean awaitsContinue() {
         return !readsResponses
                 && (state == State.FIXED_LENGTH_BODY || state == State.CHUNK_SIZE)
@@ -336,23 +339,23 @@
                 && "100-continue".equalsIgnoreCase(headers.get("expect"));
     }
 
-    /** True if the other side speaks HTTP/1.1, and so passes over interim answers. */
+    /** Whether the peer uses HTTP/1.1, and so ignores interim responses. */
     boolean acceptsInterimResponses() {
         return version.equals("HTTP/1.1");
     }
 
-    /** True if the other side lets the connection stay. */
+    /** Whether the peer keeps the connection open. */
     boolean keepsConnection() {
         String connection = headers.getOrDefault("connection", "").toLowerCase(Locale.ROOT);
         return version.equals("HTTP/1.0") ? connection.contains("keep-alive") : !connection.contains("close");
     }
 
-    /** Bytes held for the message. */
+    /** The number of bytes buffered for the message. */
     int bufferedBytes() {
         return line.length + body.length;
     }
 
-    /** The status that the first line said; 0 before that. */
+    /** The status from the status line; 0 before that. */
     int status() {
         return status;
     }
@@ -361,13 +364,13 @@
         return method;
     }
 
-    /** The path, without a query. */
+    /** The path without its query. */
     String path() {
         int query = target.indexOf('?');
         return query < 0 ? target : target.substring(0, query);
     }
 
-    /** By lower-case name. */
+    /** The headers by lower-case name. */
     Map<String, String> headers() {
         return headers;
     }
--- a/src/main/java/lilaclever/protocol/http/HttpMessageWriter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpMessageWriter.java
@@ -3,15 +3,15 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes a head and its body as one piece of bytes. */
+/** Encodes an HTTP message, head and body, as one byte array. */
 final class HttpMessageWriter {
     private final StringBuilder text;
 
-    private HttpMessageWriter(String first) {
-        text = new StringBuilder(256).append(first).append("\r\n");
+    private HttpMessageWriter(String startLine) {
+        text = new StringBuilder(256).append(startLine).append("\r\n");
     }
 
-    /** A request; the body's length is told even if it is nothing. */
+    /** Encodes a request; Content-Length is written even for an empty body. */
     static byte[] request(String method, String path, String host, Map<String, String> headers, byte[] body) {
         return new HttpMessageWriter(method + ' ' + path + " HTTP/1.1")
                 .with("Host", host)
@@ -19,10 +19,10 @@
                 .build(body);
     }
 
-    /** An answer. */
+    /** Encodes a response. */
     static byte[] response(int status, Map<String, String> headers, boolean close, byte[] body) {
-        HttpMessageWriter head = new HttpMessageWriter("HTTP/1.1 " + status + ' ' + reason(status)).with(headers);
-        return (close ? head.with("Connection", "close") : head).build(body);
+        HttpMessageWriter writer = new HttpMessageWriter("HTTP/1.1 " + status + ' ' + reason(status)).with(headers);
+        return (close ? writer.with("Connection", "close") : writer).build(body);
     }
 
     private static String reason(int status) {
@@ -48,7 +48,7 @@
     }
 
     private HttpMessageWriter with(String name, String value) {
-        // What reached us from outside was checked where it came in: a line's end here would forge a header.
+        // Values from outside were validated on arrival: a line break here would inject a header.
         assert value.chars().allMatch(c -> c >= ' ' && c != 0x7f) : name;
         text.append(name).append(": ").append(value).append("\r\n");
         return this;
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -11,12 +11,15 @@
 import lilaclever.routing.Deadlines;
 import lilaclever.transport.Transport;
 
-/** Tells the platform how messages ended, again and again until it says that it has heard. Loop thread. */
+/**
+ * Notifies the platform of the final status of messages, and repeats each notice until the platform confirms it. Loop
+ * thread.
+ */
 public final class NoticeSender {
     /**
-     * The platform answers at once, and an end counts as lost 300 ms after its message's time: a connection that has
-     * fallen silent or is closed must be noticed well within that. A platform that is slow is given longer, time and
-     * again twice as long.
+     * The platform answers at once, and a final status counts as lost 300 ms after its message's deadline: a connection
+     * that is closed or unresponsive must be noticed well within that. A slow platform gets a timeout that doubles with
+     * each failure.
      */
     private static final long INITIAL_TIMEOUT_MICROS = 100_000, MAX_TIMEOUT_MICROS = 1_000_000;
 
@@ -32,14 +35,14 @@
     private final List<Notice> pending = new ArrayList<>();
     private String address;
     private boolean isSending;
-    /** Batches in a row that were not confirmed. */
+    /** Consecutive batches that were not confirmed. */
     private int consecutiveFailures;
-    /** The batch that is on its way, and when it is given up or sent again. */
+    /** The batch in flight. */
     private HttpClient.Exchange inFlight;
 
     private Deadlines.Key timer;
 
-    /** Notices to the address. */
+    /** Sends notices to the address. */
     public NoticeSender(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
         this.core = core;
         this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MAX_RESPONSE_BYTES);
@@ -47,24 +50,26 @@
         core.counters().entryGauge("notices", pending::size);
     }
 
-    void add(String id, String status, long againMicros, Runnable settled) {
+    void add(String id, String status, long retryAfterMicros, Runnable settled) {
         JsonObject line = new JsonObject();
         line.addProperty("id", id);
         line.addProperty("status", status);
-        if (againMicros > 0) {
-            line.addProperty("again_ms", (againMicros + 999) / 1000);
+        if (retryAfterMicros > 0) {
+            line.addProperty("again_ms", (retryAfterMicros + 999) / 1000);
         }
         pending.add(new Notice(line.toString() + '\n', settled));
         if (!isSending) {
             isSending = true;
-            timer = core.deadlines().schedule(core.nowMicros() + 1, this::send); // with what else ends in this turn
+            timer = core.deadlines().schedule(core.nowMicros() + 1, this::send); // batches what ends in this turn
         }
     }
 
-    /** Tells the new address from now on, what the old one has not confirmed too: a second notice does no harm. */
-    public void moveTo(String to) {
+    /**
+     * Switches to a new address, also for notices that the old one has not confirmed: a repeated notice does no harm.
+     */
+    public void moveTo(String newAddress) {
         client.closeIdle(address);
-        address = to;
+        address = newAddress;
         if (isSending) {
             core.deadlines().cancel(timer);
             if (inFlight != null) {
@@ -84,10 +89,12 @@
         StringBuilder body = new StringBuilder();
         batch.forEach(n -> body.append(n.line()));
         timer = core.deadlines()
-                .schedule(core.nowMicros() + Math.min(MAX_TIMEOUT_MICROS, INITIAL_TIMEOUT_MICROS << consecutiveFailures), () -> {
-                    inFlight.close();
-                    retryLater();
-                });
+                .schedule(
+                        core.nowMicros() + Math.min(MAX_TIMEOUT_MICROS, INITIAL_TIMEOUT_MICROS << consecutiveFailures),
+                        () -> {
+                            inFlight.close();
+                            retryLater();
+                        });
         inFlight = client.send(
                 address,
                 address,
@@ -97,10 +104,10 @@
                 body.toString().getBytes(StandardCharsets.UTF_8),
                 new HttpClient.Listener() {
                     @Override
-                    public void onResponse(int status, Map<String, String> headers, byte[] answer) {
+                    public void onResponse(int status, Map<String, String> headers, byte[] responseBody) {
                         core.deadlines().cancel(timer);
                         if (status != 204) {
-                            Logs.warn("", "notices-refused", "notices answered with " + status);
+                            Logs.warn("", "notices-refused", "the platform answered notices with status " + status);
                             retryLater();
                             return;
                         }
@@ -123,7 +130,11 @@
 
     private void retryLater() {
         inFlight = null;
-        timer = core.deadlines().schedule(core.nowMicros() + Math.min(MAX_RETRY_DELAY_MICROS, INITIAL_RETRY_DELAY_MICROS << consecutiveFailures), this::send);
+        timer = core.deadlines()
+                .schedule(
+                        core.nowMicros()
+                                + Math.min(MAX_RETRY_DELAY_MICROS, INITIAL_RETRY_DELAY_MICROS << consecutiveFailures),
+                        this::send);
         consecutiveFailures = Math.min(consecutiveFailures + 1, MAX_DOUBLINGS);
     }
 }
--- a/src/main/java/lilaclever/protocol/http/RetryBackoff.java
+++ b/src/main/java/lilaclever/protocol/http/RetryBackoff.java
@@ -3,12 +3,12 @@
 import java.util.SplittableRandom;
 
 /**
- * How long to wait before a server that can't be reached is tried again: each pause is up to twice the one before, up
- * to a bound, and spread at random, so that clients of one server don't come all at once. All times in microseconds.
- * Used from one thread at a time.
+ * Randomized exponential backoff before an unreachable server is tried again: delays double up to a limit and are
+ * jittered, so that the clients of one server don't retry all at once. All times in microseconds. Used from one thread
+ * at a time.
  */
 final class RetryBackoff {
-    /** The least part of a step that a pause lasts. */
+    /** A delay is at least this fraction of the current step. */
     private static final double MIN_STEP_FRACTION = 0.75;
 
     private static final int GROWTH_FACTOR = 2;
@@ -18,22 +18,22 @@
     private final SplittableRandom random;
     private long stepMicros;
 
-    /** Pauses that begin with at most {@code firstMicros} and grow up to {@code longestMicros}. */
-    RetryBackoff(long firstMicros, long longestMicros, SplittableRandom random) {
-        this.initialMicros = firstMicros;
-        this.maxMicros = longestMicros;
+    /** Creates a backoff whose delays start with at most {@code initialMicros} and grow up to {@code maxMicros}. */
+    RetryBackoff(long initialMicros, long maxMicros, SplittableRandom random) {
+        this.initialMicros = initialMicros;
+        this.maxMicros = maxMicros;
         this.random = random;
-        this.stepMicros = firstMicros;
+        this.stepMicros = initialMicros;
     }
 
-    /** The pause after one more failure; above 0 and never above the bound. */
+    /** Returns the delay after one more failure; above 0 and never above the limit. */
     long nextDelayMicros() {
-        long step = stepMicros;
-        stepMicros = Math.min(maxMicros, step * GROWTH_FACTOR);
-        return (long) (step * random.nextDouble(MIN_STEP_FRACTION, 1));
+        long currentStepMicros = stepMicros;
+        stepMicros = Math.min(maxMicros, currentStepMicros * GROWTH_FACTOR);
+        return (long) (currentStepMicros * random.nextDouble(MIN_STEP_FRACTION, 1));
     }
 
-    /** The server has answered, or another one is meant: the next pause is a first one. */
+    /** Starts again with the initial delay, once the server has answered or another server is used. */
     void reset() {
         stepMicros = initialMicros;
     }
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -35,14 +35,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** When the directory is asked again: real sockets, and a clock that goes on only when the test says so. */
+/** Retry intervals of the directory client: real sockets, and a clock that advances only when the test sets it. */
 class DirectoryClientTest {
     private static final long SECOND_MICROS = 1_000_000;
-    /** The least time between two turns: due after it is what has come meanwhile. */
+    /** The least time between two turns; anything due sooner stems from tasks that arrived meanwhile. */
     private static final long TURN_INTERVAL_MICROS = 2_000;
-    /** The platform's rule: a call follows an answered one within this. */
+    /** The platform's rule: a response is followed by the next request within this time. */
     private static final long MAX_DELAY_AFTER_RESPONSE_MICROS = 200_000;
-    /** A directory that is back is to be noticed within this. */
+    /** A directory that has recovered is to be noticed within this time. */
     private static final long MAX_RECOVERY_DETECTION_MICROS = 300_000;
 
     private static final String SETTINGS = """
@@ -53,7 +53,7 @@
              "rules": {"answerSlackS": 0.02, "coldFrom": 0.5, "tipMultiple": 1.5, "rampTimeS": 0.1,
               "overloadForS": 3, "drainGraceS": 0.5, "askWithinS": 10}}""";
 
-    /** A clock that stands still until it is set, and tells that a task has come for the loop. */
+    /** A clock that stands still until it is set, and signals that a task was posted to the loop. */
     private static final class ManualClock implements Clock {
         private final Semaphore posted = new Semaphore(0);
         private long micros = SECOND_MICROS;
@@ -70,12 +70,12 @@
 
         @Override
         public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
-            throw new IllegalStateException("the test does the loop's part");
+            throw new IllegalStateException("the test drives the loop");
         }
 
         @Override
         public void sleep(long micros) {
-            throw new IllegalStateException("the test does the loop's part");
+            throw new IllegalStateException("the test drives the loop");
         }
 
         @Override
@@ -92,7 +92,7 @@
     private SegmentedJournal journal;
     private Transport transport;
     private Core core;
-    /** Lists that were told. */
+    /** Number of lists reported. */
     private int listsReported;
 
     @BeforeEach
@@ -136,7 +136,10 @@
         return directory;
     }
 
-    /** Has the first call come back, and the time pass after which the known list is told without an answer. */
+    /**
+     * Waits for the first request to end, and lets the time pass after which the known list is reported without a
+     * response.
+     */
     private void passFirstResponseWait() throws InterruptedException {
         awaitRequestEnd(MAX_RECOVERY_DETECTION_MICROS);
         clock.micros += DirectoryClient.FIRST_RESPONSE_WAIT_MICROS;
@@ -145,28 +148,29 @@
     }
 
     /**
-     * Has the call that is out come back; gives how long the next one has to wait, which must be the limit at most. Of
-     * the same call more than one task may come for the loop.
+     * Waits for the request in flight to end; returns the delay until the next one, which must be at most the limit.
+     * One request may post several tasks to the loop.
      */
-    private long awaitRequestEnd(long limit) throws InterruptedException {
-        long pause;
+    private long awaitRequestEnd(long limitMicros) throws InterruptedException {
+        long delayMicros;
         do {
-            assertTrue(clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no call is due within " + limit + " us");
+            assertTrue(
+                    clock.posted.tryAcquire(10, TimeUnit.SECONDS), "no request is due within " + limitMicros + " us");
             core.runTurn();
-            pause = core.nextTurnMicros() - clock.micros;
-        } while (pause <= TURN_INTERVAL_MICROS || pause > limit);
-        return pause;
+            delayMicros = core.nextTurnMicros() - clock.micros;
+        } while (delayMicros <= TURN_INTERVAL_MICROS || delayMicros > limitMicros);
+        return delayMicros;
     }
 
-    /** The same, and the next call goes out. */
-    private long advanceToNextRequest(long limit) throws InterruptedException {
-        long pause = awaitRequestEnd(limit);
-        clock.micros += pause;
+    /** The same; then the next request is sent. */
+    private long advanceToNextRequest(long limitMicros) throws InterruptedException {
+        long delayMicros = awaitRequestEnd(limitMicros);
+        clock.micros += delayMicros;
         core.runTurn();
-        return pause;
+        return delayMicros;
     }
 
-    /** An address where connections are refused: it is taken, and nobody listens. */
+    /** An address that refuses connections: it is bound, and nothing listens. */
     private static Socket refusing() throws IOException {
         Socket taken = new Socket();
         taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
@@ -177,13 +181,15 @@
     void refusedConnectionsAreRetriedWithBoundedBackoff() throws Exception {
         try (Socket refusing = refusing()) {
             watch("127.0.0.1:" + refusing.getLocalPort());
-            int calls = 1;
-            List<Long> pauses = new ArrayList<>();
-            for (long until = clock.micros + 10 * SECOND_MICROS; clock.micros < until; calls++) {
-                pauses.add(advanceToNextRequest(MAX_RECOVERY_DETECTION_MICROS));
+            int requestCount = 1;
+            List<Long> delaysMicros = new ArrayList<>();
+            for (long endMicros = clock.micros + 10 * SECOND_MICROS; clock.micros < endMicros; requestCount++) {
+                delaysMicros.add(advanceToNextRequest(MAX_RECOVERY_DETECTION_MICROS));
             }
-            assertTrue(calls <= 50, "calls in 10 s: " + calls);
-            assertTrue(pauses.stream().distinct().count() > pauses.size() / 2, "pauses are spread: " + pauses);
+            assertTrue(requestCount <= 50, "requests in 10 s: " + requestCount);
+            assertTrue(
+                    delaysMicros.stream().distinct().count() > delaysMicros.size() / 2,
+                    "delays are spread: " + delaysMicros);
         }
     }
 
@@ -201,7 +207,7 @@
             answers.start();
             directory.moveTo("127.0.0.1:" + answering.getLocalPort());
             for (int i = 0; i < 10; i++) {
-                assertNotNull(requests.poll(10, TimeUnit.SECONDS), "call " + i);
+                assertNotNull(requests.poll(10, TimeUnit.SECONDS), "request " + i);
                 advanceToNextRequest(MAX_DELAY_AFTER_RESPONSE_MICROS);
             }
             assertEquals(0, core.counters().get(Counters.Name.TASKS_FAILED));
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -19,9 +19,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests and connections at the moments where the loop and the selector thread cross. */
+/** Requests and connections where the event loop and the selector thread race. */
 class HttpClientTest extends TwoThreadFixture {
-    private HttpClient.Listener listener(boolean tooLate) {
+    private HttpClient.Listener listener(boolean isExpired) {
         return new HttpClient.Listener() {
             @Override
             public void onResponse(int status, Map<String, String> headers, byte[] body) {
@@ -30,12 +30,12 @@
 
             @Override
             public void onFailure(boolean written, int status) {
-                reports.add("broke " + written);
+                reports.add("failed " + written);
             }
 
             @Override
             public boolean isExpired() {
-                return tooLate;
+                return isExpired;
             }
 
             @Override
@@ -45,10 +45,10 @@
         };
     }
 
-    private HttpClient.Exchange send(HttpClient client, boolean tooLate) throws InterruptedException {
+    private HttpClient.Exchange send(HttpClient client, boolean isExpired) throws InterruptedException {
         HttpClient.Exchange[] exchange = new HttpClient.Exchange[1];
         runOnLoop(() -> exchange[0] =
-                client.send("e", address(), "POST", "/receive", Map.of(), new byte[0], listener(tooLate)));
+                client.send("e", address(), "POST", "/receive", Map.of(), new byte[0], listener(isExpired)));
         return exchange[0];
     }
 
@@ -57,17 +57,18 @@
     }
 
     /**
-     * An answer that crosses the giving up of its call comes after the time that was told: only the giving up counts.
+     * A response that arrives while its call is given up comes after the time that the endpoint was given: it is
+     * ignored.
      */
     @Test
     void aResponseThatCrossesGiveUpIsIgnored() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read();
-            CountDownLatch free = blockSelector();
+            CountDownLatch release = blockSelector();
             endpoint.answer("200 OK", "all accepted");
             runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
-            free.countDown();
+            release.countDown();
             assertEquals("given up", reports.poll(20, TimeUnit.SECONDS));
             assertNull(endpoint.read(), "closed");
             runOnLoop(() -> {});
@@ -76,20 +77,20 @@
     }
 
     /**
-     * Whoever closes a request that is being given up has moved on: a word of it later would be taken for the next
-     * one's.
+     * The caller that closes a request during {@code giveUp} has moved on: a later report would be taken for one on its
+     * next request.
      */
     @Test
     void nothingIsReportedAfterAClose() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
             endpoint.read();
-            CountDownLatch free = blockSelector();
+            CountDownLatch release = blockSelector();
             runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
             runOnLoop(exchange::close);
-            free.countDown();
+            release.countDown();
             assertNull(endpoint.read(), "closed");
-            CountDownLatch after = blockSelector(); // what was to be posted has been
+            CountDownLatch after = blockSelector(); // all that was to be posted has been posted
             after.countDown();
             runOnLoop(() -> {});
             assertNull(reports.poll());
@@ -97,28 +98,29 @@
     }
 
     /**
-     * The connection comes up as its time is up: whether the request went is told by the thread that writes, as it was.
+     * A connection is established just as its request is given up: the selector thread reports whether the request was
+     * written.
      */
     @Test
     void giveUpDuringConnectReportsWhetherTheRequestWasWritten() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (Wire endpoint = accept()) {
-            endpoint.read(); // it has gone
+            endpoint.read(); // the request was written
             runOnLoop(() -> exchange.giveUp(() -> reports.add("written " + exchange.isWritten())));
             assertEquals("written true", reports.poll(20, TimeUnit.SECONDS));
         }
-        CountDownLatch free = blockSelector();
+        CountDownLatch release = blockSelector();
         HttpClient.Exchange second = send(client(), false);
         runOnLoop(() -> second.giveUp(() -> reports.add("written " + second.isWritten())));
-        free.countDown();
+        release.countDown();
         assertEquals("written false", reports.poll(20, TimeUnit.SECONDS));
-        server.accept().close(); // the one that held the thread
+        server.accept().close(); // the connection that blocked the selector thread
         try (Wire endpoint = accept()) {
             assertNull(endpoint.read(), "not a byte");
         }
     }
 
-    /** A request whose time is up is not written, though the loop has not come to give it up yet. */
+    /** An expired request is not written, even if the loop has not yet given it up. */
     @Test
     void anExpiredRequestIsNotWritten() throws Exception {
         send(client(), true);
@@ -130,19 +132,18 @@
     }
 
     /**
-     * An answer is believed only as a whole, as RFC 9112 says in section 8: without a length it ends with the
-     * connection; a length or chunks that are not all there are never whole, nor is what is cut off here as it is too
-     * much (#).
+     * A response counts only if it is complete (RFC 9112, section 8): without a length it ends with the connection; a
+     * truncated length or truncated chunks are never complete, nor is a response that is cut off here for its size (#).
      */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
             value = {
                 "Connection: close~~a accepted~                         | false | answered 200",
-                "Connection: close~~#                                   | false | broke true",
-                "Content-Length: 99~~a accepted~                        | false | broke true",
-                "Transfer-Encoding: chunked~~c~a accepted~~             | false | broke true",
-                "Transfer-Encoding: chunked~~c~a accepted~~0~           | false | broke true",
+                "Connection: close~~#                                   | false | failed true",
+                "Content-Length: 99~~a accepted~                        | false | failed true",
+                "Transfer-Encoding: chunked~~c~a accepted~~             | false | failed true",
+                "Transfer-Encoding: chunked~~c~a accepted~~0~           | false | failed true",
                 "Transfer-Encoding: chunked~~c~a accepted~~0~~         | true  | answered 200"
             })
     void aResponseIsCompleteByItsFraming(String rest, boolean reset, String expected) throws Exception {
@@ -156,7 +157,7 @@
 
                             @Override
                             public void onFailure(boolean written, int status) {
-                                reports.add("broke " + written);
+                                reports.add("failed " + written);
                             }
 
                             @Override
@@ -167,7 +168,7 @@
         try (Wire endpoint = accept()) {
             endpoint.read();
             endpoint.say("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
-            assertTrue(read.await(20, TimeUnit.SECONDS), "a reset must not overtake it");
+            assertTrue(read.await(20, TimeUnit.SECONDS), "the head must be read before the reset");
             if (reset) {
                 endpoint.reset();
             }
@@ -175,7 +176,10 @@
         assertEquals(expected, reports.poll(20, TimeUnit.SECONDS));
     }
 
-    /** A probe is a call to its destination: a wait told in its answer binds, and none is written under a wait. */
+    /**
+     * A probe is a call to its destination: a retry-after in its response is recorded, and none is written within such
+     * a period.
+     */
     @Test
     void aProbeObservesAndRecordsRetryAfter() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
@@ -188,19 +192,19 @@
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
-                runOnLoop(() -> {}); // its answer is on its way
+                runOnLoop(() -> {}); // its response is in flight
             }
             runOnLoop(() -> deliverer.probe(one));
             runOnLoop(() -> deliverer.probe(other));
             try (Wire second = accept()) {
                 second.read();
                 first.patience(50);
-                assertThrows(SocketTimeoutException.class, first::read, "nothing more came there");
+                assertThrows(SocketTimeoutException.class, first::read, "no further request on this connection");
             }
         }
     }
 
-    /** A probe is a call to its endpoint: it is not written to one that drains, also on a connection that is idle. */
+    /** A probe is a call to its endpoint: it is not written to a draining one, not even on an idle connection. */
     @Test
     void aProbeOfADrainingEndpointIsNotWritten() throws Exception {
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, 1_500_000, 15_000_000, 4);
@@ -212,12 +216,12 @@
             first.read();
             first.answer("200 OK", "");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
-                runOnLoop(() -> {}); // its answer is on its way
+                runOnLoop(() -> {}); // its response is in flight
             }
-            CountDownLatch free = blockSelector();
+            CountDownLatch release = blockSelector();
             runOnLoop(() -> deliverer.probe(one));
             runOnLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
-            free.countDown();
+            release.countDown();
             assertNull(first.read(), "closed without a byte");
         }
     }
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -26,14 +26,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Clients' connections at the moments where the loop and the selector thread cross. */
+/** Client connections where the event loop and the selector thread race. */
 class HttpServerFilterTest extends TwoThreadFixture {
     private final LinkedBlockingQueue<HttpServerFilter.Request> requests = new LinkedBlockingQueue<>();
     private HttpServerFilter serverFilter;
 
     private InetSocketAddress listen(BaseFilter filter) throws IOException {
         var chain = serverFilter.chain();
-        chain.set(1, filter); // in the intake's place, which it calls
+        chain.set(1, filter); // in place of the server filter, to which it delegates
         TCPNIOServerConnection listener = transport.listen(new InetSocketAddress("127.0.0.1", 0), chain);
         return (InetSocketAddress) listener.getLocalAddress();
     }
@@ -57,8 +57,8 @@
     }
 
     /**
-     * Its write of an answer is over only once the next request has been read, or cannot be: the order that a race may
-     * take.
+     * Completes the write of a response only after the next request has been read, or after a while: an order that a
+     * race can produce.
      */
     private final class DelayedWriteFilter extends BaseFilter {
         private final CountDownLatch secondRead = new CountDownLatch(2);
@@ -99,7 +99,7 @@
         }
     }
 
-    /** Guards large requests on the heels of an answer: they were taken for pipelined ones without room, and lost. */
+    /** Guards against a large request right after a response being taken for a pipelined one without room, and lost. */
     @Test
     void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -114,9 +114,7 @@
         }
     }
 
-    /**
-     * A request that lies unread in the socket of a connection that looks idle, as it is to close, is answered first.
-     */
+    /** A request unread in the socket of a connection that looks idle is answered before the connection is closed. */
     @Test
     void anUnreadRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -125,10 +123,10 @@
             client.say(requestText("/1", 0));
             respond(nextRequest(), "");
             assertEquals("200", client.read().target());
-            CountDownLatch free = blockSelector();
+            CountDownLatch release = blockSelector();
             client.say(requestText("/2", 0));
             runOnLoop(serverFilter::close);
-            free.countDown();
+            release.countDown();
             HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second.path());
             respond(second, "");
@@ -138,10 +136,14 @@
         }
     }
 
-    /** Where all the room is taken by those who wait for an answer, a newcomer is told to come again, in words. */
+    /**
+     * When all capacity is taken by clients that wait for a response, a new one gets a response that tells it to retry
+     * later.
+     */
     @Test
     void aNewConnectionWithoutCapacityIsRejectedWithAResponse() throws Exception {
-        serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // one place of them is for those who leave
+        serverFilter = new HttpServerFilter(
+                core, 8, 8, requests::add); // one place of them is reserved for closing connections
         InetSocketAddress address = listen(serverFilter);
         Wire[] waiting = new Wire[7];
         for (int i = 0; i < 7; i++) {
@@ -151,9 +153,9 @@
         }
         try (Wire newcomer = connect(address)) {
             newcomer.say(requestText("/8", 0));
-            Wire.Head answer = newcomer.read();
-            assertEquals("503", answer.target());
-            assertEquals("1", answer.headers().get("Retry-After"));
+            Wire.Head response = newcomer.read();
+            assertEquals("503", response.target());
+            assertEquals("1", response.headers().get("Retry-After"));
             assertNull(newcomer.read());
         }
         for (Wire each : waiting) {
@@ -161,20 +163,20 @@
         }
     }
 
-    /** Waits until the selector thread has read what had come, so many times over. */
+    /** Waits until the selector thread has read pending input the given number of times. */
     private void awaitSelections(int times) throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         InetSocketAddress anywhere = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
         transport.connect(anywhere, Transport.chain(new BaseFilter() {}), up::add, Throwable::printStackTrace);
-        Connection<?> any = up.poll(20, TimeUnit.SECONDS);
+        Connection<?> connection = up.poll(20, TimeUnit.SECONDS);
         for (int i = 0; i < times; i++) {
             CountDownLatch read = new CountDownLatch(1);
-            Transport.runAfterReading(any, read::countDown);
+            Transport.runAfterReading(connection, read::countDown);
             assertTrue(read.await(20, TimeUnit.SECONDS));
         }
     }
 
-    // ---- requests that were read ---------------------------------------------------------------------------
+    // Requests that were read
     private Wire connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
         Wire wire = connect(address);
         wire.say(requestText("/first" + number, 0));
@@ -184,25 +186,25 @@
     }
 
     /**
-     * Connections that were chosen for eviction while idle, and whose next request is read before they are closed: the
-     * request is answered, whoever else comes. The order of events within one selection is the system's: of several
-     * rounds nearly every one evicts a connection whose request is read in that same selection.
+     * Connections are chosen for eviction while idle, and their next requests are read before they are closed: the
+     * requests are answered whatever connections follow. The system orders the events within one selection, but over
+     * several rounds nearly every round evicts a connection whose request is read in the same selection.
      */
     @Test
     void anEvictedConnectionWhoseRequestWasReadIsAnswered() throws Exception {
         for (int round = 0; round < 5; round++) {
-            serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // seven stay, and one place is for those who leave
+            serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // seven stay, one is reserved
             InetSocketAddress address = listen(serverFilter);
             Wire[] clients = new Wire[7];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = connectAndCompleteRequest(address, i);
             }
-            CountDownLatch free = blockSelector();
+            CountDownLatch release = blockSelector();
             for (int i = 0; i < clients.length; i++) {
                 clients[i].say(requestText("/" + i, 0));
             }
             Wire[] newcomers = {connect(address), connect(address), connect(address)};
-            free.countDown();
+            release.countDown();
             for (HttpServerFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
@@ -219,7 +221,7 @@
         }
     }
 
-    /** Requests that were read while an earlier one was open are answered before the connection closes. */
+    /** Pipelined requests that were read are answered before the connection closes. */
     @ParameterizedTest
     @ValueSource(strings = {"shutdown", "many connections"})
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
@@ -242,7 +244,9 @@
         }
     }
 
-    /** Of requests sent ahead those that fit are answered, and the one that does not is told to come again. */
+    /**
+     * Of pipelined requests those that fit are answered, and the first that does not is rejected with a retry-after.
+     */
     @Test
     void excessPipelinedDataIsRejectedWithAResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -262,7 +266,7 @@
         }
     }
 
-    /** A request is answered whatever its client sends behind it. */
+    /** A request is answered whatever its client sends after it. */
     @Test
     void excessDataAfterARequestDoesNotCutOffItsResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -275,11 +279,11 @@
         }
     }
 
-    /** A request whose handling fails is answered as failed. */
+    /** A request whose handling fails gets an error response. */
     @Test
     void aRequestWhoseHandlerFailsIsAnswered() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, request -> {
-            throw new IllegalStateException("a fault of the handler's");
+            throw new IllegalStateException("handler failure");
         });
         try (Wire client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0));
@@ -288,7 +292,7 @@
         }
     }
 
-    /** A close while an answer is still being written, as its client reads slowly, waits for the answer's last byte. */
+    /** A close while a slow client is still receiving a response waits for the response's last byte. */
     @Test
     void aCloseWaitsForAResponseBeingWritten() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -301,12 +305,12 @@
             client.say(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
             runOnLoop(serverFilter::close);
-            awaitSelections(2); // the close has been carried out
+            awaitSelections(2); // the close has been executed
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
     }
-    /** A client that ends its sending behind a request still reads, and gets its answer. */
+    /** A client that half-closes after a request still reads, and gets its response. */
     @Test
     void aHalfClosedClientIsAnswered() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -317,7 +321,7 @@
             client.say(requestText("/1", 0));
             socket.shutdownOutput();
             HttpServerFilter.Request first = nextRequest();
-            awaitSelections(1); // the end of its sending has been read
+            awaitSelections(1); // the end of its input has been read
             respond(first, "");
             Wire.Head head = client.read();
             while (head != null && head.target().equals("100")) {
@@ -328,7 +332,7 @@
         }
     }
 
-    /** The end of a client's sending does not cut an answer off that it is still reading. */
+    /** The end of a client's input does not cut off a response that the client is still receiving. */
     @Test
     void aHalfClosedClientReceivesItsWholeResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -341,13 +345,13 @@
             client.say(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
             socket.shutdownOutput();
-            awaitSelections(1); // the end of its sending has been read
+            awaitSelections(1); // the end of its input has been read
             assertEquals(4 << 20, client.read().body().length);
             assertNull(client.read());
         }
     }
 
-    /** One that has closed its connection is gone: its message is not taken on, as it is handed in again. */
+    /** A client that has closed its connection is gone: its message is not accepted, as it will be submitted again. */
     @Test
     void aClientThatHasClosedIsGone() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -356,7 +360,7 @@
         client.say(requestText("/1", 0));
         HttpServerFilter.Request first = nextRequest();
         client.close();
-        awaitSelections(1); // the end has been read
+        awaitSelections(1); // the end of its input has been read
         assertTrue(first.exchange().isClientGone());
     }
 }
--- a/src/test/java/lilaclever/protocol/http/RetryBackoffTest.java
+++ b/src/test/java/lilaclever/protocol/http/RetryBackoffTest.java
@@ -10,15 +10,15 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Pauses before a server that can't be reached is tried again. */
+/** Delays before an unreachable server is tried again. */
 class RetryBackoffTest {
     private static final long INITIAL_MICROS = 50_000, MAX_MICROS = 300_000;
 
     @Test
     void delaysGrowToTheLimit() {
-        RetryBackoff pause = new RetryBackoff(INITIAL_MICROS, MAX_MICROS, new SplittableRandom(1));
+        RetryBackoff backoff = new RetryBackoff(INITIAL_MICROS, MAX_MICROS, new SplittableRandom(1));
         for (long step : List.of(50_000L, 100_000L, 200_000L, MAX_MICROS, MAX_MICROS, MAX_MICROS)) {
-            long next = pause.nextDelayMicros();
+            long next = backoff.nextDelayMicros();
             assertTrue(next >= step * 3 / 4 && next <= step, next + " at a step of " + step);
         }
     }
@@ -27,17 +27,21 @@
     void delaysOfManyClientsAreSpread() {
         Set<Long> lengths = new HashSet<>();
         IntStream.range(0, 100)
-                .forEach(i -> lengths.add(new RetryBackoff(INITIAL_MICROS, MAX_MICROS, new SplittableRandom(i)).nextDelayMicros()));
-        assertTrue(lengths.size() > 90, "of a hundred clients so many pause for different times: " + lengths.size());
+                .forEach(i -> lengths.add(
+                        new RetryBackoff(INITIAL_MICROS, MAX_MICROS, new SplittableRandom(i)).nextDelayMicros()));
+        assertTrue(lengths.size() > 90, "distinct delays of 100 clients: " + lengths.size());
     }
 
     @Test
     void resetRestoresTheInitialDelay() {
-        RetryBackoff pause = new RetryBackoff(INITIAL_MICROS, MAX_MICROS, new SplittableRandom(2));
-        long grown = IntStream.range(0, 5).mapToLong(i -> pause.nextDelayMicros()).max().orElseThrow();
+        RetryBackoff backoff = new RetryBackoff(INITIAL_MICROS, MAX_MICROS, new SplittableRandom(2));
+        long grown = IntStream.range(0, 5)
+                .mapToLong(i -> backoff.nextDelayMicros())
+                .max()
+                .orElseThrow();
         assertTrue(grown > INITIAL_MICROS);
-        pause.reset();
-        assertTrue(pause.nextDelayMicros() <= INITIAL_MICROS);
+        backoff.reset();
+        assertTrue(backoff.nextDelayMicros() <= INITIAL_MICROS);
     }
 
     @Test
--- a/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
@@ -28,7 +28,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A real loop and a real selector thread, either of which a test can have stand still while something else comes. */
+/** Runs a real event loop and a real selector thread, either of which a test can block while something else happens. */
 abstract class TwoThreadFixture {
     static final String SETTINGS = """
             {"roundS": 0.002, "groupSize": 1, "shapes": ["lab"], "zones": ["z"],
@@ -91,7 +91,7 @@
         assertTrue(ran.await(20, TimeUnit.SECONDS));
     }
 
-    /** Has the selector thread stand still until the latch is released. */
+    /** Blocks the selector thread until the returned latch is released. */
     final CountDownLatch blockSelector() throws InterruptedException {
         LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
         transport.connect(
@@ -99,18 +99,18 @@
                 Transport.chain(new BaseFilter() {}),
                 up::add,
                 Throwable::printStackTrace);
-        Connection<?> any = up.poll(20, TimeUnit.SECONDS);
-        CountDownLatch held = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
-        Transport.runOnSelector(any, () -> {
-            held.countDown();
+        Connection<?> connection = up.poll(20, TimeUnit.SECONDS);
+        CountDownLatch blocked = new CountDownLatch(1);
+        CountDownLatch release = new CountDownLatch(1);
+        Transport.runOnSelector(connection, () -> {
+            blocked.countDown();
             try {
-                free.await(20, TimeUnit.SECONDS);
+                release.await(20, TimeUnit.SECONDS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
         });
-        assertTrue(held.await(20, TimeUnit.SECONDS));
-        return free;
+        assertTrue(blocked.await(20, TimeUnit.SECONDS));
+        return release;
     }
 }
