--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -117,7 +117,7 @@
     }
 
     /** Throws if anything stands in the file that nobody has asked for; to be called when all is read. */
-    public void refuseUnknown(Set<String> kinds) throws ConfigurationException {
+    public void rejectUnknown(Set<String> kinds) throws ConfigurationException {
         for (Section s : sections.values()) {
             String kind = s.title.split(" ")[0];
             if (!kinds.contains(kind)) {
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -109,7 +109,7 @@
                 classes,
                 traffic(file.section("traffic")),
                 events(kinds));
-        file.refuseUnknown(SECTIONS);
+        file.rejectUnknown(SECTIONS);
         return read;
     }
 
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -60,7 +60,7 @@
                 journal, identity, new MllpSections(file, config, identity.shared()).read(), log(file.section("log")));
         Set<String> kinds = new HashSet<>(MllpSections.KINDS);
         kinds.addAll(Set.of("journal", "identity", "log"));
-        file.refuseUnknown(kinds);
+        file.rejectUnknown(kinds);
         return read;
     }
 
