--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -121,21 +121,21 @@
         for (Section s : sections.values()) {
             String kind = s.title.split(" ")[0];
             if (!kinds.contains(kind)) {
-                throw fault(s.line, "[" + s.title + "]", "no such section" + nearest(kind, kinds));
+                throw fault(s.line, "[" + s.title + "]", "no such section" + suggestion(kind, kinds));
             }
             for (Map.Entry<String, Entry> e : s.entries.entrySet()) {
                 if (!s.asked.contains(e.getKey())) {
                     throw fault(
                             e.getValue().line(),
                             s.title + "." + e.getKey(),
-                            "no such key" + nearest(e.getKey(), s.asked));
+                            "no such key" + suggestion(e.getKey(), s.asked));
                 }
             }
         }
     }
 
     /** The known word that needs the fewest changes, if that is a few. */
-    public static String nearest(String word, Set<String> known) {
+    public static String suggestion(String word, Set<String> known) {
         String best = null;
         int least = Math.max(2, word.length() / 2) + 1;
         for (String k : known) {
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -67,7 +67,7 @@
             throw new ConfigurationException(
                     nameOrPath,
                     "neither a file nor a shipped scenario"
-                            + ConfFile.nearest(nameOrPath, new java.util.LinkedHashSet<>(SHIPPED)));
+                            + ConfFile.suggestion(nameOrPath, new java.util.LinkedHashSet<>(SHIPPED)));
         }
         String name = path.getFileName().toString().replaceFirst("\\.conf$", "");
         if (settings.isEmpty()) {
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -150,7 +150,7 @@
                 throw s.bad(
                         "events",
                         "no class of the settings: " + s.which()
-                                + ConfFile.nearest(s.which(), new LinkedHashSet<>(config.classNames())));
+                                + ConfFile.suggestion(s.which(), new LinkedHashSet<>(config.classNames())));
             }
             for (String event : s.words("events")) {
                 if (!event.matches("[A-Z][A-Z0-9]{2}(\\^[A-Z][A-Z0-9]{2})?")) {
