--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -181,7 +181,7 @@
         }
 
         /** What stands behind the kind in {@code [kind which]}. */
-        public String which() {
+        public String qualifier() {
             return title.contains(" ") ? title.split(" ")[1] : "";
         }
 
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -198,7 +198,7 @@
         PartnerKind.Limit limit =
                 s.choice("limit", PartnerKind.Limit.class, lab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
         return new PartnerKind(
-                absent ? lab ? "lens-lab" : "supplier" : s.which(),
+                absent ? lab ? "lens-lab" : "supplier" : s.qualifier(),
                 s.share("share", absent ? lab ? 0.25 : 0.75 : 1, 1),
                 s.flag("large", lab),
                 limit,
@@ -256,7 +256,7 @@
                     DecisionModule.RepeatSafety.UNSAFE));
         }
         for (Section s : sections) {
-            classes.add(messageClass(s, s.which(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
+            classes.add(messageClass(s, s.qualifier(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
         }
         double sum = classes.stream().mapToDouble(MessageClass::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
@@ -325,7 +325,7 @@
                 default -> new double[] {0, 0};
             };
             all.add(new ScheduledEvent(
-                    s.which(),
+                    s.qualifier(),
                     what,
                     s.times("at", 0, 0, 0, 48 * HOUR),
                     s.times("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -102,7 +102,7 @@
         }
         int connections = (int) s.whole("connections", 32, 1, 100_000);
         return new MllpSettings.Listener(
-                s.which(),
+                s.qualifier(),
                 address,
                 networks(s),
                 connections,
@@ -129,12 +129,12 @@
         Map<String, String> practices = new HashMap<>();
         for (Section s : file.sections("practice")) {
             try {
-                new Identity(s.which(), "x");
+                new Identity(s.qualifier(), "x");
             } catch (IllegalArgumentException e) {
                 throw s.bad("senders", e.getMessage());
             }
             for (String sender : s.words("senders")) {
-                if (practices.put(sender, s.which()) != null) {
+                if (practices.put(sender, s.qualifier()) != null) {
                     throw s.bad("senders", sender + " stands twice");
                 }
             }
@@ -145,12 +145,12 @@
     private Map<String, Integer> events() throws ConfigurationException {
         Map<String, Integer> events = new HashMap<>();
         for (Section s : file.sections("hl7-class")) {
-            int number = config.classNames().indexOf(s.which());
+            int number = config.classNames().indexOf(s.qualifier());
             if (number < 0) {
                 throw s.bad(
                         "events",
-                        "no class of the settings: " + s.which()
-                                + ConfFile.suggestion(s.which(), new LinkedHashSet<>(config.classNames())));
+                        "no class of the settings: " + s.qualifier()
+                                + ConfFile.suggestion(s.qualifier(), new LinkedHashSet<>(config.classNames())));
             }
             for (String event : s.words("events")) {
                 if (!event.matches("[A-Z][A-Z0-9]{2}(\\^[A-Z][A-Z0-9]{2})?")) {
@@ -167,11 +167,11 @@
     private Map<String, Integer> destinations() throws ConfigurationException {
         Map<String, Integer> destinations = new HashMap<>();
         for (Section s : file.sections("hl7-destination")) {
-            if (!s.which().matches("[0-9]{1,9}")) {
-                throw s.bad("receivers", "[hl7-destination NUMBER], not " + s.which());
+            if (!s.qualifier().matches("[0-9]{1,9}")) {
+                throw s.bad("receivers", "[hl7-destination NUMBER], not " + s.qualifier());
             }
             for (String receiver : s.words("receivers")) {
-                if (destinations.put(receiver, Integer.valueOf(s.which())) != null) {
+                if (destinations.put(receiver, Integer.valueOf(s.qualifier())) != null) {
                     throw s.bad("receivers", receiver + " stands twice");
                 }
             }
