--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -186,7 +186,7 @@
         }
 
         /** True if the file has it. */
-        public boolean isThere() {
+        public boolean isPresent() {
             return line > 0;
         }
 
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -194,7 +194,7 @@
     }
 
     private static PartnerKind kind(Section s, boolean lab) throws ConfigurationException {
-        boolean absent = !s.isThere();
+        boolean absent = !s.isPresent();
         PartnerKind.Limit limit =
                 s.choice("limit", PartnerKind.Limit.class, lab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
         return new PartnerKind(
