--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -212,7 +212,7 @@
         }
 
         /** An error of this key: with its line, or the section's where the key is absent. */
-        public ConfigurationException bad(String key, String problem) {
+        public ConfigurationException error(String key, String problem) {
             Entry e = entries.get(key);
             return fault(e == null ? line : e.line(), title + "." + key, problem);
         }
@@ -254,7 +254,7 @@
                 }
                 names.add(n);
             }
-            throw bad(key, "one of " + String.join(", ", names) + ", not " + value);
+            throw error(key, "one of " + String.join(", ", names) + ", not " + value);
         }
 
         /** yes or no. */
@@ -264,7 +264,7 @@
                 return otherwise;
             }
             if (!value.equals("yes") && !value.equals("no")) {
-                throw bad(key, "yes or no, not " + value);
+                throw error(key, "yes or no, not " + value);
             }
             return value.equals("yes");
         }
@@ -283,7 +283,7 @@
             } catch (NumberFormatException e) {
                 // told below
             }
-            throw bad(key, "a whole number from " + least + " to " + most + ", not " + value);
+            throw error(key, "a whole number from " + least + " to " + most + ", not " + value);
         }
 
         /** A number with or without decimals, within bounds. */
@@ -303,7 +303,7 @@
                 real(key, words.get(0), "", least, most), real(key, words.get(words.size() - 1), "", least, most)
             };
             if (words.size() > 2 || range[0] > range[1]) {
-                throw bad(key, "one number, or the least and the most, not " + String.join(" ", words));
+                throw error(key, "one number, or the least and the most, not " + String.join(" ", words));
             }
             return range;
         }
@@ -327,7 +327,7 @@
                     return number;
                 }
             }
-            throw bad(key, "from " + plain(least) + unit + " to " + plain(most) + unit + ", not " + value);
+            throw error(key, "from " + plain(least) + unit + " to " + plain(most) + unit + ", not " + value);
         }
 
         private static String plain(double number) {
@@ -344,7 +344,7 @@
             }
             long[] range = {time(key, words.get(0), least, most), time(key, words.get(words.size() - 1), least, most)};
             if (words.size() > 2 || range[0] > range[1]) {
-                throw bad(key, "one time, or the least and the most, not " + String.join(" ", words));
+                throw error(key, "one time, or the least and the most, not " + String.join(" ", words));
             }
             return range;
         }
@@ -360,7 +360,7 @@
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(us|ms|s|m|h|d)")
                     .matcher(value);
             if (!m.matches()) {
-                throw bad(key, "a time with its unit (us, ms, s, m, h or d), not " + value);
+                throw error(key, "a time with its unit (us, ms, s, m, h or d), not " + value);
             }
             double unit = switch (m.group(2)) {
                 case "us" -> 1;
@@ -372,7 +372,7 @@
             };
             double micros = Double.parseDouble(m.group(1)) * unit;
             if (micros < least || micros > most) {
-                throw bad(key, "from " + least / 1000.0 + " ms to " + most / 1000.0 + " ms, not " + value);
+                throw error(key, "from " + least / 1000.0 + " ms to " + most / 1000.0 + " ms, not " + value);
             }
             return (long) micros;
         }
@@ -386,12 +386,12 @@
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(B|KiB|MiB|GiB)")
                     .matcher(value);
             if (!m.matches()) {
-                throw bad(key, "a size with its unit (B, KiB, MiB or GiB), not " + value);
+                throw error(key, "a size with its unit (B, KiB, MiB or GiB), not " + value);
             }
             double unit = Math.pow(1024, List.of("B", "KiB", "MiB", "GiB").indexOf(m.group(2)));
             double bytes = Double.parseDouble(m.group(1)) * unit;
             if (bytes < least || bytes > most) {
-                throw bad(key, "from " + least + " B to " + most + " B, not " + value);
+                throw error(key, "from " + least + " B to " + most + " B, not " + value);
             }
             return (long) bytes;
         }
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -158,12 +158,12 @@
             Traffic.Point p = new Traffic.Point(
                     s.time("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
             if (!shape.isEmpty() && p.atMicros() <= shape.get(shape.size() - 1).atMicros()) {
-                throw s.bad("load", "times must grow: " + words.get(i));
+                throw s.error("load", "times must grow: " + words.get(i));
             }
             shape.add(p);
         }
         if (words.size() % 2 != 0 || shape.get(0).atMicros() != 0) {
-            throw s.bad("load", "one share, or times and shares in turn from 0s on, such as 0s 45% 30s 110%");
+            throw s.error("load", "one share, or times and shares in turn from 0s on, such as 0s 45% 30s 110%");
         }
         return new TrafficPlan(
                 length,
@@ -186,7 +186,7 @@
         double sum = kinds.stream().mapToDouble(PartnerKind::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
             throw sections.get(0)
-                    .bad(
+                    .error(
                             "share",
                             "the shares of all kinds are " + Math.round(sum * 1000) / 10.0 + "% together, not 100%");
         }
@@ -261,7 +261,7 @@
         double sum = classes.stream().mapToDouble(MessageClass::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
             throw sections.get(0)
-                    .bad(
+                    .error(
                             "share",
                             "the shares of all classes are " + Math.round(sum * 1000) / 10.0 + "% together, not 100%");
         }
@@ -283,7 +283,7 @@
         long aim = s.time("aim", aimMs * MS, MS, HOUR);
         long deadline = s.time("deadline", deadlineS * SECOND, 10 * MS, HOUR);
         if (aim > deadline) {
-            throw s.bad("aim", "is after the deadline");
+            throw s.error("aim", "is after the deadline");
         }
         return new MessageClass(
                 name,
@@ -305,17 +305,17 @@
         List<ScheduledEvent> all = new ArrayList<>();
         for (Section s : file.sections("event")) {
             if (!s.has("what")) {
-                throw s.bad(
+                throw s.error(
                         "what",
                         "missing: one of restart, drain, silent, failing, shut, down, slow, lowered, hot, deaf");
             }
             EventType what = s.choice("what", EventType.class, EventType.RESTART);
             if (!s.has("at")) {
-                throw s.bad("at", "missing: a time, or the least and the most");
+                throw s.error("at", "missing: a time, or the least and the most");
             }
             String kind = s.text("kind", null);
             if (kind != null && kinds.stream().noneMatch(k -> k.name().equals(kind))) {
-                throw s.bad("kind", "no such kind of partner: " + kind);
+                throw s.error("kind", "no such kind of partner: " + kind);
             }
             double[] strength = switch (what) {
                 case FAILING -> s.range("strength", 0.5, 1, 0, 1);
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -87,18 +87,18 @@
     }
 
     private ConfigurationException listenerFault(String problem) {
-        return file.sections("mllp").get(0).bad("address", problem);
+        return file.sections("mllp").get(0).error("address", problem);
     }
 
     private MllpSettings.Listener listener(Section s) throws ConfigurationException {
         String address = s.text("address", null);
         if (address == null) {
-            throw s.bad("address", "missing");
+            throw s.error("address", "missing");
         }
         try {
             Transport.parseAddress(address);
         } catch (IllegalArgumentException e) {
-            throw s.bad("address", e.getMessage());
+            throw s.error("address", e.getMessage());
         }
         int connections = (int) s.whole("connections", 32, 1, 100_000);
         return new MllpSettings.Listener(
@@ -116,12 +116,12 @@
     private static AddressSet networks(Section s) throws ConfigurationException {
         List<String> networks = s.words("networks");
         if (networks.isEmpty()) {
-            throw s.bad("networks", "missing: which networks may connect, such as 127.0.0.0/8 ::1");
+            throw s.error("networks", "missing: which networks may connect, such as 127.0.0.0/8 ::1");
         }
         try {
             return new AddressSet(networks);
         } catch (IllegalArgumentException e) {
-            throw s.bad("networks", e.getMessage());
+            throw s.error("networks", e.getMessage());
         }
     }
 
@@ -131,11 +131,11 @@
             try {
                 new Identity(s.qualifier(), "x");
             } catch (IllegalArgumentException e) {
-                throw s.bad("senders", e.getMessage());
+                throw s.error("senders", e.getMessage());
             }
             for (String sender : s.words("senders")) {
                 if (practices.put(sender, s.qualifier()) != null) {
-                    throw s.bad("senders", sender + " stands twice");
+                    throw s.error("senders", sender + " stands twice");
                 }
             }
         }
@@ -147,17 +147,17 @@
         for (Section s : file.sections("hl7-class")) {
             int number = config.classNames().indexOf(s.qualifier());
             if (number < 0) {
-                throw s.bad(
+                throw s.error(
                         "events",
                         "no class of the settings: " + s.qualifier()
                                 + ConfFile.suggestion(s.qualifier(), new LinkedHashSet<>(config.classNames())));
             }
             for (String event : s.words("events")) {
                 if (!event.matches("[A-Z][A-Z0-9]{2}(\\^[A-Z][A-Z0-9]{2})?")) {
-                    throw s.bad("events", "not an event such as ORM or ORM^O01: " + event);
+                    throw s.error("events", "not an event such as ORM or ORM^O01: " + event);
                 }
                 if (events.put(event, number) != null) {
-                    throw s.bad("events", event + " stands twice");
+                    throw s.error("events", event + " stands twice");
                 }
             }
         }
@@ -168,11 +168,11 @@
         Map<String, Integer> destinations = new HashMap<>();
         for (Section s : file.sections("hl7-destination")) {
             if (!s.qualifier().matches("[0-9]{1,9}")) {
-                throw s.bad("receivers", "[hl7-destination NUMBER], not " + s.qualifier());
+                throw s.error("receivers", "[hl7-destination NUMBER], not " + s.qualifier());
             }
             for (String receiver : s.words("receivers")) {
                 if (destinations.put(receiver, Integer.valueOf(s.qualifier())) != null) {
-                    throw s.bad("receivers", receiver + " stands twice");
+                    throw s.error("receivers", receiver + " stands twice");
                 }
             }
         }
@@ -187,7 +187,7 @@
             }
         }
         if (needed) {
-            throw hl7.bad("unknown-events", "no class of the settings may not be repeated: set it to no");
+            throw hl7.error("unknown-events", "no class of the settings may not be repeated: set it to no");
         }
         return -1;
     }
@@ -196,7 +196,7 @@
         String text = s.text(key, otherwise);
         Field field = text == null ? null : Field.of(text);
         if (text != null && field == null) {
-            throw s.bad(key, "a field such as MSH-10 or ORC-2-1, not " + text);
+            throw s.error(key, "a field such as MSH-10 or ORC-2-1, not " + text);
         }
         return field;
     }
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -69,10 +69,10 @@
         boolean shared = s.flag("shared", false);
         String header = s.text("http-practice", null);
         if (header != null && !header.matches("[A-Za-z0-9-]{1,64}")) {
-            throw s.bad("http-practice", "not the name of a header: " + header);
+            throw s.error("http-practice", "not the name of a header: " + header);
         }
         if (header != null && !shared) {
-            throw s.bad("http-practice", "needs shared yes");
+            throw s.error("http-practice", "needs shared yes");
         }
         List<Long> windows = new ArrayList<>();
         for (int i = 0; i < config.classNames().size(); i++) {
@@ -88,7 +88,7 @@
     private static Logs.Settings log(ConfFile.Section s) throws ConfigurationException {
         Logs.Form form = s.choice("form", Logs.Form.class, Logs.Form.TEXT);
         if (form == Logs.Form.JSON && s.has("times")) {
-            throw s.bad("times", "is for form text: JSON lines have their times");
+            throw s.error("times", "is for form text: JSON lines have their times");
         }
         return new Logs.Settings(form, s.choice("level", Logs.Level.class, Logs.Level.INFO), s.flag("times", false));
     }
@@ -97,7 +97,7 @@
         Durability.Mode how = s.choice("durability", Durability.Mode.class, Durability.Mode.NONE);
         long every = s.time("interval", 50_000, 1000, 60 * SECOND);
         if (how != Durability.Mode.INTERVAL && s.has("interval")) {
-            throw s.bad(
+            throw s.error(
                     "interval", "needs durability interval, not " + how.name().toLowerCase());
         }
         return new JournalSettings(new Durability(how, every), s.time("remember", HOUR, SECOND, 240 * HOUR));
