--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -270,7 +270,7 @@
         }
 
         /** A whole number within bounds. */
-        public long whole(String key, long otherwise, long least, long most) throws ConfigurationException {
+        public long integer(String key, long otherwise, long least, long most) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
                 return otherwise;
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -114,26 +114,26 @@
     }
 
     private static Fleet fleet(Section s) throws ConfigurationException {
-        int forwarders = (int) s.whole("forwarders", 3, 1, 10_000);
+        int forwarders = (int) s.integer("forwarders", 3, 1, 10_000);
         return new Fleet(
                 forwarders,
-                (int) s.whole("destinations", 18, 1, 100_000),
+                (int) s.integer("destinations", 18, 1, 100_000),
                 s.real("rate", 65, 0.01, MOST),
                 s.real("zipf", 1, 0, 3),
                 s.range("endpoints", 1, 3, 1, 2_000),
                 s.real("slots-room", 2, 0.1, 100),
-                (int) s.whole("least-slots", 4, 1, 10_000),
+                (int) s.integer("least-slots", 4, 1, 10_000),
                 s.real("hold", 5, 0.1, 1000),
-                (int) s.whole("least-held", 12, 1, 1_000_000),
+                (int) s.integer("least-held", 12, 1, 1_000_000),
                 s.time("round", 5 * MS, 100, SECOND),
-                (int) s.whole("attempts", 8, 1, 100),
+                (int) s.integer("attempts", 8, 1, 100),
                 s.time("connect-timeout", 1500 * MS, MS, 60 * SECOND),
                 s.time("keep-alive", 15 * SECOND, 100 * MS, HOUR),
                 s.time("network", MS / 2, 0, SECOND),
                 s.time("handshake", 2 * MS, 0, SECOND),
                 s.times("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
                 s.times("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
-                (int) s.whole("client-retries", 1, 0, 100),
+                (int) s.integer("client-retries", 1, 0, 100),
                 s.times("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
                 new Partner.Cold(
                         s.share("cold-from", 0.24, 1),
@@ -213,7 +213,7 @@
                 s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MOST),
                 s.range("least-connections", 7.2, 15, 1, MOST),
                 s.real("variation", 0.5, 0, 10),
-                (int) s.whole("batch", lab ? 20 : 1, 1, 1000),
+                (int) s.integer("batch", lab ? 20 : 1, 1, 1000),
                 s.real("item-cost", 0.15, 0, 1));
     }
 
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -51,9 +51,9 @@
         Field deadline = field(hl7, "deadline", null);
         Set<String> processing = words(hl7, "processing", "P");
         Set<String> versions = words(hl7, "versions", "2.3 2.3.1 2.4 2.5 2.5.1");
-        int mostHeld = (int) hl7.whole("most-held", 200, 1, 1_000_000);
+        int mostHeld = (int) hl7.integer("most-held", 200, 1, 1_000_000);
         long owe = hl7.time("owe", 10 * MINUTE, SECOND, 24 * 60 * MINUTE);
-        int mostOwed = (int) hl7.whole("most-owed", 1000, 1, 1_000_000);
+        int mostOwed = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
         if (listeners.isEmpty()) {
             return null;
         }
@@ -100,14 +100,14 @@
         } catch (IllegalArgumentException e) {
             throw s.error("address", e.getMessage());
         }
-        int connections = (int) s.whole("connections", 32, 1, 100_000);
+        int connections = (int) s.integer("connections", 32, 1, 100_000);
         return new MllpSettings.Listener(
                 s.qualifier(),
                 address,
                 networks(s),
                 connections,
-                (int) s.whole("connections-per-address", connections, 1, connections),
-                (int) s.whole("in-flight", 16, 1, 10_000),
+                (int) s.integer("connections-per-address", connections, 1, connections),
+                (int) s.integer("in-flight", 16, 1, 10_000),
                 (int) s.size("largest", LARGEST, 512, LARGEST),
                 s.time("idle", 10 * MINUTE, SECOND, 24 * 60 * MINUTE),
                 s.time("whole", 30 * SECOND, 100 * MS, 10 * MINUTE));
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -82,7 +82,7 @@
         return new IdentitySettings(
                 shared,
                 header == null ? null : header.toLowerCase(Locale.ROOT),
-                new IdempotencyWindows(windows, remember, (int) s.whole("most", 100_000, 1, 10_000_000)));
+                new IdempotencyWindows(windows, remember, (int) s.integer("most", 100_000, 1, 10_000_000)));
     }
 
     private static Logs.Settings log(ConfFile.Section s) throws ConfigurationException {
