--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -287,9 +287,9 @@
         }
 
         /** A number with or without decimals, within bounds. */
-        public double real(String key, double otherwise, double least, double most) throws ConfigurationException {
+        public double decimal(String key, double otherwise, double least, double most) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : real(key, value, "", least, most);
+            return value == null ? otherwise : decimal(key, value, "", least, most);
         }
 
         /** Two numbers, the least and the most; one stands for both. */
@@ -300,7 +300,7 @@
                 return new double[] {low, high};
             }
             double[] range = {
-                real(key, words.get(0), "", least, most), real(key, words.get(words.size() - 1), "", least, most)
+                decimal(key, words.get(0), "", least, most), decimal(key, words.get(words.size() - 1), "", least, most)
             };
             if (words.size() > 2 || range[0] > range[1]) {
                 throw error(key, "one number, or the least and the most, not " + String.join(" ", words));
@@ -316,10 +316,10 @@
 
         /** The same for a word of a value. */
         public double share(String key, String word, double most) throws ConfigurationException {
-            return real(key, word, "%", 0, most * 100) / 100;
+            return decimal(key, word, "%", 0, most * 100) / 100;
         }
 
-        private double real(String key, String value, String unit, double least, double most)
+        private double decimal(String key, String value, String unit, double least, double most)
                 throws ConfigurationException {
             if (value.matches("\\d{1,12}(\\.\\d{1,9})?" + unit)) {
                 double number = Double.parseDouble(value.substring(0, value.length() - unit.length()));
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -118,12 +118,12 @@
         return new Fleet(
                 forwarders,
                 (int) s.integer("destinations", 18, 1, 100_000),
-                s.real("rate", 65, 0.01, MOST),
-                s.real("zipf", 1, 0, 3),
+                s.decimal("rate", 65, 0.01, MOST),
+                s.decimal("zipf", 1, 0, 3),
                 s.range("endpoints", 1, 3, 1, 2_000),
-                s.real("slots-room", 2, 0.1, 100),
+                s.decimal("slots-room", 2, 0.1, 100),
                 (int) s.integer("least-slots", 4, 1, 10_000),
-                s.real("hold", 5, 0.1, 1000),
+                s.decimal("hold", 5, 0.1, 1000),
                 (int) s.integer("least-held", 12, 1, 1_000_000),
                 s.time("round", 5 * MS, 100, SECOND),
                 (int) s.integer("attempts", 8, 1, 100),
@@ -138,7 +138,7 @@
                 new Partner.Cold(
                         s.share("cold-from", 0.24, 1),
                         s.time("cold-ramp", 9500 * MS, 0, HOUR),
-                        s.real("tip", 1.5, 0.1, 100),
+                        s.decimal("tip", 1.5, 0.1, 100),
                         s.time("tip-for", 3 * SECOND, 100 * MS, HOUR)),
                 s.time("drain-grace", 500 * MS, 0, 60 * SECOND),
                 s.size("disk", 3 << 20, 1 << 17, 1L << 34));
@@ -212,9 +212,9 @@
                 s.share("refused-count", 1, 1),
                 s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MOST),
                 s.range("least-connections", 7.2, 15, 1, MOST),
-                s.real("variation", 0.5, 0, 10),
+                s.decimal("variation", 0.5, 0, 10),
                 (int) s.integer("batch", lab ? 20 : 1, 1, 1000),
-                s.real("item-cost", 0.15, 0, 1));
+                s.decimal("item-cost", 0.15, 0, 1));
     }
 
     private List<MessageClass> classes() throws ConfigurationException {
@@ -292,7 +292,7 @@
                 new DecisionModule.MessageClass(
                         aim,
                         deadline,
-                        s.real("worth", worth, 0, MOST),
+                        s.decimal("worth", worth, 0, MOST),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
                         DecisionModule.KeyScope.ALL,
                         s.time("window", 5 * SECOND, 0, HOUR),
