--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -337,7 +337,7 @@
         }
 
         /** Two times, the least and the most; one stands for both. */
-        public long[] times(String key, long low, long high, long least, long most) throws ConfigurationException {
+        public long[] durationRangeMicros(String key, long low, long high, long least, long most) throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
                 return new long[] {low, high};
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -131,10 +131,10 @@
                 s.time("keep-alive", 15 * SECOND, 100 * MS, HOUR),
                 s.time("network", MS / 2, 0, SECOND),
                 s.time("handshake", 2 * MS, 0, SECOND),
-                s.times("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
-                s.times("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
+                s.durationRangeMicros("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
+                s.durationRangeMicros("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
                 (int) s.integer("client-retries", 1, 0, 100),
-                s.times("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
+                s.durationRangeMicros("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
                 new Partner.Cold(
                         s.share("cold-from", 0.24, 1),
                         s.time("cold-ramp", 9500 * MS, 0, HOUR),
@@ -208,7 +208,7 @@
                 s.range("spare", 1.15, 1.6, 0.1, 100),
                 s.range("depth", 0.3, 1, 0, 1000),
                 s.share("tells-wait", 0, 1),
-                s.times("wait", 200 * MS, SECOND, 0, HOUR),
+                s.durationRangeMicros("wait", 200 * MS, SECOND, 0, HOUR),
                 s.share("refused-count", 1, 1),
                 s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MOST),
                 s.range("least-connections", 7.2, 15, 1, MOST),
@@ -288,7 +288,7 @@
         return new MessageClass(
                 name,
                 s.share("share", share, 1),
-                s.times("work", leastMs * MS, mostMs * MS, 1, HOUR),
+                s.durationRangeMicros("work", leastMs * MS, mostMs * MS, 1, HOUR),
                 new DecisionModule.MessageClass(
                         aim,
                         deadline,
@@ -327,16 +327,16 @@
             all.add(new ScheduledEvent(
                     s.qualifier(),
                     what,
-                    s.times("at", 0, 0, 0, 48 * HOUR),
-                    s.times("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
+                    s.durationRangeMicros("at", 0, 0, 0, 48 * HOUR),
+                    s.durationRangeMicros("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
                     s.share("part", what == EventType.RESTART || what == EventType.DRAIN ? 1 : 0.2, 1),
                     s.choice("target", Target.class, Target.ANY),
                     kind,
                     strength,
                     what == EventType.RESTART
-                            ? s.times("down", 300 * MS, 1500 * MS, MS, HOUR)
+                            ? s.durationRangeMicros("down", 300 * MS, 1500 * MS, MS, HOUR)
                             : what == EventType.DRAIN
-                                    ? s.times("down", 2 * SECOND, 6 * SECOND, 0, HOUR)
+                                    ? s.durationRangeMicros("down", 2 * SECOND, 6 * SECOND, 0, HOUR)
                                     : new long[] {0, 0}));
         }
         return all;
