--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -342,7 +342,7 @@
             if (words.isEmpty()) {
                 return new long[] {low, high};
             }
-            long[] range = {time(key, words.get(0), least, most), time(key, words.get(words.size() - 1), least, most)};
+            long[] range = {durationMicros(key, words.get(0), least, most), durationMicros(key, words.get(words.size() - 1), least, most)};
             if (words.size() > 2 || range[0] > range[1]) {
                 throw error(key, "one time, or the least and the most, not " + String.join(" ", words));
             }
@@ -350,13 +350,13 @@
         }
 
         /** A time with its unit (us, ms, s, m, h, d), microseconds, within bounds. */
-        public long time(String key, long otherwise, long least, long most) throws ConfigurationException {
+        public long durationMicros(String key, long otherwise, long least, long most) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : time(key, value, least, most);
+            return value == null ? otherwise : durationMicros(key, value, least, most);
         }
 
         /** The same for a word of a value. */
-        public long time(String key, String value, long least, long most) throws ConfigurationException {
+        public long durationMicros(String key, String value, long least, long most) throws ConfigurationException {
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(us|ms|s|m|h|d)")
                     .matcher(value);
             if (!m.matches()) {
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -125,27 +125,27 @@
                 (int) s.integer("least-slots", 4, 1, 10_000),
                 s.decimal("hold", 5, 0.1, 1000),
                 (int) s.integer("least-held", 12, 1, 1_000_000),
-                s.time("round", 5 * MS, 100, SECOND),
+                s.durationMicros("round", 5 * MS, 100, SECOND),
                 (int) s.integer("attempts", 8, 1, 100),
-                s.time("connect-timeout", 1500 * MS, MS, 60 * SECOND),
-                s.time("keep-alive", 15 * SECOND, 100 * MS, HOUR),
-                s.time("network", MS / 2, 0, SECOND),
-                s.time("handshake", 2 * MS, 0, SECOND),
+                s.durationMicros("connect-timeout", 1500 * MS, MS, 60 * SECOND),
+                s.durationMicros("keep-alive", 15 * SECOND, 100 * MS, HOUR),
+                s.durationMicros("network", MS / 2, 0, SECOND),
+                s.durationMicros("handshake", 2 * MS, 0, SECOND),
                 s.durationRangeMicros("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
                 s.durationRangeMicros("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
                 (int) s.integer("client-retries", 1, 0, 100),
                 s.durationRangeMicros("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
                 new Partner.Cold(
                         s.share("cold-from", 0.24, 1),
-                        s.time("cold-ramp", 9500 * MS, 0, HOUR),
+                        s.durationMicros("cold-ramp", 9500 * MS, 0, HOUR),
                         s.decimal("tip", 1.5, 0.1, 100),
-                        s.time("tip-for", 3 * SECOND, 100 * MS, HOUR)),
-                s.time("drain-grace", 500 * MS, 0, 60 * SECOND),
+                        s.durationMicros("tip-for", 3 * SECOND, 100 * MS, HOUR)),
+                s.durationMicros("drain-grace", 500 * MS, 0, 60 * SECOND),
                 s.size("disk", 3 << 20, 1 << 17, 1L << 34));
     }
 
     private TrafficPlan traffic(Section s) throws ConfigurationException {
-        long length = s.time("length", 60 * SECOND, SECOND, 48 * HOUR);
+        long length = s.durationMicros("length", 60 * SECOND, SECOND, 48 * HOUR);
         List<Traffic.Point> shape = new ArrayList<>();
         List<String> words = s.words("load");
         if (words.isEmpty()) {
@@ -156,7 +156,7 @@
         }
         for (int i = 0; i + 1 < words.size(); i += 2) {
             Traffic.Point p = new Traffic.Point(
-                    s.time("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
+                    s.durationMicros("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
             if (!shape.isEmpty() && p.atMicros() <= shape.get(shape.size() - 1).atMicros()) {
                 throw s.error("load", "times must grow: " + words.get(i));
             }
@@ -204,7 +204,7 @@
                 limit,
                 s.range("headroom", 0.94, 1.9, 0.01, 1000),
                 s.range("least-rate", 1.9, 4, 0.001, MOST),
-                s.time("span", 2 * SECOND, 10 * MS, HOUR),
+                s.durationMicros("span", 2 * SECOND, 10 * MS, HOUR),
                 s.range("spare", 1.15, 1.6, 0.1, 100),
                 s.range("depth", 0.3, 1, 0, 1000),
                 s.share("tells-wait", 0, 1),
@@ -280,8 +280,8 @@
             double worth,
             DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
-        long aim = s.time("aim", aimMs * MS, MS, HOUR);
-        long deadline = s.time("deadline", deadlineS * SECOND, 10 * MS, HOUR);
+        long aim = s.durationMicros("aim", aimMs * MS, MS, HOUR);
+        long deadline = s.durationMicros("deadline", deadlineS * SECOND, 10 * MS, HOUR);
         if (aim > deadline) {
             throw s.error("aim", "is after the deadline");
         }
@@ -295,7 +295,7 @@
                         s.decimal("worth", worth, 0, MOST),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
                         DecisionModule.KeyScope.ALL,
-                        s.time("window", 5 * SECOND, 0, HOUR),
+                        s.durationMicros("window", 5 * SECOND, 0, HOUR),
                         false,
                         s.share("late", late, 1),
                         true));
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -52,7 +52,7 @@
         Set<String> processing = words(hl7, "processing", "P");
         Set<String> versions = words(hl7, "versions", "2.3 2.3.1 2.4 2.5 2.5.1");
         int mostHeld = (int) hl7.integer("most-held", 200, 1, 1_000_000);
-        long owe = hl7.time("owe", 10 * MINUTE, SECOND, 24 * 60 * MINUTE);
+        long owe = hl7.durationMicros("owe", 10 * MINUTE, SECOND, 24 * 60 * MINUTE);
         int mostOwed = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
         if (listeners.isEmpty()) {
             return null;
@@ -109,8 +109,8 @@
                 (int) s.integer("connections-per-address", connections, 1, connections),
                 (int) s.integer("in-flight", 16, 1, 10_000),
                 (int) s.size("largest", LARGEST, 512, LARGEST),
-                s.time("idle", 10 * MINUTE, SECOND, 24 * 60 * MINUTE),
-                s.time("whole", 30 * SECOND, 100 * MS, 10 * MINUTE));
+                s.durationMicros("idle", 10 * MINUTE, SECOND, 24 * 60 * MINUTE),
+                s.durationMicros("whole", 30 * SECOND, 100 * MS, 10 * MINUTE));
     }
 
     private static AddressSet networks(Section s) throws ConfigurationException {
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -77,7 +77,7 @@
         List<Long> windows = new ArrayList<>();
         for (int i = 0; i < config.classNames().size(); i++) {
             boolean unsafe = config.settings().classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE;
-            windows.add(s.time("window-" + config.classNames().get(i), unsafe ? 24 * HOUR : HOUR, SECOND, 240 * HOUR));
+            windows.add(s.durationMicros("window-" + config.classNames().get(i), unsafe ? 24 * HOUR : HOUR, SECOND, 240 * HOUR));
         }
         return new IdentitySettings(
                 shared,
@@ -95,11 +95,11 @@
 
     private static JournalSettings journal(ConfFile.Section s) throws ConfigurationException {
         Durability.Mode how = s.choice("durability", Durability.Mode.class, Durability.Mode.NONE);
-        long every = s.time("interval", 50_000, 1000, 60 * SECOND);
+        long every = s.durationMicros("interval", 50_000, 1000, 60 * SECOND);
         if (how != Durability.Mode.INTERVAL && s.has("interval")) {
             throw s.error(
                     "interval", "needs durability interval, not " + how.name().toLowerCase());
         }
-        return new JournalSettings(new Durability(how, every), s.time("remember", HOUR, SECOND, 240 * HOUR));
+        return new JournalSettings(new Durability(how, every), s.durationMicros("remember", HOUR, SECOND, 240 * HOUR));
     }
 }
