--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -378,7 +378,7 @@
         }
 
         /** A size with its unit (B, KiB, MiB, GiB), bytes, within bounds. */
-        public long size(String key, long otherwise, long least, long most) throws ConfigurationException {
+        public long sizeBytes(String key, long otherwise, long least, long most) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
                 return otherwise;
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -141,7 +141,7 @@
                         s.decimal("tip", 1.5, 0.1, 100),
                         s.durationMicros("tip-for", 3 * SECOND, 100 * MS, HOUR)),
                 s.durationMicros("drain-grace", 500 * MS, 0, 60 * SECOND),
-                s.size("disk", 3 << 20, 1 << 17, 1L << 34));
+                s.sizeBytes("disk", 3 << 20, 1 << 17, 1L << 34));
     }
 
     private TrafficPlan traffic(Section s) throws ConfigurationException {
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -108,7 +108,7 @@
                 connections,
                 (int) s.integer("connections-per-address", connections, 1, connections),
                 (int) s.integer("in-flight", 16, 1, 10_000),
-                (int) s.size("largest", LARGEST, 512, LARGEST),
+                (int) s.sizeBytes("largest", LARGEST, 512, LARGEST),
                 s.durationMicros("idle", 10 * MINUTE, SECOND, 24 * 60 * MINUTE),
                 s.durationMicros("whole", 30 * SECOND, 100 * MS, 10 * MINUTE));
     }
