--- a/src/main/java/lilaclever/log/Logs.java
+++ b/src/main/java/lilaclever/log/Logs.java
@@ -42,7 +42,7 @@
     private Logs() {}
 
     /** From now on lines are written like this. */
-    public static synchronized void set(Settings s) {
+    public static synchronized void configure(Settings s) {
         settings = s;
         if (loaded) {
             Lines.install(s);
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -81,7 +81,7 @@
         public Integer run() throws Exception {
             Config config = Config.read(System.getenv());
             Operator operator = conf == null ? Operator.none(config) : Operator.read(conf, config);
-            Logs.set(operator.log());
+            Logs.configure(operator.log());
             CompletableFuture<Forwarder> serving = new CompletableFuture<>();
             // Without a handler SIGHUP ends the machine: it is there before anybody can think that we are ready.
             Runnable reload =
--- a/src/test/java/lilaclever/log/LogsTest.java
+++ b/src/test/java/lilaclever/log/LogsTest.java
@@ -25,7 +25,7 @@
         PrintStream before = System.err;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
-            Logs.set(settings);
+            Logs.configure(settings);
             System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
             work.run();
         } finally {
@@ -36,7 +36,7 @@
 
     @AfterEach
     void asItWas() {
-        Logs.set(Logs.Settings.USUAL);
+        Logs.configure(Logs.Settings.USUAL);
     }
 
     /** Tools and supervisors read these lines: their form is that of always. */
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -35,12 +35,12 @@
 
     @BeforeAll
     static void logErrorsOnly() {
-        Logs.set(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false));
+        Logs.configure(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false));
     }
 
     @AfterAll
     static void restoreLogging() {
-        Logs.set(Logs.Settings.USUAL);
+        Logs.configure(Logs.Settings.USUAL);
     }
 
     @Test
