--- a/src/main/java/lilaclever/log/Lines.java
+++ b/src/main/java/lilaclever/log/Lines.java
@@ -56,7 +56,7 @@
     @Override
     public void publish(LogRecord record) {
         Map<String, String> fields = MDC.getCopyOfContextMap();
-        String line = settings.form() == Logs.Form.JSON
+        String line = settings.form() == Logs.Format.JSON
                 ? json(record, fields == null ? Map.of() : fields)
                 : text(record, fields == null ? Map.of() : fields);
         System.err.print(line + '\n');
--- a/src/main/java/lilaclever/log/Logs.java
+++ b/src/main/java/lilaclever/log/Logs.java
@@ -16,7 +16,7 @@
  */
 public final class Logs {
     /** How lines are written: for people, or a JSON object each. */
-    public enum Form {
+    public enum Format {
         TEXT,
         JSON
     }
@@ -30,9 +30,9 @@
     }
 
     /** {@code times}: text lines begin with time and level; those of a supervisor that does so itself need not. */
-    public record Settings(Form form, Level level, boolean times) {
+    public record Settings(Format form, Level level, boolean times) {
         /** Text, as it always was. */
-        public static final Settings USUAL = new Settings(Form.TEXT, Level.INFO, false);
+        public static final Settings USUAL = new Settings(Format.TEXT, Level.INFO, false);
     }
 
     private static final String NAME = "lilaclever";
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -86,8 +86,8 @@
     }
 
     private static Logs.Settings log(ConfFile.Section s) throws ConfigurationException {
-        Logs.Form form = s.choice("form", Logs.Form.class, Logs.Form.TEXT);
-        if (form == Logs.Form.JSON && s.has("times")) {
+        Logs.Format form = s.choice("form", Logs.Format.class, Logs.Format.TEXT);
+        if (form == Logs.Format.JSON && s.has("times")) {
             throw s.error("times", "is for form text: JSON lines have their times");
         }
         return new Logs.Settings(form, s.choice("level", Logs.Level.class, Logs.Level.INFO), s.flag("times", false));
--- a/src/test/java/lilaclever/log/LogsTest.java
+++ b/src/test/java/lilaclever/log/LogsTest.java
@@ -70,7 +70,7 @@
     @Test
     void textMayHaveTimes() {
         String line = written(
-                new Logs.Settings(Logs.Form.TEXT, Logs.Level.INFO, true), () -> Logs.warn("mllp", "x", "closed"));
+                new Logs.Settings(Logs.Format.TEXT, Logs.Level.INFO, true), () -> Logs.warn("mllp", "x", "closed"));
         assertTrue(
                 line.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d+)?Z warning lilaclever: mllp: closed\n"),
                 line);
@@ -79,7 +79,7 @@
     @Test
     void jsonHasTheFields() {
         String line = written(
-                new Logs.Settings(Logs.Form.JSON, Logs.Level.DEBUG, false),
+                new Logs.Settings(Logs.Format.JSON, Logs.Level.DEBUG, false),
                 () -> Logs.debug("", "attempt", "sent \"now\"\n", "message", "m1", "partner", 7));
         JsonObject read = JsonParser.parseString(line).getAsJsonObject();
         assertEquals("debug", read.get("level").getAsString());
@@ -92,7 +92,7 @@
 
     @Test
     void levelsHold() {
-        assertEquals("lilaclever: bad\n", written(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false), () -> {
+        assertEquals("lilaclever: bad\n", written(new Logs.Settings(Logs.Format.TEXT, Logs.Level.ERROR, false), () -> {
             Logs.warn("", "w", "not written");
             Logs.error("", "e", "bad");
         }));
@@ -104,7 +104,7 @@
      */
     @Test
     void librariesUseTheSameLines() {
-        String lines = written(new Logs.Settings(Logs.Form.TEXT, Logs.Level.DEBUG, false), () -> {
+        String lines = written(new Logs.Settings(Logs.Format.TEXT, Logs.Level.DEBUG, false), () -> {
             Logs.debug("", "x", "ours");
             LoggerFactory.getLogger("some.Library").debug("not written");
             LoggerFactory.getLogger("some.Library").warn("odd {}", 5);
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -35,7 +35,7 @@
 
     @BeforeAll
     static void logErrorsOnly() {
-        Logs.configure(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false));
+        Logs.configure(new Logs.Settings(Logs.Format.TEXT, Logs.Level.ERROR, false));
     }
 
     @AfterAll
