--- a/src/main/java/lilaclever/log/Logs.java
+++ b/src/main/java/lilaclever/log/Logs.java
@@ -32,11 +32,11 @@
     /** {@code times}: text lines begin with time and level; those of a supervisor that does so itself need not. */
     public record Settings(Format form, Level level, boolean times) {
         /** Text, as it always was. */
-        public static final Settings USUAL = new Settings(Format.TEXT, Level.INFO, false);
+        public static final Settings DEFAULT = new Settings(Format.TEXT, Level.INFO, false);
     }
 
     private static final String NAME = "lilaclever";
-    private static volatile Settings settings = Settings.USUAL;
+    private static volatile Settings settings = Settings.DEFAULT;
     private static volatile boolean loaded;
 
     private Logs() {}
--- a/src/test/java/lilaclever/log/LogsTest.java
+++ b/src/test/java/lilaclever/log/LogsTest.java
@@ -36,7 +36,7 @@
 
     @AfterEach
     void asItWas() {
-        Logs.configure(Logs.Settings.USUAL);
+        Logs.configure(Logs.Settings.DEFAULT);
     }
 
     /** Tools and supervisors read these lines: their form is that of always. */
@@ -45,7 +45,7 @@
         assertEquals(
                 "lilaclever: n0 serves at [/127.0.0.1:1]\nlilaclever: journal: x.seg could not be deleted: why "
                         + "segment=x.seg\n",
-                written(Logs.Settings.USUAL, () -> {
+                written(Logs.Settings.DEFAULT, () -> {
                     Logs.info("", "serves", "n0 serves at [/127.0.0.1:1]");
                     Logs.warn(
                             "journal",
@@ -64,7 +64,7 @@
     void aLineStaysOneLine() {
         assertEquals(
                 "lilaclever: a?b message=m?1\n",
-                written(Logs.Settings.USUAL, () -> Logs.info("", "x", "a\nb", "message", "m\r1")));
+                written(Logs.Settings.DEFAULT, () -> Logs.info("", "x", "a\nb", "message", "m\r1")));
     }
 
     @Test
@@ -116,7 +116,7 @@
     @Test
     void whatWasThrownIsThere() {
         String lines = written(
-                Logs.Settings.USUAL,
+                Logs.Settings.DEFAULT,
                 () -> Logs.error("", "task-failed", "a task failed", new IllegalStateException("why")));
         assertTrue(lines.startsWith("lilaclever: a task failed\njava.lang.IllegalStateException: why\n\tat "), lines);
     }
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -40,7 +40,7 @@
 
     @AfterAll
     static void restoreLogging() {
-        Logs.configure(Logs.Settings.USUAL);
+        Logs.configure(Logs.Settings.DEFAULT);
     }
 
     @Test
