--- a/src/main/java/lilaclever/program/ClassTable.java
+++ b/src/main/java/lilaclever/program/ClassTable.java
@@ -24,7 +24,7 @@
     private static final String NOTE = "classes";
 
     /** The table in which these classes are those that may be handed in. */
-    ClassTable followedBy(List<String> nowNames, List<MessageClass> now) throws ConfigurationException {
+    ClassTable withCurrentClasses(List<String> nowNames, List<MessageClass> now) throws ConfigurationException {
         List<String> allNames = new ArrayList<>(Collections.nCopies(classes.size(), ""));
         List<MessageClass> all = new ArrayList<>(classes);
         for (int i = 0; i < now.size(); i++) {
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -65,7 +65,7 @@
         ClassTable noted = ClassTable.noted(read.state);
         return noted == null
                 ? read
-                : read.with(noted.followedBy(read.classNames, read.settings.classes()), read.attempts());
+                : read.with(noted.withCurrentClasses(read.classNames, read.settings.classes()), read.attempts());
     }
 
     /** {@code needed}: keys of the settings that must not be missing. */
@@ -246,7 +246,7 @@
 
     /** This one with what can be taken over of another while the program runs. */
     Config renewed(Config read) throws ConfigurationException {
-        return with(table().followedBy(read.classNames, read.settings.classes()), read.attempts());
+        return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.attempts());
     }
 
     /** Keys of the settings, of objects in lists those that all of them have. */
