--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -116,7 +116,7 @@
     }
 
     /** Ids of endpoints that were taken out by hand in an earlier life. */
-    Set<String> suspended() throws ConfigurationException {
+    Set<String> readSuspended() throws ConfigurationException {
         try {
             Path note = state.resolve(SUSPENDED);
             return Files.exists(note) ? new LinkedHashSet<>(Files.readAllLines(note)) : Set.of();
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -72,7 +72,7 @@
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
-        ManualDrains suspensions = new ManualDrains(core, config.suspended(), ids -> Config.noteSuspended(state, ids));
+        ManualDrains suspensions = new ManualDrains(core, config.readSuspended(), ids -> Config.noteSuspended(state, ids));
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.mostIdle());
         notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
         long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
