--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -245,7 +245,7 @@
     }
 
     /** This one with what can be taken over of another while the program runs. */
-    Config renewed(Config read) throws ConfigurationException {
+    Config withReloadableSettings(Config read) throws ConfigurationException {
         return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.attempts());
     }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -182,7 +182,7 @@
     synchronized void reload(Map<String, String> variables) {
         try {
             Config read = Config.reread(variables, config);
-            renew(config.renewed(read));
+            renew(config.withReloadableSettings(read));
             for (String key : read.restartNeeded(config)) {
                 Logs.warn(
                         "configuration",
