--- a/src/main/java/lilaclever/program/DepartureNote.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -20,7 +20,7 @@
  * endpoint's name, the agent's address, the index of the list and the time of the wall clock in microseconds, separated
  * by tabs; name and address are percent-encoded. Where there is no room for all, the oldest are left out.
  */
-final class DepartureNote {
+final class DepartureFile {
     /** What the file and the one that is written beside it take on disk at most. */
     public static final long NOTE_BYTES = 96 * 1024;
 
@@ -32,7 +32,7 @@
 
     private static final int FIELDS = 4;
 
-    private DepartureNote() {}
+    private DepartureFile() {}
 
     /**
      * Reads the file in the folder; what is damaged is logged and passed over.
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -77,7 +77,7 @@
         notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
         long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
-                DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
+                DepartureFile.read(state), departures -> DepartureFile.write(state, departures, noteBytes));
         counters.entryGauge("departed", membership::departureCount);
         directory = new DirectoryClient(
                 core,
