--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -98,7 +98,7 @@
 
     /** What the note of departures, and the one written beside it, take on disk. */
     long departuresBytes() {
-        return Math.min(DepartureFile.NOTE_BYTES, diskBytes / 16);
+        return Math.min(DepartureFile.RESERVED_BYTES, diskBytes / 16);
     }
 
     /** Notes the classes, if there is room. */
--- a/src/main/java/lilaclever/program/DepartureFile.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -22,11 +22,11 @@
  */
 final class DepartureFile {
     /** What the file and the one that is written beside it take on disk at most. */
-    public static final long NOTE_BYTES = 96 * 1024;
+    public static final long RESERVED_BYTES = 96 * 1024;
 
     static final String FILE = "departures";
     /** Bytes of the file at most: some 900 endpoints. */
-    static final int FILE_BYTES = (int) NOTE_BYTES / 2;
+    static final int FILE_BYTES = (int) RESERVED_BYTES / 2;
     /** Bytes of a line at most, with its end. */
     static final int LINE_BYTES = 512;
 
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -133,7 +133,7 @@
                 .mapToObj(i -> new Departure("s-" + i, "10.1.0.1:8500", i, FIRST.wallMicros()))
                 .toList();
         assertTrue(loggedByWriting(many).contains("do not fit into departures"));
-        assertTrue(Files.size(file()) <= DepartureFile.NOTE_BYTES / 2, "bytes: " + Files.size(file()));
+        assertTrue(Files.size(file()) <= DepartureFile.RESERVED_BYTES / 2, "bytes: " + Files.size(file()));
         List<Departure> kept = DepartureFile.read(state);
         assertTrue(kept.size() > 700, "kept: " + kept.size());
         assertEquals(many.subList(many.size() - kept.size(), many.size()), kept);
