--- a/src/main/java/lilaclever/program/DepartureFile.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -26,7 +26,7 @@
 
     static final String FILE = "departures";
     /** Bytes of the file at most: some 900 endpoints. */
-    static final int FILE_BYTES = (int) RESERVED_BYTES / 2;
+    static final int MAX_FILE_BYTES = (int) RESERVED_BYTES / 2;
     /** Bytes of a line at most, with its end. */
     static final int LINE_BYTES = 512;
 
@@ -42,9 +42,9 @@
     static List<Departure> read(Path state) throws ConfigurationException {
         Path file = state.resolve(FILE);
         try (InputStream in = Files.newInputStream(file)) {
-            byte[] bytes = in.readNBytes(FILE_BYTES + 1);
-            if (bytes.length > FILE_BYTES) {
-                skipped(file, "is longer than " + FILE_BYTES + " bytes, the rest is passed over");
+            byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
+            if (bytes.length > MAX_FILE_BYTES) {
+                skipped(file, "is longer than " + MAX_FILE_BYTES + " bytes, the rest is passed over");
             }
             return parse(file, new String(bytes, StandardCharsets.US_ASCII));
         } catch (NoSuchFileException e) {
@@ -86,9 +86,9 @@
         Logs.warn("", "departures-damaged", file + " " + problem);
     }
 
-    /** Replaces the file in the folder by one of at most {@link #FILE_BYTES}. */
+    /** Replaces the file in the folder by one of at most {@link #MAX_FILE_BYTES}. */
     static void write(Path state, List<Departure> departures) throws IOException {
-        write(state, departures, FILE_BYTES);
+        write(state, departures, MAX_FILE_BYTES);
     }
 
     /**
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -153,7 +153,7 @@
             lines.add("s-" + i + "\ta\t1\t1\n");
         }
         Files.writeString(file(), String.join("", lines));
-        assertTrue(loggedByReading().contains("is longer than " + DepartureFile.FILE_BYTES));
+        assertTrue(loggedByReading().contains("is longer than " + DepartureFile.MAX_FILE_BYTES));
         assertEquals("s-0", DepartureFile.read(state).get(0).name());
     }
 
