--- a/src/main/java/lilaclever/program/DepartureFile.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -28,7 +28,7 @@
     /** Bytes of the file at most: some 900 endpoints. */
     static final int MAX_FILE_BYTES = (int) RESERVED_BYTES / 2;
     /** Bytes of a line at most, with its end. */
-    static final int LINE_BYTES = 512;
+    static final int MAX_LINE_BYTES = 512;
 
     private static final int FIELDS = 4;
 
@@ -101,7 +101,7 @@
         int left = 0;
         for (int i = departures.size() - 1; i >= 0; i--) {
             String line = line(departures.get(i));
-            boolean fits = line.length() <= LINE_BYTES && bytes + line.length() <= mostBytes;
+            boolean fits = line.length() <= MAX_LINE_BYTES && bytes + line.length() <= mostBytes;
             if (fits) {
                 bytes += line.length();
                 lines.add(line);
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -141,7 +141,7 @@
 
     @Test
     void aNameThatIsTooLongIsLeftOutAlone() throws Exception {
-        Departure longest = new Departure("x".repeat(DepartureFile.LINE_BYTES), "a", 1, 1);
+        Departure longest = new Departure("x".repeat(DepartureFile.MAX_LINE_BYTES), "a", 1, 1);
         assertTrue(loggedByWriting(List.of(FIRST, longest, SECOND)).contains("1 endpoints"));
         assertEquals(List.of(FIRST, SECOND), DepartureFile.read(state));
     }
