--- a/src/main/java/lilaclever/program/Interrupt.java
+++ b/src/main/java/lilaclever/program/Interrupt.java
@@ -6,7 +6,7 @@
  */
 final class Interrupt {
     /** What a shell gives for a program that Ctrl-C has ended. */
-    static final int CODE = 130;
+    static final int EXIT_CODE = 130;
 
     private volatile boolean come, done;
 
@@ -18,7 +18,7 @@
 
     private void signal() {
         if (come || done) {
-            Runtime.getRuntime().halt(CODE);
+            Runtime.getRuntime().halt(EXIT_CODE);
         }
         come = true;
     }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -211,7 +211,7 @@
                     broken.get());
         }
         System.out.println("report: " + folder(scenario).resolve(alone ? "index.html" : ""));
-        return interrupt.come() ? Interrupt.CODE : broken.get() > 0 ? BROKEN : doubtful.get() > 0 ? DOUBTFUL : GOOD;
+        return interrupt.come() ? Interrupt.EXIT_CODE : broken.get() > 0 ? BROKEN : doubtful.get() > 0 ? DOUBTFUL : GOOD;
     }
 
     private Result one(Scenario scenario, long itsSeed, Path to, boolean alone) throws IOException {
@@ -294,7 +294,7 @@
             System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", aim, sweep.keepsUpTo(aim));
         }
         System.out.println("plot: " + folder(first).resolve("sweep.png"));
-        return interrupt.come() ? Interrupt.CODE : allBroken.get() == 0 ? GOOD : BROKEN;
+        return interrupt.come() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? GOOD : BROKEN;
     }
 
     private List<Point> loads() throws ConfigurationException {
