--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -52,7 +52,7 @@
     private final List<MailFront> mailFronts = new ArrayList<>();
     private final List<SocketAddress> addresses = new ArrayList<>();
 
-    private Forwarder(Config config, Operator operator, MailSettings mail) throws IOException, ConfigurationException {
+    private Forwarder(Config config, OperatorSettings operator, MailSettings mail) throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
         DecisionModule.Settings settings = config.settings();
         long connect = settings.limits().connectTimeoutMicros();
@@ -152,11 +152,11 @@
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
     static Forwarder start(Config config, MailSettings mail) throws IOException, ConfigurationException {
-        return start(config, Operator.none(config), mail);
+        return start(config, OperatorSettings.none(config), mail);
     }
 
     /** Starts all parts. */
-    static Forwarder start(Config config, Operator operator, MailSettings mail)
+    static Forwarder start(Config config, OperatorSettings operator, MailSettings mail)
             throws IOException, ConfigurationException {
         Forwarder forwarder = new Forwarder(config, operator, mail);
         Logs.info(
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -80,7 +80,7 @@
         @Override
         public Integer run() throws Exception {
             Config config = Config.read(System.getenv());
-            Operator operator = conf == null ? Operator.none(config) : Operator.read(conf, config);
+            OperatorSettings operator = conf == null ? OperatorSettings.none(config) : OperatorSettings.read(conf, config);
             Logs.configure(operator.log());
             CompletableFuture<Forwarder> serving = new CompletableFuture<>();
             // Without a handler SIGHUP ends the machine: it is there before anybody can think that we are ready.
@@ -127,7 +127,7 @@
                         + read.routes().size() + " routes");
             }
             if (conf != null) {
-                Operator read = Operator.read(conf, config);
+                OperatorSettings read = OperatorSettings.read(conf, config);
                 System.out.println("operator's file is good: journal durability "
                         + read.journal().durability().mode().name().toLowerCase());
             }
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -18,7 +18,7 @@
  * The operator's settings: what {@code serve --conf FILE} adds to what the platform tells. Each subsystem has a section
  * and a record here; a file that is absent leaves all as the platform has it.
  */
-record Operator(JournalSettings journal, IdentitySettings identity, MllpSettings mllp, Logs.Settings log) {
+record OperatorSettings(JournalSettings journal, IdentitySettings identity, MllpSettings mllp, Logs.Settings log) {
     private static final long SECOND = 1_000_000, HOUR = 3600 * SECOND;
 
     /** {@code [journal]}: when records are forced, and how long the end of a message is remembered. */
@@ -40,7 +40,7 @@
     }
 
     /** What holds without a file. */
-    static Operator none(Config config) {
+    static OperatorSettings none(Config config) {
         try {
             return of(ConfFile.empty(), config);
         } catch (ConfigurationException e) {
@@ -49,14 +49,14 @@
     }
 
     /** Reads and checks the file; classes and destinations are those of the platform's settings. */
-    static Operator read(Path path, Config config) throws ConfigurationException {
+    static OperatorSettings read(Path path, Config config) throws ConfigurationException {
         return of(ConfFile.read(path), config);
     }
 
-    static Operator of(ConfFile file, Config config) throws ConfigurationException {
+    static OperatorSettings of(ConfFile file, Config config) throws ConfigurationException {
         JournalSettings journal = journal(file.section("journal"));
         IdentitySettings identity = identity(file.section("identity"), config, journal.rememberMicros());
-        Operator read = new Operator(
+        OperatorSettings read = new OperatorSettings(
                 journal, identity, new MllpSections(file, config, identity.shared()).read(), log(file.section("log")));
         Set<String> kinds = new HashSet<>(MllpSections.KINDS);
         kinds.addAll(Set.of("journal", "identity", "log"));
