--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -152,7 +152,7 @@
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
     static Forwarder start(Config config, MailSettings mail) throws IOException, ConfigurationException {
-        return start(config, OperatorSettings.none(config), mail);
+        return start(config, OperatorSettings.defaults(config), mail);
     }
 
     /** Starts all parts. */
--- a/src/main/java/lilaclever/program/OperatorSettings.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -40,7 +40,7 @@
     }
 
     /** What holds without a file. */
-    static OperatorSettings none(Config config) {
+    static OperatorSettings defaults(Config config) {
         try {
             return of(ConfFile.empty(), config);
         } catch (ConfigurationException e) {
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -178,7 +178,7 @@
                     1,
                     journal,
                     new Counters(),
-                    OperatorSettings.none(config).identity().windows());
+                    OperatorSettings.defaults(config).identity().windows());
             Front front = new QuietFront();
             core.add(front);
             HttpDeliverer deliverer = new HttpDeliverer(core, transport, CONNECT, KEEP_ALIVE, 1);
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -25,16 +25,16 @@
 
     @Test
     void whatIsAbsentIsAsThePlatformHasIt() throws ConfigurationException {
-        assertEquals(OperatorSettings.none(config()), of("# nothing\n\n[journal]\n"));
+        assertEquals(OperatorSettings.defaults(config()), of("# nothing\n\n[journal]\n"));
         assertEquals(
                 Durability.NONE.mode(),
-                OperatorSettings.none(config()).journal().durability().mode());
+                OperatorSettings.defaults(config()).journal().durability().mode());
     }
 
     /** The file that is shipped says what holds without it. */
     @Test
     void theShippedFileIsGoodAndSaysTheDefaults() throws Exception {
-        assertEquals(OperatorSettings.none(config()), OperatorSettings.read(Path.of("deploy/lilaclever.conf"), config()));
+        assertEquals(OperatorSettings.defaults(config()), OperatorSettings.read(Path.of("deploy/lilaclever.conf"), config()));
     }
 
     @Test
