--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -19,7 +19,7 @@
  * has asked for is an error. All messages name file, line and key.
  */
 public final class ConfFile {
-    private static final int LONGEST_LINE = 8192, MOST_LINES = 100_000;
+    private static final int MAX_LINE_LENGTH = 8192, MAX_LINES = 100_000;
 
     /** One setting and where it stands. */
     private record Entry(int line, String value) {}
@@ -54,16 +54,16 @@
     }
 
     private void parse(List<String> lines) throws ConfigurationException {
-        if (lines.size() > MOST_LINES) {
-            throw fault(MOST_LINES, "", "too many lines");
+        if (lines.size() > MAX_LINES) {
+            throw errorAt(MAX_LINES, "", "too many lines");
         }
         Section section = null;
         String key = null;
         for (int i = 0; i < lines.size(); i++) {
             int number = i + 1;
             String raw = lines.get(i);
-            if (raw.length() > LONGEST_LINE) {
-                throw fault(number, "", "longer than " + LONGEST_LINE + " characters");
+            if (raw.length() > MAX_LINE_LENGTH) {
+                throw errorAt(number, "", "longer than " + MAX_LINE_LENGTH + " characters");
             }
             String line = raw.strip();
             if (line.isEmpty() || line.startsWith("#")) {
@@ -71,36 +71,36 @@
             }
             if (Character.isWhitespace(raw.charAt(0))) {
                 if (key == null) {
-                    throw fault(number, "", "continues nothing: a key begins its line without a space");
+                    throw errorAt(number, "", "continues nothing: a key begins its line without a space");
                 }
-                section.extend(key, line);
+                section.appendToValue(key, line);
             } else if (line.startsWith("[")) {
-                section = section(number, line);
+                section = addSection(number, line);
                 key = null;
             } else {
                 if (section == null) {
-                    throw fault(number, line.split("\\s", 2)[0], "stands before the first [section]");
+                    throw errorAt(number, line.split("\\s", 2)[0], "stands before the first [section]");
                 }
-                key = section.add(number, line);
+                key = section.addEntry(number, line);
             }
         }
     }
 
-    private Section section(int line, String text) throws ConfigurationException {
+    private Section addSection(int line, String text) throws ConfigurationException {
         if (!text.matches("\\[[a-z][a-z0-9-]*( [^\\]\\s]+)?\\]")) {
-            throw fault(line, text, "not a section: [name] or [name which], in small letters");
+            throw errorAt(line, text, "not a section: [name] or [name which], in small letters");
         }
         String title = text.substring(1, text.length() - 1);
         Section earlier = sections.get(title);
         if (earlier != null) {
-            throw fault(line, text, "stands here again, first at line " + earlier.line);
+            throw errorAt(line, text, "stands here again, first at line " + earlier.line);
         }
         Section made = new Section(title, line);
         sections.put(title, made);
         return made;
     }
 
-    private ConfigurationException fault(int line, String key, String problem) {
+    private ConfigurationException errorAt(int line, String key, String problem) {
         return new ConfigurationException(name + ":" + line + (key.isEmpty() ? "" : ": " + key), problem);
     }
 
@@ -121,14 +121,14 @@
         for (Section s : sections.values()) {
             String kind = s.title.split(" ")[0];
             if (!kinds.contains(kind)) {
-                throw fault(s.line, "[" + s.title + "]", "no such section" + suggestion(kind, kinds));
+                throw errorAt(s.line, "[" + s.title + "]", "no such section" + suggestion(kind, kinds));
             }
             for (Map.Entry<String, Entry> e : s.entries.entrySet()) {
-                if (!s.asked.contains(e.getKey())) {
-                    throw fault(
+                if (!s.requestedKeys.contains(e.getKey())) {
+                    throw errorAt(
                             e.getValue().line(),
                             s.title + "." + e.getKey(),
-                            "no such key" + suggestion(e.getKey(), s.asked));
+                            "no such key" + suggestion(e.getKey(), s.requestedKeys));
                 }
             }
         }
@@ -139,7 +139,7 @@
         String best = null;
         int least = Math.max(2, word.length() / 2) + 1;
         for (String k : known) {
-            int d = distance(word, k);
+            int d = editDistance(word, k);
             if (d < least) {
                 least = d;
                 best = k;
@@ -151,7 +151,7 @@
     }
 
     /** Letters to change, add or leave out (Levenshtein's distance). */
-    private static int distance(String a, String b) {
+    private static int editDistance(String a, String b) {
         int[] before = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             before[j] = j;
@@ -173,7 +173,7 @@
         private final String title;
         private final int line;
         private final Map<String, Entry> entries = new LinkedHashMap<>();
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> requestedKeys = new HashSet<>();
 
         private Section(String title, int line) {
             this.title = title;
@@ -190,23 +190,23 @@
             return line > 0;
         }
 
-        private String add(int number, String text) throws ConfigurationException {
+        private String addEntry(int number, String text) throws ConfigurationException {
             String[] parts = text.split("\\s+", 2);
             if (!parts[0].matches("[a-z][a-z0-9-]*")) {
-                throw fault(number, parts[0], "not a key: small letters, digits and '-'");
+                throw errorAt(number, parts[0], "not a key: small letters, digits and '-'");
             }
             if (parts.length < 2) {
-                throw fault(number, title + "." + parts[0], "has no value");
+                throw errorAt(number, title + "." + parts[0], "has no value");
             }
             Entry earlier = entries.get(parts[0]);
             if (earlier != null) {
-                throw fault(number, title + "." + parts[0], "stands here again, first at line " + earlier.line());
+                throw errorAt(number, title + "." + parts[0], "stands here again, first at line " + earlier.line());
             }
             entries.put(parts[0], new Entry(number, parts[1]));
             return parts[0];
         }
 
-        private void extend(String key, String more) {
+        private void appendToValue(String key, String more) {
             Entry e = entries.get(key);
             entries.put(key, new Entry(e.line(), e.value() + ' ' + more));
         }
@@ -214,7 +214,7 @@
         /** An error of this key: with its line, or the section's where the key is absent. */
         public ConfigurationException error(String key, String problem) {
             Entry e = entries.get(key);
-            return fault(e == null ? line : e.line(), title + "." + key, problem);
+            return errorAt(e == null ? line : e.line(), title + "." + key, problem);
         }
 
         /** True if the file sets the key. */
@@ -223,7 +223,7 @@
         }
 
         private String value(String key) {
-            asked.add(key);
+            requestedKeys.add(key);
             Entry e = entries.get(key);
             return e == null ? null : e.value();
         }
@@ -327,10 +327,10 @@
                     return number;
                 }
             }
-            throw error(key, "from " + plain(least) + unit + " to " + plain(most) + unit + ", not " + value);
+            throw error(key, "from " + withoutExponent(least) + unit + " to " + withoutExponent(most) + unit + ", not " + value);
         }
 
-        private static String plain(double number) {
+        private static String withoutExponent(double number) {
             return new java.math.BigDecimal(Double.toString(number))
                     .stripTrailingZeros()
                     .toPlainString();
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -50,22 +50,22 @@
         Set<String> keys) {
     private static final long MEGABYTE = 1024 * 1024;
     private static final double DEFAULT_DISK_MB = 3;
-    private static final int DEFAULT_SOCKETS = 1024, LEAST_SOCKETS = 64;
-    private static final String NOTE = "discovery";
+    private static final int DEFAULT_SOCKETS = 1024, MIN_SOCKETS = 64;
+    private static final String DISCOVERY_FILE = "discovery";
     /** What the note takes on disk, and the one of endpoints out by hand, written beside the old one. */
-    private static final long NOTE_BYTES = 512, SUSPENDED_BYTES = 2 * ManualDrains.MAX_STORED_BYTES;
+    private static final long DISCOVERY_FILE_BYTES = 512, SUSPENDED_RESERVED_BYTES = 2 * ManualDrains.MAX_STORED_BYTES;
 
-    private static final String SUSPENDED = "suspended";
+    private static final String SUSPENDED_FILE = "suspended";
     /** Descriptors that the machine itself needs, and some for files of the journal. */
-    private static final int OWN_SOCKETS = 40, IDLE_PART = 4, CROWD_PART = 6, MAIL_PART = 16;
+    private static final int RESERVED_SOCKETS = 40, IDLE_DIVISOR = 4, KEEP_ALIVE_DIVISOR = 6, MAIL_DIVISOR = 16;
 
     /** Reads the configuration that the variables name, for a start. */
     static Config read(Map<String, String> variables) throws ConfigurationException {
         Config read = readFile(variables, Set.of());
-        ClassTable noted = ClassTable.noted(read.state);
+        ClassTable noted = ClassTable.read(read.state);
         return noted == null
                 ? read
-                : read.with(noted.withCurrentClasses(read.classNames, read.settings.classes()), read.attempts());
+                : read.with(noted.withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** {@code needed}: keys of the settings that must not be missing. */
@@ -87,55 +87,55 @@
      * Notes that the file's discovery was taken on in place of the variable's. A start with the same file goes by the
      * note: the variable may still be what it was at the first start.
      */
-    void noteDiscovery(Path state) throws IOException {
-        Files.writeString(state.resolve(NOTE), discovery);
+    void saveDiscovery(Path state) throws IOException {
+        Files.writeString(state.resolve(DISCOVERY_FILE), discovery);
     }
 
     /** What the note of classes, and the one written beside it, take on disk. */
-    private long classesBytes() {
-        return Math.min(ClassTable.NOTE_BYTES, diskBytes / 16);
+    private long classesReservedBytes() {
+        return Math.min(ClassTable.RESERVED_BYTES, diskBytes / 16);
     }
 
     /** What the note of departures, and the one written beside it, take on disk. */
-    long departuresBytes() {
+    long departuresReservedBytes() {
         return Math.min(DepartureFile.RESERVED_BYTES, diskBytes / 16);
     }
 
     /** Notes the classes, if there is room. */
-    void noteClasses() throws ConfigurationException {
+    void saveClasses() throws ConfigurationException {
         try {
-            table().note(state, classesBytes() / 2);
+            table().write(state, classesReservedBytes() / 2);
         } catch (IOException e) {
             throw new ConfigurationException("settings", "can't be noted on disk: " + e.getMessage());
         }
     }
 
     /** What the notes take on disk. */
-    long noteBytes() {
-        return NOTE_BYTES + classesBytes() + departuresBytes() + (operator == null ? 0 : SUSPENDED_BYTES);
+    long stateFilesBytes() {
+        return DISCOVERY_FILE_BYTES + classesReservedBytes() + departuresReservedBytes() + (operator == null ? 0 : SUSPENDED_RESERVED_BYTES);
     }
 
     /** Ids of endpoints that were taken out by hand in an earlier life. */
     Set<String> readSuspended() throws ConfigurationException {
         try {
-            Path note = state.resolve(SUSPENDED);
+            Path note = state.resolve(SUSPENDED_FILE);
             return Files.exists(note) ? new LinkedHashSet<>(Files.readAllLines(note)) : Set.of();
         } catch (IOException e) {
             // To start without it would send to what an operator has taken out.
-            throw new ConfigurationException("state", SUSPENDED + " can't be read: " + e);
+            throw new ConfigurationException("state", SUSPENDED_FILE + " can't be read: " + e);
         }
     }
 
     /** Notes the ids of endpoints that are out by hand. */
-    static void noteSuspended(Path state, Set<String> ids) throws IOException {
-        note(
+    static void saveSuspended(Path state, Set<String> ids) throws IOException {
+        replaceStateFile(
                 state,
-                SUSPENDED,
+                SUSPENDED_FILE,
                 ids.stream().map(id -> id + System.lineSeparator()).collect(Collectors.joining()));
     }
 
     /** Writes a note in the state folder: the old one stays until the new one is whole. */
-    static void note(Path state, String name, String text) throws IOException {
+    static void replaceStateFile(Path state, String name, String text) throws IOException {
         Path whole = Files.writeString(state.resolve(name + ".new"), text);
         Files.move(whole, state.resolve(name), StandardCopyOption.ATOMIC_MOVE);
     }
@@ -144,12 +144,12 @@
             throws ConfigurationException {
         try {
             if (root.has("discovery")
-                    && Files.exists(state.resolve(NOTE))
-                    && Files.readString(state.resolve(NOTE)).equals(text("discovery", root, "discovery", null))) {
+                    && Files.exists(state.resolve(DISCOVERY_FILE))
+                    && Files.readString(state.resolve(DISCOVERY_FILE)).equals(text("discovery", root, "discovery", null))) {
                 return text("discovery", root, "discovery", null);
             }
         } catch (IOException e) {
-            Logs.warn("", "note-unreadable", NOTE + " can't be read: " + e); // as if there were none
+            Logs.warn("", "note-unreadable", DISCOVERY_FILE + " can't be read: " + e); // as if there were none
         }
         return value(variables, "ROUTER_DISCOVERY", root, "discovery", null);
     }
@@ -165,7 +165,7 @@
     }
 
     /** How often a message may be attempted. */
-    private int attempts() {
+    private int maxAttempts() {
         return settings.limits().maxAttempts();
     }
 
@@ -246,7 +246,7 @@
 
     /** This one with what can be taken over of another while the program runs. */
     Config withReloadableSettings(Config read) throws ConfigurationException {
-        return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.attempts());
+        return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** Keys of the settings, of objects in lists those that all of them have. */
@@ -277,41 +277,41 @@
     }
 
     /** Idle connections to endpoints at most. */
-    int mostIdle() {
-        return sockets / IDLE_PART;
+    int maxIdleConnections() {
+        return sockets / IDLE_DIVISOR;
     }
 
     /** Mail connections of each sort at most: SMTP clients, LMTP clients, idle ones to servers. */
-    int mostMail() {
-        return sockets / MAIL_PART;
+    int maxMailConnections() {
+        return sockets / MAIL_DIVISOR;
     }
 
     /**
      * Connections of clients at most: what the program itself, calls, idle connections, mail and other fronts leave.
      */
-    int mostClients(boolean mail, int otherFronts) {
+    int maxClientConnections(boolean mail, int otherFronts) {
         int operators = operator == null ? 0 : OperatorPort.MAX_CONNECTIONS + 1;
         return Math.max(
                 1,
                 sockets
-                        - OWN_SOCKETS
+                        - RESERVED_SOCKETS
                         - operators
                         - settings.limits().slots()
-                        - mostIdle()
-                        - (mail ? 3 * mostMail() : 0)
+                        - maxIdleConnections()
+                        - (mail ? 3 * maxMailConnections() : 0)
                         - otherFronts);
     }
 
     /** With more connections of clients than this none stays idle. */
-    int crowd() {
-        return sockets / CROWD_PART;
+    int keepAliveClientLimit() {
+        return sockets / KEEP_ALIVE_DIVISOR;
     }
 
     /**
      * The keys, but for discovery, classes and attempts, whose values differ from those of a configuration in use: they
      * need a restart.
      */
-    List<String> restartNeeded(Config used) {
+    List<String> keysNeedingRestart(Config used) {
         List<String> keys = new ArrayList<>();
         if (!name.equals(used.name)) {
             keys.add("name");
@@ -331,7 +331,7 @@
         if (sockets != used.sockets) {
             keys.add("limits.sockets");
         }
-        if (!with(used.table(), used.attempts()).settings.equals(used.settings)
+        if (!with(used.table(), used.maxAttempts()).settings.equals(used.settings)
                 || !kinds.equals(used.kinds)
                 || !zones.equals(used.zones)) {
             keys.add("settings");
@@ -388,9 +388,9 @@
         if (disk <= 0) {
             throw new ConfigurationException("limits.disk_mb", "must be above 0");
         }
-        int sockets = whole("limits.sockets", limits, "sockets", DEFAULT_SOCKETS);
-        if (sockets < LEAST_SOCKETS) {
-            throw new ConfigurationException("limits.sockets", "must be " + LEAST_SOCKETS + " or more");
+        int sockets = integer("limits.sockets", limits, "sockets", DEFAULT_SOCKETS);
+        if (sockets < MIN_SOCKETS) {
+            throw new ConfigurationException("limits.sockets", "must be " + MIN_SOCKETS + " or more");
         }
         Path state = Path.of(value(variables, "ROUTER_STATE", root, "state", null));
         String operator = value(variables, "ROUTER_OPERATOR", root, "operator", "");
@@ -437,8 +437,8 @@
 
     // ---- the mail file ------------------------------------------------------------------------------------
     private static final String DEFAULT_CLASS_HEADER = "X-Message-Class";
-    private static final int DEFAULT_MOST_BYTES = 64 * 1024;
-    private static final int DEFAULT_MOST_RECIPIENTS = 100;
+    private static final int DEFAULT_MAX_BYTES = 64 * 1024;
+    private static final int DEFAULT_MAX_RECIPIENTS = 100;
     private static final double DEFAULT_IDLE_SECONDS = 300;
     /** Numbers under this are the platform's: mail must not go to its endpoints, nor its messages to ours. */
     private static final int FIRST_MAIL_DESTINATION = 1_000_000;
@@ -464,7 +464,7 @@
         List<MailSettings.Route> routes = new ArrayList<>();
         for (JsonElement e : list("mail.routes", root, "routes")) {
             JsonObject o = object("mail.routes", e);
-            int destination = whole("mail.routes.destination", o, "destination", 0);
+            int destination = integer("mail.routes.destination", o, "destination", 0);
             if (destination < FIRST_MAIL_DESTINATION) {
                 throw new ConfigurationException(
                         "mail.routes.destination", "must be " + FIRST_MAIL_DESTINATION + " or more");
@@ -491,10 +491,10 @@
                         classNumber("mail.classes." + e.getKey(), e.getValue().getAsString()));
             }
         }
-        int otherwise = unsafeClass();
+        int otherwise = firstUnsafeClass();
         String dsn = text("mail.reportClass", root, "reportClass", "");
-        int mostBytes = whole("mail.mostBytes", root, "mostBytes", DEFAULT_MOST_BYTES);
-        int mostRecipients = whole("mail.mostRecipients", root, "mostRecipients", DEFAULT_MOST_RECIPIENTS);
+        int mostBytes = integer("mail.mostBytes", root, "mostBytes", DEFAULT_MAX_BYTES);
+        int mostRecipients = integer("mail.mostRecipients", root, "mostRecipients", DEFAULT_MAX_RECIPIENTS);
         double idle = number("mail.idleSeconds", root, "idleSeconds", DEFAULT_IDLE_SECONDS);
         if (mostBytes <= 0 || mostRecipients <= 0 || idle <= 0) {
             throw new ConfigurationException(
@@ -519,7 +519,7 @@
                         .toList());
     }
 
-    private int unsafeClass() throws ConfigurationException {
+    private int firstUnsafeClass() throws ConfigurationException {
         for (int i = 0; i < settings.classes().size(); i++) {
             if (settings.classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE) {
                 return i;
@@ -546,7 +546,7 @@
         };
     }
 
-    private static int whole(String path, JsonObject in, String key, int otherwise) throws ConfigurationException {
+    private static int integer(String path, JsonObject in, String key, int otherwise) throws ConfigurationException {
         double value = number(path, in, key, otherwise);
         if (value != (int) value) {
             throw new ConfigurationException(path, "not a whole number");
--- a/src/main/java/lilaclever/program/DepartureFile.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -44,7 +44,7 @@
         try (InputStream in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
             if (bytes.length > MAX_FILE_BYTES) {
-                skipped(file, "is longer than " + MAX_FILE_BYTES + " bytes, the rest is passed over");
+                logDamage(file, "is longer than " + MAX_FILE_BYTES + " bytes, the rest is passed over");
             }
             return parse(file, new String(bytes, StandardCharsets.US_ASCII));
         } catch (NoSuchFileException e) {
@@ -61,13 +61,13 @@
         for (int from = 0; from < text.length(); from = end + 1, number++) {
             end = text.indexOf('\n', from);
             if (end < 0) {
-                skipped(file, "line " + number + " has no end");
+                logDamage(file, "line " + number + " has no end");
                 break;
             }
             try {
                 departures.add(departure(text.substring(from, end)));
             } catch (IllegalArgumentException e) {
-                skipped(file, "line " + number + " is passed over: " + e.getMessage());
+                logDamage(file, "line " + number + " is passed over: " + e.getMessage());
             }
         }
         return departures;
@@ -82,7 +82,7 @@
                 decoded(fields[0]), decoded(fields[1]), Long.parseLong(fields[2]), Long.parseLong(fields[3]));
     }
 
-    private static void skipped(Path file, String problem) {
+    private static void logDamage(Path file, String problem) {
         Logs.warn("", "departures-damaged", file + " " + problem);
     }
 
@@ -113,7 +113,7 @@
             Logs.warn("", "departures-too-many", left + " endpoints that have left do not fit into " + FILE);
         }
         Collections.reverse(lines);
-        Config.note(state, FILE, String.join("", lines));
+        Config.replaceStateFile(state, FILE, String.join("", lines));
     }
 
     private static String line(Departure departure) {
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -34,14 +34,14 @@
 /** The parts of the serving program, put together, started and stopped. */
 final class Forwarder {
     /** After the signal: so long clients still come, so long calls may be out, and then the end. */
-    private static final long ACCEPT = 500_000, CALLS_BY = 3_200_000, END = 3_400_000;
+    private static final long ACCEPT_PERIOD_MICROS = 500_000, CALL_DEADLINE_MICROS = 3_200_000, SHUTDOWN_DEADLINE_MICROS = 3_400_000;
 
-    private static final long LOOK = 20_000;
+    private static final long IDLE_CHECK_PERIOD_MICROS = 20_000;
 
     private final Transport transport;
     private final SegmentedJournal journal;
     private final Core core;
-    private final HttpFront front;
+    private final HttpFront httpFront;
     /** As it is in force: renewed at SIGHUP. */
     private Config config;
 
@@ -50,7 +50,7 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
     private final List<MailFront> mailFronts = new ArrayList<>();
-    private final List<SocketAddress> addresses = new ArrayList<>();
+    private final List<SocketAddress> listenAddresses = new ArrayList<>();
 
     private Forwarder(Config config, OperatorSettings operator, MailSettings mail) throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
@@ -60,7 +60,7 @@
         transport = new Transport();
         journal = new SegmentedJournal(
                 FolderDisk.lock(config.state()),
-                config.diskBytes() - config.noteBytes(),
+                config.diskBytes() - config.stateFilesBytes(),
                 operator.journal().durability(),
                 new JournalClocks(
                         Core::monotonicMicros,
@@ -68,14 +68,14 @@
                         BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                 new SplittableRandom(config.seed() ^ System.nanoTime()));
         Counters counters = new Counters();
-        figures(journal, counters);
+        registerJournalMetrics(journal, counters);
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
-        ManualDrains suspensions = new ManualDrains(core, config.readSuspended(), ids -> Config.noteSuspended(state, ids));
-        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.mostIdle());
+        ManualDrains suspensions = new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
+        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.maxIdleConnections());
         notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
-        long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
+        long noteBytes = config.departuresReservedBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
                 DepartureFile.read(state), departures -> DepartureFile.write(state, departures, noteBytes));
         counters.entryGauge("departed", membership::departureCount);
@@ -89,21 +89,21 @@
                 keep,
                 membership,
                 suspensions::updateEndpoints);
-        front = new HttpFront(
+        httpFront = new HttpFront(
                 core,
                 config.classNames(),
                 settings.classes(),
-                config.mostClients(mail != null, operator.mllpConnections()),
-                config.crowd(),
+                config.maxClientConnections(mail != null, operator.mllpConnections()),
+                config.keepAliveClientLimit(),
                 notices,
                 operator.identity().practiceHeader());
-        core.add(front);
+        core.add(httpFront);
         if (mail != null) {
             for (MailSettings.Protocol protocol : MailSettings.Protocol.values()) {
-                mailFronts.add(new MailFront(core, mail, protocol, config.mostMail()));
+                mailFronts.add(new MailFront(core, mail, protocol, config.maxMailConnections()));
             }
             mailFronts.forEach(core::add);
-            new MailDeliverer(core, transport, mail, settings.zone(), connect, keep, config.mostMail()).start();
+            new MailDeliverer(core, transport, mail, settings.zone(), connect, keep, config.maxMailConnections()).start();
         }
         if (operator.mllp() != null) {
             mllpFront = new MllpFront(core, operator.mllp());
@@ -118,29 +118,29 @@
                 suspensions.withSuspensions(
                         DecisionModule.ListingKind.REMEMBERED,
                         version,
-                        listed.stream().map(Forwarder::leaving).toList()),
+                        listed.stream().map(Forwarder::withoutNewMessages).toList()),
                 version);
-        addresses.add(front.listen(transport, Transport.parseAddress(config.listen())));
+        listenAddresses.add(httpFront.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
-            addresses.add(
+            listenAddresses.add(
                     new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
-            addresses.addAll(each.listen(transport));
+            listenAddresses.addAll(each.listen(transport));
         }
         if (mllpFront != null) {
-            addresses.addAll(mllpFront.listen(transport));
+            listenAddresses.addAll(mllpFront.listen(transport));
         }
     }
 
     /** Until discovery has answered nothing new goes to an endpoint that is only known. */
-    private static Core.ListedEndpoint leaving(Core.ListedEndpoint listed) {
+    private static Core.ListedEndpoint withoutNewMessages(Core.ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
                 : listed;
     }
 
-    private static void figures(SegmentedJournal journal, Counters counters) {
+    private static void registerJournalMetrics(SegmentedJournal journal, Counters counters) {
         counters.entryGauge("unwritten", journal::unwrittenCount);
         counters.valueGauge("journal_files", journal::fileCount);
         counters.valueGauge("journal_bytes", journal::allocatedBytes);
@@ -164,9 +164,9 @@
                 "sizes",
                 config.settings().limits().slots() + " slots, "
                         + config.settings().limits().maxOpenMessages() + " held, " + config.sockets() + " sockets: "
-                        + config.mostClients(mail != null, operator.mllpConnections()) + " for clients, "
-                        + config.mostIdle() + " idle to endpoints");
-        Logs.info("", "serves", config.name() + " serves at " + forwarder.addresses);
+                        + config.maxClientConnections(mail != null, operator.mllpConnections()) + " for clients, "
+                        + config.maxIdleConnections() + " idle to endpoints");
+        Logs.info("", "serves", config.name() + " serves at " + forwarder.listenAddresses);
         return forwarder;
     }
 
@@ -175,15 +175,15 @@
      * mail file, then HL7.
      */
     List<SocketAddress> addresses() {
-        return addresses;
+        return listenAddresses;
     }
 
     /** Takes a new configuration file on; a faulty one changes nothing. Any thread, one at a time. */
     synchronized void reload(Map<String, String> variables) {
         try {
             Config read = Config.reread(variables, config);
-            renew(config.withReloadableSettings(read));
-            for (String key : read.restartNeeded(config)) {
+            apply(config.withReloadableSettings(read));
+            for (String key : read.keysNeedingRestart(config)) {
                 Logs.warn(
                         "configuration",
                         "needs-restart",
@@ -192,7 +192,7 @@
                         key);
             }
             try {
-                read.noteDiscovery(config.state());
+                read.saveDiscovery(config.state());
             } catch (IOException e) {
                 Logs.warn("", "discovery-not-noted", "a restart may go to the old discovery: " + e);
             }
@@ -207,16 +207,16 @@
     }
 
     /** Has other classes and attempts hold, once they are noted; messages under way keep their class. */
-    private void renew(Config next) throws ConfigurationException {
+    private void apply(Config next) throws ConfigurationException {
         if (next.equals(config)) {
             return;
         }
-        next.noteClasses();
+        next.saveClasses();
         config = next;
         CountDownLatch inForce = new CountDownLatch(1);
         core.post(() -> {
             core.updateSettings(next.settings());
-            front.updateClasses(next.classNames(), next.settings().classes());
+            httpFront.updateClasses(next.classNames(), next.settings().classes());
             inForce.countDown();
         });
         try {
@@ -239,8 +239,8 @@
     /** Ends well: nothing that the coming kill could cut is started, and the journal has the rest. */
     void stop() {
         try {
-            core.post(this::stopping);
-            stopped.await(END, TimeUnit.MICROSECONDS);
+            core.post(this::beginShutdown);
+            stopped.await(SHUTDOWN_DEADLINE_MICROS, TimeUnit.MICROSECONDS);
             core.stop();
             System.err.print(core.counters().toText());
             journal.close();
@@ -250,24 +250,24 @@
         }
     }
 
-    private void stopping() {
+    private void beginShutdown() {
         long told = core.nowMicros();
-        core.deadlines().schedule(told + ACCEPT, () -> {
-            core.beginShutdown(told + CALLS_BY);
-            front.close();
+        core.deadlines().schedule(told + ACCEPT_PERIOD_MICROS, () -> {
+            core.beginShutdown(told + CALL_DEADLINE_MICROS);
+            httpFront.close();
             mailFronts.forEach(MailFront::close);
             if (mllpFront != null) {
                 mllpFront.close();
             }
-            untilQuiet(told + END);
+            awaitIdle(told + SHUTDOWN_DEADLINE_MICROS);
         });
     }
 
-    private void untilQuiet(long end) {
-        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
+    private void awaitIdle(long end) {
+        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
             stopped.countDown();
         } else {
-            core.deadlines().schedule(core.nowMicros() + LOOK, () -> untilQuiet(end));
+            core.deadlines().schedule(core.nowMicros() + IDLE_CHECK_PERIOD_MICROS, () -> awaitIdle(end));
         }
     }
 }
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -19,11 +19,11 @@
 /** The sections of the operator's file for the HL7 ports; without a listener they are off, and no library is loaded. */
 final class MllpSections {
     /** The kinds of sections read here. */
-    static final Set<String> KINDS = Set.of("mllp", "hl7", "hl7-class", "hl7-destination", "practice");
+    static final Set<String> SECTION_KINDS = Set.of("mllp", "hl7", "hl7-class", "hl7-destination", "practice");
 
-    private static final long MS = 1000, SECOND = 1_000_000, MINUTE = 60 * SECOND;
+    private static final long MILLISECOND_MICROS = 1000, SECOND_MICROS = 1_000_000, MINUTE_MICROS = 60 * SECOND_MICROS;
     /** What HTTP takes too: partners are told no larger ones. */
-    private static final int LARGEST = 64 * 1024;
+    private static final int MAX_MESSAGE_BYTES = 64 * 1024;
 
     private final ConfFile file;
     private final Config config;
@@ -42,30 +42,30 @@
         for (Section s : file.sections("mllp")) {
             listeners.add(listener(s));
         }
-        Map<String, String> practices = practices();
-        Map<String, Integer> events = events();
-        Map<String, Integer> destinations = destinations();
+        Map<String, String> practices = practicesBySender();
+        Map<String, Integer> events = classesByEvent();
+        Map<String, Integer> destinations = destinationsByReceiver();
         boolean anySender = hl7.flag("any-sender", false);
-        int unsafe = hl7.flag("unknown-events", true) ? unsafeClass(hl7, !listeners.isEmpty()) : -1;
+        int unsafe = hl7.flag("unknown-events", true) ? firstUnsafeClass(hl7, !listeners.isEmpty()) : -1;
         Field key = field(hl7, "key", "MSH-10");
         Field deadline = field(hl7, "deadline", null);
         Set<String> processing = words(hl7, "processing", "P");
         Set<String> versions = words(hl7, "versions", "2.3 2.3.1 2.4 2.5 2.5.1");
         int mostHeld = (int) hl7.integer("most-held", 200, 1, 1_000_000);
-        long owe = hl7.durationMicros("owe", 10 * MINUTE, SECOND, 24 * 60 * MINUTE);
+        long owe = hl7.durationMicros("owe", 10 * MINUTE_MICROS, SECOND_MICROS, 24 * 60 * MINUTE_MICROS);
         int mostOwed = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
         if (listeners.isEmpty()) {
             return null;
         }
         if (!shared) {
-            throw listenerFault(
+            throw listenerError(
                     "needs [identity] shared yes: a message must be known again on whichever port it comes");
         }
         if (practices.isEmpty() && !anySender) {
-            throw listenerFault("nobody could send: needs a [practice NAME] with senders, or [hl7] any-sender yes");
+            throw listenerError("nobody could send: needs a [practice NAME] with senders, or [hl7] any-sender yes");
         }
         if (destinations.isEmpty()) {
-            throw listenerFault("nothing could be delivered: needs a [hl7-destination NUMBER] with receivers");
+            throw listenerError("nothing could be delivered: needs a [hl7-destination NUMBER] with receivers");
         }
         return new MllpSettings(
                 listeners,
@@ -86,7 +86,7 @@
                 mostOwed);
     }
 
-    private ConfigurationException listenerFault(String problem) {
+    private ConfigurationException listenerError(String problem) {
         return file.sections("mllp").get(0).error("address", problem);
     }
 
@@ -108,9 +108,9 @@
                 connections,
                 (int) s.integer("connections-per-address", connections, 1, connections),
                 (int) s.integer("in-flight", 16, 1, 10_000),
-                (int) s.sizeBytes("largest", LARGEST, 512, LARGEST),
-                s.durationMicros("idle", 10 * MINUTE, SECOND, 24 * 60 * MINUTE),
-                s.durationMicros("whole", 30 * SECOND, 100 * MS, 10 * MINUTE));
+                (int) s.sizeBytes("largest", MAX_MESSAGE_BYTES, 512, MAX_MESSAGE_BYTES),
+                s.durationMicros("idle", 10 * MINUTE_MICROS, SECOND_MICROS, 24 * 60 * MINUTE_MICROS),
+                s.durationMicros("whole", 30 * SECOND_MICROS, 100 * MILLISECOND_MICROS, 10 * MINUTE_MICROS));
     }
 
     private static AddressSet networks(Section s) throws ConfigurationException {
@@ -125,7 +125,7 @@
         }
     }
 
-    private Map<String, String> practices() throws ConfigurationException {
+    private Map<String, String> practicesBySender() throws ConfigurationException {
         Map<String, String> practices = new HashMap<>();
         for (Section s : file.sections("practice")) {
             try {
@@ -142,7 +142,7 @@
         return practices;
     }
 
-    private Map<String, Integer> events() throws ConfigurationException {
+    private Map<String, Integer> classesByEvent() throws ConfigurationException {
         Map<String, Integer> events = new HashMap<>();
         for (Section s : file.sections("hl7-class")) {
             int number = config.classNames().indexOf(s.qualifier());
@@ -164,7 +164,7 @@
         return events;
     }
 
-    private Map<String, Integer> destinations() throws ConfigurationException {
+    private Map<String, Integer> destinationsByReceiver() throws ConfigurationException {
         Map<String, Integer> destinations = new HashMap<>();
         for (Section s : file.sections("hl7-destination")) {
             if (!s.qualifier().matches("[0-9]{1,9}")) {
@@ -179,7 +179,7 @@
         return destinations;
     }
 
-    private int unsafeClass(Section hl7, boolean needed) throws ConfigurationException {
+    private int firstUnsafeClass(Section hl7, boolean needed) throws ConfigurationException {
         List<DecisionModule.MessageClass> classes = config.settings().classes();
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE) {
--- a/src/main/java/lilaclever/program/OperatorSettings.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -19,7 +19,7 @@
  * and a record here; a file that is absent leaves all as the platform has it.
  */
 record OperatorSettings(JournalSettings journal, IdentitySettings identity, MllpSettings mllp, Logs.Settings log) {
-    private static final long SECOND = 1_000_000, HOUR = 3600 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000, HOUR_MICROS = 3600 * SECOND_MICROS;
 
     /** {@code [journal]}: when records are forced, and how long the end of a message is remembered. */
     record JournalSettings(Durability durability, long rememberMicros) {}
@@ -58,7 +58,7 @@
         IdentitySettings identity = identity(file.section("identity"), config, journal.rememberMicros());
         OperatorSettings read = new OperatorSettings(
                 journal, identity, new MllpSections(file, config, identity.shared()).read(), log(file.section("log")));
-        Set<String> kinds = new HashSet<>(MllpSections.KINDS);
+        Set<String> kinds = new HashSet<>(MllpSections.SECTION_KINDS);
         kinds.addAll(Set.of("journal", "identity", "log"));
         file.rejectUnknown(kinds);
         return read;
@@ -77,7 +77,7 @@
         List<Long> windows = new ArrayList<>();
         for (int i = 0; i < config.classNames().size(); i++) {
             boolean unsafe = config.settings().classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE;
-            windows.add(s.durationMicros("window-" + config.classNames().get(i), unsafe ? 24 * HOUR : HOUR, SECOND, 240 * HOUR));
+            windows.add(s.durationMicros("window-" + config.classNames().get(i), unsafe ? 24 * HOUR_MICROS : HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
         }
         return new IdentitySettings(
                 shared,
@@ -95,11 +95,11 @@
 
     private static JournalSettings journal(ConfFile.Section s) throws ConfigurationException {
         Durability.Mode how = s.choice("durability", Durability.Mode.class, Durability.Mode.NONE);
-        long every = s.durationMicros("interval", 50_000, 1000, 60 * SECOND);
+        long every = s.durationMicros("interval", 50_000, 1000, 60 * SECOND_MICROS);
         if (how != Durability.Mode.INTERVAL && s.has("interval")) {
             throw s.error(
                     "interval", "needs durability interval, not " + how.name().toLowerCase());
         }
-        return new JournalSettings(new Durability(how, every), s.durationMicros("remember", HOUR, SECOND, 240 * HOUR));
+        return new JournalSettings(new Durability(how, every), s.durationMicros("remember", HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
     }
 }
