--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -277,19 +277,19 @@
     }
 
     /** Idle connections to endpoints at most. */
-    int maxIdleConnections() {
+    int maxIdle() {
         return sockets / IDLE_DIVISOR;
     }
 
     /** Mail connections of each sort at most: SMTP clients, LMTP clients, idle ones to servers. */
-    int maxMailConnections() {
+    int maxMail() {
         return sockets / MAIL_DIVISOR;
     }
 
     /**
      * Connections of clients at most: what the program itself, calls, idle connections, mail and other fronts leave.
      */
-    int maxClientConnections(boolean mail, int otherFronts) {
+    int maxClients(boolean mail, int otherFronts) {
         int operators = operator == null ? 0 : OperatorPort.MAX_CONNECTIONS + 1;
         return Math.max(
                 1,
@@ -297,8 +297,8 @@
                         - RESERVED_SOCKETS
                         - operators
                         - settings.limits().slots()
-                        - maxIdleConnections()
-                        - (mail ? 3 * maxMailConnections() : 0)
+                        - maxIdle()
+                        - (mail ? 3 * maxMail() : 0)
                         - otherFronts);
     }
 
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -50,7 +50,7 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
     private final List<MailFront> mailFronts = new ArrayList<>();
-    private final List<SocketAddress> listenAddresses = new ArrayList<>();
+    private final List<SocketAddress> addresses = new ArrayList<>();
 
     private Forwarder(Config config, OperatorSettings operator, MailSettings mail) throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
@@ -73,7 +73,7 @@
                 settings, config.seed(), journal, counters, operator.identity().windows());
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
         ManualDrains suspensions = new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
-        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.maxIdleConnections());
+        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.maxIdle());
         notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
         long noteBytes = config.departuresReservedBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
@@ -93,17 +93,17 @@
                 core,
                 config.classNames(),
                 settings.classes(),
-                config.maxClientConnections(mail != null, operator.mllpConnections()),
+                config.maxClients(mail != null, operator.mllpConnections()),
                 config.keepAliveClientLimit(),
                 notices,
                 operator.identity().practiceHeader());
         core.add(httpFront);
         if (mail != null) {
             for (MailSettings.Protocol protocol : MailSettings.Protocol.values()) {
-                mailFronts.add(new MailFront(core, mail, protocol, config.maxMailConnections()));
+                mailFronts.add(new MailFront(core, mail, protocol, config.maxMail()));
             }
             mailFronts.forEach(core::add);
-            new MailDeliverer(core, transport, mail, settings.zone(), connect, keep, config.maxMailConnections()).start();
+            new MailDeliverer(core, transport, mail, settings.zone(), connect, keep, config.maxMail()).start();
         }
         if (operator.mllp() != null) {
             mllpFront = new MllpFront(core, operator.mllp());
@@ -120,16 +120,16 @@
                         version,
                         listed.stream().map(Forwarder::withoutNewMessages).toList()),
                 version);
-        listenAddresses.add(httpFront.listen(transport, Transport.parseAddress(config.listen())));
+        addresses.add(httpFront.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
-            listenAddresses.add(
+            addresses.add(
                     new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
-            listenAddresses.addAll(each.listen(transport));
+            addresses.addAll(each.listen(transport));
         }
         if (mllpFront != null) {
-            listenAddresses.addAll(mllpFront.listen(transport));
+            addresses.addAll(mllpFront.listen(transport));
         }
     }
 
@@ -164,9 +164,9 @@
                 "sizes",
                 config.settings().limits().slots() + " slots, "
                         + config.settings().limits().maxOpenMessages() + " held, " + config.sockets() + " sockets: "
-                        + config.maxClientConnections(mail != null, operator.mllpConnections()) + " for clients, "
-                        + config.maxIdleConnections() + " idle to endpoints");
-        Logs.info("", "serves", config.name() + " serves at " + forwarder.listenAddresses);
+                        + config.maxClients(mail != null, operator.mllpConnections()) + " for clients, "
+                        + config.maxIdle() + " idle to endpoints");
+        Logs.info("", "serves", config.name() + " serves at " + forwarder.addresses);
         return forwarder;
     }
 
@@ -175,7 +175,7 @@
      * mail file, then HL7.
      */
     List<SocketAddress> addresses() {
-        return listenAddresses;
+        return addresses;
     }
 
     /** Takes a new configuration file on; a faulty one changes nothing. Any thread, one at a time. */
