--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -104,7 +104,7 @@
     /** Notes the classes, if there is room. */
     void saveClasses() throws ConfigurationException {
         try {
-            table().write(state, classesReservedBytes() / 2);
+            classTable().write(state, classesReservedBytes() / 2);
         } catch (IOException e) {
             throw new ConfigurationException("settings", "can't be noted on disk: " + e.getMessage());
         }
@@ -240,13 +240,13 @@
     }
 
     /** The classes by number. */
-    ClassTable table() {
+    ClassTable classTable() {
         return new ClassTable(classNames, settings.classes());
     }
 
     /** This one with what can be taken over of another while the program runs. */
     Config withReloadableSettings(Config read) throws ConfigurationException {
-        return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
+        return with(classTable().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** Keys of the settings, of objects in lists those that all of them have. */
@@ -331,7 +331,7 @@
         if (sockets != used.sockets) {
             keys.add("limits.sockets");
         }
-        if (!with(used.table(), used.maxAttempts()).settings.equals(used.settings)
+        if (!with(used.classTable(), used.maxAttempts()).settings.equals(used.settings)
                 || !kinds.equals(used.kinds)
                 || !zones.equals(used.zones)) {
             keys.add("settings");
