--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -27,12 +27,12 @@
 
     private final ConfFile file;
     private final Config config;
-    private final boolean shared;
+    private final boolean sharedIdentity;
 
     MllpSections(ConfFile file, Config config, boolean shared) {
         this.file = file;
         this.config = config;
-        this.shared = shared;
+        this.sharedIdentity = shared;
     }
 
     /** The settings; null if there is no listener. */
@@ -57,7 +57,7 @@
         if (listeners.isEmpty()) {
             return null;
         }
-        if (!shared) {
+        if (!sharedIdentity) {
             throw listenerError(
                     "needs [identity] shared yes: a message must be known again on whichever port it comes");
         }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -138,7 +138,7 @@
         return EXIT_PASSED;
     }
 
-    private Path folder(Scenario s) {
+    private Path outputFolder(Scenario s) {
         return out != null ? out : Path.of("rehearsals", s.name());
     }
 
@@ -173,7 +173,7 @@
             runInParallel(
                     n,
                     i -> {
-                        Path to = alone ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
+                        Path to = alone ? outputFolder(scenario) : outputFolder(scenario).resolve("seed-" + (seed + i));
                         Result r = runOnce(scenario, seed + i, to, alone);
                         Report.write(r, to);
                         return r;
@@ -210,7 +210,7 @@
                     interval[1],
                     broken.get());
         }
-        System.out.println("report: " + folder(scenario).resolve(alone ? "index.html" : ""));
+        System.out.println("report: " + outputFolder(scenario).resolve(alone ? "index.html" : ""));
         return interrupt.isRequested() ? Interrupt.EXIT_CODE : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
     }
 
@@ -286,14 +286,14 @@
                 allBroken.addAndGet(broken.get());
                 System.out.println(sweep.add(point.x(), point.label(), services, broken.get()));
             }
-            sweep.write(folder(first), first.name());
+            sweep.write(outputFolder(first), first.name());
         } finally {
             interrupt.finish();
         }
         if (overLoad) {
             System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", minService, sweep.keepsUpTo(minService));
         }
-        System.out.println("plot: " + folder(first).resolve("sweep.png"));
+        System.out.println("plot: " + outputFolder(first).resolve("sweep.png"));
         return interrupt.isRequested() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? EXIT_PASSED : EXIT_RULES_BROKEN;
     }
 
