--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -19,7 +19,7 @@
  * has asked for is an error. All messages name file, line and key.
  */
 public final class ConfFile {
-    private static final int LONGEST_LINE = 8192, MOST_LINES = 100_000;
+    private static final int MAX_LINE_LENGTH = 8192, MAX_LINES = 100_000;
 
     /** One setting and where it stands. */
     private record Entry(int line, String value) {}
@@ -54,53 +54,53 @@
     }
 
     private void parse(List<String> lines) throws ConfigurationException {
-        if (lines.size() > MOST_LINES) {
-            throw fault(MOST_LINES, "", "too many lines");
+        if (lines.size() > MAX_LINES) {
+            throw errorAt(MAX_LINES, "", "too many lines");
         }
         Section section = null;
         String key = null;
-        for (int i = 0; i < lines.size(); i++) {
-            int number = i + 1;
-            String raw = lines.get(i);
-            if (raw.length() > LONGEST_LINE) {
-                throw fault(number, "", "longer than " + LONGEST_LINE + " characters");
+        for (int index = 0; index < lines.size(); index++) {
+            int number = index + 1;
+            String rawLine = lines.get(index);
+            if (rawLine.length() > MAX_LINE_LENGTH) {
+                throw errorAt(number, "", "longer than " + MAX_LINE_LENGTH + " characters");
             }
-            String line = raw.strip();
+            String line = rawLine.strip();
             if (line.isEmpty() || line.startsWith("#")) {
                 continue;
             }
-            if (Character.isWhitespace(raw.charAt(0))) {
+            if (Character.isWhitespace(rawLine.charAt(0))) {
                 if (key == null) {
-                    throw fault(number, "", "continues nothing: a key begins its line without a space");
+                    throw errorAt(number, "", "continues nothing: a key begins its line without a space");
                 }
-                section.extend(key, line);
+                section.appendToValue(key, line);
             } else if (line.startsWith("[")) {
-                section = section(number, line);
+                section = addSection(number, line);
                 key = null;
             } else {
                 if (section == null) {
-                    throw fault(number, line.split("\\s", 2)[0], "stands before the first [section]");
+                    throw errorAt(number, line.split("\\s", 2)[0], "stands before the first [section]");
                 }
-                key = section.add(number, line);
+                key = section.addEntry(number, line);
             }
         }
     }
 
-    private Section section(int line, String text) throws ConfigurationException {
+    private Section addSection(int line, String text) throws ConfigurationException {
         if (!text.matches("\\[[a-z][a-z0-9-]*( [^\\]\\s]+)?\\]")) {
-            throw fault(line, text, "not a section: [name] or [name which], in small letters");
+            throw errorAt(line, text, "not a section: [name] or [name which], in small letters");
         }
         String title = text.substring(1, text.length() - 1);
         Section earlier = sections.get(title);
         if (earlier != null) {
-            throw fault(line, text, "stands here again, first at line " + earlier.line);
+            throw errorAt(line, text, "stands here again, first at line " + earlier.line);
         }
-        Section made = new Section(title, line);
-        sections.put(title, made);
-        return made;
+        Section created = new Section(title, line);
+        sections.put(title, created);
+        return created;
     }
 
-    private ConfigurationException fault(int line, String key, String problem) {
+    private ConfigurationException errorAt(int line, String key, String problem) {
         return new ConfigurationException(name + ":" + line + (key.isEmpty() ? "" : ": " + key), problem);
     }
 
@@ -117,55 +117,55 @@
     }
 
     /** Throws if anything stands in the file that nobody has asked for; to be called when all is read. */
-    public void refuseUnknown(Set<String> kinds) throws ConfigurationException {
+    public void rejectUnknown(Set<String> kinds) throws ConfigurationException {
         for (Section s : sections.values()) {
             String kind = s.title.split(" ")[0];
             if (!kinds.contains(kind)) {
-                throw fault(s.line, "[" + s.title + "]", "no such section" + nearest(kind, kinds));
+                throw errorAt(s.line, "[" + s.title + "]", "no such section" + suggestion(kind, kinds));
             }
             for (Map.Entry<String, Entry> e : s.entries.entrySet()) {
-                if (!s.asked.contains(e.getKey())) {
-                    throw fault(
+                if (!s.requestedKeys.contains(e.getKey())) {
+                    throw errorAt(
                             e.getValue().line(),
                             s.title + "." + e.getKey(),
-                            "no such key" + nearest(e.getKey(), s.asked));
+                            "no such key" + suggestion(e.getKey(), s.requestedKeys));
                 }
             }
         }
     }
 
     /** The known word that needs the fewest changes, if that is a few. */
-    public static String nearest(String word, Set<String> known) {
-        String best = null;
-        int least = Math.max(2, word.length() / 2) + 1;
-        for (String k : known) {
-            int d = distance(word, k);
-            if (d < least) {
-                least = d;
-                best = k;
+    public static String suggestion(String word, Set<String> known) {
+        String nearest = null;
+        int bestDistance = Math.max(2, word.length() / 2) + 1;
+        for (String candidate : known) {
+            int distance = editDistance(word, candidate);
+            if (distance < bestDistance) {
+                bestDistance = distance;
+                nearest = candidate;
             }
         }
-        return best == null
+        return nearest == null
                 ? "; known are " + String.join(", ", new java.util.TreeSet<>(known))
-                : "; is " + best + " meant?";
+                : "; is " + nearest + " meant?";
     }
 
     /** Letters to change, add or leave out (Levenshtein's distance). */
-    private static int distance(String a, String b) {
-        int[] before = new int[b.length() + 1];
+    private static int editDistance(String a, String b) {
+        int[] previousRow = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
-            before[j] = j;
+            previousRow[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
             int[] row = new int[b.length() + 1];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int change = before[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                row[j] = Math.min(change, 1 + Math.min(before[j], row[j - 1]));
+                int substitution = previousRow[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                row[j] = Math.min(substitution, 1 + Math.min(previousRow[j], row[j - 1]));
             }
-            before = row;
+            previousRow = row;
         }
-        return before[b.length()];
+        return previousRow[b.length()];
     }
 
     /** One section. Values are asked for by key, with the value that holds where the key is absent. */
@@ -173,7 +173,7 @@
         private final String title;
         private final int line;
         private final Map<String, Entry> entries = new LinkedHashMap<>();
-        private final Set<String> asked = new HashSet<>();
+        private final Set<String> requestedKeys = new HashSet<>();
 
         private Section(String title, int line) {
             this.title = title;
@@ -181,40 +181,40 @@
         }
 
         /** What stands behind the kind in {@code [kind which]}. */
-        public String which() {
+        public String qualifier() {
             return title.contains(" ") ? title.split(" ")[1] : "";
         }
 
         /** True if the file has it. */
-        public boolean isThere() {
+        public boolean isPresent() {
             return line > 0;
         }
 
-        private String add(int number, String text) throws ConfigurationException {
+        private String addEntry(int number, String text) throws ConfigurationException {
             String[] parts = text.split("\\s+", 2);
             if (!parts[0].matches("[a-z][a-z0-9-]*")) {
-                throw fault(number, parts[0], "not a key: small letters, digits and '-'");
+                throw errorAt(number, parts[0], "not a key: small letters, digits and '-'");
             }
             if (parts.length < 2) {
-                throw fault(number, title + "." + parts[0], "has no value");
+                throw errorAt(number, title + "." + parts[0], "has no value");
             }
             Entry earlier = entries.get(parts[0]);
             if (earlier != null) {
-                throw fault(number, title + "." + parts[0], "stands here again, first at line " + earlier.line());
+                throw errorAt(number, title + "." + parts[0], "stands here again, first at line " + earlier.line());
             }
             entries.put(parts[0], new Entry(number, parts[1]));
             return parts[0];
         }
 
-        private void extend(String key, String more) {
+        private void appendToValue(String key, String continuation) {
             Entry e = entries.get(key);
-            entries.put(key, new Entry(e.line(), e.value() + ' ' + more));
+            entries.put(key, new Entry(e.line(), e.value() + ' ' + continuation));
         }
 
         /** An error of this key: with its line, or the section's where the key is absent. */
-        public ConfigurationException bad(String key, String problem) {
+        public ConfigurationException error(String key, String problem) {
             Entry e = entries.get(key);
-            return fault(e == null ? line : e.line(), title + "." + key, problem);
+            return errorAt(e == null ? line : e.line(), title + "." + key, problem);
         }
 
         /** True if the file sets the key. */
@@ -223,15 +223,15 @@
         }
 
         private String value(String key) {
-            asked.add(key);
+            requestedKeys.add(key);
             Entry e = entries.get(key);
             return e == null ? null : e.value();
         }
 
         /** The text; {@code otherwise} may be null. */
-        public String text(String key, String otherwise) {
+        public String text(String key, String defaultValue) {
             String value = value(key);
-            return value == null ? otherwise : value;
+            return value == null ? defaultValue : value;
         }
 
         /** The words, separated by white space or commas. */
@@ -241,10 +241,10 @@
         }
 
         /** One of the constants' names, in small letters. */
-        public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) throws ConfigurationException {
+        public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             List<String> names = new ArrayList<>();
             for (E constant : type.getEnumConstants()) {
@@ -254,113 +254,113 @@
                 }
                 names.add(n);
             }
-            throw bad(key, "one of " + String.join(", ", names) + ", not " + value);
+            throw error(key, "one of " + String.join(", ", names) + ", not " + value);
         }
 
         /** yes or no. */
-        public boolean flag(String key, boolean otherwise) throws ConfigurationException {
+        public boolean flag(String key, boolean defaultValue) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             if (!value.equals("yes") && !value.equals("no")) {
-                throw bad(key, "yes or no, not " + value);
+                throw error(key, "yes or no, not " + value);
             }
             return value.equals("yes");
         }
 
         /** A whole number within bounds. */
-        public long whole(String key, long otherwise, long least, long most) throws ConfigurationException {
+        public long integer(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             try {
                 long number = Long.parseLong(value);
-                if (number >= least && number <= most) {
+                if (number >= min && number <= max) {
                     return number;
                 }
             } catch (NumberFormatException e) {
                 // told below
             }
-            throw bad(key, "a whole number from " + least + " to " + most + ", not " + value);
+            throw error(key, "a whole number from " + min + " to " + max + ", not " + value);
         }
 
         /** A number with or without decimals, within bounds. */
-        public double real(String key, double otherwise, double least, double most) throws ConfigurationException {
+        public double decimal(String key, double defaultValue, double min, double max) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : real(key, value, "", least, most);
+            return value == null ? defaultValue : decimal(key, value, "", min, max);
         }
 
         /** Two numbers, the least and the most; one stands for both. */
-        public double[] range(String key, double low, double high, double least, double most)
+        public double[] range(String key, double defaultMin, double defaultMax, double min, double max)
                 throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
-                return new double[] {low, high};
+                return new double[] {defaultMin, defaultMax};
             }
             double[] range = {
-                real(key, words.get(0), "", least, most), real(key, words.get(words.size() - 1), "", least, most)
+                decimal(key, words.get(0), "", min, max), decimal(key, words.get(words.size() - 1), "", min, max)
             };
             if (words.size() > 2 || range[0] > range[1]) {
-                throw bad(key, "one number, or the least and the most, not " + String.join(" ", words));
+                throw error(key, "one number, or the least and the most, not " + String.join(" ", words));
             }
             return range;
         }
 
         /** A share such as 25%, from 0 to the most; 1 is the whole. */
-        public double share(String key, double otherwise, double most) throws ConfigurationException {
+        public double share(String key, double defaultValue, double max) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : share(key, value, most);
+            return value == null ? defaultValue : share(key, value, max);
         }
 
         /** The same for a word of a value. */
-        public double share(String key, String word, double most) throws ConfigurationException {
-            return real(key, word, "%", 0, most * 100) / 100;
+        public double share(String key, String word, double max) throws ConfigurationException {
+            return decimal(key, word, "%", 0, max * 100) / 100;
         }
 
-        private double real(String key, String value, String unit, double least, double most)
+        private double decimal(String key, String value, String unit, double min, double max)
                 throws ConfigurationException {
             if (value.matches("\\d{1,12}(\\.\\d{1,9})?" + unit)) {
                 double number = Double.parseDouble(value.substring(0, value.length() - unit.length()));
-                if (number >= least && number <= most) {
+                if (number >= min && number <= max) {
                     return number;
                 }
             }
-            throw bad(key, "from " + plain(least) + unit + " to " + plain(most) + unit + ", not " + value);
+            throw error(key, "from " + withoutExponent(min) + unit + " to " + withoutExponent(max) + unit + ", not " + value);
         }
 
-        private static String plain(double number) {
+        private static String withoutExponent(double number) {
             return new java.math.BigDecimal(Double.toString(number))
                     .stripTrailingZeros()
                     .toPlainString();
         }
 
         /** Two times, the least and the most; one stands for both. */
-        public long[] times(String key, long low, long high, long least, long most) throws ConfigurationException {
+        public long[] durationRangeMicros(String key, long defaultMin, long defaultMax, long min, long max) throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
-                return new long[] {low, high};
+                return new long[] {defaultMin, defaultMax};
             }
-            long[] range = {time(key, words.get(0), least, most), time(key, words.get(words.size() - 1), least, most)};
+            long[] range = {durationMicros(key, words.get(0), min, max), durationMicros(key, words.get(words.size() - 1), min, max)};
             if (words.size() > 2 || range[0] > range[1]) {
-                throw bad(key, "one time, or the least and the most, not " + String.join(" ", words));
+                throw error(key, "one time, or the least and the most, not " + String.join(" ", words));
             }
             return range;
         }
 
         /** A time with its unit (us, ms, s, m, h, d), microseconds, within bounds. */
-        public long time(String key, long otherwise, long least, long most) throws ConfigurationException {
+        public long durationMicros(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : time(key, value, least, most);
+            return value == null ? defaultValue : durationMicros(key, value, min, max);
         }
 
         /** The same for a word of a value. */
-        public long time(String key, String value, long least, long most) throws ConfigurationException {
+        public long durationMicros(String key, String value, long min, long max) throws ConfigurationException {
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(us|ms|s|m|h|d)")
                     .matcher(value);
             if (!m.matches()) {
-                throw bad(key, "a time with its unit (us, ms, s, m, h or d), not " + value);
+                throw error(key, "a time with its unit (us, ms, s, m, h or d), not " + value);
             }
             double unit = switch (m.group(2)) {
                 case "us" -> 1;
@@ -371,27 +371,27 @@
                 default -> 86_400e6;
             };
             double micros = Double.parseDouble(m.group(1)) * unit;
-            if (micros < least || micros > most) {
-                throw bad(key, "from " + least / 1000.0 + " ms to " + most / 1000.0 + " ms, not " + value);
+            if (micros < min || micros > max) {
+                throw error(key, "from " + min / 1000.0 + " ms to " + max / 1000.0 + " ms, not " + value);
             }
             return (long) micros;
         }
 
         /** A size with its unit (B, KiB, MiB, GiB), bytes, within bounds. */
-        public long size(String key, long otherwise, long least, long most) throws ConfigurationException {
+        public long sizeBytes(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(B|KiB|MiB|GiB)")
                     .matcher(value);
             if (!m.matches()) {
-                throw bad(key, "a size with its unit (B, KiB, MiB or GiB), not " + value);
+                throw error(key, "a size with its unit (B, KiB, MiB or GiB), not " + value);
             }
             double unit = Math.pow(1024, List.of("B", "KiB", "MiB", "GiB").indexOf(m.group(2)));
             double bytes = Double.parseDouble(m.group(1)) * unit;
-            if (bytes < least || bytes > most) {
-                throw bad(key, "from " + least + " B to " + most + " B, not " + value);
+            if (bytes < min || bytes > max) {
+                throw error(key, "from " + min + " B to " + max + " B, not " + value);
             }
             return (long) bytes;
         }
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -67,7 +67,7 @@
             throw new ConfigurationException(
                     nameOrPath,
                     "neither a file nor a shipped scenario"
-                            + ConfFile.nearest(nameOrPath, new java.util.LinkedHashSet<>(SHIPPED)));
+                            + ConfFile.suggestion(nameOrPath, new java.util.LinkedHashSet<>(SHIPPED)));
         }
         String name = path.getFileName().toString().replaceFirst("\\.conf$", "");
         if (settings.isEmpty()) {
@@ -109,43 +109,43 @@
                 classes,
                 traffic(file.section("traffic")),
                 events(kinds));
-        file.refuseUnknown(SECTIONS);
+        file.rejectUnknown(SECTIONS);
         return read;
     }
 
     private static Fleet fleet(Section s) throws ConfigurationException {
-        int forwarders = (int) s.whole("forwarders", 3, 1, 10_000);
+        int forwarders = (int) s.integer("forwarders", 3, 1, 10_000);
         return new Fleet(
                 forwarders,
-                (int) s.whole("destinations", 18, 1, 100_000),
-                s.real("rate", 65, 0.01, MOST),
-                s.real("zipf", 1, 0, 3),
+                (int) s.integer("destinations", 18, 1, 100_000),
+                s.decimal("rate", 65, 0.01, MOST),
+                s.decimal("zipf", 1, 0, 3),
                 s.range("endpoints", 1, 3, 1, 2_000),
-                s.real("slots-room", 2, 0.1, 100),
-                (int) s.whole("least-slots", 4, 1, 10_000),
-                s.real("hold", 5, 0.1, 1000),
-                (int) s.whole("least-held", 12, 1, 1_000_000),
-                s.time("round", 5 * MS, 100, SECOND),
-                (int) s.whole("attempts", 8, 1, 100),
-                s.time("connect-timeout", 1500 * MS, MS, 60 * SECOND),
-                s.time("keep-alive", 15 * SECOND, 100 * MS, HOUR),
-                s.time("network", MS / 2, 0, SECOND),
-                s.time("handshake", 2 * MS, 0, SECOND),
-                s.times("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
-                s.times("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
-                (int) s.whole("client-retries", 1, 0, 100),
-                s.times("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
+                s.decimal("slots-room", 2, 0.1, 100),
+                (int) s.integer("least-slots", 4, 1, 10_000),
+                s.decimal("hold", 5, 0.1, 1000),
+                (int) s.integer("least-held", 12, 1, 1_000_000),
+                s.durationMicros("round", 5 * MS, 100, SECOND),
+                (int) s.integer("attempts", 8, 1, 100),
+                s.durationMicros("connect-timeout", 1500 * MS, MS, 60 * SECOND),
+                s.durationMicros("keep-alive", 15 * SECOND, 100 * MS, HOUR),
+                s.durationMicros("network", MS / 2, 0, SECOND),
+                s.durationMicros("handshake", 2 * MS, 0, SECOND),
+                s.durationRangeMicros("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
+                s.durationRangeMicros("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
+                (int) s.integer("client-retries", 1, 0, 100),
+                s.durationRangeMicros("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
                 new Partner.Cold(
                         s.share("cold-from", 0.24, 1),
-                        s.time("cold-ramp", 9500 * MS, 0, HOUR),
-                        s.real("tip", 1.5, 0.1, 100),
-                        s.time("tip-for", 3 * SECOND, 100 * MS, HOUR)),
-                s.time("drain-grace", 500 * MS, 0, 60 * SECOND),
-                s.size("disk", 3 << 20, 1 << 17, 1L << 34));
+                        s.durationMicros("cold-ramp", 9500 * MS, 0, HOUR),
+                        s.decimal("tip", 1.5, 0.1, 100),
+                        s.durationMicros("tip-for", 3 * SECOND, 100 * MS, HOUR)),
+                s.durationMicros("drain-grace", 500 * MS, 0, 60 * SECOND),
+                s.sizeBytes("disk", 3 << 20, 1 << 17, 1L << 34));
     }
 
     private TrafficPlan traffic(Section s) throws ConfigurationException {
-        long length = s.time("length", 60 * SECOND, SECOND, 48 * HOUR);
+        long length = s.durationMicros("length", 60 * SECOND, SECOND, 48 * HOUR);
         List<Traffic.Point> shape = new ArrayList<>();
         List<String> words = s.words("load");
         if (words.isEmpty()) {
@@ -156,14 +156,14 @@
         }
         for (int i = 0; i + 1 < words.size(); i += 2) {
             Traffic.Point p = new Traffic.Point(
-                    s.time("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
+                    s.durationMicros("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
             if (!shape.isEmpty() && p.atMicros() <= shape.get(shape.size() - 1).atMicros()) {
-                throw s.bad("load", "times must grow: " + words.get(i));
+                throw s.error("load", "times must grow: " + words.get(i));
             }
             shape.add(p);
         }
         if (words.size() % 2 != 0 || shape.get(0).atMicros() != 0) {
-            throw s.bad("load", "one share, or times and shares in turn from 0s on, such as 0s 45% 30s 110%");
+            throw s.error("load", "one share, or times and shares in turn from 0s on, such as 0s 45% 30s 110%");
         }
         return new TrafficPlan(
                 length,
@@ -186,7 +186,7 @@
         double sum = kinds.stream().mapToDouble(PartnerKind::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
             throw sections.get(0)
-                    .bad(
+                    .error(
                             "share",
                             "the shares of all kinds are " + Math.round(sum * 1000) / 10.0 + "% together, not 100%");
         }
@@ -194,27 +194,27 @@
     }
 
     private static PartnerKind kind(Section s, boolean lab) throws ConfigurationException {
-        boolean absent = !s.isThere();
+        boolean absent = !s.isPresent();
         PartnerKind.Limit limit =
                 s.choice("limit", PartnerKind.Limit.class, lab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
         return new PartnerKind(
-                absent ? lab ? "lens-lab" : "supplier" : s.which(),
+                absent ? lab ? "lens-lab" : "supplier" : s.qualifier(),
                 s.share("share", absent ? lab ? 0.25 : 0.75 : 1, 1),
                 s.flag("large", lab),
                 limit,
                 s.range("headroom", 0.94, 1.9, 0.01, 1000),
                 s.range("least-rate", 1.9, 4, 0.001, MOST),
-                s.time("span", 2 * SECOND, 10 * MS, HOUR),
+                s.durationMicros("span", 2 * SECOND, 10 * MS, HOUR),
                 s.range("spare", 1.15, 1.6, 0.1, 100),
                 s.range("depth", 0.3, 1, 0, 1000),
                 s.share("tells-wait", 0, 1),
-                s.times("wait", 200 * MS, SECOND, 0, HOUR),
+                s.durationRangeMicros("wait", 200 * MS, SECOND, 0, HOUR),
                 s.share("refused-count", 1, 1),
                 s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MOST),
                 s.range("least-connections", 7.2, 15, 1, MOST),
-                s.real("variation", 0.5, 0, 10),
-                (int) s.whole("batch", lab ? 20 : 1, 1, 1000),
-                s.real("item-cost", 0.15, 0, 1));
+                s.decimal("variation", 0.5, 0, 10),
+                (int) s.integer("batch", lab ? 20 : 1, 1, 1000),
+                s.decimal("item-cost", 0.15, 0, 1));
     }
 
     private List<MessageClass> classes() throws ConfigurationException {
@@ -256,12 +256,12 @@
                     DecisionModule.RepeatSafety.UNSAFE));
         }
         for (Section s : sections) {
-            classes.add(messageClass(s, s.which(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
+            classes.add(messageClass(s, s.qualifier(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
         }
         double sum = classes.stream().mapToDouble(MessageClass::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
             throw sections.get(0)
-                    .bad(
+                    .error(
                             "share",
                             "the shares of all classes are " + Math.round(sum * 1000) / 10.0 + "% together, not 100%");
         }
@@ -280,22 +280,22 @@
             double worth,
             DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
-        long aim = s.time("aim", aimMs * MS, MS, HOUR);
-        long deadline = s.time("deadline", deadlineS * SECOND, 10 * MS, HOUR);
+        long aim = s.durationMicros("aim", aimMs * MS, MS, HOUR);
+        long deadline = s.durationMicros("deadline", deadlineS * SECOND, 10 * MS, HOUR);
         if (aim > deadline) {
-            throw s.bad("aim", "is after the deadline");
+            throw s.error("aim", "is after the deadline");
         }
         return new MessageClass(
                 name,
                 s.share("share", share, 1),
-                s.times("work", leastMs * MS, mostMs * MS, 1, HOUR),
+                s.durationRangeMicros("work", leastMs * MS, mostMs * MS, 1, HOUR),
                 new DecisionModule.MessageClass(
                         aim,
                         deadline,
-                        s.real("worth", worth, 0, MOST),
+                        s.decimal("worth", worth, 0, MOST),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
                         DecisionModule.KeyScope.ALL,
-                        s.time("window", 5 * SECOND, 0, HOUR),
+                        s.durationMicros("window", 5 * SECOND, 0, HOUR),
                         false,
                         s.share("late", late, 1),
                         true));
@@ -305,17 +305,17 @@
         List<ScheduledEvent> all = new ArrayList<>();
         for (Section s : file.sections("event")) {
             if (!s.has("what")) {
-                throw s.bad(
+                throw s.error(
                         "what",
                         "missing: one of restart, drain, silent, failing, shut, down, slow, lowered, hot, deaf");
             }
             EventType what = s.choice("what", EventType.class, EventType.RESTART);
             if (!s.has("at")) {
-                throw s.bad("at", "missing: a time, or the least and the most");
+                throw s.error("at", "missing: a time, or the least and the most");
             }
             String kind = s.text("kind", null);
             if (kind != null && kinds.stream().noneMatch(k -> k.name().equals(kind))) {
-                throw s.bad("kind", "no such kind of partner: " + kind);
+                throw s.error("kind", "no such kind of partner: " + kind);
             }
             double[] strength = switch (what) {
                 case FAILING -> s.range("strength", 0.5, 1, 0, 1);
@@ -325,18 +325,18 @@
                 default -> new double[] {0, 0};
             };
             all.add(new ScheduledEvent(
-                    s.which(),
+                    s.qualifier(),
                     what,
-                    s.times("at", 0, 0, 0, 48 * HOUR),
-                    s.times("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
+                    s.durationRangeMicros("at", 0, 0, 0, 48 * HOUR),
+                    s.durationRangeMicros("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
                     s.share("part", what == EventType.RESTART || what == EventType.DRAIN ? 1 : 0.2, 1),
                     s.choice("target", Target.class, Target.ANY),
                     kind,
                     strength,
                     what == EventType.RESTART
-                            ? s.times("down", 300 * MS, 1500 * MS, MS, HOUR)
+                            ? s.durationRangeMicros("down", 300 * MS, 1500 * MS, MS, HOUR)
                             : what == EventType.DRAIN
-                                    ? s.times("down", 2 * SECOND, 6 * SECOND, 0, HOUR)
+                                    ? s.durationRangeMicros("down", 2 * SECOND, 6 * SECOND, 0, HOUR)
                                     : new long[] {0, 0}));
         }
         return all;
--- a/src/main/java/lilaclever/log/Logs.java
+++ b/src/main/java/lilaclever/log/Logs.java
@@ -16,7 +16,7 @@
  */
 public final class Logs {
     /** How lines are written: for people, or a JSON object each. */
-    public enum Form {
+    public enum Format {
         TEXT,
         JSON
     }
@@ -30,36 +30,36 @@
     }
 
     /** {@code times}: text lines begin with time and level; those of a supervisor that does so itself need not. */
-    public record Settings(Form form, Level level, boolean times) {
+    public record Settings(Format format, Level level, boolean timestamps) {
         /** Text, as it always was. */
-        public static final Settings USUAL = new Settings(Form.TEXT, Level.INFO, false);
+        public static final Settings DEFAULT = new Settings(Format.TEXT, Level.INFO, false);
     }
 
-    private static final String NAME = "lilaclever";
-    private static volatile Settings settings = Settings.USUAL;
-    private static volatile boolean loaded;
+    private static final String PROGRAM = "lilaclever";
+    private static volatile Settings settings = Settings.DEFAULT;
+    private static volatile boolean installed;
 
     private Logs() {}
 
     /** From now on lines are written like this. */
-    public static synchronized void set(Settings s) {
+    public static synchronized void configure(Settings s) {
         settings = s;
-        if (loaded) {
-            Lines.install(s);
+        if (installed) {
+            StderrHandler.install(s);
         }
     }
 
     private static Logger logger(String part) {
-        if (!loaded) {
-            load();
+        if (!installed) {
+            installHandler();
         }
-        return LoggerFactory.getLogger(part.isEmpty() ? NAME : NAME + '.' + part);
+        return LoggerFactory.getLogger(part.isEmpty() ? PROGRAM : PROGRAM + '.' + part);
     }
 
-    private static synchronized void load() {
-        if (!loaded) {
-            Lines.install(settings);
-            loaded = true;
+    private static synchronized void installHandler() {
+        if (!installed) {
+            StderrHandler.install(settings);
+            installed = true;
         }
     }
 
@@ -70,32 +70,32 @@
 
     /** Something that should not be, and that somebody must look at. {@code fields}: names and values in turn. */
     public static void error(String part, String event, String text, Object... fields) {
-        with(event, fields, () -> logger(part).error(text));
+        withFields(event, fields, () -> logger(part).error(text));
     }
 
     /** The same, with what was thrown. */
     public static void error(String part, String event, String text, Throwable thrown) {
-        with(event, new Object[0], () -> logger(part).error(text, thrown));
+        withFields(event, new Object[0], () -> logger(part).error(text, thrown));
     }
 
     /** Something that is not as it should be, and that the program lives with. */
     public static void warn(String part, String event, String text, Object... fields) {
-        with(event, fields, () -> logger(part).warn(text));
+        withFields(event, fields, () -> logger(part).warn(text));
     }
 
     /** Something that an operator wants to know. */
     public static void info(String part, String event, String text, Object... fields) {
-        with(event, fields, () -> logger(part).info(text));
+        withFields(event, fields, () -> logger(part).info(text));
     }
 
     /** What happens to each message. */
     public static void debug(String part, String event, String text, Object... fields) {
         if (isDebug()) {
-            with(event, fields, () -> logger(part).debug(text));
+            withFields(event, fields, () -> logger(part).debug(text));
         }
     }
 
-    private static void with(String event, Object[] fields, Runnable line) {
+    private static void withFields(String event, Object[] fields, Runnable line) {
         Map<String, String> context = new LinkedHashMap<>();
         context.put("event", event);
         for (int i = 0; i + 1 < fields.length; i += 2) {
--- a/src/main/java/lilaclever/log/Lines.java
+++ b/src/main/java/lilaclever/log/StderrHandler.java
@@ -19,16 +19,16 @@
  * JDK's own logging that hands them over: of the back ends it costs a start the least, as the transport's library has
  * loaded it already.
  */
-final class Lines extends Handler {
+final class StderrHandler extends Handler {
     private static final String PROGRAM = "lilaclever";
     /** The fields come after the text in this order, others after these. */
     private static final String EVENT = "event";
 
-    private static final int MOST_TEXT = 4000;
+    private static final int MAX_TEXT_LENGTH = 4000;
 
     private final Logs.Settings settings;
 
-    private Lines(Logs.Settings settings) {
+    private StderrHandler(Logs.Settings settings) {
         this.settings = settings;
     }
 
@@ -47,16 +47,16 @@
         root.setLevel(settings.level() == Logs.Level.DEBUG ? Level.INFO : level); // libraries' debugging is not ours
         Logger own = Logger.getLogger(PROGRAM);
         own.setLevel(level);
-        KEEP[0] = own; // the JDK forgets the level of a logger that nobody holds
-        root.addHandler(new Lines(settings));
+        RETAINED_LOGGER[0] = own; // the JDK forgets the level of a logger that nobody holds
+        root.addHandler(new StderrHandler(settings));
     }
 
-    private static final Logger[] KEEP = new Logger[1];
+    private static final Logger[] RETAINED_LOGGER = new Logger[1];
 
     @Override
     public void publish(LogRecord record) {
         Map<String, String> fields = MDC.getCopyOfContextMap();
-        String line = settings.form() == Logs.Form.JSON
+        String line = settings.format() == Logs.Format.JSON
                 ? json(record, fields == null ? Map.of() : fields)
                 : text(record, fields == null ? Map.of() : fields);
         System.err.print(line + '\n');
@@ -88,12 +88,12 @@
                 return text;
             }
         }
-        return text.length() <= MOST_TEXT ? text : text.substring(0, MOST_TEXT) + "...";
+        return text.length() <= MAX_TEXT_LENGTH ? text : text.substring(0, MAX_TEXT_LENGTH) + "...";
     }
 
     private String text(LogRecord record, Map<String, String> fields) {
         StringBuilder line = new StringBuilder();
-        if (settings.times()) {
+        if (settings.timestamps()) {
             line.append(time(record)).append(' ').append(level(record)).append(' ');
         }
         line.append(PROGRAM).append(": ");
--- a/src/main/java/lilaclever/program/ChildProcessCommand.java
+++ b/src/main/java/lilaclever/program/ChildProcessCommand.java
@@ -20,16 +20,16 @@
     private ChildProcessCommand() {}
 
     /** The command line of a sub-command. */
-    static List<String> command(String... words) {
+    static List<String> command(String... arguments) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
         command.addAll(FLAGS);
-        Path archive = archive();
+        Path archive = classArchive();
         if (archive != null) {
             command.add("-XX:SharedArchiveFile=" + archive);
         }
         command.addAll(List.of("-cp", absolute(System.getProperty("java.class.path")), Main.class.getName()));
-        command.addAll(List.of(words));
+        command.addAll(List.of(arguments));
         return command;
     }
 
@@ -42,7 +42,7 @@
     }
 
     /** The archive of classes beside the jar that this process runs from; null if there is none. */
-    private static Path archive() {
+    private static Path classArchive() {
         String classPath = System.getProperty("java.class.path");
         Path archive = Path.of(classPath.replaceFirst("\\.jar$", ".jsa")).toAbsolutePath();
         return classPath.endsWith(".jar") && java.nio.file.Files.exists(archive) ? archive : null;
--- a/src/main/java/lilaclever/program/ClassTable.java
+++ b/src/main/java/lilaclever/program/ClassTable.java
@@ -18,52 +18,52 @@
  */
 record ClassTable(List<String> names, List<MessageClass> classes) {
     /** Numbers at most, and what the note and the one written beside it take on disk. */
-    static final int MOST = 128;
+    static final int MAX_CLASSES = 128;
 
-    static final long NOTE_BYTES = 2 * MOST * 256L;
-    private static final String NOTE = "classes";
+    static final long RESERVED_BYTES = 2 * MAX_CLASSES * 256L;
+    private static final String FILE = "classes";
 
     /** The table in which these classes are those that may be handed in. */
-    ClassTable followedBy(List<String> nowNames, List<MessageClass> now) throws ConfigurationException {
+    ClassTable withCurrentClasses(List<String> currentNames, List<MessageClass> current) throws ConfigurationException {
         List<String> allNames = new ArrayList<>(Collections.nCopies(classes.size(), ""));
-        List<MessageClass> all = new ArrayList<>(classes);
-        for (int i = 0; i < now.size(); i++) {
-            String name = nowNames.get(i);
-            int known = names.indexOf(name);
-            if (known >= 0 && classes.get(known).equals(now.get(i))) {
-                allNames.set(known, name);
+        List<MessageClass> allClasses = new ArrayList<>(classes);
+        for (int i = 0; i < current.size(); i++) {
+            String name = currentNames.get(i);
+            int number = names.indexOf(name);
+            if (number >= 0 && classes.get(number).equals(current.get(i))) {
+                allNames.set(number, name);
             } else {
                 allNames.add(name);
-                all.add(now.get(i));
+                allClasses.add(current.get(i));
             }
         }
-        if (all.size() > MOST) {
+        if (allClasses.size() > MAX_CLASSES) {
             throw new ConfigurationException(
                     "settings.requestClasses",
-                    "with all that came before more than " + MOST
+                    "with all that came before more than " + MAX_CLASSES
                             + " classes; a start with an empty state folder counts anew");
         }
-        return new ClassTable(List.copyOf(allNames), List.copyOf(all));
+        return new ClassTable(List.copyOf(allNames), List.copyOf(allClasses));
     }
 
     /** The table that was noted in the folder; null if there is none. */
-    static ClassTable noted(Path state) throws ConfigurationException {
-        Path note = state.resolve(NOTE);
+    static ClassTable read(Path state) throws ConfigurationException {
+        Path file = state.resolve(FILE);
         try {
-            return Files.exists(note) ? new Gson().fromJson(Files.readString(note), ClassTable.class) : null;
+            return Files.exists(file) ? new Gson().fromJson(Files.readString(file), ClassTable.class) : null;
         } catch (IOException | JsonParseException e) {
             // To start without it would take messages for those of another class.
-            throw new ConfigurationException("state", NOTE + " can't be read: " + e);
+            throw new ConfigurationException("state", FILE + " can't be read: " + e);
         }
     }
 
     /** Notes the table in so many bytes at the most: the old note stays until the new one is whole. */
-    void note(Path state, long mostBytes) throws IOException {
+    void write(Path state, long maxBytes) throws IOException {
         String text = new Gson().toJson(this);
-        if (text.length() > mostBytes) {
+        if (text.length() > maxBytes) {
             throw new IOException(
-                    text.length() + " bytes are more than the " + mostBytes + " that limits.disk_mb leaves for it");
+                    text.length() + " bytes are more than the " + maxBytes + " that limits.disk_mb leaves for it");
         }
-        Config.note(state, NOTE, text);
+        Config.replaceStateFile(state, FILE, text);
     }
 }
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -50,26 +50,26 @@
         Set<String> keys) {
     private static final long MEGABYTE = 1024 * 1024;
     private static final double DEFAULT_DISK_MB = 3;
-    private static final int DEFAULT_SOCKETS = 1024, LEAST_SOCKETS = 64;
-    private static final String NOTE = "discovery";
+    private static final int DEFAULT_SOCKETS = 1024, MIN_SOCKETS = 64;
+    private static final String DISCOVERY_FILE = "discovery";
     /** What the note takes on disk, and the one of endpoints out by hand, written beside the old one. */
-    private static final long NOTE_BYTES = 512, SUSPENDED_BYTES = 2 * ManualDrains.NOTE_BYTES;
+    private static final long DISCOVERY_FILE_BYTES = 512, SUSPENDED_RESERVED_BYTES = 2 * ManualDrains.NOTE_BYTES;
 
-    private static final String SUSPENDED = "suspended";
+    private static final String SUSPENDED_FILE = "suspended";
     /** Descriptors that the machine itself needs, and some for files of the journal. */
-    private static final int OWN_SOCKETS = 40, IDLE_PART = 4, CROWD_PART = 6, MAIL_PART = 16;
+    private static final int RESERVED_SOCKETS = 40, IDLE_DIVISOR = 4, KEEP_ALIVE_DIVISOR = 6, MAIL_DIVISOR = 16;
 
     /** Reads the configuration that the variables name, for a start. */
     static Config read(Map<String, String> variables) throws ConfigurationException {
         Config read = readFile(variables, Set.of());
-        ClassTable noted = ClassTable.noted(read.state);
-        return noted == null
+        ClassTable savedClasses = ClassTable.read(read.state);
+        return savedClasses == null
                 ? read
-                : read.with(noted.followedBy(read.classNames, read.settings.classes()), read.attempts());
+                : read.with(savedClasses.withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** {@code needed}: keys of the settings that must not be missing. */
-    private static Config readFile(Map<String, String> variables, Set<String> needed) throws ConfigurationException {
+    private static Config readFile(Map<String, String> variables, Set<String> requiredKeys) throws ConfigurationException {
         String path = variables.get("ROUTER_CONFIG");
         if (path == null || path.isEmpty()) {
             throw new ConfigurationException("ROUTER_CONFIG", "not set");
@@ -80,76 +80,76 @@
         } catch (IOException e) {
             throw new ConfigurationException("ROUTER_CONFIG", "can't be read: " + e);
         }
-        return needed.isEmpty() ? parse(text, variables) : parse(rootOf(text), variables, needed);
+        return requiredKeys.isEmpty() ? parse(text, variables) : parse(rootOf(text), variables, requiredKeys);
     }
 
     /**
      * Notes that the file's discovery was taken on in place of the variable's. A start with the same file goes by the
      * note: the variable may still be what it was at the first start.
      */
-    void noteDiscovery(Path state) throws IOException {
-        Files.writeString(state.resolve(NOTE), discovery);
+    void saveDiscovery(Path state) throws IOException {
+        Files.writeString(state.resolve(DISCOVERY_FILE), discovery);
     }
 
     /** What the note of classes, and the one written beside it, take on disk. */
-    private long classesBytes() {
-        return Math.min(ClassTable.NOTE_BYTES, diskBytes / 16);
+    private long classesReservedBytes() {
+        return Math.min(ClassTable.RESERVED_BYTES, diskBytes / 16);
     }
 
     /** What the note of departures, and the one written beside it, take on disk. */
-    long departuresBytes() {
-        return Math.min(DepartureNote.NOTE_BYTES, diskBytes / 16);
+    long departuresReservedBytes() {
+        return Math.min(DepartureFile.RESERVED_BYTES, diskBytes / 16);
     }
 
     /** Notes the classes, if there is room. */
-    void noteClasses() throws ConfigurationException {
+    void saveClasses() throws ConfigurationException {
         try {
-            table().note(state, classesBytes() / 2);
+            table().write(state, classesReservedBytes() / 2);
         } catch (IOException e) {
             throw new ConfigurationException("settings", "can't be noted on disk: " + e.getMessage());
         }
     }
 
     /** What the notes take on disk. */
-    long noteBytes() {
-        return NOTE_BYTES + classesBytes() + departuresBytes() + (operator == null ? 0 : SUSPENDED_BYTES);
+    long stateFilesBytes() {
+        return DISCOVERY_FILE_BYTES + classesReservedBytes() + departuresReservedBytes() + (operator == null ? 0 : SUSPENDED_RESERVED_BYTES);
     }
 
     /** Ids of endpoints that were taken out by hand in an earlier life. */
-    Set<String> suspended() throws ConfigurationException {
+    Set<String> readSuspended() throws ConfigurationException {
         try {
-            Path note = state.resolve(SUSPENDED);
-            return Files.exists(note) ? new LinkedHashSet<>(Files.readAllLines(note)) : Set.of();
+            Path file = state.resolve(SUSPENDED_FILE);
+            return Files.exists(file) ? new LinkedHashSet<>(Files.readAllLines(file)) : Set.of();
         } catch (IOException e) {
             // To start without it would send to what an operator has taken out.
-            throw new ConfigurationException("state", SUSPENDED + " can't be read: " + e);
+            throw new ConfigurationException("state", SUSPENDED_FILE + " can't be read: " + e);
         }
     }
 
     /** Notes the ids of endpoints that are out by hand. */
-    static void noteSuspended(Path state, Set<String> ids) throws IOException {
-        note(
+    static void saveSuspended(Path state, Set<String> ids) throws IOException {
+        replaceStateFile(
                 state,
-                SUSPENDED,
+                SUSPENDED_FILE,
                 ids.stream().map(id -> id + System.lineSeparator()).collect(Collectors.joining()));
     }
 
     /** Writes a note in the state folder: the old one stays until the new one is whole. */
-    static void note(Path state, String name, String text) throws IOException {
-        Path whole = Files.writeString(state.resolve(name + ".new"), text);
-        Files.move(whole, state.resolve(name), StandardCopyOption.ATOMIC_MOVE);
+    static void replaceStateFile(Path state, String name, String text) throws IOException {
+        Path complete = Files.writeString(state.resolve(name + ".new"), text);
+        Files.move(complete, state.resolve(name), StandardCopyOption.ATOMIC_MOVE);
     }
 
     private static String discovery(Map<String, String> variables, JsonObject root, Path state)
             throws ConfigurationException {
         try {
             if (root.has("discovery")
-                    && Files.exists(state.resolve(NOTE))
-                    && Files.readString(state.resolve(NOTE)).equals(text("discovery", root, "discovery", null))) {
+                    && Files.exists(state.resolve(DISCOVERY_FILE))
+                    && Files.readString(state.resolve(DISCOVERY_FILE)).equals(text("discovery", root, "discovery", null))) {
                 return text("discovery", root, "discovery", null);
             }
         } catch (IOException e) {
-            Logs.warn("", "note-unreadable", NOTE + " can't be read: " + e); // as if there were none
+            Logs.warn("", "note-unreadable", DISCOVERY_FILE + " can't be read: " + e); // as if there were none
         }
         return value(variables, "ROUTER_DISCOVERY", root, "discovery", null);
     }
@@ -158,14 +158,14 @@
      * Reads the file again, which must have every key of the settings in use. What it says of discovery wins over the
      * variable, which a running process keeps as it was at its start.
      */
-    static Config reread(Map<String, String> variables, Config used) throws ConfigurationException {
-        Map<String, String> others = new HashMap<>(variables);
-        others.remove("ROUTER_DISCOVERY");
-        return readFile(others, used.keys);
+    static Config reread(Map<String, String> variables, Config current) throws ConfigurationException {
+        Map<String, String> otherVariables = new HashMap<>(variables);
+        otherVariables.remove("ROUTER_DISCOVERY");
+        return readFile(otherVariables, current.keys);
     }
 
     /** How often a message may be attempted. */
-    private int attempts() {
+    private int maxAttempts() {
         return settings.limits().maxAttempts();
     }
 
@@ -193,21 +193,21 @@
     }
 
     /** The same with other classes and attempts: what can change while the program runs. */
-    private Config with(ClassTable table, int attempts) {
-        DecisionModule.Settings s = settings;
-        DecisionModule.Limits l = s.limits();
+    private Config with(ClassTable table, int maxAttempts) {
+        DecisionModule.Settings oldSettings = settings;
+        DecisionModule.Limits oldLimits = oldSettings.limits();
         DecisionModule.Limits limits = new DecisionModule.Limits(
-                attempts,
-                l.maxOpenMessages(),
-                l.slots(),
-                l.mayCancel(),
-                l.mayProbe(),
-                l.mayMessagePeers(),
-                l.callsPerConnection(),
-                l.connectTimeoutMicros(),
-                l.keepAliveMicros(),
-                l.sendsRetryAfter(),
-                l.maxRetryAfterMicros());
+                maxAttempts,
+                oldLimits.maxOpenMessages(),
+                oldLimits.slots(),
+                oldLimits.mayCancel(),
+                oldLimits.mayProbe(),
+                oldLimits.mayMessagePeers(),
+                oldLimits.callsPerConnection(),
+                oldLimits.connectTimeoutMicros(),
+                oldLimits.keepAliveMicros(),
+                oldLimits.sendsRetryAfter(),
+                oldLimits.maxRetryAfterMicros());
         return new Config(
                 name,
                 listen,
@@ -218,20 +218,20 @@
                 diskBytes,
                 sockets,
                 new DecisionModule.Settings(
-                        s.self(),
-                        s.forwarders(),
-                        s.zone(),
-                        s.zones(),
-                        s.roundMicros(),
-                        s.mustWatchList(),
-                        s.weightMeaning(),
-                        s.limitReports(),
-                        s.overQuotaWorthFactor(),
+                        oldSettings.self(),
+                        oldSettings.forwarders(),
+                        oldSettings.zone(),
+                        oldSettings.zones(),
+                        oldSettings.roundMicros(),
+                        oldSettings.mustWatchList(),
+                        oldSettings.weightMeaning(),
+                        oldSettings.limitReports(),
+                        oldSettings.overQuotaWorthFactor(),
                         table.classes(),
-                        s.kinds(),
-                        s.tenants(),
+                        oldSettings.kinds(),
+                        oldSettings.tenants(),
                         limits,
-                        s.rules()),
+                        oldSettings.rules()),
                 table.names(),
                 kinds,
                 zones,
@@ -245,8 +245,8 @@
     }
 
     /** This one with what can be taken over of another while the program runs. */
-    Config renewed(Config read) throws ConfigurationException {
-        return with(table().followedBy(read.classNames, read.settings.classes()), read.attempts());
+    Config withReloadableSettings(Config read) throws ConfigurationException {
+        return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** Keys of the settings, of objects in lists those that all of them have. */
@@ -263,77 +263,77 @@
         return all;
     }
 
-    private static Set<String> commonKeys(JsonArray of, String path) {
+    private static Set<String> commonKeys(JsonArray elements, String path) {
         Set<String> common = new LinkedHashSet<>();
-        for (int i = 0; i < of.size(); i++) {
-            Set<String> here = of.get(i).isJsonObject() ? keys(of.get(i).getAsJsonObject(), path) : Set.of();
+        for (int i = 0; i < elements.size(); i++) {
+            Set<String> elementKeys = elements.get(i).isJsonObject() ? keys(elements.get(i).getAsJsonObject(), path) : Set.of();
             if (i == 0) {
-                common.addAll(here);
+                common.addAll(elementKeys);
             } else {
-                common.retainAll(here);
+                common.retainAll(elementKeys);
             }
         }
         return common;
     }
 
     /** Idle connections to endpoints at most. */
-    int mostIdle() {
-        return sockets / IDLE_PART;
+    int maxIdleConnections() {
+        return sockets / IDLE_DIVISOR;
     }
 
     /** Mail connections of each sort at most: SMTP clients, LMTP clients, idle ones to servers. */
-    int mostMail() {
-        return sockets / MAIL_PART;
+    int maxMailConnections() {
+        return sockets / MAIL_DIVISOR;
     }
 
     /**
      * Connections of clients at most: what the program itself, calls, idle connections, mail and other fronts leave.
      */
-    int mostClients(boolean mail, int otherFronts) {
+    int maxClientConnections(boolean mail, int otherConnections) {
         int operators = operator == null ? 0 : OperatorPort.MOST + 1;
         return Math.max(
                 1,
                 sockets
-                        - OWN_SOCKETS
+                        - RESERVED_SOCKETS
                         - operators
                         - settings.limits().slots()
-                        - mostIdle()
-                        - (mail ? 3 * mostMail() : 0)
-                        - otherFronts);
+                        - maxIdleConnections()
+                        - (mail ? 3 * maxMailConnections() : 0)
+                        - otherConnections);
     }
 
     /** With more connections of clients than this none stays idle. */
-    int crowd() {
-        return sockets / CROWD_PART;
+    int keepAliveClientLimit() {
+        return sockets / KEEP_ALIVE_DIVISOR;
     }
 
     /**
      * The keys, but for discovery, classes and attempts, whose values differ from those of a configuration in use: they
      * need a restart.
      */
-    List<String> restartNeeded(Config used) {
+    List<String> keysNeedingRestart(Config current) {
         List<String> keys = new ArrayList<>();
-        if (!name.equals(used.name)) {
+        if (!name.equals(current.name)) {
             keys.add("name");
         }
-        if (!listen.equals(used.listen)) {
+        if (!listen.equals(current.listen)) {
             keys.add("listen");
         }
-        if (!Objects.equals(operator, used.operator)) {
+        if (!Objects.equals(operator, current.operator)) {
             keys.add("operator");
         }
-        if (!state.equals(used.state)) {
+        if (!state.equals(current.state)) {
             keys.add("state");
         }
-        if (diskBytes != used.diskBytes) {
+        if (diskBytes != current.diskBytes) {
             keys.add("limits.disk_mb");
         }
-        if (sockets != used.sockets) {
+        if (sockets != current.sockets) {
             keys.add("limits.sockets");
         }
-        if (!with(used.table(), used.attempts()).settings.equals(used.settings)
-                || !kinds.equals(used.kinds)
-                || !zones.equals(used.zones)) {
+        if (!with(current.table(), current.maxAttempts()).settings.equals(current.settings)
+                || !kinds.equals(current.kinds)
+                || !zones.equals(current.zones)) {
             keys.add("settings");
         }
         return keys;
@@ -362,12 +362,12 @@
     }
 
     /** All but the list of endpoints. */
-    private static Config parse(JsonObject root, Map<String, String> variables, Set<String> needed)
+    private static Config parse(JsonObject root, Map<String, String> variables, Set<String> requiredKeys)
             throws ConfigurationException {
         JsonObject settings = root.has("settings") ? object("settings", root.get("settings")) : new JsonObject();
         JsonObject limits = root.has("limits") ? object("limits", root.get("limits")) : new JsonObject();
         Set<String> keys = keys(settings, "");
-        for (String key : needed) {
+        for (String key : requiredKeys) {
             if (!keys.contains(key)) {
                 throw new ConfigurationException("settings." + key, "missing");
             }
@@ -384,13 +384,13 @@
         for (JsonElement c : list("settings.requestClasses", settings, "requestClasses")) {
             classNames.add(text("settings.requestClasses.name", object("settings.requestClasses", c), "name", null));
         }
-        double disk = number("limits.disk_mb", limits, "disk_mb", DEFAULT_DISK_MB);
-        if (disk <= 0) {
+        double diskMegabytes = number("limits.disk_mb", limits, "disk_mb", DEFAULT_DISK_MB);
+        if (diskMegabytes <= 0) {
             throw new ConfigurationException("limits.disk_mb", "must be above 0");
         }
-        int sockets = whole("limits.sockets", limits, "sockets", DEFAULT_SOCKETS);
-        if (sockets < LEAST_SOCKETS) {
-            throw new ConfigurationException("limits.sockets", "must be " + LEAST_SOCKETS + " or more");
+        int sockets = integer("limits.sockets", limits, "sockets", DEFAULT_SOCKETS);
+        if (sockets < MIN_SOCKETS) {
+            throw new ConfigurationException("limits.sockets", "must be " + MIN_SOCKETS + " or more");
         }
         Path state = Path.of(value(variables, "ROUTER_STATE", root, "state", null));
         String operator = value(variables, "ROUTER_OPERATOR", root, "operator", "");
@@ -401,7 +401,7 @@
                 address(discovery(variables, root, state), "discovery"),
                 state,
                 seed(text("seed", root, "seed", "0")),
-                (long) (disk * MEGABYTE),
+                (long) (diskMegabytes * MEGABYTE),
                 sockets,
                 read,
                 classNames,
@@ -412,10 +412,10 @@
     }
 
     private static String value(
-            Map<String, String> variables, String variable, JsonObject root, String key, String otherwise)
+            Map<String, String> variables, String variable, JsonObject root, String key, String defaultValue)
             throws ConfigurationException {
         String set = variables.get(variable);
-        return set != null && !set.isEmpty() ? set : text(key, root, key, otherwise);
+        return set != null && !set.isEmpty() ? set : text(key, root, key, defaultValue);
     }
 
     private static String address(String value, String key) throws ConfigurationException {
@@ -437,8 +437,8 @@
 
     // ---- the mail file ------------------------------------------------------------------------------------
     private static final String DEFAULT_CLASS_HEADER = "X-Message-Class";
-    private static final int DEFAULT_MOST_BYTES = 64 * 1024;
-    private static final int DEFAULT_MOST_RECIPIENTS = 100;
+    private static final int DEFAULT_MAX_BYTES = 64 * 1024;
+    private static final int DEFAULT_MAX_RECIPIENTS = 100;
     private static final double DEFAULT_IDLE_SECONDS = 300;
     /** Numbers under this are the platform's: mail must not go to its endpoints, nor its messages to ours. */
     private static final int FIRST_MAIL_DESTINATION = 1_000_000;
@@ -464,7 +464,7 @@
         List<MailSettings.Route> routes = new ArrayList<>();
         for (JsonElement e : list("mail.routes", root, "routes")) {
             JsonObject o = object("mail.routes", e);
-            int destination = whole("mail.routes.destination", o, "destination", 0);
+            int destination = integer("mail.routes.destination", o, "destination", 0);
             if (destination < FIRST_MAIL_DESTINATION) {
                 throw new ConfigurationException(
                         "mail.routes.destination", "must be " + FIRST_MAIL_DESTINATION + " or more");
@@ -491,16 +491,16 @@
                         classNumber("mail.classes." + e.getKey(), e.getValue().getAsString()));
             }
         }
-        int otherwise = unsafeClass();
-        String dsn = text("mail.reportClass", root, "reportClass", "");
-        int mostBytes = whole("mail.mostBytes", root, "mostBytes", DEFAULT_MOST_BYTES);
-        int mostRecipients = whole("mail.mostRecipients", root, "mostRecipients", DEFAULT_MOST_RECIPIENTS);
-        double idle = number("mail.idleSeconds", root, "idleSeconds", DEFAULT_IDLE_SECONDS);
-        if (mostBytes <= 0 || mostRecipients <= 0 || idle <= 0) {
+        int defaultClass = firstUnsafeClass();
+        String reportClass = text("mail.reportClass", root, "reportClass", "");
+        int maxBytes = integer("mail.mostBytes", root, "mostBytes", DEFAULT_MAX_BYTES);
+        int maxRecipients = integer("mail.mostRecipients", root, "mostRecipients", DEFAULT_MAX_RECIPIENTS);
+        double idleSeconds = number("mail.idleSeconds", root, "idleSeconds", DEFAULT_IDLE_SECONDS);
+        if (maxBytes <= 0 || maxRecipients <= 0 || idleSeconds <= 0) {
             throw new ConfigurationException(
-                    mostBytes <= 0
+                    maxBytes <= 0
                             ? "mail.mostBytes"
-                            : mostRecipients <= 0 ? "mail.mostRecipients" : "mail.idleSeconds",
+                            : maxRecipients <= 0 ? "mail.mostRecipients" : "mail.idleSeconds",
                     "must be above 0");
         }
         return new MailSettings(
@@ -509,17 +509,17 @@
                 routes,
                 text("mail.classHeader", root, "classHeader", DEFAULT_CLASS_HEADER),
                 classes,
-                otherwise,
-                dsn.isEmpty() ? otherwise : classNumber("mail.reportClass", dsn),
-                mostBytes,
-                mostRecipients,
-                (long) (idle * 1e6),
+                defaultClass,
+                reportClass.isEmpty() ? defaultClass : classNumber("mail.reportClass", reportClass),
+                maxBytes,
+                maxRecipients,
+                (long) (idleSeconds * 1e6),
                 settings.classes().stream()
                         .map(DecisionModule.MessageClass::deadlineMicros)
                         .toList());
     }
 
-    private int unsafeClass() throws ConfigurationException {
+    private int firstUnsafeClass() throws ConfigurationException {
         for (int i = 0; i < settings.classes().size(); i++) {
             if (settings.classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE) {
                 return i;
@@ -546,8 +546,8 @@
         };
     }
 
-    private static int whole(String path, JsonObject in, String key, int otherwise) throws ConfigurationException {
-        double value = number(path, in, key, otherwise);
+    private static int integer(String path, JsonObject in, String key, int defaultValue) throws ConfigurationException {
+        double value = number(path, in, key, defaultValue);
         if (value != (int) value) {
             throw new ConfigurationException(path, "not a whole number");
         }
@@ -589,13 +589,13 @@
         return all;
     }
 
-    static String text(String path, JsonObject in, String key, String otherwise) throws ConfigurationException {
+    static String text(String path, JsonObject in, String key, String defaultValue) throws ConfigurationException {
         JsonElement value = in.get(key);
         if (value == null || value.isJsonNull()) {
-            if (otherwise == null) {
+            if (defaultValue == null) {
                 throw new ConfigurationException(path, "missing");
             }
-            return otherwise;
+            return defaultValue;
         }
         if (!value.isJsonPrimitive()) {
             throw new ConfigurationException(path, "not a text");
@@ -603,8 +603,8 @@
         return value.getAsString();
     }
 
-    static double number(String path, JsonObject in, String key, double otherwise) throws ConfigurationException {
-        String value = text(path, in, key, Double.toString(otherwise));
+    static double number(String path, JsonObject in, String key, double defaultValue) throws ConfigurationException {
+        String value = text(path, in, key, Double.toString(defaultValue));
         try {
             return Double.parseDouble(value);
         } catch (NumberFormatException e) {
--- a/src/main/java/lilaclever/program/DepartureNote.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -20,19 +20,19 @@
  * endpoint's name, the agent's address, the index of the list and the time of the wall clock in microseconds, separated
  * by tabs; name and address are percent-encoded. Where there is no room for all, the oldest are left out.
  */
-final class DepartureNote {
+final class DepartureFile {
     /** What the file and the one that is written beside it take on disk at most. */
-    public static final long NOTE_BYTES = 96 * 1024;
+    public static final long RESERVED_BYTES = 96 * 1024;
 
     static final String FILE = "departures";
     /** Bytes of the file at most: some 900 endpoints. */
-    static final int FILE_BYTES = (int) NOTE_BYTES / 2;
+    static final int MAX_FILE_BYTES = (int) RESERVED_BYTES / 2;
     /** Bytes of a line at most, with its end. */
-    static final int LINE_BYTES = 512;
+    static final int MAX_LINE_BYTES = 512;
 
     private static final int FIELDS = 4;
 
-    private DepartureNote() {}
+    private DepartureFile() {}
 
     /**
      * Reads the file in the folder; what is damaged is logged and passed over.
@@ -42,9 +42,9 @@
     static List<Departure> read(Path state) throws ConfigurationException {
         Path file = state.resolve(FILE);
         try (InputStream in = Files.newInputStream(file)) {
-            byte[] bytes = in.readNBytes(FILE_BYTES + 1);
-            if (bytes.length > FILE_BYTES) {
-                skipped(file, "is longer than " + FILE_BYTES + " bytes, the rest is passed over");
+            byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
+            if (bytes.length > MAX_FILE_BYTES) {
+                logDamage(file, "is longer than " + MAX_FILE_BYTES + " bytes, the rest is passed over");
             }
             return parse(file, new String(bytes, StandardCharsets.US_ASCII));
         } catch (NoSuchFileException e) {
@@ -61,13 +61,13 @@
         for (int from = 0; from < text.length(); from = end + 1, number++) {
             end = text.indexOf('\n', from);
             if (end < 0) {
-                skipped(file, "line " + number + " has no end");
+                logDamage(file, "line " + number + " has no end");
                 break;
             }
             try {
                 departures.add(departure(text.substring(from, end)));
             } catch (IllegalArgumentException e) {
-                skipped(file, "line " + number + " is passed over: " + e.getMessage());
+                logDamage(file, "line " + number + " is passed over: " + e.getMessage());
             }
         }
         return departures;
@@ -82,38 +82,38 @@
                 decoded(fields[0]), decoded(fields[1]), Long.parseLong(fields[2]), Long.parseLong(fields[3]));
     }
 
-    private static void skipped(Path file, String problem) {
+    private static void logDamage(Path file, String problem) {
         Logs.warn("", "departures-damaged", file + " " + problem);
     }
 
-    /** Replaces the file in the folder by one of at most {@link #FILE_BYTES}. */
+    /** Replaces the file in the folder by one of at most {@link #MAX_FILE_BYTES}. */
     static void write(Path state, List<Departure> departures) throws IOException {
-        write(state, departures, FILE_BYTES);
+        write(state, departures, MAX_FILE_BYTES);
     }
 
     /**
      * Replaces the file in the folder by one of so many bytes at most. A line that would be too long is left out; of
      * the others the oldest are.
      */
-    static void write(Path state, List<Departure> departures, long mostBytes) throws IOException {
+    static void write(Path state, List<Departure> departures, long maxBytes) throws IOException {
         List<String> lines = new ArrayList<>(departures.size());
         int bytes = 0;
-        int left = 0;
+        int omitted = 0;
         for (int i = departures.size() - 1; i >= 0; i--) {
             String line = line(departures.get(i));
-            boolean fits = line.length() <= LINE_BYTES && bytes + line.length() <= mostBytes;
+            boolean fits = line.length() <= MAX_LINE_BYTES && bytes + line.length() <= maxBytes;
             if (fits) {
                 bytes += line.length();
                 lines.add(line);
             } else {
-                left++;
+                omitted++;
             }
         }
-        if (left > 0) {
-            Logs.warn("", "departures-too-many", left + " endpoints that have left do not fit into " + FILE);
+        if (omitted > 0) {
+            Logs.warn("", "departures-too-many", omitted + " endpoints that have left do not fit into " + FILE);
         }
         Collections.reverse(lines);
-        Config.note(state, FILE, String.join("", lines));
+        Config.replaceStateFile(state, FILE, String.join("", lines));
     }
 
     private static String line(Departure departure) {
--- a/src/main/java/lilaclever/program/FileWatch.java
+++ b/src/main/java/lilaclever/program/FileWatch.java
@@ -16,19 +16,19 @@
  */
 final class FileWatch {
     /** Between two looks, milliseconds: a new configuration has to be in force 4 s after it was announced. */
-    static final long PERIOD_MILLIS = 500;
+    static final long POLL_PERIOD_MILLIS = 500;
 
     /** What tells one state of a file from another without reading it. */
     private record Version(FileTime modified, long size, Object fileKey) {}
 
     private final Path file;
     private final Runnable onChange;
-    private Version last;
+    private Version lastVersion;
 
     private FileWatch(Path file, Runnable onChange) {
         this.file = file;
         this.onChange = onChange;
-        this.last = version();
+        this.lastVersion = version();
     }
 
     /** Starts to look at the file; what it is now has not changed. The thread does not keep the program alive. */
@@ -42,20 +42,20 @@
     private void run() {
         try {
             while (true) {
-                TimeUnit.MILLISECONDS.sleep(PERIOD_MILLIS);
-                look();
+                TimeUnit.MILLISECONDS.sleep(POLL_PERIOD_MILLIS);
+                poll();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void look() {
+    private void poll() {
         Version now = version();
-        if (now == null || Objects.equals(now, last)) {
+        if (now == null || Objects.equals(now, lastVersion)) {
             return;
         }
-        last = now;
+        lastVersion = now;
         try {
             onChange.run();
         } catch (RuntimeException e) {
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -34,14 +34,14 @@
 /** The parts of the serving program, put together, started and stopped. */
 final class Forwarder {
     /** After the signal: so long clients still come, so long calls may be out, and then the end. */
-    private static final long ACCEPT = 500_000, CALLS_BY = 3_200_000, END = 3_400_000;
+    private static final long ACCEPT_PERIOD_MICROS = 500_000, CALL_DEADLINE_MICROS = 3_200_000, SHUTDOWN_DEADLINE_MICROS = 3_400_000;
 
-    private static final long LOOK = 20_000;
+    private static final long IDLE_CHECK_PERIOD_MICROS = 20_000;
 
     private final Transport transport;
     private final SegmentedJournal journal;
     private final Core core;
-    private final HttpFront front;
+    private final HttpFront httpFront;
     /** As it is in force: renewed at SIGHUP. */
     private Config config;
 
@@ -50,31 +50,31 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
     private final List<MailFront> mailFronts = new ArrayList<>();
-    private final List<SocketAddress> addresses = new ArrayList<>();
+    private final List<SocketAddress> listenAddresses = new ArrayList<>();
 
-    private Forwarder(Config config, Operator operator, MailSettings mail) throws IOException, ConfigurationException {
+    private Forwarder(Config config, OperatorSettings operator, MailSettings mail) throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
         DecisionModule.Settings settings = config.settings();
-        long connect = settings.limits().connectTimeoutMicros();
-        long keep = settings.limits().keepAliveMicros();
+        long connectTimeoutMicros = settings.limits().connectTimeoutMicros();
+        long keepAliveMicros = settings.limits().keepAliveMicros();
         transport = new Transport();
         journal = new SegmentedJournal(
                 FolderDisk.take(config.state()),
-                config.diskBytes() - config.noteBytes(),
+                config.diskBytes() - config.stateFilesBytes(),
                 operator.journal().durability(),
                 new JournalClocks(Core::micros, Core::wall, BootClock.read(Core::micros, Core::wall)),
                 new SplittableRandom(config.seed() ^ System.nanoTime()));
         Counters counters = new Counters();
-        figures(journal, counters);
+        registerJournalMetrics(journal, counters);
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
-        ManualDrains suspensions = new ManualDrains(core, config.suspended(), ids -> Config.noteSuspended(state, ids));
-        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.mostIdle());
-        notices = new Notices(core, transport, config.discovery(), connect, keep);
-        long noteBytes = config.departuresBytes() / 2; // the new note is written beside the old one
+        ManualDrains manualDrains = new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
+        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connectTimeoutMicros, keepAliveMicros, config.maxIdleConnections());
+        notices = new Notices(core, transport, config.discovery(), connectTimeoutMicros, keepAliveMicros);
+        long departureFileBytes = config.departuresReservedBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
-                DepartureNote.read(state), departures -> DepartureNote.write(state, departures, noteBytes));
+                DepartureFile.read(state), departures -> DepartureFile.write(state, departures, departureFileBytes));
         counters.gauge("departed", membership::departureCount);
         directory = new Directory(
                 core,
@@ -82,25 +82,25 @@
                 config.discovery(),
                 deliverer,
                 new Directory.Names(config.kinds(), config.zones(), settings.kinds()),
-                connect,
-                keep,
+                connectTimeoutMicros,
+                keepAliveMicros,
                 membership,
-                suspensions::listing);
-        front = new HttpFront(
+                manualDrains::listing);
+        httpFront = new HttpFront(
                 core,
                 config.classNames(),
                 settings.classes(),
-                config.mostClients(mail != null, operator.mllpConnections()),
-                config.crowd(),
+                config.maxClientConnections(mail != null, operator.mllpConnections()),
+                config.keepAliveClientLimit(),
                 notices,
                 operator.identity().practiceHeader());
-        core.add(front);
+        core.add(httpFront);
         if (mail != null) {
             for (MailSettings.Protocol protocol : MailSettings.Protocol.values()) {
-                mailFronts.add(new MailFront(core, mail, protocol, config.mostMail()));
+                mailFronts.add(new MailFront(core, mail, protocol, config.maxMailConnections()));
             }
             mailFronts.forEach(core::add);
-            new MailDeliverer(core, transport, mail, settings.zone(), connect, keep, config.mostMail()).start();
+            new MailDeliverer(core, transport, mail, settings.zone(), connectTimeoutMicros, keepAliveMicros, config.maxMailConnections()).start();
         }
         if (operator.mllp() != null) {
             mllpFront = new MllpFront(core, operator.mllp());
@@ -112,31 +112,31 @@
         directory.start(known == null ? -1 : known.index(), listed);
         long version = known == null ? 0 : known.index();
         core.start(
-                suspensions.heard(
+                manualDrains.heard(
                         DecisionModule.ListingKind.REMEMBERED,
                         version,
-                        listed.stream().map(Forwarder::leaving).toList()),
+                        listed.stream().map(Forwarder::withoutNewMessages).toList()),
                 version);
-        addresses.add(front.listen(transport, Transport.address(config.listen())));
+        listenAddresses.add(httpFront.listen(transport, Transport.address(config.listen())));
         if (config.operator() != null) {
-            addresses.add(new OperatorPort(core, suspensions).listen(transport, Transport.address(config.operator())));
+            listenAddresses.add(new OperatorPort(core, manualDrains).listen(transport, Transport.address(config.operator())));
         }
         for (MailFront each : mailFronts) {
-            addresses.addAll(each.listen(transport));
+            listenAddresses.addAll(each.listen(transport));
         }
         if (mllpFront != null) {
-            addresses.addAll(mllpFront.listen(transport));
+            listenAddresses.addAll(mllpFront.listen(transport));
         }
     }
 
     /** Until discovery has answered nothing new goes to an endpoint that is only known. */
-    private static Core.Listed leaving(Core.Listed listed) {
+    private static Core.Listed withoutNewMessages(Core.Listed listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
                 : listed;
     }
 
-    private static void figures(SegmentedJournal journal, Counters counters) {
+    private static void registerJournalMetrics(SegmentedJournal journal, Counters counters) {
         counters.gauge("unwritten", journal::unwritten);
         counters.figure("journal_files", journal::files);
         counters.figure("journal_bytes", journal::allocated);
@@ -147,11 +147,11 @@
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
     static Forwarder start(Config config, MailSettings mail) throws IOException, ConfigurationException {
-        return start(config, Operator.none(config), mail);
+        return start(config, OperatorSettings.defaults(config), mail);
     }
 
     /** Starts all parts. */
-    static Forwarder start(Config config, Operator operator, MailSettings mail)
+    static Forwarder start(Config config, OperatorSettings operator, MailSettings mail)
             throws IOException, ConfigurationException {
         Forwarder forwarder = new Forwarder(config, operator, mail);
         Logs.info(
@@ -159,9 +159,9 @@
                 "sizes",
                 config.settings().limits().slots() + " slots, "
                         + config.settings().limits().maxOpenMessages() + " held, " + config.sockets() + " sockets: "
-                        + config.mostClients(mail != null, operator.mllpConnections()) + " for clients, "
-                        + config.mostIdle() + " idle to endpoints");
-        Logs.info("", "serves", config.name() + " serves at " + forwarder.addresses);
+                        + config.maxClientConnections(mail != null, operator.mllpConnections()) + " for clients, "
+                        + config.maxIdleConnections() + " idle to endpoints");
+        Logs.info("", "serves", config.name() + " serves at " + forwarder.listenAddresses);
         return forwarder;
     }
 
@@ -170,15 +170,15 @@
      * mail file, then HL7.
      */
     List<SocketAddress> addresses() {
-        return addresses;
+        return listenAddresses;
     }
 
     /** Takes a new configuration file on; a faulty one changes nothing. Any thread, one at a time. */
     synchronized void reload(Map<String, String> variables) {
         try {
             Config read = Config.reread(variables, config);
-            renew(config.renewed(read));
-            for (String key : read.restartNeeded(config)) {
+            apply(config.withReloadableSettings(read));
+            for (String key : read.keysNeedingRestart(config)) {
                 Logs.warn(
                         "configuration",
                         "needs-restart",
@@ -187,7 +187,7 @@
                         key);
             }
             try {
-                read.noteDiscovery(config.state());
+                read.saveDiscovery(config.state());
             } catch (IOException e) {
                 Logs.warn("", "discovery-not-noted", "a restart may go to the old discovery: " + e);
             }
@@ -202,20 +202,20 @@
     }
 
     /** Has other classes and attempts hold, once they are noted; messages under way keep their class. */
-    private void renew(Config next) throws ConfigurationException {
+    private void apply(Config next) throws ConfigurationException {
         if (next.equals(config)) {
             return;
         }
-        next.noteClasses();
+        next.saveClasses();
         config = next;
-        CountDownLatch inForce = new CountDownLatch(1);
+        CountDownLatch applied = new CountDownLatch(1);
         core.post(() -> {
             core.renew(next.settings());
-            front.renew(next.classNames(), next.settings().classes());
-            inForce.countDown();
+            httpFront.renew(next.classNames(), next.settings().classes());
+            applied.countDown();
         });
         try {
-            inForce.await(1, TimeUnit.SECONDS); // what is logged then is true
+            applied.await(1, TimeUnit.SECONDS); // what is logged then is true
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -234,8 +234,8 @@
     /** Ends well: nothing that the coming kill could cut is started, and the journal has the rest. */
     void stop() {
         try {
-            core.post(this::stopping);
-            stopped.await(END, TimeUnit.MICROSECONDS);
+            core.post(this::beginShutdown);
+            stopped.await(SHUTDOWN_DEADLINE_MICROS, TimeUnit.MICROSECONDS);
             core.end();
             System.err.print(core.counters().text());
             journal.close();
@@ -245,24 +245,24 @@
         }
     }
 
-    private void stopping() {
-        long told = core.now();
-        core.deadlines().at(told + ACCEPT, () -> {
-            core.stopBy(told + CALLS_BY);
-            front.close();
+    private void beginShutdown() {
+        long signalMicros = core.now();
+        core.deadlines().at(signalMicros + ACCEPT_PERIOD_MICROS, () -> {
+            core.stopBy(signalMicros + CALL_DEADLINE_MICROS);
+            httpFront.close();
             mailFronts.forEach(MailFront::close);
             if (mllpFront != null) {
                 mllpFront.close();
             }
-            untilQuiet(told + END);
+            awaitIdle(signalMicros + SHUTDOWN_DEADLINE_MICROS);
         });
     }
 
-    private void untilQuiet(long end) {
-        if (core.now() >= end || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
+    private void awaitIdle(long deadlineMicros) {
+        if (core.now() >= deadlineMicros || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
             stopped.countDown();
         } else {
-            core.deadlines().at(core.now() + LOOK, () -> untilQuiet(end));
+            core.deadlines().at(core.now() + IDLE_CHECK_PERIOD_MICROS, () -> awaitIdle(deadlineMicros));
         }
     }
 }
--- a/src/main/java/lilaclever/program/Help.java
+++ b/src/main/java/lilaclever/program/Help.java
@@ -7,51 +7,51 @@
 
 /** What {@code --help} prints: all sub-commands, or one with its options and an example. */
 final class Help {
-    private static final int WIDTH = 100;
+    private static final int USAGE_WIDTH = 100;
 
     /** A sub-command for people. */
-    private record Entry(String name, Class<? extends Main.Command> type, String about, List<String> examples) {}
+    private record Description(String name, Class<? extends Main.Command> type, String summary, List<String> examples) {}
 
-    private static final String JAR = "java -jar target/lilaclever.jar ";
-    private static final List<Entry> ALL = List.of(
-            new Entry(
+    private static final String COMMAND_LINE = "java -jar target/lilaclever.jar ";
+    private static final List<Description> SUB_COMMANDS = List.of(
+            new Description(
                     "serve",
                     Main.ServeCommand.class,
                     "serves until it is told to end (SIGTERM); SIGHUP reads the configuration again",
-                    List.of("ROUTER_CONFIG=config.json " + JAR + "serve --conf deploy/lilaclever.conf")),
-            new Entry(
+                    List.of("ROUTER_CONFIG=config.json " + COMMAND_LINE + "serve --conf deploy/lilaclever.conf")),
+            new Description(
                     "check-config",
-                    Main.CheckCommand.class,
+                    Main.CheckConfigCommand.class,
                     "reads and checks the configuration that serve would use",
-                    List.of("ROUTER_CONFIG=config.json " + JAR
+                    List.of("ROUTER_CONFIG=config.json " + COMMAND_LINE
                             + "check-config --conf deploy/lilaclever.conf --mail deploy/mail.json")),
-            new Entry(
+            new Description(
                     "journal",
                     JournalCommand.class,
                     "looks into the state folder of a program that is stopped",
-                    List.of(JAR + "journal verify /var/lib/lilaclever", JAR + "journal export /var/lib/lilaclever")),
-            new Entry(
+                    List.of(COMMAND_LINE + "journal verify /var/lib/lilaclever", COMMAND_LINE + "journal export /var/lib/lilaclever")),
+            new Description(
                     "rehearse",
                     RehearseCommand.class,
                     "plays a day, in virtual time or on sockets, and reports service and broken rules",
                     List.of(
-                            JAR + "rehearse list",
-                            JAR + "rehearse run month-end --runs 20",
-                            JAR + "rehearse run monday --sockets",
-                            JAR + "rehearse sweep monday --load 60:140:20",
-                            JAR + "rehearse sweep monday --set fleet.forwarders=2,4,8,16",
-                            JAR + "rehearse compare before after")),
-            new Entry(
+                            COMMAND_LINE + "rehearse list",
+                            COMMAND_LINE + "rehearse run month-end --runs 20",
+                            COMMAND_LINE + "rehearse run monday --sockets",
+                            COMMAND_LINE + "rehearse sweep monday --load 60:140:20",
+                            COMMAND_LINE + "rehearse sweep monday --set fleet.forwarders=2,4,8,16",
+                            COMMAND_LINE + "rehearse compare before after")),
+            new Description(
                     "selftest",
                     Main.SelfTestCommand.class,
                     "delivers one message to itself over the loopback",
-                    List.of(JAR + "selftest")),
-            new Entry(
+                    List.of(COMMAND_LINE + "selftest")),
+            new Description(
                     "simhost",
                     Main.SimhostCommand.class,
                     "plays the decision module on the simulator's wire (standard input and output)",
-                    List.of(JAR + "simhost < transcript")),
-            new Entry("version", Main.VersionCommand.class, "tells the version", List.of(JAR + "version")));
+                    List.of(COMMAND_LINE + "simhost < transcript")),
+            new Description("version", Main.VersionCommand.class, "tells the version", List.of(COMMAND_LINE + "version")));
 
     private Help() {}
 
@@ -67,40 +67,40 @@
         List<String> words = Arrays.stream(args)
                 .filter(a -> !a.startsWith("-") && !a.equals("help"))
                 .toList();
-        Entry one = words.isEmpty()
+        Description selected = words.isEmpty()
                 ? null
-                : ALL.stream()
+                : SUB_COMMANDS.stream()
                         .filter(e -> e.name().equals(words.get(0)))
                         .findFirst()
                         .orElse(null);
-        if (one == null) {
-            all(out);
+        if (selected == null) {
+            printAll(out);
         } else {
-            one(one, out);
+            printOne(selected, out);
         }
     }
 
-    private static void all(PrintStream out) {
+    private static void printAll(PrintStream out) {
         out.println("usage: java -jar lilaclever.jar SUB-COMMAND [options]");
-        for (Entry e : ALL) {
-            out.printf("  %-13s %s%n", e.name(), e.about());
+        for (Description description : SUB_COMMANDS) {
+            out.printf("  %-13s %s%n", description.name(), description.summary());
         }
         out.println("SUB-COMMAND --help tells its options, with an example.");
     }
 
-    private static void one(Entry e, PrintStream out) {
-        out.println(e.name() + ": " + e.about());
+    private static void printOne(Description description, PrintStream out) {
+        out.println(description.name() + ": " + description.summary());
         try {
-            CmdLineParser parser = new CmdLineParser(e.type().getConstructor().newInstance());
-            parser.getProperties().withUsageWidth(WIDTH);
-            out.print("usage: java -jar lilaclever.jar " + e.name());
+            CmdLineParser parser = new CmdLineParser(description.type().getConstructor().newInstance());
+            parser.getProperties().withUsageWidth(USAGE_WIDTH);
+            out.print("usage: java -jar lilaclever.jar " + description.name());
             parser.printSingleLineUsage(out);
             out.println();
             parser.printUsage(out);
-        } catch (ReflectiveOperationException x) {
-            throw new IllegalStateException("a sub-command without a constructor", x);
+        } catch (ReflectiveOperationException example) {
+            throw new IllegalStateException("a sub-command without a constructor", example);
         }
-        out.println(e.examples().size() == 1 ? "example:" : "examples:");
-        e.examples().forEach(x -> out.println("  " + x));
+        out.println(description.examples().size() == 1 ? "example:" : "examples:");
+        description.examples().forEach(example -> out.println("  " + example));
     }
 }
--- a/src/main/java/lilaclever/program/Interrupt.java
+++ b/src/main/java/lilaclever/program/Interrupt.java
@@ -6,30 +6,30 @@
  */
 final class Interrupt {
     /** What a shell gives for a program that Ctrl-C has ended. */
-    static final int CODE = 130;
+    static final int EXIT_CODE = 130;
 
-    private volatile boolean come, done;
+    private volatile boolean requested, finished;
 
-    /** From now on, until {@link #done}, signals are kept from ending the program. */
-    void watch() {
-        Signals.on("INT", this::signal);
-        Signals.on("TERM", this::signal);
+    /** From now on, until {@link #finished}, signals are kept from ending the program. */
+    void handleSignals() {
+        Signals.onSignal("INT", this::onSignal);
+        Signals.onSignal("TERM", this::onSignal);
     }
 
-    private void signal() {
-        if (come || done) {
-            Runtime.getRuntime().halt(CODE);
+    private void onSignal() {
+        if (requested || finished) {
+            Runtime.getRuntime().halt(EXIT_CODE);
         }
-        come = true;
+        requested = true;
     }
 
     /** True once the program was told to end. */
-    boolean come() {
-        return come;
+    boolean isRequested() {
+        return requested;
     }
 
     /** The work is over. */
-    void done() {
-        done = true;
+    void finish() {
+        finished = true;
     }
 }
--- a/src/main/java/lilaclever/program/JournalCommand.java
+++ b/src/main/java/lilaclever/program/JournalCommand.java
@@ -16,7 +16,7 @@
     private static final long MEGABYTE = 1024 * 1024;
 
     /** What to do with the folder. */
-    enum What {
+    enum Action {
         INSPECT,
         VERIFY,
         COMPACT,
@@ -24,7 +24,7 @@
     }
 
     @Argument(index = 0, required = true, metaVar = "inspect|verify|compact|export", usage = "what to do")
-    private What what;
+    private Action action;
 
     @Argument(index = 1, required = true, metaVar = "FOLDER", usage = "the state folder")
     private Path folder;
@@ -40,7 +40,7 @@
         try (PrintStream out = new PrintStream(
                 new BufferedOutputStream(new FileOutputStream(FileDescriptor.out)), false, StandardCharsets.UTF_8)) {
             Inspection inspection = new Inspection(folder, out);
-            return switch (what) {
+            return switch (action) {
                 case INSPECT -> inspection.inspect();
                 case VERIFY -> inspection.verify();
                 case COMPACT -> inspection.compact(diskMegabytes * MEGABYTE);
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -16,18 +16,18 @@
 
 /** The command line: one sub-command, each with options of its own. */
 public final class Main {
-    private static final String NAMES = "serve|simhost|check-config|journal|rehearse|selftest|version";
+    private static final String SUB_COMMAND_NAMES = "serve|simhost|check-config|journal|rehearse|selftest|version";
 
     /** What a sub-command does; gives the exit code, or null while the program goes on running. */
     interface Command {
         Integer run() throws Exception;
     }
 
-    @Argument(required = true, metaVar = NAMES, handler = SubCommandHandler.class, usage = "what to do")
+    @Argument(required = true, metaVar = SUB_COMMAND_NAMES, handler = SubCommandHandler.class, usage = "what to do")
     @SubCommands({
         @SubCommand(name = "serve", impl = ServeCommand.class),
         @SubCommand(name = "simhost", impl = SimhostCommand.class),
-        @SubCommand(name = "check-config", impl = CheckCommand.class),
+        @SubCommand(name = "check-config", impl = CheckConfigCommand.class),
         @SubCommand(name = "journal", impl = JournalCommand.class),
         @SubCommand(name = "rehearse", impl = RehearseCommand.class),
         @SubCommand(name = "selftest", impl = SelfTestCommand.class),
@@ -49,7 +49,7 @@
             parser.parseArgument(args);
         } catch (CmdLineException e) {
             System.err.println("lilaclever: " + e.getMessage());
-            System.err.println("usage: java -jar lilaclever.jar " + NAMES + " [options]");
+            System.err.println("usage: java -jar lilaclever.jar " + SUB_COMMAND_NAMES + " [options]");
             e.getParser().printUsage(System.err);
             System.exit(2);
         }
@@ -80,8 +80,8 @@
         @Override
         public Integer run() throws Exception {
             Config config = Config.read(System.getenv());
-            Operator operator = conf == null ? Operator.none(config) : Operator.read(conf, config);
-            Logs.set(operator.log());
+            OperatorSettings operator = conf == null ? OperatorSettings.defaults(config) : OperatorSettings.read(conf, config);
+            Logs.configure(operator.log());
             CompletableFuture<Forwarder> serving = new CompletableFuture<>();
             // Without a handler SIGHUP ends the machine: it is there before anybody can think that we are ready.
             Runnable reload =
@@ -111,7 +111,7 @@
     }
 
     /** Reads and checks the configuration that serve would use. */
-    public static final class CheckCommand implements Command {
+    public static final class CheckConfigCommand implements Command {
         @Option(name = "--mail", metaVar = "FILE", usage = "check this mail file too")
         private Path mail;
 
@@ -127,7 +127,7 @@
                         + read.routes().size() + " routes");
             }
             if (conf != null) {
-                Operator read = Operator.read(conf, config);
+                OperatorSettings read = OperatorSettings.read(conf, config);
                 System.out.println("operator's file is good: journal durability "
                         + read.journal().durability().how().name().toLowerCase());
             }
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -18,8 +18,8 @@
  * The operator's settings: what {@code serve --conf FILE} adds to what the platform tells. Each subsystem has a section
  * and a record here; a file that is absent leaves all as the platform has it.
  */
-record Operator(JournalSettings journal, IdentitySettings identity, MllpSettings mllp, Logs.Settings log) {
-    private static final long SECOND = 1_000_000, HOUR = 3600 * SECOND;
+record OperatorSettings(JournalSettings journal, IdentitySettings identity, MllpSettings mllp, Logs.Settings log) {
+    private static final long SECOND_MICROS = 1_000_000, HOUR_MICROS = 3600 * SECOND_MICROS;
 
     /** {@code [journal]}: when records are forced, and how long the end of a message is remembered. */
     record JournalSettings(Durability durability, long rememberMicros) {}
@@ -40,7 +40,7 @@
     }
 
     /** What holds without a file. */
-    static Operator none(Config config) {
+    static OperatorSettings defaults(Config config) {
         try {
             return of(ConfFile.empty(), config);
         } catch (ConfigurationException e) {
@@ -49,57 +49,57 @@
     }
 
     /** Reads and checks the file; classes and destinations are those of the platform's settings. */
-    static Operator read(Path path, Config config) throws ConfigurationException {
+    static OperatorSettings read(Path path, Config config) throws ConfigurationException {
         return of(ConfFile.read(path), config);
     }
 
-    static Operator of(ConfFile file, Config config) throws ConfigurationException {
+    static OperatorSettings of(ConfFile file, Config config) throws ConfigurationException {
         JournalSettings journal = journal(file.section("journal"));
         IdentitySettings identity = identity(file.section("identity"), config, journal.rememberMicros());
-        Operator read = new Operator(
+        OperatorSettings read = new OperatorSettings(
                 journal, identity, new MllpSections(file, config, identity.shared()).read(), log(file.section("log")));
-        Set<String> kinds = new HashSet<>(MllpSections.KINDS);
+        Set<String> kinds = new HashSet<>(MllpSections.SECTION_KINDS);
         kinds.addAll(Set.of("journal", "identity", "log"));
-        file.refuseUnknown(kinds);
+        file.rejectUnknown(kinds);
         return read;
     }
 
-    private static IdentitySettings identity(ConfFile.Section s, Config config, long remember)
+    private static IdentitySettings identity(ConfFile.Section s, Config config, long rememberMicros)
             throws ConfigurationException {
         boolean shared = s.flag("shared", false);
         String header = s.text("http-practice", null);
         if (header != null && !header.matches("[A-Za-z0-9-]{1,64}")) {
-            throw s.bad("http-practice", "not the name of a header: " + header);
+            throw s.error("http-practice", "not the name of a header: " + header);
         }
         if (header != null && !shared) {
-            throw s.bad("http-practice", "needs shared yes");
+            throw s.error("http-practice", "needs shared yes");
         }
         List<Long> windows = new ArrayList<>();
         for (int i = 0; i < config.classNames().size(); i++) {
             boolean unsafe = config.settings().classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE;
-            windows.add(s.time("window-" + config.classNames().get(i), unsafe ? 24 * HOUR : HOUR, SECOND, 240 * HOUR));
+            windows.add(s.durationMicros("window-" + config.classNames().get(i), unsafe ? 24 * HOUR_MICROS : HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
         }
         return new IdentitySettings(
                 shared,
                 header == null ? null : header.toLowerCase(Locale.ROOT),
-                new IdempotencyWindows(windows, remember, (int) s.whole("most", 100_000, 1, 10_000_000)));
+                new IdempotencyWindows(windows, rememberMicros, (int) s.integer("most", 100_000, 1, 10_000_000)));
     }
 
     private static Logs.Settings log(ConfFile.Section s) throws ConfigurationException {
-        Logs.Form form = s.choice("form", Logs.Form.class, Logs.Form.TEXT);
-        if (form == Logs.Form.JSON && s.has("times")) {
-            throw s.bad("times", "is for form text: JSON lines have their times");
+        Logs.Format form = s.choice("form", Logs.Format.class, Logs.Format.TEXT);
+        if (form == Logs.Format.JSON && s.has("times")) {
+            throw s.error("times", "is for form text: JSON lines have their times");
         }
         return new Logs.Settings(form, s.choice("level", Logs.Level.class, Logs.Level.INFO), s.flag("times", false));
     }
 
     private static JournalSettings journal(ConfFile.Section s) throws ConfigurationException {
         Durability.How how = s.choice("durability", Durability.How.class, Durability.How.NONE);
-        long every = s.time("interval", 50_000, 1000, 60 * SECOND);
+        long intervalMicros = s.durationMicros("interval", 50_000, 1000, 60 * SECOND_MICROS);
         if (how != Durability.How.INTERVAL && s.has("interval")) {
-            throw s.bad(
+            throw s.error(
                     "interval", "needs durability interval, not " + how.name().toLowerCase());
         }
-        return new JournalSettings(new Durability(how, every), s.time("remember", HOUR, SECOND, 240 * HOUR));
+        return new JournalSettings(new Durability(how, intervalMicros), s.durationMicros("remember", HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
     }
 }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -32,10 +32,10 @@
 
 /** {@code rehearse list|show|check|run|sweep|compare}: plays scenarios, in virtual time or on sockets, and reports. */
 public final class RehearseCommand implements Main.Command {
-    private static final int GOOD = 0, BROKEN = 1, UNUSABLE = 2, DOUBTFUL = 3;
+    private static final int EXIT_PASSED = 0, EXIT_RULES_BROKEN = 1, EXIT_UNUSABLE = 2, EXIT_DOUBTFUL = 3;
 
     /** What to do. */
-    enum What {
+    enum Action {
         LIST,
         SHOW,
         CHECK,
@@ -45,14 +45,14 @@
     }
 
     @Argument(index = 0, required = true, metaVar = "list|show|check|run|sweep|compare", usage = "what to do")
-    private What what;
+    private Action action;
 
     @Argument(
             index = 1,
             metaVar = "SCENARIO|FOLDER",
             usage = "a shipped scenario's name or a file; with compare: two folders of runs",
             multiValued = true)
-    private List<String> names = new ArrayList<>();
+    private List<String> operands = new ArrayList<>();
 
     @Option(name = "--seed", metaVar = "N", usage = "of the first run (default 1)")
     private long seed = 1;
@@ -64,17 +64,17 @@
     private Path out;
 
     @Option(name = "--load", metaVar = "FROM:TO:STEP", usage = "with sweep: loads in percent (default 40:160:10)")
-    private String loads = "40:160:10";
+    private String loadRange = "40:160:10";
 
     @Option(name = "--aim", metaVar = "N", usage = "with sweep: the service below which the aim is lost (default 0.9)")
-    private double aim = 0.9;
+    private double minService = 0.9;
 
     @Option(
             name = "--set",
             metaVar = "SECTION.KEY=VALUE",
             usage = "in place of what the scenario says; with sweep, values parted by commas: "
                     + "one point of the curve each")
-    private List<String> sets = new ArrayList<>();
+    private List<String> overrides = new ArrayList<>();
 
     @Option(name = "--threads", metaVar = "N", usage = "runs side by side (default: the cores; it changes no figure)")
     private int threads = Runtime.getRuntime().availableProcessors();
@@ -89,20 +89,20 @@
     @Override
     public Integer run() throws ConfigurationException {
         try {
-            return switch (what) {
+            return switch (action) {
                 case LIST -> list();
                 case SHOW -> show();
                 case CHECK -> check();
-                case RUN -> play();
+                case RUN -> runScenario();
                 case SWEEP -> sweep();
                 case COMPARE -> compare();
             };
         } catch (IOException | ExecutionException e) {
             System.err.println("lilaclever: rehearse: "
                     + (e instanceof IOException ? e.getMessage() : e.getCause().toString()));
-            return UNUSABLE;
+            return EXIT_UNUSABLE;
         } catch (InterruptedException e) {
-            return UNUSABLE;
+            return EXIT_UNUSABLE;
         }
     }
 
@@ -110,32 +110,32 @@
         for (String name : ScenarioReader.SHIPPED) {
             System.out.printf("%-30s %s%n", name, ScenarioReader.read(name).about());
         }
-        return GOOD;
+        return EXIT_PASSED;
     }
 
-    private String one() throws ConfigurationException {
-        if (names.size() != 1) {
+    private String scenarioName() throws ConfigurationException {
+        if (operands.size() != 1) {
             throw new ConfigurationException(
-                    "rehearse " + what.name().toLowerCase(Locale.ROOT), "one scenario, not " + names.size());
+                    "rehearse " + action.name().toLowerCase(Locale.ROOT), "one scenario, not " + operands.size());
         }
-        return names.get(0);
+        return operands.get(0);
     }
 
     private int show() throws ConfigurationException, IOException {
-        String name = one();
+        String name = scenarioName();
         System.out.print(
                 ScenarioReader.SHIPPED.contains(name) ? ScenarioReader.text(name) : Files.readString(Path.of(name)));
-        return GOOD;
+        return EXIT_PASSED;
     }
 
     private int check() throws ConfigurationException {
-        for (String name : names.isEmpty() ? ScenarioReader.SHIPPED : names) {
+        for (String name : operands.isEmpty() ? ScenarioReader.SHIPPED : operands) {
             Scenario s = ScenarioReader.read(name);
             System.out.println(name + " is good: " + s.fleet().forwarders() + " forwarders, "
                     + s.fleet().destinations() + " destinations, " + s.traffic().lengthMicros() / 1_000_000 + " s, "
                     + s.events().size() + " events");
         }
-        return GOOD;
+        return EXIT_PASSED;
     }
 
     private Path folder(Scenario s) {
@@ -143,57 +143,57 @@
     }
 
     private Scenario scenario() throws ConfigurationException {
-        return ScenarioReader.read(one(), settingsBut(null));
+        return ScenarioReader.read(scenarioName(), overridesExcept(null));
     }
 
     /** What the command line sets, but for one. */
-    private List<Overrides.Setting> settingsBut(String swept) throws ConfigurationException {
+    private List<Overrides.Setting> overridesExcept(String excluded) throws ConfigurationException {
         List<Overrides.Setting> settings = new ArrayList<>();
-        for (String s : sets) {
-            if (!s.equals(swept)) {
+        for (String s : overrides) {
+            if (!s.equals(excluded)) {
                 settings.add(Overrides.Setting.of(s));
             }
         }
         return settings;
     }
 
-    private int play() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
+    private int runScenario() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
         Scenario scenario = scenario();
         String tooLarge = sockets ? RealSockets.tooLarge(scenario) : null;
         if (tooLarge != null) {
             throw new ConfigurationException(
                     "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; play it without");
         }
-        int n = Math.max(1, runs);
-        boolean alone = n == 1;
+        int runCount = Math.max(1, runs);
+        boolean isSingle = runCount == 1;
         AtomicInteger broken = new AtomicInteger(), doubtful = new AtomicInteger();
         List<Double> services = new ArrayList<>();
-        interrupt.watch();
+        interrupt.handleSignals();
         try {
-            sideBySide(
-                    n,
+            runInParallel(
+                    runCount,
                     i -> {
-                        Path to = alone ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
-                        Result r = one(scenario, seed + i, to, alone);
-                        Report.write(r, to);
-                        return r;
+                        Path reportFolder = isSingle ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
+                        Result result = runOnce(scenario, seed + i, reportFolder, isSingle);
+                        Report.write(result, reportFolder);
+                        return result;
                     },
-                    r -> {
+                    result -> {
                         System.out.print(
-                                alone
-                                        ? Report.summary(r)
-                                        : Report.summary(r).lines().findFirst().orElse("") + "\n");
-                        broken.addAndGet(r.auditor().broken().isEmpty() ? 0 : 1);
-                        if (r.trust() != null && !r.trust().good()) {
+                                isSingle
+                                        ? Report.summary(result)
+                                        : Report.summary(result).lines().findFirst().orElse("") + "\n");
+                        broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
+                        if (result.trust() != null && !result.trust().good()) {
                             doubtful.incrementAndGet();
-                            if (!alone) {
-                                System.out.println(r.trust().text());
+                            if (!isSingle) {
+                                System.out.println(result.trust().text());
                             }
                         }
-                        services.add(r.auditor().service().figure(Prices.USUAL));
+                        services.add(result.auditor().service().figure(Prices.USUAL));
                     });
         } finally {
-            interrupt.done();
+            interrupt.finish();
         }
         double[] interval = Comparison.interval(services);
         if (interval != null) {
@@ -202,7 +202,7 @@
             System.out.printf(
                     Locale.ROOT,
                     "%d runs: service %.3f (%.3f to %.3f), 95%% of chance %.3f to %.3f; rules broken in %d%n",
-                    n,
+                    runCount,
                     all.getAverage(),
                     all.getMin(),
                     all.getMax(),
@@ -210,77 +210,77 @@
                     interval[1],
                     broken.get());
         }
-        System.out.println("report: " + folder(scenario).resolve(alone ? "index.html" : ""));
-        return interrupt.come() ? Interrupt.CODE : broken.get() > 0 ? BROKEN : doubtful.get() > 0 ? DOUBTFUL : GOOD;
+        System.out.println("report: " + folder(scenario).resolve(isSingle ? "index.html" : ""));
+        return interrupt.isRequested() ? Interrupt.EXIT_CODE : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
     }
 
-    private Result one(Scenario scenario, long itsSeed, Path to, boolean alone) throws IOException {
-        LongConsumer hears = alone ? this::progress : now -> {};
+    private Result runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
+        LongConsumer progressListener = isSingle ? this::progress : now -> {};
         if (!sockets) {
-            return VirtualTime.run(scenario, itsSeed, Fault.NONE, hears, interrupt::come);
+            return VirtualTime.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
         }
-        Path folder = Files.createDirectories(to.resolve("forwarders")).toAbsolutePath();
-        Path life = Files.createTempDirectory(folder, "run-");
+        Path folder = Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
+        Path runFolder = Files.createTempDirectory(folder, "run-");
         try {
             return RealSockets.run(
-                    scenario, itsSeed, life, ChildProcessCommand.command("serve"), hears, interrupt::come);
+                    scenario, runSeed, runFolder, ChildProcessCommand.command("serve"), progressListener, interrupt::isRequested);
         } catch (InterruptedException e) {
             throw new InterruptedIOException("cut short");
         }
     }
 
-    private void progress(long now) {
-        if (System.console() != null && now / 1_000_000 % 10 == 0) {
-            System.err.print("\r" + now / 1_000_000 + " s ");
+    private void progress(long nowMicros) {
+        if (System.console() != null && nowMicros / 1_000_000 % 10 == 0) {
+            System.err.print("\r" + nowMicros / 1_000_000 + " s ");
         }
     }
 
     /** Plays runs on several threads and hands their results over in order. */
-    private void sideBySide(int n, Play play, java.util.function.Consumer<Result> each)
+    private void runInParallel(int runCount, Simulation simulation, java.util.function.Consumer<Result> consumer)
             throws InterruptedException, ExecutionException {
-        ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(n, threads)));
+        ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(runCount, threads)));
         try {
-            List<Future<Result>> all = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
+            List<Future<Result>> results = new ArrayList<>();
+            for (int i = 0; i < runCount; i++) {
                 int index = i;
-                all.add(pool.submit(() -> play.run(index)));
+                results.add(pool.submit(() -> simulation.run(index)));
             }
-            for (int i = 0; i < n; i++) {
-                each.accept(all.get(i).get());
-                all.set(i, null); // a run is large: what was told goes
+            for (int i = 0; i < runCount; i++) {
+                consumer.accept(results.get(i).get());
+                results.set(i, null); // a run is large: what was told goes
             }
         } finally {
             pool.shutdownNow();
         }
     }
 
-    private interface Play {
+    private interface Simulation {
         Result run(int index) throws IOException;
     }
 
     /** A point of a sweep: the scenario there, its place on the axis, and what people call it. */
-    private record Point(Scenario scenario, double x, String label) {}
+    private record SweepPoint(Scenario scenario, double x, String label) {}
 
     private int sweep() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
-        boolean overLoad = sets.stream().noneMatch(s -> s.contains(","));
-        List<Point> points = overLoad ? loads() : settings();
+        boolean overLoad = overrides.stream().noneMatch(s -> s.contains(","));
+        List<SweepPoint> points = overLoad ? loadPoints() : settingPoints();
         Scenario first = points.get(0).scenario();
-        int n = runs > 0 ? runs : 5;
-        Sweep sweep = new Sweep(overLoad ? "load, % of the full load" : swept().substring(0, swept().indexOf('=')));
+        int runCount = runs > 0 ? runs : 5;
+        Sweep sweep = new Sweep(overLoad ? "load, % of the full load" : sweptOverride().substring(0, sweptOverride().indexOf('=')));
         AtomicInteger allBroken = new AtomicInteger();
-        interrupt.watch();
+        interrupt.handleSignals();
         try {
-            for (Point point : points) {
+            for (SweepPoint point : points) {
                 List<Double> services = new ArrayList<>();
                 AtomicInteger broken = new AtomicInteger();
-                sideBySide(
-                        n,
-                        i -> VirtualTime.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::come),
-                        r -> {
-                            services.add(r.auditor().service().figure(Prices.USUAL));
-                            broken.addAndGet(r.auditor().broken().size());
+                runInParallel(
+                        runCount,
+                        i -> VirtualTime.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
+                        result -> {
+                            services.add(result.auditor().service().figure(Prices.USUAL));
+                            broken.addAndGet(result.auditor().broken().size());
                         });
-                if (interrupt.come()) {
+                if (interrupt.isRequested()) {
                     break; // a point of cut runs is none
                 }
                 allBroken.addAndGet(broken.get());
@@ -288,26 +288,26 @@
             }
             sweep.write(folder(first), first.name());
         } finally {
-            interrupt.done();
+            interrupt.finish();
         }
         if (overLoad) {
-            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", aim, sweep.keepsUpTo(aim));
+            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", minService, sweep.keepsUpTo(minService));
         }
         System.out.println("plot: " + folder(first).resolve("sweep.png"));
-        return interrupt.come() ? Interrupt.CODE : allBroken.get() == 0 ? GOOD : BROKEN;
+        return interrupt.isRequested() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? EXIT_PASSED : EXIT_RULES_BROKEN;
     }
 
-    private List<Point> loads() throws ConfigurationException {
-        if (!loads.matches("\\d{1,4}:\\d{1,4}:[1-9]\\d{0,3}")) {
-            throw new ConfigurationException("--load", "FROM:TO:STEP in percent, such as 40:160:10, not " + loads);
+    private List<SweepPoint> loadPoints() throws ConfigurationException {
+        if (!loadRange.matches("\\d{1,4}:\\d{1,4}:[1-9]\\d{0,3}")) {
+            throw new ConfigurationException("--load", "FROM:TO:STEP in percent, such as 40:160:10, not " + loadRange);
         }
-        String[] parts = loads.split(":");
+        String[] parts = loadRange.split(":");
         Scenario scenario = scenario();
-        List<Point> points = new ArrayList<>();
+        List<SweepPoint> points = new ArrayList<>();
         for (int percent = Integer.parseInt(parts[0]);
                 percent <= Integer.parseInt(parts[1]);
                 percent += Integer.parseInt(parts[2])) {
-            points.add(new Point(atLoad(scenario, percent / 100.0), percent, "load " + percent + "%"));
+            points.add(new SweepPoint(atLoad(scenario, percent / 100.0), percent, "load " + percent + "%"));
         }
         if (points.isEmpty()) {
             throw new ConfigurationException("--load", "no load from " + parts[0] + " to " + parts[1]);
@@ -315,27 +315,27 @@
         return points;
     }
 
-    private String swept() {
-        return sets.stream().filter(s -> s.contains(",")).findFirst().orElse("");
+    private String sweptOverride() {
+        return overrides.stream().filter(s -> s.contains(",")).findFirst().orElse("");
     }
 
     /** A point for each value of the one setting that has several. */
-    private List<Point> settings() throws ConfigurationException {
-        String swept = swept();
-        if (sets.stream().filter(s -> s.contains(",")).count() > 1) {
+    private List<SweepPoint> settingPoints() throws ConfigurationException {
+        String sweptOverride = sweptOverride();
+        if (overrides.stream().filter(s -> s.contains(",")).count() > 1) {
             throw new ConfigurationException("--set", "one setting with several values, not two");
         }
-        Overrides.Setting form = Overrides.Setting.of(swept);
-        List<Point> points = new ArrayList<>();
-        for (String value : form.value().split(",")) {
-            List<Overrides.Setting> settings = settingsBut(swept);
-            settings.add(new Overrides.Setting(form.section(), form.key(), value.strip()));
+        Overrides.Setting template = Overrides.Setting.of(sweptOverride);
+        List<SweepPoint> points = new ArrayList<>();
+        for (String value : template.value().split(",")) {
+            List<Overrides.Setting> settings = overridesExcept(sweptOverride);
+            settings.add(new Overrides.Setting(template.section(), template.key(), value.strip()));
             java.util.regex.Matcher number =
                     java.util.regex.Pattern.compile("[0-9.]+").matcher(value);
-            points.add(new Point(
-                    ScenarioReader.read(one(), settings),
+            points.add(new SweepPoint(
+                    ScenarioReader.read(scenarioName(), settings),
                     number.find() ? Double.parseDouble(number.group()) : points.size(),
-                    form.key() + ' ' + value.strip()));
+                    template.key() + ' ' + value.strip()));
         }
         return points;
     }
@@ -358,10 +358,10 @@
     }
 
     private int compare() throws ConfigurationException, IOException {
-        if (names.size() != 2) {
-            throw new ConfigurationException("rehearse compare", "two folders of runs, not " + names.size());
+        if (operands.size() != 2) {
+            throw new ConfigurationException("rehearse compare", "two folders of runs, not " + operands.size());
         }
-        System.out.print(Comparison.of(Path.of(names.get(0)), Path.of(names.get(1))));
-        return GOOD;
+        System.out.print(Comparison.of(Path.of(operands.get(0)), Path.of(operands.get(1))));
+        return EXIT_PASSED;
     }
 }
--- a/src/main/java/lilaclever/program/SelfTest.java
+++ b/src/main/java/lilaclever/program/SelfTest.java
@@ -31,20 +31,20 @@
               "requestClasses": [{"name": "any", "aimS": 1, "deadlineS": 5, "repeat": "read_like"}],
               "rules": {"answerSlackS": 0.02, "coldFrom": 0.2, "tipMultiple": 1.5, "rampTimeS": 9, "overloadForS": 3,
                "drainGraceS": 0.5, "askWithinS": 10}}}""";
-    private static final String LIST = """
+    private static final String ENDPOINT_LIST = """
             {"index": 1, "snapshot": true, "endpoints": [{"name": "peer", "address": "%s", "zone": "z", "type": "any",
              "group": 1, "status": "active"}]}""";
 
     private final CountDownLatch delivered = new CountDownLatch(1);
     private final ServerSocket peer;
-    private final String list;
+    private final String endpointList;
 
     private SelfTest() throws IOException {
         peer = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"));
-        list = LIST.formatted(address());
+        endpointList = ENDPOINT_LIST.formatted(peerAddress());
     }
 
-    private String address() {
+    private String peerAddress() {
         return "127.0.0.1:" + peer.getLocalPort();
     }
 
@@ -52,7 +52,7 @@
     static int run() throws IOException, InterruptedException, ConfigurationException {
         Path state = Files.createTempDirectory("lilaclever");
         try {
-            boolean good = new SelfTest().passes(state);
+            boolean good = new SelfTest().deliversMessage(state);
             System.out.println("selftest: " + (good ? "a message went through" : "no message came through"));
             return good ? 0 : 1;
         } finally {
@@ -62,11 +62,11 @@
         }
     }
 
-    private boolean passes(Path state) throws IOException, InterruptedException, ConfigurationException {
-        Thread accepting = new Thread(this::accept, "peer");
+    private boolean deliversMessage(Path state) throws IOException, InterruptedException, ConfigurationException {
+        Thread accepting = new Thread(this::acceptConnections, "peer");
         accepting.setDaemon(true);
         accepting.start();
-        Forwarder forwarder = Forwarder.start(Config.parse(CONFIG.formatted(address(), state, list), Map.of()), null);
+        Forwarder forwarder = Forwarder.start(Config.parse(CONFIG.formatted(peerAddress(), state, endpointList), Map.of()), null);
         Signals.onHangup(() -> {});
         try (Socket client = new Socket()) {
             client.connect(forwarder.addresses().get(0), 5_000);
@@ -78,11 +78,11 @@
         }
     }
 
-    private void accept() {
+    private void acceptConnections() {
         try {
             while (true) {
                 Socket socket = peer.accept();
-                Thread talk = new Thread(() -> talk(socket), "talk");
+                Thread talk = new Thread(() -> serveConnection(socket), "talk");
                 talk.setDaemon(true);
                 talk.start();
             }
@@ -91,23 +91,23 @@
         }
     }
 
-    private void talk(Socket socket) {
+    private void serveConnection(Socket socket) {
         try (socket) {
             BufferedReader in = reader(socket);
-            for (String first = in.readLine(); first != null; first = in.readLine()) {
+            for (String requestLine = in.readLine(); requestLine != null; requestLine = in.readLine()) {
                 int length = 0;
-                for (String h = in.readLine(); h != null && !h.isEmpty(); h = in.readLine()) {
-                    length = h.startsWith("Content-Length: ") ? Integer.parseInt(h.substring(16)) : length;
+                for (String header = in.readLine(); header != null && !header.isEmpty(); header = in.readLine()) {
+                    length = header.startsWith("Content-Length: ") ? Integer.parseInt(header.substring(16)) : length;
                 }
                 in.skip(length);
-                boolean watch = first.startsWith("GET") && first.contains("wait_ms");
-                if (!watch) { // nothing ever changes
-                    String body = first.startsWith("GET") ? list : "";
+                boolean isWatch = requestLine.startsWith("GET") && requestLine.contains("wait_ms");
+                if (!isWatch) { // nothing ever changes
+                    String body = requestLine.startsWith("GET") ? endpointList : "";
                     socket.getOutputStream()
                             .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                                     .getBytes(StandardCharsets.US_ASCII));
                 }
-                if (first.startsWith("POST /receive ")) {
+                if (requestLine.startsWith("POST /receive ")) {
                     delivered.countDown();
                 }
             }
--- a/src/main/java/lilaclever/program/Signals.java
+++ b/src/main/java/lilaclever/program/Signals.java
@@ -27,11 +27,11 @@
 
     /** Has the task run at each SIGHUP, on a thread of its own; what it throws is told and ends nothing. */
     static void onHangup(Runnable task) {
-        on("HUP", task);
+        onSignal("HUP", task);
     }
 
     /** Has the task run at each such signal, on a thread of its own, in place of what the machine would do. */
-    static void on(String name, Runnable task) {
+    static void onSignal(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
             Class<?> handler = Class.forName("sun.misc.SignalHandler");
--- a/src/test/java/lilaclever/log/LogsTest.java
+++ b/src/test/java/lilaclever/log/LogsTest.java
@@ -25,7 +25,7 @@
         PrintStream before = System.err;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
-            Logs.set(settings);
+            Logs.configure(settings);
             System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
             work.run();
         } finally {
@@ -36,7 +36,7 @@
 
     @AfterEach
     void asItWas() {
-        Logs.set(Logs.Settings.USUAL);
+        Logs.configure(Logs.Settings.DEFAULT);
     }
 
     /** Tools and supervisors read these lines: their form is that of always. */
@@ -45,7 +45,7 @@
         assertEquals(
                 "lilaclever: n0 serves at [/127.0.0.1:1]\nlilaclever: journal: x.seg could not be deleted: why "
                         + "segment=x.seg\n",
-                written(Logs.Settings.USUAL, () -> {
+                written(Logs.Settings.DEFAULT, () -> {
                     Logs.info("", "serves", "n0 serves at [/127.0.0.1:1]");
                     Logs.warn(
                             "journal",
@@ -64,13 +64,13 @@
     void aLineStaysOneLine() {
         assertEquals(
                 "lilaclever: a?b message=m?1\n",
-                written(Logs.Settings.USUAL, () -> Logs.info("", "x", "a\nb", "message", "m\r1")));
+                written(Logs.Settings.DEFAULT, () -> Logs.info("", "x", "a\nb", "message", "m\r1")));
     }
 
     @Test
     void textMayHaveTimes() {
         String line = written(
-                new Logs.Settings(Logs.Form.TEXT, Logs.Level.INFO, true), () -> Logs.warn("mllp", "x", "closed"));
+                new Logs.Settings(Logs.Format.TEXT, Logs.Level.INFO, true), () -> Logs.warn("mllp", "x", "closed"));
         assertTrue(
                 line.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d+)?Z warning lilaclever: mllp: closed\n"),
                 line);
@@ -79,7 +79,7 @@
     @Test
     void jsonHasTheFields() {
         String line = written(
-                new Logs.Settings(Logs.Form.JSON, Logs.Level.DEBUG, false),
+                new Logs.Settings(Logs.Format.JSON, Logs.Level.DEBUG, false),
                 () -> Logs.debug("", "attempt", "sent \"now\"\n", "message", "m1", "partner", 7));
         JsonObject read = JsonParser.parseString(line).getAsJsonObject();
         assertEquals("debug", read.get("level").getAsString());
@@ -92,7 +92,7 @@
 
     @Test
     void levelsHold() {
-        assertEquals("lilaclever: bad\n", written(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false), () -> {
+        assertEquals("lilaclever: bad\n", written(new Logs.Settings(Logs.Format.TEXT, Logs.Level.ERROR, false), () -> {
             Logs.warn("", "w", "not written");
             Logs.error("", "e", "bad");
         }));
@@ -104,7 +104,7 @@
      */
     @Test
     void librariesUseTheSameLines() {
-        String lines = written(new Logs.Settings(Logs.Form.TEXT, Logs.Level.DEBUG, false), () -> {
+        String lines = written(new Logs.Settings(Logs.Format.TEXT, Logs.Level.DEBUG, false), () -> {
             Logs.debug("", "x", "ours");
             LoggerFactory.getLogger("some.Library").debug("not written");
             LoggerFactory.getLogger("some.Library").warn("odd {}", 5);
@@ -116,7 +116,7 @@
     @Test
     void whatWasThrownIsThere() {
         String lines = written(
-                Logs.Settings.USUAL,
+                Logs.Settings.DEFAULT,
                 () -> Logs.error("", "task-failed", "a task failed", new IllegalStateException("why")));
         assertTrue(lines.startsWith("lilaclever: a task failed\njava.lang.IllegalStateException: why\n\tat "), lines);
     }
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -29,7 +29,7 @@
     private Path state;
 
     private Path file() {
-        return state.resolve(DepartureNote.FILE);
+        return state.resolve(DepartureFile.FILE);
     }
 
     private static <T> String logged(Callable<T> call) throws Exception {
@@ -45,12 +45,12 @@
     }
 
     private String loggedByReading() throws Exception {
-        return logged(() -> DepartureNote.read(state));
+        return logged(() -> DepartureFile.read(state));
     }
 
     private String loggedByWriting(List<Departure> departures) throws Exception {
         return logged(() -> {
-            DepartureNote.write(state, departures);
+            DepartureFile.write(state, departures);
             return null;
         });
     }
@@ -58,29 +58,29 @@
     @Test
     void whatIsWrittenIsReadAgain() throws Exception {
         Departure odd = new Departure("tab\there\nüé%41+ x", "several", Long.MAX_VALUE, 0);
-        DepartureNote.write(state, List.of(FIRST, odd, SECOND));
-        assertEquals(List.of(FIRST, odd, SECOND), DepartureNote.read(state));
-        DepartureNote.write(state, List.of(SECOND));
-        assertEquals(List.of(SECOND), DepartureNote.read(state), "the whole file is replaced");
-        DepartureNote.write(state, List.of());
-        assertEquals(List.of(), DepartureNote.read(state));
+        DepartureFile.write(state, List.of(FIRST, odd, SECOND));
+        assertEquals(List.of(FIRST, odd, SECOND), DepartureFile.read(state));
+        DepartureFile.write(state, List.of(SECOND));
+        assertEquals(List.of(SECOND), DepartureFile.read(state), "the whole file is replaced");
+        DepartureFile.write(state, List.of());
+        assertEquals(List.of(), DepartureFile.read(state));
     }
 
     @Test
     void withoutAFileThereAreNone() throws Exception {
-        assertEquals(List.of(), DepartureNote.read(state));
+        assertEquals(List.of(), DepartureFile.read(state));
     }
 
     @Test
     void aFileThatCannotBeReadIsNamed() throws Exception {
         Files.createDirectory(file());
-        ConfigurationException e = assertThrows(ConfigurationException.class, () -> DepartureNote.read(state));
+        ConfigurationException e = assertThrows(ConfigurationException.class, () -> DepartureFile.read(state));
         assertTrue(e.getMessage().startsWith("state: departures can't be read: "), e.getMessage());
     }
 
     @Test
     void damagedLinesAreLoggedAndPassedOver() throws Exception {
-        DepartureNote.write(state, List.of(FIRST, SECOND));
+        DepartureFile.write(state, List.of(FIRST, SECOND));
         String good = Files.readString(file());
         String first = good.substring(0, good.indexOf('\n') + 1);
         String second = good.substring(first.length());
@@ -98,7 +98,7 @@
                 "\n");
         for (String line : damaged) {
             Files.writeString(file(), first + line + second);
-            assertEquals(List.of(FIRST, SECOND), DepartureNote.read(state), line);
+            assertEquals(List.of(FIRST, SECOND), DepartureFile.read(state), line);
             String log = loggedByReading();
             assertTrue(log.contains(file() + " line 2 "), log);
         }
@@ -106,23 +106,23 @@
 
     @Test
     void bytesThatAreNoTextAreDamageToo() throws Exception {
-        DepartureNote.write(state, List.of(FIRST));
+        DepartureFile.write(state, List.of(FIRST));
         byte[] good = Files.readAllBytes(file());
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         bytes.write(new byte[] {(byte) 0xff, (byte) 0xc3, '\t', 'x', '\t', '\n'});
         bytes.write(good);
         Files.write(file(), bytes.toByteArray());
-        assertEquals(List.of(FIRST), DepartureNote.read(state));
+        assertEquals(List.of(FIRST), DepartureFile.read(state));
     }
 
     @Test
     void aHalfWrittenLineIsPassedOver() throws Exception {
-        DepartureNote.write(state, List.of(FIRST, SECOND));
+        DepartureFile.write(state, List.of(FIRST, SECOND));
         byte[] whole = Files.readAllBytes(file());
         int firstEnd = new String(whole, StandardCharsets.US_ASCII).indexOf('\n') + 1;
         for (int length = firstEnd; length < whole.length; length++) {
             Files.write(file(), Arrays.copyOf(whole, length));
-            assertEquals(List.of(FIRST), DepartureNote.read(state), "cut after " + length);
+            assertEquals(List.of(FIRST), DepartureFile.read(state), "cut after " + length);
         }
         assertTrue(loggedByReading().contains(file() + " line 2 "));
     }
@@ -133,17 +133,17 @@
                 .mapToObj(i -> new Departure("s-" + i, "10.1.0.1:8500", i, FIRST.atMicros()))
                 .toList();
         assertTrue(loggedByWriting(many).contains("do not fit into departures"));
-        assertTrue(Files.size(file()) <= DepartureNote.NOTE_BYTES / 2, "bytes: " + Files.size(file()));
-        List<Departure> kept = DepartureNote.read(state);
+        assertTrue(Files.size(file()) <= DepartureFile.RESERVED_BYTES / 2, "bytes: " + Files.size(file()));
+        List<Departure> kept = DepartureFile.read(state);
         assertTrue(kept.size() > 700, "kept: " + kept.size());
         assertEquals(many.subList(many.size() - kept.size(), many.size()), kept);
     }
 
     @Test
     void aNameThatIsTooLongIsLeftOutAlone() throws Exception {
-        Departure longest = new Departure("x".repeat(DepartureNote.LINE_BYTES), "a", 1, 1);
+        Departure longest = new Departure("x".repeat(DepartureFile.MAX_LINE_BYTES), "a", 1, 1);
         assertTrue(loggedByWriting(List.of(FIRST, longest, SECOND)).contains("1 endpoints"));
-        assertEquals(List.of(FIRST, SECOND), DepartureNote.read(state));
+        assertEquals(List.of(FIRST, SECOND), DepartureFile.read(state));
     }
 
     @Test
@@ -153,16 +153,16 @@
             lines.add("s-" + i + "\ta\t1\t1\n");
         }
         Files.writeString(file(), String.join("", lines));
-        assertTrue(loggedByReading().contains("is longer than " + DepartureNote.FILE_BYTES));
-        assertEquals("s-0", DepartureNote.read(state).get(0).name());
+        assertTrue(loggedByReading().contains("is longer than " + DepartureFile.MAX_FILE_BYTES));
+        assertEquals("s-0", DepartureFile.read(state).get(0).name());
     }
 
     @Test
     void aWriteThatFailsLeavesTheFileAsItIs() throws Exception {
-        DepartureNote.write(state, List.of(FIRST));
-        Files.createDirectory(state.resolve(DepartureNote.FILE + ".new"));
-        assertThrows(IOException.class, () -> DepartureNote.write(state, List.of(SECOND)));
-        assertEquals(List.of(FIRST), DepartureNote.read(state));
+        DepartureFile.write(state, List.of(FIRST));
+        Files.createDirectory(state.resolve(DepartureFile.FILE + ".new"));
+        assertThrows(IOException.class, () -> DepartureFile.write(state, List.of(SECOND)));
+        assertEquals(List.of(FIRST), DepartureFile.read(state));
     }
 
     /** A small disk has room for a part of them: the latest. */
@@ -173,9 +173,9 @@
             all.add(new Departure("s-" + i, "10.2.0.1:8500", i, 1));
         }
         int bound = 1_000;
-        DepartureNote.write(state, all, bound);
-        assertTrue(Files.size(state.resolve(DepartureNote.FILE)) <= bound);
-        List<Departure> kept = DepartureNote.read(state);
+        DepartureFile.write(state, all, bound);
+        assertTrue(Files.size(state.resolve(DepartureFile.FILE)) <= bound);
+        List<Departure> kept = DepartureFile.read(state);
         assertTrue(!kept.isEmpty() && kept.size() < all.size(), "kept: " + kept.size());
         assertEquals(all.subList(all.size() - kept.size(), all.size()), kept);
     }
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -174,7 +174,7 @@
                     1,
                     journal,
                     new Counters(),
-                    Operator.none(config).identity().windows());
+                    OperatorSettings.defaults(config).identity().windows());
             Front front = new QuietFront();
             core.add(front);
             HttpDeliverer deliverer = new HttpDeliverer(core, transport, CONNECT, KEEP_ALIVE, 1);
--- a/src/test/java/lilaclever/program/DrainKinds.java
+++ b/src/test/java/lilaclever/program/DrainKinds.java
@@ -418,7 +418,7 @@
 
     public static void main(String[] arguments) throws Exception {
         if (Boolean.getBoolean("drain.debug")) {
-            Logs.set(new Logs.Settings(Logs.Form.TEXT, Logs.Level.DEBUG, true));
+            Logs.configure(new Logs.Settings(Logs.Format.TEXT, Logs.Level.DEBUG, true));
         }
         Map<String, Kind> all = new LinkedHashMap<>();
         addStarts(all);
--- a/src/test/java/lilaclever/program/KnownListTest.java
+++ b/src/test/java/lilaclever/program/KnownListTest.java
@@ -88,6 +88,6 @@
         assertEquals(ENDPOINTS, first.known().endpoints().size());
         Config again = Config.reread(variables, first);
         assertNull(again.known());
-        assertNull(first.withoutKnown().renewed(again).known());
+        assertNull(first.withoutKnown().withReloadableSettings(again).known());
     }
 }
--- a/src/test/java/lilaclever/program/ManyServersTest.java
+++ b/src/test/java/lilaclever/program/ManyServersTest.java
@@ -97,7 +97,7 @@
                 } finally {
                     forwarder.stop();
                 }
-                assertEquals(MOST_OUT, config.suspended().size());
+                assertEquals(MOST_OUT, config.readSuspended().size());
             }
         }
     }
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -102,7 +102,7 @@
                         .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]"),
                 java.util.Map.of());
         forwarder = Forwarder.start(
-                config, Operator.of(ConfFile.parse("f", conf.lines().toList()), config), null);
+                config, OperatorSettings.of(ConfFile.parse("f", conf.lines().toList()), config), null);
         http = forwarder.addresses().get(0);
         mllp = forwarder.addresses().get(1);
     }
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -148,7 +148,7 @@
             assertTrue(bad.getMessage().contains("operator"), bad.getMessage());
             Files.createDirectory(state.resolve("suspended"));
             Config config = Config.parse(text, Map.of());
-            assertThrows(ConfigurationException.class, config::suspended);
+            assertThrows(ConfigurationException.class, config::readSuspended);
         }
     }
 }
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -19,27 +19,27 @@
         return Setup.config("127.0.0.1:9", Path.of("nowhere"), null);
     }
 
-    private static Operator of(String text) throws ConfigurationException {
-        return Operator.of(ConfFile.parse("f", text.lines().toList()), config());
+    private static OperatorSettings of(String text) throws ConfigurationException {
+        return OperatorSettings.of(ConfFile.parse("f", text.lines().toList()), config());
     }
 
     @Test
     void whatIsAbsentIsAsThePlatformHasIt() throws ConfigurationException {
-        assertEquals(Operator.none(config()), of("# nothing\n\n[journal]\n"));
+        assertEquals(OperatorSettings.defaults(config()), of("# nothing\n\n[journal]\n"));
         assertEquals(
                 Durability.NONE.how(),
-                Operator.none(config()).journal().durability().how());
+                OperatorSettings.defaults(config()).journal().durability().how());
     }
 
     /** The file that is shipped says what holds without it. */
     @Test
     void theShippedFileIsGoodAndSaysTheDefaults() throws Exception {
-        assertEquals(Operator.none(config()), Operator.read(Path.of("deploy/lilaclever.conf"), config()));
+        assertEquals(OperatorSettings.defaults(config()), OperatorSettings.read(Path.of("deploy/lilaclever.conf"), config()));
     }
 
     @Test
     void valuesMayGoOnInTheNextLine() throws ConfigurationException {
-        Operator read = of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
+        OperatorSettings read = of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
                 + "\ninterval 250\n  ms\nremember 90s\n");
         assertEquals(
                 new Durability(Durability.How.INTERVAL, 250_000), read.journal().durability());
@@ -79,7 +79,7 @@
         Path file = Files.write(folder.resolve("x"), new byte[] {(byte) 0xc3, 0x28});
         assertEquals(
                 List.of("--conf: " + file + " is not UTF-8"),
-                List.of(assertThrows(ConfigurationException.class, () -> Operator.read(file, config()))
+                List.of(assertThrows(ConfigurationException.class, () -> OperatorSettings.read(file, config()))
                         .getMessage()));
     }
 }
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -184,7 +184,7 @@
             }
             p.toHandle().destroy(); // SIGTERM is treated as Ctrl-C is
             String out = new String(p.getInputStream().readAllBytes(), java.nio.charset.StandardCharsets.UTF_8);
-            assertEquals(Interrupt.CODE, p.waitFor(), out);
+            assertEquals(Interrupt.EXIT_CODE, p.waitFor(), out);
             assertTrue(out.contains("CUT SHORT"), out);
             assertTrue(java.nio.file.Files.readString(folder.resolve("out/index.html"))
                     .contains("Cut short after"));
--- a/src/test/java/lilaclever/program/RenewTest.java
+++ b/src/test/java/lilaclever/program/RenewTest.java
@@ -187,9 +187,9 @@
         Config config = Config.parse(text(), Map.of());
         ClassTable table = config.table();
         for (int i = 0; i < 62; i++) {
-            table = table.followedBy(
+            table = table.withCurrentClasses(
                             table.names().subList(0, 0), table.classes().subList(0, 0))
-                    .followedBy(
+                    .withCurrentClasses(
                             config.classNames().subList(0, 2),
                             config.settings().classes().subList(0, 2));
         }
@@ -197,7 +197,7 @@
         assertEquals(127, full.names().size());
         assertTrue(assertThrows(
                         ConfigurationException.class,
-                        () -> full.followedBy(
+                        () -> full.withCurrentClasses(
                                 config.classNames(),
                                 config.settings().classes().stream()
                                         .map(c -> config.settings().classes().get(0))
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -35,12 +35,12 @@
 
     @BeforeAll
     static void logErrorsAlone() {
-        Logs.set(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false));
+        Logs.configure(new Logs.Settings(Logs.Format.TEXT, Logs.Level.ERROR, false));
     }
 
     @AfterAll
     static void logAsUsual() {
-        Logs.set(Logs.Settings.USUAL);
+        Logs.configure(Logs.Settings.DEFAULT);
     }
 
     @Test
