--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -327,7 +327,9 @@
                     return number;
                 }
             }
-            throw error(key, "from " + withoutExponent(min) + unit + " to " + withoutExponent(max) + unit + ", not " + value);
+            throw error(
+                    key,
+                    "from " + withoutExponent(min) + unit + " to " + withoutExponent(max) + unit + ", not " + value);
         }
 
         private static String withoutExponent(double number) {
@@ -337,12 +339,15 @@
         }
 
         /** Two times, the least and the most; one stands for both. */
-        public long[] durationRangeMicros(String key, long defaultMin, long defaultMax, long min, long max) throws ConfigurationException {
+        public long[] durationRangeMicros(String key, long defaultMin, long defaultMax, long min, long max)
+                throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
                 return new long[] {defaultMin, defaultMax};
             }
-            long[] range = {durationMicros(key, words.get(0), min, max), durationMicros(key, words.get(words.size() - 1), min, max)};
+            long[] range = {
+                durationMicros(key, words.get(0), min, max), durationMicros(key, words.get(words.size() - 1), min, max)
+            };
             if (words.size() > 2 || range[0] > range[1]) {
                 throw error(key, "one time, or the least and the most, not " + String.join(" ", words));
             }
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -256,7 +256,8 @@
                     DecisionModule.RepeatSafety.UNSAFE));
         }
         for (Section s : sections) {
-            classes.add(messageClass(s, s.qualifier(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
+            classes.add(
+                    messageClass(s, s.qualifier(), 1, 62, 110, 4000, 20, 0.5, 1, DecisionModule.RepeatSafety.UNSAFE));
         }
         double sum = classes.stream().mapToDouble(MessageClass::share).sum();
         if (Math.abs(sum - 1) > 1e-6) {
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -65,11 +65,13 @@
         ClassTable savedClasses = ClassTable.read(read.state);
         return savedClasses == null
                 ? read
-                : read.with(savedClasses.withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
+                : read.with(
+                        savedClasses.withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** {@code needed}: keys of the settings that must not be missing. */
-    private static Config readFile(Map<String, String> variables, Set<String> requiredKeys) throws ConfigurationException {
+    private static Config readFile(Map<String, String> variables, Set<String> requiredKeys)
+            throws ConfigurationException {
         String path = variables.get("ROUTER_CONFIG");
         if (path == null || path.isEmpty()) {
             throw new ConfigurationException("ROUTER_CONFIG", "not set");
@@ -112,7 +114,10 @@
 
     /** What the notes take on disk. */
     long stateFilesBytes() {
-        return DISCOVERY_FILE_BYTES + classesReservedBytes() + departuresReservedBytes() + (operator == null ? 0 : SUSPENDED_RESERVED_BYTES);
+        return DISCOVERY_FILE_BYTES
+                + classesReservedBytes()
+                + departuresReservedBytes()
+                + (operator == null ? 0 : SUSPENDED_RESERVED_BYTES);
     }
 
     /** Ids of endpoints that were taken out by hand in an earlier life. */
@@ -145,7 +150,8 @@
         try {
             if (root.has("discovery")
                     && Files.exists(state.resolve(DISCOVERY_FILE))
-                    && Files.readString(state.resolve(DISCOVERY_FILE)).equals(text("discovery", root, "discovery", null))) {
+                    && Files.readString(state.resolve(DISCOVERY_FILE))
+                            .equals(text("discovery", root, "discovery", null))) {
                 return text("discovery", root, "discovery", null);
             }
         } catch (IOException e) {
@@ -266,7 +272,8 @@
     private static Set<String> commonKeys(JsonArray elements, String path) {
         Set<String> common = new LinkedHashSet<>();
         for (int i = 0; i < elements.size(); i++) {
-            Set<String> elementKeys = elements.get(i).isJsonObject() ? keys(elements.get(i).getAsJsonObject(), path) : Set.of();
+            Set<String> elementKeys =
+                    elements.get(i).isJsonObject() ? keys(elements.get(i).getAsJsonObject(), path) : Set.of();
             if (i == 0) {
                 common.addAll(elementKeys);
             } else {
@@ -498,9 +505,7 @@
         double idleSeconds = number("mail.idleSeconds", root, "idleSeconds", DEFAULT_IDLE_SECONDS);
         if (maxBytes <= 0 || maxRecipients <= 0 || idleSeconds <= 0) {
             throw new ConfigurationException(
-                    maxBytes <= 0
-                            ? "mail.mostBytes"
-                            : maxRecipients <= 0 ? "mail.mostRecipients" : "mail.idleSeconds",
+                    maxBytes <= 0 ? "mail.mostBytes" : maxRecipients <= 0 ? "mail.mostRecipients" : "mail.idleSeconds",
                     "must be above 0");
         }
         return new MailSettings(
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -34,7 +34,9 @@
 /** The parts of the serving program, put together, started and stopped. */
 final class Forwarder {
     /** After the signal: so long clients still come, so long calls may be out, and then the end. */
-    private static final long ACCEPT_PERIOD_MICROS = 500_000, CALL_DEADLINE_MICROS = 3_200_000, SHUTDOWN_DEADLINE_MICROS = 3_400_000;
+    private static final long ACCEPT_PERIOD_MICROS = 500_000,
+            CALL_DEADLINE_MICROS = 3_200_000,
+            SHUTDOWN_DEADLINE_MICROS = 3_400_000;
 
     private static final long IDLE_CHECK_PERIOD_MICROS = 20_000;
 
@@ -52,7 +54,8 @@
     private final List<MailFront> mailFronts = new ArrayList<>();
     private final List<SocketAddress> listenAddresses = new ArrayList<>();
 
-    private Forwarder(Config config, OperatorSettings operator, MailSettings mail) throws IOException, ConfigurationException {
+    private Forwarder(Config config, OperatorSettings operator, MailSettings mail)
+            throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
         DecisionModule.Settings settings = config.settings();
         long connectTimeoutMicros = settings.limits().connectTimeoutMicros();
@@ -69,8 +72,10 @@
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
         Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
-        ManualDrains manualDrains = new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
-        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connectTimeoutMicros, keepAliveMicros, config.maxIdleConnections());
+        ManualDrains manualDrains =
+                new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
+        HttpDeliverer deliverer =
+                new HttpDeliverer(core, transport, connectTimeoutMicros, keepAliveMicros, config.maxIdleConnections());
         notices = new Notices(core, transport, config.discovery(), connectTimeoutMicros, keepAliveMicros);
         long departureFileBytes = config.departuresReservedBytes() / 2; // the new note is written beside the old one
         EndpointMembership membership = new EndpointMembership(
@@ -100,7 +105,15 @@
                 mailFronts.add(new MailFront(core, mail, protocol, config.maxMailConnections()));
             }
             mailFronts.forEach(core::add);
-            new MailDeliverer(core, transport, mail, settings.zone(), connectTimeoutMicros, keepAliveMicros, config.maxMailConnections()).start();
+            new MailDeliverer(
+                            core,
+                            transport,
+                            mail,
+                            settings.zone(),
+                            connectTimeoutMicros,
+                            keepAliveMicros,
+                            config.maxMailConnections())
+                    .start();
         }
         if (operator.mllp() != null) {
             mllpFront = new MllpFront(core, operator.mllp());
@@ -119,7 +132,8 @@
                 version);
         listenAddresses.add(httpFront.listen(transport, Transport.address(config.listen())));
         if (config.operator() != null) {
-            listenAddresses.add(new OperatorPort(core, manualDrains).listen(transport, Transport.address(config.operator())));
+            listenAddresses.add(
+                    new OperatorPort(core, manualDrains).listen(transport, Transport.address(config.operator())));
         }
         for (MailFront each : mailFronts) {
             listenAddresses.addAll(each.listen(transport));
@@ -259,7 +273,8 @@
     }
 
     private void awaitIdle(long deadlineMicros) {
-        if (core.now() >= deadlineMicros || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
+        if (core.now() >= deadlineMicros
+                || core.quiet(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
             stopped.countDown();
         } else {
             core.deadlines().at(core.now() + IDLE_CHECK_PERIOD_MICROS, () -> awaitIdle(deadlineMicros));
--- a/src/main/java/lilaclever/program/Help.java
+++ b/src/main/java/lilaclever/program/Help.java
@@ -10,7 +10,8 @@
     private static final int USAGE_WIDTH = 100;
 
     /** A sub-command for people. */
-    private record Description(String name, Class<? extends Main.Command> type, String summary, List<String> examples) {}
+    private record Description(
+            String name, Class<? extends Main.Command> type, String summary, List<String> examples) {}
 
     private static final String COMMAND_LINE = "java -jar target/lilaclever.jar ";
     private static final List<Description> SUB_COMMANDS = List.of(
@@ -29,7 +30,9 @@
                     "journal",
                     JournalCommand.class,
                     "looks into the state folder of a program that is stopped",
-                    List.of(COMMAND_LINE + "journal verify /var/lib/lilaclever", COMMAND_LINE + "journal export /var/lib/lilaclever")),
+                    List.of(
+                            COMMAND_LINE + "journal verify /var/lib/lilaclever",
+                            COMMAND_LINE + "journal export /var/lib/lilaclever")),
             new Description(
                     "rehearse",
                     RehearseCommand.class,
@@ -51,7 +54,8 @@
                     Main.SimhostCommand.class,
                     "plays the decision module on the simulator's wire (standard input and output)",
                     List.of(COMMAND_LINE + "simhost < transcript")),
-            new Description("version", Main.VersionCommand.class, "tells the version", List.of(COMMAND_LINE + "version")));
+            new Description(
+                    "version", Main.VersionCommand.class, "tells the version", List.of(COMMAND_LINE + "version")));
 
     private Help() {}
 
@@ -91,7 +95,8 @@
     private static void printOne(Description description, PrintStream out) {
         out.println(description.name() + ": " + description.summary());
         try {
-            CmdLineParser parser = new CmdLineParser(description.type().getConstructor().newInstance());
+            CmdLineParser parser =
+                    new CmdLineParser(description.type().getConstructor().newInstance());
             parser.getProperties().withUsageWidth(USAGE_WIDTH);
             out.print("usage: java -jar lilaclever.jar " + description.name());
             parser.printSingleLineUsage(out);
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -80,7 +80,8 @@
         @Override
         public Integer run() throws Exception {
             Config config = Config.read(System.getenv());
-            OperatorSettings operator = conf == null ? OperatorSettings.defaults(config) : OperatorSettings.read(conf, config);
+            OperatorSettings operator =
+                    conf == null ? OperatorSettings.defaults(config) : OperatorSettings.read(conf, config);
             Logs.configure(operator.log());
             CompletableFuture<Forwarder> serving = new CompletableFuture<>();
             // Without a handler SIGHUP ends the machine: it is there before anybody can think that we are ready.
--- a/src/main/java/lilaclever/program/OperatorSettings.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -77,7 +77,11 @@
         List<Long> windows = new ArrayList<>();
         for (int i = 0; i < config.classNames().size(); i++) {
             boolean unsafe = config.settings().classes().get(i).repeat() == DecisionModule.RepeatSafety.UNSAFE;
-            windows.add(s.durationMicros("window-" + config.classNames().get(i), unsafe ? 24 * HOUR_MICROS : HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
+            windows.add(s.durationMicros(
+                    "window-" + config.classNames().get(i),
+                    unsafe ? 24 * HOUR_MICROS : HOUR_MICROS,
+                    SECOND_MICROS,
+                    240 * HOUR_MICROS));
         }
         return new IdentitySettings(
                 shared,
@@ -100,6 +104,8 @@
             throw s.error(
                     "interval", "needs durability interval, not " + how.name().toLowerCase());
         }
-        return new JournalSettings(new Durability(how, intervalMicros), s.durationMicros("remember", HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
+        return new JournalSettings(
+                new Durability(how, intervalMicros),
+                s.durationMicros("remember", HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
     }
 }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -173,7 +173,8 @@
             runInParallel(
                     runCount,
                     i -> {
-                        Path reportFolder = isSingle ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
+                        Path reportFolder =
+                                isSingle ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
                         Result result = runOnce(scenario, seed + i, reportFolder, isSingle);
                         Report.write(result, reportFolder);
                         return result;
@@ -182,7 +183,10 @@
                         System.out.print(
                                 isSingle
                                         ? Report.summary(result)
-                                        : Report.summary(result).lines().findFirst().orElse("") + "\n");
+                                        : Report.summary(result)
+                                                        .lines()
+                                                        .findFirst()
+                                                        .orElse("") + "\n");
                         broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
                         if (result.trust() != null && !result.trust().good()) {
                             doubtful.incrementAndGet();
@@ -211,7 +215,9 @@
                     broken.get());
         }
         System.out.println("report: " + folder(scenario).resolve(isSingle ? "index.html" : ""));
-        return interrupt.isRequested() ? Interrupt.EXIT_CODE : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
+        return interrupt.isRequested()
+                ? Interrupt.EXIT_CODE
+                : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
     }
 
     private Result runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
@@ -219,11 +225,17 @@
         if (!sockets) {
             return VirtualTime.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
         }
-        Path folder = Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
+        Path folder =
+                Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
         Path runFolder = Files.createTempDirectory(folder, "run-");
         try {
             return RealSockets.run(
-                    scenario, runSeed, runFolder, ChildProcessCommand.command("serve"), progressListener, interrupt::isRequested);
+                    scenario,
+                    runSeed,
+                    runFolder,
+                    ChildProcessCommand.command("serve"),
+                    progressListener,
+                    interrupt::isRequested);
         } catch (InterruptedException e) {
             throw new InterruptedIOException("cut short");
         }
@@ -266,7 +278,10 @@
         List<SweepPoint> points = overLoad ? loadPoints() : settingPoints();
         Scenario first = points.get(0).scenario();
         int runCount = runs > 0 ? runs : 5;
-        Sweep sweep = new Sweep(overLoad ? "load, % of the full load" : sweptOverride().substring(0, sweptOverride().indexOf('=')));
+        Sweep sweep = new Sweep(
+                overLoad
+                        ? "load, % of the full load"
+                        : sweptOverride().substring(0, sweptOverride().indexOf('=')));
         AtomicInteger allBroken = new AtomicInteger();
         interrupt.handleSignals();
         try {
@@ -291,7 +306,11 @@
             interrupt.finish();
         }
         if (overLoad) {
-            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", minService, sweep.keepsUpTo(minService));
+            System.out.printf(
+                    Locale.ROOT,
+                    "service stays at %.2f up to a load of %.0f%%%n",
+                    minService,
+                    sweep.keepsUpTo(minService));
         }
         System.out.println("plot: " + folder(first).resolve("sweep.png"));
         return interrupt.isRequested() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? EXIT_PASSED : EXIT_RULES_BROKEN;
--- a/src/main/java/lilaclever/program/SelfTest.java
+++ b/src/main/java/lilaclever/program/SelfTest.java
@@ -66,7 +66,8 @@
         Thread accepting = new Thread(this::acceptConnections, "peer");
         accepting.setDaemon(true);
         accepting.start();
-        Forwarder forwarder = Forwarder.start(Config.parse(CONFIG.formatted(peerAddress(), state, endpointList), Map.of()), null);
+        Forwarder forwarder =
+                Forwarder.start(Config.parse(CONFIG.formatted(peerAddress(), state, endpointList), Map.of()), null);
         Signals.onHangup(() -> {});
         try (Socket client = new Socket()) {
             client.connect(forwarder.addresses().get(0), 5_000);
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -150,7 +150,8 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = good()) {
             Config config = Setup.config(platform.address(), state, endpoint.address());
-            OperatorSettings operator = OperatorSettings.of(ConfFile.parse("f", List.of("[journal]", "durability group")), config);
+            OperatorSettings operator =
+                    OperatorSettings.of(ConfFile.parse("f", List.of("[journal]", "durability group")), config);
             forwarder = Forwarder.start(config, operator, null);
             address = forwarder.addresses().get(0);
             try (Wire client = Wire.to(address)) {
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -34,13 +34,16 @@
     /** The file that is shipped says what holds without it. */
     @Test
     void theShippedFileIsGoodAndSaysTheDefaults() throws Exception {
-        assertEquals(OperatorSettings.defaults(config()), OperatorSettings.read(Path.of("deploy/lilaclever.conf"), config()));
+        assertEquals(
+                OperatorSettings.defaults(config()),
+                OperatorSettings.read(Path.of("deploy/lilaclever.conf"), config()));
     }
 
     @Test
     void valuesMayGoOnInTheNextLine() throws ConfigurationException {
-        OperatorSettings read = of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
-                + "\ninterval 250\n  ms\nremember 90s\n");
+        OperatorSettings read =
+                of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
+                        + "\ninterval 250\n  ms\nremember 90s\n");
         assertEquals(
                 new Durability(Durability.How.INTERVAL, 250_000), read.journal().durability());
         assertEquals(90_000_000, read.journal().rememberMicros());
