--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -13,15 +13,15 @@
 import java.util.Set;
 
 /**
- * Reads line-based files, the operator's and rehearsals': sections in brackets, a key and its value on a line,
- * {@code #} begins a comment. A line that begins with white space continues the value of the one before, as in the
- * files of classic daemons. What a section's keys mean is not known here; each is asked for by name, and what nobody
- * has asked for is an error. All messages name file, line and key.
+ * Parses line-based configuration files: the operator's file and rehearsal scenarios. A section title stands in
+ * brackets, a key and its value on one line, and {@code #} begins a comment line. A line that begins with white space
+ * continues the previous value, as in the files of classic daemons. Callers request each key by name;
+ * {@link #rejectUnknown} reports the keys that no caller has requested. Error messages name file, line and key.
  */
 public final class ConfFile {
     private static final int MAX_LINE_LENGTH = 8192, MAX_LINES = 100_000;
 
-    /** One setting and where it stands. */
+    /** A value and the line of its key. */
     private record Entry(int line, String value) {}
 
     private final String name;
@@ -31,12 +31,11 @@
         this.name = name;
     }
 
-    /** A file that sets nothing. */
+    /** Returns a file without any setting. */
     public static ConfFile empty() {
         return new ConfFile("(no file)");
     }
 
-    /** Reads the file. */
     public static ConfFile read(Path path) throws ConfigurationException {
         try {
             return parse(path.toString(), Files.readAllLines(path));
@@ -104,19 +103,19 @@
         return new ConfigurationException(name + ":" + line + (key.isEmpty() ? "" : ": " + key), problem);
     }
 
-    /** The section of that name; an empty one if the file has none. */
+    /** Returns the section with this title, or an empty one if the file has none. */
     public Section section(String title) {
         return sections.getOrDefault(title, new Section(title, 0));
     }
 
-    /** The sections {@code [kind which]}, in the file's order. */
+    /** Returns the sections {@code [kind qualifier]}, in file order. */
     public List<Section> sections(String kind) {
         return sections.values().stream()
                 .filter(s -> s.title.startsWith(kind + " "))
                 .toList();
     }
 
-    /** Throws if anything stands in the file that nobody has asked for; to be called when all is read. */
+    /** Rejects unknown sections and keys that no caller has requested; to be called after all settings were read. */
     public void rejectUnknown(Set<String> kinds) throws ConfigurationException {
         for (Section s : sections.values()) {
             String kind = s.title.split(" ")[0];
@@ -134,7 +133,7 @@
         }
     }
 
-    /** The known word that needs the fewest changes, if that is a few. */
+    /** Returns a hint for an error message: the most similar known word, or all known words if none is similar. */
     public static String suggestion(String word, Set<String> known) {
         String nearest = null;
         int bestDistance = Math.max(2, word.length() / 2) + 1;
@@ -150,7 +149,7 @@
                 : "; is " + nearest + " meant?";
     }
 
-    /** Letters to change, add or leave out (Levenshtein's distance). */
+    /** Returns the Levenshtein distance. */
     private static int editDistance(String a, String b) {
         int[] previousRow = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
@@ -168,7 +167,7 @@
         return previousRow[b.length()];
     }
 
-    /** One section. Values are asked for by key, with the value that holds where the key is absent. */
+    /** One section. The getters take the default value of a key that is absent. */
     public final class Section {
         private final String title;
         private final int line;
@@ -180,12 +179,12 @@
             this.line = line;
         }
 
-        /** What stands behind the kind in {@code [kind which]}. */
+        /** Returns the second word of {@code [kind qualifier]}, or an empty string. */
         public String qualifier() {
             return title.contains(" ") ? title.split(" ")[1] : "";
         }
 
-        /** True if the file has it. */
+        /** Returns whether the file has this section. */
         public boolean isPresent() {
             return line > 0;
         }
@@ -211,13 +210,13 @@
             entries.put(key, new Entry(e.line(), e.value() + ' ' + continuation));
         }
 
-        /** An error of this key: with its line, or the section's where the key is absent. */
+        /** Creates an error about this key, with the line of the key, or of the section if the key is absent. */
         public ConfigurationException error(String key, String problem) {
             Entry e = entries.get(key);
             return errorAt(e == null ? line : e.line(), title + "." + key, problem);
         }
 
-        /** True if the file sets the key. */
+        /** Returns whether the file sets the key. */
         public boolean has(String key) {
             return entries.containsKey(key);
         }
@@ -228,19 +227,19 @@
             return e == null ? null : e.value();
         }
 
-        /** The text; {@code otherwise} may be null. */
+        /** Returns the text; {@code defaultValue} may be null. */
         public String text(String key, String defaultValue) {
             String value = value(key);
             return value == null ? defaultValue : value;
         }
 
-        /** The words, separated by white space or commas. */
+        /** Returns the words, which are separated by white space or commas. */
         public List<String> words(String key) {
             String value = value(key);
             return value == null ? List.of() : new ArrayList<>(List.of(value.split("[\\s,]+")));
         }
 
-        /** One of the constants' names, in small letters. */
+        /** Returns the constant whose name, in lower case with '-' for '_', is the value. */
         public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
@@ -257,7 +256,7 @@
             throw error(key, "one of " + String.join(", ", names) + ", not " + value);
         }
 
-        /** yes or no. */
+        /** Reads {@code yes} or {@code no}. */
         public boolean flag(String key, boolean defaultValue) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
@@ -269,7 +268,7 @@
             return value.equals("yes");
         }
 
-        /** A whole number within bounds. */
+        /** Reads a whole number within bounds. */
         public long integer(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
@@ -281,18 +280,18 @@
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // told below
+                // reported below
             }
             throw error(key, "a whole number from " + min + " to " + max + ", not " + value);
         }
 
-        /** A number with or without decimals, within bounds. */
+        /** Reads a number with or without decimals, within bounds. */
         public double decimal(String key, double defaultValue, double min, double max) throws ConfigurationException {
             String value = value(key);
             return value == null ? defaultValue : decimal(key, value, "", min, max);
         }
 
-        /** Two numbers, the least and the most; one stands for both. */
+        /** Reads two numbers, minimum and maximum; a single number counts for both. */
         public double[] range(String key, double defaultMin, double defaultMax, double min, double max)
                 throws ConfigurationException {
             List<String> words = words(key);
@@ -308,13 +307,13 @@
             return range;
         }
 
-        /** A share such as 25%, from 0 to the most; 1 is the whole. */
+        /** Reads a percentage such as 25% as a fraction, from 0 to {@code max}. */
         public double share(String key, double defaultValue, double max) throws ConfigurationException {
             String value = value(key);
             return value == null ? defaultValue : share(key, value, max);
         }
 
-        /** The same for a word of a value. */
+        /** Parses one word of a value as {@link #share(String, double, double)} does. */
         public double share(String key, String word, double max) throws ConfigurationException {
             return decimal(key, word, "%", 0, max * 100) / 100;
         }
@@ -338,7 +337,7 @@
                     .toPlainString();
         }
 
-        /** Two times, the least and the most; one stands for both. */
+        /** Reads two durations, minimum and maximum; a single one counts for both. */
         public long[] durationRangeMicros(String key, long defaultMin, long defaultMax, long min, long max)
                 throws ConfigurationException {
             List<String> words = words(key);
@@ -354,13 +353,13 @@
             return range;
         }
 
-        /** A time with its unit (us, ms, s, m, h, d), microseconds, within bounds. */
+        /** Reads a duration with its unit (us, ms, s, m, h, d), in microseconds, within bounds. */
         public long durationMicros(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             return value == null ? defaultValue : durationMicros(key, value, min, max);
         }
 
-        /** The same for a word of a value. */
+        /** Parses one word of a value as {@link #durationMicros(String, long, long, long)} does. */
         public long durationMicros(String key, String value, long min, long max) throws ConfigurationException {
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(us|ms|s|m|h|d)")
                     .matcher(value);
@@ -382,7 +381,7 @@
             return (long) micros;
         }
 
-        /** A size with its unit (B, KiB, MiB, GiB), bytes, within bounds. */
+        /** Reads a size with its unit (B, KiB, MiB, GiB), in bytes, within bounds. */
         public long sizeBytes(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
--- a/src/main/java/lilaclever/conf/ConfigurationException.java
+++ b/src/main/java/lilaclever/conf/ConfigurationException.java
@@ -1,10 +1,10 @@
 package lilaclever.conf;
 
-/** A setting that can't be used; the message names the key at fault, and its place where it came from a file. */
+/** An invalid or missing setting. The message names its key and, if it comes from a file, the line. */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** {@code key}: what is at fault. */
+    /** Creates an error about the setting {@code key}. */
     public ConfigurationException(String key, String problem) {
         super(key + ": " + problem);
     }
--- a/src/main/java/lilaclever/log/Logs.java
+++ b/src/main/java/lilaclever/log/Logs.java
@@ -7,21 +7,21 @@
 import org.slf4j.MDC;
 
 /**
- * The program's log: a line has a level, the part that it comes from, a text for people, and fields for machines:
- * {@code event}, what has happened, in a word that does not change, and where they are known {@code message} and
+ * The program's structured log. A line has a level, the part of the program that it comes from, a text for people, and
+ * fields for machines: {@code event}, a stable name of what happened, and where they are known {@code message} and
  * {@code partner}.
  *
- * <p>Lines go through SLF4J, as those of libraries do. Its back end is loaded with the first line, so that a start does
- * not wait for it. Fields travel as the thread's diagnostic context.
+ * <p>Lines go through SLF4J, like those of libraries. Its back end is loaded with the first line, so that it does not
+ * delay the start. Fields are passed in the thread's diagnostic context (MDC).
  */
 public final class Logs {
-    /** How lines are written: for people, or a JSON object each. */
+    /** Output format: plain text, or one JSON object per line. */
     public enum Format {
         TEXT,
         JSON
     }
 
-    /** What is written: this level and those before it. */
+    /** Log threshold: a level includes those listed before it. */
     public enum Level {
         ERROR,
         WARNING,
@@ -29,9 +29,8 @@
         DEBUG
     }
 
-    /** {@code times}: text lines begin with time and level; those of a supervisor that does so itself need not. */
+    /** {@code timestamps}: whether text lines begin with time and level; needless if a supervisor adds them. */
     public record Settings(Format format, Level level, boolean timestamps) {
-        /** Text, as it always was. */
         public static final Settings DEFAULT = new Settings(Format.TEXT, Level.INFO, false);
     }
 
@@ -41,7 +40,7 @@
 
     private Logs() {}
 
-    /** From now on lines are written like this. */
+    /** Applies the settings to all lines from now on. */
     public static synchronized void configure(Settings s) {
         settings = s;
         if (installed) {
@@ -63,32 +62,32 @@
         }
     }
 
-    /** True if {@link #debug} writes anything: to be asked before a text is made for each message. */
+    /** Returns whether {@link #debug} writes lines; to be checked before a text is built for each message. */
     public static boolean isDebug() {
         return settings.level() == Level.DEBUG;
     }
 
-    /** Something that should not be, and that somebody must look at. {@code fields}: names and values in turn. */
+    /** Logs a fault that needs attention. {@code fields}: names and values, alternating. */
     public static void error(String part, String event, String text, Object... fields) {
         withFields(event, fields, () -> logger(part).error(text));
     }
 
-    /** The same, with what was thrown. */
+    /** Logs a fault with its stack trace. */
     public static void error(String part, String event, String text, Throwable thrown) {
         withFields(event, new Object[0], () -> logger(part).error(text, thrown));
     }
 
-    /** Something that is not as it should be, and that the program lives with. */
+    /** Logs a problem that the program tolerates. */
     public static void warn(String part, String event, String text, Object... fields) {
         withFields(event, fields, () -> logger(part).warn(text));
     }
 
-    /** Something that an operator wants to know. */
+    /** Logs normal operation of interest to an operator. */
     public static void info(String part, String event, String text, Object... fields) {
         withFields(event, fields, () -> logger(part).info(text));
     }
 
-    /** What happens to each message. */
+    /** Logs details of single messages. */
     public static void debug(String part, String event, String text, Object... fields) {
         if (isDebug()) {
             withFields(event, fields, () -> logger(part).debug(text));
--- a/src/main/java/lilaclever/log/StderrHandler.java
+++ b/src/main/java/lilaclever/log/StderrHandler.java
@@ -15,13 +15,12 @@
 import org.slf4j.MDC;
 
 /**
- * Writes lines to the standard error, one write for each, so that lines of several threads are not mixed. It is the
- * JDK's own logging that hands them over: of the back ends it costs a start the least, as the transport's library has
- * loaded it already.
+ * Writes log lines to standard error, each in a single write, so that lines of several threads do not interleave. The
+ * back end is {@code java.util.logging}, which adds the least start-up time: the transport's library loads it anyway.
  */
 final class StderrHandler extends Handler {
     private static final String PROGRAM = "lilaclever";
-    /** The fields come after the text in this order, others after these. */
+    /** Field that is written in JSON lines only. */
     private static final String EVENT = "event";
 
     private static final int MAX_TEXT_LENGTH = 4000;
@@ -32,7 +31,7 @@
         this.settings = settings;
     }
 
-    /** The only one that writes, from now on. */
+    /** Replaces all handlers of the root logger by one with these settings. */
     static void install(Logs.Settings settings) {
         Logger root = LogManager.getLogManager().getLogger("");
         for (Handler h : root.getHandlers()) {
@@ -44,10 +43,10 @@
             case INFO -> Level.INFO;
             case DEBUG -> Level.FINE;
         };
-        root.setLevel(settings.level() == Logs.Level.DEBUG ? Level.INFO : level); // libraries' debugging is not ours
+        root.setLevel(settings.level() == Logs.Level.DEBUG ? Level.INFO : level); // no debug lines of libraries
         Logger own = Logger.getLogger(PROGRAM);
         own.setLevel(level);
-        RETAINED_LOGGER[0] = own; // the JDK forgets the level of a logger that nobody holds
+        RETAINED_LOGGER[0] = own; // java.util.logging drops an unreferenced logger with its level
         root.addHandler(new StderrHandler(settings));
     }
 
@@ -78,7 +77,7 @@
         return record.getInstant().truncatedTo(ChronoUnit.MILLIS);
     }
 
-    /** What libraries give with arguments is put together here; what comes through SLF4J is whole. */
+    /** Formats messages that libraries log with parameters; those from SLF4J are formatted already. */
     private static String message(LogRecord record) {
         String text = record.getMessage() == null ? "" : record.getMessage();
         if (record.getParameters() != null && record.getParameters().length > 0) {
@@ -111,7 +110,7 @@
                 : line.append('\n').append(stack(record.getThrown())).toString().stripTrailing();
     }
 
-    /** A line stays one line, whatever came from outside. */
+    /** Replaces control characters, so that text from outside cannot break the line. */
     private static String printable(String text) {
         StringBuilder clean = null;
         for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/lilaclever/program/ChildProcessCommand.java
+++ b/src/main/java/lilaclever/program/ChildProcessCommand.java
@@ -4,9 +4,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** How this program is started again, as a process of its own. */
+/** Builds the command line that starts this program as a child process. */
 final class ChildProcessCommand {
-    /** As the platform starts it, but for limits that depend on its machine. */
+    /** The flags of a production start, with memory limits for a child process. */
     private static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
@@ -19,7 +19,7 @@
 
     private ChildProcessCommand() {}
 
-    /** The command line of a sub-command. */
+    /** Returns the command line of a sub-command. */
     static List<String> command(String... arguments) {
         List<String> command = new ArrayList<>();
         command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
@@ -41,7 +41,7 @@
         return String.join(java.io.File.pathSeparator, parts);
     }
 
-    /** The archive of classes beside the jar that this process runs from; null if there is none. */
+    /** Returns the class data archive beside the jar that this process runs from, or null if there is none. */
     private static Path classArchive() {
         String classPath = System.getProperty("java.class.path");
         Path archive = Path.of(classPath.replaceFirst("\\.jar$", ".jsa")).toAbsolutePath();
--- a/src/main/java/lilaclever/program/ClassTable.java
+++ b/src/main/java/lilaclever/program/ClassTable.java
@@ -12,18 +12,20 @@
 import lilaclever.conf.ConfigurationException;
 
 /**
- * Classes by the numbers that they have in the module, in fronts and in the journal. Messages under way keep their
- * class, so a number never gets another meaning: a class that is new or has changed gets the next one, and one that has
- * vanished keeps its own without a name. What was renewed while running is noted, since messages outlast the process.
+ * Message classes by their numbers, which the decision module, the fronts and the journal use. Pending messages keep
+ * their class, so a number never changes its meaning: a new or changed class gets the next number, and a removed class
+ * keeps its number without a name. A table that changes at run time is saved, since messages outlast the process.
  */
 record ClassTable(List<String> names, List<MessageClass> classes) {
-    /** Numbers at most, and what the note and the one written beside it take on disk. */
+    /** Limit of the numbers in use. */
     static final int MAX_CLASSES = 128;
 
+    /** Disk space for the file and the new one that is written beside it. */
     static final long RESERVED_BYTES = 2 * MAX_CLASSES * 256L;
+
     private static final String FILE = "classes";
 
-    /** The table in which these classes are those that may be handed in. */
+    /** Returns a table in which exactly these classes have names, so that messages of them can be submitted. */
     ClassTable withCurrentClasses(List<String> currentNames, List<MessageClass> current) throws ConfigurationException {
         List<String> allNames = new ArrayList<>(Collections.nCopies(classes.size(), ""));
         List<MessageClass> allClasses = new ArrayList<>(classes);
@@ -40,29 +42,29 @@
         if (allClasses.size() > MAX_CLASSES) {
             throw new ConfigurationException(
                     "settings.requestClasses",
-                    "with all that came before more than " + MAX_CLASSES
-                            + " classes; a start with an empty state folder counts anew");
+                    "more than " + MAX_CLASSES
+                            + " classes, with all earlier ones; a start with an empty state folder resets the numbers");
         }
         return new ClassTable(List.copyOf(allNames), List.copyOf(allClasses));
     }
 
-    /** The table that was noted in the folder; null if there is none. */
+    /** Reads the table saved in the folder; returns null if there is none. */
     static ClassTable read(Path state) throws ConfigurationException {
         Path file = state.resolve(FILE);
         try {
             return Files.exists(file) ? new Gson().fromJson(Files.readString(file), ClassTable.class) : null;
         } catch (IOException | JsonParseException e) {
-            // To start without it would take messages for those of another class.
+            // A start without the file would assign messages to wrong classes.
             throw new ConfigurationException("state", FILE + " can't be read: " + e);
         }
     }
 
-    /** Notes the table in so many bytes at the most: the old note stays until the new one is whole. */
+    /** Saves the table, with a size limit; the old file stays until the new one is complete. */
     void write(Path state, long maxBytes) throws IOException {
         String text = new Gson().toJson(this);
         if (text.length() > maxBytes) {
             throw new IOException(
-                    text.length() + " bytes are more than the " + maxBytes + " that limits.disk_mb leaves for it");
+                    text.length() + " bytes exceed the " + maxBytes + " that limits.disk_mb leaves for it");
         }
         Config.replaceStateFile(state, FILE, text);
     }
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -29,9 +29,9 @@
 import lilaclever.transport.Transport;
 
 /**
- * The one place where configuration is read, checked and given defaults. The file is named by {@code ROUTER_CONFIG};
- * the other variables override it. {@code known} is the list of endpoints that a start begins with; it is null where
- * the file has none, and in a configuration that was read again or is in force ({@link #withoutKnown}).
+ * Reads and checks the configuration, and sets defaults. The environment variable {@code ROUTER_CONFIG} names the file;
+ * the other variables override its values. {@code known} is the initial endpoint list; it is null if the file has none,
+ * and in a configuration that was reloaded or is in use ({@link #withoutKnown}).
  */
 record Config(
         String name,
@@ -52,14 +52,14 @@
     private static final double DEFAULT_DISK_MB = 3;
     private static final int DEFAULT_SOCKETS = 1024, MIN_SOCKETS = 64;
     private static final String DISCOVERY_FILE = "discovery";
-    /** What the note takes on disk, and the one of endpoints out by hand, written beside the old one. */
+    /** Disk space for the discovery file, and for the suspensions with the new file written beside the old one. */
     private static final long DISCOVERY_FILE_BYTES = 512, SUSPENDED_RESERVED_BYTES = 2 * ManualDrains.NOTE_BYTES;
 
     private static final String SUSPENDED_FILE = "suspended";
-    /** Descriptors that the machine itself needs, and some for files of the journal. */
+    /** Descriptors that the Java runtime and the journal's files need; shares of all sockets are 1 / divisor. */
     private static final int RESERVED_SOCKETS = 40, IDLE_DIVISOR = 4, KEEP_ALIVE_DIVISOR = 6, MAIL_DIVISOR = 16;
 
-    /** Reads the configuration that the variables name, for a start. */
+    /** Reads the configuration for a start from the file that the environment names. */
     static Config read(Map<String, String> variables) throws ConfigurationException {
         Config read = readFile(variables, Set.of());
         ClassTable savedClasses = ClassTable.read(read.state);
@@ -69,7 +69,7 @@
                         savedClasses.withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
-    /** {@code needed}: keys of the settings that must not be missing. */
+    /** {@code requiredKeys}: keys of the settings that must be present. */
     private static Config readFile(Map<String, String> variables, Set<String> requiredKeys)
             throws ConfigurationException {
         String path = variables.get("ROUTER_CONFIG");
@@ -86,33 +86,33 @@
     }
 
     /**
-     * Notes that the file's discovery was taken on in place of the variable's. A start with the same file goes by the
-     * note: the variable may still be what it was at the first start.
+     * Records that the file's discovery address replaced that of the variable. A later start with the same file uses
+     * this record, because the variable may still have its value of the first start.
      */
     void saveDiscovery(Path state) throws IOException {
         Files.writeString(state.resolve(DISCOVERY_FILE), discovery);
     }
 
-    /** What the note of classes, and the one written beside it, take on disk. */
+    /** Returns the disk space for the class table and the new one that is written beside it. */
     private long classesReservedBytes() {
         return Math.min(ClassTable.RESERVED_BYTES, diskBytes / 16);
     }
 
-    /** What the note of departures, and the one written beside it, take on disk. */
+    /** Returns the disk space for the departures file and the new one that is written beside it. */
     long departuresReservedBytes() {
         return Math.min(DepartureFile.RESERVED_BYTES, diskBytes / 16);
     }
 
-    /** Notes the classes, if there is room. */
+    /** Saves the classes; fails if they exceed the space reserved for them. */
     void saveClasses() throws ConfigurationException {
         try {
             table().write(state, classesReservedBytes() / 2);
         } catch (IOException e) {
-            throw new ConfigurationException("settings", "can't be noted on disk: " + e.getMessage());
+            throw new ConfigurationException("settings", "can't be saved on disk: " + e.getMessage());
         }
     }
 
-    /** What the notes take on disk. */
+    /** Returns the disk space for all files in the state folder except the journal. */
     long stateFilesBytes() {
         return DISCOVERY_FILE_BYTES
                 + classesReservedBytes()
@@ -120,18 +120,18 @@
                 + (operator == null ? 0 : SUSPENDED_RESERVED_BYTES);
     }
 
-    /** Ids of endpoints that were taken out by hand in an earlier life. */
+    /** Reads the ids of the endpoints that an operator suspended in an earlier process run. */
     Set<String> readSuspended() throws ConfigurationException {
         try {
             Path file = state.resolve(SUSPENDED_FILE);
             return Files.exists(file) ? new LinkedHashSet<>(Files.readAllLines(file)) : Set.of();
         } catch (IOException e) {
-            // To start without it would send to what an operator has taken out.
+            // A start without the file would send to suspended endpoints.
             throw new ConfigurationException("state", SUSPENDED_FILE + " can't be read: " + e);
         }
     }
 
-    /** Notes the ids of endpoints that are out by hand. */
+    /** Saves the ids of the suspended endpoints. */
     static void saveSuspended(Path state, Set<String> ids) throws IOException {
         replaceStateFile(
                 state,
@@ -139,7 +139,7 @@
                 ids.stream().map(id -> id + System.lineSeparator()).collect(Collectors.joining()));
     }
 
-    /** Writes a note in the state folder: the old one stays until the new one is whole. */
+    /** Replaces a file in the state folder; the old one stays until the new one is complete. */
     static void replaceStateFile(Path state, String name, String text) throws IOException {
         Path complete = Files.writeString(state.resolve(name + ".new"), text);
         Files.move(complete, state.resolve(name), StandardCopyOption.ATOMIC_MOVE);
@@ -155,14 +155,14 @@
                 return text("discovery", root, "discovery", null);
             }
         } catch (IOException e) {
-            Logs.warn("", "note-unreadable", DISCOVERY_FILE + " can't be read: " + e); // as if there were none
+            Logs.warn("", "note-unreadable", DISCOVERY_FILE + " can't be read: " + e); // treated as absent
         }
         return value(variables, "ROUTER_DISCOVERY", root, "discovery", null);
     }
 
     /**
-     * Reads the file again, which must have every key of the settings in use. What it says of discovery wins over the
-     * variable, which a running process keeps as it was at its start.
+     * Reads the file again; it must have every key of the settings in use. Its discovery address takes precedence over
+     * the variable, which cannot change in a running process.
      */
     static Config reread(Map<String, String> variables, Config current) throws ConfigurationException {
         Map<String, String> otherVariables = new HashMap<>(variables);
@@ -170,12 +170,12 @@
         return readFile(otherVariables, current.keys);
     }
 
-    /** How often a message may be attempted. */
+    /** Limit of the attempts for one message. */
     private int maxAttempts() {
         return settings.limits().maxAttempts();
     }
 
-    /** The same without the list of endpoints, which grows with the fleet and is of use at the start alone. */
+    /** Returns a copy without the endpoint list, which grows with the fleet and is needed at the start only. */
     Config withoutKnown() {
         return with((EndpointList) null);
     }
@@ -198,7 +198,7 @@
                 keys);
     }
 
-    /** The same with other classes and attempts: what can change while the program runs. */
+    /** Returns a copy with other classes and attempts, the settings that can change at run time. */
     private Config with(ClassTable table, int maxAttempts) {
         DecisionModule.Settings oldSettings = settings;
         DecisionModule.Limits oldLimits = oldSettings.limits();
@@ -245,17 +245,17 @@
                 keys);
     }
 
-    /** The classes by number. */
+    /** Returns the classes by number. */
     ClassTable table() {
         return new ClassTable(classNames, settings.classes());
     }
 
-    /** This one with what can be taken over of another while the program runs. */
+    /** Returns a copy with those settings of another configuration that can change at run time. */
     Config withReloadableSettings(Config read) throws ConfigurationException {
         return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
-    /** Keys of the settings, of objects in lists those that all of them have. */
+    /** Returns the paths of all keys; of objects in a list, those that all of them have. */
     private static Set<String> keys(JsonObject in, String path) {
         Set<String> all = new LinkedHashSet<>();
         in.entrySet().forEach(e -> {
@@ -283,20 +283,21 @@
         return common;
     }
 
-    /** Idle connections to endpoints at most. */
-    int maxIdleConnections() {
+    /** Limit of idle connections to endpoints. */
+    int maxIdle() {
         return sockets / IDLE_DIVISOR;
     }
 
-    /** Mail connections of each sort at most: SMTP clients, LMTP clients, idle ones to servers. */
-    int maxMailConnections() {
+    /** Limit of mail connections of each sort: from SMTP clients, from LMTP clients, idle ones to servers. */
+    int maxMail() {
         return sockets / MAIL_DIVISOR;
     }
 
     /**
-     * Connections of clients at most: what the program itself, calls, idle connections, mail and other fronts leave.
+     * Limit of HTTP client connections: what remains after the program itself, calls, idle connections, mail and other
+     * fronts.
      */
-    int maxClientConnections(boolean mail, int otherConnections) {
+    int maxClients(boolean mail, int otherConnections) {
         int operators = operator == null ? 0 : OperatorPort.MOST + 1;
         return Math.max(
                 1,
@@ -304,19 +305,19 @@
                         - RESERVED_SOCKETS
                         - operators
                         - settings.limits().slots()
-                        - maxIdleConnections()
-                        - (mail ? 3 * maxMailConnections() : 0)
+                        - maxIdle()
+                        - (mail ? 3 * maxMail() : 0)
                         - otherConnections);
     }
 
-    /** With more connections of clients than this none stays idle. */
+    /** HTTP client connections above this number are not kept alive when idle. */
     int keepAliveClientLimit() {
         return sockets / KEEP_ALIVE_DIVISOR;
     }
 
     /**
-     * The keys, but for discovery, classes and attempts, whose values differ from those of a configuration in use: they
-     * need a restart.
+     * Returns the keys whose values differ from those in use and take effect only after a restart: all except
+     * discovery, classes and attempts.
      */
     List<String> keysNeedingRestart(Config current) {
         List<String> keys = new ArrayList<>();
@@ -355,7 +356,7 @@
         return object("ROUTER_CONFIG", parseJson("ROUTER_CONFIG", text));
     }
 
-    /** The list of endpoints that a start begins with, or null. */
+    /** Returns the initial endpoint list, or null. */
     private static EndpointList known(JsonObject root) throws ConfigurationException {
         if (!root.has("known") || root.get("known").isJsonNull()) {
             return null;
@@ -368,7 +369,7 @@
         }
     }
 
-    /** All but the list of endpoints. */
+    /** Parses all except the endpoint list. */
     private static Config parse(JsonObject root, Map<String, String> variables, Set<String> requiredKeys)
             throws ConfigurationException {
         JsonObject settings = root.has("settings") ? object("settings", root.get("settings")) : new JsonObject();
@@ -442,15 +443,15 @@
         }
     }
 
-    // ---- the mail file ------------------------------------------------------------------------------------
+    // Mail file
     private static final String DEFAULT_CLASS_HEADER = "X-Message-Class";
     private static final int DEFAULT_MAX_BYTES = 64 * 1024;
     private static final int DEFAULT_MAX_RECIPIENTS = 100;
     private static final double DEFAULT_IDLE_SECONDS = 300;
-    /** Numbers under this are the platform's: mail must not go to its endpoints, nor its messages to ours. */
+    /** Lower numbers belong to the platform, so that mail and other messages never share a destination. */
     private static final int FIRST_MAIL_DESTINATION = 1_000_000;
 
-    /** Reads the mail file; its classes are those of the settings. */
+    /** Reads the mail file, which refers to the classes of the settings. */
     MailSettings readMail(Path path) throws ConfigurationException {
         try {
             return parseMail(Files.readString(path));
@@ -531,7 +532,7 @@
             }
         }
         throw new ConfigurationException(
-                "settings.requestClasses", "mail of no known class needs one that must not be repeated");
+                "settings.requestClasses", "mail of unknown class needs a class that is non_idempotent");
     }
 
     private int classNumber(String key, String className) throws ConfigurationException {
@@ -559,7 +560,7 @@
         return (int) value;
     }
 
-    // ---- JSON -------------------------------------------------------------------------------------------
+    // JSON
     static JsonElement parseJson(String key, String text) throws ConfigurationException {
         try {
             return JsonParser.parseString(text);
@@ -587,7 +588,7 @@
         List<String> all = new ArrayList<>();
         for (JsonElement e : list(path, in, key)) {
             if (!e.isJsonPrimitive()) {
-                throw new ConfigurationException(path, "holds something that is no text");
+                throw new ConfigurationException(path, "contains an element that is not a string");
             }
             all.add(e.getAsString());
         }
@@ -603,7 +604,7 @@
             return defaultValue;
         }
         if (!value.isJsonPrimitive()) {
-            throw new ConfigurationException(path, "not a text");
+            throw new ConfigurationException(path, "not a string");
         }
         return value.getAsString();
     }
--- a/src/main/java/lilaclever/program/DepartureFile.java
+++ b/src/main/java/lilaclever/program/DepartureFile.java
@@ -16,18 +16,19 @@
 import lilaclever.routing.EndpointMembership.Departure;
 
 /**
- * The file of endpoints that were heard to leave, in the state folder: {@code departures}, oldest first. A line has the
- * endpoint's name, the agent's address, the index of the list and the time of the wall clock in microseconds, separated
- * by tabs; name and address are percent-encoded. Where there is no room for all, the oldest are left out.
+ * Reads and writes the file {@code departures} in the state folder, the endpoints that discovery reported as removed,
+ * oldest first. A line has the endpoint's name, the agent's address, the index of the endpoint list and the wall-clock
+ * time in microseconds, separated by tabs; name and address are percent-encoded. If not all fit, the oldest are left
+ * out.
  */
 final class DepartureFile {
-    /** What the file and the one that is written beside it take on disk at most. */
+    /** Disk space for the file and the new one that is written beside it. */
     public static final long RESERVED_BYTES = 96 * 1024;
 
     static final String FILE = "departures";
-    /** Bytes of the file at most: some 900 endpoints. */
+    /** Size limit of the file: about 900 endpoints. */
     static final int MAX_FILE_BYTES = (int) RESERVED_BYTES / 2;
-    /** Bytes of a line at most, with its end. */
+    /** Size limit of a line, with its line feed. */
     static final int MAX_LINE_BYTES = 512;
 
     private static final int FIELDS = 4;
@@ -35,16 +36,17 @@
     private DepartureFile() {}
 
     /**
-     * Reads the file in the folder; what is damaged is logged and passed over.
+     * Reads the file in the folder; damaged lines are logged and ignored.
      *
-     * @throws ConfigurationException if there is a file that can't be read: a start without it could send to what left
+     * @throws ConfigurationException if the file exists but can't be read: a start without it could send to removed
+     *     endpoints
      */
     static List<Departure> read(Path state) throws ConfigurationException {
         Path file = state.resolve(FILE);
         try (InputStream in = Files.newInputStream(file)) {
             byte[] bytes = in.readNBytes(MAX_FILE_BYTES + 1);
             if (bytes.length > MAX_FILE_BYTES) {
-                logDamage(file, "is longer than " + MAX_FILE_BYTES + " bytes, the rest is passed over");
+                logDamage(file, "is longer than " + MAX_FILE_BYTES + " bytes; the rest is ignored");
             }
             return parse(file, new String(bytes, StandardCharsets.US_ASCII));
         } catch (NoSuchFileException e) {
@@ -61,13 +63,13 @@
         for (int from = 0; from < text.length(); from = end + 1, number++) {
             end = text.indexOf('\n', from);
             if (end < 0) {
-                logDamage(file, "line " + number + " has no end");
+                logDamage(file, "line " + number + " is not terminated");
                 break;
             }
             try {
                 departures.add(departure(text.substring(from, end)));
             } catch (IllegalArgumentException e) {
-                logDamage(file, "line " + number + " is passed over: " + e.getMessage());
+                logDamage(file, "line " + number + " is ignored: " + e.getMessage());
             }
         }
         return departures;
@@ -76,7 +78,7 @@
     private static Departure departure(String line) {
         String[] fields = line.split("\t", -1);
         if (fields.length != FIELDS || fields[0].isEmpty() || fields[1].isEmpty()) {
-            throw new IllegalArgumentException("not a name, an agent, an index and a time");
+            throw new IllegalArgumentException("expected a name, an agent, an index and a time");
         }
         return new Departure(
                 decoded(fields[0]), decoded(fields[1]), Long.parseLong(fields[2]), Long.parseLong(fields[3]));
@@ -86,14 +88,14 @@
         Logs.warn("", "departures-damaged", file + " " + problem);
     }
 
-    /** Replaces the file in the folder by one of at most {@link #MAX_FILE_BYTES}. */
+    /** Replaces the file in the folder, with the size limit {@link #MAX_FILE_BYTES}. */
     static void write(Path state, List<Departure> departures) throws IOException {
         write(state, departures, MAX_FILE_BYTES);
     }
 
     /**
-     * Replaces the file in the folder by one of so many bytes at most. A line that would be too long is left out; of
-     * the others the oldest are.
+     * Replaces the file in the folder, with a size limit. Lines that are too long are omitted, and the oldest of the
+     * others if not all fit.
      */
     static void write(Path state, List<Departure> departures, long maxBytes) throws IOException {
         List<String> lines = new ArrayList<>(departures.size());
--- a/src/main/java/lilaclever/program/FileWatch.java
+++ b/src/main/java/lilaclever/program/FileWatch.java
@@ -10,15 +10,15 @@
 import lilaclever.log.Logs;
 
 /**
- * Runs a task whenever a file has changed, on a thread of its own. It looks at the file's attributes at a fixed pace,
- * which needs no descriptor; a file that is replaced, rewritten or appears counts as changed, one that vanishes does
- * not. Where a change is seen half written, the rest is seen as another one.
+ * Runs a task on a separate thread whenever a file has changed. It polls the file's attributes, which needs no
+ * descriptor. A file that is replaced, rewritten or created counts as changed, a deleted one does not. If a poll sees a
+ * partly written file, the rest counts as another change.
  */
 final class FileWatch {
-    /** Between two looks, milliseconds: a new configuration has to be in force 4 s after it was announced. */
+    /** Well below the 4 s within which an announced configuration must take effect. */
     static final long POLL_PERIOD_MILLIS = 500;
 
-    /** What tells one state of a file from another without reading it. */
+    /** Attributes that distinguish versions of a file without reading it. */
     private record Version(FileTime modified, long size, Object fileKey) {}
 
     private final Path file;
@@ -31,7 +31,7 @@
         this.lastVersion = version();
     }
 
-    /** Starts to look at the file; what it is now has not changed. The thread does not keep the program alive. */
+    /** Starts polling on a daemon thread; the current version does not count as a change. */
     static void start(Path file, Runnable onChange) {
         FileWatch watch = new FileWatch(file, onChange);
         Thread thread = new Thread(watch::run, "file-watch");
@@ -59,11 +59,11 @@
         try {
             onChange.run();
         } catch (RuntimeException e) {
-            Logs.error("", "file-watch-failed", file + " has changed, and to take it in failed: " + e);
+            Logs.error("", "file-watch-failed", file + " has changed, but the reload failed: " + e);
         }
     }
 
-    /** Null while there is no such file. */
+    /** Returns null while there is no such file. */
     private Version version() {
         try {
             BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -31,9 +31,9 @@
 import lilaclever.routing.ManualDrains;
 import lilaclever.transport.Transport;
 
-/** The parts of the serving program, put together, started and stopped. */
+/** Assembles, starts and stops the components of the forwarder. */
 final class Forwarder {
-    /** After the signal: so long clients still come, so long calls may be out, and then the end. */
+    /** Since the signal: clients are accepted until the first, calls run until the second, all ends at the third. */
     private static final long ACCEPT_PERIOD_MICROS = 500_000,
             CALL_DEADLINE_MICROS = 3_200_000,
             SHUTDOWN_DEADLINE_MICROS = 3_400_000;
@@ -44,7 +44,7 @@
     private final SegmentedJournal journal;
     private final Core core;
     private final HttpFront httpFront;
-    /** As it is in force: renewed at SIGHUP. */
+    /** The configuration in use; a reload replaces it. */
     private Config config;
 
     private final Notices notices;
@@ -52,14 +52,14 @@
     private final CountDownLatch stopped = new CountDownLatch(1);
     private MllpFront mllpFront;
     private final List<MailFront> mailFronts = new ArrayList<>();
-    private final List<SocketAddress> listenAddresses = new ArrayList<>();
+    private final List<SocketAddress> addresses = new ArrayList<>();
 
     private Forwarder(Config config, OperatorSettings operator, MailSettings mail)
             throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
         DecisionModule.Settings settings = config.settings();
-        long connectTimeoutMicros = settings.limits().connectTimeoutMicros();
-        long keepAliveMicros = settings.limits().keepAliveMicros();
+        long connect = settings.limits().connectTimeoutMicros();
+        long keepAlive = settings.limits().keepAliveMicros();
         transport = new Transport();
         journal = new SegmentedJournal(
                 FolderDisk.take(config.state()),
@@ -71,13 +71,12 @@
         registerJournalMetrics(journal, counters);
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
-        Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
+        Path state = config.state(); // lambdas must not retain the configuration with its endpoint list
         ManualDrains manualDrains =
                 new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
-        HttpDeliverer deliverer =
-                new HttpDeliverer(core, transport, connectTimeoutMicros, keepAliveMicros, config.maxIdleConnections());
-        notices = new Notices(core, transport, config.discovery(), connectTimeoutMicros, keepAliveMicros);
-        long departureFileBytes = config.departuresReservedBytes() / 2; // the new note is written beside the old one
+        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keepAlive, config.maxIdle());
+        notices = new Notices(core, transport, config.discovery(), connect, keepAlive);
+        long departureFileBytes = config.departuresReservedBytes() / 2; // the new file is written beside the old one
         EndpointMembership membership = new EndpointMembership(
                 DepartureFile.read(state), departures -> DepartureFile.write(state, departures, departureFileBytes));
         counters.gauge("departed", membership::departureCount);
@@ -87,33 +86,25 @@
                 config.discovery(),
                 deliverer,
                 new Directory.Names(config.kinds(), config.zones(), settings.kinds()),
-                connectTimeoutMicros,
-                keepAliveMicros,
+                connect,
+                keepAlive,
                 membership,
                 manualDrains::listing);
         httpFront = new HttpFront(
                 core,
                 config.classNames(),
                 settings.classes(),
-                config.maxClientConnections(mail != null, operator.mllpConnections()),
+                config.maxClients(mail != null, operator.mllpConnections()),
                 config.keepAliveClientLimit(),
                 notices,
                 operator.identity().practiceHeader());
         core.add(httpFront);
         if (mail != null) {
             for (MailSettings.Protocol protocol : MailSettings.Protocol.values()) {
-                mailFronts.add(new MailFront(core, mail, protocol, config.maxMailConnections()));
+                mailFronts.add(new MailFront(core, mail, protocol, config.maxMail()));
             }
             mailFronts.forEach(core::add);
-            new MailDeliverer(
-                            core,
-                            transport,
-                            mail,
-                            settings.zone(),
-                            connectTimeoutMicros,
-                            keepAliveMicros,
-                            config.maxMailConnections())
-                    .start();
+            new MailDeliverer(core, transport, mail, settings.zone(), connect, keepAlive, config.maxMail()).start();
         }
         if (operator.mllp() != null) {
             mllpFront = new MllpFront(core, operator.mllp());
@@ -130,20 +121,19 @@
                         version,
                         listed.stream().map(Forwarder::withoutNewMessages).toList()),
                 version);
-        listenAddresses.add(httpFront.listen(transport, Transport.address(config.listen())));
+        addresses.add(httpFront.listen(transport, Transport.address(config.listen())));
         if (config.operator() != null) {
-            listenAddresses.add(
-                    new OperatorPort(core, manualDrains).listen(transport, Transport.address(config.operator())));
+            addresses.add(new OperatorPort(core, manualDrains).listen(transport, Transport.address(config.operator())));
         }
         for (MailFront each : mailFronts) {
-            listenAddresses.addAll(each.listen(transport));
+            addresses.addAll(each.listen(transport));
         }
         if (mllpFront != null) {
-            listenAddresses.addAll(mllpFront.listen(transport));
+            addresses.addAll(mllpFront.listen(transport));
         }
     }
 
-    /** Until discovery has answered nothing new goes to an endpoint that is only known. */
+    /** Marks an active endpoint as leaving: before discovery has answered it gets no new messages. */
     private static Core.Listed withoutNewMessages(Core.Listed listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
@@ -159,12 +149,12 @@
         counters.figure("journal_damages", () -> journal.recovered().damages().size());
     }
 
-    /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
+    /** Starts all components without an operator's file; {@code mail} is null if mail is disabled. */
     static Forwarder start(Config config, MailSettings mail) throws IOException, ConfigurationException {
         return start(config, OperatorSettings.defaults(config), mail);
     }
 
-    /** Starts all parts. */
+    /** Starts all components; {@code mail} is null if mail is disabled. */
     static Forwarder start(Config config, OperatorSettings operator, MailSettings mail)
             throws IOException, ConfigurationException {
         Forwarder forwarder = new Forwarder(config, operator, mail);
@@ -172,22 +162,23 @@
                 "",
                 "sizes",
                 config.settings().limits().slots() + " slots, "
-                        + config.settings().limits().maxOpenMessages() + " held, " + config.sockets() + " sockets: "
-                        + config.maxClientConnections(mail != null, operator.mllpConnections()) + " for clients, "
-                        + config.maxIdleConnections() + " idle to endpoints");
-        Logs.info("", "serves", config.name() + " serves at " + forwarder.listenAddresses);
+                        + config.settings().limits().maxOpenMessages() + " pending messages, " + config.sockets()
+                        + " sockets: "
+                        + config.maxClients(mail != null, operator.mllpConnections()) + " for clients, "
+                        + config.maxIdle() + " idle connections to endpoints");
+        Logs.info("", "serves", config.name() + " serves at " + forwarder.addresses);
         return forwarder;
     }
 
     /**
-     * Where it listens: HTTP first, then the operators' address if there is one, then SMTP and LMTP in the order of the
-     * mail file, then HL7.
+     * Returns the listening addresses: HTTP, then the operator port if there is one, then SMTP, then LMTP, each in the
+     * order of the mail file, then HL7.
      */
     List<SocketAddress> addresses() {
-        return listenAddresses;
+        return addresses;
     }
 
-    /** Takes a new configuration file on; a faulty one changes nothing. Any thread, one at a time. */
+    /** Reloads the configuration file; an invalid one changes nothing. May be called on any thread. */
     synchronized void reload(Map<String, String> variables) {
         try {
             Config read = Config.reread(variables, config);
@@ -203,7 +194,8 @@
             try {
                 read.saveDiscovery(config.state());
             } catch (IOException e) {
-                Logs.warn("", "discovery-not-noted", "a restart may go to the old discovery: " + e);
+                Logs.warn(
+                        "", "discovery-not-noted", "discovery address not saved, a restart may use the old one: " + e);
             }
             core.post(() -> {
                 directory.move(read.discovery());
@@ -215,7 +207,7 @@
         }
     }
 
-    /** Has other classes and attempts hold, once they are noted; messages under way keep their class. */
+    /** Applies new classes and attempts after saving them; pending messages keep their class. */
     private void apply(Config next) throws ConfigurationException {
         if (next.equals(config)) {
             return;
@@ -229,7 +221,7 @@
             applied.countDown();
         });
         try {
-            applied.await(1, TimeUnit.SECONDS); // what is logged then is true
+            applied.await(1, TimeUnit.SECONDS); // so that the line below is logged after the change
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -245,7 +237,7 @@
                         + next.settings().limits().maxAttempts() + " attempts");
     }
 
-    /** Ends well: nothing that the coming kill could cut is started, and the journal has the rest. */
+    /** Shuts down gracefully, before the supervisor kills the process; what is pending then stays in the journal. */
     void stop() {
         try {
             core.post(this::beginShutdown);
@@ -255,7 +247,7 @@
             journal.close();
             transport.close();
         } catch (InterruptedException | IOException e) {
-            Logs.error("", "end-failed", "at the end: " + e);
+            Logs.error("", "end-failed", "shutdown failed: " + e);
         }
     }
 
--- a/src/main/java/lilaclever/program/Help.java
+++ b/src/main/java/lilaclever/program/Help.java
@@ -5,11 +5,10 @@
 import java.util.List;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** What {@code --help} prints: all sub-commands, or one with its options and an example. */
+/** Prints the help: all sub-commands, or one with its options and examples. */
 final class Help {
     private static final int USAGE_WIDTH = 100;
 
-    /** A sub-command for people. */
     private record Description(
             String name, Class<? extends Main.Command> type, String summary, List<String> examples) {}
 
@@ -18,7 +17,7 @@
             new Description(
                     "serve",
                     Main.ServeCommand.class,
-                    "serves until it is told to end (SIGTERM); SIGHUP reads the configuration again",
+                    "serves until SIGTERM; SIGHUP reads the configuration again",
                     List.of("ROUTER_CONFIG=config.json " + COMMAND_LINE + "serve --conf deploy/lilaclever.conf")),
             new Description(
                     "check-config",
@@ -29,14 +28,14 @@
             new Description(
                     "journal",
                     JournalCommand.class,
-                    "looks into the state folder of a program that is stopped",
+                    "inspects or compacts the state folder of a stopped program",
                     List.of(
                             COMMAND_LINE + "journal verify /var/lib/lilaclever",
                             COMMAND_LINE + "journal export /var/lib/lilaclever")),
             new Description(
                     "rehearse",
                     RehearseCommand.class,
-                    "plays a day, in virtual time or on sockets, and reports service and broken rules",
+                    "simulates a day, in virtual time or on sockets, and reports service and broken rules",
                     List.of(
                             COMMAND_LINE + "rehearse list",
                             COMMAND_LINE + "rehearse run month-end --runs 20",
@@ -52,21 +51,21 @@
             new Description(
                     "simhost",
                     Main.SimhostCommand.class,
-                    "plays the decision module on the simulator's wire (standard input and output)",
+                    "runs the decision module for the simulator (standard input and output)",
                     List.of(COMMAND_LINE + "simhost < transcript")),
             new Description(
-                    "version", Main.VersionCommand.class, "tells the version", List.of(COMMAND_LINE + "version")));
+                    "version", Main.VersionCommand.class, "prints the version", List.of(COMMAND_LINE + "version")));
 
     private Help() {}
 
-    /** True if the arguments ask for help. */
+    /** Returns whether the arguments ask for help. */
     static boolean isWanted(String[] args) {
         return args.length == 0
                 || args[0].equals("help")
                 || Arrays.stream(args).anyMatch(a -> a.equals("--help") || a.equals("-h"));
     }
 
-    /** Prints what the arguments ask for. */
+    /** Prints the help that the arguments ask for. */
     static void print(String[] args, PrintStream out) {
         List<String> words = Arrays.stream(args)
                 .filter(a -> !a.startsWith("-") && !a.equals("help"))
@@ -103,7 +102,7 @@
             out.println();
             parser.printUsage(out);
         } catch (ReflectiveOperationException example) {
-            throw new IllegalStateException("a sub-command without a constructor", example);
+            throw new IllegalStateException("sub-command without a public no-argument constructor", example);
         }
         out.println(description.examples().size() == 1 ? "example:" : "examples:");
         description.examples().forEach(example -> out.println("  " + example));
--- a/src/main/java/lilaclever/program/Interrupt.java
+++ b/src/main/java/lilaclever/program/Interrupt.java
@@ -1,16 +1,16 @@
 package lilaclever.program;
 
 /**
- * Ctrl-C (SIGINT) or SIGTERM during long work: the first tells it to end and to write what it has, the second ends the
- * program at once. Not by a hook of the machine's end: plots can't be drawn while that runs.
+ * Handles Ctrl-C (SIGINT) and SIGTERM during long work: the first signal asks the work to stop and write its results,
+ * the second ends the process at once. A shutdown hook would not do: plots can't be drawn while the JVM shuts down.
  */
 final class Interrupt {
-    /** What a shell gives for a program that Ctrl-C has ended. */
+    /** Exit code of a program that SIGINT ended, as shells report it. */
     static final int EXIT_CODE = 130;
 
     private volatile boolean requested, finished;
 
-    /** From now on, until {@link #finished}, signals are kept from ending the program. */
+    /** From now on, until {@link #finish}, the first signal does not end the process. */
     void handleSignals() {
         Signals.onSignal("INT", this::onSignal);
         Signals.onSignal("TERM", this::onSignal);
@@ -23,12 +23,12 @@
         requested = true;
     }
 
-    /** True once the program was told to end. */
+    /** Returns whether a signal has asked the work to stop. */
     boolean isRequested() {
         return requested;
     }
 
-    /** The work is over. */
+    /** Marks the work as finished; the next signal ends the process. */
     void finish() {
         finished = true;
     }
--- a/src/main/java/lilaclever/program/JournalCommand.java
+++ b/src/main/java/lilaclever/program/JournalCommand.java
@@ -11,11 +11,11 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code journal inspect|verify|compact|export FOLDER}: on the state folder of a program that is stopped. */
+/** {@code journal inspect|verify|compact|export FOLDER}: works on the state folder of a stopped program. */
 public final class JournalCommand implements Main.Command {
     private static final long MEGABYTE = 1024 * 1024;
 
-    /** What to do with the folder. */
+    /** Names are values of the command-line argument. */
     enum Action {
         INSPECT,
         VERIFY,
@@ -32,7 +32,7 @@
     @Option(
             name = "--disk-mb",
             metaVar = "N",
-            usage = "what the files may take together while compact works" + " (default 1024)")
+            usage = "limit of the disk space in MB that all files take during compact" + " (default 1024)")
     private long diskMegabytes = 1024;
 
     @Override
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -14,11 +14,11 @@
 import org.kohsuke.args4j.spi.SubCommandHandler;
 import org.kohsuke.args4j.spi.SubCommands;
 
-/** The command line: one sub-command, each with options of its own. */
+/** Parses the command line and runs one sub-command. */
 public final class Main {
     private static final String SUB_COMMAND_NAMES = "serve|simhost|check-config|journal|rehearse|selftest|version";
 
-    /** What a sub-command does; gives the exit code, or null while the program goes on running. */
+    /** A sub-command; returns the exit code, or null if the program keeps running. */
     interface Command {
         Integer run() throws Exception;
     }
@@ -60,7 +60,7 @@
             System.err.println("lilaclever: configuration: " + e.getMessage());
             code = 2;
         } catch (IOException e) {
-            // Threads of sockets would keep a program alive that serves nobody.
+            // After a failed start the socket threads would keep the process alive.
             System.err.println("lilaclever: " + e.getMessage());
             code = 1;
         }
@@ -69,7 +69,7 @@
         }
     }
 
-    /** Serves until the process is told to end. */
+    /** Serves until SIGTERM. */
     public static final class ServeCommand implements Command {
         @Option(name = "--mail", metaVar = "FILE", usage = "speak SMTP and LMTP too, as this file says")
         private Path mail;
@@ -84,7 +84,7 @@
                     conf == null ? OperatorSettings.defaults(config) : OperatorSettings.read(conf, config);
             Logs.configure(operator.log());
             CompletableFuture<Forwarder> serving = new CompletableFuture<>();
-            // Without a handler SIGHUP ends the machine: it is there before anybody can think that we are ready.
+            // Without a handler SIGHUP would end the process, so it is installed before the program reports ready.
             Runnable reload =
                     () -> serving.thenAccept(f -> f.reload(System.getenv())).join();
             Signals.onHangup(reload);
@@ -92,8 +92,8 @@
                 Logs.warn(
                         "",
                         "sighup-ignored",
-                        "SIGHUP is ignored by whoever started this program (nohup does that): a new configuration is"
-                                + " taken on once its file changes, not at the signal");
+                        "SIGHUP is ignored by whoever started this program (as nohup does): a new configuration is"
+                                + " applied when its file changes, not at the signal");
                 FileWatch.start(Path.of(System.getenv("ROUTER_CONFIG")), reload);
             }
             Forwarder forwarder = Forwarder.start(config, operator, mail == null ? null : config.readMail(mail));
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Plays the decision module on the simulator's wire. */
+    /** Runs the decision module for the simulator, on standard input and output. */
     public static final class SimhostCommand implements Command {
         @Override
         public Integer run() {
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Delivers one message on the loopback. */
+    /** Delivers one message over the loopback. */
     public static final class SelfTestCommand implements Command {
         @Override
         public Integer run() throws Exception {
@@ -148,7 +148,7 @@
         }
     }
 
-    /** Tells the version. */
+    /** Prints the version. */
     public static final class VersionCommand implements Command {
         @Override
         public Integer run() {
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -16,13 +16,12 @@
 import lilaclever.transport.AddressSet;
 import lilaclever.transport.Transport;
 
-/** The sections of the operator's file for the HL7 ports; without a listener they are off, and no library is loaded. */
+/** Reads the HL7 sections of the operator's file; without a listener HL7 is disabled and its library not loaded. */
 final class MllpSections {
-    /** The kinds of sections read here. */
     static final Set<String> SECTION_KINDS = Set.of("mllp", "hl7", "hl7-class", "hl7-destination", "practice");
 
     private static final long MILLISECOND_MICROS = 1000, SECOND_MICROS = 1_000_000, MINUTE_MICROS = 60 * SECOND_MICROS;
-    /** What HTTP takes too: partners are told no larger ones. */
+    /** The same limit as for HTTP: partners expect no larger messages. */
     private static final int MAX_MESSAGE_BYTES = 64 * 1024;
 
     private final ConfFile file;
@@ -35,7 +34,7 @@
         this.shared = shared;
     }
 
-    /** The settings; null if there is no listener. */
+    /** Returns the settings, or null if there is no listener. */
     MllpSettings read() throws ConfigurationException {
         Section hl7 = file.section("hl7");
         List<MllpSettings.Listener> listeners = new ArrayList<>();
@@ -58,8 +57,7 @@
             return null;
         }
         if (!shared) {
-            throw listenerError(
-                    "needs [identity] shared yes: a message must be known again on whichever port it comes");
+            throw listenerError("needs [identity] shared yes: a repeated message must be recognized on every port");
         }
         if (practices.isEmpty() && !anySender) {
             throw listenerError("nobody could send: needs a [practice NAME] with senders, or [hl7] any-sender yes");
@@ -135,7 +133,7 @@
             }
             for (String sender : s.words("senders")) {
                 if (practices.put(sender, s.qualifier()) != null) {
-                    throw s.error("senders", sender + " stands twice");
+                    throw s.error("senders", sender + " is listed twice");
                 }
             }
         }
@@ -157,7 +155,7 @@
                     throw s.error("events", "not an event such as ORM or ORM^O01: " + event);
                 }
                 if (events.put(event, number) != null) {
-                    throw s.error("events", event + " stands twice");
+                    throw s.error("events", event + " is listed twice");
                 }
             }
         }
@@ -172,7 +170,7 @@
             }
             for (String receiver : s.words("receivers")) {
                 if (destinations.put(receiver, Integer.valueOf(s.qualifier())) != null) {
-                    throw s.error("receivers", receiver + " stands twice");
+                    throw s.error("receivers", receiver + " is listed twice");
                 }
             }
         }
@@ -187,7 +185,7 @@
             }
         }
         if (needed) {
-            throw hl7.error("unknown-events", "no class of the settings may not be repeated: set it to no");
+            throw hl7.error("unknown-events", "no class of the settings is non_idempotent: set this to no");
         }
         return -1;
     }
--- a/src/main/java/lilaclever/program/OperatorSettings.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -15,22 +15,22 @@
 import lilaclever.protocol.mllp.MllpSettings;
 
 /**
- * The operator's settings: what {@code serve --conf FILE} adds to what the platform tells. Each subsystem has a section
- * and a record here; a file that is absent leaves all as the platform has it.
+ * The operator's settings, which {@code serve --conf FILE} adds to the platform's configuration. Each subsystem has a
+ * section in the file and a record here; without a file all settings have their defaults.
  */
 record OperatorSettings(JournalSettings journal, IdentitySettings identity, MllpSettings mllp, Logs.Settings log) {
     private static final long SECOND_MICROS = 1_000_000, HOUR_MICROS = 3600 * SECOND_MICROS;
 
-    /** {@code [journal]}: when records are forced, and how long the end of a message is remembered. */
+    /** {@code [journal]}: when records are synced to disk, and how long the final status of a message is retained. */
     record JournalSettings(Durability durability, long rememberMicros) {}
 
     /**
-     * {@code [identity]}: whether a message is known again on all ports, the header that names its practice on HTTP
-     * (null: HTTP has none), and how long ends are remembered.
+     * {@code [identity]}: whether repeated messages are recognized across all ports, the HTTP header that names the
+     * practice (null: none), and for how long final statuses are retained.
      */
     record IdentitySettings(boolean shared, String practiceHeader, IdempotencyWindows windows) {}
 
-    /** Connections that the HL7 ports may have. */
+    /** Limit of the connections of all HL7 ports. */
     int mllpConnections() {
         return mllp == null
                 ? 0
@@ -39,16 +39,16 @@
                         .sum();
     }
 
-    /** What holds without a file. */
+    /** Returns the settings that apply without a file. */
     static OperatorSettings defaults(Config config) {
         try {
             return of(ConfFile.empty(), config);
         } catch (ConfigurationException e) {
-            throw new IllegalStateException("the defaults are good", e);
+            throw new IllegalStateException("invalid default", e);
         }
     }
 
-    /** Reads and checks the file; classes and destinations are those of the platform's settings. */
+    /** Reads and checks the file, which refers to the classes of the platform's settings. */
     static OperatorSettings read(Path path, Config config) throws ConfigurationException {
         return of(ConfFile.read(path), config);
     }
@@ -92,7 +92,7 @@
     private static Logs.Settings log(ConfFile.Section s) throws ConfigurationException {
         Logs.Format form = s.choice("form", Logs.Format.class, Logs.Format.TEXT);
         if (form == Logs.Format.JSON && s.has("times")) {
-            throw s.error("times", "is for form text: JSON lines have their times");
+            throw s.error("times", "is for form text: JSON lines always have timestamps");
         }
         return new Logs.Settings(form, s.choice("level", Logs.Level.class, Logs.Level.INFO), s.flag("times", false));
     }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -30,11 +30,11 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code rehearse list|show|check|run|sweep|compare}: plays scenarios, in virtual time or on sockets, and reports. */
+/** {@code rehearse list|show|check|run|sweep|compare}: runs scenarios in virtual time or on sockets, and reports. */
 public final class RehearseCommand implements Main.Command {
     private static final int EXIT_PASSED = 0, EXIT_RULES_BROKEN = 1, EXIT_UNUSABLE = 2, EXIT_DOUBTFUL = 3;
 
-    /** What to do. */
+    /** Names are values of the command-line argument. */
     enum Action {
         LIST,
         SHOW,
@@ -54,7 +54,7 @@
             multiValued = true)
     private List<String> operands = new ArrayList<>();
 
-    @Option(name = "--seed", metaVar = "N", usage = "of the first run (default 1)")
+    @Option(name = "--seed", metaVar = "N", usage = "random seed of the first run (default 1)")
     private long seed = 1;
 
     @Option(name = "--runs", metaVar = "N", usage = "how many runs, each with the next seed (default 1; sweep: 5)")
@@ -66,17 +66,19 @@
     @Option(name = "--load", metaVar = "FROM:TO:STEP", usage = "with sweep: loads in percent (default 40:160:10)")
     private String loadRange = "40:160:10";
 
-    @Option(name = "--aim", metaVar = "N", usage = "with sweep: the service below which the aim is lost (default 0.9)")
+    @Option(name = "--aim", metaVar = "N", usage = "with sweep: the lowest acceptable service (default 0.9)")
     private double minService = 0.9;
 
     @Option(
             name = "--set",
             metaVar = "SECTION.KEY=VALUE",
-            usage = "in place of what the scenario says; with sweep, values parted by commas: "
-                    + "one point of the curve each")
+            usage = "overrides the scenario; with sweep, values separated by commas: " + "one point of the curve each")
     private List<String> overrides = new ArrayList<>();
 
-    @Option(name = "--threads", metaVar = "N", usage = "runs side by side (default: the cores; it changes no figure)")
+    @Option(
+            name = "--threads",
+            metaVar = "N",
+            usage = "runs in parallel (default: number of cores; results do not depend on it)")
     private int threads = Runtime.getRuntime().availableProcessors();
 
     @Option(
@@ -146,7 +148,7 @@
         return ScenarioReader.read(scenarioName(), overridesExcept(null));
     }
 
-    /** What the command line sets, but for one. */
+    /** Returns the overrides of the command line, except one. */
     private List<Overrides.Setting> overridesExcept(String excluded) throws ConfigurationException {
         List<Overrides.Setting> settings = new ArrayList<>();
         for (String s : overrides) {
@@ -162,7 +164,7 @@
         String tooLarge = sockets ? RealSockets.tooLarge(scenario) : null;
         if (tooLarge != null) {
             throw new ConfigurationException(
-                    "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; play it without");
+                    "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; run it without");
         }
         int runCount = Math.max(1, runs);
         boolean isSingle = runCount == 1;
@@ -247,7 +249,7 @@
         }
     }
 
-    /** Plays runs on several threads and hands their results over in order. */
+    /** Runs simulations on several threads and passes their results on in order. */
     private void runInParallel(int runCount, Simulation simulation, java.util.function.Consumer<Result> consumer)
             throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(runCount, threads)));
@@ -259,7 +261,7 @@
             }
             for (int i = 0; i < runCount; i++) {
                 consumer.accept(results.get(i).get());
-                results.set(i, null); // a run is large: what was told goes
+                results.set(i, null); // a result is large: freed once reported
             }
         } finally {
             pool.shutdownNow();
@@ -270,7 +272,7 @@
         Result run(int index) throws IOException;
     }
 
-    /** A point of a sweep: the scenario there, its place on the axis, and what people call it. */
+    /** A point of a sweep: its scenario, its position on the x axis and its label. */
     private record SweepPoint(Scenario scenario, double x, String label) {}
 
     private int sweep() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
@@ -296,7 +298,7 @@
                             broken.addAndGet(result.auditor().broken().size());
                         });
                 if (interrupt.isRequested()) {
-                    break; // a point of cut runs is none
+                    break; // interrupted runs give no valid point
                 }
                 allBroken.addAndGet(broken.get());
                 System.out.println(sweep.add(point.x(), point.label(), services, broken.get()));
@@ -338,7 +340,7 @@
         return overrides.stream().filter(s -> s.contains(",")).findFirst().orElse("");
     }
 
-    /** A point for each value of the one setting that has several. */
+    /** Returns a point for each value of the override that has several. */
     private List<SweepPoint> settingPoints() throws ConfigurationException {
         String sweptOverride = sweptOverride();
         if (overrides.stream().filter(s -> s.contains(",")).count() > 1) {
@@ -359,7 +361,7 @@
         return points;
     }
 
-    /** The same scenario at one load all the time. */
+    /** Returns a copy of the scenario with a constant load. */
     private static Scenario atLoad(Scenario s, double load) {
         return new Scenario(
                 s.name(),
--- a/src/main/java/lilaclever/program/SelfTest.java
+++ b/src/main/java/lilaclever/program/SelfTest.java
@@ -17,9 +17,9 @@
 import lilaclever.conf.ConfigurationException;
 
 /**
- * Shows that the program can start and deliver on this machine: a forwarder with a made-up configuration on the
- * loopback, one message, and one peer that is its platform and its endpoint. The build runs it too, to note which
- * classes a start needs: with these in an archive a start takes half the processor time.
+ * Checks that the program can start and deliver on this machine: a forwarder with a built-in configuration delivers one
+ * message over the loopback to a peer that acts as discovery service and endpoint. The build runs it too, to record
+ * the classes that a start loads: with a class data archive of them a start takes half the processor time.
  */
 final class SelfTest {
     private static final String CONFIG = """
@@ -48,7 +48,7 @@
         return "127.0.0.1:" + peer.getLocalPort();
     }
 
-    /** The exit code. */
+    /** Returns the exit code. */
     static int run() throws IOException, InterruptedException, ConfigurationException {
         Path state = Files.createTempDirectory("lilaclever");
         try {
@@ -102,7 +102,7 @@
                 }
                 in.skip(length);
                 boolean isWatch = requestLine.startsWith("GET") && requestLine.contains("wait_ms");
-                if (!isWatch) { // nothing ever changes
+                if (!isWatch) { // a watch is never answered: the list does not change
                     String body = requestLine.startsWith("GET") ? endpointList : "";
                     socket.getOutputStream()
                             .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
--- a/src/main/java/lilaclever/program/Signals.java
+++ b/src/main/java/lilaclever/program/Signals.java
@@ -9,13 +9,13 @@
 import lilaclever.log.Logs;
 
 /**
- * Signals of the system. The one way to them in Java is {@code sun.misc.Signal} of the module jdk.unsupported; the
- * compiler warns of its use, and that warning can't be turned off, so it is reached by name.
+ * Installs handlers for POSIX signals. Java offers only {@code sun.misc.Signal} of the module jdk.unsupported for this;
+ * it is called by reflection because the compiler's warning about its use can't be suppressed.
  */
 final class Signals {
     private Signals() {}
 
-    /** True if whoever started this program has SIGHUP ignored (nohup does): then no handler is ever called. */
+    /** Returns whether this process inherited an ignored SIGHUP, as from nohup: then no handler is ever called. */
     static boolean isHangupIgnored() {
         try (Stream<String> lines = Files.lines(Path.of("/proc/self/status"))) {
             return lines.filter(l -> l.startsWith("SigIgn:"))
@@ -25,12 +25,12 @@
         }
     }
 
-    /** Has the task run at each SIGHUP, on a thread of its own; what it throws is told and ends nothing. */
+    /** Runs the task at each SIGHUP, on a separate thread; an exception is logged and has no other effect. */
     static void onHangup(Runnable task) {
         onSignal("HUP", task);
     }
 
-    /** Has the task run at each such signal, on a thread of its own, in place of what the machine would do. */
+    /** Runs the task at each such signal, on a separate thread, instead of the default action of the JVM. */
     static void onSignal(String name, Runnable task) {
         try {
             Class<?> signal = Class.forName("sun.misc.Signal");
@@ -50,7 +50,7 @@
             signal.getMethod("handle", signal, handler)
                     .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
         } catch (ReflectiveOperationException | IllegalArgumentException e) {
-            Logs.warn("", "no-signal", "no SIG" + name + " here: " + e, "signal", name);
+            Logs.warn("", "no-signal", "SIG" + name + " can't be handled: " + e, "signal", name);
         }
     }
 
@@ -58,7 +58,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            Logs.error("", "signal-failed", "at a signal: " + e);
+            Logs.error("", "signal-failed", "signal handler failed: " + e);
         }
     }
 }
