--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -106,7 +106,7 @@
     /** Saves the classes; fails if they exceed the space reserved for them. */
     void saveClasses() throws ConfigurationException {
         try {
-            table().write(state, classesReservedBytes() / 2);
+            classTable().write(state, classesReservedBytes() / 2);
         } catch (IOException e) {
             throw new ConfigurationException("settings", "can't be saved on disk: " + e.getMessage());
         }
@@ -246,13 +246,13 @@
     }
 
     /** Returns the classes by number. */
-    ClassTable table() {
+    ClassTable classTable() {
         return new ClassTable(classNames, settings.classes());
     }
 
     /** Returns a copy with those settings of another configuration that can change at run time. */
     Config withReloadableSettings(Config read) throws ConfigurationException {
-        return with(table().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
+        return with(classTable().withCurrentClasses(read.classNames, read.settings.classes()), read.maxAttempts());
     }
 
     /** Returns the paths of all keys; of objects in a list, those that all of them have. */
@@ -339,7 +339,7 @@
         if (sockets != current.sockets) {
             keys.add("limits.sockets");
         }
-        if (!with(current.table(), current.maxAttempts()).settings.equals(current.settings)
+        if (!with(current.classTable(), current.maxAttempts()).settings.equals(current.settings)
                 || !kinds.equals(current.kinds)
                 || !zones.equals(current.zones)) {
             keys.add("settings");
--- a/src/main/java/lilaclever/program/Help.java
+++ b/src/main/java/lilaclever/program/Help.java
@@ -28,7 +28,7 @@
             new Description(
                     "journal",
                     JournalCommand.class,
-                    "inspects or compacts the state folder of a stopped program",
+                    "inspects, verifies, compacts or exports the state folder of a stopped program",
                     List.of(
                             COMMAND_LINE + "journal verify /var/lib/lilaclever",
                             COMMAND_LINE + "journal export /var/lib/lilaclever")),
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -26,12 +26,12 @@
 
     private final ConfFile file;
     private final Config config;
-    private final boolean shared;
+    private final boolean sharedIdentity;
 
-    MllpSections(ConfFile file, Config config, boolean shared) {
+    MllpSections(ConfFile file, Config config, boolean sharedIdentity) {
         this.file = file;
         this.config = config;
-        this.shared = shared;
+        this.sharedIdentity = sharedIdentity;
     }
 
     /** Returns the settings, or null if there is no listener. */
@@ -50,13 +50,14 @@
         Field deadline = field(hl7, "deadline", null);
         Set<String> processing = words(hl7, "processing", "P");
         Set<String> versions = words(hl7, "versions", "2.3 2.3.1 2.4 2.5 2.5.1");
-        int mostHeld = (int) hl7.integer("most-held", 200, 1, 1_000_000);
-        long owe = hl7.durationMicros("owe", 10 * MINUTE_MICROS, SECOND_MICROS, 24 * 60 * MINUTE_MICROS);
-        int mostOwed = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
+        int maxPendingMessages = (int) hl7.integer("most-held", 200, 1, 1_000_000);
+        long resultRetentionMicros =
+                hl7.durationMicros("owe", 10 * MINUTE_MICROS, SECOND_MICROS, 24 * 60 * MINUTE_MICROS);
+        int maxPendingResults = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
         if (listeners.isEmpty()) {
             return null;
         }
-        if (!shared) {
+        if (!sharedIdentity) {
             throw listenerError("needs [identity] shared yes: a repeated message must be recognized on every port");
         }
         if (practices.isEmpty() && !anySender) {
@@ -79,9 +80,9 @@
                 deadline,
                 processing,
                 versions,
-                mostHeld,
-                owe,
-                mostOwed);
+                maxPendingMessages,
+                resultRetentionMicros,
+                maxPendingResults);
     }
 
     private ConfigurationException listenerError(String problem) {
--- a/src/main/java/lilaclever/program/OperatorSettings.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -90,22 +90,22 @@
     }
 
     private static Logs.Settings log(ConfFile.Section s) throws ConfigurationException {
-        Logs.Format form = s.choice("form", Logs.Format.class, Logs.Format.TEXT);
-        if (form == Logs.Format.JSON && s.has("times")) {
+        Logs.Format format = s.choice("form", Logs.Format.class, Logs.Format.TEXT);
+        if (format == Logs.Format.JSON && s.has("times")) {
             throw s.error("times", "is for form text: JSON lines always have timestamps");
         }
-        return new Logs.Settings(form, s.choice("level", Logs.Level.class, Logs.Level.INFO), s.flag("times", false));
+        return new Logs.Settings(format, s.choice("level", Logs.Level.class, Logs.Level.INFO), s.flag("times", false));
     }
 
     private static JournalSettings journal(ConfFile.Section s) throws ConfigurationException {
-        Durability.How how = s.choice("durability", Durability.How.class, Durability.How.NONE);
+        Durability.How mode = s.choice("durability", Durability.How.class, Durability.How.NONE);
         long intervalMicros = s.durationMicros("interval", 50_000, 1000, 60 * SECOND_MICROS);
-        if (how != Durability.How.INTERVAL && s.has("interval")) {
+        if (mode != Durability.How.INTERVAL && s.has("interval")) {
             throw s.error(
-                    "interval", "needs durability interval, not " + how.name().toLowerCase());
+                    "interval", "needs durability interval, not " + mode.name().toLowerCase());
         }
         return new JournalSettings(
-                new Durability(how, intervalMicros),
+                new Durability(mode, intervalMicros),
                 s.durationMicros("remember", HOUR_MICROS, SECOND_MICROS, 240 * HOUR_MICROS));
     }
 }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -140,7 +140,7 @@
         return EXIT_PASSED;
     }
 
-    private Path folder(Scenario s) {
+    private Path outputFolder(Scenario s) {
         return out != null ? out : Path.of("rehearsals", s.name());
     }
 
@@ -175,8 +175,9 @@
             runInParallel(
                     runCount,
                     i -> {
-                        Path reportFolder =
-                                isSingle ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
+                        Path reportFolder = isSingle
+                                ? outputFolder(scenario)
+                                : outputFolder(scenario).resolve("seed-" + (seed + i));
                         Result result = runOnce(scenario, seed + i, reportFolder, isSingle);
                         Report.write(result, reportFolder);
                         return result;
@@ -216,7 +217,7 @@
                     interval[1],
                     broken.get());
         }
-        System.out.println("report: " + folder(scenario).resolve(isSingle ? "index.html" : ""));
+        System.out.println("report: " + outputFolder(scenario).resolve(isSingle ? "index.html" : ""));
         return interrupt.isRequested()
                 ? Interrupt.EXIT_CODE
                 : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
@@ -227,9 +228,9 @@
         if (!sockets) {
             return VirtualTime.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
         }
-        Path folder =
+        Path forwardersFolder =
                 Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
-        Path runFolder = Files.createTempDirectory(folder, "run-");
+        Path runFolder = Files.createTempDirectory(forwardersFolder, "run-");
         try {
             return RealSockets.run(
                     scenario,
@@ -303,7 +304,7 @@
                 allBroken.addAndGet(broken.get());
                 System.out.println(sweep.add(point.x(), point.label(), services, broken.get()));
             }
-            sweep.write(folder(first), first.name());
+            sweep.write(outputFolder(first), first.name());
         } finally {
             interrupt.finish();
         }
@@ -314,7 +315,7 @@
                     minService,
                     sweep.keepsUpTo(minService));
         }
-        System.out.println("plot: " + folder(first).resolve("sweep.png"));
+        System.out.println("plot: " + outputFolder(first).resolve("sweep.png"));
         return interrupt.isRequested() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? EXIT_PASSED : EXIT_RULES_BROKEN;
     }
 
--- a/src/main/java/lilaclever/program/SelfTest.java
+++ b/src/main/java/lilaclever/program/SelfTest.java
@@ -83,9 +83,9 @@
         try {
             while (true) {
                 Socket socket = peer.accept();
-                Thread talk = new Thread(() -> serveConnection(socket), "talk");
-                talk.setDaemon(true);
-                talk.start();
+                Thread connection = new Thread(() -> serveConnection(socket), "talk");
+                connection.setDaemon(true);
+                connection.start();
             }
         } catch (IOException e) {
             System.err.println("selftest: " + e);
--- a/src/test/java/lilaclever/program/RenewTest.java
+++ b/src/test/java/lilaclever/program/RenewTest.java
@@ -185,7 +185,7 @@
     @Test
     void moreClassesThanFitAreRefused() throws Exception {
         Config config = Config.parse(text(), Map.of());
-        ClassTable table = config.table();
+        ClassTable table = config.classTable();
         for (int i = 0; i < 62; i++) {
             table = table.withCurrentClasses(
                             table.names().subList(0, 0), table.classes().subList(0, 0))
