--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -13,15 +13,15 @@
 import java.util.Set;
 
 /**
- * Reads line-based files, the operator's and rehearsals': sections in brackets, a key and its value on a line,
- * {@code #} begins a comment. A line that begins with white space continues the value of the one before, as in the
- * files of classic daemons. What a section's keys mean is not known here; each is asked for by name, and what nobody
- * has asked for is an error. All messages name file, line and key.
+ * Parses line-based configuration files: the operator's file and rehearsal scenarios. A section title stands in
+ * brackets, a key and its value on one line, and {@code #} begins a comment line. A line that begins with white space
+ * continues the previous value, as in the files of classic daemons. Callers request each key by name;
+ * {@link #rejectUnknown} reports the keys that no caller has requested. Error messages name file, line and key.
  */
 public final class ConfFile {
     private static final int MAX_LINE_LENGTH = 8192, MAX_LINES = 100_000;
 
-    /** One setting and where it stands. */
+    /** A value and the line of its key. */
     private record Entry(int line, String value) {}
 
     private final String name;
@@ -31,12 +31,11 @@
         this.name = name;
     }
 
-    /** A file that sets nothing. */
+    /** Returns a file without any setting. */
     public static ConfFile empty() {
         return new ConfFile("(no file)");
     }
 
-    /** Reads the file. */
     public static ConfFile read(Path path) throws ConfigurationException {
         try {
             return parse(path.toString(), Files.readAllLines(path));
@@ -59,17 +58,17 @@
         }
         Section section = null;
         String key = null;
-        for (int i = 0; i < lines.size(); i++) {
-            int number = i + 1;
-            String raw = lines.get(i);
-            if (raw.length() > MAX_LINE_LENGTH) {
+        for (int index = 0; index < lines.size(); index++) {
+            int number = index + 1;
+            String rawLine = lines.get(index);
+            if (rawLine.length() > MAX_LINE_LENGTH) {
                 throw errorAt(number, "", "longer than " + MAX_LINE_LENGTH + " characters");
             }
-            String line = raw.strip();
+            String line = rawLine.strip();
             if (line.isEmpty() || line.startsWith("#")) {
                 continue;
             }
-            if (Character.isWhitespace(raw.charAt(0))) {
+            if (Character.isWhitespace(rawLine.charAt(0))) {
                 if (key == null) {
                     throw errorAt(number, "", "continues nothing: a key begins its line without a space");
                 }
@@ -95,28 +94,28 @@
         if (earlier != null) {
             throw errorAt(line, text, "stands here again, first at line " + earlier.line);
         }
-        Section made = new Section(title, line);
-        sections.put(title, made);
-        return made;
+        Section created = new Section(title, line);
+        sections.put(title, created);
+        return created;
     }
 
     private ConfigurationException errorAt(int line, String key, String problem) {
         return new ConfigurationException(name + ":" + line + (key.isEmpty() ? "" : ": " + key), problem);
     }
 
-    /** The section of that name; an empty one if the file has none. */
+    /** Returns the section with this title, or an empty one if the file has none. */
     public Section section(String title) {
         return sections.getOrDefault(title, new Section(title, 0));
     }
 
-    /** The sections {@code [kind which]}, in the file's order. */
+    /** Returns the sections {@code [kind qualifier]}, in file order. */
     public List<Section> sections(String kind) {
         return sections.values().stream()
                 .filter(s -> s.title.startsWith(kind + " "))
                 .toList();
     }
 
-    /** Throws if anything stands in the file that nobody has asked for; to be called when all is read. */
+    /** Rejects unknown sections and keys that no caller has requested; to be called after all settings were read. */
     public void rejectUnknown(Set<String> kinds) throws ConfigurationException {
         for (Section s : sections.values()) {
             String kind = s.title.split(" ")[0];
@@ -134,41 +133,41 @@
         }
     }
 
-    /** The known word that needs the fewest changes, if that is a few. */
+    /** Returns a hint for an error message: the most similar known word, or all known words if none is similar. */
     public static String suggestion(String word, Set<String> known) {
-        String best = null;
-        int least = Math.max(2, word.length() / 2) + 1;
-        for (String k : known) {
-            int d = editDistance(word, k);
-            if (d < least) {
-                least = d;
-                best = k;
+        String nearest = null;
+        int bestDistance = Math.max(2, word.length() / 2) + 1;
+        for (String candidate : known) {
+            int distance = editDistance(word, candidate);
+            if (distance < bestDistance) {
+                bestDistance = distance;
+                nearest = candidate;
             }
         }
-        return best == null
+        return nearest == null
                 ? "; known are " + String.join(", ", new java.util.TreeSet<>(known))
-                : "; is " + best + " meant?";
+                : "; is " + nearest + " meant?";
     }
 
-    /** Letters to change, add or leave out (Levenshtein's distance). */
+    /** Returns the Levenshtein distance. */
     private static int editDistance(String a, String b) {
-        int[] before = new int[b.length() + 1];
+        int[] previousRow = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
-            before[j] = j;
+            previousRow[j] = j;
         }
         for (int i = 1; i <= a.length(); i++) {
             int[] row = new int[b.length() + 1];
             row[0] = i;
             for (int j = 1; j <= b.length(); j++) {
-                int change = before[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
-                row[j] = Math.min(change, 1 + Math.min(before[j], row[j - 1]));
+                int substitution = previousRow[j - 1] + (a.charAt(i - 1) == b.charAt(j - 1) ? 0 : 1);
+                row[j] = Math.min(substitution, 1 + Math.min(previousRow[j], row[j - 1]));
             }
-            before = row;
+            previousRow = row;
         }
-        return before[b.length()];
+        return previousRow[b.length()];
     }
 
-    /** One section. Values are asked for by key, with the value that holds where the key is absent. */
+    /** One section. The getters take the default value of a key that is absent. */
     public final class Section {
         private final String title;
         private final int line;
@@ -180,12 +179,12 @@
             this.line = line;
         }
 
-        /** What stands behind the kind in {@code [kind which]}. */
+        /** Returns the second word of {@code [kind qualifier]}, or an empty string. */
         public String qualifier() {
             return title.contains(" ") ? title.split(" ")[1] : "";
         }
 
-        /** True if the file has it. */
+        /** Returns whether the file has this section. */
         public boolean isPresent() {
             return line > 0;
         }
@@ -206,18 +205,18 @@
             return parts[0];
         }
 
-        private void appendToValue(String key, String more) {
+        private void appendToValue(String key, String continuation) {
             Entry e = entries.get(key);
-            entries.put(key, new Entry(e.line(), e.value() + ' ' + more));
+            entries.put(key, new Entry(e.line(), e.value() + ' ' + continuation));
         }
 
-        /** An error of this key: with its line, or the section's where the key is absent. */
+        /** Creates an error about this key, with the line of the key, or of the section if the key is absent. */
         public ConfigurationException error(String key, String problem) {
             Entry e = entries.get(key);
             return errorAt(e == null ? line : e.line(), title + "." + key, problem);
         }
 
-        /** True if the file sets the key. */
+        /** Returns whether the file sets the key. */
         public boolean has(String key) {
             return entries.containsKey(key);
         }
@@ -228,23 +227,23 @@
             return e == null ? null : e.value();
         }
 
-        /** The text; {@code otherwise} may be null. */
-        public String text(String key, String otherwise) {
+        /** Returns the text; {@code defaultValue} may be null. */
+        public String text(String key, String defaultValue) {
             String value = value(key);
-            return value == null ? otherwise : value;
+            return value == null ? defaultValue : value;
         }
 
-        /** The words, separated by white space or commas. */
+        /** Returns the words, which are separated by white space or commas. */
         public List<String> words(String key) {
             String value = value(key);
             return value == null ? List.of() : new ArrayList<>(List.of(value.split("[\\s,]+")));
         }
 
-        /** One of the constants' names, in small letters. */
-        public <E extends Enum<E>> E choice(String key, Class<E> type, E otherwise) throws ConfigurationException {
+        /** Returns the constant whose name, in lower case with '-' for '_', is the value. */
+        public <E extends Enum<E>> E choice(String key, Class<E> type, E defaultValue) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             List<String> names = new ArrayList<>();
             for (E constant : type.getEnumConstants()) {
@@ -257,11 +256,11 @@
             throw error(key, "one of " + String.join(", ", names) + ", not " + value);
         }
 
-        /** yes or no. */
-        public boolean flag(String key, boolean otherwise) throws ConfigurationException {
+        /** Reads {@code yes} or {@code no}. */
+        public boolean flag(String key, boolean defaultValue) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             if (!value.equals("yes") && !value.equals("no")) {
                 throw error(key, "yes or no, not " + value);
@@ -269,38 +268,38 @@
             return value.equals("yes");
         }
 
-        /** A whole number within bounds. */
-        public long integer(String key, long otherwise, long least, long most) throws ConfigurationException {
+        /** Reads a whole number within bounds. */
+        public long integer(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             try {
                 long number = Long.parseLong(value);
-                if (number >= least && number <= most) {
+                if (number >= min && number <= max) {
                     return number;
                 }
             } catch (NumberFormatException e) {
-                // told below
+                // reported below
             }
-            throw error(key, "a whole number from " + least + " to " + most + ", not " + value);
+            throw error(key, "a whole number from " + min + " to " + max + ", not " + value);
         }
 
-        /** A number with or without decimals, within bounds. */
-        public double decimal(String key, double otherwise, double least, double most) throws ConfigurationException {
+        /** Reads a number with or without decimals, within bounds. */
+        public double decimal(String key, double defaultValue, double min, double max) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : decimal(key, value, "", least, most);
+            return value == null ? defaultValue : decimal(key, value, "", min, max);
         }
 
-        /** Two numbers, the least and the most; one stands for both. */
-        public double[] range(String key, double low, double high, double least, double most)
+        /** Reads two numbers, minimum and maximum; a single number counts for both. */
+        public double[] range(String key, double defaultMin, double defaultMax, double min, double max)
                 throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
-                return new double[] {low, high};
+                return new double[] {defaultMin, defaultMax};
             }
             double[] range = {
-                decimal(key, words.get(0), "", least, most), decimal(key, words.get(words.size() - 1), "", least, most)
+                decimal(key, words.get(0), "", min, max), decimal(key, words.get(words.size() - 1), "", min, max)
             };
             if (words.size() > 2 || range[0] > range[1]) {
                 throw error(key, "one number, or the least and the most, not " + String.join(" ", words));
@@ -308,26 +307,28 @@
             return range;
         }
 
-        /** A share such as 25%, from 0 to the most; 1 is the whole. */
-        public double share(String key, double otherwise, double most) throws ConfigurationException {
+        /** Reads a percentage such as 25% as a fraction, from 0 to {@code max}. */
+        public double share(String key, double defaultValue, double max) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : share(key, value, most);
+            return value == null ? defaultValue : share(key, value, max);
         }
 
-        /** The same for a word of a value. */
-        public double share(String key, String word, double most) throws ConfigurationException {
-            return decimal(key, word, "%", 0, most * 100) / 100;
+        /** Parses one word of a value as {@link #share(String, double, double)} does. */
+        public double share(String key, String word, double max) throws ConfigurationException {
+            return decimal(key, word, "%", 0, max * 100) / 100;
         }
 
-        private double decimal(String key, String value, String unit, double least, double most)
+        private double decimal(String key, String value, String unit, double min, double max)
                 throws ConfigurationException {
             if (value.matches("\\d{1,12}(\\.\\d{1,9})?" + unit)) {
                 double number = Double.parseDouble(value.substring(0, value.length() - unit.length()));
-                if (number >= least && number <= most) {
+                if (number >= min && number <= max) {
                     return number;
                 }
             }
-            throw error(key, "from " + withoutExponent(least) + unit + " to " + withoutExponent(most) + unit + ", not " + value);
+            throw error(
+                    key,
+                    "from " + withoutExponent(min) + unit + " to " + withoutExponent(max) + unit + ", not " + value);
         }
 
         private static String withoutExponent(double number) {
@@ -336,27 +337,30 @@
                     .toPlainString();
         }
 
-        /** Two times, the least and the most; one stands for both. */
-        public long[] durationRangeMicros(String key, long low, long high, long least, long most) throws ConfigurationException {
+        /** Reads two durations, minimum and maximum; a single one counts for both. */
+        public long[] durationRangeMicros(String key, long defaultMin, long defaultMax, long min, long max)
+                throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
-                return new long[] {low, high};
+                return new long[] {defaultMin, defaultMax};
             }
-            long[] range = {durationMicros(key, words.get(0), least, most), durationMicros(key, words.get(words.size() - 1), least, most)};
+            long[] range = {
+                durationMicros(key, words.get(0), min, max), durationMicros(key, words.get(words.size() - 1), min, max)
+            };
             if (words.size() > 2 || range[0] > range[1]) {
                 throw error(key, "one time, or the least and the most, not " + String.join(" ", words));
             }
             return range;
         }
 
-        /** A time with its unit (us, ms, s, m, h, d), microseconds, within bounds. */
-        public long durationMicros(String key, long otherwise, long least, long most) throws ConfigurationException {
+        /** Reads a duration with its unit (us, ms, s, m, h, d), in microseconds, within bounds. */
+        public long durationMicros(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
-            return value == null ? otherwise : durationMicros(key, value, least, most);
+            return value == null ? defaultValue : durationMicros(key, value, min, max);
         }
 
-        /** The same for a word of a value. */
-        public long durationMicros(String key, String value, long least, long most) throws ConfigurationException {
+        /** Parses one word of a value as {@link #durationMicros(String, long, long, long)} does. */
+        public long durationMicros(String key, String value, long min, long max) throws ConfigurationException {
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(us|ms|s|m|h|d)")
                     .matcher(value);
             if (!m.matches()) {
@@ -371,17 +375,17 @@
                 default -> 86_400e6;
             };
             double micros = Double.parseDouble(m.group(1)) * unit;
-            if (micros < least || micros > most) {
-                throw error(key, "from " + least / 1000.0 + " ms to " + most / 1000.0 + " ms, not " + value);
+            if (micros < min || micros > max) {
+                throw error(key, "from " + min / 1000.0 + " ms to " + max / 1000.0 + " ms, not " + value);
             }
             return (long) micros;
         }
 
-        /** A size with its unit (B, KiB, MiB, GiB), bytes, within bounds. */
-        public long sizeBytes(String key, long otherwise, long least, long most) throws ConfigurationException {
+        /** Reads a size with its unit (B, KiB, MiB, GiB), in bytes, within bounds. */
+        public long sizeBytes(String key, long defaultValue, long min, long max) throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return otherwise;
+                return defaultValue;
             }
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(B|KiB|MiB|GiB)")
                     .matcher(value);
@@ -390,8 +394,8 @@
             }
             double unit = Math.pow(1024, List.of("B", "KiB", "MiB", "GiB").indexOf(m.group(2)));
             double bytes = Double.parseDouble(m.group(1)) * unit;
-            if (bytes < least || bytes > most) {
-                throw error(key, "from " + least + " B to " + most + " B, not " + value);
+            if (bytes < min || bytes > max) {
+                throw error(key, "from " + min + " B to " + max + " B, not " + value);
             }
             return (long) bytes;
         }
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -31,10 +31,12 @@
 import lilaclever.routing.ManualDrains;
 import lilaclever.transport.Transport;
 
-/** The parts of the serving program, put together, started and stopped. */
+/** Assembles, starts and stops the components of the forwarder. */
 final class Forwarder {
-    /** After the signal: so long clients still come, so long calls may be out, and then the end. */
-    private static final long ACCEPT_PERIOD_MICROS = 500_000, CALL_DEADLINE_MICROS = 3_200_000, SHUTDOWN_DEADLINE_MICROS = 3_400_000;
+    /** Since the signal: clients are accepted until the first, calls run until the second, all ends at the third. */
+    private static final long ACCEPT_PERIOD_MICROS = 500_000,
+            CALL_DEADLINE_MICROS = 3_200_000,
+            SHUTDOWN_DEADLINE_MICROS = 3_400_000;
 
     private static final long IDLE_CHECK_PERIOD_MICROS = 20_000;
 
@@ -42,7 +44,7 @@
     private final SegmentedJournal journal;
     private final Core core;
     private final HttpFront httpFront;
-    /** As it is in force: renewed at SIGHUP. */
+    /** The configuration in use; a reload replaces it. */
     private Config config;
 
     private final NoticeSender notices;
@@ -52,11 +54,12 @@
     private final List<MailFront> mailFronts = new ArrayList<>();
     private final List<SocketAddress> addresses = new ArrayList<>();
 
-    private Forwarder(Config config, OperatorSettings operator, MailSettings mail) throws IOException, ConfigurationException {
+    private Forwarder(Config config, OperatorSettings operator, MailSettings mail)
+            throws IOException, ConfigurationException {
         this.config = config.withoutKnown();
         DecisionModule.Settings settings = config.settings();
         long connect = settings.limits().connectTimeoutMicros();
-        long keep = settings.limits().keepAliveMicros();
+        long keepAlive = settings.limits().keepAliveMicros();
         transport = new Transport();
         journal = new SegmentedJournal(
                 FolderDisk.lock(config.state()),
@@ -71,13 +74,14 @@
         registerJournalMetrics(journal, counters);
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
-        Path state = config.state(); // what outlives this constructor must not refer to the list in the configuration
-        ManualDrains suspensions = new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
-        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keep, config.maxIdle());
-        notices = new NoticeSender(core, transport, config.discovery(), connect, keep);
-        long noteBytes = config.departuresReservedBytes() / 2; // the new note is written beside the old one
+        Path state = config.state(); // lambdas must not retain the configuration with its endpoint list
+        ManualDrains manualDrains =
+                new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
+        HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keepAlive, config.maxIdle());
+        notices = new NoticeSender(core, transport, config.discovery(), connect, keepAlive);
+        long departureFileBytes = config.departuresReservedBytes() / 2; // the new file is written beside the old one
         EndpointMembership membership = new EndpointMembership(
-                DepartureFile.read(state), departures -> DepartureFile.write(state, departures, noteBytes));
+                DepartureFile.read(state), departures -> DepartureFile.write(state, departures, departureFileBytes));
         counters.entryGauge("departed", membership::departureCount);
         directory = new DirectoryClient(
                 core,
@@ -86,9 +90,9 @@
                 deliverer,
                 new DirectoryClient.KindsAndZones(config.kinds(), config.zones(), settings.kinds()),
                 connect,
-                keep,
+                keepAlive,
                 membership,
-                suspensions::updateEndpoints);
+                manualDrains::updateEndpoints);
         httpFront = new HttpFront(
                 core,
                 config.classNames(),
@@ -103,7 +107,7 @@
                 mailFronts.add(new MailFront(core, mail, protocol, config.maxMail()));
             }
             mailFronts.forEach(core::add);
-            new MailDeliverer(core, transport, mail, settings.zone(), connect, keep, config.maxMail()).start();
+            new MailDeliverer(core, transport, mail, settings.zone(), connect, keepAlive, config.maxMail()).start();
         }
         if (operator.mllp() != null) {
             mllpFront = new MllpFront(core, operator.mllp());
@@ -115,7 +119,7 @@
         directory.start(known == null ? -1 : known.version(), listed);
         long version = known == null ? 0 : known.version();
         core.start(
-                suspensions.withSuspensions(
+                manualDrains.withSuspensions(
                         DecisionModule.ListingKind.REMEMBERED,
                         version,
                         listed.stream().map(Forwarder::withoutNewMessages).toList()),
@@ -123,7 +127,7 @@
         addresses.add(httpFront.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
             addresses.add(
-                    new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
+                    new OperatorPort(core, manualDrains).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
             addresses.addAll(each.listen(transport));
@@ -133,7 +137,7 @@
         }
     }
 
-    /** Until discovery has answered nothing new goes to an endpoint that is only known. */
+    /** Marks an active endpoint as leaving: before discovery has answered it gets no new messages. */
     private static Core.ListedEndpoint withoutNewMessages(Core.ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
@@ -150,12 +154,12 @@
                 "journal_damages", () -> journal.recoveryReport().damages().size());
     }
 
-    /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
+    /** Starts all components without an operator's file; {@code mail} is null if mail is disabled. */
     static Forwarder start(Config config, MailSettings mail) throws IOException, ConfigurationException {
         return start(config, OperatorSettings.defaults(config), mail);
     }
 
-    /** Starts all parts. */
+    /** Starts all components; {@code mail} is null if mail is disabled. */
     static Forwarder start(Config config, OperatorSettings operator, MailSettings mail)
             throws IOException, ConfigurationException {
         Forwarder forwarder = new Forwarder(config, operator, mail);
@@ -163,22 +167,23 @@
                 "",
                 "sizes",
                 config.settings().limits().slots() + " slots, "
-                        + config.settings().limits().maxOpenMessages() + " held, " + config.sockets() + " sockets: "
+                        + config.settings().limits().maxOpenMessages() + " pending messages, " + config.sockets()
+                        + " sockets: "
                         + config.maxClients(mail != null, operator.mllpConnections()) + " for clients, "
-                        + config.maxIdle() + " idle to endpoints");
+                        + config.maxIdle() + " idle connections to endpoints");
         Logs.info("", "serves", config.name() + " serves at " + forwarder.addresses);
         return forwarder;
     }
 
     /**
-     * Where it listens: HTTP first, then the operators' address if there is one, then SMTP and LMTP in the order of the
-     * mail file, then HL7.
+     * Returns the listening addresses: HTTP, then the operator port if there is one, then SMTP, then LMTP, each in the
+     * order of the mail file, then HL7.
      */
     List<SocketAddress> addresses() {
         return addresses;
     }
 
-    /** Takes a new configuration file on; a faulty one changes nothing. Any thread, one at a time. */
+    /** Reloads the configuration file; an invalid one changes nothing. May be called on any thread. */
     synchronized void reload(Map<String, String> variables) {
         try {
             Config read = Config.reread(variables, config);
@@ -194,7 +199,8 @@
             try {
                 read.saveDiscovery(config.state());
             } catch (IOException e) {
-                Logs.warn("", "discovery-not-noted", "a restart may go to the old discovery: " + e);
+                Logs.warn(
+                        "", "discovery-not-noted", "discovery address not saved, a restart may use the old one: " + e);
             }
             core.post(() -> {
                 directory.moveTo(read.discovery());
@@ -206,21 +212,21 @@
         }
     }
 
-    /** Has other classes and attempts hold, once they are noted; messages under way keep their class. */
+    /** Applies new classes and attempts after saving them; pending messages keep their class. */
     private void apply(Config next) throws ConfigurationException {
         if (next.equals(config)) {
             return;
         }
         next.saveClasses();
         config = next;
-        CountDownLatch inForce = new CountDownLatch(1);
+        CountDownLatch applied = new CountDownLatch(1);
         core.post(() -> {
             core.updateSettings(next.settings());
             httpFront.updateClasses(next.classNames(), next.settings().classes());
-            inForce.countDown();
+            applied.countDown();
         });
         try {
-            inForce.await(1, TimeUnit.SECONDS); // what is logged then is true
+            applied.await(1, TimeUnit.SECONDS); // so that the line below is logged after the change
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
@@ -236,7 +242,7 @@
                         + next.settings().limits().maxAttempts() + " attempts");
     }
 
-    /** Ends well: nothing that the coming kill could cut is started, and the journal has the rest. */
+    /** Shuts down gracefully, before the supervisor kills the process; what is pending then stays in the journal. */
     void stop() {
         try {
             core.post(this::beginShutdown);
@@ -246,28 +252,29 @@
             journal.close();
             transport.close();
         } catch (InterruptedException | IOException e) {
-            Logs.error("", "end-failed", "at the end: " + e);
+            Logs.error("", "end-failed", "shutdown failed: " + e);
         }
     }
 
     private void beginShutdown() {
-        long told = core.nowMicros();
-        core.deadlines().schedule(told + ACCEPT_PERIOD_MICROS, () -> {
-            core.beginShutdown(told + CALL_DEADLINE_MICROS);
+        long signalMicros = core.nowMicros();
+        core.deadlines().schedule(signalMicros + ACCEPT_PERIOD_MICROS, () -> {
+            core.beginShutdown(signalMicros + CALL_DEADLINE_MICROS);
             httpFront.close();
             mailFronts.forEach(MailFront::close);
             if (mllpFront != null) {
                 mllpFront.close();
             }
-            awaitIdle(told + SHUTDOWN_DEADLINE_MICROS);
+            awaitIdle(signalMicros + SHUTDOWN_DEADLINE_MICROS);
         });
     }
 
-    private void awaitIdle(long end) {
-        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
+    private void awaitIdle(long deadlineMicros) {
+        if (core.nowMicros() >= deadlineMicros
+                || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
             stopped.countDown();
         } else {
-            core.deadlines().schedule(core.nowMicros() + IDLE_CHECK_PERIOD_MICROS, () -> awaitIdle(end));
+            core.deadlines().schedule(core.nowMicros() + IDLE_CHECK_PERIOD_MICROS, () -> awaitIdle(deadlineMicros));
         }
     }
 }
--- a/src/main/java/lilaclever/program/Help.java
+++ b/src/main/java/lilaclever/program/Help.java
@@ -5,19 +5,19 @@
 import java.util.List;
 import org.kohsuke.args4j.CmdLineParser;
 
-/** What {@code --help} prints: all sub-commands, or one with its options and an example. */
+/** Prints the help: all sub-commands, or one with its options and examples. */
 final class Help {
     private static final int USAGE_WIDTH = 100;
 
-    /** A sub-command for people. */
-    private record Description(String name, Class<? extends Main.Command> type, String summary, List<String> examples) {}
+    private record Description(
+            String name, Class<? extends Main.Command> type, String summary, List<String> examples) {}
 
     private static final String COMMAND_LINE = "java -jar target/lilaclever.jar ";
     private static final List<Description> SUB_COMMANDS = List.of(
             new Description(
                     "serve",
                     Main.ServeCommand.class,
-                    "serves until it is told to end (SIGTERM); SIGHUP reads the configuration again",
+                    "serves until SIGTERM; SIGHUP reads the configuration again",
                     List.of("ROUTER_CONFIG=config.json " + COMMAND_LINE + "serve --conf deploy/lilaclever.conf")),
             new Description(
                     "check-config",
@@ -28,12 +28,14 @@
             new Description(
                     "journal",
                     JournalCommand.class,
-                    "looks into the state folder of a program that is stopped",
-                    List.of(COMMAND_LINE + "journal verify /var/lib/lilaclever", COMMAND_LINE + "journal export /var/lib/lilaclever")),
+                    "inspects, verifies, compacts or exports the state folder of a stopped program",
+                    List.of(
+                            COMMAND_LINE + "journal verify /var/lib/lilaclever",
+                            COMMAND_LINE + "journal export /var/lib/lilaclever")),
             new Description(
                     "rehearse",
                     RehearseCommand.class,
-                    "plays a day, in virtual time or on sockets, and reports service and broken rules",
+                    "simulates a day, in virtual time or on sockets, and reports service and broken rules",
                     List.of(
                             COMMAND_LINE + "rehearse list",
                             COMMAND_LINE + "rehearse run month-end --runs 20",
@@ -49,58 +51,60 @@
             new Description(
                     "simhost",
                     Main.SimhostCommand.class,
-                    "plays the decision module on the simulator's wire (standard input and output)",
+                    "runs the decision module for the simulator (standard input and output)",
                     List.of(COMMAND_LINE + "simhost < transcript")),
-            new Description("version", Main.VersionCommand.class, "tells the version", List.of(COMMAND_LINE + "version")));
+            new Description(
+                    "version", Main.VersionCommand.class, "prints the version", List.of(COMMAND_LINE + "version")));
 
     private Help() {}
 
-    /** True if the arguments ask for help. */
+    /** Returns whether the arguments ask for help. */
     static boolean isWanted(String[] args) {
         return args.length == 0
                 || args[0].equals("help")
                 || Arrays.stream(args).anyMatch(a -> a.equals("--help") || a.equals("-h"));
     }
 
-    /** Prints what the arguments ask for. */
+    /** Prints the help that the arguments ask for. */
     static void print(String[] args, PrintStream out) {
         List<String> words = Arrays.stream(args)
                 .filter(a -> !a.startsWith("-") && !a.equals("help"))
                 .toList();
-        Description one = words.isEmpty()
+        Description selected = words.isEmpty()
                 ? null
                 : SUB_COMMANDS.stream()
                         .filter(e -> e.name().equals(words.get(0)))
                         .findFirst()
                         .orElse(null);
-        if (one == null) {
+        if (selected == null) {
             printAll(out);
         } else {
-            printOne(one, out);
+            printOne(selected, out);
         }
     }
 
     private static void printAll(PrintStream out) {
         out.println("usage: java -jar lilaclever.jar SUB-COMMAND [options]");
-        for (Description e : SUB_COMMANDS) {
-            out.printf("  %-13s %s%n", e.name(), e.summary());
+        for (Description description : SUB_COMMANDS) {
+            out.printf("  %-13s %s%n", description.name(), description.summary());
         }
         out.println("SUB-COMMAND --help tells its options, with an example.");
     }
 
-    private static void printOne(Description e, PrintStream out) {
-        out.println(e.name() + ": " + e.summary());
+    private static void printOne(Description description, PrintStream out) {
+        out.println(description.name() + ": " + description.summary());
         try {
-            CmdLineParser parser = new CmdLineParser(e.type().getConstructor().newInstance());
+            CmdLineParser parser =
+                    new CmdLineParser(description.type().getConstructor().newInstance());
             parser.getProperties().withUsageWidth(USAGE_WIDTH);
-            out.print("usage: java -jar lilaclever.jar " + e.name());
+            out.print("usage: java -jar lilaclever.jar " + description.name());
             parser.printSingleLineUsage(out);
             out.println();
             parser.printUsage(out);
-        } catch (ReflectiveOperationException x) {
-            throw new IllegalStateException("a sub-command without a constructor", x);
+        } catch (ReflectiveOperationException example) {
+            throw new IllegalStateException("sub-command without a public no-argument constructor", example);
         }
-        out.println(e.examples().size() == 1 ? "example:" : "examples:");
-        e.examples().forEach(x -> out.println("  " + x));
+        out.println(description.examples().size() == 1 ? "example:" : "examples:");
+        description.examples().forEach(example -> out.println("  " + example));
     }
 }
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -16,26 +16,25 @@
 import lilaclever.transport.AddressSet;
 import lilaclever.transport.Transport;
 
-/** The sections of the operator's file for the HL7 ports; without a listener they are off, and no library is loaded. */
+/** Reads the HL7 sections of the operator's file; without a listener HL7 is disabled and its library not loaded. */
 final class MllpSections {
-    /** The kinds of sections read here. */
     static final Set<String> SECTION_KINDS = Set.of("mllp", "hl7", "hl7-class", "hl7-destination", "practice");
 
     private static final long MILLISECOND_MICROS = 1000, SECOND_MICROS = 1_000_000, MINUTE_MICROS = 60 * SECOND_MICROS;
-    /** What HTTP takes too: partners are told no larger ones. */
+    /** The same limit as for HTTP: partners expect no larger messages. */
     private static final int MAX_MESSAGE_BYTES = 64 * 1024;
 
     private final ConfFile file;
     private final Config config;
     private final boolean sharedIdentity;
 
-    MllpSections(ConfFile file, Config config, boolean shared) {
+    MllpSections(ConfFile file, Config config, boolean sharedIdentity) {
         this.file = file;
         this.config = config;
-        this.sharedIdentity = shared;
+        this.sharedIdentity = sharedIdentity;
     }
 
-    /** The settings; null if there is no listener. */
+    /** Returns the settings, or null if there is no listener. */
     MllpSettings read() throws ConfigurationException {
         Section hl7 = file.section("hl7");
         List<MllpSettings.Listener> listeners = new ArrayList<>();
@@ -46,20 +45,20 @@
         Map<String, Integer> events = classesByEvent();
         Map<String, Integer> destinations = destinationsByReceiver();
         boolean anySender = hl7.flag("any-sender", false);
-        int unsafe = hl7.flag("unknown-events", true) ? firstUnsafeClass(hl7, !listeners.isEmpty()) : -1;
+        int unsafeClass = hl7.flag("unknown-events", true) ? firstUnsafeClass(hl7, !listeners.isEmpty()) : -1;
         Field key = field(hl7, "key", "MSH-10");
         Field deadline = field(hl7, "deadline", null);
         Set<String> processing = words(hl7, "processing", "P");
         Set<String> versions = words(hl7, "versions", "2.3 2.3.1 2.4 2.5 2.5.1");
-        int mostHeld = (int) hl7.integer("most-held", 200, 1, 1_000_000);
-        long owe = hl7.durationMicros("owe", 10 * MINUTE_MICROS, SECOND_MICROS, 24 * 60 * MINUTE_MICROS);
-        int mostOwed = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
+        int maxPendingMessages = (int) hl7.integer("most-held", 200, 1, 1_000_000);
+        long resultRetentionMicros =
+                hl7.durationMicros("owe", 10 * MINUTE_MICROS, SECOND_MICROS, 24 * 60 * MINUTE_MICROS);
+        int maxPendingResults = (int) hl7.integer("most-owed", 1000, 1, 1_000_000);
         if (listeners.isEmpty()) {
             return null;
         }
         if (!sharedIdentity) {
-            throw listenerError(
-                    "needs [identity] shared yes: a message must be known again on whichever port it comes");
+            throw listenerError("needs [identity] shared yes: a repeated message must be recognized on every port");
         }
         if (practices.isEmpty() && !anySender) {
             throw listenerError("nobody could send: needs a [practice NAME] with senders, or [hl7] any-sender yes");
@@ -72,7 +71,7 @@
                 practices,
                 anySender,
                 events,
-                unsafe,
+                unsafeClass,
                 destinations,
                 config.settings().classes().stream()
                         .map(DecisionModule.MessageClass::deadlineMicros)
@@ -81,9 +80,9 @@
                 deadline,
                 processing,
                 versions,
-                mostHeld,
-                owe,
-                mostOwed);
+                maxPendingMessages,
+                resultRetentionMicros,
+                maxPendingResults);
     }
 
     private ConfigurationException listenerError(String problem) {
@@ -135,7 +134,7 @@
             }
             for (String sender : s.words("senders")) {
                 if (practices.put(sender, s.qualifier()) != null) {
-                    throw s.error("senders", sender + " stands twice");
+                    throw s.error("senders", sender + " is listed twice");
                 }
             }
         }
@@ -157,7 +156,7 @@
                     throw s.error("events", "not an event such as ORM or ORM^O01: " + event);
                 }
                 if (events.put(event, number) != null) {
-                    throw s.error("events", event + " stands twice");
+                    throw s.error("events", event + " is listed twice");
                 }
             }
         }
@@ -172,7 +171,7 @@
             }
             for (String receiver : s.words("receivers")) {
                 if (destinations.put(receiver, Integer.valueOf(s.qualifier())) != null) {
-                    throw s.error("receivers", receiver + " stands twice");
+                    throw s.error("receivers", receiver + " is listed twice");
                 }
             }
         }
@@ -187,13 +186,13 @@
             }
         }
         if (needed) {
-            throw hl7.error("unknown-events", "no class of the settings may not be repeated: set it to no");
+            throw hl7.error("unknown-events", "no class of the settings is non_idempotent: set this to no");
         }
         return -1;
     }
 
-    private static Field field(Section s, String key, String otherwise) throws ConfigurationException {
-        String text = s.text(key, otherwise);
+    private static Field field(Section s, String key, String defaultValue) throws ConfigurationException {
+        String text = s.text(key, defaultValue);
         Field field = text == null ? null : Field.of(text);
         if (text != null && field == null) {
             throw s.error(key, "a field such as MSH-10 or ORC-2-1, not " + text);
@@ -201,8 +200,8 @@
         return field;
     }
 
-    private static Set<String> words(Section s, String key, String otherwise) {
+    private static Set<String> words(Section s, String key, String defaultWords) {
         List<String> words = s.words(key);
-        return new LinkedHashSet<>(words.isEmpty() ? List.of(otherwise.split(" ")) : words);
+        return new LinkedHashSet<>(words.isEmpty() ? List.of(defaultWords.split(" ")) : words);
     }
 }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -30,11 +30,11 @@
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
-/** {@code rehearse list|show|check|run|sweep|compare}: plays scenarios, in virtual time or on sockets, and reports. */
+/** {@code rehearse list|show|check|run|sweep|compare}: runs scenarios in virtual time or on sockets, and reports. */
 public final class RehearseCommand implements Main.Command {
     private static final int EXIT_PASSED = 0, EXIT_RULES_BROKEN = 1, EXIT_UNUSABLE = 2, EXIT_DOUBTFUL = 3;
 
-    /** What to do. */
+    /** Names are values of the command-line argument. */
     enum Action {
         LIST,
         SHOW,
@@ -54,7 +54,7 @@
             multiValued = true)
     private List<String> operands = new ArrayList<>();
 
-    @Option(name = "--seed", metaVar = "N", usage = "of the first run (default 1)")
+    @Option(name = "--seed", metaVar = "N", usage = "random seed of the first run (default 1)")
     private long seed = 1;
 
     @Option(name = "--runs", metaVar = "N", usage = "how many runs, each with the next seed (default 1; sweep: 5)")
@@ -66,17 +66,19 @@
     @Option(name = "--load", metaVar = "FROM:TO:STEP", usage = "with sweep: loads in percent (default 40:160:10)")
     private String loadRange = "40:160:10";
 
-    @Option(name = "--aim", metaVar = "N", usage = "with sweep: the service below which the aim is lost (default 0.9)")
+    @Option(name = "--aim", metaVar = "N", usage = "with sweep: the lowest acceptable service (default 0.9)")
     private double minService = 0.9;
 
     @Option(
             name = "--set",
             metaVar = "SECTION.KEY=VALUE",
-            usage = "in place of what the scenario says; with sweep, values parted by commas: "
-                    + "one point of the curve each")
+            usage = "overrides the scenario; with sweep, values separated by commas: " + "one point of the curve each")
     private List<String> overrides = new ArrayList<>();
 
-    @Option(name = "--threads", metaVar = "N", usage = "runs side by side (default: the cores; it changes no figure)")
+    @Option(
+            name = "--threads",
+            metaVar = "N",
+            usage = "runs in parallel (default: number of cores; results do not depend on it)")
     private int threads = Runtime.getRuntime().availableProcessors();
 
     @Option(
@@ -146,11 +148,11 @@
         return ScenarioReader.read(scenarioName(), overridesExcept(null));
     }
 
-    /** What the command line sets, but for one. */
-    private List<Overrides.Setting> overridesExcept(String swept) throws ConfigurationException {
+    /** Returns the overrides of the command line, except one. */
+    private List<Overrides.Setting> overridesExcept(String excluded) throws ConfigurationException {
         List<Overrides.Setting> settings = new ArrayList<>();
         for (String s : overrides) {
-            if (!s.equals(swept)) {
+            if (!s.equals(excluded)) {
                 settings.add(Overrides.Setting.of(s));
             }
         }
@@ -162,35 +164,40 @@
         String tooLarge = sockets ? RealSockets.tooLarge(scenario) : null;
         if (tooLarge != null) {
             throw new ConfigurationException(
-                    "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; play it without");
+                    "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; run it without");
         }
-        int n = Math.max(1, runs);
-        boolean alone = n == 1;
+        int runCount = Math.max(1, runs);
+        boolean isSingle = runCount == 1;
         AtomicInteger broken = new AtomicInteger(), doubtful = new AtomicInteger();
         List<Double> services = new ArrayList<>();
         interrupt.handleSignals();
         try {
             runInParallel(
-                    n,
+                    runCount,
                     i -> {
-                        Path to = alone ? outputFolder(scenario) : outputFolder(scenario).resolve("seed-" + (seed + i));
-                        Result r = runOnce(scenario, seed + i, to, alone);
-                        Report.write(r, to);
-                        return r;
+                        Path reportFolder = isSingle
+                                ? outputFolder(scenario)
+                                : outputFolder(scenario).resolve("seed-" + (seed + i));
+                        Result result = runOnce(scenario, seed + i, reportFolder, isSingle);
+                        Report.write(result, reportFolder);
+                        return result;
                     },
-                    r -> {
+                    result -> {
                         System.out.print(
-                                alone
-                                        ? Report.summary(r)
-                                        : Report.summary(r).lines().findFirst().orElse("") + "\n");
-                        broken.addAndGet(r.auditor().broken().isEmpty() ? 0 : 1);
-                        if (r.trust() != null && !r.trust().good()) {
+                                isSingle
+                                        ? Report.summary(result)
+                                        : Report.summary(result)
+                                                        .lines()
+                                                        .findFirst()
+                                                        .orElse("") + "\n");
+                        broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
+                        if (result.trust() != null && !result.trust().good()) {
                             doubtful.incrementAndGet();
-                            if (!alone) {
-                                System.out.println(r.trust().text());
+                            if (!isSingle) {
+                                System.out.println(result.trust().text());
                             }
                         }
-                        services.add(r.auditor().service().figure(Prices.USUAL));
+                        services.add(result.auditor().service().figure(Prices.USUAL));
                     });
         } finally {
             interrupt.finish();
@@ -202,7 +209,7 @@
             System.out.printf(
                     Locale.ROOT,
                     "%d runs: service %.3f (%.3f to %.3f), 95%% of chance %.3f to %.3f; rules broken in %d%n",
-                    n,
+                    runCount,
                     all.getAverage(),
                     all.getMin(),
                     all.getMax(),
@@ -210,44 +217,52 @@
                     interval[1],
                     broken.get());
         }
-        System.out.println("report: " + outputFolder(scenario).resolve(alone ? "index.html" : ""));
-        return interrupt.isRequested() ? Interrupt.EXIT_CODE : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
+        System.out.println("report: " + outputFolder(scenario).resolve(isSingle ? "index.html" : ""));
+        return interrupt.isRequested()
+                ? Interrupt.EXIT_CODE
+                : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
     }
 
-    private Result runOnce(Scenario scenario, long itsSeed, Path to, boolean alone) throws IOException {
-        LongConsumer hears = alone ? this::progress : now -> {};
+    private Result runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
+        LongConsumer progressListener = isSingle ? this::progress : now -> {};
         if (!sockets) {
-            return VirtualTime.run(scenario, itsSeed, Fault.NONE, hears, interrupt::isRequested);
+            return VirtualTime.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
         }
-        Path folder = Files.createDirectories(to.resolve("forwarders")).toAbsolutePath();
-        Path life = Files.createTempDirectory(folder, "run-");
+        Path forwardersFolder =
+                Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
+        Path runFolder = Files.createTempDirectory(forwardersFolder, "run-");
         try {
             return RealSockets.run(
-                    scenario, itsSeed, life, ChildProcessCommand.command("serve"), hears, interrupt::isRequested);
+                    scenario,
+                    runSeed,
+                    runFolder,
+                    ChildProcessCommand.command("serve"),
+                    progressListener,
+                    interrupt::isRequested);
         } catch (InterruptedException e) {
             throw new InterruptedIOException("cut short");
         }
     }
 
-    private void progress(long now) {
-        if (System.console() != null && now / 1_000_000 % 10 == 0) {
-            System.err.print("\r" + now / 1_000_000 + " s ");
+    private void progress(long nowMicros) {
+        if (System.console() != null && nowMicros / 1_000_000 % 10 == 0) {
+            System.err.print("\r" + nowMicros / 1_000_000 + " s ");
         }
     }
 
-    /** Plays runs on several threads and hands their results over in order. */
-    private void runInParallel(int n, Simulation play, java.util.function.Consumer<Result> each)
+    /** Runs simulations on several threads and passes their results on in order. */
+    private void runInParallel(int runCount, Simulation simulation, java.util.function.Consumer<Result> consumer)
             throws InterruptedException, ExecutionException {
-        ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(n, threads)));
+        ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(runCount, threads)));
         try {
-            List<Future<Result>> all = new ArrayList<>();
-            for (int i = 0; i < n; i++) {
+            List<Future<Result>> results = new ArrayList<>();
+            for (int i = 0; i < runCount; i++) {
                 int index = i;
-                all.add(pool.submit(() -> play.run(index)));
+                results.add(pool.submit(() -> simulation.run(index)));
             }
-            for (int i = 0; i < n; i++) {
-                each.accept(all.get(i).get());
-                all.set(i, null); // a run is large: what was told goes
+            for (int i = 0; i < runCount; i++) {
+                consumer.accept(results.get(i).get());
+                results.set(i, null); // a result is large: freed once reported
             }
         } finally {
             pool.shutdownNow();
@@ -258,15 +273,18 @@
         Result run(int index) throws IOException;
     }
 
-    /** A point of a sweep: the scenario there, its place on the axis, and what people call it. */
+    /** A point of a sweep: its scenario, its position on the x axis and its label. */
     private record SweepPoint(Scenario scenario, double x, String label) {}
 
     private int sweep() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
         boolean overLoad = overrides.stream().noneMatch(s -> s.contains(","));
         List<SweepPoint> points = overLoad ? loadPoints() : settingPoints();
         Scenario first = points.get(0).scenario();
-        int n = runs > 0 ? runs : 5;
-        Sweep sweep = new Sweep(overLoad ? "load, % of the full load" : sweptOverride().substring(0, sweptOverride().indexOf('=')));
+        int runCount = runs > 0 ? runs : 5;
+        Sweep sweep = new Sweep(
+                overLoad
+                        ? "load, % of the full load"
+                        : sweptOverride().substring(0, sweptOverride().indexOf('=')));
         AtomicInteger allBroken = new AtomicInteger();
         interrupt.handleSignals();
         try {
@@ -274,14 +292,14 @@
                 List<Double> services = new ArrayList<>();
                 AtomicInteger broken = new AtomicInteger();
                 runInParallel(
-                        n,
+                        runCount,
                         i -> VirtualTime.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
-                        r -> {
-                            services.add(r.auditor().service().figure(Prices.USUAL));
-                            broken.addAndGet(r.auditor().broken().size());
+                        result -> {
+                            services.add(result.auditor().service().figure(Prices.USUAL));
+                            broken.addAndGet(result.auditor().broken().size());
                         });
                 if (interrupt.isRequested()) {
-                    break; // a point of cut runs is none
+                    break; // interrupted runs give no valid point
                 }
                 allBroken.addAndGet(broken.get());
                 System.out.println(sweep.add(point.x(), point.label(), services, broken.get()));
@@ -291,7 +309,11 @@
             interrupt.finish();
         }
         if (overLoad) {
-            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", minService, sweep.keepsUpTo(minService));
+            System.out.printf(
+                    Locale.ROOT,
+                    "service stays at %.2f up to a load of %.0f%%%n",
+                    minService,
+                    sweep.keepsUpTo(minService));
         }
         System.out.println("plot: " + outputFolder(first).resolve("sweep.png"));
         return interrupt.isRequested() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? EXIT_PASSED : EXIT_RULES_BROKEN;
@@ -319,28 +341,28 @@
         return overrides.stream().filter(s -> s.contains(",")).findFirst().orElse("");
     }
 
-    /** A point for each value of the one setting that has several. */
+    /** Returns a point for each value of the override that has several. */
     private List<SweepPoint> settingPoints() throws ConfigurationException {
-        String swept = sweptOverride();
+        String sweptOverride = sweptOverride();
         if (overrides.stream().filter(s -> s.contains(",")).count() > 1) {
             throw new ConfigurationException("--set", "one setting with several values, not two");
         }
-        Overrides.Setting form = Overrides.Setting.of(swept);
+        Overrides.Setting template = Overrides.Setting.of(sweptOverride);
         List<SweepPoint> points = new ArrayList<>();
-        for (String value : form.value().split(",")) {
-            List<Overrides.Setting> settings = overridesExcept(swept);
-            settings.add(new Overrides.Setting(form.section(), form.key(), value.strip()));
+        for (String value : template.value().split(",")) {
+            List<Overrides.Setting> settings = overridesExcept(sweptOverride);
+            settings.add(new Overrides.Setting(template.section(), template.key(), value.strip()));
             java.util.regex.Matcher number =
                     java.util.regex.Pattern.compile("[0-9.]+").matcher(value);
             points.add(new SweepPoint(
                     ScenarioReader.read(scenarioName(), settings),
                     number.find() ? Double.parseDouble(number.group()) : points.size(),
-                    form.key() + ' ' + value.strip()));
+                    template.key() + ' ' + value.strip()));
         }
         return points;
     }
 
-    /** The same scenario at one load all the time. */
+    /** Returns a copy of the scenario with a constant load. */
     private static Scenario atLoad(Scenario s, double load) {
         return new Scenario(
                 s.name(),
--- a/src/main/java/lilaclever/program/SelfTest.java
+++ b/src/main/java/lilaclever/program/SelfTest.java
@@ -17,9 +17,9 @@
 import lilaclever.conf.ConfigurationException;
 
 /**
- * Shows that the program can start and deliver on this machine: a forwarder with a made-up configuration on the
- * loopback, one message, and one peer that is its platform and its endpoint. The build runs it too, to note which
- * classes a start needs: with these in an archive a start takes half the processor time.
+ * Checks that the program can start and deliver on this machine: a forwarder with a built-in configuration delivers one
+ * message over the loopback to a peer that acts as discovery service and endpoint. The build runs it too, to record
+ * the classes that a start loads: with a class data archive of them a start takes half the processor time.
  */
 final class SelfTest {
     private static final String CONFIG = """
@@ -48,7 +48,7 @@
         return "127.0.0.1:" + peer.getLocalPort();
     }
 
-    /** The exit code. */
+    /** Returns the exit code. */
     static int run() throws IOException, InterruptedException, ConfigurationException {
         Path state = Files.createTempDirectory("lilaclever");
         try {
@@ -66,7 +66,8 @@
         Thread accepting = new Thread(this::acceptConnections, "peer");
         accepting.setDaemon(true);
         accepting.start();
-        Forwarder forwarder = Forwarder.start(Config.parse(CONFIG.formatted(peerAddress(), state, endpointList), Map.of()), null);
+        Forwarder forwarder =
+                Forwarder.start(Config.parse(CONFIG.formatted(peerAddress(), state, endpointList), Map.of()), null);
         Signals.onHangup(() -> {});
         try (Socket client = new Socket()) {
             client.connect(forwarder.addresses().get(0), 5_000);
@@ -82,9 +83,9 @@
         try {
             while (true) {
                 Socket socket = peer.accept();
-                Thread talk = new Thread(() -> serveConnection(socket), "talk");
-                talk.setDaemon(true);
-                talk.start();
+                Thread connection = new Thread(() -> serveConnection(socket), "talk");
+                connection.setDaemon(true);
+                connection.start();
             }
         } catch (IOException e) {
             System.err.println("selftest: " + e);
@@ -94,20 +95,20 @@
     private void serveConnection(Socket socket) {
         try (socket) {
             BufferedReader in = reader(socket);
-            for (String first = in.readLine(); first != null; first = in.readLine()) {
+            for (String requestLine = in.readLine(); requestLine != null; requestLine = in.readLine()) {
                 int length = 0;
-                for (String h = in.readLine(); h != null && !h.isEmpty(); h = in.readLine()) {
-                    length = h.startsWith("Content-Length: ") ? Integer.parseInt(h.substring(16)) : length;
+                for (String header = in.readLine(); header != null && !header.isEmpty(); header = in.readLine()) {
+                    length = header.startsWith("Content-Length: ") ? Integer.parseInt(header.substring(16)) : length;
                 }
                 in.skip(length);
-                boolean watch = first.startsWith("GET") && first.contains("wait_ms");
-                if (!watch) { // nothing ever changes
-                    String body = first.startsWith("GET") ? endpointList : "";
+                boolean isWatch = requestLine.startsWith("GET") && requestLine.contains("wait_ms");
+                if (!isWatch) { // a watch is never answered: the list does not change
+                    String body = requestLine.startsWith("GET") ? endpointList : "";
                     socket.getOutputStream()
                             .write(("HTTP/1.1 200 OK\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
                                     .getBytes(StandardCharsets.US_ASCII));
                 }
-                if (first.startsWith("POST /receive ")) {
+                if (requestLine.startsWith("POST /receive ")) {
                     delivered.countDown();
                 }
             }
