--- a/src/main/java/lilaclever/lab/fleet/ControlMemory.java
+++ b/src/main/java/lilaclever/lab/fleet/ControlMemory.java
@@ -72,7 +72,7 @@
                 settings.zonesOf(0),
                 settings.loadBound(),
                 settings.timing(),
-                ControllerSettings.MAX_REASSIGNMENTS));
+                ControllerSettings.MAX_REASSIGNMENTS_PER_SECOND));
         for (int number = 0; number < settings.partOf(0, settings.forwarders()); number++) {
             controller.apply(
                     new ControllerCommand.Register(new MemberId(number), 1, number % settings.zonesOf(0), 1, true),
