--- a/src/main/java/lilaclever/lab/fleet/ControlMemory.java
+++ b/src/main/java/lilaclever/lab/fleet/ControlMemory.java
@@ -60,7 +60,7 @@
         }
         holder.assignmentChanged(new ControllerEvent.AssignmentChanged(member, 1, 0, 1, true, grants, List.of()));
         holder.heartbeat(0);
-        holder.renewed(
+        holder.leaseRenewed(
                 new ControllerEvent.LeaseRenewed(member, 1, 1, settings.timing().leaseMicros(), 1), 0);
         return holder;
     }
--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -158,7 +158,7 @@
         long reading = process.forwarder.clock.now();
         boolean sampled = traffic.sampleHolder();
         long begin = sampled ? System.nanoTime() : 0;
-        process.holder.renewed(renewal, reading);
+        process.holder.leaseRenewed(renewal, reading);
         if (sampled) {
             traffic.holderTook(System.nanoTime() - begin);
         }
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -76,7 +76,7 @@
     }
 
     /** Takes in a renewal. It never shortens a lease, and never lengthens one beyond what its heartbeat gives. */
-    public HolderResult renewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
+    public HolderResult leaseRenewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
         readClock(nowMicros);
         if (!addressed(renewal.member(), renewal.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
--- a/src/test/java/lilaclever/placement/LeaseHolderTest.java
+++ b/src/test/java/lilaclever/placement/LeaseHolderTest.java
@@ -66,7 +66,7 @@
     @Test
     void renewalNeverGivesMoreThanTheConfiguredLease() {
         assigned();
-        holder.renewed(new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION, 1, 100 * SECOND, 1), 0);
+        holder.leaseRenewed(new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION, 1, 100 * SECOND, 1), 0);
         permitted(1, SEND_TIME, 0);
     }
 
@@ -230,10 +230,10 @@
         assigned();
         assertEquals(
                 HolderResult.NOT_ADDRESSED,
-                holder.renewed(new ControllerEvent.LeaseRenewed(OTHER, INCARNATION, 1, 10 * SECOND, 1), 0));
+                holder.leaseRenewed(new ControllerEvent.LeaseRenewed(OTHER, INCARNATION, 1, 10 * SECOND, 1), 0));
         assertEquals(
                 HolderResult.NOT_ADDRESSED,
-                holder.renewed(new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION - 1, 1, 10 * SECOND, 1), 0));
+                holder.leaseRenewed(new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION - 1, 1, 10 * SECOND, 1), 0));
         assertEquals(
                 HolderResult.NOT_ADDRESSED,
                 holder.assignmentChanged(new ControllerEvent.AssignmentChanged(
@@ -263,7 +263,7 @@
     }
 
     private HolderResult renew(long sequence, long revision, long nowMicros) {
-        return holder.renewed(
+        return holder.leaseRenewed(
                 new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION, sequence, 10 * SECOND, revision), nowMicros);
     }
 
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -348,7 +348,7 @@
             toMember(
                     renewed.member(),
                     renewed.incarnation(),
-                    process -> process.holder.renewed(renewed, process.clock.now()));
+                    process -> process.holder.leaseRenewed(renewed, process.clock.now()));
         } else if (event instanceof ControllerEvent.AssignmentChanged changed) {
             noteGrants(changed);
             toMember(changed.member(), changed.incarnation(), process -> {
