--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -194,7 +194,7 @@
         long reading = process.forwarder.clock.now();
         change.revoked().forEach(grant -> {
             if (process.holder.maySend(grant.shard(), reading) instanceof SendPermission.Permitted permitted) {
-                process.holder.started(grant.shard(), permitted.epoch(), reading);
+                process.holder.callStarted(grant.shard(), permitted.epoch(), reading);
                 queue.after(forwarders.callMicros(region, grant.shard()), () -> {
                     process.holder.finished(grant.shard(), permitted.epoch());
                     sendRelease(process);
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -164,7 +164,7 @@
      * @return {@code APPLIED} if the call may go; {@code OLDER_EPOCH} if the permission is of an earlier grant, and
      *         {@code NOT_PERMITTED} if there is none now
      */
-    public HolderResult started(int shard, long epoch, long nowMicros) {
+    public HolderResult callStarted(int shard, long epoch, long nowMicros) {
         if (!(maySend(shard, nowMicros) instanceof SendPermission.Permitted)) {
             return HolderResult.NOT_PERMITTED;
         }
--- a/src/test/java/lilaclever/placement/LeaseHolderTest.java
+++ b/src/test/java/lilaclever/placement/LeaseHolderTest.java
@@ -141,11 +141,11 @@
     void revokedShardStopsAtOnceAndIsReleasedWithItsLastCall() {
         assigned();
         renew(1, 1, 0);
-        assertEquals(HolderResult.APPLIED, holder.started(SHARD, 1, 0));
-        assertEquals(HolderResult.APPLIED, holder.started(SHARD, 1, 0));
+        assertEquals(HolderResult.APPLIED, holder.callStarted(SHARD, 1, 0));
+        assertEquals(HolderResult.APPLIED, holder.callStarted(SHARD, 1, 0));
         apply(change(1, 2, List.of(), grants(1)));
         refused(SendPermission.Reason.NOT_OWNER, 0);
-        assertEquals(HolderResult.NOT_PERMITTED, holder.started(SHARD, 1, 0));
+        assertEquals(HolderResult.NOT_PERMITTED, holder.callStarted(SHARD, 1, 0));
         assertEquals(Optional.empty(), holder.release());
         assertEquals(HolderResult.APPLIED, holder.finished(SHARD, 1));
         assertEquals(Optional.empty(), holder.release());
@@ -159,7 +159,7 @@
     void repeatedAssignmentIsAnsweredByTheReleaseAgainUnlessACallIsOut() {
         assigned();
         renew(1, 1, 0);
-        holder.started(SHARD, 1, 0);
+        holder.callStarted(SHARD, 1, 0);
         apply(change(1, 2, List.of(), grants(1)));
         ControllerEvent.AssignmentChanged repeated =
                 new ControllerEvent.AssignmentChanged(MEMBER, INCARNATION, 2, 2, true, List.of(), grants(1));
@@ -187,8 +187,8 @@
         apply(change(2, 3, grants(3), List.of()));
         holder.heartbeat(SECOND);
         renew(2, 3, SECOND);
-        assertEquals(HolderResult.OLDER_EPOCH, holder.started(SHARD, 1, SECOND));
-        assertEquals(HolderResult.APPLIED, holder.started(SHARD, 3, SECOND));
+        assertEquals(HolderResult.OLDER_EPOCH, holder.callStarted(SHARD, 1, SECOND));
+        assertEquals(HolderResult.APPLIED, holder.callStarted(SHARD, 3, SECOND));
         assertEquals(HolderResult.UNKNOWN_CALL, holder.finished(SHARD, 1));
         assertEquals(HolderResult.APPLIED, holder.finished(SHARD, 3));
         assertEquals(HolderResult.UNKNOWN_CALL, holder.finished(SHARD, 3));
@@ -198,7 +198,7 @@
     void callIsNotStartedAfterExpiry() {
         assigned();
         renew(1, 1, 0);
-        assertEquals(HolderResult.NOT_PERMITTED, holder.started(SHARD, 1, SEND_TIME));
+        assertEquals(HolderResult.NOT_PERMITTED, holder.callStarted(SHARD, 1, SEND_TIME));
     }
 
     @Test
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -285,7 +285,7 @@
         if (process.ended) {
             return;
         }
-        HolderResult result = process.holder.started(shard, epoch, process.clock.now());
+        HolderResult result = process.holder.callStarted(shard, epoch, process.clock.now());
         if (result == HolderResult.OLDER_EPOCH) {
             refusedOlderEpoch++;
         }
