--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -196,7 +196,7 @@
             if (process.holder.maySend(grant.shard(), reading) instanceof SendPermission.Permitted permitted) {
                 process.holder.callStarted(grant.shard(), permitted.epoch(), reading);
                 queue.after(forwarders.callMicros(region, grant.shard()), () -> {
-                    process.holder.finished(grant.shard(), permitted.epoch());
+                    process.holder.callFinished(grant.shard(), permitted.epoch());
                     sendRelease(process);
                 });
             }
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -177,7 +177,7 @@
     }
 
     /** Notes a call as ended, with an answer or without. A revoked shard is released with its last call. */
-    public HolderResult finished(int shard, long epoch) {
+    public HolderResult callFinished(int shard, long epoch) {
         AssignedShard held = assigned.get(shard);
         if (held != null && held.epoch == epoch) {
             if (held.callsOut == 0) {
--- a/src/test/java/lilaclever/placement/LeaseHolderTest.java
+++ b/src/test/java/lilaclever/placement/LeaseHolderTest.java
@@ -147,12 +147,12 @@
         refused(SendPermission.Reason.NOT_OWNER, 0);
         assertEquals(HolderResult.NOT_PERMITTED, holder.callStarted(SHARD, 1, 0));
         assertEquals(Optional.empty(), holder.release());
-        assertEquals(HolderResult.APPLIED, holder.finished(SHARD, 1));
+        assertEquals(HolderResult.APPLIED, holder.callFinished(SHARD, 1));
         assertEquals(Optional.empty(), holder.release());
-        assertEquals(HolderResult.APPLIED, holder.finished(SHARD, 1));
+        assertEquals(HolderResult.APPLIED, holder.callFinished(SHARD, 1));
         assertEquals(grants(1), holder.release().orElseThrow().shards());
         assertEquals(Optional.empty(), holder.release());
-        assertEquals(HolderResult.UNKNOWN_CALL, holder.finished(SHARD, 1));
+        assertEquals(HolderResult.UNKNOWN_CALL, holder.callFinished(SHARD, 1));
     }
 
     @Test
@@ -165,7 +165,7 @@
                 new ControllerEvent.AssignmentChanged(MEMBER, INCARNATION, 2, 2, true, List.of(), grants(1));
         assertEquals(HolderResult.REPEATED, holder.assignmentChanged(repeated));
         assertEquals(Optional.empty(), holder.release());
-        holder.finished(SHARD, 1);
+        holder.callFinished(SHARD, 1);
         assertEquals(grants(1), holder.release().orElseThrow().shards());
         assertEquals(HolderResult.REPEATED, holder.assignmentChanged(repeated));
         assertEquals(grants(1), holder.release().orElseThrow().shards());
@@ -189,9 +189,9 @@
         renew(2, 3, SECOND);
         assertEquals(HolderResult.OLDER_EPOCH, holder.callStarted(SHARD, 1, SECOND));
         assertEquals(HolderResult.APPLIED, holder.callStarted(SHARD, 3, SECOND));
-        assertEquals(HolderResult.UNKNOWN_CALL, holder.finished(SHARD, 1));
-        assertEquals(HolderResult.APPLIED, holder.finished(SHARD, 3));
-        assertEquals(HolderResult.UNKNOWN_CALL, holder.finished(SHARD, 3));
+        assertEquals(HolderResult.UNKNOWN_CALL, holder.callFinished(SHARD, 1));
+        assertEquals(HolderResult.APPLIED, holder.callFinished(SHARD, 3));
+        assertEquals(HolderResult.UNKNOWN_CALL, holder.callFinished(SHARD, 3));
     }
 
     @Test
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -311,7 +311,7 @@
 
     private void finishCall(Process process, int shard, long epoch) {
         if (!process.ended) {
-            process.holder.finished(shard, epoch);
+            process.holder.callFinished(shard, epoch);
             sendReleases(process);
         }
     }
