--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -205,7 +205,7 @@
 
     private void sendRelease(ForwarderProcess process) {
         if (!process.ended) {
-            process.holder.release().ifPresent(release -> send(process, release));
+            process.holder.takeRelease().ifPresent(release -> send(process, release));
         }
     }
 
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -208,7 +208,7 @@
      * changed and after a call has ended. If the release is lost, the controller repeats the assignment and is answered
      * by another release.
      */
-    public Optional<ControllerCommand.Release> release() {
+    public Optional<ControllerCommand.Release> takeRelease() {
         if (releases.isEmpty()) {
             return Optional.empty();
         }
--- a/src/test/java/lilaclever/placement/LeaseHolderTest.java
+++ b/src/test/java/lilaclever/placement/LeaseHolderTest.java
@@ -110,7 +110,7 @@
         refused(SendPermission.Reason.NOT_OWNER, 0);
         assertEquals(
                 List.of(new ShardGrant(SHARD, 1)),
-                holder.release().orElseThrow().shards());
+                holder.takeRelease().orElseThrow().shards());
         assertEquals(5, holder.heartbeat(0).appliedRevision());
     }
 
@@ -146,12 +146,12 @@
         apply(change(1, 2, List.of(), grants(1)));
         refused(SendPermission.Reason.NOT_OWNER, 0);
         assertEquals(HolderResult.NOT_PERMITTED, holder.callStarted(SHARD, 1, 0));
-        assertEquals(Optional.empty(), holder.release());
+        assertEquals(Optional.empty(), holder.takeRelease());
         assertEquals(HolderResult.APPLIED, holder.callFinished(SHARD, 1));
-        assertEquals(Optional.empty(), holder.release());
+        assertEquals(Optional.empty(), holder.takeRelease());
         assertEquals(HolderResult.APPLIED, holder.callFinished(SHARD, 1));
-        assertEquals(grants(1), holder.release().orElseThrow().shards());
-        assertEquals(Optional.empty(), holder.release());
+        assertEquals(grants(1), holder.takeRelease().orElseThrow().shards());
+        assertEquals(Optional.empty(), holder.takeRelease());
         assertEquals(HolderResult.UNKNOWN_CALL, holder.callFinished(SHARD, 1));
     }
 
@@ -164,17 +164,17 @@
         ControllerEvent.AssignmentChanged repeated =
                 new ControllerEvent.AssignmentChanged(MEMBER, INCARNATION, 2, 2, true, List.of(), grants(1));
         assertEquals(HolderResult.REPEATED, holder.assignmentChanged(repeated));
-        assertEquals(Optional.empty(), holder.release());
+        assertEquals(Optional.empty(), holder.takeRelease());
         holder.callFinished(SHARD, 1);
-        assertEquals(grants(1), holder.release().orElseThrow().shards());
+        assertEquals(grants(1), holder.takeRelease().orElseThrow().shards());
         assertEquals(HolderResult.REPEATED, holder.assignmentChanged(repeated));
-        assertEquals(grants(1), holder.release().orElseThrow().shards());
+        assertEquals(grants(1), holder.takeRelease().orElseThrow().shards());
     }
 
     @Test
     void grantThatWasNeverSeenIsReleasedAndNotTakenLater() {
         apply(new ControllerEvent.AssignmentChanged(MEMBER, INCARNATION, 0, 3, true, List.of(), grants(2)));
-        assertEquals(grants(2), holder.release().orElseThrow().shards());
+        assertEquals(grants(2), holder.takeRelease().orElseThrow().shards());
         assertEquals(HolderResult.OLDER_EPOCH, holder.assignmentChanged(change(3, 4, grants(2), List.of())));
     }
 
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -411,7 +411,7 @@
     }
 
     private void sendReleases(Process process) {
-        process.holder.release().ifPresent(release -> send(process, release));
+        process.holder.takeRelease().ifPresent(release -> send(process, release));
     }
 
     private interface Receipt {
