--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -38,8 +38,8 @@
         List<Slope.Point> points = new ArrayList<>();
         for (int destinations : List.of(5_000, 10_000, 20_000, 40_000)) {
             long before = Usage.liveHeapBytes();
-            try (HollowForwarder forwarder =
-                    new HollowForwarder(folder(destinations), destinations, destinations, 100)) {
+            try (SocketlessForwarder forwarder =
+                    new SocketlessForwarder(folder(destinations), destinations, destinations, 100)) {
                 points.add(new Slope.Point(destinations, Usage.liveHeapBytes() - before));
                 Reference.reachabilityFence(forwarder);
             }
@@ -54,7 +54,7 @@
         List<Slope.Point> points = new ArrayList<>();
         for (int messages : List.of(2_000, 4_000, 8_000, 16_000)) {
             long before = Usage.liveHeapBytes();
-            try (HollowForwarder forwarder = new HollowForwarder(folder(messages), 1, 0, 2 * messages)) {
+            try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
                 for (int i = 0; i < messages; i++) {
                     forwarder.handIn(0, new byte[BODY]);
                     if (i % 100 == 0) {
@@ -74,14 +74,14 @@
     /** Without this the figures of events would be those of messages that wait. */
     @Test
     void aHollowForwarderDeliversWhatItGets() throws IOException {
-        try (HollowForwarder forwarder = new HollowForwarder(folder(1), 374, 374, 10_000)) {
+        try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(1), 374, 374, 10_000)) {
             for (int i = 0; i < 2_000; i++) {
                 forwarder.handIn(i % 374, new byte[BODY]);
                 if (i % 9 == 0) {
                     forwarder.turn();
                 }
             }
-            forwarder.pass(HollowForwarder.SECOND);
+            forwarder.pass(SocketlessForwarder.SECOND);
             assertEquals(2_000, forwarder.count(Counters.Name.DELIVERED));
             assertEquals(0, forwarder.held());
         }
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -30,7 +30,7 @@
  * uses it. Each endpoint has a destination of its own; its calls are delivered, or refused where the destination is
  * down.
  */
-final class HollowForwarder implements Front, Deliverer, Clock, AutoCloseable {
+final class SocketlessForwarder implements Front, Deliverer, Clock, AutoCloseable {
     static final long SECOND = 1_000_000, ROUND = 5_000, DAY = 86_400 * SECOND;
     /** The wall clock at virtual time 0: any day will do. */
     private static final long WALL = 1_767_225_600L * SECOND;
@@ -53,11 +53,11 @@
      * Opens the folder's journal and starts with so many destinations listed, of which those from {@code firstDown} on
      * are down.
      */
-    HollowForwarder(Path folder, int destinations, int firstDown, int mostHeld) throws IOException {
+    SocketlessForwarder(Path folder, int destinations, int firstDown, int mostHeld) throws IOException {
         this(FolderDisk.lock(folder), destinations, firstDown, mostHeld);
     }
 
-    HollowForwarder(Disk disk, int destinations, int firstDown, int mostHeld) throws IOException {
+    SocketlessForwarder(Disk disk, int destinations, int firstDown, int mostHeld) throws IOException {
         this.firstDown = firstDown;
         this.disk = disk;
         journal = new SegmentedJournal(
