--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -31,9 +31,9 @@
  * down.
  */
 final class SocketlessForwarder implements Front, Deliverer, Clock, AutoCloseable {
-    static final long SECOND = 1_000_000, ROUND = 5_000, DAY = 86_400 * SECOND;
+    static final long SECOND_MICROS = 1_000_000, ROUND = 5_000, DAY = 86_400 * SECOND_MICROS;
     /** The wall clock at virtual time 0: any day will do. */
-    private static final long WALL = 1_767_225_600L * SECOND;
+    private static final long WALL = 1_767_225_600L * SECOND_MICROS;
 
     private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET = 19_000;
     private static final long MOST_DISK = 64L << 30;
@@ -67,14 +67,14 @@
                 new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
-                settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND, 1), this);
+                settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND_MICROS, 1), this);
         core.add(this);
         core.runFirstTurn(list(destinations), 1);
     }
 
     private static DecisionModule.Settings settings(int mostHeld) {
         DecisionModule.MessageClass repeatable = new DecisionModule.MessageClass(
-                SECOND, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
+                SECOND_MICROS, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
                 FLEET,
@@ -89,8 +89,8 @@
                 List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(
-                        MAX_ATTEMPTS, mostHeld, SLOTS, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
-                new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
+                        MAX_ATTEMPTS, mostHeld, SLOTS, true, false, false, 1, SECOND_MICROS, 5 * SECOND_MICROS, true, 2 * SECOND_MICROS),
+                new DecisionModule.Rules(20_000, 10 * SECOND_MICROS, SECOND_MICROS / 2, 0.24, 9_500_000, 1.5, 3 * SECOND_MICROS, 100_000));
     }
 
     private List<Core.ListedEndpoint> list(int destinations) {
