--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -100,7 +100,7 @@
             long before = Usage.liveHeapBytes();
             try (SocketlessForwarder forwarder = open(folder, 1 + DOWN, 1, 2 * size)) {
                 for (int i = 0; i < size; i++) {
-                    forwarder.handIn(1 + i % DOWN, new byte[BODY]);
+                    forwarder.submit(1 + i % DOWN, new byte[BODY]);
                     if (i % MESSAGES_IN_A_TURN == 0) {
                         forwarder.turn();
                     }
@@ -128,7 +128,7 @@
     private static Histogram busyTurns(SocketlessForwarder forwarder) {
         Histogram turns = new Histogram(MOST_TURN_NANOS, 3);
         for (int i = 0; i < BUSY_TURNS; i++) {
-            forwarder.handIn(0, new byte[BODY]);
+            forwarder.submit(0, new byte[BODY]);
             turns.recordValue((long) (Usage.cpuSeconds(forwarder::turn) * NANOS));
         }
         forwarder.pass(SocketlessForwarder.SECOND_MICROS);
@@ -149,7 +149,7 @@
             try (SocketlessForwarder forwarder = new SocketlessForwarder(disk, destinations, destinations, 10_000)) {
                 double cpu = Usage.cpuSeconds(() -> {
                     for (int i = 0; i < events; i++) {
-                        forwarder.handIn(random.nextInt(destinations), new byte[BODY]);
+                        forwarder.submit(random.nextInt(destinations), new byte[BODY]);
                         if (i % EVENTS_IN_A_TURN == 0) {
                             forwarder.turn();
                         }
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -56,7 +56,7 @@
             long before = Usage.liveHeapBytes();
             try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
                 for (int i = 0; i < messages; i++) {
-                    forwarder.handIn(0, new byte[BODY]);
+                    forwarder.submit(0, new byte[BODY]);
                     if (i % 100 == 0) {
                         forwarder.turn();
                     }
@@ -76,7 +76,7 @@
     void aHollowForwarderDeliversWhatItGets() throws IOException {
         try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(1), 374, 374, 10_000)) {
             for (int i = 0; i < 2_000; i++) {
-                forwarder.handIn(i % 374, new byte[BODY]);
+                forwarder.submit(i % 374, new byte[BODY]);
                 if (i % 9 == 0) {
                     forwarder.turn();
                 }
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -116,7 +116,7 @@
     }
 
     /** Hands one message in; what comes of it is told in later turns. */
-    void handIn(int destination, byte[] body) {
+    void submit(int destination, byte[] body) {
         String id = "message-" + next++;
         core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
     }
