--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -76,7 +76,7 @@
                 Sample.print("destination_start_cpu", size, start, "s");
                 double changes = Usage.cpuSeconds(() -> {
                     for (int i = 0; i < CHANGES; i++) {
-                        forwarder.change(i, 2 + i);
+                        forwarder.updateEndpoint(i, 2 + i);
                     }
                 });
                 Sample.print("change_cpu", size, changes / CHANGES, "s");
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -107,7 +107,7 @@
     }
 
     /** Has the list tell of one endpoint, as each change of it does, and runs the turn. */
-    void change(int destination, long version) {
+    void updateEndpoint(int destination, long version) {
         core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
                 version,
