--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -80,7 +80,7 @@
                     }
                 });
                 Sample.print("change_cpu", size, changes / CHANGES, "s");
-                double idle = Usage.cpuSeconds(() -> forwarder.pass(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
+                double idle = Usage.cpuSeconds(() -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("idle_second_cpu", size, idle / IDLE_SECONDS, "s");
             }
         });
@@ -109,7 +109,7 @@
                 requireHeld(forwarder, size);
                 Sample.print("held_heap", size, Usage.liveHeapBytes() - before, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
-                double waiting = Usage.cpuSeconds(() -> forwarder.pass(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
+                double waiting = Usage.cpuSeconds(() -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
                 Histogram turns = busyTurns(forwarder);
                 Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS, "s");
@@ -131,7 +131,7 @@
             forwarder.submit(0, new byte[BODY]);
             turns.recordValue((long) (Usage.cpuSeconds(forwarder::turn) * NANOS));
         }
-        forwarder.pass(SocketlessForwarder.SECOND_MICROS);
+        forwarder.advance(SocketlessForwarder.SECOND_MICROS);
         return turns;
     }
 
@@ -154,7 +154,7 @@
                             forwarder.turn();
                         }
                     }
-                    forwarder.pass(SocketlessForwarder.SECOND_MICROS);
+                    forwarder.advance(SocketlessForwarder.SECOND_MICROS);
                 });
                 if (forwarder.count(Counters.Name.DELIVERED) != events) {
                     throw new IllegalStateException(
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -81,7 +81,7 @@
                     forwarder.turn();
                 }
             }
-            forwarder.pass(SocketlessForwarder.SECOND_MICROS);
+            forwarder.advance(SocketlessForwarder.SECOND_MICROS);
             assertEquals(2_000, forwarder.count(Counters.Name.DELIVERED));
             assertEquals(0, forwarder.held());
         }
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -128,7 +128,7 @@
     }
 
     /** Lets the time pass; gives how many turns the loop made. */
-    int pass(long micros) {
+    int advance(long micros) {
         int turns = 0;
         for (long until = now + micros; now < until; turns++) {
             now = Math.max(now + ROUND, Math.min(until, core.nextTurnMicros()));
