--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -136,8 +136,8 @@
     }
 
     private static void requireHeld(SocketlessForwarder forwarder, int size) {
-        if (forwarder.held() != size) {
-            throw new IllegalStateException("held " + forwarder.held() + " of " + size);
+        if (forwarder.pendingMessages() != size) {
+            throw new IllegalStateException("held " + forwarder.pendingMessages() + " of " + size);
         }
     }
 
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -62,7 +62,7 @@
                     }
                 }
                 forwarder.turn();
-                assertEquals(messages, forwarder.held());
+                assertEquals(messages, forwarder.pendingMessages());
                 points.add(new Slope.Point(messages, Usage.liveHeapBytes() - before));
             }
         }
@@ -83,7 +83,7 @@
             }
             forwarder.advance(SocketlessForwarder.SECOND_MICROS);
             assertEquals(2_000, forwarder.count(Counters.Name.DELIVERED));
-            assertEquals(0, forwarder.held());
+            assertEquals(0, forwarder.pendingMessages());
         }
     }
 
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -137,7 +137,7 @@
         return turns;
     }
 
-    int held() {
+    int pendingMessages() {
         return journal.pendingMessages().size();
     }
 
