--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -156,9 +156,9 @@
                     }
                     forwarder.advance(SocketlessForwarder.SECOND_MICROS);
                 });
-                if (forwarder.count(Counters.Name.DELIVERED) != events) {
+                if (forwarder.counter(Counters.Name.DELIVERED) != events) {
                     throw new IllegalStateException(
-                            "delivered " + forwarder.count(Counters.Name.DELIVERED) + " of " + events);
+                            "delivered " + forwarder.counter(Counters.Name.DELIVERED) + " of " + events);
                 }
                 if (measure.equals("event")) {
                     Sample.print("event_cpu", events, cpu, "s");
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -82,7 +82,7 @@
                 }
             }
             forwarder.advance(SocketlessForwarder.SECOND_MICROS);
-            assertEquals(2_000, forwarder.count(Counters.Name.DELIVERED));
+            assertEquals(2_000, forwarder.counter(Counters.Name.DELIVERED));
             assertEquals(0, forwarder.pendingMessages());
         }
     }
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -141,7 +141,7 @@
         return journal.pendingMessages().size();
     }
 
-    long count(Counters.Name name) {
+    long counter(Counters.Name name) {
         return counters.get(name);
     }
 
