--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -52,8 +52,8 @@
             if (sizes < LEAST_SIZES) {
                 continue; // measured at one size, as the ways of an agent are
             }
-            Slope slope = Slope.fit(samples.stream()
-                    .map(s -> new Slope.Point(s.size(), s.value()))
+            LinearFit slope = LinearFit.fit(samples.stream()
+                    .map(s -> new LinearFit.Point(s.size(), s.value()))
                     .toList());
             lines.add(String.format(
                     Locale.ROOT,
@@ -91,7 +91,7 @@
         return measures;
     }
 
-    private static void plot(Path file, String name, List<Sample> samples, Slope slope) throws IOException {
+    private static void plot(Path file, String name, List<Sample> samples, LinearFit slope) throws IOException {
         XYSeries points = new XYSeries("measured");
         XYSeries line = new XYSeries("least squares");
         for (Sample sample : samples) {
--- a/src/test/java/lilaclever/scale/Slope.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -13,14 +13,14 @@
  * @param rmsResidual root of the mean square of what is left, in the value's unit
  * @param worstPart the largest distance from the line, as part of the largest value
  */
-record Slope(double perUnit, double atZero, double rSquared, double rmsResidual, double worstPart) {
+record LinearFit(double perUnit, double atZero, double rSquared, double rmsResidual, double worstPart) {
     /** A point of the measurement. */
     record Point(double size, double value) {}
 
     private static final int LEAST_POINTS = 2;
 
     /** The line through the points, which must be at two different sizes or more. */
-    static Slope fit(List<Point> points) {
+    static LinearFit fit(List<Point> points) {
         if (points.stream().mapToDouble(Point::size).distinct().count() < LEAST_POINTS) {
             throw new IllegalArgumentException("a line needs two sizes");
         }
@@ -34,7 +34,7 @@
                 .mapToDouble(point -> Math.abs(point.value()))
                 .max()
                 .orElse(0);
-        return new Slope(
+        return new LinearFit(
                 line.getSlope(),
                 line.getIntercept(),
                 line.getRSquare(),
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -35,23 +35,23 @@
 
     @Test
     void heapForEachDestinationListedIsUnderItsBoundAndOnALine() throws IOException {
-        List<Slope.Point> points = new ArrayList<>();
+        List<LinearFit.Point> points = new ArrayList<>();
         for (int destinations : List.of(5_000, 10_000, 20_000, 40_000)) {
             long before = Usage.liveHeapBytes();
             try (SocketlessForwarder forwarder =
                     new SocketlessForwarder(folder(destinations), destinations, destinations, 100)) {
-                points.add(new Slope.Point(destinations, Usage.liveHeapBytes() - before));
+                points.add(new LinearFit.Point(destinations, Usage.liveHeapBytes() - before));
                 Reference.reachabilityFence(forwarder);
             }
         }
-        Slope slope = Slope.fit(points);
+        LinearFit slope = LinearFit.fit(points);
         assertTrue(slope.perUnit() < MOST_FOR_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
         assertTrue(slope.worstPart() < STRAIGHT, slope + " through " + points);
     }
 
     @Test
     void heapForEachMessageHeldIsUnderItsBoundAndOnALine() throws IOException {
-        List<Slope.Point> points = new ArrayList<>();
+        List<LinearFit.Point> points = new ArrayList<>();
         for (int messages : List.of(2_000, 4_000, 8_000, 16_000)) {
             long before = Usage.liveHeapBytes();
             try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
@@ -63,10 +63,10 @@
                 }
                 forwarder.turn();
                 assertEquals(messages, forwarder.pendingMessages());
-                points.add(new Slope.Point(messages, Usage.liveHeapBytes() - before));
+                points.add(new LinearFit.Point(messages, Usage.liveHeapBytes() - before));
             }
         }
-        Slope slope = Slope.fit(points);
+        LinearFit slope = LinearFit.fit(points);
         assertTrue(slope.perUnit() < MOST_FOR_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
         assertTrue(slope.worstPart() < STRAIGHT, slope + " through " + points);
     }
@@ -89,15 +89,15 @@
 
     @Test
     void aLineIsFoundAndWhatIsNoneIsSeen() {
-        Slope line = Slope.fit(List.of(new Slope.Point(1, 5), new Slope.Point(2, 7), new Slope.Point(4, 11)));
+        LinearFit line = LinearFit.fit(List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
         assertEquals(2, line.perUnit(), 1e-9);
         assertEquals(3, line.atZero(), 1e-9);
         assertEquals(23, line.at(10), 1e-9);
         assertEquals(0, line.worstPart(), 1e-9);
-        Slope square = Slope.fit(List.of(new Slope.Point(1, 1), new Slope.Point(10, 100), new Slope.Point(20, 400)));
+        LinearFit square = LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
         assertTrue(square.worstPart() > 0.1, square.toString());
         assertThrows(
-                IllegalArgumentException.class, () -> Slope.fit(List.of(new Slope.Point(1, 1), new Slope.Point(1, 2))));
+                IllegalArgumentException.class, () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
     }
 
     private Path folder(int number) throws IOException {
