--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -63,7 +63,7 @@
                     sizes,
                     samples.size(),
                     slope.perUnit(),
-                    slope.atZero(),
+                    slope.intercept(),
                     slope.rSquared(),
                     slope.rmsResidual(),
                     slope.worstPart()));
--- a/src/test/java/lilaclever/scale/LinearFit.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -8,12 +8,12 @@
  * the values are.
  *
  * @param perUnit how much the value grows with each unit of the size
- * @param atZero the line's value at size 0
+ * @param intercept the line's value at size 0
  * @param rSquared share of the values' variance that the line explains, 0 to 1
  * @param rmsResidual root of the mean square of what is left, in the value's unit
  * @param worstPart the largest distance from the line, as part of the largest value
  */
-record LinearFit(double perUnit, double atZero, double rSquared, double rmsResidual, double worstPart) {
+record LinearFit(double perUnit, double intercept, double rSquared, double rmsResidual, double worstPart) {
     /** A point of the measurement. */
     record Point(double size, double value) {}
 
@@ -44,6 +44,6 @@
 
     /** The line's value at a size. */
     double at(double size) {
-        return atZero + perUnit * size;
+        return intercept + perUnit * size;
     }
 }
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -91,7 +91,7 @@
     void aLineIsFoundAndWhatIsNoneIsSeen() {
         LinearFit line = LinearFit.fit(List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
         assertEquals(2, line.perUnit(), 1e-9);
-        assertEquals(3, line.atZero(), 1e-9);
+        assertEquals(3, line.intercept(), 1e-9);
         assertEquals(23, line.at(10), 1e-9);
         assertEquals(0, line.worstPart(), 1e-9);
         LinearFit square = LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
