--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -66,7 +66,7 @@
                     slope.intercept(),
                     slope.rSquared(),
                     slope.rmsResidual(),
-                    slope.worstPart()));
+                    slope.maxRelativeResidual()));
             if (PLOTTED.contains(measure.getKey())) {
                 plot(folder.resolve(measure.getKey() + ".png"), measure.getKey(), samples, slope);
             }
--- a/src/test/java/lilaclever/scale/LinearFit.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -11,9 +11,9 @@
  * @param intercept the line's value at size 0
  * @param rSquared share of the values' variance that the line explains, 0 to 1
  * @param rmsResidual root of the mean square of what is left, in the value's unit
- * @param worstPart the largest distance from the line, as part of the largest value
+ * @param maxRelativeResidual the largest distance from the line, as part of the largest value
  */
-record LinearFit(double perUnit, double intercept, double rSquared, double rmsResidual, double worstPart) {
+record LinearFit(double perUnit, double intercept, double rSquared, double rmsResidual, double maxRelativeResidual) {
     /** A point of the measurement. */
     record Point(double size, double value) {}
 
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -46,7 +46,7 @@
         }
         LinearFit slope = LinearFit.fit(points);
         assertTrue(slope.perUnit() < MOST_FOR_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.worstPart() < STRAIGHT, slope + " through " + points);
+        assertTrue(slope.maxRelativeResidual() < STRAIGHT, slope + " through " + points);
     }
 
     @Test
@@ -68,7 +68,7 @@
         }
         LinearFit slope = LinearFit.fit(points);
         assertTrue(slope.perUnit() < MOST_FOR_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.worstPart() < STRAIGHT, slope + " through " + points);
+        assertTrue(slope.maxRelativeResidual() < STRAIGHT, slope + " through " + points);
     }
 
     /** Without this the figures of events would be those of messages that wait. */
@@ -93,9 +93,9 @@
         assertEquals(2, line.perUnit(), 1e-9);
         assertEquals(3, line.intercept(), 1e-9);
         assertEquals(23, line.at(10), 1e-9);
-        assertEquals(0, line.worstPart(), 1e-9);
+        assertEquals(0, line.maxRelativeResidual(), 1e-9);
         LinearFit square = LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
-        assertTrue(square.worstPart() > 0.1, square.toString());
+        assertTrue(square.maxRelativeResidual() > 0.1, square.toString());
         assertThrows(
                 IllegalArgumentException.class, () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
     }
