--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -96,7 +96,7 @@
         XYSeries line = new XYSeries("least squares");
         for (Sample sample : samples) {
             points.add(sample.size(), sample.value());
-            line.addOrUpdate(sample.size(), slope.at(sample.size()));
+            line.addOrUpdate(sample.size(), slope.valueAt(sample.size()));
         }
         XYSeriesCollection data = new XYSeriesCollection(points);
         data.addSeries(line);
--- a/src/test/java/lilaclever/scale/LinearFit.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -43,7 +43,7 @@
     }
 
     /** The line's value at a size. */
-    double at(double size) {
+    double valueAt(double size) {
         return intercept + perUnit * size;
     }
 }
