--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -68,19 +68,19 @@
 
     private static void destinations(int size) throws IOException {
         inFolder(folder -> {
-            long before = Usage.liveHeapBytes();
+            long before = ResourceUsage.liveHeapBytes();
             SocketlessForwarder[] started = new SocketlessForwarder[1];
-            double start = Usage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
+            double start = ResourceUsage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
             try (SocketlessForwarder forwarder = started[0]) {
-                Sample.print("destination_heap", size, Usage.liveHeapBytes() - before, "bytes");
+                Sample.print("destination_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
                 Sample.print("destination_start_cpu", size, start, "s");
-                double changes = Usage.cpuSeconds(() -> {
+                double changes = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < CHANGES; i++) {
                         forwarder.updateEndpoint(i, 2 + i);
                     }
                 });
                 Sample.print("change_cpu", size, changes / CHANGES, "s");
-                double idle = Usage.cpuSeconds(() -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
+                double idle = ResourceUsage.cpuSeconds(() -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("idle_second_cpu", size, idle / IDLE_SECONDS, "s");
             }
         });
@@ -97,7 +97,7 @@
 
     private static void held(int size) throws IOException {
         inFolder(folder -> {
-            long before = Usage.liveHeapBytes();
+            long before = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder = open(folder, 1 + DOWN, 1, 2 * size)) {
                 for (int i = 0; i < size; i++) {
                     forwarder.submit(1 + i % DOWN, new byte[BODY]);
@@ -107,16 +107,16 @@
                 }
                 forwarder.turn();
                 requireHeld(forwarder, size);
-                Sample.print("held_heap", size, Usage.liveHeapBytes() - before, "bytes");
+                Sample.print("held_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
-                double waiting = Usage.cpuSeconds(() -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
+                double waiting = ResourceUsage.cpuSeconds(() -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
                 Histogram turns = busyTurns(forwarder);
                 Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS, "s");
                 Sample.print("held_busy_turn_p99_cpu", size, turns.getValueAtPercentile(99) / NANOS, "s");
             }
             SocketlessForwarder[] reopened = new SocketlessForwarder[1];
-            double recovery = Usage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN, 1, 2 * size));
+            double recovery = ResourceUsage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN, 1, 2 * size));
             try (SocketlessForwarder forwarder = reopened[0]) {
                 requireHeld(forwarder, size);
                 Sample.print("held_recovery_cpu", size, recovery, "s");
@@ -129,7 +129,7 @@
         Histogram turns = new Histogram(MOST_TURN_NANOS, 3);
         for (int i = 0; i < BUSY_TURNS; i++) {
             forwarder.submit(0, new byte[BODY]);
-            turns.recordValue((long) (Usage.cpuSeconds(forwarder::turn) * NANOS));
+            turns.recordValue((long) (ResourceUsage.cpuSeconds(forwarder::turn) * NANOS));
         }
         forwarder.advance(SocketlessForwarder.SECOND_MICROS);
         return turns;
@@ -147,7 +147,7 @@
             CountingDisk disk = new CountingDisk(FolderDisk.lock(folder));
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(11);
             try (SocketlessForwarder forwarder = new SocketlessForwarder(disk, destinations, destinations, 10_000)) {
-                double cpu = Usage.cpuSeconds(() -> {
+                double cpu = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < events; i++) {
                         forwarder.submit(random.nextInt(destinations), new byte[BODY]);
                         if (i % EVENTS_IN_A_TURN == 0) {
--- a/src/test/java/lilaclever/scale/Usage.java
+++ b/src/test/java/lilaclever/scale/ResourceUsage.java
@@ -4,11 +4,11 @@
 import java.lang.management.ThreadMXBean;
 
 /** What this process uses. */
-final class Usage {
+final class ResourceUsage {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
     private static final int COLLECTIONS = 2;
 
-    private Usage() {}
+    private ResourceUsage() {}
 
     /** Bytes of the heap that are in use after full collections. */
     static long liveHeapBytes() {
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -37,10 +37,10 @@
     void heapForEachDestinationListedIsUnderItsBoundAndOnALine() throws IOException {
         List<LinearFit.Point> points = new ArrayList<>();
         for (int destinations : List.of(5_000, 10_000, 20_000, 40_000)) {
-            long before = Usage.liveHeapBytes();
+            long before = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder =
                     new SocketlessForwarder(folder(destinations), destinations, destinations, 100)) {
-                points.add(new LinearFit.Point(destinations, Usage.liveHeapBytes() - before));
+                points.add(new LinearFit.Point(destinations, ResourceUsage.liveHeapBytes() - before));
                 Reference.reachabilityFence(forwarder);
             }
         }
@@ -53,7 +53,7 @@
     void heapForEachMessageHeldIsUnderItsBoundAndOnALine() throws IOException {
         List<LinearFit.Point> points = new ArrayList<>();
         for (int messages : List.of(2_000, 4_000, 8_000, 16_000)) {
-            long before = Usage.liveHeapBytes();
+            long before = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
                 for (int i = 0; i < messages; i++) {
                     forwarder.submit(0, new byte[BODY]);
@@ -63,7 +63,7 @@
                 }
                 forwarder.turn();
                 assertEquals(messages, forwarder.pendingMessages());
-                points.add(new LinearFit.Point(messages, Usage.liveHeapBytes() - before));
+                points.add(new LinearFit.Point(messages, ResourceUsage.liveHeapBytes() - before));
             }
         }
         LinearFit slope = LinearFit.fit(points);
