--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -31,20 +31,20 @@
 
     private final Map<Integer, AssignedShard> assigned = new HashMap<>();
     /** The least epoch that may still be granted, for each shard that was ever assigned; bounded by the shards. */
-    private final Map<Integer, Long> leastEpoch = new HashMap<>();
+    private final Map<Integer, Long> minEpochs = new HashMap<>();
     /** Calls out for grants that were revoked; an entry goes with its last call. */
     private final Map<ShardGrant, Integer> draining = new HashMap<>();
     /** What is to be released. */
-    private final Set<ShardGrant> releases = new LinkedHashSet<>();
+    private final Set<ShardGrant> pendingReleases = new LinkedHashSet<>();
 
     private long appliedRevision;
-    private long latestReading = Long.MIN_VALUE;
+    private long latestReadingMicros = Long.MIN_VALUE;
 
     /** A shard of the assignment. */
     private static final class AssignedShard {
         final long epoch;
         final long grantedRevision;
-        int callsOut;
+        int callsInFlight;
 
         AssignedShard(long epoch, long grantedRevision) {
             this.epoch = epoch;
@@ -71,26 +71,26 @@
 
     /** Makes the next heartbeat, which has to be sent now or later; its renewal counts from now. */
     public ControllerCommand.Heartbeat heartbeat(long nowMicros) {
-        readClock(nowMicros);
-        return new ControllerCommand.Heartbeat(member, incarnation, heartbeats.sent(nowMicros), appliedRevision);
+        checkClock(nowMicros);
+        return new ControllerCommand.Heartbeat(member, incarnation, heartbeats.recordSent(nowMicros), appliedRevision);
     }
 
     /** Takes in a renewal. It never shortens a lease, and never lengthens one beyond what its heartbeat gives. */
     public HolderResult leaseRenewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
-        readClock(nowMicros);
-        if (!addressed(renewal.member(), renewal.incarnation())) {
+        checkClock(nowMicros);
+        if (!isForThisProcess(renewal.member(), renewal.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
         }
-        long sentMicros = heartbeats.sentAt(renewal.sequence());
+        long sentMicros = heartbeats.sentAtMicros(renewal.sequence());
         if (sentMicros == SentHeartbeats.UNKNOWN) {
             return HolderResult.UNKNOWN_HEARTBEAT;
         }
         long leaseMicros = Math.min(renewal.leaseMicros(), timing.leaseMicros());
-        long endMicros = sentMicros + guards.driftAllowed(leaseMicros);
-        if (guards.expired(nowMicros, guards.sendUntil(endMicros))) {
-            return HolderResult.LEASE_OVER;
+        long endMicros = sentMicros + guards.driftAdjustedMicros(leaseMicros);
+        if (guards.expired(nowMicros, guards.sendUntilMicros(endMicros))) {
+            return HolderResult.LEASE_EXPIRED;
         }
-        renewals.renewed(renewal.revision(), endMicros, nowMicros);
+        renewals.addRenewal(renewal.revision(), endMicros, nowMicros);
         return HolderResult.APPLIED;
     }
 
@@ -98,26 +98,26 @@
      * Takes in a change of the assignment: as a whole, or not at all. What it revokes is stopped before this returns.
      */
     public HolderResult assignmentChanged(ControllerEvent.AssignmentChanged change) {
-        if (!addressed(change.member(), change.incarnation())) {
+        if (!isForThisProcess(change.member(), change.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
         }
-        if (change.whole() && change.toRevision() == appliedRevision) {
-            change.revoked().forEach(this::giveBack);
+        if (change.full() && change.toRevision() == appliedRevision) {
+            change.revoked().forEach(this::revokeAndRelease);
             return HolderResult.REPEATED;
         }
         if (change.toRevision() <= appliedRevision) {
             return HolderResult.STALE_REVISION;
         }
-        if (!change.whole() && change.fromRevision() != appliedRevision) {
+        if (!change.full() && change.fromRevision() != appliedRevision) {
             return HolderResult.REVISION_GAP;
         }
         for (ShardGrant grant : change.granted()) {
-            if (guards.olderEpoch(grant.epoch(), leastEpoch.getOrDefault(grant.shard(), 0L))) {
+            if (guards.isOlderEpoch(grant.epoch(), minEpochs.getOrDefault(grant.shard(), 0L))) {
                 return HolderResult.OLDER_EPOCH;
             }
         }
-        change.revoked().forEach(this::giveBack);
-        if (change.whole()) {
+        change.revoked().forEach(this::revokeAndRelease);
+        if (change.full()) {
             revokeAllBut(change.granted());
         }
         change.granted().forEach(grant -> grant(grant, change.toRevision()));
@@ -132,26 +132,26 @@
         if (held == null || !othersNow) {
             return HolderResult.NOT_ADDRESSED;
         }
-        if (!guards.olderEpoch(held.epoch, change.epoch())) {
+        if (!guards.isOlderEpoch(held.epoch, change.epoch())) {
             return HolderResult.OLDER_EPOCH;
         }
         revoke(change.shard(), held.epoch);
-        leastEpoch.put(change.shard(), change.epoch() + 1);
+        minEpochs.put(change.shard(), change.epoch() + 1);
         return HolderResult.APPLIED;
     }
 
     /** Whether the forwarder may send for a shard now, and if so, under which epoch and until when. */
     public SendPermission maySend(int shard, long nowMicros) {
-        readClock(nowMicros);
+        checkClock(nowMicros);
         AssignedShard held = assigned.get(shard);
         if (held == null) {
             return new SendPermission.Refused(SendPermission.Reason.NOT_OWNER);
         }
-        long endMicros = renewals.endOf(held.grantedRevision, appliedRevision);
+        long endMicros = renewals.leaseEndMicros(held.grantedRevision, appliedRevision);
         if (endMicros == RenewalHistory.NOT_COVERED) {
             return new SendPermission.Refused(SendPermission.Reason.NOT_COVERED);
         }
-        long untilMicros = guards.sendUntil(endMicros);
+        long untilMicros = guards.sendUntilMicros(endMicros);
         if (guards.expired(nowMicros, untilMicros)) {
             return new SendPermission.Refused(SendPermission.Reason.LEASE_EXPIRED);
         }
@@ -169,10 +169,10 @@
             return HolderResult.NOT_PERMITTED;
         }
         AssignedShard held = assigned.get(shard);
-        if (guards.olderEpoch(epoch, held.epoch)) {
+        if (guards.isOlderEpoch(epoch, held.epoch)) {
             return HolderResult.OLDER_EPOCH;
         }
-        held.callsOut++;
+        held.callsInFlight++;
         return HolderResult.APPLIED;
     }
 
@@ -180,23 +180,23 @@
     public HolderResult callFinished(int shard, long epoch) {
         AssignedShard held = assigned.get(shard);
         if (held != null && held.epoch == epoch) {
-            if (held.callsOut == 0) {
+            if (held.callsInFlight == 0) {
                 return HolderResult.UNKNOWN_CALL;
             }
-            held.callsOut--;
+            held.callsInFlight--;
             return HolderResult.APPLIED;
         }
-        return finishedDraining(new ShardGrant(shard, epoch));
+        return drainingCallFinished(new ShardGrant(shard, epoch));
     }
 
-    private HolderResult finishedDraining(ShardGrant grant) {
+    private HolderResult drainingCallFinished(ShardGrant grant) {
         Integer callsOut = draining.get(grant);
         if (callsOut == null) {
             return HolderResult.UNKNOWN_CALL;
         }
         if (callsOut == 1) {
             draining.remove(grant);
-            releases.add(grant);
+            pendingReleases.add(grant);
         } else {
             draining.put(grant, callsOut - 1);
         }
@@ -209,11 +209,11 @@
      * by another release.
      */
     public Optional<ControllerCommand.Release> takeRelease() {
-        if (releases.isEmpty()) {
+        if (pendingReleases.isEmpty()) {
             return Optional.empty();
         }
-        List<ShardGrant> shards = new ArrayList<>(releases);
-        releases.clear();
+        List<ShardGrant> shards = new ArrayList<>(pendingReleases);
+        pendingReleases.clear();
         return Optional.of(new ControllerCommand.Release(member, incarnation, shards));
     }
 
@@ -232,7 +232,7 @@
         return new HashSet<>(assigned.keySet());
     }
 
-    private boolean addressed(MemberId toMember, long toIncarnation) {
+    private boolean isForThisProcess(MemberId toMember, long toIncarnation) {
         return member.equals(toMember) && incarnation == toIncarnation;
     }
 
@@ -245,7 +245,7 @@
             revoke(grant.shard(), held.epoch);
         }
         assigned.put(grant.shard(), new AssignedShard(grant.epoch(), revision));
-        leastEpoch.put(grant.shard(), grant.epoch());
+        minEpochs.put(grant.shard(), grant.epoch());
     }
 
     private void revokeAllBut(List<ShardGrant> granted) {
@@ -262,11 +262,11 @@
     }
 
     /** Stops a grant and releases it, also one that was never seen or was released before. */
-    private void giveBack(ShardGrant grant) {
+    private void revokeAndRelease(ShardGrant grant) {
         revoke(grant.shard(), grant.epoch());
-        leastEpoch.merge(grant.shard(), grant.epoch() + 1, Math::max);
+        minEpochs.merge(grant.shard(), grant.epoch() + 1, Math::max);
         if (!draining.containsKey(grant)) {
-            releases.add(grant);
+            pendingReleases.add(grant);
         }
     }
 
@@ -279,20 +279,20 @@
     }
 
     private void drain(int shard, AssignedShard held) {
-        leastEpoch.merge(shard, held.epoch + 1, Math::max);
+        minEpochs.merge(shard, held.epoch + 1, Math::max);
         ShardGrant grant = new ShardGrant(shard, held.epoch);
-        if (held.callsOut == 0) {
-            releases.add(grant);
+        if (held.callsInFlight == 0) {
+            pendingReleases.add(grant);
         } else {
-            draining.put(grant, held.callsOut);
+            draining.put(grant, held.callsInFlight);
         }
     }
 
-    private void readClock(long nowMicros) {
-        if (nowMicros < latestReading) {
+    private void checkClock(long nowMicros) {
+        if (nowMicros < latestReadingMicros) {
             heartbeats.forget();
             renewals.clear();
         }
-        latestReading = nowMicros;
+        latestReadingMicros = nowMicros;
     }
 }
--- a/src/main/java/lilaclever/placement/ShardAssignment.java
+++ b/src/main/java/lilaclever/placement/ShardAssignment.java
@@ -44,13 +44,13 @@
 
     /** Members that are to have more shards than they may. */
     List<MemberState> membersOverCapacity() {
-        return active.stream().filter(MemberState::overCapacity).toList();
+        return active.stream().filter(MemberState::isOverCapacity).toList();
     }
 
     /** The member that is to have a shard which its present one can't keep; null if there is no other. */
-    MemberState choose(int shard) {
+    MemberState chooseMember(int shard) {
         MemberState present = table.target(shard);
-        MemberState chosen = ranking.first(shard, member -> member != present && member.occupied() < member.capacity);
+        MemberState chosen = ranking.first(shard, member -> member != present && member.occupiedShards() < member.capacity);
         if (chosen == null) {
             // Members that still give shards back count twice for a moment; what they will have is what matters.
             chosen = ranking.first(shard, member -> member != present && member.targeted.size() < member.capacity);
@@ -71,9 +71,9 @@
                 claims.add(new Claim(shard, ranking.draw(shard, member)));
             }
         }
-        int room = Math.max(0, member.capacity - member.occupied());
+        int room = Math.max(0, member.capacity - member.occupiedShards());
         int[] claimed = claims.stream()
-                .sorted(Claim.STRONGEST_FIRST)
+                .sorted(Claim.HIGHEST_DRAW_FIRST)
                 .limit(room)
                 .mapToInt(Claim::shard)
                 .sorted()
@@ -85,7 +85,7 @@
     }
 
     /** Of the shards that a member is to have, the one that it draws lowest for. */
-    int weakestShard(MemberState member) {
+    int lowestDrawShard(MemberState member) {
         int weakest = member.targeted.get(0);
         long weakestDraw = ranking.draw(weakest, member);
         for (int i = 1; i < member.targeted.size(); i++) {
@@ -112,7 +112,7 @@
     }
 
     private record Claim(int shard, long draw) {
-        static final Comparator<Claim> STRONGEST_FIRST =
+        static final Comparator<Claim> HIGHEST_DRAW_FIRST =
                 Comparator.comparingLong(Claim::draw).reversed().thenComparingInt(Claim::shard);
     }
 }
--- a/src/main/java/lilaclever/placement/ShardTable.java
+++ b/src/main/java/lilaclever/placement/ShardTable.java
@@ -43,7 +43,7 @@
     }
 
     /** Whether the holder has been told to give the shard back, or its process has been replaced. */
-    boolean revoking(int shard) {
+    boolean isRevoking(int shard) {
         return revoking[shard];
     }
 
--- a/src/test/java/lilaclever/placement/RealSizeTest.java
+++ b/src/test/java/lilaclever/placement/RealSizeTest.java
@@ -10,35 +10,35 @@
 
 /** A region of the fleet's coming size: 19,000 forwarders and 262,144 shards in 9 regions. */
 class RealSizeTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int MEMBERS = 2_111;
     private static final int SHARDS = 29_128;
     private static final int ZONES = 3;
-    private static final int PACE = 5_000;
+    private static final int REASSIGNMENTS_PER_SECOND = 5_000;
 
     @Test
-    void lossJoinAndZoneLossMoveLittleAndKeepTheBound() {
-        TestRegion region = new TestRegion(TestRegion.settings(SHARDS, ZONES, PACE));
+    void lossJoinAndZoneLossMoveFewShardsAndKeepTheLoadBound() {
+        TestRegion region = new TestRegion(TestRegion.settings(SHARDS, ZONES, REASSIGNMENTS_PER_SECOND));
         for (int member = 0; member < MEMBERS; member++) {
             region.join(member, member % ZONES);
         }
         region.runUntilAllOwned(2_000);
-        region.run(20 * SECOND);
-        assertBound(region);
+        region.run(20 * SECOND_MICROS);
+        assertLoadBound(region);
 
         int[] whole = region.owners();
         int lost = (int) Arrays.stream(whole).filter(owner -> owner == 1000).count();
         region.kill(List.of(1000));
-        region.run(10 * SECOND);
+        region.run(10 * SECOND_MICROS);
         assertEquals(0, region.unownedShards());
-        assertEquals(lost, region.movedSince(whole));
-        assertBound(region);
+        assertEquals(lost, region.shardsMovedSince(whole));
+        assertLoadBound(region);
 
         int[] without = region.owners();
         region.join(1000, 1000 % ZONES);
-        region.run(3 * SECOND);
-        assertEquals(region.controller.shardsHeldBy(new MemberId(1000)), region.movedSince(without));
-        assertBound(region);
+        region.run(3 * SECOND_MICROS);
+        assertEquals(region.controller.shardsHeldBy(new MemberId(1000)), region.shardsMovedSince(without));
+        assertLoadBound(region);
 
         int[] before = region.owners();
         int lostZone =
@@ -47,16 +47,16 @@
                 .filter(member -> member % ZONES == 1)
                 .boxed()
                 .toList());
-        region.run(TestRegion.TIMING.surelyEndedAfterMicros());
+        region.run(TestRegion.TIMING.safeExpiryDelayMicros());
         long micros = region.runUntilAllOwned(2_000);
-        assertTrue(micros <= (lostZone / PACE + 1) * SECOND, () -> "microseconds until all owned: " + micros);
-        region.run(SECOND);
-        assertEquals(lostZone, region.movedSince(before));
-        assertBound(region);
+        assertTrue(micros <= (lostZone / REASSIGNMENTS_PER_SECOND + 1) * SECOND_MICROS, () -> "microseconds until all owned: " + micros);
+        region.run(SECOND_MICROS);
+        assertEquals(lostZone, region.shardsMovedSince(before));
+        assertLoadBound(region);
     }
 
-    private static void assertBound(TestRegion region) {
-        double fullest = region.fullestOverMean();
+    private static void assertLoadBound(TestRegion region) {
+        double fullest = region.maxToMeanLoad();
         assertTrue(fullest <= 1.25, () -> "fullest over mean " + fullest);
     }
 }
--- a/src/test/java/lilaclever/placement/TestRegion.java
+++ b/src/test/java/lilaclever/placement/TestRegion.java
@@ -23,23 +23,23 @@
 final class TestRegion {
     static final LeaseTiming TIMING = new LeaseTiming(1_000_000, 5_000_000, 0.01, 200_000);
     private static final double WEIGHT = 1;
-    private static final ThreadMXBean PROCESSOR = ManagementFactory.getThreadMXBean();
+    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     final PlacementController controller;
     final ShardMap map;
     /** Deltas of the map so far, and their bytes. */
-    long deltas;
+    long deltaCount;
 
     long deltaBytes;
     /** Whether the processor time of commands is measured. */
-    boolean measuring;
+    boolean measuresCpuTime;
     /** Longest processor time of a command since it was last set to 0, nanoseconds. */
-    long longestCommandNanos;
+    long maxCommandCpuNanos;
     /** Processor time of the last command that found that a member's lease had ended, nanoseconds. */
-    long lastExpiryNanos;
+    long lastExpiryCpuNanos;
 
     long nowMicros;
-    private long nextHeartbeats;
+    private long nextHeartbeatsMicros;
     private final ControllerSettings settings;
     private final Map<MemberId, Process> processes = new TreeMap<>();
     private final Map<MemberId, Long> incarnations = new TreeMap<>();
@@ -90,15 +90,15 @@
     void run(long micros) {
         long end = nowMicros + micros;
         while (true) {
-            long due = Math.min(nextHeartbeats, controller.nextDueMicros());
+            long due = Math.min(nextHeartbeatsMicros, controller.nextDueMicros());
             if (due > end) {
                 nowMicros = end;
                 return;
             }
             nowMicros = Math.max(nowMicros, due);
-            if (due == nextHeartbeats) {
+            if (due == nextHeartbeatsMicros) {
                 List.copyOf(processes.keySet()).forEach(this::heartbeat);
-                nextHeartbeats += settings.timing().heartbeatMicros();
+                nextHeartbeatsMicros += settings.timing().heartbeatMicros();
             } else {
                 apply(new AdvanceTime());
             }
@@ -128,7 +128,7 @@
     }
 
     /** Shards of the fullest member, over the mean of all. */
-    double fullestOverMean() {
+    double maxToMeanLoad() {
         int fullest = controller.members().stream()
                 .mapToInt(controller::shardsHeldBy)
                 .max()
@@ -145,7 +145,7 @@
     }
 
     /** How many shards have another owner than before. */
-    int movedSince(int[] before) {
+    int shardsMovedSince(int[] before) {
         int[] now = owners();
         int moved = 0;
         for (int shard = 0; shard < now.length; shard++) {
@@ -157,13 +157,13 @@
     }
 
     List<ControllerEvent> apply(ControllerCommand command) {
-        long start = measuring ? PROCESSOR.getCurrentThreadCpuTime() : 0;
+        long start = measuresCpuTime ? THREADS.getCurrentThreadCpuTime() : 0;
         List<ControllerEvent> events = controller.apply(command, nowMicros);
-        if (measuring) {
-            long nanos = PROCESSOR.getCurrentThreadCpuTime() - start;
-            longestCommandNanos = Math.max(longestCommandNanos, nanos);
+        if (measuresCpuTime) {
+            long nanos = THREADS.getCurrentThreadCpuTime() - start;
+            maxCommandCpuNanos = Math.max(maxCommandCpuNanos, nanos);
             if (events.stream().anyMatch(MemberExpired.class::isInstance)) {
-                lastExpiryNanos = nanos;
+                lastExpiryCpuNanos = nanos;
             }
         }
         List<Release> answers = new ArrayList<>();
@@ -184,7 +184,7 @@
 
     private void receive(ControllerEvent event, List<Release> answers) {
         if (event instanceof MapChanged change) {
-            deltas++;
+            deltaCount++;
             deltaBytes += change.delta().encodedBytes();
             assertEquals(MapUpdate.APPLIED, map.apply(change.delta()));
         } else if (event instanceof AssignmentChanged change) {
--- a/src/test/java/lilaclever/scale/LinearFit.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -17,11 +17,11 @@
     /** A point of the measurement. */
     record Point(double size, double value) {}
 
-    private static final int LEAST_POINTS = 2;
+    private static final int MIN_SIZES = 2;
 
     /** The line through the points, which must be at two different sizes or more. */
     static LinearFit fit(List<Point> points) {
-        if (points.stream().mapToDouble(Point::size).distinct().count() < LEAST_POINTS) {
+        if (points.stream().mapToDouble(Point::size).distinct().count() < MIN_SIZES) {
             throw new IllegalArgumentException("a line needs two sizes");
         }
         SimpleRegression line = new SimpleRegression();
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -22,19 +22,19 @@
     /**
      * Bytes of heap for each destination listed with one endpoint, without the program's own list: docs/CAPACITY.md.
      */
-    private static final double MOST_FOR_DESTINATION = 1_600;
-    /** Bytes of heap for each message held with a body of {@link #BODY}: docs/CAPACITY.md. */
-    private static final double MOST_FOR_MESSAGE = 1_500;
+    private static final double MAX_BYTES_PER_DESTINATION = 1_600;
+    /** Bytes of heap for each message held with a body of {@link #BODY_BYTES}: docs/CAPACITY.md. */
+    private static final double MAX_BYTES_PER_MESSAGE = 1_500;
 
-    private static final int BODY = 300;
+    private static final int BODY_BYTES = 300;
     /** Heap moves in steps, as tables double: the largest distance from the line, as part of the largest value. */
-    private static final double STRAIGHT = 0.15;
+    private static final double MAX_RELATIVE_RESIDUAL = 0.15;
 
     @TempDir
     private Path folder;
 
     @Test
-    void heapForEachDestinationListedIsUnderItsBoundAndOnALine() throws IOException {
+    void heapPerListedDestinationIsBoundedAndLinear() throws IOException {
         List<LinearFit.Point> points = new ArrayList<>();
         for (int destinations : List.of(5_000, 10_000, 20_000, 40_000)) {
             long before = ResourceUsage.liveHeapBytes();
@@ -45,18 +45,18 @@
             }
         }
         LinearFit slope = LinearFit.fit(points);
-        assertTrue(slope.perUnit() < MOST_FOR_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.maxRelativeResidual() < STRAIGHT, slope + " through " + points);
+        assertTrue(slope.perUnit() < MAX_BYTES_PER_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
+        assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
     }
 
     @Test
-    void heapForEachMessageHeldIsUnderItsBoundAndOnALine() throws IOException {
+    void heapPerPendingMessageIsBoundedAndLinear() throws IOException {
         List<LinearFit.Point> points = new ArrayList<>();
         for (int messages : List.of(2_000, 4_000, 8_000, 16_000)) {
             long before = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
                 for (int i = 0; i < messages; i++) {
-                    forwarder.submit(0, new byte[BODY]);
+                    forwarder.submit(0, new byte[BODY_BYTES]);
                     if (i % 100 == 0) {
                         forwarder.turn();
                     }
@@ -67,16 +67,16 @@
             }
         }
         LinearFit slope = LinearFit.fit(points);
-        assertTrue(slope.perUnit() < MOST_FOR_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.maxRelativeResidual() < STRAIGHT, slope + " through " + points);
+        assertTrue(slope.perUnit() < MAX_BYTES_PER_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
+        assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
     }
 
     /** Without this the figures of events would be those of messages that wait. */
     @Test
-    void aHollowForwarderDeliversWhatItGets() throws IOException {
+    void forwarderDeliversSubmittedMessages() throws IOException {
         try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(1), 374, 374, 10_000)) {
             for (int i = 0; i < 2_000; i++) {
-                forwarder.submit(i % 374, new byte[BODY]);
+                forwarder.submit(i % 374, new byte[BODY_BYTES]);
                 if (i % 9 == 0) {
                     forwarder.turn();
                 }
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aLineIsFoundAndWhatIsNoneIsSeen() {
+    void fitFindsALineAndReportsTheResidualOfACurve() {
         LinearFit line = LinearFit.fit(List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
         assertEquals(2, line.perUnit(), 1e-9);
         assertEquals(3, line.intercept(), 1e-9);
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -31,12 +31,12 @@
  * down.
  */
 final class SocketlessForwarder implements Front, Deliverer, Clock, AutoCloseable {
-    static final long SECOND_MICROS = 1_000_000, ROUND = 5_000, DAY = 86_400 * SECOND_MICROS;
+    static final long SECOND_MICROS = 1_000_000, ROUND_MICROS = 5_000, DAY_MICROS = 86_400 * SECOND_MICROS;
     /** The wall clock at virtual time 0: any day will do. */
-    private static final long WALL = 1_767_225_600L * SECOND_MICROS;
+    private static final long WALL_CLOCK_START_MICROS = 1_767_225_600L * SECOND_MICROS;
 
-    private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET = 19_000;
-    private static final long MOST_DISK = 64L << 30;
+    private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET_FORWARDERS = 19_000;
+    private static final long MAX_DISK_BYTES = 64L << 30;
     private static final long SEED = 7;
 
     private final Disk disk;
@@ -46,8 +46,8 @@
     /** Destinations from this number on are down. */
     private final int firstDown;
 
-    private long now;
-    private long next;
+    private long nowMicros;
+    private long nextMessageNumber;
 
     /**
      * Opens the folder's journal and starts with so many destinations listed, of which those from {@code firstDown} on
@@ -62,25 +62,25 @@
         this.disk = disk;
         journal = new SegmentedJournal(
                 disk,
-                MOST_DISK,
+                MAX_DISK_BYTES,
                 Durability.NONE,
                 new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
                 settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND_MICROS, 1), this);
         core.add(this);
-        core.runFirstTurn(list(destinations), 1);
+        core.runFirstTurn(listedEndpoints(destinations), 1);
     }
 
     private static DecisionModule.Settings settings(int mostHeld) {
         DecisionModule.MessageClass repeatable = new DecisionModule.MessageClass(
-                SECOND_MICROS, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
+                SECOND_MICROS, DAY_MICROS, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
-                FLEET,
+                FLEET_FORWARDERS,
                 0,
                 1,
-                ROUND,
+                ROUND_MICROS,
                 false,
                 DecisionModule.WeightMeaning.NONE,
                 false,
@@ -93,13 +93,13 @@
                 new DecisionModule.Rules(20_000, 10 * SECOND_MICROS, SECOND_MICROS / 2, 0.24, 9_500_000, 1.5, 3 * SECOND_MICROS, 100_000));
     }
 
-    private List<Core.ListedEndpoint> list(int destinations) {
+    private List<Core.ListedEndpoint> listedEndpoints(int destinations) {
         return IntStream.range(0, destinations)
-                .mapToObj(i -> listed(i, DecisionModule.Presence.ACTIVE))
+                .mapToObj(i -> listedEndpoint(i, DecisionModule.Presence.ACTIVE))
                 .toList();
     }
 
-    private Core.ListedEndpoint listed(int destination, DecisionModule.Presence presence) {
+    private Core.ListedEndpoint listedEndpoint(int destination, DecisionModule.Presence presence) {
         String host = "endpoint-" + destination;
         return new Core.ListedEndpoint(
                 new DecisionModule.EndpointEntry(host, destination, 0, 0, presence, 1, 0),
@@ -111,27 +111,27 @@
         core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
                 version,
-                List.of(listed(destination, DecisionModule.Presence.ACTIVE)));
+                List.of(listedEndpoint(destination, DecisionModule.Presence.ACTIVE)));
         turn();
     }
 
     /** Hands one message in; what comes of it is told in later turns. */
     void submit(int destination, byte[] body) {
-        String id = "message-" + next++;
-        core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
+        String id = "message-" + nextMessageNumber++;
+        core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY_MICROS));
     }
 
     /** One turn of the loop, the least time after the last one. */
     void turn() {
-        now += ROUND;
+        nowMicros += ROUND_MICROS;
         core.runTurn();
     }
 
     /** Lets the time pass; gives how many turns the loop made. */
     int advance(long micros) {
         int turns = 0;
-        for (long until = now + micros; now < until; turns++) {
-            now = Math.max(now + ROUND, Math.min(until, core.nextTurnMicros()));
+        for (long until = nowMicros + micros; nowMicros < until; turns++) {
+            nowMicros = Math.max(nowMicros + ROUND_MICROS, Math.min(until, core.nextTurnMicros()));
             core.runTurn();
         }
         return turns;
@@ -153,12 +153,12 @@
     // ---- time -------------------------------------------------------------------------------------------
     @Override
     public long monotonicMicros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public long wallMicros() {
-        return WALL + now;
+        return WALL_CLOCK_START_MICROS + nowMicros;
     }
 
     @Override
