--- a/src/main/java/lilaclever/placement/ShardReassigner.java
+++ b/src/main/java/lilaclever/placement/ShardReassigner.java
@@ -96,7 +96,7 @@
      */
     void startRevocation(int shard) {
         MemberState holder = table.holder(shard);
-        table.startRevoking(shard);
+        table.markRevoking(shard);
         revocations.add(new Revocation(holder.leaseSafeExpiryMicros, shard, table.epoch(shard)));
     }
 
--- a/src/main/java/lilaclever/placement/ShardTable.java
+++ b/src/main/java/lilaclever/placement/ShardTable.java
@@ -63,7 +63,7 @@
     }
 
     /** Notes that the holder has to give the shard back. */
-    void startRevoking(int shard) {
+    void markRevoking(int shard) {
         revoking[shard] = true;
     }
 
