--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -52,8 +52,8 @@
             if (sizes < LEAST_SIZES) {
                 continue; // measured at one size, as the ways of an agent are
             }
-            Slope slope = Slope.fit(samples.stream()
-                    .map(s -> new Slope.Point(s.size(), s.value()))
+            LinearFit slope = LinearFit.fit(samples.stream()
+                    .map(s -> new LinearFit.Point(s.size(), s.value()))
                     .toList());
             lines.add(String.format(
                     Locale.ROOT,
@@ -63,10 +63,10 @@
                     sizes,
                     samples.size(),
                     slope.perUnit(),
-                    slope.atZero(),
+                    slope.intercept(),
                     slope.rSquared(),
                     slope.rmsResidual(),
-                    slope.worstPart()));
+                    slope.maxRelativeResidual()));
             if (PLOTTED.contains(measure.getKey())) {
                 plot(folder.resolve(measure.getKey() + ".png"), measure.getKey(), samples, slope);
             }
@@ -91,12 +91,12 @@
         return measures;
     }
 
-    private static void plot(Path file, String name, List<Sample> samples, Slope slope) throws IOException {
+    private static void plot(Path file, String name, List<Sample> samples, LinearFit slope) throws IOException {
         XYSeries points = new XYSeries("measured");
         XYSeries line = new XYSeries("least squares");
         for (Sample sample : samples) {
             points.add(sample.size(), sample.value());
-            line.addOrUpdate(sample.size(), slope.at(sample.size()));
+            line.addOrUpdate(sample.size(), slope.valueAt(sample.size()));
         }
         XYSeriesCollection data = new XYSeriesCollection(points);
         data.addSeries(line);
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -68,28 +68,28 @@
 
     private static void destinations(int size) throws IOException {
         inFolder(folder -> {
-            long before = Usage.liveHeapBytes();
-            HollowForwarder[] started = new HollowForwarder[1];
-            double start = Usage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
-            try (HollowForwarder forwarder = started[0]) {
-                Sample.print("destination_heap", size, Usage.liveHeapBytes() - before, "bytes");
+            long before = ResourceUsage.liveHeapBytes();
+            SocketlessForwarder[] started = new SocketlessForwarder[1];
+            double start = ResourceUsage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
+            try (SocketlessForwarder forwarder = started[0]) {
+                Sample.print("destination_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
                 Sample.print("destination_start_cpu", size, start, "s");
-                double changes = Usage.cpuSeconds(() -> {
+                double changes = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < CHANGES; i++) {
-                        forwarder.change(i, 2 + i);
+                        forwarder.updateEndpoint(i, 2 + i);
                     }
                 });
                 Sample.print("change_cpu", size, changes / CHANGES, "s");
-                double idle = Usage.cpuSeconds(() -> forwarder.pass(IDLE_SECONDS * HollowForwarder.SECOND));
+                double idle = ResourceUsage.cpuSeconds(() -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("idle_second_cpu", size, idle / IDLE_SECONDS, "s");
             }
         });
         events("event_by_destinations", size, EVENTS_BY_DESTINATIONS);
     }
 
-    private static HollowForwarder open(Path folder, int destinations, int firstDown, int mostHeld) {
+    private static SocketlessForwarder open(Path folder, int destinations, int firstDown, int mostHeld) {
         try {
-            return new HollowForwarder(folder, destinations, firstDown, mostHeld);
+            return new SocketlessForwarder(folder, destinations, firstDown, mostHeld);
         } catch (IOException e) {
             throw new IllegalStateException("a new folder", e);
         }
@@ -97,27 +97,27 @@
 
     private static void held(int size) throws IOException {
         inFolder(folder -> {
-            long before = Usage.liveHeapBytes();
-            try (HollowForwarder forwarder = open(folder, 1 + DOWN, 1, 2 * size)) {
+            long before = ResourceUsage.liveHeapBytes();
+            try (SocketlessForwarder forwarder = open(folder, 1 + DOWN, 1, 2 * size)) {
                 for (int i = 0; i < size; i++) {
-                    forwarder.handIn(1 + i % DOWN, new byte[BODY]);
+                    forwarder.submit(1 + i % DOWN, new byte[BODY]);
                     if (i % MESSAGES_IN_A_TURN == 0) {
                         forwarder.turn();
                     }
                 }
                 forwarder.turn();
                 requireHeld(forwarder, size);
-                Sample.print("held_heap", size, Usage.liveHeapBytes() - before, "bytes");
+                Sample.print("held_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
-                double waiting = Usage.cpuSeconds(() -> forwarder.pass(WAITING_SECONDS * HollowForwarder.SECOND));
+                double waiting = ResourceUsage.cpuSeconds(() -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
                 Histogram turns = busyTurns(forwarder);
                 Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS, "s");
                 Sample.print("held_busy_turn_p99_cpu", size, turns.getValueAtPercentile(99) / NANOS, "s");
             }
-            HollowForwarder[] reopened = new HollowForwarder[1];
-            double recovery = Usage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN, 1, 2 * size));
-            try (HollowForwarder forwarder = reopened[0]) {
+            SocketlessForwarder[] reopened = new SocketlessForwarder[1];
+            double recovery = ResourceUsage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN, 1, 2 * size));
+            try (SocketlessForwarder forwarder = reopened[0]) {
                 requireHeld(forwarder, size);
                 Sample.print("held_recovery_cpu", size, recovery, "s");
             }
@@ -125,19 +125,19 @@
     }
 
     /** Turns in each of which one message for a healthy destination comes, while the others wait. */
-    private static Histogram busyTurns(HollowForwarder forwarder) {
+    private static Histogram busyTurns(SocketlessForwarder forwarder) {
         Histogram turns = new Histogram(MOST_TURN_NANOS, 3);
         for (int i = 0; i < BUSY_TURNS; i++) {
-            forwarder.handIn(0, new byte[BODY]);
-            turns.recordValue((long) (Usage.cpuSeconds(forwarder::turn) * NANOS));
+            forwarder.submit(0, new byte[BODY]);
+            turns.recordValue((long) (ResourceUsage.cpuSeconds(forwarder::turn) * NANOS));
         }
-        forwarder.pass(HollowForwarder.SECOND);
+        forwarder.advance(SocketlessForwarder.SECOND_MICROS);
         return turns;
     }
 
-    private static void requireHeld(HollowForwarder forwarder, int size) {
-        if (forwarder.held() != size) {
-            throw new IllegalStateException("held " + forwarder.held() + " of " + size);
+    private static void requireHeld(SocketlessForwarder forwarder, int size) {
+        if (forwarder.pendingMessages() != size) {
+            throw new IllegalStateException("held " + forwarder.pendingMessages() + " of " + size);
         }
     }
 
@@ -146,19 +146,19 @@
         inFolder(folder -> {
             CountingDisk disk = new CountingDisk(FolderDisk.take(folder));
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(11);
-            try (HollowForwarder forwarder = new HollowForwarder(disk, destinations, destinations, 10_000)) {
-                double cpu = Usage.cpuSeconds(() -> {
+            try (SocketlessForwarder forwarder = new SocketlessForwarder(disk, destinations, destinations, 10_000)) {
+                double cpu = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < events; i++) {
-                        forwarder.handIn(random.nextInt(destinations), new byte[BODY]);
+                        forwarder.submit(random.nextInt(destinations), new byte[BODY]);
                         if (i % EVENTS_IN_A_TURN == 0) {
                             forwarder.turn();
                         }
                     }
-                    forwarder.pass(HollowForwarder.SECOND);
+                    forwarder.advance(SocketlessForwarder.SECOND_MICROS);
                 });
-                if (forwarder.count(Counters.Name.DELIVERED) != events) {
+                if (forwarder.counter(Counters.Name.DELIVERED) != events) {
                     throw new IllegalStateException(
-                            "delivered " + forwarder.count(Counters.Name.DELIVERED) + " of " + events);
+                            "delivered " + forwarder.counter(Counters.Name.DELIVERED) + " of " + events);
                 }
                 if (measure.equals("event")) {
                     Sample.print("event_cpu", events, cpu, "s");
--- a/src/main/java/lilaclever/lab/fleet/ControlMemory.java
+++ b/src/main/java/lilaclever/lab/fleet/ControlMemory.java
@@ -60,7 +60,7 @@
         }
         holder.assignmentChanged(new ControllerEvent.AssignmentChanged(member, 1, 0, 1, true, grants, List.of()));
         holder.heartbeat(0);
-        holder.renewed(
+        holder.leaseRenewed(
                 new ControllerEvent.LeaseRenewed(member, 1, 1, settings.timing().leaseMicros(), 1), 0);
         return holder;
     }
@@ -72,7 +72,7 @@
                 settings.zonesOf(0),
                 settings.loadBound(),
                 settings.timing(),
-                ControllerSettings.MAX_REASSIGNMENTS));
+                ControllerSettings.MAX_REASSIGNMENTS_PER_SECOND));
         for (int number = 0; number < settings.partOf(0, settings.forwarders()); number++) {
             controller.apply(
                     new ControllerCommand.Register(new MemberId(number), 1, number % settings.zonesOf(0), 1, true),
--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -158,7 +158,7 @@
         long reading = process.forwarder.clock.now();
         boolean sampled = traffic.sampleHolder();
         long begin = sampled ? System.nanoTime() : 0;
-        process.holder.renewed(renewal, reading);
+        process.holder.leaseRenewed(renewal, reading);
         if (sampled) {
             traffic.holderTook(System.nanoTime() - begin);
         }
@@ -194,9 +194,9 @@
         long reading = process.forwarder.clock.now();
         change.revoked().forEach(grant -> {
             if (process.holder.maySend(grant.shard(), reading) instanceof SendPermission.Permitted permitted) {
-                process.holder.started(grant.shard(), permitted.epoch(), reading);
+                process.holder.callStarted(grant.shard(), permitted.epoch(), reading);
                 queue.after(forwarders.callMicros(region, grant.shard()), () -> {
-                    process.holder.finished(grant.shard(), permitted.epoch());
+                    process.holder.callFinished(grant.shard(), permitted.epoch());
                     sendRelease(process);
                 });
             }
@@ -205,7 +205,7 @@
 
     private void sendRelease(ForwarderProcess process) {
         if (!process.ended) {
-            process.holder.release().ifPresent(release -> send(process, release));
+            process.holder.takeRelease().ifPresent(release -> send(process, release));
         }
     }
 
--- a/src/main/java/lilaclever/placement/ControllerEvent.java
+++ b/src/main/java/lilaclever/placement/ControllerEvent.java
@@ -15,7 +15,7 @@
      * To the member: its assignment has changed. It follows on {@code fromRevision}; a member that is at another one
      * passes it over and says in its next heartbeat which one it has, and is then sent the whole assignment.
      *
-     * @param whole   true if {@code granted} is the whole assignment, which replaces what the member has
+     * @param full   true if {@code granted} is the whole assignment, which replaces what the member has
      * @param granted shards that the member may send for once its lease covers {@code toRevision}
      * @param revoked shards that the member must stop to send for, and then release
      */
@@ -24,7 +24,7 @@
             long incarnation,
             long fromRevision,
             long toRevision,
-            boolean whole,
+            boolean full,
             List<ShardGrant> granted,
             List<ShardGrant> revoked)
             implements ControllerEvent {
--- a/src/main/java/lilaclever/placement/ControllerOutput.java
+++ b/src/main/java/lilaclever/placement/ControllerOutput.java
@@ -30,33 +30,33 @@
         events.add(event);
     }
 
-    void granted(MemberState member, ShardGrant grant) {
+    void addGrant(MemberState member, ShardGrant grant) {
         member.newlyGranted.add(grant);
         changedMembers.add(member);
         changedShards.add(grant.shard());
     }
 
-    void revoked(MemberState member, ShardGrant grant) {
+    void addRevocation(MemberState member, ShardGrant grant) {
         member.newlyRevoked.add(grant);
         changedMembers.add(member);
     }
 
-    void freed(int shard) {
+    void addFreedShard(int shard) {
         changedShards.add(shard);
     }
 
-    void wholeAssignmentDue(MemberState member) {
-        member.wholeAssignmentDue = true;
+    void requireFullAssignment(MemberState member) {
+        member.fullAssignmentDue = true;
         changedMembers.add(member);
     }
 
-    void renewalDue(MemberState member) {
+    void requireRenewal(MemberState member) {
         member.renewalDue = true;
         changedMembers.add(member);
     }
 
     /** Drops what was gathered for a process that is replaced or has ended. */
-    void forget(MemberState member) {
+    void discard(MemberState member) {
         changedMembers.remove(member);
     }
 
@@ -73,30 +73,30 @@
     }
 
     /** Ends the command. */
-    List<ControllerEvent> finish() {
-        changedMembers.forEach(this::writeToMember);
+    List<ControllerEvent> finishCommand() {
+        changedMembers.forEach(this::addMemberEvents);
         changedMembers.clear();
-        writeMapChange();
+        addMapChange();
         List<ControllerEvent> finished = List.copyOf(events);
         events = new ArrayList<>();
         return finished;
     }
 
-    private void writeToMember(MemberState member) {
+    private void addMemberEvents(MemberState member) {
         // A shard that was granted and revoked by the same command is only to be released.
         member.newlyGranted.removeAll(member.newlyRevoked);
         boolean changed = !member.newlyGranted.isEmpty() || !member.newlyRevoked.isEmpty();
-        long before = member.revision;
+        long previousRevision = member.revision;
         if (changed) {
             member.revision++;
         }
-        if (member.wholeAssignmentDue) {
-            events.add(wholeAssignment(member));
+        if (member.fullAssignmentDue) {
+            events.add(fullAssignment(member));
         } else if (changed) {
             events.add(new AssignmentChanged(
                     member.id,
                     member.incarnation,
-                    before,
+                    previousRevision,
                     member.revision,
                     false,
                     member.newlyGranted,
@@ -113,23 +113,23 @@
         }
         member.newlyGranted.clear();
         member.newlyRevoked.clear();
-        member.wholeAssignmentDue = false;
+        member.fullAssignmentDue = false;
         member.renewalDue = false;
     }
 
-    private AssignmentChanged wholeAssignment(MemberState member) {
+    private AssignmentChanged fullAssignment(MemberState member) {
         List<ShardGrant> granted = new ArrayList<>();
         List<ShardGrant> revoked = new ArrayList<>();
         for (int i = 0; i < member.held.size(); i++) {
             int shard = member.held.get(i);
-            List<ShardGrant> list = table.revoking(shard) ? revoked : granted;
+            List<ShardGrant> list = table.isRevoking(shard) ? revoked : granted;
             list.add(new ShardGrant(shard, table.epoch(shard)));
         }
         return new AssignmentChanged(
                 member.id, member.incarnation, member.appliedRevision, member.revision, true, granted, revoked);
     }
 
-    private void writeMapChange() {
+    private void addMapChange() {
         List<OwnerChange> changes = new ArrayList<>();
         for (int shard : changedShards.toArray()) {
             MemberState holder = table.holder(shard);
--- a/src/main/java/lilaclever/placement/ControllerSettings.java
+++ b/src/main/java/lilaclever/placement/ControllerSettings.java
@@ -10,7 +10,7 @@
  *                                  #MAX_LOAD_BOUND}
  * @param timing                    times of the leases
  * @param maxReassignmentsPerSecond most shards a second that are given to another member than before, 1 to
- *                                  {@link #MAX_REASSIGNMENTS}
+ *                                  {@link #MAX_REASSIGNMENTS_PER_SECOND}
  */
 public record ControllerSettings(
         int region, int shards, int zones, double loadBound, LeaseTiming timing, int maxReassignmentsPerSecond) {
@@ -21,7 +21,7 @@
     /** Greatest bound on load: above it the bound would no longer bind. */
     public static final double MAX_LOAD_BOUND = 10;
     /** Highest pace of reassignment. */
-    public static final int MAX_REASSIGNMENTS = 1_000_000;
+    public static final int MAX_REASSIGNMENTS_PER_SECOND = 1_000_000;
     /** Least weight of a member. */
     public static final double MIN_WEIGHT = 0.01;
     /** Greatest weight of a member. */
@@ -42,12 +42,12 @@
         if (timing == null) {
             throw new IllegalArgumentException("timing is missing");
         }
-        requireRange("maxReassignmentsPerSecond", maxReassignmentsPerSecond, 1, MAX_REASSIGNMENTS);
+        requireRange("maxReassignmentsPerSecond", maxReassignmentsPerSecond, 1, MAX_REASSIGNMENTS_PER_SECOND);
     }
 
-    private static void requireRange(String field, int value, int least, int most) {
-        if (value < least || value > most) {
-            throw new IllegalArgumentException(field + " must be from " + least + " to " + most + ": " + value);
+    private static void requireRange(String field, int value, int min, int max) {
+        if (value < min || value > max) {
+            throw new IllegalArgumentException(field + " must be from " + min + " to " + max + ": " + value);
         }
     }
 }
--- a/src/main/java/lilaclever/placement/DistributionTree.java
+++ b/src/main/java/lilaclever/placement/DistributionTree.java
@@ -29,7 +29,7 @@
     /** A forwarder and its zone. */
     public record TreeMember(MemberId id, int zone) {}
 
-    private record Node(List<MemberId> zoneOrder, int place) {}
+    private record Node(List<MemberId> zoneOrder, int index) {}
 
     /**
      * Builds the tree.
@@ -64,9 +64,9 @@
     public List<MemberId> childrenOf(MemberId member) {
         Node node = node(member);
         List<MemberId> order = node.zoneOrder();
-        int first = Math.min((int) Math.min((long) node.place() * degree + 1, Integer.MAX_VALUE), order.size());
-        int end = Math.min(first + degree, order.size());
-        return List.copyOf(order.subList(first, end));
+        int firstChild = Math.min((int) Math.min((long) node.index() * degree + 1, Integer.MAX_VALUE), order.size());
+        int end = Math.min(firstChild + degree, order.size());
+        return List.copyOf(order.subList(firstChild, end));
     }
 
     /**
@@ -76,16 +76,16 @@
      */
     public Optional<MemberId> parentOf(MemberId member) {
         Node node = node(member);
-        if (node.place() == 0) {
+        if (node.index() == 0) {
             return Optional.empty();
         }
-        return Optional.of(node.zoneOrder().get((node.place() - 1) / degree));
+        return Optional.of(node.zoneOrder().get((node.index() - 1) / degree));
     }
 
     /** How many sends after the controller's decision a forwarder has a delta: 1 for the heads. */
     public int depthOf(MemberId member) {
         int levels = 1;
-        for (Optional<MemberId> up = parentOf(member); up.isPresent(); up = parentOf(up.get())) {
+        for (Optional<MemberId> parent = parentOf(member); parent.isPresent(); parent = parentOf(parent.get())) {
             levels++;
         }
         return levels;
@@ -102,19 +102,19 @@
      * @throws IllegalArgumentException if the forwarder is not in the tree
      */
     public List<MemberId> receiversOf(MemberId member, Set<MemberId> failed) {
-        return withoutFailed(childrenOf(member), failed);
+        return replaceFailed(childrenOf(member), failed);
     }
 
     /** Whom the controller sends to while some have failed: in place of a failed head, that head's children. */
     public List<MemberId> controllerReceivers(Set<MemberId> failed) {
-        return withoutFailed(heads, failed);
+        return replaceFailed(heads, failed);
     }
 
-    private List<MemberId> withoutFailed(List<MemberId> receivers, Set<MemberId> failed) {
+    private List<MemberId> replaceFailed(List<MemberId> receivers, Set<MemberId> failed) {
         List<MemberId> reachable = new ArrayList<>();
         for (MemberId receiver : receivers) {
             if (failed.contains(receiver)) {
-                reachable.addAll(withoutFailed(childrenOf(receiver), failed));
+                reachable.addAll(replaceFailed(childrenOf(receiver), failed));
             } else {
                 reachable.add(receiver);
             }
@@ -125,9 +125,9 @@
     private void addZone(List<MemberId> zone, long version) {
         zone.sort(Comparator.<MemberId>comparingInt(member -> MurmurHash3.hash32(version, member.number()))
                 .thenComparing(Comparator.naturalOrder()));
-        for (int place = 0; place < zone.size(); place++) {
-            if (nodes.put(zone.get(place), new Node(zone, place)) != null) {
-                throw new IllegalArgumentException("member " + zone.get(place).number() + " comes twice");
+        for (int index = 0; index < zone.size(); index++) {
+            if (nodes.put(zone.get(index), new Node(zone, index)) != null) {
+                throw new IllegalArgumentException("member " + zone.get(index).number() + " comes twice");
             }
         }
         heads.add(zone.get(0));
--- a/src/main/java/lilaclever/placement/HolderResult.java
+++ b/src/main/java/lilaclever/placement/HolderResult.java
@@ -17,7 +17,7 @@
     /** The renewal names a heartbeat that was never sent, or one too long ago to be remembered. */
     UNKNOWN_HEARTBEAT,
     /** The renewal came so late that the lease which it gives is over already. */
-    LEASE_OVER,
+    LEASE_EXPIRED,
     /** A call was to be started without permission: the shard is not held, not covered, or its lease is over. */
     NOT_PERMITTED,
     /** A call was ended that is not out. */
--- a/src/main/java/lilaclever/placement/LeaseGuards.java
+++ b/src/main/java/lilaclever/placement/LeaseGuards.java
@@ -12,12 +12,12 @@
     }
 
     /** Length of a lease by the holder's clock, shortened by what that clock may be slower than the controller's. */
-    long driftAllowed(long leaseMicros) {
+    long driftAdjustedMicros(long leaseMicros) {
         return (long) (leaseMicros * (1 - timing.maxDrift()));
     }
 
     /** End of sending, given the end of the lease: earlier by the margin. */
-    long sendUntil(long leaseEndMicros) {
+    long sendUntilMicros(long leaseEndMicros) {
         return leaseEndMicros - timing.marginMicros();
     }
 
@@ -27,8 +27,8 @@
     }
 
     /** Whether an epoch is older than the least one that may still be used. */
-    boolean olderEpoch(long epoch, long leastEpoch) {
-        return epoch < leastEpoch;
+    boolean isOlderEpoch(long epoch, long minEpoch) {
+        return epoch < minEpoch;
     }
 
     /** Whether a renewal for one revision covers a shard that came with another, while a third one is applied. */
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -31,20 +31,20 @@
 
     private final Map<Integer, AssignedShard> assigned = new HashMap<>();
     /** The least epoch that may still be granted, for each shard that was ever assigned; bounded by the shards. */
-    private final Map<Integer, Long> leastEpoch = new HashMap<>();
+    private final Map<Integer, Long> minEpochs = new HashMap<>();
     /** Calls out for grants that were revoked; an entry goes with its last call. */
     private final Map<ShardGrant, Integer> draining = new HashMap<>();
     /** What is to be released. */
-    private final Set<ShardGrant> releases = new LinkedHashSet<>();
+    private final Set<ShardGrant> pendingReleases = new LinkedHashSet<>();
 
     private long appliedRevision;
-    private long latestReading = Long.MIN_VALUE;
+    private long latestReadingMicros = Long.MIN_VALUE;
 
     /** A shard of the assignment. */
     private static final class AssignedShard {
         final long epoch;
         final long grantedRevision;
-        int callsOut;
+        int callsInFlight;
 
         AssignedShard(long epoch, long grantedRevision) {
             this.epoch = epoch;
@@ -71,26 +71,26 @@
 
     /** Makes the next heartbeat, which has to be sent now or later; its renewal counts from now. */
     public ControllerCommand.Heartbeat heartbeat(long nowMicros) {
-        readClock(nowMicros);
-        return new ControllerCommand.Heartbeat(member, incarnation, heartbeats.sent(nowMicros), appliedRevision);
+        checkClock(nowMicros);
+        return new ControllerCommand.Heartbeat(member, incarnation, heartbeats.recordSent(nowMicros), appliedRevision);
     }
 
     /** Takes in a renewal. It never shortens a lease, and never lengthens one beyond what its heartbeat gives. */
-    public HolderResult renewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
-        readClock(nowMicros);
-        if (!addressed(renewal.member(), renewal.incarnation())) {
+    public HolderResult leaseRenewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
+        checkClock(nowMicros);
+        if (!isForThisProcess(renewal.member(), renewal.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
         }
-        long sentMicros = heartbeats.sentAt(renewal.sequence());
+        long sentMicros = heartbeats.sentAtMicros(renewal.sequence());
         if (sentMicros == SentHeartbeats.UNKNOWN) {
             return HolderResult.UNKNOWN_HEARTBEAT;
         }
         long leaseMicros = Math.min(renewal.leaseMicros(), timing.leaseMicros());
-        long endMicros = sentMicros + guards.driftAllowed(leaseMicros);
-        if (guards.expired(nowMicros, guards.sendUntil(endMicros))) {
-            return HolderResult.LEASE_OVER;
+        long endMicros = sentMicros + guards.driftAdjustedMicros(leaseMicros);
+        if (guards.expired(nowMicros, guards.sendUntilMicros(endMicros))) {
+            return HolderResult.LEASE_EXPIRED;
         }
-        renewals.renewed(renewal.revision(), endMicros, nowMicros);
+        renewals.addRenewal(renewal.revision(), endMicros, nowMicros);
         return HolderResult.APPLIED;
     }
 
@@ -98,26 +98,26 @@
      * Takes in a change of the assignment: as a whole, or not at all. What it revokes is stopped before this returns.
      */
     public HolderResult assignmentChanged(ControllerEvent.AssignmentChanged change) {
-        if (!addressed(change.member(), change.incarnation())) {
+        if (!isForThisProcess(change.member(), change.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
         }
-        if (change.whole() && change.toRevision() == appliedRevision) {
-            change.revoked().forEach(this::giveBack);
+        if (change.full() && change.toRevision() == appliedRevision) {
+            change.revoked().forEach(this::revokeAndRelease);
             return HolderResult.REPEATED;
         }
         if (change.toRevision() <= appliedRevision) {
             return HolderResult.STALE_REVISION;
         }
-        if (!change.whole() && change.fromRevision() != appliedRevision) {
+        if (!change.full() && change.fromRevision() != appliedRevision) {
             return HolderResult.REVISION_GAP;
         }
         for (ShardGrant grant : change.granted()) {
-            if (guards.olderEpoch(grant.epoch(), leastEpoch.getOrDefault(grant.shard(), 0L))) {
+            if (guards.isOlderEpoch(grant.epoch(), minEpochs.getOrDefault(grant.shard(), 0L))) {
                 return HolderResult.OLDER_EPOCH;
             }
         }
-        change.revoked().forEach(this::giveBack);
-        if (change.whole()) {
+        change.revoked().forEach(this::revokeAndRelease);
+        if (change.full()) {
             revokeAllBut(change.granted());
         }
         change.granted().forEach(grant -> grant(grant, change.toRevision()));
@@ -127,35 +127,35 @@
 
     /** Takes in a change of the map: a shard that another owns by now, under a newer epoch, is stopped at once. */
     public HolderResult ownerChanged(MapDelta.OwnerChange change) {
-        AssignedShard held = assigned.get(change.shard());
-        boolean othersNow = change.owner() != null && !change.owner().equals(member);
-        if (held == null || !othersNow) {
+        AssignedShard assignedShard = assigned.get(change.shard());
+        boolean ownedByAnother = change.owner() != null && !change.owner().equals(member);
+        if (assignedShard == null || !ownedByAnother) {
             return HolderResult.NOT_ADDRESSED;
         }
-        if (!guards.olderEpoch(held.epoch, change.epoch())) {
+        if (!guards.isOlderEpoch(assignedShard.epoch, change.epoch())) {
             return HolderResult.OLDER_EPOCH;
         }
-        revoke(change.shard(), held.epoch);
-        leastEpoch.put(change.shard(), change.epoch() + 1);
+        revoke(change.shard(), assignedShard.epoch);
+        minEpochs.put(change.shard(), change.epoch() + 1);
         return HolderResult.APPLIED;
     }
 
     /** Whether the forwarder may send for a shard now, and if so, under which epoch and until when. */
     public SendPermission maySend(int shard, long nowMicros) {
-        readClock(nowMicros);
-        AssignedShard held = assigned.get(shard);
-        if (held == null) {
+        checkClock(nowMicros);
+        AssignedShard assignedShard = assigned.get(shard);
+        if (assignedShard == null) {
             return new SendPermission.Refused(SendPermission.Reason.NOT_OWNER);
         }
-        long endMicros = renewals.endOf(held.grantedRevision, appliedRevision);
+        long endMicros = renewals.leaseEndMicros(assignedShard.grantedRevision, appliedRevision);
         if (endMicros == RenewalHistory.NOT_COVERED) {
             return new SendPermission.Refused(SendPermission.Reason.NOT_COVERED);
         }
-        long untilMicros = guards.sendUntil(endMicros);
+        long untilMicros = guards.sendUntilMicros(endMicros);
         if (guards.expired(nowMicros, untilMicros)) {
             return new SendPermission.Refused(SendPermission.Reason.LEASE_EXPIRED);
         }
-        return new SendPermission.Permitted(held.epoch, untilMicros);
+        return new SendPermission.Permitted(assignedShard.epoch, untilMicros);
     }
 
     /**
@@ -164,41 +164,41 @@
      * @return {@code APPLIED} if the call may go; {@code OLDER_EPOCH} if the permission is of an earlier grant, and
      *         {@code NOT_PERMITTED} if there is none now
      */
-    public HolderResult started(int shard, long epoch, long nowMicros) {
+    public HolderResult callStarted(int shard, long epoch, long nowMicros) {
         if (!(maySend(shard, nowMicros) instanceof SendPermission.Permitted)) {
             return HolderResult.NOT_PERMITTED;
         }
-        AssignedShard held = assigned.get(shard);
-        if (guards.olderEpoch(epoch, held.epoch)) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (guards.isOlderEpoch(epoch, assignedShard.epoch)) {
             return HolderResult.OLDER_EPOCH;
         }
-        held.callsOut++;
+        assignedShard.callsInFlight++;
         return HolderResult.APPLIED;
     }
 
     /** Notes a call as ended, with an answer or without. A revoked shard is released with its last call. */
-    public HolderResult finished(int shard, long epoch) {
-        AssignedShard held = assigned.get(shard);
-        if (held != null && held.epoch == epoch) {
-            if (held.callsOut == 0) {
+    public HolderResult callFinished(int shard, long epoch) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (assignedShard != null && assignedShard.epoch == epoch) {
+            if (assignedShard.callsInFlight == 0) {
                 return HolderResult.UNKNOWN_CALL;
             }
-            held.callsOut--;
+            assignedShard.callsInFlight--;
             return HolderResult.APPLIED;
         }
-        return finishedDraining(new ShardGrant(shard, epoch));
+        return drainingCallFinished(new ShardGrant(shard, epoch));
     }
 
-    private HolderResult finishedDraining(ShardGrant grant) {
-        Integer callsOut = draining.get(grant);
-        if (callsOut == null) {
+    private HolderResult drainingCallFinished(ShardGrant grant) {
+        Integer callsInFlight = draining.get(grant);
+        if (callsInFlight == null) {
             return HolderResult.UNKNOWN_CALL;
         }
-        if (callsOut == 1) {
+        if (callsInFlight == 1) {
             draining.remove(grant);
-            releases.add(grant);
+            pendingReleases.add(grant);
         } else {
-            draining.put(grant, callsOut - 1);
+            draining.put(grant, callsInFlight - 1);
         }
         return HolderResult.APPLIED;
     }
@@ -208,12 +208,12 @@
      * changed and after a call has ended. If the release is lost, the controller repeats the assignment and is answered
      * by another release.
      */
-    public Optional<ControllerCommand.Release> release() {
-        if (releases.isEmpty()) {
+    public Optional<ControllerCommand.Release> takeRelease() {
+        if (pendingReleases.isEmpty()) {
             return Optional.empty();
         }
-        List<ShardGrant> shards = new ArrayList<>(releases);
-        releases.clear();
+        List<ShardGrant> shards = new ArrayList<>(pendingReleases);
+        pendingReleases.clear();
         return Optional.of(new ControllerCommand.Release(member, incarnation, shards));
     }
 
@@ -232,29 +232,29 @@
         return new HashSet<>(assigned.keySet());
     }
 
-    private boolean addressed(MemberId toMember, long toIncarnation) {
+    private boolean isForThisProcess(MemberId toMember, long toIncarnation) {
         return member.equals(toMember) && incarnation == toIncarnation;
     }
 
     private void grant(ShardGrant grant, long revision) {
-        AssignedShard held = assigned.get(grant.shard());
-        if (held != null && held.epoch == grant.epoch()) {
+        AssignedShard assignedShard = assigned.get(grant.shard());
+        if (assignedShard != null && assignedShard.epoch == grant.epoch()) {
             return;
         }
-        if (held != null) {
-            revoke(grant.shard(), held.epoch);
+        if (assignedShard != null) {
+            revoke(grant.shard(), assignedShard.epoch);
         }
         assigned.put(grant.shard(), new AssignedShard(grant.epoch(), revision));
-        leastEpoch.put(grant.shard(), grant.epoch());
+        minEpochs.put(grant.shard(), grant.epoch());
     }
 
     private void revokeAllBut(List<ShardGrant> granted) {
-        Set<Integer> kept = new HashSet<>();
-        granted.forEach(grant -> kept.add(grant.shard()));
+        Set<Integer> retained = new HashSet<>();
+        granted.forEach(grant -> retained.add(grant.shard()));
         Iterator<Map.Entry<Integer, AssignedShard>> shards = assigned.entrySet().iterator();
         while (shards.hasNext()) {
             Map.Entry<Integer, AssignedShard> entry = shards.next();
-            if (!kept.contains(entry.getKey())) {
+            if (!retained.contains(entry.getKey())) {
                 shards.remove();
                 drain(entry.getKey(), entry.getValue());
             }
@@ -262,37 +262,37 @@
     }
 
     /** Stops a grant and releases it, also one that was never seen or was released before. */
-    private void giveBack(ShardGrant grant) {
+    private void revokeAndRelease(ShardGrant grant) {
         revoke(grant.shard(), grant.epoch());
-        leastEpoch.merge(grant.shard(), grant.epoch() + 1, Math::max);
+        minEpochs.merge(grant.shard(), grant.epoch() + 1, Math::max);
         if (!draining.containsKey(grant)) {
-            releases.add(grant);
+            pendingReleases.add(grant);
         }
     }
 
     private void revoke(int shard, long epoch) {
-        AssignedShard held = assigned.get(shard);
-        if (held != null && held.epoch <= epoch) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (assignedShard != null && assignedShard.epoch <= epoch) {
             assigned.remove(shard);
-            drain(shard, held);
+            drain(shard, assignedShard);
         }
     }
 
-    private void drain(int shard, AssignedShard held) {
-        leastEpoch.merge(shard, held.epoch + 1, Math::max);
-        ShardGrant grant = new ShardGrant(shard, held.epoch);
-        if (held.callsOut == 0) {
-            releases.add(grant);
+    private void drain(int shard, AssignedShard assignedShard) {
+        minEpochs.merge(shard, assignedShard.epoch + 1, Math::max);
+        ShardGrant grant = new ShardGrant(shard, assignedShard.epoch);
+        if (assignedShard.callsInFlight == 0) {
+            pendingReleases.add(grant);
         } else {
-            draining.put(grant, held.callsOut);
+            draining.put(grant, assignedShard.callsInFlight);
         }
     }
 
-    private void readClock(long nowMicros) {
-        if (nowMicros < latestReading) {
+    private void checkClock(long nowMicros) {
+        if (nowMicros < latestReadingMicros) {
             heartbeats.forget();
             renewals.clear();
         }
-        latestReading = nowMicros;
+        latestReadingMicros = nowMicros;
     }
 }
--- a/src/main/java/lilaclever/placement/LeaseTiming.java
+++ b/src/main/java/lilaclever/placement/LeaseTiming.java
@@ -31,7 +31,7 @@
      * Time after the arrival of a heartbeat, by the controller's clock, after which the lease that it renewed has
      * surely ended at the holder: the lease by the slowest clock that the drift allows, and the margin.
      */
-    public long surelyEndedAfterMicros() {
+    public long safeExpiryDelayMicros() {
         return (long) Math.ceil(leaseMicros / (1 - maxDrift)) + marginMicros;
     }
 
--- a/src/main/java/lilaclever/placement/MapCodec.java
+++ b/src/main/java/lilaclever/placement/MapCodec.java
@@ -19,11 +19,11 @@
  * </ul>
  */
 public final class MapCodec {
-    private static final byte DELTA = 'D';
-    private static final byte SNAPSHOT = 'S';
+    private static final byte DELTA_TAG = 'D';
+    private static final byte SNAPSHOT_TAG = 'S';
     private static final int GROUP_BITS = 7;
     private static final int GROUP_MASK = (1 << GROUP_BITS) - 1;
-    private static final int MORE = 1 << GROUP_BITS;
+    private static final int CONTINUATION_BIT = 1 << GROUP_BITS;
     private static final int MAX_GROUPS = 9;
     private static final int MIN_CHANGE_BYTES = 3;
     private static final int MIN_SHARD_BYTES = 2;
@@ -38,7 +38,7 @@
      */
     public static byte[] encode(MapDelta delta) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(DELTA);
+        out.write(DELTA_TAG);
         write(out, delta.region());
         write(out, delta.fromVersion());
         requireAscending(delta.fromVersion(), delta.toVersion());
@@ -59,7 +59,7 @@
     /** Bytes of a snapshot. */
     public static byte[] encode(MapSnapshot snapshot) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        out.write(SNAPSHOT);
+        out.write(SNAPSHOT_TAG);
         write(out, snapshot.region());
         write(out, snapshot.version());
         write(out, snapshot.configurationVersion());
@@ -77,7 +77,7 @@
      * @throws MapFormatException if the bytes are not exactly one delta in the form that {@link #encode} writes
      */
     public static MapDelta decodeDelta(byte[] bytes) throws MapFormatException {
-        Reader in = new Reader(bytes, DELTA);
+        Reader in = new Reader(bytes, DELTA_TAG);
         int region = in.readInt();
         long fromVersion = in.readLong();
         long versions = in.readLong();
@@ -111,7 +111,7 @@
      * @throws MapFormatException if the bytes are not exactly one snapshot in the form that {@link #encode} writes
      */
     public static MapSnapshot decodeSnapshot(byte[] bytes) throws MapFormatException {
-        Reader in = new Reader(bytes, SNAPSHOT);
+        Reader in = new Reader(bytes, SNAPSHOT_TAG);
         int region = in.readInt();
         long version = in.readLong();
         long configurationVersion = in.readLong();
@@ -139,12 +139,12 @@
         if (number < 0) {
             throw new IllegalArgumentException("number must not be negative: " + number);
         }
-        long rest = number;
-        while (rest > GROUP_MASK) {
-            out.write((int) (rest & GROUP_MASK) | MORE);
-            rest >>>= GROUP_BITS;
+        long remaining = number;
+        while (remaining > GROUP_MASK) {
+            out.write((int) (remaining & GROUP_MASK) | CONTINUATION_BIT);
+            remaining >>>= GROUP_BITS;
         }
-        out.write((int) rest);
+        out.write((int) remaining);
     }
 
     /** Reads numbers from front to back and never past the end. */
@@ -152,12 +152,12 @@
         private final byte[] bytes;
         private int offset;
 
-        Reader(byte[] bytes, byte kind) throws MapFormatException {
+        Reader(byte[] bytes, byte tag) throws MapFormatException {
             this.bytes = bytes;
             if (bytes.length == 0) {
                 throw failure(Problem.TRUNCATED);
             }
-            if (bytes[0] != kind) {
+            if (bytes[0] != tag) {
                 throw failure(Problem.WRONG_KIND);
             }
             offset = 1;
@@ -172,7 +172,7 @@
                 }
                 int next = bytes[offset++];
                 number |= (long) (next & GROUP_MASK) << group * GROUP_BITS;
-                if ((next & MORE) == 0) {
+                if ((next & CONTINUATION_BIT) == 0) {
                     if (next == 0 && group > 0) {
                         throw failure(Problem.INVALID_NUMBER);
                     }
--- a/src/main/java/lilaclever/placement/MemberState.java
+++ b/src/main/java/lilaclever/placement/MemberState.java
@@ -18,7 +18,7 @@
     /** Its last heartbeat; 0 before the first. */
     long lastSequence;
     /** When its lease has surely ended, by the controller's clock, microseconds. */
-    long leaseSureEndMicros;
+    long leaseSafeExpiryMicros;
     /** Most shards that it may have. */
     int capacity;
     /** Shards that it may send for, also those that are being revoked. */
@@ -33,7 +33,7 @@
 
     final List<ShardGrant> newlyRevoked = new ArrayList<>();
     /** It has to be sent its whole assignment, because it has registered or missed a change. */
-    boolean wholeAssignmentDue;
+    boolean fullAssignmentDue;
     /** Its lease has been renewed by the command under way. */
     boolean renewalDue;
 
@@ -45,11 +45,11 @@
     }
 
     /** Shards that it has or is to get, with those that it still has to give back. */
-    int occupied() {
+    int occupiedShards() {
         return held.size() + targeted.size() - heldAndTargeted;
     }
 
-    boolean overCapacity() {
+    boolean isOverCapacity() {
         return targeted.size() > capacity;
     }
 }
--- a/src/main/java/lilaclever/placement/PlacementController.java
+++ b/src/main/java/lilaclever/placement/PlacementController.java
@@ -24,7 +24,7 @@
  *
  * <p>At any time at most one process may send for a shard. A shard is granted only when nobody may send for it: before
  * the first grant, after its holder's release, after the holder's process is known to have ended, or after the last
- * lease that covered it has surely ended ({@link LeaseTiming#surelyEndedAfterMicros()} after the arrival of the
+ * lease that covered it has surely ended ({@link LeaseTiming#safeExpiryDelayMicros()} after the arrival of the
  * heartbeat that
  * renewed it last). From the moment in which a shard is revoked, no renewal covers it.
  */
@@ -44,15 +44,15 @@
 
     private long nowMicros = Long.MIN_VALUE;
     /** A reading was before the latest one by more than the margin, and none has reached that one since. */
-    private boolean clockWasSetBack;
+    private boolean clockSetBack;
 
     /** Controller of a region without members. */
     public PlacementController(ControllerSettings settings) {
         this.settings = settings;
         this.table = new ShardTable(settings.shards());
         this.output = new ControllerOutput(settings, table);
-        ReassignmentPacer pacer = new ReassignmentPacer(settings.maxReassignmentsPerSecond());
-        this.reassigner = new ShardReassigner(table, new ShardAssignment(settings, table), output, pacer);
+        ReassignmentRateLimiter rateLimiter = new ReassignmentRateLimiter(settings.maxReassignmentsPerSecond());
+        this.reassigner = new ShardReassigner(table, new ShardAssignment(settings, table), output, rateLimiter);
     }
 
     /**
@@ -67,18 +67,18 @@
     public List<ControllerEvent> apply(ControllerCommand command, long nowMicros) {
         advanceTo(nowMicros);
         expireLeases();
-        reassigner.freeEndedRevocations(this.nowMicros);
+        reassigner.freeExpiredRevocations(this.nowMicros);
         execute(command);
         reassigner.reassign(this.nowMicros);
         completeLeaves();
-        return output.finish();
+        return output.finishCommand();
     }
 
     /** When {@link AdvanceTime} is due at the latest, by the clock of {@link #apply}; Long.MAX_VALUE if never. */
     public long nextDueMicros() {
-        long leaseDue =
+        long leaseDueMicros =
                 leaseChecks.isEmpty() ? Long.MAX_VALUE : leaseChecks.peek().atMicros();
-        return Math.min(leaseDue, reassigner.nextDueMicros());
+        return Math.min(leaseDueMicros, reassigner.nextDueMicros());
     }
 
     /** The shard map at its present version. */
@@ -108,16 +108,16 @@
         return table.withoutHolder();
     }
 
-    private void advanceTo(long reading) {
-        if (reading < nowMicros) {
-            clockWasSetBack |= nowMicros - reading > settings.timing().marginMicros();
+    private void advanceTo(long readingMicros) {
+        if (readingMicros < nowMicros) {
+            clockSetBack |= nowMicros - readingMicros > settings.timing().marginMicros();
             return;
         }
-        nowMicros = reading;
-        if (clockWasSetBack) {
-            clockWasSetBack = false;
-            members.values().forEach(member -> member.leaseSureEndMicros = leaseSureEnd());
-            reassigner.prolongRevocations(leaseSureEnd());
+        nowMicros = readingMicros;
+        if (clockSetBack) {
+            clockSetBack = false;
+            members.values().forEach(member -> member.leaseSafeExpiryMicros = safeExpiryMicros());
+            reassigner.postponeRevocations(safeExpiryMicros());
         }
     }
 
@@ -136,23 +136,23 @@
     }
 
     private void register(Register command) {
-        RejectionReason problem = problemOf(command);
+        RejectionReason problem = registrationProblem(command);
         if (problem != null) {
             reject(command, problem);
             return;
         }
-        MemberState before = members.get(command.member());
+        MemberState previous = members.get(command.member());
         MemberState member = new MemberState(command.member(), command.incarnation(), command.zone(), command.weight());
         member.revision = 1;
-        member.leaseSureEndMicros = leaseSureEnd();
+        member.leaseSafeExpiryMicros = safeExpiryMicros();
         members.put(member.id, member);
         incarnations.put(member.id, new LastIncarnation(member.incarnation, false));
-        leaseChecks.add(new LeaseCheck(member.leaseSureEndMicros, member));
-        output.wholeAssignmentDue(member);
-        if (before == null) {
+        leaseChecks.add(new LeaseCheck(member.leaseSafeExpiryMicros, member));
+        output.requireFullAssignment(member);
+        if (previous == null) {
             reassigner.join(member);
         } else {
-            replace(before, member);
+            replace(previous, member);
         }
         if (command.previousProcessEnded()) {
             freeShardsOfEarlierProcesses(member);
@@ -163,17 +163,17 @@
      * A forwarder's process has a successor. That it registered does not prove that the earlier process has ended (it
      * may be stopped, cut off, or on another machine): unless the successor knows, its shards wait for the lease's end.
      */
-    private void replace(MemberState before, MemberState member) {
-        output.forget(before);
-        if (before.leaving || before.weight != member.weight) {
-            reassigner.depart(Set.of(before));
+    private void replace(MemberState previous, MemberState member) {
+        output.discard(previous);
+        if (previous.leaving || previous.weight != member.weight) {
+            reassigner.removeMembers(Set.of(previous));
             reassigner.join(member);
         } else {
-            reassigner.succeed(before, member);
+            reassigner.replaceProcess(previous, member);
         }
-        for (int shard : before.held.toArray()) {
-            if (!table.revoking(shard)) {
-                reassigner.endAtLeaseEnd(shard);
+        for (int shard : previous.held.toArray()) {
+            if (!table.isRevoking(shard)) {
+                reassigner.startRevocation(shard);
             }
         }
     }
@@ -187,7 +187,7 @@
         }
     }
 
-    private RejectionReason problemOf(Register command) {
+    private RejectionReason registrationProblem(Register command) {
         LastIncarnation last = incarnations.get(command.member());
         if (last != null && command.incarnation() == last.number() && members.containsKey(command.member())) {
             return RejectionReason.ALREADY_REGISTERED;
@@ -206,7 +206,7 @@
     }
 
     private void renew(Heartbeat command) {
-        RejectionReason problem = problemOfSender(command.member(), command.incarnation());
+        RejectionReason problem = senderProblem(command.member(), command.incarnation());
         MemberState member = members.get(command.member());
         if (problem == null && command.sequence() <= member.lastSequence) {
             problem = RejectionReason.STALE_SEQUENCE;
@@ -220,17 +220,17 @@
         }
         member.lastSequence = command.sequence();
         member.appliedRevision = command.appliedRevision();
-        member.leaseSureEndMicros = leaseSureEnd();
-        output.renewalDue(member);
+        member.leaseSafeExpiryMicros = safeExpiryMicros();
+        output.requireRenewal(member);
         if (command.appliedRevision() < member.revision || hasUnreleasedShards(member)) {
-            output.wholeAssignmentDue(member);
+            output.requireFullAssignment(member);
         }
     }
 
     /** Only the shards that are not being revoked are renewed: the others are in no assignment any more. */
     private boolean hasUnreleasedShards(MemberState member) {
         for (int i = 0; i < member.held.size(); i++) {
-            if (table.revoking(member.held.get(i))) {
+            if (table.isRevoking(member.held.get(i))) {
                 return true;
             }
         }
@@ -239,9 +239,9 @@
 
     private void release(Release command) {
         RejectionReason problem =
-                command.shards().isEmpty() ? problemOfSender(command.member(), command.incarnation()) : null;
+                command.shards().isEmpty() ? senderProblem(command.member(), command.incarnation()) : null;
         for (ShardGrant grant : command.shards()) {
-            RejectionReason grantProblem = problemOf(command, grant);
+            RejectionReason grantProblem = releaseProblem(command, grant);
             if (grantProblem == null) {
                 reassigner.free(grant.shard());
             } else if (problem == null) {
@@ -254,11 +254,11 @@
     }
 
     /** A process that was replaced may still release what it holds. */
-    private RejectionReason problemOf(Release command, ShardGrant grant) {
+    private RejectionReason releaseProblem(Release command, ShardGrant grant) {
         if (isHeld(command, grant)) {
-            return table.revoking(grant.shard()) ? null : RejectionReason.NOT_REVOKED;
+            return table.isRevoking(grant.shard()) ? null : RejectionReason.NOT_REVOKED;
         }
-        RejectionReason problem = problemOfSender(command.member(), command.incarnation());
+        RejectionReason problem = senderProblem(command.member(), command.incarnation());
         return problem == null ? RejectionReason.NOT_HELD : problem;
     }
 
@@ -278,7 +278,7 @@
             output.add(new LeaveCompleted(command.member(), command.incarnation()));
             return;
         }
-        RejectionReason problem = problemOfSender(command.member(), command.incarnation());
+        RejectionReason problem = senderProblem(command.member(), command.incarnation());
         if (problem != null) {
             reject(command, problem);
             return;
@@ -315,8 +315,8 @@
             if (members.get(member.id) != member) {
                 continue;
             }
-            if (member.leaseSureEndMicros > nowMicros) {
-                leaseChecks.add(new LeaseCheck(member.leaseSureEndMicros, member));
+            if (member.leaseSafeExpiryMicros > nowMicros) {
+                leaseChecks.add(new LeaseCheck(member.leaseSafeExpiryMicros, member));
             } else {
                 expired.add(member);
             }
@@ -336,13 +336,13 @@
     private void removeMembers(Set<MemberState> removed) {
         if (!removed.isEmpty()) {
             removed.forEach(member -> members.remove(member.id));
-            removed.forEach(output::forget);
-            reassigner.depart(removed);
+            removed.forEach(output::discard);
+            reassigner.removeMembers(removed);
         }
     }
 
     /** Why a command can't be of a member's present process; null if it can. */
-    private RejectionReason problemOfSender(MemberId id, long incarnation) {
+    private RejectionReason senderProblem(MemberId id, long incarnation) {
         LastIncarnation last = incarnations.get(id);
         if (last != null && incarnation < last.number()) {
             return RejectionReason.STALE_INCARNATION;
@@ -355,8 +355,8 @@
         output.add(new CommandRejected(command, reason));
     }
 
-    private long leaseSureEnd() {
-        return nowMicros + settings.timing().surelyEndedAfterMicros();
+    private long safeExpiryMicros() {
+        return nowMicros + settings.timing().safeExpiryDelayMicros();
     }
 
     private record LastIncarnation(long number, boolean left) {}
--- a/src/main/java/lilaclever/placement/RendezvousRanking.java
+++ b/src/main/java/lilaclever/placement/RendezvousRanking.java
@@ -12,7 +12,7 @@
  */
 final class RendezvousRanking {
     private static final double HASH_VALUES = 1L << Integer.SIZE;
-    private static final int NONE = -1;
+    private static final int NO_CANDIDATE = -1;
     private final int seed;
     /** The members to choose from, and side by side what the ranking needs of each. */
     private MemberState[] candidates = {};
@@ -48,19 +48,19 @@
     }
 
     /** The first of the members that have room for the shard; null if there is none. */
-    MemberState first(int shard, Predicate<MemberState> hasRoom) {
-        int best = NONE;
+    MemberState first(int shard, Predicate<MemberState> hasCapacity) {
+        int best = NO_CANDIDATE;
         long bestDraw = 0;
         for (int i = 0; i < numbers.length; i++) {
             long draw = draw(shard, numbers[i]);
             boolean ahead =
-                    best == NONE || precedes(weights[i], draw, numbers[i], weights[best], bestDraw, numbers[best]);
-            if (ahead && hasRoom.test(candidates[i])) {
+                    best == NO_CANDIDATE || precedes(weights[i], draw, numbers[i], weights[best], bestDraw, numbers[best]);
+            if (ahead && hasCapacity.test(candidates[i])) {
                 best = i;
                 bestDraw = draw;
             }
         }
-        return best == NONE ? null : candidates[best];
+        return best == NO_CANDIDATE ? null : candidates[best];
     }
 
     private long draw(int shard, int number) {
--- a/src/main/java/lilaclever/placement/RenewalHistory.java
+++ b/src/main/java/lilaclever/placement/RenewalHistory.java
@@ -9,29 +9,29 @@
  */
 final class RenewalHistory {
     static final int CAPACITY = 8;
-    /** What {@link #endOf} gives where no renewal covers the shard. */
+    /** What {@link #leaseEndMicros} gives where no renewal covers the shard. */
     static final long NOT_COVERED = Long.MIN_VALUE;
 
     private final LeaseGuards guards;
-    private final TreeMap<Long, Long> endByRevision = new TreeMap<>();
+    private final TreeMap<Long, Long> endMicrosByRevision = new TreeMap<>();
 
     RenewalHistory(LeaseGuards guards) {
         this.guards = guards;
     }
 
     /** Notes that the assignment at a revision is leased until the given end, if that is later than what was known. */
-    void renewed(long revision, long endMicros, long nowMicros) {
-        endByRevision.values().removeIf(end -> end <= nowMicros);
-        endByRevision.merge(revision, endMicros, Math::max);
-        if (endByRevision.size() > CAPACITY) {
-            endByRevision.pollFirstEntry();
+    void addRenewal(long revision, long endMicros, long nowMicros) {
+        endMicrosByRevision.values().removeIf(end -> end <= nowMicros);
+        endMicrosByRevision.merge(revision, endMicros, Math::max);
+        if (endMicrosByRevision.size() > CAPACITY) {
+            endMicrosByRevision.pollFirstEntry();
         }
     }
 
     /** The latest end of a lease that covers a shard granted with one revision while another one is applied. */
-    long endOf(long grantedRevision, long appliedRevision) {
+    long leaseEndMicros(long grantedRevision, long appliedRevision) {
         long latest = NOT_COVERED;
-        for (Map.Entry<Long, Long> renewal : endByRevision.entrySet()) {
+        for (Map.Entry<Long, Long> renewal : endMicrosByRevision.entrySet()) {
             if (guards.covers(renewal.getKey(), grantedRevision, appliedRevision)) {
                 latest = Math.max(latest, renewal.getValue());
             }
@@ -41,6 +41,6 @@
 
     /** Forgets all renewals: nothing is leased. */
     void clear() {
-        endByRevision.clear();
+        endMicrosByRevision.clear();
     }
 }
--- a/src/main/java/lilaclever/placement/ShardAssignment.java
+++ b/src/main/java/lilaclever/placement/ShardAssignment.java
@@ -44,16 +44,16 @@
 
     /** Members that are to have more shards than they may. */
     List<MemberState> membersOverCapacity() {
-        return active.stream().filter(MemberState::overCapacity).toList();
+        return active.stream().filter(MemberState::isOverCapacity).toList();
     }
 
     /** The member that is to have a shard which its present one can't keep; null if there is no other. */
-    MemberState choose(int shard) {
-        MemberState present = table.target(shard);
-        MemberState chosen = ranking.first(shard, member -> member != present && member.occupied() < member.capacity);
+    MemberState chooseMember(int shard) {
+        MemberState current = table.target(shard);
+        MemberState chosen = ranking.first(shard, member -> member != current && member.occupiedShards() < member.capacity);
         if (chosen == null) {
             // Members that still give shards back count twice for a moment; what they will have is what matters.
-            chosen = ranking.first(shard, member -> member != present && member.targeted.size() < member.capacity);
+            chosen = ranking.first(shard, member -> member != current && member.targeted.size() < member.capacity);
         }
         return chosen;
     }
@@ -71,10 +71,10 @@
                 claims.add(new Claim(shard, ranking.draw(shard, member)));
             }
         }
-        int room = Math.max(0, member.capacity - member.occupied());
+        int freeCapacity = Math.max(0, member.capacity - member.occupiedShards());
         int[] claimed = claims.stream()
-                .sorted(Claim.STRONGEST_FIRST)
-                .limit(room)
+                .sorted(Claim.HIGHEST_DRAW_FIRST)
+                .limit(freeCapacity)
                 .mapToInt(Claim::shard)
                 .sorted()
                 .toArray();
@@ -85,34 +85,34 @@
     }
 
     /** Of the shards that a member is to have, the one that it draws lowest for. */
-    int weakestShard(MemberState member) {
-        int weakest = member.targeted.get(0);
-        long weakestDraw = ranking.draw(weakest, member);
+    int lowestDrawShard(MemberState member) {
+        int lowest = member.targeted.get(0);
+        long lowestDraw = ranking.draw(lowest, member);
         for (int i = 1; i < member.targeted.size(); i++) {
             int shard = member.targeted.get(i);
             long draw = ranking.draw(shard, member);
-            if (draw < weakestDraw) {
-                weakest = shard;
-                weakestDraw = draw;
+            if (draw < lowestDraw) {
+                lowest = shard;
+                lowestDraw = draw;
             }
         }
-        return weakest;
+        return lowest;
     }
 
     private void updateCapacities() {
         ranking.setMembers(active);
-        double weights = 0;
+        double totalWeight = 0;
         for (MemberState member : active) {
-            weights += member.weight;
+            totalWeight += member.weight;
         }
         for (MemberState member : active) {
-            double share = settings.shards() * (member.weight / weights);
+            double share = settings.shards() * (member.weight / totalWeight);
             member.capacity = (int) Math.max(Math.ceil(share), Math.floor(settings.loadBound() * share));
         }
     }
 
     private record Claim(int shard, long draw) {
-        static final Comparator<Claim> STRONGEST_FIRST =
+        static final Comparator<Claim> HIGHEST_DRAW_FIRST =
                 Comparator.comparingLong(Claim::draw).reversed().thenComparingInt(Claim::shard);
     }
 }
--- a/src/main/java/lilaclever/placement/ShardHasher.java
+++ b/src/main/java/lilaclever/placement/ShardHasher.java
@@ -26,17 +26,17 @@
 
     /** Shard of a destination that is known by its number in a region, from 0. */
     public int shardOf(int region, long destination) {
-        return scale(MurmurHash3.hash32(destination, region, SEED));
+        return toShard(MurmurHash3.hash32(destination, region, SEED));
     }
 
     /** Shard of a destination that is known by name, from 0. */
     public int shardOf(String destination) {
         byte[] name = destination.getBytes(StandardCharsets.UTF_8);
-        return scale(MurmurHash3.hash32x86(name, 0, name.length, SEED));
+        return toShard(MurmurHash3.hash32x86(name, 0, name.length, SEED));
     }
 
     /** Takes the 32 bits of a hash evenly to the shards, without the bias towards low numbers that a remainder has. */
-    private int scale(int hash) {
+    private int toShard(int hash) {
         return (int) (Integer.toUnsignedLong(hash) * shards >>> Integer.SIZE);
     }
 }
--- a/src/main/java/lilaclever/placement/ShardMap.java
+++ b/src/main/java/lilaclever/placement/ShardMap.java
@@ -42,7 +42,7 @@
         if (delta.fromVersion() > version) {
             return MapUpdate.GAP;
         }
-        check(delta);
+        validate(delta);
         for (OwnerChange change : delta.changes()) {
             owners[change.shard()] = change.owner() == null
                     ? MapSnapshot.NO_OWNER
@@ -107,7 +107,7 @@
         }
     }
 
-    private void check(MapDelta delta) {
+    private void validate(MapDelta delta) {
         if (delta.configurationVersion() < configurationVersion) {
             throw new IllegalArgumentException(
                     "configuration version " + delta.configurationVersion() + " after " + configurationVersion);
--- a/src/main/java/lilaclever/placement/ShardReassigner.java
+++ b/src/main/java/lilaclever/placement/ShardReassigner.java
@@ -17,20 +17,20 @@
     private final ShardTable table;
     private final ShardAssignment assignment;
     private final ControllerOutput output;
-    private final ReassignmentPacer pacer;
-    private final Queue<Integer> orphans = new ArrayDeque<>();
+    private final ReassignmentRateLimiter rateLimiter;
+    private final Queue<Integer> unassignedShards = new ArrayDeque<>();
     private final Set<MemberState> leaving = new LinkedHashSet<>();
-    private final Queue<MemberState> overCapacity = new ArrayDeque<>();
-    private final Queue<Integer> moves = new ArrayDeque<>();
+    private final Queue<MemberState> membersOverCapacity = new ArrayDeque<>();
+    private final Queue<Integer> plannedMoves = new ArrayDeque<>();
     private final PriorityQueue<Revocation> revocations = new PriorityQueue<>(Revocation.EARLIEST_FIRST);
 
-    ShardReassigner(ShardTable table, ShardAssignment assignment, ControllerOutput output, ReassignmentPacer pacer) {
+    ShardReassigner(ShardTable table, ShardAssignment assignment, ControllerOutput output, ReassignmentRateLimiter rateLimiter) {
         this.table = table;
         this.assignment = assignment;
         this.output = output;
-        this.pacer = pacer;
+        this.rateLimiter = rateLimiter;
         for (int shard = 0; shard < table.size(); shard++) {
-            orphans.add(shard);
+            unassignedShards.add(shard);
         }
     }
 
@@ -38,39 +38,39 @@
     void join(MemberState member) {
         assignment.add(member);
         for (int shard : assignment.claimFor(member)) {
-            moves.add(shard);
+            plannedMoves.add(shard);
         }
-        noteMembersOverCapacity();
+        updateMembersOverCapacity();
     }
 
     /** The process of a member was replaced: what it was to have is for its successor, which has the same weight. */
-    void succeed(MemberState member, MemberState successor) {
+    void replaceProcess(MemberState member, MemberState successor) {
         assignment.remove(Set.of(member));
         for (int shard : member.targeted.toArray()) {
             table.setTarget(shard, successor);
         }
         leaving.remove(member);
         assignment.add(successor);
-        noteMembersOverCapacity();
+        updateMembersOverCapacity();
     }
 
     /** A member's shards are to be handed over. */
     void leave(MemberState member) {
         assignment.remove(Set.of(member));
         leaving.add(member);
-        noteMembersOverCapacity();
+        updateMembersOverCapacity();
     }
 
     /** Members have gone: nothing is to be given to them any more. */
-    void depart(Set<MemberState> members) {
+    void removeMembers(Set<MemberState> members) {
         assignment.remove(members);
         leaving.removeAll(members);
         for (MemberState member : members) {
             for (int shard : member.targeted.toArray()) {
-                table.setTarget(shard, mayKeep(shard, member) ? table.holder(shard) : null);
+                table.setTarget(shard, canStay(shard, member) ? table.holder(shard) : null);
             }
         }
-        noteMembersOverCapacity();
+        updateMembersOverCapacity();
     }
 
     Set<MemberState> leavingMembers() {
@@ -80,13 +80,13 @@
     /** Nobody may send for a shard any more: it goes to the member that was waiting for it, if there is one. */
     void free(int shard) {
         table.free(shard);
-        output.freed(shard);
+        output.addFreedShard(shard);
         MemberState target = table.target(shard);
         if (target != null && !target.leaving) {
             grant(shard, target);
         } else {
             table.setTarget(shard, null);
-            orphans.add(shard);
+            unassignedShards.add(shard);
         }
     }
 
@@ -94,55 +94,55 @@
      * The shard's holder gets no renewal for it any more; it is free at the end of the holder's lease at the
      * latest.
      */
-    void endAtLeaseEnd(int shard) {
+    void startRevocation(int shard) {
         MemberState holder = table.holder(shard);
         table.startRevoking(shard);
-        revocations.add(new Revocation(holder.leaseSureEndMicros, shard, table.epoch(shard)));
+        revocations.add(new Revocation(holder.leaseSafeExpiryMicros, shard, table.epoch(shard)));
     }
 
     /** Frees the revoked shards whose last lease has surely ended without a release. */
-    void freeEndedRevocations(long nowMicros) {
+    void freeExpiredRevocations(long nowMicros) {
         while (!revocations.isEmpty() && revocations.peek().freeAtMicros() <= nowMicros) {
             Revocation revocation = revocations.poll();
-            if (isOpen(revocation)) {
+            if (isPending(revocation)) {
                 free(revocation.shard());
             }
         }
     }
 
     /** Puts the end of all leases that cover revoked shards off to a time, if they end before it. */
-    void prolongRevocations(long sureEndMicros) {
-        List<Revocation> open = revocations.stream().filter(this::isOpen).toList();
+    void postponeRevocations(long safeExpiryMicros) {
+        List<Revocation> pendingRevocations = revocations.stream().filter(this::isPending).toList();
         revocations.clear();
-        for (Revocation revocation : open) {
-            long freeAt = Math.max(revocation.freeAtMicros(), sureEndMicros);
-            revocations.add(new Revocation(freeAt, revocation.shard(), revocation.epoch()));
+        for (Revocation revocation : pendingRevocations) {
+            long freeAtMicros = Math.max(revocation.freeAtMicros(), safeExpiryMicros);
+            revocations.add(new Revocation(freeAtMicros, revocation.shard(), revocation.epoch()));
         }
     }
 
     /** Goes on with the pending reassignments as far as the pace allows. */
     void reassign(long nowMicros) {
-        pacer.refill(nowMicros);
-        if (!pacer.ready(pending())) {
+        rateLimiter.refill(nowMicros);
+        if (!rateLimiter.isReady(pending())) {
             return;
         }
-        placeOrphans();
+        placeUnassignedShards();
         leaving.forEach(this::moveAllFrom);
-        relieveMembers();
-        startMoves();
+        reduceMembersOverCapacity();
+        startPlannedMoves();
     }
 
-    /** When {@link #freeEndedRevocations} or {@link #reassign} has something to do; Long.MAX_VALUE if never. */
+    /** When {@link #freeExpiredRevocations} or {@link #reassign} has something to do; Long.MAX_VALUE if never. */
     long nextDueMicros() {
-        long due = revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
+        long dueMicros = revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
         long pending = pending();
-        return pending == 0 ? due : Math.min(due, pacer.readyAtMicros(pending));
+        return pending == 0 ? dueMicros : Math.min(dueMicros, rateLimiter.readyAtMicros(pending));
     }
 
     private long pending() {
-        long pending = moves.size() + overCapacity.size();
+        long pending = plannedMoves.size() + membersOverCapacity.size();
         if (assignment.hasMembers()) {
-            pending += orphans.size();
+            pending += unassignedShards.size();
         }
         for (MemberState member : leaving) {
             pending += member.targeted.size();
@@ -150,10 +150,10 @@
         return pending;
     }
 
-    private void placeOrphans() {
-        while (!orphans.isEmpty() && assignment.hasMembers() && pacer.take()) {
-            int shard = orphans.remove();
-            MemberState member = assignment.choose(shard);
+    private void placeUnassignedShards() {
+        while (!unassignedShards.isEmpty() && assignment.hasMembers() && rateLimiter.tryTake()) {
+            int shard = unassignedShards.remove();
+            MemberState member = assignment.chooseMember(shard);
             table.setTarget(shard, member);
             grant(shard, member);
         }
@@ -165,25 +165,25 @@
         }
     }
 
-    private void relieveMembers() {
-        while (!overCapacity.isEmpty()) {
-            MemberState member = overCapacity.peek();
-            while (!member.leaving && member.overCapacity()) {
-                if (!moveAway(assignment.weakestShard(member), member)) {
+    private void reduceMembersOverCapacity() {
+        while (!membersOverCapacity.isEmpty()) {
+            MemberState member = membersOverCapacity.peek();
+            while (!member.leaving && member.isOverCapacity()) {
+                if (!moveAway(assignment.lowestDrawShard(member), member)) {
                     return;
                 }
             }
-            overCapacity.remove();
+            membersOverCapacity.remove();
         }
     }
 
     /** Gives a shard another target; false if the pace does not allow to revoke it now. */
     private boolean moveAway(int shard, MemberState member) {
-        boolean granted = table.holder(shard) == member && !table.revoking(shard);
-        if (granted && !pacer.take()) {
+        boolean granted = table.holder(shard) == member && !table.isRevoking(shard);
+        if (granted && !rateLimiter.tryTake()) {
             return false;
         }
-        table.setTarget(shard, mayKeep(shard, member) ? table.holder(shard) : assignment.choose(shard));
+        table.setTarget(shard, canStay(shard, member) ? table.holder(shard) : assignment.chooseMember(shard));
         if (granted) {
             revoke(shard);
         }
@@ -191,45 +191,45 @@
     }
 
     /** Whether a shard that was to move to the given member can stay where it is, as it was not revoked yet. */
-    private boolean mayKeep(int shard, MemberState target) {
+    private boolean canStay(int shard, MemberState target) {
         MemberState holder = table.holder(shard);
         return holder != null
                 && holder != target
-                && !table.revoking(shard)
+                && !table.isRevoking(shard)
                 && !holder.leaving
                 && holder.targeted.size() < holder.capacity;
     }
 
-    private void startMoves() {
-        while (!moves.isEmpty()) {
-            int shard = moves.peek();
+    private void startPlannedMoves() {
+        while (!plannedMoves.isEmpty()) {
+            int shard = plannedMoves.peek();
             MemberState holder = table.holder(shard);
-            boolean open = holder != null && !table.revoking(shard) && table.target(shard) != holder;
-            if (open && !pacer.take()) {
+            boolean needsRevocation = holder != null && !table.isRevoking(shard) && table.target(shard) != holder;
+            if (needsRevocation && !rateLimiter.tryTake()) {
                 return;
             }
-            if (open) {
+            if (needsRevocation) {
                 revoke(shard);
             }
-            moves.remove();
+            plannedMoves.remove();
         }
     }
 
     private void grant(int shard, MemberState member) {
-        output.granted(member, table.grant(shard, member));
+        output.addGrant(member, table.grant(shard, member));
     }
 
     private void revoke(int shard) {
-        endAtLeaseEnd(shard);
-        output.revoked(table.holder(shard), new ShardGrant(shard, table.epoch(shard)));
+        startRevocation(shard);
+        output.addRevocation(table.holder(shard), new ShardGrant(shard, table.epoch(shard)));
     }
 
-    private void noteMembersOverCapacity() {
-        overCapacity.clear();
-        overCapacity.addAll(assignment.membersOverCapacity());
+    private void updateMembersOverCapacity() {
+        membersOverCapacity.clear();
+        membersOverCapacity.addAll(assignment.membersOverCapacity());
     }
 
-    private boolean isOpen(Revocation revocation) {
+    private boolean isPending(Revocation revocation) {
         int shard = revocation.shard();
         return table.holder(shard) != null && table.epoch(shard) == revocation.epoch();
     }
--- a/src/main/java/lilaclever/placement/ShardSet.java
+++ b/src/main/java/lilaclever/placement/ShardSet.java
@@ -26,25 +26,25 @@
     }
 
     void add(int shard) {
-        int found = Arrays.binarySearch(shards, 0, size, shard);
-        if (found >= 0) {
+        int searchResult = Arrays.binarySearch(shards, 0, size, shard);
+        if (searchResult >= 0) {
             return;
         }
         if (size == shards.length) {
             shards = Arrays.copyOf(shards, 2 * size);
         }
-        int place = -found - 1;
-        System.arraycopy(shards, place, shards, place + 1, size - place);
-        shards[place] = shard;
+        int insertionIndex = -searchResult - 1;
+        System.arraycopy(shards, insertionIndex, shards, insertionIndex + 1, size - insertionIndex);
+        shards[insertionIndex] = shard;
         size++;
     }
 
     void remove(int shard) {
-        int place = Arrays.binarySearch(shards, 0, size, shard);
-        if (place < 0) {
+        int index = Arrays.binarySearch(shards, 0, size, shard);
+        if (index < 0) {
             return;
         }
-        System.arraycopy(shards, place + 1, shards, place, size - place - 1);
+        System.arraycopy(shards, index + 1, shards, index, size - index - 1);
         size--;
     }
 
--- a/src/main/java/lilaclever/placement/ShardTable.java
+++ b/src/main/java/lilaclever/placement/ShardTable.java
@@ -43,7 +43,7 @@
     }
 
     /** Whether the holder has been told to give the shard back, or its process has been replaced. */
-    boolean revoking(int shard) {
+    boolean isRevoking(int shard) {
         return revoking[shard];
     }
 
@@ -81,14 +81,14 @@
 
     /** Decides who is to have the shard; null leaves it open. */
     void setTarget(int shard, MemberState member) {
-        MemberState before = targets[shard];
-        if (before == member) {
+        MemberState previous = targets[shard];
+        if (previous == member) {
             return;
         }
-        if (before != null) {
-            before.targeted.remove(shard);
-            if (holders[shard] == before) {
-                before.heldAndTargeted--;
+        if (previous != null) {
+            previous.targeted.remove(shard);
+            if (holders[shard] == previous) {
+                previous.heldAndTargeted--;
             }
         }
         targets[shard] = member;
--- a/src/test/java/lilaclever/lab/fleet/OwnershipCheckerTest.java
+++ b/src/test/java/lilaclever/lab/fleet/OwnershipCheckerTest.java
@@ -83,7 +83,7 @@
 
     private void renew(ForwarderProcess process, long sequence) {
         process.holder.heartbeat(process.forwarder.clock.now());
-        process.holder.renewed(
+        process.holder.leaseRenewed(
                 new ControllerEvent.LeaseRenewed(process.forwarder.id, 1, sequence, TIMING.leaseMicros(), 1),
                 process.forwarder.clock.now());
         checker.renewed(process);
--- a/src/test/java/lilaclever/placement/AssignmentTest.java
+++ b/src/test/java/lilaclever/placement/AssignmentTest.java
@@ -18,17 +18,17 @@
 
 /** Who gets which shards, how many of them move, and at which pace. */
 class AssignmentTest {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int ZONES = 3;
-    private static final int FAST = 1_000_000;
-    private static final int PATIENCE = 2000;
+    private static final int HIGH_RATE = 1_000_000;
+    private static final int MAX_STEPS = 2000;
 
-    private static TestRegion region(int shards, int members, int pace) {
-        TestRegion region = new TestRegion(TestRegion.settings(shards, ZONES, pace));
+    private static TestRegion region(int shards, int members, int reassignmentsPerSecond) {
+        TestRegion region = new TestRegion(TestRegion.settings(shards, ZONES, reassignmentsPerSecond));
         for (int member = 0; member < members; member++) {
             region.join(member, member % ZONES);
         }
-        region.run(3 * SECOND);
+        region.run(3 * SECOND_MICROS);
         assertEquals(0, region.unownedShards());
         return region;
     }
@@ -36,7 +36,7 @@
     @ParameterizedTest
     @CsvSource({"1000, 1", "1000, 2", "1000, 3", "1000, 7", "1000, 60", "7000, 200", "500, 490", "10, 30"})
     void noMemberHasMoreThanItsCapacity(int shards, int members) {
-        TestRegion region = region(shards, members, FAST);
+        TestRegion region = region(shards, members, HIGH_RATE);
         double mean = (double) shards / members;
         int capacity = (int) Math.max(Math.ceil(mean), Math.floor(1.25 * mean));
         for (MemberId member : region.controller.members()) {
@@ -44,17 +44,17 @@
             assertEquals(capacity, region.controller.capacityOf(member));
         }
         if (mean >= 4) {
-            assertTrue(region.fullestOverMean() <= 1.25, () -> "fullest over mean " + region.fullestOverMean());
+            assertTrue(region.maxToMeanLoad() <= 1.25, () -> "fullest over mean " + region.maxToMeanLoad());
         }
     }
 
     @Test
-    void shardsFollowTheWeights() {
-        TestRegion region = new TestRegion(TestRegion.settings(4000, ZONES, FAST));
+    void shardsAreProportionalToTheWeights() {
+        TestRegion region = new TestRegion(TestRegion.settings(4000, ZONES, HIGH_RATE));
         for (int member = 0; member < 20; member++) {
             region.join(member, member % ZONES, member < 10 ? 1 : 3, false);
         }
-        region.run(3 * SECOND);
+        region.run(3 * SECOND_MICROS);
         int heavy = IntStream.range(10, 20)
                 .map(member -> region.controller.shardsHeldBy(new MemberId(member)))
                 .sum();
@@ -77,7 +77,7 @@
         long[] heldByZone = new long[ZONES];
         for (int number = 0; number < regions; number++) {
             TestRegion region =
-                    new TestRegion(new ControllerSettings(number, shards, ZONES, 1.25, TestRegion.TIMING, FAST));
+                    new TestRegion(new ControllerSettings(number, shards, ZONES, 1.25, TestRegion.TIMING, HIGH_RATE));
             int[] held = heldByZone(region, membersOfZone);
             for (int zone = 0; zone < ZONES; zone++) {
                 double share = membersOfZone[zone] / 200.0;
@@ -98,7 +98,7 @@
                 region.join(member++, zone);
             }
         }
-        region.run(3 * SECOND);
+        region.run(3 * SECOND_MICROS);
         int[] held = new int[ZONES];
         int first = 0;
         for (int zone = 0; zone < ZONES; zone++) {
@@ -111,33 +111,33 @@
     }
 
     @Test
-    void lossMovesTheLostMembersShardsAndNoOther() {
-        TestRegion region = region(7000, 200, FAST);
+    void lossMovesOnlyTheLostMembersShards() {
+        TestRegion region = region(7000, 200, HIGH_RATE);
         int[] before = region.owners();
         int lost = (int) Arrays.stream(before).filter(owner -> owner == 17).count();
         region.kill(List.of(17));
-        region.run(10 * SECOND);
+        region.run(10 * SECOND_MICROS);
         assertEquals(0, region.unownedShards());
-        assertEquals(lost, region.movedSince(before));
+        assertEquals(lost, region.shardsMovedSince(before));
     }
 
     @Test
     void joinMovesLittleMoreThanTheNewMembersShare() {
-        TestRegion region = region(7000, 200, FAST);
+        TestRegion region = region(7000, 200, HIGH_RATE);
         for (int member = 200; member < 220; member++) {
             int[] before = region.owners();
             region.join(member, member % ZONES);
-            region.run(SECOND);
+            region.run(SECOND_MICROS);
             int gained = region.controller.shardsHeldBy(new MemberId(member));
             assertTrue(gained >= 20 && gained <= 43, "gained " + gained);
-            int moved = region.movedSince(before);
-            int atOldCapacity = evictionsFrom(before, region, member);
-            assertEquals(gained + atOldCapacity, moved, "what moves goes to the new member, or its owner was too full");
+            int moved = region.shardsMovedSince(before);
+            int evicted = evictedOverCapacity(before, region, member);
+            assertEquals(gained + evicted, moved, "what moves goes to the new member, or its owner was too full");
         }
     }
 
     /** Shards that members had above the capacity that they have now, and did not give to the new member. */
-    private static int evictionsFrom(int[] before, TestRegion region, int joined) {
+    private static int evictedOverCapacity(int[] before, TestRegion region, int joined) {
         int[] now = region.owners();
         int evictions = 0;
         for (MemberId member : region.controller.members()) {
@@ -153,24 +153,24 @@
     }
 
     /** A has all shards, and some are on their way to B at a slow pace as B ends or leaves. */
-    private static TestRegion regionOfAWithMovesToB() {
+    private static TestRegion regionWithPendingMovesToASecondMember() {
         TestRegion region = new TestRegion(TestRegion.settings(100, ZONES, 2));
         region.join(0, 0);
-        region.run(60 * SECOND);
+        region.run(60 * SECOND_MICROS);
         assertEquals(100, region.controller.shardsHeldBy(new MemberId(0)));
         region.join(1, 1);
         return region;
     }
 
     @Test
-    void movesToAMemberThatEndsAreGivenUpWithoutRevoking() {
-        TestRegion region = regionOfAWithMovesToB();
+    void movesToAMemberThatEndsAreCancelledWithoutRevoking() {
+        TestRegion region = regionWithPendingMovesToASecondMember();
         region.kill(List.of(1));
-        region.run(TestRegion.TIMING.surelyEndedAfterMicros());
+        region.run(TestRegion.TIMING.safeExpiryDelayMicros());
         int held = region.controller.shardsHeldBy(new MemberId(0));
         assertTrue(held > 80 && held < 100, "held " + held);
         for (int step = 0; step < 300; step++) {
-            region.run(SECOND / 10);
+            region.run(SECOND_MICROS / 10);
             int heldNow = region.controller.shardsHeldBy(new MemberId(0));
             assertTrue(heldNow >= held, "a shard was taken from the only member: " + heldNow + " after " + held);
             held = heldNow;
@@ -179,35 +179,35 @@
     }
 
     @Test
-    void memberThatLeavesIsGivenNoFurtherShard() {
+    void leavingMemberIsGrantedNoFurtherShard() {
         PlacementController controller = new PlacementController(TestRegion.settings(4, ZONES, 1));
         MemberId first = new MemberId(1);
         MemberId second = new MemberId(2);
         controller.apply(new Register(first, 1, 0, 1, false), 0);
         for (int heartbeat = 1; heartbeat <= 4; heartbeat++) {
-            controller.apply(new ControllerCommand.Heartbeat(first, 1, heartbeat, 0), heartbeat * SECOND);
+            controller.apply(new ControllerCommand.Heartbeat(first, 1, heartbeat, 0), heartbeat * SECOND_MICROS);
         }
         assertEquals(0, controller.shardsWithoutHolder());
         ControllerEvent.AssignmentChanged change =
-                controller.apply(new Register(second, 1, 0, 1, false), 6 * SECOND).stream()
+                controller.apply(new Register(second, 1, 0, 1, false), 6 * SECOND_MICROS).stream()
                         .filter(ControllerEvent.AssignmentChanged.class::isInstance)
                         .map(ControllerEvent.AssignmentChanged.class::cast)
                         .filter(each -> each.member().equals(first))
                         .findFirst()
                         .orElseThrow();
         assertEquals(1, change.revoked().size());
-        controller.apply(new ControllerCommand.Leave(second, 1), 6 * SECOND);
-        controller.apply(new ControllerCommand.Release(first, 1, change.revoked()), 6 * SECOND);
+        controller.apply(new ControllerCommand.Leave(second, 1), 6 * SECOND_MICROS);
+        controller.apply(new ControllerCommand.Release(first, 1, change.revoked()), 6 * SECOND_MICROS);
         assertEquals(0, controller.shardsHeldBy(second));
         assertEquals(3, controller.shardsHeldBy(first));
     }
 
     @Test
     void newMemberClaimsNoMoreThanItsCapacity() {
-        int full = 0;
+        int membersAtCapacity = 0;
         for (int number = 2; number < 100; number++) {
             ShardTable table = new ShardTable(8);
-            ShardAssignment assignment = new ShardAssignment(TestRegion.settings(8, ZONES, FAST), table);
+            ShardAssignment assignment = new ShardAssignment(TestRegion.settings(8, ZONES, HIGH_RATE), table);
             MemberState present = new MemberState(new MemberId(1), 1, 0, 1);
             MemberState joined = new MemberState(new MemberId(number), 1, 0, 1);
             assignment.add(present);
@@ -219,113 +219,113 @@
             int claimed = assignment.claimFor(joined).length;
             assertEquals(5, joined.capacity);
             assertTrue(claimed <= 5, "claimed " + claimed);
-            full += claimed == 5 ? 1 : 0;
+            membersAtCapacity += claimed == 5 ? 1 : 0;
         }
-        assertTrue(full > 10, "members that claimed all that they may: " + full);
+        assertTrue(membersAtCapacity > 10, "members that claimed all that they may: " + membersAtCapacity);
     }
 
     @Test
-    void memberThatComesBackGetsMostOfItsShardsBack() {
-        TestRegion region = region(7000, 200, FAST);
+    void returningMemberRegainsMostOfItsShards() {
+        TestRegion region = region(7000, 200, HIGH_RATE);
         int[] before = region.owners();
         region.kill(List.of(17));
-        region.run(10 * SECOND);
+        region.run(10 * SECOND_MICROS);
         region.join(17, 2);
-        region.run(3 * SECOND);
+        region.run(3 * SECOND_MICROS);
         int lost = (int) Arrays.stream(before).filter(owner -> owner == 17).count();
         int[] now = region.owners();
-        int back = (int) IntStream.range(0, now.length)
+        int regained = (int) IntStream.range(0, now.length)
                 .filter(shard -> before[shard] == 17 && now[shard] == 17)
                 .count();
-        assertTrue(back >= 0.8 * lost, back + " of " + lost);
+        assertTrue(regained >= 0.8 * lost, regained + " of " + lost);
     }
 
     @Test
     void restartWithinTheLeaseMovesNothing() {
-        TestRegion region = region(700, 20, FAST);
+        TestRegion region = region(700, 20, HIGH_RATE);
         int[] before = region.owners();
         region.kill(List.of(5));
         region.run(600_000);
         region.join(5, 5 % ZONES, 1, true);
-        assertEquals(0, region.movedSince(before));
+        assertEquals(0, region.shardsMovedSince(before));
         assertEquals(0, region.controller.shardsWithoutHolder());
         region.kill(List.of(6));
         region.run(600_000);
         region.join(6, 6 % ZONES, 1, false);
-        region.run(10 * SECOND);
-        assertEquals(0, region.movedSince(before));
+        region.run(10 * SECOND_MICROS);
+        assertEquals(0, region.shardsMovedSince(before));
     }
 
     @Test
-    void leaveOfAMemberLosesNoShardAndMovesOnlyItsOwn() {
-        TestRegion region = region(700, 20, FAST);
+    void leavingMemberLeavesNoShardUnownedAndMovesOnlyItsOwn() {
+        TestRegion region = region(700, 20, HIGH_RATE);
         int[] before = region.owners();
         int held = region.controller.shardsHeldBy(new MemberId(4));
         region.leave(4);
         assertEquals(0, region.unownedShards());
-        assertEquals(held, region.movedSince(before));
+        assertEquals(held, region.shardsMovedSince(before));
         assertEquals(19, region.controller.members().size());
     }
 
     @Test
-    void lossOfAZoneIsSharedOutAtTheSetPaceAndEachShardMovesOnce() {
-        int pace = 500;
-        TestRegion slow = new TestRegion(TestRegion.settings(3000, ZONES, pace));
+    void zoneLossIsReassignedAtTheConfiguredRateAndEachShardMovesOnce() {
+        int reassignmentsPerSecond = 500;
+        TestRegion region = new TestRegion(TestRegion.settings(3000, ZONES, reassignmentsPerSecond));
         for (int member = 0; member < 90; member++) {
-            slow.join(member, member % ZONES);
+            region.join(member, member % ZONES);
         }
-        slow.run(60 * SECOND);
-        assertEquals(0, slow.unownedShards());
+        region.run(60 * SECOND_MICROS);
+        assertEquals(0, region.unownedShards());
 
-        int[] before = slow.owners();
+        int[] before = region.owners();
         List<Integer> zone = IntStream.range(0, 90)
                 .filter(member -> member % ZONES == 1)
                 .boxed()
                 .toList();
         int lost = zone.stream()
-                .mapToInt(member -> slow.controller.shardsHeldBy(new MemberId(member)))
+                .mapToInt(member -> region.controller.shardsHeldBy(new MemberId(member)))
                 .sum();
-        slow.kill(zone);
-        slow.run(TestRegion.TIMING.surelyEndedAfterMicros() - SECOND);
-        assertEquals(0, slow.unownedShards());
-        slow.run(SECOND);
-        assertTrue(slow.unownedShards() > 0);
+        region.kill(zone);
+        region.run(TestRegion.TIMING.safeExpiryDelayMicros() - SECOND_MICROS);
+        assertEquals(0, region.unownedShards());
+        region.run(SECOND_MICROS);
+        assertTrue(region.unownedShards() > 0);
         int seconds = 0;
-        while (slow.unownedShards() > 0) {
-            int unowned = slow.unownedShards();
-            slow.run(SECOND);
-            int granted = unowned - slow.unownedShards();
-            assertTrue(granted <= pace + pace / 10, "granted in a second: " + granted);
-            assertTrue(++seconds < 2 * lost / pace + 2, "too slow");
+        while (region.unownedShards() > 0) {
+            int unowned = region.unownedShards();
+            region.run(SECOND_MICROS);
+            int granted = unowned - region.unownedShards();
+            assertTrue(granted <= reassignmentsPerSecond + reassignmentsPerSecond / 10, "granted in a second: " + granted);
+            assertTrue(++seconds < 2 * lost / reassignmentsPerSecond + 2, "too slow");
         }
-        assertEquals(lost, slow.movedSince(before));
-        assertTrue(slow.fullestOverMean() <= 1.25, () -> "fullest over mean " + slow.fullestOverMean());
+        assertEquals(lost, region.shardsMovedSince(before));
+        assertTrue(region.maxToMeanLoad() <= 1.25, () -> "fullest over mean " + region.maxToMeanLoad());
     }
 
     @Test
-    void shardsWithoutAnOwnerGoBeforeMovesToNewMembers() {
+    void shardsWithoutOwnerAreAssignedBeforeMovesToNewMembers() {
         TestRegion region = new TestRegion(TestRegion.settings(3000, ZONES, 100));
         for (int member = 0; member < 30; member++) {
             region.join(member, member % ZONES);
         }
-        region.run(90 * SECOND);
+        region.run(90 * SECOND_MICROS);
         assertEquals(0, region.unownedShards());
         region.kill(List.of(3, 4, 5));
-        region.run(TestRegion.TIMING.surelyEndedAfterMicros() - SECOND / 2);
+        region.run(TestRegion.TIMING.safeExpiryDelayMicros() - SECOND_MICROS / 2);
         int[] before = region.owners();
         for (int member = 30; member < 33; member++) {
             region.join(member, member % ZONES);
         }
-        region.run(SECOND + SECOND / 2);
+        region.run(SECOND_MICROS + SECOND_MICROS / 2);
         int unowned = region.unownedShards();
         assertTrue(unowned > 0);
-        int taken = takenFromLiving(before, region);
-        region.run(SECOND);
+        int moved = movedFromLiveMembers(before, region);
+        region.run(SECOND_MICROS);
         assertTrue(region.unownedShards() < unowned);
-        assertEquals(taken, takenFromLiving(before, region), "a shard was moved while others had no owner");
+        assertEquals(moved, movedFromLiveMembers(before, region), "a shard was moved while others had no owner");
     }
 
-    private static int takenFromLiving(int[] before, TestRegion region) {
+    private static int movedFromLiveMembers(int[] before, TestRegion region) {
         int[] now = region.owners();
         return (int) IntStream.range(0, now.length)
                 .filter(shard -> (before[shard] < 3 || before[shard] > 5) && now[shard] != before[shard])
@@ -333,8 +333,8 @@
     }
 
     @Test
-    void randomComingsAndGoingsKeepTheBoundOnLoad() {
-        TestRegion region = region(3000, 60, FAST);
+    void randomJoinsAndLeavesKeepTheLoadBound() {
+        TestRegion region = region(3000, 60, HIGH_RATE);
         UniformRandomProvider random = RandomSource.XO_SHI_RO_256_PP.create(32L);
         List<Integer> present = new ArrayList<>(IntStream.range(0, 60).boxed().toList());
         List<Integer> absent = new ArrayList<>(IntStream.range(60, 80).boxed().toList());
@@ -352,31 +352,31 @@
                 }
                 absent.add(member);
             }
-            region.run(10 * SECOND);
+            region.run(10 * SECOND_MICROS);
             assertEquals(0, region.unownedShards());
-            double fullest = region.fullestOverMean();
-            assertTrue(fullest <= 1.25, () -> "fullest over mean " + fullest);
+            double maxToMean = region.maxToMeanLoad();
+            assertTrue(maxToMean <= 1.25, () -> "fullest over mean " + maxToMean);
             assertEquals(present.size(), region.controller.members().size());
         }
     }
 
     @Test
-    void assignmentDoesNotDependOnTheWayThereWhereNobodyIsFull() {
+    void assignmentDoesNotDependOnJoinOrderWhereNoMemberIsAtCapacity() {
         // Capacity is ten times the share here: rendezvous alone decides.
-        ControllerSettings settings = new ControllerSettings(0, 2000, 1, 10, TestRegion.TIMING, FAST);
-        TestRegion up = new TestRegion(settings);
-        TestRegion down = new TestRegion(settings);
+        ControllerSettings settings = new ControllerSettings(0, 2000, 1, 10, TestRegion.TIMING, HIGH_RATE);
+        TestRegion ascending = new TestRegion(settings);
+        TestRegion descending = new TestRegion(settings);
         for (int i = 0; i < 20; i++) {
-            up.join(i, 0);
-            down.join(19 - i, 0);
+            ascending.join(i, 0);
+            descending.join(19 - i, 0);
         }
-        up.run(3 * SECOND);
-        down.run(3 * SECOND);
-        assertArrayEquals(up.owners(), down.owners());
+        ascending.run(3 * SECOND_MICROS);
+        descending.run(3 * SECOND_MICROS);
+        assertArrayEquals(ascending.owners(), descending.owners());
     }
 
     @Test
-    void paceIsKeptForTheFirstAssignmentToo() {
+    void rateLimitAppliesToTheFirstAssignmentToo() {
         PlacementController controller = new PlacementController(TestRegion.settings(1000, ZONES, 100));
         controller.apply(new Register(new MemberId(1), 1, 0, 1, false), 0);
         assertEquals(990, controller.shardsWithoutHolder());
@@ -386,14 +386,14 @@
     }
 
     @Test
-    void regionBecomesWholeAgainAfterAllItsMembersAreLost() {
-        TestRegion region = region(100, 4, FAST);
+    void allShardsAreAssignedAgainAfterAllMembersWereLost() {
+        TestRegion region = region(100, 4, HIGH_RATE);
         region.kill(List.of(0, 1, 2, 3));
-        region.run(20 * SECOND);
+        region.run(20 * SECOND_MICROS);
         assertEquals(100, region.unownedShards());
         assertEquals(Long.MAX_VALUE, region.controller.nextDueMicros());
         region.join(9, 0);
-        region.runUntilAllOwned(PATIENCE);
+        region.runUntilAllOwned(MAX_STEPS);
         assertEquals(100, region.controller.shardsHeldBy(new MemberId(9)));
     }
 }
--- a/src/test/java/lilaclever/placement/DeltaBatchTest.java
+++ b/src/test/java/lilaclever/placement/DeltaBatchTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void mergedDeltaGivesTheSameMapAsTheSingleOnes() {
+    void mergedDeltaGivesTheSameMapAsTheSingleDeltas() {
         ShardMap single = new ShardMap(0, 16);
         single.apply(FIRST);
         single.apply(SECOND);
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void refusesADeltaThatDoesNotFollow() {
+    void rejectsADeltaThatDoesNotFollowTheLastOne() {
         batch.add(FIRST);
         assertThrows(IllegalArgumentException.class, () -> batch.add(delta(2, 3, 5)));
         assertThrows(IllegalArgumentException.class, () -> batch.add(new MapDelta(1, 1, 2, 5, List.of())));
--- a/src/test/java/lilaclever/placement/DistributionTreeTest.java
+++ b/src/test/java/lilaclever/placement/DistributionTreeTest.java
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void reachesAllThatHaveNotFailed() {
+    void reachesAllMembersThatHaveNotFailed() {
         DistributionTree tree = new DistributionTree(members(300, 3), 1, 4);
         Random random = new Random(5);
         for (int round = 0; round < 50; round++) {
@@ -90,7 +90,7 @@
     }
 
     @Test
-    void isTheSameForEverybodyAndAnotherForAnotherVersion() {
+    void dependsOnlyOnMembersAndVersion() {
         List<TreeMember> shuffled = members(500, 3);
         Collections.shuffle(shuffled, new Random(1));
         DistributionTree tree = new DistributionTree(members(500, 3), 4, 8);
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void refusesWrongInput() {
+    void rejectsInvalidInput() {
         assertThrows(IllegalArgumentException.class, () -> new DistributionTree(List.of(), 0, 0));
         assertThrows(IllegalArgumentException.class, () -> new DistributionTree(List.of(), 0, 257));
         List<TreeMember> twice = List.of(new TreeMember(new MemberId(1), 0), new TreeMember(new MemberId(1), 1));
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -60,8 +60,8 @@
     static final LeaseTiming TIMING = new LeaseTiming(2_000_000, 10_000_000, 0.002, 300_000);
     private static final int MEMBERS = 3;
     private static final int SHARDS = 4;
-    private static final long DURATION = 240_000_000;
-    private static final long MAX_STEP_BACK = 3_000_000;
+    private static final long DURATION_MICROS = 240_000_000;
+    private static final long MAX_STEP_BACK_MICROS = 3_000_000;
 
     private final UniformRandomProvider random;
     private final Variant variant;
@@ -70,11 +70,11 @@
     private final PlacementController controller;
     private final Clock controllerClock;
     private final List<Process> processes = new ArrayList<>();
-    private final Process[] present = new Process[MEMBERS];
-    private final long[] cutOffUntil = new long[MEMBERS];
-    private final Process[] lastStarter = new Process[SHARDS];
-    private final long[] greatestGranted = new long[SHARDS];
-    private final long[] greatestStarted = new long[SHARDS];
+    private final Process[] currentProcesses = new Process[MEMBERS];
+    private final long[] cutOffUntilMicros = new long[MEMBERS];
+    private final Process[] lastCallers = new Process[SHARDS];
+    private final long[] maxGrantedEpochs = new long[SHARDS];
+    private final long[] maxStartedEpochs = new long[SHARDS];
     private final List<Write> writes = new ArrayList<>();
     private long trueMicros;
     private long eventNumber;
@@ -101,18 +101,18 @@
     /** A monotonic clock that is fast or slow, and may step back. */
     private final class Clock {
         private final double rate;
-        private long offset;
+        private long offsetMicros;
 
         Clock(double rate) {
             this.rate = rate;
         }
 
-        long now() {
-            return offset + (long) (trueMicros * rate);
+        long nowMicros() {
+            return offsetMicros + (long) (trueMicros * rate);
         }
 
         void stepBack(long micros) {
-            offset -= micros;
+            offsetMicros -= micros;
         }
 
         /** True time that passes while the clock advances by so much. */
@@ -125,7 +125,7 @@
     private final class Process {
         final MemberId member;
         final long incarnation;
-        final boolean previousEnded;
+        final boolean previousProcessEnded;
         final Clock clock = newClock();
         final LeaseHolder holder;
         boolean ended;
@@ -134,13 +134,13 @@
         Process(MemberId member, long incarnation, boolean previousEnded) {
             this.member = member;
             this.incarnation = incarnation;
-            this.previousEnded = previousEnded;
+            this.previousProcessEnded = previousEnded;
             this.holder = new LeaseHolder(
                     member, incarnation, TIMING, variant.guards().apply(TIMING));
         }
 
         boolean maySend(int shard) {
-            return !ended && holder.maySend(shard, clock.now()) instanceof SendPermission.Permitted;
+            return !ended && holder.maySend(shard, clock.nowMicros()) instanceof SendPermission.Permitted;
         }
     }
 
@@ -157,12 +157,12 @@
     Optional<Breach> run() {
         for (int member = 0; member < MEMBERS; member++) {
             int number = member;
-            at(random.nextInt(3_000_000), () -> start(number, true));
-            at(3_000_000 + random.nextInt(20_000_000), () -> disturb(number));
+            schedule(random.nextInt(3_000_000), () -> start(number, true));
+            schedule(3_000_000 + random.nextInt(20_000_000), () -> injectFault(number));
         }
-        at(random.nextInt(30_000_000), this::stepControllerClock);
+        schedule(random.nextInt(30_000_000), this::stepControllerClock);
         scheduleAdvance();
-        while (breach == null && !events.isEmpty() && events.peek().atMicros() <= DURATION) {
+        while (breach == null && !events.isEmpty() && events.peek().atMicros() <= DURATION_MICROS) {
             Event event = events.poll();
             trueMicros = event.atMicros();
             event.action().run();
@@ -176,35 +176,35 @@
     }
 
     private Clock newClock() {
-        double half = TIMING.maxDrift() / 2 * variant.driftFactor();
+        double halfDrift = TIMING.maxDrift() / 2 * variant.driftFactor();
         int[] choices = {-1, 0, 1};
-        return new Clock(1 + half * choices[random.nextInt(choices.length)]);
+        return new Clock(1 + halfDrift * choices[random.nextInt(choices.length)]);
     }
 
-    private void at(long delayMicros, Runnable action) {
+    private void schedule(long delayMicros, Runnable action) {
         events.add(new Event(trueMicros + delayMicros, eventNumber++, action));
     }
 
     // Processes
 
-    private void start(int member, boolean previousEnded) {
-        Process before = present[member];
-        long incarnation = before == null ? 1 : before.incarnation + 1;
-        if (previousEnded) {
-            endAll(member);
+    private void start(int member, boolean previousProcessEnded) {
+        Process previous = currentProcesses[member];
+        long incarnation = previous == null ? 1 : previous.incarnation + 1;
+        if (previousProcessEnded) {
+            endAllProcesses(member);
         }
-        Process process = new Process(new MemberId(member), incarnation, previousEnded);
-        present[member] = process;
+        Process process = new Process(new MemberId(member), incarnation, previousProcessEnded);
+        currentProcesses[member] = process;
         processes.add(process);
         register(process);
-        beat(process);
-        at(random.nextInt(2_000_000), () -> tryCall(process));
+        sendHeartbeat(process);
+        schedule(random.nextInt(2_000_000), () -> tryCall(process));
     }
 
     /**
      * Proof that the previous process has ended is proof for all before it: they held one lock, one after the other.
      */
-    private void endAll(int member) {
+    private void endAllProcesses(int member) {
         for (Process process : processes) {
             if (process.member.number() == member) {
                 process.ended = true;
@@ -216,49 +216,49 @@
         send(
                 process,
                 new ControllerCommand.Register(
-                        process.member, process.incarnation, process.member.number() % 2, 1, process.previousEnded));
+                        process.member, process.incarnation, process.member.number() % 2, 1, process.previousProcessEnded));
     }
 
-    private void beat(Process process) {
+    private void sendHeartbeat(Process process) {
         if (process.ended) {
             return;
         }
         if (process.holder.appliedRevision() == 0) {
             register(process);
         }
-        send(process, process.holder.heartbeat(process.clock.now()));
+        send(process, process.holder.heartbeat(process.clock.nowMicros()));
         if (process.leaving) {
             send(process, new ControllerCommand.Leave(process.member, process.incarnation));
         }
-        at(process.clock.trueMicrosOf(TIMING.heartbeatMicros()), () -> beat(process));
+        schedule(process.clock.trueMicrosOf(TIMING.heartbeatMicros()), () -> sendHeartbeat(process));
     }
 
     /** Something happens to a member, and again later. */
-    private void disturb(int member) {
-        Process process = present[member];
+    private void injectFault(int member) {
+        Process process = currentProcesses[member];
         switch (random.nextInt(6)) {
             case 0 -> start(member, true);
             case 1 -> start(member, false);
-            case 2 -> cutOffUntil[member] = trueMicros + random.nextInt(25_000_000);
+            case 2 -> cutOffUntilMicros[member] = trueMicros + random.nextInt(25_000_000);
             case 3 -> process.leaving = true;
             case 4 -> stepBack(process);
             default -> process.ended = true;
         }
-        if (process.ended && present[member] == process) {
-            at(random.nextInt(30_000_000), () -> start(member, random.nextBoolean()));
+        if (process.ended && currentProcesses[member] == process) {
+            schedule(random.nextInt(30_000_000), () -> start(member, random.nextBoolean()));
         }
-        at(random.nextInt(40_000_000), () -> disturb(member));
+        schedule(random.nextInt(40_000_000), () -> injectFault(member));
     }
 
     /** The clock was read just before: a step that hides between two readings is drift beyond the bound. */
     private void stepBack(Process process) {
         process.maySend(0);
-        process.clock.stepBack(random.nextInt((int) MAX_STEP_BACK));
+        process.clock.stepBack(random.nextInt((int) MAX_STEP_BACK_MICROS));
     }
 
     private void stepControllerClock() {
-        controllerClock.stepBack(random.nextInt((int) MAX_STEP_BACK));
-        at(random.nextInt(60_000_000), this::stepControllerClock);
+        controllerClock.stepBack(random.nextInt((int) MAX_STEP_BACK_MICROS));
+        schedule(random.nextInt(60_000_000), this::stepControllerClock);
     }
 
     // Calls
@@ -269,23 +269,23 @@
             return;
         }
         int shard = random.nextInt(SHARDS);
-        long now = process.clock.now();
-        if (process.holder.maySend(shard, now) instanceof SendPermission.Permitted permitted) {
-            long left = Math.max(0, permitted.untilMicros() - 1 - now);
-            long[] waits = {0, left, random.nextInt((int) (3 * TIMING.leaseMicros()))};
-            long wait = process.clock.trueMicrosOf(waits[random.nextInt(waits.length)]);
-            at(wait, () -> startCall(process, shard, permitted.epoch()));
+        long nowMicros = process.clock.nowMicros();
+        if (process.holder.maySend(shard, nowMicros) instanceof SendPermission.Permitted permitted) {
+            long remainingMicros = Math.max(0, permitted.untilMicros() - 1 - nowMicros);
+            long[] waitChoices = {0, remainingMicros, random.nextInt((int) (3 * TIMING.leaseMicros()))};
+            long waitMicros = process.clock.trueMicrosOf(waitChoices[random.nextInt(waitChoices.length)]);
+            schedule(waitMicros, () -> startCall(process, shard, permitted.epoch()));
             // The same permission once more, long after: a message that was queued.
-            at(random.nextInt((int) (8 * TIMING.leaseMicros())), () -> startCall(process, shard, permitted.epoch()));
+            schedule(random.nextInt((int) (8 * TIMING.leaseMicros())), () -> startCall(process, shard, permitted.epoch()));
         }
-        at(random.nextInt(2_000_000), () -> tryCall(process));
+        schedule(random.nextInt(2_000_000), () -> tryCall(process));
     }
 
     private void startCall(Process process, int shard, long epoch) {
         if (process.ended) {
             return;
         }
-        HolderResult result = process.holder.started(shard, epoch, process.clock.now());
+        HolderResult result = process.holder.callStarted(shard, epoch, process.clock.nowMicros());
         if (result == HolderResult.OLDER_EPOCH) {
             refusedOlderEpoch++;
         }
@@ -293,25 +293,25 @@
             return;
         }
         calls++;
-        if (epoch < greatestStarted[shard]) {
-            broken(Breach.Kind.CALL_WITH_OLDER_EPOCH, shard, process + " after " + greatestStarted[shard]);
+        if (epoch < maxStartedEpochs[shard]) {
+            reportBreach(Breach.Kind.CALL_WITH_OLDER_EPOCH, shard, process + " after " + maxStartedEpochs[shard]);
         }
-        greatestStarted[shard] = Math.max(greatestStarted[shard], epoch);
-        if (lastStarter[shard] != null && lastStarter[shard] != process) {
+        maxStartedEpochs[shard] = Math.max(maxStartedEpochs[shard], epoch);
+        if (lastCallers[shard] != null && lastCallers[shard] != process) {
             handovers++;
         }
-        lastStarter[shard] = process;
+        lastCallers[shard] = process;
         // A writer may stall after its check for less than both margins together.
-        long stall = random.nextBoolean() ? 2 * TIMING.marginMicros() - 1 : random.nextInt(100_000);
-        long writeEnd = trueMicros + process.clock.trueMicrosOf(stall) - 1;
-        writes.add(new Write(process, shard, writeEnd));
-        long answerAfter = process.clock.trueMicrosOf(stall) + random.nextInt(3_000_000);
-        at(answerAfter, () -> finishCall(process, shard, epoch));
+        long stallMicros = random.nextBoolean() ? 2 * TIMING.marginMicros() - 1 : random.nextInt(100_000);
+        long writeEndMicros = trueMicros + process.clock.trueMicrosOf(stallMicros) - 1;
+        writes.add(new Write(process, shard, writeEndMicros));
+        long answerDelayMicros = process.clock.trueMicrosOf(stallMicros) + random.nextInt(3_000_000);
+        schedule(answerDelayMicros, () -> finishCall(process, shard, epoch));
     }
 
     private void finishCall(Process process, int shard, long epoch) {
         if (!process.ended) {
-            process.holder.finished(shard, epoch);
+            process.holder.callFinished(shard, epoch);
             sendReleases(process);
         }
     }
@@ -323,22 +323,22 @@
     }
 
     private void apply(ControllerCommand command) {
-        for (ControllerEvent event : controller.apply(command, controllerClock.now())) {
+        for (ControllerEvent event : controller.apply(command, controllerClock.nowMicros())) {
             dispatch(event);
         }
         scheduleAdvance();
     }
 
     private void scheduleAdvance() {
-        long due = controller.nextDueMicros();
-        if (due != Long.MAX_VALUE) {
-            long wait = Math.max(0, due - controllerClock.now());
-            at(controllerClock.trueMicrosOf(wait), this::advance);
+        long dueMicros = controller.nextDueMicros();
+        if (dueMicros != Long.MAX_VALUE) {
+            long waitMicros = Math.max(0, dueMicros - controllerClock.nowMicros());
+            schedule(controllerClock.trueMicrosOf(waitMicros), this::advance);
         }
     }
 
     private void advance() {
-        if (controller.nextDueMicros() <= controllerClock.now()) {
+        if (controller.nextDueMicros() <= controllerClock.nowMicros()) {
             apply(new ControllerCommand.AdvanceTime());
         }
     }
@@ -348,9 +348,9 @@
             toMember(
                     renewed.member(),
                     renewed.incarnation(),
-                    process -> process.holder.renewed(renewed, process.clock.now()));
+                    process -> process.holder.leaseRenewed(renewed, process.clock.nowMicros()));
         } else if (event instanceof ControllerEvent.AssignmentChanged changed) {
-            noteGrants(changed);
+            checkGrants(changed);
             toMember(changed.member(), changed.incarnation(), process -> {
                 process.holder.assignmentChanged(changed);
                 sendReleases(process);
@@ -362,11 +362,11 @@
         } else if (event instanceof ControllerEvent.MemberExpired) {
             expirations++;
         } else if (event instanceof ControllerEvent.LeaveCompleted left) {
-            toMember(left.member(), left.incarnation(), this::endAndStartAgain);
+            toMember(left.member(), left.incarnation(), this::endAndRestart);
         } else if (event instanceof ControllerEvent.CommandRejected rejected
                 && rejected.reason() == RejectionReason.UNKNOWN_MEMBER
                 && rejected.command() instanceof ControllerCommand.Heartbeat heartbeat) {
-            toMember(heartbeat.member(), heartbeat.incarnation(), this::endAndStartAgain);
+            toMember(heartbeat.member(), heartbeat.incarnation(), this::endAndRestart);
         }
     }
 
@@ -374,7 +374,7 @@
         for (int member = 0; member < MEMBERS; member++) {
             int number = member;
             deliver(number, () -> {
-                Process process = present[number];
+                Process process = currentProcesses[number];
                 if (process != null && !process.ended) {
                     process.holder.ownerChanged(change);
                     sendReleases(process);
@@ -383,27 +383,27 @@
         }
     }
 
-    private void noteGrants(ControllerEvent.AssignmentChanged changed) {
-        if (changed.whole()) {
+    private void checkGrants(ControllerEvent.AssignmentChanged changed) {
+        if (changed.full()) {
             changed.granted()
                     .forEach(grant ->
-                            greatestGranted[grant.shard()] = Math.max(greatestGranted[grant.shard()], grant.epoch()));
+                            maxGrantedEpochs[grant.shard()] = Math.max(maxGrantedEpochs[grant.shard()], grant.epoch()));
             return;
         }
         for (ShardGrant grant : changed.granted()) {
             grants++;
-            if (grant.epoch() <= greatestGranted[grant.shard()]) {
-                broken(Breach.Kind.GRANT_WITHOUT_NEWER_EPOCH, grant.shard(), changed.toString());
+            if (grant.epoch() <= maxGrantedEpochs[grant.shard()]) {
+                reportBreach(Breach.Kind.GRANT_WITHOUT_NEWER_EPOCH, grant.shard(), changed.toString());
             }
-            greatestGranted[grant.shard()] = grant.epoch();
+            maxGrantedEpochs[grant.shard()] = grant.epoch();
         }
     }
 
-    private void endAndStartAgain(Process process) {
-        if (present[process.member.number()] == process) {
+    private void endAndRestart(Process process) {
+        if (currentProcesses[process.member.number()] == process) {
             process.ended = true;
-            at(random.nextInt(5_000_000), () -> {
-                if (present[process.member.number()] == process) {
+            schedule(random.nextInt(5_000_000), () -> {
+                if (currentProcesses[process.member.number()] == process) {
                     start(process.member.number(), true);
                 }
             });
@@ -411,39 +411,39 @@
     }
 
     private void sendReleases(Process process) {
-        process.holder.release().ifPresent(release -> send(process, release));
+        process.holder.takeRelease().ifPresent(release -> send(process, release));
     }
 
-    private interface Receipt {
-        void by(Process process);
+    private interface ProcessAction {
+        void run(Process process);
     }
 
-    private void toMember(MemberId member, long incarnation, Receipt receipt) {
+    private void toMember(MemberId member, long incarnation, ProcessAction action) {
         deliver(member.number(), () -> {
             for (Process process : processes) {
                 boolean addressed = process.member.equals(member) && process.incarnation == incarnation;
                 if (addressed && !process.ended) {
-                    receipt.by(process);
+                    action.run(process);
                 }
             }
         });
     }
 
     /** Brings a message over, once, twice or not at all. */
-    private void deliver(int member, Runnable receipt) {
+    private void deliver(int member, Runnable delivery) {
         messages++;
-        boolean cutOff = trueMicros < cutOffUntil[member];
+        boolean cutOff = trueMicros < cutOffUntilMicros[member];
         if (cutOff || random.nextDouble() < lossProbability) {
             lost++;
             return;
         }
-        at(delay(), receipt);
+        schedule(randomDelayMicros(), delivery);
         if (random.nextInt(10) == 0) {
-            at(delay(), receipt);
+            schedule(randomDelayMicros(), delivery);
         }
     }
 
-    private long delay() {
+    private long randomDelayMicros() {
         return switch (random.nextInt(10)) {
             case 0 -> random.nextInt((int) (1.5 * TIMING.leaseMicros()));
             case 1, 2 -> random.nextInt(1_000_000);
@@ -463,7 +463,7 @@
                     continue;
                 }
                 if (sender != null) {
-                    broken(Breach.Kind.TWO_MAY_SEND, shard, sender.member + " and " + process.member);
+                    reportBreach(Breach.Kind.TWO_MAY_SEND, shard, sender.member + " and " + process.member);
                 }
                 sender = process;
             }
@@ -474,7 +474,7 @@
     private void checkWrites(int shard, Process sender) {
         for (Write write : writes) {
             if (sender != null && write.shard() == shard && write.writer() != sender && !write.writer().ended) {
-                broken(
+                reportBreach(
                         Breach.Kind.SEND_DURING_ANOTHERS_WRITE,
                         shard,
                         write.writer().member + " writes until " + write.endMicros() + ", " + sender.member
@@ -483,7 +483,7 @@
         }
     }
 
-    private void broken(Breach.Kind kind, int shard, String detail) {
+    private void reportBreach(Breach.Kind kind, int shard, String detail) {
         if (breach == null) {
             breach = new Breach(kind, shard, trueMicros, detail);
         }
--- a/src/test/java/lilaclever/placement/LeaseScheduleTest.java
+++ b/src/test/java/lilaclever/placement/LeaseScheduleTest.java
@@ -16,7 +16,7 @@
 /** No two holders may send for a shard, in random schedules; and each guard that is taken away is missed. */
 class LeaseScheduleTest {
     /** Schedules that are tried for each faulty variant; the seeds are 1, 2, ... */
-    private static final int SCHEDULES = 400;
+    private static final int SCHEDULES_PER_VARIANT = 400;
 
     @Property(tries = 1000, seed = "32", shrinking = ShrinkingMode.OFF)
     void neverTwoHoldersMaySendForAShard(@ForAll long seed) {
@@ -31,13 +31,13 @@
             assertEquals(Optional.empty(), schedule.run());
             total = total.plus(schedule.coverage());
         }
-        String seen = total.toString();
-        assertTrue(total.calls() > 10_000 && total.handovers() > 1000 && total.grants() > 2000, seen);
-        assertTrue(total.expirations() > 500 && total.lost() > 10_000 && total.refusedOlderEpoch() > 3, seen);
+        String coverage = total.toString();
+        assertTrue(total.calls() > 10_000 && total.handovers() > 1000 && total.grants() > 2000, coverage);
+        assertTrue(total.expirations() > 500 && total.lost() > 10_000 && total.refusedOlderEpoch() > 3, coverage);
     }
 
     @Test
-    void oneSeedGivesTheSameSchedule() {
+    void sameSeedGivesTheSameSchedule() {
         LeaseSchedule first = new LeaseSchedule(5, Variant.CORRECT);
         LeaseSchedule second = new LeaseSchedule(5, Variant.CORRECT);
         assertEquals(first.run(), second.run());
@@ -45,12 +45,12 @@
     }
 
     @Test
-    void holderWithoutItsMarginIsCaught() {
+    void holderWithoutMarginIsDetected() {
         assertEquals(
                 Breach.Kind.SEND_DURING_ANOTHERS_WRITE,
-                caught(withGuards(timing -> new LeaseGuards(timing) {
+                firstBreach(withGuards(timing -> new LeaseGuards(timing) {
                             @Override
-                            long sendUntil(long leaseEndMicros) {
+                            long sendUntilMicros(long leaseEndMicros) {
                                 return leaseEndMicros;
                             }
                         }))
@@ -58,10 +58,10 @@
     }
 
     @Test
-    void holderThatIgnoresExpiryIsCaught() {
+    void holderThatIgnoresExpiryIsDetected() {
         assertEquals(
                 Breach.Kind.TWO_MAY_SEND,
-                caught(withGuards(timing -> new LeaseGuards(timing) {
+                firstBreach(withGuards(timing -> new LeaseGuards(timing) {
                             @Override
                             boolean expired(long nowMicros, long untilMicros) {
                                 return false;
@@ -71,12 +71,12 @@
     }
 
     @Test
-    void holderThatIgnoresEpochsIsCaught() {
+    void holderThatIgnoresEpochsIsDetected() {
         assertEquals(
                 Breach.Kind.CALL_WITH_OLDER_EPOCH,
-                caught(withGuards(timing -> new LeaseGuards(timing) {
+                firstBreach(withGuards(timing -> new LeaseGuards(timing) {
                             @Override
-                            boolean olderEpoch(long epoch, long leastEpoch) {
+                            boolean isOlderEpoch(long epoch, long leastEpoch) {
                                 return false;
                             }
                         }))
@@ -84,10 +84,10 @@
     }
 
     @Test
-    void holderWhoseRenewalsCoverEveryRevisionIsCaught() {
+    void holderWhoseRenewalsCoverEveryRevisionIsDetected() {
         assertEquals(
                 Breach.Kind.TWO_MAY_SEND,
-                caught(withGuards(timing -> new LeaseGuards(timing) {
+                firstBreach(withGuards(timing -> new LeaseGuards(timing) {
                             @Override
                             boolean covers(long renewedRevision, long grantedRevision, long appliedRevision) {
                                 return true;
@@ -97,27 +97,27 @@
     }
 
     @Test
-    void controllerWithoutMarginAndDriftAllowanceIsCaught() {
-        caught(new Variant(
+    void controllerWithoutMarginAndDriftAllowanceIsDetected() {
+        firstBreach(new Variant(
                 LeaseGuards::new, timing -> new LeaseTiming(timing.heartbeatMicros(), timing.leaseMicros(), 0, 0), 1));
     }
 
     @Test
-    void clocksThatDriftBeyondTheBoundAreCaught() {
-        caught(new Variant(LeaseGuards::new, timing -> timing, 20));
+    void clocksThatDriftBeyondTheBoundAreDetected() {
+        firstBreach(new Variant(LeaseGuards::new, timing -> timing, 20));
     }
 
     private static Variant withGuards(Function<LeaseTiming, LeaseGuards> guards) {
         return new Variant(guards, timing -> timing, 1);
     }
 
-    private static Breach caught(Variant variant) {
-        for (long seed = 1; seed <= SCHEDULES; seed++) {
+    private static Breach firstBreach(Variant variant) {
+        for (long seed = 1; seed <= SCHEDULES_PER_VARIANT; seed++) {
             Optional<Breach> breach = new LeaseSchedule(seed, variant).run();
             if (breach.isPresent()) {
                 return breach.get();
             }
         }
-        throw new AssertionError("no breach in " + SCHEDULES + " schedules");
+        throw new AssertionError("no breach in " + SCHEDULES_PER_VARIANT + " schedules");
     }
 }
--- a/src/test/java/lilaclever/placement/MapCodecProperties.java
+++ b/src/test/java/lilaclever/placement/MapCodecProperties.java
@@ -20,7 +20,7 @@
 
 /** The map on the wire: what is written is read again, and nothing else is. */
 class MapCodecProperties {
-    private static final int OWNERLESS_EVERY = 5;
+    private static final int NO_OWNER_INTERVAL = 5;
 
     @Provide
     Arbitrary<MapDelta> deltas() {
@@ -45,7 +45,7 @@
                     List<OwnerChange> changes = new ArrayList<>();
                     for (int shard : new TreeSet<>(numbers)) {
                         int i = changes.size();
-                        MemberId owner = i % OWNERLESS_EVERY == 0 ? null : new MemberId(ownerNumbers.get(i));
+                        MemberId owner = i % NO_OWNER_INTERVAL == 0 ? null : new MemberId(ownerNumbers.get(i));
                         changes.add(new OwnerChange(shard, owner, epochNumbers.get(i)));
                     }
                     return new MapDelta(region, from, from + step, configuration, changes);
@@ -68,21 +68,21 @@
     }
 
     @Property(tries = 500, seed = "1")
-    void deltaIsReadAsItWasWritten(@ForAll("deltas") MapDelta delta) throws MapFormatException {
+    void encodedDeltaDecodesToTheSameDelta(@ForAll("deltas") MapDelta delta) throws MapFormatException {
         byte[] bytes = MapCodec.encode(delta);
         assertEquals(delta, MapCodec.decodeDelta(bytes));
         assertEquals(bytes.length, delta.encodedBytes());
     }
 
     @Property(tries = 500, seed = "2")
-    void snapshotIsReadAsItWasWritten(@ForAll("snapshots") MapSnapshot snapshot) throws MapFormatException {
+    void encodedSnapshotDecodesToTheSameSnapshot(@ForAll("snapshots") MapSnapshot snapshot) throws MapFormatException {
         byte[] bytes = MapCodec.encode(snapshot);
         assertEquals(snapshot, MapCodec.decodeSnapshot(bytes));
         assertEquals(bytes.length, snapshot.encodedBytes());
     }
 
     @Property(tries = 200, seed = "3")
-    void noPartOfADeltaIsADelta(@ForAll("deltas") MapDelta delta) {
+    void truncatedOrExtendedDeltaIsRejected(@ForAll("deltas") MapDelta delta) {
         byte[] bytes = MapCodec.encode(delta);
         for (int length = 0; length < bytes.length; length++) {
             assertEquals(Problem.TRUNCATED, problemOfDelta(Arrays.copyOf(bytes, length)));
@@ -91,25 +91,25 @@
     }
 
     @Property(tries = 200, seed = "4")
-    void noPartOfASnapshotIsASnapshot(@ForAll("snapshots") MapSnapshot snapshot) {
+    void truncatedOrExtendedSnapshotIsRejected(@ForAll("snapshots") MapSnapshot snapshot) {
         byte[] bytes = MapCodec.encode(snapshot);
         for (int length = 0; length < bytes.length; length++) {
-            byte[] part = Arrays.copyOf(bytes, length);
+            byte[] truncated = Arrays.copyOf(bytes, length);
             assertEquals(
                     Problem.TRUNCATED,
-                    assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(part))
+                    assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(truncated))
                             .problem());
         }
-        byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
+        byte[] extended = Arrays.copyOf(bytes, bytes.length + 1);
         assertEquals(
                 Problem.TRAILING_BYTES,
-                assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(longer))
+                assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(extended))
                         .problem());
     }
 
     /** There is one way to write a delta: whatever bytes are read give the same bytes again. */
     @Property(tries = 5000, seed = "5")
-    void randomBytesAreRefusedOrTheFormOfWhatTheyMean(@ForAll byte[] tail) {
+    void randomBytesAreRejectedOrCanonical(@ForAll byte[] tail) {
         byte[] bytes = new byte[tail.length + 1];
         System.arraycopy(tail, 0, bytes, 1, tail.length);
         bytes[0] = 'D';
@@ -121,10 +121,10 @@
     }
 
     @Property(tries = 500, seed = "6")
-    void aChangedByteIsRefusedOrTheFormOfWhatItMeans(
-            @ForAll("deltas") MapDelta delta, @ForAll int place, @ForAll byte value) {
+    void changedByteIsRejectedOrCanonical(
+            @ForAll("deltas") MapDelta delta, @ForAll int position, @ForAll byte value) {
         byte[] bytes = MapCodec.encode(delta);
-        bytes[Math.floorMod(place, bytes.length)] = value;
+        bytes[Math.floorMod(position, bytes.length)] = value;
         try {
             assertArrayEquals(bytes, MapCodec.encode(MapCodec.decodeDelta(bytes)));
         } catch (MapFormatException expected) {
@@ -133,7 +133,7 @@
     }
 
     @Example
-    void formIsAsDocumented() {
+    void encodingIsAsDocumented() {
         MapDelta delta = new MapDelta(
                 3, 300, 301, 7, List.of(new OwnerChange(0, new MemberId(0), 1), new OwnerChange(200, null, 2)));
         assertArrayEquals(bytes('D', 3, 0xac, 2, 1, 7, 2, 1, 1, 1, 0xc8, 1, 0, 2), MapCodec.encode(delta));
@@ -143,7 +143,7 @@
     }
 
     @Example
-    void eachFaultHasItsName() {
+    void eachFormatErrorIsReported() {
         assertEquals(Problem.WRONG_KIND, problemOfDelta(bytes('S', 0, 0, 1, 0, 0)));
         assertEquals(Problem.TRUNCATED, problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 1)));
         assertEquals(Problem.OVERSIZED, problemOfDelta(bytes('D', 0, 0, 1, 0, 0x81, 0x80, 0x40)));
@@ -169,16 +169,16 @@
     }
 
     @Example
-    void changesHaveToBeSortedForWriting() {
+    void encodingRequiresSortedChangesAndValidNumbers() {
         OwnerChange first = new OwnerChange(1, null, 1);
         OwnerChange second = new OwnerChange(2, null, 1);
-        assertUnwritable(new MapDelta(0, 0, 1, 0, List.of(second, first)));
-        assertUnwritable(new MapDelta(0, 0, 1, 0, List.of(first, first)));
-        assertUnwritable(new MapDelta(0, 1, 1, 0, List.of(first)));
-        assertUnwritable(new MapDelta(0, 0, 1, -1, List.of(first)));
+        assertNotEncodable(new MapDelta(0, 0, 1, 0, List.of(second, first)));
+        assertNotEncodable(new MapDelta(0, 0, 1, 0, List.of(first, first)));
+        assertNotEncodable(new MapDelta(0, 1, 1, 0, List.of(first)));
+        assertNotEncodable(new MapDelta(0, 0, 1, -1, List.of(first)));
     }
 
-    private static void assertUnwritable(MapDelta delta) {
+    private static void assertNotEncodable(MapDelta delta) {
         assertThrows(IllegalArgumentException.class, () -> MapCodec.encode(delta));
     }
 
--- a/src/test/java/lilaclever/placement/PlacementControllerTest.java
+++ b/src/test/java/lilaclever/placement/PlacementControllerTest.java
@@ -29,44 +29,44 @@
 /** When the controller grants, renews, revokes and rejects. Times are written out: they are the guards themselves. */
 class PlacementControllerTest {
     private static final int SHARDS = 8;
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     /**
      * 1 s heartbeats, 4 s leases, a drift of one in five hundred, 0.25 s margin: 4,008,017 and 250,000
      * microseconds.
      */
-    private static final LeaseTiming TIMING = new LeaseTiming(SECOND, 4 * SECOND, 0.002, 250_000);
+    private static final LeaseTiming TIMING = new LeaseTiming(SECOND_MICROS, 4 * SECOND_MICROS, 0.002, 250_000);
 
-    private static final long SURELY_ENDED = 4_258_017;
+    private static final long SAFE_EXPIRY_DELAY_MICROS = 4_258_017;
     private static final MemberId A = new MemberId(1);
     private static final MemberId B = new MemberId(2);
 
     private final PlacementController controller =
             new PlacementController(new ControllerSettings(0, SHARDS, 2, 1.25, TIMING, 1000));
 
-    private List<ControllerEvent> register(MemberId member, long incarnation, long now) {
-        return controller.apply(new Register(member, incarnation, 0, 1, false), now);
+    private List<ControllerEvent> register(MemberId member, long incarnation, long nowMicros) {
+        return controller.apply(new Register(member, incarnation, 0, 1, false), nowMicros);
     }
 
-    private List<ControllerEvent> heartbeat(MemberId member, long incarnation, long sequence, long revision, long now) {
-        return controller.apply(new Heartbeat(member, incarnation, sequence, revision), now);
+    private List<ControllerEvent> heartbeat(MemberId member, long incarnation, long sequence, long revision, long nowMicros) {
+        return controller.apply(new Heartbeat(member, incarnation, sequence, revision), nowMicros);
     }
 
-    private static <E> List<E> all(Class<E> type, List<ControllerEvent> events) {
+    private static <E> List<E> eventsOfType(Class<E> type, List<ControllerEvent> events) {
         return events.stream().filter(type::isInstance).map(type::cast).toList();
     }
 
-    private static <E> E only(Class<E> type, List<ControllerEvent> events) {
-        List<E> found = all(type, events);
+    private static <E> E singleEvent(Class<E> type, List<ControllerEvent> events) {
+        List<E> found = eventsOfType(type, events);
         assertEquals(1, found.size(), () -> type.getSimpleName() + " in " + events);
         return found.get(0);
     }
 
     private static void assertRejected(RejectionReason reason, List<ControllerEvent> events) {
-        assertEquals(reason, only(CommandRejected.class, events).reason());
+        assertEquals(reason, singleEvent(CommandRejected.class, events).reason());
     }
 
     private static AssignmentChanged assignmentOf(MemberId member, List<ControllerEvent> events) {
-        List<AssignmentChanged> found = all(AssignmentChanged.class, events).stream()
+        List<AssignmentChanged> found = eventsOfType(AssignmentChanged.class, events).stream()
                 .filter(change -> change.member().equals(member))
                 .toList();
         assertEquals(1, found.size(), events::toString);
@@ -80,24 +80,24 @@
     }
 
     /** A has all shards, B has joined, and some of A's shards are being revoked for B. */
-    private AssignmentChanged revokeForB(long heartbeatOfA, long joinOfB) {
+    private AssignmentChanged revokeForB(long heartbeatOfAMicros, long joinOfBMicros) {
         register(A, 1, 0);
-        heartbeat(A, 1, 1, 2, heartbeatOfA);
-        AssignmentChanged change = assignmentOf(A, register(B, 1, joinOfB));
+        heartbeat(A, 1, 1, 2, heartbeatOfAMicros);
+        AssignmentChanged change = assignmentOf(A, register(B, 1, joinOfBMicros));
         assertFalse(change.revoked().isEmpty());
         return change;
     }
 
     @Test
-    void firstMemberGetsAllShardsAndItsFirstHeartbeatTheLease() {
+    void firstMemberGetsAllShardsAndALeaseWithItsFirstHeartbeat() {
         List<ControllerEvent> events = register(A, 1, 0);
         AssignmentChanged change = assignmentOf(A, events);
         assertEquals(new AssignmentChanged(A, 1, 0, 2, true, allShards(1), List.of()), change);
-        assertTrue(all(LeaseRenewed.class, events).isEmpty());
-        assertEquals(SHARDS, only(MapChanged.class, events).delta().changes().size());
+        assertTrue(eventsOfType(LeaseRenewed.class, events).isEmpty());
+        assertEquals(SHARDS, singleEvent(MapChanged.class, events).delta().changes().size());
         assertEquals(0, controller.shardsWithoutHolder());
 
-        assertEquals(List.of(new LeaseRenewed(A, 1, 1, 4 * SECOND, 2)), heartbeat(A, 1, 1, 2, 10));
+        assertEquals(List.of(new LeaseRenewed(A, 1, 1, 4 * SECOND_MICROS, 2)), heartbeat(A, 1, 1, 2, 10));
     }
 
     @Test
@@ -110,25 +110,25 @@
     }
 
     @Test
-    void shardsOfASilentMemberAreGrantedWhenItsLeaseHasSurelyEndedAndNotBefore() {
+    void shardsOfAnUnresponsiveMemberAreGrantedAtItsSafeExpiryAndNotBefore() {
         register(A, 1, 0);
         heartbeat(A, 1, 1, 2, 500);
-        assertEquals(500 + SURELY_ENDED, leaseEndAfterRefreshOf(A));
+        assertEquals(500 + SAFE_EXPIRY_DELAY_MICROS, nextDueAfterTheFirstLeaseCheck(A));
 
-        assertTrue(controller.apply(new AdvanceTime(), 500 + SURELY_ENDED - 1).isEmpty());
-        List<ControllerEvent> events = controller.apply(new AdvanceTime(), 500 + SURELY_ENDED);
-        assertEquals(new MemberExpired(A, 1), only(MemberExpired.class, events));
+        assertTrue(controller.apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS - 1).isEmpty());
+        List<ControllerEvent> events = controller.apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS);
+        assertEquals(new MemberExpired(A, 1), singleEvent(MemberExpired.class, events));
         assertEquals(SHARDS, controller.shardsWithoutHolder());
-        assertRejected(RejectionReason.UNKNOWN_MEMBER, heartbeat(A, 1, 2, 2, 600 + SURELY_ENDED));
+        assertRejected(RejectionReason.UNKNOWN_MEMBER, heartbeat(A, 1, 2, 2, 600 + SAFE_EXPIRY_DELAY_MICROS));
 
-        AssignmentChanged granted = assignmentOf(B, register(B, 1, 700 + SURELY_ENDED));
+        AssignmentChanged granted = assignmentOf(B, register(B, 1, 700 + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(allShards(2), granted.granted());
     }
 
     /** The first wake-up may be for the time of the registration; it sets the next one to the true end. */
-    private long leaseEndAfterRefreshOf(MemberId member) {
-        assertEquals(SURELY_ENDED, controller.nextDueMicros());
-        assertTrue(controller.apply(new AdvanceTime(), SURELY_ENDED).isEmpty());
+    private long nextDueAfterTheFirstLeaseCheck(MemberId member) {
+        assertEquals(SAFE_EXPIRY_DELAY_MICROS, controller.nextDueMicros());
+        assertTrue(controller.apply(new AdvanceTime(), SAFE_EXPIRY_DELAY_MICROS).isEmpty());
         assertTrue(controller.members().contains(member));
         return controller.nextDueMicros();
     }
@@ -138,7 +138,7 @@
         AssignmentChanged change = revokeForB(10, 20);
         ShardGrant revoked = change.revoked().get(0);
         assertEquals(1, revoked.epoch());
-        assertTrue(all(AssignmentChanged.class, controller.apply(new AdvanceTime(), 30))
+        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), 30))
                 .isEmpty());
 
         ShardGrant wrongEpoch = new ShardGrant(revoked.shard(), 2);
@@ -156,7 +156,7 @@
     }
 
     @Test
-    void shardThatWasNotRevokedIsNotTakenBack() {
+    void releaseOfAShardThatWasNotRevokedIsRejected() {
         register(A, 1, 0);
         List<ControllerEvent> events = controller.apply(new Release(A, 1, List.of(new ShardGrant(0, 1))), 10);
         assertRejected(RejectionReason.NOT_REVOKED, events);
@@ -164,7 +164,7 @@
     }
 
     @Test
-    void releaseOutOfRangeIsRejectedAndTheOthersInItCount() {
+    void releaseWithInvalidShardsIsRejectedButFreesTheValidOnes() {
         ShardGrant revoked = revokeForB(10, 20).revoked().get(0);
         List<ShardGrant> shards = List.of(new ShardGrant(-1, 1), new ShardGrant(SHARDS, 1), revoked);
         List<ControllerEvent> events = controller.apply(new Release(A, 1, shards), 30);
@@ -175,13 +175,13 @@
     @Test
     void renewalDoesNotExtendARevokedShard() {
         AssignmentChanged change = revokeForB(1000, 2000);
-        long ended = 1000 + SURELY_ENDED;
-        heartbeat(B, 1, 1, 1, 3 * SECOND);
-        heartbeat(A, 1, 2, change.toRevision(), 3 * SECOND);
-        heartbeat(A, 1, 3, change.toRevision(), 4 * SECOND);
+        long safeExpiryMicros = 1000 + SAFE_EXPIRY_DELAY_MICROS;
+        heartbeat(B, 1, 1, 1, 3 * SECOND_MICROS);
+        heartbeat(A, 1, 2, change.toRevision(), 3 * SECOND_MICROS);
+        heartbeat(A, 1, 3, change.toRevision(), 4 * SECOND_MICROS);
 
-        assertEquals(List.of(), all(AssignmentChanged.class, controller.apply(new AdvanceTime(), ended - 1)));
-        List<ControllerEvent> events = controller.apply(new AdvanceTime(), ended);
+        assertEquals(List.of(), eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), safeExpiryMicros - 1)));
+        List<ControllerEvent> events = controller.apply(new AdvanceTime(), safeExpiryMicros);
         List<ShardGrant> granted = assignmentOf(B, events).granted();
         assertEquals(
                 change.revoked().stream().map(ShardGrant::shard).toList(),
@@ -190,43 +190,43 @@
     }
 
     @Test
-    void memberThatMissedAChangeIsSentItsWholeAssignmentBeforeTheRenewal() {
+    void memberThatMissedAChangeIsSentItsFullAssignmentBeforeTheRenewal() {
         AssignmentChanged change = revokeForB(10, 20);
-        List<ControllerEvent> events = heartbeat(A, 1, 2, 2, SECOND);
-        AssignmentChanged whole = assignmentOf(A, events);
-        assertTrue(whole.whole());
-        assertEquals(2, whole.fromRevision());
-        assertEquals(change.toRevision(), whole.toRevision());
-        assertEquals(change.revoked(), whole.revoked());
-        List<ShardGrant> kept = new ArrayList<>(allShards(1));
-        kept.removeAll(change.revoked());
-        assertEquals(kept, whole.granted());
-        assertEquals(List.of(whole, new LeaseRenewed(A, 1, 2, 4 * SECOND, whole.toRevision())), events);
+        List<ControllerEvent> events = heartbeat(A, 1, 2, 2, SECOND_MICROS);
+        AssignmentChanged full = assignmentOf(A, events);
+        assertTrue(full.full());
+        assertEquals(2, full.fromRevision());
+        assertEquals(change.toRevision(), full.toRevision());
+        assertEquals(change.revoked(), full.revoked());
+        List<ShardGrant> retained = new ArrayList<>(allShards(1));
+        retained.removeAll(change.revoked());
+        assertEquals(retained, full.granted());
+        assertEquals(List.of(full, new LeaseRenewed(A, 1, 2, 4 * SECOND_MICROS, full.toRevision())), events);
     }
 
     @Test
-    void revokedShardsThatWereNotReleasedAreAskedForAgain() {
+    void revokedShardsThatWereNotReleasedAreRevokedAgain() {
         AssignmentChanged change = revokeForB(10, 20);
-        AssignmentChanged again = assignmentOf(A, heartbeat(A, 1, 2, change.toRevision(), SECOND));
+        AssignmentChanged again = assignmentOf(A, heartbeat(A, 1, 2, change.toRevision(), SECOND_MICROS));
         assertEquals(change.revoked(), again.revoked());
-        controller.apply(new Release(A, 1, again.revoked()), SECOND);
-        assertTrue(all(AssignmentChanged.class, heartbeat(A, 1, 3, change.toRevision(), 2 * SECOND))
+        controller.apply(new Release(A, 1, again.revoked()), SECOND_MICROS);
+        assertTrue(eventsOfType(AssignmentChanged.class, heartbeat(A, 1, 3, change.toRevision(), 2 * SECOND_MICROS))
                 .isEmpty());
     }
 
     @Test
-    void grantIsCoveredByTheLastHeartbeatWithoutAnotherOne() {
+    void newGrantIsCoveredByTheLastHeartbeat() {
         AssignmentChanged change = revokeForB(10, 20);
         heartbeat(B, 1, 7, 1, 30);
         List<ControllerEvent> events = controller.apply(new Release(A, 1, change.revoked()), 40);
         AssignmentChanged granted = assignmentOf(B, events);
-        assertEquals(new LeaseRenewed(B, 1, 7, 4 * SECOND, granted.toRevision()), only(LeaseRenewed.class, events));
-        assertTrue(events.indexOf(granted) < events.indexOf(only(LeaseRenewed.class, events)));
+        assertEquals(new LeaseRenewed(B, 1, 7, 4 * SECOND_MICROS, granted.toRevision()), singleEvent(LeaseRenewed.class, events));
+        assertTrue(events.indexOf(granted) < events.indexOf(singleEvent(LeaseRenewed.class, events)));
         // The end that counts is that of the heartbeat, not of the grant.
-        heartbeat(A, 1, 2, change.toRevision(), 2 * SECOND);
-        controller.apply(new AdvanceTime(), 30 + SURELY_ENDED - 1);
+        heartbeat(A, 1, 2, change.toRevision(), 2 * SECOND_MICROS);
+        controller.apply(new AdvanceTime(), 30 + SAFE_EXPIRY_DELAY_MICROS - 1);
         assertEquals(List.of(A, B), controller.members());
-        controller.apply(new AdvanceTime(), 30 + SURELY_ENDED);
+        controller.apply(new AdvanceTime(), 30 + SAFE_EXPIRY_DELAY_MICROS);
         assertEquals(List.of(A), controller.members());
     }
 
@@ -238,10 +238,10 @@
         assertEquals(new AssignmentChanged(A, 2, 0, 1, true, List.of(), List.of()), first);
         heartbeat(A, 2, 1, 1, 700_000);
 
-        assertRejected(RejectionReason.STALE_INCARNATION, heartbeat(A, 1, 2, 2, SECOND));
-        assertTrue(all(AssignmentChanged.class, controller.apply(new AdvanceTime(), 100 + SURELY_ENDED - 1))
+        assertRejected(RejectionReason.STALE_INCARNATION, heartbeat(A, 1, 2, 2, SECOND_MICROS));
+        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS - 1))
                 .isEmpty());
-        AssignmentChanged back = assignmentOf(A, controller.apply(new AdvanceTime(), 100 + SURELY_ENDED));
+        AssignmentChanged back = assignmentOf(A, controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(2, back.incarnation());
         assertEquals(allShards(2), back.granted());
     }
@@ -257,7 +257,7 @@
     }
 
     @Test
-    void proofOfTheEndCountsForAllEarlierProcesses() {
+    void proofThatThePreviousProcessEndedCoversAllEarlierProcesses() {
         register(A, 1, 0);
         heartbeat(A, 1, 1, 2, 100);
         register(A, 2, 600_000);
@@ -289,26 +289,26 @@
 
     /** A never releases; as a third member registers, A's shards fall to B, and are to be the third one's at once. */
     @Test
-    void shardThatIsGrantedAndRevokedByOneCommandIsOnlyToBeReleased() {
-        int both = 0;
+    void shardThatIsGrantedAndRevokedByOneCommandIsOnlyRevoked() {
+        int grantedAndRevoked = 0;
         for (int third = 3; third < 40; third++) {
             PlacementController region =
                     new PlacementController(new ControllerSettings(0, SHARDS, 2, 1.25, TIMING, 1000));
             region.apply(new Register(A, 1, 0, 1, false), 0);
             region.apply(new Register(B, 1, 0, 1, false), 20);
-            region.apply(new Heartbeat(A, 1, 1, 3), 4 * SECOND);
-            region.apply(new Heartbeat(B, 1, 1, 1), 4 * SECOND);
+            region.apply(new Heartbeat(A, 1, 1, 3), 4 * SECOND_MICROS);
+            region.apply(new Heartbeat(B, 1, 1, 1), 4 * SECOND_MICROS);
             List<ControllerEvent> events =
-                    region.apply(new Register(new MemberId(third), 1, 0, 1, false), SURELY_ENDED);
+                    region.apply(new Register(new MemberId(third), 1, 0, 1, false), SAFE_EXPIRY_DELAY_MICROS);
             AssignmentChanged change = assignmentOf(B, events);
-            both += change.revoked().size();
+            grantedAndRevoked += change.revoked().size();
             assertTrue(Collections.disjoint(change.granted(), change.revoked()), change::toString);
         }
-        assertTrue(both > 10, "shards revoked by the command that granted them: " + both);
+        assertTrue(grantedAndRevoked > 10, "shards revoked by the command that granted them: " + grantedAndRevoked);
     }
 
     @Test
-    void leaveHandsOverWithoutWaiting() {
+    void leavingMemberHandsItsShardsOverWithoutWaiting() {
         register(A, 1, 0);
         heartbeat(A, 1, 1, 2, 10);
         AssignmentChanged toB = assignmentOf(A, register(B, 1, 20));
@@ -320,11 +320,11 @@
         List<ControllerEvent> firstRelease =
                 controller.apply(new Release(A, 1, rest.revoked().subList(0, 1)), 50);
         assertEquals(1, assignmentOf(B, firstRelease).granted().size());
-        assertTrue(all(LeaveCompleted.class, firstRelease).isEmpty());
+        assertTrue(eventsOfType(LeaveCompleted.class, firstRelease).isEmpty());
 
         List<ShardGrant> others = rest.revoked().subList(1, rest.revoked().size());
         List<ControllerEvent> last = controller.apply(new Release(A, 1, others), 60);
-        assertEquals(new LeaveCompleted(A, 1), only(LeaveCompleted.class, last));
+        assertEquals(new LeaveCompleted(A, 1), singleEvent(LeaveCompleted.class, last));
         assertEquals(SHARDS, controller.shardsHeldBy(B));
         assertEquals(List.of(B), controller.members());
 
@@ -339,18 +339,18 @@
         AssignmentChanged change = assignmentOf(A, controller.apply(new Leave(A, 1), 10));
         assertEquals(allShards(1), change.revoked());
         List<ControllerEvent> events = controller.apply(new Release(A, 1, change.revoked()), 20);
-        only(LeaveCompleted.class, events);
+        singleEvent(LeaveCompleted.class, events);
         assertEquals(SHARDS, controller.shardsWithoutHolder());
         assertNull(controller.snapshot().ownerOf(3));
         assertEquals(1, controller.snapshot().epochOf(3));
-        assertEquals(Long.MAX_VALUE, nextDueAfterAllIsSettled());
+        assertEquals(Long.MAX_VALUE, nextDueAfterTheLastLeaseCheck());
 
         assertEquals(
-                allShards(2), assignmentOf(B, register(B, 1, 2 * SURELY_ENDED)).granted());
+                allShards(2), assignmentOf(B, register(B, 1, 2 * SAFE_EXPIRY_DELAY_MICROS)).granted());
     }
 
-    private long nextDueAfterAllIsSettled() {
-        controller.apply(new AdvanceTime(), SURELY_ENDED);
+    private long nextDueAfterTheLastLeaseCheck() {
+        controller.apply(new AdvanceTime(), SAFE_EXPIRY_DELAY_MICROS);
         return controller.nextDueMicros();
     }
 
@@ -365,18 +365,18 @@
     }
 
     @Test
-    void doubledAndReorderedCommandsAreRejected() {
+    void duplicatedAndReorderedCommandsAreRejected() {
         register(A, 5, 0);
         assertRejected(RejectionReason.ALREADY_REGISTERED, register(A, 5, 1));
         assertRejected(RejectionReason.STALE_INCARNATION, register(A, 4, 2));
         heartbeat(A, 5, 3, 2, 10);
-        assertRejected(RejectionReason.STALE_SEQUENCE, heartbeat(A, 5, 3, 2, 3 * SECOND));
-        assertRejected(RejectionReason.STALE_SEQUENCE, heartbeat(A, 5, 2, 2, 3 * SECOND));
-        assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, 3, 3 * SECOND));
-        assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, -1, 3 * SECOND));
-        assertRejected(RejectionReason.STALE_INCARNATION, controller.apply(new Leave(A, 4), 3 * SECOND));
+        assertRejected(RejectionReason.STALE_SEQUENCE, heartbeat(A, 5, 3, 2, 3 * SECOND_MICROS));
+        assertRejected(RejectionReason.STALE_SEQUENCE, heartbeat(A, 5, 2, 2, 3 * SECOND_MICROS));
+        assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, 3, 3 * SECOND_MICROS));
+        assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, -1, 3 * SECOND_MICROS));
+        assertRejected(RejectionReason.STALE_INCARNATION, controller.apply(new Leave(A, 4), 3 * SECOND_MICROS));
         // None of them has renewed the lease.
-        only(MemberExpired.class, controller.apply(new AdvanceTime(), 10 + SURELY_ENDED));
+        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), 10 + SAFE_EXPIRY_DELAY_MICROS));
     }
 
     @ParameterizedTest
@@ -394,30 +394,30 @@
     }
 
     @Test
-    void configurationVersionOnlyGrowsAndTravelsWithTheMap() {
-        MapDelta delta = only(MapChanged.class, controller.apply(new PublishConfiguration(7), 0))
+    void configurationVersionOnlyGrowsAndIsSentWithTheMap() {
+        MapDelta delta = singleEvent(MapChanged.class, controller.apply(new PublishConfiguration(7), 0))
                 .delta();
         assertEquals(new MapDelta(0, 0, 1, 7, List.of()), delta);
         assertRejected(RejectionReason.STALE_CONFIGURATION, controller.apply(new PublishConfiguration(7), 1));
         assertRejected(RejectionReason.STALE_CONFIGURATION, controller.apply(new PublishConfiguration(6), 1));
-        MapDelta next = only(MapChanged.class, register(A, 1, 2)).delta();
+        MapDelta next = singleEvent(MapChanged.class, register(A, 1, 2)).delta();
         assertEquals(7, next.configurationVersion());
         assertEquals(1, next.fromVersion());
         assertEquals(2, next.toVersion());
     }
 
     @Test
-    void clockThatWasSetBackEndsNoLeaseEarlyAndBringsNoneBack() {
-        register(A, 1, 10 * SECOND);
-        heartbeat(A, 1, 1, 2, 10 * SECOND);
-        heartbeat(A, 1, 2, 2, 3 * SECOND);
-        controller.apply(new AdvanceTime(), 3 * SECOND + SURELY_ENDED);
+    void clockThatWasSetBackEndsNoLeaseEarlyAndRestoresNone() {
+        register(A, 1, 10 * SECOND_MICROS);
+        heartbeat(A, 1, 1, 2, 10 * SECOND_MICROS);
+        heartbeat(A, 1, 2, 2, 3 * SECOND_MICROS);
+        controller.apply(new AdvanceTime(), 3 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS);
         assertEquals(List.of(A), controller.members());
-        long goesOn = 11 * SECOND;
-        controller.apply(new AdvanceTime(), goesOn);
-        controller.apply(new AdvanceTime(), goesOn + SURELY_ENDED - 1);
+        long resumesAtMicros = 11 * SECOND_MICROS;
+        controller.apply(new AdvanceTime(), resumesAtMicros);
+        controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1);
         assertEquals(List.of(A), controller.members());
-        only(MemberExpired.class, controller.apply(new AdvanceTime(), goesOn + SURELY_ENDED));
+        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
         controller.apply(new AdvanceTime(), 0);
         assertRejected(RejectionReason.UNKNOWN_MEMBER, heartbeat(A, 1, 3, 2, 0));
     }
@@ -425,34 +425,34 @@
     /** The heartbeat and the revocation came while the clock was wrong; it returns to the right time by a leap. */
     @Test
     void clockThatWasSetBackAndReturnsEndsNoRevokedLeaseEarly() {
-        register(A, 1, 10 * SECOND);
-        heartbeat(A, 1, 1, 2, 10 * SECOND);
-        heartbeat(A, 1, 2, 2, 3 * SECOND);
-        int revoked = assignmentOf(A, register(B, 1, 3 * SECOND)).revoked().size();
-        long goesOn = 20 * SECOND;
-        assertTrue(all(AssignmentChanged.class, controller.apply(new AdvanceTime(), goesOn))
+        register(A, 1, 10 * SECOND_MICROS);
+        heartbeat(A, 1, 1, 2, 10 * SECOND_MICROS);
+        heartbeat(A, 1, 2, 2, 3 * SECOND_MICROS);
+        int revoked = assignmentOf(A, register(B, 1, 3 * SECOND_MICROS)).revoked().size();
+        long resumesAtMicros = 20 * SECOND_MICROS;
+        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), resumesAtMicros))
                 .isEmpty());
-        heartbeat(A, 1, 3, 3, goesOn + SECOND);
-        heartbeat(B, 1, 1, 1, goesOn + SECOND);
-        assertTrue(all(AssignmentChanged.class, controller.apply(new AdvanceTime(), goesOn + SURELY_ENDED - 1))
+        heartbeat(A, 1, 3, 3, resumesAtMicros + SECOND_MICROS);
+        heartbeat(B, 1, 1, 1, resumesAtMicros + SECOND_MICROS);
+        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1))
                 .isEmpty());
-        AssignmentChanged granted = assignmentOf(B, controller.apply(new AdvanceTime(), goesOn + SURELY_ENDED));
+        AssignmentChanged granted = assignmentOf(B, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(revoked, granted.granted().size());
     }
 
     /** Readings that cross each other by less than the margin are no reason to put ends off for ever. */
     @Test
-    void readingsWithinTheMarginDoNotPutTheEndOff() {
-        register(A, 1, 10 * SECOND);
-        heartbeat(A, 1, 1, 2, 10 * SECOND);
-        controller.apply(new AdvanceTime(), 11 * SECOND);
-        controller.apply(new AdvanceTime(), 11 * SECOND - 250_000);
-        controller.apply(new AdvanceTime(), 12 * SECOND);
-        only(MemberExpired.class, controller.apply(new AdvanceTime(), 10 * SECOND + SURELY_ENDED));
+    void backwardReadingsWithinTheMarginDoNotPostponeExpiry() {
+        register(A, 1, 10 * SECOND_MICROS);
+        heartbeat(A, 1, 1, 2, 10 * SECOND_MICROS);
+        controller.apply(new AdvanceTime(), 11 * SECOND_MICROS);
+        controller.apply(new AdvanceTime(), 11 * SECOND_MICROS - 250_000);
+        controller.apply(new AdvanceTime(), 12 * SECOND_MICROS);
+        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), 10 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS));
     }
 
     @Test
-    void settingsNameTheFieldAtFault() {
+    void settingsErrorNamesTheInvalidField() {
         assertFieldNamed("region", () -> new ControllerSettings(-1, 1, 1, 1.25, TIMING, 1));
         assertFieldNamed("shards", () -> new ControllerSettings(0, 0, 1, 1.25, TIMING, 1));
         assertFieldNamed("shards", () -> new ControllerSettings(0, (1 << 20) + 1, 1, 1.25, TIMING, 1));
--- a/src/test/java/lilaclever/placement/PlacementFigures.java
+++ b/src/test/java/lilaclever/placement/PlacementFigures.java
@@ -12,33 +12,33 @@
  * CI.
  */
 final class PlacementFigures {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final int ZONES = 3;
     private static final int ROUNDS = 100;
-    private static final int WARM_UP = 40;
+    private static final int WARM_UP_ROUNDS = 40;
 
     private PlacementFigures() {}
 
     public static void main(String[] arguments) {
         int members = Integer.parseInt(arguments[0]);
         int shards = Integer.parseInt(arguments[1]);
-        int pace = Integer.parseInt(arguments[2]);
+        int reassignmentsPerSecond = Integer.parseInt(arguments[2]);
         long emptyHeap = usedHeap();
-        TestRegion region = new TestRegion(TestRegion.settings(shards, ZONES, pace));
-        long start = System.nanoTime();
+        TestRegion region = new TestRegion(TestRegion.settings(shards, ZONES, reassignmentsPerSecond));
+        long startNanos = System.nanoTime();
         for (int member = 0; member < members; member++) {
             region.join(member, member % ZONES);
         }
-        System.out.printf("%d members, %d shards, pace %d%n", members, shards, pace);
-        System.out.printf("all members join at once: %.0f ms, with the harness%n", (System.nanoTime() - start) / 1e6);
+        System.out.printf("%d members, %d shards, pace %d%n", members, shards, reassignmentsPerSecond);
+        System.out.printf("all members join at once: %.0f ms, with the harness%n", (System.nanoTime() - startNanos) / 1e6);
         region.runUntilAllOwned(100_000);
-        region.run(30 * SECOND);
+        region.run(30 * SECOND_MICROS);
         System.out.printf(
                 "fullest over mean %.3f, snapshot %d bytes%n",
-                region.fullestOverMean(), region.controller.snapshot().encodedBytes());
+                region.maxToMeanLoad(), region.controller.snapshot().encodedBytes());
         System.out.printf("heap of controller, map and harness: %.1f MB%n", (usedHeap() - emptyHeap) / 1e6);
         printHeartbeats(region, members);
-        region.measuring = true;
+        region.measuresCpuTime = true;
         printLossesAndJoins(region, members, shards);
         printZoneLoss(region, members);
         printTree(members);
@@ -51,11 +51,11 @@
     }
 
     private static void printHeartbeats(TestRegion region, int members) {
-        long start = System.nanoTime();
-        region.run(10 * SECOND);
+        long startNanos = System.nanoTime();
+        region.run(10 * SECOND_MICROS);
         System.out.printf(
                 "heartbeat: %.2f microseconds, with the harness%n",
-                (System.nanoTime() - start) / 1e3 / (10.0 * members));
+                (System.nanoTime() - startNanos) / 1e3 / (10.0 * members));
     }
 
     private static void printLossesAndJoins(TestRegion region, int members, int shards) {
@@ -65,33 +65,33 @@
         long joinGains = 0;
         long lossMoves = 0;
         long lostShards = 0;
-        double fullest = 0;
+        double maxToMean = 0;
         long deltaBytes = region.deltaBytes;
-        long deltas = region.deltas;
-        for (int round = 0; round < WARM_UP + ROUNDS; round++) {
+        long deltas = region.deltaCount;
+        for (int round = 0; round < WARM_UP_ROUNDS + ROUNDS; round++) {
             int member = (int) (round * 7919L % members);
             int[] before = region.owners();
             int lost =
                     (int) Arrays.stream(before).filter(owner -> owner == member).count();
             region.kill(List.of(member));
-            region.run(8 * SECOND);
-            long lossNanos = region.lastExpiryNanos;
-            int lossMoved = region.movedSince(before);
-            fullest = Math.max(fullest, region.fullestOverMean());
+            region.run(8 * SECOND_MICROS);
+            long lossNanos = region.lastExpiryCpuNanos;
+            int lossMoved = region.shardsMovedSince(before);
+            maxToMean = Math.max(maxToMean, region.maxToMeanLoad());
 
             int[] without = region.owners();
-            region.longestCommandNanos = 0;
+            region.maxCommandCpuNanos = 0;
             region.join(member, member % ZONES);
-            long joinNanos = region.longestCommandNanos;
-            region.run(2 * SECOND);
-            fullest = Math.max(fullest, region.fullestOverMean());
-            if (round >= WARM_UP) {
+            long joinNanos = region.maxCommandCpuNanos;
+            region.run(2 * SECOND_MICROS);
+            maxToMean = Math.max(maxToMean, region.maxToMeanLoad());
+            if (round >= WARM_UP_ROUNDS) {
                 lossMicros.recordValue(lossNanos / 1000);
                 joinMicros.recordValue(joinNanos / 1000);
                 lostShards += lost;
                 lossMoves += lossMoved;
                 joinGains += region.controller.shardsHeldBy(new MemberId(member));
-                joinMoves += region.movedSince(without);
+                joinMoves += region.shardsMovedSince(without);
             }
         }
         print("join", joinMicros);
@@ -102,11 +102,11 @@
         System.out.printf(
                 "a join moves %.2f shards, the new member gets %.2f, its share is %.2f%n",
                 joinMoves / (double) ROUNDS, joinGains / (double) ROUNDS, shards / (double) members);
-        System.out.printf("fullest over mean, worst of the rounds: %.3f%n", fullest);
+        System.out.printf("fullest over mean, worst of the rounds: %.3f%n", maxToMean);
         System.out.printf(
                 "a loss and a join: %.1f deltas, %.0f bytes%n",
-                (region.deltas - deltas) / (double) (WARM_UP + ROUNDS),
-                (region.deltaBytes - deltaBytes) / (double) (WARM_UP + ROUNDS));
+                (region.deltaCount - deltas) / (double) (WARM_UP_ROUNDS + ROUNDS),
+                (region.deltaBytes - deltaBytes) / (double) (WARM_UP_ROUNDS + ROUNDS));
     }
 
     private static void print(String name, Histogram micros) {
@@ -122,17 +122,17 @@
     private static void printZoneLoss(TestRegion region, int members) {
         int[] before = region.owners();
         long deltaBytes = region.deltaBytes;
-        long deltas = region.deltas;
+        long deltas = region.deltaCount;
         List<Integer> zone = IntStream.range(0, members)
                 .filter(member -> member % ZONES == 1)
                 .boxed()
                 .toList();
         int lost =
                 (int) Arrays.stream(before).filter(owner -> owner % ZONES == 1).count();
-        long killed = region.nowMicros;
+        long killedAtMicros = region.nowMicros;
         region.kill(zone);
-        region.run(TestRegion.TIMING.surelyEndedAfterMicros() - TestRegion.TIMING.heartbeatMicros());
-        region.longestCommandNanos = 0;
+        region.run(TestRegion.TIMING.safeExpiryDelayMicros() - TestRegion.TIMING.heartbeatMicros());
+        region.maxCommandCpuNanos = 0;
         region.run(TestRegion.TIMING.heartbeatMicros() + 1);
         region.runUntilAllOwned(100_000);
         System.out.printf(
@@ -140,12 +140,12 @@
                         + "longest command %.1f ms of processor time; %d deltas, %d bytes; fullest over mean %.3f%n",
                 zone.size(),
                 lost,
-                region.movedSince(before),
-                (region.nowMicros - killed) / 1e6,
-                region.longestCommandNanos / 1e6,
-                region.deltas - deltas,
+                region.shardsMovedSince(before),
+                (region.nowMicros - killedAtMicros) / 1e6,
+                region.maxCommandCpuNanos / 1e6,
+                region.deltaCount - deltas,
                 region.deltaBytes - deltaBytes,
-                region.fullestOverMean());
+                region.maxToMeanLoad());
     }
 
     private static void printTree(int members) {
@@ -153,11 +153,11 @@
                 .mapToObj(member -> new TreeMember(new MemberId(member), member % ZONES))
                 .toList();
         for (int degree : new int[] {4, 8, 16}) {
-            long start = System.nanoTime();
+            long startNanos = System.nanoTime();
             DistributionTree tree = new DistributionTree(list, 1, degree);
             System.out.printf(
                     "tree of degree %d: depth %d, built in %.1f ms%n",
-                    degree, tree.depth(), (System.nanoTime() - start) / 1e6);
+                    degree, tree.depth(), (System.nanoTime() - startNanos) / 1e6);
         }
     }
 }
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -31,30 +31,30 @@
     private static final int SHARDS = 24;
     private static final int MEMBERS = 6;
     private static final int ZONES = 2;
-    private static final long HEARTBEAT = 1_000;
-    private static final long LEASE = 5_000;
-    private static final double DRIFT = 0.05;
-    private static final LeaseTiming TIMING = new LeaseTiming(HEARTBEAT, LEASE, DRIFT, 10);
-    private static final double LOSS = 0.05;
-    private static final double DOUBLED = 0.05;
-    private static final double LATE = 0.1;
+    private static final long HEARTBEAT_MICROS = 1_000;
+    private static final long LEASE_MICROS = 5_000;
+    private static final double MAX_DRIFT = 0.05;
+    private static final LeaseTiming TIMING = new LeaseTiming(HEARTBEAT_MICROS, LEASE_MICROS, MAX_DRIFT, 10);
+    private static final double LOSS_PROBABILITY = 0.05;
+    private static final double DUPLICATE_PROBABILITY = 0.05;
+    private static final double LATE_PROBABILITY = 0.1;
 
     private final UniformRandomProvider random;
     private final PlacementController controller =
             new PlacementController(new ControllerSettings(1, SHARDS, ZONES, 1.25, TIMING, 20_000));
     private final PriorityQueue<Delivery> network = new PriorityQueue<>(Delivery.EARLIEST_FIRST);
     private final List<Process> running = new ArrayList<>();
-    private final Map<Integer, Process> newest = new TreeMap<>();
+    private final Map<Integer, Process> latestProcesses = new TreeMap<>();
     private final Map<Integer, Long> lastEpochs = new HashMap<>();
     private final ShardMap map = new ShardMap(1, SHARDS);
     private final List<ControllerEvent> events = new ArrayList<>();
     private final List<String> breaches = new ArrayList<>();
     private final Counts counts = new Counts();
-    private long now;
+    private long nowMicros;
     private long deliveries;
-    private long clockStep;
-    private long latestReading;
-    private long configuration;
+    private long clockOffsetMicros;
+    private long latestReadingMicros;
+    private long configurationVersion;
 
     /** How much of each kind a schedule had. */
     static final class Counts {
@@ -62,34 +62,34 @@
         long expiries;
         long releases;
         long leavesCompleted;
-        long restartsBesideTheOldProcess;
+        long restartsWithTheOldProcessRunning;
         long rejections;
-        long shardsLookedAt;
-        long heldBySomebody;
+        long shardsChecked;
+        long shardsWithASender;
 
         void add(Counts other) {
             grantsCovered += other.grantsCovered;
             expiries += other.expiries;
             releases += other.releases;
             leavesCompleted += other.leavesCompleted;
-            restartsBesideTheOldProcess += other.restartsBesideTheOldProcess;
+            restartsWithTheOldProcessRunning += other.restartsWithTheOldProcessRunning;
             rejections += other.rejections;
-            shardsLookedAt += other.shardsLookedAt;
-            heldBySomebody += other.heldBySomebody;
+            shardsChecked += other.shardsChecked;
+            shardsWithASender += other.shardsWithASender;
         }
 
         @Override
         public String toString() {
             return "grants covered " + grantsCovered + ", expiries " + expiries + ", releases " + releases
                     + ", leaves completed " + leavesCompleted + ", restarts beside the old process "
-                    + restartsBesideTheOldProcess + ", rejections " + rejections + ", held " + heldBySomebody + " of "
-                    + shardsLookedAt;
+                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", held " + shardsWithASender + " of "
+                    + shardsChecked;
         }
     }
 
-    private record Delivery(long at, long number, Runnable action) {
+    private record Delivery(long atMicros, long number, Runnable action) {
         static final Comparator<Delivery> EARLIEST_FIRST =
-                Comparator.comparingLong(Delivery::at).thenComparingLong(Delivery::number);
+                Comparator.comparingLong(Delivery::atMicros).thenComparingLong(Delivery::number);
     }
 
     /** A process of a forwarder: follows the contract of the events and nothing more. */
@@ -99,34 +99,34 @@
         final double clockRate;
         final boolean remembersRenewals;
         final Map<Integer, Long> assigned = new TreeMap<>();
-        final Map<Integer, Long> coveredUntil = new HashMap<>();
-        final Map<Long, Long> sentAt = new HashMap<>();
+        final Map<Integer, Long> coveredUntilMicros = new HashMap<>();
+        final Map<Long, Long> sentAtMicros = new HashMap<>();
         long sequence;
         long revision;
         /** End of the lease that lasts longest. */
-        long leaseUntil;
+        long leaseUntilMicros;
 
-        LeaseRenewed early;
+        LeaseRenewed earlyRenewal;
 
         Process(int number, long incarnation) {
             this.id = new MemberId(number);
             this.incarnation = incarnation;
-            this.clockRate = 1 + DRIFT * (random.nextInt(3) - 1);
+            this.clockRate = 1 + MAX_DRIFT * (random.nextInt(3) - 1);
             this.remembersRenewals = random.nextBoolean();
         }
 
-        double clock() {
-            return now * clockRate;
+        double clockMicros() {
+            return nowMicros * clockRate;
         }
 
         boolean maySend(int shard) {
-            Long until = coveredUntil.get(shard);
-            return until != null && clock() < until;
+            Long untilMicros = coveredUntilMicros.get(shard);
+            return untilMicros != null && clockMicros() < untilMicros;
         }
 
         void heartbeat() {
             sequence++;
-            sentAt.put(sequence, (long) clock());
+            sentAtMicros.put(sequence, (long) clockMicros());
             send(new Heartbeat(id, incarnation, sequence, revision));
         }
 
@@ -134,24 +134,24 @@
             if (change.incarnation() != incarnation) {
                 return;
             }
-            if (change.whole() ? change.toRevision() < revision : change.fromRevision() != revision) {
+            if (change.full() ? change.toRevision() < revision : change.fromRevision() != revision) {
                 return;
             }
             Map<Integer, Long> granted = new TreeMap<>();
             change.granted().forEach(grant -> granted.put(grant.shard(), grant.epoch()));
-            if (change.whole()) {
+            if (change.full()) {
                 assigned.entrySet().removeIf(entry -> !entry.getValue().equals(granted.get(entry.getKey())));
             }
             assigned.putAll(granted);
             change.revoked().forEach(revoked -> assigned.remove(revoked.shard(), revoked.epoch()));
-            coveredUntil.keySet().retainAll(assigned.keySet());
+            coveredUntilMicros.keySet().retainAll(assigned.keySet());
             revision = change.toRevision();
             if (!change.revoked().isEmpty()) {
                 send(new Release(id, incarnation, change.revoked()));
                 counts.releases++;
             }
-            if (early != null && early.revision() == revision) {
-                cover(early);
+            if (earlyRenewal != null && earlyRenewal.revision() == revision) {
+                cover(earlyRenewal);
             }
         }
 
@@ -162,18 +162,18 @@
             if (renewal.revision() == revision) {
                 cover(renewal);
             } else if (remembersRenewals && renewal.revision() > revision) {
-                early = renewal;
+                earlyRenewal = renewal;
             }
         }
 
         private void cover(LeaseRenewed renewal) {
-            long until = sentAt.get(renewal.sequence()) + renewal.leaseMicros();
-            leaseUntil = Math.max(leaseUntil, until);
+            long untilMicros = sentAtMicros.get(renewal.sequence()) + renewal.leaseMicros();
+            leaseUntilMicros = Math.max(leaseUntilMicros, untilMicros);
             for (int shard : assigned.keySet()) {
-                if (!coveredUntil.containsKey(shard)) {
+                if (!coveredUntilMicros.containsKey(shard)) {
                     counts.grantsCovered++;
                 }
-                coveredUntil.merge(shard, until, Math::max);
+                coveredUntilMicros.merge(shard, untilMicros, Math::max);
             }
         }
     }
@@ -197,30 +197,30 @@
     /** Goes through so many steps: a chance event each, and all that happens until the next one. */
     void run(int steps) {
         for (int step = 0; step < steps; step++) {
-            chanceEvent();
-            long next = now + random.nextLong(2 * HEARTBEAT);
-            deliverUntil(next);
-            now = next;
+            randomEvent();
+            long nextMicros = nowMicros + random.nextLong(2 * HEARTBEAT_MICROS);
+            deliverUntil(nextMicros);
+            nowMicros = nextMicros;
             check();
         }
     }
 
-    private void chanceEvent() {
+    private void randomEvent() {
         int member = random.nextInt(MEMBERS);
-        Process process = newest.get(member);
-        int kind = random.nextInt(100);
-        if (process == null || kind < 4) {
+        Process process = latestProcesses.get(member);
+        int choice = random.nextInt(100);
+        if (process == null || choice < 4) {
             restart(member, process);
-        } else if (kind < 6) {
+        } else if (choice < 6) {
             send(new Leave(process.id, process.incarnation));
-        } else if (kind < 8) {
+        } else if (choice < 8) {
             running.removeIf(other -> other.id.number() == member);
-            newest.remove(member);
-        } else if (kind < 10) {
+            latestProcesses.remove(member);
+        } else if (choice < 10) {
             stepClock();
-        } else if (kind < 12) {
-            send(new PublishConfiguration(++configuration));
-        } else if (kind < 13) {
+        } else if (choice < 12) {
+            send(new PublishConfiguration(++configurationVersion));
+        } else if (choice < 13) {
             send(new Release(
                     process.id,
                     process.incarnation,
@@ -233,28 +233,28 @@
 
     /** The controller's clock is set back, or returns by a leap to the right time or to a little beyond it. */
     private void stepClock() {
-        if (now + clockStep < latestReading) {
-            clockStep = random.nextLong(LEASE / 10);
+        if (nowMicros + clockOffsetMicros < latestReadingMicros) {
+            clockOffsetMicros = random.nextLong(LEASE_MICROS / 10);
         } else {
-            clockStep -= random.nextLong(LEASE);
+            clockOffsetMicros -= random.nextLong(LEASE_MICROS);
         }
     }
 
     /** A new process registers; the old one has ended for sure, or may go on beside it. */
-    private void restart(int member, Process before) {
+    private void restart(int member, Process previous) {
         boolean ended = random.nextBoolean();
         if (ended) {
             running.removeIf(process -> process.id.number() == member);
-        } else if (before != null) {
-            counts.restartsBesideTheOldProcess++;
+        } else if (previous != null) {
+            counts.restartsWithTheOldProcessRunning++;
         }
-        long incarnation = now * MEMBERS + member + 1;
-        if (before != null && incarnation <= before.incarnation) {
+        long incarnation = nowMicros * MEMBERS + member + 1;
+        if (previous != null && incarnation <= previous.incarnation) {
             return;
         }
         Process process = new Process(member, incarnation);
         running.add(process);
-        newest.put(member, process);
+        latestProcesses.put(member, process);
         double weight = random.nextInt(4) == 0 ? 2 : 1;
         send(new Register(process.id, incarnation, random.nextInt(ZONES), weight, ended));
     }
@@ -264,27 +264,27 @@
     }
 
     private void transmit(Runnable delivery) {
-        if (random.nextDouble() < LOSS) {
+        if (random.nextDouble() < LOSS_PROBABILITY) {
             return;
         }
-        int copies = random.nextDouble() < DOUBLED ? 2 : 1;
+        int copies = random.nextDouble() < DUPLICATE_PROBABILITY ? 2 : 1;
         for (int copy = 0; copy < copies; copy++) {
-            long bound = random.nextDouble() < LATE ? 2 * LEASE : HEARTBEAT / 4;
-            network.add(new Delivery(now + random.nextLong(bound), deliveries++, delivery));
+            long maxDelayMicros = random.nextDouble() < LATE_PROBABILITY ? 2 * LEASE_MICROS : HEARTBEAT_MICROS / 4;
+            network.add(new Delivery(nowMicros + random.nextLong(maxDelayMicros), deliveries++, delivery));
         }
     }
 
-    private void deliverUntil(long end) {
+    private void deliverUntil(long endMicros) {
         while (true) {
-            long delivery = network.isEmpty() ? Long.MAX_VALUE : network.peek().at();
-            long due = controller.nextDueMicros() == Long.MAX_VALUE
+            long deliveryMicros = network.isEmpty() ? Long.MAX_VALUE : network.peek().atMicros();
+            long dueMicros = controller.nextDueMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
-                    : Math.max(now, controller.nextDueMicros() - clockStep);
-            if (Math.min(delivery, due) > end) {
+                    : Math.max(nowMicros, controller.nextDueMicros() - clockOffsetMicros);
+            if (Math.min(deliveryMicros, dueMicros) > endMicros) {
                 return;
             }
-            now = Math.min(delivery, due);
-            if (delivery <= due) {
+            nowMicros = Math.min(deliveryMicros, dueMicros);
+            if (deliveryMicros <= dueMicros) {
                 network.remove().action().run();
             } else {
                 apply(new AdvanceTime());
@@ -294,8 +294,8 @@
     }
 
     private void apply(ControllerCommand command) {
-        latestReading = Math.max(latestReading, now + clockStep);
-        for (ControllerEvent event : controller.apply(command, now + clockStep)) {
+        latestReadingMicros = Math.max(latestReadingMicros, nowMicros + clockOffsetMicros);
+        for (ControllerEvent event : controller.apply(command, nowMicros + clockOffsetMicros)) {
             events.add(event);
             if (event instanceof AssignmentChanged change) {
                 checkEpochs(change);
@@ -311,7 +311,7 @@
                 counts.leavesCompleted++;
                 running.removeIf(process ->
                         process.id.equals(completed.member()) && process.incarnation == completed.incarnation());
-                newest.values().removeIf(process -> process.incarnation == completed.incarnation());
+                latestProcesses.values().removeIf(process -> process.incarnation == completed.incarnation());
             } else if (event instanceof MapChanged changed) {
                 checkMap(changed.delta());
             } else if (event instanceof MemberExpired) {
@@ -323,7 +323,7 @@
     }
 
     private void checkEpochs(AssignmentChanged change) {
-        if (change.whole()) {
+        if (change.full()) {
             return;
         }
         for (ShardGrant grant : change.granted()) {
@@ -345,20 +345,20 @@
     }
 
     private void check() {
-        counts.shardsLookedAt += SHARDS;
+        counts.shardsChecked += SHARDS;
         Process[] senders = new Process[SHARDS];
         for (Process process : running) {
-            if (process.clock() >= process.leaseUntil) {
+            if (process.clockMicros() >= process.leaseUntilMicros) {
                 continue;
             }
             for (int shard : process.assigned.keySet()) {
                 if (!process.maySend(shard)) {
                     continue;
                 }
-                counts.heldBySomebody++;
+                counts.shardsWithASender++;
                 Process other = senders[shard];
                 if (other != null) {
-                    breaches.add("at " + now + " shard " + shard + " is sent for by " + other.id + "/"
+                    breaches.add("at " + nowMicros + " shard " + shard + " is sent for by " + other.id + "/"
                             + other.incarnation + " and " + process.id + "/" + process.incarnation);
                 }
                 senders[shard] = process;
--- a/src/test/java/lilaclever/placement/RandomScheduleProperties.java
+++ b/src/test/java/lilaclever/placement/RandomScheduleProperties.java
@@ -16,7 +16,7 @@
     private static final int STEPS = 400;
 
     @Property(tries = 200, seed = "32", shrinking = ShrinkingMode.OFF)
-    void noShardHasTwoHoldersAndEpochsGrow(@ForAll long seed) {
+    void noShardHasTwoSendersAndEpochsIncrease(@ForAll long seed) {
         RandomSchedule schedule = new RandomSchedule(seed);
         schedule.run(STEPS);
         assertEquals(List.of(), schedule.breaches(), () -> "seed " + seed);
@@ -34,7 +34,7 @@
 
     /** The schedules would show nothing if hardly anything was granted, handed over or expired in them. */
     @Property(tries = 1)
-    void schedulesReachWhatTheyAreFor() {
+    void schedulesCoverGrantsExpiriesReleasesAndRestarts() {
         RandomSchedule.Counts total = new RandomSchedule.Counts();
         for (long seed = 1; seed <= 100; seed++) {
             RandomSchedule schedule = new RandomSchedule(seed);
@@ -45,8 +45,8 @@
         assertTrue(total.expiries > 500, total::toString);
         assertTrue(total.releases > 2000, total::toString);
         assertTrue(total.leavesCompleted > 50, total::toString);
-        assertTrue(total.restartsBesideTheOldProcess > 200, total::toString);
+        assertTrue(total.restartsWithTheOldProcessRunning > 200, total::toString);
         assertTrue(total.rejections > 500, total::toString);
-        assertTrue(total.heldBySomebody > total.shardsLookedAt / 4, total::toString);
+        assertTrue(total.shardsWithASender > total.shardsChecked / 4, total::toString);
     }
 }
--- a/src/test/java/lilaclever/placement/ShardHasherTest.java
+++ b/src/test/java/lilaclever/placement/ShardHasherTest.java
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void regionsHaveOrdersOfTheirOwn() {
+    void regionsHashIndependently() {
         ShardHasher hasher = new ShardHasher(SHARDS);
         int same = 0;
         for (int destination = 0; destination < 1000; destination++) {
--- a/src/test/java/lilaclever/placement/ShardMapTest.java
+++ b/src/test/java/lilaclever/placement/ShardMapTest.java
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void appliesDeltasInOrderAndPassesOverOldOnes() {
+    void appliesDeltasInOrderAndIgnoresOldOnes() {
         assertEquals(MapUpdate.APPLIED, map.apply(delta(0, 1, new OwnerChange(1, A, 1))));
         assertEquals(MapUpdate.APPLIED, map.apply(delta(1, 2, new OwnerChange(1, B, 2), new OwnerChange(2, A, 1))));
         assertEquals(MapUpdate.ALREADY_APPLIED, map.apply(delta(0, 1, new OwnerChange(1, A, 1))));
@@ -41,7 +41,7 @@
     }
 
     @Test
-    void noticesAGapAndTakesASnapshotOver() {
+    void reportsAGapAndLoadsASnapshot() {
         ShardMap ahead = new ShardMap(2, 4);
         ahead.apply(delta(0, 1, new OwnerChange(0, A, 1)));
         ahead.apply(delta(1, 2, new OwnerChange(0, null, 1)));
@@ -59,7 +59,7 @@
     }
 
     @Test
-    void snapshotIsNotTakenOverWhenItIsOlderAndDoesNotChangeWithTheMap() {
+    void snapshotIsImmutableAndNotLoadedOverANewerMap() {
         map.apply(delta(0, 1, new OwnerChange(0, A, 1)));
         MapSnapshot first = map.snapshot();
         map.apply(delta(1, 2, new OwnerChange(0, B, 2)));
@@ -69,7 +69,7 @@
     }
 
     @Test
-    void deltaOverSeveralVersionsMayBeginBeforeTheMap() {
+    void deltaOverSeveralVersionsMayStartBeforeTheMapsVersion() {
         map.apply(delta(0, 1, new OwnerChange(0, A, 1)));
         assertEquals(MapUpdate.APPLIED, map.apply(delta(0, 3, new OwnerChange(0, B, 2), new OwnerChange(1, A, 1))));
         assertEquals(B, map.ownerOf(0));
@@ -77,21 +77,21 @@
     }
 
     @Test
-    void refusesWhatIsNotForThisMapWithoutAnyChange() {
+    void rejectsInvalidDeltasAndSnapshotsWithoutAnyChange() {
         map.apply(delta(0, 1, new OwnerChange(0, A, 4)));
         MapSnapshot before = map.snapshot();
-        assertRefused(new MapDelta(3, 1, 2, 5, List.of()));
-        assertRefused(new MapDelta(2, 1, 2, 4, List.of()));
-        assertRefused(delta(1, 2, new OwnerChange(1, B, 1), new OwnerChange(4, B, 1)));
-        assertRefused(delta(1, 2, new OwnerChange(1, B, 1), new OwnerChange(-1, B, 1)));
-        assertRefused(delta(1, 2, new OwnerChange(1, B, 1), new OwnerChange(0, B, 3)));
+        assertRejected(new MapDelta(3, 1, 2, 5, List.of()));
+        assertRejected(new MapDelta(2, 1, 2, 4, List.of()));
+        assertRejected(delta(1, 2, new OwnerChange(1, B, 1), new OwnerChange(4, B, 1)));
+        assertRejected(delta(1, 2, new OwnerChange(1, B, 1), new OwnerChange(-1, B, 1)));
+        assertRejected(delta(1, 2, new OwnerChange(1, B, 1), new OwnerChange(0, B, 3)));
         assertEquals(before, map.snapshot());
         assertThrows(IllegalArgumentException.class, () -> map.load(new ShardMap(2, 5).snapshot()));
         assertThrows(IllegalArgumentException.class, () -> map.load(new ShardMap(1, 4).snapshot()));
         assertThrows(IllegalArgumentException.class, () -> new ShardMap(1, 0));
     }
 
-    private void assertRefused(MapDelta delta) {
+    private void assertRejected(MapDelta delta) {
         assertThrows(IllegalArgumentException.class, () -> map.apply(delta));
     }
 }
--- a/src/test/java/lilaclever/placement/TestRegion.java
+++ b/src/test/java/lilaclever/placement/TestRegion.java
@@ -23,23 +23,23 @@
 final class TestRegion {
     static final LeaseTiming TIMING = new LeaseTiming(1_000_000, 5_000_000, 0.01, 200_000);
     private static final double WEIGHT = 1;
-    private static final ThreadMXBean PROCESSOR = ManagementFactory.getThreadMXBean();
+    private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
 
     final PlacementController controller;
     final ShardMap map;
     /** Deltas of the map so far, and their bytes. */
-    long deltas;
+    long deltaCount;
 
     long deltaBytes;
     /** Whether the processor time of commands is measured. */
-    boolean measuring;
+    boolean measuresCpuTime;
     /** Longest processor time of a command since it was last set to 0, nanoseconds. */
-    long longestCommandNanos;
+    long maxCommandCpuNanos;
     /** Processor time of the last command that found that a member's lease had ended, nanoseconds. */
-    long lastExpiryNanos;
+    long lastExpiryCpuNanos;
 
     long nowMicros;
-    private long nextHeartbeats;
+    private long nextHeartbeatsMicros;
     private final ControllerSettings settings;
     private final Map<MemberId, Process> processes = new TreeMap<>();
     private final Map<MemberId, Long> incarnations = new TreeMap<>();
@@ -60,8 +60,8 @@
         map = new ShardMap(settings.region(), settings.shards());
     }
 
-    static ControllerSettings settings(int shards, int zones, int pace) {
-        return new ControllerSettings(3, shards, zones, 1.25, TIMING, pace);
+    static ControllerSettings settings(int shards, int zones, int reassignmentsPerSecond) {
+        return new ControllerSettings(3, shards, zones, 1.25, TIMING, reassignmentsPerSecond);
     }
 
     void join(int member, int zone) {
@@ -88,17 +88,17 @@
 
     /** Lets time pass, with heartbeats of all members and the controller's own wake-ups. */
     void run(long micros) {
-        long end = nowMicros + micros;
+        long endMicros = nowMicros + micros;
         while (true) {
-            long due = Math.min(nextHeartbeats, controller.nextDueMicros());
-            if (due > end) {
-                nowMicros = end;
+            long dueMicros = Math.min(nextHeartbeatsMicros, controller.nextDueMicros());
+            if (dueMicros > endMicros) {
+                nowMicros = endMicros;
                 return;
             }
-            nowMicros = Math.max(nowMicros, due);
-            if (due == nextHeartbeats) {
+            nowMicros = Math.max(nowMicros, dueMicros);
+            if (dueMicros == nextHeartbeatsMicros) {
                 List.copyOf(processes.keySet()).forEach(this::heartbeat);
-                nextHeartbeats += settings.timing().heartbeatMicros();
+                nextHeartbeatsMicros += settings.timing().heartbeatMicros();
             } else {
                 apply(new AdvanceTime());
             }
@@ -106,11 +106,11 @@
     }
 
     /** Lets time pass until each shard has an owner; fails after so many steps of a hundredth of a second. */
-    long runUntilAllOwned(int steps) {
-        long start = nowMicros;
-        for (int step = 0; step < steps; step++) {
+    long runUntilAllOwned(int maxSteps) {
+        long startMicros = nowMicros;
+        for (int step = 0; step < maxSteps; step++) {
             if (unownedShards() == 0) {
-                return nowMicros - start;
+                return nowMicros - startMicros;
             }
             run(10_000);
         }
@@ -128,7 +128,7 @@
     }
 
     /** Shards of the fullest member, over the mean of all. */
-    double fullestOverMean() {
+    double maxToMeanLoad() {
         int fullest = controller.members().stream()
                 .mapToInt(controller::shardsHeldBy)
                 .max()
@@ -145,7 +145,7 @@
     }
 
     /** How many shards have another owner than before. */
-    int movedSince(int[] before) {
+    int shardsMovedSince(int[] before) {
         int[] now = owners();
         int moved = 0;
         for (int shard = 0; shard < now.length; shard++) {
@@ -157,20 +157,20 @@
     }
 
     List<ControllerEvent> apply(ControllerCommand command) {
-        long start = measuring ? PROCESSOR.getCurrentThreadCpuTime() : 0;
+        long startNanos = measuresCpuTime ? THREADS.getCurrentThreadCpuTime() : 0;
         List<ControllerEvent> events = controller.apply(command, nowMicros);
-        if (measuring) {
-            long nanos = PROCESSOR.getCurrentThreadCpuTime() - start;
-            longestCommandNanos = Math.max(longestCommandNanos, nanos);
+        if (measuresCpuTime) {
+            long nanos = THREADS.getCurrentThreadCpuTime() - startNanos;
+            maxCommandCpuNanos = Math.max(maxCommandCpuNanos, nanos);
             if (events.stream().anyMatch(MemberExpired.class::isInstance)) {
-                lastExpiryNanos = nanos;
+                lastExpiryCpuNanos = nanos;
             }
         }
-        List<Release> answers = new ArrayList<>();
+        List<Release> releases = new ArrayList<>();
         for (ControllerEvent event : events) {
-            receive(event, answers);
+            receive(event, releases);
         }
-        answers.forEach(this::apply);
+        releases.forEach(this::apply);
         return events;
     }
 
@@ -182,26 +182,26 @@
         }
     }
 
-    private void receive(ControllerEvent event, List<Release> answers) {
+    private void receive(ControllerEvent event, List<Release> releases) {
         if (event instanceof MapChanged change) {
-            deltas++;
+            deltaCount++;
             deltaBytes += change.delta().encodedBytes();
             assertEquals(MapUpdate.APPLIED, map.apply(change.delta()));
         } else if (event instanceof AssignmentChanged change) {
-            receive(change, answers);
+            receive(change, releases);
         } else if (event instanceof LeaveCompleted completed) {
             processes.remove(completed.member());
         }
     }
 
-    private void receive(AssignmentChanged change, List<Release> answers) {
+    private void receive(AssignmentChanged change, List<Release> releases) {
         Process process = processes.get(change.member());
         if (process == null || process.incarnation != change.incarnation()) {
             return;
         }
         process.appliedRevision = change.toRevision();
         if (!change.revoked().isEmpty()) {
-            answers.add(new Release(change.member(), change.incarnation(), change.revoked()));
+            releases.add(new Release(change.member(), change.incarnation(), change.revoked()));
         }
     }
 }
