--- a/src/test/java/lilaclever/scale/Slope.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -8,25 +8,25 @@
  * the values are.
  *
  * @param perUnit how much the value grows with each unit of the size
- * @param atZero the line's value at size 0
+ * @param intercept the line's value at size 0
  * @param rSquared share of the values' variance that the line explains, 0 to 1
  * @param rmsResidual root of the mean square of what is left, in the value's unit
- * @param worstPart the largest distance from the line, as part of the largest value
+ * @param maxRelativeResidual the largest distance from the line, as part of the largest value
  */
-record Slope(double perUnit, double atZero, double rSquared, double rmsResidual, double worstPart) {
+record LinearFit(double perUnit, double intercept, double rSquared, double rmsResidual, double maxRelativeResidual) {
     /** A point of the measurement. */
     record Point(double size, double value) {}
 
-    private static final int LEAST_POINTS = 2;
+    private static final int MIN_SIZES = 2;
 
     /** The line through the points, which must be at two different sizes or more. */
-    static Slope fit(List<Point> points) {
-        if (points.stream().mapToDouble(Point::size).distinct().count() < LEAST_POINTS) {
+    static LinearFit fit(List<Point> points) {
+        if (points.stream().mapToDouble(Point::size).distinct().count() < MIN_SIZES) {
             throw new IllegalArgumentException("a line needs two sizes");
         }
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.size(), point.value()));
-        double worst = points.stream()
+        double maxResidual = points.stream()
                 .mapToDouble(point -> Math.abs(point.value() - line.predict(point.size())))
                 .max()
                 .orElse(0);
@@ -34,16 +34,16 @@
                 .mapToDouble(point -> Math.abs(point.value()))
                 .max()
                 .orElse(0);
-        return new Slope(
+        return new LinearFit(
                 line.getSlope(),
                 line.getIntercept(),
                 line.getRSquare(),
                 Math.sqrt(line.getSumSquaredErrors() / points.size()),
-                largest == 0 ? 0 : worst / largest);
+                largest == 0 ? 0 : maxResidual / largest);
     }
 
     /** The line's value at a size. */
-    double at(double size) {
-        return atZero + perUnit * size;
+    double valueAt(double size) {
+        return intercept + perUnit * size;
     }
 }
--- a/src/test/java/lilaclever/scale/Usage.java
+++ b/src/test/java/lilaclever/scale/ResourceUsage.java
@@ -4,15 +4,15 @@
 import java.lang.management.ThreadMXBean;
 
 /** What this process uses. */
-final class Usage {
+final class ResourceUsage {
     private static final ThreadMXBean THREADS = ManagementFactory.getThreadMXBean();
-    private static final int COLLECTIONS = 2;
+    private static final int GC_RUNS = 2;
 
-    private Usage() {}
+    private ResourceUsage() {}
 
     /** Bytes of the heap that are in use after full collections. */
     static long liveHeapBytes() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+        for (int i = 0; i < GC_RUNS; i++) {
             System.gc();
         }
         return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed();
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -22,82 +22,82 @@
     /**
      * Bytes of heap for each destination listed with one endpoint, without the program's own list: docs/CAPACITY.md.
      */
-    private static final double MOST_FOR_DESTINATION = 1_600;
-    /** Bytes of heap for each message held with a body of {@link #BODY}: docs/CAPACITY.md. */
-    private static final double MOST_FOR_MESSAGE = 1_500;
+    private static final double MAX_BYTES_PER_DESTINATION = 1_600;
+    /** Bytes of heap for each message held with a body of {@link #BODY_BYTES}: docs/CAPACITY.md. */
+    private static final double MAX_BYTES_PER_MESSAGE = 1_500;
 
-    private static final int BODY = 300;
+    private static final int BODY_BYTES = 300;
     /** Heap moves in steps, as tables double: the largest distance from the line, as part of the largest value. */
-    private static final double STRAIGHT = 0.15;
+    private static final double MAX_RELATIVE_RESIDUAL = 0.15;
 
     @TempDir
     private Path folder;
 
     @Test
-    void heapForEachDestinationListedIsUnderItsBoundAndOnALine() throws IOException {
-        List<Slope.Point> points = new ArrayList<>();
+    void heapPerListedDestinationIsBoundedAndLinear() throws IOException {
+        List<LinearFit.Point> points = new ArrayList<>();
         for (int destinations : List.of(5_000, 10_000, 20_000, 40_000)) {
-            long before = Usage.liveHeapBytes();
-            try (HollowForwarder forwarder =
-                    new HollowForwarder(folder(destinations), destinations, destinations, 100)) {
-                points.add(new Slope.Point(destinations, Usage.liveHeapBytes() - before));
+            long heapBeforeBytes = ResourceUsage.liveHeapBytes();
+            try (SocketlessForwarder forwarder =
+                    new SocketlessForwarder(folder(destinations), destinations, destinations, 100)) {
+                points.add(new LinearFit.Point(destinations, ResourceUsage.liveHeapBytes() - heapBeforeBytes));
                 Reference.reachabilityFence(forwarder);
             }
         }
-        Slope slope = Slope.fit(points);
-        assertTrue(slope.perUnit() < MOST_FOR_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.worstPart() < STRAIGHT, slope + " through " + points);
+        LinearFit slope = LinearFit.fit(points);
+        assertTrue(slope.perUnit() < MAX_BYTES_PER_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
+        assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
     }
 
     @Test
-    void heapForEachMessageHeldIsUnderItsBoundAndOnALine() throws IOException {
-        List<Slope.Point> points = new ArrayList<>();
+    void heapPerPendingMessageIsBoundedAndLinear() throws IOException {
+        List<LinearFit.Point> points = new ArrayList<>();
         for (int messages : List.of(2_000, 4_000, 8_000, 16_000)) {
-            long before = Usage.liveHeapBytes();
-            try (HollowForwarder forwarder = new HollowForwarder(folder(messages), 1, 0, 2 * messages)) {
+            long heapBeforeBytes = ResourceUsage.liveHeapBytes();
+            try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
                 for (int i = 0; i < messages; i++) {
-                    forwarder.handIn(0, new byte[BODY]);
+                    forwarder.submit(0, new byte[BODY_BYTES]);
                     if (i % 100 == 0) {
                         forwarder.turn();
                     }
                 }
                 forwarder.turn();
-                assertEquals(messages, forwarder.held());
-                points.add(new Slope.Point(messages, Usage.liveHeapBytes() - before));
+                assertEquals(messages, forwarder.pendingMessages());
+                points.add(new LinearFit.Point(messages, ResourceUsage.liveHeapBytes() - heapBeforeBytes));
             }
         }
-        Slope slope = Slope.fit(points);
-        assertTrue(slope.perUnit() < MOST_FOR_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.worstPart() < STRAIGHT, slope + " through " + points);
+        LinearFit slope = LinearFit.fit(points);
+        assertTrue(slope.perUnit() < MAX_BYTES_PER_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
+        assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
     }
 
     /** Without this the figures of events would be those of messages that wait. */
     @Test
-    void aHollowForwarderDeliversWhatItGets() throws IOException {
-        try (HollowForwarder forwarder = new HollowForwarder(folder(1), 374, 374, 10_000)) {
+    void forwarderDeliversSubmittedMessages() throws IOException {
+        try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(1), 374, 374, 10_000)) {
             for (int i = 0; i < 2_000; i++) {
-                forwarder.handIn(i % 374, new byte[BODY]);
+                forwarder.submit(i % 374, new byte[BODY_BYTES]);
                 if (i % 9 == 0) {
                     forwarder.turn();
                 }
             }
-            forwarder.pass(HollowForwarder.SECOND);
-            assertEquals(2_000, forwarder.count(Counters.Name.DELIVERED));
-            assertEquals(0, forwarder.held());
+            forwarder.advance(SocketlessForwarder.SECOND_MICROS);
+            assertEquals(2_000, forwarder.counter(Counters.Name.DELIVERED));
+            assertEquals(0, forwarder.pendingMessages());
         }
     }
 
     @Test
-    void aLineIsFoundAndWhatIsNoneIsSeen() {
-        Slope line = Slope.fit(List.of(new Slope.Point(1, 5), new Slope.Point(2, 7), new Slope.Point(4, 11)));
+    void fitFindsALineAndReportsTheResidualOfACurve() {
+        LinearFit line = LinearFit.fit(List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
         assertEquals(2, line.perUnit(), 1e-9);
-        assertEquals(3, line.atZero(), 1e-9);
-        assertEquals(23, line.at(10), 1e-9);
-        assertEquals(0, line.worstPart(), 1e-9);
-        Slope square = Slope.fit(List.of(new Slope.Point(1, 1), new Slope.Point(10, 100), new Slope.Point(20, 400)));
-        assertTrue(square.worstPart() > 0.1, square.toString());
+        assertEquals(3, line.intercept(), 1e-9);
+        assertEquals(23, line.valueAt(10), 1e-9);
+        assertEquals(0, line.maxRelativeResidual(), 1e-9);
+        LinearFit square = LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
+        assertTrue(square.maxRelativeResidual() > 0.1, square.toString());
         assertThrows(
-                IllegalArgumentException.class, () -> Slope.fit(List.of(new Slope.Point(1, 1), new Slope.Point(1, 2))));
+                IllegalArgumentException.class, () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
     }
 
     private Path folder(int number) throws IOException {
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -30,13 +30,13 @@
  * uses it. Each endpoint has a destination of its own; its calls are delivered, or refused where the destination is
  * down.
  */
-final class HollowForwarder implements Front, Deliverer, Clock, AutoCloseable {
-    static final long SECOND = 1_000_000, ROUND = 5_000, DAY = 86_400 * SECOND;
+final class SocketlessForwarder implements Front, Deliverer, Clock, AutoCloseable {
+    static final long SECOND_MICROS = 1_000_000, ROUND_MICROS = 5_000, DAY_MICROS = 86_400 * SECOND_MICROS;
     /** The wall clock at virtual time 0: any day will do. */
-    private static final long WALL = 1_767_225_600L * SECOND;
+    private static final long WALL_CLOCK_START_MICROS = 1_767_225_600L * SECOND_MICROS;
 
-    private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET = 19_000;
-    private static final long MOST_DISK = 64L << 30;
+    private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET_FORWARDERS = 19_000;
+    private static final long MAX_DISK_BYTES = 64L << 30;
     private static final long SEED = 7;
 
     private final Disk disk;
@@ -46,41 +46,41 @@
     /** Destinations from this number on are down. */
     private final int firstDown;
 
-    private long now;
-    private long next;
+    private long nowMicros;
+    private long nextMessageNumber;
 
     /**
      * Opens the folder's journal and starts with so many destinations listed, of which those from {@code firstDown} on
      * are down.
      */
-    HollowForwarder(Path folder, int destinations, int firstDown, int mostHeld) throws IOException {
-        this(FolderDisk.take(folder), destinations, firstDown, mostHeld);
+    SocketlessForwarder(Path folder, int destinations, int firstDown, int maxPendingMessages) throws IOException {
+        this(FolderDisk.take(folder), destinations, firstDown, maxPendingMessages);
     }
 
-    HollowForwarder(Disk disk, int destinations, int firstDown, int mostHeld) throws IOException {
+    SocketlessForwarder(Disk disk, int destinations, int firstDown, int maxPendingMessages) throws IOException {
         this.firstDown = firstDown;
         this.disk = disk;
         journal = new SegmentedJournal(
                 disk,
-                MOST_DISK,
+                MAX_DISK_BYTES,
                 Durability.NONE,
                 new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
-                settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND, 1), this);
+                settings(maxPendingMessages), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND_MICROS, 1), this);
         core.add(this);
-        core.runFirstTurn(list(destinations), 1);
+        core.runFirstTurn(listedEndpoints(destinations), 1);
     }
 
-    private static DecisionModule.Settings settings(int mostHeld) {
+    private static DecisionModule.Settings settings(int maxPendingMessages) {
         DecisionModule.MessageClass repeatable = new DecisionModule.MessageClass(
-                SECOND, DAY, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
+                SECOND_MICROS, DAY_MICROS, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
                 0,
-                FLEET,
+                FLEET_FORWARDERS,
                 0,
                 1,
-                ROUND,
+                ROUND_MICROS,
                 false,
                 DecisionModule.WeightMeaning.NONE,
                 false,
@@ -89,17 +89,17 @@
                 List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(
-                        MAX_ATTEMPTS, mostHeld, SLOTS, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
-                new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
+                        MAX_ATTEMPTS, maxPendingMessages, SLOTS, true, false, false, 1, SECOND_MICROS, 5 * SECOND_MICROS, true, 2 * SECOND_MICROS),
+                new DecisionModule.Rules(20_000, 10 * SECOND_MICROS, SECOND_MICROS / 2, 0.24, 9_500_000, 1.5, 3 * SECOND_MICROS, 100_000));
     }
 
-    private List<Core.ListedEndpoint> list(int destinations) {
+    private List<Core.ListedEndpoint> listedEndpoints(int destinations) {
         return IntStream.range(0, destinations)
-                .mapToObj(i -> listed(i, DecisionModule.Presence.ACTIVE))
+                .mapToObj(i -> listedEndpoint(i, DecisionModule.Presence.ACTIVE))
                 .toList();
     }
 
-    private Core.ListedEndpoint listed(int destination, DecisionModule.Presence presence) {
+    private Core.ListedEndpoint listedEndpoint(int destination, DecisionModule.Presence presence) {
         String host = "endpoint-" + destination;
         return new Core.ListedEndpoint(
                 new DecisionModule.EndpointEntry(host, destination, 0, 0, presence, 1, 0),
@@ -107,41 +107,41 @@
     }
 
     /** Has the list tell of one endpoint, as each change of it does, and runs the turn. */
-    void change(int destination, long version) {
+    void updateEndpoint(int destination, long version) {
         core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
                 version,
-                List.of(listed(destination, DecisionModule.Presence.ACTIVE)));
+                List.of(listedEndpoint(destination, DecisionModule.Presence.ACTIVE)));
         turn();
     }
 
     /** Hands one message in; what comes of it is told in later turns. */
-    void handIn(int destination, byte[] body) {
-        String id = "message-" + next++;
-        core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY));
+    void submit(int destination, byte[] body) {
+        String id = "message-" + nextMessageNumber++;
+        core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY_MICROS));
     }
 
     /** One turn of the loop, the least time after the last one. */
     void turn() {
-        now += ROUND;
+        nowMicros += ROUND_MICROS;
         core.runTurn();
     }
 
     /** Lets the time pass; gives how many turns the loop made. */
-    int pass(long micros) {
+    int advance(long micros) {
         int turns = 0;
-        for (long until = now + micros; now < until; turns++) {
-            now = Math.max(now + ROUND, Math.min(until, core.nextTurnMicros()));
+        for (long untilMicros = nowMicros + micros; nowMicros < untilMicros; turns++) {
+            nowMicros = Math.max(nowMicros + ROUND_MICROS, Math.min(untilMicros, core.nextTurnMicros()));
             core.runTurn();
         }
         return turns;
     }
 
-    int held() {
+    int pendingMessages() {
         return journal.pendingMessages().size();
     }
 
-    long count(Counters.Name name) {
+    long counter(Counters.Name name) {
         return counters.get(name);
     }
 
@@ -153,12 +153,12 @@
     // ---- time -------------------------------------------------------------------------------------------
     @Override
     public long monotonicMicros() {
-        return now;
+        return nowMicros;
     }
 
     @Override
     public long wallMicros() {
-        return WALL + now;
+        return WALL_CLOCK_START_MICROS + nowMicros;
     }
 
     @Override
@@ -188,23 +188,23 @@
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        throw new IllegalStateException(message.id() + " was turned down: " + verdict);
+    public void onRejected(Message message, FinalStatus status) {
+        throw new IllegalStateException(message.id() + " was turned down: " + status);
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus status, Runnable settled) {
         settled.run();
     }
 
     // ---- calls ------------------------------------------------------------------------------------------
     @Override
     public void start(Call call) {
-        DecisionModule.AttemptResult ending = call.endpoint.destination() < firstDown
+        DecisionModule.AttemptResult result = call.endpoint.destination() < firstDown
                 ? DecisionModule.AttemptResult.DELIVERED
                 : DecisionModule.AttemptResult.NO_CONNECTION;
         List<Message> messages = new ArrayList<>(call.messages);
-        core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, ending, 0, false, false)));
+        core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, result, 0, false, false)));
     }
 
     /** Nothing drains here. */
