--- a/src/main/java/lilaclever/placement/RendezvousRanking.java
+++ b/src/main/java/lilaclever/placement/RendezvousRanking.java
@@ -53,8 +53,8 @@
         long bestDraw = 0;
         for (int i = 0; i < numbers.length; i++) {
             long draw = draw(shard, numbers[i]);
-            boolean ahead =
-                    best == NO_CANDIDATE || precedes(weights[i], draw, numbers[i], weights[best], bestDraw, numbers[best]);
+            boolean ahead = best == NO_CANDIDATE
+                    || precedes(weights[i], draw, numbers[i], weights[best], bestDraw, numbers[best]);
             if (ahead && hasCapacity.test(candidates[i])) {
                 best = i;
                 bestDraw = draw;
--- a/src/main/java/lilaclever/placement/ShardAssignment.java
+++ b/src/main/java/lilaclever/placement/ShardAssignment.java
@@ -50,7 +50,8 @@
     /** The member that is to have a shard which its present one can't keep; null if there is no other. */
     MemberState chooseMember(int shard) {
         MemberState current = table.target(shard);
-        MemberState chosen = ranking.first(shard, member -> member != current && member.occupiedShards() < member.capacity);
+        MemberState chosen =
+                ranking.first(shard, member -> member != current && member.occupiedShards() < member.capacity);
         if (chosen == null) {
             // Members that still give shards back count twice for a moment; what they will have is what matters.
             chosen = ranking.first(shard, member -> member != current && member.targeted.size() < member.capacity);
--- a/src/main/java/lilaclever/placement/ShardReassigner.java
+++ b/src/main/java/lilaclever/placement/ShardReassigner.java
@@ -24,7 +24,11 @@
     private final Queue<Integer> plannedMoves = new ArrayDeque<>();
     private final PriorityQueue<Revocation> revocations = new PriorityQueue<>(Revocation.EARLIEST_FIRST);
 
-    ShardReassigner(ShardTable table, ShardAssignment assignment, ControllerOutput output, ReassignmentRateLimiter rateLimiter) {
+    ShardReassigner(
+            ShardTable table,
+            ShardAssignment assignment,
+            ControllerOutput output,
+            ReassignmentRateLimiter rateLimiter) {
         this.table = table;
         this.assignment = assignment;
         this.output = output;
@@ -112,7 +116,8 @@
 
     /** Puts the end of all leases that cover revoked shards off to a time, if they end before it. */
     void postponeRevocations(long safeExpiryMicros) {
-        List<Revocation> pendingRevocations = revocations.stream().filter(this::isPending).toList();
+        List<Revocation> pendingRevocations =
+                revocations.stream().filter(this::isPending).toList();
         revocations.clear();
         for (Revocation revocation : pendingRevocations) {
             long freeAtMicros = Math.max(revocation.freeAtMicros(), safeExpiryMicros);
@@ -134,7 +139,8 @@
 
     /** When {@link #freeExpiredRevocations} or {@link #reassign} has something to do; Long.MAX_VALUE if never. */
     long nextDueMicros() {
-        long dueMicros = revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
+        long dueMicros =
+                revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
         long pending = pending();
         return pending == 0 ? dueMicros : Math.min(dueMicros, rateLimiter.readyAtMicros(pending));
     }
--- a/src/test/java/lilaclever/placement/AssignmentTest.java
+++ b/src/test/java/lilaclever/placement/AssignmentTest.java
@@ -295,7 +295,8 @@
             int unowned = region.unownedShards();
             region.run(SECOND_MICROS);
             int granted = unowned - region.unownedShards();
-            assertTrue(granted <= reassignmentsPerSecond + reassignmentsPerSecond / 10, "granted in a second: " + granted);
+            assertTrue(
+                    granted <= reassignmentsPerSecond + reassignmentsPerSecond / 10, "granted in a second: " + granted);
             assertTrue(++seconds < 2 * lost / reassignmentsPerSecond + 2, "too slow");
         }
         assertEquals(lost, region.shardsMovedSince(before));
--- a/src/test/java/lilaclever/placement/LeaseHolderTest.java
+++ b/src/test/java/lilaclever/placement/LeaseHolderTest.java
@@ -10,7 +10,8 @@
 
 class LeaseHolderTest {
     private static final long SECOND_MICROS = 1_000_000;
-    private static final LeaseTiming TIMING = new LeaseTiming(2 * SECOND_MICROS, 10 * SECOND_MICROS, 0.01, SECOND_MICROS);
+    private static final LeaseTiming TIMING =
+            new LeaseTiming(2 * SECOND_MICROS, 10 * SECOND_MICROS, 0.01, SECOND_MICROS);
     /** From the sending of a heartbeat: 10 s, less 1% of drift, less 1 s of margin. */
     private static final long SEND_PERIOD_MICROS = 8_900_000;
 
@@ -79,7 +80,8 @@
         assertPermitted(1, SEND_PERIOD_MICROS, 0);
         holder.heartbeat(SECOND_MICROS);
         renew(2, 2, SECOND_MICROS);
-        assertEquals(new SendPermission.Permitted(1, SECOND_MICROS + SEND_PERIOD_MICROS), holder.maySend(8, SECOND_MICROS));
+        assertEquals(
+                new SendPermission.Permitted(1, SECOND_MICROS + SEND_PERIOD_MICROS), holder.maySend(8, SECOND_MICROS));
     }
 
     @Test
@@ -233,7 +235,8 @@
                 holder.leaseRenewed(new ControllerEvent.LeaseRenewed(OTHER, INCARNATION, 1, 10 * SECOND_MICROS, 1), 0));
         assertEquals(
                 HolderResult.NOT_ADDRESSED,
-                holder.leaseRenewed(new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION - 1, 1, 10 * SECOND_MICROS, 1), 0));
+                holder.leaseRenewed(
+                        new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION - 1, 1, 10 * SECOND_MICROS, 1), 0));
         assertEquals(
                 HolderResult.NOT_ADDRESSED,
                 holder.assignmentChanged(new ControllerEvent.AssignmentChanged(
@@ -264,7 +267,8 @@
 
     private HolderResult renew(long sequence, long revision, long nowMicros) {
         return holder.leaseRenewed(
-                new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION, sequence, 10 * SECOND_MICROS, revision), nowMicros);
+                new ControllerEvent.LeaseRenewed(MEMBER, INCARNATION, sequence, 10 * SECOND_MICROS, revision),
+                nowMicros);
     }
 
     private static List<ShardGrant> grants(long epoch) {
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -216,7 +216,11 @@
         send(
                 process,
                 new ControllerCommand.Register(
-                        process.member, process.incarnation, process.member.number() % 2, 1, process.previousProcessEnded));
+                        process.member,
+                        process.incarnation,
+                        process.member.number() % 2,
+                        1,
+                        process.previousProcessEnded));
     }
 
     private void sendHeartbeat(Process process) {
@@ -276,7 +280,9 @@
             long waitMicros = process.clock.trueMicrosOf(waitChoices[random.nextInt(waitChoices.length)]);
             schedule(waitMicros, () -> startCall(process, shard, permitted.epoch()));
             // The same permission once more, long after: a message that was queued.
-            schedule(random.nextInt((int) (8 * TIMING.leaseMicros())), () -> startCall(process, shard, permitted.epoch()));
+            schedule(
+                    random.nextInt((int) (8 * TIMING.leaseMicros())),
+                    () -> startCall(process, shard, permitted.epoch()));
         }
         schedule(random.nextInt(2_000_000), () -> tryCall(process));
     }
--- a/src/test/java/lilaclever/placement/MapCodecProperties.java
+++ b/src/test/java/lilaclever/placement/MapCodecProperties.java
@@ -121,8 +121,7 @@
     }
 
     @Property(tries = 500, seed = "6")
-    void changedByteIsRejectedOrCanonical(
-            @ForAll("deltas") MapDelta delta, @ForAll int position, @ForAll byte value) {
+    void changedByteIsRejectedOrCanonical(@ForAll("deltas") MapDelta delta, @ForAll int position, @ForAll byte value) {
         byte[] bytes = MapCodec.encode(delta);
         bytes[Math.floorMod(position, bytes.length)] = value;
         try {
--- a/src/test/java/lilaclever/placement/PlacementControllerTest.java
+++ b/src/test/java/lilaclever/placement/PlacementControllerTest.java
@@ -47,7 +47,8 @@
         return controller.apply(new Register(member, incarnation, 0, 1, false), nowMicros);
     }
 
-    private List<ControllerEvent> heartbeat(MemberId member, long incarnation, long sequence, long revision, long nowMicros) {
+    private List<ControllerEvent> heartbeat(
+            MemberId member, long incarnation, long sequence, long revision, long nowMicros) {
         return controller.apply(new Heartbeat(member, incarnation, sequence, revision), nowMicros);
     }
 
@@ -94,7 +95,8 @@
         AssignmentChanged change = assignmentOf(A, events);
         assertEquals(new AssignmentChanged(A, 1, 0, 2, true, allShards(1), List.of()), change);
         assertTrue(eventsOfType(LeaseRenewed.class, events).isEmpty());
-        assertEquals(SHARDS, singleEvent(MapChanged.class, events).delta().changes().size());
+        assertEquals(
+                SHARDS, singleEvent(MapChanged.class, events).delta().changes().size());
         assertEquals(0, controller.shardsWithoutHolder());
 
         assertEquals(List.of(new LeaseRenewed(A, 1, 1, 4 * SECOND_MICROS, 2)), heartbeat(A, 1, 1, 2, 10));
@@ -115,7 +117,9 @@
         heartbeat(A, 1, 1, 2, 500);
         assertEquals(500 + SAFE_EXPIRY_DELAY_MICROS, nextDueAfterTheFirstLeaseCheck(A));
 
-        assertTrue(controller.apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS - 1).isEmpty());
+        assertTrue(controller
+                .apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS - 1)
+                .isEmpty());
         List<ControllerEvent> events = controller.apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS);
         assertEquals(new MemberExpired(A, 1), singleEvent(MemberExpired.class, events));
         assertEquals(SHARDS, controller.shardsWithoutHolder());
@@ -180,7 +184,9 @@
         heartbeat(A, 1, 2, change.toRevision(), 3 * SECOND_MICROS);
         heartbeat(A, 1, 3, change.toRevision(), 4 * SECOND_MICROS);
 
-        assertEquals(List.of(), eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), safeExpiryMicros - 1)));
+        assertEquals(
+                List.of(),
+                eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), safeExpiryMicros - 1)));
         List<ControllerEvent> events = controller.apply(new AdvanceTime(), safeExpiryMicros);
         List<ShardGrant> granted = assignmentOf(B, events).granted();
         assertEquals(
@@ -220,7 +226,9 @@
         heartbeat(B, 1, 7, 1, 30);
         List<ControllerEvent> events = controller.apply(new Release(A, 1, change.revoked()), 40);
         AssignmentChanged granted = assignmentOf(B, events);
-        assertEquals(new LeaseRenewed(B, 1, 7, 4 * SECOND_MICROS, granted.toRevision()), singleEvent(LeaseRenewed.class, events));
+        assertEquals(
+                new LeaseRenewed(B, 1, 7, 4 * SECOND_MICROS, granted.toRevision()),
+                singleEvent(LeaseRenewed.class, events));
         assertTrue(events.indexOf(granted) < events.indexOf(singleEvent(LeaseRenewed.class, events)));
         // The end that counts is that of the heartbeat, not of the grant.
         heartbeat(A, 1, 2, change.toRevision(), 2 * SECOND_MICROS);
@@ -239,7 +247,9 @@
         heartbeat(A, 2, 1, 1, 700_000);
 
         assertRejected(RejectionReason.STALE_INCARNATION, heartbeat(A, 1, 2, 2, SECOND_MICROS));
-        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS - 1))
+        assertTrue(eventsOfType(
+                        AssignmentChanged.class,
+                        controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS - 1))
                 .isEmpty());
         AssignmentChanged back = assignmentOf(A, controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(2, back.incarnation());
@@ -346,7 +356,8 @@
         assertEquals(Long.MAX_VALUE, nextDueAfterTheLastLeaseCheck());
 
         assertEquals(
-                allShards(2), assignmentOf(B, register(B, 1, 2 * SAFE_EXPIRY_DELAY_MICROS)).granted());
+                allShards(2),
+                assignmentOf(B, register(B, 1, 2 * SAFE_EXPIRY_DELAY_MICROS)).granted());
     }
 
     private long nextDueAfterTheLastLeaseCheck() {
@@ -417,7 +428,8 @@
         controller.apply(new AdvanceTime(), resumesAtMicros);
         controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1);
         assertEquals(List.of(A), controller.members());
-        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
+        singleEvent(
+                MemberExpired.class, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
         controller.apply(new AdvanceTime(), 0);
         assertRejected(RejectionReason.UNKNOWN_MEMBER, heartbeat(A, 1, 3, 2, 0));
     }
@@ -428,15 +440,19 @@
         register(A, 1, 10 * SECOND_MICROS);
         heartbeat(A, 1, 1, 2, 10 * SECOND_MICROS);
         heartbeat(A, 1, 2, 2, 3 * SECOND_MICROS);
-        int revoked = assignmentOf(A, register(B, 1, 3 * SECOND_MICROS)).revoked().size();
+        int revoked =
+                assignmentOf(A, register(B, 1, 3 * SECOND_MICROS)).revoked().size();
         long resumesAtMicros = 20 * SECOND_MICROS;
         assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), resumesAtMicros))
                 .isEmpty());
         heartbeat(A, 1, 3, 3, resumesAtMicros + SECOND_MICROS);
         heartbeat(B, 1, 1, 1, resumesAtMicros + SECOND_MICROS);
-        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1))
+        assertTrue(eventsOfType(
+                        AssignmentChanged.class,
+                        controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1))
                 .isEmpty());
-        AssignmentChanged granted = assignmentOf(B, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
+        AssignmentChanged granted =
+                assignmentOf(B, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(revoked, granted.granted().size());
     }
 
@@ -448,7 +464,9 @@
         controller.apply(new AdvanceTime(), 11 * SECOND_MICROS);
         controller.apply(new AdvanceTime(), 11 * SECOND_MICROS - 250_000);
         controller.apply(new AdvanceTime(), 12 * SECOND_MICROS);
-        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), 10 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS));
+        singleEvent(
+                MemberExpired.class,
+                controller.apply(new AdvanceTime(), 10 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS));
     }
 
     @Test
--- a/src/test/java/lilaclever/placement/PlacementFigures.java
+++ b/src/test/java/lilaclever/placement/PlacementFigures.java
@@ -30,7 +30,8 @@
             region.join(member, member % ZONES);
         }
         System.out.printf("%d members, %d shards, pace %d%n", members, shards, reassignmentsPerSecond);
-        System.out.printf("all members join at once: %.0f ms, with the harness%n", (System.nanoTime() - startNanos) / 1e6);
+        System.out.printf(
+                "all members join at once: %.0f ms, with the harness%n", (System.nanoTime() - startNanos) / 1e6);
         region.runUntilAllOwned(100_000);
         region.run(30 * SECOND_MICROS);
         System.out.printf(
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -82,7 +82,8 @@
         public String toString() {
             return "grants covered " + grantsCovered + ", expiries " + expiries + ", releases " + releases
                     + ", leaves completed " + leavesCompleted + ", restarts beside the old process "
-                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", held " + shardsWithASender + " of "
+                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", held " + shardsWithASender
+                    + " of "
                     + shardsChecked;
         }
     }
@@ -276,7 +277,8 @@
 
     private void deliverUntil(long endMicros) {
         while (true) {
-            long deliveryMicros = network.isEmpty() ? Long.MAX_VALUE : network.peek().atMicros();
+            long deliveryMicros =
+                    network.isEmpty() ? Long.MAX_VALUE : network.peek().atMicros();
             long dueMicros = controller.nextDueMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
                     : Math.max(nowMicros, controller.nextDueMicros() - clockOffsetMicros);
--- a/src/test/java/lilaclever/placement/RealSizeTest.java
+++ b/src/test/java/lilaclever/placement/RealSizeTest.java
@@ -41,15 +41,18 @@
         assertLoadBound(region);
 
         int[] beforeZoneLoss = region.owners();
-        int lostZone =
-                (int) Arrays.stream(beforeZoneLoss).filter(owner -> owner % ZONES == 1).count();
+        int lostZone = (int) Arrays.stream(beforeZoneLoss)
+                .filter(owner -> owner % ZONES == 1)
+                .count();
         region.kill(IntStream.range(0, MEMBERS)
                 .filter(member -> member % ZONES == 1)
                 .boxed()
                 .toList());
         region.run(TestRegion.TIMING.safeExpiryDelayMicros());
         long reassignmentMicros = region.runUntilAllOwned(2_000);
-        assertTrue(reassignmentMicros <= (lostZone / REASSIGNMENTS_PER_SECOND + 1) * SECOND_MICROS, () -> "microseconds until all owned: " + reassignmentMicros);
+        assertTrue(
+                reassignmentMicros <= (lostZone / REASSIGNMENTS_PER_SECOND + 1) * SECOND_MICROS,
+                () -> "microseconds until all owned: " + reassignmentMicros);
         region.run(SECOND_MICROS);
         assertEquals(lostZone, region.shardsMovedSince(beforeZoneLoss));
         assertLoadBound(region);
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -89,15 +89,18 @@
 
     @Test
     void fitFindsALineAndReportsTheResidualOfACurve() {
-        LinearFit line = LinearFit.fit(List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
+        LinearFit line = LinearFit.fit(
+                List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
         assertEquals(2, line.perUnit(), 1e-9);
         assertEquals(3, line.intercept(), 1e-9);
         assertEquals(23, line.valueAt(10), 1e-9);
         assertEquals(0, line.maxRelativeResidual(), 1e-9);
-        LinearFit square = LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
+        LinearFit square = LinearFit.fit(
+                List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
         assertTrue(square.maxRelativeResidual() > 0.1, square.toString());
         assertThrows(
-                IllegalArgumentException.class, () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
+                IllegalArgumentException.class,
+                () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
     }
 
     private Path folder(int number) throws IOException {
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -67,7 +67,12 @@
                 new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
-                settings(maxPendingMessages), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND_MICROS, 1), this);
+                settings(maxPendingMessages),
+                SEED,
+                journal,
+                counters,
+                new IdempotencyWindows(List.of(), SECOND_MICROS, 1),
+                this);
         core.add(this);
         core.runFirstTurn(listedEndpoints(destinations), 1);
     }
@@ -89,8 +94,26 @@
                 List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(
-                        MAX_ATTEMPTS, maxPendingMessages, SLOTS, true, false, false, 1, SECOND_MICROS, 5 * SECOND_MICROS, true, 2 * SECOND_MICROS),
-                new DecisionModule.Rules(20_000, 10 * SECOND_MICROS, SECOND_MICROS / 2, 0.24, 9_500_000, 1.5, 3 * SECOND_MICROS, 100_000));
+                        MAX_ATTEMPTS,
+                        maxPendingMessages,
+                        SLOTS,
+                        true,
+                        false,
+                        false,
+                        1,
+                        SECOND_MICROS,
+                        5 * SECOND_MICROS,
+                        true,
+                        2 * SECOND_MICROS),
+                new DecisionModule.Rules(
+                        20_000,
+                        10 * SECOND_MICROS,
+                        SECOND_MICROS / 2,
+                        0.24,
+                        9_500_000,
+                        1.5,
+                        3 * SECOND_MICROS,
+                        100_000));
     }
 
     private List<Core.ListedEndpoint> listedEndpoints(int destinations) {
@@ -214,8 +237,8 @@
     @Override
     public void abort(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
-        core.post(() -> messages.forEach(
-                message -> core.attemptEnded(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
+        core.post(() -> messages.forEach(message ->
+                core.attemptEnded(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
     }
 
     @Override
