--- a/src/main/java/lilaclever/placement/ControllerEvent.java
+++ b/src/main/java/lilaclever/placement/ControllerEvent.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** What follows from a command: messages to members, and news for whoever keeps the map. */
+/** Output of a command: messages to members and changes of the shard map. */
 public sealed interface ControllerEvent {
     /**
-     * To the member: its lease lasts for so long from the moment in which it sent the named heartbeat. The lease covers
-     * the shards of its assignment at the given revision, and no other.
+     * To the member: its lease lasts for {@code leaseMicros} from the moment at which it sent the named heartbeat. The
+     * lease covers only the shards of its assignment at the given revision.
      */
     record LeaseRenewed(MemberId member, long incarnation, long sequence, long leaseMicros, long revision)
             implements ControllerEvent {}
 
     /**
-     * To the member: its assignment has changed. It follows on {@code fromRevision}; a member that is at another one
-     * passes it over and says in its next heartbeat which one it has, and is then sent the whole assignment.
+     * To the member: its assignment has changed. The change applies to {@code fromRevision}; a member at another
+     * revision ignores it, reports its own revision in the next heartbeat, and is then sent the full assignment.
      *
-     * @param full   true if {@code granted} is the whole assignment, which replaces what the member has
+     * @param full   true if {@code granted} is the full assignment, which replaces the member's present one
      * @param granted shards that the member may send for once its lease covers {@code toRevision}
-     * @param revoked shards that the member must stop to send for, and then release
+     * @param revoked shards that the member must stop sending for and then release
      */
     record AssignmentChanged(
             MemberId member,
@@ -38,12 +38,12 @@
     /** To all forwarders, through the distribution tree: the shard map or the configuration's version has changed. */
     record MapChanged(MapDelta delta) implements ControllerEvent {}
 
-    /** A member's lease has surely ended without its leaving; its shards are granted to others. */
+    /** A member's lease has reached its safe expiry without the member leaving; its shards are granted to others. */
     record MemberExpired(MemberId member, long incarnation) implements ControllerEvent {}
 
-    /** To the member that is leaving: it holds no shard any more and may end. */
+    /** To the leaving member: it no longer holds any shard and may terminate. */
     record LeaveCompleted(MemberId member, long incarnation) implements ControllerEvent {}
 
-    /** To the sender: its command was passed over. */
+    /** To the sender: its command was rejected. */
     record CommandRejected(ControllerCommand command, RejectionReason reason) implements ControllerEvent {}
 }
--- a/src/main/java/lilaclever/placement/ControllerOutput.java
+++ b/src/main/java/lilaclever/placement/ControllerOutput.java
@@ -10,7 +10,7 @@
 import lilaclever.placement.ControllerEvent.MapChanged;
 import lilaclever.placement.MapDelta.OwnerChange;
 
-/** Gathers what follows from one command: at most one change of assignment for a member and one of the map. */
+/** Collects the events of one command: at most one assignment change for each member and one change of the map. */
 final class ControllerOutput {
     private final ControllerSettings settings;
     private final ShardTable table;
@@ -55,7 +55,7 @@
         changedMembers.add(member);
     }
 
-    /** Drops what was gathered for a process that is replaced or has ended. */
+    /** Drops the collected changes for a process that is replaced or has ended. */
     void discard(MemberState member) {
         changedMembers.remove(member);
     }
@@ -72,7 +72,7 @@
         return map.snapshot();
     }
 
-    /** Ends the command. */
+    /** Returns the events of the command and prepares for the next one. */
     List<ControllerEvent> finishCommand() {
         changedMembers.forEach(this::addMemberEvents);
         changedMembers.clear();
@@ -83,7 +83,7 @@
     }
 
     private void addMemberEvents(MemberState member) {
-        // A shard that was granted and revoked by the same command is only to be released.
+        // A shard that the same command granted and revoked is sent as revoked only.
         member.newlyGranted.removeAll(member.newlyRevoked);
         boolean changed = !member.newlyGranted.isEmpty() || !member.newlyRevoked.isEmpty();
         long previousRevision = member.revision;
@@ -102,7 +102,7 @@
                     member.newlyGranted,
                     member.newlyRevoked));
         }
-        // The renewal is for a heartbeat that was counted already: it covers new shards no longer than the old ones.
+        // The renewal answers a heartbeat that is already counted: new shards are covered no longer than old ones.
         if (member.lastSequence > 0 && (member.renewalDue || changed)) {
             events.add(new LeaseRenewed(
                     member.id,
--- a/src/main/java/lilaclever/placement/ControllerSettings.java
+++ b/src/main/java/lilaclever/placement/ControllerSettings.java
@@ -4,33 +4,33 @@
  * Settings of a region's controller.
  *
  * @param region                    number of the region, from 0
- * @param shards                    number of shards of the region, 1 to {@link #MAX_SHARDS}; it never changes
+ * @param shards                    number of shards of the region, 1 to {@link #MAX_SHARDS}; fixed for a region
  * @param zones                     number of zones of the region, 1 to {@link #MAX_ZONES}
- * @param loadBound                 most shards of a member relative to its share by weight, 1 to {@link
+ * @param loadBound                 maximum ratio of a member's shards to its share by weight, 1 to {@link
  *                                  #MAX_LOAD_BOUND}
- * @param timing                    times of the leases
- * @param maxReassignmentsPerSecond most shards a second that are given to another member than before, 1 to
- *                                  {@link #MAX_REASSIGNMENTS_PER_SECOND}
+ * @param timing                    lease timing
+ * @param maxReassignmentsPerSecond maximum number of shards per second that change their member, 1 to {@link
+ *                                  #MAX_REASSIGNMENTS_PER_SECOND}
  */
 public record ControllerSettings(
         int region, int shards, int zones, double loadBound, LeaseTiming timing, int maxReassignmentsPerSecond) {
-    /** Most shards of a region. */
+    /** Maximum number of shards of a region. */
     public static final int MAX_SHARDS = 1 << 20;
-    /** Most zones of a region. */
+    /** Maximum number of zones of a region. */
     public static final int MAX_ZONES = 1024;
-    /** Greatest bound on load: above it the bound would no longer bind. */
+    /** Maximum load bound: a greater one would have no effect in practice. */
     public static final double MAX_LOAD_BOUND = 10;
-    /** Highest pace of reassignment. */
+    /** Maximum rate of reassignment. */
     public static final int MAX_REASSIGNMENTS_PER_SECOND = 1_000_000;
-    /** Least weight of a member. */
+    /** Minimum weight of a member. */
     public static final double MIN_WEIGHT = 0.01;
-    /** Greatest weight of a member. */
+    /** Maximum weight of a member. */
     public static final double MAX_WEIGHT = 100;
 
     /**
      * Checks each field.
      *
-     * @throws IllegalArgumentException if a field is out of its range; the message names it
+     * @throws IllegalArgumentException if a field is out of range; the message names the field
      */
     public ControllerSettings {
         requireRange("region", region, 0, Integer.MAX_VALUE);
--- a/src/main/java/lilaclever/placement/DeltaBatch.java
+++ b/src/main/java/lilaclever/placement/DeltaBatch.java
@@ -6,8 +6,8 @@
 import lilaclever.placement.MapDelta.OwnerChange;
 
 /**
- * Gathers deltas of one region that follow on one another into one, so that many changes in a short time cost one
- * message through the tree. Of several changes of a shard only the last is kept.
+ * Merges consecutive deltas of one region, so that many changes in a short time cost one message through the
+ * distribution tree. Of several changes of a shard only the last is retained.
  */
 public final class DeltaBatch {
     private final TreeMap<Integer, OwnerChange> changes = new TreeMap<>();
@@ -17,7 +17,7 @@
     /**
      * Adds a delta.
      *
-     * @throws IllegalArgumentException if it does not follow on the last one, or is of another region
+     * @throws IllegalArgumentException if it does not follow the last delta or belongs to another region
      */
     public void add(MapDelta delta) {
         if (last != null && (delta.fromVersion() != last.toVersion() || delta.region() != last.region())) {
@@ -39,9 +39,9 @@
     }
 
     /**
-     * Takes what was gathered, as one delta.
+     * Removes the collected deltas and returns them merged into one.
      *
-     * @throws IllegalStateException if there is nothing
+     * @throws IllegalStateException if the batch is empty
      */
     public MapDelta take() {
         if (first == null) {
--- a/src/main/java/lilaclever/placement/DistributionTree.java
+++ b/src/main/java/lilaclever/placement/DistributionTree.java
@@ -13,12 +13,12 @@
 
 /**
  * Tree through which a region's controller sends deltas of the map to all forwarders. The controller sends to one
- * forwarder in each zone; below it, each forwarder sends to a bounded number of others of its zone. Everybody who has
- * the same member list and version builds the same tree; with another version others are the inner nodes, so that the
- * cost of passing on goes round.
+ * forwarder in each zone, the zone's head; from there on each forwarder sends to a bounded number of others of its
+ * zone. The same member list and version always give the same tree; another version has other inner nodes, so that the
+ * cost of forwarding is spread over all members.
  */
 public final class DistributionTree {
-    /** Most children of a forwarder. */
+    /** Maximum number of children of a forwarder. */
     public static final int MAX_DEGREE = 256;
 
     private final int degree;
@@ -34,10 +34,10 @@
     /**
      * Builds the tree.
      *
-     * @param members the forwarders of the region in any order, each once
+     * @param members the forwarders of the region in any order, without duplicates
      * @param version version of the member list
-     * @param degree  most children of a forwarder, 1 to {@link #MAX_DEGREE}
-     * @throws IllegalArgumentException if the degree is out of its range or a member comes twice
+     * @param degree  maximum number of children of a forwarder, 1 to {@link #MAX_DEGREE}
+     * @throws IllegalArgumentException if the degree is out of range or a member is listed twice
      */
     public DistributionTree(Collection<TreeMember> members, long version, int degree) {
         if (degree < 1 || degree > MAX_DEGREE) {
@@ -51,13 +51,13 @@
         zones.values().forEach(zone -> addZone(zone, version));
     }
 
-    /** Forwarders that the controller sends to, one in each zone. */
+    /** The forwarders that the controller sends to, one in each zone. */
     public List<MemberId> heads() {
         return List.copyOf(heads);
     }
 
     /**
-     * Forwarders that a forwarder sends to.
+     * The forwarders that a forwarder sends to.
      *
      * @throws IllegalArgumentException if it is not in the tree
      */
@@ -70,7 +70,7 @@
     }
 
     /**
-     * Who sends to a forwarder; empty if it is the controller.
+     * The forwarder that sends to this one; empty if the controller does.
      *
      * @throws IllegalArgumentException if the forwarder is not in the tree
      */
@@ -82,7 +82,7 @@
         return Optional.of(node.zoneOrder().get((node.index() - 1) / degree));
     }
 
-    /** How many sends after the controller's decision a forwarder has a delta: 1 for the heads. */
+    /** Number of hops from the controller to a forwarder: 1 for the heads. */
     public int depthOf(MemberId member) {
         int levels = 1;
         for (Optional<MemberId> parent = parentOf(member); parent.isPresent(); parent = parentOf(parent.get())) {
@@ -91,13 +91,13 @@
         return levels;
     }
 
-    /** Greatest depth of a forwarder; 0 in an empty region. */
+    /** Maximum depth of a forwarder; 0 in an empty region. */
     public int depth() {
         return depth;
     }
 
     /**
-     * Whom a forwarder sends to while some have failed: in place of a failed child, that child's children.
+     * The forwarders that one sends to while some have failed: a failed child is replaced by its own children.
      *
      * @throws IllegalArgumentException if the forwarder is not in the tree
      */
@@ -105,7 +105,7 @@
         return replaceFailed(childrenOf(member), failed);
     }
 
-    /** Whom the controller sends to while some have failed: in place of a failed head, that head's children. */
+    /** The forwarders that the controller sends to while some have failed: its children replace a failed head. */
     public List<MemberId> controllerReceivers(Set<MemberId> failed) {
         return replaceFailed(heads, failed);
     }
@@ -127,7 +127,7 @@
                 .thenComparing(Comparator.naturalOrder()));
         for (int index = 0; index < zone.size(); index++) {
             if (nodes.put(zone.get(index), new Node(zone, index)) != null) {
-                throw new IllegalArgumentException("member " + zone.get(index).number() + " comes twice");
+                throw new IllegalArgumentException("member " + zone.get(index).number() + " is listed twice");
             }
         }
         heads.add(zone.get(0));
--- a/src/main/java/lilaclever/placement/HolderResult.java
+++ b/src/main/java/lilaclever/placement/HolderResult.java
@@ -1,25 +1,25 @@
 package lilaclever.placement;
 
-/** What a holder did with an input. Whatever is not {@link #APPLIED} has changed nothing that it may send for. */
+/** Result of an input to a {@link LeaseHolder}. Only {@link #APPLIED} changes what the holder may send for. */
 public enum HolderResult {
-    /** The input was taken in. */
+    /** The input was applied. */
     APPLIED,
-    /** The message is for another member, or for another life of this member's process. */
+    /** The message is for another member, or for another process run of this member. */
     NOT_ADDRESSED,
-    /** The assignment is at this revision or past it already. */
+    /** The assignment already has this revision or a later one. */
     STALE_REVISION,
-    /** The whole assignment at the present revision again: what has been stopped is released once more. */
+    /** The full assignment at the present revision again: the revoked shards are released once more. */
     REPEATED,
-    /** The assignment follows on a revision that the holder has not got; its next heartbeat says which one it has. */
+    /** The change applies to a revision that the holder does not have; its next heartbeat reports the one it has. */
     REVISION_GAP,
-    /** A grant has an older epoch than the holder has seen for the shard; the whole message is passed over. */
+    /** A grant has an older epoch than the holder has seen for the shard; the whole message is ignored. */
     OLDER_EPOCH,
-    /** The renewal names a heartbeat that was never sent, or one too long ago to be remembered. */
+    /** The renewal names a heartbeat that was never sent, or one sent too long ago to be remembered. */
     UNKNOWN_HEARTBEAT,
-    /** The renewal came so late that the lease which it gives is over already. */
+    /** The renewal came so late that its lease has already expired. */
     LEASE_EXPIRED,
-    /** A call was to be started without permission: the shard is not held, not covered, or its lease is over. */
+    /** A call was started without permission: the shard is not assigned, not covered, or its lease has expired. */
     NOT_PERMITTED,
-    /** A call was ended that is not out. */
+    /** The call that ended is not in flight. */
     UNKNOWN_CALL
 }
--- a/src/main/java/lilaclever/placement/LeaseGuards.java
+++ b/src/main/java/lilaclever/placement/LeaseGuards.java
@@ -1,8 +1,8 @@
 package lilaclever.placement;
 
 /**
- * The conditions that keep two members from sending for one shard, each in one place. Tests replace one at a time by a
- * faulty one and require that the checker notices.
+ * The conditions that keep two members from sending for one shard, each in one place. Tests replace one at a time with
+ * a faulty one and require that the checker detects it.
  */
 class LeaseGuards {
     private final LeaseTiming timing;
@@ -11,27 +11,27 @@
         this.timing = timing;
     }
 
-    /** Length of a lease by the holder's clock, shortened by what that clock may be slower than the controller's. */
+    /** Length of a lease by the holder's clock, shortened by its possible lag behind the controller's. */
     long driftAdjustedMicros(long leaseMicros) {
         return (long) (leaseMicros * (1 - timing.maxDrift()));
     }
 
-    /** End of sending, given the end of the lease: earlier by the margin. */
+    /** End of the permission to send for a lease that ends at the given time: earlier by the margin. */
     long sendUntilMicros(long leaseEndMicros) {
         return leaseEndMicros - timing.marginMicros();
     }
 
-    /** Whether the time to send is over. */
+    /** Whether the permission to send has expired. */
     boolean expired(long nowMicros, long untilMicros) {
         return nowMicros >= untilMicros;
     }
 
-    /** Whether an epoch is older than the least one that may still be used. */
+    /** Whether an epoch is older than the lowest one that is still valid. */
     boolean isOlderEpoch(long epoch, long minEpoch) {
         return epoch < minEpoch;
     }
 
-    /** Whether a renewal for one revision covers a shard that came with another, while a third one is applied. */
+    /** Whether a renewal for one revision covers a shard granted with another, given the revision that is applied. */
     boolean covers(long renewedRevision, long grantedRevision, long appliedRevision) {
         return grantedRevision <= renewedRevision && renewedRevision <= appliedRevision;
     }
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * The forwarder's side of ownership by lease: which shards one life of a forwarder's process may send for. It does no
- * I/O and reads no clock; every reading that it is given is microseconds of one monotonic clock of the process.
+ * The forwarder's side of ownership by lease: tracks which shards one process run of a forwarder may send for. It does
+ * no I/O and reads no clock; every {@code nowMicros} is a reading of one monotonic clock of the process.
  *
- * <p>A lease runs from the moment in which the heartbeat that it answers was sent, and covers the shards of one
- * revision of the assignment. A holder that is cut off therefore stops by itself, before the controller grants its
- * shards anew. Messages may be lost, doubled, late and in any order. A clock that is seen to step back ends all leases
- * at once, as the time since the heartbeats is then unknown; a step that falls between two readings counts as drift.
+ * <p>A lease runs from the moment at which the renewed heartbeat was sent, and covers the shards of one revision of
+ * the assignment. A holder that is cut off therefore stops by itself before the controller grants its shards again.
+ * Messages may be lost, duplicated, delayed and reordered. A clock reading that goes backward ends all leases at once,
+ * as the time since the heartbeats is then unknown; a backward step hidden between two readings counts as drift.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class LeaseHolder {
     private final MemberId member;
@@ -30,17 +30,17 @@
     private final RenewalHistory renewals;
 
     private final Map<Integer, AssignedShard> assigned = new HashMap<>();
-    /** The least epoch that may still be granted, for each shard that was ever assigned; bounded by the shards. */
+    /** Lowest epoch that may still be granted, for each shard ever assigned; at most one entry for each shard. */
     private final Map<Integer, Long> minEpochs = new HashMap<>();
-    /** Calls out for grants that were revoked; an entry goes with its last call. */
+    /** Number of calls in flight for each revoked grant; the entry is removed with its last call. */
     private final Map<ShardGrant, Integer> draining = new HashMap<>();
-    /** What is to be released. */
+    /** Grants for the next release. */
     private final Set<ShardGrant> pendingReleases = new LinkedHashSet<>();
 
     private long appliedRevision;
     private long latestReadingMicros = Long.MIN_VALUE;
 
-    /** A shard of the assignment. */
+    /** An assigned shard. */
     private static final class AssignedShard {
         final long epoch;
         final long grantedRevision;
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Makes a holder without shards.
+     * Creates a holder without shards.
      *
-     * @param incarnation number of the process's life, the one that it registers with
+     * @param incarnation number of the process run, the one it registers with
      */
     public LeaseHolder(MemberId member, long incarnation, LeaseTiming timing) {
         this(member, incarnation, timing, new LeaseGuards(timing));
@@ -69,13 +69,13 @@
         this.renewals = new RenewalHistory(guards);
     }
 
-    /** Makes the next heartbeat, which has to be sent now or later; its renewal counts from now. */
+    /** Creates the next heartbeat, to be sent now or later; its lease counts from now. */
     public ControllerCommand.Heartbeat heartbeat(long nowMicros) {
         checkClock(nowMicros);
         return new ControllerCommand.Heartbeat(member, incarnation, heartbeats.recordSent(nowMicros), appliedRevision);
     }
 
-    /** Takes in a renewal. It never shortens a lease, and never lengthens one beyond what its heartbeat gives. */
+    /** Applies a renewal. It never shortens a lease, and never extends one beyond what its heartbeat allows. */
     public HolderResult leaseRenewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
         checkClock(nowMicros);
         if (!isForThisProcess(renewal.member(), renewal.incarnation())) {
@@ -95,7 +95,7 @@
     }
 
     /**
-     * Takes in a change of the assignment: as a whole, or not at all. What it revokes is stopped before this returns.
+     * Applies a change of the assignment completely or not at all. The revoked shards are stopped on return.
      */
     public HolderResult assignmentChanged(ControllerEvent.AssignmentChanged change) {
         if (!isForThisProcess(change.member(), change.incarnation())) {
@@ -125,7 +125,7 @@
         return HolderResult.APPLIED;
     }
 
-    /** Takes in a change of the map: a shard that another owns by now, under a newer epoch, is stopped at once. */
+    /** Applies a change of the map: a shard that another member owns under a newer epoch is stopped at once. */
     public HolderResult ownerChanged(MapDelta.OwnerChange change) {
         AssignedShard assignedShard = assigned.get(change.shard());
         boolean ownedByAnother = change.owner() != null && !change.owner().equals(member);
@@ -159,10 +159,10 @@
     }
 
     /**
-     * Notes a call as out, under a permission that was given before.
+     * Records the start of a call under a permission that was given before.
      *
-     * @return {@code APPLIED} if the call may go; {@code OLDER_EPOCH} if the permission is of an earlier grant, and
-     *         {@code NOT_PERMITTED} if there is none now
+     * @return {@code APPLIED} if the call may start; {@code OLDER_EPOCH} if the permission belongs to an earlier grant,
+     *         and {@code NOT_PERMITTED} if there is no permission now
      */
     public HolderResult callStarted(int shard, long epoch, long nowMicros) {
         if (!(maySend(shard, nowMicros) instanceof SendPermission.Permitted)) {
@@ -176,7 +176,7 @@
         return HolderResult.APPLIED;
     }
 
-    /** Notes a call as ended, with an answer or without. A revoked shard is released with its last call. */
+    /** Records the end of a call, answered or not. A revoked shard is released with its last call. */
     public HolderResult callFinished(int shard, long epoch) {
         AssignedShard assignedShard = assigned.get(shard);
         if (assignedShard != null && assignedShard.epoch == epoch) {
@@ -204,9 +204,9 @@
     }
 
     /**
-     * The shards to give back, if there are any: revoked, and without a call out. To be asked after an assignment has
-     * changed and after a call has ended. If the release is lost, the controller repeats the assignment and is answered
-     * by another release.
+     * The release to send, if any: of shards that are revoked and without a call in flight. To be called after each
+     * change of the assignment and each end of a call. If the release is lost, the controller repeats the assignment,
+     * which produces another release.
      */
     public Optional<ControllerCommand.Release> takeRelease() {
         if (pendingReleases.isEmpty()) {
@@ -217,7 +217,7 @@
         return Optional.of(new ControllerCommand.Release(member, incarnation, shards));
     }
 
-    /** Revision of the assignment that is applied; 0 before the first. */
+    /** Applied revision of the assignment; 0 before the first. */
     public long appliedRevision() {
         return appliedRevision;
     }
@@ -261,7 +261,7 @@
         }
     }
 
-    /** Stops a grant and releases it, also one that was never seen or was released before. */
+    /** Stops a grant and releases it, even one that was never received or was already released. */
     private void revokeAndRelease(ShardGrant grant) {
         revoke(grant.shard(), grant.epoch());
         minEpochs.merge(grant.shard(), grant.epoch() + 1, Math::max);
--- a/src/main/java/lilaclever/placement/LeaseTiming.java
+++ b/src/main/java/lilaclever/placement/LeaseTiming.java
@@ -1,19 +1,19 @@
 package lilaclever.placement;
 
 /**
- * Times of the leases, in microseconds, the same at the controller and at each holder.
+ * Lease timing in microseconds, identical at the controller and at each holder.
  *
  * @param heartbeatMicros time between two heartbeats of a member
  * @param leaseMicros     length of a lease, measured by the holder from the sending of the heartbeat that renewed it
  *                        and by the controller from that heartbeat's arrival
  * @param maxDrift        bound on how much the rates of two monotonic clocks differ, as a ratio (0.001 is 1 ms a
  *                        second)
- * @param marginMicros    how long before the end of its lease a holder stops to send, and how long after it the
- *                        controller waits before it grants the shard anew
+ * @param marginMicros    how long before the end of its lease a holder stops sending, and how long after that end the
+ *                        controller waits before it grants the shard again
  */
 public record LeaseTiming(long heartbeatMicros, long leaseMicros, double maxDrift, long marginMicros) {
     /**
-     * Checks the times against each other.
+     * Checks that the times are consistent.
      *
      * @throws IllegalArgumentException if a time is not positive, the drift is not in [0, 0.1), or less than two
      *         heartbeats and both margins fit into a lease
@@ -28,8 +28,9 @@
     }
 
     /**
-     * Time after the arrival of a heartbeat, by the controller's clock, after which the lease that it renewed has
-     * surely ended at the holder: the lease by the slowest clock that the drift allows, and the margin.
+     * Delay from the arrival of a heartbeat, by the controller's clock, to the safe expiry of the lease it renewed.
+     * From then on the lease has certainly ended at the holder: this is the lease measured by the slowest clock that
+     * the drift allows, plus the margin.
      */
     public long safeExpiryDelayMicros() {
         return (long) Math.ceil(leaseMicros / (1 - maxDrift)) + marginMicros;
--- a/src/main/java/lilaclever/placement/MapCodec.java
+++ b/src/main/java/lilaclever/placement/MapCodec.java
@@ -7,12 +7,12 @@
 import lilaclever.placement.MapFormatException.Problem;
 
 /**
- * The shard map on the wire. Numbers are written in groups of seven bits, the lowest first, with the eighth bit set on
- * all bytes but the last (LEB128), and never longer than needed.
+ * Wire format of the shard map. Numbers are unsigned LEB128: groups of seven bits, the lowest first, with the eighth
+ * bit set on all bytes but the last, in the shortest form.
  *
  * <ul>
  * <li>Delta: {@code 'D'}, region, from-version, versions from there to to-version, configuration version, number of
- * changes, and for each change by ascending shard: distance from the shard before (the first from -1), owner's number
+ * changes, and for each change by ascending shard: distance from the previous shard (the first from -1), owner's number
  * plus 1 or 0 for none, epoch.
  * <li>Snapshot: {@code 'S'}, region, version, configuration version, number of shards, and for each shard from 0:
  * owner's number plus 1 or 0 for none, epoch.
@@ -31,7 +31,7 @@
     private MapCodec() {}
 
     /**
-     * Bytes of a delta.
+     * Encodes a delta.
      *
      * @throws IllegalArgumentException if the changes are not sorted by shard, a number is negative, or
      *         {@code toVersion} is not after {@code fromVersion}
@@ -56,7 +56,7 @@
         return out.toByteArray();
     }
 
-    /** Bytes of a snapshot. */
+    /** Encodes a snapshot. */
     public static byte[] encode(MapSnapshot snapshot) {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         out.write(SNAPSHOT_TAG);
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Reads a delta.
+     * Decodes a delta.
      *
-     * @throws MapFormatException if the bytes are not exactly one delta in the form that {@link #encode} writes
+     * @throws MapFormatException if the bytes are not exactly one delta as {@link #encode} writes it
      */
     public static MapDelta decodeDelta(byte[] bytes) throws MapFormatException {
         Reader in = new Reader(bytes, DELTA_TAG);
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Reads a snapshot.
+     * Decodes a snapshot.
      *
-     * @throws MapFormatException if the bytes are not exactly one snapshot in the form that {@link #encode} writes
+     * @throws MapFormatException if the bytes are not exactly one snapshot as {@link #encode} writes it
      */
     public static MapSnapshot decodeSnapshot(byte[] bytes) throws MapFormatException {
         Reader in = new Reader(bytes, SNAPSHOT_TAG);
@@ -147,7 +147,7 @@
         out.write((int) remaining);
     }
 
-    /** Reads numbers from front to back and never past the end. */
+    /** Reads numbers sequentially, never past the end. */
     private static final class Reader {
         private final byte[] bytes;
         private int offset;
@@ -191,7 +191,7 @@
             return (int) (readLongUpTo(Integer.MAX_VALUE + 1L) - 1);
         }
 
-        /** How many entries follow, each of so many bytes at least. */
+        /** Number of entries that follow, each of at least {@code minEntryBytes} bytes. */
         int readCount(int minEntryBytes) throws MapFormatException {
             long count = readLong();
             if (count > ControllerSettings.MAX_SHARDS) {
--- a/src/main/java/lilaclever/placement/MapFormatException.java
+++ b/src/main/java/lilaclever/placement/MapFormatException.java
@@ -1,22 +1,22 @@
 package lilaclever.placement;
 
-/** Bytes that are no delta or snapshot of a shard map. */
+/** Thrown for bytes that are not a valid delta or snapshot of a shard map. */
 public final class MapFormatException extends Exception {
     private static final long serialVersionUID = 1;
 
     /** What is wrong with the bytes. */
     public enum Problem {
-        /** The first byte is not the mark of what was expected. */
+        /** The first byte is not the tag of the expected type. */
         WRONG_KIND,
-        /** The bytes end too early, or are too few for the number of entries that they announce. */
+        /** The bytes end too early, or are too few for the announced number of entries. */
         TRUNCATED,
         /** The number of entries is above {@link ControllerSettings#MAX_SHARDS}. */
         OVERSIZED,
-        /** A number is written with more bytes than it needs, or is out of its range. */
+        /** A number is not in its shortest form or is out of range. */
         INVALID_NUMBER,
-        /** The shards are not in ascending order, or one comes twice. */
+        /** The shards are not in strictly ascending order. */
         UNSORTED,
-        /** Bytes follow after the end. */
+        /** Bytes follow the end of the message. */
         TRAILING_BYTES
     }
 
--- a/src/main/java/lilaclever/placement/MapSnapshot.java
+++ b/src/main/java/lilaclever/placement/MapSnapshot.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** A region's whole shard map at one version. Immutable. */
+/** A region's complete shard map at one version. Immutable. */
 public final class MapSnapshot {
     static final int NO_OWNER = -1;
     private final int region;
@@ -11,7 +11,7 @@
     private final int[] owners;
     private final long[] epochs;
 
-    /** Takes the arrays over: owners are member numbers or {@link #NO_OWNER}. */
+    /** Takes ownership of the arrays; owners are member numbers or {@link #NO_OWNER}. */
     MapSnapshot(int region, long version, long configurationVersion, int[] owners, long[] epochs) {
         this.region = region;
         this.version = version;
@@ -30,7 +30,7 @@
         return version;
     }
 
-    /** Version of the configuration that is in force with it. */
+    /** Version of the configuration in force with this map version. */
     public long configurationVersion() {
         return configurationVersion;
     }
@@ -40,7 +40,7 @@
         return owners.length;
     }
 
-    /** The shard's owner; null while nobody may send for it. */
+    /** The shard's owner; null while no member may send for it. */
     public MemberId ownerOf(int shard) {
         return owners[shard] == NO_OWNER ? null : new MemberId(owners[shard]);
     }
@@ -50,7 +50,7 @@
         return epochs[shard];
     }
 
-    /** Size of this snapshot as {@link MapCodec} writes it, bytes. */
+    /** Size of this snapshot in bytes as {@link MapCodec} encodes it. */
     public int encodedBytes() {
         return MapCodec.encode(this).length;
     }
--- a/src/main/java/lilaclever/placement/MapUpdate.java
+++ b/src/main/java/lilaclever/placement/MapUpdate.java
@@ -1,11 +1,11 @@
 package lilaclever.placement;
 
-/** What became of a delta that was given to a shard map. */
+/** Result of applying a delta or snapshot to a shard map. */
 public enum MapUpdate {
-    /** The map is at the delta's version now. */
+    /** The map now has the given version. */
     APPLIED,
-    /** The map was at that version or a later one already; nothing has changed. */
+    /** The map already had that version or a later one; nothing has changed. */
     ALREADY_APPLIED,
-    /** Deltas before this one are missing; nothing has changed, and a snapshot or the missing ones are needed. */
+    /** Earlier deltas are missing; nothing has changed, and the missing deltas or a snapshot are needed. */
     GAP
 }
--- a/src/main/java/lilaclever/placement/MemberId.java
+++ b/src/main/java/lilaclever/placement/MemberId.java
@@ -1,6 +1,6 @@
 package lilaclever.placement;
 
-/** A forwarder's number, unique in the fleet and kept across restarts of its process. */
+/** A forwarder's number, unique in the fleet and stable across restarts of its process. */
 public record MemberId(int number) implements Comparable<MemberId> {
     /**
      * Checks the number.
--- a/src/main/java/lilaclever/placement/MemberState.java
+++ b/src/main/java/lilaclever/placement/MemberState.java
@@ -3,38 +3,38 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the controller knows of one life of a forwarder's process. */
+/** The controller's state of one process run of a forwarder. */
 final class MemberState {
     final MemberId id;
     final long incarnation;
     final int zone;
     final double weight;
-    /** The member has asked to hand its shards over. */
+    /** Whether the member has asked to hand its shards over. */
     boolean leaving;
-    /** Revision of its assignment. */
+    /** Revision of the member's assignment. */
     long revision;
-    /** Revision that it had applied by its last heartbeat. */
+    /** Revision reported as applied by the last heartbeat. */
     long appliedRevision;
-    /** Its last heartbeat; 0 before the first. */
+    /** Sequence number of the last heartbeat; 0 before the first. */
     long lastSequence;
-    /** When its lease has surely ended, by the controller's clock, microseconds. */
+    /** Safe expiry of the member's lease by the controller's clock. */
     long leaseSafeExpiryMicros;
-    /** Most shards that it may have. */
+    /** Maximum number of shards of the member. */
     int capacity;
-    /** Shards that it may send for, also those that are being revoked. */
+    /** Shards that the member may send for, including those being revoked. */
     final ShardSet held = new ShardSet();
-    /** Shards that it has or is to get. */
+    /** Shards that the member has or is to get. */
     final ShardSet targeted = new ShardSet();
-    /** How many shards are in both sets. */
+    /** Number of shards in both sets. */
     int heldAndTargeted;
 
-    /** Changes of its assignment in the command under way. */
+    /** Changes of the assignment by the current command. */
     final List<ShardGrant> newlyGranted = new ArrayList<>();
 
     final List<ShardGrant> newlyRevoked = new ArrayList<>();
-    /** It has to be sent its whole assignment, because it has registered or missed a change. */
+    /** Whether the full assignment has to be sent, because the member has registered or missed a change. */
     boolean fullAssignmentDue;
-    /** Its lease has been renewed by the command under way. */
+    /** Whether the current command renewed the member's lease. */
     boolean renewalDue;
 
     MemberState(MemberId id, long incarnation, int zone, double weight) {
@@ -44,7 +44,7 @@
         this.weight = weight;
     }
 
-    /** Shards that it has or is to get, with those that it still has to give back. */
+    /** Number of shards that the member has, is to get, or still has to release. */
     int occupiedShards() {
         return held.size() + targeted.size() - heldAndTargeted;
     }
--- a/src/main/java/lilaclever/placement/PlacementController.java
+++ b/src/main/java/lilaclever/placement/PlacementController.java
@@ -19,17 +19,17 @@
 import lilaclever.placement.ControllerEvent.MemberExpired;
 
 /**
- * Controller of a region's shards: a deterministic state machine for one thread, without I/O and without a clock of its
- * own. The same commands at the same times give the same events, so that a replicated log can carry the commands.
+ * Controller of a region's shards: a deterministic, single-threaded state machine without I/O and without a clock of
+ * its own. The same commands at the same times give the same events, so that a replicated log can supply the
+ * commands.
  *
- * <p>At any time at most one process may send for a shard. A shard is granted only when nobody may send for it: before
- * the first grant, after its holder's release, after the holder's process is known to have ended, or after the last
- * lease that covered it has surely ended ({@link LeaseTiming#safeExpiryDelayMicros()} after the arrival of the
- * heartbeat that
- * renewed it last). From the moment in which a shard is revoked, no renewal covers it.
+ * <p>At any time at most one process may send for a shard. A shard is granted only while no process may send for it:
+ * before the first grant, after its holder's release, after the holder's process is known to have ended, or from the
+ * safe expiry of the last lease that covered it ({@link LeaseTiming#safeExpiryDelayMicros()} after the arrival of the
+ * heartbeat that renewed it last). Once a shard is revoked, no renewal covers it.
  */
 public final class PlacementController {
-    /** Most member numbers whose incarnations are kept. */
+    /** Maximum number of members whose incarnations are retained. */
     public static final int MAX_MEMBERS = 1 << 16;
 
     private final ControllerSettings settings;
@@ -37,16 +37,16 @@
     private final ControllerOutput output;
     private final ShardReassigner reassigner;
     private final TreeMap<MemberId, MemberState> members = new TreeMap<>();
-    /** The last incarnation of each member number that ever registered; at most {@link #MAX_MEMBERS}. */
+    /** The last incarnation of each member that ever registered; at most {@link #MAX_MEMBERS} entries. */
     private final Map<MemberId, LastIncarnation> incarnations = new HashMap<>();
-    /** For each member one entry, at its lease's end or earlier. */
+    /** One entry for each member, due at its lease's safe expiry or earlier. */
     private final PriorityQueue<LeaseCheck> leaseChecks = new PriorityQueue<>(LeaseCheck.EARLIEST_FIRST);
 
     private long nowMicros = Long.MIN_VALUE;
-    /** A reading was before the latest one by more than the margin, and none has reached that one since. */
+    /** Whether a reading was behind the latest one by more than the margin, and none has reached it since. */
     private boolean clockSetBack;
 
-    /** Controller of a region without members. */
+    /** Creates the controller of a region without members. */
     public PlacementController(ControllerSettings settings) {
         this.settings = settings;
         this.table = new ShardTable(settings.shards());
@@ -56,13 +56,12 @@
     }
 
     /**
-     * Takes a command in.
+     * Executes a command.
      *
-     * @param nowMicros reading of a monotonic clock, microseconds. One before the latest that was given counts as that
-     *                  one.
-     *                  If it is before it by more than the margin, the clock was set back, and nobody knows how long it
-     *                  took until it goes on from there: all leases then count as renewed at that moment
-     * @return what follows, in the order in which each receiver has to get it
+     * @param nowMicros reading of a monotonic clock. A reading behind the latest one counts as the latest one. If it is
+     *                  behind by more than the margin, the clock was set back, and the time that passes until it
+     *                  reaches the latest reading again is unknown: all leases then count as renewed at that moment
+     * @return the resulting events, in the order in which each receiver has to get them
      */
     public List<ControllerEvent> apply(ControllerCommand command, long nowMicros) {
         advanceTo(nowMicros);
@@ -74,36 +73,36 @@
         return output.finishCommand();
     }
 
-    /** When {@link AdvanceTime} is due at the latest, by the clock of {@link #apply}; Long.MAX_VALUE if never. */
+    /** Latest time for the next {@link AdvanceTime}, by the clock of {@link #apply}; Long.MAX_VALUE if none is due. */
     public long nextDueMicros() {
         long leaseDueMicros =
                 leaseChecks.isEmpty() ? Long.MAX_VALUE : leaseChecks.peek().atMicros();
         return Math.min(leaseDueMicros, reassigner.nextDueMicros());
     }
 
-    /** The shard map at its present version. */
+    /** The shard map at its current version. */
     public MapSnapshot snapshot() {
         return output.mapSnapshot();
     }
 
-    /** The members, by number, also those that are leaving. */
+    /** The members in order of their numbers, including those that are leaving. */
     public List<MemberId> members() {
         return List.copyOf(members.keySet());
     }
 
-    /** How many shards the member's present process may send for; 0 for an unknown member. */
+    /** Number of shards that the member's present process may send for; 0 for an unknown member. */
     public int shardsHeldBy(MemberId member) {
         MemberState state = members.get(member);
         return state == null ? 0 : state.held.size();
     }
 
-    /** Most shards that the member may be given; 0 for one that is leaving or unknown. */
+    /** Maximum number of shards of the member; 0 for one that is leaving or unknown. */
     public int capacityOf(MemberId member) {
         MemberState state = members.get(member);
         return state == null ? 0 : state.capacity;
     }
 
-    /** How many shards surely nobody may send for. */
+    /** Number of shards that no process may send for. */
     public int shardsWithoutHolder() {
         return table.withoutHolder();
     }
@@ -160,8 +159,8 @@
     }
 
     /**
-     * A forwarder's process has a successor. That it registered does not prove that the earlier process has ended (it
-     * may be stopped, cut off, or on another machine): unless the successor knows, its shards wait for the lease's end.
+     * Replaces a forwarder's process with its successor. The registration does not prove that the earlier process has
+     * ended (it may be suspended, cut off, or on another machine): without proof its shards wait for the lease's end.
      */
     private void replace(MemberState previous, MemberState member) {
         output.discard(previous);
@@ -227,7 +226,7 @@
         }
     }
 
-    /** Only the shards that are not being revoked are renewed: the others are in no assignment any more. */
+    /** Whether the member still holds revoked shards. Renewals don't cover these; they are revoked again instead. */
     private boolean hasUnreleasedShards(MemberState member) {
         for (int i = 0; i < member.held.size(); i++) {
             if (table.isRevoking(member.held.get(i))) {
@@ -253,7 +252,7 @@
         }
     }
 
-    /** A process that was replaced may still release what it holds. */
+    /** A replaced process may still release the shards that it holds. */
     private RejectionReason releaseProblem(Release command, ShardGrant grant) {
         if (isHeld(command, grant)) {
             return table.isRevoking(grant.shard()) ? null : RejectionReason.NOT_REVOKED;
@@ -321,7 +320,7 @@
                 expired.add(member);
             }
         }
-        // All are taken out first, so that no shard is handed from one to the next.
+        // All are removed first, so that no shard is assigned from one expired member to another.
         removeMembers(expired);
         expired.forEach(this::expire);
     }
@@ -341,7 +340,7 @@
         }
     }
 
-    /** Why a command can't be of a member's present process; null if it can. */
+    /** Why a command can't come from a member's present process; null if it can. */
     private RejectionReason senderProblem(MemberId id, long incarnation) {
         LastIncarnation last = incarnations.get(id);
         if (last != null && incarnation < last.number()) {
--- a/src/main/java/lilaclever/placement/ReassignmentRateLimiter.java
+++ b/src/main/java/lilaclever/placement/ReassignmentRateLimiter.java
@@ -1,15 +1,15 @@
 package lilaclever.placement;
 
 /**
- * Token bucket that bounds how many shards a second get another owner. It lets work through in batches of a tenth of a
- * second, so that a zone's loss gives ten changes of the map a second and not one for each shard.
+ * Token bucket that limits how many shards per second change their owner. It admits work in batches of a tenth of a
+ * second, so that the loss of a zone causes ten changes of the map per second and not one for each shard.
  */
 final class ReassignmentRateLimiter {
     private static final long MICROS_PER_SECOND = 1_000_000;
     private static final int BATCHES_PER_SECOND = 10;
     private final long ratePerSecond;
     private final long burstTokens;
-    /** Tokens times {@link #MICROS_PER_SECOND}: whole numbers, without rounding. */
+    /** Tokens times {@link #MICROS_PER_SECOND}, an integer to avoid rounding. */
     private long microTokens;
 
     private long refilledAtMicros;
@@ -30,18 +30,18 @@
         refilledAtMicros = nowMicros;
     }
 
-    /** Whether there are tokens for a whole batch, or for all of the pending work if that is less. */
+    /** Whether there are tokens for a full batch, or for all pending work if that is less. */
     boolean isReady(long pending) {
         return pending > 0 && microTokens >= requiredMicroTokens(pending);
     }
 
-    /** When {@link #isReady} will be true. */
+    /** Time at which {@link #isReady} becomes true. */
     long readyAtMicros(long pending) {
         long missingMicroTokens = Math.max(0, requiredMicroTokens(pending) - microTokens);
         return refilledAtMicros + (missingMicroTokens + ratePerSecond - 1) / ratePerSecond;
     }
 
-    /** Takes a token if there is one. */
+    /** Takes a token if one is available. */
     boolean tryTake() {
         if (microTokens < MICROS_PER_SECOND) {
             return false;
--- a/src/main/java/lilaclever/placement/RendezvousRanking.java
+++ b/src/main/java/lilaclever/placement/RendezvousRanking.java
@@ -6,15 +6,15 @@
 
 /**
  * Weighted rendezvous hashing (highest random weight): for each shard every member draws a number, and the member with
- * the greatest score is first. The score is {@code -weight / ln(u)}, with u in (0, 1) from the hash of shard and
- * member,
- * so that members are first in proportion to their weights, and a change of one member moves no shard between others.
+ * the highest score ranks first. The score is {@code -weight / ln(u)}, with u in (0, 1) from the hash of shard and
+ * member, so that members rank first in proportion to their weights, and a change of one member moves no shard between
+ * others.
  */
 final class RendezvousRanking {
     private static final double HASH_VALUES = 1L << Integer.SIZE;
     private static final int NO_CANDIDATE = -1;
     private final int seed;
-    /** The members to choose from, and side by side what the ranking needs of each. */
+    /** The members to choose from; the parallel arrays hold their numbers and weights. */
     private MemberState[] candidates = {};
 
     private int[] numbers = {};
@@ -24,12 +24,12 @@
         this.seed = MurmurHash3.hash32(region, 0);
     }
 
-    /** The member's draw for a shard, 0 to 2^32 - 1. */
+    /** The member's hash draw for a shard, 0 to 2^32 - 1. */
     long draw(int shard, MemberState member) {
         return draw(shard, member.id.number());
     }
 
-    /** Whether a member goes before another one for a shard; of equal scores the lower member number is first. */
+    /** Whether a member ranks before another one for a shard; ties go to the lower member number. */
     boolean precedes(int shard, MemberState member, MemberState other) {
         return precedes(
                 member.weight,
@@ -47,7 +47,7 @@
         weights = members.stream().mapToDouble(member -> member.weight).toArray();
     }
 
-    /** The first of the members that have room for the shard; null if there is none. */
+    /** The highest-ranked member with capacity for the shard; null if there is none. */
     MemberState first(int shard, Predicate<MemberState> hasCapacity) {
         int best = NO_CANDIDATE;
         long bestDraw = 0;
@@ -78,7 +78,7 @@
         return score != otherScore ? score > otherScore : number < otherNumber;
     }
 
-    /** StrictMath gives the same result on every machine, so that replicas of a controller agree. */
+    /** Uses StrictMath for the same result on every machine, so that replicas of a controller agree. */
     private static double score(double weight, long draw) {
         double uniform = (draw + 0.5) / HASH_VALUES;
         return -weight / StrictMath.log(uniform);
--- a/src/main/java/lilaclever/placement/RenewalHistory.java
+++ b/src/main/java/lilaclever/placement/RenewalHistory.java
@@ -4,12 +4,12 @@
 import java.util.TreeMap;
 
 /**
- * Until when the lease was renewed, by revision of the assignment. Holds {@value #CAPACITY} revisions at most; the
- * oldest gives way, which can only end a lease early.
+ * End of the renewed lease for each revision of the assignment. Holds at most {@value #CAPACITY} revisions; evicting
+ * the oldest can only end a lease early.
  */
 final class RenewalHistory {
     static final int CAPACITY = 8;
-    /** What {@link #leaseEndMicros} gives where no renewal covers the shard. */
+    /** Result of {@link #leaseEndMicros} if no renewal covers the shard. */
     static final long NOT_COVERED = Long.MIN_VALUE;
 
     private final LeaseGuards guards;
@@ -19,7 +19,7 @@
         this.guards = guards;
     }
 
-    /** Notes that the assignment at a revision is leased until the given end, if that is later than what was known. */
+    /** Extends the lease of the assignment at a revision to the given end; never shortens it. */
     void addRenewal(long revision, long endMicros, long nowMicros) {
         endMicrosByRevision.values().removeIf(end -> end <= nowMicros);
         endMicrosByRevision.merge(revision, endMicros, Math::max);
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The latest end of a lease that covers a shard granted with one revision while another one is applied. */
+    /** Latest end of a lease that covers a shard, given the revisions at which it was granted and that is applied. */
     long leaseEndMicros(long grantedRevision, long appliedRevision) {
         long latest = NOT_COVERED;
         for (Map.Entry<Long, Long> renewal : endMicrosByRevision.entrySet()) {
@@ -39,7 +39,7 @@
         return latest;
     }
 
-    /** Forgets all renewals: nothing is leased. */
+    /** Discards all renewals: no shard is leased. */
     void clear() {
         endMicrosByRevision.clear();
     }
--- a/src/main/java/lilaclever/placement/SendPermission.java
+++ b/src/main/java/lilaclever/placement/SendPermission.java
@@ -3,12 +3,12 @@
 /** Whether a forwarder may send for a shard now. */
 public sealed interface SendPermission {
     /**
-     * It may, with the shard's fencing token, and the last byte has to be written before the given reading of the
-     * holder's monotonic clock, microseconds.
+     * Sending is permitted with the shard's epoch as fencing token. The last byte has to be written before the given
+     * reading of the holder's monotonic clock.
      */
     record Permitted(long epoch, long untilMicros) implements SendPermission {}
 
-    /** It may not. */
+    /** Sending is not permitted. */
     record Refused(Reason reason) implements SendPermission {}
 
     /** Why a forwarder may not send. */
@@ -17,7 +17,7 @@
         NOT_OWNER,
         /** The shard is assigned, but no renewal has covered the assignment yet. */
         NOT_COVERED,
-        /** The lease has ended, or ends within the margin. */
+        /** The lease has expired, or expires within the margin. */
         LEASE_EXPIRED
     }
 }
--- a/src/main/java/lilaclever/placement/SentHeartbeats.java
+++ b/src/main/java/lilaclever/placement/SentHeartbeats.java
@@ -1,16 +1,16 @@
 package lilaclever.placement;
 
-/** When the last heartbeats were sent, by the holder's clock. Remembers {@value #CAPACITY} of them. */
+/** Times at which the last {@value #CAPACITY} heartbeats were sent, by the holder's clock. */
 final class SentHeartbeats {
     static final int CAPACITY = 16;
-    /** What {@link #sentAtMicros} gives for a heartbeat that is not remembered. */
+    /** Result of {@link #sentAtMicros} for a heartbeat that is not remembered. */
     static final long UNKNOWN = Long.MIN_VALUE;
 
     private final long[] sentMicros = new long[CAPACITY];
     private long lastSequence;
     private long oldestRemembered = 1;
 
-    /** Notes a heartbeat as sent now and gives its sequence number, from 1. */
+    /** Records a heartbeat sent now and returns its sequence number, from 1. */
     long recordSent(long nowMicros) {
         lastSequence++;
         sentMicros[slot(lastSequence)] = nowMicros;
@@ -24,7 +24,7 @@
         return remembered ? sentMicros[slot(sequence)] : UNKNOWN;
     }
 
-    /** Forgets the times of all heartbeats sent so far; their renewals will be passed over. */
+    /** Forgets the times of all heartbeats sent so far; renewals for them will be ignored. */
     void forget() {
         oldestRemembered = lastSequence + 1;
     }
--- a/src/main/java/lilaclever/placement/ShardAssignment.java
+++ b/src/main/java/lilaclever/placement/ShardAssignment.java
@@ -6,15 +6,16 @@
 import java.util.List;
 
 /**
- * Decides which member is to have a shard: the first in the shard's rendezvous order that has room. A member's capacity
- * is its share by weight times the load bound, rounded down, but never less than its share rounded up; so the
- * capacities always suffice for all shards, and a zone's load is bounded as those of its members are.
+ * Decides which member is to have a shard: the first in the shard's rendezvous order with free capacity (rendezvous
+ * hashing with bounded loads). A member's capacity is its share by weight times the load bound, rounded down, but never
+ * less than its share rounded up; the capacities therefore always suffice for all shards, and a zone's load is bounded
+ * as the load of its members is.
  */
 final class ShardAssignment {
     private final ControllerSettings settings;
     private final ShardTable table;
     private final RendezvousRanking ranking;
-    /** Members that take part and do not leave, by number. */
+    /** Members that are not leaving, in order of their numbers. */
     private final List<MemberState> active = new ArrayList<>();
 
     ShardAssignment(ControllerSettings settings, ShardTable table) {
@@ -27,14 +28,14 @@
         return !active.isEmpty();
     }
 
-    /** Lets a member take part; the capacities follow. */
+    /** Adds a member and updates all capacities. */
     void add(MemberState member) {
         active.add(member);
         active.sort(Comparator.comparing(other -> other.id));
         updateCapacities();
     }
 
-    /** Gives no more shards to some members; the capacities follow. */
+    /** Stops assigning shards to the given members and updates all capacities. */
     void remove(Collection<MemberState> members) {
         if (active.removeIf(members::contains)) {
             members.forEach(member -> member.capacity = 0);
@@ -42,27 +43,27 @@
         }
     }
 
-    /** Members that are to have more shards than they may. */
+    /** Members whose targeted shards exceed their capacity. */
     List<MemberState> membersOverCapacity() {
         return active.stream().filter(MemberState::isOverCapacity).toList();
     }
 
-    /** The member that is to have a shard which its present one can't keep; null if there is no other. */
+    /** The new target for a shard that its current target can't keep; null if there is no other member. */
     MemberState chooseMember(int shard) {
         MemberState current = table.target(shard);
         MemberState chosen =
                 ranking.first(shard, member -> member != current && member.occupiedShards() < member.capacity);
         if (chosen == null) {
-            // Members that still give shards back count twice for a moment; what they will have is what matters.
+            // Shards awaiting release may fill every member; then only the targeted shards count.
             chosen = ranking.first(shard, member -> member != current && member.targeted.size() < member.capacity);
         }
         return chosen;
     }
 
     /**
-     * Retargets to a member the shards for which it goes before their present member, up to its capacity.
+     * Targets to a member the shards for which it ranks before their current target, up to its capacity.
      *
-     * @return the shards, ascending
+     * @return the shards in ascending order
      */
     int[] claimFor(MemberState member) {
         List<Claim> claims = new ArrayList<>();
@@ -85,7 +86,7 @@
         return claimed;
     }
 
-    /** Of the shards that a member is to have, the one that it draws lowest for. */
+    /** The shard with the lowest draw among those targeted to a member. */
     int lowestDrawShard(MemberState member) {
         int lowest = member.targeted.get(0);
         long lowestDraw = ranking.draw(lowest, member);
--- a/src/main/java/lilaclever/placement/ShardHasher.java
+++ b/src/main/java/lilaclever/placement/ShardHasher.java
@@ -4,15 +4,15 @@
 import org.apache.commons.codec.digest.MurmurHash3;
 
 /**
- * Tells a destination's shard. The answer is part of the agreement between all forwarders and controllers: it must stay
- * the same in all versions of the program.
+ * Maps a destination to its shard. All forwarders and controllers have to agree on the result: it must stay the same in
+ * all versions of the program.
  */
 public final class ShardHasher {
     private static final int SEED = 0x5ead1e55;
     private final int shards;
 
     /**
-     * Hasher for so many shards.
+     * Creates a hasher for the given number of shards.
      *
      * @throws IllegalArgumentException if the number is not from 1 to {@link ControllerSettings#MAX_SHARDS}
      */
@@ -24,18 +24,18 @@
         this.shards = shards;
     }
 
-    /** Shard of a destination that is known by its number in a region, from 0. */
+    /** Shard, from 0, of a destination identified by its number in a region. */
     public int shardOf(int region, long destination) {
         return toShard(MurmurHash3.hash32(destination, region, SEED));
     }
 
-    /** Shard of a destination that is known by name, from 0. */
+    /** Shard, from 0, of a destination identified by its name. */
     public int shardOf(String destination) {
         byte[] name = destination.getBytes(StandardCharsets.UTF_8);
         return toShard(MurmurHash3.hash32x86(name, 0, name.length, SEED));
     }
 
-    /** Takes the 32 bits of a hash evenly to the shards, without the bias towards low numbers that a remainder has. */
+    /** Maps a 32-bit hash evenly to the shards, without the bias of a remainder towards low numbers. */
     private int toShard(int hash) {
         return (int) (Integer.toUnsignedLong(hash) * shards >>> Integer.SIZE);
     }
--- a/src/main/java/lilaclever/placement/ShardMap.java
+++ b/src/main/java/lilaclever/placement/ShardMap.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import lilaclever.placement.MapDelta.OwnerChange;
 
-/** A forwarder's copy of its region's shard map: 12 bytes a shard. */
+/** A forwarder's copy of its region's shard map, 12 bytes per shard. */
 public final class ShardMap {
     private final int region;
     private int[] owners;
@@ -12,7 +12,7 @@
     private long configurationVersion;
 
     /**
-     * Empty map at version 0.
+     * Creates an empty map at version 0.
      *
      * @throws IllegalArgumentException if the number of shards is not from 1 to {@link ControllerSettings#MAX_SHARDS}
      */
@@ -28,11 +28,11 @@
     }
 
     /**
-     * Applies a delta. One that begins before the map's version and ends after it is applied too, since it names the
-     * state at its end of every shard that changed.
+     * Applies a delta. One that starts before the map's version and ends after it is applied too, since it holds the
+     * final state of every shard that changed.
      *
-     * @throws IllegalArgumentException if the delta is of another region, names a shard that the map doesn't have, or
-     *         would take an epoch or the configuration's version back; the map has not changed then
+     * @throws IllegalArgumentException if the delta belongs to another region, names a shard that the map doesn't have,
+     *         or would decrease an epoch or the configuration's version; the map is then unchanged
      */
     public MapUpdate apply(MapDelta delta) {
         requireRegion(delta.region());
@@ -55,10 +55,10 @@
     }
 
     /**
-     * Takes a snapshot over, if it is newer.
+     * Loads a snapshot if it is newer.
      *
      * @return {@link MapUpdate#APPLIED} or {@link MapUpdate#ALREADY_APPLIED}
-     * @throws IllegalArgumentException if the snapshot is of another region or number of shards
+     * @throws IllegalArgumentException if the snapshot has another region or number of shards
      */
     public MapUpdate load(MapSnapshot snapshot) {
         requireRegion(snapshot.region());
@@ -76,12 +76,12 @@
         return MapUpdate.APPLIED;
     }
 
-    /** The map as it is now. */
+    /** Copy of the map at its current version. */
     public MapSnapshot snapshot() {
         return new MapSnapshot(region, version, configurationVersion, owners.clone(), epochs.clone());
     }
 
-    /** The shard's owner; null while nobody may send for it. */
+    /** The shard's owner; null while no member may send for it. */
     public MemberId ownerOf(int shard) {
         return owners[shard] == MapSnapshot.NO_OWNER ? null : new MemberId(owners[shard]);
     }
@@ -96,14 +96,14 @@
         return version;
     }
 
-    /** Version of the configuration that is in force with it. */
+    /** Version of the configuration in force with this map version. */
     public long configurationVersion() {
         return configurationVersion;
     }
 
     private void requireRegion(int other) {
         if (other != region) {
-            throw new IllegalArgumentException("map of region " + region + " was given one of region " + other);
+            throw new IllegalArgumentException("map of region " + region + " can't apply an update of region " + other);
         }
     }
 
--- a/src/main/java/lilaclever/placement/ShardReassigner.java
+++ b/src/main/java/lilaclever/placement/ShardReassigner.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Carries out who is to have which shard, at a bounded pace: first the shards that nobody has, then those of members
- * that leave, then those of members over their capacity, then moves to members that joined. A shard that somebody has
- * is revoked first and granted anew only when it was released or when the lease on it has surely ended.
+ * Carries out the assignment of shards at a limited rate: first shards without a holder, then those of leaving members,
+ * then those of members over their capacity, then moves to members that joined. A held shard is revoked first and
+ * granted again only after its release or the safe expiry of its lease.
  */
 final class ShardReassigner {
     private final ShardTable table;
@@ -38,7 +38,7 @@
         }
     }
 
-    /** A member takes part from now on; the shards for which it comes first are to move to it. */
+    /** Adds a member and plans the moves of the shards for which it ranks first. */
     void join(MemberState member) {
         assignment.add(member);
         for (int shard : assignment.claimFor(member)) {
@@ -47,7 +47,7 @@
         updateMembersOverCapacity();
     }
 
-    /** The process of a member was replaced: what it was to have is for its successor, which has the same weight. */
+    /** Transfers the targets of a replaced process to its successor, which has the same weight. */
     void replaceProcess(MemberState member, MemberState successor) {
         assignment.remove(Set.of(member));
         for (int shard : member.targeted.toArray()) {
@@ -58,14 +58,14 @@
         updateMembersOverCapacity();
     }
 
-    /** A member's shards are to be handed over. */
+    /** Starts handing over the shards of a leaving member. */
     void leave(MemberState member) {
         assignment.remove(Set.of(member));
         leaving.add(member);
         updateMembersOverCapacity();
     }
 
-    /** Members have gone: nothing is to be given to them any more. */
+    /** Removes members and clears them as targets. */
     void removeMembers(Set<MemberState> members) {
         assignment.remove(members);
         leaving.removeAll(members);
@@ -81,7 +81,7 @@
         return leaving;
     }
 
-    /** Nobody may send for a shard any more: it goes to the member that was waiting for it, if there is one. */
+    /** Frees a shard that no process may send for any more, and grants it to its target if it has one. */
     void free(int shard) {
         table.free(shard);
         output.addFreedShard(shard);
@@ -94,17 +94,14 @@
         }
     }
 
-    /**
-     * The shard's holder gets no renewal for it any more; it is free at the end of the holder's lease at the
-     * latest.
-     */
+    /** Stops renewals for the shard; it is free at the safe expiry of the holder's lease at the latest. */
     void startRevocation(int shard) {
         MemberState holder = table.holder(shard);
         table.startRevoking(shard);
         revocations.add(new Revocation(holder.leaseSafeExpiryMicros, shard, table.epoch(shard)));
     }
 
-    /** Frees the revoked shards whose last lease has surely ended without a release. */
+    /** Frees the revoked shards that reached the safe expiry of their last lease without a release. */
     void freeExpiredRevocations(long nowMicros) {
         while (!revocations.isEmpty() && revocations.peek().freeAtMicros() <= nowMicros) {
             Revocation revocation = revocations.poll();
@@ -114,7 +111,7 @@
         }
     }
 
-    /** Puts the end of all leases that cover revoked shards off to a time, if they end before it. */
+    /** Postpones the safe expiry of all revoked shards to the given time, unless it is later already. */
     void postponeRevocations(long safeExpiryMicros) {
         List<Revocation> pendingRevocations =
                 revocations.stream().filter(this::isPending).toList();
@@ -125,7 +122,7 @@
         }
     }
 
-    /** Goes on with the pending reassignments as far as the pace allows. */
+    /** Continues the pending reassignments as far as the rate limit allows. */
     void reassign(long nowMicros) {
         rateLimiter.refill(nowMicros);
         if (!rateLimiter.isReady(pending())) {
@@ -137,7 +134,7 @@
         startPlannedMoves();
     }
 
-    /** When {@link #freeExpiredRevocations} or {@link #reassign} has something to do; Long.MAX_VALUE if never. */
+    /** Time at which {@link #freeExpiredRevocations} or {@link #reassign} is due; Long.MAX_VALUE if never. */
     long nextDueMicros() {
         long dueMicros =
                 revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
@@ -183,7 +180,7 @@
         }
     }
 
-    /** Gives a shard another target; false if the pace does not allow to revoke it now. */
+    /** Gives a shard another target; false if the rate limit does not allow revoking it now. */
     private boolean moveAway(int shard, MemberState member) {
         boolean granted = table.holder(shard) == member && !table.isRevoking(shard);
         if (granted && !rateLimiter.tryTake()) {
@@ -196,7 +193,7 @@
         return true;
     }
 
-    /** Whether a shard that was to move to the given member can stay where it is, as it was not revoked yet. */
+    /** Whether a shard that was to move to the given member can stay with its holder, as it is not revoked yet. */
     private boolean canStay(int shard, MemberState target) {
         MemberState holder = table.holder(shard);
         return holder != null
--- a/src/main/java/lilaclever/placement/ShardSet.java
+++ b/src/main/java/lilaclever/placement/ShardSet.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Sorted set of shard numbers in an array: a member has few, and their order must not depend on chance. */
+/** Sorted set of shard numbers in an array: a member has few, and iteration has to be deterministic. */
 final class ShardSet {
     private static final int INITIAL_CAPACITY = 8;
     private int[] shards = new int[INITIAL_CAPACITY];
@@ -16,7 +16,7 @@
         return size == 0;
     }
 
-    /** The shard at a place in ascending order, from 0. */
+    /** The shard at an index, from 0, in ascending order. */
     int get(int index) {
         return shards[index];
     }
@@ -52,7 +52,7 @@
         size = 0;
     }
 
-    /** Copy in ascending order, for loops that change the set. */
+    /** Copy in ascending order, for iteration while the set changes. */
     int[] toArray() {
         return Arrays.copyOf(shards, size);
     }
--- a/src/main/java/lilaclever/placement/ShardTable.java
+++ b/src/main/java/lilaclever/placement/ShardTable.java
@@ -1,8 +1,8 @@
 package lilaclever.placement;
 
 /**
- * Who holds each shard, who is to hold it, and under which epoch. Pure book-keeping: the sets of the members follow the
- * entries of the shards.
+ * Holder, target and epoch of each shard. Keeps the shard sets of the members consistent with its entries and makes no
+ * decisions.
  */
 final class ShardTable {
     private final MemberState[] holders;
@@ -27,12 +27,12 @@
         return withoutHolder;
     }
 
-    /** Who may send for the shard; null if surely nobody. */
+    /** The member that may send for the shard; null if certainly none may. */
     MemberState holder(int shard) {
         return holders[shard];
     }
 
-    /** Who has the shard or is to get it; null if that is not decided. */
+    /** The member that has the shard or is to get it; null if undecided. */
     MemberState target(int shard) {
         return targets[shard];
     }
@@ -42,12 +42,12 @@
         return epochs[shard];
     }
 
-    /** Whether the holder has been told to give the shard back, or its process has been replaced. */
+    /** Whether the shard was revoked from its holder, or the holder's process was replaced. */
     boolean isRevoking(int shard) {
         return revoking[shard];
     }
 
-    /** Gives a free shard to a member under the next epoch. */
+    /** Grants a free shard to a member under the next epoch. */
     ShardGrant grant(int shard, MemberState member) {
         if (holders[shard] != null) {
             throw new IllegalStateException("shard " + shard + " is still held by " + holders[shard].id);
@@ -62,12 +62,12 @@
         return new ShardGrant(shard, epochs[shard]);
     }
 
-    /** Notes that the holder has to give the shard back. */
+    /** Marks the shard as revoked from its holder. */
     void startRevoking(int shard) {
         revoking[shard] = true;
     }
 
-    /** Notes that nobody may send for the shard. */
+    /** Removes the holder: no process may send for the shard. */
     void free(int shard) {
         MemberState holder = holders[shard];
         holder.held.remove(shard);
@@ -79,7 +79,7 @@
         withoutHolder++;
     }
 
-    /** Decides who is to have the shard; null leaves it open. */
+    /** Sets the member that is to have the shard; null leaves it undecided. */
     void setTarget(int shard, MemberState member) {
         MemberState previous = targets[shard];
         if (previous == member) {
--- a/src/main/java/lilaclever/placement/package-info.java
+++ b/src/main/java/lilaclever/placement/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Ownership of destinations by lease: destinations are hashed to shards, a controller assigns the shards of a region to
- * its forwarders, and a forwarder sends for a destination only while it holds the lease on that destination's shard.
- * All choices are made without I/O: commands and clock readings go in, typed events come out.
+ * Lease-based ownership of destinations: destinations are hashed to shards, a controller assigns the shards of a region
+ * to its forwarders, and a forwarder sends for a destination only while it holds the lease on that destination's shard.
+ * The package does no I/O: its input is commands and clock readings, its output typed events.
  */
 package lilaclever.placement;
--- a/src/test/java/lilaclever/placement/AssignmentTest.java
+++ b/src/test/java/lilaclever/placement/AssignmentTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who gets which shards, how many of them move, and at which pace. */
+/** Which members get which shards, how many shards move, and at which rate. */
 class AssignmentTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int ZONES = 3;
@@ -44,7 +44,7 @@
             assertEquals(capacity, region.controller.capacityOf(member));
         }
         if (mean >= 4) {
-            assertTrue(region.maxToMeanLoad() <= 1.25, () -> "fullest over mean " + region.maxToMeanLoad());
+            assertTrue(region.maxToMeanLoad() <= 1.25, () -> "maximum to mean load " + region.maxToMeanLoad());
         }
     }
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Regions draw apart from each other: over all of them a zone's share is near its weight, in each within
-     * chance.
+     * Regions draw independently: the mean over all regions is close to a zone's share by weight, and each region is
+     * within four standard deviations of it.
      */
     @Test
     void zonesHaveShardsInProportionToTheirMembers() {
@@ -132,11 +132,12 @@
             assertTrue(gained >= 20 && gained <= 43, "gained " + gained);
             int moved = region.shardsMovedSince(before);
             int evicted = evictedOverCapacity(before, region, member);
-            assertEquals(gained + evicted, moved, "what moves goes to the new member, or its owner was too full");
+            assertEquals(
+                    gained + evicted, moved, "each moved shard went to the new member or its owner was over capacity");
         }
     }
 
-    /** Shards that members had above the capacity that they have now, and did not give to the new member. */
+    /** Shards above their new capacity that members lost to others than the new member. */
     private static int evictedOverCapacity(int[] before, TestRegion region, int joined) {
         int[] now = region.owners();
         int evictions = 0;
@@ -152,7 +153,7 @@
         return evictions;
     }
 
-    /** A has all shards, and some are on their way to B at a slow pace as B ends or leaves. */
+    /** Member 0 has all shards, and moves to the newly joined member 1 are pending at a low rate. */
     private static TestRegion regionWithPendingMovesToASecondMember() {
         TestRegion region = new TestRegion(TestRegion.settings(100, ZONES, 2));
         region.join(0, 0);
@@ -172,7 +173,7 @@
         for (int step = 0; step < 300; step++) {
             region.run(SECOND_MICROS / 10);
             int heldNow = region.controller.shardsHeldBy(new MemberId(0));
-            assertTrue(heldNow >= held, "a shard was taken from the only member: " + heldNow + " after " + held);
+            assertTrue(heldNow >= held, "a shard was revoked from the only member: " + heldNow + " after " + held);
             held = heldNow;
         }
         assertEquals(100, held);
@@ -221,7 +222,7 @@
             assertTrue(claimed <= 5, "claimed " + claimed);
             membersAtCapacity += claimed == 5 ? 1 : 0;
         }
-        assertTrue(membersAtCapacity > 10, "members that claimed all that they may: " + membersAtCapacity);
+        assertTrue(membersAtCapacity > 10, "members that claimed up to their capacity: " + membersAtCapacity);
     }
 
     @Test
@@ -297,10 +298,10 @@
             int granted = unowned - region.unownedShards();
             assertTrue(
                     granted <= reassignmentsPerSecond + reassignmentsPerSecond / 10, "granted in a second: " + granted);
-            assertTrue(++seconds < 2 * lost / reassignmentsPerSecond + 2, "too slow");
+            assertTrue(++seconds < 2 * lost / reassignmentsPerSecond + 2, "reassignment is too slow");
         }
         assertEquals(lost, region.shardsMovedSince(before));
-        assertTrue(region.maxToMeanLoad() <= 1.25, () -> "fullest over mean " + region.maxToMeanLoad());
+        assertTrue(region.maxToMeanLoad() <= 1.25, () -> "maximum to mean load " + region.maxToMeanLoad());
     }
 
     @Test
@@ -356,14 +357,14 @@
             region.run(10 * SECOND_MICROS);
             assertEquals(0, region.unownedShards());
             double maxToMean = region.maxToMeanLoad();
-            assertTrue(maxToMean <= 1.25, () -> "fullest over mean " + maxToMean);
+            assertTrue(maxToMean <= 1.25, () -> "maximum to mean load " + maxToMean);
             assertEquals(present.size(), region.controller.members().size());
         }
     }
 
     @Test
     void assignmentDoesNotDependOnJoinOrderWhereNoMemberIsAtCapacity() {
-        // Capacity is ten times the share here: rendezvous alone decides.
+        // The capacity is ten times the share, so that rendezvous hashing alone decides.
         ControllerSettings settings = new ControllerSettings(0, 2000, 1, 10, TestRegion.TIMING, HIGH_RATE);
         TestRegion ascending = new TestRegion(settings);
         TestRegion descending = new TestRegion(settings);
--- a/src/test/java/lilaclever/placement/DistributionTreeTest.java
+++ b/src/test/java/lilaclever/placement/DistributionTreeTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whom each forwarder sends deltas to, also while some have failed. */
+/** Which forwarders each one sends deltas to, with and without failures. */
 class DistributionTreeTest {
     private static List<TreeMember> members(int count, int zones) {
         List<TreeMember> members = new ArrayList<>();
@@ -29,7 +29,7 @@
         return members;
     }
 
-    /** Everybody who gets a delta that the controller sends out, each as often as it gets it. */
+    /** All receivers of a delta that the controller sends out; a member occurs as often as it gets the delta. */
     private static List<MemberId> reached(DistributionTree tree, Set<MemberId> failed) {
         List<MemberId> reached = new ArrayList<>();
         Queue<MemberId> senders = new ArrayDeque<>(tree.controllerReceivers(failed));
@@ -54,7 +54,7 @@
             assertTrue(tree.depthOf(member) <= depth);
             for (MemberId child : tree.childrenOf(member)) {
                 assertEquals(Optional.of(member), tree.parentOf(child));
-                assertEquals(member.number() % zones, child.number() % zones, "passed on within the zone");
+                assertEquals(member.number() % zones, child.number() % zones, "forwarded within the zone");
             }
         }
         assertEquals(Math.min(zones, count), tree.heads().size());
--- a/src/test/java/lilaclever/placement/LeaseHolderTest.java
+++ b/src/test/java/lilaclever/placement/LeaseHolderTest.java
@@ -12,7 +12,7 @@
     private static final long SECOND_MICROS = 1_000_000;
     private static final LeaseTiming TIMING =
             new LeaseTiming(2 * SECOND_MICROS, 10 * SECOND_MICROS, 0.01, SECOND_MICROS);
-    /** From the sending of a heartbeat: 10 s, less 1% of drift, less 1 s of margin. */
+    /** From the sending of a heartbeat: 10 s, less 1% drift, less 1 s margin. */
     private static final long SEND_PERIOD_MICROS = 8_900_000;
 
     private static final MemberId MEMBER = new MemberId(4);
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -9,14 +9,14 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * One random schedule of a controller and three members in true time: messages are lost, doubled, late and overtake
- * each other, clocks run at different rates and step back, processes are cut off, restarted (with and without proof
- * that the earlier one has ended) and leave. Times are drawn near the edges of leases. After each step it is checked
- * that no two processes may send for a shard, also while a writer that has stalled finishes, and that calls start in
- * the order of their epochs. The seed decides everything.
+ * One random schedule of a controller and three members in true time: messages are lost, duplicated, delayed and
+ * reordered, clocks run at different rates and step back, processes are cut off, restarted (with and without proof
+ * that the earlier one has ended) and leave. Times are drawn near the ends of leases. Each step checks that no two
+ * processes may send for a shard, not even while a stalled writer finishes, and that calls start in the order of their
+ * epochs. The seed determines the whole schedule.
  */
 final class LeaseSchedule {
-    /** Which parts of the rules are in force; the faulty ones are to be caught. */
+    /** The rules under test: the correct ones, or a faulty variant that the checks have to detect. */
     record Variant(
             Function<LeaseTiming, LeaseGuards> guards,
             Function<LeaseTiming, LeaseTiming> controllerTiming,
@@ -24,7 +24,7 @@
         static final Variant CORRECT = new Variant(LeaseGuards::new, timing -> timing, 1);
     }
 
-    /** What was broken, and when. */
+    /** A broken rule and the time at which it was broken. */
     record Breach(Kind kind, int shard, long atMicros, String detail) {
         enum Kind {
             TWO_MAY_SEND,
@@ -34,7 +34,7 @@
         }
     }
 
-    /** What the schedule did, so that an empty one is noticed. */
+    /** Counts of what the schedule did, to detect a schedule without content. */
     record Coverage(
             long messages,
             long lost,
@@ -98,7 +98,7 @@
 
     private record Write(Process writer, int shard, long endMicros) {}
 
-    /** A monotonic clock that is fast or slow, and may step back. */
+    /** A monotonic clock that is fast or slow and may step back. */
     private final class Clock {
         private final double rate;
         private long offsetMicros;
@@ -115,13 +115,13 @@
             offsetMicros -= micros;
         }
 
-        /** True time that passes while the clock advances by so much. */
+        /** True time that passes while the clock advances by the given time. */
         long trueMicrosOf(long clockMicros) {
             return (long) Math.ceil(clockMicros / rate);
         }
     }
 
-    /** One life of a member's process. */
+    /** One process run of a member. */
     private final class Process {
         final MemberId member;
         final long incarnation;
@@ -153,7 +153,7 @@
         this.controller = new PlacementController(new ControllerSettings(0, SHARDS, 2, 1.5, timing, 1000));
     }
 
-    /** Plays the schedule to its end or to the first breach. */
+    /** Runs the schedule to its end or to the first breach. */
     Optional<Breach> run() {
         for (int member = 0; member < MEMBERS; member++) {
             int number = member;
@@ -201,9 +201,7 @@
         schedule(random.nextInt(2_000_000), () -> tryCall(process));
     }
 
-    /**
-     * Proof that the previous process has ended is proof for all before it: they held one lock, one after the other.
-     */
+    /** Proof that the previous process has ended covers all before it: they held the same lock in turn. */
     private void endAllProcesses(int member) {
         for (Process process : processes) {
             if (process.member.number() == member) {
@@ -237,7 +235,7 @@
         schedule(process.clock.trueMicrosOf(TIMING.heartbeatMicros()), () -> sendHeartbeat(process));
     }
 
-    /** Something happens to a member, and again later. */
+    /** Injects a fault into a member and schedules the next one. */
     private void injectFault(int member) {
         Process process = currentProcesses[member];
         switch (random.nextInt(6)) {
@@ -254,7 +252,7 @@
         schedule(random.nextInt(40_000_000), () -> injectFault(member));
     }
 
-    /** The clock was read just before: a step that hides between two readings is drift beyond the bound. */
+    /** Reads the clock just before: a step hidden between two readings would be drift beyond the bound. */
     private void stepBack(Process process) {
         process.maySend(0);
         process.clock.stepBack(random.nextInt((int) MAX_STEP_BACK_MICROS));
@@ -267,7 +265,7 @@
 
     // Calls
 
-    /** Asks for a permission and uses it at once, much later, or just before it ends. */
+    /** Requests a permission and uses it at once, much later, or just before it expires. */
     private void tryCall(Process process) {
         if (process.ended) {
             return;
@@ -279,7 +277,7 @@
             long[] waitChoices = {0, remainingMicros, random.nextInt((int) (3 * TIMING.leaseMicros()))};
             long waitMicros = process.clock.trueMicrosOf(waitChoices[random.nextInt(waitChoices.length)]);
             schedule(waitMicros, () -> startCall(process, shard, permitted.epoch()));
-            // The same permission once more, long after: a message that was queued.
+            // Uses the same permission again long after, as a queued message would.
             schedule(
                     random.nextInt((int) (8 * TIMING.leaseMicros())),
                     () -> startCall(process, shard, permitted.epoch()));
@@ -307,7 +305,7 @@
             handovers++;
         }
         lastCallers[shard] = process;
-        // A writer may stall after its check for less than both margins together.
+        // A writer may stall after its check for less than the two margins together.
         long stallMicros = random.nextBoolean() ? 2 * TIMING.marginMicros() - 1 : random.nextInt(100_000);
         long writeEndMicros = trueMicros + process.clock.trueMicrosOf(stallMicros) - 1;
         writes.add(new Write(process, shard, writeEndMicros));
@@ -435,7 +433,7 @@
         });
     }
 
-    /** Brings a message over, once, twice or not at all. */
+    /** Delivers a message once, twice or not at all. */
     private void deliver(int member, Runnable delivery) {
         messages++;
         boolean cutOff = trueMicros < cutOffUntilMicros[member];
--- a/src/test/java/lilaclever/placement/LeaseScheduleTest.java
+++ b/src/test/java/lilaclever/placement/LeaseScheduleTest.java
@@ -13,9 +13,9 @@
 import net.jqwik.api.ShrinkingMode;
 import org.junit.jupiter.api.Test;
 
-/** No two holders may send for a shard, in random schedules; and each guard that is taken away is missed. */
+/** No two holders may send for a shard in random schedules, and the removal of any guard is detected. */
 class LeaseScheduleTest {
-    /** Schedules that are tried for each faulty variant; the seeds are 1, 2, ... */
+    /** Schedules to run for each faulty variant; the seeds are 1, 2, ... */
     private static final int SCHEDULES_PER_VARIANT = 400;
 
     @Property(tries = 1000, seed = "32", shrinking = ShrinkingMode.OFF)
--- a/src/test/java/lilaclever/placement/MapCodecProperties.java
+++ b/src/test/java/lilaclever/placement/MapCodecProperties.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The map on the wire: what is written is read again, and nothing else is. */
+/** The wire format of the map: what is encoded is decoded again, and nothing else is accepted. */
 class MapCodecProperties {
     private static final int NO_OWNER_INTERVAL = 5;
 
@@ -107,7 +107,7 @@
                         .problem());
     }
 
-    /** There is one way to write a delta: whatever bytes are read give the same bytes again. */
+    /** A delta has exactly one encoding: any bytes that are decoded give the same bytes when encoded again. */
     @Property(tries = 5000, seed = "5")
     void randomBytesAreRejectedOrCanonical(@ForAll byte[] tail) {
         byte[] bytes = new byte[tail.length + 1];
@@ -147,8 +147,8 @@
         assertEquals(Problem.TRUNCATED, problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 1)));
         assertEquals(Problem.OVERSIZED, problemOfDelta(bytes('D', 0, 0, 1, 0, 0x81, 0x80, 0x40)));
         assertEquals(Problem.UNSORTED, problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 0, 1, 1)));
-        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0, 0, 0, 0, 0)), "no version passes");
-        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0x80, 0, 0, 1, 0, 0)), "longer than needed");
+        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0, 0, 0, 0, 0)), "no version step");
+        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0x80, 0, 0, 1, 0, 0)), "not the shortest form");
         assertEquals(
                 Problem.INVALID_NUMBER,
                 problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 0x81, 0x80, 0x40, 1, 1)),
--- a/src/test/java/lilaclever/placement/PlacementControllerTest.java
+++ b/src/test/java/lilaclever/placement/PlacementControllerTest.java
@@ -26,14 +26,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the controller grants, renews, revokes and rejects. Times are written out: they are the guards themselves. */
+/** When the controller grants, renews, revokes and rejects. Times are literal, as the exact limits are under test. */
 class PlacementControllerTest {
     private static final int SHARDS = 8;
     private static final long SECOND_MICROS = 1_000_000;
-    /**
-     * 1 s heartbeats, 4 s leases, a drift of one in five hundred, 0.25 s margin: 4,008,017 and 250,000
-     * microseconds.
-     */
+    /** Heartbeat 1 s, lease 4 s, drift 0.2%, margin 0.25 s: the safe expiry is after 4,008,017 + 250,000 us. */
     private static final LeaseTiming TIMING = new LeaseTiming(SECOND_MICROS, 4 * SECOND_MICROS, 0.002, 250_000);
 
     private static final long SAFE_EXPIRY_DELAY_MICROS = 4_258_017;
@@ -80,7 +77,7 @@
                 .toList();
     }
 
-    /** A has all shards, B has joined, and some of A's shards are being revoked for B. */
+    /** A has all shards, B has joined, and some of A's shards are revoked for B. */
     private AssignmentChanged revokeForB(long heartbeatOfAMicros, long joinOfBMicros) {
         register(A, 1, 0);
         heartbeat(A, 1, 1, 2, heartbeatOfAMicros);
@@ -129,7 +126,7 @@
         assertEquals(allShards(2), granted.granted());
     }
 
-    /** The first wake-up may be for the time of the registration; it sets the next one to the true end. */
+    /** The first check is due for the lease of the registration; it schedules the next one for the renewed lease. */
     private long nextDueAfterTheFirstLeaseCheck(MemberId member) {
         assertEquals(SAFE_EXPIRY_DELAY_MICROS, controller.nextDueMicros());
         assertTrue(controller.apply(new AdvanceTime(), SAFE_EXPIRY_DELAY_MICROS).isEmpty());
@@ -230,7 +227,7 @@
                 new LeaseRenewed(B, 1, 7, 4 * SECOND_MICROS, granted.toRevision()),
                 singleEvent(LeaseRenewed.class, events));
         assertTrue(events.indexOf(granted) < events.indexOf(singleEvent(LeaseRenewed.class, events)));
-        // The end that counts is that of the heartbeat, not of the grant.
+        // The lease counts from the heartbeat, not from the grant.
         heartbeat(A, 1, 2, change.toRevision(), 2 * SECOND_MICROS);
         controller.apply(new AdvanceTime(), 30 + SAFE_EXPIRY_DELAY_MICROS - 1);
         assertEquals(List.of(A, B), controller.members());
@@ -297,7 +294,7 @@
         assertEquals(0, controller.shardsHeldBy(A));
     }
 
-    /** A never releases; as a third member registers, A's shards fall to B, and are to be the third one's at once. */
+    /** A never releases; as a third member registers, A's shards go to B and are revoked for the third one at once. */
     @Test
     void shardThatIsGrantedAndRevokedByOneCommandIsOnlyRevoked() {
         int grantedAndRevoked = 0;
@@ -326,7 +323,7 @@
 
         AssignmentChanged rest = assignmentOf(A, controller.apply(new Leave(A, 1), 40));
         assertEquals(SHARDS, rest.revoked().size() + toB.revoked().size());
-        assertTrue(controller.apply(new Leave(A, 1), 41).isEmpty(), "a second leave changes nothing");
+        assertTrue(controller.apply(new Leave(A, 1), 41).isEmpty(), "a repeated leave changes nothing");
         List<ControllerEvent> firstRelease =
                 controller.apply(new Release(A, 1, rest.revoked().subList(0, 1)), 50);
         assertEquals(1, assignmentOf(B, firstRelease).granted().size());
@@ -386,7 +383,7 @@
         assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, 3, 3 * SECOND_MICROS));
         assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, -1, 3 * SECOND_MICROS));
         assertRejected(RejectionReason.STALE_INCARNATION, controller.apply(new Leave(A, 4), 3 * SECOND_MICROS));
-        // None of them has renewed the lease.
+        // None of these has renewed the lease.
         singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), 10 + SAFE_EXPIRY_DELAY_MICROS));
     }
 
@@ -434,7 +431,7 @@
         assertRejected(RejectionReason.UNKNOWN_MEMBER, heartbeat(A, 1, 3, 2, 0));
     }
 
-    /** The heartbeat and the revocation came while the clock was wrong; it returns to the right time by a leap. */
+    /** The heartbeat and the revocation came while the clock was behind; it then leaps to the right time. */
     @Test
     void clockThatWasSetBackAndReturnsEndsNoRevokedLeaseEarly() {
         register(A, 1, 10 * SECOND_MICROS);
@@ -456,7 +453,7 @@
         assertEquals(revoked, granted.granted().size());
     }
 
-    /** Readings that cross each other by less than the margin are no reason to put ends off for ever. */
+    /** Readings that are reordered by no more than the margin must not postpone the expiry. */
     @Test
     void backwardReadingsWithinTheMarginDoNotPostponeExpiry() {
         register(A, 1, 10 * SECOND_MICROS);
--- a/src/test/java/lilaclever/placement/PlacementFigures.java
+++ b/src/test/java/lilaclever/placement/PlacementFigures.java
@@ -7,9 +7,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Measures a region's controller at a given size: {@code PlacementFigures MEMBERS SHARDS PACE}. Prints the time of a
- * join and of a loss, the shards that move, the load, and the bytes of the map; a zone's loss comes last. Not part of
- * CI.
+ * Measures a region's controller at a given size: {@code PlacementFigures MEMBERS SHARDS REASSIGNMENTS_PER_SECOND}.
+ * Prints the time of a join and of a loss, the number of shards moved, the load and the size of the map, and finally
+ * the same for the loss of a zone. Not part of CI.
  */
 final class PlacementFigures {
     private static final long SECOND_MICROS = 1_000_000;
@@ -29,13 +29,14 @@
         for (int member = 0; member < members; member++) {
             region.join(member, member % ZONES);
         }
-        System.out.printf("%d members, %d shards, pace %d%n", members, shards, reassignmentsPerSecond);
         System.out.printf(
-                "all members join at once: %.0f ms, with the harness%n", (System.nanoTime() - startNanos) / 1e6);
+                "%d members, %d shards, %d reassignments per second%n", members, shards, reassignmentsPerSecond);
+        System.out.printf(
+                "all members join at once: %.0f ms, including the harness%n", (System.nanoTime() - startNanos) / 1e6);
         region.runUntilAllOwned(100_000);
         region.run(30 * SECOND_MICROS);
         System.out.printf(
-                "fullest over mean %.3f, snapshot %d bytes%n",
+                "maximum to mean load %.3f, snapshot %d bytes%n",
                 region.maxToMeanLoad(), region.controller.snapshot().encodedBytes());
         System.out.printf("heap of controller, map and harness: %.1f MB%n", (usedHeap() - emptyHeap) / 1e6);
         printHeartbeats(region, members);
@@ -55,7 +56,7 @@
         long startNanos = System.nanoTime();
         region.run(10 * SECOND_MICROS);
         System.out.printf(
-                "heartbeat: %.2f microseconds, with the harness%n",
+                "heartbeat: %.2f microseconds, including the harness%n",
                 (System.nanoTime() - startNanos) / 1e3 / (10.0 * members));
     }
 
@@ -101,9 +102,9 @@
                 "a loss moves %.2f shards, the lost member had %.2f%n",
                 lossMoves / (double) ROUNDS, lostShards / (double) ROUNDS);
         System.out.printf(
-                "a join moves %.2f shards, the new member gets %.2f, its share is %.2f%n",
+                "a join moves %.2f shards, the new member gets %.2f, its fair share is %.2f%n",
                 joinMoves / (double) ROUNDS, joinGains / (double) ROUNDS, shards / (double) members);
-        System.out.printf("fullest over mean, worst of the rounds: %.3f%n", maxToMean);
+        System.out.printf("maximum to mean load, worst of the rounds: %.3f%n", maxToMean);
         System.out.printf(
                 "a loss and a join: %.1f deltas, %.0f bytes%n",
                 (region.deltaCount - deltas) / (double) (WARM_UP_ROUNDS + ROUNDS),
@@ -112,7 +113,7 @@
 
     private static void print(String name, Histogram micros) {
         System.out.printf(
-                "%s: median %d, 99th %d, longest %d microseconds of processor time, %d times%n",
+                "%s: median %d, 99th percentile %d, maximum %d microseconds of CPU time, %d commands%n",
                 name,
                 micros.getValueAtPercentile(50),
                 micros.getValueAtPercentile(99),
@@ -138,7 +139,7 @@
         region.runUntilAllOwned(100_000);
         System.out.printf(
                 "loss of a zone: %d members had %d shards; %d moved; all owned after %.2f s; "
-                        + "longest command %.1f ms of processor time; %d deltas, %d bytes; fullest over mean %.3f%n",
+                        + "longest command %.1f ms of CPU time; %d deltas, %d bytes; maximum to mean load %.3f%n",
                 zone.size(),
                 lost,
                 region.shardsMovedSince(before),
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -23,9 +23,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A controller and processes that talk over a network that delays, loses and doubles messages. The processes use their
- * leases to the last microsecond by their own clocks, without any margin, so that nothing but the controller's waiting
- * keeps two of them apart. Time is virtual and starts at the controller's true time 0.
+ * A controller and processes connected by a network that delays, loses and duplicates messages. The processes use their
+ * leases to the last microsecond by their own clocks, without any margin, so that only the controller's waiting
+ * prevents two of them from sending for one shard. Time is virtual and starts at the controller's true time 0.
  */
 final class RandomSchedule {
     private static final int SHARDS = 24;
@@ -56,7 +56,7 @@
     private long latestReadingMicros;
     private long configurationVersion;
 
-    /** How much of each kind a schedule had. */
+    /** Counts of what happened in a schedule. */
     static final class Counts {
         long grantsCovered;
         long expiries;
@@ -81,8 +81,9 @@
         @Override
         public String toString() {
             return "grants covered " + grantsCovered + ", expiries " + expiries + ", releases " + releases
-                    + ", leaves completed " + leavesCompleted + ", restarts beside the old process "
-                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", held " + shardsWithASender
+                    + ", leaves completed " + leavesCompleted + ", restarts with the old process running "
+                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", sender present for "
+                    + shardsWithASender
                     + " of "
                     + shardsChecked;
         }
@@ -93,7 +94,7 @@
                 Comparator.comparingLong(Delivery::atMicros).thenComparingLong(Delivery::number);
     }
 
-    /** A process of a forwarder: follows the contract of the events and nothing more. */
+    /** A process of a forwarder that implements no more than the contract of the events. */
     private final class Process {
         final MemberId id;
         final long incarnation;
@@ -104,7 +105,7 @@
         final Map<Long, Long> sentAtMicros = new HashMap<>();
         long sequence;
         long revision;
-        /** End of the lease that lasts longest. */
+        /** Latest end of its leases. */
         long leaseUntilMicros;
 
         LeaseRenewed earlyRenewal;
@@ -195,7 +196,7 @@
         return counts;
     }
 
-    /** Goes through so many steps: a chance event each, and all that happens until the next one. */
+    /** Runs the given number of steps: a random event each, and all deliveries until the next one. */
     void run(int steps) {
         for (int step = 0; step < steps; step++) {
             randomEvent();
@@ -232,7 +233,7 @@
         }
     }
 
-    /** The controller's clock is set back, or returns by a leap to the right time or to a little beyond it. */
+    /** Sets the controller's clock back, or lets it leap to the right time or slightly beyond it. */
     private void stepClock() {
         if (nowMicros + clockOffsetMicros < latestReadingMicros) {
             clockOffsetMicros = random.nextLong(LEASE_MICROS / 10);
@@ -241,7 +242,7 @@
         }
     }
 
-    /** A new process registers; the old one has ended for sure, or may go on beside it. */
+    /** A new process registers; the old one has certainly ended, or may continue to run beside it. */
     private void restart(int member, Process previous) {
         boolean ended = random.nextBoolean();
         if (ended) {
--- a/src/test/java/lilaclever/placement/RandomScheduleProperties.java
+++ b/src/test/java/lilaclever/placement/RandomScheduleProperties.java
@@ -8,10 +8,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.ShrinkingMode;
 
-/**
- * Random schedules of commands, with messages that are late, lost and doubled, and clocks at the bounds of the
- * drift.
- */
+/** Random schedules of commands, with delayed, lost and duplicated messages and clocks at the drift bounds. */
 class RandomScheduleProperties {
     private static final int STEPS = 400;
 
@@ -32,7 +29,7 @@
         assertEquals(first.events(), second.events());
     }
 
-    /** The schedules would show nothing if hardly anything was granted, handed over or expired in them. */
+    /** The other properties mean little unless the schedules have many grants, handovers and expiries. */
     @Property(tries = 1)
     void schedulesCoverGrantsExpiriesReleasesAndRestarts() {
         RandomSchedule.Counts total = new RandomSchedule.Counts();
--- a/src/test/java/lilaclever/placement/RealSizeTest.java
+++ b/src/test/java/lilaclever/placement/RealSizeTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** A region of the fleet's coming size: 19,000 forwarders and 262,144 shards in 9 regions. */
+/** A region of the planned fleet: 19,000 forwarders and 262,144 shards in 9 regions. */
 class RealSizeTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int MEMBERS = 2_111;
@@ -60,6 +60,6 @@
 
     private static void assertLoadBound(TestRegion region) {
         double maxToMean = region.maxToMeanLoad();
-        assertTrue(maxToMean <= 1.25, () -> "fullest over mean " + maxToMean);
+        assertTrue(maxToMean <= 1.25, () -> "maximum to mean load " + maxToMean);
     }
 }
--- a/src/test/java/lilaclever/placement/ShardHasherTest.java
+++ b/src/test/java/lilaclever/placement/ShardHasherTest.java
@@ -6,11 +6,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The hash is an agreement between versions of the program: its values are written out. */
+/** All versions of the program have to agree on the hash: its values are fixed here. */
 class ShardHasherTest {
     private static final int SHARDS = 29_128;
 
-    /** Worked out apart from the program, from the definition of MurmurHash3_x86_32; numbers are hashed as 16 bytes. */
+    /** Computed independently from the definition of MurmurHash3_x86_32; numbers are hashed as 16 bytes. */
     @Test
     void valuesStayTheSameInAllVersions() {
         ShardHasher hasher = new ShardHasher(SHARDS);
@@ -38,7 +38,7 @@
         assertEven(named, destinations);
     }
 
-    /** Chi-squared over all shards: its mean is the number of shards, its deviation the root of twice that. */
+    /** Chi-squared test over all shards: mean about the number of shards, standard deviation the root of twice that. */
     private static void assertEven(int[] counts, int destinations) {
         double mean = (double) destinations / counts.length;
         double chiSquared = 0;
--- a/src/test/java/lilaclever/placement/ShardMapTest.java
+++ b/src/test/java/lilaclever/placement/ShardMapTest.java
@@ -8,7 +8,7 @@
 import lilaclever.placement.MapDelta.OwnerChange;
 import org.junit.jupiter.api.Test;
 
-/** A forwarder's copy of the map with deltas in order, again, too late and with gaps. */
+/** A forwarder's copy of the map with deltas in order, repeated, late and with gaps. */
 class ShardMapTest {
     private static final MemberId A = new MemberId(0);
     private static final MemberId B = new MemberId(7);
--- a/src/test/java/lilaclever/placement/TestRegion.java
+++ b/src/test/java/lilaclever/placement/TestRegion.java
@@ -19,7 +19,7 @@
 import lilaclever.placement.ControllerEvent.MapChanged;
 import lilaclever.placement.ControllerEvent.MemberExpired;
 
-/** A controller with members that answer at once, for tests of what is assigned to whom and when. */
+/** A controller with members that answer at once, for tests of shard assignment. */
 final class TestRegion {
     static final LeaseTiming TIMING = new LeaseTiming(1_000_000, 5_000_000, 0.01, 200_000);
     private static final double WEIGHT = 1;
@@ -27,15 +27,15 @@
 
     final PlacementController controller;
     final ShardMap map;
-    /** Deltas of the map so far, and their bytes. */
+    /** Number of map deltas so far and their total size. */
     long deltaCount;
 
     long deltaBytes;
-    /** Whether the processor time of commands is measured. */
+    /** Whether the CPU time of commands is measured. */
     boolean measuresCpuTime;
-    /** Longest processor time of a command since it was last set to 0, nanoseconds. */
+    /** Maximum CPU time of a command since this was last set to 0. */
     long maxCommandCpuNanos;
-    /** Processor time of the last command that found that a member's lease had ended, nanoseconds. */
+    /** CPU time of the last command that expired a member. */
     long lastExpiryCpuNanos;
 
     long nowMicros;
@@ -81,12 +81,12 @@
         apply(new Leave(id, processes.get(id).incarnation));
     }
 
-    /** The members end without a word. */
+    /** Ends the members without a leave. */
     void kill(Collection<Integer> members) {
         members.forEach(member -> processes.remove(new MemberId(member)));
     }
 
-    /** Lets time pass, with heartbeats of all members and the controller's own wake-ups. */
+    /** Advances time, with heartbeats of all members and the controller's due times. */
     void run(long micros) {
         long endMicros = nowMicros + micros;
         while (true) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** Lets time pass until each shard has an owner; fails after so many steps of a hundredth of a second. */
+    /** Advances time until each shard has an owner; fails after {@code maxSteps} steps of 10 ms. */
     long runUntilAllOwned(int maxSteps) {
         long startMicros = nowMicros;
         for (int step = 0; step < maxSteps; step++) {
@@ -127,7 +127,7 @@
         return unowned;
     }
 
-    /** Shards of the fullest member, over the mean of all. */
+    /** Ratio of the maximum to the mean number of shards of a member. */
     double maxToMeanLoad() {
         int fullest = controller.members().stream()
                 .mapToInt(controller::shardsHeldBy)
@@ -144,7 +144,7 @@
         return owners;
     }
 
-    /** How many shards have another owner than before. */
+    /** Number of shards whose owner differs from the given one. */
     int shardsMovedSince(int[] before) {
         int[] now = owners();
         int moved = 0;
--- a/src/test/java/lilaclever/scale/LinearFit.java
+++ b/src/test/java/lilaclever/scale/LinearFit.java
@@ -4,25 +4,25 @@
 import org.apache.commons.math3.stat.regression.SimpleRegression;
 
 /**
- * A straight line through measured values by least squares: what one more of the size costs, and how far from a line
- * the values are.
+ * Least-squares line through measured values: the cost of one more unit of the size, and the deviation of the values
+ * from a line.
  *
- * @param perUnit how much the value grows with each unit of the size
+ * @param perUnit slope: growth of the value with each unit of the size
  * @param intercept the line's value at size 0
- * @param rSquared share of the values' variance that the line explains, 0 to 1
- * @param rmsResidual root of the mean square of what is left, in the value's unit
- * @param maxRelativeResidual the largest distance from the line, as part of the largest value
+ * @param rSquared coefficient of determination, 0 to 1
+ * @param rmsResidual root mean square of the residuals, in the value's unit
+ * @param maxRelativeResidual the largest residual, as part of the largest absolute value
  */
 record LinearFit(double perUnit, double intercept, double rSquared, double rmsResidual, double maxRelativeResidual) {
-    /** A point of the measurement. */
+    /** A measured value at a size. */
     record Point(double size, double value) {}
 
     private static final int MIN_SIZES = 2;
 
-    /** The line through the points, which must be at two different sizes or more. */
+    /** Fits a line through the points, which must have at least two different sizes. */
     static LinearFit fit(List<Point> points) {
         if (points.stream().mapToDouble(Point::size).distinct().count() < MIN_SIZES) {
-            throw new IllegalArgumentException("a line needs two sizes");
+            throw new IllegalArgumentException("a line needs at least two sizes");
         }
         SimpleRegression line = new SimpleRegression();
         points.forEach(point -> line.addData(point.size(), point.value()));
@@ -42,7 +42,7 @@
                 largest == 0 ? 0 : maxResidual / largest);
     }
 
-    /** The line's value at a size. */
+    /** The line's value at the given size. */
     double valueAt(double size) {
         return intercept + perUnit * size;
     }
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -15,19 +15,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The small scale tests: what a forwarder keeps grows no faster than stated, and on a line. The long runs are
- * bench/scale.
+ * Small scale tests: the memory that a forwarder retains grows linearly and within the stated bounds. The long runs are
+ * in bench/scale.
  */
 class ScaleTest {
-    /**
-     * Bytes of heap for each destination listed with one endpoint, without the program's own list: docs/CAPACITY.md.
-     */
+    /** Heap for each destination listed with one endpoint, without the program's own list: docs/CAPACITY.md. */
     private static final double MAX_BYTES_PER_DESTINATION = 1_600;
-    /** Bytes of heap for each message held with a body of {@link #BODY_BYTES}: docs/CAPACITY.md. */
+    /** Heap for each pending message with a body of {@link #BODY_BYTES}: docs/CAPACITY.md. */
     private static final double MAX_BYTES_PER_MESSAGE = 1_500;
 
     private static final int BODY_BYTES = 300;
-    /** Heap moves in steps, as tables double: the largest distance from the line, as part of the largest value. */
+    /** Maximum residual of the line relative to the largest value. The heap grows in steps, as tables double. */
     private static final double MAX_RELATIVE_RESIDUAL = 0.15;
 
     @TempDir
@@ -71,7 +69,7 @@
         assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
     }
 
-    /** Without this the figures of events would be those of messages that wait. */
+    /** Otherwise the figures of delivered messages would be those of pending ones. */
     @Test
     void forwarderDeliversSubmittedMessages() throws IOException {
         try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(1), 374, 374, 10_000)) {
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -26,13 +26,12 @@
 import lilaclever.routing.Submission;
 
 /**
- * A forwarder without sockets: the real core, decision module and journal in virtual time, on the thread of whoever
- * uses it. Each endpoint has a destination of its own; its calls are delivered, or refused where the destination is
- * down.
+ * A forwarder without sockets: the real core, decision module and journal in virtual time, on the caller's thread. Each
+ * endpoint has a destination of its own; its calls are delivered, or fail to connect if the destination is down.
  */
 final class SocketlessForwarder implements Front, Deliverer, Clock, AutoCloseable {
     static final long SECOND_MICROS = 1_000_000, ROUND_MICROS = 5_000, DAY_MICROS = 86_400 * SECOND_MICROS;
-    /** The wall clock at virtual time 0: any day will do. */
+    /** The wall clock at virtual time 0; an arbitrary date. */
     private static final long WALL_CLOCK_START_MICROS = 1_767_225_600L * SECOND_MICROS;
 
     private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET_FORWARDERS = 19_000;
@@ -50,8 +49,8 @@
     private long nextMessageNumber;
 
     /**
-     * Opens the folder's journal and starts with so many destinations listed, of which those from {@code firstDown} on
-     * are down.
+     * Opens the folder's journal and starts with {@code destinations} listed destinations, of which those from
+     * {@code firstDown} on are down.
      */
     SocketlessForwarder(Path folder, int destinations, int firstDown, int maxPendingMessages) throws IOException {
         this(FolderDisk.take(folder), destinations, firstDown, maxPendingMessages);
@@ -129,7 +128,7 @@
                 new Call.Endpoint(host, "127.0.0.1:9", destination, 0, 1, false, this));
     }
 
-    /** Has the list tell of one endpoint, as each change of it does, and runs the turn. */
+    /** Applies a change of the endpoint list that contains one endpoint, and runs a turn. */
     void updateEndpoint(int destination, long version) {
         core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
@@ -138,19 +137,19 @@
         turn();
     }
 
-    /** Hands one message in; what comes of it is told in later turns. */
+    /** Submits one message; its result is reported in later turns. */
     void submit(int destination, byte[] body) {
         String id = "message-" + nextMessageNumber++;
         core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY_MICROS));
     }
 
-    /** One turn of the loop, the least time after the last one. */
+    /** Runs one turn of the event loop, the minimum time after the last one. */
     void turn() {
         nowMicros += ROUND_MICROS;
         core.runTurn();
     }
 
-    /** Lets the time pass; gives how many turns the loop made. */
+    /** Advances time and returns the number of turns of the event loop. */
     int advance(long micros) {
         int turns = 0;
         for (long untilMicros = nowMicros + micros; nowMicros < untilMicros; turns++) {
@@ -168,12 +167,12 @@
         return counters.get(name);
     }
 
-    /** What the journal's files take, bytes. */
+    /** Size of the journal's files. */
     long diskBytes() {
         return journal.allocated();
     }
 
-    // ---- time -------------------------------------------------------------------------------------------
+    // Clock
     @Override
     public long monotonicMicros() {
         return nowMicros;
@@ -186,20 +185,20 @@
 
     @Override
     public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
-        throw new IllegalStateException("whoever uses it does the loop's part");
+        throw new IllegalStateException("the caller runs the event loop");
     }
 
     @Override
     public void sleep(long micros) {
-        throw new IllegalStateException("whoever uses it does the loop's part");
+        throw new IllegalStateException("the caller runs the event loop");
     }
 
     @Override
     public void taskPosted() {
-        // the next turn takes it
+        // the next turn runs the task
     }
 
-    // ---- the front --------------------------------------------------------------------------------------
+    // Front
     @Override
     public String name() {
         return "http";
@@ -207,12 +206,12 @@
 
     @Override
     public void onAccepted(Message message) {
-        // nobody waits to hear it
+        // no client waits for the answer
     }
 
     @Override
     public void onRejected(Message message, FinalStatus status) {
-        throw new IllegalStateException(message.id() + " was turned down: " + status);
+        throw new IllegalStateException(message.id() + " was rejected: " + status);
     }
 
     @Override
@@ -220,7 +219,7 @@
         settled.run();
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
+    // Deliverer
     @Override
     public void start(Call call) {
         DecisionModule.AttemptResult result = call.endpoint.destination() < firstDown
@@ -230,7 +229,7 @@
         core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, result, 0, false, false)));
     }
 
-    /** Nothing drains here. */
+    /** No endpoint drains here. */
     @Override
     public void cancelUnsent(Call call) {}
 
