--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -94,9 +94,7 @@
         return HolderResult.APPLIED;
     }
 
-    /**
-     * Applies a change of the assignment completely or not at all. The revoked shards are stopped on return.
-     */
+    /** Applies a change of the assignment completely or not at all. Revoked shards are stopped on return. */
     public HolderResult assignmentChanged(ControllerEvent.AssignmentChanged change) {
         if (!isForThisProcess(change.member(), change.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
--- a/src/main/java/lilaclever/placement/ShardReassigner.java
+++ b/src/main/java/lilaclever/placement/ShardReassigner.java
@@ -65,7 +65,7 @@
         updateMembersOverCapacity();
     }
 
-    /** Removes members and clears them as targets. */
+    /** Removes members; shards that were to move to one stay with their holder where possible, or need a new target. */
     void removeMembers(Set<MemberState> members) {
         assignment.remove(members);
         leaving.removeAll(members);
@@ -97,7 +97,7 @@
     /** Stops renewals for the shard; it is free at the safe expiry of the holder's lease at the latest. */
     void startRevocation(int shard) {
         MemberState holder = table.holder(shard);
-        table.startRevoking(shard);
+        table.markRevoking(shard);
         revocations.add(new Revocation(holder.leaseSafeExpiryMicros, shard, table.epoch(shard)));
     }
 
--- a/src/main/java/lilaclever/placement/ShardTable.java
+++ b/src/main/java/lilaclever/placement/ShardTable.java
@@ -63,7 +63,7 @@
     }
 
     /** Marks the shard as revoked from its holder. */
-    void startRevoking(int shard) {
+    void markRevoking(int shard) {
         revoking[shard] = true;
     }
 
--- a/src/test/java/lilaclever/placement/LeaseSchedule.java
+++ b/src/test/java/lilaclever/placement/LeaseSchedule.java
@@ -131,10 +131,10 @@
         boolean ended;
         boolean leaving;
 
-        Process(MemberId member, long incarnation, boolean previousEnded) {
+        Process(MemberId member, long incarnation, boolean previousProcessEnded) {
             this.member = member;
             this.incarnation = incarnation;
-            this.previousProcessEnded = previousEnded;
+            this.previousProcessEnded = previousProcessEnded;
             this.holder = new LeaseHolder(
                     member, incarnation, TIMING, variant.guards().apply(TIMING));
         }
--- a/src/test/java/lilaclever/placement/LeaseScheduleTest.java
+++ b/src/test/java/lilaclever/placement/LeaseScheduleTest.java
@@ -19,7 +19,7 @@
     private static final int SCHEDULES_PER_VARIANT = 400;
 
     @Property(tries = 1000, seed = "32", shrinking = ShrinkingMode.OFF)
-    void neverTwoHoldersMaySendForAShard(@ForAll long seed) {
+    void atMostOneHolderMaySendForAShard(@ForAll long seed) {
         assertEquals(Optional.empty(), new LeaseSchedule(seed, Variant.CORRECT).run());
     }
 
--- a/src/test/java/lilaclever/placement/TestRegion.java
+++ b/src/test/java/lilaclever/placement/TestRegion.java
@@ -129,11 +129,11 @@
 
     /** Ratio of the maximum to the mean number of shards of a member. */
     double maxToMeanLoad() {
-        int fullest = controller.members().stream()
+        int maxShards = controller.members().stream()
                 .mapToInt(controller::shardsHeldBy)
                 .max()
                 .orElse(0);
-        return fullest * (double) controller.members().size() / settings.shards();
+        return maxShards * (double) controller.members().size() / settings.shards();
     }
 
     int[] owners() {
