--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -80,7 +80,8 @@
                     }
                 });
                 Sample.print("change_cpu", size, changes / CHANGES, "s");
-                double idle = ResourceUsage.cpuSeconds(() -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
+                double idle = ResourceUsage.cpuSeconds(
+                        () -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("idle_second_cpu", size, idle / IDLE_SECONDS, "s");
             }
         });
@@ -109,7 +110,8 @@
                 requireHeld(forwarder, size);
                 Sample.print("held_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
-                double waiting = ResourceUsage.cpuSeconds(() -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
+                double waiting = ResourceUsage.cpuSeconds(
+                        () -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
                 Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
                 Histogram turns = busyTurns(forwarder);
                 Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS, "s");
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -11,15 +11,15 @@
 import java.util.Set;
 
 /**
- * The forwarder's side of ownership by lease: which shards one life of a forwarder's process may send for. It does no
- * I/O and reads no clock; every reading that it is given is microseconds of one monotonic clock of the process.
+ * The forwarder's side of ownership by lease: tracks which shards one process run of a forwarder may send for. It does
+ * no I/O and reads no clock; every {@code nowMicros} is a reading of one monotonic clock of the process.
  *
- * <p>A lease runs from the moment in which the heartbeat that it answers was sent, and covers the shards of one
- * revision of the assignment. A holder that is cut off therefore stops by itself, before the controller grants its
- * shards anew. Messages may be lost, doubled, late and in any order. A clock that is seen to step back ends all leases
- * at once, as the time since the heartbeats is then unknown; a step that falls between two readings counts as drift.
+ * <p>A lease runs from the moment at which the renewed heartbeat was sent, and covers the shards of one revision of
+ * the assignment. A holder that is cut off therefore stops by itself before the controller grants its shards again.
+ * Messages may be lost, duplicated, delayed and reordered. A clock reading that goes backward ends all leases at once,
+ * as the time since the heartbeats is then unknown; a backward step hidden between two readings counts as drift.
  *
- * <p>Not safe for use by several threads.
+ * <p>Not thread-safe.
  */
 public final class LeaseHolder {
     private final MemberId member;
@@ -30,17 +30,17 @@
     private final RenewalHistory renewals;
 
     private final Map<Integer, AssignedShard> assigned = new HashMap<>();
-    /** The least epoch that may still be granted, for each shard that was ever assigned; bounded by the shards. */
+    /** Lowest epoch that may still be granted, for each shard ever assigned; at most one entry for each shard. */
     private final Map<Integer, Long> minEpochs = new HashMap<>();
-    /** Calls out for grants that were revoked; an entry goes with its last call. */
+    /** Number of calls in flight for each revoked grant; the entry is removed with its last call. */
     private final Map<ShardGrant, Integer> draining = new HashMap<>();
-    /** What is to be released. */
+    /** Grants for the next release. */
     private final Set<ShardGrant> pendingReleases = new LinkedHashSet<>();
 
     private long appliedRevision;
     private long latestReadingMicros = Long.MIN_VALUE;
 
-    /** A shard of the assignment. */
+    /** An assigned shard. */
     private static final class AssignedShard {
         final long epoch;
         final long grantedRevision;
@@ -53,9 +53,9 @@
     }
 
     /**
-     * Makes a holder without shards.
+     * Creates a holder without shards.
      *
-     * @param incarnation number of the process's life, the one that it registers with
+     * @param incarnation number of the process run, the one it registers with
      */
     public LeaseHolder(MemberId member, long incarnation, LeaseTiming timing) {
         this(member, incarnation, timing, new LeaseGuards(timing));
@@ -69,13 +69,13 @@
         this.renewals = new RenewalHistory(guards);
     }
 
-    /** Makes the next heartbeat, which has to be sent now or later; its renewal counts from now. */
+    /** Creates the next heartbeat, to be sent now or later; its lease counts from now. */
     public ControllerCommand.Heartbeat heartbeat(long nowMicros) {
         checkClock(nowMicros);
         return new ControllerCommand.Heartbeat(member, incarnation, heartbeats.recordSent(nowMicros), appliedRevision);
     }
 
-    /** Takes in a renewal. It never shortens a lease, and never lengthens one beyond what its heartbeat gives. */
+    /** Applies a renewal. It never shortens a lease, and never extends one beyond what its heartbeat allows. */
     public HolderResult leaseRenewed(ControllerEvent.LeaseRenewed renewal, long nowMicros) {
         checkClock(nowMicros);
         if (!isForThisProcess(renewal.member(), renewal.incarnation())) {
@@ -94,9 +94,7 @@
         return HolderResult.APPLIED;
     }
 
-    /**
-     * Takes in a change of the assignment: as a whole, or not at all. What it revokes is stopped before this returns.
-     */
+    /** Applies a change of the assignment completely or not at all. Revoked shards are stopped on return. */
     public HolderResult assignmentChanged(ControllerEvent.AssignmentChanged change) {
         if (!isForThisProcess(change.member(), change.incarnation())) {
             return HolderResult.NOT_ADDRESSED;
@@ -125,17 +123,17 @@
         return HolderResult.APPLIED;
     }
 
-    /** Takes in a change of the map: a shard that another owns by now, under a newer epoch, is stopped at once. */
+    /** Applies a change of the map: a shard that another member owns under a newer epoch is stopped at once. */
     public HolderResult ownerChanged(MapDelta.OwnerChange change) {
-        AssignedShard held = assigned.get(change.shard());
-        boolean othersNow = change.owner() != null && !change.owner().equals(member);
-        if (held == null || !othersNow) {
+        AssignedShard assignedShard = assigned.get(change.shard());
+        boolean ownedByAnother = change.owner() != null && !change.owner().equals(member);
+        if (assignedShard == null || !ownedByAnother) {
             return HolderResult.NOT_ADDRESSED;
         }
-        if (!guards.isOlderEpoch(held.epoch, change.epoch())) {
+        if (!guards.isOlderEpoch(assignedShard.epoch, change.epoch())) {
             return HolderResult.OLDER_EPOCH;
         }
-        revoke(change.shard(), held.epoch);
+        revoke(change.shard(), assignedShard.epoch);
         minEpochs.put(change.shard(), change.epoch() + 1);
         return HolderResult.APPLIED;
     }
@@ -143,11 +141,11 @@
     /** Whether the forwarder may send for a shard now, and if so, under which epoch and until when. */
     public SendPermission maySend(int shard, long nowMicros) {
         checkClock(nowMicros);
-        AssignedShard held = assigned.get(shard);
-        if (held == null) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (assignedShard == null) {
             return new SendPermission.Refused(SendPermission.Reason.NOT_OWNER);
         }
-        long endMicros = renewals.leaseEndMicros(held.grantedRevision, appliedRevision);
+        long endMicros = renewals.leaseEndMicros(assignedShard.grantedRevision, appliedRevision);
         if (endMicros == RenewalHistory.NOT_COVERED) {
             return new SendPermission.Refused(SendPermission.Reason.NOT_COVERED);
         }
@@ -155,58 +153,58 @@
         if (guards.expired(nowMicros, untilMicros)) {
             return new SendPermission.Refused(SendPermission.Reason.LEASE_EXPIRED);
         }
-        return new SendPermission.Permitted(held.epoch, untilMicros);
+        return new SendPermission.Permitted(assignedShard.epoch, untilMicros);
     }
 
     /**
-     * Notes a call as out, under a permission that was given before.
+     * Records the start of a call under a permission that was given before.
      *
-     * @return {@code APPLIED} if the call may go; {@code OLDER_EPOCH} if the permission is of an earlier grant, and
-     *         {@code NOT_PERMITTED} if there is none now
+     * @return {@code APPLIED} if the call may start; {@code OLDER_EPOCH} if the permission belongs to an earlier grant,
+     *         and {@code NOT_PERMITTED} if there is no permission now
      */
     public HolderResult callStarted(int shard, long epoch, long nowMicros) {
         if (!(maySend(shard, nowMicros) instanceof SendPermission.Permitted)) {
             return HolderResult.NOT_PERMITTED;
         }
-        AssignedShard held = assigned.get(shard);
-        if (guards.isOlderEpoch(epoch, held.epoch)) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (guards.isOlderEpoch(epoch, assignedShard.epoch)) {
             return HolderResult.OLDER_EPOCH;
         }
-        held.callsInFlight++;
+        assignedShard.callsInFlight++;
         return HolderResult.APPLIED;
     }
 
-    /** Notes a call as ended, with an answer or without. A revoked shard is released with its last call. */
+    /** Records the end of a call, answered or not. A revoked shard is released with its last call. */
     public HolderResult callFinished(int shard, long epoch) {
-        AssignedShard held = assigned.get(shard);
-        if (held != null && held.epoch == epoch) {
-            if (held.callsInFlight == 0) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (assignedShard != null && assignedShard.epoch == epoch) {
+            if (assignedShard.callsInFlight == 0) {
                 return HolderResult.UNKNOWN_CALL;
             }
-            held.callsInFlight--;
+            assignedShard.callsInFlight--;
             return HolderResult.APPLIED;
         }
         return drainingCallFinished(new ShardGrant(shard, epoch));
     }
 
     private HolderResult drainingCallFinished(ShardGrant grant) {
-        Integer callsOut = draining.get(grant);
-        if (callsOut == null) {
+        Integer callsInFlight = draining.get(grant);
+        if (callsInFlight == null) {
             return HolderResult.UNKNOWN_CALL;
         }
-        if (callsOut == 1) {
+        if (callsInFlight == 1) {
             draining.remove(grant);
             pendingReleases.add(grant);
         } else {
-            draining.put(grant, callsOut - 1);
+            draining.put(grant, callsInFlight - 1);
         }
         return HolderResult.APPLIED;
     }
 
     /**
-     * The shards to give back, if there are any: revoked, and without a call out. To be asked after an assignment has
-     * changed and after a call has ended. If the release is lost, the controller repeats the assignment and is answered
-     * by another release.
+     * The release to send, if any: of shards that are revoked and without a call in flight. To be called after each
+     * change of the assignment and each end of a call. If the release is lost, the controller repeats the assignment,
+     * which produces another release.
      */
     public Optional<ControllerCommand.Release> takeRelease() {
         if (pendingReleases.isEmpty()) {
@@ -217,7 +215,7 @@
         return Optional.of(new ControllerCommand.Release(member, incarnation, shards));
     }
 
-    /** Revision of the assignment that is applied; 0 before the first. */
+    /** Applied revision of the assignment; 0 before the first. */
     public long appliedRevision() {
         return appliedRevision;
     }
@@ -237,31 +235,31 @@
     }
 
     private void grant(ShardGrant grant, long revision) {
-        AssignedShard held = assigned.get(grant.shard());
-        if (held != null && held.epoch == grant.epoch()) {
+        AssignedShard assignedShard = assigned.get(grant.shard());
+        if (assignedShard != null && assignedShard.epoch == grant.epoch()) {
             return;
         }
-        if (held != null) {
-            revoke(grant.shard(), held.epoch);
+        if (assignedShard != null) {
+            revoke(grant.shard(), assignedShard.epoch);
         }
         assigned.put(grant.shard(), new AssignedShard(grant.epoch(), revision));
         minEpochs.put(grant.shard(), grant.epoch());
     }
 
     private void revokeAllBut(List<ShardGrant> granted) {
-        Set<Integer> kept = new HashSet<>();
-        granted.forEach(grant -> kept.add(grant.shard()));
+        Set<Integer> retained = new HashSet<>();
+        granted.forEach(grant -> retained.add(grant.shard()));
         Iterator<Map.Entry<Integer, AssignedShard>> shards = assigned.entrySet().iterator();
         while (shards.hasNext()) {
             Map.Entry<Integer, AssignedShard> entry = shards.next();
-            if (!kept.contains(entry.getKey())) {
+            if (!retained.contains(entry.getKey())) {
                 shards.remove();
                 drain(entry.getKey(), entry.getValue());
             }
         }
     }
 
-    /** Stops a grant and releases it, also one that was never seen or was released before. */
+    /** Stops a grant and releases it, even one that was never received or was already released. */
     private void revokeAndRelease(ShardGrant grant) {
         revoke(grant.shard(), grant.epoch());
         minEpochs.merge(grant.shard(), grant.epoch() + 1, Math::max);
@@ -271,20 +269,20 @@
     }
 
     private void revoke(int shard, long epoch) {
-        AssignedShard held = assigned.get(shard);
-        if (held != null && held.epoch <= epoch) {
+        AssignedShard assignedShard = assigned.get(shard);
+        if (assignedShard != null && assignedShard.epoch <= epoch) {
             assigned.remove(shard);
-            drain(shard, held);
+            drain(shard, assignedShard);
         }
     }
 
-    private void drain(int shard, AssignedShard held) {
-        minEpochs.merge(shard, held.epoch + 1, Math::max);
-        ShardGrant grant = new ShardGrant(shard, held.epoch);
-        if (held.callsInFlight == 0) {
+    private void drain(int shard, AssignedShard assignedShard) {
+        minEpochs.merge(shard, assignedShard.epoch + 1, Math::max);
+        ShardGrant grant = new ShardGrant(shard, assignedShard.epoch);
+        if (assignedShard.callsInFlight == 0) {
             pendingReleases.add(grant);
         } else {
-            draining.put(grant, held.callsInFlight);
+            draining.put(grant, assignedShard.callsInFlight);
         }
     }
 
--- a/src/main/java/lilaclever/placement/ShardReassigner.java
+++ b/src/main/java/lilaclever/placement/ShardReassigner.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 
 /**
- * Carries out who is to have which shard, at a bounded pace: first the shards that nobody has, then those of members
- * that leave, then those of members over their capacity, then moves to members that joined. A shard that somebody has
- * is revoked first and granted anew only when it was released or when the lease on it has surely ended.
+ * Carries out the assignment of shards at a limited rate: first shards without a holder, then those of leaving members,
+ * then those of members over their capacity, then moves to members that joined. A held shard is revoked first and
+ * granted again only after its release or the safe expiry of its lease.
  */
 final class ShardReassigner {
     private final ShardTable table;
@@ -24,17 +24,21 @@
     private final Queue<Integer> plannedMoves = new ArrayDeque<>();
     private final PriorityQueue<Revocation> revocations = new PriorityQueue<>(Revocation.EARLIEST_FIRST);
 
-    ShardReassigner(ShardTable table, ShardAssignment assignment, ControllerOutput output, ReassignmentRateLimiter pacer) {
+    ShardReassigner(
+            ShardTable table,
+            ShardAssignment assignment,
+            ControllerOutput output,
+            ReassignmentRateLimiter rateLimiter) {
         this.table = table;
         this.assignment = assignment;
         this.output = output;
-        this.rateLimiter = pacer;
+        this.rateLimiter = rateLimiter;
         for (int shard = 0; shard < table.size(); shard++) {
             unassignedShards.add(shard);
         }
     }
 
-    /** A member takes part from now on; the shards for which it comes first are to move to it. */
+    /** Adds a member and plans the moves of the shards for which it ranks first. */
     void join(MemberState member) {
         assignment.add(member);
         for (int shard : assignment.claimFor(member)) {
@@ -43,7 +47,7 @@
         updateMembersOverCapacity();
     }
 
-    /** The process of a member was replaced: what it was to have is for its successor, which has the same weight. */
+    /** Transfers the targets of a replaced process to its successor, which has the same weight. */
     void replaceProcess(MemberState member, MemberState successor) {
         assignment.remove(Set.of(member));
         for (int shard : member.targeted.toArray()) {
@@ -54,14 +58,14 @@
         updateMembersOverCapacity();
     }
 
-    /** A member's shards are to be handed over. */
+    /** Starts handing over the shards of a leaving member. */
     void leave(MemberState member) {
         assignment.remove(Set.of(member));
         leaving.add(member);
         updateMembersOverCapacity();
     }
 
-    /** Members have gone: nothing is to be given to them any more. */
+    /** Removes members; shards that were to move to one stay with their holder where possible, or need a new target. */
     void removeMembers(Set<MemberState> members) {
         assignment.remove(members);
         leaving.removeAll(members);
@@ -77,7 +81,7 @@
         return leaving;
     }
 
-    /** Nobody may send for a shard any more: it goes to the member that was waiting for it, if there is one. */
+    /** Frees a shard that no process may send for any more, and grants it to its target if it has one. */
     void free(int shard) {
         table.free(shard);
         output.addFreedShard(shard);
@@ -90,17 +94,14 @@
         }
     }
 
-    /**
-     * The shard's holder gets no renewal for it any more; it is free at the end of the holder's lease at the
-     * latest.
-     */
+    /** Stops renewals for the shard; it is free at the safe expiry of the holder's lease at the latest. */
     void startRevocation(int shard) {
         MemberState holder = table.holder(shard);
         table.markRevoking(shard);
         revocations.add(new Revocation(holder.leaseSafeExpiryMicros, shard, table.epoch(shard)));
     }
 
-    /** Frees the revoked shards whose last lease has surely ended without a release. */
+    /** Frees the revoked shards that reached the safe expiry of their last lease without a release. */
     void freeExpiredRevocations(long nowMicros) {
         while (!revocations.isEmpty() && revocations.peek().freeAtMicros() <= nowMicros) {
             Revocation revocation = revocations.poll();
@@ -110,17 +111,18 @@
         }
     }
 
-    /** Puts the end of all leases that cover revoked shards off to a time, if they end before it. */
-    void postponeRevocations(long sureEndMicros) {
-        List<Revocation> open = revocations.stream().filter(this::isPending).toList();
+    /** Postpones the safe expiry of all revoked shards to the given time, unless it is later already. */
+    void postponeRevocations(long safeExpiryMicros) {
+        List<Revocation> pendingRevocations =
+                revocations.stream().filter(this::isPending).toList();
         revocations.clear();
-        for (Revocation revocation : open) {
-            long freeAt = Math.max(revocation.freeAtMicros(), sureEndMicros);
-            revocations.add(new Revocation(freeAt, revocation.shard(), revocation.epoch()));
+        for (Revocation revocation : pendingRevocations) {
+            long freeAtMicros = Math.max(revocation.freeAtMicros(), safeExpiryMicros);
+            revocations.add(new Revocation(freeAtMicros, revocation.shard(), revocation.epoch()));
         }
     }
 
-    /** Goes on with the pending reassignments as far as the pace allows. */
+    /** Continues the pending reassignments as far as the rate limit allows. */
     void reassign(long nowMicros) {
         rateLimiter.refill(nowMicros);
         if (!rateLimiter.isReady(pending())) {
@@ -132,11 +134,12 @@
         startPlannedMoves();
     }
 
-    /** When {@link #freeExpiredRevocations} or {@link #reassign} has something to do; Long.MAX_VALUE if never. */
+    /** Time at which {@link #freeExpiredRevocations} or {@link #reassign} is due; Long.MAX_VALUE if never. */
     long nextDueMicros() {
-        long due = revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
+        long dueMicros =
+                revocations.isEmpty() ? Long.MAX_VALUE : revocations.peek().freeAtMicros();
         long pending = pending();
-        return pending == 0 ? due : Math.min(due, rateLimiter.readyAtMicros(pending));
+        return pending == 0 ? dueMicros : Math.min(dueMicros, rateLimiter.readyAtMicros(pending));
     }
 
     private long pending() {
@@ -177,7 +180,7 @@
         }
     }
 
-    /** Gives a shard another target; false if the pace does not allow to revoke it now. */
+    /** Gives a shard another target; false if the rate limit does not allow revoking it now. */
     private boolean moveAway(int shard, MemberState member) {
         boolean granted = table.holder(shard) == member && !table.isRevoking(shard);
         if (granted && !rateLimiter.tryTake()) {
@@ -190,7 +193,7 @@
         return true;
     }
 
-    /** Whether a shard that was to move to the given member can stay where it is, as it was not revoked yet. */
+    /** Whether a shard that was to move to the given member can stay with its holder, as it is not revoked yet. */
     private boolean canStay(int shard, MemberState target) {
         MemberState holder = table.holder(shard);
         return holder != null
@@ -204,11 +207,11 @@
         while (!plannedMoves.isEmpty()) {
             int shard = plannedMoves.peek();
             MemberState holder = table.holder(shard);
-            boolean open = holder != null && !table.isRevoking(shard) && table.target(shard) != holder;
-            if (open && !rateLimiter.tryTake()) {
+            boolean needsRevocation = holder != null && !table.isRevoking(shard) && table.target(shard) != holder;
+            if (needsRevocation && !rateLimiter.tryTake()) {
                 return;
             }
-            if (open) {
+            if (needsRevocation) {
                 revoke(shard);
             }
             plannedMoves.remove();
--- a/src/main/java/lilaclever/placement/ShardSet.java
+++ b/src/main/java/lilaclever/placement/ShardSet.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** Sorted set of shard numbers in an array: a member has few, and their order must not depend on chance. */
+/** Sorted set of shard numbers in an array: a member has few, and iteration has to be deterministic. */
 final class ShardSet {
     private static final int INITIAL_CAPACITY = 8;
     private int[] shards = new int[INITIAL_CAPACITY];
@@ -16,7 +16,7 @@
         return size == 0;
     }
 
-    /** The shard at a place in ascending order, from 0. */
+    /** The shard at an index, from 0, in ascending order. */
     int get(int index) {
         return shards[index];
     }
@@ -26,25 +26,25 @@
     }
 
     void add(int shard) {
-        int found = Arrays.binarySearch(shards, 0, size, shard);
-        if (found >= 0) {
+        int searchResult = Arrays.binarySearch(shards, 0, size, shard);
+        if (searchResult >= 0) {
             return;
         }
         if (size == shards.length) {
             shards = Arrays.copyOf(shards, 2 * size);
         }
-        int place = -found - 1;
-        System.arraycopy(shards, place, shards, place + 1, size - place);
-        shards[place] = shard;
+        int insertionIndex = -searchResult - 1;
+        System.arraycopy(shards, insertionIndex, shards, insertionIndex + 1, size - insertionIndex);
+        shards[insertionIndex] = shard;
         size++;
     }
 
     void remove(int shard) {
-        int place = Arrays.binarySearch(shards, 0, size, shard);
-        if (place < 0) {
+        int index = Arrays.binarySearch(shards, 0, size, shard);
+        if (index < 0) {
             return;
         }
-        System.arraycopy(shards, place + 1, shards, place, size - place - 1);
+        System.arraycopy(shards, index + 1, shards, index, size - index - 1);
         size--;
     }
 
@@ -52,7 +52,7 @@
         size = 0;
     }
 
-    /** Copy in ascending order, for loops that change the set. */
+    /** Copy in ascending order, for iteration while the set changes. */
     int[] toArray() {
         return Arrays.copyOf(shards, size);
     }
--- a/src/test/java/lilaclever/placement/AssignmentTest.java
+++ b/src/test/java/lilaclever/placement/AssignmentTest.java
@@ -16,15 +16,15 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Who gets which shards, how many of them move, and at which pace. */
+/** Which members get which shards, how many shards move, and at which rate. */
 class AssignmentTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int ZONES = 3;
     private static final int HIGH_RATE = 1_000_000;
     private static final int MAX_STEPS = 2000;
 
-    private static TestRegion region(int shards, int members, int pace) {
-        TestRegion region = new TestRegion(TestRegion.settings(shards, ZONES, pace));
+    private static TestRegion region(int shards, int members, int reassignmentsPerSecond) {
+        TestRegion region = new TestRegion(TestRegion.settings(shards, ZONES, reassignmentsPerSecond));
         for (int member = 0; member < members; member++) {
             region.join(member, member % ZONES);
         }
@@ -44,7 +44,7 @@
             assertEquals(capacity, region.controller.capacityOf(member));
         }
         if (mean >= 4) {
-            assertTrue(region.maxToMeanLoad() <= 1.25, () -> "fullest over mean " + region.maxToMeanLoad());
+            assertTrue(region.maxToMeanLoad() <= 1.25, () -> "maximum to mean load " + region.maxToMeanLoad());
         }
     }
 
@@ -66,8 +66,8 @@
     }
 
     /**
-     * Regions draw apart from each other: over all of them a zone's share is near its weight, in each within
-     * chance.
+     * Regions draw independently: the mean over all regions is close to a zone's share by weight, and each region is
+     * within four standard deviations of it.
      */
     @Test
     void zonesHaveShardsInProportionToTheirMembers() {
@@ -131,12 +131,13 @@
             int gained = region.controller.shardsHeldBy(new MemberId(member));
             assertTrue(gained >= 20 && gained <= 43, "gained " + gained);
             int moved = region.shardsMovedSince(before);
-            int atOldCapacity = evictedOverCapacity(before, region, member);
-            assertEquals(gained + atOldCapacity, moved, "what moves goes to the new member, or its owner was too full");
+            int evicted = evictedOverCapacity(before, region, member);
+            assertEquals(
+                    gained + evicted, moved, "each moved shard went to the new member or its owner was over capacity");
         }
     }
 
-    /** Shards that members had above the capacity that they have now, and did not give to the new member. */
+    /** Shards above their new capacity that members lost to others than the new member. */
     private static int evictedOverCapacity(int[] before, TestRegion region, int joined) {
         int[] now = region.owners();
         int evictions = 0;
@@ -152,7 +153,7 @@
         return evictions;
     }
 
-    /** A has all shards, and some are on their way to B at a slow pace as B ends or leaves. */
+    /** Member 0 has all shards, and moves to the newly joined member 1 are pending at a low rate. */
     private static TestRegion regionWithPendingMovesToASecondMember() {
         TestRegion region = new TestRegion(TestRegion.settings(100, ZONES, 2));
         region.join(0, 0);
@@ -172,7 +173,7 @@
         for (int step = 0; step < 300; step++) {
             region.run(SECOND_MICROS / 10);
             int heldNow = region.controller.shardsHeldBy(new MemberId(0));
-            assertTrue(heldNow >= held, "a shard was taken from the only member: " + heldNow + " after " + held);
+            assertTrue(heldNow >= held, "a shard was revoked from the only member: " + heldNow + " after " + held);
             held = heldNow;
         }
         assertEquals(100, held);
@@ -204,7 +205,7 @@
 
     @Test
     void newMemberClaimsNoMoreThanItsCapacity() {
-        int full = 0;
+        int membersAtCapacity = 0;
         for (int number = 2; number < 100; number++) {
             ShardTable table = new ShardTable(8);
             ShardAssignment assignment = new ShardAssignment(TestRegion.settings(8, ZONES, HIGH_RATE), table);
@@ -219,9 +220,9 @@
             int claimed = assignment.claimFor(joined).length;
             assertEquals(5, joined.capacity);
             assertTrue(claimed <= 5, "claimed " + claimed);
-            full += claimed == 5 ? 1 : 0;
+            membersAtCapacity += claimed == 5 ? 1 : 0;
         }
-        assertTrue(full > 10, "members that claimed all that they may: " + full);
+        assertTrue(membersAtCapacity > 10, "members that claimed up to their capacity: " + membersAtCapacity);
     }
 
     @Test
@@ -234,10 +235,10 @@
         region.run(3 * SECOND_MICROS);
         int lost = (int) Arrays.stream(before).filter(owner -> owner == 17).count();
         int[] now = region.owners();
-        int back = (int) IntStream.range(0, now.length)
+        int regained = (int) IntStream.range(0, now.length)
                 .filter(shard -> before[shard] == 17 && now[shard] == 17)
                 .count();
-        assertTrue(back >= 0.8 * lost, back + " of " + lost);
+        assertTrue(regained >= 0.8 * lost, regained + " of " + lost);
     }
 
     @Test
@@ -269,37 +270,38 @@
 
     @Test
     void zoneLossIsReassignedAtTheConfiguredRateAndEachShardMovesOnce() {
-        int pace = 500;
-        TestRegion slow = new TestRegion(TestRegion.settings(3000, ZONES, pace));
+        int reassignmentsPerSecond = 500;
+        TestRegion region = new TestRegion(TestRegion.settings(3000, ZONES, reassignmentsPerSecond));
         for (int member = 0; member < 90; member++) {
-            slow.join(member, member % ZONES);
+            region.join(member, member % ZONES);
         }
-        slow.run(60 * SECOND_MICROS);
-        assertEquals(0, slow.unownedShards());
+        region.run(60 * SECOND_MICROS);
+        assertEquals(0, region.unownedShards());
 
-        int[] before = slow.owners();
+        int[] before = region.owners();
         List<Integer> zone = IntStream.range(0, 90)
                 .filter(member -> member % ZONES == 1)
                 .boxed()
                 .toList();
         int lost = zone.stream()
-                .mapToInt(member -> slow.controller.shardsHeldBy(new MemberId(member)))
+                .mapToInt(member -> region.controller.shardsHeldBy(new MemberId(member)))
                 .sum();
-        slow.kill(zone);
-        slow.run(TestRegion.TIMING.safeExpiryDelayMicros() - SECOND_MICROS);
-        assertEquals(0, slow.unownedShards());
-        slow.run(SECOND_MICROS);
-        assertTrue(slow.unownedShards() > 0);
+        region.kill(zone);
+        region.run(TestRegion.TIMING.safeExpiryDelayMicros() - SECOND_MICROS);
+        assertEquals(0, region.unownedShards());
+        region.run(SECOND_MICROS);
+        assertTrue(region.unownedShards() > 0);
         int seconds = 0;
-        while (slow.unownedShards() > 0) {
-            int unowned = slow.unownedShards();
-            slow.run(SECOND_MICROS);
-            int granted = unowned - slow.unownedShards();
-            assertTrue(granted <= pace + pace / 10, "granted in a second: " + granted);
-            assertTrue(++seconds < 2 * lost / pace + 2, "too slow");
+        while (region.unownedShards() > 0) {
+            int unowned = region.unownedShards();
+            region.run(SECOND_MICROS);
+            int granted = unowned - region.unownedShards();
+            assertTrue(
+                    granted <= reassignmentsPerSecond + reassignmentsPerSecond / 10, "granted in a second: " + granted);
+            assertTrue(++seconds < 2 * lost / reassignmentsPerSecond + 2, "reassignment is too slow");
         }
-        assertEquals(lost, slow.shardsMovedSince(before));
-        assertTrue(slow.maxToMeanLoad() <= 1.25, () -> "fullest over mean " + slow.maxToMeanLoad());
+        assertEquals(lost, region.shardsMovedSince(before));
+        assertTrue(region.maxToMeanLoad() <= 1.25, () -> "maximum to mean load " + region.maxToMeanLoad());
     }
 
     @Test
@@ -319,10 +321,10 @@
         region.run(SECOND_MICROS + SECOND_MICROS / 2);
         int unowned = region.unownedShards();
         assertTrue(unowned > 0);
-        int taken = movedFromLiveMembers(before, region);
+        int moved = movedFromLiveMembers(before, region);
         region.run(SECOND_MICROS);
         assertTrue(region.unownedShards() < unowned);
-        assertEquals(taken, movedFromLiveMembers(before, region), "a shard was moved while others had no owner");
+        assertEquals(moved, movedFromLiveMembers(before, region), "a shard was moved while others had no owner");
     }
 
     private static int movedFromLiveMembers(int[] before, TestRegion region) {
@@ -354,25 +356,25 @@
             }
             region.run(10 * SECOND_MICROS);
             assertEquals(0, region.unownedShards());
-            double fullest = region.maxToMeanLoad();
-            assertTrue(fullest <= 1.25, () -> "fullest over mean " + fullest);
+            double maxToMean = region.maxToMeanLoad();
+            assertTrue(maxToMean <= 1.25, () -> "maximum to mean load " + maxToMean);
             assertEquals(present.size(), region.controller.members().size());
         }
     }
 
     @Test
     void assignmentDoesNotDependOnJoinOrderWhereNoMemberIsAtCapacity() {
-        // Capacity is ten times the share here: rendezvous alone decides.
+        // The capacity is ten times the share, so that rendezvous hashing alone decides.
         ControllerSettings settings = new ControllerSettings(0, 2000, 1, 10, TestRegion.TIMING, HIGH_RATE);
-        TestRegion up = new TestRegion(settings);
-        TestRegion down = new TestRegion(settings);
+        TestRegion ascending = new TestRegion(settings);
+        TestRegion descending = new TestRegion(settings);
         for (int i = 0; i < 20; i++) {
-            up.join(i, 0);
-            down.join(19 - i, 0);
+            ascending.join(i, 0);
+            descending.join(19 - i, 0);
         }
-        up.run(3 * SECOND_MICROS);
-        down.run(3 * SECOND_MICROS);
-        assertArrayEquals(up.owners(), down.owners());
+        ascending.run(3 * SECOND_MICROS);
+        descending.run(3 * SECOND_MICROS);
+        assertArrayEquals(ascending.owners(), descending.owners());
     }
 
     @Test
--- a/src/test/java/lilaclever/placement/MapCodecProperties.java
+++ b/src/test/java/lilaclever/placement/MapCodecProperties.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The map on the wire: what is written is read again, and nothing else is. */
+/** The wire format of the map: what is encoded is decoded again, and nothing else is accepted. */
 class MapCodecProperties {
     private static final int NO_OWNER_INTERVAL = 5;
 
@@ -94,20 +94,20 @@
     void truncatedOrExtendedSnapshotIsRejected(@ForAll("snapshots") MapSnapshot snapshot) {
         byte[] bytes = MapCodec.encode(snapshot);
         for (int length = 0; length < bytes.length; length++) {
-            byte[] part = Arrays.copyOf(bytes, length);
+            byte[] truncated = Arrays.copyOf(bytes, length);
             assertEquals(
                     Problem.TRUNCATED,
-                    assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(part))
+                    assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(truncated))
                             .problem());
         }
-        byte[] longer = Arrays.copyOf(bytes, bytes.length + 1);
+        byte[] extended = Arrays.copyOf(bytes, bytes.length + 1);
         assertEquals(
                 Problem.TRAILING_BYTES,
-                assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(longer))
+                assertThrows(MapFormatException.class, () -> MapCodec.decodeSnapshot(extended))
                         .problem());
     }
 
-    /** There is one way to write a delta: whatever bytes are read give the same bytes again. */
+    /** A delta has exactly one encoding: any bytes that are decoded give the same bytes when encoded again. */
     @Property(tries = 5000, seed = "5")
     void randomBytesAreRejectedOrCanonical(@ForAll byte[] tail) {
         byte[] bytes = new byte[tail.length + 1];
@@ -121,10 +121,9 @@
     }
 
     @Property(tries = 500, seed = "6")
-    void changedByteIsRejectedOrCanonical(
-            @ForAll("deltas") MapDelta delta, @ForAll int place, @ForAll byte value) {
+    void changedByteIsRejectedOrCanonical(@ForAll("deltas") MapDelta delta, @ForAll int position, @ForAll byte value) {
         byte[] bytes = MapCodec.encode(delta);
-        bytes[Math.floorMod(place, bytes.length)] = value;
+        bytes[Math.floorMod(position, bytes.length)] = value;
         try {
             assertArrayEquals(bytes, MapCodec.encode(MapCodec.decodeDelta(bytes)));
         } catch (MapFormatException expected) {
@@ -148,8 +147,8 @@
         assertEquals(Problem.TRUNCATED, problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 1)));
         assertEquals(Problem.OVERSIZED, problemOfDelta(bytes('D', 0, 0, 1, 0, 0x81, 0x80, 0x40)));
         assertEquals(Problem.UNSORTED, problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 0, 1, 1)));
-        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0, 0, 0, 0, 0)), "no version passes");
-        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0x80, 0, 0, 1, 0, 0)), "longer than needed");
+        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0, 0, 0, 0, 0)), "no version step");
+        assertEquals(Problem.INVALID_NUMBER, problemOfDelta(bytes('D', 0x80, 0, 0, 1, 0, 0)), "not the shortest form");
         assertEquals(
                 Problem.INVALID_NUMBER,
                 problemOfDelta(bytes('D', 0, 0, 1, 0, 1, 0x81, 0x80, 0x40, 1, 1)),
--- a/src/test/java/lilaclever/placement/PlacementControllerTest.java
+++ b/src/test/java/lilaclever/placement/PlacementControllerTest.java
@@ -26,14 +26,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** When the controller grants, renews, revokes and rejects. Times are written out: they are the guards themselves. */
+/** When the controller grants, renews, revokes and rejects. Times are literal, as the exact limits are under test. */
 class PlacementControllerTest {
     private static final int SHARDS = 8;
     private static final long SECOND_MICROS = 1_000_000;
-    /**
-     * 1 s heartbeats, 4 s leases, a drift of one in five hundred, 0.25 s margin: 4,008,017 and 250,000
-     * microseconds.
-     */
+    /** Heartbeat 1 s, lease 4 s, drift 0.2%, margin 0.25 s: the safe expiry is after 4,008,017 + 250,000 us. */
     private static final LeaseTiming TIMING = new LeaseTiming(SECOND_MICROS, 4 * SECOND_MICROS, 0.002, 250_000);
 
     private static final long SAFE_EXPIRY_DELAY_MICROS = 4_258_017;
@@ -43,12 +40,13 @@
     private final PlacementController controller =
             new PlacementController(new ControllerSettings(0, SHARDS, 2, 1.25, TIMING, 1000));
 
-    private List<ControllerEvent> register(MemberId member, long incarnation, long now) {
-        return controller.apply(new Register(member, incarnation, 0, 1, false), now);
+    private List<ControllerEvent> register(MemberId member, long incarnation, long nowMicros) {
+        return controller.apply(new Register(member, incarnation, 0, 1, false), nowMicros);
     }
 
-    private List<ControllerEvent> heartbeat(MemberId member, long incarnation, long sequence, long revision, long now) {
-        return controller.apply(new Heartbeat(member, incarnation, sequence, revision), now);
+    private List<ControllerEvent> heartbeat(
+            MemberId member, long incarnation, long sequence, long revision, long nowMicros) {
+        return controller.apply(new Heartbeat(member, incarnation, sequence, revision), nowMicros);
     }
 
     private static <E> List<E> eventsOfType(Class<E> type, List<ControllerEvent> events) {
@@ -79,11 +77,11 @@
                 .toList();
     }
 
-    /** A has all shards, B has joined, and some of A's shards are being revoked for B. */
-    private AssignmentChanged revokeForB(long heartbeatOfA, long joinOfB) {
+    /** A has all shards, B has joined, and some of A's shards are revoked for B. */
+    private AssignmentChanged revokeForB(long heartbeatOfAMicros, long joinOfBMicros) {
         register(A, 1, 0);
-        heartbeat(A, 1, 1, 2, heartbeatOfA);
-        AssignmentChanged change = assignmentOf(A, register(B, 1, joinOfB));
+        heartbeat(A, 1, 1, 2, heartbeatOfAMicros);
+        AssignmentChanged change = assignmentOf(A, register(B, 1, joinOfBMicros));
         assertFalse(change.revoked().isEmpty());
         return change;
     }
@@ -94,7 +92,8 @@
         AssignmentChanged change = assignmentOf(A, events);
         assertEquals(new AssignmentChanged(A, 1, 0, 2, true, allShards(1), List.of()), change);
         assertTrue(eventsOfType(LeaseRenewed.class, events).isEmpty());
-        assertEquals(SHARDS, singleEvent(MapChanged.class, events).delta().changes().size());
+        assertEquals(
+                SHARDS, singleEvent(MapChanged.class, events).delta().changes().size());
         assertEquals(0, controller.shardsWithoutHolder());
 
         assertEquals(List.of(new LeaseRenewed(A, 1, 1, 4 * SECOND_MICROS, 2)), heartbeat(A, 1, 1, 2, 10));
@@ -115,7 +114,9 @@
         heartbeat(A, 1, 1, 2, 500);
         assertEquals(500 + SAFE_EXPIRY_DELAY_MICROS, nextDueAfterTheFirstLeaseCheck(A));
 
-        assertTrue(controller.apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS - 1).isEmpty());
+        assertTrue(controller
+                .apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS - 1)
+                .isEmpty());
         List<ControllerEvent> events = controller.apply(new AdvanceTime(), 500 + SAFE_EXPIRY_DELAY_MICROS);
         assertEquals(new MemberExpired(A, 1), singleEvent(MemberExpired.class, events));
         assertEquals(SHARDS, controller.shardsWithoutHolder());
@@ -125,7 +126,7 @@
         assertEquals(allShards(2), granted.granted());
     }
 
-    /** The first wake-up may be for the time of the registration; it sets the next one to the true end. */
+    /** The first check is due for the lease of the registration; it schedules the next one for the renewed lease. */
     private long nextDueAfterTheFirstLeaseCheck(MemberId member) {
         assertEquals(SAFE_EXPIRY_DELAY_MICROS, controller.nextDueMicros());
         assertTrue(controller.apply(new AdvanceTime(), SAFE_EXPIRY_DELAY_MICROS).isEmpty());
@@ -175,13 +176,15 @@
     @Test
     void renewalDoesNotExtendARevokedShard() {
         AssignmentChanged change = revokeForB(1000, 2000);
-        long ended = 1000 + SAFE_EXPIRY_DELAY_MICROS;
+        long safeExpiryMicros = 1000 + SAFE_EXPIRY_DELAY_MICROS;
         heartbeat(B, 1, 1, 1, 3 * SECOND_MICROS);
         heartbeat(A, 1, 2, change.toRevision(), 3 * SECOND_MICROS);
         heartbeat(A, 1, 3, change.toRevision(), 4 * SECOND_MICROS);
 
-        assertEquals(List.of(), eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), ended - 1)));
-        List<ControllerEvent> events = controller.apply(new AdvanceTime(), ended);
+        assertEquals(
+                List.of(),
+                eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), safeExpiryMicros - 1)));
+        List<ControllerEvent> events = controller.apply(new AdvanceTime(), safeExpiryMicros);
         List<ShardGrant> granted = assignmentOf(B, events).granted();
         assertEquals(
                 change.revoked().stream().map(ShardGrant::shard).toList(),
@@ -193,15 +196,15 @@
     void memberThatMissedAChangeIsSentItsFullAssignmentBeforeTheRenewal() {
         AssignmentChanged change = revokeForB(10, 20);
         List<ControllerEvent> events = heartbeat(A, 1, 2, 2, SECOND_MICROS);
-        AssignmentChanged whole = assignmentOf(A, events);
-        assertTrue(whole.full());
-        assertEquals(2, whole.fromRevision());
-        assertEquals(change.toRevision(), whole.toRevision());
-        assertEquals(change.revoked(), whole.revoked());
-        List<ShardGrant> kept = new ArrayList<>(allShards(1));
-        kept.removeAll(change.revoked());
-        assertEquals(kept, whole.granted());
-        assertEquals(List.of(whole, new LeaseRenewed(A, 1, 2, 4 * SECOND_MICROS, whole.toRevision())), events);
+        AssignmentChanged full = assignmentOf(A, events);
+        assertTrue(full.full());
+        assertEquals(2, full.fromRevision());
+        assertEquals(change.toRevision(), full.toRevision());
+        assertEquals(change.revoked(), full.revoked());
+        List<ShardGrant> retained = new ArrayList<>(allShards(1));
+        retained.removeAll(change.revoked());
+        assertEquals(retained, full.granted());
+        assertEquals(List.of(full, new LeaseRenewed(A, 1, 2, 4 * SECOND_MICROS, full.toRevision())), events);
     }
 
     @Test
@@ -220,9 +223,11 @@
         heartbeat(B, 1, 7, 1, 30);
         List<ControllerEvent> events = controller.apply(new Release(A, 1, change.revoked()), 40);
         AssignmentChanged granted = assignmentOf(B, events);
-        assertEquals(new LeaseRenewed(B, 1, 7, 4 * SECOND_MICROS, granted.toRevision()), singleEvent(LeaseRenewed.class, events));
+        assertEquals(
+                new LeaseRenewed(B, 1, 7, 4 * SECOND_MICROS, granted.toRevision()),
+                singleEvent(LeaseRenewed.class, events));
         assertTrue(events.indexOf(granted) < events.indexOf(singleEvent(LeaseRenewed.class, events)));
-        // The end that counts is that of the heartbeat, not of the grant.
+        // The lease counts from the heartbeat, not from the grant.
         heartbeat(A, 1, 2, change.toRevision(), 2 * SECOND_MICROS);
         controller.apply(new AdvanceTime(), 30 + SAFE_EXPIRY_DELAY_MICROS - 1);
         assertEquals(List.of(A, B), controller.members());
@@ -239,7 +244,9 @@
         heartbeat(A, 2, 1, 1, 700_000);
 
         assertRejected(RejectionReason.STALE_INCARNATION, heartbeat(A, 1, 2, 2, SECOND_MICROS));
-        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS - 1))
+        assertTrue(eventsOfType(
+                        AssignmentChanged.class,
+                        controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS - 1))
                 .isEmpty());
         AssignmentChanged back = assignmentOf(A, controller.apply(new AdvanceTime(), 100 + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(2, back.incarnation());
@@ -287,10 +294,10 @@
         assertEquals(0, controller.shardsHeldBy(A));
     }
 
-    /** A never releases; as a third member registers, A's shards fall to B, and are to be the third one's at once. */
+    /** A never releases; as a third member registers, A's shards go to B and are revoked for the third one at once. */
     @Test
     void shardThatIsGrantedAndRevokedByOneCommandIsOnlyRevoked() {
-        int both = 0;
+        int grantedAndRevoked = 0;
         for (int third = 3; third < 40; third++) {
             PlacementController region =
                     new PlacementController(new ControllerSettings(0, SHARDS, 2, 1.25, TIMING, 1000));
@@ -301,10 +308,10 @@
             List<ControllerEvent> events =
                     region.apply(new Register(new MemberId(third), 1, 0, 1, false), SAFE_EXPIRY_DELAY_MICROS);
             AssignmentChanged change = assignmentOf(B, events);
-            both += change.revoked().size();
+            grantedAndRevoked += change.revoked().size();
             assertTrue(Collections.disjoint(change.granted(), change.revoked()), change::toString);
         }
-        assertTrue(both > 10, "shards revoked by the command that granted them: " + both);
+        assertTrue(grantedAndRevoked > 10, "shards revoked by the command that granted them: " + grantedAndRevoked);
     }
 
     @Test
@@ -316,7 +323,7 @@
 
         AssignmentChanged rest = assignmentOf(A, controller.apply(new Leave(A, 1), 40));
         assertEquals(SHARDS, rest.revoked().size() + toB.revoked().size());
-        assertTrue(controller.apply(new Leave(A, 1), 41).isEmpty(), "a second leave changes nothing");
+        assertTrue(controller.apply(new Leave(A, 1), 41).isEmpty(), "a repeated leave changes nothing");
         List<ControllerEvent> firstRelease =
                 controller.apply(new Release(A, 1, rest.revoked().subList(0, 1)), 50);
         assertEquals(1, assignmentOf(B, firstRelease).granted().size());
@@ -346,7 +353,8 @@
         assertEquals(Long.MAX_VALUE, nextDueAfterTheLastLeaseCheck());
 
         assertEquals(
-                allShards(2), assignmentOf(B, register(B, 1, 2 * SAFE_EXPIRY_DELAY_MICROS)).granted());
+                allShards(2),
+                assignmentOf(B, register(B, 1, 2 * SAFE_EXPIRY_DELAY_MICROS)).granted());
     }
 
     private long nextDueAfterTheLastLeaseCheck() {
@@ -375,7 +383,7 @@
         assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, 3, 3 * SECOND_MICROS));
         assertRejected(RejectionReason.UNKNOWN_REVISION, heartbeat(A, 5, 4, -1, 3 * SECOND_MICROS));
         assertRejected(RejectionReason.STALE_INCARNATION, controller.apply(new Leave(A, 4), 3 * SECOND_MICROS));
-        // None of them has renewed the lease.
+        // None of these has renewed the lease.
         singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), 10 + SAFE_EXPIRY_DELAY_MICROS));
     }
 
@@ -413,34 +421,39 @@
         heartbeat(A, 1, 2, 2, 3 * SECOND_MICROS);
         controller.apply(new AdvanceTime(), 3 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS);
         assertEquals(List.of(A), controller.members());
-        long goesOn = 11 * SECOND_MICROS;
-        controller.apply(new AdvanceTime(), goesOn);
-        controller.apply(new AdvanceTime(), goesOn + SAFE_EXPIRY_DELAY_MICROS - 1);
+        long resumesAtMicros = 11 * SECOND_MICROS;
+        controller.apply(new AdvanceTime(), resumesAtMicros);
+        controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1);
         assertEquals(List.of(A), controller.members());
-        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), goesOn + SAFE_EXPIRY_DELAY_MICROS));
+        singleEvent(
+                MemberExpired.class, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
         controller.apply(new AdvanceTime(), 0);
         assertRejected(RejectionReason.UNKNOWN_MEMBER, heartbeat(A, 1, 3, 2, 0));
     }
 
-    /** The heartbeat and the revocation came while the clock was wrong; it returns to the right time by a leap. */
+    /** The heartbeat and the revocation came while the clock was behind; it then leaps to the right time. */
     @Test
     void clockThatWasSetBackAndReturnsEndsNoRevokedLeaseEarly() {
         register(A, 1, 10 * SECOND_MICROS);
         heartbeat(A, 1, 1, 2, 10 * SECOND_MICROS);
         heartbeat(A, 1, 2, 2, 3 * SECOND_MICROS);
-        int revoked = assignmentOf(A, register(B, 1, 3 * SECOND_MICROS)).revoked().size();
-        long goesOn = 20 * SECOND_MICROS;
-        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), goesOn))
+        int revoked =
+                assignmentOf(A, register(B, 1, 3 * SECOND_MICROS)).revoked().size();
+        long resumesAtMicros = 20 * SECOND_MICROS;
+        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), resumesAtMicros))
                 .isEmpty());
-        heartbeat(A, 1, 3, 3, goesOn + SECOND_MICROS);
-        heartbeat(B, 1, 1, 1, goesOn + SECOND_MICROS);
-        assertTrue(eventsOfType(AssignmentChanged.class, controller.apply(new AdvanceTime(), goesOn + SAFE_EXPIRY_DELAY_MICROS - 1))
+        heartbeat(A, 1, 3, 3, resumesAtMicros + SECOND_MICROS);
+        heartbeat(B, 1, 1, 1, resumesAtMicros + SECOND_MICROS);
+        assertTrue(eventsOfType(
+                        AssignmentChanged.class,
+                        controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS - 1))
                 .isEmpty());
-        AssignmentChanged granted = assignmentOf(B, controller.apply(new AdvanceTime(), goesOn + SAFE_EXPIRY_DELAY_MICROS));
+        AssignmentChanged granted =
+                assignmentOf(B, controller.apply(new AdvanceTime(), resumesAtMicros + SAFE_EXPIRY_DELAY_MICROS));
         assertEquals(revoked, granted.granted().size());
     }
 
-    /** Readings that cross each other by less than the margin are no reason to put ends off for ever. */
+    /** Readings that are reordered by no more than the margin must not postpone the expiry. */
     @Test
     void backwardReadingsWithinTheMarginDoNotPostponeExpiry() {
         register(A, 1, 10 * SECOND_MICROS);
@@ -448,7 +461,9 @@
         controller.apply(new AdvanceTime(), 11 * SECOND_MICROS);
         controller.apply(new AdvanceTime(), 11 * SECOND_MICROS - 250_000);
         controller.apply(new AdvanceTime(), 12 * SECOND_MICROS);
-        singleEvent(MemberExpired.class, controller.apply(new AdvanceTime(), 10 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS));
+        singleEvent(
+                MemberExpired.class,
+                controller.apply(new AdvanceTime(), 10 * SECOND_MICROS + SAFE_EXPIRY_DELAY_MICROS));
     }
 
     @Test
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -23,9 +23,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * A controller and processes that talk over a network that delays, loses and doubles messages. The processes use their
- * leases to the last microsecond by their own clocks, without any margin, so that nothing but the controller's waiting
- * keeps two of them apart. Time is virtual and starts at the controller's true time 0.
+ * A controller and processes connected by a network that delays, loses and duplicates messages. The processes use their
+ * leases to the last microsecond by their own clocks, without any margin, so that only the controller's waiting
+ * prevents two of them from sending for one shard. Time is virtual and starts at the controller's true time 0.
  */
 final class RandomSchedule {
     private static final int SHARDS = 24;
@@ -56,7 +56,7 @@
     private long latestReadingMicros;
     private long configurationVersion;
 
-    /** How much of each kind a schedule had. */
+    /** Counts of what happened in a schedule. */
     static final class Counts {
         long grantsCovered;
         long expiries;
@@ -81,8 +81,10 @@
         @Override
         public String toString() {
             return "grants covered " + grantsCovered + ", expiries " + expiries + ", releases " + releases
-                    + ", leaves completed " + leavesCompleted + ", restarts beside the old process "
-                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", held " + shardsWithASender + " of "
+                    + ", leaves completed " + leavesCompleted + ", restarts with the old process running "
+                    + restartsWithTheOldProcessRunning + ", rejections " + rejections + ", sender present for "
+                    + shardsWithASender
+                    + " of "
                     + shardsChecked;
         }
     }
@@ -92,7 +94,7 @@
                 Comparator.comparingLong(Delivery::atMicros).thenComparingLong(Delivery::number);
     }
 
-    /** A process of a forwarder: follows the contract of the events and nothing more. */
+    /** A process of a forwarder that implements no more than the contract of the events. */
     private final class Process {
         final MemberId id;
         final long incarnation;
@@ -103,7 +105,7 @@
         final Map<Long, Long> sentAtMicros = new HashMap<>();
         long sequence;
         long revision;
-        /** End of the lease that lasts longest. */
+        /** Latest end of its leases. */
         long leaseUntilMicros;
 
         LeaseRenewed earlyRenewal;
@@ -120,8 +122,8 @@
         }
 
         boolean maySend(int shard) {
-            Long until = coveredUntilMicros.get(shard);
-            return until != null && clockMicros() < until;
+            Long untilMicros = coveredUntilMicros.get(shard);
+            return untilMicros != null && clockMicros() < untilMicros;
         }
 
         void heartbeat() {
@@ -167,13 +169,13 @@
         }
 
         private void cover(LeaseRenewed renewal) {
-            long until = sentAtMicros.get(renewal.sequence()) + renewal.leaseMicros();
-            leaseUntilMicros = Math.max(leaseUntilMicros, until);
+            long untilMicros = sentAtMicros.get(renewal.sequence()) + renewal.leaseMicros();
+            leaseUntilMicros = Math.max(leaseUntilMicros, untilMicros);
             for (int shard : assigned.keySet()) {
                 if (!coveredUntilMicros.containsKey(shard)) {
                     counts.grantsCovered++;
                 }
-                coveredUntilMicros.merge(shard, until, Math::max);
+                coveredUntilMicros.merge(shard, untilMicros, Math::max);
             }
         }
     }
@@ -194,13 +196,13 @@
         return counts;
     }
 
-    /** Goes through so many steps: a chance event each, and all that happens until the next one. */
+    /** Runs the given number of steps: a random event each, and all deliveries until the next one. */
     void run(int steps) {
         for (int step = 0; step < steps; step++) {
             randomEvent();
-            long next = nowMicros + random.nextLong(2 * HEARTBEAT_MICROS);
-            deliverUntil(next);
-            nowMicros = next;
+            long nextMicros = nowMicros + random.nextLong(2 * HEARTBEAT_MICROS);
+            deliverUntil(nextMicros);
+            nowMicros = nextMicros;
             check();
         }
     }
@@ -208,19 +210,19 @@
     private void randomEvent() {
         int member = random.nextInt(MEMBERS);
         Process process = latestProcesses.get(member);
-        int kind = random.nextInt(100);
-        if (process == null || kind < 4) {
+        int choice = random.nextInt(100);
+        if (process == null || choice < 4) {
             restart(member, process);
-        } else if (kind < 6) {
+        } else if (choice < 6) {
             send(new Leave(process.id, process.incarnation));
-        } else if (kind < 8) {
+        } else if (choice < 8) {
             running.removeIf(other -> other.id.number() == member);
             latestProcesses.remove(member);
-        } else if (kind < 10) {
+        } else if (choice < 10) {
             stepClock();
-        } else if (kind < 12) {
+        } else if (choice < 12) {
             send(new PublishConfiguration(++configurationVersion));
-        } else if (kind < 13) {
+        } else if (choice < 13) {
             send(new Release(
                     process.id,
                     process.incarnation,
@@ -231,7 +233,7 @@
         }
     }
 
-    /** The controller's clock is set back, or returns by a leap to the right time or to a little beyond it. */
+    /** Sets the controller's clock back, or lets it leap to the right time or slightly beyond it. */
     private void stepClock() {
         if (nowMicros + clockOffsetMicros < latestReadingMicros) {
             clockOffsetMicros = random.nextLong(LEASE_MICROS / 10);
@@ -240,16 +242,16 @@
         }
     }
 
-    /** A new process registers; the old one has ended for sure, or may go on beside it. */
-    private void restart(int member, Process before) {
+    /** A new process registers; the old one has certainly ended, or may continue to run beside it. */
+    private void restart(int member, Process previous) {
         boolean ended = random.nextBoolean();
         if (ended) {
             running.removeIf(process -> process.id.number() == member);
-        } else if (before != null) {
+        } else if (previous != null) {
             counts.restartsWithTheOldProcessRunning++;
         }
         long incarnation = nowMicros * MEMBERS + member + 1;
-        if (before != null && incarnation <= before.incarnation) {
+        if (previous != null && incarnation <= previous.incarnation) {
             return;
         }
         Process process = new Process(member, incarnation);
@@ -269,22 +271,23 @@
         }
         int copies = random.nextDouble() < DUPLICATE_PROBABILITY ? 2 : 1;
         for (int copy = 0; copy < copies; copy++) {
-            long bound = random.nextDouble() < LATE_PROBABILITY ? 2 * LEASE_MICROS : HEARTBEAT_MICROS / 4;
-            network.add(new Delivery(nowMicros + random.nextLong(bound), deliveries++, delivery));
+            long maxDelayMicros = random.nextDouble() < LATE_PROBABILITY ? 2 * LEASE_MICROS : HEARTBEAT_MICROS / 4;
+            network.add(new Delivery(nowMicros + random.nextLong(maxDelayMicros), deliveries++, delivery));
         }
     }
 
-    private void deliverUntil(long end) {
+    private void deliverUntil(long endMicros) {
         while (true) {
-            long delivery = network.isEmpty() ? Long.MAX_VALUE : network.peek().atMicros();
-            long due = controller.nextDueMicros() == Long.MAX_VALUE
+            long deliveryMicros =
+                    network.isEmpty() ? Long.MAX_VALUE : network.peek().atMicros();
+            long dueMicros = controller.nextDueMicros() == Long.MAX_VALUE
                     ? Long.MAX_VALUE
                     : Math.max(nowMicros, controller.nextDueMicros() - clockOffsetMicros);
-            if (Math.min(delivery, due) > end) {
+            if (Math.min(deliveryMicros, dueMicros) > endMicros) {
                 return;
             }
-            nowMicros = Math.min(delivery, due);
-            if (delivery <= due) {
+            nowMicros = Math.min(deliveryMicros, dueMicros);
+            if (deliveryMicros <= dueMicros) {
                 network.remove().action().run();
             } else {
                 apply(new AdvanceTime());
--- a/src/test/java/lilaclever/placement/RealSizeTest.java
+++ b/src/test/java/lilaclever/placement/RealSizeTest.java
@@ -8,7 +8,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** A region of the fleet's coming size: 19,000 forwarders and 262,144 shards in 9 regions. */
+/** A region of the planned fleet: 19,000 forwarders and 262,144 shards in 9 regions. */
 class RealSizeTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int MEMBERS = 2_111;
@@ -26,37 +26,40 @@
         region.run(20 * SECOND_MICROS);
         assertLoadBound(region);
 
-        int[] whole = region.owners();
-        int lost = (int) Arrays.stream(whole).filter(owner -> owner == 1000).count();
+        int[] initial = region.owners();
+        int lost = (int) Arrays.stream(initial).filter(owner -> owner == 1000).count();
         region.kill(List.of(1000));
         region.run(10 * SECOND_MICROS);
         assertEquals(0, region.unownedShards());
-        assertEquals(lost, region.shardsMovedSince(whole));
+        assertEquals(lost, region.shardsMovedSince(initial));
         assertLoadBound(region);
 
-        int[] without = region.owners();
+        int[] beforeJoin = region.owners();
         region.join(1000, 1000 % ZONES);
         region.run(3 * SECOND_MICROS);
-        assertEquals(region.controller.shardsHeldBy(new MemberId(1000)), region.shardsMovedSince(without));
+        assertEquals(region.controller.shardsHeldBy(new MemberId(1000)), region.shardsMovedSince(beforeJoin));
         assertLoadBound(region);
 
-        int[] before = region.owners();
-        int lostZone =
-                (int) Arrays.stream(before).filter(owner -> owner % ZONES == 1).count();
+        int[] beforeZoneLoss = region.owners();
+        int lostZone = (int) Arrays.stream(beforeZoneLoss)
+                .filter(owner -> owner % ZONES == 1)
+                .count();
         region.kill(IntStream.range(0, MEMBERS)
                 .filter(member -> member % ZONES == 1)
                 .boxed()
                 .toList());
         region.run(TestRegion.TIMING.safeExpiryDelayMicros());
-        long micros = region.runUntilAllOwned(2_000);
-        assertTrue(micros <= (lostZone / REASSIGNMENTS_PER_SECOND + 1) * SECOND_MICROS, () -> "microseconds until all owned: " + micros);
+        long reassignmentMicros = region.runUntilAllOwned(2_000);
+        assertTrue(
+                reassignmentMicros <= (lostZone / REASSIGNMENTS_PER_SECOND + 1) * SECOND_MICROS,
+                () -> "microseconds until all owned: " + reassignmentMicros);
         region.run(SECOND_MICROS);
-        assertEquals(lostZone, region.shardsMovedSince(before));
+        assertEquals(lostZone, region.shardsMovedSince(beforeZoneLoss));
         assertLoadBound(region);
     }
 
     private static void assertLoadBound(TestRegion region) {
-        double fullest = region.maxToMeanLoad();
-        assertTrue(fullest <= 1.25, () -> "fullest over mean " + fullest);
+        double maxToMean = region.maxToMeanLoad();
+        assertTrue(maxToMean <= 1.25, () -> "maximum to mean load " + maxToMean);
     }
 }
--- a/src/test/java/lilaclever/placement/TestRegion.java
+++ b/src/test/java/lilaclever/placement/TestRegion.java
@@ -19,7 +19,7 @@
 import lilaclever.placement.ControllerEvent.MapChanged;
 import lilaclever.placement.ControllerEvent.MemberExpired;
 
-/** A controller with members that answer at once, for tests of what is assigned to whom and when. */
+/** A controller with members that answer at once, for tests of shard assignment. */
 final class TestRegion {
     static final LeaseTiming TIMING = new LeaseTiming(1_000_000, 5_000_000, 0.01, 200_000);
     private static final double WEIGHT = 1;
@@ -27,15 +27,15 @@
 
     final PlacementController controller;
     final ShardMap map;
-    /** Deltas of the map so far, and their bytes. */
+    /** Number of map deltas so far and their total size. */
     long deltaCount;
 
     long deltaBytes;
-    /** Whether the processor time of commands is measured. */
+    /** Whether the CPU time of commands is measured. */
     boolean measuresCpuTime;
-    /** Longest processor time of a command since it was last set to 0, nanoseconds. */
+    /** Maximum CPU time of a command since this was last set to 0. */
     long maxCommandCpuNanos;
-    /** Processor time of the last command that found that a member's lease had ended, nanoseconds. */
+    /** CPU time of the last command that expired a member. */
     long lastExpiryCpuNanos;
 
     long nowMicros;
@@ -60,8 +60,8 @@
         map = new ShardMap(settings.region(), settings.shards());
     }
 
-    static ControllerSettings settings(int shards, int zones, int pace) {
-        return new ControllerSettings(3, shards, zones, 1.25, TIMING, pace);
+    static ControllerSettings settings(int shards, int zones, int reassignmentsPerSecond) {
+        return new ControllerSettings(3, shards, zones, 1.25, TIMING, reassignmentsPerSecond);
     }
 
     void join(int member, int zone) {
@@ -81,22 +81,22 @@
         apply(new Leave(id, processes.get(id).incarnation));
     }
 
-    /** The members end without a word. */
+    /** Ends the members without a leave. */
     void kill(Collection<Integer> members) {
         members.forEach(member -> processes.remove(new MemberId(member)));
     }
 
-    /** Lets time pass, with heartbeats of all members and the controller's own wake-ups. */
+    /** Advances time, with heartbeats of all members and the controller's due times. */
     void run(long micros) {
-        long end = nowMicros + micros;
+        long endMicros = nowMicros + micros;
         while (true) {
-            long due = Math.min(nextHeartbeatsMicros, controller.nextDueMicros());
-            if (due > end) {
-                nowMicros = end;
+            long dueMicros = Math.min(nextHeartbeatsMicros, controller.nextDueMicros());
+            if (dueMicros > endMicros) {
+                nowMicros = endMicros;
                 return;
             }
-            nowMicros = Math.max(nowMicros, due);
-            if (due == nextHeartbeatsMicros) {
+            nowMicros = Math.max(nowMicros, dueMicros);
+            if (dueMicros == nextHeartbeatsMicros) {
                 List.copyOf(processes.keySet()).forEach(this::heartbeat);
                 nextHeartbeatsMicros += settings.timing().heartbeatMicros();
             } else {
@@ -105,12 +105,12 @@
         }
     }
 
-    /** Lets time pass until each shard has an owner; fails after so many steps of a hundredth of a second. */
-    long runUntilAllOwned(int steps) {
-        long start = nowMicros;
-        for (int step = 0; step < steps; step++) {
+    /** Advances time until each shard has an owner; fails after {@code maxSteps} steps of 10 ms. */
+    long runUntilAllOwned(int maxSteps) {
+        long startMicros = nowMicros;
+        for (int step = 0; step < maxSteps; step++) {
             if (unownedShards() == 0) {
-                return nowMicros - start;
+                return nowMicros - startMicros;
             }
             run(10_000);
         }
@@ -127,13 +127,13 @@
         return unowned;
     }
 
-    /** Shards of the fullest member, over the mean of all. */
+    /** Ratio of the maximum to the mean number of shards of a member. */
     double maxToMeanLoad() {
-        int fullest = controller.members().stream()
+        int maxShards = controller.members().stream()
                 .mapToInt(controller::shardsHeldBy)
                 .max()
                 .orElse(0);
-        return fullest * (double) controller.members().size() / settings.shards();
+        return maxShards * (double) controller.members().size() / settings.shards();
     }
 
     int[] owners() {
@@ -144,7 +144,7 @@
         return owners;
     }
 
-    /** How many shards have another owner than before. */
+    /** Number of shards whose owner differs from the given one. */
     int shardsMovedSince(int[] before) {
         int[] now = owners();
         int moved = 0;
@@ -157,20 +157,20 @@
     }
 
     List<ControllerEvent> apply(ControllerCommand command) {
-        long start = measuresCpuTime ? THREADS.getCurrentThreadCpuTime() : 0;
+        long startNanos = measuresCpuTime ? THREADS.getCurrentThreadCpuTime() : 0;
         List<ControllerEvent> events = controller.apply(command, nowMicros);
         if (measuresCpuTime) {
-            long nanos = THREADS.getCurrentThreadCpuTime() - start;
+            long nanos = THREADS.getCurrentThreadCpuTime() - startNanos;
             maxCommandCpuNanos = Math.max(maxCommandCpuNanos, nanos);
             if (events.stream().anyMatch(MemberExpired.class::isInstance)) {
                 lastExpiryCpuNanos = nanos;
             }
         }
-        List<Release> answers = new ArrayList<>();
+        List<Release> releases = new ArrayList<>();
         for (ControllerEvent event : events) {
-            receive(event, answers);
+            receive(event, releases);
         }
-        answers.forEach(this::apply);
+        releases.forEach(this::apply);
         return events;
     }
 
@@ -182,26 +182,26 @@
         }
     }
 
-    private void receive(ControllerEvent event, List<Release> answers) {
+    private void receive(ControllerEvent event, List<Release> releases) {
         if (event instanceof MapChanged change) {
             deltaCount++;
             deltaBytes += change.delta().encodedBytes();
             assertEquals(MapUpdate.APPLIED, map.apply(change.delta()));
         } else if (event instanceof AssignmentChanged change) {
-            receive(change, answers);
+            receive(change, releases);
         } else if (event instanceof LeaveCompleted completed) {
             processes.remove(completed.member());
         }
     }
 
-    private void receive(AssignmentChanged change, List<Release> answers) {
+    private void receive(AssignmentChanged change, List<Release> releases) {
         Process process = processes.get(change.member());
         if (process == null || process.incarnation != change.incarnation()) {
             return;
         }
         process.appliedRevision = change.toRevision();
         if (!change.revoked().isEmpty()) {
-            answers.add(new Release(change.member(), change.incarnation(), change.revoked()));
+            releases.add(new Release(change.member(), change.incarnation(), change.revoked()));
         }
     }
 }
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -15,19 +15,17 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The small scale tests: what a forwarder keeps grows no faster than stated, and on a line. The long runs are
- * bench/scale.
+ * Small scale tests: the memory that a forwarder retains grows linearly and within the stated bounds. The long runs are
+ * in bench/scale.
  */
 class ScaleTest {
-    /**
-     * Bytes of heap for each destination listed with one endpoint, without the program's own list: docs/CAPACITY.md.
-     */
+    /** Heap for each destination listed with one endpoint, without the program's own list: docs/CAPACITY.md. */
     private static final double MAX_BYTES_PER_DESTINATION = 1_600;
-    /** Bytes of heap for each message held with a body of {@link #BODY_BYTES}: docs/CAPACITY.md. */
+    /** Heap for each pending message with a body of {@link #BODY_BYTES}: docs/CAPACITY.md. */
     private static final double MAX_BYTES_PER_MESSAGE = 1_500;
 
     private static final int BODY_BYTES = 300;
-    /** Heap moves in steps, as tables double: the largest distance from the line, as part of the largest value. */
+    /** Maximum residual of the line relative to the largest value. The heap grows in steps, as tables double. */
     private static final double MAX_RELATIVE_RESIDUAL = 0.15;
 
     @TempDir
@@ -37,10 +35,10 @@
     void heapPerListedDestinationIsBoundedAndLinear() throws IOException {
         List<LinearFit.Point> points = new ArrayList<>();
         for (int destinations : List.of(5_000, 10_000, 20_000, 40_000)) {
-            long before = ResourceUsage.liveHeapBytes();
+            long heapBeforeBytes = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder =
                     new SocketlessForwarder(folder(destinations), destinations, destinations, 100)) {
-                points.add(new LinearFit.Point(destinations, ResourceUsage.liveHeapBytes() - before));
+                points.add(new LinearFit.Point(destinations, ResourceUsage.liveHeapBytes() - heapBeforeBytes));
                 Reference.reachabilityFence(forwarder);
             }
         }
@@ -53,7 +51,7 @@
     void heapPerPendingMessageIsBoundedAndLinear() throws IOException {
         List<LinearFit.Point> points = new ArrayList<>();
         for (int messages : List.of(2_000, 4_000, 8_000, 16_000)) {
-            long before = ResourceUsage.liveHeapBytes();
+            long heapBeforeBytes = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(messages), 1, 0, 2 * messages)) {
                 for (int i = 0; i < messages; i++) {
                     forwarder.submit(0, new byte[BODY_BYTES]);
@@ -63,7 +61,7 @@
                 }
                 forwarder.turn();
                 assertEquals(messages, forwarder.pendingMessages());
-                points.add(new LinearFit.Point(messages, ResourceUsage.liveHeapBytes() - before));
+                points.add(new LinearFit.Point(messages, ResourceUsage.liveHeapBytes() - heapBeforeBytes));
             }
         }
         LinearFit slope = LinearFit.fit(points);
@@ -71,7 +69,7 @@
         assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
     }
 
-    /** Without this the figures of events would be those of messages that wait. */
+    /** Otherwise the figures of delivered messages would be those of pending ones. */
     @Test
     void forwarderDeliversSubmittedMessages() throws IOException {
         try (SocketlessForwarder forwarder = new SocketlessForwarder(folder(1), 374, 374, 10_000)) {
@@ -89,15 +87,18 @@
 
     @Test
     void fitFindsALineAndReportsTheResidualOfACurve() {
-        LinearFit line = LinearFit.fit(List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
+        LinearFit line = LinearFit.fit(
+                List.of(new LinearFit.Point(1, 5), new LinearFit.Point(2, 7), new LinearFit.Point(4, 11)));
         assertEquals(2, line.perUnit(), 1e-9);
         assertEquals(3, line.intercept(), 1e-9);
         assertEquals(23, line.valueAt(10), 1e-9);
         assertEquals(0, line.maxRelativeResidual(), 1e-9);
-        LinearFit square = LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
+        LinearFit square = LinearFit.fit(
+                List.of(new LinearFit.Point(1, 1), new LinearFit.Point(10, 100), new LinearFit.Point(20, 400)));
         assertTrue(square.maxRelativeResidual() > 0.1, square.toString());
         assertThrows(
-                IllegalArgumentException.class, () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
+                IllegalArgumentException.class,
+                () -> LinearFit.fit(List.of(new LinearFit.Point(1, 1), new LinearFit.Point(1, 2))));
     }
 
     private Path folder(int number) throws IOException {
--- a/src/test/java/lilaclever/scale/SocketlessForwarder.java
+++ b/src/test/java/lilaclever/scale/SocketlessForwarder.java
@@ -26,13 +26,12 @@
 import lilaclever.routing.Submission;
 
 /**
- * A forwarder without sockets: the real core, decision module and journal in virtual time, on the thread of whoever
- * uses it. Each endpoint has a destination of its own; its calls are delivered, or refused where the destination is
- * down.
+ * A forwarder without sockets: the real core, decision module and journal in virtual time, on the caller's thread. Each
+ * endpoint has a destination of its own; its calls are delivered, or fail to connect if the destination is down.
  */
 final class SocketlessForwarder implements Front, Deliverer, Clock, AutoCloseable {
     static final long SECOND_MICROS = 1_000_000, ROUND_MICROS = 5_000, DAY_MICROS = 86_400 * SECOND_MICROS;
-    /** The wall clock at virtual time 0: any day will do. */
+    /** The wall clock at virtual time 0; an arbitrary date. */
     private static final long WALL_CLOCK_START_MICROS = 1_767_225_600L * SECOND_MICROS;
 
     private static final int SLOTS = 64, MAX_ATTEMPTS = 1_000_000, FLEET_FORWARDERS = 19_000;
@@ -50,14 +49,14 @@
     private long nextMessageNumber;
 
     /**
-     * Opens the folder's journal and starts with so many destinations listed, of which those from {@code firstDown} on
-     * are down.
+     * Opens the folder's journal and starts with {@code destinations} listed destinations, of which those from
+     * {@code firstDown} on are down.
      */
-    SocketlessForwarder(Path folder, int destinations, int firstDown, int mostHeld) throws IOException {
-        this(FolderDisk.lock(folder), destinations, firstDown, mostHeld);
+    SocketlessForwarder(Path folder, int destinations, int firstDown, int maxPendingMessages) throws IOException {
+        this(FolderDisk.lock(folder), destinations, firstDown, maxPendingMessages);
     }
 
-    SocketlessForwarder(Disk disk, int destinations, int firstDown, int mostHeld) throws IOException {
+    SocketlessForwarder(Disk disk, int destinations, int firstDown, int maxPendingMessages) throws IOException {
         this.firstDown = firstDown;
         this.disk = disk;
         journal = new SegmentedJournal(
@@ -67,12 +66,17 @@
                 new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                 new SplittableRandom(SEED));
         core = new Core(
-                settings(mostHeld), SEED, journal, counters, new IdempotencyWindows(List.of(), SECOND_MICROS, 1), this);
+                settings(maxPendingMessages),
+                SEED,
+                journal,
+                counters,
+                new IdempotencyWindows(List.of(), SECOND_MICROS, 1),
+                this);
         core.add(this);
         core.runFirstTurn(listedEndpoints(destinations), 1);
     }
 
-    private static DecisionModule.Settings settings(int mostHeld) {
+    private static DecisionModule.Settings settings(int maxPendingMessages) {
         DecisionModule.MessageClass repeatable = new DecisionModule.MessageClass(
                 SECOND_MICROS, DAY_MICROS, 1, DecisionModule.RepeatSafety.SAFE, DecisionModule.KeyScope.ALL, 0, false);
         return new DecisionModule.Settings(
@@ -89,8 +93,26 @@
                 List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
                 new DecisionModule.Limits(
-                        MAX_ATTEMPTS, mostHeld, SLOTS, true, false, false, 1, SECOND_MICROS, 5 * SECOND_MICROS, true, 2 * SECOND_MICROS),
-                new DecisionModule.Rules(20_000, 10 * SECOND_MICROS, SECOND_MICROS / 2, 0.24, 9_500_000, 1.5, 3 * SECOND_MICROS, 100_000));
+                        MAX_ATTEMPTS,
+                        maxPendingMessages,
+                        SLOTS,
+                        true,
+                        false,
+                        false,
+                        1,
+                        SECOND_MICROS,
+                        5 * SECOND_MICROS,
+                        true,
+                        2 * SECOND_MICROS),
+                new DecisionModule.Rules(
+                        20_000,
+                        10 * SECOND_MICROS,
+                        SECOND_MICROS / 2,
+                        0.24,
+                        9_500_000,
+                        1.5,
+                        3 * SECOND_MICROS,
+                        100_000));
     }
 
     private List<Core.ListedEndpoint> listedEndpoints(int destinations) {
@@ -106,7 +128,7 @@
                 new Call.Endpoint(host, "127.0.0.1:9", destination, 0, 1, false, this));
     }
 
-    /** Has the list tell of one endpoint, as each change of it does, and runs the turn. */
+    /** Applies a change of the endpoint list that contains one endpoint, and runs a turn. */
     void updateEndpoint(int destination, long version) {
         core.updateEndpoints(
                 DecisionModule.ListingKind.CHANGES,
@@ -115,23 +137,23 @@
         turn();
     }
 
-    /** Hands one message in; what comes of it is told in later turns. */
+    /** Submits one message; its result is reported in later turns. */
     void submit(int destination, byte[] body) {
         String id = "message-" + nextMessageNumber++;
         core.submit(this, new Submission(id, null, 0, destination, "key-" + id, body, false, false, DAY_MICROS));
     }
 
-    /** One turn of the loop, the least time after the last one. */
+    /** Runs one turn of the event loop, the minimum time after the last one. */
     void turn() {
         nowMicros += ROUND_MICROS;
         core.runTurn();
     }
 
-    /** Lets the time pass; gives how many turns the loop made. */
+    /** Advances time and returns the number of turns of the event loop. */
     int advance(long micros) {
         int turns = 0;
-        for (long until = nowMicros + micros; nowMicros < until; turns++) {
-            nowMicros = Math.max(nowMicros + ROUND_MICROS, Math.min(until, core.nextTurnMicros()));
+        for (long untilMicros = nowMicros + micros; nowMicros < untilMicros; turns++) {
+            nowMicros = Math.max(nowMicros + ROUND_MICROS, Math.min(untilMicros, core.nextTurnMicros()));
             core.runTurn();
         }
         return turns;
@@ -145,12 +167,12 @@
         return counters.get(name);
     }
 
-    /** What the journal's files take, bytes. */
+    /** Size of the journal's files. */
     long diskBytes() {
         return journal.allocatedBytes();
     }
 
-    // ---- time -------------------------------------------------------------------------------------------
+    // Clock
     @Override
     public long monotonicMicros() {
         return nowMicros;
@@ -163,20 +185,20 @@
 
     @Override
     public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
-        throw new IllegalStateException("whoever uses it does the loop's part");
+        throw new IllegalStateException("the caller runs the event loop");
     }
 
     @Override
     public void sleep(long micros) {
-        throw new IllegalStateException("whoever uses it does the loop's part");
+        throw new IllegalStateException("the caller runs the event loop");
     }
 
     @Override
     public void taskPosted() {
-        // the next turn takes it
+        // the next turn runs the task
     }
 
-    // ---- the front --------------------------------------------------------------------------------------
+    // Front
     @Override
     public String name() {
         return "http";
@@ -184,30 +206,30 @@
 
     @Override
     public void onAccepted(Message message) {
-        // nobody waits to hear it
+        // no client waits for the answer
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        throw new IllegalStateException(message.id() + " was turned down: " + verdict);
+    public void onRejected(Message message, FinalStatus status) {
+        throw new IllegalStateException(message.id() + " was rejected: " + status);
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus status, Runnable settled) {
         settled.run();
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
+    // Deliverer
     @Override
     public void start(Call call) {
-        DecisionModule.AttemptResult ending = call.endpoint.destination() < firstDown
+        DecisionModule.AttemptResult result = call.endpoint.destination() < firstDown
                 ? DecisionModule.AttemptResult.DELIVERED
                 : DecisionModule.AttemptResult.NO_CONNECTION;
         List<Message> messages = new ArrayList<>(call.messages);
-        core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, ending, 0, false, false)));
+        core.post(() -> messages.forEach(message -> core.attemptEnded(call, message, result, 0, false, false)));
     }
 
-    /** Nothing drains here. */
+    /** No endpoint drains here. */
     @Override
     public void cancelUnsent(Call call) {}
 
