--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -66,7 +66,7 @@
             if (r.identity().isEmpty() || r.deliveryKey().length() > 128 || r.budgetMicros() < 0) {
                 throw new IllegalStateException("not in our terms: " + r);
             }
-            check(ACKS.good(Code.CA, header));
+            check(ACKS.positive(Code.CA, header));
             check(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
             check(ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
         } catch (Hl7Fault e) {
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -36,7 +36,7 @@
     }
 
     /** An acknowledgement that all is well. */
-    byte[] good(Code code, Header to) {
+    byte[] positive(Code code, Header to) {
         return of(code, to, "", "");
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -70,7 +70,7 @@
 
     /** The accept acknowledgement of a message that was taken on; null if none is wanted. */
     byte[] accepted(Header to) {
-        return Request.wantsAccept(to, true) ? acknowledgements.good(Code.CA, to) : null;
+        return Request.wantsAccept(to, true) ? acknowledgements.positive(Code.CA, to) : null;
     }
 
     /** For a message whose end is remembered, delivered or failed: one, both or none. */
@@ -81,7 +81,7 @@
         // Where no application acknowledgement is wanted, the accept acknowledgement is all that can tell the end.
         boolean good = delivered || Request.wantsFinal(to, false);
         if (Request.wantsAccept(to, good)) {
-            replies.add(good ? acknowledgements.good(Code.CA, to) : acknowledgements.failed(Code.CR, to, verdict));
+            replies.add(good ? acknowledgements.positive(Code.CA, to) : acknowledgements.failed(Code.CR, to, verdict));
         }
         if (wantsFinal) {
             replies.add(finalStatus(to, verdict));
@@ -92,7 +92,7 @@
     /** The application acknowledgement that tells how a message ended. */
     byte[] finalStatus(Header to, FinalStatus verdict) {
         return switch (verdict.kind()) {
-            case DELIVERED -> acknowledgements.good(Code.AA, to);
+            case DELIVERED -> acknowledgements.positive(Code.AA, to);
             case REFUSED -> acknowledgements.comeBack(Code.AR, to, verdict);
             default -> acknowledgements.failed(Code.AE, to, verdict);
         };
--- a/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
@@ -139,7 +139,7 @@
         Header h = Header.read(bytes(GOOD));
         assertEquals(
                 "MSH|^~\\&|LAB|LF|APP|FAC|TIME||ACK^O01^ACK|L-0|P|2.5|||NE|NE|CAN|8859/1\nMSA|CA|M1\n",
-                ack(acks.good(Code.CA, h)));
+                ack(acks.positive(Code.CA, h)));
         Hl7Fault fault = new Hl7Fault(Hl7Fault.Code.MISSING, "PID", 3, "a field | that is needed");
         assertTrue(ack(acks.fault(Code.CR, h, fault))
                 .endsWith("MSA|CR|M1|a field \\F\\ that is needed\n"
@@ -160,7 +160,7 @@
     @Test
     void nothingOfASendersHeaderEndsAnAnswer() throws Hl7Fault {
         Header h = Header.read(bytes("MSH|^~\\&|A\n\u0000P|F|L|L|||ORM|1|P|2.5\r"));
-        String ack = ack(new Acknowledgements("").good(Code.AA, h));
+        String ack = ack(new Acknowledgements("").positive(Code.AA, h));
         assertTrue(ack.contains("A??P"), ack);
     }
 
@@ -170,7 +170,7 @@
         byte[] utf = GOOD.replace("8859/1", "UNICODE UTF-8")
                 .replace("FAC", "Qu\u00e9bec")
                 .getBytes(StandardCharsets.UTF_8);
-        byte[] ack = new Acknowledgements("").good(Code.AA, Header.read(utf));
+        byte[] ack = new Acknowledgements("").positive(Code.AA, Header.read(utf));
         assertTrue(new String(ack, StandardCharsets.UTF_8).contains("|Qu\u00e9bec|"));
     }
 
@@ -232,7 +232,7 @@
             header = Header.read(message);
             Request r = reader("ORC-2", true).read(header, message);
             assertTrue(r.identity().length() < 400);
-            answer = acks.good(Code.AA, header);
+            answer = acks.positive(Code.AA, header);
         } catch (Hl7Fault e) {
             answer = acks.fault(Code.AE, header, e);
         }
