--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -68,7 +68,7 @@
             }
             check(ACKS.positive(Code.CA, header));
             check(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
-            check(ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
+            check(ACKS.retryLater(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
         } catch (Hl7Fault e) {
             check(ACKS.fault(Code.AE, header, e));
         }
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -47,7 +47,7 @@
     }
 
     /** The message was refused, and nothing of it was done: it may come again after so long. */
-    byte[] comeBack(Code code, Header to, FinalStatus verdict) {
+    byte[] retryLater(Code code, Header to, FinalStatus verdict) {
         String seconds = seconds(verdict.retryAfterMicros());
         String text = text(
                 to,
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -43,7 +43,7 @@
             return null;
         }
         if (refused) {
-            return acknowledgements.comeBack(code, to, verdict);
+            return acknowledgements.retryLater(code, to, verdict);
         }
         return verdict.kind() == Kind.CLASH
                 ? acknowledgements.fault(code, to, duplicateKey())
@@ -93,7 +93,7 @@
     byte[] finalStatus(Header to, FinalStatus verdict) {
         return switch (verdict.kind()) {
             case DELIVERED -> acknowledgements.positive(Code.AA, to);
-            case REFUSED -> acknowledgements.comeBack(Code.AR, to, verdict);
+            case REFUSED -> acknowledgements.retryLater(Code.AR, to, verdict);
             default -> acknowledgements.failed(Code.AE, to, verdict);
         };
     }
--- a/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
@@ -145,7 +145,7 @@
                 .endsWith("MSA|CR|M1|a field \\F\\ that is needed\n"
                         + "ERR||PID^^3|101^Required field missing^HL70357|E||||a field \\F\\ that is needed\n"));
         FinalStatus busy = new FinalStatus(FinalStatus.Kind.REFUSED, 2_500_000, "no room");
-        assertTrue(ack(acks.comeBack(Code.AR, h, busy))
+        assertTrue(ack(acks.retryLater(Code.AR, h, busy))
                 .endsWith("MSA|AR|M1|no room; come again in 2.5 s\n"
                         + "ERR|||207^Application internal error^HL70357|E|come-again|2.5||no room; "
                         + "come again in 2.5 s\n"));
