--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -67,7 +67,7 @@
                 throw new IllegalStateException("not in our terms: " + r);
             }
             check(ACKS.positive(Code.CA, header));
-            check(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
+            check(ACKS.notConfirmed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
             check(ACKS.retryLater(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
         } catch (Hl7Fault e) {
             check(ACKS.fault(Code.AE, header, e));
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -57,7 +57,7 @@
     }
 
     /** The message was taken on and is not known to be done: it may have been. */
-    byte[] failed(Code code, Header to, FinalStatus verdict) {
+    byte[] notConfirmed(Code code, Header to, FinalStatus verdict) {
         String text = text(
                 to, "not confirmed, so perhaps done" + (verdict.detail().isEmpty() ? "" : ": " + verdict.detail()));
         return of(code, to, text, err(to, "", 0, Hl7Fault.Code.INTERNAL, "not-confirmed", "", text));
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -47,7 +47,7 @@
         }
         return verdict.kind() == Kind.CLASH
                 ? acknowledgements.fault(code, to, duplicateKey())
-                : acknowledgements.failed(code, to, verdict);
+                : acknowledgements.notConfirmed(code, to, verdict);
     }
 
     /**
@@ -81,7 +81,7 @@
         // Where no application acknowledgement is wanted, the accept acknowledgement is all that can tell the end.
         boolean good = delivered || Request.wantsFinal(to, false);
         if (Request.wantsAccept(to, good)) {
-            replies.add(good ? acknowledgements.positive(Code.CA, to) : acknowledgements.failed(Code.CR, to, verdict));
+            replies.add(good ? acknowledgements.positive(Code.CA, to) : acknowledgements.notConfirmed(Code.CR, to, verdict));
         }
         if (wantsFinal) {
             replies.add(finalStatus(to, verdict));
@@ -94,7 +94,7 @@
         return switch (verdict.kind()) {
             case DELIVERED -> acknowledgements.positive(Code.AA, to);
             case REFUSED -> acknowledgements.retryLater(Code.AR, to, verdict);
-            default -> acknowledgements.failed(Code.AE, to, verdict);
+            default -> acknowledgements.notConfirmed(Code.AE, to, verdict);
         };
     }
 }
