--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -50,7 +50,7 @@
 
     private static void message(byte[] frame) {
         try {
-            for (byte[] message : frame.length > 0 && Batch.is(frame) ? Batch.split(frame) : List.of(frame)) {
+            for (byte[] message : frame.length > 0 && Batch.isBatch(frame) ? Batch.split(frame) : List.of(frame)) {
                 one(message);
             }
         } catch (Hl7Fault e) {
--- a/src/main/java/lilaclever/protocol/mllp/Batch.java
+++ b/src/main/java/lilaclever/protocol/mllp/Batch.java
@@ -16,7 +16,7 @@
     private Batch() {}
 
     /** True if the frame holds a batch. */
-    static boolean is(byte[] frame) {
+    static boolean isBatch(byte[] frame) {
         return frame.length > 3 && (startsWith(frame, 0, "BHS") || startsWith(frame, 0, "FHS"));
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -64,7 +64,7 @@
         List<byte[]> messages = List.of(frame);
         Hl7Fault fault = null;
         try {
-            messages = Batch.is(frame) ? Batch.split(frame) : messages;
+            messages = Batch.isBatch(frame) ? Batch.split(frame) : messages;
         } catch (Hl7Fault e) {
             fault = e;
         }
--- a/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
@@ -181,7 +181,7 @@
                 "FHS|^~\\&\rBHS|^~\\&\rMSH|1\rPID|1\rMSH|2\rBTS|2\rFTS|1\r"
             })
     void aBatchIsItsMessages(String batch) throws Hl7Fault {
-        assertTrue(Batch.is(bytes(batch)));
+        assertTrue(Batch.isBatch(bytes(batch)));
         List<byte[]> split = Batch.split(bytes(batch));
         assertEquals(
                 List.of("MSH|1\rPID|1\r", "MSH|2\r"),
