--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -9,7 +9,7 @@
 
 /**
  * What Jazzer is given to break: bytes of a connection go through frames, batches, header, fields and answers as they
- * do in the program. Only {@link FrameReader.Spoilt} and {@link Hl7Fault} may come out, and no answer may hold a byte
+ * do in the program. Only {@link FrameReader.MalformedFrameException} and {@link Hl7Fault} may come out, and no answer may hold a byte
  * that ends a frame. {@code bench/fuzz} runs it.
  */
 public final class MllpFuzzer {
@@ -43,7 +43,7 @@
         try {
             frames.read(java.util.Arrays.copyOf(data, cut)).forEach(MllpFuzzer::message);
             frames.read(java.util.Arrays.copyOfRange(data, cut, data.length)).forEach(MllpFuzzer::message);
-        } catch (FrameReader.Spoilt e) {
+        } catch (FrameReader.MalformedFrameException e) {
             message(data); // most inputs are no frames: what they hold is tried as a message
         }
     }
--- a/src/main/java/lilaclever/protocol/mllp/FrameReader.java
+++ b/src/main/java/lilaclever/protocol/mllp/FrameReader.java
@@ -15,10 +15,10 @@
     private static final int FIRST = 512;
 
     /** The connection can't be read any further. */
-    static final class Spoilt extends Exception {
+    static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Spoilt(String problem) {
+        MalformedFrameException(String problem) {
             super(problem);
         }
     }
@@ -40,7 +40,7 @@
     }
 
     /** Reads a piece; gives the messages that it ends. Those before a fault are given with the next call's fault. */
-    List<byte[]> read(byte[] in) throws Spoilt {
+    List<byte[]> read(byte[] in) throws MalformedFrameException {
         List<byte[]> whole = new ArrayList<>(1);
         for (byte b : in) {
             switch (state) {
@@ -48,7 +48,7 @@
                 case INSIDE -> inside(b);
                 default -> {
                     if (b != CR) {
-                        throw new Spoilt("FS without CR");
+                        throw new MalformedFrameException("FS without CR");
                     }
                     whole.add(Arrays.copyOf(gathered, size));
                     state = State.BETWEEN;
@@ -60,24 +60,24 @@
         return whole;
     }
 
-    private void between(byte b) throws Spoilt {
+    private void between(byte b) throws MalformedFrameException {
         if (b == VT) {
             state = State.INSIDE;
         } else if (b != CR && b != LF) {
-            throw new Spoilt("a byte outside of a frame");
+            throw new MalformedFrameException("a byte outside of a frame");
         }
     }
 
-    private void inside(byte b) throws Spoilt {
+    private void inside(byte b) throws MalformedFrameException {
         if (b == FS) {
             state = State.ENDING;
             return;
         }
         if (b == VT) {
-            throw new Spoilt("a frame begins within a frame");
+            throw new MalformedFrameException("a frame begins within a frame");
         }
         if (size == largest) {
-            throw new Spoilt("a message of more than " + largest + " bytes");
+            throw new MalformedFrameException("a message of more than " + largest + " bytes");
         }
         if (size == gathered.length) {
             gathered = Arrays.copyOf(gathered, Math.min(largest, Math.max(FIRST, 2 * size)));
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -54,7 +54,7 @@
             }
             partial = reader.isPartial();
             since = partial && was ? since : Core.monotonicMicros(); // a frame counts from its first byte
-        } catch (FrameReader.Spoilt e) {
+        } catch (FrameReader.MalformedFrameException e) {
             front.bad(address, e.getMessage());
             close();
         }
--- a/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import lilaclever.protocol.mllp.FrameReader.Spoilt;
+import lilaclever.protocol.mllp.FrameReader.MalformedFrameException;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
@@ -29,7 +29,7 @@
     @ParameterizedTest
     @ValueSource(strings = {"MSH", "\u000bMSH\u000b", "\u000bMSH\u001cX", "\u000b0123456789", "\u000bA\u001c\rnoise"})
     void whatIsNoFrameSpoilsTheConnection(String text) {
-        assertThrows(Spoilt.class, () -> new FrameReader(8).read(bytes(text)));
+        assertThrows(MalformedFrameException.class, () -> new FrameReader(8).read(bytes(text)));
     }
 
     @Provide
@@ -45,7 +45,7 @@
     /** However they are cut, all messages come out whole and in order, and nothing is left. */
     @Property(tries = 300, seed = "-1")
     void anyPiecesGiveTheSameMessages(@ForAll("messages") List<byte[]> messages, @ForAll("cuts") List<Integer> cuts)
-            throws Spoilt {
+            throws MalformedFrameException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (byte[] m : messages) {
             all.writeBytes(FrameReader.frame(m));
@@ -75,7 +75,7 @@
     /** A half frame shows, so that it can be given up in time. */
     @ParameterizedTest
     @ValueSource(strings = {"\u000b", "\u000bMSH", "\u000bMSH\u001c"})
-    void aHalfFrameShows(String text) throws Spoilt {
+    void aHalfFrameShows(String text) throws MalformedFrameException {
         FrameReader reader = new FrameReader(8);
         assertTrue(reader.read(bytes(text)).isEmpty());
         assertTrue(reader.isPartial());
