--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -54,12 +54,12 @@
                 one(message);
             }
         } catch (Hl7Fault e) {
-            check(ACKS.fault(Code.AR, Header.none(), e));
+            check(ACKS.fault(Code.AR, Header.placeholder(), e));
         }
     }
 
     private static void one(byte[] message) {
-        Header header = Header.none();
+        Header header = Header.placeholder();
         try {
             header = Header.read(message);
             Request r = READER.read(header, message);
--- a/src/main/java/lilaclever/protocol/mllp/Header.java
+++ b/src/main/java/lilaclever/protocol/mllp/Header.java
@@ -37,7 +37,7 @@
     }
 
     /** A header for whoever sent nothing that can be read. */
-    static Header none() {
+    static Header placeholder() {
         return new Header('|', split("MSH|^~\\&||||||||||2.5", '|'), StandardCharsets.ISO_8859_1);
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -79,7 +79,7 @@
     }
 
     private void message(byte[] message, Hl7Fault batchFault) {
-        Header header = Header.none();
+        Header header = Header.placeholder();
         try {
             if (batchFault != null) {
                 throw batchFault;
--- a/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
@@ -225,7 +225,7 @@
     /** Whatever comes is read or refused with a fault, and can be answered in one frame; nothing else is thrown. */
     @Property(tries = 2000, seed = "-1")
     void nothingIsThrownButFaults(@ForAll("nearlyGood") byte[] message) {
-        Header header = Header.none();
+        Header header = Header.placeholder();
         Acknowledgements acks = new Acknowledgements("");
         byte[] answer;
         try {
