--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -271,7 +271,7 @@
 
     private void awaitIdle(long deadlineMicros) {
         if (core.nowMicros() >= deadlineMicros
-                || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && httpFront.isClosed()) {
+                || core.isIdle(mllpFront == null ? 0 : mllpFront.pendingAnswerCount()) && httpFront.isClosed()) {
             stopped.countDown();
         } else {
             core.deadlines().schedule(core.nowMicros() + IDLE_CHECK_PERIOD_MICROS, () -> awaitIdle(deadlineMicros));
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -108,7 +108,7 @@
     }
 
     /** Ends owed to clients that are away; the journal keeps them. */
-    public int away() {
+    public int pendingAnswerCount() {
         return finalAnswers.size();
     }
 
