--- a/src/main/java/lilaclever/program/OperatorSettings.java
+++ b/src/main/java/lilaclever/program/OperatorSettings.java
@@ -35,7 +35,7 @@
         return mllp == null
                 ? 0
                 : mllp.listeners().stream()
-                        .mapToInt(MllpSettings.Listener::connections)
+                        .mapToInt(MllpSettings.Listener::maxConnections)
                         .sum();
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -80,7 +80,7 @@
         sessions.add(session);
         int all = counts.merge(listener.name(), 1, Integer::sum);
         int same = counts.merge(addressKey(session), 1, Integer::sum);
-        if (closing || all > listener.connections() || same > listener.connectionsPerAddress()) {
+        if (closing || all > listener.maxConnections() || same > listener.connectionsPerAddress()) {
             turnedAway.incrementAndGet();
             session.close();
             return;
--- a/src/main/java/lilaclever/protocol/mllp/MllpSettings.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSettings.java
@@ -41,7 +41,7 @@
     /**
      * Where clients connect.
      *
-     * @param connections of all clients at most, and of one address at most
+     * @param maxConnections of all clients at most, and of one address at most
      * @param inFlight messages of one connection that wait for their first answer
      * @param largest bytes of a message
      * @param idleMicros a connection is closed after so long without a message
@@ -51,7 +51,7 @@
             String name,
             String address,
             AddressSet networks,
-            int connections,
+            int maxConnections,
             int connectionsPerAddress,
             int inFlight,
             int largest,
