--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -193,7 +193,7 @@
 
     private static Field field(Section s, String key, String defaultValue) throws ConfigurationException {
         String text = s.text(key, defaultValue);
-        Field field = text == null ? null : Field.of(text);
+        Field field = text == null ? null : Field.parse(text);
         if (text != null && field == null) {
             throw s.error(key, "a field such as MSH-10 or ORC-2-1, not " + text);
         }
--- a/src/main/java/lilaclever/protocol/mllp/MllpSettings.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSettings.java
@@ -66,7 +66,7 @@
         }
 
         /** Reads one; null if the text is none. */
-        public static Field of(String text) {
+        public static Field parse(String text) {
             return text.matches("[A-Z][A-Z0-9]{2}-[1-9][0-9]?(-[1-9][0-9]?)?")
                     ? new Field(text.substring(0, 3), text)
                     : null;
