--- a/src/main/java/lilaclever/protocol/mail/Report.java
+++ b/src/main/java/lilaclever/protocol/mail/DeliveryStatusNotification.java
@@ -3,13 +3,13 @@
 import lilaclever.routing.FinalStatus;
 
 /** Delivery status notifications: what a sender is told of a failure (RFC 3464). */
-final class Report {
-    private Report() {}
+final class DeliveryStatusNotification {
+    private DeliveryStatusNotification() {}
 
-    static Mail of(String hostName, Mail failed, FinalStatus verdict, String id, String date) {
+    static Mail create(String hostName, Mail failed, FinalStatus verdict, String id, String date) {
         Reply said = Reply.parse(verdict.detail());
-        boolean permanent = said != null && said.permanent() && verdict.kind() == FinalStatus.Kind.FAILED;
-        String status = permanent ? said.status() : verdict.kind() == FinalStatus.Kind.REFUSED ? "4.4.7" : "5.4.0";
+        boolean permanent = said != null && said.isPermanentFailure() && verdict.kind() == FinalStatus.Kind.FAILED;
+        String status = permanent ? said.enhancedStatus() : verdict.kind() == FinalStatus.Kind.REFUSED ? "4.4.7" : "5.4.0";
         String why = permanent
                 ? "The next server refused it: " + verdict.detail()
                 : verdict.kind() == FinalStatus.Kind.REFUSED
@@ -17,7 +17,7 @@
                         : "Its delivery was not confirmed. It may have happened, so it was not tried again.";
         String boundary = "report-" + id;
         StringBuilder text = new StringBuilder();
-        add(
+        addLines(
                 text,
                 "From: Mail Delivery System <postmaster@" + hostName + '>',
                 "To: <" + failed.reversePath() + '>',
@@ -44,15 +44,15 @@
                 "Action: failed",
                 "Status: " + status);
         if (said != null) {
-            add(text, "Diagnostic-Code: smtp; " + verdict.detail());
+            addLines(text, "Diagnostic-Code: smtp; " + verdict.detail());
         }
-        add(text, "", "--" + boundary, "Content-Type: text/rfc822-headers", "");
+        addLines(text, "", "--" + boundary, "Content-Type: text/rfc822-headers", "");
         int end = failed.content().indexOf("\r\n\r\n");
-        add(text, end < 0 ? failed.content() : failed.content().substring(0, end), "", "--" + boundary + "--");
+        addLines(text, end < 0 ? failed.content() : failed.content().substring(0, end), "", "--" + boundary + "--");
         return new Mail("", failed.reversePath(), text.toString());
     }
 
-    private static void add(StringBuilder text, String... lines) {
+    private static void addLines(StringBuilder text, String... lines) {
         for (String line : lines) {
             text.append(line).append("\r\n");
         }
--- a/src/main/java/lilaclever/protocol/mail/LineFilter.java
+++ b/src/main/java/lilaclever/protocol/mail/LineFilter.java
@@ -16,7 +16,7 @@
  */
 final class LineFilter extends BaseFilter {
     /** Longer than any line that the standards allow. */
-    private static final int LONGEST = 16 * 1024;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
 
     @Override
     public NextAction handleRead(FilterChainContext context) throws IOException {
@@ -31,7 +31,7 @@
                 from = i + 1;
             }
         }
-        if (bytes.length - from > LONGEST) {
+        if (bytes.length - from > MAX_LINE_BYTES) {
             context.getConnection().closeSilently();
             return context.getStopAction();
         }
--- a/src/main/java/lilaclever/protocol/mail/Mail.java
+++ b/src/main/java/lilaclever/protocol/mail/Mail.java
@@ -20,7 +20,7 @@
     }
 
     /** The content as it travels after DATA: no line of its own can end it. */
-    String stuffed() {
+    String dotStuffed() {
         String stuffed = content.replace("\r\n.", "\r\n..");
         boolean ends = stuffed.isEmpty() || stuffed.endsWith("\r\n");
         return (stuffed.startsWith(".") ? "." : "") + stuffed + (ends ? "" : "\r\n") + ".\r\n";
@@ -45,7 +45,7 @@
         return value == null ? null : value.toString();
     }
 
-    static boolean eightBit(String content) {
+    static boolean containsEightBit(String content) {
         return content.chars().anyMatch(c -> c > 127);
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Batch.java
+++ b/src/main/java/lilaclever/protocol/mllp/Batch.java
@@ -11,7 +11,7 @@
  * an acknowledgement of its own; a batch that is not whole is refused whole, before any of it is taken on.
  */
 final class Batch {
-    private static final int MOST = 100;
+    private static final int MAX_MESSAGES = 100;
 
     private Batch() {}
 
@@ -72,8 +72,8 @@
                     }
                 }
             }
-            if (messages.size() > MOST) {
-                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "more than " + MOST + " messages");
+            if (messages.size() > MAX_MESSAGES) {
+                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "more than " + MAX_MESSAGES + " messages");
             }
             start = end + 1;
         }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -25,11 +25,11 @@
  */
 public final class MllpFront implements Front {
     /** After so long a client that was turned away for want of room may come again, microseconds. */
-    private static final long BUSY = 1_000_000;
+    private static final long BUSY_RETRY_AFTER_MICROS = 1_000_000;
     /** Characters of a control id that go into ours. */
-    private static final int MOST_ID = 40;
+    private static final int MAX_CONTROL_ID_LENGTH = 40;
     /** Of connections closed for what came on them, one in so many is logged. */
-    private static final int LOG_EVERY = 100;
+    private static final int LOG_ONE_IN = 100;
 
     /** Who waits for a message's answers on this port: the last connection that asked. */
     private static final class Waiter {
@@ -43,10 +43,10 @@
         }
 
         /** It has its first answer, or another connection gets it. */
-        void answered() {
+        void markAnswered() {
             if (!answered) {
                 answered = true;
-                session.answered();
+                session.onAnswered();
             }
         }
     }
@@ -54,32 +54,32 @@
     private final Core core;
     private final MllpSettings settings;
     private final Hl7Reader reader;
-    private final String life = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
+    private final String runId = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
     private final Replies replies;
     private final MllpConnections connections;
     private final FinalAnswers finalAnswers;
     private final Map<Message, Waiter> waiters = new HashMap<>();
     /** Messages held of each practice that came on this port. */
-    private final Map<String, Integer> held = new HashMap<>();
+    private final Map<String, Integer> pendingByPractice = new HashMap<>();
 
-    private final AtomicLong spoilt = new AtomicLong();
-    private long count;
+    private final AtomicLong closedForBadInput = new AtomicLong();
+    private long nextNumber;
 
     /** A front that listens nowhere yet. */
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
         reader = new Hl7Reader(settings, Core::monotonicMicros, Core::wallMicros);
-        replies = new Replies(new Acknowledgements(life + '-'), settings.key());
+        replies = new Replies(new Acknowledgements(runId + '-'), settings.keyField());
         connections = new MllpConnections(this, core);
         finalAnswers = new FinalAnswers(core, settings, connections, replies);
         core.counters().entryGauge("mllp_connections", connections::count);
         core.counters().entryGauge("mllp_waiting", waiters::size);
         core.counters().entryGauge("mllp_owed", finalAnswers::size);
-        core.counters().entryGauge("mllp_practices", held::size);
-        core.counters().valueGauge("mllp_owed_given_up", finalAnswers::givenUp);
-        core.counters().valueGauge("mllp_turned_away", connections::turnedAway);
-        core.counters().valueGauge("mllp_spoilt", spoilt::get);
+        core.counters().entryGauge("mllp_practices", pendingByPractice::size);
+        core.counters().valueGauge("mllp_owed_given_up", finalAnswers::discardedCount);
+        core.counters().valueGauge("mllp_turned_away", connections::rejectedCount);
+        core.counters().valueGauge("mllp_spoilt", closedForBadInput::get);
     }
 
     @Override
@@ -121,57 +121,57 @@
     }
 
     /** A connection is closed for what came on it. Any thread. */
-    void bad(String address, String why) {
+    void recordBadClient(String address, String why) {
         core.counters().add(Name.BAD_REQUESTS);
-        if (spoilt.incrementAndGet() % LOG_EVERY == 1) { // the first, and then one in a hundred: a log is bounded too
+        if (closedForBadInput.incrementAndGet() % LOG_ONE_IN == 1) { // the first, and then one in a hundred: a log is bounded too
             Logs.warn("mllp", "bad-client", address + ": " + why + ": closed", "client", address);
         }
     }
 
     // ---- hand-ins ---------------------------------------------------------------------------------------
     /** Nothing could be read of it that makes a message. */
-    void refuse(MllpSession session, Header to, Hl7Fault fault) {
+    void rejectUnreadable(MllpSession session, Header to, Hl7Fault fault) {
         core.counters().add(Name.BAD_REQUESTS);
-        writeIfAny(session, replies.unreadable(to, fault));
+        writeIfPresent(session, replies.unreadable(to, fault));
     }
 
-    private static void writeIfAny(MllpSession session, byte[] reply) {
+    private static void writeIfPresent(MllpSession session, byte[] reply) {
         if (reply != null) {
             session.write(reply);
         }
     }
 
-    void take(MllpSession session, Request r, boolean tooMany) {
+    void handleRequest(MllpSession session, Request r, boolean tooMany) {
         session.practice = r.practice();
         finalAnswers.withdraw(r.identity());
-        finalAnswers.payOff(session, r.header());
-        if (tooMany || held.getOrDefault(r.practice(), 0) >= settings.mostHeld()) {
-            busy(session, r, "too many messages at once");
+        finalAnswers.sendPending(session, r.header());
+        if (tooMany || pendingByPractice.getOrDefault(r.practice(), 0) >= settings.maxPendingPerPractice()) {
+            replyBusy(session, r, "too many messages at once");
         } else if (!core.isKnownDestination(r.destination())) {
-            busy(session, r, "no such destination now");
+            replyBusy(session, r, "no such destination now");
         } else {
-            handIn(session, r);
+            submit(session, r);
         }
     }
 
     /** The core is not asked. */
-    private void busy(MllpSession session, Request r, String why) {
-        session.answered();
-        writeIfAny(session, replies.notAccepted(r.header(), new FinalStatus(Kind.REFUSED, BUSY, why)));
+    private void replyBusy(MllpSession session, Request r, String why) {
+        session.onAnswered();
+        writeIfPresent(session, replies.notAccepted(r.header(), new FinalStatus(Kind.REFUSED, BUSY_RETRY_AFTER_MICROS, why)));
     }
 
-    private void handIn(MllpSession session, Request r) {
+    private void submit(MllpSession session, Request r) {
         Message m = core.submit(this, submission(r));
         if (!m.isOpen()) {
-            session.answered();
-            answerAtOnce(session, r.header(), m.finalStatus());
+            session.onAnswered();
+            answerImmediately(session, r.header(), m.finalStatus());
             return;
         }
         Waiter before = waiters.put(m, new Waiter(session, r));
         if (before != null) {
-            before.answered();
+            before.markAnswered();
         } else {
-            held.merge(r.practice(), 1, Integer::sum);
+            pendingByPractice.merge(r.practice(), 1, Integer::sum);
         }
         if (m.isAccepted()) {
             core.whenDurable(() -> accepted(waiters.get(m)));
@@ -181,7 +181,7 @@
     private Submission submission(Request r) {
         long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.monotonicMicros() - r.arrivedMicros()));
         return new Submission(
-                id(r),
+                messageId(r),
                 r.identity(),
                 r.messageClass(),
                 r.destination(),
@@ -193,21 +193,21 @@
     }
 
     /** The control id for people, and what makes it like no other. */
-    private String id(Request r) {
+    private String messageId(Request r) {
         String control = r.header().field(10).replaceAll("[^A-Za-z0-9_-]", "");
-        return control.substring(0, Math.min(MOST_ID, control.length()))
+        return control.substring(0, Math.min(MAX_CONTROL_ID_LENGTH, control.length()))
                 + '.'
-                + life
+                + runId
                 + '.'
-                + Long.toString(count++, Character.MAX_RADIX);
+                + Long.toString(nextNumber++, Character.MAX_RADIX);
     }
 
     /** The message was not taken on, or its end is remembered: the client that asks again gets it again. */
-    private void answerAtOnce(MllpSession session, Header to, FinalStatus verdict) {
+    private void answerImmediately(MllpSession session, Header to, FinalStatus verdict) {
         if (verdict.kind() == Kind.DELIVERED || verdict.kind() == Kind.FAILED) {
             replies.remembered(to, verdict).forEach(session::write);
         } else {
-            writeIfAny(session, replies.notAccepted(to, verdict));
+            writeIfPresent(session, replies.notAccepted(to, verdict));
         }
     }
 
@@ -225,19 +225,19 @@
             return;
         }
         w.accepted = true;
-        if (Request.isOriginal(w.request.header())) {
+        if (Request.isOriginalMode(w.request.header())) {
             return; // its one acknowledgement is the end
         }
-        w.answered();
-        writeIfAny(w.session, replies.accepted(w.request.header()));
+        w.markAnswered();
+        writeIfPresent(w.session, replies.accepted(w.request.header()));
     }
 
     @Override
     public void onRejected(Message message, FinalStatus verdict) {
-        Waiter w = forget(message);
+        Waiter w = removeWaiter(message);
         if (w != null) {
-            w.answered();
-            writeIfAny(w.session, replies.notAccepted(w.request.header(), verdict));
+            w.markAnswered();
+            writeIfPresent(w.session, replies.notAccepted(w.request.header(), verdict));
         }
     }
 
@@ -246,27 +246,27 @@
         onRejected(message, verdict);
     }
 
-    private Waiter forget(Message message) {
+    private Waiter removeWaiter(Message message) {
         Waiter w = waiters.remove(message);
         if (w != null) {
-            held.computeIfPresent(w.request.practice(), (p, n) -> n > 1 ? n - 1 : null);
+            pendingByPractice.computeIfPresent(w.request.practice(), (p, n) -> n > 1 ? n - 1 : null);
         }
         return w;
     }
 
     @Override
     public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
-        Waiter w = forget(message);
+        Waiter w = removeWaiter(message);
         Header header = w != null ? w.request.header() : header(message);
         if (w != null) {
-            w.answered();
+            w.markAnswered();
         }
-        if (header == null || !Request.wantsFinal(header, verdict.kind() == Kind.DELIVERED)) {
+        if (header == null || !Request.wantsApplicationAcknowledgement(header, verdict.kind() == Kind.DELIVERED)) {
             settled.run();
             return;
         }
         MllpSession session = w != null && w.session.isOpen() ? w.session : null;
-        finalAnswers.tell(session, new FinalAnswers.Answer(header, message, verdict, settled));
+        finalAnswers.send(session, new FinalAnswers.Answer(header, message, verdict, settled));
     }
 
     /** The header of a message whose client is not here, as its body has it. */
--- a/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
@@ -15,19 +15,19 @@
  * @param <T> what is told
  */
 final class PendingAnswers<T> {
-    private record Entry<T>(String practice, T answer, long until) {}
+    private record Entry<T>(String practice, T answer, long expiresAtMicros) {}
 
-    private final int most;
-    private final long keepMicros;
+    private final int maxEntries;
+    private final long retentionMicros;
     /** By identity, the oldest first: all are kept for the same time, so that is also the order of their ends. */
     private final Map<String, Entry<T>> entries = new LinkedHashMap<>();
 
-    private long givenUp;
+    private long discardedCount;
 
     /** So many in all, each for so long. */
     PendingAnswers(int most, long keepMicros) {
-        this.most = most;
-        this.keepMicros = keepMicros;
+        this.maxEntries = most;
+        this.retentionMicros = keepMicros;
     }
 
     /** An end is owed; gives those that are given up for it, maybe this one. */
@@ -37,13 +37,13 @@
         if (before != null) {
             out.add(before.answer()); // an earlier end under the same identity: only the last one is news
         }
-        entries.put(identity, new Entry<>(practice, answer, now + keepMicros));
+        entries.put(identity, new Entry<>(practice, answer, now + retentionMicros));
         Iterator<Entry<T>> oldest = entries.values().iterator();
-        while (entries.size() > most) {
+        while (entries.size() > maxEntries) {
             out.add(oldest.next().answer());
             oldest.remove();
         }
-        givenUp += out.size();
+        discardedCount += out.size();
         return out;
     }
 
@@ -53,13 +53,13 @@
         Iterator<Entry<T>> oldest = entries.values().iterator();
         while (oldest.hasNext()) {
             Entry<T> e = oldest.next();
-            if (e.until() > now) {
+            if (e.expiresAtMicros() > now) {
                 break;
             }
             out.add(e.answer());
             oldest.remove();
         }
-        givenUp += out.size();
+        discardedCount += out.size();
         return out;
     }
 
@@ -89,7 +89,7 @@
     }
 
     /** How many were given up untold. */
-    long givenUp() {
-        return givenUp;
+    long discardedCount() {
+        return discardedCount;
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -13,7 +13,7 @@
  */
 final class Replies {
     private final Acknowledgements acknowledgements;
-    private final Field key;
+    private final Field keyField;
 
     /**
      * Replies in the words of these acknowledgements.
@@ -22,13 +22,13 @@
      */
     Replies(Acknowledgements acknowledgements, Field key) {
         this.acknowledgements = acknowledgements;
-        this.key = key;
+        this.keyField = key;
     }
 
     /** For what could not be read as a message; null if none is wanted. */
     byte[] unreadable(Header to, Hl7Fault fault) {
         boolean rejected = switch (fault.code()) {
-            case PROCESSING_ID, VERSION, EVENT -> true;
+            case UNSUPPORTED_PROCESSING_ID, UNSUPPORTED_VERSION, UNSUPPORTED_EVENT -> true;
             default -> false;
         };
         Code code = notAcceptedCode(to, false, rejected);
@@ -55,32 +55,32 @@
      * place of AE.
      */
     private static Code notAcceptedCode(Header to, boolean mayComeAgain, boolean rejected) {
-        if (Request.wantsAccept(to, false)) {
+        if (Request.wantsAcceptAcknowledgement(to, false)) {
             return mayComeAgain ? Code.CE : Code.CR;
         }
-        if (!Request.wantsFinal(to, false)) {
+        if (!Request.wantsApplicationAcknowledgement(to, false)) {
             return null;
         }
         return mayComeAgain || rejected ? Code.AR : Code.AE;
     }
 
     private Hl7Fault duplicateKey() {
-        return new Hl7Fault(Hl7Fault.Code.DUPLICATE_KEY, key.segment(), key.number(), "another message has it");
+        return new Hl7Fault(Hl7Fault.Code.DUPLICATE_KEY, keyField.segment(), keyField.number(), "another message has it");
     }
 
     /** The accept acknowledgement of a message that was taken on; null if none is wanted. */
     byte[] accepted(Header to) {
-        return Request.wantsAccept(to, true) ? acknowledgements.positive(Code.CA, to) : null;
+        return Request.wantsAcceptAcknowledgement(to, true) ? acknowledgements.positive(Code.CA, to) : null;
     }
 
     /** For a message whose end is remembered, delivered or failed: one, both or none. */
     List<byte[]> remembered(Header to, FinalStatus verdict) {
         List<byte[]> replies = new ArrayList<>();
         boolean delivered = verdict.kind() == Kind.DELIVERED;
-        boolean wantsFinal = Request.wantsFinal(to, delivered);
+        boolean wantsFinal = Request.wantsApplicationAcknowledgement(to, delivered);
         // Where no application acknowledgement is wanted, the accept acknowledgement is all that can tell the end.
-        boolean good = delivered || Request.wantsFinal(to, false);
-        if (Request.wantsAccept(to, good)) {
+        boolean good = delivered || Request.wantsApplicationAcknowledgement(to, false);
+        if (Request.wantsAcceptAcknowledgement(to, good)) {
             replies.add(good ? acknowledgements.positive(Code.CA, to) : acknowledgements.notConfirmed(Code.CR, to, verdict));
         }
         if (wantsFinal) {
--- a/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
@@ -28,7 +28,7 @@
     /** Guards against reading on behind what can't be told from noise: another message could hide there. */
     @ParameterizedTest
     @ValueSource(strings = {"MSH", "\u000bMSH\u000b", "\u000bMSH\u001cX", "\u000b0123456789", "\u000bA\u001c\rnoise"})
-    void whatIsNoFrameSpoilsTheConnection(String text) {
+    void malformedInputIsRejected(String text) {
         assertThrows(MalformedFrameException.class, () -> new FrameReader(8).read(bytes(text)));
     }
 
@@ -44,11 +44,11 @@
 
     /** However they are cut, all messages come out whole and in order, and nothing is left. */
     @Property(tries = 300, seed = "-1")
-    void anyPiecesGiveTheSameMessages(@ForAll("messages") List<byte[]> messages, @ForAll("cuts") List<Integer> cuts)
+    void messagesSurviveAnyFragmentation(@ForAll("messages") List<byte[]> messages, @ForAll("cuts") List<Integer> cuts)
             throws MalformedFrameException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (byte[] m : messages) {
-            all.writeBytes(FrameReader.frame(m));
+            all.writeBytes(FrameReader.encode(m));
             all.writeBytes(bytes("\r\n")); // some senders add it
         }
         byte[] wire = all.toByteArray();
@@ -75,7 +75,7 @@
     /** A half frame shows, so that it can be given up in time. */
     @ParameterizedTest
     @ValueSource(strings = {"\u000b", "\u000bMSH", "\u000bMSH\u001c"})
-    void aHalfFrameShows(String text) throws MalformedFrameException {
+    void partialFrameIsReported(String text) throws MalformedFrameException {
         FrameReader reader = new FrameReader(8);
         assertTrue(reader.read(bytes(text)).isEmpty());
         assertTrue(reader.isPartial());
--- a/src/test/java/lilaclever/protocol/mllp/PendingAnswersTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/PendingAnswersTest.java
@@ -18,7 +18,7 @@
 /** Ends that are owed: each leaves by one way, and no more are kept than may be. */
 class PendingAnswersTest {
     @Test
-    void aPracticeGetsItsOwnInOrder() {
+    void practiceReceivesItsAnswersInOrder() {
         PendingAnswers<String> owed = new PendingAnswers<>(10, 100);
         owed.add("1", "north", "a", 0);
         owed.add("2", "south", "b", 0);
@@ -27,19 +27,19 @@
         assertEquals(List.of("c"), owed.take("north", 5));
         assertEquals("b", owed.withdraw("2"));
         assertNull(owed.withdraw("2"));
-        assertEquals(0, owed.givenUp());
+        assertEquals(0, owed.discardedCount());
     }
 
     /** Guards against clients that never come back filling the journal and the memory. */
     @Test
-    void theOldestGoWhereTimeOrRoomIsOver() {
+    void oldestAnswersExpireOrAreEvicted() {
         PendingAnswers<String> owed = new PendingAnswers<>(2, 100);
         owed.add("1", "p", "a", 0);
         owed.add("2", "p", "b", 50);
         assertEquals(List.of("a"), owed.add("3", "p", "c", 60));
         assertEquals(List.of("b"), owed.expired(150));
         assertEquals(List.of("c"), owed.add("3", "p", "d", 151)); // its end came anew
-        assertEquals(3, owed.givenUp());
+        assertEquals(3, owed.discardedCount());
         assertEquals(List.of("d"), owed.take("p", 5));
     }
 
@@ -50,7 +50,7 @@
 
     /** Each answer that went in comes out once, whatever happens in between. */
     @Property(tries = 300, seed = "-1")
-    void nothingIsLostOrGivenTwice(@ForAll("steps") List<Integer> steps) {
+    void eachAnswerIsReturnedExactlyOnce(@ForAll("steps") List<Integer> steps) {
         PendingAnswers<Integer> owed = new PendingAnswers<>(4, 30);
         Map<Integer, Integer> out = new HashMap<>();
         int in = 0;
