--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -161,7 +161,7 @@
     }
 
     private void submit(MllpSession session, Request r) {
-        Message m = core.submit(this, submission(r));
+        Message m = core.submit(this, toSubmission(r));
         if (!m.isOpen()) {
             session.onAnswered();
             answerImmediately(session, r.header(), m.finalStatus());
@@ -174,11 +174,11 @@
             pendingByPractice.merge(r.practice(), 1, Integer::sum);
         }
         if (m.isAccepted()) {
-            core.whenDurable(() -> accepted(waiters.get(m)));
+            core.whenDurable(() -> acknowledgeAccepted(waiters.get(m)));
         }
     }
 
-    private Submission submission(Request r) {
+    private Submission toSubmission(Request r) {
         long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.monotonicMicros() - r.arrivedMicros()));
         return new Submission(
                 messageId(r),
@@ -216,11 +216,11 @@
     public void onAccepted(Message message) {
         Waiter w = waiters.get(message);
         if (w != null) {
-            accepted(w);
+            acknowledgeAccepted(w);
         }
     }
 
-    private void accepted(Waiter w) {
+    private void acknowledgeAccepted(Waiter w) {
         if (w == null || w.accepted) {
             return;
         }
@@ -257,7 +257,7 @@
     @Override
     public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
         Waiter w = removeWaiter(message);
-        Header header = w != null ? w.request.header() : header(message);
+        Header header = w != null ? w.request.header() : storedHeader(message);
         if (w != null) {
             w.markAnswered();
         }
@@ -270,7 +270,7 @@
     }
 
     /** The header of a message whose client is not here, as its body has it. */
-    private static Header header(Message message) {
+    private static Header storedHeader(Message message) {
         try {
             return Header.read(message.submission.body());
         } catch (Hl7Fault e) {
