--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -164,7 +164,7 @@
         private Call call;
         private Mail mail;
         private int replyLines;
-        private long maxServerBytes;
+        private long serverSizeLimitBytes;
         /** The last byte of the content has been written: set by the writing thread before any close is posted. */
         private volatile boolean contentWritten;
 
@@ -288,7 +288,7 @@
         }
 
         private void startTransaction() {
-            maxServerBytes = 0;
+            serverSizeLimitBytes = 0;
             boolean eightBit = false;
             boolean pipelining = false;
             boolean size = false;
@@ -297,12 +297,12 @@
                 pipelining |= offer.equals("PIPELINING");
                 if (offer.equals("SIZE") || offer.startsWith("SIZE ")) {
                     size = true;
-                    maxServerBytes = offer.matches("SIZE \\d{1,15}") ? Long.parseLong(offer.substring(5)) : 0;
+                    serverSizeLimitBytes = offer.matches("SIZE \\d{1,15}") ? Long.parseLong(offer.substring(5)) : 0;
                 }
             }
             int length = mail.content().length();
-            if (maxServerBytes > 0 && length > maxServerBytes) {
-                endCall(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + maxServerBytes);
+            if (serverSizeLimitBytes > 0 && length > serverSizeLimitBytes) {
+                endCall(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + serverSizeLimitBytes);
                 return;
             }
             String from = "MAIL FROM:<" + mail.reversePath() + '>' + (size ? " SIZE=" + length : "")
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -51,7 +51,7 @@
     private final List<Connection<?>> listeners = new ArrayList<>();
     private final String runId = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
     private boolean closing;
-    private long nextNumber;
+    private long nextIdNumber;
 
     /** Waits for the first answer to a hand-in: a {@link Reply} that says it is taken on, or its end. */
     private record Waiter(Consumer<Reply> answer) {}
@@ -108,7 +108,7 @@
     }
 
     private void submit(Mail mail, String identity, int messageClass, Consumer<Reply> answer) {
-        String id = name() + '-' + runId + '-' + Long.toString(nextNumber++, Character.MAX_RADIX);
+        String id = name() + '-' + runId + '-' + Long.toString(nextIdNumber++, Character.MAX_RADIX);
         Submission submission = new Submission(
                 id,
                 identity,
@@ -196,7 +196,7 @@
 
     /** Reports a recipient that was turned down while others of its mail were taken on. */
     void reportRejectedRecipient(Mail mail, Runnable reported) {
-        sendReport("turned-down-" + runId + '-' + nextNumber++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
+        sendReport("turned-down-" + runId + '-' + nextIdNumber++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
     }
 
     static String date() {
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -67,14 +67,14 @@
             size += lineBytes(line);
         }
         queueOverflowed = queuedBytes.addAndGet(size) > MAX_QUEUED_BYTES + settings.maxMessageBytes();
-        front.core().post(queueOverflowed ? () -> close("421 4.3.0 too much at once\r\n") : () -> processLines(lines));
+        front.core().post(queueOverflowed ? () -> close("421 4.3.0 too much at once\r\n") : () -> queueLines(lines));
     }
 
     private static int lineBytes(String line) {
         return line.length() + 2;
     }
 
-    private void processLines(List<String> lines) {
+    private void queueLines(List<String> lines) {
         if (closed) {
             return;
         }
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -28,7 +28,7 @@
     private static final DateTimeFormatter TIMESTAMP_FORMAT = DateTimeFormatter.ofPattern("yyyyMMddHHmmssZ");
 
     private final String controlIdPrefix;
-    private long nextNumber;
+    private long nextControlIdNumber;
 
     /** {@code life} makes control ids differ from those of earlier lives. */
     Acknowledgements(String life) {
@@ -99,7 +99,7 @@
             TIMESTAMP_FORMAT.format(ZonedDateTime.now(ZoneId.systemDefault())),
             "",
             type,
-            controlIdPrefix + nextNumber++,
+            controlIdPrefix + nextControlIdNumber++,
             to.field(11),
             version,
             "",
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -29,7 +29,7 @@
     private final Core core;
     private final Set<MllpSession> sessions = new LinkedHashSet<>();
     /** Connections of each listener, and of each address at each listener. */
-    private final Map<String, Integer> connectionCounts = new HashMap<>();
+    private final Map<String, Integer> connectionsByKey = new HashMap<>();
 
     private final List<Connection<?>> listeners = new ArrayList<>();
     private final Attribute<MllpSession> sessionAttribute =
@@ -78,8 +78,8 @@
 
     private void onOpen(MllpSession session, MllpSettings.Listener listener) {
         sessions.add(session);
-        int all = connectionCounts.merge(listener.name(), 1, Integer::sum);
-        int same = connectionCounts.merge(addressKey(session), 1, Integer::sum);
+        int all = connectionsByKey.merge(listener.name(), 1, Integer::sum);
+        int same = connectionsByKey.merge(addressKey(session), 1, Integer::sum);
         if (closing || all > listener.maxConnections() || same > listener.maxConnectionsPerAddress()) {
             rejected.incrementAndGet();
             session.close();
@@ -91,7 +91,7 @@
     private void onClose(MllpSession session) {
         if (sessions.remove(session)) {
             for (String counted : List.of(session.listener().name(), addressKey(session))) {
-                connectionCounts.computeIfPresent(counted, (a, n) -> n > 1 ? n - 1 : null);
+                connectionsByKey.computeIfPresent(counted, (a, n) -> n > 1 ? n - 1 : null);
             }
         }
     }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -63,7 +63,7 @@
     private final Map<String, Integer> pendingByPractice = new HashMap<>();
 
     private final AtomicLong closedForBadInput = new AtomicLong();
-    private long nextNumber;
+    private long nextIdNumber;
 
     /** A front that listens nowhere yet. */
     public MllpFront(Core core, MllpSettings settings) {
@@ -199,7 +199,7 @@
                 + '.'
                 + runId
                 + '.'
-                + Long.toString(nextNumber++, Character.MAX_RADIX);
+                + Long.toString(nextIdNumber++, Character.MAX_RADIX);
     }
 
     /** The message was not taken on, or its end is remembered: the client that asks again gets it again. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -25,7 +25,7 @@
     final String address;
     private final FrameReader reader;
     private final AtomicLong unreadBytes = new AtomicLong();
-    private final AtomicInteger unanswered = new AtomicInteger();
+    private final AtomicInteger unansweredMessages = new AtomicInteger();
     private volatile long sinceMicros = Core.monotonicMicros();
     private volatile boolean partialFrame, closed;
     /** Selector thread. */
@@ -87,7 +87,7 @@
             header = Header.read(message);
             Request request = front.reader().read(header, message);
             consecutiveBadMessages = 0;
-            boolean tooMany = unanswered.incrementAndGet() > listener.maxInFlight();
+            boolean tooMany = unansweredMessages.incrementAndGet() > listener.maxInFlight();
             front.core().post(() -> front.handleRequest(this, request, tooMany));
         } catch (Hl7Fault e) {
             consecutiveBadMessages++;
@@ -113,7 +113,7 @@
     // ---- loop thread ------------------------------------------------------------------------------------
     /** The message has its first answer. */
     void onAnswered() {
-        unanswered.decrementAndGet();
+        unansweredMessages.decrementAndGet();
     }
 
     /** Writes an acknowledgement that nothing depends on: where it is lost, its client asks again. */
@@ -156,7 +156,7 @@
         if (partialFrame && now - sinceMicros >= listener.frameTimeoutMicros()) {
             front.recordBadClient(address, "a frame without an end");
             close();
-        } else if (!partialFrame && unanswered.get() == 0 && now - sinceMicros >= listener.idleTimeoutMicros()) {
+        } else if (!partialFrame && unansweredMessages.get() == 0 && now - sinceMicros >= listener.idleTimeoutMicros()) {
             close();
         } else {
             front.core().deadlines().schedule(front.core().nowMicros() + TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
