--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -9,7 +9,7 @@
 
 /**
  * What Jazzer is given to break: bytes of a connection go through frames, batches, header, fields and answers as they
- * do in the program. Only {@link FrameReader.Spoilt} and {@link Hl7Fault} may come out, and no answer may hold a byte
+ * do in the program. Only {@link FrameReader.MalformedFrameException} and {@link Hl7Fault} may come out, and no answer may hold a byte
  * that ends a frame. {@code bench/fuzz} runs it.
  */
 public final class MllpFuzzer {
@@ -23,8 +23,8 @@
                     2,
                     Map.of("LAB", 7),
                     List.of(20L, 6L, 28L),
-                    Field.of("ORC-2"),
-                    Field.of("ZLC-1"),
+                    Field.parse("ORC-2"),
+                    Field.parse("ZLC-1"),
                     Set.of("P"),
                     Set.of("2.3", "2.3.1", "2.4", "2.5", "2.5.1"),
                     10,
@@ -43,32 +43,32 @@
         try {
             frames.read(java.util.Arrays.copyOf(data, cut)).forEach(MllpFuzzer::message);
             frames.read(java.util.Arrays.copyOfRange(data, cut, data.length)).forEach(MllpFuzzer::message);
-        } catch (FrameReader.Spoilt e) {
+        } catch (FrameReader.MalformedFrameException e) {
             message(data); // most inputs are no frames: what they hold is tried as a message
         }
     }
 
     private static void message(byte[] frame) {
         try {
-            for (byte[] message : frame.length > 0 && Batch.is(frame) ? Batch.split(frame) : List.of(frame)) {
+            for (byte[] message : frame.length > 0 && Batch.isBatch(frame) ? Batch.split(frame) : List.of(frame)) {
                 one(message);
             }
         } catch (Hl7Fault e) {
-            check(ACKS.fault(Code.AR, Header.none(), e));
+            check(ACKS.fault(Code.AR, Header.placeholder(), e));
         }
     }
 
     private static void one(byte[] message) {
-        Header header = Header.none();
+        Header header = Header.placeholder();
         try {
             header = Header.read(message);
             Request r = READER.read(header, message);
             if (r.identity().isEmpty() || r.deliveryKey().length() > 128 || r.budgetMicros() < 0) {
                 throw new IllegalStateException("not in our terms: " + r);
             }
-            check(ACKS.good(Code.CA, header));
-            check(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
-            check(ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
+            check(ACKS.positive(Code.CA, header));
+            check(ACKS.notConfirmed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
+            check(ACKS.retryLater(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
         } catch (Hl7Fault e) {
             check(ACKS.fault(Code.AE, header, e));
         }
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -259,7 +259,7 @@
     }
 
     private void untilQuiet(long end) {
-        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.away()) && front.isClosed()) {
+        if (core.nowMicros() >= end || core.isIdle(mllpFront == null ? 0 : mllpFront.pendingAnswerCount()) && front.isClosed()) {
             stopped.countDown();
         } else {
             core.deadlines().schedule(core.nowMicros() + LOOK, () -> untilQuiet(end));
--- a/src/main/java/lilaclever/program/MllpSections.java
+++ b/src/main/java/lilaclever/program/MllpSections.java
@@ -194,7 +194,7 @@
 
     private static Field field(Section s, String key, String otherwise) throws ConfigurationException {
         String text = s.text(key, otherwise);
-        Field field = text == null ? null : Field.of(text);
+        Field field = text == null ? null : Field.parse(text);
         if (text != null && field == null) {
             throw s.bad(key, "a field such as MSH-10 or ORC-2-1, not " + text);
         }
--- a/src/main/java/lilaclever/program/Operator.java
+++ b/src/main/java/lilaclever/program/Operator.java
@@ -35,7 +35,7 @@
         return mllp == null
                 ? 0
                 : mllp.listeners().stream()
-                        .mapToInt(MllpSettings.Listener::connections)
+                        .mapToInt(MllpSettings.Listener::maxConnections)
                         .sum();
     }
 
--- a/src/main/java/lilaclever/protocol/mail/Report.java
+++ b/src/main/java/lilaclever/protocol/mail/DeliveryStatusNotification.java
@@ -3,21 +3,25 @@
 import lilaclever.routing.FinalStatus;
 
 /** Delivery status notifications: what a sender is told of a failure (RFC 3464). */
-final class Report {
-    private Report() {}
+final class DeliveryStatusNotification {
+    private DeliveryStatusNotification() {}
 
-    static Mail of(String hostName, Mail failed, FinalStatus verdict, String id, String date) {
-        Reply said = Reply.parse(verdict.detail());
-        boolean permanent = said != null && said.permanent() && verdict.kind() == FinalStatus.Kind.FAILED;
-        String status = permanent ? said.status() : verdict.kind() == FinalStatus.Kind.REFUSED ? "4.4.7" : "5.4.0";
-        String why = permanent
-                ? "The next server refused it: " + verdict.detail()
-                : verdict.kind() == FinalStatus.Kind.REFUSED
+    static Mail create(String hostName, Mail failed, FinalStatus finalStatus, String id, String date) {
+        Reply serverReply = Reply.parse(finalStatus.detail());
+        boolean permanent = serverReply != null
+                && serverReply.isPermanentFailure()
+                && finalStatus.kind() == FinalStatus.Kind.FAILED;
+        String status = permanent
+                ? serverReply.enhancedStatus()
+                : finalStatus.kind() == FinalStatus.Kind.REFUSED ? "4.4.7" : "5.4.0";
+        String explanation = permanent
+                ? "The next server refused it: " + finalStatus.detail()
+                : finalStatus.kind() == FinalStatus.Kind.REFUSED
                         ? "It could not be delivered in time, and was not."
                         : "Its delivery was not confirmed. It may have happened, so it was not tried again.";
         String boundary = "report-" + id;
         StringBuilder text = new StringBuilder();
-        add(
+        addLines(
                 text,
                 "From: Mail Delivery System <postmaster@" + hostName + '>',
                 "To: <" + failed.reversePath() + '>',
@@ -33,7 +37,7 @@
                 "Content-Type: text/plain; charset=us-ascii",
                 "",
                 "Your message to <" + failed.recipient() + "> has failed.",
-                why,
+                explanation,
                 "",
                 "--" + boundary,
                 "Content-Type: message/delivery-status",
@@ -43,16 +47,20 @@
                 "Final-Recipient: rfc822; " + failed.recipient(),
                 "Action: failed",
                 "Status: " + status);
-        if (said != null) {
-            add(text, "Diagnostic-Code: smtp; " + verdict.detail());
+        if (serverReply != null) {
+            addLines(text, "Diagnostic-Code: smtp; " + finalStatus.detail());
         }
-        add(text, "", "--" + boundary, "Content-Type: text/rfc822-headers", "");
-        int end = failed.content().indexOf("\r\n\r\n");
-        add(text, end < 0 ? failed.content() : failed.content().substring(0, end), "", "--" + boundary + "--");
+        addLines(text, "", "--" + boundary, "Content-Type: text/rfc822-headers", "");
+        int headerEnd = failed.content().indexOf("\r\n\r\n");
+        addLines(
+                text,
+                headerEnd < 0 ? failed.content() : failed.content().substring(0, headerEnd),
+                "",
+                "--" + boundary + "--");
         return new Mail("", failed.reversePath(), text.toString());
     }
 
-    private static void add(StringBuilder text, String... lines) {
+    private static void addLines(StringBuilder text, String... lines) {
         for (String line : lines) {
             text.append(line).append("\r\n");
         }
--- a/src/main/java/lilaclever/protocol/mail/LineFilter.java
+++ b/src/main/java/lilaclever/protocol/mail/LineFilter.java
@@ -16,7 +16,7 @@
  */
 final class LineFilter extends BaseFilter {
     /** Longer than any line that the standards allow. */
-    private static final int LONGEST = 16 * 1024;
+    private static final int MAX_LINE_BYTES = 16 * 1024;
 
     @Override
     public NextAction handleRead(FilterChainContext context) throws IOException {
@@ -24,25 +24,26 @@
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         List<String> lines = new ArrayList<>();
-        int from = 0;
+        int lineStart = 0;
         for (int i = 1; i < bytes.length; i++) {
-            if (bytes[i] == '\n' && bytes[i - 1] == '\r' && i - 1 >= from) {
-                lines.add(new String(bytes, from, i - 1 - from, StandardCharsets.ISO_8859_1));
-                from = i + 1;
+            if (bytes[i] == '\n' && bytes[i - 1] == '\r' && i - 1 >= lineStart) {
+                lines.add(new String(bytes, lineStart, i - 1 - lineStart, StandardCharsets.ISO_8859_1));
+                lineStart = i + 1;
             }
         }
-        if (bytes.length - from > LONGEST) {
+        if (bytes.length - lineStart > MAX_LINE_BYTES) {
             context.getConnection().closeSilently();
             return context.getStopAction();
         }
-        Buffer rest =
-                from < bytes.length ? Buffers.wrap(context.getMemoryManager(), bytes, from, bytes.length - from) : null;
+        Buffer remainder = lineStart < bytes.length
+                ? Buffers.wrap(context.getMemoryManager(), bytes, lineStart, bytes.length - lineStart)
+                : null;
         buffer.tryDispose();
         if (lines.isEmpty()) {
-            return context.getStopAction(rest);
+            return context.getStopAction(remainder);
         }
         context.setMessage(lines);
-        return context.getInvokeAction(rest, null);
+        return context.getInvokeAction(remainder, null);
     }
 
     @Override
--- a/src/main/java/lilaclever/protocol/mail/Mail.java
+++ b/src/main/java/lilaclever/protocol/mail/Mail.java
@@ -10,20 +10,23 @@
     }
 
     static Mail decode(byte[] body) {
-        String all = new String(body, StandardCharsets.ISO_8859_1);
-        int first = all.indexOf('\n');
-        int second = all.indexOf('\n', first + 1);
-        if (first < 0 || second < 0) {
+        String text = new String(body, StandardCharsets.ISO_8859_1);
+        int firstNewline = text.indexOf('\n');
+        int secondNewline = text.indexOf('\n', firstNewline + 1);
+        if (firstNewline < 0 || secondNewline < 0) {
             throw new IllegalArgumentException("no mail: it has no envelope");
         }
-        return new Mail(all.substring(0, first), all.substring(first + 1, second), all.substring(second + 1));
+        return new Mail(
+                text.substring(0, firstNewline),
+                text.substring(firstNewline + 1, secondNewline),
+                text.substring(secondNewline + 1));
     }
 
     /** The content as it travels after DATA: no line of its own can end it. */
-    String stuffed() {
-        String stuffed = content.replace("\r\n.", "\r\n..");
-        boolean ends = stuffed.isEmpty() || stuffed.endsWith("\r\n");
-        return (stuffed.startsWith(".") ? "." : "") + stuffed + (ends ? "" : "\r\n") + ".\r\n";
+    String dotStuffed() {
+        String escaped = content.replace("\r\n.", "\r\n..");
+        boolean endsWithNewline = escaped.isEmpty() || escaped.endsWith("\r\n");
+        return (escaped.startsWith(".") ? "." : "") + escaped + (endsWithNewline ? "" : "\r\n") + ".\r\n";
     }
 
     /** The first header field of that name, unfolded, or null. */
@@ -45,7 +48,7 @@
         return value == null ? null : value.toString();
     }
 
-    static boolean eightBit(String content) {
+    static boolean containsEightBit(String content) {
         return content.chars().anyMatch(c -> c > 127);
     }
 }
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -31,12 +31,12 @@
  * can't have run; after it only a reply says whether it has.
  */
 public final class MailDeliverer implements Deliverer {
-    private static final long SWEEP = 500_000;
-    private static final int MOST_LINES = 200;
+    private static final long SWEEP_INTERVAL_MICROS = 500_000;
+    private static final int MAX_REPLY_LINES = 200;
 
     private enum Step {
         GREETING,
-        HELLO,
+        EXTENDED_HELLO,
         HELO,
         MAIL,
         RCPT,
@@ -48,12 +48,12 @@
     private final Transport transport;
     private final MailSettings settings;
     private final int zone;
-    private final long connectMicros;
+    private final long connectTimeoutMicros;
     private final ConnectionPool<Connection<?>> pool;
     private final FilterChain chain;
-    private final Attribute<Session> sessions =
+    private final Attribute<ClientSession> sessions =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("MailDeliverer.session");
-    private final Map<String, MailSettings.Protocol> protocols = new HashMap<>();
+    private final Map<String, MailSettings.Protocol> protocolByHost = new HashMap<>();
 
     /** A deliverer for the routes of the mail file. */
     public MailDeliverer(
@@ -61,15 +61,15 @@
             Transport transport,
             MailSettings settings,
             int zone,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
-            int mostIdle) {
+            int maxIdleConnections) {
         this.core = core;
         this.transport = transport;
         this.settings = settings;
         this.zone = zone;
-        this.connectMicros = connectMicros;
-        this.pool = ConnectionPool.ofSockets(keepAliveMicros / 2, mostIdle);
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.pool = ConnectionPool.ofSockets(keepAliveMicros / 2, maxIdleConnections);
         this.chain = Transport.chain(new LineFilter(), new SessionFilter());
     }
 
@@ -78,19 +78,19 @@
         for (MailSettings.Route route : settings.routes()) {
             for (String address : route.addresses()) {
                 String host = route.host(address);
-                protocols.put(host, route.protocol());
+                protocolByHost.put(host, route.protocol());
                 core.add(new Core.ListedEndpoint(
                         new DecisionModule.EndpointEntry(
                                 host, route.destination(), zone, -1, DecisionModule.Presence.ACTIVE, 1, 0),
                         new Call.Endpoint(host, address, route.destination(), zone, 1, false, this)));
             }
         }
-        sweep();
+        closeExpiredConnections();
     }
 
-    private void sweep() {
+    private void closeExpiredConnections() {
         pool.closeExpired(core.nowMicros());
-        core.deadlines().schedule(core.nowMicros() + SWEEP, this::sweep);
+        core.deadlines().schedule(core.nowMicros() + SWEEP_INTERVAL_MICROS, this::closeExpiredConnections);
     }
 
     @Override
@@ -103,28 +103,28 @@
             core.attemptEnded(call, call.messages.get(0), AttemptResult.REJECTED, 0, false, false);
             return;
         }
-        Session idle = null;
-        Connection<?> kept = pool.acquire(call.endpoint.host(), core.nowMicros());
-        while (kept != null && idle == null) {
-            idle = sessions.get(kept); // null once its server has said farewell
-            kept = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : kept;
+        ClientSession idle = null;
+        Connection<?> pooled = pool.acquire(call.endpoint.host(), core.nowMicros());
+        while (pooled != null && idle == null) {
+            idle = sessions.get(pooled); // null once its server has said farewell
+            pooled = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : pooled;
         }
-        Session session = idle != null ? idle : new Session(call.endpoint);
+        ClientSession session = idle != null ? idle : new ClientSession(call.endpoint);
         call.attachment = session;
-        session.begin(call, mail);
+        session.startCall(call, mail);
     }
 
     @Override
     public void abort(Call call) {
-        if (call.attachment instanceof Session session && session.call == call) {
-            session.end(session.written ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION, "");
+        if (call.attachment instanceof ClientSession session && session.call == call) {
+            session.endCall(session.contentWritten ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION, "");
         }
     }
 
     @Override
     public void cancelUnsent(Call call) {
-        if (call.attachment instanceof Session session && session.call == call && session.connection == null) {
-            session.end(AttemptResult.WITHHELD, "");
+        if (call.attachment instanceof ClientSession session && session.call == call && session.connection == null) {
+            session.endCall(AttemptResult.WITHHELD, "");
         }
     }
 
@@ -136,223 +136,225 @@
     /** There is no probe but a connection: one is opened and greeted. */
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.nowMicros();
+        long startMicros = core.nowMicros();
         transport.connect(
                 Transport.parseAddress(endpoint.address()),
                 chain,
-                up -> {
-                    up.closeSilently();
-                    core.post(() -> core.probeEnded(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - started));
+                opened -> {
+                    opened.closeSilently();
+                    core.post(() ->
+                            core.probeEnded(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - startMicros));
                 },
-                problem -> core.post(
-                        () -> core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - started)));
+                problem -> core.post(() ->
+                        core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - startMicros)));
     }
 
-    /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
-    private final class Session {
+    /** One connection to a server, and the transaction on it. Loop thread, but for {@link #contentWritten}. */
+    private final class ClientSession {
         private final Call.Endpoint endpoint;
         private final boolean lmtp;
-        private final ArrayDeque<Step> expected = new ArrayDeque<>();
-        private final Set<String> offers = new HashSet<>();
+        private final ArrayDeque<Step> expectedReplies = new ArrayDeque<>();
+        private final Set<String> extensions = new HashSet<>();
         /** Lines that came before the connection was told to be up. */
-        private final ArrayDeque<String> early = new ArrayDeque<>();
+        private final ArrayDeque<String> earlyLines = new ArrayDeque<>();
 
         private Connection<?> connection;
-        private Deadlines.Key connectBy;
-        private Runnable connecting;
+        private Deadlines.Key connectTimeout;
+        private Runnable cancelConnect;
         private Call call;
         private Mail mail;
-        private int lines;
-        private long mostBytes;
+        private int replyLines;
+        private long maxServerBytes;
         /** The last byte of the content has been written: set by the writing thread before any close is posted. */
-        private volatile boolean written;
+        private volatile boolean contentWritten;
 
-        Session(Call.Endpoint endpoint) {
+        ClientSession(Call.Endpoint endpoint) {
             this.endpoint = endpoint;
-            this.lmtp = protocols.get(endpoint.host()) == MailSettings.Protocol.LMTP;
+            this.lmtp = protocolByHost.get(endpoint.host()) == MailSettings.Protocol.LMTP;
         }
 
-        void begin(Call next, Mail nextMail) {
-            call = next;
-            written = false;
+        void startCall(Call nextCall, Mail nextMail) {
+            call = nextCall;
+            contentWritten = false;
             mail = nextMail;
             if (connection != null) {
-                transaction();
+                startTransaction();
                 return;
             }
             core.counters().add(Counters.Name.CONNECTIONS);
-            connectBy = core.deadlines().schedule(core.nowMicros() + connectMicros, () -> {
-                connecting.run();
-                end(AttemptResult.NO_CONNECTION, "");
+            connectTimeout = core.deadlines().schedule(core.nowMicros() + connectTimeoutMicros, () -> {
+                cancelConnect.run();
+                endCall(AttemptResult.NO_CONNECTION, "");
             });
-            connecting = transport.connect(
+            cancelConnect = transport.connect(
                     Transport.parseAddress(endpoint.address()),
                     chain,
-                    up -> {
-                        sessions.set(up, this); // before the greeting can be read
-                        core.post(() -> connected(up));
+                    opened -> {
+                        sessions.set(opened, this); // before the greeting can be read
+                        core.post(() -> onConnected(opened));
                     },
-                    problem -> core.post(() -> end(AttemptResult.NO_CONNECTION, "")));
+                    problem -> core.post(() -> endCall(AttemptResult.NO_CONNECTION, "")));
         }
 
-        private void connected(Connection<?> up) {
-            core.deadlines().cancel(connectBy);
-            connection = up;
+        private void onConnected(Connection<?> opened) {
+            core.deadlines().cancel(connectTimeout);
+            connection = opened;
             if (call == null) {
-                close();
+                closeConnection();
             } else if (!core.activeEndpoints().mayReceive(endpoint)) {
-                end(AttemptResult.WITHHELD, "");
-            } else if (!up.isOpen()) {
-                closed();
+                endCall(AttemptResult.WITHHELD, "");
+            } else if (!opened.isOpen()) {
+                onClosed();
             } else {
-                expected.add(Step.GREETING);
-                early.forEach(this::line);
-                early.clear();
+                expectedReplies.add(Step.GREETING);
+                earlyLines.forEach(this::onLine);
+                earlyLines.clear();
             }
         }
 
-        void lines(List<String> all) {
+        void onLines(List<String> lines) {
             if (connection == null) {
-                early.addAll(all);
+                earlyLines.addAll(lines);
             } else {
-                all.forEach(this::line);
+                lines.forEach(this::onLine);
             }
         }
 
-        private void line(String line) {
+        private void onLine(String line) {
             if (call == null) {
-                close(); // an unasked word on an idle connection, as a rule a farewell
+                closeConnection(); // an unasked word on an idle connection, as a rule a farewell
                 return;
             }
             Reply reply = Reply.parse(line);
-            if (reply == null || expected.isEmpty() || ++lines > MOST_LINES) {
-                end(written ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION, "");
+            if (reply == null || expectedReplies.isEmpty() || ++replyLines > MAX_REPLY_LINES) {
+                endCall(contentWritten ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION, "");
                 return;
             }
-            Step step = expected.peek();
-            if (step == Step.HELLO && reply.code() == 250) {
-                offers.add(reply.text().toUpperCase(Locale.ROOT));
+            Step step = expectedReplies.peek();
+            if (step == Step.EXTENDED_HELLO && reply.code() == 250) {
+                extensions.add(reply.text().toUpperCase(Locale.ROOT));
             }
             if (line.length() > 3 && line.charAt(3) == '-') {
                 return; // more of the same reply follows
             }
-            expected.remove();
-            lines = 0;
-            reply(step, reply);
+            expectedReplies.remove();
+            replyLines = 0;
+            onReply(step, reply);
         }
 
-        private void reply(Step step, Reply reply) {
-            if (step == Step.HELLO && !lmtp && reply.permanent()) {
-                write("HELO " + settings.hostName() + "\r\n", Step.HELO);
+        private void onReply(Step step, Reply reply) {
+            if (step == Step.EXTENDED_HELLO && !lmtp && reply.isPermanentFailure()) {
+                writeCommand("HELO " + settings.hostName() + "\r\n", Step.HELO);
                 return;
             }
-            boolean good = step == Step.DATA ? reply.code() == 354 : reply.code() / 100 == 2;
-            if (!good) {
-                refused(step, reply);
+            boolean expected = step == Step.DATA ? reply.code() == 354 : reply.code() / 100 == 2;
+            if (!expected) {
+                onErrorReply(step, reply);
                 return;
             }
             switch (step) {
-                case GREETING -> write((lmtp ? "LHLO " : "EHLO ") + settings.hostName() + "\r\n", Step.HELLO);
-                case HELLO, HELO -> transaction();
+                case GREETING ->
+                    writeCommand((lmtp ? "LHLO " : "EHLO ") + settings.hostName() + "\r\n", Step.EXTENDED_HELLO);
+                case EXTENDED_HELLO, HELO -> startTransaction();
                 case MAIL -> {
-                    if (expected.isEmpty()) {
-                        write(rcpt(), Step.RCPT);
+                    if (expectedReplies.isEmpty()) {
+                        writeCommand(rcptCommand(), Step.RCPT);
                     }
                 }
-                case RCPT -> write("DATA\r\n", Step.DATA);
+                case RCPT -> writeCommand("DATA\r\n", Step.DATA);
                 case DATA -> {
-                    expected.add(Step.CONTENT);
-                    Transport.write(connection, mail.stuffed(), () -> written = true, this::broken);
+                    expectedReplies.add(Step.CONTENT);
+                    Transport.write(connection, mail.dotStuffed(), () -> contentWritten = true, this::onWriteFailed);
                 }
-                default -> delivered(reply);
+                default -> onDelivered(reply);
             }
         }
 
-        private void refused(Step step, Reply reply) {
-            boolean odd = reply.code() < 400 || reply.code() > 599;
-            AttemptResult ending = odd
-                    ? written ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION
-                    : reply.permanent() ? AttemptResult.REJECTED : AttemptResult.FULL;
+        private void onErrorReply(Step step, Reply reply) {
+            boolean unexpected = reply.code() < 400 || reply.code() > 599;
+            AttemptResult result = unexpected
+                    ? contentWritten ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION
+                    : reply.isPermanentFailure() ? AttemptResult.REJECTED : AttemptResult.FULL;
             if (step != Step.GREETING) {
                 Transport.write(connection, "QUIT\r\n", () -> {}, () -> {});
             }
-            end(ending, reply.code() + " " + reply.text());
+            endCall(result, reply.code() + " " + reply.text());
         }
 
-        private void delivered(Reply reply) {
-            Call done = call;
+        private void onDelivered(Reply reply) {
+            Call finishedCall = call;
             call = null;
             pool.release(endpoint.host(), connection, core.nowMicros());
-            tell(done, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
+            reportResult(finishedCall, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
         }
 
-        private void transaction() {
-            mostBytes = 0;
-            boolean eightBit = false;
-            boolean pipelining = false;
-            boolean size = false;
-            for (String offer : offers) {
-                eightBit |= offer.equals("8BITMIME");
-                pipelining |= offer.equals("PIPELINING");
-                if (offer.equals("SIZE") || offer.startsWith("SIZE ")) {
-                    size = true;
-                    mostBytes = offer.matches("SIZE \\d{1,15}") ? Long.parseLong(offer.substring(5)) : 0;
+        private void startTransaction() {
+            maxServerBytes = 0;
+            boolean offersEightBit = false;
+            boolean offersPipelining = false;
+            boolean offersSize = false;
+            for (String extension : extensions) {
+                offersEightBit |= extension.equals("8BITMIME");
+                offersPipelining |= extension.equals("PIPELINING");
+                if (extension.equals("SIZE") || extension.startsWith("SIZE ")) {
+                    offersSize = true;
+                    maxServerBytes = extension.matches("SIZE \\d{1,15}") ? Long.parseLong(extension.substring(5)) : 0;
                 }
             }
-            int length = mail.content().length();
-            if (mostBytes > 0 && length > mostBytes) {
-                end(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + mostBytes);
+            int contentBytes = mail.content().length();
+            if (maxServerBytes > 0 && contentBytes > maxServerBytes) {
+                endCall(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + maxServerBytes);
                 return;
             }
-            String from = "MAIL FROM:<" + mail.reversePath() + '>' + (size ? " SIZE=" + length : "")
-                    + (eightBit && Mail.eightBit(mail.content()) ? " BODY=8BITMIME" : "") + "\r\n";
-            if (pipelining) {
-                write(from + rcpt(), Step.MAIL, Step.RCPT);
+            String mailCommand = "MAIL FROM:<" + mail.reversePath() + '>' + (offersSize ? " SIZE=" + contentBytes : "")
+                    + (offersEightBit && Mail.containsEightBit(mail.content()) ? " BODY=8BITMIME" : "") + "\r\n";
+            if (offersPipelining) {
+                writeCommand(mailCommand + rcptCommand(), Step.MAIL, Step.RCPT);
             } else {
-                write(from, Step.MAIL);
+                writeCommand(mailCommand, Step.MAIL);
             }
         }
 
-        private String rcpt() {
+        private String rcptCommand() {
             return "RCPT TO:<" + mail.recipient() + ">\r\n";
         }
 
-        private void write(String text, Step... answers) {
-            expected.addAll(List.of(answers));
-            Transport.write(connection, text, () -> {}, this::broken);
+        private void writeCommand(String text, Step... replies) {
+            expectedReplies.addAll(List.of(replies));
+            Transport.write(connection, text, () -> {}, this::onWriteFailed);
         }
 
-        private void broken() {
-            core.post(this::closed);
+        private void onWriteFailed() {
+            core.post(this::onClosed);
         }
 
-        void closed() {
+        void onClosed() {
             if (call == null) {
-                close();
+                closeConnection();
             } else if (connection != null) {
-                end(written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION, "");
+                endCall(contentWritten ? AttemptResult.RESET : AttemptResult.NO_CONNECTION, "");
             }
         }
 
         /** Ends the call; the connection's state is not certain any more, so it goes too. */
-        private void end(AttemptResult ending, String said) {
-            Call done = call;
+        private void endCall(AttemptResult result, String responseText) {
+            Call finishedCall = call;
             call = null;
-            core.deadlines().cancel(connectBy);
-            close();
-            if (done != null) {
-                tell(done, ending, said);
+            core.deadlines().cancel(connectTimeout);
+            closeConnection();
+            if (finishedCall != null) {
+                reportResult(finishedCall, result, responseText);
             }
         }
 
-        private void tell(Call done, AttemptResult ending, String said) {
-            for (Message m : List.copyOf(done.messages)) {
-                m.lastResponseText = said;
-                core.attemptEnded(done, m, ending, 0, false, false);
+        private void reportResult(Call finishedCall, AttemptResult result, String responseText) {
+            for (Message message : List.copyOf(finishedCall.messages)) {
+                message.lastResponseText = responseText;
+                core.attemptEnded(finishedCall, message, result, 0, false, false);
             }
         }
 
-        private void close() {
+        private void closeConnection() {
             if (connection != null) {
                 sessions.remove(connection);
                 connection.closeSilently();
@@ -364,18 +366,18 @@
         @Override
         public NextAction handleRead(FilterChainContext context) {
             List<String> lines = context.getMessage();
-            Session session = sessions.get(context.getConnection());
+            ClientSession session = sessions.get(context.getConnection());
             if (session != null) {
-                core.post(() -> session.lines(lines));
+                core.post(() -> session.onLines(lines));
             }
             return context.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            Session session = sessions.get(context.getConnection());
+            ClientSession session = sessions.get(context.getConnection());
             if (session != null) {
-                core.post(session::closed);
+                core.post(session::onClosed);
             }
             return context.getInvokeAction();
         }
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -36,32 +36,32 @@
  * each recipient's final answer, in the order of its RCPT commands. Loop thread, but for the filter.
  */
 public final class MailFront implements Front {
-    private static final long RETRY = 1_000_000;
+    private static final long REPORT_RETRY_DELAY_MICROS = 1_000_000;
     /** A Message-ID is one line; what is longer is none, and too long for the journal. */
-    private static final int LONGEST_ID = 998;
+    private static final int MAX_MESSAGE_ID_LENGTH = 998;
 
     private final Core core;
     private final MailSettings settings;
     private final Protocol protocol;
-    private final int mostSessions;
+    private final int maxSessions;
     private final Map<Message, List<Waiter>> waiters = new HashMap<>();
     private final Set<ServerSession> sessions = new HashSet<>();
-    private final Attribute<ServerSession> sessionOf =
+    private final Attribute<ServerSession> sessionAttribute =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("MailFront.session");
     private final List<Connection<?>> listeners = new ArrayList<>();
-    private final String life = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
+    private final String runId = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
     private boolean closing;
-    private long count;
+    private long nextNumber;
 
     /** Waits for the first answer to a hand-in: a {@link Reply} that says it is taken on, or its end. */
     private record Waiter(Consumer<Reply> answer) {}
 
     /** A front that listens nowhere yet, with so many clients at most. */
-    public MailFront(Core core, MailSettings settings, Protocol protocol, int mostSessions) {
+    public MailFront(Core core, MailSettings settings, Protocol protocol, int maxSessions) {
         this.core = core;
         this.settings = settings;
         this.protocol = protocol;
-        this.mostSessions = mostSessions;
+        this.maxSessions = maxSessions;
     }
 
     @Override
@@ -87,28 +87,30 @@
     public void close() {
         closing = true;
         listeners.forEach(Connection::closeSilently);
-        List.copyOf(sessions).forEach(ServerSession::closing);
+        List.copyOf(sessions).forEach(ServerSession::closeForShutdown);
     }
 
     // ---- hand-ins ---------------------------------------------------------------------------------------
     /** True if a mail that comes again can be told from a new one. */
-    static boolean isKnowable(String content) {
+    static boolean hasUsableMessageId(String content) {
         String messageId = Mail.header(content, "Message-ID");
-        return messageId != null && messageId.length() <= LONGEST_ID;
+        return messageId != null && messageId.length() <= MAX_MESSAGE_ID_LENGTH;
     }
 
     /** Hands a mail in for one recipient; the answer is given once, maybe at once. */
-    void handIn(Mail mail, Consumer<Reply> answer) {
-        String identity =
-                isKnowable(mail.content()) ? Mail.header(mail.content(), "Message-ID") + ' ' + mail.recipient() : null;
-        String named = Mail.header(mail.content(), settings.classHeader());
-        int messageClass =
-                named == null ? settings.otherwise() : settings.classes().getOrDefault(named, settings.otherwise());
-        handIn(mail, identity, messageClass, answer);
+    void submit(Mail mail, Consumer<Reply> answer) {
+        String identity = hasUsableMessageId(mail.content())
+                ? Mail.header(mail.content(), "Message-ID") + ' ' + mail.recipient()
+                : null;
+        String className = Mail.header(mail.content(), settings.classHeader());
+        int messageClass = className == null
+                ? settings.defaultClass()
+                : settings.classes().getOrDefault(className, settings.defaultClass());
+        submit(mail, identity, messageClass, answer);
     }
 
-    private void handIn(Mail mail, String identity, int messageClass, Consumer<Reply> answer) {
-        String id = name() + '-' + life + '-' + Long.toString(count++, Character.MAX_RADIX);
+    private void submit(Mail mail, String identity, int messageClass, Consumer<Reply> answer) {
+        String id = name() + '-' + runId + '-' + Long.toString(nextNumber++, Character.MAX_RADIX);
         Submission submission = new Submission(
                 id,
                 identity,
@@ -118,50 +120,50 @@
                 mail.encode(),
                 false,
                 false,
-                settings.budgets().get(messageClass));
-        Message m = core.submit(this, submission);
-        if (!m.isOpen()) {
+                settings.budgetsMicros().get(messageClass));
+        Message message = core.submit(this, submission);
+        if (!message.isOpen()) {
             answer.accept(
-                    protocol == Protocol.SMTP && m.finalStatus().kind() == FinalStatus.Kind.DELIVERED
+                    protocol == Protocol.SMTP && message.finalStatus().kind() == FinalStatus.Kind.DELIVERED
                             ? new Reply(250, "2.0.0 taken on before")
-                            : Reply.of(m.finalStatus()));
-        } else if (m.front != this) {
+                            : Reply.of(message.finalStatus()));
+        } else if (message.front != this) {
             // The same mail is under way for a client of the other protocol: its end is known soon.
             answer.accept(new Reply(451, "4.3.0 already under way, come again"));
-        } else if (protocol == Protocol.SMTP && m.isAccepted()) {
+        } else if (protocol == Protocol.SMTP && message.isAccepted()) {
             answer.accept(new Reply(250, "2.0.0 taken on before"));
         } else {
-            waiters.computeIfAbsent(m, x -> new ArrayList<>()).add(new Waiter(answer));
+            waiters.computeIfAbsent(message, x -> new ArrayList<>()).add(new Waiter(answer));
         }
     }
 
-    private void tell(Message message, Reply reply) {
-        List<Waiter> all = waiters.remove(message);
-        if (all != null) {
-            all.forEach(w -> w.answer().accept(reply));
+    private void answerWaiters(Message message, Reply reply) {
+        List<Waiter> answered = waiters.remove(message);
+        if (answered != null) {
+            answered.forEach(waiter -> waiter.answer().accept(reply));
         }
     }
 
     @Override
     public void onAccepted(Message message) {
         if (protocol == Protocol.SMTP) {
-            tell(message, new Reply(250, "2.0.0 taken on"));
+            answerWaiters(message, new Reply(250, "2.0.0 taken on"));
         }
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        tell(message, Reply.of(verdict));
+    public void onRejected(Message message, FinalStatus finalStatus) {
+        answerWaiters(message, Reply.of(finalStatus));
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled) {
         if (protocol == Protocol.LMTP) {
             // Whoever has dropped the connection hands it in again, and hears the end that is remembered.
-            tell(message, Reply.of(verdict));
+            answerWaiters(message, Reply.of(finalStatus));
             settled.run();
-        } else if (verdict.kind() == FinalStatus.Kind.REFUSED || verdict.kind() == FinalStatus.Kind.FAILED) {
-            report(id, Mail.decode(message.submission.body()), verdict, settled);
+        } else if (finalStatus.kind() == FinalStatus.Kind.REFUSED || finalStatus.kind() == FinalStatus.Kind.FAILED) {
+            sendReport(id, Mail.decode(message.submission.body()), finalStatus, settled);
         } else {
             settled.run();
         }
@@ -169,7 +171,7 @@
 
     // ---- reports ----------------------------------------------------------------------------------------
     /** Sends a failure to the reverse path, again and again until the report is in the journal. */
-    private void report(String failed, Mail mail, FinalStatus verdict, Runnable settled) {
+    private void sendReport(String failedId, Mail mail, FinalStatus finalStatus, Runnable settled) {
         if (mail.reversePath().isEmpty()) {
             settled.run(); // no report of a report
             return;
@@ -178,25 +180,29 @@
             Logs.warn(
                     "",
                     "no-route",
-                    "no route for the report of " + failed + " to " + mail.reversePath(),
+                    "no route for the report of " + failedId + " to " + mail.reversePath(),
                     "message",
-                    failed);
+                    failedId);
             settled.run();
             return;
         }
-        Mail report = Report.of(settings.hostName(), mail, verdict, failed, date());
-        handIn(report, "report " + failed, settings.dsnClass(), reply -> {
-            if (reply.positive() || reply.permanent()) {
+        Mail report = DeliveryStatusNotification.create(settings.hostName(), mail, finalStatus, failedId, date());
+        submit(report, "report " + failedId, settings.dsnClass(), reply -> {
+            if (reply.isPositive() || reply.isPermanentFailure()) {
                 settled.run();
             } else {
-                core.deadlines().schedule(core.nowMicros() + RETRY, () -> report(failed, mail, verdict, settled));
+                core.deadlines()
+                        .schedule(
+                                core.nowMicros() + REPORT_RETRY_DELAY_MICROS,
+                                () -> sendReport(failedId, mail, finalStatus, settled));
             }
         });
     }
 
     /** Reports a recipient that was turned down while others of its mail were taken on. */
-    void turnedDownAlone(Mail mail, Runnable reported) {
-        report("turned-down-" + life + '-' + count++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
+    void reportRejectedRecipient(Mail mail, Runnable reported) {
+        sendReport(
+                "turned-down-" + runId + '-' + nextNumber++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
     }
 
     static String date() {
@@ -222,12 +228,12 @@
         return closing;
     }
 
-    void forget(ServerSession session) {
+    void removeSession(ServerSession session) {
         sessions.remove(session);
     }
 
-    private void opened(ServerSession session) {
-        if (closing || sessions.size() >= mostSessions) {
+    private void onOpen(ServerSession session) {
+        if (closing || sessions.size() >= maxSessions) {
             session.close("421 4.3.2 " + settings.hostName() + " takes no more connections\r\n");
             return;
         }
@@ -243,24 +249,24 @@
                     ? a.getAddress().getHostAddress()
                     : "unknown";
             ServerSession session = new ServerSession(MailFront.this, connection, peer);
-            sessionOf.set(connection, session);
-            core.post(() -> opened(session));
+            sessionAttribute.set(connection, session);
+            core.post(() -> onOpen(session));
             return context.getInvokeAction();
         }
 
         @Override
         public NextAction handleRead(FilterChainContext context) {
             List<String> lines = context.getMessage();
-            ServerSession session = sessionOf.get(context.getConnection());
-            session.received(lines);
+            ServerSession session = sessionAttribute.get(context.getConnection());
+            session.onLines(lines);
             return context.getStopAction();
         }
 
         @Override
         public NextAction handleClose(FilterChainContext context) {
-            ServerSession session = sessionOf.get(context.getConnection());
+            ServerSession session = sessionAttribute.get(context.getConnection());
             if (session != null) {
-                core.post(session::gone);
+                core.post(session::onClosed);
             }
             return context.getInvokeAction();
         }
--- a/src/main/java/lilaclever/protocol/mail/MailSettings.java
+++ b/src/main/java/lilaclever/protocol/mail/MailSettings.java
@@ -13,12 +13,12 @@
         List<Route> routes,
         String classHeader,
         Map<String, Integer> classes,
-        int otherwise,
+        int defaultClass,
         int dsnClass,
-        int mostBytes,
-        int mostRecipients,
-        long idleMicros,
-        List<Long> budgets) {
+        int maxMessageBytes,
+        int maxRecipients,
+        long idleTimeoutMicros,
+        List<Long> budgetsMicros) {
     /** Which of the two protocols is spoken. */
     public enum Protocol {
         SMTP,
--- a/src/main/java/lilaclever/protocol/mail/Reply.java
+++ b/src/main/java/lilaclever/protocol/mail/Reply.java
@@ -6,18 +6,18 @@
 
 /** A reply of SMTP or LMTP: a code, and a text that may begin with an enhanced status code. */
 record Reply(int code, String text) {
-    private static final Pattern STATUS = Pattern.compile("^([245]\\.\\d{1,3}\\.\\d{1,3})\\b.*");
-    private static final int LONGEST = 400;
+    private static final Pattern ENHANCED_STATUS = Pattern.compile("^([245]\\.\\d{1,3}\\.\\d{1,3})\\b.*");
+    private static final int MAX_TEXT_LENGTH = 400;
 
-    boolean positive() {
+    boolean isPositive() {
         return code >= 200 && code < 400;
     }
 
-    boolean permanent() {
+    boolean isPermanentFailure() {
         return code >= 500;
     }
 
-    String line() {
+    String toLine() {
         return code + " " + text + "\r\n";
     }
 
@@ -29,33 +29,34 @@
         // A CR or LF alone must not pass on into replies and reports of ours.
         String text = line.length() > 4 ? line.substring(4).replaceAll("\\p{Cntrl}", " ") : "";
         return new Reply(
-                Integer.parseInt(line.substring(0, 3)), text.length() > LONGEST ? text.substring(0, LONGEST) : text);
+                Integer.parseInt(line.substring(0, 3)),
+                text.length() > MAX_TEXT_LENGTH ? text.substring(0, MAX_TEXT_LENGTH) : text);
     }
 
     /** The enhanced status code in its text, or the most general one of its class. */
-    String status() {
-        Matcher m = STATUS.matcher(text);
-        return m.matches() ? m.group(1) : code / 100 + ".0.0";
+    String enhancedStatus() {
+        Matcher matcher = ENHANCED_STATUS.matcher(text);
+        return matcher.matches() ? matcher.group(1) : code / 100 + ".0.0";
     }
 
     /**
      * The final answer to one recipient. Refused: nothing ran, or a repeat is harmless, so come again. Failed without
      * a word of the server: it may have run, so whoever hands it in again must not be invited to.
      */
-    static Reply of(FinalStatus verdict) {
-        Reply said = parse(verdict.detail());
-        return switch (verdict.kind()) {
+    static Reply of(FinalStatus finalStatus) {
+        Reply serverReply = parse(finalStatus.detail());
+        return switch (finalStatus.kind()) {
             case DELIVERED -> new Reply(250, "2.1.5 delivered");
             case REFUSED, GONE ->
                 new Reply(
                         451,
                         "4.4.7 not delivered, come again"
-                                + (verdict.retryAfterMicros() > 0
-                                        ? " in " + (verdict.retryAfterMicros() / 1_000_000 + 1) + " s"
+                                + (finalStatus.retryAfterMicros() > 0
+                                        ? " in " + (finalStatus.retryAfterMicros() / 1_000_000 + 1) + " s"
                                         : ""));
             case FAILED, CLASH ->
-                said != null && said.permanent()
-                        ? said
+                serverReply != null && serverReply.isPermanentFailure()
+                        ? serverReply
                         : new Reply(554, "5.4.0 delivery not confirmed; it may have happened");
         };
     }
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -16,11 +16,11 @@
 final class ServerSession {
     private static final Pattern PATH = Pattern.compile("(?i)(?:FROM|TO):\\s*<(?:@[^:>]*:)?([^<>\\s]*)>(.*)");
     /** Characters that came and are not read yet, beside those of one mail. */
-    private static final int MOST_UNREAD = 64 * 1024;
+    private static final int MAX_QUEUED_BYTES = 64 * 1024;
     /** Commands without a mail at the end of them, beside one for each recipient. */
-    private static final int MOST_COMMANDS = 100;
+    private static final int MAX_COMMANDS = 100;
     /** A content that goes on for so many times the most that a mail may have is not awaited any longer. */
-    private static final int MOST_CONTENTS = 4;
+    private static final int MAX_CONTENT_FACTOR = 4;
 
     private final MailFront front;
     private final MailSettings settings;
@@ -28,20 +28,20 @@
     private final String peer;
     private final boolean lmtp;
     /** Lines that came while an answer is awaited: they are read after it. */
-    private final ArrayDeque<String> ahead = new ArrayDeque<>();
+    private final ArrayDeque<String> queuedLines = new ArrayDeque<>();
 
     private final List<String> recipients = new ArrayList<>();
-    private final AtomicLong unread = new AtomicLong();
+    private final AtomicLong queuedBytes = new AtomicLong();
     private Reply[] replies;
-    private String hello;
+    private String clientName;
     private String reversePath;
-    private String text;
+    private String contentWithTrace;
     private StringBuilder content;
-    private boolean tooLarge, bareEnd, awaiting, over;
-    private volatile boolean full;
-    private int commands;
-    private long came;
-    private Deadlines.Key idle, whole;
+    private boolean tooLarge, bareLineEnding, awaitingReplies, closed;
+    private volatile boolean queueOverflowed;
+    private int commandCount;
+    private long contentBytesReceived;
+    private Deadlines.Key idleTimeout, contentTimeout;
 
     ServerSession(MailFront front, Connection<?> connection, String peer) {
         this.front = front;
@@ -54,96 +54,96 @@
     // ---- the connection ---------------------------------------------------------------------------------
     void greet() {
         write("220 " + settings.hostName() + (lmtp ? " LMTP" : " ESMTP") + " lilaclever ready\r\n");
-        rest();
+        restartIdleTimeout();
     }
 
     /** Lines from the socket: whoever sends faster than they can be read does not fill the memory. Selector thread. */
-    void received(List<String> lines) {
-        if (full) {
+    void onLines(List<String> lines) {
+        if (queueOverflowed) {
             return;
         }
-        long size = 0;
+        long bytes = 0;
         for (String line : lines) {
-            size += size(line);
+            bytes += lineBytes(line);
         }
-        full = unread.addAndGet(size) > MOST_UNREAD + settings.mostBytes();
-        front.core().post(full ? () -> close("421 4.3.0 too much at once\r\n") : () -> lines(lines));
+        queueOverflowed = queuedBytes.addAndGet(bytes) > MAX_QUEUED_BYTES + settings.maxMessageBytes();
+        front.core().post(queueOverflowed ? () -> close("421 4.3.0 too much at once\r\n") : () -> processLines(lines));
     }
 
-    private static int size(String line) {
+    private static int lineBytes(String line) {
         return line.length() + 2;
     }
 
-    private void lines(List<String> lines) {
-        if (over) {
+    private void processLines(List<String> lines) {
+        if (closed) {
             return;
         }
-        ahead.addAll(lines);
-        read();
+        queuedLines.addAll(lines);
+        processQueuedLines();
     }
 
-    private void read() {
-        while (!awaiting && !over && !ahead.isEmpty()) {
-            String line = ahead.remove();
-            unread.addAndGet(-size(line));
+    private void processQueuedLines() {
+        while (!awaitingReplies && !closed && !queuedLines.isEmpty()) {
+            String line = queuedLines.remove();
+            queuedBytes.addAndGet(-lineBytes(line));
             if (content != null) {
-                contentLine(line);
+                handleContentLine(line);
             } else {
-                command(line);
+                handleCommand(line);
             }
         }
-        rest();
+        restartIdleTimeout();
     }
 
     /** A client that says nothing for long is sent away. */
-    private void rest() {
-        front.core().deadlines().cancel(idle);
-        if (!over && !awaiting) {
-            idle = front.core()
+    private void restartIdleTimeout() {
+        front.core().deadlines().cancel(idleTimeout);
+        if (!closed && !awaitingReplies) {
+            idleTimeout = front.core()
                     .deadlines()
                     .schedule(
-                            front.core().nowMicros() + settings.idleMicros(),
+                            front.core().nowMicros() + settings.idleTimeoutMicros(),
                             () -> close("421 4.4.2 nothing came for too long\r\n"));
         }
     }
 
-    void closing() {
-        if (!awaiting) {
+    void closeForShutdown() {
+        if (!awaitingReplies) {
             close("421 4.3.2 " + settings.hostName() + " is stopping\r\n");
         }
     }
 
     void close(String farewell) {
-        if (over) {
+        if (closed) {
             return;
         }
-        over = true;
+        closed = true;
         Transport.write(connection, farewell, connection::closeSilently, connection::closeSilently);
-        gone();
+        onClosed();
     }
 
-    void gone() {
-        over = true;
-        front.core().deadlines().cancel(idle);
-        front.core().deadlines().cancel(whole);
-        ahead.clear();
+    void onClosed() {
+        closed = true;
+        front.core().deadlines().cancel(idleTimeout);
+        front.core().deadlines().cancel(contentTimeout);
+        queuedLines.clear();
         content = null;
-        front.forget(this);
+        front.removeSession(this);
     }
 
     private void write(String text) {
-        if (!over) {
+        if (!closed) {
             Transport.write(connection, text, () -> {}, connection::closeSilently);
         }
     }
 
     private void reply(int code, String text) {
-        write(new Reply(code, text).line());
+        write(new Reply(code, text).toLine());
     }
 
     // ---- commands ---------------------------------------------------------------------------------------
-    private void command(String line) {
-        if (++commands > MOST_COMMANDS + settings.mostRecipients()) {
+    private void handleCommand(String line) {
+        if (++commandCount > MAX_COMMANDS + settings.maxRecipients()) {
             close("421 4.7.0 too many commands without a mail\r\n");
             return;
         }
@@ -152,17 +152,17 @@
             return;
         }
         int space = line.indexOf(' ');
-        String word = (space < 0 ? line : line.substring(0, space)).toUpperCase(Locale.ROOT);
-        String rest = space < 0 ? "" : line.substring(space + 1).strip();
-        switch (word) {
-            case "LHLO" -> hello(lmtp, rest, true);
-            case "EHLO" -> hello(!lmtp, rest, true);
-            case "HELO" -> hello(!lmtp, rest, false);
-            case "MAIL" -> mail(rest);
-            case "RCPT" -> rcpt(rest);
-            case "DATA" -> data();
+        String verb = (space < 0 ? line : line.substring(0, space)).toUpperCase(Locale.ROOT);
+        String arguments = space < 0 ? "" : line.substring(space + 1).strip();
+        switch (verb) {
+            case "LHLO" -> handleHello(lmtp, arguments, true);
+            case "EHLO" -> handleHello(!lmtp, arguments, true);
+            case "HELO" -> handleHello(!lmtp, arguments, false);
+            case "MAIL" -> handleMail(arguments);
+            case "RCPT" -> handleRcpt(arguments);
+            case "DATA" -> handleData();
             case "RSET" -> {
-                reset();
+                resetTransaction();
                 reply(250, "2.0.0 reset");
             }
             case "NOOP" -> reply(250, "2.0.0 done");
@@ -173,42 +173,42 @@
         }
     }
 
-    private void hello(boolean mine, String name, boolean extended) {
-        if (!mine) {
+    private void handleHello(boolean supported, String client, boolean extended) {
+        if (!supported) {
             reply(500, "5.5.1 not in " + (lmtp ? "LMTP" : "SMTP"));
-        } else if (name.isEmpty()) {
+        } else if (client.isEmpty()) {
             reply(501, "5.5.4 who are you?");
         } else {
-            reset();
-            hello = name;
+            resetTransaction();
+            clientName = client;
             String host = settings.hostName();
             write(
                     !extended
                             ? "250 " + host + "\r\n"
-                            : "250-" + host + "\r\n250-PIPELINING\r\n250-8BITMIME\r\n250-SIZE " + settings.mostBytes()
-                                    + "\r\n250 ENHANCEDSTATUSCODES\r\n");
+                            : "250-" + host + "\r\n250-PIPELINING\r\n250-8BITMIME\r\n250-SIZE "
+                                    + settings.maxMessageBytes() + "\r\n250 ENHANCEDSTATUSCODES\r\n");
         }
     }
 
-    private void mail(String rest) {
-        Matcher path = PATH.matcher(rest);
-        if (hello == null || reversePath != null) {
-            reply(503, "5.5.1 " + (hello == null ? "a greeting" : "the end of the last mail") + " comes first");
-        } else if (!rest.toUpperCase(Locale.ROOT).startsWith("FROM:") || !path.matches()) {
+    private void handleMail(String arguments) {
+        Matcher path = PATH.matcher(arguments);
+        if (clientName == null || reversePath != null) {
+            reply(503, "5.5.1 " + (clientName == null ? "a greeting" : "the end of the last mail") + " comes first");
+        } else if (!arguments.toUpperCase(Locale.ROOT).startsWith("FROM:") || !path.matches()) {
             reply(501, "5.5.4 MAIL FROM:<path>");
         } else {
-            long size = 0;
+            long declaredBytes = 0;
             for (String parameter : path.group(2).strip().split("\\s+")) {
                 String upper = parameter.toUpperCase(Locale.ROOT);
                 if (upper.matches("SIZE=\\d{1,15}")) {
-                    size = Long.parseLong(upper.substring(5));
+                    declaredBytes = Long.parseLong(upper.substring(5));
                 } else if (!upper.isEmpty() && !upper.equals("BODY=8BITMIME") && !upper.equals("BODY=7BIT")) {
                     reply(555, "5.5.4 unknown parameter " + parameter);
                     return;
                 }
             }
-            if (size > settings.mostBytes()) {
-                reply(552, "5.3.4 at most " + settings.mostBytes() + " bytes");
+            if (declaredBytes > settings.maxMessageBytes()) {
+                reply(552, "5.3.4 at most " + settings.maxMessageBytes() + " bytes");
                 return;
             }
             reversePath = path.group(1);
@@ -216,11 +216,11 @@
         }
     }
 
-    private void rcpt(String rest) {
-        Matcher path = PATH.matcher(rest);
+    private void handleRcpt(String arguments) {
+        Matcher path = PATH.matcher(arguments);
         if (reversePath == null) {
             reply(503, "5.5.1 MAIL comes first");
-        } else if (!rest.toUpperCase(Locale.ROOT).startsWith("TO:")
+        } else if (!arguments.toUpperCase(Locale.ROOT).startsWith("TO:")
                 || !path.matches()
                 || path.group(1).isEmpty()) {
             reply(501, "5.5.4 RCPT TO:<path>");
@@ -228,7 +228,7 @@
             reply(555, "5.5.4 unknown parameter");
         } else if (settings.route(path.group(1)) == null) {
             reply(550, "5.1.2 no route to this domain");
-        } else if (recipients.size() >= settings.mostRecipients()) {
+        } else if (recipients.size() >= settings.maxRecipients()) {
             reply(452, "4.5.3 too many recipients");
         } else {
             recipients.add(path.group(1));
@@ -236,25 +236,25 @@
         }
     }
 
-    private void data() {
+    private void handleData() {
         if (recipients.isEmpty()) {
             reply(503, "5.5.1 " + (reversePath == null ? "MAIL and RCPT come" : "a valid RCPT comes") + " first");
         } else {
             content = new StringBuilder();
             tooLarge = false;
-            bareEnd = false;
-            came = 0;
+            bareLineEnding = false;
+            contentBytesReceived = 0;
             // A line now and then keeps the connection from being idle: all of them have a time as well.
-            whole = front.core()
+            contentTimeout = front.core()
                     .deadlines()
                     .schedule(
-                            front.core().nowMicros() + settings.idleMicros(),
+                            front.core().nowMicros() + settings.idleTimeoutMicros(),
                             () -> close("421 4.4.2 the mail took too long\r\n"));
             write("354 end with a dot on a line of its own\r\n");
         }
     }
 
-    private void reset() {
+    private void resetTransaction() {
         reversePath = null;
         recipients.clear();
         content = null;
@@ -262,92 +262,95 @@
     }
 
     // ---- the content ------------------------------------------------------------------------------------
-    private void contentLine(String line) {
+    private void handleContentLine(String line) {
         if (line.equals(".")) {
-            complete();
+            completeContent();
             return;
         }
-        String plain = line.startsWith(".") ? line.substring(1) : line;
+        String unstuffed = line.startsWith(".") ? line.substring(1) : line;
         // A CR or LF alone would be an end of a line to some servers: a second mail could hide behind it.
-        bareEnd |= plain.indexOf('\n') >= 0 || plain.indexOf('\r') >= 0;
-        tooLarge |= content.length() + plain.length() + 2 > settings.mostBytes();
-        came += size(line);
-        if (came > MOST_CONTENTS * (long) settings.mostBytes()) {
-            close("421 4.3.0 at most " + settings.mostBytes() + " bytes\r\n");
+        bareLineEnding |= unstuffed.indexOf('\n') >= 0 || unstuffed.indexOf('\r') >= 0;
+        tooLarge |= content.length() + unstuffed.length() + 2 > settings.maxMessageBytes();
+        contentBytesReceived += lineBytes(line);
+        if (contentBytesReceived > MAX_CONTENT_FACTOR * (long) settings.maxMessageBytes()) {
+            close("421 4.3.0 at most " + settings.maxMessageBytes() + " bytes\r\n");
             return;
         }
         if (!tooLarge) {
-            content.append(plain).append("\r\n");
+            content.append(unstuffed).append("\r\n");
         }
     }
 
-    private void complete() {
-        front.core().deadlines().cancel(whole);
-        commands = 0;
-        Reply refusal = tooLarge
-                ? new Reply(552, "5.3.4 at most " + settings.mostBytes() + " bytes")
-                : bareEnd ? new Reply(550, "5.6.0 a line ends in CR or LF alone") : null;
-        text = "Received: from " + hello + " ([" + peer + "]) by " + settings.hostName() + " with "
+    private void completeContent() {
+        front.core().deadlines().cancel(contentTimeout);
+        commandCount = 0;
+        Reply rejection = tooLarge
+                ? new Reply(552, "5.3.4 at most " + settings.maxMessageBytes() + " bytes")
+                : bareLineEnding ? new Reply(550, "5.6.0 a line ends in CR or LF alone") : null;
+        contentWithTrace = "Received: from " + clientName + " ([" + peer + "]) by " + settings.hostName() + " with "
                 + (lmtp ? "LMTP" : "ESMTP") + "; " + MailFront.date() + "\r\n" + content;
-        awaiting = true;
+        awaitingReplies = true;
         content = null;
-        Reply[] mine = new Reply[recipients.size()];
-        replies = mine;
-        for (int i = 0; i < mine.length; i++) {
+        Reply[] transactionReplies = new Reply[recipients.size()];
+        replies = transactionReplies;
+        for (int i = 0; i < transactionReplies.length; i++) {
             int index = i;
-            if (refusal != null) {
-                answered(mine, index, refusal);
+            if (rejection != null) {
+                onRecipientReply(transactionReplies, index, rejection);
             } else {
-                front.handIn(new Mail(reversePath, recipients.get(i), text), r -> answered(mine, index, r));
+                front.submit(
+                        new Mail(reversePath, recipients.get(i), contentWithTrace),
+                        reply -> onRecipientReply(transactionReplies, index, reply));
             }
         }
     }
 
     /** One recipient's answer is here; LMTP passes them on in order, SMTP says one word for all. */
-    private void answered(Reply[] mine, int index, Reply reply) {
-        mine[index] = reply;
-        if (mine != replies) {
+    private void onRecipientReply(Reply[] transactionReplies, int index, Reply reply) {
+        transactionReplies[index] = reply;
+        if (transactionReplies != replies) {
             return;
         }
-        for (Reply each : mine) {
+        for (Reply each : transactionReplies) {
             if (each == null) {
                 return;
             }
         }
         if (lmtp) {
-            for (Reply each : mine) {
-                write(each.line());
+            for (Reply each : transactionReplies) {
+                write(each.toLine());
             }
-            next();
+            finishTransaction();
         } else {
-            Reply word = forAll(mine);
-            int[] open = {1};
-            Runnable one = () -> {
-                if (--open[0] == 0) {
-                    write(word.line());
-                    next();
+            Reply combined = combineReplies(transactionReplies);
+            int[] remaining = {1};
+            Runnable replyWhenReported = () -> {
+                if (--remaining[0] == 0) {
+                    write(combined.toLine());
+                    finishTransaction();
                 }
             };
-            if (word.positive()) {
+            if (combined.isPositive()) {
                 // With 250 all recipients are ours: whoever was turned down is reported before it is said.
-                for (int i = 0; i < mine.length; i++) {
-                    if (mine[i].code() / 100 == 4) {
-                        open[0]++;
-                        front.turnedDownAlone(new Mail(reversePath, recipients.get(i), text), one);
+                for (int i = 0; i < transactionReplies.length; i++) {
+                    if (transactionReplies[i].code() / 100 == 4) {
+                        remaining[0]++;
+                        front.reportRejectedRecipient(
+                                new Mail(reversePath, recipients.get(i), contentWithTrace), replyWhenReported);
                     }
                 }
             }
-            one.run();
+            replyWhenReported.run();
         }
     }
 
-    private void next() {
-        awaiting = false;
-        reset();
+    private void finishTransaction() {
+        awaitingReplies = false;
+        resetTransaction();
         if (front.isClosing()) {
-            closing();
+            closeForShutdown();
         } else {
-            front.core().post(this::read); // not from here: this may run inside read
+            front.core().post(this::processQueuedLines); // not from here: this may run inside read
         }
     }
 
@@ -355,14 +358,16 @@
      * SMTP has one answer for the mail. Where some recipients were taken on and others turned down for now, a mail
      * that can be known again is asked for again: those taken on get no second message.
      */
-    private Reply forAll(Reply[] mine) {
-        Reply good = null;
-        Reply later = null;
-        for (Reply each : mine) {
-            good = each.positive() ? each : good;
-            later = each.code() / 100 == 4 ? each : later;
+    private Reply combineReplies(Reply[] transactionReplies) {
+        Reply positive = null;
+        Reply transientFailure = null;
+        for (Reply each : transactionReplies) {
+            positive = each.isPositive() ? each : positive;
+            transientFailure = each.code() / 100 == 4 ? each : transientFailure;
         }
-        boolean known = MailFront.isKnowable(text);
-        return later != null && (known || good == null) ? later : good != null ? good : mine[0];
+        boolean deduplicated = MailFront.hasUsableMessageId(contentWithTrace);
+        return transientFailure != null && (deduplicated || positive == null)
+                ? transientFailure
+                : positive != null ? positive : transactionReplies[0];
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -25,45 +25,58 @@
     }
 
     static final Escaping ESCAPING = new DefaultEscaping();
-    private static final DateTimeFormatter TIME = DateTimeFormatter.ofPattern("yyyyMMddHHmmssZ");
+    private static final DateTimeFormatter TIMESTAMP_FORMAT = DateTimeFormatter.ofPattern("yyyyMMddHHmmssZ");
 
-    private final String life;
-    private long count;
+    private final String controlIdPrefix;
+    private long nextNumber;
 
     /** {@code life} makes control ids differ from those of earlier lives. */
-    Acknowledgements(String life) {
-        this.life = life;
+    Acknowledgements(String controlIdPrefix) {
+        this.controlIdPrefix = controlIdPrefix;
     }
 
     /** An acknowledgement that all is well. */
-    byte[] good(Code code, Header to) {
-        return of(code, to, "", "");
+    byte[] positive(Code code, Header requestHeader) {
+        return build(code, requestHeader, "", "");
     }
 
     /** The message can't be taken on as it is. */
-    byte[] fault(Code code, Header to, Hl7Fault fault) {
-        String text = text(to, fault.getMessage());
-        return of(code, to, text, err(to, fault.segment(), fault.field(), fault.code(), "", "", text));
+    byte[] fault(Code code, Header requestHeader, Hl7Fault fault) {
+        String text = escapeText(requestHeader, fault.getMessage());
+        return build(
+                code,
+                requestHeader,
+                text,
+                errSegment(requestHeader, fault.segment(), fault.field(), fault.code(), "", "", text));
     }
 
     /** The message was refused, and nothing of it was done: it may come again after so long. */
-    byte[] comeBack(Code code, Header to, FinalStatus verdict) {
-        String seconds = seconds(verdict.retryAfterMicros());
-        String text = text(
-                to,
-                (verdict.detail().isEmpty() ? "not done" : verdict.detail())
+    byte[] retryLater(Code code, Header requestHeader, FinalStatus finalStatus) {
+        String seconds = formatSeconds(finalStatus.retryAfterMicros());
+        String text = escapeText(
+                requestHeader,
+                (finalStatus.detail().isEmpty() ? "not done" : finalStatus.detail())
                         + (seconds.isEmpty() ? "; come again" : "; come again in " + seconds + " s"));
-        return of(code, to, text, err(to, "", 0, Hl7Fault.Code.INTERNAL, "come-again", seconds, text));
+        return build(
+                code,
+                requestHeader,
+                text,
+                errSegment(requestHeader, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "come-again", seconds, text));
     }
 
     /** The message was taken on and is not known to be done: it may have been. */
-    byte[] failed(Code code, Header to, FinalStatus verdict) {
-        String text = text(
-                to, "not confirmed, so perhaps done" + (verdict.detail().isEmpty() ? "" : ": " + verdict.detail()));
-        return of(code, to, text, err(to, "", 0, Hl7Fault.Code.INTERNAL, "not-confirmed", "", text));
+    byte[] notConfirmed(Code code, Header requestHeader, FinalStatus finalStatus) {
+        String text = escapeText(
+                requestHeader,
+                "not confirmed, so perhaps done" + (finalStatus.detail().isEmpty() ? "" : ": " + finalStatus.detail()));
+        return build(
+                code,
+                requestHeader,
+                text,
+                errSegment(requestHeader, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "not-confirmed", "", text));
     }
 
-    private static String seconds(long micros) {
+    private static String formatSeconds(long micros) {
         return micros <= 0
                 ? ""
                 : java.math.BigDecimal.valueOf((micros + 999) / 1000, 3)
@@ -71,100 +84,115 @@
                         .toPlainString();
     }
 
-    private static String text(Header to, String plain) {
-        return ESCAPING.escape(plain.replaceAll("[\\p{Cntrl}]", " "), delimiters(to));
+    private static String escapeText(Header requestHeader, String message) {
+        return ESCAPING.escape(message.replaceAll("[\\p{Cntrl}]", " "), delimiters(requestHeader));
     }
 
-    static EncodingCharacters delimiters(Header of) {
-        return new EncodingCharacters(of.separator(), of.encoding().substring(0, 4));
+    static EncodingCharacters delimiters(Header header) {
+        return new EncodingCharacters(
+                header.separator(), header.encodingCharacters().substring(0, 4));
     }
 
-    private static boolean isAtLeast25(Header to) {
-        return to.first(12).compareTo("2.5") >= 0;
+    private static boolean isVersionAtLeast25(Header requestHeader) {
+        return requestHeader.firstComponent(12).compareTo("2.5") >= 0;
     }
 
-    private byte[] of(Code code, Header to, String text, String err) {
-        char s = to.separator();
-        char c = to.encoding().charAt(0);
-        String version = to.field(12);
-        String type = "ACK" + (to.second(9).isEmpty() ? "" : c + to.second(9))
-                + (to.second(9).isEmpty() || to.first(12).equals("2.3") ? "" : c + "ACK");
+    private byte[] build(Code code, Header requestHeader, String text, String err) {
+        char separator = requestHeader.separator();
+        char componentSeparator = requestHeader.encodingCharacters().charAt(0);
+        String version = requestHeader.field(12);
+        String type = "ACK"
+                + (requestHeader.secondComponent(9).isEmpty()
+                        ? ""
+                        : componentSeparator + requestHeader.secondComponent(9))
+                + (requestHeader.secondComponent(9).isEmpty()
+                                || requestHeader.firstComponent(12).equals("2.3")
+                        ? ""
+                        : componentSeparator + "ACK");
         String[] msh = {
             "MSH",
-            to.encoding(),
-            to.field(5),
-            to.field(6),
-            to.field(3),
-            to.field(4),
-            TIME.format(ZonedDateTime.now(ZoneId.systemDefault())),
+            requestHeader.encodingCharacters(),
+            requestHeader.field(5),
+            requestHeader.field(6),
+            requestHeader.field(3),
+            requestHeader.field(4),
+            TIMESTAMP_FORMAT.format(ZonedDateTime.now(ZoneId.systemDefault())),
             "",
             type,
-            life + count++,
-            to.field(11),
+            controlIdPrefix + nextNumber++,
+            requestHeader.field(11),
             version,
             "",
             "",
-            Request.isOriginal(to) ? "" : "NE",
-            Request.isOriginal(to) ? "" : "NE",
-            to.field(17),
-            to.field(18)
+            Request.isOriginalMode(requestHeader) ? "" : "NE",
+            Request.isOriginalMode(requestHeader) ? "" : "NE",
+            requestHeader.field(17),
+            requestHeader.field(18)
         };
-        StringBuilder all = new StringBuilder(256).append(join(s, msh)).append('\r');
-        all.append(join(s, "MSA", code.name(), to.field(10), text)).append('\r').append(err);
-        return printable(all).getBytes(to.charset());
+        StringBuilder acknowledgement =
+                new StringBuilder(256).append(joinFields(separator, msh)).append('\r');
+        acknowledgement
+                .append(joinFields(separator, "MSA", code.name(), requestHeader.field(10), text))
+                .append('\r')
+                .append(err);
+        return replaceControlCharacters(acknowledgement).getBytes(requestHeader.charset());
     }
 
     /** What a sender wrote into its header comes back to it, but nothing that its reader could take for an end. */
-    private static String printable(StringBuilder all) {
-        for (int i = 0; i < all.length(); i++) {
-            char c = all.charAt(i);
+    private static String replaceControlCharacters(StringBuilder text) {
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
             if (c < ' ' && c != '\r' || c == 0x7f) {
-                all.setCharAt(i, '?');
+                text.setCharAt(i, '?');
             }
         }
-        return all.toString();
+        return text.toString();
     }
 
-    private static String err(
-            Header to,
+    private static String errSegment(
+            Header requestHeader,
             String segment,
             int field,
             Hl7Fault.Code code,
             String application,
             String parameter,
             String text) {
-        char s = to.separator();
-        String c = String.valueOf(to.encoding().charAt(0));
-        String place = segment.isEmpty()
+        char separator = requestHeader.separator();
+        String componentSeparator =
+                String.valueOf(requestHeader.encodingCharacters().charAt(0));
+        String location = segment.isEmpty()
                 ? ""
-                : segment + c + (segment.equals("MSH") ? "1" : "") + (field > 0 ? c + field : "");
-        String error = code.number + c + code.text + c + "HL70357";
-        if (isAtLeast25(to)) {
-            return join(s, "ERR", "", place, error, "E", application, parameter, "", text) + '\r';
+                : segment
+                        + componentSeparator
+                        + (segment.equals("MSH") ? "1" : "")
+                        + (field > 0 ? componentSeparator + field : "");
+        String error = code.number + componentSeparator + code.text + componentSeparator + "HL70357";
+        if (isVersionAtLeast25(requestHeader)) {
+            return joinFields(separator, "ERR", "", location, error, "E", application, parameter, "", text) + '\r';
         }
-        String sub = to.encoding().substring(3, 4);
+        String subcomponentSeparator = requestHeader.encodingCharacters().substring(3, 4);
         String[] parts = {
             segment,
             segment.equals("MSH") ? "1" : "",
             field > 0 ? Integer.toString(field) : "",
-            code.number + sub + code.text + sub + "HL70357"
+            code.number + subcomponentSeparator + code.text + subcomponentSeparator + "HL70357"
         };
-        return join(s, "ERR", String.join(c, parts)) + '\r';
+        return joinFields(separator, "ERR", String.join(componentSeparator, parts)) + '\r';
     }
 
     /** The fields with the separator between them, none at the end that is empty. */
-    private static String join(char separator, String... fields) {
+    private static String joinFields(char separator, String... fields) {
         int last = fields.length;
         while (last > 0 && fields[last - 1].isEmpty()) {
             last--;
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder joined = new StringBuilder();
         for (int i = 0; i < last; i++) {
             if (i > 0) {
-                all.append(separator);
+                joined.append(separator);
             }
-            all.append(fields[i]);
+            joined.append(fields[i]);
         }
-        return all.toString();
+        return joined.toString();
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Batch.java
+++ b/src/main/java/lilaclever/protocol/mllp/Batch.java
@@ -11,42 +11,42 @@
  * an acknowledgement of its own; a batch that is not whole is refused whole, before any of it is taken on.
  */
 final class Batch {
-    private static final int MOST = 100;
+    private static final int MAX_MESSAGES = 100;
 
     private Batch() {}
 
     /** True if the frame holds a batch. */
-    static boolean is(byte[] frame) {
+    static boolean isBatch(byte[] frame) {
         return frame.length > 3 && (startsWith(frame, 0, "BHS") || startsWith(frame, 0, "FHS"));
     }
 
     /** The messages of a batch, each with all its bytes. */
     static List<byte[]> split(byte[] frame) throws Hl7Fault {
         List<byte[]> messages = new ArrayList<>();
-        int message = -1, counted = 0;
-        boolean file = startsWith(frame, 0, "FHS"), inBatch = false, over = false;
+        int messageStart = -1, messageCount = 0;
+        boolean isFile = startsWith(frame, 0, "FHS"), inBatch = false, ended = false;
         for (int start = 0; start < frame.length; ) {
             int end = start;
             while (end < frame.length && frame[end] != '\r') {
                 end++;
             }
             String name = end - start < 3 ? "" : new String(frame, start, 3, StandardCharsets.ISO_8859_1);
-            if (over && end > start) {
+            if (ended && end > start) {
                 throw new Hl7Fault(Code.SEGMENT_SEQUENCE, name, 0, "something follows the end");
             }
             if (name.equals("MSH") || name.equals("BTS") || name.equals("FTS") || name.equals("BHS")) {
-                if (message >= 0) {
-                    messages.add(Arrays.copyOfRange(frame, message, start));
-                    counted++;
+                if (messageStart >= 0) {
+                    messages.add(Arrays.copyOfRange(frame, messageStart, start));
+                    messageCount++;
                 }
-                message = -1;
+                messageStart = -1;
             }
             switch (name) {
                 case "MSH" -> {
                     if (!inBatch) {
                         throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "a message outside of a batch");
                     }
-                    message = start;
+                    messageStart = start;
                 }
                 case "FHS" -> {
                     if (start > 0) {
@@ -58,43 +58,46 @@
                         throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "BHS", 0, "a batch within a batch");
                     }
                     inBatch = true;
-                    counted = 0;
+                    messageCount = 0;
                 }
                 case "BTS" -> {
-                    checkCount(frame, start, end, counted, inBatch);
+                    checkCount(frame, start, end, messageCount, inBatch);
                     inBatch = false;
-                    over = !file;
+                    ended = !isFile;
                 }
-                case "FTS" -> over = true;
+                case "FTS" -> ended = true;
                 default -> {
-                    if (message < 0 && end > start) {
+                    if (messageStart < 0 && end > start) {
                         throw new Hl7Fault(Code.SEGMENT_SEQUENCE, name, 0, "a segment of no message");
                     }
                 }
             }
-            if (messages.size() > MOST) {
-                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "more than " + MOST + " messages");
+            if (messages.size() > MAX_MESSAGES) {
+                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "more than " + MAX_MESSAGES + " messages");
             }
             start = end + 1;
         }
-        if (inBatch || !over) {
+        if (inBatch || !ended) {
             throw new Hl7Fault(Code.SEGMENT_SEQUENCE, inBatch ? "BTS" : "FTS", 0, "the end is missing");
         }
         return messages;
     }
 
     /** BTS-1, where it is there, is how many messages the batch has. */
-    private static void checkCount(byte[] frame, int start, int end, int counted, boolean inBatch) throws Hl7Fault {
+    private static void checkCount(byte[] frame, int start, int end, int messageCount, boolean inBatch)
+            throws Hl7Fault {
         String[] fields = new String(frame, start, end - start, StandardCharsets.ISO_8859_1).split("[^A-Za-z0-9]", 3);
         if (!inBatch) {
             throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "BTS", 0, "the end of no batch");
         }
-        if (fields.length > 1 && !fields[1].isEmpty() && !fields[1].equals(Integer.toString(counted))) {
-            throw new Hl7Fault(Code.DATA_TYPE, "BTS", 1, "the batch has " + counted + " messages");
+        if (fields.length > 1 && !fields[1].isEmpty() && !fields[1].equals(Integer.toString(messageCount))) {
+            throw new Hl7Fault(Code.DATA_TYPE, "BTS", 1, "the batch has " + messageCount + " messages");
         }
     }
 
-    private static boolean startsWith(byte[] frame, int at, String name) {
-        return frame[at] == name.charAt(0) && frame[at + 1] == name.charAt(1) && frame[at + 2] == name.charAt(2);
+    private static boolean startsWith(byte[] frame, int offset, String name) {
+        return frame[offset] == name.charAt(0)
+                && frame[offset + 1] == name.charAt(1)
+                && frame[offset + 2] == name.charAt(2);
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
@@ -10,9 +10,9 @@
  * has none, on its next. What a client that is away never comes for is given up after a time. Loop thread.
  */
 final class FinalAnswers {
-    private static final long LOOK = 1_000_000;
+    private static final long EXPIRY_CHECK_INTERVAL_MICROS = 1_000_000;
     /** Answers owed from earlier that go out before a connection's next message is looked at. */
-    private static final int AT_ONCE = 100;
+    private static final int MAX_PENDING_PER_MESSAGE = 100;
 
     /**
      * An end that is to be told.
@@ -20,7 +20,7 @@
      * @param header of the message that asked last
      * @param settled run once it is told or given up
      */
-    record Answer(Header header, Message message, FinalStatus verdict, Runnable settled) {
+    record Answer(Header header, Message message, FinalStatus finalStatus, Runnable settled) {
         private String identity() {
             return message.submission.identity();
         }
@@ -33,13 +33,13 @@
     private final Core core;
     private final MllpConnections connections;
     private final Replies replies;
-    private final PendingAnswers<Answer> owed;
+    private final PendingAnswers<Answer> pending;
 
     FinalAnswers(Core core, MllpSettings settings, MllpConnections connections, Replies replies) {
         this.core = core;
         this.connections = connections;
         this.replies = replies;
-        owed = new PendingAnswers<>(settings.mostOwed(), settings.oweMicros());
+        pending = new PendingAnswers<>(settings.maxPendingAnswers(), settings.answerRetentionMicros());
     }
 
     /** From now on looks once a second for answers whose time is over. */
@@ -48,59 +48,59 @@
     }
 
     private void expire() {
-        owed.expired(core.nowMicros()).forEach(answer -> answer.settled().run());
-        core.deadlines().schedule(core.nowMicros() + LOOK, this::expire);
+        pending.expired(core.nowMicros()).forEach(answer -> answer.settled().run());
+        core.deadlines().schedule(core.nowMicros() + EXPIRY_CHECK_INTERVAL_MICROS, this::expire);
     }
 
     /** Tells an end on the connection, or, if that is null, on another one of the practice; else it is owed. */
-    void tell(MllpSession session, Answer answer) {
+    void send(MllpSession session, Answer answer) {
         String practice = answer.practice();
-        MllpSession to = session;
-        if (to == null && Request.takesLater(answer.header())) {
-            to = connections.latestOf(practice);
+        MllpSession target = session;
+        if (target == null && Request.wantsLaterAcknowledgements(answer.header())) {
+            target = connections.latestOf(practice);
         }
-        if (to == null) {
-            keep(answer, practice);
+        if (target == null) {
+            retain(answer, practice);
             return;
         }
-        to.write(
-                replies.finalStatus(answer.header(), answer.verdict()),
+        target.write(
+                replies.finalStatus(answer.header(), answer.finalStatus()),
                 () -> core.post(answer.settled()),
-                () -> core.post(() -> keep(answer, practice)));
+                () -> core.post(() -> retain(answer, practice)));
     }
 
-    private void keep(Answer answer, String practice) {
-        if (!Request.takesLater(answer.header())) {
+    private void retain(Answer answer, String practice) {
+        if (!Request.wantsLaterAcknowledgements(answer.header())) {
             // In original mode an acknowledgement that nobody waits for would pass for another's.
             answer.settled().run();
             return;
         }
-        owed.add(answer.identity(), practice, answer, core.nowMicros())
-                .forEach(givenUp -> givenUp.settled().run());
+        pending.add(answer.identity(), practice, answer, core.nowMicros())
+                .forEach(discarded -> discarded.settled().run());
     }
 
     /** The client asks for it itself: what follows is its answer, and none is owed any more. */
     void withdraw(String identity) {
-        Answer earlier = owed.withdraw(identity);
-        if (earlier != null) {
-            earlier.settled().run();
+        Answer previous = pending.withdraw(identity);
+        if (previous != null) {
+            previous.settled().run();
         }
     }
 
     /** The session's practice is here: if it takes application acknowledgements, it gets those that are owed. */
-    void payOff(MllpSession session, Header header) {
-        if (Request.takesLater(header)) {
-            owed.take(session.practice, AT_ONCE).forEach(answer -> tell(session, answer));
+    void sendPending(MllpSession session, Header header) {
+        if (Request.wantsLaterAcknowledgements(header)) {
+            pending.take(session.practice, MAX_PENDING_PER_MESSAGE).forEach(answer -> send(session, answer));
         }
     }
 
     /** Answers that are owed to clients that are away. */
     int size() {
-        return owed.size();
+        return pending.size();
     }
 
     /** Answers that were given up untold. */
-    long givenUp() {
-        return owed.givenUp();
+    long discardedCount() {
+        return pending.discardedCount();
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/FrameReader.java
+++ b/src/main/java/lilaclever/protocol/mllp/FrameReader.java
@@ -12,91 +12,92 @@
 final class FrameReader {
     static final byte VT = 0x0b, FS = 0x1c, CR = 0x0d;
     private static final byte LF = 0x0a;
-    private static final int FIRST = 512;
+    private static final int INITIAL_BUFFER_BYTES = 512;
 
     /** The connection can't be read any further. */
-    static final class Spoilt extends Exception {
+    static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        Spoilt(String problem) {
+        MalformedFrameException(String problem) {
             super(problem);
         }
     }
 
     private enum State {
-        BETWEEN,
-        INSIDE,
-        ENDING
+        BETWEEN_FRAMES,
+        IN_MESSAGE,
+        AFTER_FS
     }
 
-    private final int largest;
-    private State state = State.BETWEEN;
-    private byte[] gathered = {};
+    private final int maxMessageBytes;
+    private State state = State.BETWEEN_FRAMES;
+    private byte[] buffer = {};
     private int size;
 
     /** Messages of so many bytes at most. */
-    FrameReader(int largest) {
-        this.largest = largest;
+    FrameReader(int maxMessageBytes) {
+        this.maxMessageBytes = maxMessageBytes;
     }
 
     /** Reads a piece; gives the messages that it ends. Those before a fault are given with the next call's fault. */
-    List<byte[]> read(byte[] in) throws Spoilt {
-        List<byte[]> whole = new ArrayList<>(1);
-        for (byte b : in) {
+    List<byte[]> read(byte[] bytes) throws MalformedFrameException {
+        List<byte[]> messages = new ArrayList<>(1);
+        for (byte b : bytes) {
             switch (state) {
-                case BETWEEN -> between(b);
-                case INSIDE -> inside(b);
+                case BETWEEN_FRAMES -> readBetweenFrames(b);
+                case IN_MESSAGE -> readMessageByte(b);
                 default -> {
                     if (b != CR) {
-                        throw new Spoilt("FS without CR");
+                        throw new MalformedFrameException("FS without CR");
                     }
-                    whole.add(Arrays.copyOf(gathered, size));
-                    state = State.BETWEEN;
+                    messages.add(Arrays.copyOf(buffer, size));
+                    state = State.BETWEEN_FRAMES;
                     size = 0;
-                    gathered = gathered.length > FIRST ? new byte[0] : gathered; // idle connections keep little
+                    buffer =
+                            buffer.length > INITIAL_BUFFER_BYTES ? new byte[0] : buffer; // idle connections keep little
                 }
             }
         }
-        return whole;
+        return messages;
     }
 
-    private void between(byte b) throws Spoilt {
+    private void readBetweenFrames(byte b) throws MalformedFrameException {
         if (b == VT) {
-            state = State.INSIDE;
+            state = State.IN_MESSAGE;
         } else if (b != CR && b != LF) {
-            throw new Spoilt("a byte outside of a frame");
+            throw new MalformedFrameException("a byte outside of a frame");
         }
     }
 
-    private void inside(byte b) throws Spoilt {
+    private void readMessageByte(byte b) throws MalformedFrameException {
         if (b == FS) {
-            state = State.ENDING;
+            state = State.AFTER_FS;
             return;
         }
         if (b == VT) {
-            throw new Spoilt("a frame begins within a frame");
+            throw new MalformedFrameException("a frame begins within a frame");
         }
-        if (size == largest) {
-            throw new Spoilt("a message of more than " + largest + " bytes");
+        if (size == maxMessageBytes) {
+            throw new MalformedFrameException("a message of more than " + maxMessageBytes + " bytes");
         }
-        if (size == gathered.length) {
-            gathered = Arrays.copyOf(gathered, Math.min(largest, Math.max(FIRST, 2 * size)));
+        if (size == buffer.length) {
+            buffer = Arrays.copyOf(buffer, Math.min(maxMessageBytes, Math.max(INITIAL_BUFFER_BYTES, 2 * size)));
         }
-        gathered[size++] = b;
+        buffer[size++] = b;
     }
 
     /** True while a frame has begun and not ended. */
     boolean isPartial() {
-        return state != State.BETWEEN;
+        return state != State.BETWEEN_FRAMES;
     }
 
     /** The frame of a message. */
-    static byte[] frame(byte[] message) {
-        byte[] all = new byte[message.length + 3];
-        all[0] = VT;
-        System.arraycopy(message, 0, all, 1, message.length);
-        all[all.length - 2] = FS;
-        all[all.length - 1] = CR;
-        return all;
+    static byte[] encode(byte[] message) {
+        byte[] frame = new byte[message.length + 3];
+        frame[0] = VT;
+        System.arraycopy(message, 0, frame, 1, message.length);
+        frame[frame.length - 2] = FS;
+        frame[frame.length - 1] = CR;
+        return frame;
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Header.java
+++ b/src/main/java/lilaclever/protocol/mllp/Header.java
@@ -8,7 +8,7 @@
 
 /** The first segment of a message: the fields as they were sent, in the sender's characters and delimiters. */
 final class Header {
-    private static final int LONGEST = 4096, FIELDS = 12, MOST_FIELDS = 40;
+    private static final int MAX_HEADER_BYTES = 4096, MIN_FIELDS = 12, MAX_FIELDS = 40;
     /** HL7's table 0211, as far as one byte or UTF-8 goes. */
     private static final Map<String, Charset> CHARSETS = Map.of(
             "",
@@ -37,7 +37,7 @@
     }
 
     /** A header for whoever sent nothing that can be read. */
-    static Header none() {
+    static Header placeholder() {
         return new Header('|', split("MSH|^~\\&||||||||||2.5", '|'), StandardCharsets.ISO_8859_1);
     }
 
@@ -47,11 +47,11 @@
             throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "the message does not begin with MSH");
         }
         int end = 0;
-        while (end < message.length && message[end] != '\r' && end < LONGEST) {
+        while (end < message.length && message[end] != '\r' && end < MAX_HEADER_BYTES) {
             end++;
         }
-        if (end == LONGEST) {
-            throw new Hl7Fault(Code.DATA_TYPE, "MSH", 0, "a header of more than " + LONGEST + " bytes");
+        if (end == MAX_HEADER_BYTES) {
+            throw new Hl7Fault(Code.DATA_TYPE, "MSH", 0, "a header of more than " + MAX_HEADER_BYTES + " bytes");
         }
         if (end < 8) {
             throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "a header without fields");
@@ -61,19 +61,19 @@
         if (Character.isLetterOrDigit(separator) || separator <= ' ' || separator == 0x7f) {
             throw new Hl7Fault(Code.DATA_TYPE, "MSH", 1, "not a field separator");
         }
-        String[] raw = split(text, separator);
-        if (raw.length > MOST_FIELDS) {
-            throw new Hl7Fault(Code.DATA_TYPE, "MSH", MOST_FIELDS, "more than " + MOST_FIELDS + " fields");
+        String[] rawFields = split(text, separator);
+        if (rawFields.length > MAX_FIELDS) {
+            throw new Hl7Fault(Code.DATA_TYPE, "MSH", MAX_FIELDS, "more than " + MAX_FIELDS + " fields");
         }
-        if (raw[1].length() < 4
-                || raw[1].chars().distinct().count() < raw[1].length()
-                || raw[1].chars().anyMatch(c -> c <= ' ' || c == 0x7f || Character.isLetterOrDigit(c))) {
+        if (rawFields[1].length() < 4
+                || rawFields[1].chars().distinct().count() < rawFields[1].length()
+                || rawFields[1].chars().anyMatch(c -> c <= ' ' || c == 0x7f || Character.isLetterOrDigit(c))) {
             throw new Hl7Fault(Code.DATA_TYPE, "MSH", 2, "not four different encoding characters");
         }
-        String named = raw.length > 17 ? split(raw[17], raw[1].charAt(1))[0] : "";
-        Charset charset = CHARSETS.get(named);
+        String charsetName = rawFields.length > 17 ? split(rawFields[17], rawFields[1].charAt(1))[0] : "";
+        Charset charset = CHARSETS.get(charsetName);
         return charset == null
-                ? new Header(separator, raw, StandardCharsets.ISO_8859_1)
+                ? new Header(separator, rawFields, StandardCharsets.ISO_8859_1)
                 : new Header(separator, split(new String(message, 0, end, charset), separator), charset);
     }
 
@@ -82,17 +82,17 @@
     }
 
     /** Faults that need no more than the header: an answer to them has the sender's own header. */
-    void check() throws Hl7Fault {
-        if (fields.length < FIELDS || field(12).isEmpty()) {
-            throw new Hl7Fault(Code.MISSING, "MSH", 12, "no version");
+    void validate() throws Hl7Fault {
+        if (fields.length < MIN_FIELDS || field(12).isEmpty()) {
+            throw new Hl7Fault(Code.REQUIRED_FIELD_MISSING, "MSH", 12, "no version");
         }
-        for (int needed : new int[] {9, 10, 11}) {
-            if (field(needed).isEmpty()) {
-                throw new Hl7Fault(Code.MISSING, "MSH", needed, "a field that is needed");
+        for (int required : new int[] {9, 10, 11}) {
+            if (field(required).isEmpty()) {
+                throw new Hl7Fault(Code.REQUIRED_FIELD_MISSING, "MSH", required, "a field that is needed");
             }
         }
-        if (!CHARSETS.containsKey(split(field(18), encoding().charAt(1))[0])) {
-            throw new Hl7Fault(Code.NOT_IN_TABLE, "MSH", 18, "a character set that is not read here");
+        if (!CHARSETS.containsKey(split(field(18), encodingCharacters().charAt(1))[0])) {
+            throw new Hl7Fault(Code.TABLE_VALUE_NOT_FOUND, "MSH", 18, "a character set that is not read here");
         }
         if (Arrays.stream(fields).anyMatch(f -> f.chars().anyMatch(c -> c < ' ' || c == 0x7f))) {
             throw new Hl7Fault(Code.DATA_TYPE, "MSH", 0, "a control character");
@@ -109,18 +109,18 @@
     }
 
     /** The encoding characters: component, repetition, escape, subcomponent. */
-    String encoding() {
+    String encodingCharacters() {
         return field(2);
     }
 
     /** The first component of MSH-n. */
-    String first(int n) {
-        return split(field(n), encoding().charAt(0))[0];
+    String firstComponent(int n) {
+        return split(field(n), encodingCharacters().charAt(0))[0];
     }
 
     /** The second component of MSH-n; empty where there is none. */
-    String second(int n) {
-        String[] parts = split(field(n), encoding().charAt(0));
+    String secondComponent(int n) {
+        String[] parts = split(field(n), encodingCharacters().charAt(0));
         return parts.length > 1 ? parts[1] : "";
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/Hl7Fault.java
+++ b/src/main/java/lilaclever/protocol/mllp/Hl7Fault.java
@@ -7,15 +7,15 @@
     /** Codes of HL7's table 0357, with its texts. */
     enum Code {
         SEGMENT_SEQUENCE(100, "Segment sequence error"),
-        MISSING(101, "Required field missing"),
+        REQUIRED_FIELD_MISSING(101, "Required field missing"),
         DATA_TYPE(102, "Data type error"),
-        NOT_IN_TABLE(103, "Table value not found"),
-        EVENT(201, "Unsupported event code"),
-        PROCESSING_ID(202, "Unsupported processing id"),
-        VERSION(203, "Unsupported version id"),
+        TABLE_VALUE_NOT_FOUND(103, "Table value not found"),
+        UNSUPPORTED_EVENT(201, "Unsupported event code"),
+        UNSUPPORTED_PROCESSING_ID(202, "Unsupported processing id"),
+        UNSUPPORTED_VERSION(203, "Unsupported version id"),
         UNKNOWN_KEY(204, "Unknown key identifier"),
         DUPLICATE_KEY(205, "Duplicate key identifier"),
-        INTERNAL(207, "Application internal error");
+        INTERNAL_ERROR(207, "Application internal error");
 
         final int number;
         final String text;
--- a/src/main/java/lilaclever/protocol/mllp/Hl7Reader.java
+++ b/src/main/java/lilaclever/protocol/mllp/Hl7Reader.java
@@ -23,34 +23,35 @@
 final class Hl7Reader {
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,6})?");
     private static final Pattern TIMESTAMP = Pattern.compile("([0-9]{14})(?:\\.([0-9]{1,4}))?([+-][0-9]{4})?");
-    private static final DateTimeFormatter TO_THE_SECOND = DateTimeFormatter.ofPattern("yyyyMMddHHmmss");
-    private static final long LONGEST = 3_600_000_000L;
-    private static final int MOST_KEY = 200;
+    private static final DateTimeFormatter TIMESTAMP_FORMAT = DateTimeFormatter.ofPattern("yyyyMMddHHmmss");
+    private static final long MAX_BUDGET_MICROS = 3_600_000_000L;
+    private static final int MAX_KEY_LENGTH = 200;
 
     private final MllpSettings settings;
-    private final LongSupplier micros, wall;
+    private final LongSupplier monotonicMicros, wallMicros;
 
     /** Times are the loop's: the monotonic clock, and the wall clock, microseconds. */
-    Hl7Reader(MllpSettings settings, LongSupplier micros, LongSupplier wall) {
+    Hl7Reader(MllpSettings settings, LongSupplier monotonicMicros, LongSupplier wallMicros) {
         this.settings = settings;
-        this.micros = micros;
-        this.wall = wall;
+        this.monotonicMicros = monotonicMicros;
+        this.wallMicros = wallMicros;
     }
 
     /** Puts a message in our terms. */
     Request read(Header header, byte[] message) throws Hl7Fault {
-        header.check();
-        check(header);
-        checkBytes(header, message);
+        header.validate();
+        checkVersionAndProcessingId(header);
+        checkSegments(header, message);
         String practice = practice(header);
-        String event = header.first(9) + '^' + header.second(9);
+        String event = header.firstComponent(9) + '^' + header.secondComponent(9);
         Integer messageClass = settings.events().get(event);
-        messageClass = messageClass == null ? settings.events().get(header.first(9)) : messageClass;
-        if (messageClass == null && settings.unsafe() < 0) {
-            throw new Hl7Fault(Code.EVENT, "MSH", 9, "no class for " + event);
+        messageClass = messageClass == null ? settings.events().get(header.firstComponent(9)) : messageClass;
+        if (messageClass == null && settings.unknownEventClass() < 0) {
+            throw new Hl7Fault(Code.UNSUPPORTED_EVENT, "MSH", 9, "no class for " + event);
         }
-        int number = messageClass == null ? settings.unsafe() : messageClass;
-        Integer destination = MllpSettings.find(settings.destinations(), header.first(5), '|', header.first(6));
+        int classNumber = messageClass == null ? settings.unknownEventClass() : messageClass;
+        Integer destination =
+                MllpSettings.find(settings.destinations(), header.firstComponent(5), '|', header.firstComponent(6));
         if (destination == null) {
             throw new Hl7Fault(Code.UNKNOWN_KEY, "MSH", 5, "no such receiver");
         }
@@ -59,23 +60,26 @@
                 message,
                 practice,
                 key(header, message),
-                number,
+                classNumber,
                 destination,
-                budget(header, message, settings.budgets().get(number)),
-                micros.getAsLong());
+                budgetMicros(header, message, settings.budgetsMicros().get(classNumber)),
+                monotonicMicros.getAsLong());
     }
 
-    private void check(Header header) throws Hl7Fault {
-        if (!settings.versions().contains(header.first(12))) {
+    private void checkVersionAndProcessingId(Header header) throws Hl7Fault {
+        if (!settings.versions().contains(header.firstComponent(12))) {
             throw new Hl7Fault(
-                    Code.VERSION, "MSH", 12, "versions read here are " + String.join(", ", settings.versions()));
+                    Code.UNSUPPORTED_VERSION,
+                    "MSH",
+                    12,
+                    "versions read here are " + String.join(", ", settings.versions()));
         }
-        if (!settings.processing().contains(header.first(11))) {
+        if (!settings.processingIds().contains(header.firstComponent(11))) {
             throw new Hl7Fault(
-                    Code.PROCESSING_ID,
+                    Code.UNSUPPORTED_PROCESSING_ID,
                     "MSH",
                     11,
-                    "processing ids taken here are " + String.join(", ", settings.processing()));
+                    "processing ids taken here are " + String.join(", ", settings.processingIds()));
         }
     }
 
@@ -83,20 +87,20 @@
      * Segments end in CR, have names, and hold no control characters: what a partner could read in two ways is not
      * passed on.
      */
-    private static void checkBytes(Header header, byte[] message) throws Hl7Fault {
+    private static void checkSegments(Header header, byte[] message) throws Hl7Fault {
         int start = 0;
         for (int i = 0; i <= message.length; i++) {
             byte b = i < message.length ? message[i] : (byte) '\r';
             if (b == '\r') {
-                checkName(header, message, start, i);
+                checkSegment(header, message, start, i);
                 start = i + 1;
             } else if (b >= 0 && b < ' ' && b != '\n' && b != '\t') {
-                throw new Hl7Fault(Code.DATA_TYPE, name(message, start, i), 0, "a control character");
+                throw new Hl7Fault(Code.DATA_TYPE, segmentName(message, start, i), 0, "a control character");
             }
         }
     }
 
-    private static void checkName(Header header, byte[] message, int from, int to) throws Hl7Fault {
+    private static void checkSegment(Header header, byte[] message, int from, int to) throws Hl7Fault {
         int start = from;
         if (start < to && message[start] == '\n') {
             start++; // CR LF ends a segment with some senders
@@ -104,26 +108,28 @@
         if (start == to) {
             return;
         }
-        boolean good = to - start >= 3
+        boolean validName = to - start >= 3
                 && isLetter(message[start])
                 && isLetterOrDigit(message[start + 1])
                 && isLetterOrDigit(message[start + 2])
                 && (to - start == 3 || message[start + 3] == (byte) header.separator());
-        if (!good || start > 0 && message[start] == 'M' && message[start + 1] == 'S' && message[start + 2] == 'H') {
+        if (!validName
+                || start > 0 && message[start] == 'M' && message[start + 1] == 'S' && message[start + 2] == 'H') {
             throw new Hl7Fault(
                     Code.SEGMENT_SEQUENCE,
-                    name(message, start, to),
+                    segmentName(message, start, to),
                     0,
-                    good ? "a second header" : "a segment without a name");
+                    validName ? "a second header" : "a segment without a name");
         }
         for (int i = start; i < to; i++) {
             if (message[i] == '\n') {
-                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, name(message, start, to), 0, "segments end in CR, not in LF");
+                throw new Hl7Fault(
+                        Code.SEGMENT_SEQUENCE, segmentName(message, start, to), 0, "segments end in CR, not in LF");
             }
         }
     }
 
-    private static String name(byte[] message, int from, int to) {
+    private static String segmentName(byte[] message, int from, int to) {
         StringBuilder name = new StringBuilder();
         for (int i = from; i < Math.min(to, from + 3); i++) {
             name.append(isLetterOrDigit(message[i]) ? (char) message[i] : '?');
@@ -140,66 +146,67 @@
     }
 
     private String practice(Header header) throws Hl7Fault {
-        String known = MllpSettings.find(settings.practices(), header.first(3), '|', header.first(4));
-        if (known != null) {
-            return known;
+        String configured =
+                MllpSettings.find(settings.practices(), header.firstComponent(3), '|', header.firstComponent(4));
+        if (configured != null) {
+            return configured;
         }
         if (!settings.anySender()) {
             throw new Hl7Fault(Code.UNKNOWN_KEY, "MSH", 3, "no such sender");
         }
-        String own = header.first(3) + '|' + header.first(4);
-        if (own.length() == 1) {
-            throw new Hl7Fault(Code.MISSING, "MSH", 3, "no sender");
+        String sender = header.firstComponent(3) + '|' + header.firstComponent(4);
+        if (sender.length() == 1) {
+            throw new Hl7Fault(Code.REQUIRED_FIELD_MISSING, "MSH", 3, "no sender");
         }
-        return word(own.replace('/', '%'), 64); // a practice's name has no '/'
+        return toToken(sender.replace('/', '%'), 64); // a practice's name has no '/'
     }
 
     private String key(Header header, byte[] message) throws Hl7Fault {
-        Field field = settings.key();
-        String value = field.path().equals("MSH-10") ? header.field(10) : field(header, message, field);
+        Field field = settings.keyField();
+        String value = field.path().equals("MSH-10") ? header.field(10) : fieldValue(header, message, field);
         if (value.isEmpty()) {
-            throw missing(field);
+            throw missingField(field);
         }
-        if (value.length() > MOST_KEY) {
-            throw new Hl7Fault(Code.DATA_TYPE, field.segment(), field.number(), "longer than " + MOST_KEY);
+        if (value.length() > MAX_KEY_LENGTH) {
+            throw new Hl7Fault(Code.DATA_TYPE, field.segment(), field.number(), "longer than " + MAX_KEY_LENGTH);
         }
-        return word(value, MOST_KEY);
+        return toToken(value, MAX_KEY_LENGTH);
     }
 
     /**
      * The same text for the same value, fit for the journal and for a header of HTTP; a readable value stays itself.
      */
-    static String word(String value, int most) {
-        if (value.length() <= most && value.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '%')) {
+    static String toToken(String value, int maxLength) {
+        if (value.length() <= maxLength && value.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '%')) {
             return value;
         }
-        Fingerprint sum = Fingerprint.of(0, 0, value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        Fingerprint fingerprint = Fingerprint.of(0, 0, value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         return "%"
                 + Base64.getUrlEncoder()
                         .withoutPadding()
                         .encodeToString(java.nio.ByteBuffer.allocate(16)
-                                .putLong(sum.high())
-                                .putLong(sum.low())
+                                .putLong(fingerprint.high())
+                                .putLong(fingerprint.low())
                                 .array());
     }
 
-    private static Hl7Fault missing(Field field) {
-        return new Hl7Fault(Code.MISSING, field.segment(), field.number(), "a field that is needed");
+    private static Hl7Fault missingField(Field field) {
+        return new Hl7Fault(Code.REQUIRED_FIELD_MISSING, field.segment(), field.number(), "a field that is needed");
     }
 
     /**
      * A field's value, escapes undone; empty where there is none. The library sees the header and that segment alone.
      */
-    private static String field(Header header, byte[] message, Field field) throws Hl7Fault {
-        String segment = segment(header, message, field.segment());
+    private static String fieldValue(Header header, byte[] message, Field field) throws Hl7Fault {
+        String segment = findSegment(header, message, field.segment());
         if (segment == null) {
             return "";
         }
         try {
             String value = PreParser.getFields(
-                    "MSH" + header.separator() + header.encoding() + header.separator()
+                    "MSH" + header.separator() + header.encodingCharacters() + header.separator()
                             + "A" + header.separator() + "B" + header.separator() + "C" + header.separator() + "D"
-                            + String.valueOf(header.separator()).repeat(6) + header.first(12) + '\r' + segment,
+                            + String.valueOf(header.separator()).repeat(6) + header.firstComponent(12) + '\r' + segment,
                     field.path())[0];
             return value == null ? "" : Acknowledgements.ESCAPING.unescape(value, Acknowledgements.delimiters(header));
         } catch (HL7Exception e) {
@@ -208,7 +215,7 @@
     }
 
     /** The first segment of that name. */
-    private static String segment(Header header, byte[] message, String name) {
+    private static String findSegment(Header header, byte[] message, String name) {
         for (int start = 0; start < message.length; ) {
             int end = start;
             while (end < message.length && message[end] != '\r') {
@@ -226,22 +233,23 @@
         return null;
     }
 
-    private long budget(Header header, byte[] message, long most) throws Hl7Fault {
-        Field field = settings.deadline();
-        String value = field == null ? "" : field(header, message, field);
+    private long budgetMicros(Header header, byte[] message, long defaultMicros) throws Hl7Fault {
+        Field field = settings.deadlineField();
+        String value = field == null ? "" : fieldValue(header, message, field);
         if (value.isEmpty()) {
-            return most;
+            return defaultMicros;
         }
         if (SECONDS.matcher(value).matches()) {
-            return Math.min(LONGEST, new BigDecimal(value).movePointRight(6).longValue());
+            return Math.min(
+                    MAX_BUDGET_MICROS, new BigDecimal(value).movePointRight(6).longValue());
         }
-        Matcher m = TIMESTAMP.matcher(value);
+        Matcher matcher = TIMESTAMP.matcher(value);
         try {
-            if (m.matches()) {
-                LocalDateTime time = LocalDateTime.parse(m.group(1), TO_THE_SECOND);
-                ZoneId zone = m.group(3) == null ? ZoneId.systemDefault() : ZoneOffset.of(m.group(3));
-                long at = time.atZone(zone).toInstant().toEpochMilli() * 1000;
-                return Math.max(0, Math.min(LONGEST, at - wall.getAsLong()));
+            if (matcher.matches()) {
+                LocalDateTime time = LocalDateTime.parse(matcher.group(1), TIMESTAMP_FORMAT);
+                ZoneId zone = matcher.group(3) == null ? ZoneId.systemDefault() : ZoneOffset.of(matcher.group(3));
+                long deadlineMicros = time.atZone(zone).toInstant().toEpochMilli() * 1000;
+                return Math.max(0, Math.min(MAX_BUDGET_MICROS, deadlineMicros - wallMicros.getAsLong()));
             }
         } catch (DateTimeException e) {
             // told below
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -29,12 +29,12 @@
     private final Core core;
     private final Set<MllpSession> sessions = new LinkedHashSet<>();
     /** Connections of each listener, and of each address at each listener. */
-    private final Map<String, Integer> counts = new HashMap<>();
+    private final Map<String, Integer> connectionCounts = new HashMap<>();
 
     private final List<Connection<?>> listeners = new ArrayList<>();
     private final Attribute<MllpSession> sessionAttribute =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("MllpFront.session");
-    private final AtomicLong turnedAway = new AtomicLong();
+    private final AtomicLong rejected = new AtomicLong();
     private boolean closing;
 
     /** None yet. {@code front} gets the messages. */
@@ -45,8 +45,8 @@
 
     /** Listens at an address; gives the one that is bound. */
     SocketAddress listen(Transport transport, MllpSettings.Listener listener) throws IOException {
-        var server =
-                transport.listen(Transport.parseAddress(listener.address()), Transport.chain(new SessionFilter(listener)));
+        var server = transport.listen(
+                Transport.parseAddress(listener.address()), Transport.chain(new SessionFilter(listener)));
         listeners.add(server);
         return server.getLocalAddress();
     }
@@ -72,26 +72,28 @@
     }
 
     /** How many were closed at once: from a network that may not connect, or too many. Any thread. */
-    long turnedAway() {
-        return turnedAway.get();
+    long rejectedCount() {
+        return rejected.get();
     }
 
     private void onOpen(MllpSession session, MllpSettings.Listener listener) {
         sessions.add(session);
-        int all = counts.merge(listener.name(), 1, Integer::sum);
-        int same = counts.merge(addressKey(session), 1, Integer::sum);
-        if (closing || all > listener.connections() || same > listener.connectionsPerAddress()) {
-            turnedAway.incrementAndGet();
+        int listenerCount = connectionCounts.merge(listener.name(), 1, Integer::sum);
+        int addressCount = connectionCounts.merge(addressKey(session), 1, Integer::sum);
+        if (closing
+                || listenerCount > listener.maxConnections()
+                || addressCount > listener.maxConnectionsPerAddress()) {
+            rejected.incrementAndGet();
             session.close();
             return;
         }
-        session.look();
+        session.checkTimeouts();
     }
 
     private void onClose(MllpSession session) {
         if (sessions.remove(session)) {
-            for (String counted : List.of(session.listener().name(), addressKey(session))) {
-                counts.computeIfPresent(counted, (a, n) -> n > 1 ? n - 1 : null);
+            for (String key : List.of(session.listener().name(), addressKey(session))) {
+                connectionCounts.computeIfPresent(key, (a, n) -> n > 1 ? n - 1 : null);
             }
         }
     }
@@ -112,7 +114,7 @@
             Connection<?> connection = context.getConnection();
             InetAddress peer = connection.getPeerAddress() instanceof InetSocketAddress a ? a.getAddress() : null;
             if (peer == null || !listener.networks().contains(peer)) {
-                turnedAway.incrementAndGet();
+                rejected.incrementAndGet();
                 connection.closeSilently();
                 return context.getStopAction();
             }
@@ -127,7 +129,7 @@
             MllpSession session = sessionAttribute.get(context.getConnection());
             byte[] bytes = Transport.toBytes(context.getMessage());
             if (session != null) {
-                session.bytes(bytes);
+                session.onBytes(bytes);
             }
             return context.getStopAction();
         }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -25,11 +25,11 @@
  */
 public final class MllpFront implements Front {
     /** After so long a client that was turned away for want of room may come again, microseconds. */
-    private static final long BUSY = 1_000_000;
+    private static final long BUSY_RETRY_AFTER_MICROS = 1_000_000;
     /** Characters of a control id that go into ours. */
-    private static final int MOST_ID = 40;
+    private static final int MAX_CONTROL_ID_LENGTH = 40;
     /** Of connections closed for what came on them, one in so many is logged. */
-    private static final int LOG_EVERY = 100;
+    private static final int LOG_ONE_IN = 100;
 
     /** Who waits for a message's answers on this port: the last connection that asked. */
     private static final class Waiter {
@@ -43,10 +43,10 @@
         }
 
         /** It has its first answer, or another connection gets it. */
-        void answered() {
+        void markAnswered() {
             if (!answered) {
                 answered = true;
-                session.answered();
+                session.onAnswered();
             }
         }
     }
@@ -54,32 +54,32 @@
     private final Core core;
     private final MllpSettings settings;
     private final Hl7Reader reader;
-    private final String life = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
+    private final String runId = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
     private final Replies replies;
     private final MllpConnections connections;
     private final FinalAnswers finalAnswers;
     private final Map<Message, Waiter> waiters = new HashMap<>();
     /** Messages held of each practice that came on this port. */
-    private final Map<String, Integer> held = new HashMap<>();
+    private final Map<String, Integer> pendingByPractice = new HashMap<>();
 
-    private final AtomicLong spoilt = new AtomicLong();
-    private long count;
+    private final AtomicLong closedForBadInput = new AtomicLong();
+    private long nextNumber;
 
     /** A front that listens nowhere yet. */
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
         reader = new Hl7Reader(settings, Core::monotonicMicros, Core::wallMicros);
-        replies = new Replies(new Acknowledgements(life + '-'), settings.key());
+        replies = new Replies(new Acknowledgements(runId + '-'), settings.keyField());
         connections = new MllpConnections(this, core);
         finalAnswers = new FinalAnswers(core, settings, connections, replies);
         core.counters().entryGauge("mllp_connections", connections::count);
         core.counters().entryGauge("mllp_waiting", waiters::size);
         core.counters().entryGauge("mllp_owed", finalAnswers::size);
-        core.counters().entryGauge("mllp_practices", held::size);
-        core.counters().valueGauge("mllp_owed_given_up", finalAnswers::givenUp);
-        core.counters().valueGauge("mllp_turned_away", connections::turnedAway);
-        core.counters().valueGauge("mllp_spoilt", spoilt::get);
+        core.counters().entryGauge("mllp_practices", pendingByPractice::size);
+        core.counters().valueGauge("mllp_owed_given_up", finalAnswers::discardedCount);
+        core.counters().valueGauge("mllp_turned_away", connections::rejectedCount);
+        core.counters().valueGauge("mllp_spoilt", closedForBadInput::get);
     }
 
     @Override
@@ -108,7 +108,7 @@
     }
 
     /** Ends owed to clients that are away; the journal keeps them. */
-    public int away() {
+    public int pendingAnswerCount() {
         return finalAnswers.size();
     }
 
@@ -121,156 +121,160 @@
     }
 
     /** A connection is closed for what came on it. Any thread. */
-    void bad(String address, String why) {
+    void recordBadClient(String address, String why) {
         core.counters().add(Name.BAD_REQUESTS);
-        if (spoilt.incrementAndGet() % LOG_EVERY == 1) { // the first, and then one in a hundred: a log is bounded too
+        if (closedForBadInput.incrementAndGet() % LOG_ONE_IN
+                == 1) { // the first, and then one in a hundred: a log is bounded too
             Logs.warn("mllp", "bad-client", address + ": " + why + ": closed", "client", address);
         }
     }
 
     // ---- hand-ins ---------------------------------------------------------------------------------------
     /** Nothing could be read of it that makes a message. */
-    void refuse(MllpSession session, Header to, Hl7Fault fault) {
+    void rejectUnreadable(MllpSession session, Header requestHeader, Hl7Fault fault) {
         core.counters().add(Name.BAD_REQUESTS);
-        writeIfAny(session, replies.unreadable(to, fault));
+        writeIfPresent(session, replies.unreadable(requestHeader, fault));
     }
 
-    private static void writeIfAny(MllpSession session, byte[] reply) {
+    private static void writeIfPresent(MllpSession session, byte[] reply) {
         if (reply != null) {
             session.write(reply);
         }
     }
 
-    void take(MllpSession session, Request r, boolean tooMany) {
-        session.practice = r.practice();
-        finalAnswers.withdraw(r.identity());
-        finalAnswers.payOff(session, r.header());
-        if (tooMany || held.getOrDefault(r.practice(), 0) >= settings.mostHeld()) {
-            busy(session, r, "too many messages at once");
-        } else if (!core.isKnownDestination(r.destination())) {
-            busy(session, r, "no such destination now");
+    void handleRequest(MllpSession session, Request request, boolean tooMany) {
+        session.practice = request.practice();
+        finalAnswers.withdraw(request.identity());
+        finalAnswers.sendPending(session, request.header());
+        if (tooMany || pendingByPractice.getOrDefault(request.practice(), 0) >= settings.maxPendingPerPractice()) {
+            replyBusy(session, request, "too many messages at once");
+        } else if (!core.isKnownDestination(request.destination())) {
+            replyBusy(session, request, "no such destination now");
         } else {
-            handIn(session, r);
+            submit(session, request);
         }
     }
 
     /** The core is not asked. */
-    private void busy(MllpSession session, Request r, String why) {
-        session.answered();
-        writeIfAny(session, replies.notAccepted(r.header(), new FinalStatus(Kind.REFUSED, BUSY, why)));
+    private void replyBusy(MllpSession session, Request request, String why) {
+        session.onAnswered();
+        writeIfPresent(
+                session,
+                replies.notAccepted(request.header(), new FinalStatus(Kind.REFUSED, BUSY_RETRY_AFTER_MICROS, why)));
     }
 
-    private void handIn(MllpSession session, Request r) {
-        Message m = core.submit(this, submission(r));
-        if (!m.isOpen()) {
-            session.answered();
-            answerAtOnce(session, r.header(), m.finalStatus());
+    private void submit(MllpSession session, Request request) {
+        Message message = core.submit(this, toSubmission(request));
+        if (!message.isOpen()) {
+            session.onAnswered();
+            answerImmediately(session, request.header(), message.finalStatus());
             return;
         }
-        Waiter before = waiters.put(m, new Waiter(session, r));
-        if (before != null) {
-            before.answered();
+        Waiter previous = waiters.put(message, new Waiter(session, request));
+        if (previous != null) {
+            previous.markAnswered();
         } else {
-            held.merge(r.practice(), 1, Integer::sum);
+            pendingByPractice.merge(request.practice(), 1, Integer::sum);
         }
-        if (m.isAccepted()) {
-            core.whenDurable(() -> accepted(waiters.get(m)));
+        if (message.isAccepted()) {
+            core.whenDurable(() -> acknowledgeAccepted(waiters.get(message)));
         }
     }
 
-    private Submission submission(Request r) {
-        long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.monotonicMicros() - r.arrivedMicros()));
+    private Submission toSubmission(Request request) {
+        long budget =
+                Math.max(0, request.budgetMicros() - Math.max(0, Core.monotonicMicros() - request.arrivedMicros()));
         return new Submission(
-                id(r),
-                r.identity(),
-                r.messageClass(),
-                r.destination(),
-                r.deliveryKey(),
-                r.body(),
+                messageId(request),
+                request.identity(),
+                request.messageClass(),
+                request.destination(),
+                request.deliveryKey(),
+                request.body(),
                 false,
                 false,
                 budget);
     }
 
     /** The control id for people, and what makes it like no other. */
-    private String id(Request r) {
-        String control = r.header().field(10).replaceAll("[^A-Za-z0-9_-]", "");
-        return control.substring(0, Math.min(MOST_ID, control.length()))
+    private String messageId(Request request) {
+        String control = request.header().field(10).replaceAll("[^A-Za-z0-9_-]", "");
+        return control.substring(0, Math.min(MAX_CONTROL_ID_LENGTH, control.length()))
                 + '.'
-                + life
+                + runId
                 + '.'
-                + Long.toString(count++, Character.MAX_RADIX);
+                + Long.toString(nextNumber++, Character.MAX_RADIX);
     }
 
     /** The message was not taken on, or its end is remembered: the client that asks again gets it again. */
-    private void answerAtOnce(MllpSession session, Header to, FinalStatus verdict) {
-        if (verdict.kind() == Kind.DELIVERED || verdict.kind() == Kind.FAILED) {
-            replies.remembered(to, verdict).forEach(session::write);
+    private void answerImmediately(MllpSession session, Header requestHeader, FinalStatus finalStatus) {
+        if (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED) {
+            replies.remembered(requestHeader, finalStatus).forEach(session::write);
         } else {
-            writeIfAny(session, replies.notAccepted(to, verdict));
+            writeIfPresent(session, replies.notAccepted(requestHeader, finalStatus));
         }
     }
 
     // ---- what the core tells ----------------------------------------------------------------------------
     @Override
     public void onAccepted(Message message) {
-        Waiter w = waiters.get(message);
-        if (w != null) {
-            accepted(w);
+        Waiter waiter = waiters.get(message);
+        if (waiter != null) {
+            acknowledgeAccepted(waiter);
         }
     }
 
-    private void accepted(Waiter w) {
-        if (w == null || w.accepted) {
+    private void acknowledgeAccepted(Waiter waiter) {
+        if (waiter == null || waiter.accepted) {
             return;
         }
-        w.accepted = true;
-        if (Request.isOriginal(w.request.header())) {
+        waiter.accepted = true;
+        if (Request.isOriginalMode(waiter.request.header())) {
             return; // its one acknowledgement is the end
         }
-        w.answered();
-        writeIfAny(w.session, replies.accepted(w.request.header()));
+        waiter.markAnswered();
+        writeIfPresent(waiter.session, replies.accepted(waiter.request.header()));
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        Waiter w = forget(message);
-        if (w != null) {
-            w.answered();
-            writeIfAny(w.session, replies.notAccepted(w.request.header(), verdict));
+    public void onRejected(Message message, FinalStatus finalStatus) {
+        Waiter waiter = removeWaiter(message);
+        if (waiter != null) {
+            waiter.markAnswered();
+            writeIfPresent(waiter.session, replies.notAccepted(waiter.request.header(), finalStatus));
         }
     }
 
     @Override
-    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
-        onRejected(message, verdict);
+    public void onAttachRejected(Message message, String id, FinalStatus finalStatus) {
+        onRejected(message, finalStatus);
     }
 
-    private Waiter forget(Message message) {
-        Waiter w = waiters.remove(message);
-        if (w != null) {
-            held.computeIfPresent(w.request.practice(), (p, n) -> n > 1 ? n - 1 : null);
+    private Waiter removeWaiter(Message message) {
+        Waiter waiter = waiters.remove(message);
+        if (waiter != null) {
+            pendingByPractice.computeIfPresent(waiter.request.practice(), (p, n) -> n > 1 ? n - 1 : null);
         }
-        return w;
+        return waiter;
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
-        Waiter w = forget(message);
-        Header header = w != null ? w.request.header() : header(message);
-        if (w != null) {
-            w.answered();
+    public void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled) {
+        Waiter waiter = removeWaiter(message);
+        Header header = waiter != null ? waiter.request.header() : storedHeader(message);
+        if (waiter != null) {
+            waiter.markAnswered();
         }
-        if (header == null || !Request.wantsFinal(header, verdict.kind() == Kind.DELIVERED)) {
+        if (header == null || !Request.wantsApplicationAcknowledgement(header, finalStatus.kind() == Kind.DELIVERED)) {
             settled.run();
             return;
         }
-        MllpSession session = w != null && w.session.isOpen() ? w.session : null;
-        finalAnswers.tell(session, new FinalAnswers.Answer(header, message, verdict, settled));
+        MllpSession session = waiter != null && waiter.session.isOpen() ? waiter.session : null;
+        finalAnswers.send(session, new FinalAnswers.Answer(header, message, finalStatus, settled));
     }
 
     /** The header of a message whose client is not here, as its body has it. */
-    private static Header header(Message message) {
+    private static Header storedHeader(Message message) {
         try {
             return Header.read(message.submission.body());
         } catch (Hl7Fault e) {
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -13,23 +13,23 @@
  */
 final class MllpSession {
     /** Answers that the client has not read yet, bytes. */
-    private static final long MOST_UNREAD = 256 * 1024;
+    private static final long MAX_UNREAD_BYTES = 256 * 1024;
     /** Frames in a row that were no message: a client that sends nothing else is sent away. */
-    private static final int MOST_BAD = 8;
+    private static final int MAX_CONSECUTIVE_BAD_MESSAGES = 8;
 
-    private static final long LOOK = 500_000;
+    private static final long TIMEOUT_CHECK_INTERVAL_MICROS = 500_000;
 
     private final MllpFront front;
     private final MllpSettings.Listener listener;
     private final Connection<?> connection;
     final String address;
     private final FrameReader reader;
-    private final AtomicLong unread = new AtomicLong();
+    private final AtomicLong unreadBytes = new AtomicLong();
     private final AtomicInteger unanswered = new AtomicInteger();
-    private volatile long since = Core.monotonicMicros();
-    private volatile boolean partial, over;
+    private volatile long sinceMicros = Core.monotonicMicros();
+    private volatile boolean partialFrame, closed;
     /** Selector thread. */
-    private int bad;
+    private int consecutiveBadMessages;
     /** Whose it is, once a message has told; loop thread. */
     String practice;
 
@@ -38,61 +38,63 @@
         this.listener = listener;
         this.connection = connection;
         this.address = address;
-        reader = new FrameReader(listener.largest());
+        reader = new FrameReader(listener.maxMessageBytes());
     }
 
     // ---- selector thread --------------------------------------------------------------------------------
-    void bytes(byte[] in) {
-        if (over) {
+    void onBytes(byte[] bytes) {
+        if (closed) {
             return;
         }
-        boolean was = partial;
+        boolean wasPartial = partialFrame;
         try {
-            for (byte[] frame : reader.read(in)) {
-                was = false;
-                frame(frame);
+            for (byte[] frame : reader.read(bytes)) {
+                wasPartial = false;
+                onFrame(frame);
             }
-            partial = reader.isPartial();
-            since = partial && was ? since : Core.monotonicMicros(); // a frame counts from its first byte
-        } catch (FrameReader.Spoilt e) {
-            front.bad(address, e.getMessage());
+            partialFrame = reader.isPartial();
+            sinceMicros = partialFrame && wasPartial
+                    ? sinceMicros
+                    : Core.monotonicMicros(); // a frame counts from its first byte
+        } catch (FrameReader.MalformedFrameException e) {
+            front.recordBadClient(address, e.getMessage());
             close();
         }
     }
 
-    private void frame(byte[] frame) {
+    private void onFrame(byte[] frame) {
         List<byte[]> messages = List.of(frame);
         Hl7Fault fault = null;
         try {
-            messages = Batch.is(frame) ? Batch.split(frame) : messages;
+            messages = Batch.isBatch(frame) ? Batch.split(frame) : messages;
         } catch (Hl7Fault e) {
             fault = e;
         }
         for (byte[] message : messages) {
-            message(message, fault);
+            onMessage(message, fault);
         }
-        if (bad > MOST_BAD) {
-            front.bad(address, "nothing but bad messages");
+        if (consecutiveBadMessages > MAX_CONSECUTIVE_BAD_MESSAGES) {
+            front.recordBadClient(address, "nothing but bad messages");
             // Its last answer is on the way to the loop, and goes out before the close.
             front.core().post(() -> Transport.write(connection, new byte[0], this::close, this::close));
         }
     }
 
-    private void message(byte[] message, Hl7Fault batchFault) {
-        Header header = Header.none();
+    private void onMessage(byte[] message, Hl7Fault batchFault) {
+        Header header = Header.placeholder();
         try {
             if (batchFault != null) {
                 throw batchFault;
             }
             header = Header.read(message);
             Request request = front.reader().read(header, message);
-            bad = 0;
-            boolean tooMany = unanswered.incrementAndGet() > listener.inFlight();
-            front.core().post(() -> front.take(this, request, tooMany));
+            consecutiveBadMessages = 0;
+            boolean tooMany = unanswered.incrementAndGet() > listener.maxInFlight();
+            front.core().post(() -> front.handleRequest(this, request, tooMany));
         } catch (Hl7Fault e) {
-            bad++;
-            Header to = header;
-            front.core().post(() -> front.refuse(this, to, e));
+            consecutiveBadMessages++;
+            Header requestHeader = header;
+            front.core().post(() -> front.rejectUnreadable(this, requestHeader, e));
         }
     }
 
@@ -102,17 +104,17 @@
     }
 
     void close() {
-        over = true;
+        closed = true;
         connection.closeSilently();
     }
 
     boolean isOpen() {
-        return !over && connection.isOpen();
+        return !closed && connection.isOpen();
     }
 
     // ---- loop thread ------------------------------------------------------------------------------------
     /** The message has its first answer. */
-    void answered() {
+    void onAnswered() {
         unanswered.decrementAndGet();
     }
 
@@ -123,13 +125,13 @@
 
     /** Writes an acknowledgement; one of the two is run, on any thread. */
     void write(byte[] message, Runnable written, Runnable lost) {
-        byte[] frame = FrameReader.frame(message);
+        byte[] frame = FrameReader.encode(message);
         if (!isOpen()) {
             lost.run();
             return;
         }
-        if (unread.addAndGet(frame.length) > MOST_UNREAD) {
-            front.bad(address, "answers are not read");
+        if (unreadBytes.addAndGet(frame.length) > MAX_UNREAD_BYTES) {
+            front.recordBadClient(address, "answers are not read");
             close();
             lost.run();
             return;
@@ -138,7 +140,7 @@
                 connection,
                 frame,
                 () -> {
-                    unread.addAndGet(-frame.length);
+                    unreadBytes.addAndGet(-frame.length);
                     written.run();
                 },
                 () -> {
@@ -148,18 +150,20 @@
     }
 
     /** Looks now and then whether it has been silent or in a frame for too long. */
-    void look() {
+    void checkTimeouts() {
         if (!isOpen()) {
             return;
         }
-        long now = Core.monotonicMicros();
-        if (partial && now - since >= listener.wholeMicros()) {
-            front.bad(address, "a frame without an end");
+        long nowMicros = Core.monotonicMicros();
+        if (partialFrame && nowMicros - sinceMicros >= listener.frameTimeoutMicros()) {
+            front.recordBadClient(address, "a frame without an end");
             close();
-        } else if (!partial && unanswered.get() == 0 && now - since >= listener.idleMicros()) {
+        } else if (!partialFrame && unanswered.get() == 0 && nowMicros - sinceMicros >= listener.idleTimeoutMicros()) {
             close();
         } else {
-            front.core().deadlines().schedule(front.core().nowMicros() + LOOK, this::look);
+            front.core()
+                    .deadlines()
+                    .schedule(front.core().nowMicros() + TIMEOUT_CHECK_INTERVAL_MICROS, this::checkTimeouts);
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
@@ -15,72 +15,72 @@
  * @param <T> what is told
  */
 final class PendingAnswers<T> {
-    private record Entry<T>(String practice, T answer, long until) {}
+    private record Entry<T>(String practice, T answer, long expiresAtMicros) {}
 
-    private final int most;
-    private final long keepMicros;
+    private final int maxEntries;
+    private final long retentionMicros;
     /** By identity, the oldest first: all are kept for the same time, so that is also the order of their ends. */
     private final Map<String, Entry<T>> entries = new LinkedHashMap<>();
 
-    private long givenUp;
+    private long discardedCount;
 
     /** So many in all, each for so long. */
-    PendingAnswers(int most, long keepMicros) {
-        this.most = most;
-        this.keepMicros = keepMicros;
+    PendingAnswers(int maxEntries, long retentionMicros) {
+        this.maxEntries = maxEntries;
+        this.retentionMicros = retentionMicros;
     }
 
     /** An end is owed; gives those that are given up for it, maybe this one. */
-    List<T> add(String identity, String practice, T answer, long now) {
-        List<T> out = new ArrayList<>();
-        Entry<T> before = entries.remove(identity);
-        if (before != null) {
-            out.add(before.answer()); // an earlier end under the same identity: only the last one is news
+    List<T> add(String identity, String practice, T answer, long nowMicros) {
+        List<T> removed = new ArrayList<>();
+        Entry<T> previous = entries.remove(identity);
+        if (previous != null) {
+            removed.add(previous.answer()); // an earlier end under the same identity: only the last one is news
         }
-        entries.put(identity, new Entry<>(practice, answer, now + keepMicros));
+        entries.put(identity, new Entry<>(practice, answer, nowMicros + retentionMicros));
         Iterator<Entry<T>> oldest = entries.values().iterator();
-        while (entries.size() > most) {
-            out.add(oldest.next().answer());
+        while (entries.size() > maxEntries) {
+            removed.add(oldest.next().answer());
             oldest.remove();
         }
-        givenUp += out.size();
-        return out;
+        discardedCount += removed.size();
+        return removed;
     }
 
     /** Gives those whose time is over. */
-    List<T> expired(long now) {
-        List<T> out = new ArrayList<>();
+    List<T> expired(long nowMicros) {
+        List<T> removed = new ArrayList<>();
         Iterator<Entry<T>> oldest = entries.values().iterator();
         while (oldest.hasNext()) {
-            Entry<T> e = oldest.next();
-            if (e.until() > now) {
+            Entry<T> entry = oldest.next();
+            if (entry.expiresAtMicros() > nowMicros) {
                 break;
             }
-            out.add(e.answer());
+            removed.add(entry.answer());
             oldest.remove();
         }
-        givenUp += out.size();
-        return out;
+        discardedCount += removed.size();
+        return removed;
     }
 
     /** The practice is here: gives what is owed to it, so many at most, the oldest first. */
-    List<T> take(String practice, int atMost) {
-        List<T> out = new ArrayList<>();
-        Iterator<Entry<T>> all = entries.values().iterator();
-        while (out.size() < atMost && all.hasNext()) {
-            Entry<T> e = all.next();
-            if (e.practice().equals(practice)) {
-                out.add(e.answer());
-                all.remove();
+    List<T> take(String practice, int maxCount) {
+        List<T> removed = new ArrayList<>();
+        Iterator<Entry<T>> remaining = entries.values().iterator();
+        while (removed.size() < maxCount && remaining.hasNext()) {
+            Entry<T> entry = remaining.next();
+            if (entry.practice().equals(practice)) {
+                removed.add(entry.answer());
+                remaining.remove();
             }
         }
-        return out;
+        return removed;
     }
 
     /** The client asks for it itself: what was owed would be a second answer. Null if nothing was. */
     T withdraw(String identity) {
-        Entry<T> e = entries.remove(identity);
-        return e == null ? null : e.answer();
+        Entry<T> entry = entries.remove(identity);
+        return entry == null ? null : entry.answer();
     }
 
     /** How many there are. */
@@ -89,7 +89,7 @@
     }
 
     /** How many were given up untold. */
-    long givenUp() {
-        return givenUp;
+    long discardedCount() {
+        return discardedCount;
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -13,88 +13,94 @@
  */
 final class Replies {
     private final Acknowledgements acknowledgements;
-    private final Field key;
+    private final Field keyField;
 
     /**
      * Replies in the words of these acknowledgements.
      *
      * @param key the field that tells messages of a practice apart
      */
-    Replies(Acknowledgements acknowledgements, Field key) {
+    Replies(Acknowledgements acknowledgements, Field keyField) {
         this.acknowledgements = acknowledgements;
-        this.key = key;
+        this.keyField = keyField;
     }
 
     /** For what could not be read as a message; null if none is wanted. */
-    byte[] unreadable(Header to, Hl7Fault fault) {
+    byte[] unreadable(Header requestHeader, Hl7Fault fault) {
         boolean rejected = switch (fault.code()) {
-            case PROCESSING_ID, VERSION, EVENT -> true;
+            case UNSUPPORTED_PROCESSING_ID, UNSUPPORTED_VERSION, UNSUPPORTED_EVENT -> true;
             default -> false;
         };
-        Code code = notAcceptedCode(to, false, rejected);
-        return code == null ? null : acknowledgements.fault(code, to, fault);
+        Code code = notAcceptedCode(requestHeader, false, rejected);
+        return code == null ? null : acknowledgements.fault(code, requestHeader, fault);
     }
 
     /** For a message that was not taken on, with the reason; null if none is wanted. */
-    byte[] notAccepted(Header to, FinalStatus verdict) {
-        boolean refused = verdict.kind() == Kind.REFUSED;
-        Code code = notAcceptedCode(to, refused, false);
+    byte[] notAccepted(Header requestHeader, FinalStatus finalStatus) {
+        boolean refused = finalStatus.kind() == Kind.REFUSED;
+        Code code = notAcceptedCode(requestHeader, refused, false);
         if (code == null) {
             return null;
         }
         if (refused) {
-            return acknowledgements.comeBack(code, to, verdict);
+            return acknowledgements.retryLater(code, requestHeader, finalStatus);
         }
-        return verdict.kind() == Kind.CLASH
-                ? acknowledgements.fault(code, to, duplicateKey())
-                : acknowledgements.failed(code, to, verdict);
+        return finalStatus.kind() == Kind.CLASH
+                ? acknowledgements.fault(code, requestHeader, duplicateKey())
+                : acknowledgements.notConfirmed(code, requestHeader, finalStatus);
     }
 
     /**
      * The code for what was not taken on, as the sender wants to be told; null: not at all. {@code rejected}: AR in
      * place of AE.
      */
-    private static Code notAcceptedCode(Header to, boolean mayComeAgain, boolean rejected) {
-        if (Request.wantsAccept(to, false)) {
-            return mayComeAgain ? Code.CE : Code.CR;
+    private static Code notAcceptedCode(Header requestHeader, boolean retryable, boolean rejected) {
+        if (Request.wantsAcceptAcknowledgement(requestHeader, false)) {
+            return retryable ? Code.CE : Code.CR;
         }
-        if (!Request.wantsFinal(to, false)) {
+        if (!Request.wantsApplicationAcknowledgement(requestHeader, false)) {
             return null;
         }
-        return mayComeAgain || rejected ? Code.AR : Code.AE;
+        return retryable || rejected ? Code.AR : Code.AE;
     }
 
     private Hl7Fault duplicateKey() {
-        return new Hl7Fault(Hl7Fault.Code.DUPLICATE_KEY, key.segment(), key.number(), "another message has it");
+        return new Hl7Fault(
+                Hl7Fault.Code.DUPLICATE_KEY, keyField.segment(), keyField.number(), "another message has it");
     }
 
     /** The accept acknowledgement of a message that was taken on; null if none is wanted. */
-    byte[] accepted(Header to) {
-        return Request.wantsAccept(to, true) ? acknowledgements.good(Code.CA, to) : null;
+    byte[] accepted(Header requestHeader) {
+        return Request.wantsAcceptAcknowledgement(requestHeader, true)
+                ? acknowledgements.positive(Code.CA, requestHeader)
+                : null;
     }
 
     /** For a message whose end is remembered, delivered or failed: one, both or none. */
-    List<byte[]> remembered(Header to, FinalStatus verdict) {
+    List<byte[]> remembered(Header requestHeader, FinalStatus finalStatus) {
         List<byte[]> replies = new ArrayList<>();
-        boolean delivered = verdict.kind() == Kind.DELIVERED;
-        boolean wantsFinal = Request.wantsFinal(to, delivered);
+        boolean delivered = finalStatus.kind() == Kind.DELIVERED;
+        boolean wantsFinal = Request.wantsApplicationAcknowledgement(requestHeader, delivered);
         // Where no application acknowledgement is wanted, the accept acknowledgement is all that can tell the end.
-        boolean good = delivered || Request.wantsFinal(to, false);
-        if (Request.wantsAccept(to, good)) {
-            replies.add(good ? acknowledgements.good(Code.CA, to) : acknowledgements.failed(Code.CR, to, verdict));
+        boolean positive = delivered || Request.wantsApplicationAcknowledgement(requestHeader, false);
+        if (Request.wantsAcceptAcknowledgement(requestHeader, positive)) {
+            replies.add(
+                    positive
+                            ? acknowledgements.positive(Code.CA, requestHeader)
+                            : acknowledgements.notConfirmed(Code.CR, requestHeader, finalStatus));
         }
         if (wantsFinal) {
-            replies.add(finalStatus(to, verdict));
+            replies.add(finalStatus(requestHeader, finalStatus));
         }
         return replies;
     }
 
     /** The application acknowledgement that tells how a message ended. */
-    byte[] finalStatus(Header to, FinalStatus verdict) {
-        return switch (verdict.kind()) {
-            case DELIVERED -> acknowledgements.good(Code.AA, to);
-            case REFUSED -> acknowledgements.comeBack(Code.AR, to, verdict);
-            default -> acknowledgements.failed(Code.AE, to, verdict);
+    byte[] finalStatus(Header requestHeader, FinalStatus finalStatus) {
+        return switch (finalStatus.kind()) {
+            case DELIVERED -> acknowledgements.positive(Code.AA, requestHeader);
+            case REFUSED -> acknowledgements.retryLater(Code.AR, requestHeader, finalStatus);
+            default -> acknowledgements.notConfirmed(Code.AE, requestHeader, finalStatus);
         };
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Request.java
+++ b/src/main/java/lilaclever/protocol/mllp/Request.java
@@ -20,13 +20,13 @@
         long budgetMicros,
         long arrivedMicros) {
     /** When a sender wants an acknowledgement; HL7's table 0155. */
-    private enum Wanted {
+    private enum AcknowledgementCondition {
         ALWAYS,
         NEVER,
         ON_ERROR,
         ON_SUCCESS;
 
-        static Wanted of(String field) {
+        static AcknowledgementCondition of(String field) {
             return switch (field.toUpperCase(Locale.ROOT)) {
                 case "AL" -> ALWAYS;
                 case "ER" -> ON_ERROR;
@@ -35,8 +35,8 @@
             };
         }
 
-        boolean when(boolean good) {
-            return this == ALWAYS || this == (good ? ON_SUCCESS : ON_ERROR);
+        boolean appliesTo(boolean success) {
+            return this == ALWAYS || this == (success ? ON_SUCCESS : ON_ERROR);
         }
     }
 
@@ -49,30 +49,33 @@
      * The key for the partner: control ids are not each practice's own, and a partner drops what it takes for a repeat.
      */
     String deliveryKey() {
-        return Hl7Reader.word(practice + '.' + key, 128);
+        return Hl7Reader.toToken(practice + '.' + key, 128);
     }
 
     /** True if the sender expects one acknowledgement, the final one: neither MSH-15 nor MSH-16 is there. */
-    static boolean isOriginal(Header h) {
-        return isEmpty(h.field(15)) && isEmpty(h.field(16));
+    static boolean isOriginalMode(Header header) {
+        return isAbsent(header.field(15)) && isAbsent(header.field(16));
     }
 
-    private static boolean isEmpty(String field) {
+    private static boolean isAbsent(String field) {
         return field.isEmpty() || field.equals("\"\"");
     }
 
     /** True if an accept acknowledgement is wanted where the taking-on goes so. */
-    static boolean wantsAccept(Header h, boolean good) {
-        return !isOriginal(h) && Wanted.of(h.field(15)).when(good);
+    static boolean wantsAcceptAcknowledgement(Header header, boolean success) {
+        return !isOriginalMode(header)
+                && AcknowledgementCondition.of(header.field(15)).appliesTo(success);
     }
 
     /** True if an application acknowledgement is wanted for an end of that sort. */
-    static boolean wantsFinal(Header h, boolean good) {
-        return isOriginal(h) || Wanted.of(h.field(16)).when(good);
+    static boolean wantsApplicationAcknowledgement(Header header, boolean success) {
+        return isOriginalMode(header)
+                || AcknowledgementCondition.of(header.field(16)).appliesTo(success);
     }
 
     /** True if application acknowledgements may come on whichever connection: the sender knows them by their id. */
-    static boolean takesLater(Header h) {
-        return !isOriginal(h) && Wanted.of(h.field(16)) != Wanted.NEVER;
+    static boolean wantsLaterAcknowledgements(Header header) {
+        return !isOriginalMode(header)
+                && AcknowledgementCondition.of(header.field(16)) != AcknowledgementCondition.NEVER;
     }
 }
--- a/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
@@ -10,7 +10,7 @@
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import lilaclever.protocol.mllp.FrameReader.Spoilt;
+import lilaclever.protocol.mllp.FrameReader.MalformedFrameException;
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
 import net.jqwik.api.ForAll;
@@ -28,8 +28,8 @@
     /** Guards against reading on behind what can't be told from noise: another message could hide there. */
     @ParameterizedTest
     @ValueSource(strings = {"MSH", "\u000bMSH\u000b", "\u000bMSH\u001cX", "\u000b0123456789", "\u000bA\u001c\rnoise"})
-    void whatIsNoFrameSpoilsTheConnection(String text) {
-        assertThrows(Spoilt.class, () -> new FrameReader(8).read(bytes(text)));
+    void malformedInputIsRejected(String text) {
+        assertThrows(MalformedFrameException.class, () -> new FrameReader(8).read(bytes(text)));
     }
 
     @Provide
@@ -44,14 +44,14 @@
 
     /** However they are cut, all messages come out whole and in order, and nothing is left. */
     @Property(tries = 300, seed = "-1")
-    void anyPiecesGiveTheSameMessages(@ForAll("messages") List<byte[]> messages, @ForAll("cuts") List<Integer> cuts)
-            throws Spoilt {
-        ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (byte[] m : messages) {
-            all.writeBytes(FrameReader.frame(m));
-            all.writeBytes(bytes("\r\n")); // some senders add it
+    void messagesSurviveAnyFragmentation(@ForAll("messages") List<byte[]> messages, @ForAll("cuts") List<Integer> cuts)
+            throws MalformedFrameException {
+        ByteArrayOutputStream stream = new ByteArrayOutputStream();
+        for (byte[] message : messages) {
+            stream.writeBytes(FrameReader.encode(message));
+            stream.writeBytes(bytes("\r\n")); // some senders add it
         }
-        byte[] wire = all.toByteArray();
+        byte[] wire = stream.toByteArray();
         FrameReader reader = new FrameReader(1200);
         List<byte[]> read = new ArrayList<>();
         int at = 0;
@@ -75,7 +75,7 @@
     /** A half frame shows, so that it can be given up in time. */
     @ParameterizedTest
     @ValueSource(strings = {"\u000b", "\u000bMSH", "\u000bMSH\u001c"})
-    void aHalfFrameShows(String text) throws Spoilt {
+    void partialFrameIsReported(String text) throws MalformedFrameException {
         FrameReader reader = new FrameReader(8);
         assertTrue(reader.read(bytes(text)).isEmpty());
         assertTrue(reader.isPartial());
--- a/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
@@ -37,8 +37,8 @@
                 2,
                 Map.of("LAB", 7),
                 List.of(20L, 6L, 28L),
-                Field.of(key),
-                Field.of("ZLC-1"),
+                Field.parse(key),
+                Field.parse("ZLC-1"),
                 Set.of("P"),
                 Set.of("2.3", "2.3.1", "2.4", "2.5", "2.5.1"),
                 10,
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void aMessageIsPutInOurTerms() throws Hl7Fault {
+    void messageFieldsAreMapped() throws Hl7Fault {
         Request r = read(GOOD, "MSH-10");
         assertEquals(
                 List.of("north", "M1", 0, 7, 12_500_000L, "id/north/M1", "north.M1"),
@@ -84,7 +84,7 @@
 
     /** Keys that would not fit a header or the journal still differ where the values do, and stay the same. */
     @Test
-    void aKeyIsAlwaysAWord() throws Hl7Fault {
+    void keysAreBoundedPrintableTokens() throws Hl7Fault {
         String a = read(GOOD.replace("M1", "M 1"), "MSH-10").key();
         assertEquals(a, read(GOOD.replace("M1", "M 1"), "MSH-10").key());
         assertNotEquals(a, read(GOOD.replace("M1", "M  1"), "MSH-10").key());
@@ -117,7 +117,7 @@
                 "MSH|^~\\&|APP|F|LAB|L|||ORM^O01|1|P|2.5~ZLC|soon; 102 ZLC 1",
                 "MSH|^~\\&|APP|F|LAB|L|||ORM^O01|1|P|2.5~PID|1$ORC|1; 100 PID 0"
             })
-    void aFaultNamesItsPlace(String message, String place) {
+    void faultNamesCodeSegmentAndField(String message, String place) {
         String text = message.replaceFirst("2\\.5~", "2.5\r").replace('$', '\n');
         Hl7Fault fault = assertThrows(Hl7Fault.class, () -> read(text, "MSH-10"));
         assertEquals(
@@ -139,13 +139,13 @@
         Header h = Header.read(bytes(GOOD));
         assertEquals(
                 "MSH|^~\\&|LAB|LF|APP|FAC|TIME||ACK^O01^ACK|L-0|P|2.5|||NE|NE|CAN|8859/1\nMSA|CA|M1\n",
-                ack(acks.good(Code.CA, h)));
-        Hl7Fault fault = new Hl7Fault(Hl7Fault.Code.MISSING, "PID", 3, "a field | that is needed");
+                ack(acks.positive(Code.CA, h)));
+        Hl7Fault fault = new Hl7Fault(Hl7Fault.Code.REQUIRED_FIELD_MISSING, "PID", 3, "a field | that is needed");
         assertTrue(ack(acks.fault(Code.CR, h, fault))
                 .endsWith("MSA|CR|M1|a field \\F\\ that is needed\n"
                         + "ERR||PID^^3|101^Required field missing^HL70357|E||||a field \\F\\ that is needed\n"));
         FinalStatus busy = new FinalStatus(FinalStatus.Kind.REFUSED, 2_500_000, "no room");
-        assertTrue(ack(acks.comeBack(Code.AR, h, busy))
+        assertTrue(ack(acks.retryLater(Code.AR, h, busy))
                 .endsWith("MSA|AR|M1|no room; come again in 2.5 s\n"
                         + "ERR|||207^Application internal error^HL70357|E|come-again|2.5||no room; "
                         + "come again in 2.5 s\n"));
@@ -158,19 +158,19 @@
 
     /** Guards against an answer that its reader takes for two. */
     @Test
-    void nothingOfASendersHeaderEndsAnAnswer() throws Hl7Fault {
+    void controlCharactersOfTheHeaderAreReplaced() throws Hl7Fault {
         Header h = Header.read(bytes("MSH|^~\\&|A\n\u0000P|F|L|L|||ORM|1|P|2.5\r"));
-        String ack = ack(new Acknowledgements("").good(Code.AA, h));
+        String ack = ack(new Acknowledgements("").positive(Code.AA, h));
         assertTrue(ack.contains("A??P"), ack);
     }
 
     /** Characters of two bytes come back as they were. */
     @Test
-    void answersAreInTheSendersCharacters() throws Hl7Fault {
+    void acknowledgementsUseTheSendersCharset() throws Hl7Fault {
         byte[] utf = GOOD.replace("8859/1", "UNICODE UTF-8")
                 .replace("FAC", "Qu\u00e9bec")
                 .getBytes(StandardCharsets.UTF_8);
-        byte[] ack = new Acknowledgements("").good(Code.AA, Header.read(utf));
+        byte[] ack = new Acknowledgements("").positive(Code.AA, Header.read(utf));
         assertTrue(new String(ack, StandardCharsets.UTF_8).contains("|Qu\u00e9bec|"));
     }
 
@@ -180,8 +180,8 @@
                 "BHS|^~\\&\rMSH|1\rPID|1\rMSH|2\rBTS|2\r",
                 "FHS|^~\\&\rBHS|^~\\&\rMSH|1\rPID|1\rMSH|2\rBTS|2\rFTS|1\r"
             })
-    void aBatchIsItsMessages(String batch) throws Hl7Fault {
-        assertTrue(Batch.is(bytes(batch)));
+    void batchIsSplitIntoMessages(String batch) throws Hl7Fault {
+        assertTrue(Batch.isBatch(bytes(batch)));
         List<byte[]> split = Batch.split(bytes(batch));
         assertEquals(
                 List.of("MSH|1\rPID|1\r", "MSH|2\r"),
@@ -202,37 +202,40 @@
                 "BHS|^~\\&\rMSH|1\rBTS|1\rMSH|2\r",
                 "FHS|^~\\&\rBHS|1\rMSH|1\rBTS|1\r"
             })
-    void aBatchThatIsNotWholeIsRefused(String batch) {
+    void incompleteBatchIsRejected(String batch) {
         assertThrows(Hl7Fault.class, () -> Batch.split(bytes(batch)));
     }
 
     @Provide
     Arbitrary<byte[]> nearlyGood() {
-        byte[] good = bytes(GOOD);
-        Arbitrary<Integer> places = Arbitraries.integers().between(0, good.length - 1);
+        byte[] valid = bytes(GOOD);
+        Arbitrary<Integer> places = Arbitraries.integers().between(0, valid.length - 1);
         return places.list()
                 .ofMinSize(1)
                 .ofMaxSize(6)
-                .flatMap(at -> Arbitraries.bytes().list().ofSize(at.size()).map(with -> {
-                    byte[] spoilt = good.clone();
-                    for (int i = 0; i < at.size(); i++) {
-                        spoilt[at.get(i)] = with.get(i);
-                    }
-                    return spoilt;
-                }));
+                .flatMap(offsets -> Arbitraries.bytes()
+                        .list()
+                        .ofSize(offsets.size())
+                        .map(replacements -> {
+                            byte[] corrupted = valid.clone();
+                            for (int i = 0; i < offsets.size(); i++) {
+                                corrupted[offsets.get(i)] = replacements.get(i);
+                            }
+                            return corrupted;
+                        }));
     }
 
     /** Whatever comes is read or refused with a fault, and can be answered in one frame; nothing else is thrown. */
     @Property(tries = 2000, seed = "-1")
-    void nothingIsThrownButFaults(@ForAll("nearlyGood") byte[] message) {
-        Header header = Header.none();
+    void onlyFaultsAreThrown(@ForAll("nearlyGood") byte[] message) {
+        Header header = Header.placeholder();
         Acknowledgements acks = new Acknowledgements("");
         byte[] answer;
         try {
             header = Header.read(message);
             Request r = reader("ORC-2", true).read(header, message);
             assertTrue(r.identity().length() < 400);
-            answer = acks.good(Code.AA, header);
+            answer = acks.positive(Code.AA, header);
         } catch (Hl7Fault e) {
             answer = acks.fault(Code.AE, header, e);
         }
--- a/src/test/java/lilaclever/protocol/mllp/PendingAnswersTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/PendingAnswersTest.java
@@ -18,29 +18,29 @@
 /** Ends that are owed: each leaves by one way, and no more are kept than may be. */
 class PendingAnswersTest {
     @Test
-    void aPracticeGetsItsOwnInOrder() {
-        PendingAnswers<String> owed = new PendingAnswers<>(10, 100);
-        owed.add("1", "north", "a", 0);
-        owed.add("2", "south", "b", 0);
-        owed.add("3", "north", "c", 0);
-        assertEquals(List.of("a"), owed.take("north", 1));
-        assertEquals(List.of("c"), owed.take("north", 5));
-        assertEquals("b", owed.withdraw("2"));
-        assertNull(owed.withdraw("2"));
-        assertEquals(0, owed.givenUp());
+    void practiceReceivesItsAnswersInOrder() {
+        PendingAnswers<String> pending = new PendingAnswers<>(10, 100);
+        pending.add("1", "north", "a", 0);
+        pending.add("2", "south", "b", 0);
+        pending.add("3", "north", "c", 0);
+        assertEquals(List.of("a"), pending.take("north", 1));
+        assertEquals(List.of("c"), pending.take("north", 5));
+        assertEquals("b", pending.withdraw("2"));
+        assertNull(pending.withdraw("2"));
+        assertEquals(0, pending.discardedCount());
     }
 
     /** Guards against clients that never come back filling the journal and the memory. */
     @Test
-    void theOldestGoWhereTimeOrRoomIsOver() {
-        PendingAnswers<String> owed = new PendingAnswers<>(2, 100);
-        owed.add("1", "p", "a", 0);
-        owed.add("2", "p", "b", 50);
-        assertEquals(List.of("a"), owed.add("3", "p", "c", 60));
-        assertEquals(List.of("b"), owed.expired(150));
-        assertEquals(List.of("c"), owed.add("3", "p", "d", 151)); // its end came anew
-        assertEquals(3, owed.givenUp());
-        assertEquals(List.of("d"), owed.take("p", 5));
+    void oldestAnswersExpireOrAreEvicted() {
+        PendingAnswers<String> pending = new PendingAnswers<>(2, 100);
+        pending.add("1", "p", "a", 0);
+        pending.add("2", "p", "b", 50);
+        assertEquals(List.of("a"), pending.add("3", "p", "c", 60));
+        assertEquals(List.of("b"), pending.expired(150));
+        assertEquals(List.of("c"), pending.add("3", "p", "d", 151)); // its end came anew
+        assertEquals(3, pending.discardedCount());
+        assertEquals(List.of("d"), pending.take("p", 5));
     }
 
     @Provide
@@ -50,27 +50,27 @@
 
     /** Each answer that went in comes out once, whatever happens in between. */
     @Property(tries = 300, seed = "-1")
-    void nothingIsLostOrGivenTwice(@ForAll("steps") List<Integer> steps) {
-        PendingAnswers<Integer> owed = new PendingAnswers<>(4, 30);
-        Map<Integer, Integer> out = new HashMap<>();
-        int in = 0;
+    void eachAnswerIsReturnedExactlyOnce(@ForAll("steps") List<Integer> steps) {
+        PendingAnswers<Integer> pending = new PendingAnswers<>(4, 30);
+        Map<Integer, Integer> returned = new HashMap<>();
+        int addedCount = 0;
         long now = 0;
-        for (int s : steps) {
-            now += s % 7;
-            String identity = "i" + s % 6, practice = "p" + s % 3;
-            List<Integer> left = new ArrayList<>();
-            switch (s / 100) {
-                case 0, 1 -> left.addAll(owed.add(identity, practice, in++, now));
-                case 2 -> left.addAll(s % 2 == 0 ? owed.take(practice, 2) : owed.expired(now));
+        for (int step : steps) {
+            now += step % 7;
+            String identity = "i" + step % 6, practice = "p" + step % 3;
+            List<Integer> removed = new ArrayList<>();
+            switch (step / 100) {
+                case 0, 1 -> removed.addAll(pending.add(identity, practice, addedCount++, now));
+                case 2 -> removed.addAll(step % 2 == 0 ? pending.take(practice, 2) : pending.expired(now));
                 default -> {
-                    Integer one = owed.withdraw(identity);
-                    left.addAll(one == null ? List.of() : List.of(one));
+                    Integer one = pending.withdraw(identity);
+                    removed.addAll(one == null ? List.of() : List.of(one));
                 }
             }
-            left.forEach(x -> out.merge(x, 1, Integer::sum));
-            assertTrue(owed.size() <= 4);
+            removed.forEach(x -> returned.merge(x, 1, Integer::sum));
+            assertTrue(pending.size() <= 4);
         }
-        assertTrue(out.values().stream().allMatch(n -> n == 1));
-        assertEquals(in, out.size() + owed.size());
+        assertTrue(returned.values().stream().allMatch(n -> n == 1));
+        assertEquals(addedCount, returned.size() + pending.size());
     }
 }
