--- a/src/main/java/lilaclever/protocol/mail/DeliveryStatusNotification.java
+++ b/src/main/java/lilaclever/protocol/mail/DeliveryStatusNotification.java
@@ -2,7 +2,7 @@
 
 import lilaclever.routing.FinalStatus;
 
-/** Delivery status notifications: what a sender is told of a failure (RFC 3464). */
+/** Builds delivery status notifications (RFC 3464), which report a failed delivery to the sender. */
 final class DeliveryStatusNotification {
     private DeliveryStatusNotification() {}
 
--- a/src/main/java/lilaclever/protocol/mail/LineFilter.java
+++ b/src/main/java/lilaclever/protocol/mail/LineFilter.java
@@ -11,11 +11,12 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * The wire of SMTP and LMTP: lines that end in CRLF, one octet a character. A read gives all whole lines as one list;
- * a text is written as it is. A CR or LF alone stays in its line, so that nobody takes it for an end.
+ * Splits the byte stream of SMTP and LMTP into lines that end in CRLF, one character per octet. A read passes on all
+ * complete lines as one list; written text is not changed. A bare CR or LF stays part of its line, so that it is never
+ * taken for a line ending.
  */
 final class LineFilter extends BaseFilter {
-    /** Longer than any line that the standards allow. */
+    /** More than any line that the standards allow; a connection that exceeds it is closed. */
     private static final int MAX_LINE_BYTES = 16 * 1024;
 
     @Override
--- a/src/main/java/lilaclever/protocol/mail/Mail.java
+++ b/src/main/java/lilaclever/protocol/mail/Mail.java
@@ -3,7 +3,9 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Locale;
 
-/** One message for one recipient: the core's body. Its lines end in CRLF and are not stuffed. */
+/**
+ * One mail for one recipient; encoded, it is the body of a core message. Its lines end in CRLF and are not dot-stuffed.
+ */
 record Mail(String reversePath, String recipient, String content) {
     byte[] encode() {
         return (reversePath + '\n' + recipient + '\n' + content).getBytes(StandardCharsets.ISO_8859_1);
@@ -14,7 +16,7 @@
         int firstNewline = text.indexOf('\n');
         int secondNewline = text.indexOf('\n', firstNewline + 1);
         if (firstNewline < 0 || secondNewline < 0) {
-            throw new IllegalArgumentException("no mail: it has no envelope");
+            throw new IllegalArgumentException("the body has no mail envelope");
         }
         return new Mail(
                 text.substring(0, firstNewline),
@@ -22,14 +24,14 @@
                 text.substring(secondNewline + 1));
     }
 
-    /** The content as it travels after DATA: no line of its own can end it. */
+    /** The content as sent after DATA, dot-stuffed and terminated, so that none of its own lines can end it. */
     String dotStuffed() {
         String escaped = content.replace("\r\n.", "\r\n..");
         boolean endsWithNewline = escaped.isEmpty() || escaped.endsWith("\r\n");
         return (escaped.startsWith(".") ? "." : "") + escaped + (endsWithNewline ? "" : "\r\n") + ".\r\n";
     }
 
-    /** The first header field of that name, unfolded, or null. */
+    /** The value of the first header field with this name, unfolded, or null. */
     static String header(String content, String name) {
         StringBuilder value = null;
         for (String line : content.split("\r\n", -1)) {
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -26,14 +26,15 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Delivers to SMTP and LMTP servers: one message for one recipient a transaction, on connections that are kept for the
- * next. Any 4xx reply: it never ran. Any 5xx: refused for good. Before the last byte of the content is written it
- * can't have run; after it only a reply says whether it has.
+ * Delivers to SMTP and LMTP servers, one message for one recipient per transaction, and reuses connections. A 4xx reply
+ * means that the message was not processed, a 5xx reply that it was rejected permanently. Before the last byte of the
+ * content is written the server can't have processed the message; after that only its reply says whether it has.
  */
 public final class MailDeliverer implements Deliverer {
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
     private static final int MAX_REPLY_LINES = 200;
 
+    /** The step of the dialogue that a reply belongs to. {@code EXTENDED_HELLO} is EHLO or LHLO. */
     private enum Step {
         GREETING,
         EXTENDED_HELLO,
@@ -55,7 +56,7 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("MailDeliverer.session");
     private final Map<String, MailSettings.Protocol> protocolByHost = new HashMap<>();
 
-    /** A deliverer for the routes of the mail file. */
+    /** Creates a deliverer for the routes of the mail file. */
     public MailDeliverer(
             Core core,
             Transport transport,
@@ -73,7 +74,7 @@
         this.chain = Transport.chain(new LineFilter(), new SessionFilter());
     }
 
-    /** Adds the routes' endpoints to the core, and starts to drop idle connections. Before the core starts. */
+    /** Adds the routes' endpoints to the core and starts expiring idle connections. Call before the core starts. */
     public void start() {
         for (MailSettings.Route route : settings.routes()) {
             for (String address : route.addresses()) {
@@ -99,14 +100,14 @@
         try {
             mail = Mail.decode(call.messages.get(0).submission.body());
         } catch (IllegalArgumentException e) {
-            // Handed in by a front that knows no envelopes: no attempt can ever succeed.
+            // Submitted by a front without mail envelopes: no attempt can ever succeed.
             core.attemptEnded(call, call.messages.get(0), AttemptResult.REJECTED, 0, false, false);
             return;
         }
         ClientSession idle = null;
         Connection<?> pooled = pool.acquire(call.endpoint.host(), core.nowMicros());
         while (pooled != null && idle == null) {
-            idle = sessions.get(pooled); // null once its server has said farewell
+            idle = sessions.get(pooled); // null if the server has closed the session
             pooled = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : pooled;
         }
         ClientSession session = idle != null ? idle : new ClientSession(call.endpoint);
@@ -133,7 +134,7 @@
         pool.closeIdle(endpoint.host());
     }
 
-    /** There is no probe but a connection: one is opened and greeted. */
+    /** Probes a server by opening a connection and closing it; the protocols have no other probe. */
     @Override
     public void probe(Call.Endpoint endpoint) {
         long startMicros = core.nowMicros();
@@ -149,13 +150,13 @@
                         core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - startMicros)));
     }
 
-    /** One connection to a server, and the transaction on it. Loop thread, but for {@link #contentWritten}. */
+    /** One connection to a server and the transaction on it. Loop thread, except {@link #contentWritten}. */
     private final class ClientSession {
         private final Call.Endpoint endpoint;
         private final boolean lmtp;
         private final ArrayDeque<Step> expectedReplies = new ArrayDeque<>();
         private final Set<String> extensions = new HashSet<>();
-        /** Lines that came before the connection was told to be up. */
+        /** Lines received before the loop thread has learned that the connection is open. */
         private final ArrayDeque<String> earlyLines = new ArrayDeque<>();
 
         private Connection<?> connection;
@@ -165,7 +166,7 @@
         private Mail mail;
         private int replyLines;
         private long maxServerBytes;
-        /** The last byte of the content has been written: set by the writing thread before any close is posted. */
+        /** Whether the last byte of the content is written. Set by the writing thread before any close is posted. */
         private volatile boolean contentWritten;
 
         ClientSession(Call.Endpoint endpoint) {
@@ -222,7 +223,7 @@
 
         private void onLine(String line) {
             if (call == null) {
-                closeConnection(); // an unasked word on an idle connection, as a rule a farewell
+                closeConnection(); // unsolicited line on an idle connection, usually a 421 before a close
                 return;
             }
             Reply reply = Reply.parse(line);
@@ -235,7 +236,7 @@
                 extensions.add(reply.text().toUpperCase(Locale.ROOT));
             }
             if (line.length() > 3 && line.charAt(3) == '-') {
-                return; // more of the same reply follows
+                return; // more lines of this reply follow
             }
             expectedReplies.remove();
             replyLines = 0;
@@ -336,7 +337,7 @@
             }
         }
 
-        /** Ends the call; the connection's state is not certain any more, so it goes too. */
+        /** Ends the call and closes the connection, whose protocol state is no longer certain. */
         private void endCall(AttemptResult result, String responseText) {
             Call finishedCall = call;
             call = null;
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -31,13 +31,13 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The front of one of the two mail protocols. A mail for several recipients is one core message for each. SMTP: the
- * client hears 250 once they are in the journal, and a later failure goes to the reverse path. LMTP: the client hears
- * each recipient's final answer, in the order of its RCPT commands. Loop thread, but for the filter.
+ * The front for SMTP or LMTP. A mail for several recipients becomes one core message per recipient. With SMTP the
+ * client gets 250 once these are in the journal, and a later failure is reported to the reverse path. With LMTP the
+ * client gets each recipient's final status, in the order of its RCPT commands. Loop thread, except the filter.
  */
 public final class MailFront implements Front {
     private static final long REPORT_RETRY_DELAY_MICROS = 1_000_000;
-    /** A Message-ID is one line; what is longer is none, and too long for the journal. */
+    /** The longest line of RFC 5322: a longer Message-ID is invalid, and too long for the journal. */
     private static final int MAX_MESSAGE_ID_LENGTH = 998;
 
     private final Core core;
@@ -53,10 +53,10 @@
     private boolean closing;
     private long nextNumber;
 
-    /** Waits for the first answer to a hand-in: a {@link Reply} that says it is taken on, or its end. */
+    /** Receives the first answer to a submission: a {@link Reply} that it was accepted, or its final status. */
     private record Waiter(Consumer<Reply> answer) {}
 
-    /** A front that listens nowhere yet, with so many clients at most. */
+    /** Creates a front that does not listen yet and accepts at most {@code maxSessions} clients at once. */
     public MailFront(Core core, MailSettings settings, Protocol protocol, int maxSessions) {
         this.core = core;
         this.settings = settings;
@@ -69,7 +69,7 @@
         return protocol.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Listens at the addresses that the mail file has for this protocol; gives those bound. */
+    /** Listens at the addresses that the mail file has for this protocol; returns the bound addresses. */
     public List<SocketAddress> listen(Transport transport) throws IOException {
         List<SocketAddress> bound = new ArrayList<>();
         FilterChain chain = Transport.chain(new LineFilter(), new SessionFilter());
@@ -83,21 +83,21 @@
         return bound;
     }
 
-    /** Accepts no more; idle sessions are told so, the others after their answers. */
+    /** Accepts no more connections; closes sessions with a 421, those with pending replies after these are written. */
     public void close() {
         closing = true;
         listeners.forEach(Connection::closeSilently);
         List.copyOf(sessions).forEach(ServerSession::closeForShutdown);
     }
 
-    // ---- hand-ins ---------------------------------------------------------------------------------------
-    /** True if a mail that comes again can be told from a new one. */
+    // Submissions
+    /** True if a repeat of this mail can be recognized by its Message-ID. */
     static boolean hasUsableMessageId(String content) {
         String messageId = Mail.header(content, "Message-ID");
         return messageId != null && messageId.length() <= MAX_MESSAGE_ID_LENGTH;
     }
 
-    /** Hands a mail in for one recipient; the answer is given once, maybe at once. */
+    /** Submits a mail for one recipient; {@code answer} is called exactly once, possibly before this returns. */
     void submit(Mail mail, Consumer<Reply> answer) {
         String identity = hasUsableMessageId(mail.content())
                 ? Mail.header(mail.content(), "Message-ID") + ' ' + mail.recipient()
@@ -128,7 +128,7 @@
                             ? new Reply(250, "2.0.0 taken on before")
                             : Reply.of(message.finalStatus()));
         } else if (message.front != this) {
-            // The same mail is under way for a client of the other protocol: its end is known soon.
+            // The same mail is pending for a client of the other protocol: its final status will be known soon.
             answer.accept(new Reply(451, "4.3.0 already under way, come again"));
         } else if (protocol == Protocol.SMTP && message.isAccepted()) {
             answer.accept(new Reply(250, "2.0.0 taken on before"));
@@ -159,7 +159,7 @@
     @Override
     public void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled) {
         if (protocol == Protocol.LMTP) {
-            // Whoever has dropped the connection hands it in again, and hears the end that is remembered.
+            // A client that has lost its connection submits the mail again and gets the remembered final status.
             answerWaiters(message, Reply.of(finalStatus));
             settled.run();
         } else if (finalStatus.kind() == FinalStatus.Kind.REFUSED || finalStatus.kind() == FinalStatus.Kind.FAILED) {
@@ -169,18 +169,18 @@
         }
     }
 
-    // ---- reports ----------------------------------------------------------------------------------------
-    /** Sends a failure to the reverse path, again and again until the report is in the journal. */
+    // Delivery status notifications
+    /** Reports a failure to the reverse path; retries until the report is in the journal. */
     private void sendReport(String failedId, Mail mail, FinalStatus finalStatus, Runnable settled) {
         if (mail.reversePath().isEmpty()) {
-            settled.run(); // no report of a report
+            settled.run(); // a null reverse path: the failure of a report is not reported
             return;
         }
         if (settings.route(mail.reversePath()) == null) {
             Logs.warn(
                     "",
                     "no-route",
-                    "no route for the report of " + failedId + " to " + mail.reversePath(),
+                    "no route for the failure report of " + failedId + " to " + mail.reversePath(),
                     "message",
                     failedId);
             settled.run();
@@ -199,7 +199,7 @@
         });
     }
 
-    /** Reports a recipient that was turned down while others of its mail were taken on. */
+    /** Reports a recipient that was rejected while others of the same mail were accepted. */
     void reportRejectedRecipient(Mail mail, Runnable reported) {
         sendReport(
                 "turned-down-" + runId + '-' + nextNumber++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
@@ -211,7 +211,7 @@
                 .replace("GMT", "+0000");
     }
 
-    // ---- connections ------------------------------------------------------------------------------------
+    // Connections
     MailSettings settings() {
         return settings;
     }
--- a/src/main/java/lilaclever/protocol/mail/MailSettings.java
+++ b/src/main/java/lilaclever/protocol/mail/MailSettings.java
@@ -4,8 +4,13 @@
 import java.util.Map;
 
 /**
- * What the mail file says, checked. Classes are numbers in the settings' list; {@code otherwise} is the class of a
- * message whose header names none that is known.
+ * The validated content of the mail file. Message classes are indexes into the settings' list of classes.
+ *
+ * @param classHeader the header field that names a mail's message class
+ * @param defaultClass the class of a mail whose header names no known class
+ * @param dsnClass the class of delivery status notifications
+ * @param idleTimeoutMicros a client connection is closed after so long without a line; also the limit for one content
+ * @param budgetsMicros how long a message of each class may take to deliver
  */
 public record MailSettings(
         String hostName,
@@ -19,18 +24,18 @@
         int maxRecipients,
         long idleTimeoutMicros,
         List<Long> budgetsMicros) {
-    /** Which of the two protocols is spoken. */
+    /** A mail protocol. The names, in lower case, are the names of the fronts in the journal. */
     public enum Protocol {
         SMTP,
         LMTP
     }
 
-    /** Where clients connect. */
+    /** An address where clients connect. */
     public record Listener(Protocol protocol, String address) {}
 
-    /** Where the mail for a domain goes. */
+    /** The servers to which the mail for a domain is sent. */
     public record Route(String domain, int destination, Protocol protocol, List<String> addresses) {
-        /** The name of one of its addresses in the list of endpoints. */
+        /** The host name of one of the addresses in the list of endpoints. */
         public String host(String address) {
             return "mail/" + domain + '/' + address;
         }
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -12,14 +12,14 @@
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.Connection;
 
-/** One client's connection: the commands of SMTP and LMTP, one transaction after the other. Loop thread. */
+/** The server side of one client connection: SMTP or LMTP commands, one transaction at a time. Loop thread. */
 final class ServerSession {
     private static final Pattern PATH = Pattern.compile("(?i)(?:FROM|TO):\\s*<(?:@[^:>]*:)?([^<>\\s]*)>(.*)");
-    /** Characters that came and are not read yet, beside those of one mail. */
+    /** Limit of received bytes that are not processed yet, in addition to the size of one mail. */
     private static final int MAX_QUEUED_BYTES = 64 * 1024;
-    /** Commands without a mail at the end of them, beside one for each recipient. */
+    /** Limit of commands without a completed mail, in addition to one for each recipient. */
     private static final int MAX_COMMANDS = 100;
-    /** A content that goes on for so many times the most that a mail may have is not awaited any longer. */
+    /** A connection whose content exceeds this multiple of the largest mail is closed. */
     private static final int MAX_CONTENT_FACTOR = 4;
 
     private final MailFront front;
@@ -27,7 +27,7 @@
     private final Connection<?> connection;
     private final String peer;
     private final boolean lmtp;
-    /** Lines that came while an answer is awaited: they are read after it. */
+    /** Received lines that are not processed yet, such as those that arrive while replies are pending. */
     private final ArrayDeque<String> queuedLines = new ArrayDeque<>();
 
     private final List<String> recipients = new ArrayList<>();
@@ -51,13 +51,13 @@
         this.lmtp = front.protocol() == Protocol.LMTP;
     }
 
-    // ---- the connection ---------------------------------------------------------------------------------
+    // Connection
     void greet() {
         write("220 " + settings.hostName() + (lmtp ? " LMTP" : " ESMTP") + " lilaclever ready\r\n");
         restartIdleTimeout();
     }
 
-    /** Lines from the socket: whoever sends faster than they can be read does not fill the memory. Selector thread. */
+    /** Queues lines from the socket, up to a limit that bounds memory use. Selector thread. */
     void onLines(List<String> lines) {
         if (queueOverflowed) {
             return;
@@ -95,7 +95,7 @@
         restartIdleTimeout();
     }
 
-    /** A client that says nothing for long is sent away. */
+    /** Restarts the timeout after which an idle client is disconnected. */
     private void restartIdleTimeout() {
         front.core().deadlines().cancel(idleTimeout);
         if (!closed && !awaitingReplies) {
@@ -141,7 +141,7 @@
         write(new Reply(code, text).toLine());
     }
 
-    // ---- commands ---------------------------------------------------------------------------------------
+    // Commands
     private void handleCommand(String line) {
         if (++commandCount > MAX_COMMANDS + settings.maxRecipients()) {
             close("421 4.7.0 too many commands without a mail\r\n");
@@ -244,7 +244,7 @@
             tooLarge = false;
             bareLineEnding = false;
             contentBytesReceived = 0;
-            // A line now and then keeps the connection from being idle: all of them have a time as well.
+            // A slow trickle of lines never triggers the idle timeout, so the content as a whole has one too.
             contentTimeout = front.core()
                     .deadlines()
                     .schedule(
@@ -261,14 +261,14 @@
         replies = null;
     }
 
-    // ---- the content ------------------------------------------------------------------------------------
+    // Content
     private void handleContentLine(String line) {
         if (line.equals(".")) {
             completeContent();
             return;
         }
         String unstuffed = line.startsWith(".") ? line.substring(1) : line;
-        // A CR or LF alone would be an end of a line to some servers: a second mail could hide behind it.
+        // Some servers take a bare CR or LF for a line ending, so a second mail could be smuggled in behind it.
         bareLineEnding |= unstuffed.indexOf('\n') >= 0 || unstuffed.indexOf('\r') >= 0;
         tooLarge |= content.length() + unstuffed.length() + 2 > settings.maxMessageBytes();
         contentBytesReceived += lineBytes(line);
@@ -305,7 +305,7 @@
         }
     }
 
-    /** One recipient's answer is here; LMTP passes them on in order, SMTP says one word for all. */
+    /** Records one recipient's reply; once all are known, LMTP writes them in order and SMTP one for all. */
     private void onRecipientReply(Reply[] transactionReplies, int index, Reply reply) {
         transactionReplies[index] = reply;
         if (transactionReplies != replies) {
@@ -331,7 +331,7 @@
                 }
             };
             if (combined.isPositive()) {
-                // With 250 all recipients are ours: whoever was turned down is reported before it is said.
+                // With 250 we are responsible for all recipients: rejected ones are reported before the reply.
                 for (int i = 0; i < transactionReplies.length; i++) {
                     if (transactionReplies[i].code() / 100 == 4) {
                         remaining[0]++;
@@ -350,13 +350,13 @@
         if (front.isClosing()) {
             closeForShutdown();
         } else {
-            front.core().post(this::processQueuedLines); // not from here: this may run inside read
+            front.core().post(this::processQueuedLines); // not called directly: this may run inside it
         }
     }
 
     /**
-     * SMTP has one answer for the mail. Where some recipients were taken on and others turned down for now, a mail
-     * that can be known again is asked for again: those taken on get no second message.
+     * SMTP has one reply for the whole mail. If some recipients were accepted and others rejected for now, the client
+     * is asked to retry a mail that can be recognized: recipients already accepted get no second message.
      */
     private Reply combineReplies(Reply[] transactionReplies) {
         Reply positive = null;
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -9,12 +9,12 @@
 import lilaclever.routing.FinalStatus;
 
 /**
- * Writes acknowledgements: the sender's own header turned round, in its delimiters, version and characters, MSA, and
- * where something is at fault ERR. Up to 2.4 the place and the code stand together in ERR-1, from 2.5 on in fields of
- * their own, with a code and seconds in ERR-5 and ERR-6 that say when to come back.
+ * Writes acknowledgements: the sender's header with sender and receiver swapped, in its delimiters, version and
+ * character set, then MSA, and ERR if there is an error. Up to version 2.4 ERR-1 holds both location and code. From 2.5
+ * on they have fields of their own, and ERR-5 and ERR-6 hold an application code and the seconds to wait for a retry.
  */
 final class Acknowledgements {
-    /** Codes of HL7's table 0008. */
+    /** Acknowledgement codes of HL7 table 0008; the names are written to MSA-1. */
     enum Code {
         AA,
         AE,
@@ -30,17 +30,17 @@
     private final String controlIdPrefix;
     private long nextNumber;
 
-    /** {@code life} makes control ids differ from those of earlier lives. */
+    /** {@code controlIdPrefix} makes control ids differ from those of earlier process runs. */
     Acknowledgements(String controlIdPrefix) {
         this.controlIdPrefix = controlIdPrefix;
     }
 
-    /** An acknowledgement that all is well. */
+    /** A positive acknowledgement. */
     byte[] positive(Code code, Header requestHeader) {
         return build(code, requestHeader, "", "");
     }
 
-    /** The message can't be taken on as it is. */
+    /** Rejects a message that can't be accepted as it is. */
     byte[] fault(Code code, Header requestHeader, Hl7Fault fault) {
         String text = escapeText(requestHeader, fault.getMessage());
         return build(
@@ -50,7 +50,7 @@
                 errSegment(requestHeader, fault.segment(), fault.field(), fault.code(), "", "", text));
     }
 
-    /** The message was refused, and nothing of it was done: it may come again after so long. */
+    /** The message was refused without any effect; the client may retry after the delay in the final status. */
     byte[] retryLater(Code code, Header requestHeader, FinalStatus finalStatus) {
         String seconds = formatSeconds(finalStatus.retryAfterMicros());
         String text = escapeText(
@@ -64,7 +64,7 @@
                 errSegment(requestHeader, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "come-again", seconds, text));
     }
 
-    /** The message was taken on and is not known to be done: it may have been. */
+    /** The message was accepted, but its delivery is not confirmed; it may have happened. */
     byte[] notConfirmed(Code code, Header requestHeader, FinalStatus finalStatus) {
         String text = escapeText(
                 requestHeader,
@@ -138,7 +138,7 @@
         return replaceControlCharacters(acknowledgement).getBytes(requestHeader.charset());
     }
 
-    /** What a sender wrote into its header comes back to it, but nothing that its reader could take for an end. */
+    /** Replaces control characters copied from the sender's header, which could be taken for the end of the frame. */
     private static String replaceControlCharacters(StringBuilder text) {
         for (int i = 0; i < text.length(); i++) {
             char c = text.charAt(i);
@@ -180,7 +180,7 @@
         return joinFields(separator, "ERR", String.join(componentSeparator, parts)) + '\r';
     }
 
-    /** The fields with the separator between them, none at the end that is empty. */
+    /** Joins the fields with the separator, leaving out empty fields at the end. */
     private static String joinFields(char separator, String... fields) {
         int last = fields.length;
         while (last > 0 && fields[last - 1].isEmpty()) {
--- a/src/main/java/lilaclever/protocol/mllp/Batch.java
+++ b/src/main/java/lilaclever/protocol/mllp/Batch.java
@@ -7,20 +7,20 @@
 import lilaclever.protocol.mllp.Hl7Fault.Code;
 
 /**
- * Messages that came in one frame between BHS and BTS, and FHS and FTS around them. Each is a message of its own with
- * an acknowledgement of its own; a batch that is not whole is refused whole, before any of it is taken on.
+ * Splits a frame with a batch: messages between BHS and BTS, optionally inside FHS and FTS. Each message is accepted
+ * and acknowledged separately; an incomplete batch is rejected as a whole, before any of its messages is accepted.
  */
 final class Batch {
     private static final int MAX_MESSAGES = 100;
 
     private Batch() {}
 
-    /** True if the frame holds a batch. */
+    /** True if the frame contains a batch. */
     static boolean isBatch(byte[] frame) {
         return frame.length > 3 && (startsWith(frame, 0, "BHS") || startsWith(frame, 0, "FHS"));
     }
 
-    /** The messages of a batch, each with all its bytes. */
+    /** The messages of a batch, byte for byte. */
     static List<byte[]> split(byte[] frame) throws Hl7Fault {
         List<byte[]> messages = new ArrayList<>();
         int messageStart = -1, messageCount = 0;
@@ -83,7 +83,7 @@
         return messages;
     }
 
-    /** BTS-1, where it is there, is how many messages the batch has. */
+    /** BTS-1, if present, must be the number of messages in the batch. */
     private static void checkCount(byte[] frame, int start, int end, int messageCount, boolean inBatch)
             throws Hl7Fault {
         String[] fields = new String(frame, start, end - start, StandardCharsets.ISO_8859_1).split("[^A-Za-z0-9]", 3);
--- a/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
@@ -6,19 +6,20 @@
 import lilaclever.routing.Message;
 
 /**
- * Tells clients how their messages ended: on the connection that waits, on another one of the practice, or, while it
- * has none, on its next. What a client that is away never comes for is given up after a time. Loop thread.
+ * Sends the final status of messages to clients: on the connection that waits for it, on another one of the practice
+ * or, if there is none, on the next one that it opens. Answers that are not collected in time are discarded. Loop
+ * thread.
  */
 final class FinalAnswers {
     private static final long EXPIRY_CHECK_INTERVAL_MICROS = 1_000_000;
-    /** Answers owed from earlier that go out before a connection's next message is looked at. */
+    /** Limit of pending answers that are sent before a message of their practice is handled. */
     private static final int MAX_PENDING_PER_MESSAGE = 100;
 
     /**
-     * An end that is to be told.
+     * A final status to send to a client.
      *
-     * @param header of the message that asked last
-     * @param settled run once it is told or given up
+     * @param header the header of the last request for this message
+     * @param settled run once the answer is written or discarded
      */
     record Answer(Header header, Message message, FinalStatus finalStatus, Runnable settled) {
         private String identity() {
@@ -42,7 +43,7 @@
         pending = new PendingAnswers<>(settings.maxPendingAnswers(), settings.answerRetentionMicros());
     }
 
-    /** From now on looks once a second for answers whose time is over. */
+    /** Starts discarding expired answers, once a second. */
     void startExpiry() {
         core.post(this::expire);
     }
@@ -52,7 +53,7 @@
         core.deadlines().schedule(core.nowMicros() + EXPIRY_CHECK_INTERVAL_MICROS, this::expire);
     }
 
-    /** Tells an end on the connection, or, if that is null, on another one of the practice; else it is owed. */
+    /** Sends an answer on the session, or if that is null on another one of the practice; else keeps it pending. */
     void send(MllpSession session, Answer answer) {
         String practice = answer.practice();
         MllpSession target = session;
@@ -71,7 +72,7 @@
 
     private void retain(Answer answer, String practice) {
         if (!Request.wantsLaterAcknowledgements(answer.header())) {
-            // In original mode an acknowledgement that nobody waits for would pass for another's.
+            // In original mode a late acknowledgement would be taken for that of another message.
             answer.settled().run();
             return;
         }
@@ -79,7 +80,7 @@
                 .forEach(discarded -> discarded.settled().run());
     }
 
-    /** The client asks for it itself: what follows is its answer, and none is owed any more. */
+    /** Drops the pending answer of a message that its client has sent again, as the repeat is answered itself. */
     void withdraw(String identity) {
         Answer previous = pending.withdraw(identity);
         if (previous != null) {
@@ -87,19 +88,19 @@
         }
     }
 
-    /** The session's practice is here: if it takes application acknowledgements, it gets those that are owed. */
+    /** Sends pending answers to the session's practice, if it wants application acknowledgements. */
     void sendPending(MllpSession session, Header header) {
         if (Request.wantsLaterAcknowledgements(header)) {
             pending.take(session.practice, MAX_PENDING_PER_MESSAGE).forEach(answer -> send(session, answer));
         }
     }
 
-    /** Answers that are owed to clients that are away. */
+    /** The number of answers pending for disconnected clients. */
     int size() {
         return pending.size();
     }
 
-    /** Answers that were given up untold. */
+    /** The number of answers discarded before they were sent. */
     long discardedCount() {
         return pending.discardedCount();
     }
--- a/src/main/java/lilaclever/protocol/mllp/FrameReader.java
+++ b/src/main/java/lilaclever/protocol/mllp/FrameReader.java
@@ -5,16 +5,16 @@
 import java.util.List;
 
 /**
- * The frames of MLLP (Minimal Lower Layer Protocol, release 1): VT, the message, FS, CR. Bytes come in pieces of any
- * size; each byte is looked at once. Between frames CR and LF are passed over, as some senders add them. All else is a
- * fault after which nothing on the connection can be told from noise.
+ * Reads the frames of MLLP (Minimal Lower Layer Protocol, release 1): VT, the message, FS, CR. Input may be fragmented
+ * in any way; each byte is examined once. CR and LF between frames are skipped, as some senders add them. Anything else
+ * is an error after which frame boundaries on the connection can't be recognized any more.
  */
 final class FrameReader {
     static final byte VT = 0x0b, FS = 0x1c, CR = 0x0d;
     private static final byte LF = 0x0a;
     private static final int INITIAL_BUFFER_BYTES = 512;
 
-    /** The connection can't be read any further. */
+    /** The input violates the framing; reading can't continue on this connection. */
     static final class MalformedFrameException extends Exception {
         private static final long serialVersionUID = 1L;
 
@@ -34,12 +34,12 @@
     private byte[] buffer = {};
     private int size;
 
-    /** Messages of so many bytes at most. */
+    /** Creates a reader that rejects messages of more than {@code maxMessageBytes}. */
     FrameReader(int maxMessageBytes) {
         this.maxMessageBytes = maxMessageBytes;
     }
 
-    /** Reads a piece; gives the messages that it ends. Those before a fault are given with the next call's fault. */
+    /** Reads the next bytes and returns the messages they complete; messages completed before an error are lost. */
     List<byte[]> read(byte[] bytes) throws MalformedFrameException {
         List<byte[]> messages = new ArrayList<>(1);
         for (byte b : bytes) {
@@ -53,8 +53,8 @@
                     messages.add(Arrays.copyOf(buffer, size));
                     state = State.BETWEEN_FRAMES;
                     size = 0;
-                    buffer =
-                            buffer.length > INITIAL_BUFFER_BYTES ? new byte[0] : buffer; // idle connections keep little
+                    // Idle connections should hold little memory.
+                    buffer = buffer.length > INITIAL_BUFFER_BYTES ? new byte[0] : buffer;
                 }
             }
         }
@@ -65,7 +65,7 @@
         if (b == VT) {
             state = State.IN_MESSAGE;
         } else if (b != CR && b != LF) {
-            throw new MalformedFrameException("a byte outside of a frame");
+            throw new MalformedFrameException("byte outside a frame");
         }
     }
 
@@ -75,10 +75,10 @@
             return;
         }
         if (b == VT) {
-            throw new MalformedFrameException("a frame begins within a frame");
+            throw new MalformedFrameException("VT inside a frame");
         }
         if (size == maxMessageBytes) {
-            throw new MalformedFrameException("a message of more than " + maxMessageBytes + " bytes");
+            throw new MalformedFrameException("message of more than " + maxMessageBytes + " bytes");
         }
         if (size == buffer.length) {
             buffer = Arrays.copyOf(buffer, Math.min(maxMessageBytes, Math.max(INITIAL_BUFFER_BYTES, 2 * size)));
@@ -86,12 +86,12 @@
         buffer[size++] = b;
     }
 
-    /** True while a frame has begun and not ended. */
+    /** True while a frame has started but is not complete. */
     boolean isPartial() {
         return state != State.BETWEEN_FRAMES;
     }
 
-    /** The frame of a message. */
+    /** Encodes a message as a frame. */
     static byte[] encode(byte[] message) {
         byte[] frame = new byte[message.length + 3];
         frame[0] = VT;
--- a/src/main/java/lilaclever/protocol/mllp/Header.java
+++ b/src/main/java/lilaclever/protocol/mllp/Header.java
@@ -6,10 +6,10 @@
 import java.util.Map;
 import lilaclever.protocol.mllp.Hl7Fault.Code;
 
-/** The first segment of a message: the fields as they were sent, in the sender's characters and delimiters. */
+/** The MSH segment of a message: the fields as sent, in the sender's character set and delimiters. */
 final class Header {
     private static final int MAX_HEADER_BYTES = 4096, MIN_FIELDS = 12, MAX_FIELDS = 40;
-    /** HL7's table 0211, as far as one byte or UTF-8 goes. */
+    /** The supported character sets of HL7 table 0211: single-byte ones and UTF-8. */
     private static final Map<String, Charset> CHARSETS = Map.of(
             "",
             StandardCharsets.ISO_8859_1,
@@ -36,12 +36,12 @@
         this.charset = charset;
     }
 
-    /** A header for whoever sent nothing that can be read. */
+    /** A header for the answer to input without a readable header. */
     static Header placeholder() {
         return new Header('|', split("MSH|^~\\&||||||||||2.5", '|'), StandardCharsets.ISO_8859_1);
     }
 
-    /** Reads the header of a message; as lenient as an answer to it needs. */
+    /** Reads the header of a message, leniently: it checks only what an answer to the sender depends on. */
     static Header read(byte[] message) throws Hl7Fault {
         if (message.length < 8 || message[0] != 'M' || message[1] != 'S' || message[2] != 'H') {
             throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "the message does not begin with MSH");
@@ -78,10 +78,10 @@
     }
 
     private static String[] split(String text, char separator) {
-        return text.split("\\" + separator, -1); // never a letter or a digit, so this is the character itself
+        return text.split("\\" + separator, -1); // never a letter or digit, so the escape is literal
     }
 
-    /** Faults that need no more than the header: an answer to them has the sender's own header. */
+    /** Checks the header itself; the answer to a fault found here can use the sender's header. */
     void validate() throws Hl7Fault {
         if (fields.length < MIN_FIELDS || field(12).isEmpty()) {
             throw new Hl7Fault(Code.REQUIRED_FIELD_MISSING, "MSH", 12, "no version");
@@ -99,7 +99,7 @@
         }
     }
 
-    /** MSH-n as it was sent; empty where there is none. MSH-1 is the separator itself. */
+    /** MSH-n as sent, or an empty string if it is missing. MSH-1 is the field separator itself. */
     String field(int n) {
         return n == 1 ? String.valueOf(separator) : n - 1 < fields.length ? fields[n - 1] : "";
     }
@@ -118,7 +118,7 @@
         return split(field(n), encodingCharacters().charAt(0))[0];
     }
 
-    /** The second component of MSH-n; empty where there is none. */
+    /** The second component of MSH-n, or an empty string if it is missing. */
     String secondComponent(int n) {
         String[] parts = split(field(n), encodingCharacters().charAt(0));
         return parts.length > 1 ? parts[1] : "";
--- a/src/main/java/lilaclever/protocol/mllp/Hl7Fault.java
+++ b/src/main/java/lilaclever/protocol/mllp/Hl7Fault.java
@@ -1,10 +1,10 @@
 package lilaclever.protocol.mllp;
 
-/** Why a message is not taken on: a code of HL7's table 0357, and the segment and field at fault. */
+/** The reason for rejecting a message: an error code of HL7 table 0357, and the segment and field with the error. */
 final class Hl7Fault extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** Codes of HL7's table 0357, with its texts. */
+    /** Error codes of HL7 table 0357 and their texts. */
     enum Code {
         SEGMENT_SEQUENCE(100, "Segment sequence error"),
         REQUIRED_FIELD_MISSING(101, "Required field missing"),
@@ -30,7 +30,7 @@
     private final String segment;
     private final int field;
 
-    /** {@code field} 0: the segment as a whole; {@code segment} empty: the message as a whole. */
+    /** {@code field} 0 refers to the whole segment, an empty {@code segment} to the whole message. */
     Hl7Fault(Code code, String segment, int field, String detail) {
         super(detail);
         this.code = code;
--- a/src/main/java/lilaclever/protocol/mllp/Hl7Reader.java
+++ b/src/main/java/lilaclever/protocol/mllp/Hl7Reader.java
@@ -17,8 +17,9 @@
 import lilaclever.protocol.mllp.MllpSettings.Field;
 
 /**
- * Reads HL7 messages as far as they concern us: the header, and the fields that the settings name. The rest is checked
- * for what could not be passed on, and never taken apart: a message of 64 KiB costs little more than a small one.
+ * Reads the parts of HL7 messages that forwarding needs: the header and the fields named in the settings. The rest is
+ * checked for content that must not be forwarded but is not parsed, so a message of 64 KiB costs little more than a
+ * small one.
  */
 final class Hl7Reader {
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,6})?");
@@ -30,14 +31,14 @@
     private final MllpSettings settings;
     private final LongSupplier monotonicMicros, wallMicros;
 
-    /** Times are the loop's: the monotonic clock, and the wall clock, microseconds. */
+    /** The clocks, monotonic and wall, are those of the event loop, in microseconds. */
     Hl7Reader(MllpSettings settings, LongSupplier monotonicMicros, LongSupplier wallMicros) {
         this.settings = settings;
         this.monotonicMicros = monotonicMicros;
         this.wallMicros = wallMicros;
     }
 
-    /** Puts a message in our terms. */
+    /** Maps a message to a request; throws if it can't be accepted. */
     Request read(Header header, byte[] message) throws Hl7Fault {
         header.validate();
         checkVersionAndProcessingId(header);
@@ -84,8 +85,8 @@
     }
 
     /**
-     * Segments end in CR, have names, and hold no control characters: what a partner could read in two ways is not
-     * passed on.
+     * Checks that segments end in CR, have names and contain no control characters: anything that a partner could
+     * interpret in two ways is not forwarded.
      */
     private static void checkSegments(Header header, byte[] message) throws Hl7Fault {
         int start = 0;
@@ -103,7 +104,7 @@
     private static void checkSegment(Header header, byte[] message, int from, int to) throws Hl7Fault {
         int start = from;
         if (start < to && message[start] == '\n') {
-            start++; // CR LF ends a segment with some senders
+            start++; // some senders end segments in CR LF
         }
         if (start == to) {
             return;
@@ -158,7 +159,7 @@
         if (sender.length() == 1) {
             throw new Hl7Fault(Code.REQUIRED_FIELD_MISSING, "MSH", 3, "no sender");
         }
-        return toToken(sender.replace('/', '%'), 64); // a practice's name has no '/'
+        return toToken(sender.replace('/', '%'), 64); // names of practices contain no '/'
     }
 
     private String key(Header header, byte[] message) throws Hl7Fault {
@@ -174,7 +175,8 @@
     }
 
     /**
-     * The same text for the same value, fit for the journal and for a header of HTTP; a readable value stays itself.
+     * Turns a value into a token that is valid in the journal and in an HTTP header. Equal values give equal tokens; a
+     * value that is already valid is returned unchanged, any other is replaced by its hash.
      */
     static String toToken(String value, int maxLength) {
         if (value.length() <= maxLength && value.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '%')) {
@@ -195,7 +197,8 @@
     }
 
     /**
-     * A field's value, escapes undone; empty where there is none. The library sees the header and that segment alone.
+     * The unescaped value of a field, or an empty string if it is missing. The HL7 library parses only the header and
+     * the segment with the field.
      */
     private static String fieldValue(Header header, byte[] message, Field field) throws Hl7Fault {
         String segment = findSegment(header, message, field.segment());
@@ -214,7 +217,7 @@
         }
     }
 
-    /** The first segment of that name. */
+    /** The first segment with this name, or null. */
     private static String findSegment(Header header, byte[] message, String name) {
         for (int start = 0; start < message.length; ) {
             int end = start;
@@ -252,7 +255,7 @@
                 return Math.max(0, Math.min(MAX_BUDGET_MICROS, deadlineMicros - wallMicros.getAsLong()));
             }
         } catch (DateTimeException e) {
-            // told below
+            // reported below
         }
         throw new Hl7Fault(Code.DATA_TYPE, field.segment(), field.number(), "neither seconds nor a time");
     }
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -21,14 +21,14 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The listeners of the front and their connections: who may connect, and how many. Loop thread, but for the filter,
- * which runs on the selector thread.
+ * The listeners of the front and their connections; enforces which networks may connect and how many connections. Loop
+ * thread, except the filter, which runs on the selector thread.
  */
 final class MllpConnections {
     private final MllpFront front;
     private final Core core;
     private final Set<MllpSession> sessions = new LinkedHashSet<>();
-    /** Connections of each listener, and of each address at each listener. */
+    /** The number of connections of each listener, and of each client address at each listener. */
     private final Map<String, Integer> connectionCounts = new HashMap<>();
 
     private final List<Connection<?>> listeners = new ArrayList<>();
@@ -37,13 +37,13 @@
     private final AtomicLong rejected = new AtomicLong();
     private boolean closing;
 
-    /** None yet. {@code front} gets the messages. */
+    /** Starts without listeners; messages are passed to {@code front}. */
     MllpConnections(MllpFront front, Core core) {
         this.front = front;
         this.core = core;
     }
 
-    /** Listens at an address; gives the one that is bound. */
+    /** Listens at an address; returns the bound address. */
     SocketAddress listen(Transport transport, MllpSettings.Listener listener) throws IOException {
         var server = transport.listen(
                 Transport.parseAddress(listener.address()), Transport.chain(new SessionFilter(listener)));
@@ -57,7 +57,7 @@
         listeners.forEach(Connection::closeSilently);
     }
 
-    /** The latest open connection of that practice; null if it has none. */
+    /** The most recent open connection of the practice, or null if it has none. */
     MllpSession latestOf(String practice) {
         MllpSession latest = null;
         for (MllpSession session : sessions) {
@@ -66,12 +66,12 @@
         return latest;
     }
 
-    /** How many are open. */
+    /** The number of open connections. */
     int count() {
         return sessions.size();
     }
 
-    /** How many were closed at once: from a network that may not connect, or too many. Any thread. */
+    /** The number of connections rejected because of their network or a connection limit. Any thread. */
     long rejectedCount() {
         return rejected.get();
     }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -18,20 +18,20 @@
 import lilaclever.transport.Transport;
 
 /**
- * The front of HL7 v2 over MLLP. In enhanced mode the accept acknowledgement says that a message is in the journal, and
- * the application acknowledgement tells its end: on the connection that it came on, on another one of its practice,
- * or on the next. In original mode there is one acknowledgement, the end. A client that asks again, by sending the same
- * message, joins the one that is held or is told its end. Loop thread.
+ * The front for HL7 v2 over MLLP. In enhanced mode the accept acknowledgement says that a message is in the journal,
+ * and the application acknowledgement reports its final status: on the connection that it came on, on another one of its
+ * practice, or on the next one. In original mode there is one acknowledgement, for the final status. A client that
+ * sends the same message again is attached to the pending one, or gets the remembered final status. Loop thread.
  */
 public final class MllpFront implements Front {
-    /** After so long a client that was turned away for want of room may come again, microseconds. */
+    /** The retry delay given to clients that are rejected for lack of capacity. */
     private static final long BUSY_RETRY_AFTER_MICROS = 1_000_000;
-    /** Characters of a control id that go into ours. */
+    /** Number of characters of the client's control id that become part of the message id. */
     private static final int MAX_CONTROL_ID_LENGTH = 40;
-    /** Of connections closed for what came on them, one in so many is logged. */
+    /** Only one in this many connections closed for bad input is logged, which bounds the log. */
     private static final int LOG_ONE_IN = 100;
 
-    /** Who waits for a message's answers on this port: the last connection that asked. */
+    /** The session that waits for the answers to a message: the last one that sent it. */
     private static final class Waiter {
         final MllpSession session;
         final Request request;
@@ -42,7 +42,7 @@
             this.request = request;
         }
 
-        /** It has its first answer, or another connection gets it. */
+        /** The session has got its first answer, or another session gets it instead. */
         void markAnswered() {
             if (!answered) {
                 answered = true;
@@ -59,13 +59,13 @@
     private final MllpConnections connections;
     private final FinalAnswers finalAnswers;
     private final Map<Message, Waiter> waiters = new HashMap<>();
-    /** Messages held of each practice that came on this port. */
+    /** The number of pending messages of each practice that came through this front. */
     private final Map<String, Integer> pendingByPractice = new HashMap<>();
 
     private final AtomicLong closedForBadInput = new AtomicLong();
     private long nextNumber;
 
-    /** A front that listens nowhere yet. */
+    /** Creates a front that does not listen yet. */
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
@@ -92,7 +92,7 @@
         return true;
     }
 
-    /** Listens at all addresses; gives those bound. */
+    /** Listens at all configured addresses; returns the bound addresses. */
     public List<SocketAddress> listen(Transport transport) throws IOException {
         List<SocketAddress> bound = new ArrayList<>();
         for (MllpSettings.Listener listener : settings.listeners()) {
@@ -102,12 +102,12 @@
         return bound;
     }
 
-    /** Accepts no more connections; messages are refused by the core from now on. */
+    /** Accepts no more connections; the core refuses messages from now on. */
     public void close() {
         connections.close();
     }
 
-    /** Ends owed to clients that are away; the journal keeps them. */
+    /** The number of final answers pending for disconnected clients; the journal retains them. */
     public int pendingAnswerCount() {
         return finalAnswers.size();
     }
@@ -120,17 +120,16 @@
         return reader;
     }
 
-    /** A connection is closed for what came on it. Any thread. */
+    /** Counts, and sometimes logs, a connection that is closed for bad input. Any thread. */
     void recordBadClient(String address, String why) {
         core.counters().add(Name.BAD_REQUESTS);
-        if (closedForBadInput.incrementAndGet() % LOG_ONE_IN
-                == 1) { // the first, and then one in a hundred: a log is bounded too
+        if (closedForBadInput.incrementAndGet() % LOG_ONE_IN == 1) {
             Logs.warn("mllp", "bad-client", address + ": " + why + ": closed", "client", address);
         }
     }
 
-    // ---- hand-ins ---------------------------------------------------------------------------------------
-    /** Nothing could be read of it that makes a message. */
+    // Submissions
+    /** Answers input that could not be read as an acceptable message. */
     void rejectUnreadable(MllpSession session, Header requestHeader, Hl7Fault fault) {
         core.counters().add(Name.BAD_REQUESTS);
         writeIfPresent(session, replies.unreadable(requestHeader, fault));
@@ -155,7 +154,7 @@
         }
     }
 
-    /** The core is not asked. */
+    /** Rejects a message without submitting it to the core. */
     private void replyBusy(MllpSession session, Request request, String why) {
         session.onAnswered();
         writeIfPresent(
@@ -196,7 +195,7 @@
                 budget);
     }
 
-    /** The control id for people, and what makes it like no other. */
+    /** The control id, for readability, with a suffix that makes the id unique. */
     private String messageId(Request request) {
         String control = request.header().field(10).replaceAll("[^A-Za-z0-9_-]", "");
         return control.substring(0, Math.min(MAX_CONTROL_ID_LENGTH, control.length()))
@@ -206,7 +205,7 @@
                 + Long.toString(nextNumber++, Character.MAX_RADIX);
     }
 
-    /** The message was not taken on, or its end is remembered: the client that asks again gets it again. */
+    /** Answers a message that was not accepted, or whose final status is remembered from an earlier submission. */
     private void answerImmediately(MllpSession session, Header requestHeader, FinalStatus finalStatus) {
         if (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED) {
             replies.remembered(requestHeader, finalStatus).forEach(session::write);
@@ -215,7 +214,7 @@
         }
     }
 
-    // ---- what the core tells ----------------------------------------------------------------------------
+    // Notifications from the core
     @Override
     public void onAccepted(Message message) {
         Waiter waiter = waiters.get(message);
@@ -230,7 +229,7 @@
         }
         waiter.accepted = true;
         if (Request.isOriginalMode(waiter.request.header())) {
-            return; // its one acknowledgement is the end
+            return; // the only acknowledgement is for the final status
         }
         waiter.markAnswered();
         writeIfPresent(waiter.session, replies.accepted(waiter.request.header()));
@@ -273,12 +272,12 @@
         finalAnswers.send(session, new FinalAnswers.Answer(header, message, finalStatus, settled));
     }
 
-    /** The header of a message whose client is not here, as its body has it. */
+    /** The header from the body of a message without a waiting session; null if the body has none. */
     private static Header storedHeader(Message message) {
         try {
             return Header.read(message.submission.body());
         } catch (Hl7Fault e) {
-            return null; // handed in on another port first: whoever joined it here sent the same bytes
+            return null; // submitted through another front first; duplicates attached here have the same bytes
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -8,13 +8,13 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One client's connection. Bytes are read on the selector thread, messages are taken and answered on the loop's; the
- * fields that both use are volatile or atomic.
+ * One client connection. Bytes are read on the selector thread, messages are handled and answered on the loop thread;
+ * fields used by both are volatile or atomic.
  */
 final class MllpSession {
-    /** Answers that the client has not read yet, bytes. */
+    /** Limit of acknowledgements that the client has not read yet. */
     private static final long MAX_UNREAD_BYTES = 256 * 1024;
-    /** Frames in a row that were no message: a client that sends nothing else is sent away. */
+    /** A connection with more unacceptable messages in a row than this is closed. */
     private static final int MAX_CONSECUTIVE_BAD_MESSAGES = 8;
 
     private static final long TIMEOUT_CHECK_INTERVAL_MICROS = 500_000;
@@ -26,11 +26,13 @@
     private final FrameReader reader;
     private final AtomicLong unreadBytes = new AtomicLong();
     private final AtomicInteger unanswered = new AtomicInteger();
+    /** When the partial frame began or, without one, when bytes were last received. */
     private volatile long sinceMicros = Core.monotonicMicros();
+
     private volatile boolean partialFrame, closed;
-    /** Selector thread. */
+    /** Used by the selector thread only. */
     private int consecutiveBadMessages;
-    /** Whose it is, once a message has told; loop thread. */
+    /** The practice of the last request, null before the first one; used by the loop thread only. */
     String practice;
 
     MllpSession(MllpFront front, MllpSettings.Listener listener, Connection<?> connection, String address) {
@@ -41,7 +43,7 @@
         reader = new FrameReader(listener.maxMessageBytes());
     }
 
-    // ---- selector thread --------------------------------------------------------------------------------
+    // Selector thread
     void onBytes(byte[] bytes) {
         if (closed) {
             return;
@@ -53,9 +55,8 @@
                 onFrame(frame);
             }
             partialFrame = reader.isPartial();
-            sinceMicros = partialFrame && wasPartial
-                    ? sinceMicros
-                    : Core.monotonicMicros(); // a frame counts from its first byte
+            // The timeout of a frame runs from its first byte.
+            sinceMicros = partialFrame && wasPartial ? sinceMicros : Core.monotonicMicros();
         } catch (FrameReader.MalformedFrameException e) {
             front.recordBadClient(address, e.getMessage());
             close();
@@ -74,8 +75,8 @@
             onMessage(message, fault);
         }
         if (consecutiveBadMessages > MAX_CONSECUTIVE_BAD_MESSAGES) {
-            front.recordBadClient(address, "nothing but bad messages");
-            // Its last answer is on the way to the loop, and goes out before the close.
+            front.recordBadClient(address, "too many bad messages in a row");
+            // The last answer is already posted to the loop and is written before the close.
             front.core().post(() -> Transport.write(connection, new byte[0], this::close, this::close));
         }
     }
@@ -98,7 +99,7 @@
         }
     }
 
-    // ---- any thread -------------------------------------------------------------------------------------
+    // Any thread
     MllpSettings.Listener listener() {
         return listener;
     }
@@ -112,18 +113,18 @@
         return !closed && connection.isOpen();
     }
 
-    // ---- loop thread ------------------------------------------------------------------------------------
-    /** The message has its first answer. */
+    // Loop thread
+    /** A message of this session has got its first answer. */
     void onAnswered() {
         unanswered.decrementAndGet();
     }
 
-    /** Writes an acknowledgement that nothing depends on: where it is lost, its client asks again. */
+    /** Writes an acknowledgement whose loss needs no handling, as the client then sends the message again. */
     void write(byte[] message) {
         write(message, () -> {}, () -> {});
     }
 
-    /** Writes an acknowledgement; one of the two is run, on any thread. */
+    /** Writes an acknowledgement, then runs either {@code written} or {@code lost}, on any thread. */
     void write(byte[] message, Runnable written, Runnable lost) {
         byte[] frame = FrameReader.encode(message);
         if (!isOpen()) {
@@ -131,7 +132,7 @@
             return;
         }
         if (unreadBytes.addAndGet(frame.length) > MAX_UNREAD_BYTES) {
-            front.recordBadClient(address, "answers are not read");
+            front.recordBadClient(address, "client does not read its acknowledgements");
             close();
             lost.run();
             return;
@@ -149,14 +150,14 @@
                 });
     }
 
-    /** Looks now and then whether it has been silent or in a frame for too long. */
+    /** Checks periodically whether the connection has been idle or a frame incomplete for too long. */
     void checkTimeouts() {
         if (!isOpen()) {
             return;
         }
         long nowMicros = Core.monotonicMicros();
         if (partialFrame && nowMicros - sinceMicros >= listener.frameTimeoutMicros()) {
-            front.recordBadClient(address, "a frame without an end");
+            front.recordBadClient(address, "frame not completed in time");
             close();
         } else if (!partialFrame && unanswered.get() == 0 && nowMicros - sinceMicros >= listener.idleTimeoutMicros()) {
             close();
--- a/src/main/java/lilaclever/protocol/mllp/MllpSettings.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSettings.java
@@ -6,22 +6,22 @@
 import lilaclever.transport.AddressSet;
 
 /**
- * What the operator's file says of the HL7 ports, checked.
+ * The validated settings of the HL7 ports in the operator's file.
  *
- * @param listeners where clients connect
- * @param practices the practice's name for each sender: MSH-3, or MSH-3|MSH-4
- * @param anySender whether a sender of no practice is its own practice; else it is refused
- * @param events the class for each event: MSH-9.1, or MSH-9.1^MSH-9.2
- * @param unknownEventClass the class of a message that no event names: one that must not be repeated; -1: it is refused
- * @param destinations the destination for each receiver: MSH-5, or MSH-5|MSH-6
- * @param budgetsMicros how long a message of each class may be delivered, microseconds
- * @param keyField the field that tells a message from others of its practice
- * @param deadlineField the field that tells until when it is wanted, or null
- * @param processingIds the processing ids (MSH-11) that are taken
- * @param versions the versions (MSH-12) that are taken
- * @param maxPendingPerPractice messages of one practice that may be held
- * @param answerRetentionMicros how long an end is owed to a client that is away
- * @param maxPendingAnswers ends owed to clients that are away, in all
+ * @param listeners the addresses where clients connect
+ * @param practices the practice of each sender, by MSH-3 or MSH-3|MSH-4
+ * @param anySender whether an unknown sender counts as a practice of its own; otherwise it is rejected
+ * @param events the message class of each event, by MSH-9.1 or MSH-9.1^MSH-9.2
+ * @param unknownEventClass the class, without repeats, of messages with other events; -1 rejects them
+ * @param destinations the destination of each receiver, by MSH-5 or MSH-5|MSH-6
+ * @param budgetsMicros how long a message of each class may take to deliver
+ * @param keyField the field that identifies a message within its practice
+ * @param deadlineField the field with the delivery deadline, or null
+ * @param processingIds the accepted processing ids (MSH-11)
+ * @param versions the accepted versions (MSH-12)
+ * @param maxPendingPerPractice limit of pending messages per practice
+ * @param answerRetentionMicros how long a final answer is retained for a disconnected client
+ * @param maxPendingAnswers limit of final answers retained for all disconnected clients
  */
 public record MllpSettings(
         List<Listener> listeners,
@@ -39,13 +39,15 @@
         long answerRetentionMicros,
         int maxPendingAnswers) {
     /**
-     * Where clients connect.
+     * An address where clients connect.
      *
-     * @param maxConnections of all clients at most, and of one address at most
-     * @param maxInFlight messages of one connection that wait for their first answer
-     * @param maxMessageBytes bytes of a message
-     * @param idleTimeoutMicros a connection is closed after so long without a message
-     * @param frameTimeoutMicros a frame that has begun must end within so long
+     * @param networks the networks that may connect
+     * @param maxConnections limit of connections to this listener
+     * @param maxConnectionsPerAddress limit of connections from one client address
+     * @param maxInFlight limit of messages of one connection without a first answer
+     * @param maxMessageBytes limit of the size of a message
+     * @param idleTimeoutMicros idle time after which a connection is closed
+     * @param frameTimeoutMicros time within which a started frame must be complete
      */
     public record Listener(
             String name,
@@ -65,7 +67,7 @@
             return Integer.parseInt(path.split("-")[1]);
         }
 
-        /** Reads one; null if the text is none. */
+        /** Parses a field reference; returns null if the text is not one. */
         public static Field parse(String text) {
             return text.matches("[A-Z][A-Z0-9]{2}-[1-9][0-9]?(-[1-9][0-9]?)?")
                     ? new Field(text.substring(0, 3), text)
@@ -73,7 +75,7 @@
         }
     }
 
-    /** The value for what is named in full, else for its first part; null if neither is known. */
+    /** The value for both parts of the name, else for the first part alone, or null. */
     static <V> V find(Map<String, V> map, String first, char separator, String second) {
         V exact = map.get(first + separator + second);
         return exact != null ? exact : map.get(first);
--- a/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
@@ -7,35 +7,35 @@
 import java.util.Map;
 
 /**
- * Ends that are owed to clients who are away: which are kept, for how long, and who gets them. No I/O and no clock.
- * Each entry leaves by one way alone: it is taken to be told, it is withdrawn since its client asks again, or it is
- * given up because its time is over or newer ones need the room; a client that asks again later is told the end that is
- * remembered.
+ * Final answers retained for disconnected clients, with a limit and an expiry time. No I/O and no clock. Each entry is
+ * removed in exactly one way: it is taken for sending, withdrawn because its client has sent the message again, or
+ * discarded because it has expired, is replaced or the limit is reached. A client that sends the message again after
+ * that gets the remembered final status.
  *
- * @param <T> what is told
+ * @param <T> the type of the answers
  */
 final class PendingAnswers<T> {
     private record Entry<T>(String practice, T answer, long expiresAtMicros) {}
 
     private final int maxEntries;
     private final long retentionMicros;
-    /** By identity, the oldest first: all are kept for the same time, so that is also the order of their ends. */
+    /** By identity, oldest first: all are retained for the same time, so this is also the order of expiry. */
     private final Map<String, Entry<T>> entries = new LinkedHashMap<>();
 
     private long discardedCount;
 
-    /** So many in all, each for so long. */
+    /** Retains at most {@code maxEntries} answers, each for {@code retentionMicros}. */
     PendingAnswers(int maxEntries, long retentionMicros) {
         this.maxEntries = maxEntries;
         this.retentionMicros = retentionMicros;
     }
 
-    /** An end is owed; gives those that are given up for it, maybe this one. */
+    /** Adds an answer; returns those discarded in its favour, possibly the answer itself. */
     List<T> add(String identity, String practice, T answer, long nowMicros) {
         List<T> removed = new ArrayList<>();
         Entry<T> previous = entries.remove(identity);
         if (previous != null) {
-            removed.add(previous.answer()); // an earlier end under the same identity: only the last one is news
+            removed.add(previous.answer()); // replaced: only the latest answer for an identity counts
         }
         entries.put(identity, new Entry<>(practice, answer, nowMicros + retentionMicros));
         Iterator<Entry<T>> oldest = entries.values().iterator();
@@ -47,7 +47,7 @@
         return removed;
     }
 
-    /** Gives those whose time is over. */
+    /** Removes and returns the expired answers. */
     List<T> expired(long nowMicros) {
         List<T> removed = new ArrayList<>();
         Iterator<Entry<T>> oldest = entries.values().iterator();
@@ -63,7 +63,7 @@
         return removed;
     }
 
-    /** The practice is here: gives what is owed to it, so many at most, the oldest first. */
+    /** Removes and returns the oldest answers for a practice that has connected. */
     List<T> take(String practice, int maxCount) {
         List<T> removed = new ArrayList<>();
         Iterator<Entry<T>> remaining = entries.values().iterator();
@@ -77,18 +77,18 @@
         return removed;
     }
 
-    /** The client asks for it itself: what was owed would be a second answer. Null if nothing was. */
+    /** Removes the answer for a message that its client has sent again; returns null if there was none. */
     T withdraw(String identity) {
         Entry<T> entry = entries.remove(identity);
         return entry == null ? null : entry.answer();
     }
 
-    /** How many there are. */
+    /** The number of retained answers. */
     int size() {
         return entries.size();
     }
 
-    /** How many were given up untold. */
+    /** The number of answers discarded before they were taken. */
     long discardedCount() {
         return discardedCount;
     }
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -8,24 +8,24 @@
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
- * Which acknowledgement a client gets for what became of its message: by its mode, and by the outcomes that its header
- * wants to be told (MSH-15 and MSH-16). Loop thread.
+ * Chooses the acknowledgement for the outcome of a message, by the client's mode and the acknowledgement conditions in
+ * its header (MSH-15 and MSH-16). Loop thread.
  */
 final class Replies {
     private final Acknowledgements acknowledgements;
     private final Field keyField;
 
     /**
-     * Replies in the words of these acknowledgements.
+     * Creates replies with {@code acknowledgements}.
      *
-     * @param key the field that tells messages of a practice apart
+     * @param key the field that identifies a message within its practice
      */
     Replies(Acknowledgements acknowledgements, Field keyField) {
         this.acknowledgements = acknowledgements;
         this.keyField = keyField;
     }
 
-    /** For what could not be read as a message; null if none is wanted. */
+    /** The reply to input that could not be read as an acceptable message, or null if none is wanted. */
     byte[] unreadable(Header requestHeader, Hl7Fault fault) {
         boolean rejected = switch (fault.code()) {
             case UNSUPPORTED_PROCESSING_ID, UNSUPPORTED_VERSION, UNSUPPORTED_EVENT -> true;
@@ -35,7 +35,7 @@
         return code == null ? null : acknowledgements.fault(code, requestHeader, fault);
     }
 
-    /** For a message that was not taken on, with the reason; null if none is wanted. */
+    /** The reply, with the reason, to a message that was not accepted, or null if none is wanted. */
     byte[] notAccepted(Header requestHeader, FinalStatus finalStatus) {
         boolean refused = finalStatus.kind() == Kind.REFUSED;
         Code code = notAcceptedCode(requestHeader, refused, false);
@@ -51,8 +51,8 @@
     }
 
     /**
-     * The code for what was not taken on, as the sender wants to be told; null: not at all. {@code rejected}: AR in
-     * place of AE.
+     * The code for a message that was not accepted, or null if the sender wants no acknowledgement. {@code rejected}
+     * chooses AR instead of AE.
      */
     private static Code notAcceptedCode(Header requestHeader, boolean retryable, boolean rejected) {
         if (Request.wantsAcceptAcknowledgement(requestHeader, false)) {
@@ -69,19 +69,19 @@
                 Hl7Fault.Code.DUPLICATE_KEY, keyField.segment(), keyField.number(), "another message has it");
     }
 
-    /** The accept acknowledgement of a message that was taken on; null if none is wanted. */
+    /** The accept acknowledgement of an accepted message, or null if none is wanted. */
     byte[] accepted(Header requestHeader) {
         return Request.wantsAcceptAcknowledgement(requestHeader, true)
                 ? acknowledgements.positive(Code.CA, requestHeader)
                 : null;
     }
 
-    /** For a message whose end is remembered, delivered or failed: one, both or none. */
+    /** The acknowledgements, none to two, of a repeat of a message that is remembered as delivered or failed. */
     List<byte[]> remembered(Header requestHeader, FinalStatus finalStatus) {
         List<byte[]> replies = new ArrayList<>();
         boolean delivered = finalStatus.kind() == Kind.DELIVERED;
         boolean wantsFinal = Request.wantsApplicationAcknowledgement(requestHeader, delivered);
-        // Where no application acknowledgement is wanted, the accept acknowledgement is all that can tell the end.
+        // Without an application acknowledgement, only the accept acknowledgement can report the failure.
         boolean positive = delivered || Request.wantsApplicationAcknowledgement(requestHeader, false);
         if (Request.wantsAcceptAcknowledgement(requestHeader, positive)) {
             replies.add(
@@ -95,7 +95,7 @@
         return replies;
     }
 
-    /** The application acknowledgement that tells how a message ended. */
+    /** The application acknowledgement for the final status of a message. */
     byte[] finalStatus(Header requestHeader, FinalStatus finalStatus) {
         return switch (finalStatus.kind()) {
             case DELIVERED -> acknowledgements.positive(Code.AA, requestHeader);
--- a/src/main/java/lilaclever/protocol/mllp/Request.java
+++ b/src/main/java/lilaclever/protocol/mllp/Request.java
@@ -4,11 +4,11 @@
 import lilaclever.identity.Identity;
 
 /**
- * One message as a client handed it in, in our terms.
+ * One message as submitted by a client.
  *
- * @param practice whose it is
- * @param key what tells it from others of its practice
- * @param arrivedMicros when its last byte was read
+ * @param practice the practice that the sender belongs to
+ * @param key identifies the message within its practice
+ * @param arrivedMicros when the last byte of the message was read
  */
 record Request(
         Header header,
@@ -19,7 +19,7 @@
         int destination,
         long budgetMicros,
         long arrivedMicros) {
-    /** When a sender wants an acknowledgement; HL7's table 0155. */
+    /** When a sender wants an acknowledgement (HL7 table 0155). */
     private enum AcknowledgementCondition {
         ALWAYS,
         NEVER,
@@ -40,19 +40,20 @@
         }
     }
 
-    /** The identity that it has on all ports. */
+    /** The identity of the message, the same in all fronts. */
     String identity() {
         return new Identity(practice, key).text();
     }
 
     /**
-     * The key for the partner: control ids are not each practice's own, and a partner drops what it takes for a repeat.
+     * The idempotency key sent to the partner. It includes the practice, as control ids of different practices may be
+     * equal and a partner drops what it takes for a repeat.
      */
     String deliveryKey() {
         return Hl7Reader.toToken(practice + '.' + key, 128);
     }
 
-    /** True if the sender expects one acknowledgement, the final one: neither MSH-15 nor MSH-16 is there. */
+    /** True in original mode, with only a final acknowledgement: MSH-15 and MSH-16 are both absent. */
     static boolean isOriginalMode(Header header) {
         return isAbsent(header.field(15)) && isAbsent(header.field(16));
     }
@@ -61,19 +62,19 @@
         return field.isEmpty() || field.equals("\"\"");
     }
 
-    /** True if an accept acknowledgement is wanted where the taking-on goes so. */
+    /** True if the sender wants an accept acknowledgement for this outcome. */
     static boolean wantsAcceptAcknowledgement(Header header, boolean success) {
         return !isOriginalMode(header)
                 && AcknowledgementCondition.of(header.field(15)).appliesTo(success);
     }
 
-    /** True if an application acknowledgement is wanted for an end of that sort. */
+    /** True if the sender wants an application acknowledgement for this outcome. */
     static boolean wantsApplicationAcknowledgement(Header header, boolean success) {
         return isOriginalMode(header)
                 || AcknowledgementCondition.of(header.field(16)).appliesTo(success);
     }
 
-    /** True if application acknowledgements may come on whichever connection: the sender knows them by their id. */
+    /** True if application acknowledgements may be sent on any connection, to be matched by control id. */
     static boolean wantsLaterAcknowledgements(Header header) {
         return !isOriginalMode(header)
                 && AcknowledgementCondition.of(header.field(16)) != AcknowledgementCondition.NEVER;
--- a/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/FrameReaderTest.java
@@ -19,13 +19,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Frames, whole and spoilt, in pieces of any size. */
+/** Reading of valid, partial and malformed frames from fragmented input. */
 class FrameReaderTest {
     private static byte[] bytes(String text) {
         return text.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1);
     }
 
-    /** Guards against reading on behind what can't be told from noise: another message could hide there. */
+    /** Guards against reading on after malformed input, where another message could be smuggled in. */
     @ParameterizedTest
     @ValueSource(strings = {"MSH", "\u000bMSH\u000b", "\u000bMSH\u001cX", "\u000b0123456789", "\u000bA\u001c\rnoise"})
     void malformedInputIsRejected(String text) {
@@ -42,14 +42,14 @@
                 .ofMaxSize(5);
     }
 
-    /** However they are cut, all messages come out whole and in order, and nothing is left. */
+    /** All messages are read complete and in order, however the input is fragmented, and nothing is left over. */
     @Property(tries = 300, seed = "-1")
     void messagesSurviveAnyFragmentation(@ForAll("messages") List<byte[]> messages, @ForAll("cuts") List<Integer> cuts)
             throws MalformedFrameException {
         ByteArrayOutputStream stream = new ByteArrayOutputStream();
         for (byte[] message : messages) {
             stream.writeBytes(FrameReader.encode(message));
-            stream.writeBytes(bytes("\r\n")); // some senders add it
+            stream.writeBytes(bytes("\r\n")); // some senders add this
         }
         byte[] wire = stream.toByteArray();
         FrameReader reader = new FrameReader(1200);
@@ -72,7 +72,7 @@
         return Arbitraries.integers().between(1, 700).list().ofMaxSize(6);
     }
 
-    /** A half frame shows, so that it can be given up in time. */
+    /** A partial frame is reported, so that its timeout can be enforced. */
     @ParameterizedTest
     @ValueSource(strings = {"\u000b", "\u000bMSH", "\u000bMSH\u001c"})
     void partialFrameIsReported(String text) throws MalformedFrameException {
--- a/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/Hl7ReaderTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Messages read, refused with the place at fault, and acknowledged. */
+/** Reading of messages, faults with the location of the error, and acknowledgements. */
 class Hl7ReaderTest {
     private static final String GOOD = "MSH|^~\\&|APP|FAC|LAB|LF|20260101120000||ORM^O01|M1|P|2.5|||AL|AL|CAN|8859/1\r"
             + "PID|1||77\rORC|NW|ORD\\F\\1\rZLC|12.5\r";
@@ -72,7 +72,7 @@
         assertEquals("south", read(GOOD.replace("FAC", "OTHER"), "MSH-10").practice());
         assertEquals("ORD|1", read(GOOD, "ORC-2").key());
         assertEquals(2, read(GOOD.replace("ORM^O01", "DFT^P03"), "MSH-10").messageClass());
-        assertEquals(2, read(GOOD.replace("ORM^O01", "ZZZ^Z99"), "MSH-10").messageClass()); // must not be repeated
+        assertEquals(2, read(GOOD.replace("ORM^O01", "ZZZ^Z99"), "MSH-10").messageClass()); // class without repeats
         assertEquals(20, read(GOOD.replace("ZLC|12.5", "ZLC|"), "MSH-10").budgetMicros());
         assertEquals(
                 4_000_000,
@@ -82,7 +82,7 @@
         assertEquals("north", read(GOOD.replace('|', '#'), "MSH-10").practice());
     }
 
-    /** Keys that would not fit a header or the journal still differ where the values do, and stay the same. */
+    /** Keys that are invalid in an HTTP header or the journal become tokens that are equal only for equal values. */
     @Test
     void keysAreBoundedPrintableTokens() throws Hl7Fault {
         String a = read(GOOD.replace("M1", "M 1"), "MSH-10").key();
@@ -94,7 +94,7 @@
                 .matches("[!-~]{1,128}"));
     }
 
-    /** Each fault names its code, segment and field. */
+    /** Each fault has the right code, segment and field. */
     @ParameterizedTest
     @CsvSource(
             delimiter = ';',
@@ -132,7 +132,7 @@
                 .replaceAll("\\|20\\d{12}[+-]\\d{4}\\|", "|TIME|");
     }
 
-    /** The sender's own header turned round, in its delimiters and version; ERR as its version has it. */
+    /** Acknowledgements use the sender's header with its delimiters, and the form of ERR of its version. */
     @Test
     void acknowledgementsFollowTheSendersVersion() throws Hl7Fault {
         Acknowledgements acks = new Acknowledgements("L-");
@@ -156,7 +156,7 @@
                 ack(acks.fault(Code.AE, old, fault)).replaceAll("#20\\d{12}[+-]\\d{4}#", "#TIME#"));
     }
 
-    /** Guards against an answer that its reader takes for two. */
+    /** Guards against control characters that make the client read one acknowledgement as two. */
     @Test
     void controlCharactersOfTheHeaderAreReplaced() throws Hl7Fault {
         Header h = Header.read(bytes("MSH|^~\\&|A\n\u0000P|F|L|L|||ORM|1|P|2.5\r"));
@@ -164,7 +164,7 @@
         assertTrue(ack.contains("A??P"), ack);
     }
 
-    /** Characters of two bytes come back as they were. */
+    /** Multi-byte characters of the header are returned unchanged. */
     @Test
     void acknowledgementsUseTheSendersCharset() throws Hl7Fault {
         byte[] utf = GOOD.replace("8859/1", "UNICODE UTF-8")
@@ -190,7 +190,7 @@
                         .toList());
     }
 
-    /** Guards against a part of a batch that was cut being taken for the whole. */
+    /** Guards against accepting a part of a truncated batch. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -225,7 +225,7 @@
                         }));
     }
 
-    /** Whatever comes is read or refused with a fault, and can be answered in one frame; nothing else is thrown. */
+    /** Any input is read or rejected with a fault, and can be answered in one frame; nothing else is thrown. */
     @Property(tries = 2000, seed = "-1")
     void onlyFaultsAreThrown(@ForAll("nearlyGood") byte[] message) {
         Header header = Header.placeholder();
--- a/src/test/java/lilaclever/protocol/mllp/PendingAnswersTest.java
+++ b/src/test/java/lilaclever/protocol/mllp/PendingAnswersTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Provide;
 import org.junit.jupiter.api.Test;
 
-/** Ends that are owed: each leaves by one way, and no more are kept than may be. */
+/** Pending answers: each is removed in exactly one way, and the limit holds. */
 class PendingAnswersTest {
     @Test
     void practiceReceivesItsAnswersInOrder() {
@@ -30,7 +30,7 @@
         assertEquals(0, pending.discardedCount());
     }
 
-    /** Guards against clients that never come back filling the journal and the memory. */
+    /** Guards against filling the journal and the memory with answers for clients that never reconnect. */
     @Test
     void oldestAnswersExpireOrAreEvicted() {
         PendingAnswers<String> pending = new PendingAnswers<>(2, 100);
@@ -38,7 +38,7 @@
         pending.add("2", "p", "b", 50);
         assertEquals(List.of("a"), pending.add("3", "p", "c", 60));
         assertEquals(List.of("b"), pending.expired(150));
-        assertEquals(List.of("c"), pending.add("3", "p", "d", 151)); // its end came anew
+        assertEquals(List.of("c"), pending.add("3", "p", "d", 151)); // replaces the previous answer
         assertEquals(3, pending.discardedCount());
         assertEquals(List.of("d"), pending.take("p", 5));
     }
@@ -48,7 +48,7 @@
         return Arbitraries.integers().between(0, 399).list().ofMaxSize(120);
     }
 
-    /** Each answer that went in comes out once, whatever happens in between. */
+    /** Each added answer is returned exactly once, whatever the sequence of operations. */
     @Property(tries = 300, seed = "-1")
     void eachAnswerIsReturnedExactlyOnce(@ForAll("steps") List<Integer> steps) {
         PendingAnswers<Integer> pending = new PendingAnswers<>(4, 30);
