--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -165,7 +165,7 @@
         private Call call;
         private Mail mail;
         private int replyLines;
-        private long maxServerBytes;
+        private long serverSizeLimitBytes;
         /** Whether the last byte of the content is written. Set by the writing thread before any close is posted. */
         private volatile boolean contentWritten;
 
@@ -290,7 +290,7 @@
         }
 
         private void startTransaction() {
-            maxServerBytes = 0;
+            serverSizeLimitBytes = 0;
             boolean offersEightBit = false;
             boolean offersPipelining = false;
             boolean offersSize = false;
@@ -299,12 +299,13 @@
                 offersPipelining |= extension.equals("PIPELINING");
                 if (extension.equals("SIZE") || extension.startsWith("SIZE ")) {
                     offersSize = true;
-                    maxServerBytes = extension.matches("SIZE \\d{1,15}") ? Long.parseLong(extension.substring(5)) : 0;
+                    serverSizeLimitBytes =
+                            extension.matches("SIZE \\d{1,15}") ? Long.parseLong(extension.substring(5)) : 0;
                 }
             }
             int contentBytes = mail.content().length();
-            if (maxServerBytes > 0 && contentBytes > maxServerBytes) {
-                endCall(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + maxServerBytes);
+            if (serverSizeLimitBytes > 0 && contentBytes > serverSizeLimitBytes) {
+                endCall(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + serverSizeLimitBytes);
                 return;
             }
             String mailCommand = "MAIL FROM:<" + mail.reversePath() + '>' + (offersSize ? " SIZE=" + contentBytes : "")
@@ -320,8 +321,8 @@
             return "RCPT TO:<" + mail.recipient() + ">\r\n";
         }
 
-        private void writeCommand(String text, Step... replies) {
-            expectedReplies.addAll(List.of(replies));
+        private void writeCommand(String text, Step... steps) {
+            expectedReplies.addAll(List.of(steps));
             Transport.write(connection, text, () -> {}, this::onWriteFailed);
         }
 
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -51,7 +51,7 @@
     private final List<Connection<?>> listeners = new ArrayList<>();
     private final String runId = Long.toString(System.currentTimeMillis(), Character.MAX_RADIX);
     private boolean closing;
-    private long nextNumber;
+    private long nextIdNumber;
 
     /** Receives the first answer to a submission: a {@link Reply} that it was accepted, or its final status. */
     private record Waiter(Consumer<Reply> answer) {}
@@ -110,7 +110,7 @@
     }
 
     private void submit(Mail mail, String identity, int messageClass, Consumer<Reply> answer) {
-        String id = name() + '-' + runId + '-' + Long.toString(nextNumber++, Character.MAX_RADIX);
+        String id = name() + '-' + runId + '-' + Long.toString(nextIdNumber++, Character.MAX_RADIX);
         Submission submission = new Submission(
                 id,
                 identity,
@@ -138,9 +138,9 @@
     }
 
     private void answerWaiters(Message message, Reply reply) {
-        List<Waiter> answered = waiters.remove(message);
-        if (answered != null) {
-            answered.forEach(waiter -> waiter.answer().accept(reply));
+        List<Waiter> removed = waiters.remove(message);
+        if (removed != null) {
+            removed.forEach(waiter -> waiter.answer().accept(reply));
         }
     }
 
@@ -202,7 +202,10 @@
     /** Reports a recipient that was rejected while others of the same mail were accepted. */
     void reportRejectedRecipient(Mail mail, Runnable reported) {
         sendReport(
-                "turned-down-" + runId + '-' + nextNumber++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
+                "turned-down-" + runId + '-' + nextIdNumber++,
+                mail,
+                FinalStatus.of(FinalStatus.Kind.REFUSED),
+                reported);
     }
 
     static String date() {
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -67,14 +67,14 @@
             bytes += lineBytes(line);
         }
         queueOverflowed = queuedBytes.addAndGet(bytes) > MAX_QUEUED_BYTES + settings.maxMessageBytes();
-        front.core().post(queueOverflowed ? () -> close("421 4.3.0 too much at once\r\n") : () -> processLines(lines));
+        front.core().post(queueOverflowed ? () -> close("421 4.3.0 too much at once\r\n") : () -> queueLines(lines));
     }
 
     private static int lineBytes(String line) {
         return line.length() + 2;
     }
 
-    private void processLines(List<String> lines) {
+    private void queueLines(List<String> lines) {
         if (closed) {
             return;
         }
@@ -173,14 +173,14 @@
         }
     }
 
-    private void handleHello(boolean supported, String client, boolean extended) {
+    private void handleHello(boolean supported, String name, boolean extended) {
         if (!supported) {
             reply(500, "5.5.1 not in " + (lmtp ? "LMTP" : "SMTP"));
-        } else if (client.isEmpty()) {
+        } else if (name.isEmpty()) {
             reply(501, "5.5.4 who are you?");
         } else {
             resetTransaction();
-            clientName = client;
+            clientName = name;
             String host = settings.hostName();
             write(
                     !extended
@@ -365,8 +365,8 @@
             positive = each.isPositive() ? each : positive;
             transientFailure = each.code() / 100 == 4 ? each : transientFailure;
         }
-        boolean deduplicated = MailFront.hasUsableMessageId(contentWithTrace);
-        return transientFailure != null && (deduplicated || positive == null)
+        boolean recognizable = MailFront.hasUsableMessageId(contentWithTrace);
+        return transientFailure != null && (recognizable || positive == null)
                 ? transientFailure
                 : positive != null ? positive : transactionReplies[0];
     }
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -28,7 +28,7 @@
     private static final DateTimeFormatter TIMESTAMP_FORMAT = DateTimeFormatter.ofPattern("yyyyMMddHHmmssZ");
 
     private final String controlIdPrefix;
-    private long nextNumber;
+    private long nextControlIdNumber;
 
     /** {@code controlIdPrefix} makes control ids differ from those of earlier process runs. */
     Acknowledgements(String controlIdPrefix) {
@@ -119,7 +119,7 @@
             TIMESTAMP_FORMAT.format(ZonedDateTime.now(ZoneId.systemDefault())),
             "",
             type,
-            controlIdPrefix + nextNumber++,
+            controlIdPrefix + nextControlIdNumber++,
             requestHeader.field(11),
             version,
             "",
--- a/src/main/java/lilaclever/protocol/mllp/Batch.java
+++ b/src/main/java/lilaclever/protocol/mllp/Batch.java
@@ -30,18 +30,21 @@
             while (end < frame.length && frame[end] != '\r') {
                 end++;
             }
-            String name = end - start < 3 ? "" : new String(frame, start, 3, StandardCharsets.ISO_8859_1);
+            String segmentName = end - start < 3 ? "" : new String(frame, start, 3, StandardCharsets.ISO_8859_1);
             if (ended && end > start) {
-                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, name, 0, "something follows the end");
+                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, segmentName, 0, "something follows the end");
             }
-            if (name.equals("MSH") || name.equals("BTS") || name.equals("FTS") || name.equals("BHS")) {
+            if (segmentName.equals("MSH")
+                    || segmentName.equals("BTS")
+                    || segmentName.equals("FTS")
+                    || segmentName.equals("BHS")) {
                 if (messageStart >= 0) {
                     messages.add(Arrays.copyOfRange(frame, messageStart, start));
                     messageCount++;
                 }
                 messageStart = -1;
             }
-            switch (name) {
+            switch (segmentName) {
                 case "MSH" -> {
                     if (!inBatch) {
                         throw new Hl7Fault(Code.SEGMENT_SEQUENCE, "MSH", 0, "a message outside of a batch");
@@ -68,7 +71,7 @@
                 case "FTS" -> ended = true;
                 default -> {
                     if (messageStart < 0 && end > start) {
-                        throw new Hl7Fault(Code.SEGMENT_SEQUENCE, name, 0, "a segment of no message");
+                        throw new Hl7Fault(Code.SEGMENT_SEQUENCE, segmentName, 0, "a segment of no message");
                     }
                 }
             }
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -29,7 +29,7 @@
     private final Core core;
     private final Set<MllpSession> sessions = new LinkedHashSet<>();
     /** The number of connections of each listener, and of each client address at each listener. */
-    private final Map<String, Integer> connectionCounts = new HashMap<>();
+    private final Map<String, Integer> connectionsByKey = new HashMap<>();
 
     private final List<Connection<?>> listeners = new ArrayList<>();
     private final Attribute<MllpSession> sessionAttribute =
@@ -78,8 +78,8 @@
 
     private void onOpen(MllpSession session, MllpSettings.Listener listener) {
         sessions.add(session);
-        int listenerCount = connectionCounts.merge(listener.name(), 1, Integer::sum);
-        int addressCount = connectionCounts.merge(addressKey(session), 1, Integer::sum);
+        int listenerCount = connectionsByKey.merge(listener.name(), 1, Integer::sum);
+        int addressCount = connectionsByKey.merge(addressKey(session), 1, Integer::sum);
         if (closing
                 || listenerCount > listener.maxConnections()
                 || addressCount > listener.maxConnectionsPerAddress()) {
@@ -93,7 +93,7 @@
     private void onClose(MllpSession session) {
         if (sessions.remove(session)) {
             for (String key : List.of(session.listener().name(), addressKey(session))) {
-                connectionCounts.computeIfPresent(key, (a, n) -> n > 1 ? n - 1 : null);
+                connectionsByKey.computeIfPresent(key, (a, n) -> n > 1 ? n - 1 : null);
             }
         }
     }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -19,8 +19,8 @@
 
 /**
  * The front for HL7 v2 over MLLP. In enhanced mode the accept acknowledgement says that a message is in the journal,
- * and the application acknowledgement reports its final status: on the connection that it came on, on another one of its
- * practice, or on the next one. In original mode there is one acknowledgement, for the final status. A client that
+ * and the application acknowledgement reports its final status: on the connection that it came on, on another one of
+ * its practice, or on the next one. In original mode there is one acknowledgement, for the final status. A client that
  * sends the same message again is attached to the pending one, or gets the remembered final status. Loop thread.
  */
 public final class MllpFront implements Front {
@@ -63,7 +63,7 @@
     private final Map<String, Integer> pendingByPractice = new HashMap<>();
 
     private final AtomicLong closedForBadInput = new AtomicLong();
-    private long nextNumber;
+    private long nextIdNumber;
 
     /** Creates a front that does not listen yet. */
     public MllpFront(Core core, MllpSettings settings) {
@@ -202,7 +202,7 @@
                 + '.'
                 + runId
                 + '.'
-                + Long.toString(nextNumber++, Character.MAX_RADIX);
+                + Long.toString(nextIdNumber++, Character.MAX_RADIX);
     }
 
     /** Answers a message that was not accepted, or whose final status is remembered from an earlier submission. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -25,7 +25,7 @@
     final String address;
     private final FrameReader reader;
     private final AtomicLong unreadBytes = new AtomicLong();
-    private final AtomicInteger unanswered = new AtomicInteger();
+    private final AtomicInteger unansweredMessages = new AtomicInteger();
     /** When the partial frame began or, without one, when bytes were last received. */
     private volatile long sinceMicros = Core.monotonicMicros();
 
@@ -90,7 +90,7 @@
             header = Header.read(message);
             Request request = front.reader().read(header, message);
             consecutiveBadMessages = 0;
-            boolean tooMany = unanswered.incrementAndGet() > listener.maxInFlight();
+            boolean tooMany = unansweredMessages.incrementAndGet() > listener.maxInFlight();
             front.core().post(() -> front.handleRequest(this, request, tooMany));
         } catch (Hl7Fault e) {
             consecutiveBadMessages++;
@@ -116,7 +116,7 @@
     // Loop thread
     /** A message of this session has got its first answer. */
     void onAnswered() {
-        unanswered.decrementAndGet();
+        unansweredMessages.decrementAndGet();
     }
 
     /** Writes an acknowledgement whose loss needs no handling, as the client then sends the message again. */
@@ -159,7 +159,9 @@
         if (partialFrame && nowMicros - sinceMicros >= listener.frameTimeoutMicros()) {
             front.recordBadClient(address, "frame not completed in time");
             close();
-        } else if (!partialFrame && unanswered.get() == 0 && nowMicros - sinceMicros >= listener.idleTimeoutMicros()) {
+        } else if (!partialFrame
+                && unansweredMessages.get() == 0
+                && nowMicros - sinceMicros >= listener.idleTimeoutMicros()) {
             close();
         } else {
             front.core()
--- a/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
@@ -66,12 +66,12 @@
     /** Removes and returns the oldest answers for a practice that has connected. */
     List<T> take(String practice, int maxCount) {
         List<T> removed = new ArrayList<>();
-        Iterator<Entry<T>> remaining = entries.values().iterator();
-        while (removed.size() < maxCount && remaining.hasNext()) {
-            Entry<T> entry = remaining.next();
+        Iterator<Entry<T>> iterator = entries.values().iterator();
+        while (removed.size() < maxCount && iterator.hasNext()) {
+            Entry<T> entry = iterator.next();
             if (entry.practice().equals(practice)) {
                 removed.add(entry.answer());
-                remaining.remove();
+                iterator.remove();
             }
         }
         return removed;
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -18,7 +18,7 @@
     /**
      * Creates replies with {@code acknowledgements}.
      *
-     * @param key the field that identifies a message within its practice
+     * @param keyField the field that identifies a message within its practice
      */
     Replies(Acknowledgements acknowledgements, Field keyField) {
         this.acknowledgements = acknowledgements;
