--- a/src/main/java/lilaclever/protocol/mail/LineFilter.java
+++ b/src/main/java/lilaclever/protocol/mail/LineFilter.java
@@ -11,11 +11,12 @@
 import org.glassfish.grizzly.memory.Buffers;
 
 /**
- * The wire of SMTP and LMTP: lines that end in CRLF, one octet a character. A read gives all whole lines as one list;
- * a text is written as it is. A CR or LF alone stays in its line, so that nobody takes it for an end.
+ * Splits the byte stream of SMTP and LMTP into lines that end in CRLF, one character per octet. A read passes on all
+ * complete lines as one list; written text is not changed. A bare CR or LF stays part of its line, so that it is never
+ * taken for a line ending.
  */
 final class LineFilter extends BaseFilter {
-    /** Longer than any line that the standards allow. */
+    /** More than any line that the standards allow; a connection that exceeds it is closed. */
     private static final int MAX_LINE_BYTES = 16 * 1024;
 
     @Override
@@ -24,25 +25,26 @@
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         List<String> lines = new ArrayList<>();
-        int from = 0;
+        int lineStart = 0;
         for (int i = 1; i < bytes.length; i++) {
-            if (bytes[i] == '\n' && bytes[i - 1] == '\r' && i - 1 >= from) {
-                lines.add(new String(bytes, from, i - 1 - from, StandardCharsets.ISO_8859_1));
-                from = i + 1;
+            if (bytes[i] == '\n' && bytes[i - 1] == '\r' && i - 1 >= lineStart) {
+                lines.add(new String(bytes, lineStart, i - 1 - lineStart, StandardCharsets.ISO_8859_1));
+                lineStart = i + 1;
             }
         }
-        if (bytes.length - from > MAX_LINE_BYTES) {
+        if (bytes.length - lineStart > MAX_LINE_BYTES) {
             context.getConnection().closeSilently();
             return context.getStopAction();
         }
-        Buffer rest =
-                from < bytes.length ? Buffers.wrap(context.getMemoryManager(), bytes, from, bytes.length - from) : null;
+        Buffer remainder = lineStart < bytes.length
+                ? Buffers.wrap(context.getMemoryManager(), bytes, lineStart, bytes.length - lineStart)
+                : null;
         buffer.tryDispose();
         if (lines.isEmpty()) {
-            return context.getStopAction(rest);
+            return context.getStopAction(remainder);
         }
         context.setMessage(lines);
-        return context.getInvokeAction(rest, null);
+        return context.getInvokeAction(remainder, null);
     }
 
     @Override
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -26,14 +26,15 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * Delivers to SMTP and LMTP servers: one message for one recipient a transaction, on connections that are kept for the
- * next. Any 4xx reply: it never ran. Any 5xx: refused for good. Before the last byte of the content is written it
- * can't have run; after it only a reply says whether it has.
+ * Delivers to SMTP and LMTP servers, one message for one recipient per transaction, and reuses connections. A 4xx reply
+ * means that the message was not processed, a 5xx reply that it was rejected permanently. Before the last byte of the
+ * content is written the server can't have processed the message; after that only its reply says whether it has.
  */
 public final class MailDeliverer implements Deliverer {
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
     private static final int MAX_REPLY_LINES = 200;
 
+    /** The step of the dialogue that a reply belongs to. {@code EXTENDED_HELLO} is EHLO or LHLO. */
     private enum Step {
         GREETING,
         EXTENDED_HELLO,
@@ -55,25 +56,25 @@
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("MailDeliverer.session");
     private final Map<String, MailSettings.Protocol> protocolByHost = new HashMap<>();
 
-    /** A deliverer for the routes of the mail file. */
+    /** Creates a deliverer for the routes of the mail file. */
     public MailDeliverer(
             Core core,
             Transport transport,
             MailSettings settings,
             int zone,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
-            int mostIdle) {
+            int maxIdleConnections) {
         this.core = core;
         this.transport = transport;
         this.settings = settings;
         this.zone = zone;
-        this.connectTimeoutMicros = connectMicros;
-        this.pool = ConnectionPool.ofSockets(keepAliveMicros / 2, mostIdle);
+        this.connectTimeoutMicros = connectTimeoutMicros;
+        this.pool = ConnectionPool.ofSockets(keepAliveMicros / 2, maxIdleConnections);
         this.chain = Transport.chain(new LineFilter(), new SessionFilter());
     }
 
-    /** Adds the routes' endpoints to the core, and starts to drop idle connections. Before the core starts. */
+    /** Adds the routes' endpoints to the core and starts expiring idle connections. Call before the core starts. */
     public void start() {
         for (MailSettings.Route route : settings.routes()) {
             for (String address : route.addresses()) {
@@ -99,15 +100,15 @@
         try {
             mail = Mail.decode(call.messages.get(0).submission.body());
         } catch (IllegalArgumentException e) {
-            // Handed in by a front that knows no envelopes: no attempt can ever succeed.
+            // Submitted by a front without mail envelopes: no attempt can ever succeed.
             core.attemptEnded(call, call.messages.get(0), AttemptResult.REJECTED, 0, false, false);
             return;
         }
         ClientSession idle = null;
-        Connection<?> kept = pool.acquire(call.endpoint.host(), core.nowMicros());
-        while (kept != null && idle == null) {
-            idle = sessions.get(kept); // null once its server has said farewell
-            kept = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : kept;
+        Connection<?> pooled = pool.acquire(call.endpoint.host(), core.nowMicros());
+        while (pooled != null && idle == null) {
+            idle = sessions.get(pooled); // null if the server has closed the session
+            pooled = idle == null ? pool.acquire(call.endpoint.host(), core.nowMicros()) : pooled;
         }
         ClientSession session = idle != null ? idle : new ClientSession(call.endpoint);
         call.attachment = session;
@@ -133,29 +134,29 @@
         pool.closeIdle(endpoint.host());
     }
 
-    /** There is no probe but a connection: one is opened and greeted. */
+    /** Probes a server by opening a connection and closing it; the protocols have no other probe. */
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long started = core.nowMicros();
+        long startMicros = core.nowMicros();
         transport.connect(
                 Transport.parseAddress(endpoint.address()),
                 chain,
-                up -> {
-                    up.closeSilently();
+                opened -> {
+                    opened.closeSilently();
                     core.post(() ->
-                            core.probeEnded(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - started));
+                            core.probeEnded(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - startMicros));
                 },
                 problem -> core.post(() ->
-                        core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - started)));
+                        core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - startMicros)));
     }
 
-    /** One connection to a server, and the transaction on it. Loop thread, but for {@link #contentWritten}. */
+    /** One connection to a server and the transaction on it. Loop thread, except {@link #contentWritten}. */
     private final class ClientSession {
         private final Call.Endpoint endpoint;
         private final boolean lmtp;
         private final ArrayDeque<Step> expectedReplies = new ArrayDeque<>();
         private final Set<String> extensions = new HashSet<>();
-        /** Lines that came before the connection was told to be up. */
+        /** Lines received before the loop thread has learned that the connection is open. */
         private final ArrayDeque<String> earlyLines = new ArrayDeque<>();
 
         private Connection<?> connection;
@@ -165,7 +166,7 @@
         private Mail mail;
         private int replyLines;
         private long serverSizeLimitBytes;
-        /** The last byte of the content has been written: set by the writing thread before any close is posted. */
+        /** Whether the last byte of the content is written. Set by the writing thread before any close is posted. */
         private volatile boolean contentWritten;
 
         ClientSession(Call.Endpoint endpoint) {
@@ -173,8 +174,8 @@
             this.lmtp = protocolByHost.get(endpoint.host()) == MailSettings.Protocol.LMTP;
         }
 
-        void startCall(Call next, Mail nextMail) {
-            call = next;
+        void startCall(Call nextCall, Mail nextMail) {
+            call = nextCall;
             contentWritten = false;
             mail = nextMail;
             if (connection != null) {
@@ -189,21 +190,21 @@
             cancelConnect = transport.connect(
                     Transport.parseAddress(endpoint.address()),
                     chain,
-                    up -> {
-                        sessions.set(up, this); // before the greeting can be read
-                        core.post(() -> onConnected(up));
+                    opened -> {
+                        sessions.set(opened, this); // before the greeting can be read
+                        core.post(() -> onConnected(opened));
                     },
                     problem -> core.post(() -> endCall(AttemptResult.NO_CONNECTION, "")));
         }
 
-        private void onConnected(Connection<?> up) {
+        private void onConnected(Connection<?> opened) {
             core.deadlines().cancel(connectTimeout);
-            connection = up;
+            connection = opened;
             if (call == null) {
                 closeConnection();
             } else if (!core.activeEndpoints().mayReceive(endpoint)) {
                 endCall(AttemptResult.WITHHELD, "");
-            } else if (!up.isOpen()) {
+            } else if (!opened.isOpen()) {
                 onClosed();
             } else {
                 expectedReplies.add(Step.GREETING);
@@ -212,17 +213,17 @@
             }
         }
 
-        void onLines(List<String> all) {
+        void onLines(List<String> lines) {
             if (connection == null) {
-                earlyLines.addAll(all);
+                earlyLines.addAll(lines);
             } else {
-                all.forEach(this::onLine);
+                lines.forEach(this::onLine);
             }
         }
 
         private void onLine(String line) {
             if (call == null) {
-                closeConnection(); // an unasked word on an idle connection, as a rule a farewell
+                closeConnection(); // unsolicited line on an idle connection, usually a 421 before a close
                 return;
             }
             Reply reply = Reply.parse(line);
@@ -235,7 +236,7 @@
                 extensions.add(reply.text().toUpperCase(Locale.ROOT));
             }
             if (line.length() > 3 && line.charAt(3) == '-') {
-                return; // more of the same reply follows
+                return; // more lines of this reply follow
             }
             expectedReplies.remove();
             replyLines = 0;
@@ -247,13 +248,14 @@
                 writeCommand("HELO " + settings.hostName() + "\r\n", Step.HELO);
                 return;
             }
-            boolean good = step == Step.DATA ? reply.code() == 354 : reply.code() / 100 == 2;
-            if (!good) {
+            boolean expected = step == Step.DATA ? reply.code() == 354 : reply.code() / 100 == 2;
+            if (!expected) {
                 onErrorReply(step, reply);
                 return;
             }
             switch (step) {
-                case GREETING -> writeCommand((lmtp ? "LHLO " : "EHLO ") + settings.hostName() + "\r\n", Step.EXTENDED_HELLO);
+                case GREETING ->
+                    writeCommand((lmtp ? "LHLO " : "EHLO ") + settings.hostName() + "\r\n", Step.EXTENDED_HELLO);
                 case EXTENDED_HELLO, HELO -> startTransaction();
                 case MAIL -> {
                     if (expectedReplies.isEmpty()) {
@@ -270,47 +272,48 @@
         }
 
         private void onErrorReply(Step step, Reply reply) {
-            boolean odd = reply.code() < 400 || reply.code() > 599;
-            AttemptResult ending = odd
+            boolean unexpected = reply.code() < 400 || reply.code() > 599;
+            AttemptResult result = unexpected
                     ? contentWritten ? AttemptResult.ERROR : AttemptResult.NO_CONNECTION
                     : reply.isPermanentFailure() ? AttemptResult.REJECTED : AttemptResult.FULL;
             if (step != Step.GREETING) {
                 Transport.write(connection, "QUIT\r\n", () -> {}, () -> {});
             }
-            endCall(ending, reply.code() + " " + reply.text());
+            endCall(result, reply.code() + " " + reply.text());
         }
 
         private void onDelivered(Reply reply) {
-            Call done = call;
+            Call finishedCall = call;
             call = null;
             pool.release(endpoint.host(), connection, core.nowMicros());
-            reportResult(done, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
+            reportResult(finishedCall, AttemptResult.DELIVERED, reply.code() + " " + reply.text());
         }
 
         private void startTransaction() {
             serverSizeLimitBytes = 0;
-            boolean eightBit = false;
-            boolean pipelining = false;
-            boolean size = false;
-            for (String offer : extensions) {
-                eightBit |= offer.equals("8BITMIME");
-                pipelining |= offer.equals("PIPELINING");
-                if (offer.equals("SIZE") || offer.startsWith("SIZE ")) {
-                    size = true;
-                    serverSizeLimitBytes = offer.matches("SIZE \\d{1,15}") ? Long.parseLong(offer.substring(5)) : 0;
+            boolean offersEightBit = false;
+            boolean offersPipelining = false;
+            boolean offersSize = false;
+            for (String extension : extensions) {
+                offersEightBit |= extension.equals("8BITMIME");
+                offersPipelining |= extension.equals("PIPELINING");
+                if (extension.equals("SIZE") || extension.startsWith("SIZE ")) {
+                    offersSize = true;
+                    serverSizeLimitBytes =
+                            extension.matches("SIZE \\d{1,15}") ? Long.parseLong(extension.substring(5)) : 0;
                 }
             }
-            int length = mail.content().length();
-            if (serverSizeLimitBytes > 0 && length > serverSizeLimitBytes) {
+            int contentBytes = mail.content().length();
+            if (serverSizeLimitBytes > 0 && contentBytes > serverSizeLimitBytes) {
                 endCall(AttemptResult.REJECTED, "552 5.3.4 larger than the server's limit of " + serverSizeLimitBytes);
                 return;
             }
-            String from = "MAIL FROM:<" + mail.reversePath() + '>' + (size ? " SIZE=" + length : "")
-                    + (eightBit && Mail.containsEightBit(mail.content()) ? " BODY=8BITMIME" : "") + "\r\n";
-            if (pipelining) {
-                writeCommand(from + rcptCommand(), Step.MAIL, Step.RCPT);
+            String mailCommand = "MAIL FROM:<" + mail.reversePath() + '>' + (offersSize ? " SIZE=" + contentBytes : "")
+                    + (offersEightBit && Mail.containsEightBit(mail.content()) ? " BODY=8BITMIME" : "") + "\r\n";
+            if (offersPipelining) {
+                writeCommand(mailCommand + rcptCommand(), Step.MAIL, Step.RCPT);
             } else {
-                writeCommand(from, Step.MAIL);
+                writeCommand(mailCommand, Step.MAIL);
             }
         }
 
@@ -318,8 +321,8 @@
             return "RCPT TO:<" + mail.recipient() + ">\r\n";
         }
 
-        private void writeCommand(String text, Step... answers) {
-            expectedReplies.addAll(List.of(answers));
+        private void writeCommand(String text, Step... steps) {
+            expectedReplies.addAll(List.of(steps));
             Transport.write(connection, text, () -> {}, this::onWriteFailed);
         }
 
@@ -335,21 +338,21 @@
             }
         }
 
-        /** Ends the call; the connection's state is not certain any more, so it goes too. */
-        private void endCall(AttemptResult ending, String said) {
-            Call done = call;
+        /** Ends the call and closes the connection, whose protocol state is no longer certain. */
+        private void endCall(AttemptResult result, String responseText) {
+            Call finishedCall = call;
             call = null;
             core.deadlines().cancel(connectTimeout);
             closeConnection();
-            if (done != null) {
-                reportResult(done, ending, said);
+            if (finishedCall != null) {
+                reportResult(finishedCall, result, responseText);
             }
         }
 
-        private void reportResult(Call done, AttemptResult ending, String said) {
-            for (Message m : List.copyOf(done.messages)) {
-                m.lastResponseText = said;
-                core.attemptEnded(done, m, ending, 0, false, false);
+        private void reportResult(Call finishedCall, AttemptResult result, String responseText) {
+            for (Message message : List.copyOf(finishedCall.messages)) {
+                message.lastResponseText = responseText;
+                core.attemptEnded(finishedCall, message, result, 0, false, false);
             }
         }
 
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -31,13 +31,13 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The front of one of the two mail protocols. A mail for several recipients is one core message for each. SMTP: the
- * client hears 250 once they are in the journal, and a later failure goes to the reverse path. LMTP: the client hears
- * each recipient's final answer, in the order of its RCPT commands. Loop thread, but for the filter.
+ * The front for SMTP or LMTP. A mail for several recipients becomes one core message per recipient. With SMTP the
+ * client gets 250 once these are in the journal, and a later failure is reported to the reverse path. With LMTP the
+ * client gets each recipient's final status, in the order of its RCPT commands. Loop thread, except the filter.
  */
 public final class MailFront implements Front {
     private static final long REPORT_RETRY_DELAY_MICROS = 1_000_000;
-    /** A Message-ID is one line; what is longer is none, and too long for the journal. */
+    /** The longest line of RFC 5322: a longer Message-ID is invalid, and too long for the journal. */
     private static final int MAX_MESSAGE_ID_LENGTH = 998;
 
     private final Core core;
@@ -53,15 +53,15 @@
     private boolean closing;
     private long nextIdNumber;
 
-    /** Waits for the first answer to a hand-in: a {@link Reply} that says it is taken on, or its end. */
+    /** Receives the first answer to a submission: a {@link Reply} that it was accepted, or its final status. */
     private record Waiter(Consumer<Reply> answer) {}
 
-    /** A front that listens nowhere yet, with so many clients at most. */
-    public MailFront(Core core, MailSettings settings, Protocol protocol, int mostSessions) {
+    /** Creates a front that does not listen yet and accepts at most {@code maxSessions} clients at once. */
+    public MailFront(Core core, MailSettings settings, Protocol protocol, int maxSessions) {
         this.core = core;
         this.settings = settings;
         this.protocol = protocol;
-        this.maxSessions = mostSessions;
+        this.maxSessions = maxSessions;
     }
 
     @Override
@@ -69,7 +69,7 @@
         return protocol.name().toLowerCase(Locale.ROOT);
     }
 
-    /** Listens at the addresses that the mail file has for this protocol; gives those bound. */
+    /** Listens at the addresses that the mail file has for this protocol; returns the bound addresses. */
     public List<SocketAddress> listen(Transport transport) throws IOException {
         List<SocketAddress> bound = new ArrayList<>();
         FilterChain chain = Transport.chain(new LineFilter(), new SessionFilter());
@@ -83,27 +83,29 @@
         return bound;
     }
 
-    /** Accepts no more; idle sessions are told so, the others after their answers. */
+    /** Accepts no more connections; closes sessions with a 421, those with pending replies after these are written. */
     public void close() {
         closing = true;
         listeners.forEach(Connection::closeSilently);
         List.copyOf(sessions).forEach(ServerSession::closeForShutdown);
     }
 
-    // ---- hand-ins ---------------------------------------------------------------------------------------
-    /** True if a mail that comes again can be told from a new one. */
+    // Submissions
+    /** True if a repeat of this mail can be recognized by its Message-ID. */
     static boolean hasUsableMessageId(String content) {
         String messageId = Mail.header(content, "Message-ID");
         return messageId != null && messageId.length() <= MAX_MESSAGE_ID_LENGTH;
     }
 
-    /** Hands a mail in for one recipient; the answer is given once, maybe at once. */
+    /** Submits a mail for one recipient; {@code answer} is called exactly once, possibly before this returns. */
     void submit(Mail mail, Consumer<Reply> answer) {
-        String identity =
-                hasUsableMessageId(mail.content()) ? Mail.header(mail.content(), "Message-ID") + ' ' + mail.recipient() : null;
-        String named = Mail.header(mail.content(), settings.classHeader());
-        int messageClass =
-                named == null ? settings.defaultClass() : settings.classes().getOrDefault(named, settings.defaultClass());
+        String identity = hasUsableMessageId(mail.content())
+                ? Mail.header(mail.content(), "Message-ID") + ' ' + mail.recipient()
+                : null;
+        String className = Mail.header(mail.content(), settings.classHeader());
+        int messageClass = className == null
+                ? settings.defaultClass()
+                : settings.classes().getOrDefault(className, settings.defaultClass());
         submit(mail, identity, messageClass, answer);
     }
 
@@ -119,26 +121,26 @@
                 false,
                 false,
                 settings.budgetsMicros().get(messageClass));
-        Message m = core.submit(this, submission);
-        if (!m.isOpen()) {
+        Message message = core.submit(this, submission);
+        if (!message.isOpen()) {
             answer.accept(
-                    protocol == Protocol.SMTP && m.finalStatus().kind() == FinalStatus.Kind.DELIVERED
+                    protocol == Protocol.SMTP && message.finalStatus().kind() == FinalStatus.Kind.DELIVERED
                             ? new Reply(250, "2.0.0 taken on before")
-                            : Reply.of(m.finalStatus()));
-        } else if (m.front != this) {
-            // The same mail is under way for a client of the other protocol: its end is known soon.
+                            : Reply.of(message.finalStatus()));
+        } else if (message.front != this) {
+            // The same mail is pending for a client of the other protocol: its final status will be known soon.
             answer.accept(new Reply(451, "4.3.0 already under way, come again"));
-        } else if (protocol == Protocol.SMTP && m.isAccepted()) {
+        } else if (protocol == Protocol.SMTP && message.isAccepted()) {
             answer.accept(new Reply(250, "2.0.0 taken on before"));
         } else {
-            waiters.computeIfAbsent(m, x -> new ArrayList<>()).add(new Waiter(answer));
+            waiters.computeIfAbsent(message, x -> new ArrayList<>()).add(new Waiter(answer));
         }
     }
 
     private void answerWaiters(Message message, Reply reply) {
-        List<Waiter> all = waiters.remove(message);
-        if (all != null) {
-            all.forEach(w -> w.answer().accept(reply));
+        List<Waiter> removed = waiters.remove(message);
+        if (removed != null) {
+            removed.forEach(waiter -> waiter.answer().accept(reply));
         }
     }
 
@@ -150,53 +152,60 @@
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        answerWaiters(message, Reply.of(verdict));
+    public void onRejected(Message message, FinalStatus finalStatus) {
+        answerWaiters(message, Reply.of(finalStatus));
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
+    public void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled) {
         if (protocol == Protocol.LMTP) {
-            // Whoever has dropped the connection hands it in again, and hears the end that is remembered.
-            answerWaiters(message, Reply.of(verdict));
+            // A client that has lost its connection submits the mail again and gets the remembered final status.
+            answerWaiters(message, Reply.of(finalStatus));
             settled.run();
-        } else if (verdict.kind() == FinalStatus.Kind.REFUSED || verdict.kind() == FinalStatus.Kind.FAILED) {
-            sendReport(id, Mail.decode(message.submission.body()), verdict, settled);
+        } else if (finalStatus.kind() == FinalStatus.Kind.REFUSED || finalStatus.kind() == FinalStatus.Kind.FAILED) {
+            sendReport(id, Mail.decode(message.submission.body()), finalStatus, settled);
         } else {
             settled.run();
         }
     }
 
-    // ---- reports ----------------------------------------------------------------------------------------
-    /** Sends a failure to the reverse path, again and again until the report is in the journal. */
-    private void sendReport(String failed, Mail mail, FinalStatus verdict, Runnable settled) {
+    // Delivery status notifications
+    /** Reports a failure to the reverse path; retries until the report is in the journal. */
+    private void sendReport(String failedId, Mail mail, FinalStatus finalStatus, Runnable settled) {
         if (mail.reversePath().isEmpty()) {
-            settled.run(); // no report of a report
+            settled.run(); // a null reverse path: the failure of a report is not reported
             return;
         }
         if (settings.route(mail.reversePath()) == null) {
             Logs.warn(
                     "",
                     "no-route",
-                    "no route for the report of " + failed + " to " + mail.reversePath(),
+                    "no route for the failure report of " + failedId + " to " + mail.reversePath(),
                     "message",
-                    failed);
+                    failedId);
             settled.run();
             return;
         }
-        Mail report = DeliveryStatusNotification.create(settings.hostName(), mail, verdict, failed, date());
-        submit(report, "report " + failed, settings.dsnClass(), reply -> {
+        Mail report = DeliveryStatusNotification.create(settings.hostName(), mail, finalStatus, failedId, date());
+        submit(report, "report " + failedId, settings.dsnClass(), reply -> {
             if (reply.isPositive() || reply.isPermanentFailure()) {
                 settled.run();
             } else {
-                core.deadlines().schedule(core.nowMicros() + REPORT_RETRY_DELAY_MICROS, () -> sendReport(failed, mail, verdict, settled));
+                core.deadlines()
+                        .schedule(
+                                core.nowMicros() + REPORT_RETRY_DELAY_MICROS,
+                                () -> sendReport(failedId, mail, finalStatus, settled));
             }
         });
     }
 
-    /** Reports a recipient that was turned down while others of its mail were taken on. */
+    /** Reports a recipient that was rejected while others of the same mail were accepted. */
     void reportRejectedRecipient(Mail mail, Runnable reported) {
-        sendReport("turned-down-" + runId + '-' + nextIdNumber++, mail, FinalStatus.of(FinalStatus.Kind.REFUSED), reported);
+        sendReport(
+                "turned-down-" + runId + '-' + nextIdNumber++,
+                mail,
+                FinalStatus.of(FinalStatus.Kind.REFUSED),
+                reported);
     }
 
     static String date() {
@@ -205,7 +214,7 @@
                 .replace("GMT", "+0000");
     }
 
-    // ---- connections ------------------------------------------------------------------------------------
+    // Connections
     MailSettings settings() {
         return settings;
     }
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -12,14 +12,14 @@
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.Connection;
 
-/** One client's connection: the commands of SMTP and LMTP, one transaction after the other. Loop thread. */
+/** The server side of one client connection: SMTP or LMTP commands, one transaction at a time. Loop thread. */
 final class ServerSession {
     private static final Pattern PATH = Pattern.compile("(?i)(?:FROM|TO):\\s*<(?:@[^:>]*:)?([^<>\\s]*)>(.*)");
-    /** Characters that came and are not read yet, beside those of one mail. */
+    /** Limit of received bytes that are not processed yet, in addition to the size of one mail. */
     private static final int MAX_QUEUED_BYTES = 64 * 1024;
-    /** Commands without a mail at the end of them, beside one for each recipient. */
+    /** Limit of commands without a completed mail, in addition to one for each recipient. */
     private static final int MAX_COMMANDS = 100;
-    /** A content that goes on for so many times the most that a mail may have is not awaited any longer. */
+    /** A connection whose content exceeds this multiple of the largest mail is closed. */
     private static final int MAX_CONTENT_FACTOR = 4;
 
     private final MailFront front;
@@ -27,7 +27,7 @@
     private final Connection<?> connection;
     private final String peer;
     private final boolean lmtp;
-    /** Lines that came while an answer is awaited: they are read after it. */
+    /** Received lines that are not processed yet, such as those that arrive while replies are pending. */
     private final ArrayDeque<String> queuedLines = new ArrayDeque<>();
 
     private final List<String> recipients = new ArrayList<>();
@@ -51,22 +51,22 @@
         this.lmtp = front.protocol() == Protocol.LMTP;
     }
 
-    // ---- the connection ---------------------------------------------------------------------------------
+    // Connection
     void greet() {
         write("220 " + settings.hostName() + (lmtp ? " LMTP" : " ESMTP") + " lilaclever ready\r\n");
         restartIdleTimeout();
     }
 
-    /** Lines from the socket: whoever sends faster than they can be read does not fill the memory. Selector thread. */
+    /** Queues lines from the socket, up to a limit that bounds memory use. Selector thread. */
     void onLines(List<String> lines) {
         if (queueOverflowed) {
             return;
         }
-        long size = 0;
+        long bytes = 0;
         for (String line : lines) {
-            size += lineBytes(line);
+            bytes += lineBytes(line);
         }
-        queueOverflowed = queuedBytes.addAndGet(size) > MAX_QUEUED_BYTES + settings.maxMessageBytes();
+        queueOverflowed = queuedBytes.addAndGet(bytes) > MAX_QUEUED_BYTES + settings.maxMessageBytes();
         front.core().post(queueOverflowed ? () -> close("421 4.3.0 too much at once\r\n") : () -> queueLines(lines));
     }
 
@@ -95,7 +95,7 @@
         restartIdleTimeout();
     }
 
-    /** A client that says nothing for long is sent away. */
+    /** Restarts the timeout after which an idle client is disconnected. */
     private void restartIdleTimeout() {
         front.core().deadlines().cancel(idleTimeout);
         if (!closed && !awaitingReplies) {
@@ -141,7 +141,7 @@
         write(new Reply(code, text).toLine());
     }
 
-    // ---- commands ---------------------------------------------------------------------------------------
+    // Commands
     private void handleCommand(String line) {
         if (++commandCount > MAX_COMMANDS + settings.maxRecipients()) {
             close("421 4.7.0 too many commands without a mail\r\n");
@@ -152,14 +152,14 @@
             return;
         }
         int space = line.indexOf(' ');
-        String word = (space < 0 ? line : line.substring(0, space)).toUpperCase(Locale.ROOT);
-        String rest = space < 0 ? "" : line.substring(space + 1).strip();
-        switch (word) {
-            case "LHLO" -> handleHello(lmtp, rest, true);
-            case "EHLO" -> handleHello(!lmtp, rest, true);
-            case "HELO" -> handleHello(!lmtp, rest, false);
-            case "MAIL" -> handleMail(rest);
-            case "RCPT" -> handleRcpt(rest);
+        String verb = (space < 0 ? line : line.substring(0, space)).toUpperCase(Locale.ROOT);
+        String arguments = space < 0 ? "" : line.substring(space + 1).strip();
+        switch (verb) {
+            case "LHLO" -> handleHello(lmtp, arguments, true);
+            case "EHLO" -> handleHello(!lmtp, arguments, true);
+            case "HELO" -> handleHello(!lmtp, arguments, false);
+            case "MAIL" -> handleMail(arguments);
+            case "RCPT" -> handleRcpt(arguments);
             case "DATA" -> handleData();
             case "RSET" -> {
                 resetTransaction();
@@ -173,8 +173,8 @@
         }
     }
 
-    private void handleHello(boolean mine, String name, boolean extended) {
-        if (!mine) {
+    private void handleHello(boolean supported, String name, boolean extended) {
+        if (!supported) {
             reply(500, "5.5.1 not in " + (lmtp ? "LMTP" : "SMTP"));
         } else if (name.isEmpty()) {
             reply(501, "5.5.4 who are you?");
@@ -185,29 +185,29 @@
             write(
                     !extended
                             ? "250 " + host + "\r\n"
-                            : "250-" + host + "\r\n250-PIPELINING\r\n250-8BITMIME\r\n250-SIZE " + settings.maxMessageBytes()
-                                    + "\r\n250 ENHANCEDSTATUSCODES\r\n");
+                            : "250-" + host + "\r\n250-PIPELINING\r\n250-8BITMIME\r\n250-SIZE "
+                                    + settings.maxMessageBytes() + "\r\n250 ENHANCEDSTATUSCODES\r\n");
         }
     }
 
-    private void handleMail(String rest) {
-        Matcher path = PATH.matcher(rest);
+    private void handleMail(String arguments) {
+        Matcher path = PATH.matcher(arguments);
         if (clientName == null || reversePath != null) {
             reply(503, "5.5.1 " + (clientName == null ? "a greeting" : "the end of the last mail") + " comes first");
-        } else if (!rest.toUpperCase(Locale.ROOT).startsWith("FROM:") || !path.matches()) {
+        } else if (!arguments.toUpperCase(Locale.ROOT).startsWith("FROM:") || !path.matches()) {
             reply(501, "5.5.4 MAIL FROM:<path>");
         } else {
-            long size = 0;
+            long declaredBytes = 0;
             for (String parameter : path.group(2).strip().split("\\s+")) {
                 String upper = parameter.toUpperCase(Locale.ROOT);
                 if (upper.matches("SIZE=\\d{1,15}")) {
-                    size = Long.parseLong(upper.substring(5));
+                    declaredBytes = Long.parseLong(upper.substring(5));
                 } else if (!upper.isEmpty() && !upper.equals("BODY=8BITMIME") && !upper.equals("BODY=7BIT")) {
                     reply(555, "5.5.4 unknown parameter " + parameter);
                     return;
                 }
             }
-            if (size > settings.maxMessageBytes()) {
+            if (declaredBytes > settings.maxMessageBytes()) {
                 reply(552, "5.3.4 at most " + settings.maxMessageBytes() + " bytes");
                 return;
             }
@@ -216,11 +216,11 @@
         }
     }
 
-    private void handleRcpt(String rest) {
-        Matcher path = PATH.matcher(rest);
+    private void handleRcpt(String arguments) {
+        Matcher path = PATH.matcher(arguments);
         if (reversePath == null) {
             reply(503, "5.5.1 MAIL comes first");
-        } else if (!rest.toUpperCase(Locale.ROOT).startsWith("TO:")
+        } else if (!arguments.toUpperCase(Locale.ROOT).startsWith("TO:")
                 || !path.matches()
                 || path.group(1).isEmpty()) {
             reply(501, "5.5.4 RCPT TO:<path>");
@@ -244,7 +244,7 @@
             tooLarge = false;
             bareLineEnding = false;
             contentBytesReceived = 0;
-            // A line now and then keeps the connection from being idle: all of them have a time as well.
+            // A slow trickle of lines never triggers the idle timeout, so the content as a whole has one too.
             contentTimeout = front.core()
                     .deadlines()
                     .schedule(
@@ -261,83 +261,86 @@
         replies = null;
     }
 
-    // ---- the content ------------------------------------------------------------------------------------
+    // Content
     private void handleContentLine(String line) {
         if (line.equals(".")) {
             completeContent();
             return;
         }
-        String plain = line.startsWith(".") ? line.substring(1) : line;
-        // A CR or LF alone would be an end of a line to some servers: a second mail could hide behind it.
-        bareLineEnding |= plain.indexOf('\n') >= 0 || plain.indexOf('\r') >= 0;
-        tooLarge |= content.length() + plain.length() + 2 > settings.maxMessageBytes();
+        String unstuffed = line.startsWith(".") ? line.substring(1) : line;
+        // Some servers take a bare CR or LF for a line ending, so a second mail could be smuggled in behind it.
+        bareLineEnding |= unstuffed.indexOf('\n') >= 0 || unstuffed.indexOf('\r') >= 0;
+        tooLarge |= content.length() + unstuffed.length() + 2 > settings.maxMessageBytes();
         contentBytesReceived += lineBytes(line);
         if (contentBytesReceived > MAX_CONTENT_FACTOR * (long) settings.maxMessageBytes()) {
             close("421 4.3.0 at most " + settings.maxMessageBytes() + " bytes\r\n");
             return;
         }
         if (!tooLarge) {
-            content.append(plain).append("\r\n");
+            content.append(unstuffed).append("\r\n");
         }
     }
 
     private void completeContent() {
         front.core().deadlines().cancel(contentTimeout);
         commandCount = 0;
-        Reply refusal = tooLarge
+        Reply rejection = tooLarge
                 ? new Reply(552, "5.3.4 at most " + settings.maxMessageBytes() + " bytes")
                 : bareLineEnding ? new Reply(550, "5.6.0 a line ends in CR or LF alone") : null;
         contentWithTrace = "Received: from " + clientName + " ([" + peer + "]) by " + settings.hostName() + " with "
                 + (lmtp ? "LMTP" : "ESMTP") + "; " + MailFront.date() + "\r\n" + content;
         awaitingReplies = true;
         content = null;
-        Reply[] mine = new Reply[recipients.size()];
-        replies = mine;
-        for (int i = 0; i < mine.length; i++) {
+        Reply[] transactionReplies = new Reply[recipients.size()];
+        replies = transactionReplies;
+        for (int i = 0; i < transactionReplies.length; i++) {
             int index = i;
-            if (refusal != null) {
-                onRecipientReply(mine, index, refusal);
+            if (rejection != null) {
+                onRecipientReply(transactionReplies, index, rejection);
             } else {
-                front.submit(new Mail(reversePath, recipients.get(i), contentWithTrace), r -> onRecipientReply(mine, index, r));
+                front.submit(
+                        new Mail(reversePath, recipients.get(i), contentWithTrace),
+                        reply -> onRecipientReply(transactionReplies, index, reply));
             }
         }
     }
 
-    /** One recipient's answer is here; LMTP passes them on in order, SMTP says one word for all. */
-    private void onRecipientReply(Reply[] mine, int index, Reply reply) {
-        mine[index] = reply;
-        if (mine != replies) {
+    /** Records one recipient's reply; once all are known, LMTP writes them in order and SMTP one for all. */
+    private void onRecipientReply(Reply[] transactionReplies, int index, Reply reply) {
+        transactionReplies[index] = reply;
+        if (transactionReplies != replies) {
             return;
         }
-        for (Reply each : mine) {
+        for (Reply each : transactionReplies) {
             if (each == null) {
                 return;
             }
         }
         if (lmtp) {
-            for (Reply each : mine) {
+            for (Reply each : transactionReplies) {
                 write(each.toLine());
             }
             finishTransaction();
         } else {
-            Reply word = combineReplies(mine);
-            int[] open = {1};
-            Runnable one = () -> {
-                if (--open[0] == 0) {
-                    write(word.toLine());
+            Reply combined = combineReplies(transactionReplies);
+            int[] remaining = {1};
+            Runnable replyWhenReported = () -> {
+                if (--remaining[0] == 0) {
+                    write(combined.toLine());
                     finishTransaction();
                 }
             };
-            if (word.isPositive()) {
-                // With 250 all recipients are ours: whoever was turned down is reported before it is said.
-                for (int i = 0; i < mine.length; i++) {
-                    if (mine[i].code() / 100 == 4) {
-                        open[0]++;
-                        front.reportRejectedRecipient(new Mail(reversePath, recipients.get(i), contentWithTrace), one);
+            if (combined.isPositive()) {
+                // With 250 we are responsible for all recipients: rejected ones are reported before the reply.
+                for (int i = 0; i < transactionReplies.length; i++) {
+                    if (transactionReplies[i].code() / 100 == 4) {
+                        remaining[0]++;
+                        front.reportRejectedRecipient(
+                                new Mail(reversePath, recipients.get(i), contentWithTrace), replyWhenReported);
                     }
                 }
             }
-            one.run();
+            replyWhenReported.run();
         }
     }
 
@@ -347,22 +350,24 @@
         if (front.isClosing()) {
             closeForShutdown();
         } else {
-            front.core().post(this::processQueuedLines); // not from here: this may run inside read
+            front.core().post(this::processQueuedLines); // not called directly: this may run inside it
         }
     }
 
     /**
-     * SMTP has one answer for the mail. Where some recipients were taken on and others turned down for now, a mail
-     * that can be known again is asked for again: those taken on get no second message.
+     * SMTP has one reply for the whole mail. If some recipients were accepted and others rejected for now, the client
+     * is asked to retry a mail that can be recognized: recipients already accepted get no second message.
      */
-    private Reply combineReplies(Reply[] mine) {
-        Reply good = null;
-        Reply later = null;
-        for (Reply each : mine) {
-            good = each.isPositive() ? each : good;
-            later = each.code() / 100 == 4 ? each : later;
+    private Reply combineReplies(Reply[] transactionReplies) {
+        Reply positive = null;
+        Reply transientFailure = null;
+        for (Reply each : transactionReplies) {
+            positive = each.isPositive() ? each : positive;
+            transientFailure = each.code() / 100 == 4 ? each : transientFailure;
         }
-        boolean known = MailFront.hasUsableMessageId(contentWithTrace);
-        return later != null && (known || good == null) ? later : good != null ? good : mine[0];
+        boolean recognizable = MailFront.hasUsableMessageId(contentWithTrace);
+        return transientFailure != null && (recognizable || positive == null)
+                ? transientFailure
+                : positive != null ? positive : transactionReplies[0];
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
+++ b/src/main/java/lilaclever/protocol/mllp/Acknowledgements.java
@@ -9,12 +9,12 @@
 import lilaclever.routing.FinalStatus;
 
 /**
- * Writes acknowledgements: the sender's own header turned round, in its delimiters, version and characters, MSA, and
- * where something is at fault ERR. Up to 2.4 the place and the code stand together in ERR-1, from 2.5 on in fields of
- * their own, with a code and seconds in ERR-5 and ERR-6 that say when to come back.
+ * Writes acknowledgements: the sender's header with sender and receiver swapped, in its delimiters, version and
+ * character set, then MSA, and ERR if there is an error. Up to version 2.4 ERR-1 holds both location and code. From 2.5
+ * on they have fields of their own, and ERR-5 and ERR-6 hold an application code and the seconds to wait for a retry.
  */
 final class Acknowledgements {
-    /** Codes of HL7's table 0008. */
+    /** Acknowledgement codes of HL7 table 0008; the names are written to MSA-1. */
     enum Code {
         AA,
         AE,
@@ -30,37 +30,50 @@
     private final String controlIdPrefix;
     private long nextControlIdNumber;
 
-    /** {@code life} makes control ids differ from those of earlier lives. */
-    Acknowledgements(String life) {
-        this.controlIdPrefix = life;
+    /** {@code controlIdPrefix} makes control ids differ from those of earlier process runs. */
+    Acknowledgements(String controlIdPrefix) {
+        this.controlIdPrefix = controlIdPrefix;
     }
 
-    /** An acknowledgement that all is well. */
-    byte[] positive(Code code, Header to) {
-        return build(code, to, "", "");
+    /** A positive acknowledgement. */
+    byte[] positive(Code code, Header requestHeader) {
+        return build(code, requestHeader, "", "");
     }
 
-    /** The message can't be taken on as it is. */
-    byte[] fault(Code code, Header to, Hl7Fault fault) {
-        String text = escapeText(to, fault.getMessage());
-        return build(code, to, text, errSegment(to, fault.segment(), fault.field(), fault.code(), "", "", text));
+    /** Rejects a message that can't be accepted as it is. */
+    byte[] fault(Code code, Header requestHeader, Hl7Fault fault) {
+        String text = escapeText(requestHeader, fault.getMessage());
+        return build(
+                code,
+                requestHeader,
+                text,
+                errSegment(requestHeader, fault.segment(), fault.field(), fault.code(), "", "", text));
     }
 
-    /** The message was refused, and nothing of it was done: it may come again after so long. */
-    byte[] retryLater(Code code, Header to, FinalStatus verdict) {
-        String seconds = formatSeconds(verdict.retryAfterMicros());
+    /** The message was refused without any effect; the client may retry after the delay in the final status. */
+    byte[] retryLater(Code code, Header requestHeader, FinalStatus finalStatus) {
+        String seconds = formatSeconds(finalStatus.retryAfterMicros());
         String text = escapeText(
-                to,
-                (verdict.detail().isEmpty() ? "not done" : verdict.detail())
+                requestHeader,
+                (finalStatus.detail().isEmpty() ? "not done" : finalStatus.detail())
                         + (seconds.isEmpty() ? "; come again" : "; come again in " + seconds + " s"));
-        return build(code, to, text, errSegment(to, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "come-again", seconds, text));
+        return build(
+                code,
+                requestHeader,
+                text,
+                errSegment(requestHeader, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "come-again", seconds, text));
     }
 
-    /** The message was taken on and is not known to be done: it may have been. */
-    byte[] notConfirmed(Code code, Header to, FinalStatus verdict) {
+    /** The message was accepted, but its delivery is not confirmed; it may have happened. */
+    byte[] notConfirmed(Code code, Header requestHeader, FinalStatus finalStatus) {
         String text = escapeText(
-                to, "not confirmed, so perhaps done" + (verdict.detail().isEmpty() ? "" : ": " + verdict.detail()));
-        return build(code, to, text, errSegment(to, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "not-confirmed", "", text));
+                requestHeader,
+                "not confirmed, so perhaps done" + (finalStatus.detail().isEmpty() ? "" : ": " + finalStatus.detail()));
+        return build(
+                code,
+                requestHeader,
+                text,
+                errSegment(requestHeader, "", 0, Hl7Fault.Code.INTERNAL_ERROR, "not-confirmed", "", text));
     }
 
     private static String formatSeconds(long micros) {
@@ -71,100 +84,115 @@
                         .toPlainString();
     }
 
-    private static String escapeText(Header to, String plain) {
-        return ESCAPING.escape(plain.replaceAll("[\\p{Cntrl}]", " "), delimiters(to));
+    private static String escapeText(Header requestHeader, String message) {
+        return ESCAPING.escape(message.replaceAll("[\\p{Cntrl}]", " "), delimiters(requestHeader));
     }
 
-    static EncodingCharacters delimiters(Header of) {
-        return new EncodingCharacters(of.separator(), of.encodingCharacters().substring(0, 4));
+    static EncodingCharacters delimiters(Header header) {
+        return new EncodingCharacters(
+                header.separator(), header.encodingCharacters().substring(0, 4));
     }
 
-    private static boolean isVersionAtLeast25(Header to) {
-        return to.firstComponent(12).compareTo("2.5") >= 0;
+    private static boolean isVersionAtLeast25(Header requestHeader) {
+        return requestHeader.firstComponent(12).compareTo("2.5") >= 0;
     }
 
-    private byte[] build(Code code, Header to, String text, String err) {
-        char s = to.separator();
-        char c = to.encodingCharacters().charAt(0);
-        String version = to.field(12);
-        String type = "ACK" + (to.secondComponent(9).isEmpty() ? "" : c + to.secondComponent(9))
-                + (to.secondComponent(9).isEmpty() || to.firstComponent(12).equals("2.3") ? "" : c + "ACK");
+    private byte[] build(Code code, Header requestHeader, String text, String err) {
+        char separator = requestHeader.separator();
+        char componentSeparator = requestHeader.encodingCharacters().charAt(0);
+        String version = requestHeader.field(12);
+        String type = "ACK"
+                + (requestHeader.secondComponent(9).isEmpty()
+                        ? ""
+                        : componentSeparator + requestHeader.secondComponent(9))
+                + (requestHeader.secondComponent(9).isEmpty()
+                                || requestHeader.firstComponent(12).equals("2.3")
+                        ? ""
+                        : componentSeparator + "ACK");
         String[] msh = {
             "MSH",
-            to.encodingCharacters(),
-            to.field(5),
-            to.field(6),
-            to.field(3),
-            to.field(4),
+            requestHeader.encodingCharacters(),
+            requestHeader.field(5),
+            requestHeader.field(6),
+            requestHeader.field(3),
+            requestHeader.field(4),
             TIMESTAMP_FORMAT.format(ZonedDateTime.now(ZoneId.systemDefault())),
             "",
             type,
             controlIdPrefix + nextControlIdNumber++,
-            to.field(11),
+            requestHeader.field(11),
             version,
             "",
             "",
-            Request.isOriginalMode(to) ? "" : "NE",
-            Request.isOriginalMode(to) ? "" : "NE",
-            to.field(17),
-            to.field(18)
+            Request.isOriginalMode(requestHeader) ? "" : "NE",
+            Request.isOriginalMode(requestHeader) ? "" : "NE",
+            requestHeader.field(17),
+            requestHeader.field(18)
         };
-        StringBuilder all = new StringBuilder(256).append(joinFields(s, msh)).append('\r');
-        all.append(joinFields(s, "MSA", code.name(), to.field(10), text)).append('\r').append(err);
-        return replaceControlCharacters(all).getBytes(to.charset());
+        StringBuilder acknowledgement =
+                new StringBuilder(256).append(joinFields(separator, msh)).append('\r');
+        acknowledgement
+                .append(joinFields(separator, "MSA", code.name(), requestHeader.field(10), text))
+                .append('\r')
+                .append(err);
+        return replaceControlCharacters(acknowledgement).getBytes(requestHeader.charset());
     }
 
-    /** What a sender wrote into its header comes back to it, but nothing that its reader could take for an end. */
-    private static String replaceControlCharacters(StringBuilder all) {
-        for (int i = 0; i < all.length(); i++) {
-            char c = all.charAt(i);
+    /** Replaces control characters copied from the sender's header, which could be taken for the end of the frame. */
+    private static String replaceControlCharacters(StringBuilder text) {
+        for (int i = 0; i < text.length(); i++) {
+            char c = text.charAt(i);
             if (c < ' ' && c != '\r' || c == 0x7f) {
-                all.setCharAt(i, '?');
+                text.setCharAt(i, '?');
             }
         }
-        return all.toString();
+        return text.toString();
     }
 
     private static String errSegment(
-            Header to,
+            Header requestHeader,
             String segment,
             int field,
             Hl7Fault.Code code,
             String application,
             String parameter,
             String text) {
-        char s = to.separator();
-        String c = String.valueOf(to.encodingCharacters().charAt(0));
-        String place = segment.isEmpty()
+        char separator = requestHeader.separator();
+        String componentSeparator =
+                String.valueOf(requestHeader.encodingCharacters().charAt(0));
+        String location = segment.isEmpty()
                 ? ""
-                : segment + c + (segment.equals("MSH") ? "1" : "") + (field > 0 ? c + field : "");
-        String error = code.number + c + code.text + c + "HL70357";
-        if (isVersionAtLeast25(to)) {
-            return joinFields(s, "ERR", "", place, error, "E", application, parameter, "", text) + '\r';
+                : segment
+                        + componentSeparator
+                        + (segment.equals("MSH") ? "1" : "")
+                        + (field > 0 ? componentSeparator + field : "");
+        String error = code.number + componentSeparator + code.text + componentSeparator + "HL70357";
+        if (isVersionAtLeast25(requestHeader)) {
+            return joinFields(separator, "ERR", "", location, error, "E", application, parameter, "", text) + '\r';
         }
-        String sub = to.encodingCharacters().substring(3, 4);
+        String subcomponentSeparator = requestHeader.encodingCharacters().substring(3, 4);
         String[] parts = {
             segment,
             segment.equals("MSH") ? "1" : "",
             field > 0 ? Integer.toString(field) : "",
-            code.number + sub + code.text + sub + "HL70357"
+            code.number + subcomponentSeparator + code.text + subcomponentSeparator + "HL70357"
         };
-        return joinFields(s, "ERR", String.join(c, parts)) + '\r';
+        return joinFields(separator, "ERR", String.join(componentSeparator, parts)) + '\r';
     }
 
-    /** The fields with the separator between them, none at the end that is empty. */
+    /** Joins the fields with the separator, leaving out empty fields at the end. */
     private static String joinFields(char separator, String... fields) {
         int last = fields.length;
         while (last > 0 && fields[last - 1].isEmpty()) {
             last--;
         }
-        StringBuilder all = new StringBuilder();
+        StringBuilder joined = new StringBuilder();
         for (int i = 0; i < last; i++) {
             if (i > 0) {
-                all.append(separator);
+                joined.append(separator);
             }
-            all.append(fields[i]);
+            joined.append(fields[i]);
         }
-        return all.toString();
+        return joined.toString();
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Hl7Reader.java
+++ b/src/main/java/lilaclever/protocol/mllp/Hl7Reader.java
@@ -17,8 +17,9 @@
 import lilaclever.protocol.mllp.MllpSettings.Field;
 
 /**
- * Reads HL7 messages as far as they concern us: the header, and the fields that the settings name. The rest is checked
- * for what could not be passed on, and never taken apart: a message of 64 KiB costs little more than a small one.
+ * Reads the parts of HL7 messages that forwarding needs: the header and the fields named in the settings. The rest is
+ * checked for content that must not be forwarded but is not parsed, so a message of 64 KiB costs little more than a
+ * small one.
  */
 final class Hl7Reader {
     private static final Pattern SECONDS = Pattern.compile("[0-9]{1,7}(\\.[0-9]{1,6})?");
@@ -30,14 +31,14 @@
     private final MllpSettings settings;
     private final LongSupplier monotonicMicros, wallMicros;
 
-    /** Times are the loop's: the monotonic clock, and the wall clock, microseconds. */
-    Hl7Reader(MllpSettings settings, LongSupplier micros, LongSupplier wall) {
+    /** The clocks, monotonic and wall, are those of the event loop, in microseconds. */
+    Hl7Reader(MllpSettings settings, LongSupplier monotonicMicros, LongSupplier wallMicros) {
         this.settings = settings;
-        this.monotonicMicros = micros;
-        this.wallMicros = wall;
+        this.monotonicMicros = monotonicMicros;
+        this.wallMicros = wallMicros;
     }
 
-    /** Puts a message in our terms. */
+    /** Maps a message to a request; throws if it can't be accepted. */
     Request read(Header header, byte[] message) throws Hl7Fault {
         header.validate();
         checkVersionAndProcessingId(header);
@@ -49,8 +50,9 @@
         if (messageClass == null && settings.unknownEventClass() < 0) {
             throw new Hl7Fault(Code.UNSUPPORTED_EVENT, "MSH", 9, "no class for " + event);
         }
-        int number = messageClass == null ? settings.unknownEventClass() : messageClass;
-        Integer destination = MllpSettings.find(settings.destinations(), header.firstComponent(5), '|', header.firstComponent(6));
+        int classNumber = messageClass == null ? settings.unknownEventClass() : messageClass;
+        Integer destination =
+                MllpSettings.find(settings.destinations(), header.firstComponent(5), '|', header.firstComponent(6));
         if (destination == null) {
             throw new Hl7Fault(Code.UNKNOWN_KEY, "MSH", 5, "no such receiver");
         }
@@ -59,16 +61,19 @@
                 message,
                 practice,
                 key(header, message),
-                number,
+                classNumber,
                 destination,
-                budgetMicros(header, message, settings.budgetsMicros().get(number)),
+                budgetMicros(header, message, settings.budgetsMicros().get(classNumber)),
                 monotonicMicros.getAsLong());
     }
 
     private void checkVersionAndProcessingId(Header header) throws Hl7Fault {
         if (!settings.versions().contains(header.firstComponent(12))) {
             throw new Hl7Fault(
-                    Code.UNSUPPORTED_VERSION, "MSH", 12, "versions read here are " + String.join(", ", settings.versions()));
+                    Code.UNSUPPORTED_VERSION,
+                    "MSH",
+                    12,
+                    "versions read here are " + String.join(", ", settings.versions()));
         }
         if (!settings.processingIds().contains(header.firstComponent(11))) {
             throw new Hl7Fault(
@@ -80,8 +85,8 @@
     }
 
     /**
-     * Segments end in CR, have names, and hold no control characters: what a partner could read in two ways is not
-     * passed on.
+     * Checks that segments end in CR, have names and contain no control characters: anything that a partner could
+     * interpret in two ways is not forwarded.
      */
     private static void checkSegments(Header header, byte[] message) throws Hl7Fault {
         int start = 0;
@@ -99,26 +104,28 @@
     private static void checkSegment(Header header, byte[] message, int from, int to) throws Hl7Fault {
         int start = from;
         if (start < to && message[start] == '\n') {
-            start++; // CR LF ends a segment with some senders
+            start++; // some senders end segments in CR LF
         }
         if (start == to) {
             return;
         }
-        boolean good = to - start >= 3
+        boolean validName = to - start >= 3
                 && isLetter(message[start])
                 && isLetterOrDigit(message[start + 1])
                 && isLetterOrDigit(message[start + 2])
                 && (to - start == 3 || message[start + 3] == (byte) header.separator());
-        if (!good || start > 0 && message[start] == 'M' && message[start + 1] == 'S' && message[start + 2] == 'H') {
+        if (!validName
+                || start > 0 && message[start] == 'M' && message[start + 1] == 'S' && message[start + 2] == 'H') {
             throw new Hl7Fault(
                     Code.SEGMENT_SEQUENCE,
                     segmentName(message, start, to),
                     0,
-                    good ? "a second header" : "a segment without a name");
+                    validName ? "a second header" : "a segment without a name");
         }
         for (int i = start; i < to; i++) {
             if (message[i] == '\n') {
-                throw new Hl7Fault(Code.SEGMENT_SEQUENCE, segmentName(message, start, to), 0, "segments end in CR, not in LF");
+                throw new Hl7Fault(
+                        Code.SEGMENT_SEQUENCE, segmentName(message, start, to), 0, "segments end in CR, not in LF");
             }
         }
     }
@@ -140,18 +147,19 @@
     }
 
     private String practice(Header header) throws Hl7Fault {
-        String known = MllpSettings.find(settings.practices(), header.firstComponent(3), '|', header.firstComponent(4));
-        if (known != null) {
-            return known;
+        String configured =
+                MllpSettings.find(settings.practices(), header.firstComponent(3), '|', header.firstComponent(4));
+        if (configured != null) {
+            return configured;
         }
         if (!settings.anySender()) {
             throw new Hl7Fault(Code.UNKNOWN_KEY, "MSH", 3, "no such sender");
         }
-        String own = header.firstComponent(3) + '|' + header.firstComponent(4);
-        if (own.length() == 1) {
+        String sender = header.firstComponent(3) + '|' + header.firstComponent(4);
+        if (sender.length() == 1) {
             throw new Hl7Fault(Code.REQUIRED_FIELD_MISSING, "MSH", 3, "no sender");
         }
-        return toToken(own.replace('/', '%'), 64); // a practice's name has no '/'
+        return toToken(sender.replace('/', '%'), 64); // names of practices contain no '/'
     }
 
     private String key(Header header, byte[] message) throws Hl7Fault {
@@ -167,19 +175,20 @@
     }
 
     /**
-     * The same text for the same value, fit for the journal and for a header of HTTP; a readable value stays itself.
+     * Turns a value into a token that is valid in the journal and in an HTTP header. Equal values give equal tokens; a
+     * value that is already valid is returned unchanged, any other is replaced by its hash.
      */
-    static String toToken(String value, int most) {
-        if (value.length() <= most && value.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '%')) {
+    static String toToken(String value, int maxLength) {
+        if (value.length() <= maxLength && value.chars().allMatch(c -> c > ' ' && c < 0x7f && c != '%')) {
             return value;
         }
-        Fingerprint sum = Fingerprint.of(0, 0, value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+        Fingerprint fingerprint = Fingerprint.of(0, 0, value.getBytes(java.nio.charset.StandardCharsets.UTF_8));
         return "%"
                 + Base64.getUrlEncoder()
                         .withoutPadding()
                         .encodeToString(java.nio.ByteBuffer.allocate(16)
-                                .putLong(sum.high())
-                                .putLong(sum.low())
+                                .putLong(fingerprint.high())
+                                .putLong(fingerprint.low())
                                 .array());
     }
 
@@ -188,7 +197,8 @@
     }
 
     /**
-     * A field's value, escapes undone; empty where there is none. The library sees the header and that segment alone.
+     * The unescaped value of a field, or an empty string if it is missing. The HL7 library parses only the header and
+     * the segment with the field.
      */
     private static String fieldValue(Header header, byte[] message, Field field) throws Hl7Fault {
         String segment = findSegment(header, message, field.segment());
@@ -207,7 +217,7 @@
         }
     }
 
-    /** The first segment of that name. */
+    /** The first segment with this name, or null. */
     private static String findSegment(Header header, byte[] message, String name) {
         for (int start = 0; start < message.length; ) {
             int end = start;
@@ -226,25 +236,26 @@
         return null;
     }
 
-    private long budgetMicros(Header header, byte[] message, long most) throws Hl7Fault {
+    private long budgetMicros(Header header, byte[] message, long defaultMicros) throws Hl7Fault {
         Field field = settings.deadlineField();
         String value = field == null ? "" : fieldValue(header, message, field);
         if (value.isEmpty()) {
-            return most;
+            return defaultMicros;
         }
         if (SECONDS.matcher(value).matches()) {
-            return Math.min(MAX_BUDGET_MICROS, new BigDecimal(value).movePointRight(6).longValue());
+            return Math.min(
+                    MAX_BUDGET_MICROS, new BigDecimal(value).movePointRight(6).longValue());
         }
-        Matcher m = TIMESTAMP.matcher(value);
+        Matcher matcher = TIMESTAMP.matcher(value);
         try {
-            if (m.matches()) {
-                LocalDateTime time = LocalDateTime.parse(m.group(1), TIMESTAMP_FORMAT);
-                ZoneId zone = m.group(3) == null ? ZoneId.systemDefault() : ZoneOffset.of(m.group(3));
-                long at = time.atZone(zone).toInstant().toEpochMilli() * 1000;
-                return Math.max(0, Math.min(MAX_BUDGET_MICROS, at - wallMicros.getAsLong()));
+            if (matcher.matches()) {
+                LocalDateTime time = LocalDateTime.parse(matcher.group(1), TIMESTAMP_FORMAT);
+                ZoneId zone = matcher.group(3) == null ? ZoneId.systemDefault() : ZoneOffset.of(matcher.group(3));
+                long deadlineMicros = time.atZone(zone).toInstant().toEpochMilli() * 1000;
+                return Math.max(0, Math.min(MAX_BUDGET_MICROS, deadlineMicros - wallMicros.getAsLong()));
             }
         } catch (DateTimeException e) {
-            // told below
+            // reported below
         }
         throw new Hl7Fault(Code.DATA_TYPE, field.segment(), field.number(), "neither seconds nor a time");
     }
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -18,20 +18,20 @@
 import lilaclever.transport.Transport;
 
 /**
- * The front of HL7 v2 over MLLP. In enhanced mode the accept acknowledgement says that a message is in the journal, and
- * the application acknowledgement tells its end: on the connection that it came on, on another one of its practice,
- * or on the next. In original mode there is one acknowledgement, the end. A client that asks again, by sending the same
- * message, joins the one that is held or is told its end. Loop thread.
+ * The front for HL7 v2 over MLLP. In enhanced mode the accept acknowledgement says that a message is in the journal,
+ * and the application acknowledgement reports its final status: on the connection that it came on, on another one of
+ * its practice, or on the next one. In original mode there is one acknowledgement, for the final status. A client that
+ * sends the same message again is attached to the pending one, or gets the remembered final status. Loop thread.
  */
 public final class MllpFront implements Front {
-    /** After so long a client that was turned away for want of room may come again, microseconds. */
+    /** The retry delay given to clients that are rejected for lack of capacity. */
     private static final long BUSY_RETRY_AFTER_MICROS = 1_000_000;
-    /** Characters of a control id that go into ours. */
+    /** Number of characters of the client's control id that become part of the message id. */
     private static final int MAX_CONTROL_ID_LENGTH = 40;
-    /** Of connections closed for what came on them, one in so many is logged. */
+    /** Only one in this many connections closed for bad input is logged, which bounds the log. */
     private static final int LOG_ONE_IN = 100;
 
-    /** Who waits for a message's answers on this port: the last connection that asked. */
+    /** The session that waits for the answers to a message: the last one that sent it. */
     private static final class Waiter {
         final MllpSession session;
         final Request request;
@@ -42,7 +42,7 @@
             this.request = request;
         }
 
-        /** It has its first answer, or another connection gets it. */
+        /** The session has got its first answer, or another session gets it instead. */
         void markAnswered() {
             if (!answered) {
                 answered = true;
@@ -59,13 +59,13 @@
     private final MllpConnections connections;
     private final FinalAnswers finalAnswers;
     private final Map<Message, Waiter> waiters = new HashMap<>();
-    /** Messages held of each practice that came on this port. */
+    /** The number of pending messages of each practice that came through this front. */
     private final Map<String, Integer> pendingByPractice = new HashMap<>();
 
     private final AtomicLong closedForBadInput = new AtomicLong();
     private long nextIdNumber;
 
-    /** A front that listens nowhere yet. */
+    /** Creates a front that does not listen yet. */
     public MllpFront(Core core, MllpSettings settings) {
         this.core = core;
         this.settings = settings;
@@ -92,7 +92,7 @@
         return true;
     }
 
-    /** Listens at all addresses; gives those bound. */
+    /** Listens at all configured addresses; returns the bound addresses. */
     public List<SocketAddress> listen(Transport transport) throws IOException {
         List<SocketAddress> bound = new ArrayList<>();
         for (MllpSettings.Listener listener : settings.listeners()) {
@@ -102,12 +102,12 @@
         return bound;
     }
 
-    /** Accepts no more connections; messages are refused by the core from now on. */
+    /** Accepts no more connections; the core refuses messages from now on. */
     public void close() {
         connections.close();
     }
 
-    /** Ends owed to clients that are away; the journal keeps them. */
+    /** The number of final answers pending for disconnected clients; the journal retains them. */
     public int pendingAnswerCount() {
         return finalAnswers.size();
     }
@@ -120,19 +120,19 @@
         return reader;
     }
 
-    /** A connection is closed for what came on it. Any thread. */
+    /** Counts, and sometimes logs, a connection that is closed for bad input. Any thread. */
     void recordBadClient(String address, String why) {
         core.counters().add(Name.BAD_REQUESTS);
-        if (closedForBadInput.incrementAndGet() % LOG_ONE_IN == 1) { // the first, and then one in a hundred: a log is bounded too
+        if (closedForBadInput.incrementAndGet() % LOG_ONE_IN == 1) {
             Logs.warn("mllp", "bad-client", address + ": " + why + ": closed", "client", address);
         }
     }
 
-    // ---- hand-ins ---------------------------------------------------------------------------------------
-    /** Nothing could be read of it that makes a message. */
-    void rejectUnreadable(MllpSession session, Header to, Hl7Fault fault) {
+    // Submissions
+    /** Answers input that could not be read as an acceptable message. */
+    void rejectUnreadable(MllpSession session, Header requestHeader, Hl7Fault fault) {
         core.counters().add(Name.BAD_REQUESTS);
-        writeIfPresent(session, replies.unreadable(to, fault));
+        writeIfPresent(session, replies.unreadable(requestHeader, fault));
     }
 
     private static void writeIfPresent(MllpSession session, byte[] reply) {
@@ -141,60 +141,63 @@
         }
     }
 
-    void handleRequest(MllpSession session, Request r, boolean tooMany) {
-        session.practice = r.practice();
-        finalAnswers.withdraw(r.identity());
-        finalAnswers.sendPending(session, r.header());
-        if (tooMany || pendingByPractice.getOrDefault(r.practice(), 0) >= settings.maxPendingPerPractice()) {
-            replyBusy(session, r, "too many messages at once");
-        } else if (!core.isKnownDestination(r.destination())) {
-            replyBusy(session, r, "no such destination now");
+    void handleRequest(MllpSession session, Request request, boolean tooMany) {
+        session.practice = request.practice();
+        finalAnswers.withdraw(request.identity());
+        finalAnswers.sendPending(session, request.header());
+        if (tooMany || pendingByPractice.getOrDefault(request.practice(), 0) >= settings.maxPendingPerPractice()) {
+            replyBusy(session, request, "too many messages at once");
+        } else if (!core.isKnownDestination(request.destination())) {
+            replyBusy(session, request, "no such destination now");
         } else {
-            submit(session, r);
+            submit(session, request);
         }
     }
 
-    /** The core is not asked. */
-    private void replyBusy(MllpSession session, Request r, String why) {
+    /** Rejects a message without submitting it to the core. */
+    private void replyBusy(MllpSession session, Request request, String why) {
         session.onAnswered();
-        writeIfPresent(session, replies.notAccepted(r.header(), new FinalStatus(Kind.REFUSED, BUSY_RETRY_AFTER_MICROS, why)));
+        writeIfPresent(
+                session,
+                replies.notAccepted(request.header(), new FinalStatus(Kind.REFUSED, BUSY_RETRY_AFTER_MICROS, why)));
     }
 
-    private void submit(MllpSession session, Request r) {
-        Message m = core.submit(this, toSubmission(r));
-        if (!m.isOpen()) {
+    private void submit(MllpSession session, Request request) {
+        Message message = core.submit(this, toSubmission(request));
+        if (!message.isOpen()) {
             session.onAnswered();
-            answerImmediately(session, r.header(), m.finalStatus());
+            answerImmediately(session, request.header(), message.finalStatus());
             return;
         }
-        Waiter before = waiters.put(m, new Waiter(session, r));
-        if (before != null) {
-            before.markAnswered();
+        Waiter previous = waiters.put(message, new Waiter(session, request));
+        if (previous != null) {
+            previous.markAnswered();
         } else {
-            pendingByPractice.merge(r.practice(), 1, Integer::sum);
+            pendingByPractice.merge(request.practice(), 1, Integer::sum);
         }
-        if (m.isAccepted()) {
-            core.whenDurable(() -> acknowledgeAccepted(waiters.get(m)));
+        if (message.isAccepted()) {
+            core.whenDurable(() -> acknowledgeAccepted(waiters.get(message)));
         }
     }
 
-    private Submission toSubmission(Request r) {
-        long budget = Math.max(0, r.budgetMicros() - Math.max(0, Core.monotonicMicros() - r.arrivedMicros()));
+    private Submission toSubmission(Request request) {
+        long budget =
+                Math.max(0, request.budgetMicros() - Math.max(0, Core.monotonicMicros() - request.arrivedMicros()));
         return new Submission(
-                messageId(r),
-                r.identity(),
-                r.messageClass(),
-                r.destination(),
-                r.deliveryKey(),
-                r.body(),
+                messageId(request),
+                request.identity(),
+                request.messageClass(),
+                request.destination(),
+                request.deliveryKey(),
+                request.body(),
                 false,
                 false,
                 budget);
     }
 
-    /** The control id for people, and what makes it like no other. */
-    private String messageId(Request r) {
-        String control = r.header().field(10).replaceAll("[^A-Za-z0-9_-]", "");
+    /** The control id, for readability, with a suffix that makes the id unique. */
+    private String messageId(Request request) {
+        String control = request.header().field(10).replaceAll("[^A-Za-z0-9_-]", "");
         return control.substring(0, Math.min(MAX_CONTROL_ID_LENGTH, control.length()))
                 + '.'
                 + runId
@@ -202,79 +205,79 @@
                 + Long.toString(nextIdNumber++, Character.MAX_RADIX);
     }
 
-    /** The message was not taken on, or its end is remembered: the client that asks again gets it again. */
-    private void answerImmediately(MllpSession session, Header to, FinalStatus verdict) {
-        if (verdict.kind() == Kind.DELIVERED || verdict.kind() == Kind.FAILED) {
-            replies.remembered(to, verdict).forEach(session::write);
+    /** Answers a message that was not accepted, or whose final status is remembered from an earlier submission. */
+    private void answerImmediately(MllpSession session, Header requestHeader, FinalStatus finalStatus) {
+        if (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED) {
+            replies.remembered(requestHeader, finalStatus).forEach(session::write);
         } else {
-            writeIfPresent(session, replies.notAccepted(to, verdict));
+            writeIfPresent(session, replies.notAccepted(requestHeader, finalStatus));
         }
     }
 
-    // ---- what the core tells ----------------------------------------------------------------------------
+    // Notifications from the core
     @Override
     public void onAccepted(Message message) {
-        Waiter w = waiters.get(message);
-        if (w != null) {
-            acknowledgeAccepted(w);
+        Waiter waiter = waiters.get(message);
+        if (waiter != null) {
+            acknowledgeAccepted(waiter);
         }
     }
 
-    private void acknowledgeAccepted(Waiter w) {
-        if (w == null || w.accepted) {
+    private void acknowledgeAccepted(Waiter waiter) {
+        if (waiter == null || waiter.accepted) {
             return;
         }
-        w.accepted = true;
-        if (Request.isOriginalMode(w.request.header())) {
-            return; // its one acknowledgement is the end
+        waiter.accepted = true;
+        if (Request.isOriginalMode(waiter.request.header())) {
+            return; // the only acknowledgement is for the final status
         }
-        w.markAnswered();
-        writeIfPresent(w.session, replies.accepted(w.request.header()));
+        waiter.markAnswered();
+        writeIfPresent(waiter.session, replies.accepted(waiter.request.header()));
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        Waiter w = removeWaiter(message);
-        if (w != null) {
-            w.markAnswered();
-            writeIfPresent(w.session, replies.notAccepted(w.request.header(), verdict));
+    public void onRejected(Message message, FinalStatus finalStatus) {
+        Waiter waiter = removeWaiter(message);
+        if (waiter != null) {
+            waiter.markAnswered();
+            writeIfPresent(waiter.session, replies.notAccepted(waiter.request.header(), finalStatus));
         }
     }
 
     @Override
-    public void onAttachRejected(Message message, String id, FinalStatus verdict) {
-        onRejected(message, verdict);
+    public void onAttachRejected(Message message, String id, FinalStatus finalStatus) {
+        onRejected(message, finalStatus);
     }
 
     private Waiter removeWaiter(Message message) {
-        Waiter w = waiters.remove(message);
-        if (w != null) {
-            pendingByPractice.computeIfPresent(w.request.practice(), (p, n) -> n > 1 ? n - 1 : null);
+        Waiter waiter = waiters.remove(message);
+        if (waiter != null) {
+            pendingByPractice.computeIfPresent(waiter.request.practice(), (p, n) -> n > 1 ? n - 1 : null);
         }
-        return w;
+        return waiter;
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
-        Waiter w = removeWaiter(message);
-        Header header = w != null ? w.request.header() : storedHeader(message);
-        if (w != null) {
-            w.markAnswered();
+    public void onFinalStatus(Message message, String id, FinalStatus finalStatus, Runnable settled) {
+        Waiter waiter = removeWaiter(message);
+        Header header = waiter != null ? waiter.request.header() : storedHeader(message);
+        if (waiter != null) {
+            waiter.markAnswered();
         }
-        if (header == null || !Request.wantsApplicationAcknowledgement(header, verdict.kind() == Kind.DELIVERED)) {
+        if (header == null || !Request.wantsApplicationAcknowledgement(header, finalStatus.kind() == Kind.DELIVERED)) {
             settled.run();
             return;
         }
-        MllpSession session = w != null && w.session.isOpen() ? w.session : null;
-        finalAnswers.send(session, new FinalAnswers.Answer(header, message, verdict, settled));
+        MllpSession session = waiter != null && waiter.session.isOpen() ? waiter.session : null;
+        finalAnswers.send(session, new FinalAnswers.Answer(header, message, finalStatus, settled));
     }
 
-    /** The header of a message whose client is not here, as its body has it. */
+    /** The header from the body of a message without a waiting session; null if the body has none. */
     private static Header storedHeader(Message message) {
         try {
             return Header.read(message.submission.body());
         } catch (Hl7Fault e) {
-            return null; // handed in on another port first: whoever joined it here sent the same bytes
+            return null; // submitted through another front first; duplicates attached here have the same bytes
         }
     }
 }
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -8,93 +8,99 @@
 import lilaclever.routing.FinalStatus.Kind;
 
 /**
- * Which acknowledgement a client gets for what became of its message: by its mode, and by the outcomes that its header
- * wants to be told (MSH-15 and MSH-16). Loop thread.
+ * Chooses the acknowledgement for the outcome of a message, by the client's mode and the acknowledgement conditions in
+ * its header (MSH-15 and MSH-16). Loop thread.
  */
 final class Replies {
     private final Acknowledgements acknowledgements;
     private final Field keyField;
 
     /**
-     * Replies in the words of these acknowledgements.
+     * Creates replies with {@code acknowledgements}.
      *
-     * @param key the field that tells messages of a practice apart
+     * @param keyField the field that identifies a message within its practice
      */
-    Replies(Acknowledgements acknowledgements, Field key) {
+    Replies(Acknowledgements acknowledgements, Field keyField) {
         this.acknowledgements = acknowledgements;
-        this.keyField = key;
+        this.keyField = keyField;
     }
 
-    /** For what could not be read as a message; null if none is wanted. */
-    byte[] unreadable(Header to, Hl7Fault fault) {
+    /** The reply to input that could not be read as an acceptable message, or null if none is wanted. */
+    byte[] unreadable(Header requestHeader, Hl7Fault fault) {
         boolean rejected = switch (fault.code()) {
             case UNSUPPORTED_PROCESSING_ID, UNSUPPORTED_VERSION, UNSUPPORTED_EVENT -> true;
             default -> false;
         };
-        Code code = notAcceptedCode(to, false, rejected);
-        return code == null ? null : acknowledgements.fault(code, to, fault);
+        Code code = notAcceptedCode(requestHeader, false, rejected);
+        return code == null ? null : acknowledgements.fault(code, requestHeader, fault);
     }
 
-    /** For a message that was not taken on, with the reason; null if none is wanted. */
-    byte[] notAccepted(Header to, FinalStatus verdict) {
-        boolean refused = verdict.kind() == Kind.REFUSED;
-        Code code = notAcceptedCode(to, refused, false);
+    /** The reply, with the reason, to a message that was not accepted, or null if none is wanted. */
+    byte[] notAccepted(Header requestHeader, FinalStatus finalStatus) {
+        boolean refused = finalStatus.kind() == Kind.REFUSED;
+        Code code = notAcceptedCode(requestHeader, refused, false);
         if (code == null) {
             return null;
         }
         if (refused) {
-            return acknowledgements.retryLater(code, to, verdict);
+            return acknowledgements.retryLater(code, requestHeader, finalStatus);
         }
-        return verdict.kind() == Kind.CLASH
-                ? acknowledgements.fault(code, to, duplicateKey())
-                : acknowledgements.notConfirmed(code, to, verdict);
+        return finalStatus.kind() == Kind.CLASH
+                ? acknowledgements.fault(code, requestHeader, duplicateKey())
+                : acknowledgements.notConfirmed(code, requestHeader, finalStatus);
     }
 
     /**
-     * The code for what was not taken on, as the sender wants to be told; null: not at all. {@code rejected}: AR in
-     * place of AE.
+     * The code for a message that was not accepted, or null if the sender wants no acknowledgement. {@code rejected}
+     * chooses AR instead of AE.
      */
-    private static Code notAcceptedCode(Header to, boolean mayComeAgain, boolean rejected) {
-        if (Request.wantsAcceptAcknowledgement(to, false)) {
-            return mayComeAgain ? Code.CE : Code.CR;
+    private static Code notAcceptedCode(Header requestHeader, boolean retryable, boolean rejected) {
+        if (Request.wantsAcceptAcknowledgement(requestHeader, false)) {
+            return retryable ? Code.CE : Code.CR;
         }
-        if (!Request.wantsApplicationAcknowledgement(to, false)) {
+        if (!Request.wantsApplicationAcknowledgement(requestHeader, false)) {
             return null;
         }
-        return mayComeAgain || rejected ? Code.AR : Code.AE;
+        return retryable || rejected ? Code.AR : Code.AE;
     }
 
     private Hl7Fault duplicateKey() {
-        return new Hl7Fault(Hl7Fault.Code.DUPLICATE_KEY, keyField.segment(), keyField.number(), "another message has it");
+        return new Hl7Fault(
+                Hl7Fault.Code.DUPLICATE_KEY, keyField.segment(), keyField.number(), "another message has it");
     }
 
-    /** The accept acknowledgement of a message that was taken on; null if none is wanted. */
-    byte[] accepted(Header to) {
-        return Request.wantsAcceptAcknowledgement(to, true) ? acknowledgements.positive(Code.CA, to) : null;
+    /** The accept acknowledgement of an accepted message, or null if none is wanted. */
+    byte[] accepted(Header requestHeader) {
+        return Request.wantsAcceptAcknowledgement(requestHeader, true)
+                ? acknowledgements.positive(Code.CA, requestHeader)
+                : null;
     }
 
-    /** For a message whose end is remembered, delivered or failed: one, both or none. */
-    List<byte[]> remembered(Header to, FinalStatus verdict) {
+    /** The acknowledgements, none to two, of a repeat of a message that is remembered as delivered or failed. */
+    List<byte[]> remembered(Header requestHeader, FinalStatus finalStatus) {
         List<byte[]> replies = new ArrayList<>();
-        boolean delivered = verdict.kind() == Kind.DELIVERED;
-        boolean wantsFinal = Request.wantsApplicationAcknowledgement(to, delivered);
-        // Where no application acknowledgement is wanted, the accept acknowledgement is all that can tell the end.
-        boolean good = delivered || Request.wantsApplicationAcknowledgement(to, false);
-        if (Request.wantsAcceptAcknowledgement(to, good)) {
-            replies.add(good ? acknowledgements.positive(Code.CA, to) : acknowledgements.notConfirmed(Code.CR, to, verdict));
+        boolean delivered = finalStatus.kind() == Kind.DELIVERED;
+        boolean wantsFinal = Request.wantsApplicationAcknowledgement(requestHeader, delivered);
+        // Without an application acknowledgement, only the accept acknowledgement can report the failure.
+        boolean positive = delivered || Request.wantsApplicationAcknowledgement(requestHeader, false);
+        if (Request.wantsAcceptAcknowledgement(requestHeader, positive)) {
+            replies.add(
+                    positive
+                            ? acknowledgements.positive(Code.CA, requestHeader)
+                            : acknowledgements.notConfirmed(Code.CR, requestHeader, finalStatus));
         }
         if (wantsFinal) {
-            replies.add(finalStatus(to, verdict));
+            replies.add(finalStatus(requestHeader, finalStatus));
         }
         return replies;
     }
 
-    /** The application acknowledgement that tells how a message ended. */
-    byte[] finalStatus(Header to, FinalStatus verdict) {
-        return switch (verdict.kind()) {
-            case DELIVERED -> acknowledgements.positive(Code.AA, to);
-            case REFUSED -> acknowledgements.retryLater(Code.AR, to, verdict);
-            default -> acknowledgements.notConfirmed(Code.AE, to, verdict);
+    /** The application acknowledgement for the final status of a message. */
+    byte[] finalStatus(Header requestHeader, FinalStatus finalStatus) {
+        return switch (finalStatus.kind()) {
+            case DELIVERED -> acknowledgements.positive(Code.AA, requestHeader);
+            case REFUSED -> acknowledgements.retryLater(Code.AR, requestHeader, finalStatus);
+            default -> acknowledgements.notConfirmed(Code.AE, requestHeader, finalStatus);
         };
     }
 }
