--- a/src/main/java/lilaclever/lab/sockets/RealSockets.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
@@ -19,7 +19,7 @@
  * partners, directory, platform and clients are stand-ins with the same models as in virtual time. The same scenario
  * and seed give the same plan of arrivals and events; what the forwarders make of it depends on the machine.
  */
-public final class RealSockets {
+public final class SocketRehearsal {
     /**
      * Processes as far as the machine has memory for them; sockets within the ports that a run takes, with room
      * between.
@@ -32,7 +32,7 @@
     private final List<SocketForwarder> forwarders = new ArrayList<>();
     private Listeners listeners;
 
-    private RealSockets() {}
+    private SocketRehearsal() {}
 
     /** Why a scenario is too large for this; null if it is not. */
     public static String tooLarge(Scenario s) {
@@ -65,7 +65,7 @@
             LongConsumer progress,
             BooleanSupplier stopped)
             throws IOException, InterruptedException {
-        return new RealSockets().play(scenario, seed, folder, command, progress, stopped);
+        return new SocketRehearsal().play(scenario, seed, folder, command, progress, stopped);
     }
 
     private Result play(
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -23,7 +23,7 @@
 import lilaclever.lab.scenario.Overrides;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
-import lilaclever.lab.sockets.RealSockets;
+import lilaclever.lab.sockets.SocketRehearsal;
 import lilaclever.lab.virtual.VirtualTime;
 import lilaclever.lab.world.Fault;
 import lilaclever.lab.world.Result;
@@ -161,7 +161,7 @@
 
     private int runScenario() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
         Scenario scenario = scenario();
-        String tooLarge = sockets ? RealSockets.tooLarge(scenario) : null;
+        String tooLarge = sockets ? SocketRehearsal.tooLarge(scenario) : null;
         if (tooLarge != null) {
             throw new ConfigurationException(
                     "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; run it without");
@@ -232,7 +232,7 @@
                 Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
         Path runFolder = Files.createTempDirectory(forwardersFolder, "run-");
         try {
-            return RealSockets.run(
+            return SocketRehearsal.run(
                     scenario,
                     runSeed,
                     runFolder,
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -16,7 +16,7 @@
 import lilaclever.lab.report.Report;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
-import lilaclever.lab.sockets.RealSockets;
+import lilaclever.lab.sockets.SocketRehearsal;
 import lilaclever.lab.virtual.VirtualTime;
 import lilaclever.lab.world.Fault;
 import lilaclever.lab.world.Result;
@@ -53,7 +53,7 @@
     }
 
     private Result run(Scenario s, List<String> command) throws IOException, InterruptedException {
-        return RealSockets.run(s, 1, folder, command, now -> {}, () -> false);
+        return SocketRehearsal.run(s, 1, folder, command, now -> {}, () -> false);
     }
 
     /**
@@ -151,7 +151,7 @@
     @Test
     void aRunCutShortIsPartial() throws Exception {
         long[] now = {0};
-        Result r = RealSockets.run(
+        Result r = SocketRehearsal.run(
                 scenario("[traffic]", "length 60s", "load 50%"),
                 1,
                 folder,
@@ -234,10 +234,10 @@
 
     @Test
     void whatIsTooLargeForOneMachineIsSaidSo() throws ConfigurationException {
-        assertTrue(RealSockets.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
+        assertTrue(SocketRehearsal.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
                 .startsWith("forwarders: 2000"));
-        assertTrue(RealSockets.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
+        assertTrue(SocketRehearsal.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
                 .startsWith("destinations: about"));
-        assertEquals(null, RealSockets.tooLarge(ScenarioReader.read("monday")));
+        assertEquals(null, SocketRehearsal.tooLarge(ScenarioReader.read("monday")));
     }
 }
