--- a/src/main/java/lilaclever/lab/sockets/Agent.java
+++ b/src/main/java/lilaclever/lab/sockets/Agent.java
@@ -16,7 +16,7 @@
 import java.util.function.Function;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.lab.sockets.Wire.Head;
+import lilaclever.lab.sockets.StandInConnection.Head;
 import lilaclever.lab.world.World;
 
 /**
@@ -31,11 +31,11 @@
     private record Change(long version, List<DecisionModule.EndpointEntry> entries) {}
 
     private static final class Watch {
-        final Wire wire;
+        final StandInConnection wire;
         final long after;
         boolean over;
 
-        Watch(Wire wire, long after) {
+        Watch(StandInConnection wire, long after) {
             this.wire = wire;
             this.after = after;
         }
@@ -49,7 +49,7 @@
     private final Map<String, DecisionModule.EndpointEntry> list = new LinkedHashMap<>();
     private final ArrayDeque<Change> changes = new ArrayDeque<>();
     private final List<Watch> watches = new ArrayList<>();
-    private final List<Wire> wires = new ArrayList<>();
+    private final List<StandInConnection> wires = new ArrayList<>();
     private long version;
 
     Agent(World world, RealTime time, Function<DecisionModule.EndpointEntry, String> address) throws IOException {
@@ -70,7 +70,7 @@
 
     void close() throws IOException {
         server.close();
-        wires.forEach(Wire::close);
+        wires.forEach(StandInConnection::close);
     }
 
     // ---- what it is told --------------------------------------------------------------------------------
@@ -129,7 +129,7 @@
 
     // ---- what it is asked -------------------------------------------------------------------------------
     private void serve(Socket socket) throws IOException {
-        Wire wire = new Wire(socket);
+        StandInConnection wire = new StandInConnection(socket);
         time.post(() -> wires.add(wire));
         Threads.start("agent", () -> {
             try {
@@ -144,7 +144,7 @@
         });
     }
 
-    private void asked(Wire wire, Head h) {
+    private void asked(StandInConnection wire, Head h) {
         if (h.target().equals("/status")) {
             notices(wire, new String(h.body(), StandardCharsets.UTF_8));
         } else if (h.target().contains("after=")) {
@@ -186,7 +186,7 @@
         answer(watch.wire, "200 OK", list(false, changed.values()).toString());
     }
 
-    private void notices(Wire wire, String lines) {
+    private void notices(StandInConnection wire, String lines) {
         for (String line : lines.lines().toList()) {
             JsonElement read = JsonParser.parseString(line);
             String id = read.getAsJsonObject().get("id").getAsString();
@@ -199,7 +199,7 @@
         answer(wire, "204 No Content", "");
     }
 
-    private static void answer(Wire wire, String status, String body) {
+    private static void answer(StandInConnection wire, String status, String body) {
         try {
             wire.answer(status, body);
         } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/sockets/Clients.java
+++ b/src/main/java/lilaclever/lab/sockets/Clients.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.Wire.Head;
+import lilaclever.lab.sockets.StandInConnection.Head;
 import lilaclever.lab.world.World;
 
 /**
@@ -28,7 +28,7 @@
         thread.setDaemon(true);
         return thread;
     });
-    private final ConcurrentLinkedDeque<Wire> idle = new ConcurrentLinkedDeque<>();
+    private final ConcurrentLinkedDeque<StandInConnection> idle = new ConcurrentLinkedDeque<>();
 
     Clients(World world, RealTime time, InetSocketAddress address) {
         this.world = world;
@@ -45,7 +45,7 @@
                 + String.format(Locale.ROOT, "%.6f", leftMicros / 1e6) + "\r\nIdempotency-Key: k" + a.number()
                 + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + BODY + "\r\n\r\n";
         threads.execute(() -> {
-            Wire kept = idle.pollLast();
+            StandInConnection kept = idle.pollLast();
             Runnable told = kept == null ? null : ask(kept, id, head, body, true);
             Runnable outcome = told != null ? told : fresh(id, head, body);
             time.post(outcome);
@@ -56,7 +56,7 @@
         try {
             Socket socket = new Socket();
             socket.connect(address, CONNECT);
-            return ask(new Wire(socket), id, head, body, false);
+            return ask(new StandInConnection(socket), id, head, body, false);
         } catch (ConnectException e) {
             return () -> world.onConnectionRefused(id);
         } catch (IOException e) {
@@ -65,7 +65,7 @@
     }
 
     /** What the answer means; null if a kept connection had been closed before it was read. */
-    private Runnable ask(Wire wire, String id, String head, byte[] body, boolean kept) {
+    private Runnable ask(StandInConnection wire, String id, String head, byte[] body, boolean kept) {
         try {
             wire.patience(PATIENCE);
             wire.write(head, body);
@@ -104,6 +104,6 @@
 
     void close() {
         threads.shutdownNow();
-        idle.forEach(Wire::close);
+        idle.forEach(StandInConnection::close);
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/Hl7Line.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Line.java
@@ -23,7 +23,7 @@
     private final World world;
     private final RealTime time;
     private final InetSocketAddress address;
-    private volatile Wire wire;
+    private volatile StandInConnection wire;
     private volatile boolean closed;
 
     Hl7Line(World world, RealTime time, InetSocketAddress address) {
@@ -37,7 +37,7 @@
         while (!closed) {
             try (Socket s = new Socket()) {
                 s.connect(address, CONNECT);
-                Wire up = new Wire(s);
+                StandInConnection up = new StandInConnection(s);
                 wire = up;
                 for (String frame = up.frame(); frame != null; frame = up.frame()) {
                     String read = frame;
@@ -53,7 +53,7 @@
 
     /** Hands a message in; what becomes of it is told to the world. */
     void handIn(String id, Arrival a, long leftMicros) {
-        Wire to = wire;
+        StandInConnection to = wire;
         if (to == null) {
             world.onConnectionRefused(id);
             return;
@@ -98,7 +98,7 @@
 
     void close() {
         closed = true;
-        Wire last = wire;
+        StandInConnection last = wire;
         if (last != null) {
             last.close();
         }
--- a/src/main/java/lilaclever/lab/sockets/Listeners.java
+++ b/src/main/java/lilaclever/lab/sockets/Listeners.java
@@ -56,7 +56,7 @@
                 PartnerConnection c = new PartnerConnection(
                         world,
                         time,
-                        new Wire(socket),
+                        new StandInConnection(socket),
                         partner,
                         host,
                         forwarder,
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import lilaclever.lab.model.Partner;
 import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.sockets.Wire.Head;
+import lilaclever.lab.sockets.StandInConnection.Head;
 import lilaclever.lab.world.World;
 
 /**
@@ -37,7 +37,7 @@
 
     private final World world;
     private final RealTime time;
-    private final Wire wire;
+    private final StandInConnection wire;
     private final Partner partner;
     private final String host;
     private final int forwarder;
@@ -54,7 +54,7 @@
     PartnerConnection(
             World world,
             RealTime time,
-            Wire wire,
+            StandInConnection wire,
             Partner partner,
             String host,
             int forwarder,
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -15,7 +15,7 @@
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.Wire.Head;
+import lilaclever.lab.sockets.StandInConnection.Head;
 import lilaclever.lab.world.ForwarderHandle;
 import lilaclever.lab.world.World;
 
@@ -173,7 +173,7 @@
     private boolean answersReady() {
         try (Socket socket = new Socket()) {
             socket.connect(address, 500);
-            Wire wire = new Wire(socket);
+            StandInConnection wire = new StandInConnection(socket);
             wire.patience(500);
             wire.say("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
             Head answer = wire.read();
--- a/src/main/java/lilaclever/lab/sockets/Wire.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -14,7 +14,7 @@
  * One connection of a stand-in, either side of it: as much of HTTP/1.1 and of MLLP as the protocols need, within
  * bounds. It shares nothing with the program's own codecs, so that a fault of theirs is not made twice.
  */
-public class Wire implements AutoCloseable {
+public class StandInConnection implements AutoCloseable {
     private static final int LONGEST_LINE = 8192, MOST_HEADERS = 100, MOST_BODY = 4 << 20, MOST_FRAME = 70_000;
     private static final char FRAME = 0x0b, FRAME_END = 0x1c;
 
@@ -30,7 +30,7 @@
     private final InputStream in;
 
     /** Talks over the socket, which is connected. */
-    public Wire(Socket socket) throws IOException {
+    public StandInConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -389,7 +389,7 @@
             }
             listed.countDown();
             try (var call =
-                    new lilaclever.lab.sockets.Wire(endpoint.accept())) { // which closes in order, without a reset
+                    new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) { // which closes in order, without a reset
                 assertEquals("/receive-many", call.read().target());
                 call.say("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
             }
@@ -421,7 +421,7 @@
             }
             listed.countDown();
             Set<String> ended = new TreeSet<>();
-            try (var call = new lilaclever.lab.sockets.Wire(endpoint.accept())) {
+            try (var call = new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) {
                 var request = call.read();
                 assertEquals("/receive-many", request.target());
                 assertTrue(Double.parseDouble(request.header("Req-Deadline", "")) < 1.5);
@@ -436,7 +436,7 @@
     }
 
     /** Answers a call that may have been given up already. */
-    private static void answerLate(lilaclever.lab.sockets.Wire call, String body) {
+    private static void answerLate(lilaclever.lab.sockets.StandInConnection call, String body) {
         try {
             call.answer("200 OK", body);
         } catch (IOException closed) {
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -93,7 +93,7 @@
     record Request(String path, Map<String, String> headers, String body) {}
 
     /** One connection, either side of it: the stand-ins' own, with what scripts say and ask. */
-    static final class Wire extends lilaclever.lab.sockets.Wire {
+    static final class Wire extends lilaclever.lab.sockets.StandInConnection {
         private static final int PATIENCE = 30_000;
 
         Wire(Socket socket) throws IOException {
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -24,7 +24,7 @@
 import lilaclever.journal.FolderDisk;
 import lilaclever.journal.JournalClocks;
 import lilaclever.journal.SegmentedJournal;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Clock;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
@@ -217,8 +217,8 @@
     private static void respondWithErrors(ServerSocket server, BlockingQueue<String> requests) {
         try {
             while (true) {
-                try (Wire wire = new Wire(server.accept())) {
-                    for (Wire.Head head = wire.read(); head != null; head = wire.read()) {
+                try (StandInConnection wire = new StandInConnection(server.accept())) {
+                    for (StandInConnection.Head head = wire.read(); head != null; head = wire.read()) {
                         requests.add(head.target());
                         wire.answer("503 Service Unavailable", "");
                     }
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lilaclever.DecisionModule;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Call;
 import lilaclever.routing.Core;
 import org.junit.jupiter.api.Test;
@@ -63,7 +63,7 @@
     @Test
     void aResponseThatCrossesGiveUpIsIgnored() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             endpoint.read();
             CountDownLatch release = blockSelector();
             endpoint.answer("200 OK", "all accepted");
@@ -83,7 +83,7 @@
     @Test
     void nothingIsReportedAfterAClose() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             endpoint.read();
             CountDownLatch release = blockSelector();
             runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
@@ -104,7 +104,7 @@
     @Test
     void giveUpDuringConnectReportsWhetherTheRequestWasWritten() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             endpoint.read(); // the request was written
             runOnLoop(() -> exchange.giveUp(() -> reports.add("written " + exchange.isWritten())));
             assertEquals("written true", reports.poll(20, TimeUnit.SECONDS));
@@ -115,7 +115,7 @@
         release.countDown();
         assertEquals("written false", reports.poll(20, TimeUnit.SECONDS));
         server.accept().close(); // the connection that blocked the selector thread
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             assertNull(endpoint.read(), "not a byte");
         }
     }
@@ -124,7 +124,7 @@
     @Test
     void anExpiredRequestIsNotWritten() throws Exception {
         send(client(), true);
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             assertEquals("withheld", reports.poll(20, TimeUnit.SECONDS));
             endpoint.patience(50);
             assertThrows(SocketTimeoutException.class, endpoint::read, "not a byte");
@@ -165,7 +165,7 @@
                                 read.countDown();
                             }
                         }));
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             endpoint.read();
             endpoint.say("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
             assertTrue(read.await(20, TimeUnit.SECONDS), "the head must be read before the reset");
@@ -188,7 +188,7 @@
         runOnLoop(deliverer::start);
         runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
         runOnLoop(() -> deliverer.probe(one));
-        try (Wire first = accept()) {
+        try (StandInConnection first = accept()) {
             first.read();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
@@ -196,7 +196,7 @@
             }
             runOnLoop(() -> deliverer.probe(one));
             runOnLoop(() -> deliverer.probe(other));
-            try (Wire second = accept()) {
+            try (StandInConnection second = accept()) {
                 second.read();
                 first.patience(50);
                 assertThrows(SocketTimeoutException.class, first::read, "no further request on this connection");
@@ -212,7 +212,7 @@
         runOnLoop(deliverer::start);
         runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
         runOnLoop(() -> deliverer.probe(one));
-        try (Wire first = accept()) {
+        try (StandInConnection first = accept()) {
             first.read();
             first.answer("200 OK", "");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.CompletionHandler;
 import org.glassfish.grizzly.Connection;
@@ -38,8 +38,8 @@
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static Wire connect(InetSocketAddress address) throws IOException {
-        Wire wire = new Wire(new Socket(address.getAddress(), address.getPort()));
+    private static StandInConnection connect(InetSocketAddress address) throws IOException {
+        StandInConnection wire = new StandInConnection(new Socket(address.getAddress(), address.getPort()));
         wire.patience(20_000);
         return wire;
     }
@@ -103,7 +103,7 @@
     @Test
     void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
-        try (Wire client = connect(listen(new DelayedWriteFilter()))) {
+        try (StandInConnection client = connect(listen(new DelayedWriteFilter()))) {
             client.say(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
             core.post(() -> respond(first, ""));
@@ -119,7 +119,7 @@
     void anUnreadRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(serverFilter);
-        try (Wire client = connect(address)) {
+        try (StandInConnection client = connect(address)) {
             client.say(requestText("/1", 0));
             respond(nextRequest(), "");
             assertEquals("200", client.read().target());
@@ -130,7 +130,7 @@
             HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second.path());
             respond(second, "");
-            Wire.Head last = client.read();
+            StandInConnection.Head last = client.read();
             assertEquals("close", last.headers().get("Connection"));
             assertNull(client.read());
         }
@@ -145,20 +145,20 @@
         serverFilter = new HttpServerFilter(
                 core, 8, 8, requests::add); // one place of them is reserved for closing connections
         InetSocketAddress address = listen(serverFilter);
-        Wire[] waiting = new Wire[7];
+        StandInConnection[] waiting = new StandInConnection[7];
         for (int i = 0; i < 7; i++) {
             waiting[i] = connect(address);
             waiting[i].say(requestText("/" + i, 0));
             assertTrue(nextRequest() != null);
         }
-        try (Wire newcomer = connect(address)) {
+        try (StandInConnection newcomer = connect(address)) {
             newcomer.say(requestText("/8", 0));
-            Wire.Head response = newcomer.read();
+            StandInConnection.Head response = newcomer.read();
             assertEquals("503", response.target());
             assertEquals("1", response.headers().get("Retry-After"));
             assertNull(newcomer.read());
         }
-        for (Wire each : waiting) {
+        for (StandInConnection each : waiting) {
             each.close();
         }
     }
@@ -177,8 +177,8 @@
     }
 
     // Requests that were read
-    private Wire connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
-        Wire wire = connect(address);
+    private StandInConnection connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
+        StandInConnection wire = connect(address);
         wire.say(requestText("/first" + number, 0));
         respond(nextRequest(), "");
         assertEquals("200", wire.read().target());
@@ -195,7 +195,7 @@
         for (int round = 0; round < 5; round++) {
             serverFilter = new HttpServerFilter(core, 8, 8, requests::add); // seven stay, one is reserved
             InetSocketAddress address = listen(serverFilter);
-            Wire[] clients = new Wire[7];
+            StandInConnection[] clients = new StandInConnection[7];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = connectAndCompleteRequest(address, i);
             }
@@ -203,19 +203,19 @@
             for (int i = 0; i < clients.length; i++) {
                 clients[i].say(requestText("/" + i, 0));
             }
-            Wire[] newcomers = {connect(address), connect(address), connect(address)};
+            StandInConnection[] newcomers = {connect(address), connect(address), connect(address)};
             release.countDown();
             for (HttpServerFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
                 respond(r, "");
-                Wire.Head head = clients[Integer.parseInt(r.path().substring(1))].read();
+                StandInConnection.Head head = clients[Integer.parseInt(r.path().substring(1))].read();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
-            for (Wire each : clients) {
+            for (StandInConnection each : clients) {
                 each.close();
             }
-            for (Wire each : newcomers) {
+            for (StandInConnection each : newcomers) {
                 each.close();
             }
         }
@@ -226,7 +226,7 @@
     @ValueSource(strings = {"shutdown", "many connections"})
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
         serverFilter = new HttpServerFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
-        try (Wire client = connect(listen(serverFilter))) {
+        try (StandInConnection client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0) + requestText("/2", 0) + requestText("/3", 0));
             HttpServerFilter.Request first = nextRequest();
             if (cause.equals("shutdown")) {
@@ -250,7 +250,7 @@
     @Test
     void excessPipelinedDataIsRejectedWithAResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
-        try (Wire client = connect(listen(serverFilter))) {
+        try (StandInConnection client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
             client.say(requestText("/2", 0) + requestText("/3", 40_000));
@@ -270,7 +270,7 @@
     @Test
     void excessDataAfterARequestDoesNotCutOffItsResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
-        try (Wire client = connect(listen(serverFilter))) {
+        try (StandInConnection client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
             client.write("", new byte[12 << 20]);
@@ -285,9 +285,9 @@
         serverFilter = new HttpServerFilter(core, 10, 10, request -> {
             throw new IllegalStateException("handler failure");
         });
-        try (Wire client = connect(listen(serverFilter))) {
+        try (StandInConnection client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0));
-            Wire.Head head = client.read();
+            StandInConnection.Head head = client.read();
             assertEquals("500", head == null ? "closed" : head.target());
         }
     }
@@ -300,7 +300,7 @@
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
         socket.connect(address);
-        try (Wire client = new Wire(socket)) {
+        try (StandInConnection client = new StandInConnection(socket)) {
             client.patience(20_000);
             client.say(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
@@ -316,14 +316,14 @@
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(serverFilter);
         try (Socket socket = new Socket(address.getAddress(), address.getPort());
-                Wire client = new Wire(socket)) {
+                StandInConnection client = new StandInConnection(socket)) {
             client.patience(20_000);
             client.say(requestText("/1", 0));
             socket.shutdownOutput();
             HttpServerFilter.Request first = nextRequest();
             awaitSelections(1); // the end of its input has been read
             respond(first, "");
-            Wire.Head head = client.read();
+            StandInConnection.Head head = client.read();
             while (head != null && head.target().equals("100")) {
                 head = client.read();
             }
@@ -340,7 +340,7 @@
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4096);
             socket.connect(address);
-            Wire client = new Wire(socket);
+            StandInConnection client = new StandInConnection(socket);
             client.patience(20_000);
             client.say(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
@@ -356,7 +356,7 @@
     void aClientThatHasClosedIsGone() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(serverFilter);
-        Wire client = connect(address);
+        StandInConnection client = connect(address);
         client.say(requestText("/1", 0));
         HttpServerFilter.Request first = nextRequest();
         client.close();
