--- a/src/main/java/lilaclever/lab/sockets/Agent.java
+++ b/src/main/java/lilaclever/lab/sockets/Agent.java
@@ -16,7 +16,7 @@
 import java.util.function.Function;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.lab.sockets.StandInConnection.Head;
+import lilaclever.lab.sockets.StandInConnection.HttpMessage;
 import lilaclever.lab.world.World;
 
 /**
@@ -133,8 +133,8 @@
         time.post(() -> wires.add(wire));
         Threads.start("agent", () -> {
             try {
-                for (Head h = wire.read(); h != null; h = wire.read()) {
-                    Head read = h;
+                for (HttpMessage h = wire.read(); h != null; h = wire.read()) {
+                    HttpMessage read = h;
                     time.post(() -> asked(wire, read));
                 }
             } finally {
@@ -144,7 +144,7 @@
         });
     }
 
-    private void asked(StandInConnection wire, Head h) {
+    private void asked(StandInConnection wire, HttpMessage h) {
         if (h.target().equals("/status")) {
             notices(wire, new String(h.body(), StandardCharsets.UTF_8));
         } else if (h.target().contains("after=")) {
--- a/src/main/java/lilaclever/lab/sockets/Clients.java
+++ b/src/main/java/lilaclever/lab/sockets/Clients.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.StandInConnection.Head;
+import lilaclever.lab.sockets.StandInConnection.HttpMessage;
 import lilaclever.lab.world.World;
 
 /**
@@ -69,7 +69,7 @@
         try {
             wire.patience(PATIENCE);
             wire.write(head, body);
-            Head answer = wire.read();
+            HttpMessage answer = wire.read();
             if (answer == null) {
                 wire.close();
                 return kept ? null : () -> world.onNoAnswer(id);
@@ -89,7 +89,7 @@
         }
     }
 
-    private Runnable outcome(String id, Head answer) {
+    private Runnable outcome(String id, HttpMessage answer) {
         return switch (answer.target()) {
             case "200", "202" -> () -> world.onAccepted(id);
             case "429", "503" ->
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import lilaclever.lab.model.Partner;
 import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.sockets.StandInConnection.Head;
+import lilaclever.lab.sockets.StandInConnection.HttpMessage;
 import lilaclever.lab.world.World;
 
 /**
@@ -73,8 +73,8 @@
     void start() {
         Threads.start("partner " + host, () -> {
             try {
-                for (Head h = wire.read(); h != null; h = wire.read()) {
-                    Head read = h;
+                for (HttpMessage h = wire.read(); h != null; h = wire.read()) {
+                    HttpMessage read = h;
                     time.post(() -> arrived(read));
                 }
             } catch (IOException | NumberFormatException e) {
@@ -128,7 +128,7 @@
     }
 
     // ---- calls ------------------------------------------------------------------------------------------
-    private void arrived(Head head) {
+    private void arrived(HttpMessage head) {
         if (closed) {
             return;
         }
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -15,7 +15,7 @@
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.StandInConnection.Head;
+import lilaclever.lab.sockets.StandInConnection.HttpMessage;
 import lilaclever.lab.world.ForwarderHandle;
 import lilaclever.lab.world.World;
 
@@ -176,7 +176,7 @@
             StandInConnection wire = new StandInConnection(socket);
             wire.patience(500);
             wire.say("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
-            Head answer = wire.read();
+            HttpMessage answer = wire.read();
             return answer != null && answer.target().equals("200");
         } catch (IOException e) {
             return false; // not yet
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -19,7 +19,7 @@
     private static final char FRAME = 0x0b, FRAME_END = 0x1c;
 
     /** A request, or an answer with its status as the target. */
-    public record Head(String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
+    public record HttpMessage(String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
         /** A header's value. */
         public String header(String name, String otherwise) {
             return headers.getOrDefault(name, otherwise);
@@ -37,7 +37,7 @@
     }
 
     /** The next request or answer; null if the other side has closed between two. */
-    public final Head read() throws IOException {
+    public final HttpMessage read() throws IOException {
         int first = in.read();
         if (first < 0) {
             return null;
@@ -60,7 +60,7 @@
         if (body.length < length) {
             throw new IOException("ended within a body");
         }
-        return new Head(words[0], words[1], headers, body, at);
+        return new HttpMessage(words[0], words[1], headers, body, at);
     }
 
     private String wholeLine() throws IOException {
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -110,7 +110,7 @@
     private void serve(Socket socket) throws IOException, InterruptedException {
         try (StandInConnection wire = new StandInConnection(socket)) {
             open.add(wire);
-            for (StandInConnection.Head call = wire.read(); call != null; call = wire.read()) {
+            for (StandInConnection.HttpMessage call = wire.read(); call != null; call = wire.read()) {
                 if (!call.target().startsWith(CALL)) {
                     wire.answer("404 no probes", "");
                     continue;
@@ -127,14 +127,14 @@
         }
     }
 
-    private void note(StandInConnection.Head call) {
+    private void note(StandInConnection.HttpMessage call) {
         for (String id : ids(call)) {
             int group = Integer.parseInt(id.substring(0, id.indexOf('-')));
             auditor.called(id, new Target(address(), group), call.firstByteNanos());
         }
     }
 
-    private void answer(StandInConnection wire, StandInConnection.Head call) throws IOException {
+    private void answer(StandInConnection wire, StandInConnection.HttpMessage call) throws IOException {
         StringBuilder ends = new StringBuilder();
         if (isSeveral(call)) {
             ids(call).forEach(id -> ends.append(id).append(" accepted\r\n"));
@@ -142,12 +142,12 @@
         wire.answer(manner.answer, ends.toString());
     }
 
-    private static boolean isSeveral(StandInConnection.Head call) {
+    private static boolean isSeveral(StandInConnection.HttpMessage call) {
         return call.target().equals("/receive-many");
     }
 
     /** The ids of a call's messages; bodies are without line ends. */
-    private static List<String> ids(StandInConnection.Head call) {
+    private static List<String> ids(StandInConnection.HttpMessage call) {
         if (!isSeveral(call)) {
             return List.of(call.header("Req-Id", "?"));
         }
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -130,7 +130,7 @@
             HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second.path());
             respond(second, "");
-            StandInConnection.Head last = client.read();
+            StandInConnection.HttpMessage last = client.read();
             assertEquals("close", last.headers().get("Connection"));
             assertNull(client.read());
         }
@@ -153,7 +153,7 @@
         }
         try (StandInConnection newcomer = connect(address)) {
             newcomer.say(requestText("/8", 0));
-            StandInConnection.Head response = newcomer.read();
+            StandInConnection.HttpMessage response = newcomer.read();
             assertEquals("503", response.target());
             assertEquals("1", response.headers().get("Retry-After"));
             assertNull(newcomer.read());
@@ -209,7 +209,7 @@
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
                 respond(r, "");
-                StandInConnection.Head head = clients[Integer.parseInt(r.path().substring(1))].read();
+                StandInConnection.HttpMessage head = clients[Integer.parseInt(r.path().substring(1))].read();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
             for (StandInConnection each : clients) {
@@ -287,7 +287,7 @@
         });
         try (StandInConnection client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0));
-            StandInConnection.Head head = client.read();
+            StandInConnection.HttpMessage head = client.read();
             assertEquals("500", head == null ? "closed" : head.target());
         }
     }
@@ -323,7 +323,7 @@
             HttpServerFilter.Request first = nextRequest();
             awaitSelections(1); // the end of its input has been read
             respond(first, "");
-            StandInConnection.Head head = client.read();
+            StandInConnection.HttpMessage head = client.read();
             while (head != null && head.target().equals("100")) {
                 head = client.read();
             }
