--- a/src/main/java/lilaclever/lab/virtual/VirtualTime.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
@@ -13,8 +13,8 @@
  *
  * <p>What it does not model: the forwarders' own processors (a turn takes no time), lost packets, and descriptors.
  */
-public final class VirtualTime {
-    private VirtualTime() {}
+public final class VirtualRehearsal {
+    private VirtualRehearsal() {}
 
     /** Plays the run to its end. */
     public static Result run(Scenario scenario, long seed, Fault fault) {
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -24,7 +24,7 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
 import lilaclever.lab.sockets.SocketRehearsal;
-import lilaclever.lab.virtual.VirtualTime;
+import lilaclever.lab.virtual.VirtualRehearsal;
 import lilaclever.lab.world.Fault;
 import lilaclever.lab.world.Result;
 import org.kohsuke.args4j.Argument;
@@ -226,7 +226,7 @@
     private Result runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
         LongConsumer progressListener = isSingle ? this::progress : now -> {};
         if (!sockets) {
-            return VirtualTime.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
+            return VirtualRehearsal.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
         }
         Path forwardersFolder =
                 Files.createDirectories(reportFolder.resolve("forwarders")).toAbsolutePath();
@@ -293,7 +293,7 @@
                 AtomicInteger broken = new AtomicInteger();
                 runInParallel(
                         runCount,
-                        i -> VirtualTime.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
+                        i -> VirtualRehearsal.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
                         result -> {
                             services.add(result.auditor().service().figure(Prices.USUAL));
                             broken.addAndGet(result.auditor().broken().size());
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -28,7 +28,7 @@
 /** Whole rehearsals in virtual time: the real core, module and journal among models. */
 class WorldTest {
     private static Result run(Scenario s, long seed, Fault fault) {
-        return VirtualTime.run(s, seed, fault);
+        return VirtualRehearsal.run(s, seed, fault);
     }
 
     private static Result run(String name, Fault fault) throws ConfigurationException {
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -17,7 +17,7 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
 import lilaclever.lab.sockets.SocketRehearsal;
-import lilaclever.lab.virtual.VirtualTime;
+import lilaclever.lab.virtual.VirtualRehearsal;
 import lilaclever.lab.world.Fault;
 import lilaclever.lab.world.Result;
 import lilaclever.lab.world.TimingQuality;
@@ -78,7 +78,7 @@
                 "for 2s",
                 "part 30%");
         Result r = run(s, ChildProcessCommand.command("serve"));
-        Result v = VirtualTime.run(s, 1, Fault.NONE);
+        Result v = VirtualRehearsal.run(s, 1, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         assertEquals(v.auditor().counts().get("messages"), r.auditor().counts().get("messages"));
         assertEquals(v.events(), r.events());
