--- a/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
@@ -10,7 +10,7 @@
 import java.util.function.LongConsumer;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import lilaclever.lab.world.TimingQuality;
 import lilaclever.lab.world.World;
 
@@ -57,7 +57,7 @@
      *
      * @throws IOException if a forwarder can't be started; says which, and why
      */
-    public static Result run(
+    public static RehearsalResult run(
             Scenario scenario,
             long seed,
             Path folder,
@@ -68,7 +68,7 @@
         return new SocketRehearsal().play(scenario, seed, folder, command, progress, stopped);
     }
 
-    private Result play(
+    private RehearsalResult play(
             Scenario scenario,
             long seed,
             Path folder,
--- a/src/main/java/lilaclever/lab/world/Result.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -15,7 +15,7 @@
  * @param partial cut short
  * @param trust of a run in real time; null in virtual time
  */
-public record Result(
+public record RehearsalResult(
         Scenario scenario,
         long seed,
         Auditor auditor,
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -299,13 +299,13 @@
     }
 
     /** The run is over, or is cut short now: what it has shown. */
-    public Result finish(long scheduled, TimingQuality trust) {
+    public RehearsalResult finish(long scheduled, TimingQuality trust) {
         auditor.finish(now());
         forwarders.reportBrokenInvariants();
         partners.forEach(this::reportFailBacks);
-        List<Result.PartnerRow> rows = partners.stream().map(this::row).toList();
+        List<RehearsalResult.PartnerRow> rows = partners.stream().map(this::row).toList();
         boolean partial = now() < length();
-        return new Result(
+        return new RehearsalResult(
                 scenario, seed, auditor, events.bands(), rows, series.rows(), now(), scheduled, partial, trust);
     }
 
@@ -318,8 +318,8 @@
         }
     }
 
-    private Result.PartnerRow row(Partner partner) {
-        return new Result.PartnerRow(
+    private RehearsalResult.PartnerRow row(Partner partner) {
+        return new RehearsalResult.PartnerRow(
                 partner.destination(),
                 partner.kind().name(),
                 partner.capacity(),
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -26,7 +26,7 @@
 import lilaclever.lab.sockets.SocketRehearsal;
 import lilaclever.lab.virtual.VirtualRehearsal;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
@@ -178,7 +178,7 @@
                         Path reportFolder = isSingle
                                 ? outputFolder(scenario)
                                 : outputFolder(scenario).resolve("seed-" + (seed + i));
-                        Result result = runOnce(scenario, seed + i, reportFolder, isSingle);
+                        RehearsalResult result = runOnce(scenario, seed + i, reportFolder, isSingle);
                         Report.write(result, reportFolder);
                         return result;
                     },
@@ -223,7 +223,7 @@
                 : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
     }
 
-    private Result runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
+    private RehearsalResult runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
         LongConsumer progressListener = isSingle ? this::progress : now -> {};
         if (!sockets) {
             return VirtualRehearsal.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
@@ -251,11 +251,11 @@
     }
 
     /** Runs simulations on several threads and passes their results on in order. */
-    private void runInParallel(int runCount, Simulation simulation, java.util.function.Consumer<Result> consumer)
+    private void runInParallel(int runCount, Simulation simulation, java.util.function.Consumer<RehearsalResult> consumer)
             throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(runCount, threads)));
         try {
-            List<Future<Result>> results = new ArrayList<>();
+            List<Future<RehearsalResult>> results = new ArrayList<>();
             for (int i = 0; i < runCount; i++) {
                 int index = i;
                 results.add(pool.submit(() -> simulation.run(index)));
@@ -270,7 +270,7 @@
     }
 
     private interface Simulation {
-        Result run(int index) throws IOException;
+        RehearsalResult run(int index) throws IOException;
     }
 
     /** A point of a sweep: its scenario, its position on the x axis and its label. */
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -18,7 +18,7 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,11 +27,11 @@
 
 /** Whole rehearsals in virtual time: the real core, module and journal among models. */
 class WorldTest {
-    private static Result run(Scenario s, long seed, Fault fault) {
+    private static RehearsalResult run(Scenario s, long seed, Fault fault) {
         return VirtualRehearsal.run(s, seed, fault);
     }
 
-    private static Result run(String name, Fault fault) throws ConfigurationException {
+    private static RehearsalResult run(String name, Fault fault) throws ConfigurationException {
         return run(ScenarioReader.read(name), 1, fault);
     }
 
@@ -70,7 +70,7 @@
                 "partners-refuse"
             })
     void noRuleIsBroken(String name) throws ConfigurationException {
-        Result r = run(name, Fault.NONE);
+        RehearsalResult r = run(name, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         long messages = r.auditor().counts().get("messages");
         assertTrue(messages > 500, name + " has " + messages);
@@ -91,7 +91,7 @@
         "month-end, SILENT, ONE_END"
     })
     void aBrokenForwarderIsCaughtAndNamed(String name, Fault fault, Rule rule) throws ConfigurationException {
-        Result r = run(name, fault);
+        RehearsalResult r = run(name, fault);
         assertTrue(r.auditor().broken().containsKey(rule), () -> Report.summary(r));
         assertTrue(rule == Rule.FAIL_BACK
                 || r.auditor().breaches().stream()
@@ -104,7 +104,7 @@
      */
     @Test
     void aCallThatComesUpUnderAWaitIsWithheld() throws ConfigurationException {
-        Result r = run(
+        RehearsalResult r = run(
                 ScenarioReader.parse(
                         "late",
                         List.of(
@@ -161,7 +161,7 @@
                         "at 0s",
                         "for 1h",
                         "part 100%"));
-        Result r = run(s, 1, Fault.NONE);
+        RehearsalResult r = run(s, 1, Fault.NONE);
         assertEquals(0, r.auditor().service().whole());
         assertEquals(Map.of(), r.auditor().broken());
     }
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -19,7 +19,7 @@
 import lilaclever.lab.sockets.SocketRehearsal;
 import lilaclever.lab.virtual.VirtualRehearsal;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import lilaclever.lab.world.TimingQuality;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
@@ -52,7 +52,7 @@
         return ScenarioReader.parse("short", lines);
     }
 
-    private Result run(Scenario s, List<String> command) throws IOException, InterruptedException {
+    private RehearsalResult run(Scenario s, List<String> command) throws IOException, InterruptedException {
         return SocketRehearsal.run(s, 1, folder, command, now -> {}, () -> false);
     }
 
@@ -77,8 +77,8 @@
                 "at 1s",
                 "for 2s",
                 "part 30%");
-        Result r = run(s, ChildProcessCommand.command("serve"));
-        Result v = VirtualRehearsal.run(s, 1, Fault.NONE);
+        RehearsalResult r = run(s, ChildProcessCommand.command("serve"));
+        RehearsalResult v = VirtualRehearsal.run(s, 1, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         assertEquals(v.auditor().counts().get("messages"), r.auditor().counts().get("messages"));
         assertEquals(v.events(), r.events());
@@ -99,7 +99,7 @@
     void aDaemonThatDiesIsNamed() throws Exception {
         List<String> dies = new ArrayList<>(List.of("timeout", "-s", "KILL", "4"));
         dies.addAll(ChildProcessCommand.command("serve"));
-        Result r = run(scenario("[traffic]", "length 4s", "load 50%"), dies);
+        RehearsalResult r = run(scenario("[traffic]", "length 4s", "load 50%"), dies);
         assertTrue(
                 r.auditor().counts().get("deaths") >= 2,
                 () -> r.auditor().counts().toString());
@@ -151,7 +151,7 @@
     @Test
     void aRunCutShortIsPartial() throws Exception {
         long[] now = {0};
-        Result r = SocketRehearsal.run(
+        RehearsalResult r = SocketRehearsal.run(
                 scenario("[traffic]", "length 60s", "load 50%"),
                 1,
                 folder,
