--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -49,7 +49,7 @@
     private Plots() {}
 
     /** A line for each series over the seconds of the run, with what happened as bands. */
-    static String overTime(String yLabel, Map<String, double[]> lines, List<RehearsalResult.Band> bands, double most) {
+    static String overTime(String yLabel, Map<String, double[]> lines, List<RehearsalResult.EventPeriod> bands, double most) {
         XYSeriesCollection data = new XYSeriesCollection();
         lines.forEach((name, values) -> {
             XYSeries s = new XYSeries(name);
@@ -68,7 +68,7 @@
             ((NumberAxis) plot.getRangeAxis()).setAutoRangeIncludesZero(true);
         }
         int shade = 0;
-        for (RehearsalResult.Band b : bands) {
+        for (RehearsalResult.EventPeriod b : bands) {
             IntervalMarker marker =
                     new IntervalMarker(b.fromMicros() / 1e6, b.toMicros() / 1e6, new Color(0xdd, 0xaa, 0x33, 50));
             marker.setLabel(b.what());
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -19,7 +19,7 @@
     private final EndpointDirectory directory;
     private final LoadBalancer loadBalancer;
     private final ForwarderFleet forwarders;
-    private final List<RehearsalResult.Band> bands = new ArrayList<>();
+    private final List<RehearsalResult.EventPeriod> bands = new ArrayList<>();
 
     EventPlanner(
             int forwarderCount,
@@ -39,7 +39,7 @@
     }
 
     /** The planned events' times. */
-    List<RehearsalResult.Band> bands() {
+    List<RehearsalResult.EventPeriod> bands() {
         return bands;
     }
 
@@ -55,7 +55,7 @@
             case LOWERED -> planLowerLimits(event, at, length);
             default -> planOutages(event, at, length);
         }
-        bands.add(new RehearsalResult.Band(event.name(), at, at + length));
+        bands.add(new RehearsalResult.EventPeriod(event.name(), at, at + length));
     }
 
     private void planRestarts(ScheduledEvent event, long at, long length) {
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -19,7 +19,7 @@
         Scenario scenario,
         long seed,
         Auditor auditor,
-        List<Band> events,
+        List<EventPeriod> events,
         List<PartnerRow> partners,
         TreeMap<String, double[]> series,
         long endMicros,
@@ -27,7 +27,7 @@
         boolean partial,
         TimingQuality trust) {
     /** Something that happened, from a time to a time. */
-    public record Band(String what, long fromMicros, long toMicros) {}
+    public record EventPeriod(String what, long fromMicros, long toMicros) {}
 
     /** One partner's figures. */
     public record PartnerRow(
