--- a/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
@@ -35,7 +35,7 @@
     private SocketRehearsal() {}
 
     /** Why a scenario is too large for this; null if it is not. */
-    public static String tooLarge(Scenario s) {
+    public static String sizeProblem(Scenario s) {
         double endpoints =
                 s.fleet().destinations() * (s.fleet().endpoints()[0] + s.fleet().endpoints()[1]) / 2;
         if (s.fleet().forwarders() > MOST_FORWARDERS) {
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -161,7 +161,7 @@
 
     private int runScenario() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
         Scenario scenario = scenario();
-        String tooLarge = sockets ? SocketRehearsal.tooLarge(scenario) : null;
+        String tooLarge = sockets ? SocketRehearsal.sizeProblem(scenario) : null;
         if (tooLarge != null) {
             throw new ConfigurationException(
                     "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; run it without");
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -234,10 +234,10 @@
 
     @Test
     void whatIsTooLargeForOneMachineIsSaidSo() throws ConfigurationException {
-        assertTrue(SocketRehearsal.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
+        assertTrue(SocketRehearsal.sizeProblem(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
                 .startsWith("forwarders: 2000"));
-        assertTrue(SocketRehearsal.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
+        assertTrue(SocketRehearsal.sizeProblem(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
                 .startsWith("destinations: about"));
-        assertEquals(null, SocketRehearsal.tooLarge(ScenarioReader.read("monday")));
+        assertEquals(null, SocketRehearsal.sizeProblem(ScenarioReader.read("monday")));
     }
 }
