--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -63,7 +63,7 @@
 
     private void talk(Socket socket) {
         try (StandInConnection wire = new StandInConnection(socket)) {
-            for (StandInConnection.HttpMessage call = wire.read(); call != null; call = wire.read()) {
+            for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                 if (call.target().equals("/status")) {
                     wire.answer("204 No Content", "");
                 } else if (behaviour == Behaviour.UNREADABLE) {
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -87,7 +87,7 @@
                 wire.say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
                         + "\r\nReq-Kind: status\r\nReq-Deadline: 6\r\n" + "Idempotency-Key: k-" + id
                         + "\r\nX-Envelope: dest=0\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY);
-                StandInConnection.HttpMessage answer = wire.read();
+                StandInConnection.HttpMessage answer = wire.readHttp();
                 if (answer == null || !answer.target().startsWith("202")) {
                     throw new IOException(id + " was not taken on: " + answer);
                 }
@@ -127,7 +127,7 @@
 
         private void talk(Socket socket) {
             try (StandInConnection wire = new StandInConnection(socket)) {
-                for (StandInConnection.HttpMessage call = wire.read(); call != null; call = wire.read()) {
+                for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                     wire.answer("200 OK", "");
                     expected.countDown();
                 }
--- a/src/main/java/lilaclever/lab/sockets/Agent.java
+++ b/src/main/java/lilaclever/lab/sockets/Agent.java
@@ -133,7 +133,7 @@
         time.post(() -> wires.add(wire));
         Threads.start("agent", () -> {
             try {
-                for (HttpMessage h = wire.read(); h != null; h = wire.read()) {
+                for (HttpMessage h = wire.readHttp(); h != null; h = wire.readHttp()) {
                     HttpMessage read = h;
                     time.post(() -> asked(wire, read));
                 }
--- a/src/main/java/lilaclever/lab/sockets/Clients.java
+++ b/src/main/java/lilaclever/lab/sockets/Clients.java
@@ -69,7 +69,7 @@
         try {
             wire.patience(PATIENCE);
             wire.write(head, body);
-            HttpMessage answer = wire.read();
+            HttpMessage answer = wire.readHttp();
             if (answer == null) {
                 wire.close();
                 return kept ? null : () -> world.onNoAnswer(id);
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -73,7 +73,7 @@
     void start() {
         Threads.start("partner " + host, () -> {
             try {
-                for (HttpMessage h = wire.read(); h != null; h = wire.read()) {
+                for (HttpMessage h = wire.readHttp(); h != null; h = wire.readHttp()) {
                     HttpMessage read = h;
                     time.post(() -> arrived(read));
                 }
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -176,7 +176,7 @@
             StandInConnection wire = new StandInConnection(socket);
             wire.patience(500);
             wire.say("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
-            HttpMessage answer = wire.read();
+            HttpMessage answer = wire.readHttp();
             return answer != null && answer.target().equals("200");
         } catch (IOException e) {
             return false; // not yet
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -37,7 +37,7 @@
     }
 
     /** The next request or answer; null if the other side has closed between two. */
-    public final HttpMessage read() throws IOException {
+    public final HttpMessage readHttp() throws IOException {
         int first = in.read();
         if (first < 0) {
             return null;
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -239,7 +239,7 @@
         StandInConnection wire = new StandInConnection(socket);
         open.add(wire);
         try (wire) {
-            for (StandInConnection.HttpMessage asked = wire.read(); asked != null; asked = wire.read()) {
+            for (StandInConnection.HttpMessage asked = wire.readHttp(); asked != null; asked = wire.readHttp()) {
                 if (asked.method().equals("POST")) {
                     wire.answer("204 No Content", "");
                 } else if (!answer(wire, asked.target())) {
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -110,7 +110,7 @@
     private void serve(Socket socket) throws IOException, InterruptedException {
         try (StandInConnection wire = new StandInConnection(socket)) {
             open.add(wire);
-            for (StandInConnection.HttpMessage call = wire.read(); call != null; call = wire.read()) {
+            for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                 if (!call.target().startsWith(CALL)) {
                     wire.answer("404 no probes", "");
                     continue;
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -390,7 +390,7 @@
             listed.countDown();
             try (var call =
                     new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) { // which closes in order, without a reset
-                assertEquals("/receive-many", call.read().target());
+                assertEquals("/receive-many", call.readHttp().target());
                 call.say("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
             }
             Set<String> ended = new TreeSet<>();
@@ -422,7 +422,7 @@
             listed.countDown();
             Set<String> ended = new TreeSet<>();
             try (var call = new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) {
-                var request = call.read();
+                var request = call.readHttp();
                 assertEquals("/receive-many", request.target());
                 assertTrue(Double.parseDouble(request.header("Req-Deadline", "")) < 1.5);
                 ended.add(Peer.next(notices));
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -123,7 +123,7 @@
 
         /** The next request, or an answer with its status as the path; null at the end. */
         Request request() throws IOException {
-            HttpMessage head = read();
+            HttpMessage head = readHttp();
             return head == null
                     ? null
                     : new Request(head.target(), head.headers(), new String(head.body(), StandardCharsets.ISO_8859_1));
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -218,7 +218,7 @@
         try {
             while (true) {
                 try (StandInConnection wire = new StandInConnection(server.accept())) {
-                    for (StandInConnection.HttpMessage head = wire.read(); head != null; head = wire.read()) {
+                    for (StandInConnection.HttpMessage head = wire.readHttp(); head != null; head = wire.readHttp()) {
                         requests.add(head.target());
                         wire.answer("503 Service Unavailable", "");
                     }
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -64,13 +64,13 @@
     void aResponseThatCrossesGiveUpIsIgnored() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (StandInConnection endpoint = accept()) {
-            endpoint.read();
+            endpoint.readHttp();
             CountDownLatch release = blockSelector();
             endpoint.answer("200 OK", "all accepted");
             runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
             release.countDown();
             assertEquals("given up", reports.poll(20, TimeUnit.SECONDS));
-            assertNull(endpoint.read(), "closed");
+            assertNull(endpoint.readHttp(), "closed");
             runOnLoop(() -> {});
             assertNull(reports.poll());
         }
@@ -84,12 +84,12 @@
     void nothingIsReportedAfterAClose() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (StandInConnection endpoint = accept()) {
-            endpoint.read();
+            endpoint.readHttp();
             CountDownLatch release = blockSelector();
             runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
             runOnLoop(exchange::close);
             release.countDown();
-            assertNull(endpoint.read(), "closed");
+            assertNull(endpoint.readHttp(), "closed");
             CountDownLatch after = blockSelector(); // all that was to be posted has been posted
             after.countDown();
             runOnLoop(() -> {});
@@ -105,7 +105,7 @@
     void giveUpDuringConnectReportsWhetherTheRequestWasWritten() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
         try (StandInConnection endpoint = accept()) {
-            endpoint.read(); // the request was written
+            endpoint.readHttp(); // the request was written
             runOnLoop(() -> exchange.giveUp(() -> reports.add("written " + exchange.isWritten())));
             assertEquals("written true", reports.poll(20, TimeUnit.SECONDS));
         }
@@ -116,7 +116,7 @@
         assertEquals("written false", reports.poll(20, TimeUnit.SECONDS));
         server.accept().close(); // the connection that blocked the selector thread
         try (StandInConnection endpoint = accept()) {
-            assertNull(endpoint.read(), "not a byte");
+            assertNull(endpoint.readHttp(), "not a byte");
         }
     }
 
@@ -127,7 +127,7 @@
         try (StandInConnection endpoint = accept()) {
             assertEquals("withheld", reports.poll(20, TimeUnit.SECONDS));
             endpoint.patience(50);
-            assertThrows(SocketTimeoutException.class, endpoint::read, "not a byte");
+            assertThrows(SocketTimeoutException.class, endpoint::readHttp, "not a byte");
         }
     }
 
@@ -166,7 +166,7 @@
                             }
                         }));
         try (StandInConnection endpoint = accept()) {
-            endpoint.read();
+            endpoint.readHttp();
             endpoint.say("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
             assertTrue(read.await(20, TimeUnit.SECONDS), "the head must be read before the reset");
             if (reset) {
@@ -189,7 +189,7 @@
         runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
         runOnLoop(() -> deliverer.probe(one));
         try (StandInConnection first = accept()) {
-            first.read();
+            first.readHttp();
             first.answer("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 runOnLoop(() -> {}); // its response is in flight
@@ -197,9 +197,9 @@
             runOnLoop(() -> deliverer.probe(one));
             runOnLoop(() -> deliverer.probe(other));
             try (StandInConnection second = accept()) {
-                second.read();
+                second.readHttp();
                 first.patience(50);
-                assertThrows(SocketTimeoutException.class, first::read, "no further request on this connection");
+                assertThrows(SocketTimeoutException.class, first::readHttp, "no further request on this connection");
             }
         }
     }
@@ -213,7 +213,7 @@
         runOnLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
         runOnLoop(() -> deliverer.probe(one));
         try (StandInConnection first = accept()) {
-            first.read();
+            first.readHttp();
             first.answer("200 OK", "");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 runOnLoop(() -> {}); // its response is in flight
@@ -222,7 +222,7 @@
             runOnLoop(() -> deliverer.probe(one));
             runOnLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
             release.countDown();
-            assertNull(first.read(), "closed without a byte");
+            assertNull(first.readHttp(), "closed without a byte");
         }
     }
 
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -47,7 +47,7 @@
                 client.patience(10_000);
                 client.say("POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: status\r\nReq-Deadline: 5\r\n"
                         + "X-Practice: p\r\nIdempotency-Key: k\r\nX-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n");
-                StandInConnection.HttpMessage head = client.read();
+                StandInConnection.HttpMessage head = client.readHttp();
                 assertEquals("500", head == null ? "closed" : head.target());
             }
         } finally {
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -107,10 +107,10 @@
             client.say(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
             core.post(() -> respond(first, ""));
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             client.say(requestText("/2", 60_000));
             respond(nextRequest(), "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
         }
     }
 
@@ -122,7 +122,7 @@
         try (StandInConnection client = connect(address)) {
             client.say(requestText("/1", 0));
             respond(nextRequest(), "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             CountDownLatch release = blockSelector();
             client.say(requestText("/2", 0));
             runOnLoop(serverFilter::close);
@@ -130,9 +130,9 @@
             HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second.path());
             respond(second, "");
-            StandInConnection.HttpMessage last = client.read();
+            StandInConnection.HttpMessage last = client.readHttp();
             assertEquals("close", last.headers().get("Connection"));
-            assertNull(client.read());
+            assertNull(client.readHttp());
         }
     }
 
@@ -153,10 +153,10 @@
         }
         try (StandInConnection newcomer = connect(address)) {
             newcomer.say(requestText("/8", 0));
-            StandInConnection.HttpMessage response = newcomer.read();
+            StandInConnection.HttpMessage response = newcomer.readHttp();
             assertEquals("503", response.target());
             assertEquals("1", response.headers().get("Retry-After"));
-            assertNull(newcomer.read());
+            assertNull(newcomer.readHttp());
         }
         for (StandInConnection each : waiting) {
             each.close();
@@ -181,7 +181,7 @@
         StandInConnection wire = connect(address);
         wire.say(requestText("/first" + number, 0));
         respond(nextRequest(), "");
-        assertEquals("200", wire.read().target());
+        assertEquals("200", wire.readHttp().target());
         return wire;
     }
 
@@ -209,7 +209,7 @@
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
                 respond(r, "");
-                StandInConnection.HttpMessage head = clients[Integer.parseInt(r.path().substring(1))].read();
+                StandInConnection.HttpMessage head = clients[Integer.parseInt(r.path().substring(1))].readHttp();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
             for (StandInConnection each : clients) {
@@ -233,14 +233,14 @@
                 runOnLoop(serverFilter::close);
             }
             respond(first, "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             for (String path : List.of("/2", "/3")) {
                 HttpServerFilter.Request request = nextRequest();
                 assertEquals(path, request == null ? "none" : request.path());
                 respond(request, "");
-                assertEquals("200", client.read().target());
+                assertEquals("200", client.readHttp().target());
             }
-            assertNull(client.read());
+            assertNull(client.readHttp());
         }
     }
 
@@ -256,13 +256,13 @@
             client.say(requestText("/2", 0) + requestText("/3", 40_000));
             awaitSelections(4); // each reads up to 16 KiB
             respond(first, "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             HttpServerFilter.Request second = nextRequest();
             assertEquals("/2", second == null ? "none" : second.path());
             respond(second, "");
-            assertEquals("200", client.read().target());
-            assertEquals("503", client.read().target());
-            assertNull(client.read());
+            assertEquals("200", client.readHttp().target());
+            assertEquals("503", client.readHttp().target());
+            assertNull(client.readHttp());
         }
     }
 
@@ -275,7 +275,7 @@
             HttpServerFilter.Request first = nextRequest();
             client.write("", new byte[12 << 20]);
             respond(first, "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
         }
     }
 
@@ -287,7 +287,7 @@
         });
         try (StandInConnection client = connect(listen(serverFilter))) {
             client.say(requestText("/1", 0));
-            StandInConnection.HttpMessage head = client.read();
+            StandInConnection.HttpMessage head = client.readHttp();
             assertEquals("500", head == null ? "closed" : head.target());
         }
     }
@@ -306,8 +306,8 @@
             respond(nextRequest(), "x".repeat(4 << 20));
             runOnLoop(serverFilter::close);
             awaitSelections(2); // the close has been executed
-            assertEquals(4 << 20, client.read().body().length);
-            assertNull(client.read());
+            assertEquals(4 << 20, client.readHttp().body().length);
+            assertNull(client.readHttp());
         }
     }
     /** A client that half-closes after a request still reads, and gets its response. */
@@ -323,12 +323,12 @@
             HttpServerFilter.Request first = nextRequest();
             awaitSelections(1); // the end of its input has been read
             respond(first, "");
-            StandInConnection.HttpMessage head = client.read();
+            StandInConnection.HttpMessage head = client.readHttp();
             while (head != null && head.target().equals("100")) {
-                head = client.read();
+                head = client.readHttp();
             }
             assertEquals("200", head == null ? "closed" : head.target());
-            assertNull(client.read());
+            assertNull(client.readHttp());
         }
     }
 
@@ -346,8 +346,8 @@
             respond(nextRequest(), "x".repeat(4 << 20));
             socket.shutdownOutput();
             awaitSelections(1); // the end of its input has been read
-            assertEquals(4 << 20, client.read().body().length);
-            assertNull(client.read());
+            assertEquals(4 << 20, client.readHttp().body().length);
+            assertNull(client.readHttp());
         }
     }
 
