--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -64,7 +64,7 @@
     }
 
     private String wholeLine() throws IOException {
-        String line = line();
+        String line = readLine();
         if (line == null) {
             throw new IOException("ended within a message");
         }
@@ -72,7 +72,7 @@
     }
 
     /** The next line, or null at the end. */
-    public final String line() throws IOException {
+    public final String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
--- a/src/test/java/lilaclever/program/MailTest.java
+++ b/src/test/java/lilaclever/program/MailTest.java
@@ -79,7 +79,7 @@
     private Peer server(Fate recipient, Fate content) throws IOException {
         return new Peer(wire -> {
             wire.say("220 stand-in\r\n");
-            for (String line = wire.line(); line != null; line = wire.line()) {
+            for (String line = wire.readLine(); line != null; line = wire.readLine()) {
                 String reply = "250 2.0.0 good";
                 if (line.startsWith("EHLO") || line.startsWith("LHLO")) {
                     reply = "250-stand-in\r\n250-PIPELINING\r\n250 SIZE 100000";
@@ -88,7 +88,7 @@
                 } else if (line.equals("DATA")) {
                     wire.say("354 go on\r\n");
                     StringBuilder text = new StringBuilder();
-                    for (String row = wire.line(); !row.equals("."); row = wire.line()) {
+                    for (String row = wire.readLine(); !row.equals("."); row = wire.readLine()) {
                         text.append(row).append('\n');
                     }
                     reply = content.of(text.toString());
@@ -362,7 +362,7 @@
                         .startsWith("250"));
                 assertTrue(Peer.next(mails).endsWith("S: s\n\n..dot\n...\nend\n"), "dots travel stuffed");
                 assertTrue(wire.ask("QUIT").startsWith("221 2.0.0"));
-                assertEquals(null, wire.line());
+                assertEquals(null, wire.readLine());
             }
         }
     }
@@ -396,7 +396,7 @@
                     // closed meanwhile: what it said is read below
                 }
                 try {
-                    for (String reply = wire.line(); reply != null; reply = wire.line()) {
+                    for (String reply = wire.readLine(); reply != null; reply = wire.readLine()) {
                         said = reply;
                     }
                 } catch (SocketException e) {
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -561,7 +561,7 @@
     void whatIsNoFrameEndsTheConnection(String noise) throws Exception {
         try (Wire client = Wire.to(mllp)) {
             client.say(noise);
-            assertNull(client.line());
+            assertNull(client.readLine());
         } catch (java.net.SocketException e) {
             // closed with bytes unread
         }
@@ -575,7 +575,7 @@
         socket.bind(new java.net.InetSocketAddress("127.0.0.2", 0));
         socket.connect(mllp, 5000);
         try (Wire stranger = new Wire(socket)) {
-            assertNull(stranger.line());
+            assertNull(stranger.readLine());
         }
         until("mllp_turned_away", 1);
         assertEquals(0, counter("entries_mllp_connections"));
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -118,7 +118,7 @@
                 silent.get(i).say("STAT");
             }
             assertEquals("200 ready", ask("STATUS"));
-            assertEquals(null, silent.get(0).line(), "the oldest has gone");
+            assertEquals(null, silent.get(0).readLine(), "the oldest has gone");
             silent.forEach(Wire::close);
         }
     }
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -114,9 +114,9 @@
         }
 
         String reply() throws IOException {
-            String reply = line();
+            String reply = readLine();
             while (reply != null && reply.length() > 3 && reply.charAt(3) == '-') {
-                reply = line();
+                reply = readLine();
             }
             return reply;
         }
@@ -148,7 +148,7 @@
         }
 
         void hang() throws IOException {
-            while (line() != null) {
+            while (readLine() != null) {
                 continue; // takes everything, says nothing
             }
         }
