--- a/src/main/java/lilaclever/lab/sockets/Hl7Line.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Line.java
@@ -39,7 +39,7 @@
                 s.connect(address, CONNECT);
                 StandInConnection up = new StandInConnection(s);
                 wire = up;
-                for (String frame = up.frame(); frame != null; frame = up.frame()) {
+                for (String frame = up.readFrame(); frame != null; frame = up.readFrame()) {
                     String read = frame;
                     time.post(() -> acknowledged(read));
                 }
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -89,7 +89,7 @@
     }
 
     /** The next message in a frame of MLLP, or null at the end. */
-    public final String frame() throws IOException {
+    public final String readFrame() throws IOException {
         ByteArrayOutputStream message = new ByteArrayOutputStream();
         for (int c = in.read(); c >= 0 && message.size() < MOST_FRAME; c = in.read()) {
             if (c == FRAME_END) {
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -254,7 +254,7 @@
             while (!ended) {
                 try {
                     connect();
-                    for (String frame = wire.frame(); frame != null; frame = wire.frame()) {
+                    for (String frame = wire.readFrame(); frame != null; frame = wire.readFrame()) {
                         acknowledged(frame.split("\r")[1].split("\\|"));
                     }
                 } catch (IOException e) {
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -122,7 +122,7 @@
 
     /** The code and the control id of the next acknowledgement. */
     private static String ack(Wire wire) throws IOException {
-        String frame = wire.frame();
+        String frame = wire.readFrame();
         return frame == null
                 ? null
                 : frame.split("\r")[1].split("\\|", 4)[1]
@@ -240,10 +240,10 @@
     void aRefusalSaysThatItMayComeAgain() throws Exception {
         try (Wire client = Wire.to(mllp)) {
             client.frame(order("M1").replace("LAB", "NOBODY"));
-            String frame = client.frame();
+            String frame = client.readFrame();
             assertTrue(frame.contains("MSA|CE|M1|") && frame.contains("|come-again|1|"), frame);
             client.frame(order("APP", "M1", "").replace("LAB", "NOBODY"));
-            assertTrue(client.frame().contains("MSA|AR|M1|"));
+            assertTrue(client.readFrame().contains("MSA|AR|M1|"));
         }
     }
 
@@ -258,7 +258,7 @@
                             .sorted()
                             .toList());
             client.frame("BHS|^~\\&|APP\r" + order("M3") + "BTS|2\r");
-            assertTrue(client.frame().contains("102^Data type error^HL70357"));
+            assertTrue(client.readFrame().contains("102^Data type error^HL70357"));
         }
         assertEquals(0, counter("entries_held"));
     }
@@ -502,7 +502,7 @@
                 Wire web = Wire.to(http)) {
             assertEquals("CA M1", asks(client, order("M1")));
             client.frame(order("M1") + "NTE|other\r");
-            assertTrue(client.frame().contains("ERR||MSH^1^10|205^Duplicate key identifier^HL70357|E"));
+            assertTrue(client.readFrame().contains("ERR||MSH^1^10|205^Duplicate key identifier^HL70357|E"));
             assertEquals("409", post(web, "h1", "order", "north", "M1", "other"));
             fates.add("200 OK");
             assertEquals("AA M1", ack(client));
@@ -587,9 +587,9 @@
         try (Wire client = Wire.to(mllp)) {
             for (int i = 0; i < 9; i++) {
                 client.frame("PID|" + i + "\r");
-                assertTrue(client.frame().contains("MSA|AE"));
+                assertTrue(client.readFrame().contains("MSA|AE"));
             }
-            assertNull(client.frame());
+            assertNull(client.readFrame());
         }
     }
 
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -80,9 +80,9 @@
     private static Client frames(String wanted) {
         return (wire, id) -> {
             wire.frame(body(id, wanted));
-            String ack = wire.frame();
+            String ack = wire.readFrame();
             while (ack != null && ack.contains("MSA|A")) { // an end of an earlier one
-                ack = wire.frame();
+                ack = wire.readFrame();
             }
             if (ack == null) {
                 throw new IOException("closed");
