--- a/src/main/java/lilaclever/lab/sockets/Hl7Line.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Line.java
@@ -63,7 +63,7 @@
                 + OperatorFile.event(a.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|" + a.number() + "\rZLC|"
                 + String.format(Locale.ROOT, "%.3f", leftMicros / 1e6) + '\r';
         try {
-            to.frame(message);
+            to.writeFrame(message);
         } catch (IOException e) {
             world.onNoAnswer(id);
             return;
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -104,7 +104,7 @@
     }
 
     /** Writes a message in a frame of MLLP. */
-    public final void frame(String message) throws IOException {
+    public final void writeFrame(String message) throws IOException {
         say(FRAME + message + FRAME_END + '\r');
     }
 
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -234,7 +234,7 @@
             due.put(a.number(), at);
             try {
                 if (wire != null) {
-                    wire.frame(body(a));
+                    wire.writeFrame(body(a));
                 }
             } catch (IOException e) {
                 wire = null; // the reader connects again, and sends it
@@ -246,7 +246,7 @@
             for (Arrival a : unanswered.values()) {
                 stories.get(a.number()).asks.incrementAndGet();
                 stories.get(a.number()).hl7Asks.incrementAndGet();
-                wire.frame(body(a));
+                wire.writeFrame(body(a));
             }
         }
 
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -131,7 +131,7 @@
     }
 
     private static String asks(Wire wire, String message) throws IOException {
-        wire.frame(message);
+        wire.writeFrame(message);
         return ack(wire);
     }
 
@@ -208,9 +208,9 @@
     void anEndInOriginalModeIsForItsConnectionAlone() throws Exception {
         try (Wire other = Wire.to(mllp)) {
             Wire gone = Wire.to(mllp);
-            gone.frame(order("APP", "A1", ""));
+            gone.writeFrame(order("APP", "A1", ""));
             call();
-            other.frame(order("APP", "B1", ""));
+            other.writeFrame(order("APP", "B1", ""));
             call();
             gone.close();
             until("entries_mllp_connections", 1);
@@ -226,7 +226,7 @@
     @Test
     void originalModeHasOneAcknowledgement() throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("APP", "M1", ""));
+            client.writeFrame(order("APP", "M1", ""));
             call();
             fates.add("200 OK");
             assertEquals("AA M1", ack(client));
@@ -239,10 +239,10 @@
     @Test
     void aRefusalSaysThatItMayComeAgain() throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M1").replace("LAB", "NOBODY"));
+            client.writeFrame(order("M1").replace("LAB", "NOBODY"));
             String frame = client.readFrame();
             assertTrue(frame.contains("MSA|CE|M1|") && frame.contains("|come-again|1|"), frame);
-            client.frame(order("APP", "M1", "").replace("LAB", "NOBODY"));
+            client.writeFrame(order("APP", "M1", "").replace("LAB", "NOBODY"));
             assertTrue(client.readFrame().contains("MSA|AR|M1|"));
         }
     }
@@ -251,13 +251,13 @@
     void eachMessageOfABatchHasItsOwnEnd() throws Exception {
         fates.addAll(List.of("200 OK", "200 OK"));
         try (Wire client = Wire.to(mllp)) {
-            client.frame("BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
+            client.writeFrame("BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
             assertEquals(
                     List.of("AA M1", "AA M2"),
                     java.util.stream.Stream.of(ack(client), ack(client))
                             .sorted()
                             .toList());
-            client.frame("BHS|^~\\&|APP\r" + order("M3") + "BTS|2\r");
+            client.writeFrame("BHS|^~\\&|APP\r" + order("M3") + "BTS|2\r");
             assertTrue(client.readFrame().contains("102^Data type error^HL70357"));
         }
         assertEquals(0, counter("entries_held"));
@@ -268,7 +268,7 @@
     @Test
     void whoComesBackBeforeTheEndJoinsTheMessage() throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M1"));
+            client.writeFrame(order("M1"));
         } // gone before or after its accept acknowledgement
         call();
         try (Wire again = Wire.to(mllp)) {
@@ -292,12 +292,12 @@
         until("entries_mllp_owed", 1);
         fates.add("200 OK");
         try (Wire other = Wire.to(mllp)) { // not its own
-            other.frame(order("SUD", "S1", "NE|AL"));
+            other.writeFrame(order("SUD", "S1", "NE|AL"));
             assertEquals("AA S1", ack(other));
         }
         fates.add("200 OK");
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M2"));
+            client.writeFrame(order("M2"));
             assertEquals("AA M1", ack(client));
             assertEquals("CA M2", ack(client));
             assertEquals("AA M2", ack(client));
@@ -341,7 +341,7 @@
         until("entries_mllp_owed", 2);
         fates.add("200 OK");
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M3"));
+            client.writeFrame(order("M3"));
             assertEquals(
                     List.of("AA M1", "AA M2"),
                     java.util.stream.Stream.of(ack(client), ack(client))
@@ -432,7 +432,7 @@
             serve();
             client = Wire.to(mllp);
             fates.add("drop");
-            client.frame(payment("M1"));
+            client.writeFrame(payment("M1"));
             assertEquals("CA M1", ack(client));
         } else {
             fates.add("drop");
@@ -469,7 +469,7 @@
             at = addresses(process);
             assertTrue(Peer.next(notices).contains("\"id\":\"h1\",\"status\":\"undeliverable\""));
             try (Wire client = Wire.to(at.get(1))) {
-                client.frame(payment("M1")); // asks again, and hears the end
+                client.writeFrame(payment("M1")); // asks again, and hears the end
                 assertEquals("CA M1", ack(client));
                 assertEquals("AE M1", ack(client));
             }
@@ -501,7 +501,7 @@
         try (Wire client = Wire.to(mllp);
                 Wire web = Wire.to(http)) {
             assertEquals("CA M1", asks(client, order("M1")));
-            client.frame(order("M1") + "NTE|other\r");
+            client.writeFrame(order("M1") + "NTE|other\r");
             assertTrue(client.readFrame().contains("ERR||MSH^1^10|205^Duplicate key identifier^HL70357|E"));
             assertEquals("409", post(web, "h1", "order", "north", "M1", "other"));
             fates.add("200 OK");
@@ -586,7 +586,7 @@
     void nonsenseIsAnsweredAndThenEnded() throws Exception {
         try (Wire client = Wire.to(mllp)) {
             for (int i = 0; i < 9; i++) {
-                client.frame("PID|" + i + "\r");
+                client.writeFrame("PID|" + i + "\r");
                 assertTrue(client.readFrame().contains("MSA|AE"));
             }
             assertNull(client.readFrame());
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -79,7 +79,7 @@
 
     private static Client frames(String wanted) {
         return (wire, id) -> {
-            wire.frame(body(id, wanted));
+            wire.writeFrame(body(id, wanted));
             String ack = wire.readFrame();
             while (ack != null && ack.contains("MSA|A")) { // an end of an earlier one
                 ack = wire.readFrame();
