--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -84,7 +84,7 @@
             for (int i = 0; i < events; i++) {
                 LockSupport.parkNanos(began + i * PACE_NANOS - System.nanoTime());
                 String id = prefix + i;
-                wire.say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
+                wire.writeText("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
                         + "\r\nReq-Kind: status\r\nReq-Deadline: 6\r\n" + "Idempotency-Key: k-" + id
                         + "\r\nX-Envelope: dest=0\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY);
                 StandInConnection.HttpMessage answer = wire.readHttp();
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -175,7 +175,7 @@
             socket.connect(address, 500);
             StandInConnection wire = new StandInConnection(socket);
             wire.patience(500);
-            wire.say("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
+            wire.writeText("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
             HttpMessage answer = wire.readHttp();
             return answer != null && answer.target().equals("200");
         } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -105,11 +105,11 @@
 
     /** Writes a message in a frame of MLLP. */
     public final void writeFrame(String message) throws IOException {
-        say(FRAME + message + FRAME_END + '\r');
+        writeText(FRAME + message + FRAME_END + '\r');
     }
 
     /** Writes text, a byte for each character. */
-    public final void say(String text) throws IOException {
+    public final void writeText(String text) throws IOException {
         write(text, new byte[0]);
     }
 
--- a/src/test/java/lilaclever/program/CrossingsTest.java
+++ b/src/test/java/lilaclever/program/CrossingsTest.java
@@ -110,12 +110,12 @@
             }
             try (Wire client = Wire.to(address)) {
                 if (!said.equals("-")) {
-                    client.say(said.replace("~", "\r\n"));
+                    client.writeText(said.replace("~", "\r\n"));
                     assertEquals(status, client.request().path());
                 }
                 assertNull(client.request(), "closed from that side");
-                client.say(request("late"));
-                client.say(request("later")); // where the first one has met a reset, this one fails
+                client.writeText(request("late"));
+                client.writeText(request("later")); // where the first one has met a reset, this one fails
                 assertNull(client.request());
             }
             try (Wire other = Wire.to(address)) {
@@ -136,7 +136,7 @@
             serve(Setup.text(platform.address(), state, null, 3));
             try (Wire stays = Wire.to(address);
                     Wire client = Wire.to(address)) {
-                stays.say("nonsense\r\n\r\n");
+                stays.writeText("nonsense\r\n\r\n");
                 assertEquals("400", stays.request().path());
                 assertNull(stays.request());
                 until(client, "\nentries_clients 1\n");
@@ -147,7 +147,7 @@
     private static void until(Wire client, String count) throws IOException {
         String last = "";
         for (long end = System.nanoTime() + 10_000 * MS; !last.contains(count) && System.nanoTime() < end; ) {
-            client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+            client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
             last = client.request().body();
         }
         assertTrue(last.contains(count), last);
@@ -170,7 +170,7 @@
             for (int i = 0; i < 150; i++) {
                 Wire wire = Wire.to(address);
                 crowd.add(wire);
-                wire.say("GET /health/ready HTTP/1.1\r\n\r\n");
+                wire.writeText("GET /health/ready HTTP/1.1\r\n\r\n");
                 assertEquals("200", wire.request().path(), "after " + i);
             }
             for (int i = 0; i < 150; i++) {
--- a/src/test/java/lilaclever/program/DiscoveryRig.java
+++ b/src/test/java/lilaclever/program/DiscoveryRig.java
@@ -186,7 +186,7 @@
         try (Wire client = Wire.to(address)) {
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
             while (!last.contains("\n" + count + "\n") && System.nanoTime() < end) {
-                client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+                client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
                 last = client.request().body();
             }
         }
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -276,23 +276,23 @@
         int half = all.length() - list.length() / 2;
         switch (now) {
             case CUT -> {
-                wire.say(all.substring(0, half));
+                wire.writeText(all.substring(0, half));
                 return false;
             }
             case STALLING -> {
-                wire.say(all.substring(0, half));
+                wire.writeText(all.substring(0, half));
                 Thread.sleep(Long.MAX_VALUE);
                 return false;
             }
             case CLOSING -> {
-                wire.say(all);
+                wire.writeText(all);
                 return false;
             }
             case TRICKLING -> {
-                wire.say(all.substring(0, half));
+                wire.writeText(all.substring(0, half));
                 for (int at = half; at < all.length(); at += PIECE) {
                     Thread.sleep(PIECE_EVERY_MS); // stands for a slow network
-                    wire.say(all.substring(at, Math.min(all.length(), at + PIECE)));
+                    wire.writeText(all.substring(at, Math.min(all.length(), at + PIECE)));
                 }
                 return true;
             }
@@ -301,7 +301,7 @@
                 return true;
             }
             default -> {
-                wire.say(all);
+                wire.writeText(all);
                 return true;
             }
         }
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -216,7 +216,7 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = endpoint(wire -> {
                     if (count.incrementAndGet() == refusedCall) {
-                        wire.say("HTTP/1.1 " + status + " no\r\nConnection: " + connection
+                        wire.writeText("HTTP/1.1 " + status + " no\r\nConnection: " + connection
                                 + "\r\nContent-Length: 0\r\n\r\n");
                     } else {
                         wire.answer("200 OK", "");
@@ -391,7 +391,7 @@
             try (var call =
                     new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) { // which closes in order, without a reset
                 assertEquals("/receive-many", call.readHttp().target());
-                call.say("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
+                call.writeText("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
             }
             Set<String> ended = new TreeSet<>();
             for (int i = 0; i < 3; i++) {
@@ -581,13 +581,13 @@
                     + "Content-Length: 2~~ok";
             assertTrue(good.contains(part));
             try (Wire client = Wire.to(address)) {
-                client.say(good.replace(part, instead == null ? "" : instead)
+                client.writeText(good.replace(part, instead == null ? "" : instead)
                         .replace("~", "\r\n")
                         .replace("#", "\0"));
                 assertEquals(status, client.request().path());
             }
             try (Wire client = Wire.to(address)) {
-                client.say(good.replace("~", "\r\n"));
+                client.writeText(good.replace("~", "\r\n"));
                 assertEquals("202", client.request().path());
             }
             assertEquals("/receive x k ok", Peer.next(calls));
@@ -605,7 +605,7 @@
                     Wire half = Wire.to(address);
                     Wire client = Wire.to(address);
                     Wire other = Wire.to(address)) {
-                half.say("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
+                half.writeText("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
                 assertTrue(client.handIn("a", "payment", 20, "mine").startsWith("202"));
                 assertTrue(other.handIn("a", "payment", 20, "another's").startsWith("202"));
                 assertEquals("408", half.request().path());
@@ -668,7 +668,7 @@
                     int connection = connections.incrementAndGet();
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         calls.add(connection + r.headers().get("req-id"));
-                        wire.say(
+                        wire.writeText(
                                 r.headers().get("req-id").equals("a")
                                         ? answer.replace("~", "\r\n").replace("#", "\0")
                                         : "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
@@ -700,7 +700,7 @@
     }
 
     private static String counters(Wire client) throws IOException {
-        client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         return client.request().body();
     }
 
--- a/src/test/java/lilaclever/program/ManyServersTest.java
+++ b/src/test/java/lilaclever/program/ManyServersTest.java
@@ -122,7 +122,7 @@
     private static void until(Wire client, String count) throws Exception {
         String last = "";
         for (long end = System.nanoTime() + 20_000_000_000L; !last.contains(count) && System.nanoTime() < end; ) {
-            client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+            client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
             last = client.request().body();
         }
         assertTrue(last.contains(count), last);
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -137,7 +137,7 @@
 
     private static String post(Wire wire, String id, String kind, String practice, String key, String body)
             throws IOException {
-        wire.say(
+        wire.writeText(
                 "POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: 9"
                         + "\r\nX-Practice: " + practice + "\r\nIdempotency-Key: " + key
                         + "\r\nX-Envelope: dest=7\r\nContent-Length: "
@@ -151,7 +151,7 @@
 
     private long counter(String name) throws IOException {
         try (Wire wire = Wire.to(http)) {
-            wire.say("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
+            wire.writeText("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
             return wire.request()
                     .body()
                     .lines()
@@ -560,7 +560,7 @@
     @ValueSource(strings = {"GET / HTTP/1.1\r\n\r\n", "\u000bMSH|half", "\u000bMSH|\u000b"})
     void whatIsNoFrameEndsTheConnection(String noise) throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.say(noise);
+            client.writeText(noise);
             assertNull(client.readLine());
         } catch (java.net.SocketException e) {
             // closed with bytes unread
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -115,7 +115,7 @@
             List<Wire> silent = new ArrayList<>();
             for (int i = 0; i < 3 * OperatorPort.MAX_CONNECTIONS; i++) {
                 silent.add(Wire.to(operators()));
-                silent.get(i).say("STAT");
+                silent.get(i).writeText("STAT");
             }
             assertEquals("200 ready", ask("STATUS"));
             assertEquals(null, silent.get(0).readLine(), "the oldest has gone");
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -66,7 +66,7 @@
     private static Client web(String practice) {
         return (wire, id) -> {
             String body = body(id, "");
-            wire.say("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
+            wire.writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
                     + practice + "Idempotency-Key: " + id + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
             Request answer = wire.request();
@@ -166,7 +166,7 @@
         for (int i = 0; i < 3; i++) { // a selector lets go of what is closed when it has waked some times
             Thread.sleep(2_000);
             try (Wire wire = Wire.to(http)) {
-                wire.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+                wire.writeText("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 wire.request();
             }
         }
@@ -215,7 +215,7 @@
         Thread.sleep(load ? 20_000 : 1_000); // what the load has left is gone
         idle("HL7 over MLLP", hl7, (wire, id) -> true);
         idle("HTTP", http, (wire, id) -> {
-            wire.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+            wire.writeText("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             return wire.request() != null;
         });
         process.destroyForcibly().waitFor();
--- a/src/test/java/lilaclever/program/WithheldCallsTest.java
+++ b/src/test/java/lilaclever/program/WithheldCallsTest.java
@@ -94,7 +94,7 @@
     }
 
     private static String counters(Wire client) throws IOException {
-        client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         return client.request().body();
     }
 
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -167,7 +167,7 @@
                         }));
         try (StandInConnection endpoint = accept()) {
             endpoint.readHttp();
-            endpoint.say("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
+            endpoint.writeText("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
             assertTrue(read.await(20, TimeUnit.SECONDS), "the head must be read before the reset");
             if (reset) {
                 endpoint.reset();
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -104,11 +104,11 @@
     void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         try (StandInConnection client = connect(listen(new DelayedWriteFilter()))) {
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
             core.post(() -> respond(first, ""));
             assertEquals("200", client.readHttp().target());
-            client.say(requestText("/2", 60_000));
+            client.writeText(requestText("/2", 60_000));
             respond(nextRequest(), "");
             assertEquals("200", client.readHttp().target());
         }
@@ -120,11 +120,11 @@
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(serverFilter);
         try (StandInConnection client = connect(address)) {
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             respond(nextRequest(), "");
             assertEquals("200", client.readHttp().target());
             CountDownLatch release = blockSelector();
-            client.say(requestText("/2", 0));
+            client.writeText(requestText("/2", 0));
             runOnLoop(serverFilter::close);
             release.countDown();
             HttpServerFilter.Request second = nextRequest();
@@ -148,11 +148,11 @@
         StandInConnection[] waiting = new StandInConnection[7];
         for (int i = 0; i < 7; i++) {
             waiting[i] = connect(address);
-            waiting[i].say(requestText("/" + i, 0));
+            waiting[i].writeText(requestText("/" + i, 0));
             assertTrue(nextRequest() != null);
         }
         try (StandInConnection newcomer = connect(address)) {
-            newcomer.say(requestText("/8", 0));
+            newcomer.writeText(requestText("/8", 0));
             StandInConnection.HttpMessage response = newcomer.readHttp();
             assertEquals("503", response.target());
             assertEquals("1", response.headers().get("Retry-After"));
@@ -179,7 +179,7 @@
     // Requests that were read
     private StandInConnection connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
         StandInConnection wire = connect(address);
-        wire.say(requestText("/first" + number, 0));
+        wire.writeText(requestText("/first" + number, 0));
         respond(nextRequest(), "");
         assertEquals("200", wire.readHttp().target());
         return wire;
@@ -201,7 +201,7 @@
             }
             CountDownLatch release = blockSelector();
             for (int i = 0; i < clients.length; i++) {
-                clients[i].say(requestText("/" + i, 0));
+                clients[i].writeText(requestText("/" + i, 0));
             }
             StandInConnection[] newcomers = {connect(address), connect(address), connect(address)};
             release.countDown();
@@ -227,7 +227,7 @@
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
         serverFilter = new HttpServerFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
         try (StandInConnection client = connect(listen(serverFilter))) {
-            client.say(requestText("/1", 0) + requestText("/2", 0) + requestText("/3", 0));
+            client.writeText(requestText("/1", 0) + requestText("/2", 0) + requestText("/3", 0));
             HttpServerFilter.Request first = nextRequest();
             if (cause.equals("shutdown")) {
                 runOnLoop(serverFilter::close);
@@ -251,9 +251,9 @@
     void excessPipelinedDataIsRejectedWithAResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         try (StandInConnection client = connect(listen(serverFilter))) {
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
-            client.say(requestText("/2", 0) + requestText("/3", 40_000));
+            client.writeText(requestText("/2", 0) + requestText("/3", 40_000));
             awaitSelections(4); // each reads up to 16 KiB
             respond(first, "");
             assertEquals("200", client.readHttp().target());
@@ -271,7 +271,7 @@
     void excessDataAfterARequestDoesNotCutOffItsResponse() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         try (StandInConnection client = connect(listen(serverFilter))) {
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             HttpServerFilter.Request first = nextRequest();
             client.write("", new byte[12 << 20]);
             respond(first, "");
@@ -286,7 +286,7 @@
             throw new IllegalStateException("handler failure");
         });
         try (StandInConnection client = connect(listen(serverFilter))) {
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             StandInConnection.HttpMessage head = client.readHttp();
             assertEquals("500", head == null ? "closed" : head.target());
         }
@@ -302,7 +302,7 @@
         socket.connect(address);
         try (StandInConnection client = new StandInConnection(socket)) {
             client.patience(20_000);
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
             runOnLoop(serverFilter::close);
             awaitSelections(2); // the close has been executed
@@ -318,7 +318,7 @@
         try (Socket socket = new Socket(address.getAddress(), address.getPort());
                 StandInConnection client = new StandInConnection(socket)) {
             client.patience(20_000);
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             socket.shutdownOutput();
             HttpServerFilter.Request first = nextRequest();
             awaitSelections(1); // the end of its input has been read
@@ -342,7 +342,7 @@
             socket.connect(address);
             StandInConnection client = new StandInConnection(socket);
             client.patience(20_000);
-            client.say(requestText("/1", 0));
+            client.writeText(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
             socket.shutdownOutput();
             awaitSelections(1); // the end of its input has been read
@@ -357,7 +357,7 @@
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(serverFilter);
         StandInConnection client = connect(address);
-        client.say(requestText("/1", 0));
+        client.writeText(requestText("/1", 0));
         HttpServerFilter.Request first = nextRequest();
         client.close();
         awaitSelections(1); // the end of its input has been read
