--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -65,13 +65,13 @@
         try (StandInConnection wire = new StandInConnection(socket)) {
             for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                 if (call.target().equals("/status")) {
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (behaviour == Behaviour.UNREADABLE) {
-                    wire.answer("503 Service Unavailable", "");
+                    wire.writeResponse("503 Service Unavailable", "");
                 } else if (behaviour == Behaviour.ANSWERS) {
                     Matcher wait = WAIT.matcher(call.target());
                     Thread.sleep(wait.find() ? Long.parseLong(wait.group(1)) : 0);
-                    wire.answer("200 OK", NO_CHANGE);
+                    wire.writeResponse("200 OK", NO_CHANGE);
                 }
             }
         } catch (IOException | InterruptedException e) {
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -128,7 +128,7 @@
         private void talk(Socket socket) {
             try (StandInConnection wire = new StandInConnection(socket)) {
                 for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                     expected.countDown();
                 }
             } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/sockets/Agent.java
+++ b/src/main/java/lilaclever/lab/sockets/Agent.java
@@ -201,7 +201,7 @@
 
     private static void answer(StandInConnection wire, String status, String body) {
         try {
-            wire.answer(status, body);
+            wire.writeResponse(status, body);
         } catch (IOException e) {
             wire.close();
         }
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -121,7 +121,7 @@
 
     private void write(String status, String body, String... headers) {
         try {
-            wire.answer(status, body, headers);
+            wire.writeResponse(status, body, headers);
         } catch (IOException e) {
             close();
         }
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -122,7 +122,7 @@
     }
 
     /** Writes an answer. */
-    public final void answer(String status, String body, String... headers) throws IOException {
+    public final void writeResponse(String status, String body, String... headers) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder("HTTP/1.1 " + status + "\r\n");
         for (String h : headers) {
--- a/src/test/java/lilaclever/program/CrossingsTest.java
+++ b/src/test/java/lilaclever/program/CrossingsTest.java
@@ -67,7 +67,7 @@
         return new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 calls.add(r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         });
     }
@@ -204,10 +204,10 @@
                             silentSince.add(System.nanoTime());
                             wire.hang();
                         } else if (silentSince.isEmpty()) {
-                            wire.answer("200 OK", Setup.known());
+                            wire.writeResponse("200 OK", Setup.known());
                         } else {
                             heard.add(System.nanoTime());
-                            wire.answer(
+                            wire.writeResponse(
                                     "200 OK",
                                     Setup.list(second.address())
                                             .replace("e1", "e2")
@@ -259,7 +259,7 @@
                         }
                         told.add(System.nanoTime());
                         if (told.size() > 1) {
-                            wire.answer("204 No Content", "");
+                            wire.writeResponse("204 No Content", "");
                         } else if (silent) {
                             wire.hang();
                         } else {
@@ -269,7 +269,7 @@
                 });
                 Peer endpoint = new Peer(wire -> {
                     while (wire.request() != null) {
-                        wire.answer("500 no", "");
+                        wire.writeResponse("500 no", "");
                     }
                 })) {
             serve(Setup.text(platform.address(), state, endpoint.address(), 3));
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -241,7 +241,7 @@
         try (wire) {
             for (StandInConnection.HttpMessage asked = wire.readHttp(); asked != null; asked = wire.readHttp()) {
                 if (asked.method().equals("POST")) {
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!answer(wire, asked.target())) {
                     return;
                 }
@@ -297,7 +297,7 @@
                 return true;
             }
             case BUSY -> {
-                wire.answer("503 busy", "");
+                wire.writeResponse("503 busy", "");
                 return true;
             }
             default -> {
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -112,7 +112,7 @@
             open.add(wire);
             for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                 if (!call.target().startsWith(CALL)) {
-                    wire.answer("404 no probes", "");
+                    wire.writeResponse("404 no probes", "");
                     continue;
                 }
                 note(call);
@@ -139,7 +139,7 @@
         if (isSeveral(call)) {
             ids(call).forEach(id -> ends.append(id).append(" accepted\r\n"));
         }
-        wire.answer(manner.answer, ends.toString());
+        wire.writeResponse(manner.answer, ends.toString());
     }
 
     private static boolean isSeveral(StandInConnection.HttpMessage call) {
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -89,7 +89,7 @@
     }
 
     private Peer good() throws IOException {
-        return endpoint(wire -> wire.answer("200 OK", ""));
+        return endpoint(wire -> wire.writeResponse("200 OK", ""));
     }
 
     /**
@@ -127,7 +127,7 @@
                     connections.incrementAndGet();
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         calls.add(r.headers().get("req-id") + r.headers().get("idempotency-key") + r.body());
-                        wire.answer("200 OK", "fine");
+                        wire.writeResponse("200 OK", "fine");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
@@ -184,11 +184,11 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = endpoint(wire -> {
                     if (count.getAndIncrement() > 0) {
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     } else if (first.equals("drop")) {
                         wire.close();
                     } else {
-                        wire.answer(first + " no", "");
+                        wire.writeResponse(first + " no", "");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
@@ -219,7 +219,7 @@
                         wire.writeText("HTTP/1.1 " + status + " no\r\nConnection: " + connection
                                 + "\r\nContent-Length: 0\r\n\r\n");
                     } else {
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
@@ -282,11 +282,11 @@
                             wire.close();
                         } else if (r.path().equals("/status")) {
                             notices.add(r.body());
-                            wire.answer(told.get() == 2 ? "500 not now" : "204 No Content", "");
+                            wire.writeResponse(told.get() == 2 ? "500 not now" : "204 No Content", "");
                         }
                     }
                 });
-                Peer endpoint = endpoint(wire -> wire.answer("500 no", ""))) {
+                Peer endpoint = endpoint(wire -> wire.writeResponse("500 no", ""))) {
             serve(platform.address(), endpoint.address());
             try (Wire client = Wire.to(address)) {
                 assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
@@ -330,7 +330,7 @@
                 }
                 try (Wire call = new Wire(endpoint.accept())) {
                     assertEquals("stays k-stays 1\r\nx\r\n", call.request().body());
-                    call.answer("200 OK", "stays deferred\r\n"); // still the answer of a call of several
+                    call.writeResponse("200 OK", "stays deferred\r\n"); // still the answer of a call of several
                 }
                 try (Wire again = new Wire(endpoint.accept())) {
                     assertEquals("stays", again.request().headers().get("req-id"));
@@ -342,7 +342,7 @@
     @Test
     void whatGoesToOneEndpointInOneTurnSharesACall() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
-        try (Peer endpoint = endpoint(wire -> wire.answer("200 OK", "b fault\r\na accepted\r\nc deferred\r\n"));
+        try (Peer endpoint = endpoint(wire -> wire.writeResponse("200 OK", "b fault\r\na accepted\r\nc deferred\r\n"));
                 Peer platform = platformThatTellsLater(listed, endpoint.address())) {
             serve(platform.address(), null);
             try (Wire client = Wire.to(address)) {
@@ -438,7 +438,7 @@
     /** Answers a call that may have been given up already. */
     private static void answerLate(lilaclever.lab.sockets.StandInConnection call, String body) {
         try {
-            call.answer("200 OK", body);
+            call.writeResponse("200 OK", body);
         } catch (IOException closed) {
             // the forwarder does not wait any more
         }
@@ -454,7 +454,7 @@
                         hanging.add("out");
                         wire.hang();
                     } else {
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 })) {
             start(platform.address(), endpoint.address());
@@ -496,11 +496,11 @@
     void atSighupTheNewFilesDiscoveryTakesOverAndNothingIsLost() throws Exception {
         LinkedBlockingQueue<String> moved = new LinkedBlockingQueue<>();
         LinkedBlockingQueue<String> fresh = new LinkedBlockingQueue<>();
-        try (Peer first = endpoint(wire -> wire.answer("500 no", ""));
+        try (Peer first = endpoint(wire -> wire.writeResponse("500 no", ""));
                 Peer second = new Peer(wire -> {
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         fresh.add(r.headers().get("req-id"));
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 });
                 Peer before = new Peer(Wire::hang); // takes the watch and the notice, and answers neither
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -126,7 +126,7 @@
                 Story s = stories.get(number(r.body()));
                 s.calls.incrementAndGet();
                 if (!slots.tryAcquire()) {
-                    wire.answer("503 full", "");
+                    wire.writeResponse("503 full", "");
                     continue;
                 }
                 if (s.kind == 2 && s.mayHaveRun) {
@@ -136,7 +136,7 @@
                 try {
                     Thread.sleep(SERVICE_MS);
                     s.delivered.incrementAndGet();
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                 } finally {
                     slots.release();
                 }
@@ -159,9 +159,9 @@
                             stories.get(n).end("notice " + (l.contains("deferred") ? "refused" : "failed"));
                         }
                     });
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!r.path().contains("?")) {
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                 }
             }
         });
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -74,7 +74,7 @@
                 if (fate.equals("drop")) {
                     return;
                 }
-                wire.answer(fate, "");
+                wire.writeResponse(fate, "");
             }
         });
         serve();
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -55,7 +55,7 @@
         return new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 calls.add(r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         });
     }
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -74,9 +74,9 @@
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 if (r.path.equals("/status")) {
                     r.body.lines().forEach(notices::add);
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!r.path.contains("?")) {
-                    wire.answer("200 OK", lists.next());
+                    wire.writeResponse("200 OK", lists.next());
                 } // a watch: nothing ever changes, and it is silent
             }
         });
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -191,7 +191,7 @@
             Peer peer = new Peer(wire -> {
                 for (Request r = wire.request(); r != null; r = wire.request()) {
                     calls.incrementAndGet();
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                 }
             });
             list.append(e == 0 ? "" : ",")
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -220,7 +220,7 @@
                 try (StandInConnection wire = new StandInConnection(server.accept())) {
                     for (StandInConnection.HttpMessage head = wire.readHttp(); head != null; head = wire.readHttp()) {
                         requests.add(head.target());
-                        wire.answer("503 Service Unavailable", "");
+                        wire.writeResponse("503 Service Unavailable", "");
                     }
                 }
             }
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -66,7 +66,7 @@
         try (StandInConnection endpoint = accept()) {
             endpoint.readHttp();
             CountDownLatch release = blockSelector();
-            endpoint.answer("200 OK", "all accepted");
+            endpoint.writeResponse("200 OK", "all accepted");
             runOnLoop(() -> exchange.giveUp(() -> reports.add("given up")));
             release.countDown();
             assertEquals("given up", reports.poll(20, TimeUnit.SECONDS));
@@ -190,7 +190,7 @@
         runOnLoop(() -> deliverer.probe(one));
         try (StandInConnection first = accept()) {
             first.readHttp();
-            first.answer("503 no", "", "X-Retry-In-Ms: 60000");
+            first.writeResponse("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 runOnLoop(() -> {}); // its response is in flight
             }
@@ -214,7 +214,7 @@
         runOnLoop(() -> deliverer.probe(one));
         try (StandInConnection first = accept()) {
             first.readHttp();
-            first.answer("200 OK", "");
+            first.writeResponse("200 OK", "");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 runOnLoop(() -> {}); // its response is in flight
             }
