--- a/src/main/java/lilaclever/lab/sockets/Clients.java
+++ b/src/main/java/lilaclever/lab/sockets/Clients.java
@@ -67,7 +67,7 @@
     /** What the answer means; null if a kept connection had been closed before it was read. */
     private Runnable ask(StandInConnection wire, String id, String head, byte[] body, boolean kept) {
         try {
-            wire.patience(PATIENCE);
+            wire.setReadTimeout(PATIENCE);
             wire.write(head, body);
             HttpMessage answer = wire.readHttp();
             if (answer == null) {
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -174,7 +174,7 @@
         try (Socket socket = new Socket()) {
             socket.connect(address, 500);
             StandInConnection wire = new StandInConnection(socket);
-            wire.patience(500);
+            wire.setReadTimeout(500);
             wire.writeText("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
             HttpMessage answer = wire.readHttp();
             return answer != null && answer.target().equals("200");
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -149,7 +149,7 @@
     }
 
     /** Waits so long at most for a byte. */
-    public final void patience(int millis) throws IOException {
+    public final void setReadTimeout(int millis) throws IOException {
         socket.setSoTimeout(millis);
     }
 
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -98,7 +98,7 @@
 
         Wire(Socket socket) throws IOException {
             super(socket);
-            patience(PATIENCE);
+            setReadTimeout(PATIENCE);
         }
 
         static Wire to(java.net.SocketAddress address) throws IOException {
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -126,7 +126,7 @@
         send(client(), true);
         try (StandInConnection endpoint = accept()) {
             assertEquals("withheld", reports.poll(20, TimeUnit.SECONDS));
-            endpoint.patience(50);
+            endpoint.setReadTimeout(50);
             assertThrows(SocketTimeoutException.class, endpoint::readHttp, "not a byte");
         }
     }
@@ -198,7 +198,7 @@
             runOnLoop(() -> deliverer.probe(other));
             try (StandInConnection second = accept()) {
                 second.readHttp();
-                first.patience(50);
+                first.setReadTimeout(50);
                 assertThrows(SocketTimeoutException.class, first::readHttp, "no further request on this connection");
             }
         }
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -44,7 +44,7 @@
             InetSocketAddress address =
                     (InetSocketAddress) front.listen(transport, new InetSocketAddress("127.0.0.1", 0));
             try (StandInConnection client = new StandInConnection(new Socket(address.getAddress(), address.getPort()))) {
-                client.patience(10_000);
+                client.setReadTimeout(10_000);
                 client.writeText("POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: status\r\nReq-Deadline: 5\r\n"
                         + "X-Practice: p\r\nIdempotency-Key: k\r\nX-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n");
                 StandInConnection.HttpMessage head = client.readHttp();
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -40,7 +40,7 @@
 
     private static StandInConnection connect(InetSocketAddress address) throws IOException {
         StandInConnection wire = new StandInConnection(new Socket(address.getAddress(), address.getPort()));
-        wire.patience(20_000);
+        wire.setReadTimeout(20_000);
         return wire;
     }
 
@@ -301,7 +301,7 @@
         socket.setReceiveBufferSize(4096);
         socket.connect(address);
         try (StandInConnection client = new StandInConnection(socket)) {
-            client.patience(20_000);
+            client.setReadTimeout(20_000);
             client.writeText(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
             runOnLoop(serverFilter::close);
@@ -317,7 +317,7 @@
         InetSocketAddress address = listen(serverFilter);
         try (Socket socket = new Socket(address.getAddress(), address.getPort());
                 StandInConnection client = new StandInConnection(socket)) {
-            client.patience(20_000);
+            client.setReadTimeout(20_000);
             client.writeText(requestText("/1", 0));
             socket.shutdownOutput();
             HttpServerFilter.Request first = nextRequest();
@@ -341,7 +341,7 @@
             socket.setReceiveBufferSize(4096);
             socket.connect(address);
             StandInConnection client = new StandInConnection(socket);
-            client.patience(20_000);
+            client.setReadTimeout(20_000);
             client.writeText(requestText("/1", 0));
             respond(nextRequest(), "x".repeat(4 << 20));
             socket.shutdownOutput();
--- a/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
@@ -77,7 +77,7 @@
 
     final StandInConnection accept() throws Exception {
         StandInConnection wire = new StandInConnection(server.accept());
-        wire.patience(20_000);
+        wire.setReadTimeout(20_000);
         return wire;
     }
 
