--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -97,7 +97,7 @@
                 Plots.overTime(
                         "share of worth",
                         Map.of("service", r.auditor().service().bySecond()),
-                        r.events(),
+                        r.eventPeriods(),
                         1.05));
         plot(
                 all,
@@ -105,13 +105,13 @@
                 Plots.overTime(
                         "messages",
                         pick(r, "arrived", "delivered", "refused", "failed", "turned_down"),
-                        r.events(),
+                        r.eventPeriods(),
                         0));
         plot(
                 all,
                 "Calls, and those that partners refused",
-                Plots.overTime("calls a second", pick(r, "calls", "refusals"), r.events(), 0));
-        plot(all, "Messages held by all forwarders", Plots.overTime("messages", pick(r, "held"), r.events(), 0));
+                Plots.overTime("calls a second", pick(r, "calls", "refusals"), r.eventPeriods(), 0));
+        plot(all, "Messages held by all forwarders", Plots.overTime("messages", pick(r, "held"), r.eventPeriods(), 0));
         plot(all, "Time to delivery", Plots.latencies(r));
     }
 
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -83,7 +83,7 @@
         }
         all.add("classes", classes);
         JsonArray events = new JsonArray();
-        for (RehearsalResult.EventPeriod b : r.events()) {
+        for (RehearsalResult.EventPeriod b : r.eventPeriods()) {
             JsonObject e = new JsonObject();
             e.addProperty("event", b.what());
             e.addProperty("from_s", b.fromMicros() / 1e6);
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -8,7 +8,7 @@
 /**
  * What a run has shown.
  *
- * @param events what happened, for people and for the bands of plots
+ * @param eventPeriods what happened, for people and for the bands of plots
  * @param partners a row for each partner
  * @param series figures by second: name to values
  * @param scheduled events of the scheduler: the size of the run
@@ -19,7 +19,7 @@
         Scenario scenario,
         long seed,
         Auditor auditor,
-        List<EventPeriod> events,
+        List<EventPeriod> eventPeriods,
         List<PartnerRow> partners,
         TreeMap<String, double[]> series,
         long endMicros,
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -81,7 +81,7 @@
         RehearsalResult v = VirtualRehearsal.run(s, 1, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         assertEquals(v.auditor().counts().get("messages"), r.auditor().counts().get("messages"));
-        assertEquals(v.events(), r.events());
+        assertEquals(v.eventPeriods(), r.eventPeriods());
         assertEquals(1, r.auditor().counts().get("restarts"));
         assertTrue(
                 r.auditor().counts().get("application_accepts") > 20,
