--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -104,7 +104,7 @@
         }
         all.add("breaches", stories);
         all.addProperty("virtual_seconds", r.endMicros() / 1_000_000);
-        all.addProperty("scheduled_events", r.scheduled());
+        all.addProperty("scheduled_events", r.actionCount());
         return all;
     }
 
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -11,7 +11,7 @@
  * @param eventPeriods what happened, for people and for the bands of plots
  * @param partners a row for each partner
  * @param series figures by second: name to values
- * @param scheduled events of the scheduler: the size of the run
+ * @param actionCount events of the scheduler: the size of the run
  * @param partial cut short
  * @param trust of a run in real time; null in virtual time
  */
@@ -23,7 +23,7 @@
         List<PartnerRow> partners,
         TreeMap<String, double[]> series,
         long endMicros,
-        long scheduled,
+        long actionCount,
         boolean partial,
         TimingQuality trust) {
     /** Something that happened, from a time to a time. */
