--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -33,16 +33,16 @@
                 .append(escape(r.scenario().about()))
                 .append(". Seed ")
                 .append(r.seed())
-                .append(r.trust() == null ? ", virtual time." : ", on sockets.")
+                .append(r.timingQuality() == null ? ", virtual time." : ", on sockets.")
                 .append("</p>\n");
         if (r.partial()) {
             all.append("<p class=\"bad\">Cut short after ")
                     .append(r.endMicros() / 1_000_000)
                     .append(" s: what follows is of that part.</p>\n");
         }
-        if (r.trust() != null) {
-            all.append(r.trust().good() ? "<p>" : "<p class=\"bad\">")
-                    .append(escape(r.trust().text()))
+        if (r.timingQuality() != null) {
+            all.append(r.timingQuality().good() ? "<p>" : "<p class=\"bad\">")
+                    .append(escape(r.timingQuality().text()))
                     .append("</p>\n");
         }
         figures(all, r);
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -56,10 +56,10 @@
         JsonObject all = new JsonObject();
         all.addProperty("scenario", r.scenario().name());
         all.addProperty("seed", r.seed());
-        all.addProperty("played", r.trust() == null ? "virtual time" : "sockets");
+        all.addProperty("played", r.timingQuality() == null ? "virtual time" : "sockets");
         all.addProperty("partial", r.partial());
-        if (r.trust() != null) {
-            all.add("trust", trust(r.trust()));
+        if (r.timingQuality() != null) {
+            all.add("trust", trust(r.timingQuality()));
         }
         all.addProperty("service", round(s.figure(Prices.USUAL)));
         all.addProperty("whole_run", round(s.whole()));
@@ -213,8 +213,8 @@
                     h.getValueAtPercentile(50) / 1000,
                     h.getValueAtPercentile(99) / 1000));
         }
-        if (r.trust() != null) {
-            all.append(r.trust().text()).append('\n');
+        if (r.timingQuality() != null) {
+            all.append(r.timingQuality().text()).append('\n');
         }
         if (r.auditor().broken().isEmpty()) {
             return all + "all rules kept\n";
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -13,7 +13,7 @@
  * @param series figures by second: name to values
  * @param actionCount events of the scheduler: the size of the run
  * @param partial cut short
- * @param trust of a run in real time; null in virtual time
+ * @param timingQuality of a run in real time; null in virtual time
  */
 public record RehearsalResult(
         Scenario scenario,
@@ -25,7 +25,7 @@
         long endMicros,
         long actionCount,
         boolean partial,
-        TimingQuality trust) {
+        TimingQuality timingQuality) {
     /** Something that happened, from a time to a time. */
     public record EventPeriod(String what, long fromMicros, long toMicros) {}
 
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -191,10 +191,10 @@
                                                         .findFirst()
                                                         .orElse("") + "\n");
                         broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
-                        if (result.trust() != null && !result.trust().good()) {
+                        if (result.timingQuality() != null && !result.timingQuality().good()) {
                             doubtful.incrementAndGet();
                             if (!isSingle) {
-                                System.out.println(result.trust().text());
+                                System.out.println(result.timingQuality().text());
                             }
                         }
                         services.add(result.auditor().service().figure(Prices.USUAL));
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -90,7 +90,7 @@
                 r.auditor().counts().get("fate_delivered")
                         > 0.8 * r.auditor().counts().get("messages"),
                 () -> Report.summary(r));
-        assertNotNull(r.trust());
+        assertNotNull(r.timingQuality());
         assertFalse(r.partial());
     }
 
