--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -35,7 +35,7 @@
                 .append(r.seed())
                 .append(r.timingQuality() == null ? ", virtual time." : ", on sockets.")
                 .append("</p>\n");
-        if (r.partial()) {
+        if (r.isPartial()) {
             all.append("<p class=\"bad\">Cut short after ")
                     .append(r.endMicros() / 1_000_000)
                     .append(" s: what follows is of that part.</p>\n");
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -57,7 +57,7 @@
         all.addProperty("scenario", r.scenario().name());
         all.addProperty("seed", r.seed());
         all.addProperty("played", r.timingQuality() == null ? "virtual time" : "sockets");
-        all.addProperty("partial", r.partial());
+        all.addProperty("partial", r.isPartial());
         if (r.timingQuality() != null) {
             all.add("trust", trust(r.timingQuality()));
         }
@@ -187,7 +187,7 @@
                 "%s, seed %d%s: service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f, prices %.3f)%n",
                 r.scenario().name(),
                 r.seed(),
-                r.partial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
+                r.isPartial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
                 s.figure(Prices.USUAL),
                 s.whole(),
                 s.worstWindow(),
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -12,7 +12,7 @@
  * @param partners a row for each partner
  * @param series figures by second: name to values
  * @param actionCount events of the scheduler: the size of the run
- * @param partial cut short
+ * @param isPartial cut short
  * @param timingQuality of a run in real time; null in virtual time
  */
 public record RehearsalResult(
@@ -24,7 +24,7 @@
         TreeMap<String, double[]> series,
         long endMicros,
         long actionCount,
-        boolean partial,
+        boolean isPartial,
         TimingQuality timingQuality) {
     /** Something that happened, from a time to a time. */
     public record EventPeriod(String what, long fromMicros, long toMicros) {}
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -91,7 +91,7 @@
                         > 0.8 * r.auditor().counts().get("messages"),
                 () -> Report.summary(r));
         assertNotNull(r.timingQuality());
-        assertFalse(r.partial());
+        assertFalse(r.isPartial());
     }
 
     /** A daemon that dies by itself is named, and the day goes on with the next life. */
@@ -158,7 +158,7 @@
                 ChildProcessCommand.command("serve"),
                 t -> now[0] = t,
                 () -> now[0] >= 2_000_000);
-        assertTrue(r.partial());
+        assertTrue(r.isPartial());
         assertTrue(Report.summary(r).contains("CUT SHORT after"), Report.summary(r));
         assertTrue(Report.json(r).get("partial").getAsBoolean());
     }
