--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -71,7 +71,7 @@
         for (RehearsalResult.EventPeriod b : bands) {
             IntervalMarker marker =
                     new IntervalMarker(b.fromMicros() / 1e6, b.toMicros() / 1e6, new Color(0xdd, 0xaa, 0x33, 50));
-            marker.setLabel(b.what());
+            marker.setLabel(b.name());
             marker.setLabelFont(SMALL);
             marker.setLabelBackgroundColor(new Color(0, 0, 0, 0));
             marker.setLabelAnchor(RectangleAnchor.TOP_LEFT);
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -85,7 +85,7 @@
         JsonArray events = new JsonArray();
         for (RehearsalResult.EventPeriod b : r.eventPeriods()) {
             JsonObject e = new JsonObject();
-            e.addProperty("event", b.what());
+            e.addProperty("event", b.name());
             e.addProperty("from_s", b.fromMicros() / 1e6);
             e.addProperty("to_s", b.toMicros() / 1e6);
             events.add(e);
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -27,7 +27,7 @@
         boolean isPartial,
         TimingQuality timingQuality) {
     /** Something that happened, from a time to a time. */
-    public record EventPeriod(String what, long fromMicros, long toMicros) {}
+    public record EventPeriod(String name, long fromMicros, long toMicros) {}
 
     /** One partner's figures. */
     public record PartnerRow(
