--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/lab/world/TimingQuality.java
@@ -9,11 +9,11 @@
  *
  * @param tasks what was due
  * @param lateShare the share of it that was over {@link #LATE} late
- * @param mostMicros how late the latest was
+ * @param maxMicros how late the latest was
  * @param troubles what else went wrong with the stand-ins
  */
 public record TimingQuality(
-        long tasks, double lateShare, long medianMicros, long p99Micros, long mostMicros, long troubles) {
+        long tasks, double lateShare, long medianMicros, long p99Micros, long maxMicros, long troubles) {
     /** Later than this counts as late, microseconds. */
     public static final long LATE = 10_000;
 
@@ -35,7 +35,7 @@
 
     /** True if the figures are those of the scenario. */
     public boolean good() {
-        return lateShare <= MOST_LATE && mostMicros <= MOST && troubles == 0;
+        return lateShare <= MOST_LATE && maxMicros <= MOST && troubles == 0;
     }
 
     /** For people. */
@@ -49,7 +49,7 @@
                 LATE / 1000,
                 medianMicros / 1e3,
                 p99Micros / 1e3,
-                mostMicros / 1e3,
+                maxMicros / 1e3,
                 troubles == 0 ? "" : "; troubles of their own: " + troubles);
     }
 }
