--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -116,7 +116,7 @@
         o.addProperty("late_ms_p50", t.medianMicros() / 1e3);
         o.addProperty("late_ms_p99", t.p99Micros() / 1e3);
         o.addProperty("late_ms_most", t.maxMicros() / 1e3);
-        o.addProperty("troubles", t.troubles());
+        o.addProperty("troubles", t.errorCount());
         return o;
     }
 
--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/lab/world/TimingQuality.java
@@ -10,10 +10,10 @@
  * @param tasks what was due
  * @param lateShare the share of it that was over {@link #LATE} late
  * @param maxMicros how late the latest was
- * @param troubles what else went wrong with the stand-ins
+ * @param errorCount what else went wrong with the stand-ins
  */
 public record TimingQuality(
-        long tasks, double lateShare, long medianMicros, long p99Micros, long maxMicros, long troubles) {
+        long tasks, double lateShare, long medianMicros, long p99Micros, long maxMicros, long errorCount) {
     /** Later than this counts as late, microseconds. */
     public static final long LATE = 10_000;
 
@@ -35,7 +35,7 @@
 
     /** True if the figures are those of the scenario. */
     public boolean good() {
-        return lateShare <= MOST_LATE && maxMicros <= MOST && troubles == 0;
+        return lateShare <= MOST_LATE && maxMicros <= MOST && errorCount == 0;
     }
 
     /** For people. */
@@ -50,6 +50,6 @@
                 medianMicros / 1e3,
                 p99Micros / 1e3,
                 maxMicros / 1e3,
-                troubles == 0 ? "" : "; troubles of their own: " + troubles);
+                errorCount == 0 ? "" : "; troubles of their own: " + errorCount);
     }
 }
