--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -41,7 +41,7 @@
                     .append(" s: what follows is of that part.</p>\n");
         }
         if (r.timingQuality() != null) {
-            all.append(r.timingQuality().good() ? "<p>" : "<p class=\"bad\">")
+            all.append(r.timingQuality().isAcceptable() ? "<p>" : "<p class=\"bad\">")
                     .append(escape(r.timingQuality().text()))
                     .append("</p>\n");
         }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -110,7 +110,7 @@
 
     private static JsonObject trust(TimingQuality t) {
         JsonObject o = new JsonObject();
-        o.addProperty("good", t.good());
+        o.addProperty("good", t.isAcceptable());
         o.addProperty("tasks", t.tasks());
         o.addProperty("late_share", round(t.lateShare()));
         o.addProperty("late_ms_p50", t.medianMicros() / 1e3);
--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/lab/world/TimingQuality.java
@@ -34,7 +34,7 @@
     }
 
     /** True if the figures are those of the scenario. */
-    public boolean good() {
+    public boolean isAcceptable() {
         return lateShare <= MOST_LATE && maxMicros <= MOST && errorCount == 0;
     }
 
@@ -43,7 +43,7 @@
         return String.format(
                 Locale.ROOT,
                 "%s: of %d tasks %.2f%% were over %d ms late; median %.1f ms, 99th percentile %.1f ms, most %.1f ms%s",
-                good() ? "the stand-ins kept up" : "NOT TO BE TRUSTED, the stand-ins did not keep up",
+                isAcceptable() ? "the stand-ins kept up" : "NOT TO BE TRUSTED, the stand-ins did not keep up",
                 tasks,
                 lateShare * 100,
                 LATE / 1000,
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -191,7 +191,7 @@
                                                         .findFirst()
                                                         .orElse("") + "\n");
                         broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
-                        if (result.timingQuality() != null && !result.timingQuality().good()) {
+                        if (result.timingQuality() != null && !result.timingQuality().isAcceptable()) {
                             doubtful.incrementAndGet();
                             if (!isSingle) {
                                 System.out.println(result.timingQuality().text());
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -215,9 +215,9 @@
     void aRunWhoseStandInsWereLateIsNotTrusted() {
         Histogram late = new Histogram(3_600_000_000L, 3);
         late.recordValueWithCount(100, 990);
-        assertTrue(TimingQuality.of(late, 0).good());
+        assertTrue(TimingQuality.of(late, 0).isAcceptable());
         late.recordValueWithCount(20_000, 10);
-        assertFalse(TimingQuality.of(late, 0).good());
+        assertFalse(TimingQuality.of(late, 0).isAcceptable());
         assertTrue(
                 TimingQuality.of(late, 0)
                         .text()
@@ -228,8 +228,8 @@
         Histogram once = new Histogram(3_600_000_000L, 3);
         once.recordValueWithCount(100, 100_000);
         once.recordValue(800_000);
-        assertFalse(TimingQuality.of(once, 0).good());
-        assertFalse(TimingQuality.of(new Histogram(3_600_000_000L, 3), 1).good());
+        assertFalse(TimingQuality.of(once, 0).isAcceptable());
+        assertFalse(TimingQuality.of(new Histogram(3_600_000_000L, 3), 1).isAcceptable());
     }
 
     @Test
