--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -42,7 +42,7 @@
         }
         if (r.timingQuality() != null) {
             all.append(r.timingQuality().isAcceptable() ? "<p>" : "<p class=\"bad\">")
-                    .append(escape(r.timingQuality().text()))
+                    .append(escape(r.timingQuality().summary()))
                     .append("</p>\n");
         }
         figures(all, r);
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -214,7 +214,7 @@
                     h.getValueAtPercentile(99) / 1000));
         }
         if (r.timingQuality() != null) {
-            all.append(r.timingQuality().text()).append('\n');
+            all.append(r.timingQuality().summary()).append('\n');
         }
         if (r.auditor().broken().isEmpty()) {
             return all + "all rules kept\n";
--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/lab/world/TimingQuality.java
@@ -39,7 +39,7 @@
     }
 
     /** For people. */
-    public String text() {
+    public String summary() {
         return String.format(
                 Locale.ROOT,
                 "%s: of %d tasks %.2f%% were over %d ms late; median %.1f ms, 99th percentile %.1f ms, most %.1f ms%s",
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -194,7 +194,7 @@
                         if (result.timingQuality() != null && !result.timingQuality().isAcceptable()) {
                             doubtful.incrementAndGet();
                             if (!isSingle) {
-                                System.out.println(result.timingQuality().text());
+                                System.out.println(result.timingQuality().summary());
                             }
                         }
                         services.add(result.auditor().service().figure(Prices.USUAL));
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -220,11 +220,11 @@
         assertFalse(TimingQuality.of(late, 0).isAcceptable());
         assertTrue(
                 TimingQuality.of(late, 0)
-                        .text()
+                        .summary()
                         .startsWith(
                                 "NOT TO BE TRUSTED, the stand-ins did not keep up: of 1000 tasks 1.00% were over 10 "
                                         + "ms late"),
-                TimingQuality.of(late, 0).text());
+                TimingQuality.of(late, 0).summary());
         Histogram once = new Histogram(3_600_000_000L, 3);
         once.recordValueWithCount(100, 100_000);
         once.recordValue(800_000);
