--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -9,10 +9,10 @@
 import lilaclever.lab.scenario.Scenario;
 
 /** The configuration of a forwarder, as the platform would write it for the scenario. */
-final class Settings {
+final class ForwarderConfigJson {
     static final String ZONE = "here";
 
-    private Settings() {}
+    private ForwarderConfigJson() {}
 
     static JsonObject config(
             Scenario s,
--- a/src/main/java/lilaclever/lab/sockets/Hl7Line.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
@@ -14,53 +14,53 @@
  * connection. It connects again whenever the connection ends, as ends may be owed there. A thread reads; the rest runs
  * on the timeline's.
  */
-final class Hl7Line {
-    private static final int CONNECT = 500, AGAIN = 50;
-    private static final long PATIENCE = 400_000;
+final class Hl7Submitter {
+    private static final int CONNECT_TIMEOUT_MILLIS = 500, RECONNECT_DELAY_MILLIS = 50;
+    private static final long ANSWER_TIMEOUT_MICROS = 400_000;
     private static final Pattern MSA = Pattern.compile("\rMSA\\|(A[AER]|C[AER])\\|([^|\r]+)(?:\\|([^\r]*))?");
-    private static final Pattern COME_BACK = Pattern.compile("come again in ([0-9.]{1,9}) s");
+    private static final Pattern RETRY_AFTER = Pattern.compile("come again in ([0-9.]{1,9}) s");
 
     private final World world;
-    private final RealTime time;
+    private final RealTimeline timeline;
     private final InetSocketAddress address;
-    private volatile StandInConnection wire;
+    private volatile StandInConnection connection;
     private volatile boolean closed;
 
-    Hl7Line(World world, RealTime time, InetSocketAddress address) {
+    Hl7Submitter(World world, RealTimeline time, InetSocketAddress address) {
         this.world = world;
-        this.time = time;
+        this.timeline = time;
         this.address = address;
-        Threads.start("hl7 line", this::keep);
+        SocketThreads.start("hl7 line", this::keepConnected);
     }
 
-    private void keep() throws InterruptedException {
+    private void keepConnected() throws InterruptedException {
         while (!closed) {
             try (Socket s = new Socket()) {
-                s.connect(address, CONNECT);
+                s.connect(address, CONNECT_TIMEOUT_MILLIS);
                 StandInConnection up = new StandInConnection(s);
-                wire = up;
+                connection = up;
                 for (String frame = up.readFrame(); frame != null; frame = up.readFrame()) {
                     String read = frame;
-                    time.post(() -> acknowledged(read));
+                    timeline.post(() -> handleAcknowledgement(read));
                 }
             } catch (IOException e) {
                 // nobody there, or it has died
             }
-            wire = null;
-            Thread.sleep(AGAIN);
+            connection = null;
+            Thread.sleep(RECONNECT_DELAY_MILLIS);
         }
     }
 
     /** Hands a message in; what becomes of it is told to the world. */
-    void handIn(String id, Arrival a, long leftMicros) {
-        StandInConnection to = wire;
+    void submit(String id, Arrival a, long leftMicros) {
+        StandInConnection to = connection;
         if (to == null) {
             world.onConnectionRefused(id);
             return;
         }
-        String message = "MSH|^~\\&|" + OperatorFile.SENDER + "|NORTH|" + OperatorFile.receiver(a.destination())
+        String message = "MSH|^~\\&|" + OperatorFile.SENDER + "|NORTH|" + OperatorFile.receiverName(a.destination())
                 + "|PRAIRIE|20260101000000||"
-                + OperatorFile.event(a.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|" + a.number() + "\rZLC|"
+                + OperatorFile.eventCode(a.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|" + a.number() + "\rZLC|"
                 + String.format(Locale.ROOT, "%.3f", leftMicros / 1e6) + '\r';
         try {
             to.writeFrame(message);
@@ -68,10 +68,10 @@
             world.onNoAnswer(id);
             return;
         }
-        time.after(PATIENCE, () -> world.onNoAnswer(id)); // no more than a word if it has its answer by then
+        timeline.after(ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id)); // no more than a word if it has its answer by then
     }
 
-    private void acknowledged(String frame) {
+    private void handleAcknowledgement(String frame) {
         Matcher m = MSA.matcher(frame);
         if (!m.find()) {
             world.auditor().count("acknowledgements_that_can_not_be_read");
@@ -84,21 +84,21 @@
         }
         switch (m.group(1)) {
             case "CA" -> world.onAccepted(id);
-            case "CE", "CR" -> world.onRefused(id, comeBack(frame));
+            case "CE", "CR" -> world.onRejected(id, retryAfterMicros(frame));
             case "AE" -> world.onNotice(id, "undeliverable");
             case "AR" -> world.onNotice(id, "deferred");
             default -> world.auditor().count("application_accepts");
         }
     }
 
-    private static long comeBack(String text) {
-        Matcher m = COME_BACK.matcher(text);
+    private static long retryAfterMicros(String text) {
+        Matcher m = RETRY_AFTER.matcher(text);
         return m.find() ? (long) (Double.parseDouble(m.group(1)) * 1e6) : 0;
     }
 
     void close() {
         closed = true;
-        StandInConnection last = wire;
+        StandInConnection last = connection;
         if (last != null) {
             last.close();
         }
--- a/src/main/java/lilaclever/lab/sockets/Clients.java
+++ b/src/main/java/lilaclever/lab/sockets/HttpSubmitter.java
@@ -17,46 +17,46 @@
  * The clients of one forwarder: each hand-in on a connection of its own for that while, which is kept and used again.
  * They are never held up by earlier hand-ins.
  */
-final class Clients {
-    private static final int PATIENCE = 400, CONNECT = 1000, BODY = 200;
+final class HttpSubmitter {
+    private static final int ANSWER_TIMEOUT_MILLIS = 400, CONNECT_TIMEOUT_MILLIS = 1000, BODY_BYTES = 200;
 
     private final World world;
-    private final RealTime time;
+    private final RealTimeline timeline;
     private final InetSocketAddress address;
-    private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+    private final ExecutorService executor = Executors.newCachedThreadPool(task -> {
         Thread thread = new Thread(null, task, "client", 128 << 10);
         thread.setDaemon(true);
         return thread;
     });
     private final ConcurrentLinkedDeque<StandInConnection> idle = new ConcurrentLinkedDeque<>();
 
-    Clients(World world, RealTime time, InetSocketAddress address) {
+    HttpSubmitter(World world, RealTimeline time, InetSocketAddress address) {
         this.world = world;
-        this.time = time;
+        this.timeline = time;
         this.address = address;
     }
 
     /** Hands in on a thread of its own; what becomes of it is told to the world. */
-    void handIn(String id, Arrival a, long leftMicros) {
-        byte[] body = new byte[BODY];
+    void submit(String id, Arrival a, long leftMicros) {
+        byte[] body = new byte[BODY_BYTES];
         Arrays.fill(body, (byte) 'x');
         String head = "POST /api HTTP/1.1\r\nHost: lilaclever\r\nReq-Id: " + id + "\r\nReq-Kind: "
                 + world.scenario().classes().get(a.messageClass()).name() + "\r\nReq-Deadline: "
                 + String.format(Locale.ROOT, "%.6f", leftMicros / 1e6) + "\r\nIdempotency-Key: k" + a.number()
-                + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + BODY + "\r\n\r\n";
-        threads.execute(() -> {
+                + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
+        executor.execute(() -> {
             StandInConnection kept = idle.pollLast();
-            Runnable told = kept == null ? null : ask(kept, id, head, body, true);
-            Runnable outcome = told != null ? told : fresh(id, head, body);
-            time.post(outcome);
+            Runnable told = kept == null ? null : exchange(kept, id, head, body, true);
+            Runnable outcome = told != null ? told : submitOnNewConnection(id, head, body);
+            timeline.post(outcome);
         });
     }
 
-    private Runnable fresh(String id, String head, byte[] body) {
+    private Runnable submitOnNewConnection(String id, String head, byte[] body) {
         try {
             Socket socket = new Socket();
-            socket.connect(address, CONNECT);
-            return ask(new StandInConnection(socket), id, head, body, false);
+            socket.connect(address, CONNECT_TIMEOUT_MILLIS);
+            return exchange(new StandInConnection(socket), id, head, body, false);
         } catch (ConnectException e) {
             return () -> world.onConnectionRefused(id);
         } catch (IOException e) {
@@ -65,9 +65,9 @@
     }
 
     /** What the answer means; null if a kept connection had been closed before it was read. */
-    private Runnable ask(StandInConnection wire, String id, String head, byte[] body, boolean kept) {
+    private Runnable exchange(StandInConnection wire, String id, String head, byte[] body, boolean kept) {
         try {
-            wire.setReadTimeout(PATIENCE);
+            wire.setReadTimeout(ANSWER_TIMEOUT_MILLIS);
             wire.write(head, body);
             HttpMessage answer = wire.readHttp();
             if (answer == null) {
@@ -93,17 +93,17 @@
         return switch (answer.target()) {
             case "200", "202" -> () -> world.onAccepted(id);
             case "429", "503" ->
-                () -> world.onRefused(id, (long) (Double.parseDouble(answer.header("Retry-After", "0")) * 1e6));
+                () -> world.onRejected(id, (long) (Double.parseDouble(answer.header("Retry-After", "0")) * 1e6));
             default ->
                 () -> {
                     world.auditor().count("hand_ins_answered_" + answer.target());
-                    world.onRefused(id, 0);
+                    world.onRejected(id, 0);
                 };
         };
     }
 
     void close() {
-        threads.shutdownNow();
+        executor.shutdownNow();
         idle.forEach(StandInConnection::close);
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/OperatorFile.java
+++ b/src/main/java/lilaclever/lab/sockets/OperatorFile.java
@@ -19,24 +19,24 @@
             all.append("\n[hl7-class ")
                     .append(s.classes().get(c).name())
                     .append("]\nevents ")
-                    .append(event(c))
+                    .append(eventCode(c))
                     .append('\n');
         }
         for (int d = 0; d < s.fleet().destinations(); d++) {
             all.append("\n[hl7-destination ")
                     .append(d)
                     .append("]\nreceivers ")
-                    .append(receiver(d))
+                    .append(receiverName(d))
                     .append('\n');
         }
         return all.toString();
     }
 
-    static String event(int messageClass) {
+    static String eventCode(int messageClass) {
         return String.format(Locale.ROOT, "ORM^O%02d", messageClass + 1);
     }
 
-    static String receiver(int destination) {
+    static String receiverName(int destination) {
         return "PARTNER" + destination;
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/Listeners.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
@@ -17,8 +17,8 @@
  * is down they are closed, and its connections are reset. All but the threads that wait for connections and bytes runs
  * on the timeline's thread.
  */
-final class Listeners {
-    private static final long LOOK = 10_000;
+final class PartnerListeners {
+    private static final long POLL_INTERVAL_MICROS = 10_000;
 
     private final class Listener {
         final Partner partner;
@@ -31,21 +31,21 @@
             this.partner = partner;
             this.host = host;
             this.forwarder = forwarder;
-            server = Ports.listen();
+            server = LoopbackPorts.listen();
             port = server.getLocalPort();
-            accept(server);
+            startAccepting(server);
         }
 
-        private void accept(ServerSocket from) {
-            Threads.start("listener " + host, () -> {
+        private void startAccepting(ServerSocket from) {
+            SocketThreads.start("listener " + host, () -> {
                 while (true) {
                     Socket socket = from.accept();
-                    time.post(() -> accepted(socket));
+                    timeline.post(() -> onAccepted(socket));
                 }
             });
         }
 
-        private void accepted(Socket socket) {
+        private void onAccepted(Socket socket) {
             try {
                 if (server == null) {
                     socket.setSoLinger(true, 0);
@@ -55,7 +55,7 @@
                 world.auditor().service().connection();
                 PartnerConnection c = new PartnerConnection(
                         world,
-                        time,
+                        timeline,
                         new StandInConnection(socket),
                         partner,
                         host,
@@ -69,47 +69,47 @@
             }
         }
 
-        void shut() {
+        void closeAndReset() {
             try {
                 server.close();
             } catch (IOException e) {
-                troubles++;
+                errorCount++;
             }
             server = null;
-            List.copyOf(connections).forEach(PartnerConnection::cut);
+            List.copyOf(connections).forEach(PartnerConnection::reset);
         }
 
-        void open() {
+        void reopen() {
             try {
-                server = Ports.listen(port);
-                accept(server);
+                server = LoopbackPorts.listen(port);
+                startAccepting(server);
             } catch (IOException e) {
-                troubles++; // somebody has taken its port: the partner seems down for longer than it is
+                errorCount++; // somebody has taken its port: the partner seems down for longer than it is
             }
         }
     }
 
     private final World world;
-    private final RealTime time;
+    private final RealTimeline timeline;
     private final Map<String, Listener> listeners = new HashMap<>();
-    private long troubles;
+    private long errorCount;
 
-    Listeners(World world, RealTime time) {
+    PartnerListeners(World world, RealTimeline time) {
         this.world = world;
-        this.time = time;
+        this.timeline = time;
     }
 
     /** Looks from now on, again and again, which partners are down. */
-    void watch() {
+    void pollOutages() {
         for (Listener l : listeners.values()) {
-            boolean down = l.partner.isDown(time.now());
+            boolean down = l.partner.isDown(timeline.nowMicros());
             if (down && l.server != null) {
-                l.shut();
+                l.closeAndReset();
             } else if (!down && l.server == null) {
-                l.open();
+                l.reopen();
             }
         }
-        time.after(LOOK, this::watch);
+        timeline.after(POLL_INTERVAL_MICROS, this::pollOutages);
     }
 
     /** Where a forwarder finds an endpoint. */
@@ -128,20 +128,20 @@
     void remove(String host, int forwarder) {
         Listener listener = listeners.remove(host + ' ' + forwarder);
         if (listener != null && listener.server != null) {
-            listener.shut();
+            listener.closeAndReset();
         }
     }
 
     /** What went wrong here. */
-    long troubles() {
-        return troubles;
+    long errorCount() {
+        return errorCount;
     }
 
     /** Shuts all. */
     void close() {
         for (Listener l : new ArrayList<>(listeners.values())) {
             if (l.server != null) {
-                l.shut();
+                l.closeAndReset();
             }
         }
         listeners.clear();
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -15,8 +15,8 @@
  * bounds. It shares nothing with the program's own codecs, so that a fault of theirs is not made twice.
  */
 public class StandInConnection implements AutoCloseable {
-    private static final int LONGEST_LINE = 8192, MOST_HEADERS = 100, MOST_BODY = 4 << 20, MOST_FRAME = 70_000;
-    private static final char FRAME = 0x0b, FRAME_END = 0x1c;
+    private static final int MAX_LINE_BYTES = 8192, MAX_HEADERS = 100, MAX_BODY_BYTES = 4 << 20, MAX_FRAME_BYTES = 70_000;
+    private static final char FRAME_START = 0x0b, FRAME_END = 0x1c;
 
     /** A request, or an answer with its status as the target. */
     public record HttpMessage(String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
@@ -43,17 +43,17 @@
             return null;
         }
         long at = System.nanoTime();
-        String[] words = ((char) first + wholeLine()).split(" ", 3);
+        String[] words = ((char) first + readRequiredLine()).split(" ", 3);
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String h = wholeLine(); !h.isEmpty(); h = wholeLine()) {
+        for (String h = readRequiredLine(); !h.isEmpty(); h = readRequiredLine()) {
             int colon = h.indexOf(':');
-            if (colon < 1 || headers.size() >= MOST_HEADERS) {
+            if (colon < 1 || headers.size() >= MAX_HEADERS) {
                 throw new IOException("no header: " + h);
             }
             headers.put(h.substring(0, colon), h.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
-        if (length > MOST_BODY || words.length < 2) {
+        if (length > MAX_BODY_BYTES || words.length < 2) {
             throw new IOException("no message: " + String.join(" ", words));
         }
         byte[] body = in.readNBytes(length);
@@ -63,7 +63,7 @@
         return new HttpMessage(words[0], words[1], headers, body, at);
     }
 
-    private String wholeLine() throws IOException {
+    private String readRequiredLine() throws IOException {
         String line = readLine();
         if (line == null) {
             throw new IOException("ended within a message");
@@ -78,7 +78,7 @@
             if (c < 0) {
                 return null;
             }
-            if (line.size() > LONGEST_LINE) {
+            if (line.size() > MAX_LINE_BYTES) {
                 throw new IOException("a line without end");
             }
             if (c != '\r') {
@@ -91,12 +91,12 @@
     /** The next message in a frame of MLLP, or null at the end. */
     public final String readFrame() throws IOException {
         ByteArrayOutputStream message = new ByteArrayOutputStream();
-        for (int c = in.read(); c >= 0 && message.size() < MOST_FRAME; c = in.read()) {
+        for (int c = in.read(); c >= 0 && message.size() < MAX_FRAME_BYTES; c = in.read()) {
             if (c == FRAME_END) {
                 in.read();
                 return message.toString(StandardCharsets.ISO_8859_1);
             }
-            if (c != FRAME) {
+            if (c != FRAME_START) {
                 message.write(c);
             }
         }
@@ -105,7 +105,7 @@
 
     /** Writes a message in a frame of MLLP. */
     public final void writeFrame(String message) throws IOException {
-        writeText(FRAME + message + FRAME_END + '\r');
+        writeText(FRAME_START + message + FRAME_END + '\r');
     }
 
     /** Writes text, a byte for each character. */
@@ -160,15 +160,15 @@
         } catch (IOException e) {
             // it is closed already
         }
-        shut();
+        closeSocket();
     }
 
     @Override
     public void close() {
-        shut();
+        closeSocket();
     }
 
-    private void shut() {
+    private void closeSocket() {
         try {
             socket.close();
         } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
@@ -27,11 +27,11 @@
      */
     public static RehearsalResult run(
             Scenario scenario, long seed, Fault fault, LongConsumer progress, BooleanSupplier stopped) {
-        Scheduler scheduler = new Scheduler();
+        VirtualTimeline scheduler = new VirtualTimeline();
         World world = new World(scenario, seed, fault, scheduler, VirtualForwarder::new);
         world.start();
         world.begin(progress);
-        scheduler.runUntil(world.length(), stopped);
-        return world.finish(scheduler.ran(), null);
+        scheduler.runUntil(world.lengthMicros(), stopped);
+        return world.finish(scheduler.actionCount(), null);
     }
 }
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -19,7 +19,7 @@
     private final EndpointDirectory directory;
     private final LoadBalancer loadBalancer;
     private final ForwarderFleet forwarders;
-    private final List<RehearsalResult.EventPeriod> bands = new ArrayList<>();
+    private final List<RehearsalResult.EventPeriod> periods = new ArrayList<>();
 
     EventPlanner(
             int forwarderCount,
@@ -39,8 +39,8 @@
     }
 
     /** The planned events' times. */
-    List<RehearsalResult.EventPeriod> bands() {
-        return bands;
+    List<RehearsalResult.EventPeriod> periods() {
+        return periods;
     }
 
     /** Plans an event. */
@@ -55,7 +55,7 @@
             case LOWERED -> planLowerLimits(event, at, length);
             default -> planOutages(event, at, length);
         }
-        bands.add(new RehearsalResult.EventPeriod(event.name(), at, at + length));
+        periods.add(new RehearsalResult.EventPeriod(event.name(), at, at + length));
     }
 
     private void planRestarts(ScheduledEvent event, long at, long length) {
@@ -100,14 +100,14 @@
 
     private void planSilentDirectory(ScheduledEvent event, long at, long length) {
         for (int forwarder : someForwarders(event.part())) {
-            timeline.at(at, () -> directory.silence(forwarder, timeline.now() + length));
+            timeline.at(at, () -> directory.silence(forwarder, timeline.nowMicros() + length));
         }
     }
 
     private void planLowerLimits(ScheduledEvent event, long at, long length) {
         double part = random.in(event.strength());
         for (Partner partner : somePartners(event)) {
-            timeline.at(at, () -> partner.lower(part, timeline.now() + length));
+            timeline.at(at, () -> partner.lower(part, timeline.nowMicros() + length));
         }
     }
 
@@ -115,7 +115,7 @@
         double strength = random.in(event.strength());
         Partner.Outage outage = Partner.Outage.valueOf(event.what().name());
         for (Partner partner : somePartners(event)) {
-            timeline.at(at, () -> partner.outage(outage, strength, timeline.now() + length));
+            timeline.at(at, () -> partner.outage(outage, strength, timeline.nowMicros() + length));
         }
     }
 
--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/lab/world/TimingQuality.java
@@ -8,22 +8,22 @@
  * a client that hands in late, is a slower one than the scenario's, and the figures are then of another day.
  *
  * @param tasks what was due
- * @param lateShare the share of it that was over {@link #LATE} late
+ * @param lateShare the share of it that was over {@link #LATE_MICROS} late
  * @param maxMicros how late the latest was
  * @param errorCount what else went wrong with the stand-ins
  */
 public record TimingQuality(
         long tasks, double lateShare, long medianMicros, long p99Micros, long maxMicros, long errorCount) {
     /** Later than this counts as late, microseconds. */
-    public static final long LATE = 10_000;
+    public static final long LATE_MICROS = 10_000;
 
-    private static final double MOST_LATE = 0.005;
-    private static final long MOST = 500_000;
+    private static final double MAX_LATE_SHARE = 0.005;
+    private static final long MAX_LATENESS_MICROS = 500_000;
 
     /** From how late each task was, microseconds. */
     public static TimingQuality of(Histogram lateness, long troubles) {
         long tasks = lateness.getTotalCount();
-        double late = tasks == 0 ? 0 : 1 - lateness.getCountBetweenValues(0, LATE) / (double) tasks;
+        double late = tasks == 0 ? 0 : 1 - lateness.getCountBetweenValues(0, LATE_MICROS) / (double) tasks;
         return new TimingQuality(
                 tasks,
                 late,
@@ -35,7 +35,7 @@
 
     /** True if the figures are those of the scenario. */
     public boolean isAcceptable() {
-        return lateShare <= MOST_LATE && maxMicros <= MOST && errorCount == 0;
+        return lateShare <= MAX_LATE_SHARE && maxMicros <= MAX_LATENESS_MICROS && errorCount == 0;
     }
 
     /** For people. */
@@ -46,7 +46,7 @@
                 isAcceptable() ? "the stand-ins kept up" : "NOT TO BE TRUSTED, the stand-ins did not keep up",
                 tasks,
                 lateShare * 100,
-                LATE / 1000,
+                LATE_MICROS / 1000,
                 medianMicros / 1e3,
                 p99Micros / 1e3,
                 maxMicros / 1e3,
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -37,7 +37,7 @@
 
     /** The same seed gives the same folder, byte for byte; another seed another one. */
     @Test
-    void aRunIsTheSameEachTime(@TempDir Path folder) throws Exception {
+    void runsWithTheSameSeedWriteIdenticalReports(@TempDir Path folder) throws Exception {
         for (String life : List.of("a", "b")) {
             Report.write(run("bad-afternoon", Fault.NONE), folder.resolve(life));
         }
@@ -69,7 +69,7 @@
                 "hot-forwarder",
                 "partners-refuse"
             })
-    void noRuleIsBroken(String name) throws ConfigurationException {
+    void shippedScenarioBreaksNoRule(String name) throws ConfigurationException {
         RehearsalResult r = run(name, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         long messages = r.auditor().counts().get("messages");
@@ -77,7 +77,7 @@
     }
 
     @Test
-    void aQuietDayIsServed() throws ConfigurationException {
+    void quietScenarioReachesServiceGoal() throws ConfigurationException {
         assertTrue(run("quiet", Fault.NONE).auditor().service().figure(Prices.USUAL) > 0.9);
     }
 
@@ -90,7 +90,7 @@
         "mass-return, FLOODS, FAIL_BACK",
         "month-end, SILENT, ONE_END"
     })
-    void aBrokenForwarderIsCaughtAndNamed(String name, Fault fault, Rule rule) throws ConfigurationException {
+    void faultyForwarderBreaksTheExpectedRule(String name, Fault fault, Rule rule) throws ConfigurationException {
         RehearsalResult r = run(name, fault);
         assertTrue(r.auditor().broken().containsKey(rule), () -> Report.summary(r));
         assertTrue(rule == Rule.FAIL_BACK
@@ -103,7 +103,7 @@
      * forwarders.
      */
     @Test
-    void aCallThatComesUpUnderAWaitIsWithheld() throws ConfigurationException {
+    void callIsWithheldWhenRetryAfterArrivesBeforeConnection() throws ConfigurationException {
         RehearsalResult r = run(
                 ScenarioReader.parse(
                         "late",
@@ -130,7 +130,7 @@
 
     /** Where partners tell waits, a forwarder that does not hear them is caught. */
     @Test
-    void aForwarderThatIgnoresWaitsIsCaught() throws ConfigurationException {
+    void forwarderIgnoringRetryAfterBreaksWaitRule() throws ConfigurationException {
         Scenario s = ScenarioReader.parse(
                 "waits",
                 List.of(
@@ -149,7 +149,7 @@
 
     /** A scenario that can never be served ends like any other, with its figure. */
     @Test
-    void whatCanNeverBeServedEndsToo() throws ConfigurationException {
+    void permanentOutageScenarioEndsWithZeroService() throws ConfigurationException {
         Scenario s = ScenarioReader.parse(
                 "hopeless",
                 List.of(
