--- a/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
+++ b/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
@@ -59,7 +59,7 @@
         server = LoopbackPorts.listen();
         SocketThreads.start("agent", () -> {
             while (true) {
-                serve(server.accept());
+                serveConnection(server.accept());
             }
         });
     }
@@ -128,7 +128,7 @@
     }
 
     // ---- what it is asked -------------------------------------------------------------------------------
-    private void serve(Socket socket) throws IOException {
+    private void serveConnection(Socket socket) throws IOException {
         StandInConnection wire = new StandInConnection(socket);
         timeline.post(() -> connections.add(wire));
         SocketThreads.start("agent", () -> {
