--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -14,7 +14,7 @@
 
     private ForwarderConfigJson() {}
 
-    static JsonObject config(
+    static JsonObject create(
             Scenario s,
             DecisionModule.Settings settings,
             String listen,
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -120,7 +120,7 @@
         try {
             Path config = Files.writeString(
                     folder.resolve("config-" + number + ".json"),
-                    ForwarderConfigJson.config(
+                    ForwarderConfigJson.create(
                                     world.scenario(),
                                     settings,
                                     "127.0.0.1:" + address.getPort(),
