--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -32,11 +32,11 @@
         limits.addProperty("disk_mb", s.fleet().diskBytes() / 1048576.0);
         root.add("limits", limits);
         root.add("known", known);
-        root.add("settings", settings(s, settings));
+        root.add("settings", settingsJson(s, settings));
         return root;
     }
 
-    private static JsonObject settings(Scenario s, DecisionModule.Settings t) {
+    private static JsonObject settingsJson(Scenario s, DecisionModule.Settings t) {
         JsonObject o = new JsonObject();
         o.addProperty("me", t.self());
         o.addProperty("groupSize", t.forwarders());
