--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -60,7 +60,7 @@
         family.add("ownLimits", own);
         family.addProperty("decay", "halves");
         o.add("familyInfo", family);
-        o.add("limits", limits(t.limits()));
+        o.add("limits", limitsJson(t.limits()));
         o.add("rules", rules(t.rules()));
         JsonArray classes = new JsonArray();
         s.classes().forEach(c -> classes.add(messageClass(c)));
@@ -68,7 +68,7 @@
         return o;
     }
 
-    private static JsonObject limits(DecisionModule.Limits l) {
+    private static JsonObject limitsJson(DecisionModule.Limits l) {
         JsonObject o = new JsonObject();
         o.addProperty("maxAttempts", l.maxAttempts());
         o.addProperty("openCap", l.maxOpenMessages());
