--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -61,7 +61,7 @@
         family.addProperty("decay", "halves");
         o.add("familyInfo", family);
         o.add("limits", limitsJson(t.limits()));
-        o.add("rules", rules(t.rules()));
+        o.add("rules", rulesJson(t.rules()));
         JsonArray classes = new JsonArray();
         s.classes().forEach(c -> classes.add(messageClass(c)));
         o.add("requestClasses", classes);
@@ -82,7 +82,7 @@
         return o;
     }
 
-    private static JsonObject rules(DecisionModule.Rules r) {
+    private static JsonObject rulesJson(DecisionModule.Rules r) {
         JsonObject o = new JsonObject();
         o.addProperty("answerSlackS", r.answerSlackMicros() / 1e6);
         o.addProperty("askWithinS", r.watchWithinMicros() / 1e6);
