--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -63,7 +63,7 @@
         o.add("limits", limitsJson(t.limits()));
         o.add("rules", rulesJson(t.rules()));
         JsonArray classes = new JsonArray();
-        s.classes().forEach(c -> classes.add(messageClass(c)));
+        s.classes().forEach(c -> classes.add(messageClassJson(c)));
         o.add("requestClasses", classes);
         return o;
     }
@@ -94,7 +94,7 @@
         return o;
     }
 
-    private static JsonObject messageClass(MessageClass c) {
+    private static JsonObject messageClassJson(MessageClass c) {
         JsonObject o = new JsonObject();
         o.addProperty("name", c.name());
         o.addProperty("aimS", c.terms().aimMicros() / 1e6);
