--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -24,7 +24,7 @@
     private final List<ForwarderHandle> forwarders;
     private final Map<String, DecisionModule.EndpointEntry> entries = new LinkedHashMap<>();
     /** By forwarder: when the latest news arrives, and until when none does; microseconds. */
-    private final long[] latestUpdateMicros, silentUntilMicros;
+    private final long[] latestUpdateMicros, updatesDelayedUntilMicros;
 
     private long version = 1;
     private int hostCount;
@@ -44,7 +44,7 @@
         this.random = random;
         this.forwarders = forwarders;
         latestUpdateMicros = new long[scenario.fleet().forwarders()];
-        silentUntilMicros = new long[scenario.fleet().forwarders()];
+        updatesDelayedUntilMicros = new long[scenario.fleet().forwarders()];
     }
 
     /** The list as it is now. */
@@ -93,8 +93,8 @@
     }
 
     /** No news reaches the forwarder until then, microseconds; it comes late. */
-    void silence(int forwarder, long untilMicros) {
-        silentUntilMicros[forwarder] = untilMicros;
+    void delayUpdates(int forwarder, long untilMicros) {
+        updatesDelayedUntilMicros[forwarder] = untilMicros;
     }
 
     /** A forwarder has read the whole list. */
@@ -132,7 +132,7 @@
         for (ForwarderHandle forwarder : forwarders) {
             int number = forwarder.number();
             long at = timeline.nowMicros() + random.in(scenario.fleet().directoryDelay());
-            at = Math.max(Math.max(at, latestUpdateMicros[number]), silentUntilMicros[number]);
+            at = Math.max(Math.max(at, latestUpdateMicros[number]), updatesDelayedUntilMicros[number]);
             latestUpdateMicros[number] = at;
             timeline.at(at, () -> deliver(forwarder, newVersion, changed));
         }
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -50,8 +50,8 @@
         switch (event.what()) {
             case RESTART -> planRestarts(event, at, length);
             case DRAIN -> planDrains(event, at, length);
-            case HOT -> planHotForwarders(event, at, length);
-            case DEAF -> planSilentDirectory(event, at, length);
+            case HOT -> planUnevenLoad(event, at, length);
+            case DEAF -> planDirectoryDelays(event, at, length);
             case LOWERED -> planLowerLimits(event, at, length);
             default -> planOutages(event, at, length);
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    private void planHotForwarders(ScheduledEvent event, long at, long length) {
+    private void planUnevenLoad(ScheduledEvent event, long at, long length) {
         List<Integer> hot = someForwarders(event.part());
         double share = random.in(event.strength());
         int others = forwarderCount - hot.size();
@@ -98,9 +98,9 @@
         timeline.at(at + length, () -> hot.forEach(f -> loadBalancer.setWeight(f, 1)));
     }
 
-    private void planSilentDirectory(ScheduledEvent event, long at, long length) {
+    private void planDirectoryDelays(ScheduledEvent event, long at, long length) {
         for (int forwarder : someForwarders(event.part())) {
-            timeline.at(at, () -> directory.silence(forwarder, timeline.nowMicros() + length));
+            timeline.at(at, () -> directory.delayUpdates(forwarder, timeline.nowMicros() + length));
         }
     }
 
--- a/src/main/java/lilaclever/lab/world/LoadBalancer.java
+++ b/src/main/java/lilaclever/lab/world/LoadBalancer.java
@@ -26,7 +26,7 @@
     }
 
     /** The forwarder that gets the next message. If none is known to live, any. */
-    int pick() {
+    int pickForwarder() {
         double[] shares = weights.clone();
         for (Map.Entry<Integer, Long> dead : detectedDownMicros.entrySet()) {
             if (timeline.nowMicros() >= dead.getValue()) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -91,7 +91,7 @@
             return;
         }
         int number = arrival.number();
-        int forwarder = loadBalancer.pick();
+        int forwarder = loadBalancer.pickForwarder();
         auditor.handedIn(number, forwarder, timeline.nowMicros());
         String before = currentIds.get(number);
         String id = "m" + number + '-' + (before == null ? 0 : submissionNumber(before) + 1);
