--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -75,7 +75,7 @@
         counts.addProperty("probes", s.probes());
         counts.addProperty(
                 "partners_fallen_over",
-                r.partners().stream().mapToInt(RehearsalResult.PartnerRow::overloadFailures).sum());
+                r.partners().stream().mapToInt(RehearsalResult.PartnerRow::overloads).sum());
         all.add("counts", counts);
         JsonObject classes = new JsonObject();
         for (int c = 0; c < r.scenario().classes().size(); c++) {
@@ -174,7 +174,7 @@
                     p.calls(),
                     p.refused(),
                     p.served(),
-                    p.overloadFailures()));
+                    p.overloads()));
         }
         return all.toString();
     }
