--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 
 /** The platform's agent as an idle forwarder meets it: no change ever comes, and it may be out of order. */
 final class AgentStandIn implements AutoCloseable {
@@ -62,16 +62,16 @@
     }
 
     private void talk(Socket socket) {
-        try (Wire wire = new Wire(socket)) {
-            for (Wire.Head call = wire.read(); call != null; call = wire.read()) {
+        try (StandInConnection wire = new StandInConnection(socket)) {
+            for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                 if (call.target().equals("/status")) {
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (behaviour == Behaviour.UNREADABLE) {
-                    wire.answer("503 Service Unavailable", "");
+                    wire.writeResponse("503 Service Unavailable", "");
                 } else if (behaviour == Behaviour.ANSWERS) {
                     Matcher wait = WAIT.matcher(call.target());
                     Thread.sleep(wait.find() ? Long.parseLong(wait.group(1)) : 0);
-                    wire.answer("200 OK", NO_CHANGE);
+                    wire.writeResponse("200 OK", NO_CHANGE);
                 }
             }
         } catch (IOException | InterruptedException e) {
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.scale.AgentStandIn.Behaviour;
 
 /**
@@ -78,16 +78,16 @@
     }
 
     private static Void client(ForwarderProcess forwarder, String prefix, int events) throws IOException {
-        try (Wire wire = new Wire(
+        try (StandInConnection wire = new StandInConnection(
                 new Socket(forwarder.address().getAddress(), forwarder.address().getPort()))) {
             long began = System.nanoTime();
             for (int i = 0; i < events; i++) {
                 LockSupport.parkNanos(began + i * PACE_NANOS - System.nanoTime());
                 String id = prefix + i;
-                wire.say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
+                wire.writeText("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
                         + "\r\nReq-Kind: status\r\nReq-Deadline: 6\r\n" + "Idempotency-Key: k-" + id
                         + "\r\nX-Envelope: dest=0\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY);
-                Wire.Head answer = wire.read();
+                StandInConnection.HttpMessage answer = wire.readHttp();
                 if (answer == null || !answer.target().startsWith("202")) {
                     throw new IOException(id + " was not taken on: " + answer);
                 }
@@ -126,9 +126,9 @@
         }
 
         private void talk(Socket socket) {
-            try (Wire wire = new Wire(socket)) {
-                for (Wire.Head call = wire.read(); call != null; call = wire.read()) {
-                    wire.answer("200 OK", "");
+            try (StandInConnection wire = new StandInConnection(socket)) {
+                for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
+                    wire.writeResponse("200 OK", "");
                     expected.countDown();
                 }
             } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -8,7 +8,7 @@
 import lilaclever.lab.audit.Prices;
 import lilaclever.lab.audit.Service;
 import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import org.HdrHistogram.Histogram;
 
 /** The page of a run: one file with its plots in it. */
@@ -17,7 +17,7 @@
 
     private Page() {}
 
-    static String of(Result r) {
+    static String of(RehearsalResult r) {
         StringBuilder all = new StringBuilder(
                         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(r.scenario().name()))
@@ -33,16 +33,16 @@
                 .append(escape(r.scenario().about()))
                 .append(". Seed ")
                 .append(r.seed())
-                .append(r.trust() == null ? ", virtual time." : ", on sockets.")
+                .append(r.timingQuality() == null ? ", virtual time." : ", on sockets.")
                 .append("</p>\n");
-        if (r.partial()) {
+        if (r.isPartial()) {
             all.append("<p class=\"bad\">Cut short after ")
                     .append(r.endMicros() / 1_000_000)
                     .append(" s: what follows is of that part.</p>\n");
         }
-        if (r.trust() != null) {
-            all.append(r.trust().good() ? "<p>" : "<p class=\"bad\">")
-                    .append(escape(r.trust().text()))
+        if (r.timingQuality() != null) {
+            all.append(r.timingQuality().isAcceptable() ? "<p>" : "<p class=\"bad\">")
+                    .append(escape(r.timingQuality().summary()))
                     .append("</p>\n");
         }
         figures(all, r);
@@ -53,7 +53,7 @@
         return all.append("</body></html>\n").toString();
     }
 
-    private static void figures(StringBuilder all, Result r) {
+    private static void figures(StringBuilder all, RehearsalResult r) {
         Service s = r.auditor().service();
         all.append("<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
                 + "</tr><tr>");
@@ -67,7 +67,7 @@
                         + "prices.</p>\n");
     }
 
-    private static void rules(StringBuilder all, Result r) {
+    private static void rules(StringBuilder all, RehearsalResult r) {
         if (r.auditor().broken().isEmpty()) {
             all.append("<p>All rules were kept.</p>\n");
             return;
@@ -90,14 +90,14 @@
         }
     }
 
-    private static void plots(StringBuilder all, Result r) {
+    private static void plots(StringBuilder all, RehearsalResult r) {
         plot(
                 all,
                 "Service by the second of the first handing-in",
                 Plots.overTime(
                         "share of worth",
                         Map.of("service", r.auditor().service().bySecond()),
-                        r.events(),
+                        r.eventPeriods(),
                         1.05));
         plot(
                 all,
@@ -105,17 +105,17 @@
                 Plots.overTime(
                         "messages",
                         pick(r, "arrived", "delivered", "refused", "failed", "turned_down"),
-                        r.events(),
+                        r.eventPeriods(),
                         0));
         plot(
                 all,
                 "Calls, and those that partners refused",
-                Plots.overTime("calls a second", pick(r, "calls", "refusals"), r.events(), 0));
-        plot(all, "Messages held by all forwarders", Plots.overTime("messages", pick(r, "held"), r.events(), 0));
+                Plots.overTime("calls a second", pick(r, "calls", "refusals"), r.eventPeriods(), 0));
+        plot(all, "Messages held by all forwarders", Plots.overTime("messages", pick(r, "held"), r.eventPeriods(), 0));
         plot(all, "Time to delivery", Plots.latencies(r));
     }
 
-    private static Map<String, double[]> pick(Result r, String... names) {
+    private static Map<String, double[]> pick(RehearsalResult r, String... names) {
         Map<String, double[]> picked = new LinkedHashMap<>();
         for (String n : names) {
             double[] values = r.series().getOrDefault(n, NONE);
@@ -136,7 +136,7 @@
                 .append("\">\n");
     }
 
-    private static void classes(StringBuilder all, Result r) {
+    private static void classes(StringBuilder all, RehearsalResult r) {
         all.append("<h2>Classes</h2><table><tr><th>class</th><th>service</th><th>delivered</th><th>median, ms</th>"
                 + "<th>99%, ms</th>"
                 + "<th>most, ms</th></tr>");
@@ -156,11 +156,11 @@
         all.append("</table>\n");
     }
 
-    private static void partners(StringBuilder all, Result r) {
+    private static void partners(StringBuilder all, RehearsalResult r) {
         all.append("<h2>Partners with the most traffic</h2><table><tr><th>destination</th><th>kind</th><th>messages a "
                 + "second, at most</th>"
                 + "<th>share of traffic</th><th>calls</th><th>refused</th><th>fallen over</th></tr>");
-        for (Result.PartnerRow p :
+        for (RehearsalResult.PartnerRow p :
                 r.partners().subList(0, Math.min(20, r.partners().size()))) {
             all.append(String.format(
                     Locale.ROOT,
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import javax.imageio.ImageIO;
 import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import org.HdrHistogram.Histogram;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.JFreeChart;
@@ -49,7 +49,7 @@
     private Plots() {}
 
     /** A line for each series over the seconds of the run, with what happened as bands. */
-    static String overTime(String yLabel, Map<String, double[]> lines, List<Result.Band> bands, double most) {
+    static String overTime(String yLabel, Map<String, double[]> lines, List<RehearsalResult.EventPeriod> bands, double most) {
         XYSeriesCollection data = new XYSeriesCollection();
         lines.forEach((name, values) -> {
             XYSeries s = new XYSeries(name);
@@ -68,10 +68,10 @@
             ((NumberAxis) plot.getRangeAxis()).setAutoRangeIncludesZero(true);
         }
         int shade = 0;
-        for (Result.Band b : bands) {
+        for (RehearsalResult.EventPeriod b : bands) {
             IntervalMarker marker =
                     new IntervalMarker(b.fromMicros() / 1e6, b.toMicros() / 1e6, new Color(0xdd, 0xaa, 0x33, 50));
-            marker.setLabel(b.what());
+            marker.setLabel(b.name());
             marker.setLabelFont(SMALL);
             marker.setLabelBackgroundColor(new Color(0, 0, 0, 0));
             marker.setLabelAnchor(RectangleAnchor.TOP_LEFT);
@@ -83,7 +83,7 @@
     }
 
     /** For each class, the share of deliveries that took longer than a time. */
-    static String latencies(Result r) {
+    static String latencies(RehearsalResult r) {
         XYSeriesCollection data = new XYSeriesCollection();
         List<MessageClass> classes = r.scenario().classes();
         for (int c = 0; c < classes.size(); c++) {
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -18,7 +18,7 @@
 import lilaclever.lab.audit.Prices;
 import lilaclever.lab.audit.Service;
 import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import lilaclever.lab.world.TimingQuality;
 import org.HdrHistogram.Histogram;
 
@@ -32,7 +32,7 @@
     private Report() {}
 
     /** Writes the folder. */
-    public static void write(Result r, Path folder) throws IOException {
+    public static void write(RehearsalResult r, Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.writeString(
                 folder.resolve("report.json"),
@@ -50,16 +50,16 @@
     }
 
     /** All figures. */
-    public static JsonObject json(Result r) {
+    public static JsonObject json(RehearsalResult r) {
         Auditor a = r.auditor();
         Service s = a.service();
         JsonObject all = new JsonObject();
         all.addProperty("scenario", r.scenario().name());
         all.addProperty("seed", r.seed());
-        all.addProperty("played", r.trust() == null ? "virtual time" : "sockets");
-        all.addProperty("partial", r.partial());
-        if (r.trust() != null) {
-            all.add("trust", trust(r.trust()));
+        all.addProperty("played", r.timingQuality() == null ? "virtual time" : "sockets");
+        all.addProperty("partial", r.isPartial());
+        if (r.timingQuality() != null) {
+            all.add("trust", trust(r.timingQuality()));
         }
         all.addProperty("service", round(s.figure(Prices.USUAL)));
         all.addProperty("whole_run", round(s.whole()));
@@ -75,7 +75,7 @@
         counts.addProperty("probes", s.probes());
         counts.addProperty(
                 "partners_fallen_over",
-                r.partners().stream().mapToInt(Result.PartnerRow::falls).sum());
+                r.partners().stream().mapToInt(RehearsalResult.PartnerRow::falls).sum());
         all.add("counts", counts);
         JsonObject classes = new JsonObject();
         for (int c = 0; c < r.scenario().classes().size(); c++) {
@@ -83,9 +83,9 @@
         }
         all.add("classes", classes);
         JsonArray events = new JsonArray();
-        for (Result.Band b : r.events()) {
+        for (RehearsalResult.EventPeriod b : r.eventPeriods()) {
             JsonObject e = new JsonObject();
-            e.addProperty("event", b.what());
+            e.addProperty("event", b.name());
             e.addProperty("from_s", b.fromMicros() / 1e6);
             e.addProperty("to_s", b.toMicros() / 1e6);
             events.add(e);
@@ -104,23 +104,23 @@
         }
         all.add("breaches", stories);
         all.addProperty("virtual_seconds", r.endMicros() / 1_000_000);
-        all.addProperty("scheduled_events", r.scheduled());
+        all.addProperty("scheduled_events", r.actionCount());
         return all;
     }
 
     private static JsonObject trust(TimingQuality t) {
         JsonObject o = new JsonObject();
-        o.addProperty("good", t.good());
+        o.addProperty("good", t.isAcceptable());
         o.addProperty("tasks", t.tasks());
         o.addProperty("late_share", round(t.lateShare()));
         o.addProperty("late_ms_p50", t.medianMicros() / 1e3);
         o.addProperty("late_ms_p99", t.p99Micros() / 1e3);
-        o.addProperty("late_ms_most", t.mostMicros() / 1e3);
-        o.addProperty("troubles", t.troubles());
+        o.addProperty("late_ms_most", t.maxMicros() / 1e3);
+        o.addProperty("troubles", t.errorCount());
         return o;
     }
 
-    private static JsonObject ofClass(Result r, int c) {
+    private static JsonObject ofClass(RehearsalResult r, int c) {
         JsonObject o = new JsonObject();
         o.addProperty("service", round(r.auditor().service().ofClass(c)));
         Histogram h = r.auditor().latency(c);
@@ -143,7 +143,7 @@
         return rule.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
-    private static String seconds(Result r) {
+    private static String seconds(RehearsalResult r) {
         List<String> names = new ArrayList<>(r.series().keySet());
         int length = r.series().values().stream().mapToInt(v -> v.length).max().orElse(0);
         StringBuilder all = new StringBuilder("second,service," + String.join(",", names) + "\n");
@@ -160,10 +160,10 @@
         return all.toString();
     }
 
-    private static String partners(Result r) {
+    private static String partners(RehearsalResult r) {
         StringBuilder all = new StringBuilder(
                 "destination,kind,messages_a_second_at_most,share_of_traffic,calls,refused,served,fallen_over\n");
-        for (Result.PartnerRow p : r.partners()) {
+        for (RehearsalResult.PartnerRow p : r.partners()) {
             all.append(String.format(
                     Locale.ROOT,
                     "%d,%s,%.2f,%.4f,%d,%d,%d,%d%n",
@@ -180,14 +180,14 @@
     }
 
     /** A few lines for the terminal. */
-    public static String summary(Result r) {
+    public static String summary(RehearsalResult r) {
         Service s = r.auditor().service();
         StringBuilder all = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%s, seed %d%s: service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f, prices %.3f)%n",
                 r.scenario().name(),
                 r.seed(),
-                r.partial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
+                r.isPartial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
                 s.figure(Prices.USUAL),
                 s.whole(),
                 s.worstWindow(),
@@ -213,8 +213,8 @@
                     h.getValueAtPercentile(50) / 1000,
                     h.getValueAtPercentile(99) / 1000));
         }
-        if (r.trust() != null) {
-            all.append(r.trust().text()).append('\n');
+        if (r.timingQuality() != null) {
+            all.append(r.timingQuality().summary()).append('\n');
         }
         if (r.auditor().broken().isEmpty()) {
             return all + "all rules kept\n";
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -9,61 +9,61 @@
 import lilaclever.lab.scenario.Scenario;
 
 /** The configuration of a forwarder, as the platform would write it for the scenario. */
-final class Settings {
+final class ForwarderConfigJson {
     static final String ZONE = "here";
 
-    private Settings() {}
+    private ForwarderConfigJson() {}
 
     static JsonObject config(
-            Scenario s,
+            Scenario scenario,
             DecisionModule.Settings settings,
             String listen,
             String discovery,
-            Path state,
+            Path stateFolder,
             long seed,
-            JsonObject known) {
+            JsonObject knownEndpoints) {
         JsonObject root = new JsonObject();
         root.addProperty("name", "n" + settings.self());
         root.addProperty("listen", listen);
         root.addProperty("discovery", discovery);
-        root.addProperty("state", state.toString());
+        root.addProperty("state", stateFolder.toString());
         root.addProperty("seed", Long.toHexString(seed));
         JsonObject limits = new JsonObject();
-        limits.addProperty("disk_mb", s.fleet().diskBytes() / 1048576.0);
+        limits.addProperty("disk_mb", scenario.fleet().diskBytes() / 1048576.0);
         root.add("limits", limits);
-        root.add("known", known);
-        root.add("settings", settings(s, settings));
+        root.add("known", knownEndpoints);
+        root.add("settings", settings(scenario, settings));
         return root;
     }
 
-    private static JsonObject settings(Scenario s, DecisionModule.Settings t) {
+    private static JsonObject settings(Scenario scenario, DecisionModule.Settings settings) {
         JsonObject o = new JsonObject();
-        o.addProperty("me", t.self());
-        o.addProperty("groupSize", t.forwarders());
+        o.addProperty("me", settings.self());
+        o.addProperty("groupSize", settings.forwarders());
         o.addProperty("az", 0);
-        o.addProperty("roundS", t.roundMicros() / 1e6);
+        o.addProperty("roundS", settings.roundMicros() / 1e6);
         o.addProperty("discovery", "push");
         o.addProperty("weights", "off");
-        o.addProperty("overShareWorth", t.overQuotaWorthFactor());
-        JsonArray shapes = new JsonArray(), zones = new JsonArray(), batch = new JsonArray(), own = new JsonArray();
-        for (PartnerKind k : s.kinds()) {
-            shapes.add(k.name());
-            batch.add(k.batch());
-            own.add(false);
+        o.addProperty("overShareWorth", settings.overQuotaWorthFactor());
+        JsonArray kindNames = new JsonArray(), zones = new JsonArray(), batchSizes = new JsonArray(), ownLimits = new JsonArray();
+        for (PartnerKind k : scenario.kinds()) {
+            kindNames.add(k.name());
+            batchSizes.add(k.batch());
+            ownLimits.add(false);
         }
         zones.add(ZONE);
-        o.add("shapes", shapes);
+        o.add("shapes", kindNames);
         o.add("zones", zones);
-        JsonObject family = new JsonObject();
-        family.addProperty("callSlots", t.limits().slots());
-        family.add("kindBatch", batch);
-        family.add("ownLimits", own);
-        family.addProperty("decay", "halves");
-        o.add("familyInfo", family);
-        o.add("limits", limits(t.limits()));
-        o.add("rules", rules(t.rules()));
+        JsonObject partnerSettings = new JsonObject();
+        partnerSettings.addProperty("callSlots", settings.limits().slots());
+        partnerSettings.add("kindBatch", batchSizes);
+        partnerSettings.add("ownLimits", ownLimits);
+        partnerSettings.addProperty("decay", "halves");
+        o.add("familyInfo", partnerSettings);
+        o.add("limits", limits(settings.limits()));
+        o.add("rules", rules(settings.rules()));
         JsonArray classes = new JsonArray();
-        s.classes().forEach(c -> classes.add(messageClass(c)));
+        scenario.classes().forEach(c -> classes.add(messageClass(c)));
         o.add("requestClasses", classes);
         return o;
     }
--- a/src/main/java/lilaclever/lab/sockets/Ports.java
+++ b/src/main/java/lilaclever/lab/sockets/LoopbackPorts.java
@@ -12,24 +12,24 @@
  * up, such as that of an endpoint that is gone, would otherwise be another run's a moment later, and callers that have
  * not heard would call there.
  */
-final class Ports {
+final class LoopbackPorts {
     /** How many there are. */
-    static final int COUNT = 12_000;
+    static final int PORT_COUNT = 12_000;
 
-    private static final int FIRST = 20_000, MOST_TRIES = 100, BACKLOG = 256;
+    private static final int FIRST_PORT = 20_000, MAX_TRIES = 100, BACKLOG = 256;
 
-    private Ports() {}
+    private LoopbackPorts() {}
 
     /** Listens at a port that was free. */
     static ServerSocket listen() throws IOException {
-        for (int tries = 0; tries < MOST_TRIES; tries++) {
+        for (int tries = 0; tries < MAX_TRIES; tries++) {
             try {
-                return listen(FIRST + ThreadLocalRandom.current().nextInt(COUNT));
+                return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT));
             } catch (BindException e) {
                 continue; // taken
             }
         }
-        throw new IOException("no free port between " + FIRST + " and " + (FIRST + COUNT));
+        throw new IOException("no free port between " + FIRST_PORT + " and " + (FIRST_PORT + PORT_COUNT));
     }
 
     /** Listens at this port. */
@@ -46,7 +46,7 @@
     }
 
     /** An address that nobody listens at now. */
-    static InetSocketAddress free() throws IOException {
+    static InetSocketAddress unusedAddress() throws IOException {
         try (ServerSocket probe = listen()) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), probe.getLocalPort());
         }
--- a/src/main/java/lilaclever/lab/sockets/OperatorFile.java
+++ b/src/main/java/lilaclever/lab/sockets/OperatorFile.java
@@ -9,34 +9,34 @@
 
     private OperatorFile() {}
 
-    static String text(Scenario s, String address) {
-        StringBuilder all = new StringBuilder("[identity]\nshared yes\n\n[mllp line]\naddress " + address
+    static String text(Scenario scenario, String address) {
+        StringBuilder text = new StringBuilder("[identity]\nshared yes\n\n[mllp line]\naddress " + address
                 + "\nnetworks 127.0.0.0/8\nin-flight 1000\n\n[hl7]\ndeadline ZLC-1\nmost-held 100000\n\n[practice "
                 + "clinic]\nsenders "
                 + SENDER
                 + '\n');
-        for (int c = 0; c < s.classes().size(); c++) {
-            all.append("\n[hl7-class ")
-                    .append(s.classes().get(c).name())
+        for (int c = 0; c < scenario.classes().size(); c++) {
+            text.append("\n[hl7-class ")
+                    .append(scenario.classes().get(c).name())
                     .append("]\nevents ")
-                    .append(event(c))
+                    .append(eventCode(c))
                     .append('\n');
         }
-        for (int d = 0; d < s.fleet().destinations(); d++) {
-            all.append("\n[hl7-destination ")
+        for (int d = 0; d < scenario.fleet().destinations(); d++) {
+            text.append("\n[hl7-destination ")
                     .append(d)
                     .append("]\nreceivers ")
-                    .append(receiver(d))
+                    .append(receiverName(d))
                     .append('\n');
         }
-        return all.toString();
+        return text.toString();
     }
 
-    static String event(int messageClass) {
+    static String eventCode(int messageClass) {
         return String.format(Locale.ROOT, "ORM^O%02d", messageClass + 1);
     }
 
-    static String receiver(int destination) {
+    static String receiverName(int destination) {
         return "PARTNER" + destination;
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import lilaclever.lab.model.Partner;
 import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.sockets.Wire.Head;
+import lilaclever.lab.sockets.StandInConnection.HttpMessage;
 import lilaclever.lab.world.World;
 
 /**
@@ -19,256 +19,256 @@
  */
 final class PartnerConnection {
     /** A second copy may only seem one, as the threads that read overtake each other: so long it is waited for. */
-    private static final long OVERTAKEN = 5_000, MOST_OVERTAKEN = 50_000;
+    private static final long ATTEMPT_END_RECHECK_MICROS = 5_000, MAX_ATTEMPT_END_DELAY_MICROS = 50_000;
 
     /** A message of a call, under the name that the wire has for it. */
-    record Item(String wireId, byte[] body) {
+    record CallItem(String wireId, byte[] body) {
         /**
          * Its name among the hand-ins: an HL7 message has it in its header (MSH-10), as the forwarder gives it another.
          */
-        String id() {
-            String text = new String(body, 0, Math.min(body.length, MOST_HEADER), StandardCharsets.ISO_8859_1);
-            String[] fields = text.startsWith("MSH|") ? text.split("\\|", CONTROL_ID + 2) : new String[0];
-            return fields.length > CONTROL_ID ? fields[CONTROL_ID] : wireId;
+        String submissionId() {
+            String text = new String(body, 0, Math.min(body.length, MAX_HEADER_BYTES), StandardCharsets.ISO_8859_1);
+            String[] fields = text.startsWith("MSH|") ? text.split("\\|", CONTROL_ID_FIELD + 2) : new String[0];
+            return fields.length > CONTROL_ID_FIELD ? fields[CONTROL_ID_FIELD] : wireId;
         }
     }
 
-    private static final int MOST_HEADER = 300, CONTROL_ID = 9;
+    private static final int MAX_HEADER_BYTES = 300, CONTROL_ID_FIELD = 9;
 
     private final World world;
-    private final RealTime time;
-    private final Wire wire;
+    private final RealTimeline timeline;
+    private final StandInConnection connection;
     private final Partner partner;
     private final String host;
     private final int forwarder;
     /** False: the partner holds as many connections as it takes. */
-    private final boolean welcome;
+    private final boolean hasCapacity;
 
-    private final Consumer<PartnerConnection> ended;
-    private List<String> out = List.of();
+    private final Consumer<PartnerConnection> onClosed;
+    private List<String> inFlightIds = List.of();
     /** The messages of the call that is out, where the answer must name each. */
-    private List<Item> named = List.of();
+    private List<CallItem> batchItems = List.of();
 
-    private boolean first = true, closed;
+    private boolean isFirstRequest = true, isClosed;
 
     PartnerConnection(
             World world,
-            RealTime time,
-            Wire wire,
+            RealTimeline timeline,
+            StandInConnection connection,
             Partner partner,
             String host,
             int forwarder,
-            boolean welcome,
-            Consumer<PartnerConnection> ended) {
+            boolean hasCapacity,
+            Consumer<PartnerConnection> onClosed) {
         this.world = world;
-        this.time = time;
-        this.wire = wire;
+        this.timeline = timeline;
+        this.connection = connection;
         this.partner = partner;
         this.host = host;
         this.forwarder = forwarder;
-        this.welcome = welcome;
-        this.ended = ended;
+        this.hasCapacity = hasCapacity;
+        this.onClosed = onClosed;
     }
 
     void start() {
-        Threads.start("partner " + host, () -> {
+        SocketThreads.start("partner " + host, () -> {
             try {
-                for (Head h = wire.read(); h != null; h = wire.read()) {
-                    Head read = h;
-                    time.post(() -> arrived(read));
+                for (HttpMessage request = connection.readHttp(); request != null; request = connection.readHttp()) {
+                    HttpMessage received = request;
+                    timeline.post(() -> handleRequest(received));
                 }
             } catch (IOException | NumberFormatException e) {
                 // reset, or no HTTP: it ends here
             }
-            time.post(this::gone);
+            timeline.post(this::onPeerClosed);
         });
     }
 
     // ---- ends of the connection -------------------------------------------------------------------------
     /** The other side has closed it: a call that is out is given up. */
-    private void gone() {
-        if (!closed) {
-            over(out, "given up", false);
-            if (!out.isEmpty()) {
-                partner.heardFailure(forwarder, time.now());
+    private void onPeerClosed() {
+        if (!isClosed) {
+            attemptsOver(inFlightIds, "given up", false);
+            if (!inFlightIds.isEmpty()) {
+                partner.heardFailure(forwarder, timeline.nowMicros());
             }
             close();
         }
     }
 
     /** The partner's machine is gone. */
-    void cut() {
-        if (!closed) {
-            over(out, "reset", false);
-            partner.heardFailure(forwarder, time.now());
-            wire.reset();
+    void reset() {
+        if (!isClosed) {
+            attemptsOver(inFlightIds, "reset", false);
+            partner.heardFailure(forwarder, timeline.nowMicros());
+            connection.reset();
             close();
         }
     }
 
     private void close() {
-        if (closed) {
+        if (isClosed) {
             return;
         }
-        closed = true;
-        out = List.of();
-        wire.close();
-        if (welcome) {
+        isClosed = true;
+        inFlightIds = List.of();
+        connection.close();
+        if (hasCapacity) {
             partner.disconnect(host, forwarder);
         }
-        ended.accept(this);
+        onClosed.accept(this);
     }
 
-    private void write(String status, String body, String... headers) {
+    private void respond(String status, String body, String... headers) {
         try {
-            wire.answer(status, body, headers);
+            connection.writeResponse(status, body, headers);
         } catch (IOException e) {
             close();
         }
     }
 
     // ---- calls ------------------------------------------------------------------------------------------
-    private void arrived(Head head) {
-        if (closed) {
+    private void handleRequest(HttpMessage request) {
+        if (isClosed) {
             return;
         }
-        long at = Math.max(0, time.now() - (System.nanoTime() - head.firstByteNanos()) / 1000);
-        switch (head.method() + ' ' + head.target()) {
-            case "GET /health/live", "GET /stats" -> later(this::probed);
-            case "POST /receive" -> receive(List.of(new Item(head.header("Req-Id", ""), head.body())), false, at);
-            case "POST /receive-many" -> receive(items(head.body()), true, at);
-            default -> write("404 Not Found", "");
+        long firstByteMicros = Math.max(0, timeline.nowMicros() - (System.nanoTime() - request.firstByteNanos()) / 1000);
+        switch (request.method() + ' ' + request.target()) {
+            case "GET /health/live", "GET /stats" -> afterNetworkDelay(this::handleProbe);
+            case "POST /receive" -> receive(List.of(new CallItem(request.header("Req-Id", ""), request.body())), false, firstByteMicros);
+            case "POST /receive-many" -> receive(parseBatch(request.body()), true, firstByteMicros);
+            default -> respond("404 Not Found", "");
         }
     }
 
     /** After what the network takes, and on a new connection its handshake. */
-    private void later(Runnable step) {
-        long network = world.network();
-        time.after(network + (first ? 2 * network + world.scenario().fleet().handshakeMicros() : 0), step);
-        first = false;
+    private void afterNetworkDelay(Runnable step) {
+        long delayMicros = world.networkDelayMicros();
+        timeline.after(delayMicros + (isFirstRequest ? 2 * delayMicros + world.scenario().fleet().handshakeMicros() : 0), step);
+        isFirstRequest = false;
     }
 
-    private void receive(List<Item> items, boolean asMany, long at) {
-        named = asMany ? items : List.of();
-        receive(items.stream().map(Item::id).toList(), at, 0);
+    private void receive(List<CallItem> items, boolean isBatch, long firstByteMicros) {
+        batchItems = isBatch ? items : List.of();
+        receive(items.stream().map(CallItem::submissionId).toList(), firstByteMicros, 0);
     }
 
-    private void receive(List<String> ids, long at, long waited) {
-        if (closed) {
+    private void receive(List<String> ids, long firstByteMicros, long waitedMicros) {
+        if (isClosed) {
             return;
         }
         if (ids.isEmpty() || !ids.stream().allMatch(world::isCurrent)) {
             world.auditor().count("calls_of_no_message");
-            write(ids.isEmpty() ? "400 Bad Request" : "410 Gone", "");
+            respond(ids.isEmpty() ? "400 Bad Request" : "410 Gone", "");
             return;
         }
-        if (waited < MOST_OVERTAKEN
-                && ids.stream().anyMatch(id -> world.auditor().isOut(World.number(id)))) {
-            time.after(
-                    OVERTAKEN, () -> receive(ids, at, waited + OVERTAKEN)); // its end may be on its way to this thread
+        if (waitedMicros < MAX_ATTEMPT_END_DELAY_MICROS
+                && ids.stream().anyMatch(id -> world.auditor().isOut(World.messageNumber(id)))) {
+            timeline.after(
+                    ATTEMPT_END_RECHECK_MICROS, () -> receive(ids, firstByteMicros, waitedMicros + ATTEMPT_END_RECHECK_MICROS)); // its end may be on its way to this thread
             return;
         }
-        out = ids;
-        ids.forEach(id -> world.onAttempt(id, forwarder, host, partner.destination(), at));
-        later(() -> decide(ids));
+        inFlightIds = ids;
+        ids.forEach(id -> world.onAttemptStarted(id, forwarder, host, partner.destination(), firstByteMicros));
+        afterNetworkDelay(() -> process(ids));
     }
 
-    private void decide(List<String> ids) {
-        if (closed) {
+    private void process(List<String> ids) {
+        if (isClosed) {
             return;
         }
-        if (!welcome) {
-            over(ids, "full", true);
-            partner.heardFailure(forwarder, time.now());
-            write("503 Service Unavailable", "", "Connection: close");
+        if (!hasCapacity) {
+            attemptsOver(ids, "full", true);
+            partner.heardFailure(forwarder, timeline.nowMicros());
+            respond("503 Service Unavailable", "", "Connection: close");
             close();
             return;
         }
-        Answer a = world.call(partner, host, forwarder, ids);
-        switch (a.status()) {
-            case NO_CONNECTION -> cut();
-            case FULL -> time.at(a.atMicros(), () -> answer(ids, () -> full(ids, a.waitMicros())));
+        Answer answer = world.callPartner(partner, host, forwarder, ids);
+        switch (answer.status()) {
+            case NO_CONNECTION -> reset();
+            case FULL -> timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.waitMicros())));
             case ERROR ->
-                time.at(
-                        a.atMicros(),
-                        () -> answer(ids, () -> {
-                            over(ids, "error", false);
-                            partner.heardFailure(forwarder, time.now());
-                            write("500 Internal Server Error", "");
+                timeline.at(
+                        answer.atMicros(),
+                        () -> answerIfInFlight(ids, () -> {
+                            attemptsOver(ids, "error", false);
+                            partner.heardFailure(forwarder, timeline.nowMicros());
+                            respond("500 Internal Server Error", "");
                         }));
-            case DELIVERED -> time.at(a.atMicros(), () -> delivered(ids, a));
+            case DELIVERED -> timeline.at(answer.atMicros(), () -> answerDelivered(ids, answer));
             default -> {} // nothing comes back
         }
     }
 
-    private void answer(List<String> ids, Runnable how) {
-        if (!closed && out == ids) {
-            how.run();
-            out = List.of();
+    private void answerIfInFlight(List<String> ids, Runnable writeAnswer) {
+        if (!isClosed && inFlightIds == ids) {
+            writeAnswer.run();
+            inFlightIds = List.of();
         }
     }
 
-    private void full(List<String> ids, long wait) {
-        over(ids, "full", true);
-        partner.heardFailure(forwarder, time.now());
-        if (wait > 0) {
-            world.auditor().waitTold(forwarder, partner.destination(), time.now(), wait);
-            write("429 Too Many Requests", "", "X-Retry-In-Ms: " + (wait + 999) / 1000);
+    private void answerFull(List<String> ids, long retryAfterMicros) {
+        attemptsOver(ids, "full", true);
+        partner.heardFailure(forwarder, timeline.nowMicros());
+        if (retryAfterMicros > 0) {
+            world.auditor().waitTold(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
+            respond("429 Too Many Requests", "", "X-Retry-In-Ms: " + (retryAfterMicros + 999) / 1000);
         } else {
-            write("503 Service Unavailable", "");
+            respond("503 Service Unavailable", "");
         }
     }
 
     /** The partner has done the work, whether or not anybody still waits for its answer. */
-    private void delivered(List<String> ids, Answer a) {
-        if (closed || out != ids || !partner.answersStill(host, a.atMicros())) {
+    private void answerDelivered(List<String> ids, Answer answer) {
+        if (isClosed || inFlightIds != ids || !partner.answersStill(host, answer.atMicros())) {
             ids.forEach(id -> world.onProcessed(id, false));
             return;
         }
         ids.forEach(id -> world.onProcessed(id, true));
-        out = List.of();
+        inFlightIds = List.of();
         StringBuilder body = new StringBuilder();
-        named.forEach(i -> body.append(i.wireId()).append(" accepted\r\n"));
-        time.after(world.network(), () -> {
-            if (!closed) {
-                write("200 OK", body.toString());
+        batchItems.forEach(i -> body.append(i.wireId()).append(" accepted\r\n"));
+        timeline.after(world.networkDelayMicros(), () -> {
+            if (!isClosed) {
+                respond("200 OK", body.toString());
             }
         });
     }
 
-    private void probed() {
-        if (closed) {
+    private void handleProbe() {
+        if (isClosed) {
             return;
         }
         world.auditor().service().probe();
-        Answer a = partner.call(host, forwarder, new long[] {1000}, time.now());
-        String status = switch (a.status()) {
+        Answer answer = partner.call(host, forwarder, new long[] {1000}, timeline.nowMicros());
+        String status = switch (answer.status()) {
             case DELIVERED -> "200 OK";
             case FULL -> "503 Service Unavailable";
             case ERROR -> "500 Internal Server Error";
             default -> null;
         };
         if (status != null) {
-            time.at(a.atMicros(), () -> {
-                if (!closed) {
+            timeline.at(answer.atMicros(), () -> {
+                if (!isClosed) {
                     if (!status.startsWith("200")) {
-                        partner.heardFailure(forwarder, time.now());
+                        partner.heardFailure(forwarder, timeline.nowMicros());
                     }
-                    write(status, "");
+                    respond(status, "");
                 }
             });
-        } else if (a.status() == Partner.Status.NO_CONNECTION) {
-            cut();
+        } else if (answer.status() == Partner.Status.NO_CONNECTION) {
+            reset();
         }
     }
 
-    private void over(List<String> ids, String how, boolean neverRan) {
-        ids.forEach(id -> world.onAttemptOver(id, how, neverRan));
+    private void attemptsOver(List<String> ids, String result, boolean neverRan) {
+        ids.forEach(id -> world.onAttemptOver(id, result, neverRan));
     }
 
     /** The messages in the body of a call with several; none if it can't be read. */
-    static List<Item> items(byte[] body) {
-        List<Item> items = new ArrayList<>();
+    static List<CallItem> parseBatch(byte[] body) {
+        List<CallItem> items = new ArrayList<>();
         Set<String> seen = new HashSet<>();
         int at = 0;
         while (at < body.length) {
@@ -286,7 +286,7 @@
             if (to + 2 > body.length) {
                 return List.of();
             }
-            items.add(new Item(words[0], Arrays.copyOfRange(body, from, to)));
+            items.add(new CallItem(words[0], Arrays.copyOfRange(body, from, to)));
             at = to + 2;
         }
         return items;
--- a/src/main/java/lilaclever/lab/sockets/Listeners.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
@@ -17,8 +17,8 @@
  * is down they are closed, and its connections are reset. All but the threads that wait for connections and bytes runs
  * on the timeline's thread.
  */
-final class Listeners {
-    private static final long LOOK = 10_000;
+final class PartnerListeners {
+    private static final long POLL_INTERVAL_MICROS = 10_000;
 
     private final class Listener {
         final Partner partner;
@@ -31,21 +31,21 @@
             this.partner = partner;
             this.host = host;
             this.forwarder = forwarder;
-            server = Ports.listen();
+            server = LoopbackPorts.listen();
             port = server.getLocalPort();
-            accept(server);
+            startAccepting(server);
         }
 
-        private void accept(ServerSocket from) {
-            Threads.start("listener " + host, () -> {
+        private void startAccepting(ServerSocket listening) {
+            SocketThreads.start("listener " + host, () -> {
                 while (true) {
-                    Socket socket = from.accept();
-                    time.post(() -> accepted(socket));
+                    Socket socket = listening.accept();
+                    timeline.post(() -> onAccepted(socket));
                 }
             });
         }
 
-        private void accepted(Socket socket) {
+        private void onAccepted(Socket socket) {
             try {
                 if (server == null) {
                     socket.setSoLinger(true, 0);
@@ -53,63 +53,63 @@
                     return;
                 }
                 world.auditor().service().connection();
-                PartnerConnection c = new PartnerConnection(
+                PartnerConnection connection = new PartnerConnection(
                         world,
-                        time,
-                        new Wire(socket),
+                        timeline,
+                        new StandInConnection(socket),
                         partner,
                         host,
                         forwarder,
                         partner.connect(host, forwarder),
                         connections::remove);
-                connections.add(c);
-                c.start();
+                connections.add(connection);
+                connection.start();
             } catch (IOException e) {
                 // it has gone already
             }
         }
 
-        void shut() {
+        void closeAndReset() {
             try {
                 server.close();
             } catch (IOException e) {
-                troubles++;
+                errorCount++;
             }
             server = null;
-            List.copyOf(connections).forEach(PartnerConnection::cut);
+            List.copyOf(connections).forEach(PartnerConnection::reset);
         }
 
-        void open() {
+        void reopen() {
             try {
-                server = Ports.listen(port);
-                accept(server);
+                server = LoopbackPorts.listen(port);
+                startAccepting(server);
             } catch (IOException e) {
-                troubles++; // somebody has taken its port: the partner seems down for longer than it is
+                errorCount++; // somebody has taken its port: the partner seems down for longer than it is
             }
         }
     }
 
     private final World world;
-    private final RealTime time;
+    private final RealTimeline timeline;
     private final Map<String, Listener> listeners = new HashMap<>();
-    private long troubles;
+    private long errorCount;
 
-    Listeners(World world, RealTime time) {
+    PartnerListeners(World world, RealTimeline timeline) {
         this.world = world;
-        this.time = time;
+        this.timeline = timeline;
     }
 
     /** Looks from now on, again and again, which partners are down. */
-    void watch() {
-        for (Listener l : listeners.values()) {
-            boolean down = l.partner.isDown(time.now());
-            if (down && l.server != null) {
-                l.shut();
-            } else if (!down && l.server == null) {
-                l.open();
+    void pollOutages() {
+        for (Listener listener : listeners.values()) {
+            boolean down = listener.partner.isDown(timeline.nowMicros());
+            if (down && listener.server != null) {
+                listener.closeAndReset();
+            } else if (!down && listener.server == null) {
+                listener.reopen();
             }
         }
-        time.after(LOOK, this::watch);
+        timeline.after(POLL_INTERVAL_MICROS, this::pollOutages);
     }
 
     /** Where a forwarder finds an endpoint. */
@@ -128,20 +128,20 @@
     void remove(String host, int forwarder) {
         Listener listener = listeners.remove(host + ' ' + forwarder);
         if (listener != null && listener.server != null) {
-            listener.shut();
+            listener.closeAndReset();
         }
     }
 
     /** What went wrong here. */
-    long troubles() {
-        return troubles;
+    long errorCount() {
+        return errorCount;
     }
 
     /** Shuts all. */
     void close() {
-        for (Listener l : new ArrayList<>(listeners.values())) {
-            if (l.server != null) {
-                l.shut();
+        for (Listener listener : new ArrayList<>(listeners.values())) {
+            if (listener.server != null) {
+                listener.closeAndReset();
             }
         }
         listeners.clear();
--- /dev/null
+++ b/src/main/java/lilaclever/lab/sockets/RealTimeline.java
@@ -0,0 +1,87 @@
+package lilaclever.lab.sockets;
+
+import java.util.PriorityQueue;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import lilaclever.lab.world.ScheduledAction;
+import lilaclever.lab.world.Timeline;
+import org.HdrHistogram.Histogram;
+
+/**
+ * Real time: what is due, and what other threads post, runs on the thread that calls {@link #runUntil}, one after the
+ * other. How late each was is kept, as the run's figures are worth no more than that. Time stands at 0 until
+ * {@link #begin}.
+ */
+final class RealTimeline implements Timeline {
+    private record PostedAction(long postedNanos, Runnable action) {}
+
+    private static final long MAX_WAIT_MICROS = 50_000, HOUR_MICROS = 3_600_000_000L;
+
+    private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
+    private final LinkedBlockingQueue<PostedAction> posted = new LinkedBlockingQueue<>();
+    private final Histogram lateness = new Histogram(HOUR_MICROS, 3);
+    private volatile long beginNanos = Long.MIN_VALUE;
+    private volatile long endMicros = -1;
+    private long nextSequence, actionCount;
+
+    @Override
+    public long nowMicros() {
+        return beginNanos == Long.MIN_VALUE ? 0 : endMicros >= 0 ? endMicros : (System.nanoTime() - beginNanos) / 1000;
+    }
+
+    /** Time stands still from now on: what ends later is not the run's. */
+    void end() {
+        endMicros = nowMicros();
+    }
+
+    /** Time runs from now on. */
+    void begin() {
+        beginNanos = System.nanoTime();
+    }
+
+    @Override
+    public void at(long micros, Runnable action) {
+        scheduled.add(new ScheduledAction(micros, nextSequence++, action));
+    }
+
+    /** Runs the action as soon as it is its turn. Any thread. */
+    void post(Runnable action) {
+        posted.add(new PostedAction(System.nanoTime(), action));
+    }
+
+    /** Actions that have run. */
+    long actionCount() {
+        return actionCount;
+    }
+
+    /** How late what was due has run, microseconds. */
+    Histogram lateness() {
+        return lateness;
+    }
+
+    /** Runs what is due and what is posted until the time, or until it is told to stop. */
+    void runUntil(long untilMicros, BooleanSupplier stopped) throws InterruptedException {
+        while (nowMicros() < untilMicros && !stopped.getAsBoolean()) {
+            ScheduledAction next = beginNanos == Long.MIN_VALUE ? null : scheduled.peek();
+            long waitMicros = next == null ? MAX_WAIT_MICROS : Math.min(MAX_WAIT_MICROS, next.atMicros() - nowMicros());
+            PostedAction task = waitMicros > 0 ? posted.poll(waitMicros, TimeUnit.MICROSECONDS) : posted.poll();
+            if (task != null) {
+                run(task.action(), (System.nanoTime() - task.postedNanos()) / 1000);
+            }
+            next = beginNanos == Long.MIN_VALUE ? null : scheduled.peek();
+            if (next != null && next.atMicros() <= nowMicros()) {
+                scheduled.poll();
+                run(next.action(), nowMicros() - next.atMicros());
+            }
+        }
+    }
+
+    private void run(Runnable action, long lateMicros) {
+        if (beginNanos != Long.MIN_VALUE) {
+            lateness.recordValue(Math.min(HOUR_MICROS, Math.max(0, lateMicros)));
+        }
+        actionCount++;
+        action.run();
+    }
+}
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -15,46 +15,46 @@
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
 import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.Wire.Head;
+import lilaclever.lab.sockets.StandInConnection.HttpMessage;
 import lilaclever.lab.world.ForwarderHandle;
 import lilaclever.lab.world.World;
 
 /** One forwarder of the fleet: the real program in a process of its own. */
 final class SocketForwarder implements ForwarderHandle {
-    private static final Pattern BROKEN = Pattern.compile("(?m)^(?:broken_invariants|tasks_failed) (\\d+)$");
-    private static final long START_WITHIN = 30_000, LOOK = 10, END_WITHIN = 6;
+    private static final Pattern INVARIANT_COUNTS = Pattern.compile("(?m)^(?:broken_invariants|tasks_failed) (\\d+)$");
+    private static final long START_TIMEOUT_MILLIS = 30_000, READY_POLL_MILLIS = 10, STOP_TIMEOUT_SECONDS = 6;
 
     private final World world;
-    private final RealTime time;
+    private final RealTimeline timeline;
     private final int number;
     private final DecisionModule.Settings settings;
     private final long seed;
     private final Path folder, log;
     private final List<String> command;
-    private final Listeners listeners;
-    private final Agent agent;
-    private final Clients clients;
+    private final PartnerListeners listeners;
+    private final PlatformStandIn platform;
+    private final HttpSubmitter httpSubmitter;
     /** Null where no message comes by HL7. */
-    private final Hl7Line line;
+    private final Hl7Submitter hl7Submitter;
 
     private final InetSocketAddress address;
     private Process process;
-    private boolean served;
-    private String failure;
-    private int life;
-    private long broken;
+    private boolean wasReady;
+    private String startFailure;
+    private int processRun;
+    private long brokenInvariants;
 
     SocketForwarder(
             World world,
-            RealTime time,
-            Listeners listeners,
+            RealTimeline timeline,
+            PartnerListeners listeners,
             int number,
             DecisionModule.Settings settings,
             long seed,
             Path folder,
             List<String> command) {
         this.world = world;
-        this.time = time;
+        this.timeline = timeline;
         this.listeners = listeners;
         this.number = number;
         this.settings = settings;
@@ -65,23 +65,23 @@
         try {
             Files.createDirectories(folder.resolve("state-" + number));
             Files.writeString(log, "");
-            agent = new Agent(world, time, e -> listeners.address(world.partner(e.destination()), e.host(), number));
-            address = Ports.free();
+            platform = new PlatformStandIn(world, timeline, e -> listeners.address(world.partner(e.destination()), e.host(), number));
+            address = LoopbackPorts.unusedAddress();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        clients = new Clients(world, time, address);
-        line = world.scenario().traffic().hl7() > 0 ? hl7() : null;
+        httpSubmitter = new HttpSubmitter(world, timeline, address);
+        hl7Submitter = world.scenario().traffic().hl7() > 0 ? createHl7Submitter() : null;
     }
 
-    private Hl7Line hl7() {
+    private Hl7Submitter createHl7Submitter() {
         try {
-            InetSocketAddress port = Ports.free();
+            InetSocketAddress port = LoopbackPorts.unusedAddress();
             Path conf = Files.writeString(
                     folder.resolve("operator-" + number + ".conf"),
                     OperatorFile.text(world.scenario(), "127.0.0.1:" + port.getPort()));
             command.addAll(List.of("--conf", conf.toString()));
-            return new Hl7Line(world, time, port);
+            return new Hl7Submitter(world, timeline, port);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
@@ -98,36 +98,36 @@
     }
 
     @Override
-    public int held() {
+    public int pendingCount() {
         return -1;
     }
 
     @Override
-    public long broken() {
-        return broken;
+    public long brokenInvariants() {
+        return brokenInvariants;
     }
 
     /** Why it could not be started at all; null if it could. */
-    String failure() {
-        return failure;
+    String startFailure() {
+        return startFailure;
     }
 
     // ---- lives ------------------------------------------------------------------------------------------
     @Override
     public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
-        int mine = ++life;
-        agent.set(known, version);
+        int startedRun = ++processRun;
+        platform.setEndpoints(known, version);
         try {
             Path config = Files.writeString(
                     folder.resolve("config-" + number + ".json"),
-                    Settings.config(
+                    ForwarderConfigJson.config(
                                     world.scenario(),
                                     settings,
                                     "127.0.0.1:" + address.getPort(),
-                                    agent.address(),
+                                    platform.address(),
                                     folder.resolve("state-" + number),
-                                    seed * 31 + life,
-                                    agent.known())
+                                    seed * 31 + processRun,
+                                    platform.completeList())
                             .toString());
             ProcessBuilder builder = new ProcessBuilder(command)
                     .redirectErrorStream(true)
@@ -137,34 +137,34 @@
             builder.environment().put("ROUTER_CONFIG", config.toString());
             process = builder.start();
         } catch (IOException e) {
-            failure = "forwarder " + number + " can't be started: " + e.getMessage();
+            startFailure = "forwarder " + number + " can't be started: " + e.getMessage();
             return;
         }
         Process started = process;
-        started.onExit().thenRun(() -> time.post(() -> exited(mine, started.exitValue())));
-        Threads.start("start", () -> awaitReady(mine, started));
+        started.onExit().thenRun(() -> timeline.post(() -> onExit(startedRun, started.exitValue())));
+        SocketThreads.start("start", () -> awaitReady(startedRun, started));
     }
 
-    private void awaitReady(int mine, Process started) throws InterruptedException {
-        long until = System.currentTimeMillis() + START_WITHIN;
-        while (started.isAlive() && System.currentTimeMillis() < until) {
+    private void awaitReady(int startedRun, Process started) throws InterruptedException {
+        long untilMillis = System.currentTimeMillis() + START_TIMEOUT_MILLIS;
+        while (started.isAlive() && System.currentTimeMillis() < untilMillis) {
             if (answersReady()) {
-                time.post(() -> {
-                    if (life == mine && process != null) {
-                        served = true;
+                timeline.post(() -> {
+                    if (processRun == startedRun && process != null) {
+                        wasReady = true;
                         world.onReady(number);
                     }
                 });
                 return;
             }
-            Thread.sleep(LOOK);
+            Thread.sleep(READY_POLL_MILLIS);
         }
         if (!started.isAlive()) {
             return; // its exit says more than that it does not serve
         }
-        time.post(() -> {
-            if (life == mine && process != null && !served) {
-                failure = "forwarder " + number + " does not serve after " + START_WITHIN / 1000 + " s, its last line: "
+        timeline.post(() -> {
+            if (processRun == startedRun && process != null && !wasReady) {
+                startFailure = "forwarder " + number + " does not serve after " + START_TIMEOUT_MILLIS / 1000 + " s, its last line: "
                         + lastLine();
             }
         });
@@ -173,26 +173,26 @@
     private boolean answersReady() {
         try (Socket socket = new Socket()) {
             socket.connect(address, 500);
-            Wire wire = new Wire(socket);
-            wire.patience(500);
-            wire.say("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
-            Head answer = wire.read();
+            StandInConnection connection = new StandInConnection(socket);
+            connection.setReadTimeout(500);
+            connection.writeText("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
+            HttpMessage answer = connection.readHttp();
             return answer != null && answer.target().equals("200");
         } catch (IOException e) {
             return false; // not yet
         }
     }
 
-    private void exited(int mine, int code) {
-        if (life != mine || process == null) {
+    private void onExit(int startedRun, int code) {
+        if (processRun != startedRun || process == null) {
             return; // it was killed
         }
         process = null;
-        String how = "exit code " + code + ", its last line: " + lastLine();
-        if (!served) {
-            failure = "forwarder " + number + " did not start: " + how;
+        String cause = "exit code " + code + ", its last line: " + lastLine();
+        if (!wasReady) {
+            startFailure = "forwarder " + number + " did not start: " + cause;
         } else {
-            world.onUnexpectedDeath(number, how);
+            world.onUnexpectedExit(number, cause);
         }
     }
 
@@ -217,34 +217,34 @@
         process = null;
         if (last != null) {
             last.destroy();
-            if (!last.waitFor(END_WITHIN, TimeUnit.SECONDS)) {
+            if (!last.waitFor(STOP_TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 last.destroyForcibly().waitFor();
             }
         }
-        agent.close();
-        clients.close();
-        if (line != null) {
-            line.close();
+        platform.close();
+        httpSubmitter.close();
+        if (hl7Submitter != null) {
+            hl7Submitter.close();
         }
-        Matcher m = BROKEN.matcher(Files.readString(log));
-        while (m.find()) {
-            broken += Long.parseLong(m.group(1));
+        Matcher matcher = INVARIANT_COUNTS.matcher(Files.readString(log));
+        while (matcher.find()) {
+            brokenInvariants += Long.parseLong(matcher.group(1));
         }
     }
 
     // ---- what it is given -------------------------------------------------------------------------------
     @Override
-    public void handIn(String id, Arrival arrival, long leftMicros) {
-        if (line != null && world.scenario().traffic().byHl7(arrival.number())) {
-            line.handIn(id, arrival, leftMicros);
+    public void submit(String id, Arrival arrival, long leftMicros) {
+        if (hl7Submitter != null && world.scenario().traffic().byHl7(arrival.number())) {
+            hl7Submitter.submit(id, arrival, leftMicros);
         } else {
-            clients.handIn(id, arrival, leftMicros);
+            httpSubmitter.submit(id, arrival, leftMicros);
         }
     }
 
     @Override
-    public void listing(long version, List<DecisionModule.EndpointEntry> changes) {
-        agent.change(version, changes);
+    public void onEndpointsChanged(long version, List<DecisionModule.EndpointEntry> changes) {
+        platform.applyChange(version, changes);
         for (DecisionModule.EndpointEntry e : changes) {
             if (e.presence() == Presence.LEFT) {
                 listeners.remove(e.host(), number);
--- a/src/main/java/lilaclever/lab/sockets/RealSockets.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
@@ -10,7 +10,7 @@
 import java.util.function.LongConsumer;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import lilaclever.lab.world.TimingQuality;
 import lilaclever.lab.world.World;
 
@@ -19,34 +19,34 @@
  * partners, directory, platform and clients are stand-ins with the same models as in virtual time. The same scenario
  * and seed give the same plan of arrivals and events; what the forwarders make of it depends on the machine.
  */
-public final class RealSockets {
+public final class SocketRehearsal {
     /**
      * Processes as far as the machine has memory for them; sockets within the ports that a run takes, with room
      * between.
      */
-    private static final int MOST_FORWARDERS = 1_024, MOST_DOORS = Ports.COUNT * 3 / 4;
+    private static final int MAX_FORWARDERS = 1_024, MAX_LISTENERS = LoopbackPorts.PORT_COUNT * 3 / 4;
 
-    private static final double MOST_A_SECOND = 1000;
+    private static final double MAX_MESSAGES_PER_SECOND = 1000;
 
-    private final RealTime time = new RealTime();
+    private final RealTimeline timeline = new RealTimeline();
     private final List<SocketForwarder> forwarders = new ArrayList<>();
-    private Listeners listeners;
+    private PartnerListeners listeners;
 
-    private RealSockets() {}
+    private SocketRehearsal() {}
 
     /** Why a scenario is too large for this; null if it is not. */
-    public static String tooLarge(Scenario s) {
+    public static String sizeProblem(Scenario scenario) {
         double endpoints =
-                s.fleet().destinations() * (s.fleet().endpoints()[0] + s.fleet().endpoints()[1]) / 2;
-        if (s.fleet().forwarders() > MOST_FORWARDERS) {
-            return "forwarders: " + s.fleet().forwarders() + " processes are more than " + MOST_FORWARDERS;
+                scenario.fleet().destinations() * (scenario.fleet().endpoints()[0] + scenario.fleet().endpoints()[1]) / 2;
+        if (scenario.fleet().forwarders() > MAX_FORWARDERS) {
+            return "forwarders: " + scenario.fleet().forwarders() + " processes are more than " + MAX_FORWARDERS;
         }
-        if (endpoints * s.fleet().forwarders() > MOST_DOORS) {
-            return "destinations: about " + Math.round(endpoints * s.fleet().forwarders())
-                    + " listening sockets are more than " + MOST_DOORS;
+        if (endpoints * scenario.fleet().forwarders() > MAX_LISTENERS) {
+            return "destinations: about " + Math.round(endpoints * scenario.fleet().forwarders())
+                    + " listening sockets are more than " + MAX_LISTENERS;
         }
-        return s.fleet().ratePerSecond() > MOST_A_SECOND
-                ? "rate: " + s.fleet().ratePerSecond() + " a second is more than " + MOST_A_SECOND
+        return scenario.fleet().ratePerSecond() > MAX_MESSAGES_PER_SECOND
+                ? "rate: " + scenario.fleet().ratePerSecond() + " a second is more than " + MAX_MESSAGES_PER_SECOND
                 : null;
     }
 
@@ -57,7 +57,7 @@
      *
      * @throws IOException if a forwarder can't be started; says which, and why
      */
-    public static Result run(
+    public static RehearsalResult run(
             Scenario scenario,
             long seed,
             Path folder,
@@ -65,10 +65,10 @@
             LongConsumer progress,
             BooleanSupplier stopped)
             throws IOException, InterruptedException {
-        return new RealSockets().play(scenario, seed, folder, command, progress, stopped);
+        return new SocketRehearsal().runRehearsal(scenario, seed, folder, command, progress, stopped);
     }
 
-    private Result play(
+    private RehearsalResult runRehearsal(
             Scenario scenario,
             long seed,
             Path folder,
@@ -79,28 +79,28 @@
         Files.createDirectories(folder);
         World world;
         try {
-            world = new World(scenario, seed, Fault.NONE, time, (w, number, settings, itsSeed) -> {
-                listeners = listeners == null ? new Listeners(w, time) : listeners;
-                SocketForwarder f = new SocketForwarder(w, time, listeners, number, settings, itsSeed, folder, command);
-                forwarders.add(f);
-                return f;
+            world = new World(scenario, seed, Fault.NONE, timeline, (w, number, settings, forwarderSeed) -> {
+                listeners = listeners == null ? new PartnerListeners(w, timeline) : listeners;
+                SocketForwarder forwarder = new SocketForwarder(w, timeline, listeners, number, settings, forwarderSeed, folder, command);
+                forwarders.add(forwarder);
+                return forwarder;
             });
             try {
-                time.post(world::start);
-                time.runUntil(
+                timeline.post(world::start);
+                timeline.runUntil(
                         Long.MAX_VALUE,
-                        () -> stopped.getAsBoolean() || failure() != null || world.readyCount() == forwarders.size());
-                if (failure() != null) {
-                    throw new IOException(failure());
+                        () -> stopped.getAsBoolean() || startFailure() != null || world.everReadyCount() == forwarders.size());
+                if (startFailure() != null) {
+                    throw new IOException(startFailure());
                 }
-                time.begin();
+                timeline.begin();
                 world.begin(progress);
-                listeners.watch();
-                time.runUntil(world.length(), () -> stopped.getAsBoolean() || failure() != null);
-                time.end();
+                listeners.pollOutages();
+                timeline.runUntil(world.lengthMicros(), () -> stopped.getAsBoolean() || startFailure() != null);
+                timeline.end();
             } finally {
-                for (SocketForwarder f : forwarders) {
-                    f.stop();
+                for (SocketForwarder forwarder : forwarders) {
+                    forwarder.stop();
                 }
                 listeners.close();
             }
@@ -108,12 +108,12 @@
             throw e.getCause();
         }
         return world.finish(
-                time.ran(), TimingQuality.of(time.lateness(), listeners.troubles() + (failure() == null ? 0 : 1)));
+                timeline.actionCount(), TimingQuality.of(timeline.lateness(), listeners.errorCount() + (startFailure() == null ? 0 : 1)));
     }
 
-    private String failure() {
+    private String startFailure() {
         return forwarders.stream()
-                .map(SocketForwarder::failure)
+                .map(SocketForwarder::startFailure)
                 .filter(f -> f != null)
                 .findFirst()
                 .orElse(null);
--- a/src/main/java/lilaclever/lab/sockets/Threads.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketThreads.java
@@ -3,15 +3,15 @@
 import java.io.IOException;
 
 /** Threads that wait for sockets. They end with their socket, and with the program. */
-final class Threads {
-    private static final long STACK = 128 << 10;
+final class SocketThreads {
+    private static final long STACK_BYTES = 128 << 10;
 
     /** What a thread does until its socket ends. */
     interface Task {
         void run() throws IOException, InterruptedException;
     }
 
-    private Threads() {}
+    private SocketThreads() {}
 
     static void start(String name, Task task) {
         Thread thread = new Thread(
@@ -24,7 +24,7 @@
                     }
                 },
                 name,
-                STACK);
+                STACK_BYTES);
         thread.setDaemon(true);
         thread.start();
     }
--- a/src/main/java/lilaclever/lab/sockets/Wire.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -14,15 +14,15 @@
  * One connection of a stand-in, either side of it: as much of HTTP/1.1 and of MLLP as the protocols need, within
  * bounds. It shares nothing with the program's own codecs, so that a fault of theirs is not made twice.
  */
-public class Wire implements AutoCloseable {
-    private static final int LONGEST_LINE = 8192, MOST_HEADERS = 100, MOST_BODY = 4 << 20, MOST_FRAME = 70_000;
-    private static final char FRAME = 0x0b, FRAME_END = 0x1c;
+public class StandInConnection implements AutoCloseable {
+    private static final int MAX_LINE_BYTES = 8192, MAX_HEADERS = 100, MAX_BODY_BYTES = 4 << 20, MAX_FRAME_BYTES = 70_000;
+    private static final char FRAME_START = 0x0b, FRAME_END = 0x1c;
 
     /** A request, or an answer with its status as the target. */
-    public record Head(String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
+    public record HttpMessage(String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
         /** A header's value. */
-        public String header(String name, String otherwise) {
-            return headers.getOrDefault(name, otherwise);
+        public String header(String name, String defaultValue) {
+            return headers.getOrDefault(name, defaultValue);
         }
     }
 
@@ -30,41 +30,41 @@
     private final InputStream in;
 
     /** Talks over the socket, which is connected. */
-    public Wire(Socket socket) throws IOException {
+    public StandInConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
     /** The next request or answer; null if the other side has closed between two. */
-    public final Head read() throws IOException {
+    public final HttpMessage readHttp() throws IOException {
         int first = in.read();
         if (first < 0) {
             return null;
         }
-        long at = System.nanoTime();
-        String[] words = ((char) first + wholeLine()).split(" ", 3);
+        long firstByteNanos = System.nanoTime();
+        String[] words = ((char) first + readRequiredLine()).split(" ", 3);
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String h = wholeLine(); !h.isEmpty(); h = wholeLine()) {
+        for (String h = readRequiredLine(); !h.isEmpty(); h = readRequiredLine()) {
             int colon = h.indexOf(':');
-            if (colon < 1 || headers.size() >= MOST_HEADERS) {
+            if (colon < 1 || headers.size() >= MAX_HEADERS) {
                 throw new IOException("no header: " + h);
             }
             headers.put(h.substring(0, colon), h.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
-        if (length > MOST_BODY || words.length < 2) {
+        if (length > MAX_BODY_BYTES || words.length < 2) {
             throw new IOException("no message: " + String.join(" ", words));
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
             throw new IOException("ended within a body");
         }
-        return new Head(words[0], words[1], headers, body, at);
+        return new HttpMessage(words[0], words[1], headers, body, firstByteNanos);
     }
 
-    private String wholeLine() throws IOException {
-        String line = line();
+    private String readRequiredLine() throws IOException {
+        String line = readLine();
         if (line == null) {
             throw new IOException("ended within a message");
         }
@@ -72,13 +72,13 @@
     }
 
     /** The next line, or null at the end. */
-    public final String line() throws IOException {
+    public final String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
             if (c < 0) {
                 return null;
             }
-            if (line.size() > LONGEST_LINE) {
+            if (line.size() > MAX_LINE_BYTES) {
                 throw new IOException("a line without end");
             }
             if (c != '\r') {
@@ -89,14 +89,14 @@
     }
 
     /** The next message in a frame of MLLP, or null at the end. */
-    public final String frame() throws IOException {
+    public final String readFrame() throws IOException {
         ByteArrayOutputStream message = new ByteArrayOutputStream();
-        for (int c = in.read(); c >= 0 && message.size() < MOST_FRAME; c = in.read()) {
+        for (int c = in.read(); c >= 0 && message.size() < MAX_FRAME_BYTES; c = in.read()) {
             if (c == FRAME_END) {
                 in.read();
                 return message.toString(StandardCharsets.ISO_8859_1);
             }
-            if (c != FRAME) {
+            if (c != FRAME_START) {
                 message.write(c);
             }
         }
@@ -104,12 +104,12 @@
     }
 
     /** Writes a message in a frame of MLLP. */
-    public final void frame(String message) throws IOException {
-        say(FRAME + message + FRAME_END + '\r');
+    public final void writeFrame(String message) throws IOException {
+        writeText(FRAME_START + message + FRAME_END + '\r');
     }
 
     /** Writes text, a byte for each character. */
-    public final void say(String text) throws IOException {
+    public final void writeText(String text) throws IOException {
         write(text, new byte[0]);
     }
 
@@ -122,7 +122,7 @@
     }
 
     /** Writes an answer. */
-    public final void answer(String status, String body, String... headers) throws IOException {
+    public final void writeResponse(String status, String body, String... headers) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder("HTTP/1.1 " + status + "\r\n");
         for (String h : headers) {
@@ -134,14 +134,14 @@
     /** True if the other side has not closed it; only where nothing is expected from there now. */
     public final boolean isOpen() {
         try {
-            int patience = socket.getSoTimeout();
+            int timeoutMillis = socket.getSoTimeout();
             socket.setSoTimeout(1);
             try {
                 return in.read() >= 0;
             } catch (SocketTimeoutException e) {
                 return true;
             } finally {
-                socket.setSoTimeout(patience);
+                socket.setSoTimeout(timeoutMillis);
             }
         } catch (IOException e) {
             return false;
@@ -149,7 +149,7 @@
     }
 
     /** Waits so long at most for a byte. */
-    public final void patience(int millis) throws IOException {
+    public final void setReadTimeout(int millis) throws IOException {
         socket.setSoTimeout(millis);
     }
 
@@ -160,15 +160,15 @@
         } catch (IOException e) {
             // it is closed already
         }
-        shut();
+        closeSocket();
     }
 
     @Override
     public void close() {
-        shut();
+        closeSocket();
     }
 
-    private void shut() {
+    private void closeSocket() {
         try {
             socket.close();
         } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
@@ -8,7 +8,7 @@
 
 /** A folder in memory that outlasts the forwarders that use it, one after the other. */
 final class MemoryDisk implements Disk {
-    private static final class Content {
+    private static final class FileContent {
         private byte[] bytes = {};
 
         private void grow(int length) {
@@ -18,7 +18,7 @@
         }
     }
 
-    private final TreeMap<String, Content> files = new TreeMap<>();
+    private final TreeMap<String, FileContent> files = new TreeMap<>();
 
     @Override
     public List<String> names() {
@@ -32,7 +32,7 @@
 
     @Override
     public DiskFile open(String name) {
-        return new MemoryFile(files.computeIfAbsent(name, n -> new Content()));
+        return new MemoryFile(files.computeIfAbsent(name, n -> new FileContent()));
     }
 
     @Override
@@ -55,7 +55,7 @@
         // and stays
     }
 
-    private record MemoryFile(Content content) implements DiskFile {
+    private record MemoryFile(FileContent content) implements DiskFile {
         @Override
         public int read(ByteBuffer into, long position) {
             int n = (int) Math.min(into.remaining(), content.bytes.length - position);
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -18,11 +18,11 @@
 
 /** Makes the calls of one forwarder's one life: to the partners' models directly, with the time that a wire takes. */
 final class VirtualDeliverer implements Deliverer {
-    private static final int MOST_IDLE = 64;
+    private static final int MAX_IDLE_CONNECTIONS = 64;
     /** Ways over the network before a new connection's first byte arrives: it is asked for, granted, and used. */
-    private static final int WAYS_OF_NEW_CONNECTION = 3;
+    private static final int NEW_CONNECTION_TRIPS = 3;
     /** What a partner has to do for a probe, microseconds. */
-    private static final long PROBE_WORK = 1000;
+    private static final long PROBE_WORK_MICROS = 1000;
 
     /** A call on its way, as this side sees it. */
     private static final class CallState {
@@ -30,16 +30,16 @@
     }
 
     private final World world;
-    private final int number;
+    private final int forwarderNumber;
     private final DecisionModule.Settings settings;
     private final Core core;
-    private final RetryAfterTable waits;
+    private final RetryAfterTable retryAfterTable;
     /** Idle connections: all that is known of one is its endpoint. */
-    private final ConnectionPool<String> idle;
+    private final ConnectionPool<String> idleConnections;
     /** Calls that are out: a dying process resets them. */
-    private final Set<Call> calls = new LinkedHashSet<>();
+    private final Set<Call> callsInFlight = new LinkedHashSet<>();
 
-    private boolean dead;
+    private boolean isKilled;
 
     /**
      * For a life that begins.
@@ -47,31 +47,31 @@
      * @param number of the forwarder
      * @param waits what partners have asked of this life
      */
-    VirtualDeliverer(World world, int number, DecisionModule.Settings settings, Core core, RetryAfterTable waits) {
+    VirtualDeliverer(World world, int forwarderNumber, DecisionModule.Settings settings, Core core, RetryAfterTable retryAfterTable) {
         this.world = world;
-        this.number = number;
+        this.forwarderNumber = forwarderNumber;
         this.settings = settings;
         this.core = core;
-        this.waits = waits;
-        idle = new ConnectionPool<>(
-                settings.limits().keepAliveMicros(), MOST_IDLE, host -> true, host -> world.disconnect(host, number));
+        this.retryAfterTable = retryAfterTable;
+        idleConnections = new ConnectionPool<>(
+                settings.limits().keepAliveMicros(), MAX_IDLE_CONNECTIONS, host -> true, host -> world.disconnect(host, forwarderNumber));
     }
 
     /** The process dies: its calls are cut, and nothing that was to happen in this life happens. */
     void kill() {
-        for (Call call : calls) {
+        for (Call call : callsInFlight) {
             CallState state = (CallState) call.attachment;
             state.closed = true;
             attemptsOver(call, "cut by the forwarder's death", !state.arrived);
         }
-        calls.clear();
-        dead = true;
+        callsInFlight.clear();
+        isKilled = true;
     }
 
     /** Runs the task if this life goes on then. */
-    private void later(long at, Runnable task) {
-        world.at(at, () -> {
-            if (!dead) {
+    private void runUnlessKilled(long atMicros, Runnable task) {
+        world.at(atMicros, () -> {
+            if (!isKilled) {
                 task.run();
             }
         });
@@ -83,115 +83,115 @@
         Partner partner = world.partner(call.endpoint.destination());
         CallState state = new CallState();
         call.attachment = state;
-        calls.add(call);
-        call.messages.forEach(m -> world.onAttempt(m.id(), number, host, call.endpoint.destination(), world.now()));
-        boolean kept = idle.acquire(host, world.now()) != null;
-        if (!kept) {
+        callsInFlight.add(call);
+        call.messages.forEach(m -> world.onAttemptStarted(m.id(), forwarderNumber, host, call.endpoint.destination(), world.nowMicros()));
+        boolean isReused = idleConnections.acquire(host, world.nowMicros()) != null;
+        if (!isReused) {
             world.auditor().service().connection();
         }
-        long arrivesAt = world.now()
-                + world.network() * (kept ? 1 : WAYS_OF_NEW_CONNECTION)
-                + (kept ? 0 : world.scenario().fleet().handshakeMicros());
-        boolean connected = kept || partner.connect(host, number);
-        if (kept) {
+        long arrivesAtMicros = world.nowMicros()
+                + world.networkDelayMicros() * (isReused ? 1 : NEW_CONNECTION_TRIPS)
+                + (isReused ? 0 : world.scenario().fleet().handshakeMicros());
+        boolean connected = isReused || partner.connect(host, forwarderNumber);
+        if (isReused) {
             state.written = true;
-            later(arrivesAt, () -> arrive(call, state, partner, true));
+            runUnlessKilled(arrivesAtMicros, () -> requestArrived(call, state, partner, true));
         } else {
-            later(arrivesAt - world.network(), () -> connectionUp(call, state, partner, connected));
+            runUnlessKilled(arrivesAtMicros - world.networkDelayMicros(), () -> connectionEstablished(call, state, partner, connected));
         }
     }
 
     /** The call's connection is up: it is written now, unless a wait was told since it was decided. */
-    private void connectionUp(Call call, CallState state, Partner partner, boolean connected) {
-        long wait = waits.remainingMicros(call.endpoint, world.now());
-        if (wait == 0) {
+    private void connectionEstablished(Call call, CallState state, Partner partner, boolean connected) {
+        long waitMicros = retryAfterTable.remainingMicros(call.endpoint, world.nowMicros());
+        if (waitMicros == 0) {
             state.written = true;
-            later(world.now() + world.network(), () -> arrive(call, state, partner, connected));
+            runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> requestArrived(call, state, partner, connected));
         } else if (!state.closed) {
             attemptsOver(call, "withheld", true);
-            end(call, state, AttemptResult.WITHHELD, wait, connected);
+            endCall(call, state, AttemptResult.WITHHELD, waitMicros, connected);
         }
     }
 
-    private void arrive(Call call, CallState state, Partner partner, boolean connected) {
+    private void requestArrived(Call call, CallState state, Partner partner, boolean connected) {
         if (state.closed) {
             return;
         }
         state.arrived = true;
-        call.messages.forEach(m -> world.onRequestReceived(m.id(), number, call.endpoint.destination()));
+        call.messages.forEach(m -> world.onRequestReceived(m.id(), forwarderNumber, call.endpoint.destination()));
         String host = call.endpoint.host();
-        if (!connected && partner.hosts().contains(host) && !partner.isOut(world.now())) {
+        if (!connected && partner.hosts().contains(host) && !partner.isOut(world.nowMicros())) {
             // Too many connections: the partner says that it has no room, and closes.
-            later(world.now() + world.network(), () -> end(call, state, AttemptResult.NO_ROOM, 0, false));
+            runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.NO_ROOM, 0, false));
             attemptsOver(call, "full", true);
             return;
         }
-        Answer answer = world.call(
-                partner, host, number, call.messages.stream().map(Message::id).toList());
+        Answer answer = world.callPartner(
+                partner, host, forwarderNumber, call.messages.stream().map(Message::id).toList());
         switch (answer.status()) {
             case NO_CONNECTION -> {
                 attemptsOver(call, "no connection", true);
-                later(world.now() + world.network(), () -> end(call, state, AttemptResult.NO_CONNECTION, 0, false));
+                runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.NO_CONNECTION, 0, false));
             }
             case FULL -> {
                 attemptsOver(call, "full", true);
-                later(answer.atMicros(), () -> {
+                runUnlessKilled(answer.atMicros(), () -> {
                     if (answer.waitMicros() > 0 && !state.closed) {
-                        world.auditor().waitTold(number, call.endpoint.destination(), world.now(), answer.waitMicros());
+                        world.auditor().waitTold(forwarderNumber, call.endpoint.destination(), world.nowMicros(), answer.waitMicros());
                     }
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
-                    later(
-                            world.now() + world.network(),
-                            () -> end(call, state, AttemptResult.FULL, deaf ? 0 : answer.waitMicros(), true));
+                    runUnlessKilled(
+                            world.nowMicros() + world.networkDelayMicros(),
+                            () -> endCall(call, state, AttemptResult.FULL, deaf ? 0 : answer.waitMicros(), true));
                 });
             }
             case ERROR -> {
                 attemptsOver(call, "error", false);
-                later(answer.atMicros() + world.network(), () -> end(call, state, AttemptResult.ERROR, 0, true));
+                runUnlessKilled(answer.atMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.ERROR, 0, true));
             }
-            case DELIVERED -> world.at(answer.atMicros(), () -> delivered(call, state, partner, answer));
+            case DELIVERED -> world.at(answer.atMicros(), () -> answerDelivered(call, state, partner, answer));
             default -> {} // nothing comes back
         }
     }
 
     /** The partner has done the work, whether or not anybody still waits for its answer. */
-    private void delivered(Call call, CallState state, Partner partner, Answer answer) {
+    private void answerDelivered(Call call, CallState state, Partner partner, Answer answer) {
         if (state.closed || !partner.answersStill(call.endpoint.host(), answer.atMicros())) {
             call.messages.forEach(m -> world.onProcessed(m.id(), false));
             return;
         }
         call.messages.forEach(m -> world.onProcessed(m.id(), true));
-        later(world.now() + world.network(), () -> end(call, state, AttemptResult.DELIVERED, 0, true));
+        runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.DELIVERED, 0, true));
     }
 
-    private void attemptsOver(Call call, String how, boolean neverRan) {
-        call.messages.forEach(m -> world.onAttemptOver(m.id(), how, neverRan));
+    private void attemptsOver(Call call, String result, boolean neverRan) {
+        call.messages.forEach(m -> world.onAttemptOver(m.id(), result, neverRan));
     }
 
     /** The call's answer is here. */
-    private void end(Call call, CallState state, AttemptResult ending, long wait, boolean keeps) {
-        if (state.closed || dead) {
+    private void endCall(Call call, CallState state, AttemptResult result, long retryAfterMicros, boolean keepsConnection) {
+        if (state.closed || isKilled) {
             return;
         }
         state.closed = true;
-        calls.remove(call);
-        if (wait > 0) {
-            waits.recordRetryAfter(call.endpoint, world.now() + wait);
+        callsInFlight.remove(call);
+        if (retryAfterMicros > 0) {
+            retryAfterTable.recordRetryAfter(call.endpoint, world.nowMicros() + retryAfterMicros);
         }
-        if (ending != AttemptResult.DELIVERED && ending != AttemptResult.WITHHELD) {
-            world.partner(call.endpoint.destination()).heardFailure(number, world.now());
+        if (result != AttemptResult.DELIVERED && result != AttemptResult.WITHHELD) {
+            world.partner(call.endpoint.destination()).heardFailure(forwarderNumber, world.nowMicros());
         }
-        if (keeps) {
-            idle.release(call.endpoint.host(), call.endpoint.host(), world.now());
-            later(world.now() + settings.limits().keepAliveMicros(), () -> {
-                idle.closeExpired(world.now());
-                waits.removeExpired(world.now());
+        if (keepsConnection) {
+            idleConnections.release(call.endpoint.host(), call.endpoint.host(), world.nowMicros());
+            runUnlessKilled(world.nowMicros() + settings.limits().keepAliveMicros(), () -> {
+                idleConnections.closeExpired(world.nowMicros());
+                retryAfterTable.removeExpired(world.nowMicros());
             });
         } else {
-            world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
+            world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), forwarderNumber);
         }
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, wait, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, result, retryAfterMicros, false, false)));
     }
 
     @Override
@@ -201,14 +201,14 @@
             return;
         }
         state.closed = true;
-        calls.remove(call);
-        world.partner(call.endpoint.destination()).heardFailure(number, world.now());
-        world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
+        callsInFlight.remove(call);
+        world.partner(call.endpoint.destination()).heardFailure(forwarderNumber, world.nowMicros());
+        world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), forwarderNumber);
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
-        AttemptResult ending =
+        AttemptResult result =
                 state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, 0, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, result, 0, false, false)));
     }
 
     @Override
@@ -216,39 +216,39 @@
         CallState state = (CallState) call.attachment;
         if (!state.closed && !state.written) {
             attemptsOver(call, "withheld", true);
-            end(call, state, AttemptResult.WITHHELD, 0, false);
+            endCall(call, state, AttemptResult.WITHHELD, 0, false);
         }
     }
 
     @Override
     public void closeIdle(Call.Endpoint endpoint) {
-        idle.closeIdle(endpoint.host());
+        idleConnections.closeIdle(endpoint.host());
     }
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long sent = world.now();
+        long sentMicros = world.nowMicros();
         world.auditor().service().probe();
         Partner partner = world.partner(endpoint.destination());
-        later(sent + 2 * world.network(), () -> {
-            Answer answer = partner.call(endpoint.host(), number, new long[] {PROBE_WORK}, world.now());
-            AttemptResult ending = switch (answer.status()) {
+        runUnlessKilled(sentMicros + 2 * world.networkDelayMicros(), () -> {
+            Answer answer = partner.call(endpoint.host(), forwarderNumber, new long[] {PROBE_WORK_MICROS}, world.nowMicros());
+            AttemptResult result = switch (answer.status()) {
                 case DELIVERED -> AttemptResult.DELIVERED;
                 case FULL -> AttemptResult.FULL;
                 case ERROR -> AttemptResult.ERROR;
                 case NO_CONNECTION -> AttemptResult.NO_CONNECTION;
                 default -> AttemptResult.TIMED_OUT;
             };
-            long at = ending == AttemptResult.TIMED_OUT
-                    ? sent + settings.limits().connectTimeoutMicros()
+            long endsAtMicros = result == AttemptResult.TIMED_OUT
+                    ? sentMicros + settings.limits().connectTimeoutMicros()
                     : Math.min(
-                            answer.atMicros() + world.network(),
-                            sent + settings.limits().connectTimeoutMicros());
-            later(at, () -> {
-                if (ending != AttemptResult.DELIVERED) {
-                    partner.heardFailure(number, world.now());
+                            answer.atMicros() + world.networkDelayMicros(),
+                            sentMicros + settings.limits().connectTimeoutMicros());
+            runUnlessKilled(endsAtMicros, () -> {
+                if (result != AttemptResult.DELIVERED) {
+                    partner.heardFailure(forwarderNumber, world.nowMicros());
                 }
-                core.post(() -> core.probeEnded(endpoint.host(), ending, world.now() - sent));
+                core.post(() -> core.probeEnded(endpoint.host(), result, world.nowMicros() - sentMicros));
             });
         });
     }
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -31,10 +31,10 @@
  */
 final class VirtualForwarder implements ForwarderHandle, Front, Clock {
     /** The wall clock when a run begins: any day will do, and it is the same in each run. */
-    private static final long WALL = 1_767_225_600_000_000L;
+    private static final long START_WALL_MICROS = 1_767_225_600_000_000L;
 
     /** How long a process takes to serve. */
-    private static final long START = 400_000;
+    private static final long RESTART_MICROS = 400_000;
 
     private final World world;
     private final int number;
@@ -45,9 +45,9 @@
     private Counters counters;
     private SegmentedJournal journal;
     private VirtualDeliverer deliverer;
-    private int life;
-    private long stepAt = Long.MAX_VALUE, lastStep = Long.MIN_VALUE;
-    private long brokenBefore;
+    private int processRun;
+    private long nextTurnMicros = Long.MAX_VALUE, lastTurnMicros = Long.MIN_VALUE;
+    private long earlierBrokenInvariants;
 
     VirtualForwarder(World world, int number, DecisionModule.Settings settings, long seed) {
         this.world = world;
@@ -67,14 +67,14 @@
     }
 
     @Override
-    public int held() {
+    public int pendingCount() {
         return core == null ? 0 : journal.pendingMessages().size();
     }
 
     /** Task failures and invariants broken, over all lives. */
     @Override
-    public long broken() {
-        return brokenBefore
+    public long brokenInvariants() {
+        return earlierBrokenInvariants
                 + (counters == null
                         ? 0
                         : counters.get(Counters.Name.BROKEN_INVARIANTS) + counters.get(Counters.Name.TASKS_FAILED));
@@ -82,61 +82,61 @@
 
     // ---- lives ------------------------------------------------------------------------------------------
     @Override
-    public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
+    public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean first) {
         if (!first) {
-            later(world.now() + START, () -> begin(world.endpoints(), world.directoryVersion()));
+            runInSameProcessRun(world.nowMicros() + RESTART_MICROS, () -> startProcess(world.endpoints(), world.directoryVersion()));
         } else {
-            begin(known, version);
+            startProcess(knownEndpoints, version);
         }
     }
 
-    private void begin(List<DecisionModule.EndpointEntry> known, long version) {
+    private void startProcess(List<DecisionModule.EndpointEntry> knownEndpoints, long version) {
         try {
             journal = new SegmentedJournal(
                     disk,
                     world.scenario().fleet().diskBytes(),
                     Durability.NONE,
                     new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
-                    new SplittableRandom(seed + life));
+                    new SplittableRandom(seed + processRun));
         } catch (IOException e) {
             throw new IllegalStateException("a disk in memory", e);
         }
         counters = new Counters();
-        RetryAfterTable waits = new RetryAfterTable();
-        counters.entryGauge("waits", waits::size);
-        life++;
-        lastStep = world.now();
+        RetryAfterTable retryAfterTable = new RetryAfterTable();
+        counters.entryGauge("waits", retryAfterTable::size);
+        processRun++;
+        lastTurnMicros = world.nowMicros();
         core = new Core(
                 settings,
-                seed * 31 + life,
+                seed * 31 + processRun,
                 journal,
                 counters,
                 new IdempotencyWindows(List.of(), 3_600_000_000L, 100_000),
                 this);
-        deliverer = new VirtualDeliverer(world, number, settings, core, waits);
+        deliverer = new VirtualDeliverer(world, number, settings, core, retryAfterTable);
         core.add(this);
-        core.runFirstTurn(known.stream().map(this::listed).toList(), version);
-        schedule();
+        core.runFirstTurn(knownEndpoints.stream().map(this::listedEndpoint).toList(), version);
+        scheduleTurn();
         world.onReady(number);
     }
 
     @Override
     public void kill() {
-        brokenBefore = broken();
+        earlierBrokenInvariants = brokenInvariants();
         deliverer.kill();
         deliverer = null;
         core = null;
         counters = null;
         journal = null;
-        life++;
-        stepAt = Long.MAX_VALUE;
+        processRun++;
+        nextTurnMicros = Long.MAX_VALUE;
     }
 
     /** Runs the task if this life goes on then. */
-    private void later(long at, Runnable task) {
-        int mine = life;
-        world.at(at, () -> {
-            if (life == mine) {
+    private void runInSameProcessRun(long atMicros, Runnable task) {
+        int scheduledIn = processRun;
+        world.at(atMicros, () -> {
+            if (processRun == scheduledIn) {
                 task.run();
             }
         });
@@ -145,12 +145,12 @@
     // ---- time -------------------------------------------------------------------------------------------
     @Override
     public long monotonicMicros() {
-        return world.now();
+        return world.nowMicros();
     }
 
     @Override
     public long wallMicros() {
-        return WALL + world.now();
+        return START_WALL_MICROS + world.nowMicros();
     }
 
     @Override
@@ -166,26 +166,26 @@
     @Override
     public void taskPosted() {
         if (core != null) {
-            schedule();
+            scheduleTurn();
         }
     }
 
-    private void schedule() {
-        long due = Math.max(core.nextTurnMicros(), lastStep + settings.roundMicros());
-        if (due < stepAt) {
-            stepAt = due;
-            later(due, () -> step(due));
+    private void scheduleTurn() {
+        long dueMicros = Math.max(core.nextTurnMicros(), lastTurnMicros + settings.roundMicros());
+        if (dueMicros < nextTurnMicros) {
+            nextTurnMicros = dueMicros;
+            runInSameProcessRun(dueMicros, () -> runTurn(dueMicros));
         }
     }
 
-    private void step(long at) {
-        if (at != stepAt) {
+    private void runTurn(long atMicros) {
+        if (atMicros != nextTurnMicros) {
             return; // an earlier step has taken its place
         }
-        stepAt = Long.MAX_VALUE;
-        lastStep = world.now();
+        nextTurnMicros = Long.MAX_VALUE;
+        lastTurnMicros = world.nowMicros();
         core.runTurn();
-        schedule();
+        scheduleTurn();
     }
 
     // ---- the front --------------------------------------------------------------------------------------
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void handIn(String id, Arrival a, long left) {
+    public void submit(String id, Arrival a, long left) {
         if (core == null) {
             world.onConnectionRefused(id);
             return;
@@ -212,7 +212,7 @@
                 HttpFront.budget(left, 0));
         core.post(() -> {
             if (!core.isKnownDestination(submission.destination())) {
-                world.onRefused(submission.id(), 0);
+                world.onRejected(submission.id(), 0);
             } else {
                 core.submit(this, submission);
             }
@@ -225,20 +225,20 @@
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        world.onRefused(message.id(), verdict.retryAfterMicros());
+    public void onRejected(Message message, FinalStatus result) {
+        world.onRejected(message.id(), result.retryAfterMicros());
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
-        String status = verdict.kind() == FinalStatus.Kind.REFUSED
+    public void onFinalStatus(Message message, String id, FinalStatus result, Runnable settled) {
+        String status = result.kind() == FinalStatus.Kind.REFUSED
                 ? "deferred"
-                : verdict.kind() == FinalStatus.Kind.FAILED ? "undeliverable" : null;
+                : result.kind() == FinalStatus.Kind.FAILED ? "undeliverable" : null;
         if (status == null || world.fault() == Fault.SILENT) {
             settled.run();
             return;
         }
-        later(world.now() + 2 * world.network(), () -> {
+        runInSameProcessRun(world.nowMicros() + 2 * world.networkDelayMicros(), () -> {
             world.onNotice(id, status);
             if (world.fault() == Fault.ENDS_TWICE) {
                 world.onNotice(id, status.equals("deferred") ? "undeliverable" : "deferred");
@@ -249,21 +249,21 @@
 
     // ---- the directory ----------------------------------------------------------------------------------
     @Override
-    public void listing(long version, List<DecisionModule.EndpointEntry> changes) {
-        List<Core.ListedEndpoint> entries = changes.stream().map(this::listed).toList();
+    public void onEndpointsChanged(long version, List<DecisionModule.EndpointEntry> changes) {
+        List<Core.ListedEndpoint> entries = changes.stream().map(this::listedEndpoint).toList();
         core.post(() -> core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
-    private Core.ListedEndpoint listed(DecisionModule.EndpointEntry e) {
+    private Core.ListedEndpoint listedEndpoint(DecisionModule.EndpointEntry entry) {
         return new Core.ListedEndpoint(
-                e,
+                entry,
                 new Call.Endpoint(
-                        e.host(),
-                        e.host(),
-                        e.destination(),
-                        e.zone(),
-                        settings.kinds().get(e.kind()).maxBatchSize(),
-                        settings.kinds().get(e.kind()).limitPerEndpoint(),
+                        entry.host(),
+                        entry.host(),
+                        entry.destination(),
+                        entry.zone(),
+                        settings.kinds().get(entry.kind()).maxBatchSize(),
+                        settings.kinds().get(entry.kind()).limitPerEndpoint(),
                         deliverer));
     }
 }
--- a/src/main/java/lilaclever/lab/virtual/VirtualTime.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
@@ -4,7 +4,7 @@
 import java.util.function.LongConsumer;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import lilaclever.lab.world.World;
 
 /**
@@ -13,11 +13,11 @@
  *
  * <p>What it does not model: the forwarders' own processors (a turn takes no time), lost packets, and descriptors.
  */
-public final class VirtualTime {
-    private VirtualTime() {}
+public final class VirtualRehearsal {
+    private VirtualRehearsal() {}
 
     /** Plays the run to its end. */
-    public static Result run(Scenario scenario, long seed, Fault fault) {
+    public static RehearsalResult run(Scenario scenario, long seed, Fault fault) {
         return run(scenario, seed, fault, now -> {}, () -> false);
     }
 
@@ -25,13 +25,13 @@
      * Plays the run; {@code progress} hears the virtual time once a virtual second. When {@code stopped} says so the
      * run is cut short, and the result is partial.
      */
-    public static Result run(
+    public static RehearsalResult run(
             Scenario scenario, long seed, Fault fault, LongConsumer progress, BooleanSupplier stopped) {
-        Scheduler scheduler = new Scheduler();
+        VirtualTimeline scheduler = new VirtualTimeline();
         World world = new World(scenario, seed, fault, scheduler, VirtualForwarder::new);
         world.start();
         world.begin(progress);
-        scheduler.runUntil(world.length(), stopped);
-        return world.finish(scheduler.ran(), null);
+        scheduler.runUntil(world.lengthMicros(), stopped);
+        return world.finish(scheduler.actionCount(), null);
     }
 }
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -14,7 +14,7 @@
 /** The directory service of a run: the list of endpoints, its version, and the news of it that forwarders get. */
 final class EndpointDirectory {
     /** So much longer than it must does an endpoint that drains stay, microseconds. */
-    private static final long REMOVAL_MARGIN = 1_000_000;
+    private static final long REMOVAL_MARGIN_MICROS = 1_000_000;
 
     private final Scenario scenario;
     private final Fault fault;
@@ -24,7 +24,7 @@
     private final List<ForwarderHandle> forwarders;
     private final Map<String, DecisionModule.EndpointEntry> entries = new LinkedHashMap<>();
     /** By forwarder: when the latest news arrives, and until when none does; microseconds. */
-    private final long[] latestNewsAt, silentUntil;
+    private final long[] latestUpdateMicros, silentUntilMicros;
 
     private long version = 1;
     private int hostCount;
@@ -43,8 +43,8 @@
         this.auditor = auditor;
         this.random = random;
         this.forwarders = forwarders;
-        latestNewsAt = new long[scenario.fleet().forwarders()];
-        silentUntil = new long[scenario.fleet().forwarders()];
+        latestUpdateMicros = new long[scenario.fleet().forwarders()];
+        silentUntilMicros = new long[scenario.fleet().forwarders()];
     }
 
     /** The list as it is now. */
@@ -73,7 +73,7 @@
         partner.add(host);
         int kind = scenario.kinds().indexOf(partner.kind());
         DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
-                host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.now());
+                host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.nowMicros());
         entries.put(host, entry);
         return entry;
     }
@@ -83,29 +83,29 @@
      * microseconds more. Nothing happens if it drains already.
      */
     void replaceEndpoint(String host, Partner partner, long drainsForMicros) {
-        tell(List.of(addEndpoint(partner), change(host, Presence.LEAVING)));
-        long longestDelay = scenario.fleet().directoryDelay()[1];
-        long staysFor = drainsForMicros + longestDelay + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN;
-        timeline.after(staysFor, () -> {
+        notifyForwarders(List.of(addEndpoint(partner), change(host, Presence.LEAVING)));
+        long longestDelayMicros = scenario.fleet().directoryDelay()[1];
+        long staysForMicros = drainsForMicros + longestDelayMicros + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN_MICROS;
+        timeline.after(staysForMicros, () -> {
             partner.remove(host);
-            tell(List.of(change(host, Presence.LEFT)));
+            notifyForwarders(List.of(change(host, Presence.LEFT)));
         });
     }
 
     /** No news reaches the forwarder until then, microseconds; it comes late. */
     void silence(int forwarder, long untilMicros) {
-        silentUntil[forwarder] = untilMicros;
+        silentUntilMicros[forwarder] = untilMicros;
     }
 
     /** A forwarder has read the whole list. */
     void onReady(int forwarder) {
         for (DecisionModule.EndpointEntry entry : entries.values()) {
-            recordHeard(forwarder, entry);
+            recordReceived(forwarder, entry);
         }
     }
 
-    private void recordHeard(int forwarder, DecisionModule.EndpointEntry entry) {
-        auditor.told(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.now());
+    private void recordReceived(int forwarder, DecisionModule.EndpointEntry entry) {
+        auditor.told(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.nowMicros());
     }
 
     private DecisionModule.EndpointEntry change(String host, Presence presence) {
@@ -127,14 +127,14 @@
     }
 
     /** Entries have changed: each forwarder is told in its own time, in the order of changes. */
-    private void tell(List<DecisionModule.EndpointEntry> changed) {
+    private void notifyForwarders(List<DecisionModule.EndpointEntry> changed) {
         long newVersion = ++version;
         for (ForwarderHandle forwarder : forwarders) {
             int number = forwarder.number();
-            long at = timeline.now() + random.in(scenario.fleet().directoryDelay());
-            at = Math.max(Math.max(at, latestNewsAt[number]), silentUntil[number]);
-            latestNewsAt[number] = at;
-            timeline.at(at, () -> deliver(forwarder, newVersion, changed));
+            long atMicros = timeline.nowMicros() + random.in(scenario.fleet().directoryDelay());
+            atMicros = Math.max(Math.max(atMicros, latestUpdateMicros[number]), silentUntilMicros[number]);
+            latestUpdateMicros[number] = atMicros;
+            timeline.at(atMicros, () -> deliver(forwarder, newVersion, changed));
         }
     }
 
@@ -146,7 +146,7 @@
         List<DecisionModule.EndpointEntry> delivered = changed.stream()
                 .filter(e -> !dropsDrains || e.presence() == Presence.ACTIVE)
                 .toList();
-        forwarder.listing(newVersion, delivered);
-        changed.forEach(e -> recordHeard(forwarder.number(), e));
+        forwarder.onEndpointsChanged(newVersion, delivered);
+        changed.forEach(e -> recordReceived(forwarder.number(), e));
     }
 }
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -19,7 +19,7 @@
     private final EndpointDirectory directory;
     private final LoadBalancer loadBalancer;
     private final ForwarderFleet forwarders;
-    private final List<Result.Band> bands = new ArrayList<>();
+    private final List<RehearsalResult.EventPeriod> periods = new ArrayList<>();
 
     EventPlanner(
             int forwarderCount,
@@ -39,53 +39,53 @@
     }
 
     /** The planned events' times. */
-    List<Result.Band> bands() {
-        return bands;
+    List<RehearsalResult.EventPeriod> periods() {
+        return periods;
     }
 
     /** Plans an event. */
     void plan(ScheduledEvent event) {
-        long at = random.in(event.at());
-        long length = random.in(event.forMicros());
+        long atMicros = random.in(event.at());
+        long durationMicros = random.in(event.forMicros());
         switch (event.what()) {
-            case RESTART -> planRestarts(event, at, length);
-            case DRAIN -> planDrains(event, at, length);
-            case HOT -> planHotForwarders(event, at, length);
-            case DEAF -> planSilentDirectory(event, at, length);
-            case LOWERED -> planLowerLimits(event, at, length);
-            default -> planOutages(event, at, length);
+            case RESTART -> planRestarts(event, atMicros, durationMicros);
+            case DRAIN -> planDrains(event, atMicros, durationMicros);
+            case HOT -> planHotForwarders(event, atMicros, durationMicros);
+            case DEAF -> planSilentDirectory(event, atMicros, durationMicros);
+            case LOWERED -> planLowerLimits(event, atMicros, durationMicros);
+            default -> planOutages(event, atMicros, durationMicros);
         }
-        bands.add(new Result.Band(event.name(), at, at + length));
+        periods.add(new RehearsalResult.EventPeriod(event.name(), atMicros, atMicros + durationMicros));
     }
 
-    private void planRestarts(ScheduledEvent event, long at, long length) {
+    private void planRestarts(ScheduledEvent event, long atMicros, long durationMicros) {
         List<Integer> chosen = someForwarders(event.part());
         for (int i = 0; i < chosen.size(); i++) {
             int forwarder = chosen.get(i);
-            long down = random.in(event.downMicros());
-            timeline.at(at + length * i / chosen.size(), () -> forwarders.restart(forwarder, down));
+            long downMicros = random.in(event.downMicros());
+            timeline.at(atMicros + durationMicros * i / chosen.size(), () -> forwarders.restart(forwarder, downMicros));
         }
     }
 
-    private void planDrains(ScheduledEvent event, long at, long length) {
+    private void planDrains(ScheduledEvent event, long atMicros, long durationMicros) {
         List<String> hosts = directory.hosts();
         shuffle(hosts);
         int count = (int) Math.round(event.part() * hosts.size());
         for (int i = 0; i < count; i++) {
             String host = hosts.get(i);
-            long drainsFor = random.in(event.downMicros());
-            timeline.at(at + length * i / count, () -> drain(host, drainsFor));
+            long drainsForMicros = random.in(event.downMicros());
+            timeline.at(atMicros + durationMicros * i / count, () -> drain(host, drainsForMicros));
         }
     }
 
-    private void drain(String host, long drainsFor) {
+    private void drain(String host, long drainsForMicros) {
         DecisionModule.EndpointEntry entry = directory.entry(host);
         if (entry != null && entry.presence() == Presence.ACTIVE) {
-            directory.replaceEndpoint(host, partners.get(entry.destination()), drainsFor);
+            directory.replaceEndpoint(host, partners.get(entry.destination()), drainsForMicros);
         }
     }
 
-    private void planHotForwarders(ScheduledEvent event, long at, long length) {
+    private void planHotForwarders(ScheduledEvent event, long atMicros, long durationMicros) {
         List<Integer> hot = someForwarders(event.part());
         double share = random.in(event.strength());
         int others = forwarderCount - hot.size();
@@ -94,28 +94,28 @@
         }
         // So heavy that together they get the share.
         double weight = share / (1 - share) * others / hot.size();
-        timeline.at(at, () -> hot.forEach(f -> loadBalancer.setWeight(f, weight)));
-        timeline.at(at + length, () -> hot.forEach(f -> loadBalancer.setWeight(f, 1)));
+        timeline.at(atMicros, () -> hot.forEach(f -> loadBalancer.setWeight(f, weight)));
+        timeline.at(atMicros + durationMicros, () -> hot.forEach(f -> loadBalancer.setWeight(f, 1)));
     }
 
-    private void planSilentDirectory(ScheduledEvent event, long at, long length) {
+    private void planSilentDirectory(ScheduledEvent event, long atMicros, long durationMicros) {
         for (int forwarder : someForwarders(event.part())) {
-            timeline.at(at, () -> directory.silence(forwarder, timeline.now() + length));
+            timeline.at(atMicros, () -> directory.silence(forwarder, timeline.nowMicros() + durationMicros));
         }
     }
 
-    private void planLowerLimits(ScheduledEvent event, long at, long length) {
+    private void planLowerLimits(ScheduledEvent event, long atMicros, long durationMicros) {
         double part = random.in(event.strength());
         for (Partner partner : somePartners(event)) {
-            timeline.at(at, () -> partner.lower(part, timeline.now() + length));
+            timeline.at(atMicros, () -> partner.lower(part, timeline.nowMicros() + durationMicros));
         }
     }
 
-    private void planOutages(ScheduledEvent event, long at, long length) {
+    private void planOutages(ScheduledEvent event, long atMicros, long durationMicros) {
         double strength = random.in(event.strength());
         Partner.Outage outage = Partner.Outage.valueOf(event.what().name());
         for (Partner partner : somePartners(event)) {
-            timeline.at(at, () -> partner.outage(outage, strength, timeline.now() + length));
+            timeline.at(atMicros, () -> partner.outage(outage, strength, timeline.nowMicros() + durationMicros));
         }
     }
 
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -9,11 +9,11 @@
 
 /** The lives of the forwarders: their starts, their deaths, and who gets to know of these. */
 final class ForwarderFleet {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     /** How long a forwarder serves before the load balancer knows it, microseconds. */
-    private static final long READY_DETECTION = 100_000;
+    private static final long READY_DETECTION_MICROS = 100_000;
     /** How long one that died by itself is dead before it is started again, microseconds. */
-    private static final long DEATH_DETECTION = SECOND;
+    private static final long RESTART_DELAY_MICROS = SECOND_MICROS;
 
     private final List<ForwarderHandle> forwarders;
     private final List<Partner> partners;
@@ -22,7 +22,7 @@
     private final SimulatedClients clients;
     private final Timeline timeline;
     private final Auditor auditor;
-    private final Set<Integer> haveServed = new HashSet<>();
+    private final Set<Integer> everReady = new HashSet<>();
 
     /** Of these forwarders, which stand at their numbers. */
     ForwarderFleet(
@@ -57,42 +57,42 @@
     void restart(int forwarder, long downMicros) {
         if (forwarders.get(forwarder).isUp()) {
             forwarders.get(forwarder).kill();
-            onDeath(forwarder);
+            onExit(forwarder);
             timeline.after(downMicros, () -> start(forwarder, false));
         }
     }
 
     /** A forwarder has died by itself: its connections are gone, and it is started again by whoever runs it. */
-    void onUnexpectedDeath(int forwarder, String how) {
+    void onUnexpectedExit(int forwarder, String cause) {
         auditor.count("deaths");
-        auditor.broken(Rule.INVARIANT, timeline.now(), "forwarder " + forwarder + " died: " + how);
-        onDeath(forwarder);
-        timeline.after(DEATH_DETECTION, () -> start(forwarder, false));
+        auditor.broken(Rule.INVARIANT, timeline.nowMicros(), "forwarder " + forwarder + " died: " + cause);
+        onExit(forwarder);
+        timeline.after(RESTART_DELAY_MICROS, () -> start(forwarder, false));
     }
 
-    private void onDeath(int forwarder) {
+    private void onExit(int forwarder) {
         partners.forEach(p -> p.disconnectAll(forwarder));
-        auditor.died(forwarder, timeline.now());
-        loadBalancer.onDeath(forwarder);
-        clients.onDeath(forwarder);
+        auditor.died(forwarder, timeline.nowMicros());
+        loadBalancer.onExit(forwarder);
+        clients.onForwarderExit(forwarder);
     }
 
     /** A forwarder serves. */
     void onReady(int forwarder) {
-        haveServed.add(forwarder);
-        auditor.ready(forwarder, timeline.now());
+        everReady.add(forwarder);
+        auditor.ready(forwarder, timeline.nowMicros());
         directory.onReady(forwarder);
-        timeline.after(READY_DETECTION, () -> loadBalancer.onReady(forwarder));
+        timeline.after(READY_DETECTION_MICROS, () -> loadBalancer.onReady(forwarder));
     }
 
     /** Forwarders that have served at all. */
-    int readyCount() {
-        return haveServed.size();
+    int everReadyCount() {
+        return everReady.size();
     }
 
     /** Messages that all hold together; below 0 if that can't be seen from here. */
-    int held() {
-        return forwarders.stream().mapToInt(ForwarderHandle::held).sum();
+    int pendingCount() {
+        return forwarders.stream().mapToInt(ForwarderHandle::pendingCount).sum();
     }
 
     /** Forwarders that are up. */
@@ -103,11 +103,11 @@
     /** Reports the invariants that forwarders have seen broken. */
     void reportBrokenInvariants() {
         for (ForwarderHandle forwarder : forwarders) {
-            if (forwarder.broken() > 0) {
+            if (forwarder.brokenInvariants() > 0) {
                 auditor.broken(
                         Rule.INVARIANT,
-                        timeline.now(),
-                        "forwarder " + forwarder.number() + ": " + forwarder.broken() + " times");
+                        timeline.nowMicros(),
+                        "forwarder " + forwarder.number() + ": " + forwarder.brokenInvariants() + " times");
             }
         }
     }
--- a/src/main/java/lilaclever/lab/world/ForwarderHandle.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderHandle.java
@@ -12,7 +12,7 @@
     /** Makes the fleet's forwarders. */
     interface Factory {
         /** One that is not started yet; {@code seed} is for what it draws itself. */
-        ForwarderHandle make(World world, int number, DecisionModule.Settings settings, long seed);
+        ForwarderHandle create(World world, int number, DecisionModule.Settings settings, long seed);
     }
 
     /** Its number in the fleet, from 0. */
@@ -22,28 +22,28 @@
     boolean isUp();
 
     /** Messages that it holds; -1 if that can't be seen from here. */
-    int held();
+    int pendingCount();
 
     /** What must hold and did not, so far as it has told. */
-    long broken();
+    long brokenInvariants();
 
     /**
      * Starts it with the directory's list; {@code first} if it has not lived before. It tells {@link World#onReady}
      * once it serves.
      */
-    void start(List<DecisionModule.EndpointEntry> known, long version, boolean first);
+    void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean first);
 
     /** Kills it without warning. */
     void kill();
 
     /**
      * Hands a message in, under an id of this hand-in. What becomes of it is told by {@link World#onAccepted}, {@link
-     * World#onRefused}, {@link World#onConnectionRefused} or {@link World#onNoAnswer}.
+     * World#onRejected}, {@link World#onConnectionRefused} or {@link World#onNoAnswer}.
      *
      * @param leftMicros how long it may still be delivered
      */
-    void handIn(String id, Arrival arrival, long leftMicros);
+    void submit(String id, Arrival arrival, long leftMicros);
 
     /** The directory tells changes. */
-    void listing(long version, List<DecisionModule.EndpointEntry> changes);
+    void onEndpointsChanged(long version, List<DecisionModule.EndpointEntry> changes);
 }
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -9,11 +9,11 @@
 
 /** The settings that a scenario gives its forwarders. */
 final class ForwarderSettings {
-    private static final long SECOND = 1_000_000;
-    private static final long ANSWER_SLACK = 20_000;
-    private static final long ASK_WITHIN = 10 * SECOND;
-    private static final long LONGEST_COME_BACK = 2 * SECOND;
-    private static final double OVER_SHARE_WORTH = 0.1;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long ANSWER_SLACK_MICROS = 20_000;
+    private static final long WATCH_WITHIN_MICROS = 10 * SECOND_MICROS;
+    private static final long MAX_RETRY_AFTER_MICROS = 2 * SECOND_MICROS;
+    private static final double OVER_QUOTA_WORTH_FACTOR = 0.1;
 
     private final Scenario scenario;
     private final Fleet fleet;
@@ -32,7 +32,7 @@
     }
 
     /** Those of the forwarder with that number. */
-    DecisionModule.Settings of(int number) {
+    DecisionModule.Settings forForwarder(int number) {
         List<DecisionModule.EndpointKind> kinds = scenario.kinds().stream()
                 .map(k -> new DecisionModule.EndpointKind(false, k.batch()))
                 .toList();
@@ -47,7 +47,7 @@
                 false,
                 DecisionModule.WeightMeaning.NONE,
                 false,
-                OVER_SHARE_WORTH,
+                OVER_QUOTA_WORTH_FACTOR,
                 classes,
                 kinds,
                 List.of(),
@@ -67,13 +67,13 @@
                 fleet.connectMicros(),
                 fleet.keepAliveMicros(),
                 true,
-                LONGEST_COME_BACK);
+                MAX_RETRY_AFTER_MICROS);
     }
 
     private DecisionModule.Rules rules() {
         return new DecisionModule.Rules(
-                ANSWER_SLACK,
-                ASK_WITHIN,
+                ANSWER_SLACK_MICROS,
+                WATCH_WITHIN_MICROS,
                 fleet.drainGraceMicros(),
                 fleet.cold().from(),
                 fleet.cold().rampMicros(),
--- a/src/main/java/lilaclever/lab/world/LoadBalancer.java
+++ b/src/main/java/lilaclever/lab/world/LoadBalancer.java
@@ -11,16 +11,16 @@
     private final Timeline timeline;
     private final RandomStream random;
     /** How long messages still go to a forwarder that has died, least and most, microseconds. */
-    private final long[] detectionDelay;
+    private final long[] detectionDelayMicros;
 
     private final double[] weights;
     /** Forwarders that have died, and from when on this is known. */
-    private final Map<Integer, Long> deadFrom = new HashMap<>();
+    private final Map<Integer, Long> detectedDownMicros = new HashMap<>();
 
-    LoadBalancer(Timeline timeline, RandomStream random, int forwarders, long[] detectionDelay) {
+    LoadBalancer(Timeline timeline, RandomStream random, int forwarders, long[] detectionDelayMicros) {
         this.timeline = timeline;
         this.random = random;
-        this.detectionDelay = detectionDelay;
+        this.detectionDelayMicros = detectionDelayMicros;
         weights = new double[forwarders];
         Arrays.fill(weights, 1);
     }
@@ -28,9 +28,9 @@
     /** The forwarder that gets the next message. If none is known to live, any. */
     int pick() {
         double[] shares = weights.clone();
-        for (Map.Entry<Integer, Long> dead : deadFrom.entrySet()) {
-            if (timeline.now() >= dead.getValue()) {
-                shares[dead.getKey()] = 0;
+        for (Map.Entry<Integer, Long> down : detectedDownMicros.entrySet()) {
+            if (timeline.nowMicros() >= down.getValue()) {
+                shares[down.getKey()] = 0;
             }
         }
         double sum = Arrays.stream(shares).sum();
@@ -44,12 +44,12 @@
     }
 
     /** A forwarder has died: that is known here after a while. */
-    void onDeath(int forwarder) {
-        deadFrom.put(forwarder, timeline.now() + random.in(detectionDelay));
+    void onExit(int forwarder) {
+        detectedDownMicros.put(forwarder, timeline.nowMicros() + random.in(detectionDelayMicros));
     }
 
     /** A forwarder is known to serve. */
     void onReady(int forwarder) {
-        deadFrom.remove(forwarder);
+        detectedDownMicros.remove(forwarder);
     }
 }
--- a/src/main/java/lilaclever/lab/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/lab/world/PartnerFactory.java
@@ -13,11 +13,11 @@
 /** Makes a scenario's partners and their endpoints, the same ones for the same seed. */
 final class PartnerFactory {
     /** Kinds that get much of the traffic are drawn for places within this part of the ranks. */
-    private static final double LARGE_KINDS_WITHIN = 0.6;
+    private static final double LARGE_KINDS_RANK_SHARE = 0.6;
     /** The first quarter of the partners has as many endpoints as is drawn, the others this part of it. */
-    private static final double FEWER_ENDPOINTS = 0.6;
+    private static final double REDUCED_ENDPOINT_SHARE = 0.6;
 
-    private static final int MANY_ENDPOINTS_PART = 4;
+    private static final int FULL_ENDPOINTS_DIVISOR = 4;
     /** Added to a number of endpoints before it is rounded. */
     private static final double ENDPOINT_ROUNDING = 0.2;
 
@@ -39,12 +39,12 @@
      * @param weights each partner's share of the traffic, falling
      * @return the partners, numbered by their rank
      */
-    List<Partner> make(double[] weights, EndpointDirectory directory) {
+    List<Partner> create(double[] weights, EndpointDirectory directory) {
         List<PartnerKind> kinds = kindsByRank();
         double meanWork = meanWorkMicros();
         List<Partner> partners = new ArrayList<>();
         for (int rank = 0; rank < kinds.size(); rank++) {
-            double part = rank < kinds.size() / MANY_ENDPOINTS_PART ? 1 : FEWER_ENDPOINTS;
+            double part = rank < kinds.size() / FULL_ENDPOINTS_DIVISOR ? 1 : REDUCED_ENDPOINT_SHARE;
             int endpoints = Math.max(1, (int) Math.round(random.in(fleet.endpoints()) * part + ENDPOINT_ROUNDING));
             Partner partner = new Partner(
                     rank,
@@ -67,7 +67,7 @@
         record Placed(PartnerKind kind, double place) {}
         List<Placed> placed = new ArrayList<>();
         for (PartnerKind kind : kindsByShare()) {
-            placed.add(new Placed(kind, kind.large() ? random.unit() * LARGE_KINDS_WITHIN : random.unit()));
+            placed.add(new Placed(kind, kind.large() ? random.unit() * LARGE_KINDS_RANK_SHARE : random.unit()));
         }
         placed.sort(Comparator.comparingDouble(Placed::place));
         return placed.stream().map(Placed::kind).toList();
--- a/src/main/java/lilaclever/lab/world/Result.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -8,26 +8,26 @@
 /**
  * What a run has shown.
  *
- * @param events what happened, for people and for the bands of plots
+ * @param eventPeriods what happened, for people and for the bands of plots
  * @param partners a row for each partner
  * @param series figures by second: name to values
- * @param scheduled events of the scheduler: the size of the run
- * @param partial cut short
- * @param trust of a run in real time; null in virtual time
+ * @param actionCount events of the scheduler: the size of the run
+ * @param isPartial cut short
+ * @param timingQuality of a run in real time; null in virtual time
  */
-public record Result(
+public record RehearsalResult(
         Scenario scenario,
         long seed,
         Auditor auditor,
-        List<Band> events,
+        List<EventPeriod> eventPeriods,
         List<PartnerRow> partners,
         TreeMap<String, double[]> series,
         long endMicros,
-        long scheduled,
-        boolean partial,
-        TimingQuality trust) {
+        long actionCount,
+        boolean isPartial,
+        TimingQuality timingQuality) {
     /** Something that happened, from a time to a time. */
-    public record Band(String what, long fromMicros, long toMicros) {}
+    public record EventPeriod(String name, long fromMicros, long toMicros) {}
 
     /** One partner's figures. */
     public record PartnerRow(
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -18,7 +18,7 @@
  */
 final class SimulatedClients {
     /** So much earlier than the answer to its submission can a notice of a message be here, microseconds. */
-    private static final long NOTICE_RECHECK = 5_000, LONGEST_NOTICE_DELAY = 500_000;
+    private static final long NOTICE_RECHECK_MICROS = 5_000, MAX_NOTICE_DELAY_MICROS = 500_000;
 
     private static final String DEFERRED = "deferred";
 
@@ -55,23 +55,23 @@
     }
 
     /** The message's number in the id of a submission. */
-    static int number(String id) {
+    static int messageNumber(String id) {
         return Integer.parseInt(id.substring(1, id.indexOf('-')));
     }
 
     /** Which of the message's submissions it is, from 0. */
-    private static int submission(String id) {
+    private static int submissionNumber(String id) {
         return Integer.parseInt(id.substring(id.indexOf('-') + 1));
     }
 
     /** What the partner must do for the message of that submission, microseconds. */
     long workMicros(String id) {
-        return arrivals.get(number(id)).workMicros();
+        return arrivals.get(messageNumber(id)).workMicros();
     }
 
     /** True if a message of this id was submitted lately, and its client has not submitted it again since. */
     boolean isCurrent(String id) {
-        return id.matches("m\\d{1,9}-\\d{1,6}") && id.equals(currentIds.get(number(id)));
+        return id.matches("m\\d{1,9}-\\d{1,6}") && id.equals(currentIds.get(messageNumber(id)));
     }
 
     /** A client has a new message. */
@@ -79,26 +79,26 @@
         arrivals.put(arrival.number(), arrival);
         retriesLeft.put(arrival.number(), scenario.fleet().clientRetries());
         auditor.arrives(
-                arrival.number(), arrival.messageClass(), arrival.destination(), arrival.workMicros(), timeline.now());
+                arrival.number(), arrival.messageClass(), arrival.destination(), arrival.workMicros(), timeline.nowMicros());
         series.add("arrived", 1);
         submit(arrival);
     }
 
     private void submit(Arrival arrival) {
-        long deadline = arrival.atMicros() + terms(arrival).deadlineMicros();
-        long left = deadline - timeline.now();
-        if (left <= 0) {
+        long deadlineMicros = arrival.atMicros() + terms(arrival).deadlineMicros();
+        long leftMicros = deadlineMicros - timeline.nowMicros();
+        if (leftMicros <= 0) {
             return;
         }
         int number = arrival.number();
         int forwarder = loadBalancer.pick();
-        auditor.handedIn(number, forwarder, timeline.now());
-        String before = currentIds.get(number);
-        String id = "m" + number + '-' + (before == null ? 0 : submission(before) + 1);
+        auditor.handedIn(number, forwarder, timeline.nowMicros());
+        String previousId = currentIds.get(number);
+        String id = "m" + number + '-' + (previousId == null ? 0 : submissionNumber(previousId) + 1);
         timeline.after(scenario.fleet().networkMicros(), () -> {
             unanswered.put(id, forwarder);
             currentIds.put(number, id);
-            forwarders.get(forwarder).handIn(id, arrival, left);
+            forwarders.get(forwarder).submit(id, arrival, leftMicros);
         });
     }
 
@@ -123,7 +123,7 @@
     }
 
     /** A forwarder has died: all that it had not answered is submitted again. */
-    void onDeath(int forwarder) {
+    void onForwarderExit(int forwarder) {
         List<String> lost = new ArrayList<>();
         unanswered.forEach((id, to) -> {
             if (to == forwarder) {
@@ -137,7 +137,7 @@
     }
 
     private void resubmit(String id) {
-        Arrival arrival = arrivals.get(number(id));
+        Arrival arrival = arrivals.get(messageNumber(id));
         if (arrival != null) {
             timeline.after(random.in(scenario.fleet().comesAgain()), () -> submit(arrival));
         }
@@ -147,58 +147,58 @@
     void onAccepted(String id) {
         Integer forwarder = unanswered.remove(id);
         if (forwarder != null) {
-            auditor.taken(number(id), forwarder, timeline.now());
+            auditor.taken(messageNumber(id), forwarder, timeline.nowMicros());
         }
     }
 
     /** The message was refused; the forwarder advises to retry after so long, microseconds (0: no advice). */
-    void onRefused(String id, long retryAfterMicros) {
+    void onRejected(String id, long retryAfterMicros) {
         if (unanswered.remove(id) == null) {
             return; // it was submitted elsewhere since
         }
-        auditor.turnedDown(number(id), timeline.now(), retryAfterMicros);
+        auditor.turnedDown(messageNumber(id), timeline.nowMicros(), retryAfterMicros);
         series.add("turned_down", 1);
-        retry(number(id), retryAfterMicros);
+        retry(messageNumber(id), retryAfterMicros);
     }
 
     /** The platform has had a notice of an accepted message's final status. */
     void onNotice(String id, String status) {
-        onNotice(id, status, timeline.now());
+        onNotice(id, status, timeline.nowMicros());
     }
 
-    private void onNotice(String id, String status, long since) {
-        if (unanswered.containsKey(id) && timeline.now() - since < LONGEST_NOTICE_DELAY) {
+    private void onNotice(String id, String status, long firstSeenMicros) {
+        if (unanswered.containsKey(id) && timeline.nowMicros() - firstSeenMicros < MAX_NOTICE_DELAY_MICROS) {
             // The answer is still on its way to the client.
-            timeline.after(NOTICE_RECHECK, () -> onNotice(id, status, since));
+            timeline.after(NOTICE_RECHECK_MICROS, () -> onNotice(id, status, firstSeenMicros));
             return;
         }
         boolean deferred = status.equals(DEFERRED);
-        auditor.noticed(number(id), status, timeline.now());
+        auditor.noticed(messageNumber(id), status, timeline.nowMicros());
         series.add(deferred ? "refused" : "failed", 1);
         if (deferred) {
-            retry(number(id), 0);
+            retry(messageNumber(id), 0);
         }
     }
 
     private void retry(int number, long retryAfterMicros) {
-        int left = retriesLeft.get(number);
-        long after = Math.max(retryAfterMicros, random.in(scenario.fleet().comesAgain()));
-        if (left > 0 && mayRetry(number, timeline.now() + after)) {
-            retriesLeft.put(number, left - 1);
-            timeline.after(after, () -> submit(arrivals.get(number)));
+        int retriesLeftForMessage = retriesLeft.get(number);
+        long delayMicros = Math.max(retryAfterMicros, random.in(scenario.fleet().comesAgain()));
+        if (retriesLeftForMessage > 0 && mayRetry(number, timeline.nowMicros() + delayMicros)) {
+            retriesLeft.put(number, retriesLeftForMessage - 1);
+            timeline.after(delayMicros, () -> submit(arrivals.get(number)));
         }
     }
 
     /** What may have taken effect is not submitted again, or with a key only inside its window. */
-    private boolean mayRetry(int number, long at) {
-        long riskAt = auditor.riskAt(number);
-        if (riskAt < 0) {
+    private boolean mayRetry(int number, long atMicros) {
+        long riskAtMicros = auditor.riskAt(number);
+        if (riskAtMicros < 0) {
             return true;
         }
         DecisionModule.MessageClass terms = terms(arrivals.get(number));
         return switch (terms.repeat()) {
             case SAFE -> true;
-            case KEYED -> at <= riskAt + terms.repeatWindowMicros();
+            case KEYED -> atMicros <= riskAtMicros + terms.repeatWindowMicros();
             case UNSAFE -> false;
         };
     }
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -20,11 +20,11 @@
  * tells here what its forwarders do. One thread, the timeline's.
  */
 public final class World {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     /** How long a run goes on after the last deadline, microseconds. */
-    private static final long AFTER_DEADLINES = 7 * SECOND;
+    private static final long MARGIN_AFTER_DEADLINES_MICROS = 7 * SECOND_MICROS;
     /** How long after its arrival a message is forgotten, seconds, and how often that is done. */
-    private static final int FORGET_AFTER = 120, FORGET_EVERY = 10;
+    private static final int FORGET_AFTER_SECONDS = 120, FORGET_INTERVAL_SECONDS = 10;
     /** With {@link Fault#FLOODS}, how often a call is repeated. */
     private static final int FLOOD_REPEATS = 4;
 
@@ -41,22 +41,22 @@
     private final ForwarderFleet forwarders;
     private final EventPlanner events;
     private final TimeSeries series;
-    private List<Arrival> plan = List.of();
+    private List<Arrival> plannedArrivals = List.of();
 
     /** A world that has not begun. */
-    public World(Scenario scenario, long seed, Fault fault, Timeline timeline, ForwarderHandle.Factory maker) {
+    public World(Scenario scenario, long seed, Fault fault, Timeline timeline, ForwarderHandle.Factory forwarderFactory) {
         this.timeline = timeline;
         this.scenario = scenario;
         this.seed = seed;
         this.fault = fault;
         fleet = scenario.fleet();
         auditor = new Auditor(scenario.classes(), fleet.drainGraceMicros());
-        series = new TimeSeries(timeline, length());
+        series = new TimeSeries(timeline, lengthMicros());
         weights = Traffic.zipf(fleet.destinations(), fleet.zipf());
         List<ForwarderHandle> members = new ArrayList<>();
         directory =
                 new EndpointDirectory(scenario, fault, timeline, auditor, new RandomStream(seed, "directory"), members);
-        partners = new PartnerFactory(scenario, seed).make(weights, directory);
+        partners = new PartnerFactory(scenario, seed).create(weights, directory);
         LoadBalancer loadBalancer =
                 new LoadBalancer(timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemory());
         clients = new SimulatedClients(
@@ -72,7 +72,7 @@
                 forwarders);
         ForwarderSettings settings = new ForwarderSettings(scenario, weights, partners);
         for (int i = 0; i < fleet.forwarders(); i++) {
-            members.add(maker.make(this, i, settings.of(i), new RandomStream(seed, "forwarder " + i).below(1 << 30)));
+            members.add(forwarderFactory.create(this, i, settings.forForwarder(i), new RandomStream(seed, "forwarder " + i).below(1 << 30)));
         }
     }
 
@@ -93,12 +93,12 @@
     }
 
     /** Microseconds since the run began. */
-    public long now() {
-        return timeline.now();
+    public long nowMicros() {
+        return timeline.nowMicros();
     }
 
     /** How long the network takes, one way, microseconds. */
-    public long network() {
+    public long networkDelayMicros() {
         return fleet.networkMicros();
     }
 
@@ -133,8 +133,8 @@
     }
 
     /** The message's number in the id of a hand-in. */
-    public static int number(String id) {
-        return SimulatedClients.number(id);
+    public static int messageNumber(String id) {
+        return SimulatedClients.messageNumber(id);
     }
 
     /** True if a message of this id was handed in lately, and its client has not handed it in again since. */
@@ -144,23 +144,23 @@
 
     // ---- calls to partners ------------------------------------------------------------------------------
     /** A forwarder sends a message: the first byte of the call leaves. */
-    public void onAttempt(String id, int forwarder, String host, int destination, long at) {
-        auditor.attempt(number(id), forwarder, host, destination, at);
+    public void onAttemptStarted(String id, int forwarder, String host, int destination, long atMicros) {
+        auditor.attempt(messageNumber(id), forwarder, host, destination, atMicros);
     }
 
     /** The last byte of a message's call has come. */
     public void onRequestReceived(String id, int forwarder, int destination) {
-        auditor.comes(number(id), forwarder, destination, now());
+        auditor.comes(messageNumber(id), forwarder, destination, nowMicros());
     }
 
     /** A call with these messages has come whole; tells what the partner makes of it. */
-    public Answer call(Partner partner, String host, int forwarder, List<String> ids) {
+    public Answer callPartner(Partner partner, String host, int forwarder, List<String> ids) {
         long[] work = ids.stream().mapToLong(clients::workMicros).toArray();
         series.add("calls", 1);
-        Answer answer = partner.call(host, forwarder, work, now());
-        if (fault == Fault.FLOODS && partner.warmth(now()) < 1) {
+        Answer answer = partner.call(host, forwarder, work, nowMicros());
+        if (fault == Fault.FLOODS && partner.warmth(nowMicros()) < 1) {
             for (int i = 0; i < FLOOD_REPEATS; i++) {
-                partner.call(host, forwarder, work, now());
+                partner.call(host, forwarder, work, nowMicros());
             }
         }
         if (answer.status() == Partner.Status.FULL) {
@@ -170,17 +170,17 @@
     }
 
     /** An attempt is over, as the partner knows it. */
-    public void onAttemptOver(String id, String how, boolean neverRan) {
-        auditor.attemptOver(number(id), how, neverRan, now());
+    public void onAttemptOver(String id, String result, boolean neverRan) {
+        auditor.attemptOver(messageNumber(id), result, neverRan, nowMicros());
     }
 
     /** A partner has worked on a message; {@code heard}: its answer goes out on an open connection. */
-    public void onProcessed(String id, boolean heard) {
-        auditor.service().work(clients.workMicros(id), !heard);
-        if (heard) {
-            int number = number(id);
-            auditor.attemptOver(number, "delivered", false, now());
-            auditor.delivered(number, now());
+    public void onProcessed(String id, boolean isAnswered) {
+        auditor.service().work(clients.workMicros(id), !isAnswered);
+        if (isAnswered) {
+            int number = messageNumber(id);
+            auditor.attemptOver(number, "delivered", false, nowMicros());
+            auditor.delivered(number, nowMicros());
             series.add("delivered", 1);
         }
     }
@@ -210,8 +210,8 @@
     }
 
     /** A client was turned away. */
-    public void onRefused(String id, long comeBackMicros) {
-        clients.onRefused(id, comeBackMicros);
+    public void onRejected(String id, long retryAfterMicros) {
+        clients.onRejected(id, retryAfterMicros);
     }
 
     /** The platform has had a notice. */
@@ -226,23 +226,23 @@
     }
 
     /** A forwarder has died by itself: its connections are gone, and it is started again by whoever runs it. */
-    public void onUnexpectedDeath(int forwarder, String how) {
-        forwarders.onUnexpectedDeath(forwarder, how);
+    public void onUnexpectedExit(int forwarder, String cause) {
+        forwarders.onUnexpectedExit(forwarder, cause);
     }
 
     /** Forwarders that have served at all. */
-    public int readyCount() {
-        return forwarders.readyCount();
+    public int everReadyCount() {
+        return forwarders.everReadyCount();
     }
 
     // ---- the run ----------------------------------------------------------------------------------------
     /** How long the run lasts, until the last end is due, microseconds. */
-    public long length() {
+    public long lengthMicros() {
         long longestDeadline = scenario.classes().stream()
                 .mapToLong(c -> c.terms().deadlineMicros())
                 .max()
                 .orElse(0);
-        return scenario.traffic().lengthMicros() + AFTER_DEADLINES + longestDeadline;
+        return scenario.traffic().lengthMicros() + MARGIN_AFTER_DEADLINES_MICROS + longestDeadline;
     }
 
     /** Starts the forwarders; each tells when it is {@link #onReady}. */
@@ -260,53 +260,53 @@
                 scenario.classes(),
                 weights,
                 partners);
-        plan = traffic.draw(scenario.traffic().lengthMicros(), new RandomStream(seed, "arrivals"));
+        plannedArrivals = traffic.draw(scenario.traffic().lengthMicros(), new RandomStream(seed, "arrivals"));
         scenario.events().forEach(events::plan);
         scheduleArrival(0);
-        everySecond(progress);
+        runEverySecond(progress);
     }
 
     /** What was drawn ahead: who hands in what, and when. */
-    public List<Arrival> plan() {
-        return plan;
+    public List<Arrival> plannedArrivals() {
+        return plannedArrivals;
     }
 
     /** One arrival after the other: the plan is long, the queue of events need not be. */
     private void scheduleArrival(int index) {
-        if (index < plan.size()) {
-            timeline.at(plan.get(index).atMicros(), () -> {
-                clients.arrive(plan.get(index));
+        if (index < plannedArrivals.size()) {
+            timeline.at(plannedArrivals.get(index).atMicros(), () -> {
+                clients.arrive(plannedArrivals.get(index));
                 scheduleArrival(index + 1);
             });
         }
     }
 
-    private void everySecond(LongConsumer progress) {
-        auditor.sweep(now());
-        int held = forwarders.held();
-        if (held >= 0) {
-            series.add("held", held);
+    private void runEverySecond(LongConsumer progress) {
+        auditor.sweep(nowMicros());
+        int pendingCount = forwarders.pendingCount();
+        if (pendingCount >= 0) {
+            series.add("held", pendingCount);
         }
         series.add("forwarders_up", forwarders.upCount());
-        int forgettable = (int) (now() / SECOND) - FORGET_AFTER;
-        if (forgettable > 0 && forgettable % FORGET_EVERY == 0) {
-            clients.forgetBefore(now() - FORGET_AFTER * SECOND);
+        int forgettableSecond = (int) (nowMicros() / SECOND_MICROS) - FORGET_AFTER_SECONDS;
+        if (forgettableSecond > 0 && forgettableSecond % FORGET_INTERVAL_SECONDS == 0) {
+            clients.forgetBefore(nowMicros() - FORGET_AFTER_SECONDS * SECOND_MICROS);
         }
-        progress.accept(now());
-        if (now() + SECOND < length()) {
-            timeline.after(SECOND, () -> everySecond(progress));
+        progress.accept(nowMicros());
+        if (nowMicros() + SECOND_MICROS < lengthMicros()) {
+            timeline.after(SECOND_MICROS, () -> runEverySecond(progress));
         }
     }
 
     /** The run is over, or is cut short now: what it has shown. */
-    public Result finish(long scheduled, TimingQuality trust) {
-        auditor.finish(now());
+    public RehearsalResult finish(long actionCount, TimingQuality timingQuality) {
+        auditor.finish(nowMicros());
         forwarders.reportBrokenInvariants();
         partners.forEach(this::reportFailBacks);
-        List<Result.PartnerRow> rows = partners.stream().map(this::row).toList();
-        boolean partial = now() < length();
-        return new Result(
-                scenario, seed, auditor, events.bands(), rows, series.rows(), now(), scheduled, partial, trust);
+        List<RehearsalResult.PartnerRow> rows = partners.stream().map(this::row).toList();
+        boolean partial = nowMicros() < lengthMicros();
+        return new RehearsalResult(
+                scenario, seed, auditor, events.periods(), rows, series.rows(), nowMicros(), actionCount, partial, timingQuality);
     }
 
     private void reportFailBacks(Partner partner) {
@@ -314,12 +314,12 @@
         if (falls > 0) {
             String what = "destination " + partner.destination() + " was pushed over " + falls
                     + " times by forwarders that saw it fail";
-            auditor.broken(Rule.FAIL_BACK, now(), what);
+            auditor.broken(Rule.FAIL_BACK, nowMicros(), what);
         }
     }
 
-    private Result.PartnerRow row(Partner partner) {
-        return new Result.PartnerRow(
+    private RehearsalResult.PartnerRow row(Partner partner) {
+        return new RehearsalResult.PartnerRow(
                 partner.destination(),
                 partner.kind().name(),
                 partner.capacity(),
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -23,10 +23,10 @@
 import lilaclever.lab.scenario.Overrides;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
-import lilaclever.lab.sockets.RealSockets;
-import lilaclever.lab.virtual.VirtualTime;
+import lilaclever.lab.sockets.SocketRehearsal;
+import lilaclever.lab.virtual.VirtualRehearsal;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import org.kohsuke.args4j.Argument;
 import org.kohsuke.args4j.Option;
 
@@ -159,7 +159,7 @@
 
     private int play() throws ConfigurationException, IOException, InterruptedException, ExecutionException {
         Scenario scenario = scenario();
-        String tooLarge = sockets ? RealSockets.tooLarge(scenario) : null;
+        String tooLarge = sockets ? SocketRehearsal.sizeProblem(scenario) : null;
         if (tooLarge != null) {
             throw new ConfigurationException(
                     "--sockets", scenario.name() + " is too large for one machine: " + tooLarge + "; play it without");
@@ -174,7 +174,7 @@
                     n,
                     i -> {
                         Path to = alone ? folder(scenario) : folder(scenario).resolve("seed-" + (seed + i));
-                        Result r = one(scenario, seed + i, to, alone);
+                        RehearsalResult r = one(scenario, seed + i, to, alone);
                         Report.write(r, to);
                         return r;
                     },
@@ -184,10 +184,10 @@
                                         ? Report.summary(r)
                                         : Report.summary(r).lines().findFirst().orElse("") + "\n");
                         broken.addAndGet(r.auditor().broken().isEmpty() ? 0 : 1);
-                        if (r.trust() != null && !r.trust().good()) {
+                        if (r.timingQuality() != null && !r.timingQuality().isAcceptable()) {
                             doubtful.incrementAndGet();
                             if (!alone) {
-                                System.out.println(r.trust().text());
+                                System.out.println(r.timingQuality().summary());
                             }
                         }
                         services.add(r.auditor().service().figure(Prices.USUAL));
@@ -214,15 +214,15 @@
         return interrupt.come() ? Interrupt.CODE : broken.get() > 0 ? BROKEN : doubtful.get() > 0 ? DOUBTFUL : GOOD;
     }
 
-    private Result one(Scenario scenario, long itsSeed, Path to, boolean alone) throws IOException {
+    private RehearsalResult one(Scenario scenario, long itsSeed, Path to, boolean alone) throws IOException {
         LongConsumer hears = alone ? this::progress : now -> {};
         if (!sockets) {
-            return VirtualTime.run(scenario, itsSeed, Fault.NONE, hears, interrupt::come);
+            return VirtualRehearsal.run(scenario, itsSeed, Fault.NONE, hears, interrupt::come);
         }
         Path folder = Files.createDirectories(to.resolve("forwarders")).toAbsolutePath();
         Path life = Files.createTempDirectory(folder, "run-");
         try {
-            return RealSockets.run(
+            return SocketRehearsal.run(
                     scenario, itsSeed, life, ChildProcessCommand.command("serve"), hears, interrupt::come);
         } catch (InterruptedException e) {
             throw new InterruptedIOException("cut short");
@@ -236,11 +236,11 @@
     }
 
     /** Plays runs on several threads and hands their results over in order. */
-    private void sideBySide(int n, Play play, java.util.function.Consumer<Result> each)
+    private void sideBySide(int n, Play play, java.util.function.Consumer<RehearsalResult> each)
             throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(n, threads)));
         try {
-            List<Future<Result>> all = new ArrayList<>();
+            List<Future<RehearsalResult>> all = new ArrayList<>();
             for (int i = 0; i < n; i++) {
                 int index = i;
                 all.add(pool.submit(() -> play.run(index)));
@@ -255,7 +255,7 @@
     }
 
     private interface Play {
-        Result run(int index) throws IOException;
+        RehearsalResult run(int index) throws IOException;
     }
 
     /** A point of a sweep: the scenario there, its place on the axis, and what people call it. */
@@ -275,7 +275,7 @@
                 AtomicInteger broken = new AtomicInteger();
                 sideBySide(
                         n,
-                        i -> VirtualTime.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::come),
+                        i -> VirtualRehearsal.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::come),
                         r -> {
                             services.add(r.auditor().service().figure(Prices.USUAL));
                             broken.addAndGet(r.auditor().broken().size());
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -18,7 +18,7 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
@@ -27,19 +27,19 @@
 
 /** Whole rehearsals in virtual time: the real core, module and journal among models. */
 class WorldTest {
-    private static Result run(Scenario s, long seed, Fault fault) {
-        return VirtualTime.run(s, seed, fault);
+    private static RehearsalResult run(Scenario s, long seed, Fault fault) {
+        return VirtualRehearsal.run(s, seed, fault);
     }
 
-    private static Result run(String name, Fault fault) throws ConfigurationException {
+    private static RehearsalResult run(String name, Fault fault) throws ConfigurationException {
         return run(ScenarioReader.read(name), 1, fault);
     }
 
     /** The same seed gives the same folder, byte for byte; another seed another one. */
     @Test
-    void aRunIsTheSameEachTime(@TempDir Path folder) throws Exception {
-        for (String life : List.of("a", "b")) {
-            Report.write(run("bad-afternoon", Fault.NONE), folder.resolve(life));
+    void runsWithTheSameSeedWriteIdenticalReports(@TempDir Path folder) throws Exception {
+        for (String run : List.of("a", "b")) {
+            Report.write(run("bad-afternoon", Fault.NONE), folder.resolve(run));
         }
         try (Stream<Path> files = Files.list(folder.resolve("a"))) {
             List<Path> all = files.toList();
@@ -69,15 +69,15 @@
                 "hot-forwarder",
                 "partners-refuse"
             })
-    void noRuleIsBroken(String name) throws ConfigurationException {
-        Result r = run(name, Fault.NONE);
+    void shippedScenarioBreaksNoRule(String name) throws ConfigurationException {
+        RehearsalResult r = run(name, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         long messages = r.auditor().counts().get("messages");
         assertTrue(messages > 500, name + " has " + messages);
     }
 
     @Test
-    void aQuietDayIsServed() throws ConfigurationException {
+    void quietScenarioReachesServiceGoal() throws ConfigurationException {
         assertTrue(run("quiet", Fault.NONE).auditor().service().figure(Prices.USUAL) > 0.9);
     }
 
@@ -90,8 +90,8 @@
         "mass-return, FLOODS, FAIL_BACK",
         "month-end, SILENT, ONE_END"
     })
-    void aBrokenForwarderIsCaughtAndNamed(String name, Fault fault, Rule rule) throws ConfigurationException {
-        Result r = run(name, fault);
+    void faultyForwarderBreaksTheExpectedRule(String name, Fault fault, Rule rule) throws ConfigurationException {
+        RehearsalResult r = run(name, fault);
         assertTrue(r.auditor().broken().containsKey(rule), () -> Report.summary(r));
         assertTrue(rule == Rule.FAIL_BACK
                 || r.auditor().breaches().stream()
@@ -103,8 +103,8 @@
      * forwarders.
      */
     @Test
-    void aCallThatComesUpUnderAWaitIsWithheld() throws ConfigurationException {
-        Result r = run(
+    void callIsWithheldWhenRetryAfterArrivesBeforeConnection() throws ConfigurationException {
+        RehearsalResult r = run(
                 ScenarioReader.parse(
                         "late",
                         List.of(
@@ -130,7 +130,7 @@
 
     /** Where partners tell waits, a forwarder that does not hear them is caught. */
     @Test
-    void aForwarderThatIgnoresWaitsIsCaught() throws ConfigurationException {
+    void forwarderIgnoringRetryAfterBreaksWaitRule() throws ConfigurationException {
         Scenario s = ScenarioReader.parse(
                 "waits",
                 List.of(
@@ -149,7 +149,7 @@
 
     /** A scenario that can never be served ends like any other, with its figure. */
     @Test
-    void whatCanNeverBeServedEndsToo() throws ConfigurationException {
+    void permanentOutageScenarioEndsWithZeroService() throws ConfigurationException {
         Scenario s = ScenarioReader.parse(
                 "hopeless",
                 List.of(
@@ -161,7 +161,7 @@
                         "at 0s",
                         "for 1h",
                         "part 100%"));
-        Result r = run(s, 1, Fault.NONE);
+        RehearsalResult r = run(s, 1, Fault.NONE);
         assertEquals(0, r.auditor().service().whole());
         assertEquals(Map.of(), r.auditor().broken());
     }
--- a/src/test/java/lilaclever/program/CrossingsTest.java
+++ b/src/test/java/lilaclever/program/CrossingsTest.java
@@ -67,7 +67,7 @@
         return new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 calls.add(r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         });
     }
@@ -110,12 +110,12 @@
             }
             try (Wire client = Wire.to(address)) {
                 if (!said.equals("-")) {
-                    client.say(said.replace("~", "\r\n"));
+                    client.writeText(said.replace("~", "\r\n"));
                     assertEquals(status, client.request().path());
                 }
                 assertNull(client.request(), "closed from that side");
-                client.say(request("late"));
-                client.say(request("later")); // where the first one has met a reset, this one fails
+                client.writeText(request("late"));
+                client.writeText(request("later")); // where the first one has met a reset, this one fails
                 assertNull(client.request());
             }
             try (Wire other = Wire.to(address)) {
@@ -136,7 +136,7 @@
             serve(Setup.text(platform.address(), state, null, 3));
             try (Wire stays = Wire.to(address);
                     Wire client = Wire.to(address)) {
-                stays.say("nonsense\r\n\r\n");
+                stays.writeText("nonsense\r\n\r\n");
                 assertEquals("400", stays.request().path());
                 assertNull(stays.request());
                 until(client, "\nentries_clients 1\n");
@@ -147,7 +147,7 @@
     private static void until(Wire client, String count) throws IOException {
         String last = "";
         for (long end = System.nanoTime() + 10_000 * MS; !last.contains(count) && System.nanoTime() < end; ) {
-            client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+            client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
             last = client.request().body();
         }
         assertTrue(last.contains(count), last);
@@ -170,7 +170,7 @@
             for (int i = 0; i < 150; i++) {
                 Wire wire = Wire.to(address);
                 crowd.add(wire);
-                wire.say("GET /health/ready HTTP/1.1\r\n\r\n");
+                wire.writeText("GET /health/ready HTTP/1.1\r\n\r\n");
                 assertEquals("200", wire.request().path(), "after " + i);
             }
             for (int i = 0; i < 150; i++) {
@@ -204,10 +204,10 @@
                             silentSince.add(System.nanoTime());
                             wire.hang();
                         } else if (silentSince.isEmpty()) {
-                            wire.answer("200 OK", Setup.known());
+                            wire.writeResponse("200 OK", Setup.known());
                         } else {
                             heard.add(System.nanoTime());
-                            wire.answer(
+                            wire.writeResponse(
                                     "200 OK",
                                     Setup.list(second.address())
                                             .replace("e1", "e2")
@@ -259,7 +259,7 @@
                         }
                         told.add(System.nanoTime());
                         if (told.size() > 1) {
-                            wire.answer("204 No Content", "");
+                            wire.writeResponse("204 No Content", "");
                         } else if (silent) {
                             wire.hang();
                         } else {
@@ -269,7 +269,7 @@
                 });
                 Peer endpoint = new Peer(wire -> {
                     while (wire.request() != null) {
-                        wire.answer("500 no", "");
+                        wire.writeResponse("500 no", "");
                     }
                 })) {
             serve(Setup.text(platform.address(), state, endpoint.address(), 3));
--- a/src/test/java/lilaclever/program/DiscoveryPartialAnswerTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryPartialAnswerTest.java
@@ -23,7 +23,7 @@
     /** Writes an answer up to the text's mark; gives the rest. */
     private static String begin(Wire wire, String list, String mark) throws IOException {
         int at = list.indexOf(mark);
-        wire.say(head(list.length()) + list.substring(0, at));
+        wire.writeText(head(list.length()) + list.substring(0, at));
         return list.substring(at);
     }
 
@@ -37,7 +37,7 @@
             if (asked.number() == 1) {
                 String rest = begin(asked.wire(), changes(2, entry("e1", e1, "left")), "\"name\"");
                 second.await();
-                asked.wire().say(rest);
+                asked.wire().writeText(rest);
             }
         });
         serve(agent, whole(1, entry("e1", e1, "active")));
@@ -53,11 +53,11 @@
             pieces.release();
             if (asked.number() == 1) {
                 asked.wire()
-                        .say(head(1_000_000)
+                        .writeText(head(1_000_000)
                                 + changes(2, entry("e1", e1, "left")).replace("]}", ""));
                 while (true) {
                     pieces.acquire(); // one more for each further request
-                    asked.wire().say(" ");
+                    asked.wire().writeText(" ");
                 }
             }
         });
@@ -97,7 +97,7 @@
         Agent agent = new Agent(asked -> {
             if (asked.isWhole()) {
                 String first = whole(50, entry("e1", e1, "left")).replace("]}", ",");
-                asked.wire().say(head(BOUND + 100_000) + first + " ".repeat(BOUND + 100_000 - first.length()));
+                asked.wire().writeText(head(BOUND + 100_000) + first + " ".repeat(BOUND + 100_000 - first.length()));
             } else if (asked.isAfter(41)) {
                 departed.await();
                 asked.answer(changes(51, entry("e2", e2, "active")));
--- a/src/test/java/lilaclever/program/DiscoveryRig.java
+++ b/src/test/java/lilaclever/program/DiscoveryRig.java
@@ -36,7 +36,7 @@
         }
 
         void answer(String list) throws IOException {
-            wire.answer("200 OK", list);
+            wire.writeResponse("200 OK", list);
         }
     }
 
@@ -62,7 +62,7 @@
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         String list = takeFirst();
                         if (list != null) {
-                            wire.answer("200 OK", list);
+                            wire.writeResponse("200 OK", list);
                             continue;
                         }
                         Asked next = new Asked(number(), r.path(), wire);
@@ -127,7 +127,7 @@
         Peer peer = new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 calls.add(name + " " + r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         });
         open.add(peer);
@@ -186,7 +186,7 @@
         try (Wire client = Wire.to(address)) {
             long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
             while (!last.contains("\n" + count + "\n") && System.nanoTime() < end) {
-                client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+                client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
                 last = client.request().body();
             }
         }
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -17,7 +17,7 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.program.DrainAuditor.Answering;
 
 /** A discovery agent on a socket, which tells a forwarder what it has received of the membership, as scripted. */
@@ -78,7 +78,7 @@
     /** Bound and not listening: while connections are refused nobody else gets the port. */
     private Socket portKept;
 
-    private final Set<Wire> open = ConcurrentHashMap.newKeySet();
+    private final Set<StandInConnection> open = ConcurrentHashMap.newKeySet();
     private volatile Manner manner = Manner.AT_ONCE;
     private volatile int delayMs;
     /** Watches that are open now bring nothing any more. */
@@ -154,7 +154,7 @@
             latest.put(each.name(), new Numbered(++index, each));
         }
         oldest = index;
-        open.forEach(Wire::reset);
+        open.forEach(StandInConnection::reset);
         notifyAll();
     }
 
@@ -174,7 +174,7 @@
             auditor.answers(name, next.answering, System.nanoTime());
             manner = next;
             server.close();
-            open.forEach(Wire::reset);
+            open.forEach(StandInConnection::reset);
             keepPort();
             return;
         }
@@ -236,12 +236,12 @@
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
-        Wire wire = new Wire(socket);
+        StandInConnection wire = new StandInConnection(socket);
         open.add(wire);
         try (wire) {
-            for (Wire.Head asked = wire.read(); asked != null; asked = wire.read()) {
+            for (StandInConnection.HttpMessage asked = wire.readHttp(); asked != null; asked = wire.readHttp()) {
                 if (asked.method().equals("POST")) {
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!answer(wire, asked.target())) {
                     return;
                 }
@@ -253,7 +253,7 @@
     }
 
     /** False if the connection is to be closed. */
-    private boolean answer(Wire wire, String target) throws IOException, InterruptedException {
+    private boolean answer(StandInConnection wire, String target) throws IOException, InterruptedException {
         if (manner == Manner.RESETTING) {
             wire.reset();
             return false;
@@ -271,37 +271,37 @@
         return say(wire, now, list);
     }
 
-    private static boolean say(Wire wire, Manner now, String list) throws IOException, InterruptedException {
+    private static boolean say(StandInConnection wire, Manner now, String list) throws IOException, InterruptedException {
         String all = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
         int half = all.length() - list.length() / 2;
         switch (now) {
             case CUT -> {
-                wire.say(all.substring(0, half));
+                wire.writeText(all.substring(0, half));
                 return false;
             }
             case STALLING -> {
-                wire.say(all.substring(0, half));
+                wire.writeText(all.substring(0, half));
                 Thread.sleep(Long.MAX_VALUE);
                 return false;
             }
             case CLOSING -> {
-                wire.say(all);
+                wire.writeText(all);
                 return false;
             }
             case TRICKLING -> {
-                wire.say(all.substring(0, half));
+                wire.writeText(all.substring(0, half));
                 for (int at = half; at < all.length(); at += PIECE) {
                     Thread.sleep(PIECE_EVERY_MS); // stands for a slow network
-                    wire.say(all.substring(at, Math.min(all.length(), at + PIECE)));
+                    wire.writeText(all.substring(at, Math.min(all.length(), at + PIECE)));
                 }
                 return true;
             }
             case BUSY -> {
-                wire.answer("503 busy", "");
+                wire.writeResponse("503 busy", "");
                 return true;
             }
             default -> {
-                wire.say(all);
+                wire.writeText(all);
                 return true;
             }
         }
@@ -384,6 +384,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        open.forEach(Wire::reset);
+        open.forEach(StandInConnection::reset);
     }
 }
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.program.DrainChange.Target;
 
 /**
@@ -42,7 +42,7 @@
     private final ServerSocket server = new ServerSocket(0, QUEUE, InetAddress.getLoopbackAddress());
     private final DrainAuditor auditor;
     private final Semaphore accepting = new Semaphore(1);
-    private final Set<Wire> open = ConcurrentHashMap.newKeySet();
+    private final Set<StandInConnection> open = ConcurrentHashMap.newKeySet();
     private final List<Socket> fillers = new ArrayList<>();
     private boolean stopped;
     private volatile Manner manner = Manner.DELIVERS;
@@ -95,7 +95,7 @@
 
     /** Closes all connections, as an endpoint does with idle ones. */
     void closeConnections() {
-        open.forEach(Wire::close);
+        open.forEach(StandInConnection::close);
     }
 
     private void accept() throws IOException, InterruptedException {
@@ -108,11 +108,11 @@
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
-        try (Wire wire = new Wire(socket)) {
+        try (StandInConnection wire = new StandInConnection(socket)) {
             open.add(wire);
-            for (Wire.Head call = wire.read(); call != null; call = wire.read()) {
+            for (StandInConnection.HttpMessage call = wire.readHttp(); call != null; call = wire.readHttp()) {
                 if (!call.target().startsWith(CALL)) {
-                    wire.answer("404 no probes", "");
+                    wire.writeResponse("404 no probes", "");
                     continue;
                 }
                 note(call);
@@ -127,27 +127,27 @@
         }
     }
 
-    private void note(Wire.Head call) {
+    private void note(StandInConnection.HttpMessage call) {
         for (String id : ids(call)) {
             int group = Integer.parseInt(id.substring(0, id.indexOf('-')));
             auditor.called(id, new Target(address(), group), call.firstByteNanos());
         }
     }
 
-    private void answer(Wire wire, Wire.Head call) throws IOException {
+    private void answer(StandInConnection wire, StandInConnection.HttpMessage call) throws IOException {
         StringBuilder ends = new StringBuilder();
         if (isSeveral(call)) {
             ids(call).forEach(id -> ends.append(id).append(" accepted\r\n"));
         }
-        wire.answer(manner.answer, ends.toString());
+        wire.writeResponse(manner.answer, ends.toString());
     }
 
-    private static boolean isSeveral(Wire.Head call) {
+    private static boolean isSeveral(StandInConnection.HttpMessage call) {
         return call.target().equals("/receive-many");
     }
 
     /** The ids of a call's messages; bodies are without line ends. */
-    private static List<String> ids(Wire.Head call) {
+    private static List<String> ids(StandInConnection.HttpMessage call) {
         if (!isSeveral(call)) {
             return List.of(call.header("Req-Id", "?"));
         }
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -89,7 +89,7 @@
     }
 
     private Peer good() throws IOException {
-        return endpoint(wire -> wire.answer("200 OK", ""));
+        return endpoint(wire -> wire.writeResponse("200 OK", ""));
     }
 
     /**
@@ -127,7 +127,7 @@
                     connections.incrementAndGet();
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         calls.add(r.headers().get("req-id") + r.headers().get("idempotency-key") + r.body());
-                        wire.answer("200 OK", "fine");
+                        wire.writeResponse("200 OK", "fine");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
@@ -183,11 +183,11 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = endpoint(wire -> {
                     if (count.getAndIncrement() > 0) {
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     } else if (first.equals("drop")) {
                         wire.close();
                     } else {
-                        wire.answer(first + " no", "");
+                        wire.writeResponse(first + " no", "");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
@@ -215,10 +215,10 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = endpoint(wire -> {
                     if (count.incrementAndGet() == refusedCall) {
-                        wire.say("HTTP/1.1 " + status + " no\r\nConnection: " + connection
+                        wire.writeText("HTTP/1.1 " + status + " no\r\nConnection: " + connection
                                 + "\r\nContent-Length: 0\r\n\r\n");
                     } else {
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
@@ -281,11 +281,11 @@
                             wire.close();
                         } else if (r.path().equals("/status")) {
                             notices.add(r.body());
-                            wire.answer(told.get() == 2 ? "500 not now" : "204 No Content", "");
+                            wire.writeResponse(told.get() == 2 ? "500 not now" : "204 No Content", "");
                         }
                     }
                 });
-                Peer endpoint = endpoint(wire -> wire.answer("500 no", ""))) {
+                Peer endpoint = endpoint(wire -> wire.writeResponse("500 no", ""))) {
             serve(platform.address(), endpoint.address());
             try (Wire client = Wire.to(address)) {
                 assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
@@ -329,7 +329,7 @@
                 }
                 try (Wire call = new Wire(endpoint.accept())) {
                     assertEquals("stays k-stays 1\r\nx\r\n", call.request().body());
-                    call.answer("200 OK", "stays deferred\r\n"); // still the answer of a call of several
+                    call.writeResponse("200 OK", "stays deferred\r\n"); // still the answer of a call of several
                 }
                 try (Wire again = new Wire(endpoint.accept())) {
                     assertEquals("stays", again.request().headers().get("req-id"));
@@ -341,7 +341,7 @@
     @Test
     void whatGoesToOneEndpointInOneTurnSharesACall() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
-        try (Peer endpoint = endpoint(wire -> wire.answer("200 OK", "b fault\r\na accepted\r\nc deferred\r\n"));
+        try (Peer endpoint = endpoint(wire -> wire.writeResponse("200 OK", "b fault\r\na accepted\r\nc deferred\r\n"));
                 Peer platform = platformThatTellsLater(listed, endpoint.address())) {
             serve(platform.address(), null);
             try (Wire client = Wire.to(address)) {
@@ -388,9 +388,9 @@
             }
             listed.countDown();
             try (var call =
-                    new lilaclever.lab.sockets.Wire(endpoint.accept())) { // which closes in order, without a reset
-                assertEquals("/receive-many", call.read().target());
-                call.say("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
+                    new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) { // which closes in order, without a reset
+                assertEquals("/receive-many", call.readHttp().target());
+                call.writeText("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
             }
             Set<String> ended = new TreeSet<>();
             for (int i = 0; i < 3; i++) {
@@ -420,8 +420,8 @@
             }
             listed.countDown();
             Set<String> ended = new TreeSet<>();
-            try (var call = new lilaclever.lab.sockets.Wire(endpoint.accept())) {
-                var request = call.read();
+            try (var call = new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) {
+                var request = call.readHttp();
                 assertEquals("/receive-many", request.target());
                 assertTrue(Double.parseDouble(request.header("Req-Deadline", "")) < 1.5);
                 ended.add(Peer.next(notices));
@@ -435,9 +435,9 @@
     }
 
     /** Answers a call that may have been given up already. */
-    private static void answerLate(lilaclever.lab.sockets.Wire call, String body) {
+    private static void answerLate(lilaclever.lab.sockets.StandInConnection call, String body) {
         try {
-            call.answer("200 OK", body);
+            call.writeResponse("200 OK", body);
         } catch (IOException closed) {
             // the forwarder does not wait any more
         }
@@ -453,7 +453,7 @@
                         hanging.add("out");
                         wire.hang();
                     } else {
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 })) {
             start(platform.address(), endpoint.address());
@@ -495,11 +495,11 @@
     void atSighupTheNewFilesDiscoveryTakesOverAndNothingIsLost() throws Exception {
         LinkedBlockingQueue<String> moved = new LinkedBlockingQueue<>();
         LinkedBlockingQueue<String> fresh = new LinkedBlockingQueue<>();
-        try (Peer first = endpoint(wire -> wire.answer("500 no", ""));
+        try (Peer first = endpoint(wire -> wire.writeResponse("500 no", ""));
                 Peer second = new Peer(wire -> {
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         fresh.add(r.headers().get("req-id"));
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 });
                 Peer before = new Peer(Wire::hang); // takes the watch and the notice, and answers neither
@@ -580,13 +580,13 @@
                     + "Content-Length: 2~~ok";
             assertTrue(good.contains(part));
             try (Wire client = Wire.to(address)) {
-                client.say(good.replace(part, instead == null ? "" : instead)
+                client.writeText(good.replace(part, instead == null ? "" : instead)
                         .replace("~", "\r\n")
                         .replace("#", "\0"));
                 assertEquals(status, client.request().path());
             }
             try (Wire client = Wire.to(address)) {
-                client.say(good.replace("~", "\r\n"));
+                client.writeText(good.replace("~", "\r\n"));
                 assertEquals("202", client.request().path());
             }
             assertEquals("/receive x k ok", Peer.next(calls));
@@ -604,7 +604,7 @@
                     Wire half = Wire.to(address);
                     Wire client = Wire.to(address);
                     Wire other = Wire.to(address)) {
-                half.say("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
+                half.writeText("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
                 assertTrue(client.handIn("a", "payment", 20, "mine").startsWith("202"));
                 assertTrue(other.handIn("a", "payment", 20, "another's").startsWith("202"));
                 assertEquals("408", half.request().path());
@@ -667,7 +667,7 @@
                     int connection = connections.incrementAndGet();
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         calls.add(connection + r.headers().get("req-id"));
-                        wire.say(
+                        wire.writeText(
                                 r.headers().get("req-id").equals("a")
                                         ? answer.replace("~", "\r\n").replace("#", "\0")
                                         : "HTTP/1.1 500 no\r\nContent-Length: 0\r\n\r\n");
@@ -699,7 +699,7 @@
     }
 
     private static String counters(Wire client) throws IOException {
-        client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         return client.request().body();
     }
 
--- a/src/test/java/lilaclever/program/MailTest.java
+++ b/src/test/java/lilaclever/program/MailTest.java
@@ -78,17 +78,17 @@
     /** A stand-in server of either protocol: offers all, keeps what came whole. */
     private Peer server(Fate recipient, Fate content) throws IOException {
         return new Peer(wire -> {
-            wire.say("220 stand-in\r\n");
-            for (String line = wire.line(); line != null; line = wire.line()) {
+            wire.writeText("220 stand-in\r\n");
+            for (String line = wire.readLine(); line != null; line = wire.readLine()) {
                 String reply = "250 2.0.0 good";
                 if (line.startsWith("EHLO") || line.startsWith("LHLO")) {
                     reply = "250-stand-in\r\n250-PIPELINING\r\n250 SIZE 100000";
                 } else if (line.startsWith("RCPT")) {
                     reply = recipient.of(line);
                 } else if (line.equals("DATA")) {
-                    wire.say("354 go on\r\n");
+                    wire.writeText("354 go on\r\n");
                     StringBuilder text = new StringBuilder();
-                    for (String row = wire.line(); !row.equals("."); row = wire.line()) {
+                    for (String row = wire.readLine(); !row.equals("."); row = wire.readLine()) {
                         text.append(row).append('\n');
                     }
                     reply = content.of(text.toString());
@@ -96,7 +96,7 @@
                 if (reply == null) {
                     return;
                 }
-                wire.say(reply + "\r\n");
+                wire.writeText(reply + "\r\n");
             }
         });
     }
@@ -119,12 +119,12 @@
         for (String each : to) {
             group.append("RCPT TO:<").append(each).append(">\r\n");
         }
-        wire.say(group + "DATA\r\n");
+        wire.writeText(group + "DATA\r\n");
         for (int i = 0; i <= to.length; i++) {
             assertTrue(wire.reply().startsWith("250"));
         }
         assertTrue(wire.reply().startsWith("354"));
-        wire.say(content + "\r\n.\r\n");
+        wire.writeText(content + "\r\n.\r\n");
         return new ArrayList<>(List.of(wire.reply()));
     }
 
@@ -362,7 +362,7 @@
                         .startsWith("250"));
                 assertTrue(Peer.next(mails).endsWith("S: s\n\n..dot\n...\nend\n"), "dots travel stuffed");
                 assertTrue(wire.ask("QUIT").startsWith("221 2.0.0"));
-                assertEquals(null, wire.line());
+                assertEquals(null, wire.readLine());
             }
         }
     }
@@ -382,21 +382,21 @@
             serve(idle, route("a.test", 1, "smtp", slow.address()));
             try (Wire wire = Wire.to(lmtp)) {
                 greet(wire, "LHLO");
-                wire.say(last == null ? "" : "MAIL FROM:<a@b>\r\nRCPT TO:<x@a.test>\r\nDATA\r\n");
+                wire.writeText(last == null ? "" : "MAIL FROM:<a@b>\r\nRCPT TO:<x@a.test>\r\nDATA\r\n");
                 if (".".equals(last)) {
-                    wire.say("\r\nx\r\n.\r\n");
+                    wire.writeText("\r\nx\r\n.\r\n");
                 }
                 String said = "";
                 try {
                     for (int i = 0; i < times; i += pause == 0 ? 100 : 1) {
-                        wire.say((line + "\r\n").repeat(pause == 0 ? 100 : 1));
+                        wire.writeText((line + "\r\n").repeat(pause == 0 ? 100 : 1));
                         Thread.sleep(pause);
                     }
                 } catch (SocketException e) {
                     // closed meanwhile: what it said is read below
                 }
                 try {
-                    for (String reply = wire.line(); reply != null; reply = wire.line()) {
+                    for (String reply = wire.readLine(); reply != null; reply = wire.readLine()) {
                         said = reply;
                     }
                 } catch (SocketException e) {
--- a/src/test/java/lilaclever/program/ManyServersTest.java
+++ b/src/test/java/lilaclever/program/ManyServersTest.java
@@ -59,13 +59,13 @@
             try (Peer platform = new Peer(wire -> {
                 for (Request r = wire.request(); r != null; r = wire.request()) {
                     if (r.path().equals("/status")) {
-                        wire.answer("204 No Content", "");
+                        wire.writeResponse("204 No Content", "");
                     } else if (!r.path().contains("?")) {
-                        wire.answer(
+                        wire.writeResponse(
                                 "200 OK",
                                 "{\"index\":1,\"snapshot\":true,\"endpoints\":[" + entries(0, 600, port) + "]}");
                     } else if (r.path().contains("after=1&")) {
-                        wire.answer(
+                        wire.writeResponse(
                                 "200 OK",
                                 "{\"index\":2,\"snapshot\":false,\"endpoints\":[" + entries(500, SERVERS, port) + ','
                                         + entries(0, 20, port) + "]}");
@@ -106,7 +106,7 @@
         try (wire) {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 got.add(r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         } catch (java.io.IOException e) {
             // the forwarder has ended
@@ -122,7 +122,7 @@
     private static void until(Wire client, String count) throws Exception {
         String last = "";
         for (long end = System.nanoTime() + 20_000_000_000L; !last.contains(count) && System.nanoTime() < end; ) {
-            client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+            client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
             last = client.request().body();
         }
         assertTrue(last.contains(count), last);
