--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -126,7 +126,7 @@
                 Story s = stories.get(number(r.body()));
                 s.calls.incrementAndGet();
                 if (!slots.tryAcquire()) {
-                    wire.answer("503 full", "");
+                    wire.writeResponse("503 full", "");
                     continue;
                 }
                 if (s.kind == 2 && s.mayHaveRun) {
@@ -136,7 +136,7 @@
                 try {
                     Thread.sleep(SERVICE_MS);
                     s.delivered.incrementAndGet();
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                 } finally {
                     slots.release();
                 }
@@ -159,9 +159,9 @@
                             stories.get(n).end("notice " + (l.contains("deferred") ? "refused" : "failed"));
                         }
                     });
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!r.path().contains("?")) {
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                 }
             }
         });
@@ -183,7 +183,7 @@
                 }
                 String body = body(a);
                 kept.get()
-                        .say("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: " + CLASSES[a.kind()]
+                        .writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: " + CLASSES[a.kind()]
                                 + "\r\nReq-Deadline: " + DEADLINES[a.kind()]
                                 + "\r\nX-Practice: north\r\nIdempotency-Key: M" + a.number()
                                 + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + body.length()
@@ -234,7 +234,7 @@
             due.put(a.number(), at);
             try {
                 if (wire != null) {
-                    wire.frame(body(a));
+                    wire.writeFrame(body(a));
                 }
             } catch (IOException e) {
                 wire = null; // the reader connects again, and sends it
@@ -246,7 +246,7 @@
             for (Arrival a : unanswered.values()) {
                 stories.get(a.number()).asks.incrementAndGet();
                 stories.get(a.number()).hl7Asks.incrementAndGet();
-                wire.frame(body(a));
+                wire.writeFrame(body(a));
             }
         }
 
@@ -254,7 +254,7 @@
             while (!ended) {
                 try {
                     connect();
-                    for (String frame = wire.frame(); frame != null; frame = wire.frame()) {
+                    for (String frame = wire.readFrame(); frame != null; frame = wire.readFrame()) {
                         acknowledged(frame.split("\r")[1].split("\\|"));
                     }
                 } catch (IOException e) {
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -74,7 +74,7 @@
                 if (fate.equals("drop")) {
                     return;
                 }
-                wire.answer(fate, "");
+                wire.writeResponse(fate, "");
             }
         });
         serve();
@@ -122,7 +122,7 @@
 
     /** The code and the control id of the next acknowledgement. */
     private static String ack(Wire wire) throws IOException {
-        String frame = wire.frame();
+        String frame = wire.readFrame();
         return frame == null
                 ? null
                 : frame.split("\r")[1].split("\\|", 4)[1]
@@ -131,13 +131,13 @@
     }
 
     private static String asks(Wire wire, String message) throws IOException {
-        wire.frame(message);
+        wire.writeFrame(message);
         return ack(wire);
     }
 
     private static String post(Wire wire, String id, String kind, String practice, String key, String body)
             throws IOException {
-        wire.say(
+        wire.writeText(
                 "POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: 9"
                         + "\r\nX-Practice: " + practice + "\r\nIdempotency-Key: " + key
                         + "\r\nX-Envelope: dest=7\r\nContent-Length: "
@@ -151,7 +151,7 @@
 
     private long counter(String name) throws IOException {
         try (Wire wire = Wire.to(http)) {
-            wire.say("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
+            wire.writeText("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
             return wire.request()
                     .body()
                     .lines()
@@ -208,9 +208,9 @@
     void anEndInOriginalModeIsForItsConnectionAlone() throws Exception {
         try (Wire other = Wire.to(mllp)) {
             Wire gone = Wire.to(mllp);
-            gone.frame(order("APP", "A1", ""));
+            gone.writeFrame(order("APP", "A1", ""));
             call();
-            other.frame(order("APP", "B1", ""));
+            other.writeFrame(order("APP", "B1", ""));
             call();
             gone.close();
             until("entries_mllp_connections", 1);
@@ -226,7 +226,7 @@
     @Test
     void originalModeHasOneAcknowledgement() throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("APP", "M1", ""));
+            client.writeFrame(order("APP", "M1", ""));
             call();
             fates.add("200 OK");
             assertEquals("AA M1", ack(client));
@@ -239,11 +239,11 @@
     @Test
     void aRefusalSaysThatItMayComeAgain() throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M1").replace("LAB", "NOBODY"));
-            String frame = client.frame();
+            client.writeFrame(order("M1").replace("LAB", "NOBODY"));
+            String frame = client.readFrame();
             assertTrue(frame.contains("MSA|CE|M1|") && frame.contains("|come-again|1|"), frame);
-            client.frame(order("APP", "M1", "").replace("LAB", "NOBODY"));
-            assertTrue(client.frame().contains("MSA|AR|M1|"));
+            client.writeFrame(order("APP", "M1", "").replace("LAB", "NOBODY"));
+            assertTrue(client.readFrame().contains("MSA|AR|M1|"));
         }
     }
 
@@ -251,14 +251,14 @@
     void eachMessageOfABatchHasItsOwnEnd() throws Exception {
         fates.addAll(List.of("200 OK", "200 OK"));
         try (Wire client = Wire.to(mllp)) {
-            client.frame("BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
+            client.writeFrame("BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
             assertEquals(
                     List.of("AA M1", "AA M2"),
                     java.util.stream.Stream.of(ack(client), ack(client))
                             .sorted()
                             .toList());
-            client.frame("BHS|^~\\&|APP\r" + order("M3") + "BTS|2\r");
-            assertTrue(client.frame().contains("102^Data type error^HL70357"));
+            client.writeFrame("BHS|^~\\&|APP\r" + order("M3") + "BTS|2\r");
+            assertTrue(client.readFrame().contains("102^Data type error^HL70357"));
         }
         assertEquals(0, counter("entries_held"));
     }
@@ -268,7 +268,7 @@
     @Test
     void whoComesBackBeforeTheEndJoinsTheMessage() throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M1"));
+            client.writeFrame(order("M1"));
         } // gone before or after its accept acknowledgement
         call();
         try (Wire again = Wire.to(mllp)) {
@@ -292,12 +292,12 @@
         until("entries_mllp_owed", 1);
         fates.add("200 OK");
         try (Wire other = Wire.to(mllp)) { // not its own
-            other.frame(order("SUD", "S1", "NE|AL"));
+            other.writeFrame(order("SUD", "S1", "NE|AL"));
             assertEquals("AA S1", ack(other));
         }
         fates.add("200 OK");
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M2"));
+            client.writeFrame(order("M2"));
             assertEquals("AA M1", ack(client));
             assertEquals("CA M2", ack(client));
             assertEquals("AA M2", ack(client));
@@ -341,7 +341,7 @@
         until("entries_mllp_owed", 2);
         fates.add("200 OK");
         try (Wire client = Wire.to(mllp)) {
-            client.frame(order("M3"));
+            client.writeFrame(order("M3"));
             assertEquals(
                     List.of("AA M1", "AA M2"),
                     java.util.stream.Stream.of(ack(client), ack(client))
@@ -432,7 +432,7 @@
             serve();
             client = Wire.to(mllp);
             fates.add("drop");
-            client.frame(payment("M1"));
+            client.writeFrame(payment("M1"));
             assertEquals("CA M1", ack(client));
         } else {
             fates.add("drop");
@@ -469,7 +469,7 @@
             at = addresses(process);
             assertTrue(Peer.next(notices).contains("\"id\":\"h1\",\"status\":\"undeliverable\""));
             try (Wire client = Wire.to(at.get(1))) {
-                client.frame(payment("M1")); // asks again, and hears the end
+                client.writeFrame(payment("M1")); // asks again, and hears the end
                 assertEquals("CA M1", ack(client));
                 assertEquals("AE M1", ack(client));
             }
@@ -501,8 +501,8 @@
         try (Wire client = Wire.to(mllp);
                 Wire web = Wire.to(http)) {
             assertEquals("CA M1", asks(client, order("M1")));
-            client.frame(order("M1") + "NTE|other\r");
-            assertTrue(client.frame().contains("ERR||MSH^1^10|205^Duplicate key identifier^HL70357|E"));
+            client.writeFrame(order("M1") + "NTE|other\r");
+            assertTrue(client.readFrame().contains("ERR||MSH^1^10|205^Duplicate key identifier^HL70357|E"));
             assertEquals("409", post(web, "h1", "order", "north", "M1", "other"));
             fates.add("200 OK");
             assertEquals("AA M1", ack(client));
@@ -560,8 +560,8 @@
     @ValueSource(strings = {"GET / HTTP/1.1\r\n\r\n", "\u000bMSH|half", "\u000bMSH|\u000b"})
     void whatIsNoFrameEndsTheConnection(String noise) throws Exception {
         try (Wire client = Wire.to(mllp)) {
-            client.say(noise);
-            assertNull(client.line());
+            client.writeText(noise);
+            assertNull(client.readLine());
         } catch (java.net.SocketException e) {
             // closed with bytes unread
         }
@@ -575,7 +575,7 @@
         socket.bind(new java.net.InetSocketAddress("127.0.0.2", 0));
         socket.connect(mllp, 5000);
         try (Wire stranger = new Wire(socket)) {
-            assertNull(stranger.line());
+            assertNull(stranger.readLine());
         }
         until("mllp_turned_away", 1);
         assertEquals(0, counter("entries_mllp_connections"));
@@ -586,10 +586,10 @@
     void nonsenseIsAnsweredAndThenEnded() throws Exception {
         try (Wire client = Wire.to(mllp)) {
             for (int i = 0; i < 9; i++) {
-                client.frame("PID|" + i + "\r");
-                assertTrue(client.frame().contains("MSA|AE"));
+                client.writeFrame("PID|" + i + "\r");
+                assertTrue(client.readFrame().contains("MSA|AE"));
             }
-            assertNull(client.frame());
+            assertNull(client.readFrame());
         }
     }
 
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -55,7 +55,7 @@
         return new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 calls.add(r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         });
     }
@@ -115,10 +115,10 @@
             List<Wire> silent = new ArrayList<>();
             for (int i = 0; i < 3 * OperatorPort.MOST; i++) {
                 silent.add(Wire.to(operators()));
-                silent.get(i).say("STAT");
+                silent.get(i).writeText("STAT");
             }
             assertEquals("200 ready", ask("STATUS"));
-            assertEquals(null, silent.get(0).line(), "the oldest has gone");
+            assertEquals(null, silent.get(0).readLine(), "the oldest has gone");
             silent.forEach(Wire::close);
         }
     }
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -74,9 +74,9 @@
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 if (r.path.equals("/status")) {
                     r.body.lines().forEach(notices::add);
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!r.path.contains("?")) {
-                    wire.answer("200 OK", lists.next());
+                    wire.writeResponse("200 OK", lists.next());
                 } // a watch: nothing ever changes, and it is silent
             }
         });
@@ -93,12 +93,12 @@
     record Request(String path, Map<String, String> headers, String body) {}
 
     /** One connection, either side of it: the stand-ins' own, with what scripts say and ask. */
-    static final class Wire extends lilaclever.lab.sockets.Wire {
+    static final class Wire extends lilaclever.lab.sockets.StandInConnection {
         private static final int PATIENCE = 30_000;
 
         Wire(Socket socket) throws IOException {
             super(socket);
-            patience(PATIENCE);
+            setReadTimeout(PATIENCE);
         }
 
         static Wire to(java.net.SocketAddress address) throws IOException {
@@ -109,21 +109,21 @@
 
         /** Says a line and gives the last line of the reply. */
         String ask(String line) throws IOException {
-            say(line + "\r\n");
+            writeText(line + "\r\n");
             return reply();
         }
 
         String reply() throws IOException {
-            String reply = line();
+            String reply = readLine();
             while (reply != null && reply.length() > 3 && reply.charAt(3) == '-') {
-                reply = line();
+                reply = readLine();
             }
             return reply;
         }
 
         /** The next request, or an answer with its status as the path; null at the end. */
         Request request() throws IOException {
-            Head head = read();
+            HttpMessage head = readHttp();
             return head == null
                     ? null
                     : new Request(head.target(), head.headers(), new String(head.body(), StandardCharsets.ISO_8859_1));
@@ -135,7 +135,7 @@
         }
 
         String handIn(String id, String kind, int destination, double deadline, String body) throws IOException {
-            say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: "
+            writeText("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: "
                     + deadline + "\r\nIdempotency-Key: k-" + id + "\r\nX-Envelope: dest=" + destination
                     + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             Request answer = request();
@@ -148,7 +148,7 @@
         }
 
         void hang() throws IOException {
-            while (line() != null) {
+            while (readLine() != null) {
                 continue; // takes everything, says nothing
             }
         }
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -66,7 +66,7 @@
     private static Client web(String practice) {
         return (wire, id) -> {
             String body = body(id, "");
-            wire.say("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
+            wire.writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
                     + practice + "Idempotency-Key: " + id + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
             Request answer = wire.request();
@@ -79,10 +79,10 @@
 
     private static Client frames(String wanted) {
         return (wire, id) -> {
-            wire.frame(body(id, wanted));
-            String ack = wire.frame();
+            wire.writeFrame(body(id, wanted));
+            String ack = wire.readFrame();
             while (ack != null && ack.contains("MSA|A")) { // an end of an earlier one
-                ack = wire.frame();
+                ack = wire.readFrame();
             }
             if (ack == null) {
                 throw new IOException("closed");
@@ -166,7 +166,7 @@
         for (int i = 0; i < 3; i++) { // a selector lets go of what is closed when it has waked some times
             Thread.sleep(2_000);
             try (Wire wire = Wire.to(http)) {
-                wire.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+                wire.writeText("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
                 wire.request();
             }
         }
@@ -191,7 +191,7 @@
             Peer peer = new Peer(wire -> {
                 for (Request r = wire.request(); r != null; r = wire.request()) {
                     calls.incrementAndGet();
-                    wire.answer("200 OK", "");
+                    wire.writeResponse("200 OK", "");
                 }
             });
             list.append(e == 0 ? "" : ",")
@@ -215,7 +215,7 @@
         Thread.sleep(load ? 20_000 : 1_000); // what the load has left is gone
         idle("HL7 over MLLP", hl7, (wire, id) -> true);
         idle("HTTP", http, (wire, id) -> {
-            wire.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
+            wire.writeText("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
             return wire.request() != null;
         });
         process.destroyForcibly().waitFor();
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -16,10 +16,10 @@
 import lilaclever.lab.report.Report;
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.ScenarioReader;
-import lilaclever.lab.sockets.RealSockets;
-import lilaclever.lab.virtual.VirtualTime;
+import lilaclever.lab.sockets.SocketRehearsal;
+import lilaclever.lab.virtual.VirtualRehearsal;
 import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.Result;
+import lilaclever.lab.world.RehearsalResult;
 import lilaclever.lab.world.TimingQuality;
 import org.HdrHistogram.Histogram;
 import org.junit.jupiter.api.Test;
@@ -52,8 +52,8 @@
         return ScenarioReader.parse("short", lines);
     }
 
-    private Result run(Scenario s, List<String> command) throws IOException, InterruptedException {
-        return RealSockets.run(s, 1, folder, command, now -> {}, () -> false);
+    private RehearsalResult run(Scenario s, List<String> command) throws IOException, InterruptedException {
+        return SocketRehearsal.run(s, 1, folder, command, now -> {}, () -> false);
     }
 
     /**
@@ -77,11 +77,11 @@
                 "at 1s",
                 "for 2s",
                 "part 30%");
-        Result r = run(s, ChildProcessCommand.command("serve"));
-        Result v = VirtualTime.run(s, 1, Fault.NONE);
+        RehearsalResult r = run(s, ChildProcessCommand.command("serve"));
+        RehearsalResult v = VirtualRehearsal.run(s, 1, Fault.NONE);
         assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
         assertEquals(v.auditor().counts().get("messages"), r.auditor().counts().get("messages"));
-        assertEquals(v.events(), r.events());
+        assertEquals(v.eventPeriods(), r.eventPeriods());
         assertEquals(1, r.auditor().counts().get("restarts"));
         assertTrue(
                 r.auditor().counts().get("application_accepts") > 20,
@@ -90,8 +90,8 @@
                 r.auditor().counts().get("fate_delivered")
                         > 0.8 * r.auditor().counts().get("messages"),
                 () -> Report.summary(r));
-        assertNotNull(r.trust());
-        assertFalse(r.partial());
+        assertNotNull(r.timingQuality());
+        assertFalse(r.isPartial());
     }
 
     /** A daemon that dies by itself is named, and the day goes on with the next life. */
@@ -99,7 +99,7 @@
     void aDaemonThatDiesIsNamed() throws Exception {
         List<String> dies = new ArrayList<>(List.of("timeout", "-s", "KILL", "4"));
         dies.addAll(ChildProcessCommand.command("serve"));
-        Result r = run(scenario("[traffic]", "length 4s", "load 50%"), dies);
+        RehearsalResult r = run(scenario("[traffic]", "length 4s", "load 50%"), dies);
         assertTrue(
                 r.auditor().counts().get("deaths") >= 2,
                 () -> r.auditor().counts().toString());
@@ -151,14 +151,14 @@
     @Test
     void aRunCutShortIsPartial() throws Exception {
         long[] now = {0};
-        Result r = RealSockets.run(
+        RehearsalResult r = SocketRehearsal.run(
                 scenario("[traffic]", "length 60s", "load 50%"),
                 1,
                 folder,
                 ChildProcessCommand.command("serve"),
                 t -> now[0] = t,
                 () -> now[0] >= 2_000_000);
-        assertTrue(r.partial());
+        assertTrue(r.isPartial());
         assertTrue(Report.summary(r).contains("CUT SHORT after"), Report.summary(r));
         assertTrue(Report.json(r).get("partial").getAsBoolean());
     }
@@ -215,29 +215,29 @@
     void aRunWhoseStandInsWereLateIsNotTrusted() {
         Histogram late = new Histogram(3_600_000_000L, 3);
         late.recordValueWithCount(100, 990);
-        assertTrue(TimingQuality.of(late, 0).good());
+        assertTrue(TimingQuality.of(late, 0).isAcceptable());
         late.recordValueWithCount(20_000, 10);
-        assertFalse(TimingQuality.of(late, 0).good());
+        assertFalse(TimingQuality.of(late, 0).isAcceptable());
         assertTrue(
                 TimingQuality.of(late, 0)
-                        .text()
+                        .summary()
                         .startsWith(
                                 "NOT TO BE TRUSTED, the stand-ins did not keep up: of 1000 tasks 1.00% were over 10 "
                                         + "ms late"),
-                TimingQuality.of(late, 0).text());
+                TimingQuality.of(late, 0).summary());
         Histogram once = new Histogram(3_600_000_000L, 3);
         once.recordValueWithCount(100, 100_000);
         once.recordValue(800_000);
-        assertFalse(TimingQuality.of(once, 0).good());
-        assertFalse(TimingQuality.of(new Histogram(3_600_000_000L, 3), 1).good());
+        assertFalse(TimingQuality.of(once, 0).isAcceptable());
+        assertFalse(TimingQuality.of(new Histogram(3_600_000_000L, 3), 1).isAcceptable());
     }
 
     @Test
     void whatIsTooLargeForOneMachineIsSaidSo() throws ConfigurationException {
-        assertTrue(RealSockets.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
+        assertTrue(SocketRehearsal.sizeProblem(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
                 .startsWith("forwarders: 2000"));
-        assertTrue(RealSockets.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
+        assertTrue(SocketRehearsal.sizeProblem(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
                 .startsWith("destinations: about"));
-        assertEquals(null, RealSockets.tooLarge(ScenarioReader.read("monday")));
+        assertEquals(null, SocketRehearsal.sizeProblem(ScenarioReader.read("monday")));
     }
 }
--- a/src/test/java/lilaclever/program/RenewTest.java
+++ b/src/test/java/lilaclever/program/RenewTest.java
@@ -48,7 +48,7 @@
         endpoint = new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 asked.add(r.headers().get("req-id"));
-                wire.answer(status.get() + " as told", "");
+                wire.writeResponse(status.get() + " as told", "");
             }
         });
         variables = Map.of("ROUTER_CONFIG", state.resolve("config.json").toString());
--- a/src/test/java/lilaclever/program/RetryAfterTest.java
+++ b/src/test/java/lilaclever/program/RetryAfterTest.java
@@ -47,7 +47,7 @@
     }
 
     private static String counters(Wire client) throws IOException {
-        client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         return client.request().body();
     }
 
@@ -111,7 +111,7 @@
                     assertTrue(client.handIn("second", "payment", 20, "y").startsWith("202"));
                     until(client, "\ncalls 2\n");
                     long told = System.nanoTime();
-                    first.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
+                    first.writeText("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
                     endpoint.empty();
                     try (Wire late = endpoint.accept()) {
                         if (late.request() == null) { // closed without a byte
@@ -154,7 +154,7 @@
                 Peer endpoint = new Peer(wire -> {
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         asked.add(r.headers().get("req-id"));
-                        wire.say(answer.replace("~", "\r\n"));
+                        wire.writeText(answer.replace("~", "\r\n"));
                         if (answer.endsWith("half") || answer.endsWith("what")) {
                             return; // the rest never comes
                         }
@@ -180,7 +180,7 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = new Peer(wire -> {
                     while (wire.request() != null) {
-                        wire.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: " + "9".repeat(400)
+                        wire.writeText("HTTP/1.1 429 no\r\nX-Retry-In-Ms: " + "9".repeat(400)
                                 + "\r\nContent-Length: 0\r\n\r\n");
                     }
                 })) {
@@ -231,7 +231,7 @@
                             assertEquals("other", other.request().headers().get("req-id"));
                             until(client, "\nentries_partly_written_calls 1\n");
                             long told = System.nanoTime();
-                            other.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n");
+                            other.writeText("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n");
                             until(client, "\nending_withheld 100\n");
                             assertThrows(IOException.class, slow::request, "it ends before its last byte");
                             try (Wire next = new Wire(endpoint.accept())) {
--- a/src/test/java/lilaclever/program/StrainRun.java
+++ b/src/test/java/lilaclever/program/StrainRun.java
@@ -106,7 +106,7 @@
                 }
                 if (s == null || !r.path().equals("/receive")) {
                     findings.add("BROKEN unknown message at an endpoint", 1);
-                    wire.answer("400 what", "");
+                    wire.writeResponse("400 what", "");
                     continue;
                 }
                 long now = System.nanoTime();
@@ -144,9 +144,9 @@
         try {
             Thread.sleep(draw < 950 ? 5 + draw % 20 : 300);
             if (draw < FULL) {
-                wire.answer("503 full", "");
+                wire.writeResponse("503 full", "");
             } else if (draw < FAULT) {
-                wire.answer("500 fault", "");
+                wire.writeResponse("500 fault", "");
             } else if (draw < DROP) {
                 wire.close();
             } else {
@@ -155,7 +155,7 @@
                     s.deliveredAt = s.deliveredAt == 0 ? now : s.deliveredAt;
                 }
                 s.add(now, "200");
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         } finally {
             synchronized (s) {
@@ -170,9 +170,9 @@
                 if (r.path().equals("/status")) {
                     long now = System.nanoTime();
                     r.body().lines().forEach(l -> notice(l, now));
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                 } else if (!r.path().contains("?")) {
-                    wire.answer("200 OK", list);
+                    wire.writeResponse("200 OK", list);
                 }
             }
         });
--- a/src/test/java/lilaclever/program/WithheldCallsTest.java
+++ b/src/test/java/lilaclever/program/WithheldCallsTest.java
@@ -61,16 +61,16 @@
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 if (r.path().equals("/status")) {
                     r.body().lines().forEach(notices::add);
-                    wire.answer("204 No Content", "");
+                    wire.writeResponse("204 No Content", "");
                     continue;
                 }
                 if (!r.path().contains("?")) {
-                    wire.answer("200 OK", Setup.known());
+                    wire.writeResponse("200 OK", Setup.known());
                     continue;
                 }
                 String entries = changes.poll(1_500, TimeUnit.MILLISECONDS);
                 index += entries == null ? 0 : 1;
-                wire.answer("200 OK", list(index, entries == null ? "" : entries));
+                wire.writeResponse("200 OK", list(index, entries == null ? "" : entries));
             }
         });
     }
@@ -88,13 +88,13 @@
         return new Peer(wire -> {
             for (Request r = wire.request(); r != null; r = wire.request()) {
                 calls.add(r.headers().get("req-id"));
-                wire.answer("200 OK", "");
+                wire.writeResponse("200 OK", "");
             }
         });
     }
 
     private static String counters(Wire client) throws IOException {
-        client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
+        client.writeText("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
         return client.request().body();
     }
 
@@ -210,7 +210,7 @@
                 Peer second = new Peer(wire -> {
                     for (Request r = wire.request(); r != null; r = wire.request()) {
                         callsOfOther.add(r.headers().get("req-id"));
-                        wire.answer("200 OK", "");
+                        wire.writeResponse("200 OK", "");
                     }
                 })) {
             serve(discovery.address(), first.address());
--- a/src/test/java/lilaclever/protocol/http/DirectoryTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryTest.java
@@ -24,7 +24,7 @@
 import lilaclever.journal.FolderDisk;
 import lilaclever.journal.JournalClocks;
 import lilaclever.journal.SegmentedJournal;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Clock;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
@@ -211,10 +211,10 @@
     private static void answerWithErrors(ServerSocket server, BlockingQueue<String> requests) {
         try {
             while (true) {
-                try (Wire wire = new Wire(server.accept())) {
-                    for (Wire.Head head = wire.read(); head != null; head = wire.read()) {
+                try (StandInConnection wire = new StandInConnection(server.accept())) {
+                    for (StandInConnection.HttpMessage head = wire.readHttp(); head != null; head = wire.readHttp()) {
                         requests.add(head.target());
-                        wire.answer("503 Service Unavailable", "");
+                        wire.writeResponse("503 Service Unavailable", "");
                     }
                 }
             }
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import lilaclever.DecisionModule;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Call;
 import lilaclever.routing.Core;
 import org.junit.jupiter.api.Test;
@@ -62,14 +62,14 @@
     @Test
     void anAnswerThatCrossesTheGivingUpCountsForNothing() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
-        try (Wire endpoint = accept()) {
-            endpoint.read();
+        try (StandInConnection endpoint = accept()) {
+            endpoint.readHttp();
             CountDownLatch free = hold();
-            endpoint.answer("200 OK", "all accepted");
+            endpoint.writeResponse("200 OK", "all accepted");
             onLoop(() -> exchange.giveUp(() -> told.add("given up")));
             free.countDown();
             assertEquals("given up", told.poll(20, TimeUnit.SECONDS));
-            assertNull(endpoint.read(), "closed");
+            assertNull(endpoint.readHttp(), "closed");
             onLoop(() -> {});
             assertNull(told.poll());
         }
@@ -82,13 +82,13 @@
     @Test
     void nothingIsToldAfterAClose() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
-        try (Wire endpoint = accept()) {
-            endpoint.read();
+        try (StandInConnection endpoint = accept()) {
+            endpoint.readHttp();
             CountDownLatch free = hold();
             onLoop(() -> exchange.giveUp(() -> told.add("given up")));
             onLoop(exchange::close);
             free.countDown();
-            assertNull(endpoint.read(), "closed");
+            assertNull(endpoint.readHttp(), "closed");
             CountDownLatch after = hold(); // what was to be posted has been
             after.countDown();
             onLoop(() -> {});
@@ -102,8 +102,8 @@
     @Test
     void aRequestWhoseConnectionComesUpAtItsTimeOutHasEitherGoneOrNot() throws Exception {
         HttpClient.Exchange exchange = send(client(), false);
-        try (Wire endpoint = accept()) {
-            endpoint.read(); // it has gone
+        try (StandInConnection endpoint = accept()) {
+            endpoint.readHttp(); // it has gone
             onLoop(() -> exchange.giveUp(() -> told.add("written " + exchange.isWritten())));
             assertEquals("written true", told.poll(20, TimeUnit.SECONDS));
         }
@@ -113,8 +113,8 @@
         free.countDown();
         assertEquals("written false", told.poll(20, TimeUnit.SECONDS));
         server.accept().close(); // the one that held the thread
-        try (Wire endpoint = accept()) {
-            assertNull(endpoint.read(), "not a byte");
+        try (StandInConnection endpoint = accept()) {
+            assertNull(endpoint.readHttp(), "not a byte");
         }
     }
 
@@ -122,10 +122,10 @@
     @Test
     void whatIsTooLateIsNotWritten() throws Exception {
         send(client(), true);
-        try (Wire endpoint = accept()) {
+        try (StandInConnection endpoint = accept()) {
             assertEquals("withheld", told.poll(20, TimeUnit.SECONDS));
-            endpoint.patience(50);
-            assertThrows(SocketTimeoutException.class, endpoint::read, "not a byte");
+            endpoint.setReadTimeout(50);
+            assertThrows(SocketTimeoutException.class, endpoint::readHttp, "not a byte");
         }
     }
 
@@ -164,9 +164,9 @@
                                 read.countDown();
                             }
                         }));
-        try (Wire endpoint = accept()) {
-            endpoint.read();
-            endpoint.say("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
+        try (StandInConnection endpoint = accept()) {
+            endpoint.readHttp();
+            endpoint.writeText("HTTP/1.1 200 OK\r\n" + rest.replace("~", "\r\n").replace("#", "x".repeat(70_000)));
             assertTrue(read.await(20, TimeUnit.SECONDS), "a reset must not overtake it");
             if (reset) {
                 endpoint.reset();
@@ -184,18 +184,18 @@
         onLoop(deliverer::start);
         onLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one, other));
         onLoop(() -> deliverer.probe(one));
-        try (Wire first = accept()) {
-            first.read();
-            first.answer("503 no", "", "X-Retry-In-Ms: 60000");
+        try (StandInConnection first = accept()) {
+            first.readHttp();
+            first.writeResponse("503 no", "", "X-Retry-In-Ms: 60000");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 onLoop(() -> {}); // its answer is on its way
             }
             onLoop(() -> deliverer.probe(one));
             onLoop(() -> deliverer.probe(other));
-            try (Wire second = accept()) {
-                second.read();
-                first.patience(50);
-                assertThrows(SocketTimeoutException.class, first::read, "nothing more came there");
+            try (StandInConnection second = accept()) {
+                second.readHttp();
+                first.setReadTimeout(50);
+                assertThrows(SocketTimeoutException.class, first::readHttp, "nothing more came there");
             }
         }
     }
@@ -208,9 +208,9 @@
         onLoop(deliverer::start);
         onLoop(() -> list(1, DecisionModule.Presence.ACTIVE, one));
         onLoop(() -> deliverer.probe(one));
-        try (Wire first = accept()) {
-            first.read();
-            first.answer("200 OK", "");
+        try (StandInConnection first = accept()) {
+            first.readHttp();
+            first.writeResponse("200 OK", "");
             while (!core.counters().toText().contains("\nentries_idle_calls 1\n")) {
                 onLoop(() -> {}); // its answer is on its way
             }
@@ -218,7 +218,7 @@
             onLoop(() -> deliverer.probe(one));
             onLoop(() -> list(2, DecisionModule.Presence.LEAVING, one));
             free.countDown();
-            assertNull(first.read(), "closed without a byte");
+            assertNull(first.readHttp(), "closed without a byte");
         }
     }
 
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import lilaclever.benchlink.SettingsReader;
 import lilaclever.identity.IdempotencyWindows;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
 import lilaclever.routing.Journal;
@@ -43,11 +43,11 @@
         try {
             InetSocketAddress address =
                     (InetSocketAddress) front.listen(transport, new InetSocketAddress("127.0.0.1", 0));
-            try (Wire client = new Wire(new Socket(address.getAddress(), address.getPort()))) {
-                client.patience(10_000);
-                client.say("POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: status\r\nReq-Deadline: 5\r\n"
+            try (StandInConnection client = new StandInConnection(new Socket(address.getAddress(), address.getPort()))) {
+                client.setReadTimeout(10_000);
+                client.writeText("POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: status\r\nReq-Deadline: 5\r\n"
                         + "X-Practice: p\r\nIdempotency-Key: k\r\nX-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n");
-                Wire.Head head = client.read();
+                StandInConnection.HttpMessage head = client.readHttp();
                 assertEquals("500", head == null ? "closed" : head.target());
             }
         } finally {
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.CompletionHandler;
 import org.glassfish.grizzly.Connection;
@@ -38,9 +38,9 @@
         return (InetSocketAddress) listener.getLocalAddress();
     }
 
-    private static Wire to(InetSocketAddress address) throws IOException {
-        Wire wire = new Wire(new Socket(address.getAddress(), address.getPort()));
-        wire.patience(20_000);
+    private static StandInConnection to(InetSocketAddress address) throws IOException {
+        StandInConnection wire = new StandInConnection(new Socket(address.getAddress(), address.getPort()));
+        wire.setReadTimeout(20_000);
         return wire;
     }
 
@@ -103,14 +103,14 @@
     @Test
     void aLargeRequestMayComeBeforeItsAnswersWriteIsOver() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(new Late()))) {
-            client.say(asks("/1", 0));
+        try (StandInConnection client = to(listen(new Late()))) {
+            client.writeText(asks("/1", 0));
             IntakeFilter.Request first = next();
             core.post(() -> answer(first, ""));
-            assertEquals("200", client.read().target());
-            client.say(asks("/2", 60_000));
+            assertEquals("200", client.readHttp().target());
+            client.writeText(asks("/2", 60_000));
             answer(next(), "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
         }
     }
 
@@ -121,20 +121,20 @@
     void anUnreadRequestIsAnsweredBeforeItsConnectionCloses() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(intake);
-        try (Wire client = to(address)) {
-            client.say(asks("/1", 0));
+        try (StandInConnection client = to(address)) {
+            client.writeText(asks("/1", 0));
             answer(next(), "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             CountDownLatch free = hold();
-            client.say(asks("/2", 0));
+            client.writeText(asks("/2", 0));
             onLoop(intake::close);
             free.countDown();
             IntakeFilter.Request second = next();
             assertEquals("/2", second.path());
             answer(second, "");
-            Wire.Head last = client.read();
+            StandInConnection.HttpMessage last = client.readHttp();
             assertEquals("close", last.headers().get("Connection"));
-            assertNull(client.read());
+            assertNull(client.readHttp());
         }
     }
 
@@ -143,20 +143,20 @@
     void aNewcomerWithoutRoomIsToldSo() throws Exception {
         intake = new IntakeFilter(core, 8, 8, requests::add); // one place of them is for those who leave
         InetSocketAddress address = listen(intake);
-        Wire[] waiting = new Wire[7];
+        StandInConnection[] waiting = new StandInConnection[7];
         for (int i = 0; i < 7; i++) {
             waiting[i] = to(address);
-            waiting[i].say(asks("/" + i, 0));
+            waiting[i].writeText(asks("/" + i, 0));
             assertTrue(next() != null);
         }
-        try (Wire newcomer = to(address)) {
-            newcomer.say(asks("/8", 0));
-            Wire.Head answer = newcomer.read();
+        try (StandInConnection newcomer = to(address)) {
+            newcomer.writeText(asks("/8", 0));
+            StandInConnection.HttpMessage answer = newcomer.readHttp();
             assertEquals("503", answer.target());
             assertEquals("1", answer.headers().get("Retry-After"));
-            assertNull(newcomer.read());
+            assertNull(newcomer.readHttp());
         }
-        for (Wire each : waiting) {
+        for (StandInConnection each : waiting) {
             each.close();
         }
     }
@@ -175,11 +175,11 @@
     }
 
     // ---- requests that were read ---------------------------------------------------------------------------
-    private Wire answeredOnce(InetSocketAddress address, int number) throws Exception {
-        Wire wire = to(address);
-        wire.say(asks("/first" + number, 0));
+    private StandInConnection answeredOnce(InetSocketAddress address, int number) throws Exception {
+        StandInConnection wire = to(address);
+        wire.writeText(asks("/first" + number, 0));
         answer(next(), "");
-        assertEquals("200", wire.read().target());
+        assertEquals("200", wire.readHttp().target());
         return wire;
     }
 
@@ -193,27 +193,27 @@
         for (int round = 0; round < 5; round++) {
             intake = new IntakeFilter(core, 8, 8, requests::add); // seven stay, and one place is for those who leave
             InetSocketAddress address = listen(intake);
-            Wire[] clients = new Wire[7];
+            StandInConnection[] clients = new StandInConnection[7];
             for (int i = 0; i < clients.length; i++) {
                 clients[i] = answeredOnce(address, i);
             }
             CountDownLatch free = hold();
             for (int i = 0; i < clients.length; i++) {
-                clients[i].say(asks("/" + i, 0));
+                clients[i].writeText(asks("/" + i, 0));
             }
-            Wire[] newcomers = {to(address), to(address), to(address)};
+            StandInConnection[] newcomers = {to(address), to(address), to(address)};
             free.countDown();
             for (IntakeFilter.Request r = requests.poll(2, TimeUnit.SECONDS);
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
                 answer(r, "");
-                Wire.Head head = clients[Integer.parseInt(r.path().substring(1))].read();
+                StandInConnection.HttpMessage head = clients[Integer.parseInt(r.path().substring(1))].readHttp();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
-            for (Wire each : clients) {
+            for (StandInConnection each : clients) {
                 each.close();
             }
-            for (Wire each : newcomers) {
+            for (StandInConnection each : newcomers) {
                 each.close();
             }
         }
@@ -224,21 +224,21 @@
     @ValueSource(strings = {"shutdown", "many connections"})
     void pipelinedRequestsAreAnsweredBeforeTheConnectionCloses(String cause) throws Exception {
         intake = new IntakeFilter(core, 10, cause.equals("shutdown") ? 10 : 0, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0) + asks("/2", 0) + asks("/3", 0));
+        try (StandInConnection client = to(listen(intake))) {
+            client.writeText(asks("/1", 0) + asks("/2", 0) + asks("/3", 0));
             IntakeFilter.Request first = next();
             if (cause.equals("shutdown")) {
                 onLoop(intake::close);
             }
             answer(first, "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             for (String path : List.of("/2", "/3")) {
                 IntakeFilter.Request request = next();
                 assertEquals(path, request == null ? "none" : request.path());
                 answer(request, "");
-                assertEquals("200", client.read().target());
+                assertEquals("200", client.readHttp().target());
             }
-            assertNull(client.read());
+            assertNull(client.readHttp());
         }
     }
 
@@ -246,19 +246,19 @@
     @Test
     void whatIsSentAheadBeyondTheRoomIsRefusedInWords() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
+        try (StandInConnection client = to(listen(intake))) {
+            client.writeText(asks("/1", 0));
             IntakeFilter.Request first = next();
-            client.say(asks("/2", 0) + asks("/3", 40_000));
+            client.writeText(asks("/2", 0) + asks("/3", 40_000));
             selections(4); // each reads up to 16 KiB
             answer(first, "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
             IntakeFilter.Request second = next();
             assertEquals("/2", second == null ? "none" : second.path());
             answer(second, "");
-            assertEquals("200", client.read().target());
-            assertEquals("503", client.read().target());
-            assertNull(client.read());
+            assertEquals("200", client.readHttp().target());
+            assertEquals("503", client.readHttp().target());
+            assertNull(client.readHttp());
         }
     }
 
@@ -266,12 +266,12 @@
     @Test
     void muchThatFollowsARequestDoesNotCutItsAnswer() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
+        try (StandInConnection client = to(listen(intake))) {
+            client.writeText(asks("/1", 0));
             IntakeFilter.Request first = next();
             client.write("", new byte[12 << 20]);
             answer(first, "");
-            assertEquals("200", client.read().target());
+            assertEquals("200", client.readHttp().target());
         }
     }
 
@@ -281,9 +281,9 @@
         intake = new IntakeFilter(core, 10, 10, request -> {
             throw new IllegalStateException("a fault of the handler's");
         });
-        try (Wire client = to(listen(intake))) {
-            client.say(asks("/1", 0));
-            Wire.Head head = client.read();
+        try (StandInConnection client = to(listen(intake))) {
+            client.writeText(asks("/1", 0));
+            StandInConnection.HttpMessage head = client.readHttp();
             assertEquals("500", head == null ? "closed" : head.target());
         }
     }
@@ -296,14 +296,14 @@
         Socket socket = new Socket();
         socket.setReceiveBufferSize(4096);
         socket.connect(address);
-        try (Wire client = new Wire(socket)) {
-            client.patience(20_000);
-            client.say(asks("/1", 0));
+        try (StandInConnection client = new StandInConnection(socket)) {
+            client.setReadTimeout(20_000);
+            client.writeText(asks("/1", 0));
             answer(next(), "x".repeat(4 << 20));
             onLoop(intake::close);
             selections(2); // the close has been carried out
-            assertEquals(4 << 20, client.read().body().length);
-            assertNull(client.read());
+            assertEquals(4 << 20, client.readHttp().body().length);
+            assertNull(client.readHttp());
         }
     }
     /** A client that ends its sending behind a request still reads, and gets its answer. */
@@ -312,19 +312,19 @@
         intake = new IntakeFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(intake);
         try (Socket socket = new Socket(address.getAddress(), address.getPort());
-                Wire client = new Wire(socket)) {
-            client.patience(20_000);
-            client.say(asks("/1", 0));
+                StandInConnection client = new StandInConnection(socket)) {
+            client.setReadTimeout(20_000);
+            client.writeText(asks("/1", 0));
             socket.shutdownOutput();
             IntakeFilter.Request first = next();
             selections(1); // the end of its sending has been read
             answer(first, "");
-            Wire.Head head = client.read();
+            StandInConnection.HttpMessage head = client.readHttp();
             while (head != null && head.target().equals("100")) {
-                head = client.read();
+                head = client.readHttp();
             }
             assertEquals("200", head == null ? "closed" : head.target());
-            assertNull(client.read());
+            assertNull(client.readHttp());
         }
     }
 
@@ -336,14 +336,14 @@
         try (Socket socket = new Socket()) {
             socket.setReceiveBufferSize(4096);
             socket.connect(address);
-            Wire client = new Wire(socket);
-            client.patience(20_000);
-            client.say(asks("/1", 0));
+            StandInConnection client = new StandInConnection(socket);
+            client.setReadTimeout(20_000);
+            client.writeText(asks("/1", 0));
             answer(next(), "x".repeat(4 << 20));
             socket.shutdownOutput();
             selections(1); // the end of its sending has been read
-            assertEquals(4 << 20, client.read().body().length);
-            assertNull(client.read());
+            assertEquals(4 << 20, client.readHttp().body().length);
+            assertNull(client.readHttp());
         }
     }
 
@@ -352,8 +352,8 @@
     void aClientThatHasClosedIsGone() throws Exception {
         intake = new IntakeFilter(core, 10, 10, requests::add);
         InetSocketAddress address = listen(intake);
-        Wire client = to(address);
-        client.say(asks("/1", 0));
+        StandInConnection client = to(address);
+        client.writeText(asks("/1", 0));
         IntakeFilter.Request first = next();
         client.close();
         selections(1); // the end has been read
--- a/src/test/java/lilaclever/protocol/http/TwoThreads.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreads.java
@@ -18,7 +18,7 @@
 import lilaclever.journal.FolderDisk;
 import lilaclever.journal.JournalClocks;
 import lilaclever.journal.SegmentedJournal;
-import lilaclever.lab.sockets.Wire;
+import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
 import lilaclever.transport.Transport;
@@ -75,9 +75,9 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    final Wire accept() throws Exception {
-        Wire wire = new Wire(server.accept());
-        wire.patience(20_000);
+    final StandInConnection accept() throws Exception {
+        StandInConnection wire = new StandInConnection(server.accept());
+        wire.setReadTimeout(20_000);
         return wire;
     }
 
