--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -195,7 +195,7 @@
     }
 
     @Override
-    public void submit(String id, Arrival a, long left) {
+    public void submit(String id, Arrival arrival, long leftMicros) {
         if (core == null) {
             world.onConnectionRefused(id);
             return;
@@ -203,13 +203,13 @@
         Submission submission = new Submission(
                 id,
                 null,
-                a.messageClass(),
-                a.destination(),
-                "k" + a.number(),
+                arrival.messageClass(),
+                arrival.destination(),
+                "k" + arrival.number(),
                 new byte[64],
                 false,
                 false,
-                HttpFront.budget(left, 0));
+                HttpFront.budget(leftMicros, 0));
         core.post(() -> {
             if (!core.isKnownDestination(submission.destination())) {
                 world.onRejected(submission.id(), 0);
