--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -81,7 +81,8 @@
 
     private void take() {
         String id = "message-" + next;
-        if (!journal.recordAccepted("http", new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000), 99, 0)) {
+        if (!journal.recordAccepted(
+                "http", new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000), 99, 0)) {
             throw new IllegalStateException("no room");
         }
     }
--- a/src/main/java/lilaclever/benchlink/Main.java
+++ b/src/main/java/lilaclever/benchlink/Main.java
@@ -45,7 +45,8 @@
         Map<String, DecisionModule> relays = new LinkedHashMap<>();
         WireReader.Batch batch;
         while ((batch = reader.next(relays)) != null) {
-            for (Map.Entry<String, WireReader.RelayEvents> entry : batch.relays().entrySet()) {
+            for (Map.Entry<String, WireReader.RelayEvents> entry :
+                    batch.relays().entrySet()) {
                 try {
                     writer.actions(
                             entry.getKey(),
--- a/src/main/java/lilaclever/benchlink/WireReader.java
+++ b/src/main/java/lilaclever/benchlink/WireReader.java
@@ -213,7 +213,8 @@
     private static Event probed(Fields fields) throws WireException {
         String host = fields.text("host");
         long elapsedMicros = fields.timeMicros("elapsedS");
-        return new Event.ProbeEnded(host, fields.choice("status", ENDINGS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
+        return new Event.ProbeEnded(
+                host, fields.choice("status", ENDINGS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
     }
 
     private static final Map<String, AttemptResult> ENDINGS_BY_STATUS = Map.of(
--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -79,7 +79,10 @@
                 forgottenEarly++;
             }
         }
-        completed.put(identity, new CompletedMessage<>(result, fingerprint, nowWallMicros + windows.windowMicros(identity, messageClass)));
+        completed.put(
+                identity,
+                new CompletedMessage<>(
+                        result, fingerprint, nowWallMicros + windows.windowMicros(identity, messageClass)));
     }
 
     /** The message that is held under the identity, or null. */
--- a/src/main/java/lilaclever/identity/IdempotencyWindows.java
+++ b/src/main/java/lilaclever/identity/IdempotencyWindows.java
@@ -20,6 +20,8 @@
 
     /** The window of a message. */
     long windowMicros(String identity, int messageClass) {
-        return Identity.isShared(identity) && messageClass < classMicros.size() ? classMicros.get(messageClass) : defaultMicros;
+        return Identity.isShared(identity) && messageClass < classMicros.size()
+                ? classMicros.get(messageClass)
+                : defaultMicros;
     }
 }
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -68,8 +68,9 @@
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
             }
-            long out1 =
-                    state.owed.values().stream().filter(s -> s.value.isInFlight()).count();
+            long out1 = state.owed.values().stream()
+                    .filter(s -> s.value.isInFlight())
+                    .count();
             long risky = state.owed.values().stream()
                     .filter(s -> s.value.mayHaveRun())
                     .count();
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -63,8 +63,15 @@
     static void snapshot(Writer out, PendingMessage o) {
         out.begin(Type.SNAPSHOT);
         whole(out, o);
-        out.small(o.attempts()).flag(o.isInFlight()).text(o.lastHost()).small(o.lastZone()).number(o.lastAttemptWallMicros());
-        out.flag(o.mayHaveRun()).text(o.possibleRunHost()).small(o.possibleRunZone()).number(o.possibleRunWallMicros());
+        out.small(o.attempts())
+                .flag(o.isInFlight())
+                .text(o.lastHost())
+                .small(o.lastZone())
+                .number(o.lastAttemptWallMicros());
+        out.flag(o.mayHaveRun())
+                .text(o.possibleRunHost())
+                .small(o.possibleRunZone())
+                .number(o.possibleRunWallMicros());
         out.flag(o.finalStatus() != null);
         if (o.finalStatus() != null) {
             end(out, o.finalStatus());
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -49,7 +49,8 @@
     private Plots() {}
 
     /** A line for each series over the seconds of the run, with what happened as bands. */
-    static String overTime(String yLabel, Map<String, double[]> lines, List<RehearsalResult.EventPeriod> bands, double most) {
+    static String overTime(
+            String yLabel, Map<String, double[]> lines, List<RehearsalResult.EventPeriod> bands, double most) {
         XYSeriesCollection data = new XYSeriesCollection();
         lines.forEach((name, values) -> {
             XYSeries s = new XYSeries(name);
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -75,7 +75,9 @@
         counts.addProperty("probes", s.probes());
         counts.addProperty(
                 "partners_fallen_over",
-                r.partners().stream().mapToInt(RehearsalResult.PartnerRow::falls).sum());
+                r.partners().stream()
+                        .mapToInt(RehearsalResult.PartnerRow::falls)
+                        .sum());
         all.add("counts", counts);
         JsonObject classes = new JsonObject();
         for (int c = 0; c < r.scenario().classes().size(); c++) {
--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -8,7 +8,7 @@
 import lilaclever.lab.model.PartnerKind;
 import lilaclever.lab.scenario.Scenario;
 
-/** The configuration of a forwarder, as the platform would write it for the scenario. */
+/** The JSON configuration of a forwarder, as the platform would write it for the scenario. */
 final class ForwarderConfigJson {
     static final String ZONE = "here";
 
@@ -45,7 +45,10 @@
         o.addProperty("discovery", "push");
         o.addProperty("weights", "off");
         o.addProperty("overShareWorth", settings.overQuotaWorthFactor());
-        JsonArray kindNames = new JsonArray(), zones = new JsonArray(), batchSizes = new JsonArray(), ownLimits = new JsonArray();
+        JsonArray kindNames = new JsonArray(),
+                zones = new JsonArray(),
+                batchSizes = new JsonArray(),
+                ownLimits = new JsonArray();
         for (PartnerKind k : scenario.kinds()) {
             kindNames.add(k.name());
             batchSizes.add(k.batch());
--- a/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
@@ -10,9 +10,9 @@
 import lilaclever.lab.world.World;
 
 /**
- * A clinic system's line to one forwarder: HL7 v2.5 over MLLP in enhanced mode, many messages in flight on one
- * connection. It connects again whenever the connection ends, as ends may be owed there. A thread reads; the rest runs
- * on the timeline's.
+ * A clinic system's connection to one forwarder: HL7 v2.5 over MLLP in enhanced mode, with many messages in flight on
+ * one connection. It reconnects whenever the connection ends, since application acknowledgements may still be pending.
+ * A separate thread reads; everything else runs on the timeline's thread.
  */
 final class Hl7Submitter {
     private static final int CONNECT_TIMEOUT_MILLIS = 500, RECONNECT_DELAY_MILLIS = 50;
@@ -44,31 +44,34 @@
                     timeline.post(() -> handleAcknowledgement(received));
                 }
             } catch (IOException e) {
-                // nobody there, or it has died
+                // the forwarder is not listening, or the connection broke
             }
             connection = null;
             Thread.sleep(RECONNECT_DELAY_MILLIS);
         }
     }
 
-    /** Hands a message in; what becomes of it is told to the world. */
+    /** Submits a message and reports the outcome to the world. */
     void submit(String id, Arrival arrival, long leftMicros) {
         StandInConnection current = connection;
         if (current == null) {
             world.onConnectionRefused(id);
             return;
         }
-        String message = "MSH|^~\\&|" + OperatorFile.SENDER + "|NORTH|" + OperatorFile.receiverName(arrival.destination())
-                + "|PRAIRIE|20260101000000||"
-                + OperatorFile.eventCode(arrival.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|" + arrival.number() + "\rZLC|"
-                + String.format(Locale.ROOT, "%.3f", leftMicros / 1e6) + '\r';
+        String message =
+                "MSH|^~\\&|" + OperatorFile.SENDER + "|NORTH|" + OperatorFile.receiverName(arrival.destination())
+                        + "|PRAIRIE|20260101000000||"
+                        + OperatorFile.eventCode(arrival.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|"
+                        + arrival.number() + "\rZLC|"
+                        + String.format(Locale.ROOT, "%.3f", leftMicros / 1e6) + '\r';
         try {
             current.writeFrame(message);
         } catch (IOException e) {
             world.onNoAnswer(id);
             return;
         }
-        timeline.after(ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id)); // no more than a word if it has its answer by then
+        timeline.after(
+                ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id)); // has no effect if the message was answered by then
     }
 
     private void handleAcknowledgement(String frame) {
--- a/src/main/java/lilaclever/lab/sockets/HttpSubmitter.java
+++ b/src/main/java/lilaclever/lab/sockets/HttpSubmitter.java
@@ -14,8 +14,8 @@
 import lilaclever.lab.world.World;
 
 /**
- * The clients of one forwarder: each hand-in on a connection of its own for that while, which is kept and used again.
- * They are never held up by earlier hand-ins.
+ * The HTTP clients of one forwarder. Each submission has a connection to itself until it is answered; then the
+ * connection is reused. A submission therefore never waits for an earlier one.
  */
 final class HttpSubmitter {
     private static final int ANSWER_TIMEOUT_MILLIS = 400, CONNECT_TIMEOUT_MILLIS = 1000, BODY_BYTES = 200;
@@ -36,7 +36,7 @@
         this.address = address;
     }
 
-    /** Hands in on a thread of its own; what becomes of it is told to the world. */
+    /** Submits a message on a separate thread and reports the outcome to the world. */
     void submit(String id, Arrival arrival, long leftMicros) {
         byte[] body = new byte[BODY_BYTES];
         Arrays.fill(body, (byte) 'x');
@@ -64,7 +64,7 @@
         }
     }
 
-    /** What the answer means; null if a kept connection had been closed before it was read. */
+    /** Returns the action that reports the outcome, or null if a reused connection was closed before an answer came. */
     private Runnable exchange(StandInConnection connection, String id, String head, byte[] body, boolean isReused) {
         try {
             connection.setReadTimeout(ANSWER_TIMEOUT_MILLIS);
--- a/src/main/java/lilaclever/lab/sockets/LoopbackPorts.java
+++ b/src/main/java/lilaclever/lab/sockets/LoopbackPorts.java
@@ -8,31 +8,31 @@
 import java.util.concurrent.ThreadLocalRandom;
 
 /**
- * Ports for a run, on the loopback: none of those that the system gives to whoever asks for any. A port that is given
- * up, such as that of an endpoint that is gone, would otherwise be another run's a moment later, and callers that have
- * not heard would call there.
+ * Ports on the loopback interface for a run, outside of the range of ephemeral ports. A port that is closed, such as
+ * that of a removed endpoint, would otherwise soon be given to another run, and forwarders that have not learned of the
+ * removal would call there.
  */
 final class LoopbackPorts {
-    /** How many there are. */
+    /** Ports in the range that is used. */
     static final int PORT_COUNT = 12_000;
 
     private static final int FIRST_PORT = 20_000, MAX_TRIES = 100, BACKLOG = 256;
 
     private LoopbackPorts() {}
 
-    /** Listens at a port that was free. */
+    /** Listens on a free port. */
     static ServerSocket listen() throws IOException {
         for (int tries = 0; tries < MAX_TRIES; tries++) {
             try {
                 return listen(FIRST_PORT + ThreadLocalRandom.current().nextInt(PORT_COUNT));
             } catch (BindException e) {
-                continue; // taken
+                continue; // the port is in use
             }
         }
         throw new IOException("no free port between " + FIRST_PORT + " and " + (FIRST_PORT + PORT_COUNT));
     }
 
-    /** Listens at this port. */
+    /** Listens on this port. */
     static ServerSocket listen(int port) throws IOException {
         ServerSocket s = new ServerSocket();
         try {
@@ -45,7 +45,7 @@
         }
     }
 
-    /** An address that nobody listens at now. */
+    /** An address on which no socket listens at present. */
     static InetSocketAddress unusedAddress() throws IOException {
         try (ServerSocket probe = listen()) {
             return new InetSocketAddress(InetAddress.getLoopbackAddress(), probe.getLocalPort());
--- a/src/main/java/lilaclever/lab/sockets/OperatorFile.java
+++ b/src/main/java/lilaclever/lab/sockets/OperatorFile.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import lilaclever.lab.scenario.Scenario;
 
-/** The operator's file of a forwarder that has an HL7 port too, and the terms that its clients use. */
+/** The operator's file of a forwarder with an HL7 port, and the codes and names that its HL7 clients use. */
 final class OperatorFile {
     static final String SENDER = "CLINIC";
 
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -14,18 +14,19 @@
 import lilaclever.lab.world.World;
 
 /**
- * A forwarder's connection to a partner's endpoint: reads calls, asks the partner's model, writes what it answers when
- * it is due. One call at a time. A thread of its own reads; the rest runs on the timeline's thread.
+ * A forwarder's connection to a partner's endpoint. It reads calls, asks the partner's model for the answer and writes
+ * it when it is due, one call at a time. A separate thread reads; everything else runs on the timeline's thread.
  */
 final class PartnerConnection {
-    /** A second copy may only seem one, as the threads that read overtake each other: so long it is waited for. */
+    /**
+     * A message may seem to have two attempts in flight, since the reading threads can overtake each other. A call is
+     * therefore checked again after the first delay, up to the second one, for the end of the earlier attempt.
+     */
     private static final long ATTEMPT_END_RECHECK_MICROS = 5_000, MAX_ATTEMPT_END_DELAY_MICROS = 50_000;
 
-    /** A message of a call, under the name that the wire has for it. */
+    /** A message of a call, with the id that the call has for it. */
     record CallItem(String wireId, byte[] body) {
-        /**
-         * Its name among the hand-ins: an HL7 message has it in its header (MSH-10), as the forwarder gives it another.
-         */
+        /** The id of its submission. The forwarder gives an HL7 message another id; the submission's is in MSH-10. */
         String submissionId() {
             String text = new String(body, 0, Math.min(body.length, MAX_HEADER_BYTES), StandardCharsets.ISO_8859_1);
             String[] fields = text.startsWith("MSH|") ? text.split("\\|", CONTROL_ID_FIELD + 2) : new String[0];
@@ -41,12 +42,12 @@
     private final Partner partner;
     private final String host;
     private final int forwarder;
-    /** False: the partner holds as many connections as it takes. */
+    /** False if the partner already has as many connections as it accepts. */
     private final boolean hasCapacity;
 
     private final Consumer<PartnerConnection> onClosed;
     private List<String> inFlightIds = List.of();
-    /** The messages of the call that is out, where the answer must name each. */
+    /** The messages of the batch call in flight, whose answer must name each; empty for a call with one message. */
     private List<CallItem> batchItems = List.of();
 
     private boolean isFirstRequest = true, isClosed;
@@ -78,14 +79,15 @@
                     timeline.post(() -> handleRequest(received));
                 }
             } catch (IOException | NumberFormatException e) {
-                // reset, or no HTTP: it ends here
+                // the connection was reset, or it does not carry HTTP: it is closed
             }
             timeline.post(this::onPeerClosed);
         });
     }
 
-    // ---- ends of the connection -------------------------------------------------------------------------
-    /** The other side has closed it: a call that is out is given up. */
+    // Closing
+
+    /** The forwarder has closed the connection: a call in flight is given up. */
     private void onPeerClosed() {
         if (!isClosed) {
             attemptsOver(inFlightIds, "given up", false);
@@ -96,7 +98,7 @@
         }
     }
 
-    /** The partner's machine is gone. */
+    /** Resets the connection, as the failure of the partner's machine does. */
     void reset() {
         if (!isClosed) {
             attemptsOver(inFlightIds, "reset", false);
@@ -127,24 +129,32 @@
         }
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
+    // Calls
+
     private void handleRequest(HttpMessage request) {
         if (isClosed) {
             return;
         }
-        long firstByteMicros = Math.max(0, timeline.nowMicros() - (System.nanoTime() - request.firstByteNanos()) / 1000);
+        long firstByteMicros =
+                Math.max(0, timeline.nowMicros() - (System.nanoTime() - request.firstByteNanos()) / 1000);
         switch (request.method() + ' ' + request.target()) {
             case "GET /health/live", "GET /stats" -> afterNetworkDelay(this::handleProbe);
-            case "POST /receive" -> receive(List.of(new CallItem(request.header("Req-Id", ""), request.body())), false, firstByteMicros);
+            case "POST /receive" ->
+                receive(List.of(new CallItem(request.header("Req-Id", ""), request.body())), false, firstByteMicros);
             case "POST /receive-many" -> receive(parseBatch(request.body()), true, firstByteMicros);
             default -> respond("404 Not Found", "");
         }
     }
 
-    /** After what the network takes, and on a new connection its handshake. */
+    /** Runs the step after the network delay, and after the handshake if the connection is new. */
     private void afterNetworkDelay(Runnable step) {
         long delayMicros = world.networkDelayMicros();
-        timeline.after(delayMicros + (isFirstRequest ? 2 * delayMicros + world.scenario().fleet().handshakeMicros() : 0), step);
+        timeline.after(
+                delayMicros
+                        + (isFirstRequest
+                                ? 2 * delayMicros + world.scenario().fleet().handshakeMicros()
+                                : 0),
+                step);
         isFirstRequest = false;
     }
 
@@ -165,7 +175,13 @@
         if (waitedMicros < MAX_ATTEMPT_END_DELAY_MICROS
                 && ids.stream().anyMatch(id -> world.auditor().isOut(World.messageNumber(id)))) {
             timeline.after(
-                    ATTEMPT_END_RECHECK_MICROS, () -> receive(ids, firstByteMicros, waitedMicros + ATTEMPT_END_RECHECK_MICROS)); // its end may be on its way to this thread
+                    ATTEMPT_END_RECHECK_MICROS,
+                    () -> receive(
+                            ids,
+                            firstByteMicros,
+                            waitedMicros
+                                    + ATTEMPT_END_RECHECK_MICROS)); // the end of the earlier attempt may be queued for
+            // this thread
             return;
         }
         inFlightIds = ids;
@@ -187,7 +203,8 @@
         Answer answer = world.callPartner(partner, host, forwarder, ids);
         switch (answer.status()) {
             case NO_CONNECTION -> reset();
-            case FULL -> timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.waitMicros())));
+            case FULL ->
+                timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.waitMicros())));
             case ERROR ->
                 timeline.at(
                         answer.atMicros(),
@@ -197,7 +214,7 @@
                             respond("500 Internal Server Error", "");
                         }));
             case DELIVERED -> timeline.at(answer.atMicros(), () -> answerDelivered(ids, answer));
-            default -> {} // nothing comes back
+            default -> {} // the partner never answers
         }
     }
 
@@ -219,7 +236,7 @@
         }
     }
 
-    /** The partner has done the work, whether or not anybody still waits for its answer. */
+    /** The partner has done the work, whether or not the forwarder still waits for the answer. */
     private void answerDelivered(List<String> ids, Answer answer) {
         if (isClosed || inFlightIds != ids || !partner.answersStill(host, answer.atMicros())) {
             ids.forEach(id -> world.onProcessed(id, false));
@@ -266,7 +283,7 @@
         ids.forEach(id -> world.onAttemptOver(id, result, neverRan));
     }
 
-    /** The messages in the body of a call with several; none if it can't be read. */
+    /** The messages in the body of a batch call; none if it is malformed. */
     static List<CallItem> parseBatch(byte[] body) {
         List<CallItem> items = new ArrayList<>();
         Set<String> seen = new HashSet<>();
--- a/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
@@ -13,9 +13,9 @@
 import lilaclever.lab.world.World;
 
 /**
- * The partners' listening sockets: one for each endpoint and forwarder, so that it is known who calls. While a partner
- * is down they are closed, and its connections are reset. All but the threads that wait for connections and bytes runs
- * on the timeline's thread.
+ * The partners' listening sockets: one for each pair of endpoint and forwarder, so that the caller is known. While a
+ * partner is down its listeners are closed, and its connections are reset. Everything runs on the timeline's thread,
+ * except for accepting connections and reading from them.
  */
 final class PartnerListeners {
     private static final long POLL_INTERVAL_MICROS = 10_000;
@@ -65,7 +65,7 @@
                 connections.add(connection);
                 connection.start();
             } catch (IOException e) {
-                // it has gone already
+                // the forwarder has already closed the connection
             }
         }
 
@@ -84,7 +84,7 @@
                 server = LoopbackPorts.listen(port);
                 startAccepting(server);
             } catch (IOException e) {
-                errorCount++; // somebody has taken its port: the partner seems down for longer than it is
+                errorCount++; // another process took the port: the partner seems down for longer than planned
             }
         }
     }
@@ -99,7 +99,7 @@
         this.timeline = timeline;
     }
 
-    /** Looks from now on, again and again, which partners are down. */
+    /** Polls from now on which partners are down, and closes or reopens their listeners. */
     void pollOutages() {
         for (Listener listener : listeners.values()) {
             boolean down = listener.partner.isDown(timeline.nowMicros());
@@ -112,19 +112,19 @@
         timeline.after(POLL_INTERVAL_MICROS, this::pollOutages);
     }
 
-    /** Where a forwarder finds an endpoint. */
+    /** The address at which this forwarder reaches the endpoint; opens its listener if there is none yet. */
     String address(Partner partner, String host, int forwarder) {
         Listener listener = listeners.computeIfAbsent(host + ' ' + forwarder, k -> {
             try {
                 return new Listener(partner, host, forwarder);
             } catch (IOException e) {
-                throw new java.io.UncheckedIOException("no port for a partner's endpoint", e);
+                throw new java.io.UncheckedIOException("cannot listen for a partner's endpoint", e);
             }
         });
         return "127.0.0.1:" + listener.port;
     }
 
-    /** An endpoint is gone. */
+    /** Closes the listener of an endpoint that left the directory. */
     void remove(String host, int forwarder) {
         Listener listener = listeners.remove(host + ' ' + forwarder);
         if (listener != null && listener.server != null) {
@@ -132,12 +132,12 @@
         }
     }
 
-    /** What went wrong here. */
+    /** Listeners that could not be closed or reopened. */
     long errorCount() {
         return errorCount;
     }
 
-    /** Shuts all. */
+    /** Closes all listeners and resets their connections. */
     void close() {
         for (Listener listener : new ArrayList<>(listeners.values())) {
             if (listener.server != null) {
--- a/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
+++ b/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
@@ -20,9 +20,9 @@
 import lilaclever.lab.world.World;
 
 /**
- * The platform as one forwarder sees it: the directory's agent beside it, with its list and its watch, and where
- * notices go. It knows what it has been told. A thread for each connection reads; the rest runs on the timeline's
- * thread.
+ * A stand-in for the platform services that one forwarder uses: the discovery agent, which serves the endpoint list and
+ * watches of it, and the receiver of status notices. Each connection is read on a thread of its own; everything else
+ * runs on the timeline's thread.
  */
 final class PlatformStandIn {
     private static final int MAX_RETAINED_CHANGES = 4_096;
@@ -52,7 +52,8 @@
     private final List<StandInConnection> connections = new ArrayList<>();
     private long version;
 
-    PlatformStandIn(World world, RealTimeline timeline, Function<DecisionModule.EndpointEntry, String> endpointAddress) throws IOException {
+    PlatformStandIn(World world, RealTimeline timeline, Function<DecisionModule.EndpointEntry, String> endpointAddress)
+            throws IOException {
         this.world = world;
         this.timeline = timeline;
         this.endpointAddress = endpointAddress;
@@ -73,8 +74,9 @@
         connections.forEach(StandInConnection::close);
     }
 
-    // ---- what it is told --------------------------------------------------------------------------------
-    /** The whole list, as a forwarder's start has it. */
+    // Updates from the simulated directory
+
+    /** Sets the complete list that a starting forwarder reads. */
     void setEndpoints(List<DecisionModule.EndpointEntry> entries, long newVersion) {
         endpoints.clear();
         entries.forEach(e -> endpoints.put(e.host(), e));
@@ -82,7 +84,7 @@
         version = newVersion;
     }
 
-    /** Changes, for whoever watches and whoever asks later. */
+    /** Applies changes, answers all pending watches and retains the changes for later watches. */
     void applyChange(long newVersion, List<DecisionModule.EndpointEntry> entries) {
         version = newVersion;
         for (DecisionModule.EndpointEntry e : entries) {
@@ -101,7 +103,7 @@
         waiting.forEach(this::answerWatch);
     }
 
-    /** The list as a configuration file has it. */
+    /** The complete list in the form that a forwarder's configuration file contains. */
     JsonObject completeList() {
         return listJson(true, endpoints.values());
     }
@@ -127,7 +129,8 @@
         return root;
     }
 
-    // ---- what it is asked -------------------------------------------------------------------------------
+    // Requests of the forwarder
+
     private void serve(Socket socket) throws IOException {
         StandInConnection connection = new StandInConnection(socket);
         timeline.post(() -> connections.add(connection));
@@ -183,7 +186,8 @@
                 c.entries().forEach(e -> changed.put(e.host(), e));
             }
         }
-        sendResponse(watch.connection, "200 OK", listJson(false, changed.values()).toString());
+        sendResponse(
+                watch.connection, "200 OK", listJson(false, changed.values()).toString());
     }
 
     private void handleNotices(StandInConnection connection, String lines) {
--- a/src/main/java/lilaclever/lab/sockets/RealTimeline.java
+++ b/src/main/java/lilaclever/lab/sockets/RealTimeline.java
@@ -9,9 +9,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Real time: what is due, and what other threads post, runs on the thread that calls {@link #runUntil}, one after the
- * other. How late each was is kept, as the run's figures are worth no more than that. Time stands at 0 until
- * {@link #begin}.
+ * A timeline in real time. Scheduled actions and those posted by other threads run one after the other on the thread
+ * that calls {@link #runUntil}. It records how late each action ran, since late stand-ins distort the figures of a run.
+ * The time is 0 until {@link #begin}.
  */
 final class RealTimeline implements Timeline {
     private record PostedAction(long postedNanos, Runnable action) {}
@@ -30,12 +30,12 @@
         return beginNanos == Long.MIN_VALUE ? 0 : endMicros >= 0 ? endMicros : (System.nanoTime() - beginNanos) / 1000;
     }
 
-    /** Time stands still from now on: what ends later is not the run's. */
+    /** Stops the time, so that the run does not include what ends later. */
     void end() {
         endMicros = nowMicros();
     }
 
-    /** Time runs from now on. */
+    /** Starts the time. */
     void begin() {
         beginNanos = System.nanoTime();
     }
@@ -45,22 +45,22 @@
         scheduled.add(new ScheduledAction(micros, nextSequence++, action));
     }
 
-    /** Runs the action as soon as it is its turn. Any thread. */
+    /** Queues the action for the timeline's thread. May be called on any thread. */
     void post(Runnable action) {
         posted.add(new PostedAction(System.nanoTime(), action));
     }
 
-    /** Actions that have run. */
+    /** The number of actions that have run. */
     long actionCount() {
         return actionCount;
     }
 
-    /** How late what was due has run, microseconds. */
+    /** How late the actions ran, in microseconds. */
     Histogram lateness() {
         return lateness;
     }
 
-    /** Runs what is due and what is posted until the time, or until it is told to stop. */
+    /** Runs due and posted actions until the time, or until {@code stopped} returns true. */
     void runUntil(long untilMicros, BooleanSupplier stopped) throws InterruptedException {
         while (nowMicros() < untilMicros && !stopped.getAsBoolean()) {
             ScheduledAction next = beginNanos == Long.MIN_VALUE ? null : scheduled.peek();
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -19,7 +19,7 @@
 import lilaclever.lab.world.ForwarderHandle;
 import lilaclever.lab.world.World;
 
-/** One forwarder of the fleet: the real program in a process of its own. */
+/** A forwarder of the fleet that runs the real program in its own process. */
 final class SocketForwarder implements ForwarderHandle {
     private static final Pattern INVARIANT_COUNTS = Pattern.compile("(?m)^(?:broken_invariants|tasks_failed) (\\d+)$");
     private static final long START_TIMEOUT_MILLIS = 30_000, READY_POLL_MILLIS = 10, STOP_TIMEOUT_SECONDS = 6;
@@ -34,7 +34,7 @@
     private final PartnerListeners listeners;
     private final PlatformStandIn platform;
     private final HttpSubmitter httpSubmitter;
-    /** Null where no message comes by HL7. */
+    /** Null if the scenario has no HL7 traffic. */
     private final Hl7Submitter hl7Submitter;
 
     private final InetSocketAddress address;
@@ -65,7 +65,8 @@
         try {
             Files.createDirectories(folder.resolve("state-" + number));
             Files.writeString(log, "");
-            platform = new PlatformStandIn(world, timeline, e -> listeners.address(world.partner(e.destination()), e.host(), number));
+            platform = new PlatformStandIn(
+                    world, timeline, e -> listeners.address(world.partner(e.destination()), e.host(), number));
             address = LoopbackPorts.unusedAddress();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
@@ -107,12 +108,13 @@
         return brokenInvariants;
     }
 
-    /** Why it could not be started at all; null if it could. */
+    /** Why the process could not be started or did not become ready; null if it did. */
     String startFailure() {
         return startFailure;
     }
 
-    // ---- lives ------------------------------------------------------------------------------------------
+    // Process runs
+
     @Override
     public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
         int startedRun = ++processRun;
@@ -137,7 +139,7 @@
             builder.environment().put("ROUTER_CONFIG", config.toString());
             process = builder.start();
         } catch (IOException e) {
-            startFailure = "forwarder " + number + " can't be started: " + e.getMessage();
+            startFailure = "forwarder " + number + " cannot be started: " + e.getMessage();
             return;
         }
         Process started = process;
@@ -160,12 +162,12 @@
             Thread.sleep(READY_POLL_MILLIS);
         }
         if (!started.isAlive()) {
-            return; // its exit says more than that it does not serve
+            return; // onExit reports the exit code
         }
         timeline.post(() -> {
             if (processRun == startedRun && process != null && !wasReady) {
-                startFailure = "forwarder " + number + " does not serve after " + START_TIMEOUT_MILLIS / 1000 + " s, its last line: "
-                        + lastLine();
+                startFailure = "forwarder " + number + " is not ready after " + START_TIMEOUT_MILLIS / 1000
+                        + " s, its last line: " + lastLine();
             }
         });
     }
@@ -179,13 +181,13 @@
             HttpMessage answer = connection.readHttp();
             return answer != null && answer.target().equals("200");
         } catch (IOException e) {
-            return false; // not yet
+            return false; // not ready yet
         }
     }
 
     private void onExit(int startedRun, int code) {
         if (processRun != startedRun || process == null) {
-            return; // it was killed
+            return; // the run was ended by kill() or stop()
         }
         process = null;
         String cause = "exit code " + code + ", its last line: " + lastLine();
@@ -211,7 +213,7 @@
         process = null;
     }
 
-    /** Asks it to end, and reads what it counted. */
+    /** Ends the process and reads the broken invariants that it has logged. */
     void stop() throws IOException, InterruptedException {
         Process last = process;
         process = null;
@@ -232,7 +234,8 @@
         }
     }
 
-    // ---- what it is given -------------------------------------------------------------------------------
+    // Input from the world
+
     @Override
     public void submit(String id, Arrival arrival, long leftMicros) {
         if (hl7Submitter != null && world.scenario().traffic().byHl7(arrival.number())) {
--- a/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
@@ -15,14 +15,14 @@
 import lilaclever.lab.world.World;
 
 /**
- * Plays a rehearsal in real time over the loopback: each forwarder is the real program in a process of its own, and
+ * Runs a rehearsal in real time over the loopback interface. Each forwarder is the real program in its own process;
  * partners, directory, platform and clients are stand-ins with the same models as in virtual time. The same scenario
- * and seed give the same plan of arrivals and events; what the forwarders make of it depends on the machine.
+ * and seed give the same arrivals and events, but the outcome depends on the timing of the machine.
  */
 public final class SocketRehearsal {
     /**
-     * Processes as far as the machine has memory for them; sockets within the ports that a run takes, with room
-     * between.
+     * The number of processes is bounded by the machine's memory, that of listeners by the port range, of which a
+     * quarter stays free so that free ports are found quickly.
      */
     private static final int MAX_FORWARDERS = 1_024, MAX_LISTENERS = LoopbackPorts.PORT_COUNT * 3 / 4;
 
@@ -34,16 +34,18 @@
 
     private SocketRehearsal() {}
 
-    /** Why a scenario is too large for this; null if it is not. */
+    /** Says why a scenario is too large to run on sockets; null if it is not. */
     public static String sizeProblem(Scenario scenario) {
-        double endpoints =
-                scenario.fleet().destinations() * (scenario.fleet().endpoints()[0] + scenario.fleet().endpoints()[1]) / 2;
+        double endpoints = scenario.fleet().destinations()
+                * (scenario.fleet().endpoints()[0] + scenario.fleet().endpoints()[1])
+                / 2;
         if (scenario.fleet().forwarders() > MAX_FORWARDERS) {
             return "forwarders: " + scenario.fleet().forwarders() + " processes are more than " + MAX_FORWARDERS;
         }
         if (endpoints * scenario.fleet().forwarders() > MAX_LISTENERS) {
-            return "destinations: about " + Math.round(endpoints * scenario.fleet().forwarders())
-                    + " listening sockets are more than " + MAX_LISTENERS;
+            return "destinations: about "
+                    + Math.round(endpoints * scenario.fleet().forwarders()) + " listening sockets are more than "
+                    + MAX_LISTENERS;
         }
         return scenario.fleet().ratePerSecond() > MAX_MESSAGES_PER_SECOND
                 ? "rate: " + scenario.fleet().ratePerSecond() + " a second is more than " + MAX_MESSAGES_PER_SECOND
@@ -51,11 +53,13 @@
     }
 
     /**
-     * Plays the run. {@code folder} takes the forwarders' logs, configurations and state folders; {@code command}
-     * starts one forwarder. {@code progress} hears the time once a second. When {@code stopped} says so the run is cut
-     * short, and the result is partial.
+     * Runs the scenario.
      *
-     * @throws IOException if a forwarder can't be started; says which, and why
+     * @param folder receives the forwarders' logs, configurations and state folders
+     * @param command starts one forwarder
+     * @param progress receives the time, in microseconds, once a second
+     * @param stopped cuts the run short once it returns true; the result is then partial
+     * @throws IOException if a forwarder cannot be started; the message says which, and why
      */
     public static RehearsalResult run(
             Scenario scenario,
@@ -81,7 +85,8 @@
         try {
             world = new World(scenario, seed, Fault.NONE, timeline, (w, number, settings, forwarderSeed) -> {
                 listeners = listeners == null ? new PartnerListeners(w, timeline) : listeners;
-                SocketForwarder forwarder = new SocketForwarder(w, timeline, listeners, number, settings, forwarderSeed, folder, command);
+                SocketForwarder forwarder =
+                        new SocketForwarder(w, timeline, listeners, number, settings, forwarderSeed, folder, command);
                 forwarders.add(forwarder);
                 return forwarder;
             });
@@ -89,7 +94,9 @@
                 timeline.post(world::start);
                 timeline.runUntil(
                         Long.MAX_VALUE,
-                        () -> stopped.getAsBoolean() || startFailure() != null || world.everReadyCount() == forwarders.size());
+                        () -> stopped.getAsBoolean()
+                                || startFailure() != null
+                                || world.everReadyCount() == forwarders.size());
                 if (startFailure() != null) {
                     throw new IOException(startFailure());
                 }
@@ -108,7 +115,8 @@
             throw e.getCause();
         }
         return world.finish(
-                timeline.actionCount(), TimingQuality.of(timeline.lateness(), listeners.errorCount() + (startFailure() == null ? 0 : 1)));
+                timeline.actionCount(),
+                TimingQuality.of(timeline.lateness(), listeners.errorCount() + (startFailure() == null ? 0 : 1)));
     }
 
     private String startFailure() {
--- a/src/main/java/lilaclever/lab/sockets/SocketThreads.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketThreads.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** Threads that wait for sockets. They end with their socket, and with the program. */
+/** Daemon threads for blocking socket operations. Each ends when its socket is closed. */
 final class SocketThreads {
     private static final long STACK_BYTES = 128 << 10;
 
-    /** What a thread does until its socket ends. */
+    /** The work of a thread, until its socket is closed. */
     interface Task {
         void run() throws IOException, InterruptedException;
     }
@@ -20,7 +20,7 @@
                     try {
                         task.run();
                     } catch (IOException | InterruptedException e) {
-                        // the socket is closed: that ends it
+                        // the socket was closed: the thread ends
                     }
                 },
                 name,
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -11,16 +11,20 @@
 import java.util.TreeMap;
 
 /**
- * One connection of a stand-in, either side of it: as much of HTTP/1.1 and of MLLP as the protocols need, within
- * bounds. It shares nothing with the program's own codecs, so that a fault of theirs is not made twice.
+ * A connection of a stand-in, on the client's or the server's side, with as much of HTTP/1.1 and MLLP as the stand-ins
+ * need, within bounds. It shares no code with the program's own codecs, so that their faults are not repeated here.
  */
 public class StandInConnection implements AutoCloseable {
-    private static final int MAX_LINE_BYTES = 8192, MAX_HEADERS = 100, MAX_BODY_BYTES = 4 << 20, MAX_FRAME_BYTES = 70_000;
+    private static final int MAX_LINE_BYTES = 8192,
+            MAX_HEADERS = 100,
+            MAX_BODY_BYTES = 4 << 20,
+            MAX_FRAME_BYTES = 70_000;
     private static final char FRAME_START = 0x0b, FRAME_END = 0x1c;
 
-    /** A request, or an answer with its status as the target. */
-    public record HttpMessage(String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
-        /** A header's value. */
+    /** A request, or a response, whose status code stands in the place of the target. */
+    public record HttpMessage(
+            String method, String target, Map<String, String> headers, byte[] body, long firstByteNanos) {
+        /** The value of a header, or the default if it is absent. */
         public String header(String name, String defaultValue) {
             return headers.getOrDefault(name, defaultValue);
         }
@@ -29,14 +33,14 @@
     private final Socket socket;
     private final InputStream in;
 
-    /** Talks over the socket, which is connected. */
+    /** Creates a connection over a connected socket. */
     public StandInConnection(Socket socket) throws IOException {
         this.socket = socket;
         socket.setTcpNoDelay(true);
         in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** The next request or answer; null if the other side has closed between two. */
+    /** Reads the next request or response; null if the peer closed the connection between two of them. */
     public final HttpMessage readHttp() throws IOException {
         int first = in.read();
         if (first < 0) {
@@ -48,17 +52,17 @@
         for (String h = readRequiredLine(); !h.isEmpty(); h = readRequiredLine()) {
             int colon = h.indexOf(':');
             if (colon < 1 || headers.size() >= MAX_HEADERS) {
-                throw new IOException("no header: " + h);
+                throw new IOException("malformed header: " + h);
             }
             headers.put(h.substring(0, colon), h.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
         if (length > MAX_BODY_BYTES || words.length < 2) {
-            throw new IOException("no message: " + String.join(" ", words));
+            throw new IOException("malformed or oversized HTTP message: " + String.join(" ", words));
         }
         byte[] body = in.readNBytes(length);
         if (body.length < length) {
-            throw new IOException("ended within a body");
+            throw new IOException("connection closed within a body");
         }
         return new HttpMessage(words[0], words[1], headers, body, firstByteNanos);
     }
@@ -66,12 +70,12 @@
     private String readRequiredLine() throws IOException {
         String line = readLine();
         if (line == null) {
-            throw new IOException("ended within a message");
+            throw new IOException("connection closed within a message");
         }
         return line;
     }
 
-    /** The next line, or null at the end. */
+    /** Reads the next line; null at the end of the stream. */
     public final String readLine() throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
         for (int c = in.read(); c != '\n'; c = in.read()) {
@@ -79,7 +83,7 @@
                 return null;
             }
             if (line.size() > MAX_LINE_BYTES) {
-                throw new IOException("a line without end");
+                throw new IOException("line too long");
             }
             if (c != '\r') {
                 line.write(c);
@@ -88,7 +92,7 @@
         return line.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** The next message in a frame of MLLP, or null at the end. */
+    /** Reads the message in the next MLLP frame; null at the end of the stream or if the frame is too long. */
     public final String readFrame() throws IOException {
         ByteArrayOutputStream message = new ByteArrayOutputStream();
         for (int c = in.read(); c >= 0 && message.size() < MAX_FRAME_BYTES; c = in.read()) {
@@ -103,17 +107,17 @@
         return null;
     }
 
-    /** Writes a message in a frame of MLLP. */
+    /** Writes a message in an MLLP frame. */
     public final void writeFrame(String message) throws IOException {
         writeText(FRAME_START + message + FRAME_END + '\r');
     }
 
-    /** Writes text, a byte for each character. */
+    /** Writes text as ISO-8859-1. */
     public final void writeText(String text) throws IOException {
         write(text, new byte[0]);
     }
 
-    /** Writes all of it at once. */
+    /** Writes head and body with a single write. */
     public final void write(String head, byte[] body) throws IOException {
         byte[] first = head.getBytes(StandardCharsets.ISO_8859_1);
         byte[] all = java.util.Arrays.copyOf(first, first.length + body.length);
@@ -121,7 +125,7 @@
         socket.getOutputStream().write(all);
     }
 
-    /** Writes an answer. */
+    /** Writes an HTTP response. */
     public final void writeResponse(String status, String body, String... headers) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder("HTTP/1.1 " + status + "\r\n");
@@ -131,7 +135,7 @@
         write(head + (status.startsWith("204") ? "" : "Content-Length: " + bytes.length + "\r\n") + "\r\n", bytes);
     }
 
-    /** True if the other side has not closed it; only where nothing is expected from there now. */
+    /** True if the peer has not closed the connection; only to be used while no data is expected from it. */
     public final boolean isOpen() {
         try {
             int timeoutMillis = socket.getSoTimeout();
@@ -148,17 +152,17 @@
         }
     }
 
-    /** Waits so long at most for a byte. */
+    /** Sets how long a read waits for a byte. */
     public final void setReadTimeout(int millis) throws IOException {
         socket.setSoTimeout(millis);
     }
 
-    /** Closes it as a dying process would. */
+    /** Closes the connection with a TCP reset, as the death of a process may do. */
     public final void reset() {
         try {
             socket.setSoLinger(true, 0);
         } catch (IOException e) {
-            // it is closed already
+            // the socket is already closed
         }
         closeSocket();
     }
@@ -172,7 +176,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // there is no more to do
+            // nothing more can be done
         }
     }
 }
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import lilaclever.journal.Disk;
 
-/** A folder in memory that outlasts the forwarders that use it, one after the other. */
+/** A folder in memory that keeps its files over restarts of the forwarder that uses it. */
 final class MemoryDisk implements Disk {
     private static final class FileContent {
         private byte[] bytes = {};
@@ -47,12 +47,12 @@
 
     @Override
     public void forceNames() {
-        // the folder outlasts all
+        // nothing to sync: the content is in memory
     }
 
     @Override
     public void close() {
-        // and stays
+        // the content is retained
     }
 
     private record MemoryFile(FileContent content) implements DiskFile {
@@ -80,12 +80,12 @@
 
         @Override
         public void force() {
-            // the folder outlasts all
+            // nothing to sync: the content is in memory
         }
 
         @Override
         public void close() {
-            // and stays
+            // the content is retained
         }
     }
 }
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -16,15 +16,17 @@
 import lilaclever.routing.RetryAfterTable;
 import lilaclever.transport.ConnectionPool;
 
-/** Makes the calls of one forwarder's one life: to the partners' models directly, with the time that a wire takes. */
+/**
+ * Makes the calls of one process run of a forwarder: directly to the partners' models, with simulated network delays.
+ */
 final class VirtualDeliverer implements Deliverer {
     private static final int MAX_IDLE_CONNECTIONS = 64;
-    /** Ways over the network before a new connection's first byte arrives: it is asked for, granted, and used. */
+    /** One-way network trips until the first byte of a call on a new connection arrives: SYN, SYN-ACK, request. */
     private static final int NEW_CONNECTION_TRIPS = 3;
-    /** What a partner has to do for a probe, microseconds. */
+    /** The work of a partner for a probe. */
     private static final long PROBE_WORK_MICROS = 1000;
 
-    /** A call on its way, as this side sees it. */
+    /** The state of a call in flight. */
     private static final class CallState {
         boolean closed, written, arrived;
     }
@@ -34,30 +36,38 @@
     private final DecisionModule.Settings settings;
     private final Core core;
     private final RetryAfterTable retryAfterTable;
-    /** Idle connections: all that is known of one is its endpoint. */
+    /** Idle connections, each represented by its endpoint's host. */
     private final ConnectionPool<String> idleConnections;
-    /** Calls that are out: a dying process resets them. */
+    /** Calls in flight, which are reset if the process is killed. */
     private final Set<Call> callsInFlight = new LinkedHashSet<>();
 
     private boolean isKilled;
 
     /**
-     * For a life that begins.
+     * Creates the deliverer of a new process run.
      *
-     * @param number of the forwarder
-     * @param waits what partners have asked of this life
+     * @param forwarderNumber the forwarder's number in the fleet
+     * @param retryAfterTable the retry-after periods that partners have sent to this process run
      */
-    VirtualDeliverer(World world, int forwarderNumber, DecisionModule.Settings settings, Core core, RetryAfterTable retryAfterTable) {
+    VirtualDeliverer(
+            World world,
+            int forwarderNumber,
+            DecisionModule.Settings settings,
+            Core core,
+            RetryAfterTable retryAfterTable) {
         this.world = world;
         this.forwarderNumber = forwarderNumber;
         this.settings = settings;
         this.core = core;
         this.retryAfterTable = retryAfterTable;
         idleConnections = new ConnectionPool<>(
-                settings.limits().keepAliveMicros(), MAX_IDLE_CONNECTIONS, host -> true, host -> world.disconnect(host, forwarderNumber));
+                settings.limits().keepAliveMicros(),
+                MAX_IDLE_CONNECTIONS,
+                host -> true,
+                host -> world.disconnect(host, forwarderNumber));
     }
 
-    /** The process dies: its calls are cut, and nothing that was to happen in this life happens. */
+    /** The process is killed: its calls are reset, and none of its scheduled tasks runs any more. */
     void kill() {
         for (Call call : callsInFlight) {
             CallState state = (CallState) call.attachment;
@@ -68,7 +78,7 @@
         isKilled = true;
     }
 
-    /** Runs the task if this life goes on then. */
+    /** Runs the task at the time unless the process has been killed by then. */
     private void runUnlessKilled(long atMicros, Runnable task) {
         world.at(atMicros, () -> {
             if (!isKilled) {
@@ -84,7 +94,8 @@
         CallState state = new CallState();
         call.attachment = state;
         callsInFlight.add(call);
-        call.messages.forEach(m -> world.onAttemptStarted(m.id(), forwarderNumber, host, call.endpoint.destination(), world.nowMicros()));
+        call.messages.forEach(m ->
+                world.onAttemptStarted(m.id(), forwarderNumber, host, call.endpoint.destination(), world.nowMicros()));
         boolean isReused = idleConnections.acquire(host, world.nowMicros()) != null;
         if (!isReused) {
             world.auditor().service().connection();
@@ -97,16 +108,20 @@
             state.written = true;
             runUnlessKilled(arrivesAtMicros, () -> requestArrived(call, state, partner, true));
         } else {
-            runUnlessKilled(arrivesAtMicros - world.networkDelayMicros(), () -> connectionEstablished(call, state, partner, connected));
+            runUnlessKilled(
+                    arrivesAtMicros - world.networkDelayMicros(),
+                    () -> connectionEstablished(call, state, partner, connected));
         }
     }
 
-    /** The call's connection is up: it is written now, unless a wait was told since it was decided. */
+    /** The call's connection is established: the call is written unless a retry-after was received in the meantime. */
     private void connectionEstablished(Call call, CallState state, Partner partner, boolean connected) {
         long waitMicros = retryAfterTable.remainingMicros(call.endpoint, world.nowMicros());
         if (waitMicros == 0) {
             state.written = true;
-            runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> requestArrived(call, state, partner, connected));
+            runUnlessKilled(
+                    world.nowMicros() + world.networkDelayMicros(),
+                    () -> requestArrived(call, state, partner, connected));
         } else if (!state.closed) {
             attemptsOver(call, "withheld", true);
             endCall(call, state, AttemptResult.WITHHELD, waitMicros, connected);
@@ -121,23 +136,35 @@
         call.messages.forEach(m -> world.onRequestReceived(m.id(), forwarderNumber, call.endpoint.destination()));
         String host = call.endpoint.host();
         if (!connected && partner.hosts().contains(host) && !partner.isOut(world.nowMicros())) {
-            // Too many connections: the partner says that it has no room, and closes.
-            runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.NO_ROOM, 0, false));
+            // Too many connections: the partner answers that it has no capacity, and closes the connection.
+            runUnlessKilled(
+                    world.nowMicros() + world.networkDelayMicros(),
+                    () -> endCall(call, state, AttemptResult.NO_ROOM, 0, false));
             attemptsOver(call, "full", true);
             return;
         }
         Answer answer = world.callPartner(
-                partner, host, forwarderNumber, call.messages.stream().map(Message::id).toList());
+                partner,
+                host,
+                forwarderNumber,
+                call.messages.stream().map(Message::id).toList());
         switch (answer.status()) {
             case NO_CONNECTION -> {
                 attemptsOver(call, "no connection", true);
-                runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.NO_CONNECTION, 0, false));
+                runUnlessKilled(
+                        world.nowMicros() + world.networkDelayMicros(),
+                        () -> endCall(call, state, AttemptResult.NO_CONNECTION, 0, false));
             }
             case FULL -> {
                 attemptsOver(call, "full", true);
                 runUnlessKilled(answer.atMicros(), () -> {
                     if (answer.waitMicros() > 0 && !state.closed) {
-                        world.auditor().waitTold(forwarderNumber, call.endpoint.destination(), world.nowMicros(), answer.waitMicros());
+                        world.auditor()
+                                .waitTold(
+                                        forwarderNumber,
+                                        call.endpoint.destination(),
+                                        world.nowMicros(),
+                                        answer.waitMicros());
                     }
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
                     runUnlessKilled(
@@ -147,29 +174,34 @@
             }
             case ERROR -> {
                 attemptsOver(call, "error", false);
-                runUnlessKilled(answer.atMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.ERROR, 0, true));
+                runUnlessKilled(
+                        answer.atMicros() + world.networkDelayMicros(),
+                        () -> endCall(call, state, AttemptResult.ERROR, 0, true));
             }
             case DELIVERED -> world.at(answer.atMicros(), () -> answerDelivered(call, state, partner, answer));
-            default -> {} // nothing comes back
+            default -> {} // the partner never answers
         }
     }
 
-    /** The partner has done the work, whether or not anybody still waits for its answer. */
+    /** The partner has done the work, whether or not the forwarder still waits for the answer. */
     private void answerDelivered(Call call, CallState state, Partner partner, Answer answer) {
         if (state.closed || !partner.answersStill(call.endpoint.host(), answer.atMicros())) {
             call.messages.forEach(m -> world.onProcessed(m.id(), false));
             return;
         }
         call.messages.forEach(m -> world.onProcessed(m.id(), true));
-        runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.DELIVERED, 0, true));
+        runUnlessKilled(
+                world.nowMicros() + world.networkDelayMicros(),
+                () -> endCall(call, state, AttemptResult.DELIVERED, 0, true));
     }
 
     private void attemptsOver(Call call, String result, boolean neverRan) {
         call.messages.forEach(m -> world.onAttemptOver(m.id(), result, neverRan));
     }
 
-    /** The call's answer is here. */
-    private void endCall(Call call, CallState state, AttemptResult result, long retryAfterMicros, boolean keepsConnection) {
+    /** Ends a call that is not closed yet and reports the result to the core. */
+    private void endCall(
+            Call call, CallState state, AttemptResult result, long retryAfterMicros, boolean keepsConnection) {
         if (state.closed || isKilled) {
             return;
         }
@@ -231,7 +263,8 @@
         world.auditor().service().probe();
         Partner partner = world.partner(endpoint.destination());
         runUnlessKilled(sentMicros + 2 * world.networkDelayMicros(), () -> {
-            Answer answer = partner.call(endpoint.host(), forwarderNumber, new long[] {PROBE_WORK_MICROS}, world.nowMicros());
+            Answer answer =
+                    partner.call(endpoint.host(), forwarderNumber, new long[] {PROBE_WORK_MICROS}, world.nowMicros());
             AttemptResult result = switch (answer.status()) {
                 case DELIVERED -> AttemptResult.DELIVERED;
                 case FULL -> AttemptResult.FULL;
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -26,14 +26,14 @@
 import lilaclever.routing.Submission;
 
 /**
- * One forwarder of the fleet: the real core with its module and its journal, in virtual time. Its front reaches the
- * world's models directly, and so does its {@link VirtualDeliverer}; what a wire would take is time here.
+ * A forwarder of the fleet in virtual time: the real core with its decision module and journal. Its front and its
+ * {@link VirtualDeliverer} use the world's models directly; network transfers are simulated as delays.
  */
 final class VirtualForwarder implements ForwarderHandle, Front, Clock {
-    /** The wall clock when a run begins: any day will do, and it is the same in each run. */
+    /** The wall clock at the start of each rehearsal, 2026-01-01T00:00:00Z; fixed so that runs are reproducible. */
     private static final long START_WALL_MICROS = 1_767_225_600_000_000L;
 
-    /** How long a process takes to serve. */
+    /** How long a restarted process takes until it is ready. */
     private static final long RESTART_MICROS = 400_000;
 
     private final World world;
@@ -71,7 +71,7 @@
         return core == null ? 0 : journal.pendingMessages().size();
     }
 
-    /** Task failures and invariants broken, over all lives. */
+    /** Task failures and broken invariants, over all process runs. */
     @Override
     public long brokenInvariants() {
         return earlierBrokenInvariants
@@ -80,11 +80,14 @@
                         : counters.get(Counters.Name.BROKEN_INVARIANTS) + counters.get(Counters.Name.TASKS_FAILED));
     }
 
-    // ---- lives ------------------------------------------------------------------------------------------
+    // Process runs
+
     @Override
     public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean first) {
         if (!first) {
-            runInSameProcessRun(world.nowMicros() + RESTART_MICROS, () -> startProcess(world.endpoints(), world.directoryVersion()));
+            runInSameProcessRun(
+                    world.nowMicros() + RESTART_MICROS,
+                    () -> startProcess(world.endpoints(), world.directoryVersion()));
         } else {
             startProcess(knownEndpoints, version);
         }
@@ -99,7 +102,7 @@
                     new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                     new SplittableRandom(seed + processRun));
         } catch (IOException e) {
-            throw new IllegalStateException("a disk in memory", e);
+            throw new IllegalStateException("I/O error of the in-memory disk", e);
         }
         counters = new Counters();
         RetryAfterTable retryAfterTable = new RetryAfterTable();
@@ -132,7 +135,7 @@
         nextTurnMicros = Long.MAX_VALUE;
     }
 
-    /** Runs the task if this life goes on then. */
+    /** Runs the task at the time if the process has not been killed by then. */
     private void runInSameProcessRun(long atMicros, Runnable task) {
         int scheduledIn = processRun;
         world.at(atMicros, () -> {
@@ -142,7 +145,8 @@
         });
     }
 
-    // ---- time -------------------------------------------------------------------------------------------
+    // Clock and turns
+
     @Override
     public long monotonicMicros() {
         return world.nowMicros();
@@ -155,12 +159,12 @@
 
     @Override
     public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
-        throw new IllegalStateException("the world does the loop's part");
+        throw new IllegalStateException("turns are scheduled on the world's timeline");
     }
 
     @Override
     public void sleep(long micros) {
-        throw new IllegalStateException("the world does the loop's part");
+        throw new IllegalStateException("turns are scheduled on the world's timeline");
     }
 
     @Override
@@ -180,7 +184,7 @@
 
     private void runTurn(long atMicros) {
         if (atMicros != nextTurnMicros) {
-            return; // an earlier step has taken its place
+            return; // an earlier turn was scheduled instead
         }
         nextTurnMicros = Long.MAX_VALUE;
         lastTurnMicros = world.nowMicros();
@@ -188,7 +192,8 @@
         scheduleTurn();
     }
 
-    // ---- the front --------------------------------------------------------------------------------------
+    // Front
+
     @Override
     public String name() {
         return "http";
@@ -247,10 +252,12 @@
         });
     }
 
-    // ---- the directory ----------------------------------------------------------------------------------
+    // Directory
+
     @Override
     public void onEndpointsChanged(long version, List<DecisionModule.EndpointEntry> changes) {
-        List<Core.ListedEndpoint> entries = changes.stream().map(this::listedEndpoint).toList();
+        List<Core.ListedEndpoint> entries =
+                changes.stream().map(this::listedEndpoint).toList();
         core.post(() -> core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
--- a/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
@@ -8,22 +8,24 @@
 import lilaclever.lab.world.World;
 
 /**
- * Plays a rehearsal in virtual time: the real cores with their modules and journals, in one thread. The same scenario
- * and seed give the same run, to the last event.
+ * Runs a rehearsal in virtual time, on one thread, with the real cores, decision modules and journals. The same
+ * scenario and seed give exactly the same run.
  *
- * <p>What it does not model: the forwarders' own processors (a turn takes no time), lost packets, and descriptors.
+ * <p>Not modelled: the forwarders' processor time (a turn takes no time), packet loss, and file descriptors.
  */
 public final class VirtualRehearsal {
     private VirtualRehearsal() {}
 
-    /** Plays the run to its end. */
+    /** Runs the scenario to its end. */
     public static RehearsalResult run(Scenario scenario, long seed, Fault fault) {
         return run(scenario, seed, fault, now -> {}, () -> false);
     }
 
     /**
-     * Plays the run; {@code progress} hears the virtual time once a virtual second. When {@code stopped} says so the
-     * run is cut short, and the result is partial.
+     * Runs the scenario.
+     *
+     * @param progress receives the virtual time, in microseconds, once a virtual second
+     * @param stopped cuts the run short once it returns true; the result is then partial
      */
     public static RehearsalResult run(
             Scenario scenario, long seed, Fault fault, LongConsumer progress, BooleanSupplier stopped) {
--- a/src/main/java/lilaclever/lab/virtual/VirtualTimeline.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualTimeline.java
@@ -5,7 +5,7 @@
 import lilaclever.lab.world.ScheduledAction;
 import lilaclever.lab.world.Timeline;
 
-/** Virtual time: events in the order of their times, and of their scheduling where these are the same. One thread. */
+/** A timeline in virtual time: actions run on one thread in the order of their times; equal times, as scheduled. */
 final class VirtualTimeline implements Timeline {
     private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private long nowMicros, nextSequence, actionCount;
@@ -15,7 +15,7 @@
         return nowMicros;
     }
 
-    /** Events that have run. */
+    /** The number of actions that have run. */
     long actionCount() {
         return actionCount;
     }
@@ -25,7 +25,7 @@
         scheduled.add(new ScheduledAction(Math.max(nowMicros, micros), nextSequence++, action));
     }
 
-    /** Runs all events up to the time, or until it is told to stop. */
+    /** Runs all actions up to the time, or until {@code stopped} returns true. */
     void runUntil(long untilMicros, BooleanSupplier stopped) {
         while (!scheduled.isEmpty() && scheduled.peek().atMicros() <= untilMicros) {
             if (stopped.getAsBoolean()) {
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -11,9 +11,9 @@
 import lilaclever.lab.model.RandomStream;
 import lilaclever.lab.scenario.Scenario;
 
-/** The directory service of a run: the list of endpoints, its version, and the news of it that forwarders get. */
+/** The directory service of a rehearsal: the endpoint list, its version, and the updates sent to forwarders. */
 final class EndpointDirectory {
-    /** So much longer than it must does an endpoint that drains stay, microseconds. */
+    /** How much longer than necessary a draining endpoint stays. */
     private static final long REMOVAL_MARGIN_MICROS = 1_000_000;
 
     private final Scenario scenario;
@@ -23,13 +23,13 @@
     private final RandomStream random;
     private final List<ForwarderHandle> forwarders;
     private final Map<String, DecisionModule.EndpointEntry> entries = new LinkedHashMap<>();
-    /** By forwarder: when the latest news arrives, and until when none does; microseconds. */
+    /** By forwarder: when the latest update arrives, and until when none arrives. */
     private final long[] latestUpdateMicros, silentUntilMicros;
 
     private long version = 1;
     private int hostCount;
 
-    /** An empty list; {@code forwarders} are those that hear of its changes, by number. */
+    /** Creates an empty directory; {@code forwarders}, by number, are notified of its changes. */
     EndpointDirectory(
             Scenario scenario,
             Fault fault,
@@ -57,17 +57,17 @@
         return entries.get(host);
     }
 
-    /** All endpoints' names, in the order in which they came. */
+    /** The hosts of all endpoints, in the order in which they were added. */
     List<String> hosts() {
         return new ArrayList<>(entries.keySet());
     }
 
-    /** The list's version: one more with each change. */
+    /** The list's version, which each change increments. */
     long version() {
         return version;
     }
 
-    /** A new endpoint of that partner. Nobody is told yet. */
+    /** Adds a new endpoint of the partner without notifying the forwarders. */
     DecisionModule.EndpointEntry addEndpoint(Partner partner) {
         String host = "s-" + partner.destination() + "-" + hostCount++;
         partner.add(host);
@@ -79,25 +79,26 @@
     }
 
     /**
-     * Drains an endpoint and adds another one in its place; it is gone once every forwarder can have heard, and so many
-     * microseconds more. Nothing happens if it drains already.
+     * Drains an endpoint and adds another one in its place. The draining endpoint is removed {@code drainsForMicros}
+     * after every forwarder can have been notified. It must not be draining already.
      */
     void replaceEndpoint(String host, Partner partner, long drainsForMicros) {
         notifyForwarders(List.of(addEndpoint(partner), change(host, Presence.LEAVING)));
         long longestDelayMicros = scenario.fleet().directoryDelay()[1];
-        long staysForMicros = drainsForMicros + longestDelayMicros + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN_MICROS;
+        long staysForMicros =
+                drainsForMicros + longestDelayMicros + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN_MICROS;
         timeline.after(staysForMicros, () -> {
             partner.remove(host);
             notifyForwarders(List.of(change(host, Presence.LEFT)));
         });
     }
 
-    /** No news reaches the forwarder until then, microseconds; it comes late. */
+    /** Delays all updates to the forwarder until the given time. */
     void silence(int forwarder, long untilMicros) {
         silentUntilMicros[forwarder] = untilMicros;
     }
 
-    /** A forwarder has read the whole list. */
+    /** Records that a forwarder has read the complete list. */
     void onReady(int forwarder) {
         for (DecisionModule.EndpointEntry entry : entries.values()) {
             recordReceived(forwarder, entry);
@@ -126,7 +127,7 @@
         return changed;
     }
 
-    /** Entries have changed: each forwarder is told in its own time, in the order of changes. */
+    /** Sends changed entries to each forwarder after a delay of its own, in the order of changes. */
     private void notifyForwarders(List<DecisionModule.EndpointEntry> changed) {
         long newVersion = ++version;
         for (ForwarderHandle forwarder : forwarders) {
@@ -140,7 +141,7 @@
 
     private void deliver(ForwarderHandle forwarder, long newVersion, List<DecisionModule.EndpointEntry> changed) {
         if (!forwarder.isUp()) {
-            return; // it gets the whole list when it starts
+            return; // it reads the complete list when it starts
         }
         boolean dropsDrains = fault == Fault.IGNORES_DRAINS;
         List<DecisionModule.EndpointEntry> delivered = changed.stream()
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -10,7 +10,7 @@
 import lilaclever.lab.scenario.Scenario.ScheduledEvent;
 import lilaclever.lab.scenario.Scenario.Target;
 
-/** Draws when and whom a scenario's events hit, and puts them on the timeline. */
+/** Draws the times and targets of a scenario's events and schedules them. */
 final class EventPlanner {
     private final int forwarderCount;
     private final Timeline timeline;
@@ -38,12 +38,12 @@
         this.forwarders = forwarders;
     }
 
-    /** The planned events' times. */
+    /** The periods of the planned events. */
     List<RehearsalResult.EventPeriod> periods() {
         return periods;
     }
 
-    /** Plans an event. */
+    /** Draws the event's time and targets and schedules it. */
     void plan(ScheduledEvent event) {
         long atMicros = random.in(event.at());
         long durationMicros = random.in(event.forMicros());
@@ -92,7 +92,7 @@
         if (others == 0) {
             return;
         }
-        // So heavy that together they get the share.
+        // With this weight each, the chosen forwarders together get the drawn share of the traffic.
         double weight = share / (1 - share) * others / hot.size();
         timeline.at(atMicros, () -> hot.forEach(f -> loadBalancer.setWeight(f, weight)));
         timeline.at(atMicros + durationMicros, () -> hot.forEach(f -> loadBalancer.setWeight(f, 1)));
--- a/src/main/java/lilaclever/lab/world/Fault.java
+++ b/src/main/java/lilaclever/lab/world/Fault.java
@@ -1,19 +1,19 @@
 package lilaclever.lab.world;
 
-/** What a forwarder under test does wrong on purpose: each must be found by the auditor. */
+/** A deliberate fault of the forwarders under test, which the auditor must detect. */
 public enum Fault {
-    /** Nothing. */
+    /** No fault. */
     NONE,
-    /** Takes a call that it gave up for one that was never begun, and sends the message again. */
+    /** Treats a call that it gave up as one that was never sent, and sends the message again. */
     RESENDS,
-    /** Does not hear that endpoints drain or are gone. */
+    /** Ignores that endpoints drain or were removed. */
     IGNORES_DRAINS,
-    /** Tells a second end. */
+    /** Sends a second, contradictory final status. */
     ENDS_TWICE,
-    /** Sends each call five times to a partner that is coming back. */
+    /** Sends each call five times to a partner that is recovering. */
     FLOODS,
-    /** Does not hear that it should wait. */
+    /** Ignores retry-after periods. */
     IGNORES_WAITS,
-    /** Never tells an end. */
+    /** Never sends a final status. */
     SILENT
 }
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -7,12 +7,12 @@
 import lilaclever.lab.audit.Breach.Rule;
 import lilaclever.lab.model.Partner;
 
-/** The lives of the forwarders: their starts, their deaths, and who gets to know of these. */
+/** Starts and kills the forwarders, and notifies directory, load balancer, clients and partners of both. */
 final class ForwarderFleet {
     private static final long SECOND_MICROS = 1_000_000;
-    /** How long a forwarder serves before the load balancer knows it, microseconds. */
+    /** How long a forwarder is ready before the load balancer detects it. */
     private static final long READY_DETECTION_MICROS = 100_000;
-    /** How long one that died by itself is dead before it is started again, microseconds. */
+    /** How long after an unexpected exit a forwarder is started again. */
     private static final long RESTART_DELAY_MICROS = SECOND_MICROS;
 
     private final List<ForwarderHandle> forwarders;
@@ -24,7 +24,7 @@
     private final Auditor auditor;
     private final Set<Integer> everReady = new HashSet<>();
 
-    /** Of these forwarders, which stand at their numbers. */
+    /** Creates a fleet of these forwarders, which are indexed by their numbers. */
     ForwarderFleet(
             List<ForwarderHandle> forwarders,
             List<Partner> partners,
@@ -42,7 +42,7 @@
         this.auditor = auditor;
     }
 
-    /** Starts all for the first time. */
+    /** Starts all forwarders for the first time. */
     void startAll() {
         for (int forwarder = 0; forwarder < forwarders.size(); forwarder++) {
             start(forwarder, true);
@@ -53,7 +53,7 @@
         forwarders.get(forwarder).start(directory.entries(), directory.version(), first);
     }
 
-    /** Kills a forwarder and starts it again after so long, microseconds; one that is down already is left alone. */
+    /** Kills a forwarder and starts it again after the delay; does nothing if it is already down. */
     void restart(int forwarder, long downMicros) {
         if (forwarders.get(forwarder).isUp()) {
             forwarders.get(forwarder).kill();
@@ -62,7 +62,7 @@
         }
     }
 
-    /** A forwarder has died by itself: its connections are gone, and it is started again by whoever runs it. */
+    /** A forwarder's process has ended unexpectedly: its connections are closed, and it is restarted after a delay. */
     void onUnexpectedExit(int forwarder, String cause) {
         auditor.count("deaths");
         auditor.broken(Rule.INVARIANT, timeline.nowMicros(), "forwarder " + forwarder + " died: " + cause);
@@ -77,7 +77,7 @@
         clients.onForwarderExit(forwarder);
     }
 
-    /** A forwarder serves. */
+    /** A forwarder is ready to serve. */
     void onReady(int forwarder) {
         everReady.add(forwarder);
         auditor.ready(forwarder, timeline.nowMicros());
@@ -85,22 +85,22 @@
         timeline.after(READY_DETECTION_MICROS, () -> loadBalancer.onReady(forwarder));
     }
 
-    /** Forwarders that have served at all. */
+    /** The number of forwarders that have been ready at least once. */
     int everReadyCount() {
         return everReady.size();
     }
 
-    /** Messages that all hold together; below 0 if that can't be seen from here. */
+    /** Pending messages of all forwarders together; negative if the number is not known. */
     int pendingCount() {
         return forwarders.stream().mapToInt(ForwarderHandle::pendingCount).sum();
     }
 
-    /** Forwarders that are up. */
+    /** The number of forwarders that are up. */
     long upCount() {
         return forwarders.stream().filter(ForwarderHandle::isUp).count();
     }
 
-    /** Reports the invariants that forwarders have seen broken. */
+    /** Reports the broken invariants of all forwarders to the auditor. */
     void reportBrokenInvariants() {
         for (ForwarderHandle forwarder : forwarders) {
             if (forwarder.brokenInvariants() > 0) {
--- a/src/main/java/lilaclever/lab/world/ForwarderHandle.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderHandle.java
@@ -5,45 +5,46 @@
 import lilaclever.lab.model.Arrival;
 
 /**
- * How the world reaches one forwarder of the fleet: a real core in virtual time, or a process on real sockets. All
- * calls come on the timeline's thread, and what it tells the world it tells there.
+ * The world's access to one forwarder of the fleet: a real core in virtual time, or a process on real sockets. All
+ * calls, in both directions, are made on the timeline's thread.
  */
 public interface ForwarderHandle {
-    /** Makes the fleet's forwarders. */
+    /** Creates the fleet's forwarders. */
     interface Factory {
-        /** One that is not started yet; {@code seed} is for what it draws itself. */
+        /** Creates a forwarder without starting it; {@code seed} is for its own random draws. */
         ForwarderHandle create(World world, int number, DecisionModule.Settings settings, long seed);
     }
 
-    /** Its number in the fleet, from 0. */
+    /** The forwarder's number in the fleet, from 0. */
     int number();
 
-    /** True from its start to its end, whether or not it answers already. */
+    /** True from the start to the end of its process, whether or not it is ready yet. */
     boolean isUp();
 
-    /** Messages that it holds; -1 if that can't be seen from here. */
+    /** The number of its pending messages; -1 if it is not known. */
     int pendingCount();
 
-    /** What must hold and did not, so far as it has told. */
+    /** The number of broken invariants that it has reported. */
     long brokenInvariants();
 
     /**
-     * Starts it with the directory's list; {@code first} if it has not lived before. It tells {@link World#onReady}
-     * once it serves.
+     * Starts it with the directory's list; {@code first} is true for its first process run. It calls {@link
+     * World#onReady} once it is ready.
      */
     void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean first);
 
-    /** Kills it without warning. */
+    /** Kills its process without warning. */
     void kill();
 
     /**
-     * Hands a message in, under an id of this hand-in. What becomes of it is told by {@link World#onAccepted}, {@link
-     * World#onRejected}, {@link World#onConnectionRefused} or {@link World#onNoAnswer}.
+     * Submits a message. The outcome is reported by {@link World#onAccepted}, {@link World#onRejected},
+     * {@link World#onConnectionRefused} or {@link World#onNoAnswer}.
      *
-     * @param leftMicros how long it may still be delivered
+     * @param id the id of this submission
+     * @param leftMicros the time that is left until the message's deadline
      */
     void submit(String id, Arrival arrival, long leftMicros);
 
-    /** The directory tells changes. */
+    /** The directory sends changed entries. */
     void onEndpointsChanged(long version, List<DecisionModule.EndpointEntry> changes);
 }
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -7,7 +7,7 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.Scenario.Fleet;
 
-/** The settings that a scenario gives its forwarders. */
+/** Derives the forwarders' settings from a scenario. */
 final class ForwarderSettings {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long ANSWER_SLACK_MICROS = 20_000;
@@ -17,7 +17,7 @@
 
     private final Scenario scenario;
     private final Fleet fleet;
-    /** Messages a second of each forwarder at full load, and calls that these keep busy. */
+    /** Messages a second of each forwarder at full load, and the mean number of calls that they keep in flight. */
     private final double ratePerSecond, busyCalls;
 
     ForwarderSettings(Scenario scenario, double[] weights, List<Partner> partners) {
@@ -31,7 +31,7 @@
         busyCalls = busy;
     }
 
-    /** Those of the forwarder with that number. */
+    /** The settings of the forwarder with that number. */
     DecisionModule.Settings forForwarder(int number) {
         List<DecisionModule.EndpointKind> kinds = scenario.kinds().stream()
                 .map(k -> new DecisionModule.EndpointKind(false, k.batch()))
--- a/src/main/java/lilaclever/lab/world/LoadBalancer.java
+++ b/src/main/java/lilaclever/lab/world/LoadBalancer.java
@@ -6,15 +6,15 @@
 import lilaclever.lab.model.RandomStream;
 import lilaclever.lab.model.Traffic;
 
-/** The front that spreads clients' messages over the forwarders. It finds out only after a time that one is dead. */
+/** The load balancer between clients and forwarders. It detects only after a delay that a forwarder is down. */
 final class LoadBalancer {
     private final Timeline timeline;
     private final RandomStream random;
-    /** How long messages still go to a forwarder that has died, least and most, microseconds. */
+    /** The shortest and the longest time for which messages still go to a forwarder that is down. */
     private final long[] detectionDelayMicros;
 
     private final double[] weights;
-    /** Forwarders that have died, and from when on this is known. */
+    /** Forwarders that are down, with the time at which this is detected. */
     private final Map<Integer, Long> detectedDownMicros = new HashMap<>();
 
     LoadBalancer(Timeline timeline, RandomStream random, int forwarders, long[] detectionDelayMicros) {
@@ -25,7 +25,7 @@
         Arrays.fill(weights, 1);
     }
 
-    /** The forwarder that gets the next message. If none is known to live, any. */
+    /** Picks the forwarder for the next message; any of them if all are known to be down. */
     int pick() {
         double[] shares = weights.clone();
         for (Map.Entry<Integer, Long> down : detectedDownMicros.entrySet()) {
@@ -38,17 +38,17 @@
         return sum == 0 ? (int) (unit * shares.length) : Traffic.pick(shares, unit);
     }
 
-    /** Sets a forwarder's weight; 1 is usual. */
+    /** Sets a forwarder's weight, which is 1 by default. */
     void setWeight(int forwarder, double weight) {
         weights[forwarder] = weight;
     }
 
-    /** A forwarder has died: that is known here after a while. */
+    /** A forwarder's process has ended, which is detected after a random delay. */
     void onExit(int forwarder) {
         detectedDownMicros.put(forwarder, timeline.nowMicros() + random.in(detectionDelayMicros));
     }
 
-    /** A forwarder is known to serve. */
+    /** A forwarder is known to be ready. */
     void onReady(int forwarder) {
         detectedDownMicros.remove(forwarder);
     }
--- a/src/main/java/lilaclever/lab/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/lab/world/PartnerFactory.java
@@ -10,15 +10,15 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.Scenario.Fleet;
 
-/** Makes a scenario's partners and their endpoints, the same ones for the same seed. */
+/** Creates a scenario's partners and their endpoints, the same ones for the same seed. */
 final class PartnerFactory {
-    /** Kinds that get much of the traffic are drawn for places within this part of the ranks. */
+    /** Partners of large kinds are placed within this share of the ranks, beginning with the highest. */
     private static final double LARGE_KINDS_RANK_SHARE = 0.6;
-    /** The first quarter of the partners has as many endpoints as is drawn, the others this part of it. */
+    /** The first quarter of the partners has as many endpoints as drawn; the others have this share of them. */
     private static final double REDUCED_ENDPOINT_SHARE = 0.6;
 
     private static final int FULL_ENDPOINTS_DIVISOR = 4;
-    /** Added to a number of endpoints before it is rounded. */
+    /** Added to a number of endpoints before rounding. */
     private static final double ENDPOINT_ROUNDING = 0.2;
 
     private final Scenario scenario;
@@ -34,9 +34,9 @@
     }
 
     /**
-     * Makes the partners and adds their endpoints to the directory.
+     * Creates the partners and adds their endpoints to the directory.
      *
-     * @param weights each partner's share of the traffic, falling
+     * @param weights each partner's share of the traffic, in descending order
      * @return the partners, numbered by their rank
      */
     List<Partner> create(double[] weights, EndpointDirectory directory) {
@@ -62,7 +62,7 @@
         return partners;
     }
 
-    /** A kind for each partner: those that get much of the traffic stand where it is, the others anywhere. */
+    /** A kind for each partner: large kinds are placed among the ranks with most traffic, the others anywhere. */
     private List<PartnerKind> kindsByRank() {
         record Placed(PartnerKind kind, double place) {}
         List<Placed> placed = new ArrayList<>();
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -6,14 +6,14 @@
 import lilaclever.lab.scenario.Scenario;
 
 /**
- * What a run has shown.
+ * The result of a rehearsal.
  *
- * @param eventPeriods what happened, for people and for the bands of plots
+ * @param eventPeriods the periods of the scenario's events, for reports and plots
  * @param partners a row for each partner
- * @param series figures by second: name to values
- * @param actionCount events of the scheduler: the size of the run
- * @param isPartial cut short
- * @param timingQuality of a run in real time; null in virtual time
+ * @param series figures by second, under their names
+ * @param actionCount actions that the timeline has run
+ * @param isPartial true if the run was cut short
+ * @param timingQuality of the stand-ins in real time; null in virtual time
  */
 public record RehearsalResult(
         Scenario scenario,
@@ -26,7 +26,7 @@
         long actionCount,
         boolean isPartial,
         TimingQuality timingQuality) {
-    /** Something that happened, from a time to a time. */
+    /** The period of an event. */
     public record EventPeriod(String name, long fromMicros, long toMicros) {}
 
     /** One partner's figures. */
--- a/src/main/java/lilaclever/lab/world/ScheduledAction.java
+++ b/src/main/java/lilaclever/lab/world/ScheduledAction.java
@@ -1,6 +1,6 @@
 package lilaclever.lab.world;
 
-/** What is due on a timeline: in the order of times, and of scheduling where these are the same. */
+/** An action on a timeline, ordered by time, and by the order of scheduling where times are equal. */
 public record ScheduledAction(long atMicros, long sequence, Runnable action) implements Comparable<ScheduledAction> {
     @Override
     public int compareTo(ScheduledAction other) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -12,12 +12,15 @@
 import lilaclever.lab.scenario.Scenario;
 
 /**
- * The clients of a run: they submit each message by the load balancer, and submit it again when it was refused or no
- * answer came, as often and as long as their rules allow. A submission's id holds the message's number, and how many
- * came before it.
+ * The clients of a rehearsal. They submit each message through the load balancer, and submit it again when it was
+ * rejected or not answered, as often and as long as their rules allow. A submission's id contains the message's number
+ * and the number of its earlier submissions.
  */
 final class SimulatedClients {
-    /** So much earlier than the answer to its submission can a notice of a message be here, microseconds. */
+    /**
+     * A notice of a message may arrive before the answer to its submission. It is then checked again at this interval,
+     * for at most the maximum delay.
+     */
     private static final long NOTICE_RECHECK_MICROS = 5_000, MAX_NOTICE_DELAY_MICROS = 500_000;
 
     private static final String DEFERRED = "deferred";
@@ -32,9 +35,9 @@
 
     private final Map<Integer, Arrival> arrivals = new HashMap<>();
     private final Map<Integer, Integer> retriesLeft = new HashMap<>();
-    /** Submissions without an answer, and the forwarder of each: if it dies they are made again. */
+    /** Unanswered submissions with their forwarders; they are repeated if the forwarder's process ends. */
     private final Map<String, Integer> unanswered = new LinkedHashMap<>();
-    /** The last submission of each message: what comes under an earlier id counts for nothing. */
+    /** The id of each message's last submission; what arrives under an earlier id is ignored. */
     private final Map<Integer, String> currentIds = new HashMap<>();
 
     SimulatedClients(
@@ -64,22 +67,26 @@
         return Integer.parseInt(id.substring(id.indexOf('-') + 1));
     }
 
-    /** What the partner must do for the message of that submission, microseconds. */
+    /** The partner's work for the message of that submission. */
     long workMicros(String id) {
         return arrivals.get(messageNumber(id)).workMicros();
     }
 
-    /** True if a message of this id was submitted lately, and its client has not submitted it again since. */
+    /** True if a message was submitted recently under this id and has not been submitted again since. */
     boolean isCurrent(String id) {
         return id.matches("m\\d{1,9}-\\d{1,6}") && id.equals(currentIds.get(messageNumber(id)));
     }
 
-    /** A client has a new message. */
+    /** Submits a client's new message. */
     void arrive(Arrival arrival) {
         arrivals.put(arrival.number(), arrival);
         retriesLeft.put(arrival.number(), scenario.fleet().clientRetries());
         auditor.arrives(
-                arrival.number(), arrival.messageClass(), arrival.destination(), arrival.workMicros(), timeline.nowMicros());
+                arrival.number(),
+                arrival.messageClass(),
+                arrival.destination(),
+                arrival.workMicros(),
+                timeline.nowMicros());
         series.add("arrived", 1);
         submit(arrival);
     }
@@ -106,7 +113,7 @@
         return scenario.classes().get(arrival.messageClass()).terms();
     }
 
-    /** Nobody listened: it is submitted again. */
+    /** The forwarder was not listening: the message is submitted again. */
     void onConnectionRefused(String id) {
         if (unanswered.remove(id) != null) {
             auditor.count("met_a_dead_forwarder");
@@ -114,7 +121,7 @@
         }
     }
 
-    /** No answer came in time, or the connection broke: it is submitted again. */
+    /** No answer arrived in time, or the connection broke: the message is submitted again. */
     void onNoAnswer(String id) {
         if (unanswered.remove(id) != null) {
             auditor.count("hand_ins_without_an_answer");
@@ -122,7 +129,7 @@
         }
     }
 
-    /** A forwarder has died: all that it had not answered is submitted again. */
+    /** A forwarder's process has ended: the messages that it had not answered are submitted again. */
     void onForwarderExit(int forwarder) {
         List<String> lost = new ArrayList<>();
         unanswered.forEach((id, to) -> {
@@ -143,7 +150,7 @@
         }
     }
 
-    /** The message is accepted. */
+    /** The message was accepted. */
     void onAccepted(String id) {
         Integer forwarder = unanswered.remove(id);
         if (forwarder != null) {
@@ -151,17 +158,17 @@
         }
     }
 
-    /** The message was refused; the forwarder advises to retry after so long, microseconds (0: no advice). */
+    /** The message was rejected; a {@code retryAfterMicros} of 0 stands for none given. */
     void onRejected(String id, long retryAfterMicros) {
         if (unanswered.remove(id) == null) {
-            return; // it was submitted elsewhere since
+            return; // it has been submitted again since
         }
         auditor.turnedDown(messageNumber(id), timeline.nowMicros(), retryAfterMicros);
         series.add("turned_down", 1);
         retry(messageNumber(id), retryAfterMicros);
     }
 
-    /** The platform has had a notice of an accepted message's final status. */
+    /** The platform has received a notice of an accepted message's final status. */
     void onNotice(String id, String status) {
         onNotice(id, status, timeline.nowMicros());
     }
@@ -189,7 +196,9 @@
         }
     }
 
-    /** What may have taken effect is not submitted again, or with a key only inside its window. */
+    /**
+     * A message that may have taken effect is not repeated, or with an idempotency key only inside its repeat window.
+     */
     private boolean mayRetry(int number, long atMicros) {
         long riskAtMicros = auditor.riskAt(number);
         if (riskAtMicros < 0) {
@@ -203,7 +212,7 @@
         };
     }
 
-    /** Forgets messages that arrived before that time, microseconds. */
+    /** Forgets messages that arrived before that time. */
     void forgetBefore(long micros) {
         arrivals.keySet().removeIf(n -> arrivals.get(n).atMicros() < micros);
         retriesLeft.keySet().retainAll(arrivals.keySet());
--- a/src/main/java/lilaclever/lab/world/TimeSeries.java
+++ b/src/main/java/lilaclever/lab/world/TimeSeries.java
@@ -2,7 +2,7 @@
 
 import java.util.TreeMap;
 
-/** Figures of a run by second: a named row of sums for each. */
+/** Figures of a rehearsal by second: each a named row of sums. */
 final class TimeSeries {
     private static final long SECOND_MICROS = 1_000_000;
 
@@ -10,13 +10,13 @@
     private final int seconds;
     private final TreeMap<String, double[]> rows = new TreeMap<>();
 
-    /** Rows that are long enough for so many microseconds; what is added later is dropped. */
+    /** Creates rows for the given length; what is added after it is dropped. */
     TimeSeries(Timeline timeline, long lengthMicros) {
         this.timeline = timeline;
         seconds = (int) (lengthMicros / SECOND_MICROS) + 1;
     }
 
-    /** Adds to the present second of that row. */
+    /** Adds to the current second of that row. */
     void add(String name, double amount) {
         int second = (int) (timeline.nowMicros() / SECOND_MICROS);
         if (second < seconds) {
--- a/src/main/java/lilaclever/lab/world/Timeline.java
+++ b/src/main/java/lilaclever/lab/world/Timeline.java
@@ -1,14 +1,14 @@
 package lilaclever.lab.world;
 
-/** A run's time and the order of what happens in it. All actions run on one thread, one after the other. */
+/** The time of a rehearsal and its scheduled actions, which run one after the other on one thread. */
 public interface Timeline {
-    /** Microseconds since the run began. */
+    /** Microseconds since the rehearsal began. */
     long nowMicros();
 
-    /** Runs the action at the time, or now if that is past. */
+    /** Runs the action at the time, or as soon as possible if that is past. */
     void at(long micros, Runnable action);
 
-    /** Runs the action after so long. */
+    /** Runs the action after the delay. */
     default void after(long micros, Runnable action) {
         at(nowMicros() + micros, action);
     }
--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/lab/world/TimingQuality.java
@@ -4,23 +4,24 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Whether a run in real time can be believed: how late the stand-ins did what was due. A partner that answers late, or
- * a client that hands in late, is a slower one than the scenario's, and the figures are then of another day.
+ * Whether the figures of a run in real time can be trusted, by how late the stand-ins ran their actions. A partner that
+ * answers late, or a client that submits late, is slower than the scenario's, so that the figures do not describe the
+ * scenario.
  *
- * @param tasks what was due
- * @param lateShare the share of it that was over {@link #LATE_MICROS} late
- * @param maxMicros how late the latest was
- * @param errorCount what else went wrong with the stand-ins
+ * @param tasks the number of actions
+ * @param lateShare the share of actions that ran more than {@link #LATE_MICROS} late
+ * @param maxMicros how late the latest action ran
+ * @param errorCount other errors of the stand-ins
  */
 public record TimingQuality(
         long tasks, double lateShare, long medianMicros, long p99Micros, long maxMicros, long errorCount) {
-    /** Later than this counts as late, microseconds. */
+    /** An action that runs later than this counts as late. */
     public static final long LATE_MICROS = 10_000;
 
     private static final double MAX_LATE_SHARE = 0.005;
     private static final long MAX_LATENESS_MICROS = 500_000;
 
-    /** From how late each task was, microseconds. */
+    /** Summarizes how late each action ran, in microseconds. */
     public static TimingQuality of(Histogram lateness, long errorCount) {
         long tasks = lateness.getTotalCount();
         double lateShare = tasks == 0 ? 0 : 1 - lateness.getCountBetweenValues(0, LATE_MICROS) / (double) tasks;
@@ -33,12 +34,12 @@
                 errorCount);
     }
 
-    /** True if the figures are those of the scenario. */
+    /** True if the stand-ins were punctual enough for the figures to be those of the scenario. */
     public boolean isAcceptable() {
         return lateShare <= MAX_LATE_SHARE && maxMicros <= MAX_LATENESS_MICROS && errorCount == 0;
     }
 
-    /** For people. */
+    /** A description of the timing for people. */
     public String summary() {
         return String.format(
                 Locale.ROOT,
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -15,17 +15,17 @@
 import lilaclever.lab.scenario.Scenario.Fleet;
 
 /**
- * A rehearsal: a fleet of forwarders among models of all that is around them: partners, directory, load balancer,
- * clients. What plays it, in virtual time or on sockets, is behind {@link Timeline} and {@link ForwarderHandle}; it
- * tells here what its forwarders do. One thread, the timeline's.
+ * The simulated world of a rehearsal: a fleet of forwarders and models of their environment, namely partners,
+ * directory, load balancer and clients. {@link Timeline} and {@link ForwarderHandle} hide whether it runs in virtual
+ * time or on sockets; their implementations report here what the forwarders do. Used on the timeline's thread only.
  */
 public final class World {
     private static final long SECOND_MICROS = 1_000_000;
-    /** How long a run goes on after the last deadline, microseconds. */
+    /** How long a rehearsal goes on after the last deadline. */
     private static final long MARGIN_AFTER_DEADLINES_MICROS = 7 * SECOND_MICROS;
-    /** How long after its arrival a message is forgotten, seconds, and how often that is done. */
+    /** How long after its arrival a message is forgotten, and how often messages are checked for this. */
     private static final int FORGET_AFTER_SECONDS = 120, FORGET_INTERVAL_SECONDS = 10;
-    /** With {@link Fault#FLOODS}, how often a call is repeated. */
+    /** How often each call is repeated with {@link Fault#FLOODS}. */
     private static final int FLOOD_REPEATS = 4;
 
     private final Scenario scenario;
@@ -43,8 +43,9 @@
     private final TimeSeries series;
     private List<Arrival> plannedArrivals = List.of();
 
-    /** A world that has not begun. */
-    public World(Scenario scenario, long seed, Fault fault, Timeline timeline, ForwarderHandle.Factory forwarderFactory) {
+    /** Creates a world whose forwarders are not started yet. */
+    public World(
+            Scenario scenario, long seed, Fault fault, Timeline timeline, ForwarderHandle.Factory forwarderFactory) {
         this.timeline = timeline;
         this.scenario = scenario;
         this.seed = seed;
@@ -72,42 +73,44 @@
                 forwarders);
         ForwarderSettings settings = new ForwarderSettings(scenario, weights, partners);
         for (int i = 0; i < fleet.forwarders(); i++) {
-            members.add(forwarderFactory.create(this, i, settings.forForwarder(i), new RandomStream(seed, "forwarder " + i).below(1 << 30)));
+            members.add(forwarderFactory.create(
+                    this, i, settings.forForwarder(i), new RandomStream(seed, "forwarder " + i).below(1 << 30)));
         }
     }
 
-    // ---- what forwarders ask ----------------------------------------------------------------------------
-    /** What is played. */
+    // State read by the forwarders and stand-ins
+
+    /** The scenario of this rehearsal. */
     public Scenario scenario() {
         return scenario;
     }
 
-    /** What the forwarders do wrong on purpose. */
+    /** The deliberate fault of the forwarders. */
     public Fault fault() {
         return fault;
     }
 
-    /** Who watches. */
+    /** The auditor, which checks the rules and counts. */
     public Auditor auditor() {
         return auditor;
     }
 
-    /** Microseconds since the run began. */
+    /** Microseconds since the rehearsal began. */
     public long nowMicros() {
         return timeline.nowMicros();
     }
 
-    /** How long the network takes, one way, microseconds. */
+    /** The one-way delay of the network. */
     public long networkDelayMicros() {
         return fleet.networkMicros();
     }
 
-    /** Runs the action at the time. */
+    /** Runs the action at the time, or as soon as possible if that is past. */
     public void at(long micros, Runnable action) {
         timeline.at(micros, action);
     }
 
-    /** Runs the action after so long. */
+    /** Runs the action after the delay. */
     public void after(long micros, Runnable action) {
         timeline.after(micros, action);
     }
@@ -119,41 +122,42 @@
 
     /** The partner behind a destination. */
     public Partner partner(int destination) {
-        return partners.get(destination); // they are numbered by their rank
+        return partners.get(destination); // partners are numbered by their rank
     }
 
-    /** The directory's list as it is now. */
+    /** The directory's current list. */
     public List<DecisionModule.EndpointEntry> endpoints() {
         return directory.entries();
     }
 
-    /** Its version. */
+    /** The version of the directory's list. */
     public long directoryVersion() {
         return directory.version();
     }
 
-    /** The message's number in the id of a hand-in. */
+    /** The message's number in the id of a submission. */
     public static int messageNumber(String id) {
         return SimulatedClients.messageNumber(id);
     }
 
-    /** True if a message of this id was handed in lately, and its client has not handed it in again since. */
+    /** True if a message was submitted recently under this id and has not been submitted again since. */
     public boolean isCurrent(String id) {
         return clients.isCurrent(id);
     }
 
-    // ---- calls to partners ------------------------------------------------------------------------------
-    /** A forwarder sends a message: the first byte of the call leaves. */
+    // Calls to partners
+
+    /** A forwarder sends the first byte of a message's call. */
     public void onAttemptStarted(String id, int forwarder, String host, int destination, long atMicros) {
         auditor.attempt(messageNumber(id), forwarder, host, destination, atMicros);
     }
 
-    /** The last byte of a message's call has come. */
+    /** A partner has received the last byte of a message's call. */
     public void onRequestReceived(String id, int forwarder, int destination) {
         auditor.comes(messageNumber(id), forwarder, destination, nowMicros());
     }
 
-    /** A call with these messages has come whole; tells what the partner makes of it. */
+    /** A partner has received a complete call with these messages; returns its answer. */
     public Answer callPartner(Partner partner, String host, int forwarder, List<String> ids) {
         long[] work = ids.stream().mapToLong(clients::workMicros).toArray();
         series.add("calls", 1);
@@ -169,12 +173,12 @@
         return answer;
     }
 
-    /** An attempt is over, as the partner knows it. */
+    /** An attempt has ended on the partner's side. */
     public void onAttemptOver(String id, String result, boolean neverRan) {
         auditor.attemptOver(messageNumber(id), result, neverRan, nowMicros());
     }
 
-    /** A partner has worked on a message; {@code heard}: its answer goes out on an open connection. */
+    /** A partner has processed a message; {@code isAnswered} if its answer goes out on an open connection. */
     public void onProcessed(String id, boolean isAnswered) {
         auditor.service().work(clients.workMicros(id), !isAnswered);
         if (isAnswered) {
@@ -193,50 +197,53 @@
         }
     }
 
-    // ---- what clients and the platform hear -------------------------------------------------------------
-    /** Nobody listened: the client comes again. */
+    // Answers and notices to clients and the platform
+
+    /** The forwarder was not listening: the client retries later. */
     public void onConnectionRefused(String id) {
         clients.onConnectionRefused(id);
     }
 
-    /** No answer came in time, or the connection broke: the client comes again. */
+    /** No answer arrived in time, or the connection broke: the client retries later. */
     public void onNoAnswer(String id) {
         clients.onNoAnswer(id);
     }
 
-    /** A client has heard that its message is taken on. */
+    /** A client was answered that its message is accepted. */
     public void onAccepted(String id) {
         clients.onAccepted(id);
     }
 
-    /** A client was turned away. */
+    /** A client was answered that its message is rejected; a {@code retryAfterMicros} of 0 stands for none given. */
     public void onRejected(String id, long retryAfterMicros) {
         clients.onRejected(id, retryAfterMicros);
     }
 
-    /** The platform has had a notice. */
+    /** The platform has received a notice of a message's final status. */
     public void onNotice(String id, String status) {
         clients.onNotice(id, status);
     }
 
-    // ---- lives of forwarders ----------------------------------------------------------------------------
-    /** A forwarder serves. */
+    // Process runs of forwarders
+
+    /** A forwarder is ready to serve. */
     public void onReady(int forwarder) {
         forwarders.onReady(forwarder);
     }
 
-    /** A forwarder has died by itself: its connections are gone, and it is started again by whoever runs it. */
+    /** A forwarder's process has ended unexpectedly: its connections are closed, and it is restarted after a delay. */
     public void onUnexpectedExit(int forwarder, String cause) {
         forwarders.onUnexpectedExit(forwarder, cause);
     }
 
-    /** Forwarders that have served at all. */
+    /** The number of forwarders that have been ready at least once. */
     public int everReadyCount() {
         return forwarders.everReadyCount();
     }
 
-    // ---- the run ----------------------------------------------------------------------------------------
-    /** How long the run lasts, until the last end is due, microseconds. */
+    // Course of the rehearsal
+
+    /** The length of the rehearsal, until the last final status is due. */
     public long lengthMicros() {
         long longestDeadline = scenario.classes().stream()
                 .mapToLong(c -> c.terms().deadlineMicros())
@@ -245,12 +252,12 @@
         return scenario.traffic().lengthMicros() + MARGIN_AFTER_DEADLINES_MICROS + longestDeadline;
     }
 
-    /** Starts the forwarders; each tells when it is {@link #onReady}. */
+    /** Starts the forwarders; {@link #onReady} is called for each once it is ready. */
     public void start() {
         forwarders.startAll();
     }
 
-    /** All that will happen is planned from now on; {@code progress} hears the time once a second. */
+    /** Schedules all arrivals and events, beginning now; {@code progress} receives the time once a second. */
     public void begin(LongConsumer progress) {
         Traffic traffic = new Traffic(
                 scenario.traffic().shape(),
@@ -266,12 +273,12 @@
         runEverySecond(progress);
     }
 
-    /** What was drawn ahead: who hands in what, and when. */
+    /** The arrivals that were drawn in advance. */
     public List<Arrival> plannedArrivals() {
         return plannedArrivals;
     }
 
-    /** One arrival after the other: the plan is long, the queue of events need not be. */
+    /** Schedules one arrival at a time, to keep the timeline's queue short. */
     private void scheduleArrival(int index) {
         if (index < plannedArrivals.size()) {
             timeline.at(plannedArrivals.get(index).atMicros(), () -> {
@@ -298,7 +305,7 @@
         }
     }
 
-    /** The run is over, or is cut short now: what it has shown. */
+    /** Ends the rehearsal, at its full length or cut short, and returns its result. */
     public RehearsalResult finish(long actionCount, TimingQuality timingQuality) {
         auditor.finish(nowMicros());
         forwarders.reportBrokenInvariants();
@@ -306,13 +313,22 @@
         List<RehearsalResult.PartnerRow> rows = partners.stream().map(this::row).toList();
         boolean partial = nowMicros() < lengthMicros();
         return new RehearsalResult(
-                scenario, seed, auditor, events.periods(), rows, series.rows(), nowMicros(), actionCount, partial, timingQuality);
+                scenario,
+                seed,
+                auditor,
+                events.periods(),
+                rows,
+                series.rows(),
+                nowMicros(),
+                actionCount,
+                partial,
+                timingQuality);
     }
 
     private void reportFailBacks(Partner partner) {
         int falls = partner.fallsByKnowing();
         if (falls > 0) {
-            String what = "destination " + partner.destination() + " was pushed over " + falls
+            String what = "destination " + partner.destination() + " was overloaded " + falls
                     + " times by forwarders that saw it fail";
             auditor.broken(Rule.FAIL_BACK, nowMicros(), what);
         }
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -62,7 +62,10 @@
                 FolderDisk.take(config.state()),
                 config.diskBytes() - config.noteBytes(),
                 operator.journal().durability(),
-                new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.read(Core::monotonicMicros, Core::wallMicros)),
+                new JournalClocks(
+                        Core::monotonicMicros,
+                        Core::wallMicros,
+                        BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                 new SplittableRandom(config.seed() ^ System.nanoTime()));
         Counters counters = new Counters();
         figures(journal, counters);
@@ -119,7 +122,8 @@
                 version);
         addresses.add(front.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
-            addresses.add(new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
+            addresses.add(
+                    new OperatorPort(core, suspensions).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
             addresses.addAll(each.listen(transport));
@@ -142,7 +146,8 @@
         counters.valueGauge("journal_bytes", journal::allocated);
         counters.valueGauge("journal_bytes_copied", journal::copied);
         counters.valueGauge("journal_failures", journal::failures);
-        counters.valueGauge("journal_damages", () -> journal.recovered().damages().size());
+        counters.valueGauge(
+                "journal_damages", () -> journal.recovered().damages().size());
     }
 
     /** Starts all parts as the platform has them; {@code mail} is null where the mail front is off. */
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -142,8 +142,8 @@
         long wait = isLook ? LOOK_WAIT : watchWait();
         primary = new PendingRequest(
                 ++sent, asksWhole, isLook, asksWhole ? "" : "?after=" + version + "&wait_ms=" + wait / 1000);
-        primary.timeout =
-                core.deadlines().schedule(core.nowMicros() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
+        primary.timeout = core.deadlines()
+                .schedule(core.nowMicros() + (isLook ? LOOK_ANSWER_BY : wait + WATCH_MARGIN), primary::onLate);
         primary.send();
     }
 
--- a/src/main/java/lilaclever/protocol/http/Notices.java
+++ b/src/main/java/lilaclever/protocol/http/Notices.java
@@ -83,10 +83,11 @@
         List<Notice> batch = List.copyOf(open.subList(0, Math.min(MOST, open.size())));
         StringBuilder body = new StringBuilder();
         batch.forEach(n -> body.append(n.line()));
-        again = core.deadlines().schedule(core.nowMicros() + Math.min(LAST_ANSWER_BY, FIRST_ANSWER_BY << failures), () -> {
-            sending.close();
-            later();
-        });
+        again = core.deadlines()
+                .schedule(core.nowMicros() + Math.min(LAST_ANSWER_BY, FIRST_ANSWER_BY << failures), () -> {
+                    sending.close();
+                    later();
+                });
         sending = client.send(
                 address,
                 address,
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -142,10 +142,11 @@
                 chain,
                 up -> {
                     up.closeSilently();
-                    core.post(() -> core.probeEnded(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - started));
+                    core.post(() ->
+                            core.probeEnded(endpoint.host(), AttemptResult.DELIVERED, core.nowMicros() - started));
                 },
-                problem -> core.post(
-                        () -> core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - started)));
+                problem -> core.post(() ->
+                        core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - started)));
     }
 
     /** One connection to a server, and the transaction on it. Loop thread, but for {@link #written}. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -45,8 +45,8 @@
 
     /** Listens at an address; gives the one that is bound. */
     SocketAddress listen(Transport transport, MllpSettings.Listener listener) throws IOException {
-        var server =
-                transport.listen(Transport.parseAddress(listener.address()), Transport.chain(new SessionFilter(listener)));
+        var server = transport.listen(
+                Transport.parseAddress(listener.address()), Transport.chain(new SessionFilter(listener)));
         listeners.add(server);
         return server.getLocalAddress();
     }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -26,7 +26,13 @@
      * An endpoint of the list, with the deliverer that reaches it. {@code apart}: limits and told waits are its own.
      */
     public record Endpoint(
-            String host, String address, int destination, int zone, int maxMessagesPerCall, boolean hasOwnLimits, Deliverer deliverer) {}
+            String host,
+            String address,
+            int destination,
+            int zone,
+            int maxMessagesPerCall,
+            boolean hasOwnLimits,
+            Deliverer deliverer) {}
 
     Call(Endpoint endpoint, long startedAtMicros) {
         this.endpoint = endpoint;
@@ -55,7 +61,10 @@
     }
 
     private void updateTimes() {
-        writeByMicros = messages.stream().mapToLong(message -> message.writeByMicros).min().orElse(Long.MAX_VALUE);
+        writeByMicros = messages.stream()
+                .mapToLong(message -> message.writeByMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         expiresAtMicros = expiryMicrosOf(messages);
     }
 
@@ -74,14 +83,22 @@
 
     /** What {@link #expiresAtMicros} is for a call of the given messages of this one. */
     public static long expiryMicrosOf(List<Message> messages) {
-        long lastWriteByMicros = messages.stream().mapToLong(message -> message.writeByMicros).max().orElse(Long.MAX_VALUE);
-        long firstDeadlineMicros = messages.stream().mapToLong(message -> message.deadlineMicros).min().orElse(Long.MAX_VALUE);
+        long lastWriteByMicros = messages.stream()
+                .mapToLong(message -> message.writeByMicros)
+                .max()
+                .orElse(Long.MAX_VALUE);
+        long firstDeadlineMicros = messages.stream()
+                .mapToLong(message -> message.deadlineMicros)
+                .min()
+                .orElse(Long.MAX_VALUE);
         return Math.min(lastWriteByMicros, firstDeadlineMicros);
     }
 
     /** Has the messages whose time is up leave, if others go and the call is not on its way yet. */
     void requestRemovalOfExpired(long nowMicros) {
-        List.copyOf(messages).stream().filter(message -> message.writeByMicros <= nowMicros).forEach(this::requestRemoval);
+        List.copyOf(messages).stream()
+                .filter(message -> message.writeByMicros <= nowMicros)
+                .forEach(this::requestRemoval);
     }
 
     /** Has a message leave, if others go and the call is not on its way yet. */
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -186,7 +186,9 @@
 
     /** When the next turn is due: with a task waiting after the least spacing, else at the next deadline. */
     public long nextTurnMicros() {
-        return tasks.isEmpty() ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS) : nowMicros + settings.roundMicros();
+        return tasks.isEmpty()
+                ? deadlines.earliestOr(nowMicros + MAX_SLEEP_MICROS)
+                : nowMicros + settings.roundMicros();
     }
 
     /** One turn. */
@@ -199,7 +201,12 @@
         Front front = fronts.get(pending.front());
         Message message = new Message(pending.submission(), front, pending.deadlineWallMicros());
         if (front == null) {
-            Logs.error("", "no-front", "nobody to answer for " + message.id() + ": no front " + pending.front(), "message", message.id());
+            Logs.error(
+                    "",
+                    "no-front",
+                    "nobody to answer for " + message.id() + ": no front " + pending.front(),
+                    "message",
+                    message.id());
             journal.recordSettled(message.id());
             return;
         }
@@ -213,7 +220,8 @@
             }
         }
         // A kill may have come between the remembering of its end and the record that the end is decided.
-        FinalStatus decidedStatus = pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
+        FinalStatus decidedStatus =
+                pending.finalStatus() != null ? pending.finalStatus() : deduplication.finalStatusOfEarlierRun(message);
         if (decidedStatus != null) {
             message.isFinished = true;
             notifySubmitters(message, decidedStatus);
@@ -225,7 +233,8 @@
         }
         message.attemptCount = pending.attempts();
         if (pending.mayHaveRun()) {
-            message.markPossiblyRun(pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
+            message.markPossiblyRun(
+                    pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
         }
         addPending(message);
         events.add(message.toSubmitEvent(nowMicros, wallMicros));
@@ -269,8 +278,10 @@
 
     /** Another hand-in of a message that is held: its front tells the end there too, where identities are shared. */
     private Message attach(Message pending, Message duplicate) {
-        if (Identity.isShared(pending.submission.identity()) && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
-            return answerWithoutAccepting(duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
+        if (Identity.isShared(pending.submission.identity())
+                && !deduplication.attach(pending, duplicate.front, duplicate.id())) {
+            return answerWithoutAccepting(
+                    duplicate, new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "already under way"));
         }
         return pending;
     }
@@ -322,7 +333,8 @@
             Call.Endpoint before = endpoints.put(item.entry().host(), item.endpoint());
             boolean isActive = item.entry().presence() == DecisionModule.Presence.ACTIVE;
             if (!isActive
-                    || before != null && !before.address().equals(item.endpoint().address())) {
+                    || before != null
+                            && !before.address().equals(item.endpoint().address())) {
                 // Nothing new goes there: what is idle to it only takes room, here and there.
                 item.endpoint().deliverer().closeIdle(before == null ? item.endpoint() : before);
             }
@@ -336,7 +348,8 @@
         endpoints.values().forEach(item -> servedDestinations.add(item.destination()));
         destinationsLastListed
                 .entrySet()
-                .removeIf(d -> !servedDestinations.contains(d.getKey()) && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
+                .removeIf(d -> !servedDestinations.contains(d.getKey())
+                        && d.getValue() < nowMicros - DESTINATION_RETENTION_MICROS);
         events.add(new Event.Listing(kind, version, entries));
         cancelUnsentCalls(); // the decision module hears of them after it has heard why
     }
@@ -344,8 +357,10 @@
     /** Has requests be written only to what is active now. */
     private void updateActiveEndpoints(List<ListedEndpoint> listed, boolean isWhole) {
         if (isWhole) {
-            activeEndpoints.replaceAll(
-                    listed.stream().filter(Core::isActive).map(ListedEndpoint::endpoint).toList());
+            activeEndpoints.replaceAll(listed.stream()
+                    .filter(Core::isActive)
+                    .map(ListedEndpoint::endpoint)
+                    .toList());
             return;
         }
         for (ListedEndpoint item : listed) {
@@ -376,11 +391,13 @@
     }
 
     private void withhold(Call call) {
-        List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, AttemptResult.WITHHELD, 0, false, false));
+        List.copyOf(call.messages)
+                .forEach(message -> attemptEnded(call, message, AttemptResult.WITHHELD, 0, false, false));
     }
 
     /** One attempt of a call has ended. Loop thread. {@code over}: the endpoint says that nothing more is owed. */
-    public void attemptEnded(Call call, Message message, AttemptResult ending, long retryAfterMicros, boolean noSlot, boolean over) {
+    public void attemptEnded(
+            Call call, Message message, AttemptResult ending, long retryAfterMicros, boolean noSlot, boolean over) {
         if (message.currentCall != call) {
             return;
         }
@@ -528,7 +545,8 @@
             if (message.isFinished || finishedIds.contains(message.id())) {
                 continue;
             }
-            run(() -> message.isJournaled = journal.recordAccepted(message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
+            run(() -> message.isJournaled = journal.recordAccepted(
+                    message.front.name(), message.submission, message.deadlineWallMicros, clock.wallMicros()));
             if (message.isJournaled) {
                 counters.add(Name.TAKEN);
                 trace(message, "taken", "taken on", null);
@@ -549,8 +567,12 @@
     /** Those who joined it and could not be written hear that they are not owed its end. */
     private void rejectSubmitters(List<DeduplicationTable.Submitter> rejected, Message message) {
         for (DeduplicationTable.Submitter submitter : rejected) {
-            run(() -> submitter.front()
-                    .onAttachRejected(message, submitter.id(), new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
+            run(() -> submitter
+                    .front()
+                    .onAttachRejected(
+                            message,
+                            submitter.id(),
+                            new FinalStatus(Kind.REFUSED, REJECTED_RETRY_AFTER_MICROS, "no room on disk")));
         }
     }
 
@@ -588,10 +610,13 @@
         if (message == null) {
             return;
         }
-        FinalStatus withDetail = new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
+        FinalStatus withDetail =
+                new FinalStatus(finalStatus.kind(), finalStatus.retryAfterMicros(), message.lastResponseText);
         if (message.isJournaled) {
             counters.add(withDetail.kind() == Kind.REFUSED ? Name.REFUSED : Name.FAILED);
-            counters.checkInvariant(message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS, message.id() + " ended in time");
+            counters.checkInvariant(
+                    message.isResumed || clock.wallMicros() <= message.deadlineWallMicros + DEADLINE_TOLERANCE_MICROS,
+                    message.id() + " ended in time");
             finish(message, withDetail);
         } else {
             reject(message, withDetail);
@@ -618,14 +643,16 @@
     private void addToCall(Action.Send a, Map<String, Call> starting) {
         Message message = pendingMessages.get(a.id());
         Call.Endpoint endpoint = endpoints.get(a.host());
-        boolean isElsewhere = message != null && endpoint != null && endpoint.destination() != message.submission.destination();
+        boolean isElsewhere =
+                message != null && endpoint != null && endpoint.destination() != message.submission.destination();
         if (message == null || endpoint == null || message.currentCall != null || isElsewhere) {
             // Not held any more, as its client has gone: the module must still hear of this attempt.
-            counters.checkInvariant(message == null || message.currentCall == null, a.id() + " has one attempt out at most");
+            counters.checkInvariant(
+                    message == null || message.currentCall == null, a.id() + " has one attempt out at most");
             counters.checkInvariant(!isElsewhere, a.id() + " goes to an endpoint of its destination");
             int attempt = message == null ? 0 : message.attemptCount++;
-            events.add(
-                    new Event.Outcome(a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, message == null, null));
+            events.add(new Event.Outcome(
+                    a.id(), a.host(), attempt, AttemptResult.NOT_SENT, 0, 0, false, message == null, null));
             return;
         }
         Call call = starting.get(a.host());
@@ -668,7 +695,8 @@
         calls.add(call);
         if (!isWritten) {
             counters.add(Name.JOURNAL_FULL);
-            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages)
+                    .forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
             return;
         }
         counters.add(Name.CALLS);
@@ -697,7 +725,8 @@
         if (call.isStarted) {
             call.endpoint.deliverer().abort(call);
         } else {
-            List.copyOf(call.messages).forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
+            List.copyOf(call.messages)
+                    .forEach(message -> attemptEnded(call, message, AttemptResult.NOT_SENT, 0, false, false));
         }
     }
 
@@ -745,12 +774,13 @@
         int[] unsettled = {message.submitters.size()};
         for (DeduplicationTable.Submitter submitter : message.submitters) {
             unsettledCount++;
-            journal.whenDurable(() -> run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
-                unsettledCount--;
-                if (--unsettled[0] == 0) {
-                    journal.recordSettled(message.id());
-                }
-            })));
+            journal.whenDurable(() ->
+                    run(() -> submitter.front().onFinalStatus(message, submitter.id(), finalStatus, () -> {
+                        unsettledCount--;
+                        if (--unsettled[0] == 0) {
+                            journal.recordSettled(message.id());
+                        }
+                    })));
         }
     }
 }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -3,10 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 import lilaclever.identity.CompletedMessage;
+import lilaclever.identity.CompletedMessageStore;
 import lilaclever.identity.DuplicateCheckResult;
-import lilaclever.identity.IdempotencyWindows;
 import lilaclever.identity.DuplicateDetector;
-import lilaclever.identity.CompletedMessageStore;
+import lilaclever.identity.IdempotencyWindows;
 import lilaclever.routing.Counters.Name;
 import lilaclever.routing.FinalStatus.Kind;
 
@@ -79,14 +79,23 @@
 
     /** The message was delivered or has failed: whoever hands it in again gets this end. */
     void recordCompleted(Message message, FinalStatus finalStatus, long wallMicros) {
-        if (message.submission.identity() != null && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
-            detector.addCompleted(message.submission.identity(), message.fingerprint(), message.submission.messageClass(), finalStatus, wallMicros);
+        if (message.submission.identity() != null
+                && (finalStatus.kind() == Kind.DELIVERED || finalStatus.kind() == Kind.FAILED)) {
+            detector.addCompleted(
+                    message.submission.identity(),
+                    message.fingerprint(),
+                    message.submission.messageClass(),
+                    finalStatus,
+                    wallMicros);
         }
     }
 
     /** The end that an earlier life remembered of a message that it did not get to end, or null. */
     FinalStatus finalStatusOfEarlierRun(Message message) {
-        return check(message, Long.MIN_VALUE) instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed ? completed.result() : null;
+        return check(message, Long.MIN_VALUE)
+                        instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed
+                ? completed.result()
+                : null;
     }
 
     /**
@@ -95,10 +104,12 @@
      */
     boolean attach(Message message, Front front, String id) {
         Submitter submitter = new Submitter(front, id);
-        if (message.submitters.contains(submitter) || front.notifiesOnce() && message.submitters.stream().anyMatch(other -> other.front() == front)) {
+        if (message.submitters.contains(submitter)
+                || front.notifiesOnce() && message.submitters.stream().anyMatch(other -> other.front() == front)) {
             return true;
         }
-        if (message.submitters.size() > MAX_ATTACHED || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
+        if (message.submitters.size() > MAX_ATTACHED
+                || message.isJournaled && !journal.recordAttached(message.id(), front.name(), id)) {
             return false;
         }
         counters.add(Name.JOINED);
@@ -112,8 +123,10 @@
     List<Submitter> recordAttached(Message message) {
         List<Submitter> rejected = new ArrayList<>();
         for (Submitter submitter : message.submitters) {
-            boolean isFirst = submitter.front() == message.front && submitter.id().equals(message.id());
-            if (!isFirst && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
+            boolean isFirst =
+                    submitter.front() == message.front && submitter.id().equals(message.id());
+            if (!isFirst
+                    && !journal.recordAttached(message.id(), submitter.front().name(), submitter.id())) {
                 rejected.add(submitter);
             }
         }
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -100,7 +100,9 @@
     private static List<ListPosition> merged(List<ListPosition> all, ListPosition newest) {
         Map<String, ListPosition> strictest = new LinkedHashMap<>();
         all.forEach(p -> strictest.merge(p.agent(), p, ListPosition::strictest));
-        return strictest.size() <= MAX_POSITIONS_PER_NAME ? List.copyOf(strictest.values()) : List.of(newest.laterThanAny());
+        return strictest.size() <= MAX_POSITIONS_PER_NAME
+                ? List.copyOf(strictest.values())
+                : List.of(newest.laterThanAny());
     }
 
     private static boolean areSamePlaces(List<ListPosition> one, List<ListPosition> other) {
@@ -152,8 +154,8 @@
     /** All of them, oldest name first, with times of the wall clock. */
     List<Departure> all(long nowMicros, long wallMicros) {
         List<Departure> all = new ArrayList<>(positions.size());
-        positions.forEach((name, at) -> at.forEach(
-                p -> all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
+        positions.forEach((name, at) -> at.forEach(p ->
+                all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
         return all;
     }
 }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -52,7 +52,12 @@
      * @param unusable names whose entry could not be used: no address, no group, a status that is not known
      */
     public record ListUpdate(
-            String agent, long index, boolean isWhole, boolean isCut, List<Core.ListedEndpoint> entries, Set<String> unusable) {
+            String agent,
+            long index,
+            boolean isWhole,
+            boolean isCut,
+            List<Core.ListedEndpoint> entries,
+            Set<String> unusable) {
         /** True if a name that is not in it has left. */
         boolean isComplete() {
             return isWhole && !isCut;
@@ -165,7 +170,9 @@
      * each answer; the caller sets the pace.
      */
     public boolean needsWholeList(long nowMicros) {
-        return contradictsInitialList || isInDoubt || withheld.stream().anyMatch(name -> isNoLongerHeldBack(name, nowMicros));
+        return contradictsInitialList
+                || isInDoubt
+                || withheld.stream().anyMatch(name -> isNoLongerHeldBack(name, nowMicros));
     }
 
     private boolean isNoLongerHeldBack(String name, long nowMicros) {
@@ -221,7 +228,8 @@
         if (!isClockStarted) {
             isClockStarted = true;
             departures.restartClock(nowMicros);
-            known.replaceAll((name, endpoint) -> new KnownEndpoint(endpoint.listed(), endpoint.position().receivedAt(nowMicros)));
+            known.replaceAll((name, endpoint) ->
+                    new KnownEndpoint(endpoint.listed(), endpoint.position().receivedAt(nowMicros)));
         }
     }
 
@@ -265,7 +273,8 @@
         for (String name : unusable) {
             KnownEndpoint before = known.get(name);
             Statement statement = statements.get(name);
-            Core.ListedEndpoint listed = statement != null ? statement.listed() : before != null ? before.listed() : null;
+            Core.ListedEndpoint listed =
+                    statement != null ? statement.listed() : before != null ? before.listed() : null;
             statements.put(name, listed == null ? null : new Statement(atLeastLeaving(listed), true));
         }
         return statements;
@@ -301,7 +310,8 @@
         if (!departures.permits(name, position)) {
             return List.of(withhold(statement.listed(), position));
         }
-        Core.ListedEndpoint removed = update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
+        Core.ListedEndpoint removed =
+                update.isComplete() ? null : removedHolder(statement.listed(), mentioned, position);
         Core.ListedEndpoint active = activate(statement.listed(), position);
         return removed == null ? List.of(active) : List.of(removed, active);
     }
@@ -339,7 +349,9 @@
 
     private static String shortened(Collection<String> names) {
         String first = names.stream().limit(MAX_LOGGED_NAMES).collect(Collectors.joining(", "));
-        return names.size() <= MAX_LOGGED_NAMES ? first : first + " and " + (names.size() - MAX_LOGGED_NAMES) + " others";
+        return names.size() <= MAX_LOGGED_NAMES
+                ? first
+                : first + " and " + (names.size() - MAX_LOGGED_NAMES) + " others";
     }
 
     private Core.ListedEndpoint recordInactive(Core.ListedEndpoint listed, ListPosition position) {
@@ -393,7 +405,8 @@
      * Has an endpoint depart whose address a list of changes gives to another name, if that list is later: two names
      * share an address only where one list says so. Null if there is none.
      */
-    private Core.ListedEndpoint removedHolder(Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
+    private Core.ListedEndpoint removedHolder(
+            Core.ListedEndpoint listed, Set<String> mentioned, ListPosition position) {
         String holder = namesByAddress.get(address(listed));
         if (holder == null || holder.equals(name(listed)) || mentioned.contains(holder) || isAt(listed)) {
             return null;
@@ -429,7 +442,9 @@
 
     private void addAbsent(String name, KnownEndpoint before, ListPosition position) {
         ListPosition lastPosition = before.position();
-        boolean isContradiction = lastPosition.isExact() && position.isComparableWith(lastPosition) && position.index() == lastPosition.index();
+        boolean isContradiction = lastPosition.isExact()
+                && position.isComparableWith(lastPosition)
+                && position.index() == lastPosition.index();
         if (departures.contains(name)) {
             return; // heard with all others that had departed before
         }
--- a/src/main/java/lilaclever/routing/ListPosition.java
+++ b/src/main/java/lilaclever/routing/ListPosition.java
@@ -41,7 +41,8 @@
 
     /** One that permits no list that either does not; both are of one agent. */
     ListPosition strictest(ListPosition other) {
-        return new ListPosition(agent, Math.max(index, other.index), isExact, Math.max(receivedMicros, other.receivedMicros));
+        return new ListPosition(
+                agent, Math.max(index, other.index), isExact, Math.max(receivedMicros, other.receivedMicros));
     }
 
     /** A position heard at the same time that no list is later than. */
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -63,7 +63,8 @@
     }
 
     /** Takes news in and gives what the core may hear of it: at the start the core is told by its host. */
-    public List<Core.ListedEndpoint> withSuspensions(DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
+    public List<Core.ListedEndpoint> withSuspensions(
+            DecisionModule.ListingKind kind, long version, List<Core.ListedEndpoint> entries) {
         this.version = version;
         if (kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED) {
             listed.replaceAll((host, item) -> item.withPresence(DecisionModule.Presence.LEFT)); // but for what follows
@@ -82,9 +83,10 @@
 
     private List<Core.ListedEndpoint> markSuspended(List<Core.ListedEndpoint> entries) {
         List<Core.ListedEndpoint> result = new ArrayList<>(entries);
-        result.replaceAll(item -> suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
-                ? item.withPresence(DecisionModule.Presence.LEAVING)
-                : item);
+        result.replaceAll(item ->
+                suspended.contains(item.entry().host()) && item.entry().presence() == DecisionModule.Presence.ACTIVE
+                        ? item.withPresence(DecisionModule.Presence.LEAVING)
+                        : item);
         return result;
     }
 
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -85,9 +85,11 @@
 
     DecisionModule.Event.Submit toSubmitEvent(long nowMicros, long nowWallMicros) {
         // An attempt can't be younger than now: the clock was set back, and it may be of any age.
-        long ageMicros = nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
+        long ageMicros =
+                nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
         DecisionModule.PriorAttempts prior = isResumed
-                ? new DecisionModule.PriorAttempts(attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
+                ? new DecisionModule.PriorAttempts(
+                        attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
                 : null;
         return new DecisionModule.Event.Submit(
                 id(),
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -93,7 +93,10 @@
      */
     @SuppressWarnings("rawtypes")
     public Runnable connect(
-            InetSocketAddress address, FilterChain chain, Consumer<Connection<?>> onConnected, Consumer<Throwable> onFailed) {
+            InetSocketAddress address,
+            FilterChain chain,
+            Consumer<Connection<?>> onConnected,
+            Consumer<Throwable> onFailed) {
         GrizzlyFuture<Connection> pending = new Connector(tcp, chain)
                 .open(address, new EmptyCompletionHandler<Connection>() {
                     @Override
--- a/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -141,7 +141,8 @@
     @Property(tries = 500, seed = "-1")
     void agreesWithASimpleModel(@ForAll("steps") List<Step> steps) {
         MapStore store = new MapStore();
-        DuplicateDetector<String, String> detector = new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
+        DuplicateDetector<String, String> detector =
+                new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
         Map<String, Fingerprint> pending = new HashMap<>();
         long now = 0;
         for (Step step : steps) {
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -124,8 +124,9 @@
                 int done = forcedAt.get(turn) + random.nextInt(next - forcedAt.get(turn) + 1);
                 SimDisk left = SimDisk.powerCut(disk.ops, done, random);
                 try (SegmentedJournal found = Script.open(left, 4 * MOST, Durability.NONE)) {
-                    List<String> there =
-                            found.pendingMessages().stream().map(o -> o.submission().id()).toList();
+                    List<String> there = found.pendingMessages().stream()
+                            .map(o -> o.submission().id())
+                            .toList();
                     List<String> later = turn + 1 < idsThen.size() ? idsThen.get(turn + 1) : List.of();
                     for (String id : idsThen.get(turn)) {
                         // What ended since may be gone or not; all else must be there.
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -39,7 +39,8 @@
     }
 
     private static boolean take(SegmentedJournal journal, String id) {
-        return journal.recordAccepted("http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
+        return journal.recordAccepted(
+                "http", new Submission(id, null, 2, 7, "key", new byte[300], false, true, 28), 99, 0);
     }
 
     private void fail(Set<SimDisk.Kind> kinds) {
@@ -52,7 +53,10 @@
     }
 
     private static List<String> ids(SegmentedJournal journal) {
-        return journal.pendingMessages().stream().map(m -> m.submission().id()).sorted().toList();
+        return journal.pendingMessages().stream()
+                .map(m -> m.submission().id())
+                .sorted()
+                .toList();
     }
 
     // ---- without forcing ------------------------------------------------------------------------------------
@@ -94,7 +98,9 @@
         assertTrue(journal.recordAttempt("m", "b", 0, 5_000));
         try (SegmentedJournal next = Script.open(SimDisk.killed(disk.ops, disk.ops.size(), 0), MOST, Durability.NONE)) {
             PendingMessage m = next.pendingMessages().iterator().next();
-            assertEquals("2 true a 100", m.attempts() + " " + m.mayHaveRun() + " " + m.possibleRunHost() + " " + m.possibleRunWallMicros());
+            assertEquals(
+                    "2 true a 100",
+                    m.attempts() + " " + m.mayHaveRun() + " " + m.possibleRunHost() + " " + m.possibleRunWallMicros());
         }
         journal.close();
     }
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -39,8 +39,12 @@
     private static void checkSpans(SegmentedJournal journal, long now, long error) {
         PendingMessage m = journal.pendingMessages().iterator().next();
         assertEquals(LEFT - DOWN + error, m.deadlineWallMicros() - now, "time left");
-        assertEquals(AGE + DOWN - error, now - m.lastAttemptWallMicros(), "age of the attempt, from which the window counts");
-        assertEquals(REMEMBERED - DOWN + error, journal.remembered("identity").untilWallMicros() - now, "remembered for");
+        assertEquals(
+                AGE + DOWN - error,
+                now - m.lastAttemptWallMicros(),
+                "age of the attempt, from which the window counts");
+        assertEquals(
+                REMEMBERED - DOWN + error, journal.remembered("identity").untilWallMicros() - now, "remembered for");
     }
 
     /** Between kill and start, with the machine still up: every span goes on as if nothing had been set. */
@@ -66,13 +70,15 @@
         long[] shown = {WALL};
         SegmentedJournal journal = open(() -> shown[0], new BootClock(77, WALL - MONOTONIC));
         for (int i = 0; i < 60; i++) {
-            journal.recordAccepted("http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
+            journal.recordAccepted(
+                    "http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.recordSettled("x" + i);
         }
         shown[0] += step; // the next files are made under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
-            journal.recordAccepted("http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
+            journal.recordAccepted(
+                    "http", new Submission("y" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.recordSettled("y" + i);
         }
         try (SegmentedJournal next = open(() -> WALL + DOWN, new BootClock(77, WALL - MONOTONIC))) {
--- a/src/test/java/lilaclever/journal/Script.java
+++ b/src/test/java/lilaclever/journal/Script.java
@@ -196,8 +196,12 @@
                 "" + java.util.Arrays.hashCode(h.body()),
                 "" + h.budgetMicros(),
                 "" + o.deadlineWallMicros(),
-                o.attempts() + (o.isInFlight() ? " out" : "") + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
-                o.mayHaveRun() ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros() : "",
+                o.attempts()
+                        + (o.isInFlight() ? " out" : "")
+                        + (o.attempts() > 0 ? " " + o.lastHost() + o.lastAttemptWallMicros() : ""),
+                o.mayHaveRun()
+                        ? "risk " + o.possibleRunHost() + o.possibleRunZone() + "@" + o.possibleRunWallMicros()
+                        : "",
                 String.valueOf(o.finalStatus()),
                 o.attachedSubmitters().toString());
     }
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -40,7 +40,8 @@
     }
 
     private static boolean take(SegmentedJournal journal, String id, int size) {
-        return journal.recordAccepted("http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
+        return journal.recordAccepted(
+                "http", new Submission(id, null, 2, 7, "key", new byte[size], false, true, 28), 99, 0);
     }
 
     private static PendingMessage owed(SegmentedJournal journal, String id) {
@@ -65,8 +66,8 @@
                 PendingMessage e = owed(journal, "m");
                 assertEquals(
                         "3 true true b 2 200 99",
-                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " " + e.possibleRunZone()
-                                + " " + e.possibleRunWallMicros() + " " + e.deadlineWallMicros());
+                        e.attempts() + " " + e.isInFlight() + " " + e.mayHaveRun() + " " + e.possibleRunHost() + " "
+                                + e.possibleRunZone() + " " + e.possibleRunWallMicros() + " " + e.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
                         e.front() + " " + e.submission().key() + " "
@@ -164,7 +165,9 @@
         try (SegmentedJournal journal = open()) {
             assertEquals(
                     List.of("victim", "last"),
-                    journal.pendingMessages().stream().map(o -> o.submission().id()).toList());
+                    journal.pendingMessages().stream()
+                            .map(o -> o.submission().id())
+                            .toList());
         }
     }
 
@@ -278,7 +281,8 @@
             assertTrue(journal.recovered().carriedOver());
             state = Script.text(journal, 0);
             assertEquals("identity of a", owed(journal, "a").submission().identity());
-            assertTrue(owed(journal, "a").isInFlight() && owed(journal, "a").lastHost().equals("host"));
+            assertTrue(owed(journal, "a").isInFlight()
+                    && owed(journal, "a").lastHost().equals("host"));
         }
         assertFalse(disk.names().contains("journal"), disk.names().toString());
         for (int cut = before; cut <= disk.ops.size(); cut++) {
@@ -423,8 +427,10 @@
                 } else {
                     // The second life is 7 s later by the machine's clock. The third has started the machine anew,
                     // and must believe the wall clock of the segment that it finds.
-                    assertEquals(4 * hour + 28_000_000, owed(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
-                    assertEquals(4 * hour + 1_000_000, owed(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
+                    assertEquals(
+                            4 * hour + 28_000_000, owed(journal, "m").deadlineWallMicros() + (life == 2 ? -hour : 0));
+                    assertEquals(
+                            4 * hour + 1_000_000, owed(journal, "m").lastAttemptWallMicros() + (life == 2 ? -hour : 0));
                     assertEquals(5 * hour, journal.remembered("i").untilWallMicros() + (life == 2 ? -hour : 0));
                 }
             }
@@ -458,7 +464,8 @@
             assertFalse(take(journal, "more", large));
             assertEquals(0, journal.unwritten());
             for (int i = 0; i < small; i++) {
-                journal.recordFinalStatus("a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
+                journal.recordFinalStatus(
+                        "a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
             assertEquals(held, journal.pendingMessages().size());
         }
@@ -558,7 +565,8 @@
                             .sorted()
                             .toList());
             assertEquals(
-                    FinalStatus.Kind.FAILED, owed(journal, "fails").finalStatus().kind());
+                    FinalStatus.Kind.FAILED,
+                    owed(journal, "fails").finalStatus().kind());
             assertTrue(owed(journal, "stays").mayHaveRun()
                     && !owed(journal, "stays").isInFlight());
             assertEquals(
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -69,7 +69,9 @@
     /** What a restart must know of a message; the earliest moment at which it may have run. */
     private record Known(int attempts, long mayHaveRunSince) {
         static Known of(PendingMessage m) {
-            long since = m.mayHaveRun() ? m.possibleRunWallMicros() : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
+            long since = m.mayHaveRun()
+                    ? m.possibleRunWallMicros()
+                    : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
             return new Known(m.attempts(), since);
         }
 
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole rehearsals in virtual time: the real core, module and journal among models. */
+/** Complete rehearsals in virtual time: the real core, decision module and journal in a simulated environment. */
 class WorldTest {
     private static RehearsalResult run(Scenario s, long seed, Fault fault) {
         return VirtualRehearsal.run(s, seed, fault);
@@ -35,7 +35,7 @@
         return run(ScenarioReader.read(name), 1, fault);
     }
 
-    /** The same seed gives the same folder, byte for byte; another seed another one. */
+    /** The same seed gives byte-identical reports; another seed gives different ones. */
     @Test
     void runsWithTheSameSeedWriteIdenticalReports(@TempDir Path folder) throws Exception {
         for (String run : List.of("a", "b")) {
@@ -55,7 +55,7 @@
                 .contains("1 of them of the same scenario and seed"));
     }
 
-    /** What the forwarder is for: no rule is broken on any day that is shipped. */
+    /** No shipped scenario breaks a rule. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -81,7 +81,7 @@
         assertTrue(run("quiet", Fault.NONE).auditor().service().figure(Prices.USUAL) > 0.9);
     }
 
-    /** Guards against an auditor that sees nothing: each fault is caught, and by the rule that it breaks. */
+    /** Guards against an auditor that detects nothing: each fault must be reported under the rule that it breaks. */
     @ParameterizedTest
     @CsvSource({
         "silent-partner, RESENDS, REPEAT",
@@ -99,8 +99,8 @@
     }
 
     /**
-     * Connections that come up late carry no call under a wait that was told meanwhile: 46 did in a run of 120
-     * forwarders.
+     * A call whose connection is established late must not be sent if a retry-after was received in the meantime: 46
+     * were sent in a run of 120 forwarders.
      */
     @Test
     void callIsWithheldWhenRetryAfterArrivesBeforeConnection() throws ConfigurationException {
@@ -128,7 +128,7 @@
                 () -> r.auditor().counts().toString());
     }
 
-    /** Where partners tell waits, a forwarder that does not hear them is caught. */
+    /** A forwarder that ignores the partners' retry-after periods is reported. */
     @Test
     void forwarderIgnoringRetryAfterBreaksWaitRule() throws ConfigurationException {
         Scenario s = ScenarioReader.parse(
@@ -147,7 +147,7 @@
                 run(s, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
     }
 
-    /** A scenario that can never be served ends like any other, with its figure. */
+    /** A scenario in which nothing can be delivered ends like any other, with a service of 0. */
     @Test
     void permanentOutageScenarioEndsWithZeroService() throws ConfigurationException {
         Scenario s = ScenarioReader.parse(
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -271,7 +271,8 @@
         return say(wire, now, list);
     }
 
-    private static boolean say(StandInConnection wire, Manner now, String list) throws IOException, InterruptedException {
+    private static boolean say(StandInConnection wire, Manner now, String list)
+            throws IOException, InterruptedException {
         String all = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
         int half = all.length() - list.length() / 2;
         switch (now) {
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -140,7 +140,8 @@
         }
     }
 
-    private Core.ListedEndpoint listed(String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
+    private Core.ListedEndpoint listed(
+            String name, DrainEndpoint endpoint, Presence presence, HttpDeliverer deliverer) {
         return new Core.ListedEndpoint(
                 new DecisionModule.EndpointEntry(name, GROUP, 0, 0, presence, 1, 0),
                 new Call.Endpoint(name, endpoint.address(), GROUP, 0, 1, false, deliverer));
@@ -167,7 +168,10 @@
                         new HeldDisk(FolderDisk.take(state), forcing),
                         DISK_BYTES,
                         new Durability(Durability.How.GROUP, 0),
-                        new JournalClocks(Core::monotonicMicros, Core::wallMicros, BootClock.read(Core::monotonicMicros, Core::wallMicros)),
+                        new JournalClocks(
+                                Core::monotonicMicros,
+                                Core::wallMicros,
+                                BootClock.read(Core::monotonicMicros, Core::wallMicros)),
                         new SplittableRandom(1))) {
             Core core = new Core(
                     config.settings(),
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -387,8 +387,8 @@
                 }
             }
             listed.countDown();
-            try (var call =
-                    new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) { // which closes in order, without a reset
+            try (var call = new lilaclever.lab.sockets.StandInConnection(
+                    endpoint.accept())) { // which closes in order, without a reset
                 assertEquals("/receive-many", call.readHttp().target());
                 call.writeText("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
             }
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -183,7 +183,8 @@
                 }
                 String body = body(a);
                 kept.get()
-                        .writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: " + CLASSES[a.kind()]
+                        .writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: "
+                                + CLASSES[a.kind()]
                                 + "\r\nReq-Deadline: " + DEADLINES[a.kind()]
                                 + "\r\nX-Practice: north\r\nIdempotency-Key: M" + a.number()
                                 + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + body.length()
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -251,7 +251,8 @@
     void eachMessageOfABatchHasItsOwnEnd() throws Exception {
         fates.addAll(List.of("200 OK", "200 OK"));
         try (Wire client = Wire.to(mllp)) {
-            client.writeFrame("BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
+            client.writeFrame(
+                    "BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
             assertEquals(
                     List.of("AA M1", "AA M2"),
                     java.util.stream.Stream.of(ack(client), ack(client))
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -135,7 +135,8 @@
         }
 
         String handIn(String id, String kind, int destination, double deadline, String body) throws IOException {
-            writeText("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: "
+            writeText("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind
+                    + "\r\nReq-Deadline: "
                     + deadline + "\r\nIdempotency-Key: k-" + id + "\r\nX-Envelope: dest=" + destination
                     + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             Request answer = request();
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -66,7 +66,8 @@
     private static Client web(String practice) {
         return (wire, id) -> {
             String body = body(id, "");
-            wire.writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
+            wire.writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id
+                    + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
                     + practice + "Idempotency-Key: " + id + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
             Request answer = wire.request();
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -43,7 +43,8 @@
         try {
             InetSocketAddress address =
                     (InetSocketAddress) front.listen(transport, new InetSocketAddress("127.0.0.1", 0));
-            try (StandInConnection client = new StandInConnection(new Socket(address.getAddress(), address.getPort()))) {
+            try (StandInConnection client =
+                    new StandInConnection(new Socket(address.getAddress(), address.getPort()))) {
                 client.setReadTimeout(10_000);
                 client.writeText("POST /api HTTP/1.1\r\nReq-Id: a\r\nReq-Kind: status\r\nReq-Deadline: 5\r\n"
                         + "X-Practice: p\r\nIdempotency-Key: k\r\nX-Envelope: dest=7\r\nContent-Length: 0\r\n\r\n");
--- a/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/IntakeFilterTest.java
@@ -207,7 +207,8 @@
                     r != null;
                     r = requests.poll(300, TimeUnit.MILLISECONDS)) {
                 answer(r, "");
-                StandInConnection.HttpMessage head = clients[Integer.parseInt(r.path().substring(1))].readHttp();
+                StandInConnection.HttpMessage head =
+                        clients[Integer.parseInt(r.path().substring(1))].readHttp();
                 assertEquals("200", head == null ? "closed" : head.target(), "round " + round + " " + r.path());
             }
             for (StandInConnection each : clients) {
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -168,12 +168,14 @@
     }
 
     /** A list that says that an endpoint departs. {@code isDisputed}: a list of the same index is late enough. */
-    private record ReceivedStatement(String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
+    private record ReceivedStatement(
+            String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
         /** Whether a list, with an index or not, may contradict it. */
         boolean isContradictedBy(String byAgent, long byIndex, long now) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
-            return now - receivedMicros >= RETENTION || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
+            return now - receivedMicros >= RETENTION
+                    || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
         }
     }
 
@@ -187,7 +189,8 @@
     /** Knows what the forwarder has heard, and what it may tell the core. */
     private static final class Auditor {
         /** All departures of each name, and those that no later list has answered. */
-        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(), uncontradicted = new HashMap<>();
+        private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(),
+                uncontradicted = new HashMap<>();
         /** Since it was last active: lists that said the address that the core was told. */
         private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
         /**
@@ -246,7 +249,8 @@
                     if (mustBeActive(name, list)) {
                         due.add(name);
                     }
-                    uncontradicted.getOrDefault(name, new ArrayList<>())
+                    uncontradicted
+                            .getOrDefault(name, new ArrayList<>())
                             .removeIf(d -> d.isContradictedBy(list.agent(), list.index(), nowMicros));
                 } else {
                     addDeparture(name, departure(list, nowMicros, state == ReportedState.CONTRADICTORY));
@@ -289,7 +293,8 @@
             long index = list.index() == EndpointMembership.NO_INDEX
                     ? lastIndex.getOrDefault(list.agent(), EndpointMembership.NO_INDEX)
                     : list.index();
-            return new ReceivedStatement(list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
+            return new ReceivedStatement(
+                    list.agent(), index, nowMicros, isDisputed, list.index() != EndpointMembership.NO_INDEX);
         }
 
         private static Map<String, ReportedState> reportedStates(ListUpdate list) {
@@ -297,7 +302,8 @@
             Map<String, Core.ListedEndpoint> first = new HashMap<>();
             for (Core.ListedEndpoint x : list.entries()) {
                 String name = x.entry().host();
-                ReportedState state = x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
+                ReportedState state =
+                        x.entry().presence() == Presence.ACTIVE ? ReportedState.ACTIVE : ReportedState.DEPARTED;
                 Core.ListedEndpoint other = first.putIfAbsent(name, x);
                 boolean isSame = other == null
                         || other.entry().presence() == x.entry().presence()
@@ -333,7 +339,8 @@
             }
         }
 
-        private static Map<String, Core.ListedEndpoint> applied(Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
+        private static Map<String, Core.ListedEndpoint> applied(
+                Map<String, Core.ListedEndpoint> to, CoreUpdate update) {
             update.entries().forEach(x -> to.put(x.entry().host(), x));
             return to;
         }
@@ -346,7 +353,9 @@
             core.keySet()
                     .forEach(name -> assertTrue(
                             presence(name) != Presence.ACTIVE
-                                    || uncontradicted.getOrDefault(name, List.of()).isEmpty(),
+                                    || uncontradicted
+                                            .getOrDefault(name, List.of())
+                                            .isEmpty(),
                             () -> name + " is active after " + after + ", departed with " + uncontradicted.get(name)));
         }
 
@@ -387,8 +396,9 @@
                     .computeIfAbsent(name, n -> new HashMap<>())
                     .computeIfAbsent(address, a -> new ArrayList<>());
             statements.removeIf(statement -> !statement.agent().equals(list.agent()));
-            boolean isOvertaken =
-                    statements.stream().anyMatch(statement -> statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
+            boolean isOvertaken = statements.stream()
+                    .anyMatch(statement ->
+                            statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
             if (!isOvertaken) { // such a list confirms nothing
                 statements.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
@@ -470,7 +480,8 @@
             delayed.clear();
             int version = Math.max((int) Math.max(0, -current.indexOffset), current.knownVersion - random.nextInt(8));
             long index = current.index() - current.knownVersion + version;
-            List<Core.ListedEndpoint> known = List.copyOf(actual.versions.get(version).values());
+            List<Core.ListedEndpoint> known =
+                    List.copyOf(actual.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
             auditor.processStarted(index, known, membership.applyInitialList(index, known), now);
             lastIndexes.clear();
--- a/src/test/java/lilaclever/scale/HollowForwarder.java
+++ b/src/test/java/lilaclever/scale/HollowForwarder.java
@@ -214,8 +214,8 @@
     @Override
     public void abort(Call call) {
         List<Message> messages = new ArrayList<>(call.messages);
-        core.post(() -> messages.forEach(
-                message -> core.attemptEnded(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
+        core.post(() -> messages.forEach(message ->
+                core.attemptEnded(call, message, DecisionModule.AttemptResult.NO_CONNECTION, 0, false, false)));
     }
 
     @Override
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -39,7 +39,8 @@
                     openDescriptors() > before + 5 && System.nanoTime() < end; ) {
                 Thread.onSpinWait();
             }
-            assertTrue(openDescriptors() <= before + 5, "of fifty, " + (openDescriptors() - before) + " are still open");
+            assertTrue(
+                    openDescriptors() <= before + 5, "of fifty, " + (openDescriptors() - before) + " are still open");
             assertTrue(first.isConnected() && second.isConnected());
         }
     }
