--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -171,7 +171,7 @@
                     p.share() * 100,
                     p.calls(),
                     p.refused(),
-                    p.falls()));
+                    p.overloadFailures()));
         }
         all.append("</table>\n");
     }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -76,7 +76,7 @@
         counts.addProperty(
                 "partners_fallen_over",
                 r.partners().stream()
-                        .mapToInt(RehearsalResult.PartnerRow::falls)
+                        .mapToInt(RehearsalResult.PartnerRow::overloadFailures)
                         .sum());
         all.add("counts", counts);
         JsonObject classes = new JsonObject();
@@ -176,7 +176,7 @@
                     p.calls(),
                     p.refused(),
                     p.served(),
-                    p.falls()));
+                    p.overloadFailures()));
         }
         return all.toString();
     }
--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
@@ -14,7 +14,7 @@
 
     private ForwarderConfigJson() {}
 
-    static JsonObject config(
+    static JsonObject create(
             Scenario scenario,
             DecisionModule.Settings settings,
             String listen,
@@ -32,19 +32,19 @@
         limits.addProperty("disk_mb", scenario.fleet().diskBytes() / 1048576.0);
         root.add("limits", limits);
         root.add("known", knownEndpoints);
-        root.add("settings", settings(scenario, settings));
+        root.add("settings", settingsJson(scenario, settings));
         return root;
     }
 
-    private static JsonObject settings(Scenario scenario, DecisionModule.Settings settings) {
-        JsonObject o = new JsonObject();
-        o.addProperty("me", settings.self());
-        o.addProperty("groupSize", settings.forwarders());
-        o.addProperty("az", 0);
-        o.addProperty("roundS", settings.roundMicros() / 1e6);
-        o.addProperty("discovery", "push");
-        o.addProperty("weights", "off");
-        o.addProperty("overShareWorth", settings.overQuotaWorthFactor());
+    private static JsonObject settingsJson(Scenario scenario, DecisionModule.Settings settings) {
+        JsonObject json = new JsonObject();
+        json.addProperty("me", settings.self());
+        json.addProperty("groupSize", settings.forwarders());
+        json.addProperty("az", 0);
+        json.addProperty("roundS", settings.roundMicros() / 1e6);
+        json.addProperty("discovery", "push");
+        json.addProperty("weights", "off");
+        json.addProperty("overShareWorth", settings.overQuotaWorthFactor());
         JsonArray kindNames = new JsonArray(),
                 zones = new JsonArray(),
                 batchSizes = new JsonArray(),
@@ -55,64 +55,64 @@
             ownLimits.add(false);
         }
         zones.add(ZONE);
-        o.add("shapes", kindNames);
-        o.add("zones", zones);
+        json.add("shapes", kindNames);
+        json.add("zones", zones);
         JsonObject partnerSettings = new JsonObject();
         partnerSettings.addProperty("callSlots", settings.limits().slots());
         partnerSettings.add("kindBatch", batchSizes);
         partnerSettings.add("ownLimits", ownLimits);
         partnerSettings.addProperty("decay", "halves");
-        o.add("familyInfo", partnerSettings);
-        o.add("limits", limits(settings.limits()));
-        o.add("rules", rules(settings.rules()));
+        json.add("familyInfo", partnerSettings);
+        json.add("limits", limitsJson(settings.limits()));
+        json.add("rules", rulesJson(settings.rules()));
         JsonArray classes = new JsonArray();
-        scenario.classes().forEach(c -> classes.add(messageClass(c)));
-        o.add("requestClasses", classes);
-        return o;
+        scenario.classes().forEach(c -> classes.add(messageClassJson(c)));
+        json.add("requestClasses", classes);
+        return json;
     }
 
-    private static JsonObject limits(DecisionModule.Limits l) {
-        JsonObject o = new JsonObject();
-        o.addProperty("maxAttempts", l.maxAttempts());
-        o.addProperty("openCap", l.maxOpenMessages());
-        o.addProperty("cancel", l.mayCancel());
-        o.addProperty("probing", l.mayProbe());
-        o.addProperty("streamsPerConn", l.callsPerConnection());
-        o.addProperty("connectTimeoutS", l.connectTimeoutMicros() / 1e6);
-        o.addProperty("keepaliveS", l.keepAliveMicros() / 1e6);
-        o.addProperty("retryAfter", l.sendsRetryAfter());
-        o.addProperty("maxRetryAfterS", l.maxRetryAfterMicros() / 1e6);
-        return o;
+    private static JsonObject limitsJson(DecisionModule.Limits limits) {
+        JsonObject json = new JsonObject();
+        json.addProperty("maxAttempts", limits.maxAttempts());
+        json.addProperty("openCap", limits.maxOpenMessages());
+        json.addProperty("cancel", limits.mayCancel());
+        json.addProperty("probing", limits.mayProbe());
+        json.addProperty("streamsPerConn", limits.callsPerConnection());
+        json.addProperty("connectTimeoutS", limits.connectTimeoutMicros() / 1e6);
+        json.addProperty("keepaliveS", limits.keepAliveMicros() / 1e6);
+        json.addProperty("retryAfter", limits.sendsRetryAfter());
+        json.addProperty("maxRetryAfterS", limits.maxRetryAfterMicros() / 1e6);
+        return json;
     }
 
-    private static JsonObject rules(DecisionModule.Rules r) {
-        JsonObject o = new JsonObject();
-        o.addProperty("answerSlackS", r.answerSlackMicros() / 1e6);
-        o.addProperty("askWithinS", r.watchWithinMicros() / 1e6);
-        o.addProperty("drainGraceS", r.drainGraceMicros() / 1e6);
-        o.addProperty("coldFrom", r.initialCapacityShare());
-        o.addProperty("rampTimeS", r.rampMicros() / 1e6);
-        o.addProperty("tipMultiple", r.overloadMultiple());
-        o.addProperty("overloadForS", r.overloadWindowMicros() / 1e6);
-        return o;
+    private static JsonObject rulesJson(DecisionModule.Rules rules) {
+        JsonObject json = new JsonObject();
+        json.addProperty("answerSlackS", rules.answerSlackMicros() / 1e6);
+        json.addProperty("askWithinS", rules.watchWithinMicros() / 1e6);
+        json.addProperty("drainGraceS", rules.drainGraceMicros() / 1e6);
+        json.addProperty("coldFrom", rules.initialCapacityShare());
+        json.addProperty("rampTimeS", rules.rampMicros() / 1e6);
+        json.addProperty("tipMultiple", rules.overloadMultiple());
+        json.addProperty("overloadForS", rules.overloadWindowMicros() / 1e6);
+        return json;
     }
 
-    private static JsonObject messageClass(MessageClass c) {
-        JsonObject o = new JsonObject();
-        o.addProperty("name", c.name());
-        o.addProperty("aimS", c.terms().aimMicros() / 1e6);
-        o.addProperty("deadlineS", c.terms().deadlineMicros() / 1e6);
-        o.addProperty("credit", c.terms().worth());
-        o.addProperty("lateShare", c.terms().lateShare());
-        o.addProperty("group", "all");
-        o.addProperty(
+    private static JsonObject messageClassJson(MessageClass messageClass) {
+        JsonObject json = new JsonObject();
+        json.addProperty("name", messageClass.name());
+        json.addProperty("aimS", messageClass.terms().aimMicros() / 1e6);
+        json.addProperty("deadlineS", messageClass.terms().deadlineMicros() / 1e6);
+        json.addProperty("credit", messageClass.terms().worth());
+        json.addProperty("lateShare", messageClass.terms().lateShare());
+        json.addProperty("group", "all");
+        json.addProperty(
                 "repeat",
-                switch (c.terms().repeat()) {
+                switch (messageClass.terms().repeat()) {
                     case SAFE -> "read_like";
                     case KEYED -> "idempotency_key";
                     case UNSAFE -> "non_idempotent";
                 });
-        o.addProperty("repeatWindowS", c.terms().repeatWindowMicros() / 1e6);
-        return o;
+        json.addProperty("repeatWindowS", messageClass.terms().repeatWindowMicros() / 1e6);
+        return json;
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
+++ b/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
@@ -60,7 +60,7 @@
         server = LoopbackPorts.listen();
         SocketThreads.start("agent", () -> {
             while (true) {
-                serve(server.accept());
+                serveConnection(server.accept());
             }
         });
     }
@@ -131,7 +131,7 @@
 
     // Requests of the forwarder
 
-    private void serve(Socket socket) throws IOException {
+    private void serveConnection(Socket socket) throws IOException {
         StandInConnection connection = new StandInConnection(socket);
         timeline.post(() -> connections.add(connection));
         SocketThreads.start("agent", () -> {
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -116,13 +116,13 @@
     // Process runs
 
     @Override
-    public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
+    public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean isFirstRun) {
         int startedRun = ++processRun;
-        platform.setEndpoints(known, version);
+        platform.setEndpoints(knownEndpoints, version);
         try {
             Path config = Files.writeString(
                     folder.resolve("config-" + number + ".json"),
-                    ForwarderConfigJson.config(
+                    ForwarderConfigJson.create(
                                     world.scenario(),
                                     settings,
                                     "127.0.0.1:" + address.getPort(),
--- a/src/main/java/lilaclever/lab/sockets/StandInConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/StandInConnection.java
@@ -49,12 +49,12 @@
         long firstByteNanos = System.nanoTime();
         String[] words = ((char) first + readRequiredLine()).split(" ", 3);
         Map<String, String> headers = new TreeMap<>(String.CASE_INSENSITIVE_ORDER);
-        for (String h = readRequiredLine(); !h.isEmpty(); h = readRequiredLine()) {
-            int colon = h.indexOf(':');
+        for (String header = readRequiredLine(); !header.isEmpty(); header = readRequiredLine()) {
+            int colon = header.indexOf(':');
             if (colon < 1 || headers.size() >= MAX_HEADERS) {
-                throw new IOException("malformed header: " + h);
+                throw new IOException("malformed header: " + header);
             }
-            headers.put(h.substring(0, colon), h.substring(colon + 1).strip());
+            headers.put(header.substring(0, colon), header.substring(colon + 1).strip());
         }
         int length = Integer.parseInt(headers.getOrDefault("Content-Length", "0"));
         if (length > MAX_BODY_BYTES || words.length < 2) {
@@ -129,8 +129,8 @@
     public final void writeResponse(String status, String body, String... headers) throws IOException {
         byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
         StringBuilder head = new StringBuilder("HTTP/1.1 " + status + "\r\n");
-        for (String h : headers) {
-            head.append(h).append("\r\n");
+        for (String header : headers) {
+            head.append(header).append("\r\n");
         }
         write(head + (status.startsWith("204") ? "" : "Content-Length: " + bytes.length + "\r\n") + "\r\n", bytes);
     }
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -83,8 +83,8 @@
     // Process runs
 
     @Override
-    public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean first) {
-        if (!first) {
+    public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean isFirstRun) {
+        if (!isFirstRun) {
             runInSameProcessRun(
                     world.nowMicros() + RESTART_MICROS,
                     () -> startProcess(world.endpoints(), world.directoryVersion()));
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -24,7 +24,7 @@
     private final List<ForwarderHandle> forwarders;
     private final Map<String, DecisionModule.EndpointEntry> entries = new LinkedHashMap<>();
     /** By forwarder: when the latest update arrives, and until when none arrives. */
-    private final long[] latestUpdateMicros, silentUntilMicros;
+    private final long[] latestUpdateMicros, updatesDelayedUntilMicros;
 
     private long version = 1;
     private int hostCount;
@@ -44,7 +44,7 @@
         this.random = random;
         this.forwarders = forwarders;
         latestUpdateMicros = new long[scenario.fleet().forwarders()];
-        silentUntilMicros = new long[scenario.fleet().forwarders()];
+        updatesDelayedUntilMicros = new long[scenario.fleet().forwarders()];
     }
 
     /** The list as it is now. */
@@ -94,8 +94,8 @@
     }
 
     /** Delays all updates to the forwarder until the given time. */
-    void silence(int forwarder, long untilMicros) {
-        silentUntilMicros[forwarder] = untilMicros;
+    void delayUpdates(int forwarder, long untilMicros) {
+        updatesDelayedUntilMicros[forwarder] = untilMicros;
     }
 
     /** Records that a forwarder has read the complete list. */
@@ -133,7 +133,7 @@
         for (ForwarderHandle forwarder : forwarders) {
             int number = forwarder.number();
             long atMicros = timeline.nowMicros() + random.in(scenario.fleet().directoryDelay());
-            atMicros = Math.max(Math.max(atMicros, latestUpdateMicros[number]), silentUntilMicros[number]);
+            atMicros = Math.max(Math.max(atMicros, latestUpdateMicros[number]), updatesDelayedUntilMicros[number]);
             latestUpdateMicros[number] = atMicros;
             timeline.at(atMicros, () -> deliver(forwarder, newVersion, changed));
         }
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -50,8 +50,8 @@
         switch (event.what()) {
             case RESTART -> planRestarts(event, atMicros, durationMicros);
             case DRAIN -> planDrains(event, atMicros, durationMicros);
-            case HOT -> planHotForwarders(event, atMicros, durationMicros);
-            case DEAF -> planSilentDirectory(event, atMicros, durationMicros);
+            case HOT -> planUnevenLoad(event, atMicros, durationMicros);
+            case DEAF -> planDirectoryDelays(event, atMicros, durationMicros);
             case LOWERED -> planLowerLimits(event, atMicros, durationMicros);
             default -> planOutages(event, atMicros, durationMicros);
         }
@@ -85,7 +85,7 @@
         }
     }
 
-    private void planHotForwarders(ScheduledEvent event, long atMicros, long durationMicros) {
+    private void planUnevenLoad(ScheduledEvent event, long atMicros, long durationMicros) {
         List<Integer> hot = someForwarders(event.part());
         double share = random.in(event.strength());
         int others = forwarderCount - hot.size();
@@ -98,9 +98,9 @@
         timeline.at(atMicros + durationMicros, () -> hot.forEach(f -> loadBalancer.setWeight(f, 1)));
     }
 
-    private void planSilentDirectory(ScheduledEvent event, long atMicros, long durationMicros) {
+    private void planDirectoryDelays(ScheduledEvent event, long atMicros, long durationMicros) {
         for (int forwarder : someForwarders(event.part())) {
-            timeline.at(atMicros, () -> directory.silence(forwarder, timeline.nowMicros() + durationMicros));
+            timeline.at(atMicros, () -> directory.delayUpdates(forwarder, timeline.nowMicros() + durationMicros));
         }
     }
 
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -49,8 +49,8 @@
         }
     }
 
-    private void start(int forwarder, boolean first) {
-        forwarders.get(forwarder).start(directory.entries(), directory.version(), first);
+    private void start(int forwarder, boolean isFirstRun) {
+        forwarders.get(forwarder).start(directory.entries(), directory.version(), isFirstRun);
     }
 
     /** Kills a forwarder and starts it again after the delay; does nothing if it is already down. */
--- a/src/main/java/lilaclever/lab/world/ForwarderHandle.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderHandle.java
@@ -31,7 +31,7 @@
      * Starts it with the directory's list; {@code first} is true for its first process run. It calls {@link
      * World#onReady} once it is ready.
      */
-    void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean first);
+    void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean isFirstRun);
 
     /** Kills its process without warning. */
     void kill();
--- a/src/main/java/lilaclever/lab/world/LoadBalancer.java
+++ b/src/main/java/lilaclever/lab/world/LoadBalancer.java
@@ -26,7 +26,7 @@
     }
 
     /** Picks the forwarder for the next message; any of them if all are known to be down. */
-    int pick() {
+    int pickForwarder() {
         double[] shares = weights.clone();
         for (Map.Entry<Integer, Long> down : detectedDownMicros.entrySet()) {
             if (timeline.nowMicros() >= down.getValue()) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -98,7 +98,7 @@
             return;
         }
         int number = arrival.number();
-        int forwarder = loadBalancer.pick();
+        int forwarder = loadBalancer.pickForwarder();
         auditor.handedIn(number, forwarder, timeline.nowMicros());
         String previousId = currentIds.get(number);
         String id = "m" + number + '-' + (previousId == null ? 0 : submissionNumber(previousId) + 1);
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -326,11 +326,11 @@
     }
 
     private void reportFailBacks(Partner partner) {
-        int falls = partner.fallsByKnowing();
-        if (falls > 0) {
-            String what = "destination " + partner.destination() + " was overloaded " + falls
+        int overloadFailures = partner.fallsByKnowing();
+        if (overloadFailures > 0) {
+            String description = "destination " + partner.destination() + " was overloaded " + overloadFailures
                     + " times by forwarders that saw it fail";
-            auditor.broken(Rule.FAIL_BACK, nowMicros(), what);
+            auditor.broken(Rule.FAIL_BACK, nowMicros(), description);
         }
     }
 
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -27,8 +27,8 @@
 
 /** Complete rehearsals in virtual time: the real core, decision module and journal in a simulated environment. */
 class WorldTest {
-    private static RehearsalResult run(Scenario s, long seed, Fault fault) {
-        return VirtualRehearsal.run(s, seed, fault);
+    private static RehearsalResult run(Scenario scenario, long seed, Fault fault) {
+        return VirtualRehearsal.run(scenario, seed, fault);
     }
 
     private static RehearsalResult run(String name, Fault fault) throws ConfigurationException {
@@ -70,9 +70,9 @@
                 "partners-refuse"
             })
     void shippedScenarioBreaksNoRule(String name) throws ConfigurationException {
-        RehearsalResult r = run(name, Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
-        long messages = r.auditor().counts().get("messages");
+        RehearsalResult result = run(name, Fault.NONE);
+        assertEquals(Map.of(), result.auditor().broken(), () -> Report.summary(result));
+        long messages = result.auditor().counts().get("messages");
         assertTrue(messages > 500, name + " has " + messages);
     }
 
@@ -91,10 +91,10 @@
         "month-end, SILENT, ONE_END"
     })
     void faultyForwarderBreaksTheExpectedRule(String name, Fault fault, Rule rule) throws ConfigurationException {
-        RehearsalResult r = run(name, fault);
-        assertTrue(r.auditor().broken().containsKey(rule), () -> Report.summary(r));
+        RehearsalResult result = run(name, fault);
+        assertTrue(result.auditor().broken().containsKey(rule), () -> Report.summary(result));
         assertTrue(rule == Rule.FAIL_BACK
-                || r.auditor().breaches().stream()
+                || result.auditor().breaches().stream()
                         .anyMatch(b -> b.rule() == rule && !b.story().isEmpty()));
     }
 
@@ -104,7 +104,7 @@
      */
     @Test
     void callIsWithheldWhenRetryAfterArrivesBeforeConnection() throws ConfigurationException {
-        RehearsalResult r = run(
+        RehearsalResult result = run(
                 ScenarioReader.parse(
                         "late",
                         List.of(
@@ -122,16 +122,16 @@
                                 "wait 500ms 3s")),
                 1,
                 Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
+        assertEquals(Map.of(), result.auditor().broken(), () -> Report.summary(result));
         assertTrue(
-                r.auditor().counts().getOrDefault("ended_withheld", 0L) > 0,
-                () -> r.auditor().counts().toString());
+                result.auditor().counts().getOrDefault("ended_withheld", 0L) > 0,
+                () -> result.auditor().counts().toString());
     }
 
     /** A forwarder that ignores the partners' retry-after periods is reported. */
     @Test
     void forwarderIgnoringRetryAfterBreaksWaitRule() throws ConfigurationException {
-        Scenario s = ScenarioReader.parse(
+        Scenario scenario = ScenarioReader.parse(
                 "waits",
                 List.of(
                         "[traffic]",
@@ -141,16 +141,16 @@
                         "limit rate",
                         "tells-wait 100%",
                         "wait 500ms 900ms"));
-        assertEquals(Set.of(), run(s, 1, Fault.NONE).auditor().broken().keySet());
+        assertEquals(Set.of(), run(scenario, 1, Fault.NONE).auditor().broken().keySet());
         assertEquals(
                 Set.of(Rule.WAIT),
-                run(s, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
+                run(scenario, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
     }
 
     /** A scenario in which nothing can be delivered ends like any other, with a service of 0. */
     @Test
     void permanentOutageScenarioEndsWithZeroService() throws ConfigurationException {
-        Scenario s = ScenarioReader.parse(
+        Scenario scenario = ScenarioReader.parse(
                 "hopeless",
                 List.of(
                         "[traffic]",
@@ -161,8 +161,8 @@
                         "at 0s",
                         "for 1h",
                         "part 100%"));
-        RehearsalResult r = run(s, 1, Fault.NONE);
-        assertEquals(0, r.auditor().service().whole());
-        assertEquals(Map.of(), r.auditor().broken());
+        RehearsalResult result = run(scenario, 1, Fault.NONE);
+        assertEquals(0, result.auditor().service().whole());
+        assertEquals(Map.of(), result.auditor().broken());
     }
 }
