--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -171,7 +171,7 @@
                     p.share() * 100,
                     p.calls(),
                     p.refused(),
-                    p.overloadFailures()));
+                    p.overloads()));
         }
         all.append("</table>\n");
     }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -76,7 +76,7 @@
         counts.addProperty(
                 "partners_fallen_over",
                 r.partners().stream()
-                        .mapToInt(RehearsalResult.PartnerRow::overloadFailures)
+                        .mapToInt(RehearsalResult.PartnerRow::overloads)
                         .sum());
         all.add("counts", counts);
         JsonObject classes = new JsonObject();
@@ -176,7 +176,7 @@
                     p.calls(),
                     p.refused(),
                     p.served(),
-                    p.overloadFailures()));
+                    p.overloads()));
         }
         return all.toString();
     }
--- a/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
@@ -70,8 +70,8 @@
             world.onNoAnswer(id);
             return;
         }
-        timeline.after(
-                ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id)); // has no effect if the message was answered by then
+        // This has no effect if the message was answered by then.
+        timeline.after(ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id));
     }
 
     private void handleAcknowledgement(String frame) {
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -174,14 +174,10 @@
         }
         if (waitedMicros < MAX_ATTEMPT_END_DELAY_MICROS
                 && ids.stream().anyMatch(id -> world.auditor().isOut(World.messageNumber(id)))) {
+            // The end of the earlier attempt may be queued for this thread.
             timeline.after(
                     ATTEMPT_END_RECHECK_MICROS,
-                    () -> receive(
-                            ids,
-                            firstByteMicros,
-                            waitedMicros
-                                    + ATTEMPT_END_RECHECK_MICROS)); // the end of the earlier attempt may be queued for
-            // this thread
+                    () -> receive(ids, firstByteMicros, waitedMicros + ATTEMPT_END_RECHECK_MICROS));
             return;
         }
         inFlightIds = ids;
--- a/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
@@ -102,10 +102,10 @@
     /** Polls from now on which partners are down, and closes or reopens their listeners. */
     void pollOutages() {
         for (Listener listener : listeners.values()) {
-            boolean down = listener.partner.isDown(timeline.nowMicros());
-            if (down && listener.server != null) {
+            boolean isDown = listener.partner.isDown(timeline.nowMicros());
+            if (isDown && listener.server != null) {
                 listener.closeAndReset();
-            } else if (!down && listener.server == null) {
+            } else if (!isDown && listener.server == null) {
                 listener.reopen();
             }
         }
@@ -132,7 +132,7 @@
         }
     }
 
-    /** Listeners that could not be closed or reopened. */
+    /** The number of failures to close or reopen a listener. */
     long errorCount() {
         return errorCount;
     }
--- a/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
+++ b/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
@@ -28,8 +28,10 @@
     private static final int MAX_RETAINED_CHANGES = 4_096;
     private static final long MAX_WATCH_MILLIS = 60_000;
 
+    /** Changed entries of the list, and the version that they lead to. */
     private record Change(long version, List<DecisionModule.EndpointEntry> entries) {}
 
+    /** A long poll that waits for a version after the one that the forwarder has. */
     private static final class Watch {
         final StandInConnection connection;
         final long afterVersion;
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -41,7 +41,9 @@
     private Process process;
     private boolean wasReady;
     private String startFailure;
+    /** The number of the current process run, from 1; it identifies tasks of earlier runs and varies the seed. */
     private int processRun;
+
     private long brokenInvariants;
 
     SocketForwarder(
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -45,7 +45,9 @@
     private Counters counters;
     private SegmentedJournal journal;
     private VirtualDeliverer deliverer;
+    /** Incremented by each start and each kill; it identifies tasks of earlier runs and varies the seed. */
     private int processRun;
+
     private long nextTurnMicros = Long.MAX_VALUE, lastTurnMicros = Long.MIN_VALUE;
     private long earlierBrokenInvariants;
 
@@ -135,11 +137,11 @@
         nextTurnMicros = Long.MAX_VALUE;
     }
 
-    /** Runs the task at the time if the process has not been killed by then. */
+    /** Runs the task at the time unless the process is started or killed in the meantime. */
     private void runInSameProcessRun(long atMicros, Runnable task) {
-        int scheduledIn = processRun;
+        int scheduledInRun = processRun;
         world.at(atMicros, () -> {
-            if (processRun == scheduledIn) {
+            if (processRun == scheduledInRun) {
                 task.run();
             }
         });
--- a/src/main/java/lilaclever/lab/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/lab/world/PartnerFactory.java
@@ -41,17 +41,18 @@
      */
     List<Partner> create(double[] weights, EndpointDirectory directory) {
         List<PartnerKind> kinds = kindsByRank();
-        double meanWork = meanWorkMicros();
+        double meanWorkMicros = meanWorkMicros();
         List<Partner> partners = new ArrayList<>();
         for (int rank = 0; rank < kinds.size(); rank++) {
-            double part = rank < kinds.size() / FULL_ENDPOINTS_DIVISOR ? 1 : REDUCED_ENDPOINT_SHARE;
-            int endpoints = Math.max(1, (int) Math.round(random.in(fleet.endpoints()) * part + ENDPOINT_ROUNDING));
+            double endpointShare = rank < kinds.size() / FULL_ENDPOINTS_DIVISOR ? 1 : REDUCED_ENDPOINT_SHARE;
+            int endpoints =
+                    Math.max(1, (int) Math.round(random.in(fleet.endpoints()) * endpointShare + ENDPOINT_ROUNDING));
             Partner partner = new Partner(
                     rank,
                     kinds.get(rank),
                     endpoints,
                     weights[rank] * fleet.ratePerSecond(),
-                    meanWork,
+                    meanWorkMicros,
                     fleet.cold(),
                     new RandomStream(seed, "partner " + rank));
             partners.add(partner);
@@ -76,8 +77,8 @@
     private List<PartnerKind> kindsByShare() {
         List<PartnerKind> kinds = new ArrayList<>();
         for (PartnerKind kind : scenario.kinds()) {
-            int wanted = (int) Math.round(kind.share() * fleet.destinations());
-            for (int i = 0; i < wanted && kinds.size() < fleet.destinations(); i++) {
+            int count = (int) Math.round(kind.share() * fleet.destinations());
+            for (int i = 0; i < count && kinds.size() < fleet.destinations(); i++) {
                 kinds.add(kind);
             }
         }
@@ -88,12 +89,12 @@
     }
 
     private double meanWorkMicros() {
-        double work = 0;
+        double meanMicros = 0;
         for (MessageClass messageClass : scenario.classes()) {
-            work += messageClass.share()
+            meanMicros += messageClass.share()
                     * (messageClass.workMicros()[0] + messageClass.workMicros()[1])
                     / 2;
         }
-        return work;
+        return meanMicros;
     }
 }
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/lab/world/RehearsalResult.java
@@ -38,5 +38,5 @@
             long calls,
             long refused,
             long served,
-            int overloadFailures) {}
+            int overloads) {}
 }
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -159,12 +159,12 @@
 
     /** A partner has received a complete call with these messages; returns its answer. */
     public Answer callPartner(Partner partner, String host, int forwarder, List<String> ids) {
-        long[] work = ids.stream().mapToLong(clients::workMicros).toArray();
+        long[] workMicros = ids.stream().mapToLong(clients::workMicros).toArray();
         series.add("calls", 1);
-        Answer answer = partner.call(host, forwarder, work, nowMicros());
+        Answer answer = partner.call(host, forwarder, workMicros, nowMicros());
         if (fault == Fault.FLOODS && partner.warmth(nowMicros()) < 1) {
             for (int i = 0; i < FLOOD_REPEATS; i++) {
-                partner.call(host, forwarder, work, nowMicros());
+                partner.call(host, forwarder, workMicros, nowMicros());
             }
         }
         if (answer.status() == Partner.Status.FULL) {
@@ -245,11 +245,11 @@
 
     /** The length of the rehearsal, until the last final status is due. */
     public long lengthMicros() {
-        long longestDeadline = scenario.classes().stream()
+        long longestDeadlineMicros = scenario.classes().stream()
                 .mapToLong(c -> c.terms().deadlineMicros())
                 .max()
                 .orElse(0);
-        return scenario.traffic().lengthMicros() + MARGIN_AFTER_DEADLINES_MICROS + longestDeadline;
+        return scenario.traffic().lengthMicros() + MARGIN_AFTER_DEADLINES_MICROS + longestDeadlineMicros;
     }
 
     /** Starts the forwarders; {@link #onReady} is called for each once it is ready. */
@@ -326,9 +326,9 @@
     }
 
     private void reportFailBacks(Partner partner) {
-        int overloadFailures = partner.fallsByKnowing();
-        if (overloadFailures > 0) {
-            String description = "destination " + partner.destination() + " was overloaded " + overloadFailures
+        int overloads = partner.fallsByKnowing();
+        if (overloads > 0) {
+            String description = "destination " + partner.destination() + " was pushed over " + overloads
                     + " times by forwarders that saw it fail";
             auditor.broken(Rule.FAIL_BACK, nowMicros(), description);
         }
