--- a/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
+++ b/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
@@ -10,9 +10,9 @@
 import lilaclever.lab.world.World;
 
 /**
- * A clinic system's line to one forwarder: HL7 v2.5 over MLLP in enhanced mode, many messages in flight on one
- * connection. It connects again whenever the connection ends, as ends may be owed there. A thread reads; the rest runs
- * on the timeline's.
+ * A clinic system's connection to one forwarder: HL7 v2.5 over MLLP in enhanced mode, with many messages in flight on
+ * one connection. It reconnects whenever the connection ends, since application acknowledgements may still be pending.
+ * A separate thread reads; everything else runs on the timeline's thread.
  */
 final class Hl7Submitter {
     private static final int CONNECT_TIMEOUT_MILLIS = 500, RECONNECT_DELAY_MILLIS = 50;
@@ -26,63 +26,66 @@
     private volatile StandInConnection connection;
     private volatile boolean closed;
 
-    Hl7Submitter(World world, RealTimeline time, InetSocketAddress address) {
+    Hl7Submitter(World world, RealTimeline timeline, InetSocketAddress address) {
         this.world = world;
-        this.timeline = time;
+        this.timeline = timeline;
         this.address = address;
         SocketThreads.start("hl7 line", this::keepConnected);
     }
 
     private void keepConnected() throws InterruptedException {
         while (!closed) {
-            try (Socket s = new Socket()) {
-                s.connect(address, CONNECT_TIMEOUT_MILLIS);
-                StandInConnection up = new StandInConnection(s);
-                connection = up;
-                for (String frame = up.readFrame(); frame != null; frame = up.readFrame()) {
-                    String read = frame;
-                    timeline.post(() -> handleAcknowledgement(read));
+            try (Socket socket = new Socket()) {
+                socket.connect(address, CONNECT_TIMEOUT_MILLIS);
+                StandInConnection newConnection = new StandInConnection(socket);
+                connection = newConnection;
+                for (String frame = newConnection.readFrame(); frame != null; frame = newConnection.readFrame()) {
+                    String received = frame;
+                    timeline.post(() -> handleAcknowledgement(received));
                 }
             } catch (IOException e) {
-                // nobody there, or it has died
+                // the forwarder is not listening, or the connection broke
             }
             connection = null;
             Thread.sleep(RECONNECT_DELAY_MILLIS);
         }
     }
 
-    /** Hands a message in; what becomes of it is told to the world. */
-    void submit(String id, Arrival a, long leftMicros) {
-        StandInConnection to = connection;
-        if (to == null) {
+    /** Submits a message and reports the outcome to the world. */
+    void submit(String id, Arrival arrival, long leftMicros) {
+        StandInConnection current = connection;
+        if (current == null) {
             world.onConnectionRefused(id);
             return;
         }
-        String message = "MSH|^~\\&|" + OperatorFile.SENDER + "|NORTH|" + OperatorFile.receiverName(a.destination())
-                + "|PRAIRIE|20260101000000||"
-                + OperatorFile.eventCode(a.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|" + a.number() + "\rZLC|"
-                + String.format(Locale.ROOT, "%.3f", leftMicros / 1e6) + '\r';
+        String message =
+                "MSH|^~\\&|" + OperatorFile.SENDER + "|NORTH|" + OperatorFile.receiverName(arrival.destination())
+                        + "|PRAIRIE|20260101000000||"
+                        + OperatorFile.eventCode(arrival.messageClass()) + '|' + id + "|P|2.5|||AL|AL\rORC|NW|"
+                        + arrival.number() + "\rZLC|"
+                        + String.format(Locale.ROOT, "%.3f", leftMicros / 1e6) + '\r';
         try {
-            to.writeFrame(message);
+            current.writeFrame(message);
         } catch (IOException e) {
             world.onNoAnswer(id);
             return;
         }
-        timeline.after(ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id)); // no more than a word if it has its answer by then
+        // This has no effect if the message was answered by then.
+        timeline.after(ANSWER_TIMEOUT_MICROS, () -> world.onNoAnswer(id));
     }
 
     private void handleAcknowledgement(String frame) {
-        Matcher m = MSA.matcher(frame);
-        if (!m.find()) {
+        Matcher matcher = MSA.matcher(frame);
+        if (!matcher.find()) {
             world.auditor().count("acknowledgements_that_can_not_be_read");
             return;
         }
-        String id = m.group(2);
+        String id = matcher.group(2);
         if (!world.isCurrent(id)) {
             world.auditor().count("acknowledgements_of_no_message");
             return;
         }
-        switch (m.group(1)) {
+        switch (matcher.group(1)) {
             case "CA" -> world.onAccepted(id);
             case "CE", "CR" -> world.onRejected(id, retryAfterMicros(frame));
             case "AE" -> world.onNotice(id, "undeliverable");
@@ -92,8 +95,8 @@
     }
 
     private static long retryAfterMicros(String text) {
-        Matcher m = RETRY_AFTER.matcher(text);
-        return m.find() ? (long) (Double.parseDouble(m.group(1)) * 1e6) : 0;
+        Matcher matcher = RETRY_AFTER.matcher(text);
+        return matcher.find() ? (long) (Double.parseDouble(matcher.group(1)) * 1e6) : 0;
     }
 
     void close() {
--- a/src/main/java/lilaclever/lab/sockets/HttpSubmitter.java
+++ b/src/main/java/lilaclever/lab/sockets/HttpSubmitter.java
@@ -14,8 +14,8 @@
 import lilaclever.lab.world.World;
 
 /**
- * The clients of one forwarder: each hand-in on a connection of its own for that while, which is kept and used again.
- * They are never held up by earlier hand-ins.
+ * The HTTP clients of one forwarder. Each submission has a connection to itself until it is answered; then the
+ * connection is reused. A submission therefore never waits for an earlier one.
  */
 final class HttpSubmitter {
     private static final int ANSWER_TIMEOUT_MILLIS = 400, CONNECT_TIMEOUT_MILLIS = 1000, BODY_BYTES = 200;
@@ -30,24 +30,24 @@
     });
     private final ConcurrentLinkedDeque<StandInConnection> idle = new ConcurrentLinkedDeque<>();
 
-    HttpSubmitter(World world, RealTimeline time, InetSocketAddress address) {
+    HttpSubmitter(World world, RealTimeline timeline, InetSocketAddress address) {
         this.world = world;
-        this.timeline = time;
+        this.timeline = timeline;
         this.address = address;
     }
 
-    /** Hands in on a thread of its own; what becomes of it is told to the world. */
-    void submit(String id, Arrival a, long leftMicros) {
+    /** Submits a message on a separate thread and reports the outcome to the world. */
+    void submit(String id, Arrival arrival, long leftMicros) {
         byte[] body = new byte[BODY_BYTES];
         Arrays.fill(body, (byte) 'x');
         String head = "POST /api HTTP/1.1\r\nHost: lilaclever\r\nReq-Id: " + id + "\r\nReq-Kind: "
-                + world.scenario().classes().get(a.messageClass()).name() + "\r\nReq-Deadline: "
-                + String.format(Locale.ROOT, "%.6f", leftMicros / 1e6) + "\r\nIdempotency-Key: k" + a.number()
-                + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
+                + world.scenario().classes().get(arrival.messageClass()).name() + "\r\nReq-Deadline: "
+                + String.format(Locale.ROOT, "%.6f", leftMicros / 1e6) + "\r\nIdempotency-Key: k" + arrival.number()
+                + "\r\nX-Envelope: dest=" + arrival.destination() + "\r\nContent-Length: " + BODY_BYTES + "\r\n\r\n";
         executor.execute(() -> {
-            StandInConnection kept = idle.pollLast();
-            Runnable told = kept == null ? null : exchange(kept, id, head, body, true);
-            Runnable outcome = told != null ? told : submitOnNewConnection(id, head, body);
+            StandInConnection reused = idle.pollLast();
+            Runnable reusedOutcome = reused == null ? null : exchange(reused, id, head, body, true);
+            Runnable outcome = reusedOutcome != null ? reusedOutcome : submitOnNewConnection(id, head, body);
             timeline.post(outcome);
         });
     }
@@ -64,28 +64,28 @@
         }
     }
 
-    /** What the answer means; null if a kept connection had been closed before it was read. */
-    private Runnable exchange(StandInConnection wire, String id, String head, byte[] body, boolean kept) {
+    /** Returns the action that reports the outcome, or null if a reused connection was closed before an answer came. */
+    private Runnable exchange(StandInConnection connection, String id, String head, byte[] body, boolean isReused) {
         try {
-            wire.setReadTimeout(ANSWER_TIMEOUT_MILLIS);
-            wire.write(head, body);
-            HttpMessage answer = wire.readHttp();
+            connection.setReadTimeout(ANSWER_TIMEOUT_MILLIS);
+            connection.write(head, body);
+            HttpMessage answer = connection.readHttp();
             if (answer == null) {
-                wire.close();
-                return kept ? null : () -> world.onNoAnswer(id);
+                connection.close();
+                return isReused ? null : () -> world.onNoAnswer(id);
             }
             if ("close".equalsIgnoreCase(answer.header("Connection", ""))) {
-                wire.close();
+                connection.close();
             } else {
-                idle.addLast(wire);
+                idle.addLast(connection);
             }
             return outcome(id, answer);
         } catch (java.net.SocketTimeoutException e) {
-            wire.close();
+            connection.close();
             return () -> world.onNoAnswer(id);
         } catch (IOException e) {
-            wire.close();
-            return kept ? null : () -> world.onNoAnswer(id);
+            connection.close();
+            return isReused ? null : () -> world.onNoAnswer(id);
         }
     }
 
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -14,18 +14,19 @@
 import lilaclever.lab.world.World;
 
 /**
- * A forwarder's connection to a partner's endpoint: reads calls, asks the partner's model, writes what it answers when
- * it is due. One call at a time. A thread of its own reads; the rest runs on the timeline's thread.
+ * A forwarder's connection to a partner's endpoint. It reads calls, asks the partner's model for the answer and writes
+ * it when it is due, one call at a time. A separate thread reads; everything else runs on the timeline's thread.
  */
 final class PartnerConnection {
-    /** A second copy may only seem one, as the threads that read overtake each other: so long it is waited for. */
+    /**
+     * A message may seem to have two attempts in flight, since the reading threads can overtake each other. A call is
+     * therefore checked again after the first delay, up to the second one, for the end of the earlier attempt.
+     */
     private static final long ATTEMPT_END_RECHECK_MICROS = 5_000, MAX_ATTEMPT_END_DELAY_MICROS = 50_000;
 
-    /** A message of a call, under the name that the wire has for it. */
+    /** A message of a call, with the id that the call has for it. */
     record CallItem(String wireId, byte[] body) {
-        /**
-         * Its name among the hand-ins: an HL7 message has it in its header (MSH-10), as the forwarder gives it another.
-         */
+        /** The id of its submission. The forwarder gives an HL7 message another id; the submission's is in MSH-10. */
         String submissionId() {
             String text = new String(body, 0, Math.min(body.length, MAX_HEADER_BYTES), StandardCharsets.ISO_8859_1);
             String[] fields = text.startsWith("MSH|") ? text.split("\\|", CONTROL_ID_FIELD + 2) : new String[0];
@@ -41,51 +42,52 @@
     private final Partner partner;
     private final String host;
     private final int forwarder;
-    /** False: the partner holds as many connections as it takes. */
+    /** False if the partner already has as many connections as it accepts. */
     private final boolean hasCapacity;
 
     private final Consumer<PartnerConnection> onClosed;
     private List<String> inFlightIds = List.of();
-    /** The messages of the call that is out, where the answer must name each. */
+    /** The messages of the batch call in flight, whose answer must name each; empty for a call with one message. */
     private List<CallItem> batchItems = List.of();
 
     private boolean isFirstRequest = true, isClosed;
 
     PartnerConnection(
             World world,
-            RealTimeline time,
-            StandInConnection wire,
+            RealTimeline timeline,
+            StandInConnection connection,
             Partner partner,
             String host,
             int forwarder,
-            boolean welcome,
-            Consumer<PartnerConnection> ended) {
+            boolean hasCapacity,
+            Consumer<PartnerConnection> onClosed) {
         this.world = world;
-        this.timeline = time;
-        this.connection = wire;
+        this.timeline = timeline;
+        this.connection = connection;
         this.partner = partner;
         this.host = host;
         this.forwarder = forwarder;
-        this.hasCapacity = welcome;
-        this.onClosed = ended;
+        this.hasCapacity = hasCapacity;
+        this.onClosed = onClosed;
     }
 
     void start() {
         SocketThreads.start("partner " + host, () -> {
             try {
-                for (HttpMessage h = connection.readHttp(); h != null; h = connection.readHttp()) {
-                    HttpMessage read = h;
-                    timeline.post(() -> handleRequest(read));
+                for (HttpMessage request = connection.readHttp(); request != null; request = connection.readHttp()) {
+                    HttpMessage received = request;
+                    timeline.post(() -> handleRequest(received));
                 }
             } catch (IOException | NumberFormatException e) {
-                // reset, or no HTTP: it ends here
+                // the connection was reset, or it does not carry HTTP: it is closed
             }
             timeline.post(this::onPeerClosed);
         });
     }
 
-    // ---- ends of the connection -------------------------------------------------------------------------
-    /** The other side has closed it: a call that is out is given up. */
+    // Closing
+
+    /** The forwarder has closed the connection: a call in flight is given up. */
     private void onPeerClosed() {
         if (!isClosed) {
             attemptsOver(inFlightIds, "given up", false);
@@ -96,7 +98,7 @@
         }
     }
 
-    /** The partner's machine is gone. */
+    /** Resets the connection, as the failure of the partner's machine does. */
     void reset() {
         if (!isClosed) {
             attemptsOver(inFlightIds, "reset", false);
@@ -127,33 +129,41 @@
         }
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
-    private void handleRequest(HttpMessage head) {
+    // Calls
+
+    private void handleRequest(HttpMessage request) {
         if (isClosed) {
             return;
         }
-        long at = Math.max(0, timeline.nowMicros() - (System.nanoTime() - head.firstByteNanos()) / 1000);
-        switch (head.method() + ' ' + head.target()) {
+        long firstByteMicros =
+                Math.max(0, timeline.nowMicros() - (System.nanoTime() - request.firstByteNanos()) / 1000);
+        switch (request.method() + ' ' + request.target()) {
             case "GET /health/live", "GET /stats" -> afterNetworkDelay(this::handleProbe);
-            case "POST /receive" -> receive(List.of(new CallItem(head.header("Req-Id", ""), head.body())), false, at);
-            case "POST /receive-many" -> receive(parseBatch(head.body()), true, at);
+            case "POST /receive" ->
+                receive(List.of(new CallItem(request.header("Req-Id", ""), request.body())), false, firstByteMicros);
+            case "POST /receive-many" -> receive(parseBatch(request.body()), true, firstByteMicros);
             default -> respond("404 Not Found", "");
         }
     }
 
-    /** After what the network takes, and on a new connection its handshake. */
+    /** Runs the step after the network delay, and after the handshake if the connection is new. */
     private void afterNetworkDelay(Runnable step) {
-        long network = world.networkDelayMicros();
-        timeline.after(network + (isFirstRequest ? 2 * network + world.scenario().fleet().handshakeMicros() : 0), step);
+        long delayMicros = world.networkDelayMicros();
+        timeline.after(
+                delayMicros
+                        + (isFirstRequest
+                                ? 2 * delayMicros + world.scenario().fleet().handshakeMicros()
+                                : 0),
+                step);
         isFirstRequest = false;
     }
 
-    private void receive(List<CallItem> items, boolean asMany, long at) {
-        batchItems = asMany ? items : List.of();
-        receive(items.stream().map(CallItem::submissionId).toList(), at, 0);
+    private void receive(List<CallItem> items, boolean isBatch, long firstByteMicros) {
+        batchItems = isBatch ? items : List.of();
+        receive(items.stream().map(CallItem::submissionId).toList(), firstByteMicros, 0);
     }
 
-    private void receive(List<String> ids, long at, long waited) {
+    private void receive(List<String> ids, long firstByteMicros, long waitedMicros) {
         if (isClosed) {
             return;
         }
@@ -162,14 +172,16 @@
             respond(ids.isEmpty() ? "400 Bad Request" : "410 Gone", "");
             return;
         }
-        if (waited < MAX_ATTEMPT_END_DELAY_MICROS
+        if (waitedMicros < MAX_ATTEMPT_END_DELAY_MICROS
                 && ids.stream().anyMatch(id -> world.auditor().isOut(World.messageNumber(id)))) {
+            // The end of the earlier attempt may be queued for this thread.
             timeline.after(
-                    ATTEMPT_END_RECHECK_MICROS, () -> receive(ids, at, waited + ATTEMPT_END_RECHECK_MICROS)); // its end may be on its way to this thread
+                    ATTEMPT_END_RECHECK_MICROS,
+                    () -> receive(ids, firstByteMicros, waitedMicros + ATTEMPT_END_RECHECK_MICROS));
             return;
         }
         inFlightIds = ids;
-        ids.forEach(id -> world.onAttemptStarted(id, forwarder, host, partner.destination(), at));
+        ids.forEach(id -> world.onAttemptStarted(id, forwarder, host, partner.destination(), firstByteMicros));
         afterNetworkDelay(() -> process(ids));
     }
 
@@ -184,44 +196,45 @@
             close();
             return;
         }
-        Answer a = world.callPartner(partner, host, forwarder, ids);
-        switch (a.status()) {
+        Answer answer = world.callPartner(partner, host, forwarder, ids);
+        switch (answer.status()) {
             case NO_CONNECTION -> reset();
-            case FULL -> timeline.at(a.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, a.waitMicros())));
+            case FULL ->
+                timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.waitMicros())));
             case ERROR ->
                 timeline.at(
-                        a.atMicros(),
+                        answer.atMicros(),
                         () -> answerIfInFlight(ids, () -> {
                             attemptsOver(ids, "error", false);
                             partner.heardFailure(forwarder, timeline.nowMicros());
                             respond("500 Internal Server Error", "");
                         }));
-            case DELIVERED -> timeline.at(a.atMicros(), () -> answerDelivered(ids, a));
-            default -> {} // nothing comes back
+            case DELIVERED -> timeline.at(answer.atMicros(), () -> answerDelivered(ids, answer));
+            default -> {} // the partner never answers
         }
     }
 
-    private void answerIfInFlight(List<String> ids, Runnable how) {
+    private void answerIfInFlight(List<String> ids, Runnable writeAnswer) {
         if (!isClosed && inFlightIds == ids) {
-            how.run();
+            writeAnswer.run();
             inFlightIds = List.of();
         }
     }
 
-    private void answerFull(List<String> ids, long wait) {
+    private void answerFull(List<String> ids, long retryAfterMicros) {
         attemptsOver(ids, "full", true);
         partner.heardFailure(forwarder, timeline.nowMicros());
-        if (wait > 0) {
-            world.auditor().waitTold(forwarder, partner.destination(), timeline.nowMicros(), wait);
-            respond("429 Too Many Requests", "", "X-Retry-In-Ms: " + (wait + 999) / 1000);
+        if (retryAfterMicros > 0) {
+            world.auditor().waitTold(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
+            respond("429 Too Many Requests", "", "X-Retry-In-Ms: " + (retryAfterMicros + 999) / 1000);
         } else {
             respond("503 Service Unavailable", "");
         }
     }
 
-    /** The partner has done the work, whether or not anybody still waits for its answer. */
-    private void answerDelivered(List<String> ids, Answer a) {
-        if (isClosed || inFlightIds != ids || !partner.answersStill(host, a.atMicros())) {
+    /** The partner has done the work, whether or not the forwarder still waits for the answer. */
+    private void answerDelivered(List<String> ids, Answer answer) {
+        if (isClosed || inFlightIds != ids || !partner.answersStill(host, answer.atMicros())) {
             ids.forEach(id -> world.onProcessed(id, false));
             return;
         }
@@ -241,15 +254,15 @@
             return;
         }
         world.auditor().service().probe();
-        Answer a = partner.call(host, forwarder, new long[] {1000}, timeline.nowMicros());
-        String status = switch (a.status()) {
+        Answer answer = partner.call(host, forwarder, new long[] {1000}, timeline.nowMicros());
+        String status = switch (answer.status()) {
             case DELIVERED -> "200 OK";
             case FULL -> "503 Service Unavailable";
             case ERROR -> "500 Internal Server Error";
             default -> null;
         };
         if (status != null) {
-            timeline.at(a.atMicros(), () -> {
+            timeline.at(answer.atMicros(), () -> {
                 if (!isClosed) {
                     if (!status.startsWith("200")) {
                         partner.heardFailure(forwarder, timeline.nowMicros());
@@ -257,16 +270,16 @@
                     respond(status, "");
                 }
             });
-        } else if (a.status() == Partner.Status.NO_CONNECTION) {
+        } else if (answer.status() == Partner.Status.NO_CONNECTION) {
             reset();
         }
     }
 
-    private void attemptsOver(List<String> ids, String how, boolean neverRan) {
-        ids.forEach(id -> world.onAttemptOver(id, how, neverRan));
+    private void attemptsOver(List<String> ids, String result, boolean neverRan) {
+        ids.forEach(id -> world.onAttemptOver(id, result, neverRan));
     }
 
-    /** The messages in the body of a call with several; none if it can't be read. */
+    /** The messages in the body of a batch call; none if it is malformed. */
     static List<CallItem> parseBatch(byte[] body) {
         List<CallItem> items = new ArrayList<>();
         Set<String> seen = new HashSet<>();
--- a/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
+++ b/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
@@ -20,24 +20,26 @@
 import lilaclever.lab.world.World;
 
 /**
- * The platform as one forwarder sees it: the directory's agent beside it, with its list and its watch, and where
- * notices go. It knows what it has been told. A thread for each connection reads; the rest runs on the timeline's
- * thread.
+ * A stand-in for the platform services that one forwarder uses: the discovery agent, which serves the endpoint list and
+ * watches of it, and the receiver of status notices. Each connection is read on a thread of its own; everything else
+ * runs on the timeline's thread.
  */
 final class PlatformStandIn {
     private static final int MAX_RETAINED_CHANGES = 4_096;
     private static final long MAX_WATCH_MILLIS = 60_000;
 
+    /** Changed entries of the list, and the version that they lead to. */
     private record Change(long version, List<DecisionModule.EndpointEntry> entries) {}
 
+    /** A long poll that waits for a version after the one that the forwarder has. */
     private static final class Watch {
         final StandInConnection connection;
         final long afterVersion;
         boolean isOver;
 
-        Watch(StandInConnection wire, long after) {
-            this.connection = wire;
-            this.afterVersion = after;
+        Watch(StandInConnection connection, long afterVersion) {
+            this.connection = connection;
+            this.afterVersion = afterVersion;
         }
     }
 
@@ -52,10 +54,11 @@
     private final List<StandInConnection> connections = new ArrayList<>();
     private long version;
 
-    PlatformStandIn(World world, RealTimeline time, Function<DecisionModule.EndpointEntry, String> address) throws IOException {
+    PlatformStandIn(World world, RealTimeline timeline, Function<DecisionModule.EndpointEntry, String> endpointAddress)
+            throws IOException {
         this.world = world;
-        this.timeline = time;
-        this.endpointAddress = address;
+        this.timeline = timeline;
+        this.endpointAddress = endpointAddress;
         server = LoopbackPorts.listen();
         SocketThreads.start("agent", () -> {
             while (true) {
@@ -73,18 +76,19 @@
         connections.forEach(StandInConnection::close);
     }
 
-    // ---- what it is told --------------------------------------------------------------------------------
-    /** The whole list, as a forwarder's start has it. */
-    void setEndpoints(List<DecisionModule.EndpointEntry> all, long now) {
+    // Updates from the simulated directory
+
+    /** Sets the complete list that a starting forwarder reads. */
+    void setEndpoints(List<DecisionModule.EndpointEntry> entries, long newVersion) {
         endpoints.clear();
-        all.forEach(e -> endpoints.put(e.host(), e));
+        entries.forEach(e -> endpoints.put(e.host(), e));
         changes.clear();
-        version = now;
+        version = newVersion;
     }
 
-    /** Changes, for whoever watches and whoever asks later. */
-    void applyChange(long now, List<DecisionModule.EndpointEntry> entries) {
-        version = now;
+    /** Applies changes, answers all pending watches and retains the changes for later watches. */
+    void applyChange(long newVersion, List<DecisionModule.EndpointEntry> entries) {
+        version = newVersion;
         for (DecisionModule.EndpointEntry e : entries) {
             if (e.presence() == Presence.LEFT) {
                 endpoints.remove(e.host());
@@ -92,7 +96,7 @@
                 endpoints.put(e.host(), e);
             }
         }
-        changes.addLast(new Change(now, entries));
+        changes.addLast(new Change(newVersion, entries));
         if (changes.size() > MAX_RETAINED_CHANGES) {
             changes.removeFirst();
         }
@@ -101,12 +105,12 @@
         waiting.forEach(this::answerWatch);
     }
 
-    /** The list as a configuration file has it. */
+    /** The complete list in the form that a forwarder's configuration file contains. */
     JsonObject completeList() {
         return listJson(true, endpoints.values());
     }
 
-    private JsonObject listJson(boolean whole, Iterable<DecisionModule.EndpointEntry> entries) {
+    private JsonObject listJson(boolean isComplete, Iterable<DecisionModule.EndpointEntry> entries) {
         JsonArray all = new JsonArray();
         for (DecisionModule.EndpointEntry e : entries) {
             JsonObject o = new JsonObject();
@@ -122,58 +126,59 @@
         }
         JsonObject root = new JsonObject();
         root.addProperty("index", version);
-        root.addProperty("snapshot", whole);
+        root.addProperty("snapshot", isComplete);
         root.add("endpoints", all);
         return root;
     }
 
-    // ---- what it is asked -------------------------------------------------------------------------------
+    // Requests of the forwarder
+
     private void serveConnection(Socket socket) throws IOException {
-        StandInConnection wire = new StandInConnection(socket);
-        timeline.post(() -> connections.add(wire));
+        StandInConnection connection = new StandInConnection(socket);
+        timeline.post(() -> connections.add(connection));
         SocketThreads.start("agent", () -> {
             try {
-                for (HttpMessage h = wire.readHttp(); h != null; h = wire.readHttp()) {
-                    HttpMessage read = h;
-                    timeline.post(() -> handleRequest(wire, read));
+                for (HttpMessage request = connection.readHttp(); request != null; request = connection.readHttp()) {
+                    HttpMessage received = request;
+                    timeline.post(() -> handleRequest(connection, received));
                 }
             } finally {
-                wire.close();
-                timeline.post(() -> connections.remove(wire));
+                connection.close();
+                timeline.post(() -> connections.remove(connection));
             }
         });
     }
 
-    private void handleRequest(StandInConnection wire, HttpMessage h) {
-        if (h.target().equals("/status")) {
-            handleNotices(wire, new String(h.body(), StandardCharsets.UTF_8));
-        } else if (h.target().contains("after=")) {
-            Watch watch = new Watch(wire, queryNumber(h.target(), "after", -1));
+    private void handleRequest(StandInConnection connection, HttpMessage request) {
+        if (request.target().equals("/status")) {
+            handleNotices(connection, new String(request.body(), StandardCharsets.UTF_8));
+        } else if (request.target().contains("after=")) {
+            Watch watch = new Watch(connection, queryNumber(request.target(), "after", -1));
             if (watch.afterVersion != version) {
                 answerWatch(watch);
                 return;
             }
             watches.add(watch);
-            timeline.after(1000 * Math.min(MAX_WATCH_MILLIS, queryNumber(h.target(), "wait_ms", 0)), () -> {
+            timeline.after(1000 * Math.min(MAX_WATCH_MILLIS, queryNumber(request.target(), "wait_ms", 0)), () -> {
                 if (watches.remove(watch)) {
                     answerWatch(watch);
                 }
             });
         } else {
-            sendResponse(wire, "200 OK", completeList().toString());
+            sendResponse(connection, "200 OK", completeList().toString());
         }
     }
 
-    private static long queryNumber(String target, String key, long otherwise) {
+    private static long queryNumber(String target, String key, long defaultValue) {
         java.util.regex.Matcher m =
                 java.util.regex.Pattern.compile("[?&]" + key + "=(-?\\d{1,15})").matcher(target);
-        return m.find() ? Long.parseLong(m.group(1)) : otherwise;
+        return m.find() ? Long.parseLong(m.group(1)) : defaultValue;
     }
 
     private void answerWatch(Watch watch) {
-        boolean inOrder = watch.afterVersion == version
+        boolean hasAllChanges = watch.afterVersion == version
                 || !changes.isEmpty() && changes.stream().anyMatch(c -> c.version() == watch.afterVersion + 1);
-        if (!inOrder) {
+        if (!hasAllChanges) {
             sendResponse(watch.connection, "200 OK", completeList().toString());
             return;
         }
@@ -183,27 +188,28 @@
                 c.entries().forEach(e -> changed.put(e.host(), e));
             }
         }
-        sendResponse(watch.connection, "200 OK", listJson(false, changed.values()).toString());
+        sendResponse(
+                watch.connection, "200 OK", listJson(false, changed.values()).toString());
     }
 
-    private void handleNotices(StandInConnection wire, String lines) {
+    private void handleNotices(StandInConnection connection, String lines) {
         for (String line : lines.lines().toList()) {
-            JsonElement read = JsonParser.parseString(line);
-            String id = read.getAsJsonObject().get("id").getAsString();
+            JsonElement notice = JsonParser.parseString(line);
+            String id = notice.getAsJsonObject().get("id").getAsString();
             if (world.isCurrent(id)) {
-                world.onNotice(id, read.getAsJsonObject().get("status").getAsString());
+                world.onNotice(id, notice.getAsJsonObject().get("status").getAsString());
             } else {
                 world.auditor().count("notices_of_no_message");
             }
         }
-        sendResponse(wire, "204 No Content", "");
+        sendResponse(connection, "204 No Content", "");
     }
 
-    private static void sendResponse(StandInConnection wire, String status, String body) {
+    private static void sendResponse(StandInConnection connection, String status, String body) {
         try {
-            wire.writeResponse(status, body);
+            connection.writeResponse(status, body);
         } catch (IOException e) {
-            wire.close();
+            connection.close();
         }
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -19,7 +19,7 @@
 import lilaclever.lab.world.ForwarderHandle;
 import lilaclever.lab.world.World;
 
-/** One forwarder of the fleet: the real program in a process of its own. */
+/** A forwarder of the fleet that runs the real program in its own process. */
 final class SocketForwarder implements ForwarderHandle {
     private static final Pattern INVARIANT_COUNTS = Pattern.compile("(?m)^(?:broken_invariants|tasks_failed) (\\d+)$");
     private static final long START_TIMEOUT_MILLIS = 30_000, READY_POLL_MILLIS = 10, STOP_TIMEOUT_SECONDS = 6;
@@ -34,19 +34,21 @@
     private final PartnerListeners listeners;
     private final PlatformStandIn platform;
     private final HttpSubmitter httpSubmitter;
-    /** Null where no message comes by HL7. */
+    /** Null if the scenario has no HL7 traffic. */
     private final Hl7Submitter hl7Submitter;
 
     private final InetSocketAddress address;
     private Process process;
     private boolean wasReady;
     private String startFailure;
+    /** The number of the current process run, from 1; it identifies tasks of earlier runs and varies the seed. */
     private int processRun;
+
     private long brokenInvariants;
 
     SocketForwarder(
             World world,
-            RealTimeline time,
+            RealTimeline timeline,
             PartnerListeners listeners,
             int number,
             DecisionModule.Settings settings,
@@ -54,7 +56,7 @@
             Path folder,
             List<String> command) {
         this.world = world;
-        this.timeline = time;
+        this.timeline = timeline;
         this.listeners = listeners;
         this.number = number;
         this.settings = settings;
@@ -65,12 +67,13 @@
         try {
             Files.createDirectories(folder.resolve("state-" + number));
             Files.writeString(log, "");
-            platform = new PlatformStandIn(world, time, e -> listeners.address(world.partner(e.destination()), e.host(), number));
+            platform = new PlatformStandIn(
+                    world, timeline, e -> listeners.address(world.partner(e.destination()), e.host(), number));
             address = LoopbackPorts.unusedAddress();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
-        httpSubmitter = new HttpSubmitter(world, time, address);
+        httpSubmitter = new HttpSubmitter(world, timeline, address);
         hl7Submitter = world.scenario().traffic().hl7() > 0 ? createHl7Submitter() : null;
     }
 
@@ -107,16 +110,17 @@
         return brokenInvariants;
     }
 
-    /** Why it could not be started at all; null if it could. */
+    /** Why the process could not be started or did not become ready; null if it did. */
     String startFailure() {
         return startFailure;
     }
 
-    // ---- lives ------------------------------------------------------------------------------------------
+    // Process runs
+
     @Override
-    public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
-        int mine = ++processRun;
-        platform.setEndpoints(known, version);
+    public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean isFirstRun) {
+        int startedRun = ++processRun;
+        platform.setEndpoints(knownEndpoints, version);
         try {
             Path config = Files.writeString(
                     folder.resolve("config-" + number + ".json"),
@@ -137,20 +141,20 @@
             builder.environment().put("ROUTER_CONFIG", config.toString());
             process = builder.start();
         } catch (IOException e) {
-            startFailure = "forwarder " + number + " can't be started: " + e.getMessage();
+            startFailure = "forwarder " + number + " cannot be started: " + e.getMessage();
             return;
         }
         Process started = process;
-        started.onExit().thenRun(() -> timeline.post(() -> onExit(mine, started.exitValue())));
-        SocketThreads.start("start", () -> awaitReady(mine, started));
+        started.onExit().thenRun(() -> timeline.post(() -> onExit(startedRun, started.exitValue())));
+        SocketThreads.start("start", () -> awaitReady(startedRun, started));
     }
 
-    private void awaitReady(int mine, Process started) throws InterruptedException {
-        long until = System.currentTimeMillis() + START_TIMEOUT_MILLIS;
-        while (started.isAlive() && System.currentTimeMillis() < until) {
+    private void awaitReady(int startedRun, Process started) throws InterruptedException {
+        long untilMillis = System.currentTimeMillis() + START_TIMEOUT_MILLIS;
+        while (started.isAlive() && System.currentTimeMillis() < untilMillis) {
             if (answersReady()) {
                 timeline.post(() -> {
-                    if (processRun == mine && process != null) {
+                    if (processRun == startedRun && process != null) {
                         wasReady = true;
                         world.onReady(number);
                     }
@@ -160,12 +164,12 @@
             Thread.sleep(READY_POLL_MILLIS);
         }
         if (!started.isAlive()) {
-            return; // its exit says more than that it does not serve
+            return; // onExit reports the exit code
         }
         timeline.post(() -> {
-            if (processRun == mine && process != null && !wasReady) {
-                startFailure = "forwarder " + number + " does not serve after " + START_TIMEOUT_MILLIS / 1000 + " s, its last line: "
-                        + lastLine();
+            if (processRun == startedRun && process != null && !wasReady) {
+                startFailure = "forwarder " + number + " is not ready after " + START_TIMEOUT_MILLIS / 1000
+                        + " s, its last line: " + lastLine();
             }
         });
     }
@@ -173,26 +177,26 @@
     private boolean answersReady() {
         try (Socket socket = new Socket()) {
             socket.connect(address, 500);
-            StandInConnection wire = new StandInConnection(socket);
-            wire.setReadTimeout(500);
-            wire.writeText("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
-            HttpMessage answer = wire.readHttp();
+            StandInConnection connection = new StandInConnection(socket);
+            connection.setReadTimeout(500);
+            connection.writeText("GET /health/ready HTTP/1.1\r\nHost: lilaclever\r\n\r\n");
+            HttpMessage answer = connection.readHttp();
             return answer != null && answer.target().equals("200");
         } catch (IOException e) {
-            return false; // not yet
+            return false; // not ready yet
         }
     }
 
-    private void onExit(int mine, int code) {
-        if (processRun != mine || process == null) {
-            return; // it was killed
+    private void onExit(int startedRun, int code) {
+        if (processRun != startedRun || process == null) {
+            return; // the run was ended by kill() or stop()
         }
         process = null;
-        String how = "exit code " + code + ", its last line: " + lastLine();
+        String cause = "exit code " + code + ", its last line: " + lastLine();
         if (!wasReady) {
-            startFailure = "forwarder " + number + " did not start: " + how;
+            startFailure = "forwarder " + number + " did not start: " + cause;
         } else {
-            world.onUnexpectedExit(number, how);
+            world.onUnexpectedExit(number, cause);
         }
     }
 
@@ -211,7 +215,7 @@
         process = null;
     }
 
-    /** Asks it to end, and reads what it counted. */
+    /** Ends the process and reads the broken invariants that it has logged. */
     void stop() throws IOException, InterruptedException {
         Process last = process;
         process = null;
@@ -226,13 +230,14 @@
         if (hl7Submitter != null) {
             hl7Submitter.close();
         }
-        Matcher m = INVARIANT_COUNTS.matcher(Files.readString(log));
-        while (m.find()) {
-            brokenInvariants += Long.parseLong(m.group(1));
+        Matcher matcher = INVARIANT_COUNTS.matcher(Files.readString(log));
+        while (matcher.find()) {
+            brokenInvariants += Long.parseLong(matcher.group(1));
         }
     }
 
-    // ---- what it is given -------------------------------------------------------------------------------
+    // Input from the world
+
     @Override
     public void submit(String id, Arrival arrival, long leftMicros) {
         if (hl7Submitter != null && world.scenario().traffic().byHl7(arrival.number())) {
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -16,15 +16,17 @@
 import lilaclever.routing.RetryAfterTable;
 import lilaclever.transport.ConnectionPool;
 
-/** Makes the calls of one forwarder's one life: to the partners' models directly, with the time that a wire takes. */
+/**
+ * Makes the calls of one process run of a forwarder: directly to the partners' models, with simulated network delays.
+ */
 final class VirtualDeliverer implements Deliverer {
     private static final int MAX_IDLE_CONNECTIONS = 64;
-    /** Ways over the network before a new connection's first byte arrives: it is asked for, granted, and used. */
+    /** One-way network trips until the first byte of a call on a new connection arrives: SYN, SYN-ACK, request. */
     private static final int NEW_CONNECTION_TRIPS = 3;
-    /** What a partner has to do for a probe, microseconds. */
+    /** The work of a partner for a probe. */
     private static final long PROBE_WORK_MICROS = 1000;
 
-    /** A call on its way, as this side sees it. */
+    /** The state of a call in flight. */
     private static final class CallState {
         boolean closed, written, arrived;
     }
@@ -34,30 +36,38 @@
     private final DecisionModule.Settings settings;
     private final Core core;
     private final RetryAfterTable retryAfterTable;
-    /** Idle connections: all that is known of one is its endpoint. */
+    /** Idle connections, each represented by its endpoint's host. */
     private final ConnectionPool<String> idleConnections;
-    /** Calls that are out: a dying process resets them. */
+    /** Calls in flight, which are reset if the process is killed. */
     private final Set<Call> callsInFlight = new LinkedHashSet<>();
 
     private boolean isKilled;
 
     /**
-     * For a life that begins.
+     * Creates the deliverer of a new process run.
      *
-     * @param number of the forwarder
-     * @param waits what partners have asked of this life
+     * @param forwarderNumber the forwarder's number in the fleet
+     * @param retryAfterTable the retry-after periods that partners have sent to this process run
      */
-    VirtualDeliverer(World world, int number, DecisionModule.Settings settings, Core core, RetryAfterTable waits) {
+    VirtualDeliverer(
+            World world,
+            int forwarderNumber,
+            DecisionModule.Settings settings,
+            Core core,
+            RetryAfterTable retryAfterTable) {
         this.world = world;
-        this.forwarderNumber = number;
+        this.forwarderNumber = forwarderNumber;
         this.settings = settings;
         this.core = core;
-        this.retryAfterTable = waits;
+        this.retryAfterTable = retryAfterTable;
         idleConnections = new ConnectionPool<>(
-                settings.limits().keepAliveMicros(), MAX_IDLE_CONNECTIONS, host -> true, host -> world.disconnect(host, number));
+                settings.limits().keepAliveMicros(),
+                MAX_IDLE_CONNECTIONS,
+                host -> true,
+                host -> world.disconnect(host, forwarderNumber));
     }
 
-    /** The process dies: its calls are cut, and nothing that was to happen in this life happens. */
+    /** The process is killed: its calls are reset, and none of its scheduled tasks runs any more. */
     void kill() {
         for (Call call : callsInFlight) {
             CallState state = (CallState) call.attachment;
@@ -68,9 +78,9 @@
         isKilled = true;
     }
 
-    /** Runs the task if this life goes on then. */
-    private void runUnlessKilled(long at, Runnable task) {
-        world.at(at, () -> {
+    /** Runs the task at the time unless the process has been killed by then. */
+    private void runUnlessKilled(long atMicros, Runnable task) {
+        world.at(atMicros, () -> {
             if (!isKilled) {
                 task.run();
             }
@@ -84,32 +94,37 @@
         CallState state = new CallState();
         call.attachment = state;
         callsInFlight.add(call);
-        call.messages.forEach(m -> world.onAttemptStarted(m.id(), forwarderNumber, host, call.endpoint.destination(), world.nowMicros()));
-        boolean kept = idleConnections.acquire(host, world.nowMicros()) != null;
-        if (!kept) {
+        call.messages.forEach(m ->
+                world.onAttemptStarted(m.id(), forwarderNumber, host, call.endpoint.destination(), world.nowMicros()));
+        boolean isReused = idleConnections.acquire(host, world.nowMicros()) != null;
+        if (!isReused) {
             world.auditor().service().connection();
         }
-        long arrivesAt = world.nowMicros()
-                + world.networkDelayMicros() * (kept ? 1 : NEW_CONNECTION_TRIPS)
-                + (kept ? 0 : world.scenario().fleet().handshakeMicros());
-        boolean connected = kept || partner.connect(host, forwarderNumber);
-        if (kept) {
+        long arrivesAtMicros = world.nowMicros()
+                + world.networkDelayMicros() * (isReused ? 1 : NEW_CONNECTION_TRIPS)
+                + (isReused ? 0 : world.scenario().fleet().handshakeMicros());
+        boolean connected = isReused || partner.connect(host, forwarderNumber);
+        if (isReused) {
             state.written = true;
-            runUnlessKilled(arrivesAt, () -> requestArrived(call, state, partner, true));
+            runUnlessKilled(arrivesAtMicros, () -> requestArrived(call, state, partner, true));
         } else {
-            runUnlessKilled(arrivesAt - world.networkDelayMicros(), () -> connectionEstablished(call, state, partner, connected));
+            runUnlessKilled(
+                    arrivesAtMicros - world.networkDelayMicros(),
+                    () -> connectionEstablished(call, state, partner, connected));
         }
     }
 
-    /** The call's connection is up: it is written now, unless a wait was told since it was decided. */
+    /** The call's connection is established: the call is written unless a retry-after was received in the meantime. */
     private void connectionEstablished(Call call, CallState state, Partner partner, boolean connected) {
-        long wait = retryAfterTable.remainingMicros(call.endpoint, world.nowMicros());
-        if (wait == 0) {
+        long waitMicros = retryAfterTable.remainingMicros(call.endpoint, world.nowMicros());
+        if (waitMicros == 0) {
             state.written = true;
-            runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> requestArrived(call, state, partner, connected));
+            runUnlessKilled(
+                    world.nowMicros() + world.networkDelayMicros(),
+                    () -> requestArrived(call, state, partner, connected));
         } else if (!state.closed) {
             attemptsOver(call, "withheld", true);
-            endCall(call, state, AttemptResult.WITHHELD, wait, connected);
+            endCall(call, state, AttemptResult.WITHHELD, waitMicros, connected);
         }
     }
 
@@ -121,23 +136,35 @@
         call.messages.forEach(m -> world.onRequestReceived(m.id(), forwarderNumber, call.endpoint.destination()));
         String host = call.endpoint.host();
         if (!connected && partner.hosts().contains(host) && !partner.isOut(world.nowMicros())) {
-            // Too many connections: the partner says that it has no room, and closes.
-            runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.NO_ROOM, 0, false));
+            // Too many connections: the partner answers that it has no capacity, and closes the connection.
+            runUnlessKilled(
+                    world.nowMicros() + world.networkDelayMicros(),
+                    () -> endCall(call, state, AttemptResult.NO_ROOM, 0, false));
             attemptsOver(call, "full", true);
             return;
         }
         Answer answer = world.callPartner(
-                partner, host, forwarderNumber, call.messages.stream().map(Message::id).toList());
+                partner,
+                host,
+                forwarderNumber,
+                call.messages.stream().map(Message::id).toList());
         switch (answer.status()) {
             case NO_CONNECTION -> {
                 attemptsOver(call, "no connection", true);
-                runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.NO_CONNECTION, 0, false));
+                runUnlessKilled(
+                        world.nowMicros() + world.networkDelayMicros(),
+                        () -> endCall(call, state, AttemptResult.NO_CONNECTION, 0, false));
             }
             case FULL -> {
                 attemptsOver(call, "full", true);
                 runUnlessKilled(answer.atMicros(), () -> {
                     if (answer.waitMicros() > 0 && !state.closed) {
-                        world.auditor().waitTold(forwarderNumber, call.endpoint.destination(), world.nowMicros(), answer.waitMicros());
+                        world.auditor()
+                                .waitTold(
+                                        forwarderNumber,
+                                        call.endpoint.destination(),
+                                        world.nowMicros(),
+                                        answer.waitMicros());
                     }
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
                     runUnlessKilled(
@@ -147,41 +174,46 @@
             }
             case ERROR -> {
                 attemptsOver(call, "error", false);
-                runUnlessKilled(answer.atMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.ERROR, 0, true));
+                runUnlessKilled(
+                        answer.atMicros() + world.networkDelayMicros(),
+                        () -> endCall(call, state, AttemptResult.ERROR, 0, true));
             }
             case DELIVERED -> world.at(answer.atMicros(), () -> answerDelivered(call, state, partner, answer));
-            default -> {} // nothing comes back
+            default -> {} // the partner never answers
         }
     }
 
-    /** The partner has done the work, whether or not anybody still waits for its answer. */
+    /** The partner has done the work, whether or not the forwarder still waits for the answer. */
     private void answerDelivered(Call call, CallState state, Partner partner, Answer answer) {
         if (state.closed || !partner.answersStill(call.endpoint.host(), answer.atMicros())) {
             call.messages.forEach(m -> world.onProcessed(m.id(), false));
             return;
         }
         call.messages.forEach(m -> world.onProcessed(m.id(), true));
-        runUnlessKilled(world.nowMicros() + world.networkDelayMicros(), () -> endCall(call, state, AttemptResult.DELIVERED, 0, true));
+        runUnlessKilled(
+                world.nowMicros() + world.networkDelayMicros(),
+                () -> endCall(call, state, AttemptResult.DELIVERED, 0, true));
     }
 
-    private void attemptsOver(Call call, String how, boolean neverRan) {
-        call.messages.forEach(m -> world.onAttemptOver(m.id(), how, neverRan));
+    private void attemptsOver(Call call, String result, boolean neverRan) {
+        call.messages.forEach(m -> world.onAttemptOver(m.id(), result, neverRan));
     }
 
-    /** The call's answer is here. */
-    private void endCall(Call call, CallState state, AttemptResult ending, long wait, boolean keeps) {
+    /** Ends a call that is not closed yet and reports the result to the core. */
+    private void endCall(
+            Call call, CallState state, AttemptResult result, long retryAfterMicros, boolean keepsConnection) {
         if (state.closed || isKilled) {
             return;
         }
         state.closed = true;
         callsInFlight.remove(call);
-        if (wait > 0) {
-            retryAfterTable.recordRetryAfter(call.endpoint, world.nowMicros() + wait);
+        if (retryAfterMicros > 0) {
+            retryAfterTable.recordRetryAfter(call.endpoint, world.nowMicros() + retryAfterMicros);
         }
-        if (ending != AttemptResult.DELIVERED && ending != AttemptResult.WITHHELD) {
+        if (result != AttemptResult.DELIVERED && result != AttemptResult.WITHHELD) {
             world.partner(call.endpoint.destination()).heardFailure(forwarderNumber, world.nowMicros());
         }
-        if (keeps) {
+        if (keepsConnection) {
             idleConnections.release(call.endpoint.host(), call.endpoint.host(), world.nowMicros());
             runUnlessKilled(world.nowMicros() + settings.limits().keepAliveMicros(), () -> {
                 idleConnections.closeExpired(world.nowMicros());
@@ -191,7 +223,7 @@
             world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), forwarderNumber);
         }
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, wait, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, result, retryAfterMicros, false, false)));
     }
 
     @Override
@@ -205,10 +237,10 @@
         world.partner(call.endpoint.destination()).heardFailure(forwarderNumber, world.nowMicros());
         world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), forwarderNumber);
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
-        AttemptResult ending =
+        AttemptResult result =
                 state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
-        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, ending, 0, false, false)));
+        core.post(() -> messages.forEach(m -> core.attemptEnded(call, m, result, 0, false, false)));
     }
 
     @Override
@@ -227,28 +259,29 @@
 
     @Override
     public void probe(Call.Endpoint endpoint) {
-        long sent = world.nowMicros();
+        long sentMicros = world.nowMicros();
         world.auditor().service().probe();
         Partner partner = world.partner(endpoint.destination());
-        runUnlessKilled(sent + 2 * world.networkDelayMicros(), () -> {
-            Answer answer = partner.call(endpoint.host(), forwarderNumber, new long[] {PROBE_WORK_MICROS}, world.nowMicros());
-            AttemptResult ending = switch (answer.status()) {
+        runUnlessKilled(sentMicros + 2 * world.networkDelayMicros(), () -> {
+            Answer answer =
+                    partner.call(endpoint.host(), forwarderNumber, new long[] {PROBE_WORK_MICROS}, world.nowMicros());
+            AttemptResult result = switch (answer.status()) {
                 case DELIVERED -> AttemptResult.DELIVERED;
                 case FULL -> AttemptResult.FULL;
                 case ERROR -> AttemptResult.ERROR;
                 case NO_CONNECTION -> AttemptResult.NO_CONNECTION;
                 default -> AttemptResult.TIMED_OUT;
             };
-            long at = ending == AttemptResult.TIMED_OUT
-                    ? sent + settings.limits().connectTimeoutMicros()
+            long endsAtMicros = result == AttemptResult.TIMED_OUT
+                    ? sentMicros + settings.limits().connectTimeoutMicros()
                     : Math.min(
                             answer.atMicros() + world.networkDelayMicros(),
-                            sent + settings.limits().connectTimeoutMicros());
-            runUnlessKilled(at, () -> {
-                if (ending != AttemptResult.DELIVERED) {
+                            sentMicros + settings.limits().connectTimeoutMicros());
+            runUnlessKilled(endsAtMicros, () -> {
+                if (result != AttemptResult.DELIVERED) {
                     partner.heardFailure(forwarderNumber, world.nowMicros());
                 }
-                core.post(() -> core.probeEnded(endpoint.host(), ending, world.nowMicros() - sent));
+                core.post(() -> core.probeEnded(endpoint.host(), result, world.nowMicros() - sentMicros));
             });
         });
     }
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
@@ -26,14 +26,14 @@
 import lilaclever.routing.Submission;
 
 /**
- * One forwarder of the fleet: the real core with its module and its journal, in virtual time. Its front reaches the
- * world's models directly, and so does its {@link VirtualDeliverer}; what a wire would take is time here.
+ * A forwarder of the fleet in virtual time: the real core with its decision module and journal. Its front and its
+ * {@link VirtualDeliverer} use the world's models directly; network transfers are simulated as delays.
  */
 final class VirtualForwarder implements ForwarderHandle, Front, Clock {
-    /** The wall clock when a run begins: any day will do, and it is the same in each run. */
+    /** The wall clock at the start of each rehearsal, 2026-01-01T00:00:00Z; fixed so that runs are reproducible. */
     private static final long START_WALL_MICROS = 1_767_225_600_000_000L;
 
-    /** How long a process takes to serve. */
+    /** How long a restarted process takes until it is ready. */
     private static final long RESTART_MICROS = 400_000;
 
     private final World world;
@@ -45,7 +45,9 @@
     private Counters counters;
     private SegmentedJournal journal;
     private VirtualDeliverer deliverer;
+    /** Incremented by each start and each kill; it identifies tasks of earlier runs and varies the seed. */
     private int processRun;
+
     private long nextTurnMicros = Long.MAX_VALUE, lastTurnMicros = Long.MIN_VALUE;
     private long earlierBrokenInvariants;
 
@@ -71,7 +73,7 @@
         return core == null ? 0 : journal.pendingMessages().size();
     }
 
-    /** Task failures and invariants broken, over all lives. */
+    /** Task failures and broken invariants, over all process runs. */
     @Override
     public long brokenInvariants() {
         return earlierBrokenInvariants
@@ -80,17 +82,20 @@
                         : counters.get(Counters.Name.BROKEN_INVARIANTS) + counters.get(Counters.Name.TASKS_FAILED));
     }
 
-    // ---- lives ------------------------------------------------------------------------------------------
+    // Process runs
+
     @Override
-    public void start(List<DecisionModule.EndpointEntry> known, long version, boolean first) {
-        if (!first) {
-            runInSameProcessRun(world.nowMicros() + RESTART_MICROS, () -> startProcess(world.endpoints(), world.directoryVersion()));
+    public void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean isFirstRun) {
+        if (!isFirstRun) {
+            runInSameProcessRun(
+                    world.nowMicros() + RESTART_MICROS,
+                    () -> startProcess(world.endpoints(), world.directoryVersion()));
         } else {
-            startProcess(known, version);
+            startProcess(knownEndpoints, version);
         }
     }
 
-    private void startProcess(List<DecisionModule.EndpointEntry> known, long version) {
+    private void startProcess(List<DecisionModule.EndpointEntry> knownEndpoints, long version) {
         try {
             journal = new SegmentedJournal(
                     disk,
@@ -99,11 +104,11 @@
                     new JournalClocks(this::monotonicMicros, this::wallMicros, BootClock.UNKNOWN),
                     new SplittableRandom(seed + processRun));
         } catch (IOException e) {
-            throw new IllegalStateException("a disk in memory", e);
+            throw new IllegalStateException("I/O error of the in-memory disk", e);
         }
         counters = new Counters();
-        RetryAfterTable waits = new RetryAfterTable();
-        counters.entryGauge("waits", waits::size);
+        RetryAfterTable retryAfterTable = new RetryAfterTable();
+        counters.entryGauge("waits", retryAfterTable::size);
         processRun++;
         lastTurnMicros = world.nowMicros();
         core = new Core(
@@ -113,9 +118,9 @@
                 counters,
                 new IdempotencyWindows(List.of(), 3_600_000_000L, 100_000),
                 this);
-        deliverer = new VirtualDeliverer(world, number, settings, core, waits);
+        deliverer = new VirtualDeliverer(world, number, settings, core, retryAfterTable);
         core.add(this);
-        core.runFirstTurn(known.stream().map(this::listedEndpoint).toList(), version);
+        core.runFirstTurn(knownEndpoints.stream().map(this::listedEndpoint).toList(), version);
         scheduleTurn();
         world.onReady(number);
     }
@@ -132,17 +137,18 @@
         nextTurnMicros = Long.MAX_VALUE;
     }
 
-    /** Runs the task if this life goes on then. */
-    private void runInSameProcessRun(long at, Runnable task) {
-        int mine = processRun;
-        world.at(at, () -> {
-            if (processRun == mine) {
+    /** Runs the task at the time unless the process is started or killed in the meantime. */
+    private void runInSameProcessRun(long atMicros, Runnable task) {
+        int scheduledInRun = processRun;
+        world.at(atMicros, () -> {
+            if (processRun == scheduledInRun) {
                 task.run();
             }
         });
     }
 
-    // ---- time -------------------------------------------------------------------------------------------
+    // Clock and turns
+
     @Override
     public long monotonicMicros() {
         return world.nowMicros();
@@ -155,12 +161,12 @@
 
     @Override
     public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
-        throw new IllegalStateException("the world does the loop's part");
+        throw new IllegalStateException("turns are scheduled on the world's timeline");
     }
 
     @Override
     public void sleep(long micros) {
-        throw new IllegalStateException("the world does the loop's part");
+        throw new IllegalStateException("turns are scheduled on the world's timeline");
     }
 
     @Override
@@ -171,16 +177,16 @@
     }
 
     private void scheduleTurn() {
-        long due = Math.max(core.nextTurnMicros(), lastTurnMicros + settings.roundMicros());
-        if (due < nextTurnMicros) {
-            nextTurnMicros = due;
-            runInSameProcessRun(due, () -> runTurn(due));
+        long dueMicros = Math.max(core.nextTurnMicros(), lastTurnMicros + settings.roundMicros());
+        if (dueMicros < nextTurnMicros) {
+            nextTurnMicros = dueMicros;
+            runInSameProcessRun(dueMicros, () -> runTurn(dueMicros));
         }
     }
 
-    private void runTurn(long at) {
-        if (at != nextTurnMicros) {
-            return; // an earlier step has taken its place
+    private void runTurn(long atMicros) {
+        if (atMicros != nextTurnMicros) {
+            return; // an earlier turn was scheduled instead
         }
         nextTurnMicros = Long.MAX_VALUE;
         lastTurnMicros = world.nowMicros();
@@ -188,14 +194,15 @@
         scheduleTurn();
     }
 
-    // ---- the front --------------------------------------------------------------------------------------
+    // Front
+
     @Override
     public String name() {
         return "http";
     }
 
     @Override
-    public void submit(String id, Arrival a, long left) {
+    public void submit(String id, Arrival arrival, long leftMicros) {
         if (core == null) {
             world.onConnectionRefused(id);
             return;
@@ -203,13 +210,13 @@
         Submission submission = new Submission(
                 id,
                 null,
-                a.messageClass(),
-                a.destination(),
-                "k" + a.number(),
+                arrival.messageClass(),
+                arrival.destination(),
+                "k" + arrival.number(),
                 new byte[64],
                 false,
                 false,
-                HttpFront.budgetMicros(left, 0));
+                HttpFront.budgetMicros(leftMicros, 0));
         core.post(() -> {
             if (!core.isKnownDestination(submission.destination())) {
                 world.onRejected(submission.id(), 0);
@@ -225,15 +232,15 @@
     }
 
     @Override
-    public void onRejected(Message message, FinalStatus verdict) {
-        world.onRejected(message.id(), verdict.retryAfterMicros());
+    public void onRejected(Message message, FinalStatus result) {
+        world.onRejected(message.id(), result.retryAfterMicros());
     }
 
     @Override
-    public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
-        String status = verdict.kind() == FinalStatus.Kind.REFUSED
+    public void onFinalStatus(Message message, String id, FinalStatus result, Runnable settled) {
+        String status = result.kind() == FinalStatus.Kind.REFUSED
                 ? "deferred"
-                : verdict.kind() == FinalStatus.Kind.FAILED ? "undeliverable" : null;
+                : result.kind() == FinalStatus.Kind.FAILED ? "undeliverable" : null;
         if (status == null || world.fault() == Fault.SILENT) {
             settled.run();
             return;
@@ -247,23 +254,25 @@
         });
     }
 
-    // ---- the directory ----------------------------------------------------------------------------------
+    // Directory
+
     @Override
     public void onEndpointsChanged(long version, List<DecisionModule.EndpointEntry> changes) {
-        List<Core.ListedEndpoint> entries = changes.stream().map(this::listedEndpoint).toList();
+        List<Core.ListedEndpoint> entries =
+                changes.stream().map(this::listedEndpoint).toList();
         core.post(() -> core.updateEndpoints(DecisionModule.ListingKind.CHANGES, version, entries));
     }
 
-    private Core.ListedEndpoint listedEndpoint(DecisionModule.EndpointEntry e) {
+    private Core.ListedEndpoint listedEndpoint(DecisionModule.EndpointEntry entry) {
         return new Core.ListedEndpoint(
-                e,
+                entry,
                 new Call.Endpoint(
-                        e.host(),
-                        e.host(),
-                        e.destination(),
-                        e.zone(),
-                        settings.kinds().get(e.kind()).maxBatchSize(),
-                        settings.kinds().get(e.kind()).limitPerEndpoint(),
+                        entry.host(),
+                        entry.host(),
+                        entry.destination(),
+                        entry.zone(),
+                        settings.kinds().get(entry.kind()).maxBatchSize(),
+                        settings.kinds().get(entry.kind()).limitPerEndpoint(),
                         deliverer));
     }
 }
--- a/src/main/java/lilaclever/lab/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/lab/world/PartnerFactory.java
@@ -10,15 +10,15 @@
 import lilaclever.lab.scenario.Scenario;
 import lilaclever.lab.scenario.Scenario.Fleet;
 
-/** Makes a scenario's partners and their endpoints, the same ones for the same seed. */
+/** Creates a scenario's partners and their endpoints, the same ones for the same seed. */
 final class PartnerFactory {
-    /** Kinds that get much of the traffic are drawn for places within this part of the ranks. */
+    /** Partners of large kinds are placed within this share of the ranks, beginning with the highest. */
     private static final double LARGE_KINDS_RANK_SHARE = 0.6;
-    /** The first quarter of the partners has as many endpoints as is drawn, the others this part of it. */
+    /** The first quarter of the partners has as many endpoints as drawn; the others have this share of them. */
     private static final double REDUCED_ENDPOINT_SHARE = 0.6;
 
     private static final int FULL_ENDPOINTS_DIVISOR = 4;
-    /** Added to a number of endpoints before it is rounded. */
+    /** Added to a number of endpoints before rounding. */
     private static final double ENDPOINT_ROUNDING = 0.2;
 
     private final Scenario scenario;
@@ -34,24 +34,25 @@
     }
 
     /**
-     * Makes the partners and adds their endpoints to the directory.
+     * Creates the partners and adds their endpoints to the directory.
      *
-     * @param weights each partner's share of the traffic, falling
+     * @param weights each partner's share of the traffic, in descending order
      * @return the partners, numbered by their rank
      */
     List<Partner> create(double[] weights, EndpointDirectory directory) {
         List<PartnerKind> kinds = kindsByRank();
-        double meanWork = meanWorkMicros();
+        double meanWorkMicros = meanWorkMicros();
         List<Partner> partners = new ArrayList<>();
         for (int rank = 0; rank < kinds.size(); rank++) {
-            double part = rank < kinds.size() / FULL_ENDPOINTS_DIVISOR ? 1 : REDUCED_ENDPOINT_SHARE;
-            int endpoints = Math.max(1, (int) Math.round(random.in(fleet.endpoints()) * part + ENDPOINT_ROUNDING));
+            double endpointShare = rank < kinds.size() / FULL_ENDPOINTS_DIVISOR ? 1 : REDUCED_ENDPOINT_SHARE;
+            int endpoints =
+                    Math.max(1, (int) Math.round(random.in(fleet.endpoints()) * endpointShare + ENDPOINT_ROUNDING));
             Partner partner = new Partner(
                     rank,
                     kinds.get(rank),
                     endpoints,
                     weights[rank] * fleet.ratePerSecond(),
-                    meanWork,
+                    meanWorkMicros,
                     fleet.cold(),
                     new RandomStream(seed, "partner " + rank));
             partners.add(partner);
@@ -62,7 +63,7 @@
         return partners;
     }
 
-    /** A kind for each partner: those that get much of the traffic stand where it is, the others anywhere. */
+    /** A kind for each partner: large kinds are placed among the ranks with most traffic, the others anywhere. */
     private List<PartnerKind> kindsByRank() {
         record Placed(PartnerKind kind, double place) {}
         List<Placed> placed = new ArrayList<>();
@@ -76,8 +77,8 @@
     private List<PartnerKind> kindsByShare() {
         List<PartnerKind> kinds = new ArrayList<>();
         for (PartnerKind kind : scenario.kinds()) {
-            int wanted = (int) Math.round(kind.share() * fleet.destinations());
-            for (int i = 0; i < wanted && kinds.size() < fleet.destinations(); i++) {
+            int count = (int) Math.round(kind.share() * fleet.destinations());
+            for (int i = 0; i < count && kinds.size() < fleet.destinations(); i++) {
                 kinds.add(kind);
             }
         }
@@ -88,12 +89,12 @@
     }
 
     private double meanWorkMicros() {
-        double work = 0;
+        double meanMicros = 0;
         for (MessageClass messageClass : scenario.classes()) {
-            work += messageClass.share()
+            meanMicros += messageClass.share()
                     * (messageClass.workMicros()[0] + messageClass.workMicros()[1])
                     / 2;
         }
-        return work;
+        return meanMicros;
     }
 }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -191,7 +191,8 @@
                                                         .findFirst()
                                                         .orElse("") + "\n");
                         broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
-                        if (result.timingQuality() != null && !result.timingQuality().isAcceptable()) {
+                        if (result.timingQuality() != null
+                                && !result.timingQuality().isAcceptable()) {
                             doubtful.incrementAndGet();
                             if (!isSingle) {
                                 System.out.println(result.timingQuality().summary());
@@ -223,7 +224,8 @@
                 : broken.get() > 0 ? EXIT_RULES_BROKEN : doubtful.get() > 0 ? EXIT_DOUBTFUL : EXIT_PASSED;
     }
 
-    private RehearsalResult runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle) throws IOException {
+    private RehearsalResult runOnce(Scenario scenario, long runSeed, Path reportFolder, boolean isSingle)
+            throws IOException {
         LongConsumer progressListener = isSingle ? this::progress : now -> {};
         if (!sockets) {
             return VirtualRehearsal.run(scenario, runSeed, Fault.NONE, progressListener, interrupt::isRequested);
@@ -251,7 +253,8 @@
     }
 
     /** Runs simulations on several threads and passes their results on in order. */
-    private void runInParallel(int runCount, Simulation simulation, java.util.function.Consumer<RehearsalResult> consumer)
+    private void runInParallel(
+            int runCount, Simulation simulation, java.util.function.Consumer<RehearsalResult> consumer)
             throws InterruptedException, ExecutionException {
         ExecutorService pool = Executors.newFixedThreadPool(Math.max(1, Math.min(runCount, threads)));
         try {
@@ -293,7 +296,8 @@
                 AtomicInteger broken = new AtomicInteger();
                 runInParallel(
                         runCount,
-                        i -> VirtualRehearsal.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
+                        i -> VirtualRehearsal.run(
+                                point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
                         result -> {
                             services.add(result.auditor().service().figure(Prices.USUAL));
                             broken.addAndGet(result.auditor().broken().size());
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -25,21 +25,21 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Whole rehearsals in virtual time: the real core, module and journal among models. */
+/** Complete rehearsals in virtual time: the real core, decision module and journal in a simulated environment. */
 class WorldTest {
-    private static RehearsalResult run(Scenario s, long seed, Fault fault) {
-        return VirtualRehearsal.run(s, seed, fault);
+    private static RehearsalResult run(Scenario scenario, long seed, Fault fault) {
+        return VirtualRehearsal.run(scenario, seed, fault);
     }
 
     private static RehearsalResult run(String name, Fault fault) throws ConfigurationException {
         return run(ScenarioReader.read(name), 1, fault);
     }
 
-    /** The same seed gives the same folder, byte for byte; another seed another one. */
+    /** The same seed gives byte-identical reports; another seed gives different ones. */
     @Test
     void runsWithTheSameSeedWriteIdenticalReports(@TempDir Path folder) throws Exception {
-        for (String life : List.of("a", "b")) {
-            Report.write(run("bad-afternoon", Fault.NONE), folder.resolve(life));
+        for (String run : List.of("a", "b")) {
+            Report.write(run("bad-afternoon", Fault.NONE), folder.resolve(run));
         }
         try (Stream<Path> files = Files.list(folder.resolve("a"))) {
             List<Path> all = files.toList();
@@ -55,7 +55,7 @@
                 .contains("1 of them of the same scenario and seed"));
     }
 
-    /** What the forwarder is for: no rule is broken on any day that is shipped. */
+    /** No shipped scenario breaks a rule. */
     @ParameterizedTest
     @ValueSource(
             strings = {
@@ -70,9 +70,9 @@
                 "partners-refuse"
             })
     void shippedScenarioBreaksNoRule(String name) throws ConfigurationException {
-        RehearsalResult r = run(name, Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
-        long messages = r.auditor().counts().get("messages");
+        RehearsalResult result = run(name, Fault.NONE);
+        assertEquals(Map.of(), result.auditor().broken(), () -> Report.summary(result));
+        long messages = result.auditor().counts().get("messages");
         assertTrue(messages > 500, name + " has " + messages);
     }
 
@@ -81,7 +81,7 @@
         assertTrue(run("quiet", Fault.NONE).auditor().service().figure(Prices.USUAL) > 0.9);
     }
 
-    /** Guards against an auditor that sees nothing: each fault is caught, and by the rule that it breaks. */
+    /** Guards against an auditor that detects nothing: each fault must be reported under the rule that it breaks. */
     @ParameterizedTest
     @CsvSource({
         "silent-partner, RESENDS, REPEAT",
@@ -91,20 +91,20 @@
         "month-end, SILENT, ONE_END"
     })
     void faultyForwarderBreaksTheExpectedRule(String name, Fault fault, Rule rule) throws ConfigurationException {
-        RehearsalResult r = run(name, fault);
-        assertTrue(r.auditor().broken().containsKey(rule), () -> Report.summary(r));
+        RehearsalResult result = run(name, fault);
+        assertTrue(result.auditor().broken().containsKey(rule), () -> Report.summary(result));
         assertTrue(rule == Rule.FAIL_BACK
-                || r.auditor().breaches().stream()
+                || result.auditor().breaches().stream()
                         .anyMatch(b -> b.rule() == rule && !b.story().isEmpty()));
     }
 
     /**
-     * Connections that come up late carry no call under a wait that was told meanwhile: 46 did in a run of 120
-     * forwarders.
+     * A call whose connection is established late must not be sent if a retry-after was received in the meantime: 46
+     * were sent in a run of 120 forwarders.
      */
     @Test
     void callIsWithheldWhenRetryAfterArrivesBeforeConnection() throws ConfigurationException {
-        RehearsalResult r = run(
+        RehearsalResult result = run(
                 ScenarioReader.parse(
                         "late",
                         List.of(
@@ -122,16 +122,16 @@
                                 "wait 500ms 3s")),
                 1,
                 Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
+        assertEquals(Map.of(), result.auditor().broken(), () -> Report.summary(result));
         assertTrue(
-                r.auditor().counts().getOrDefault("ended_withheld", 0L) > 0,
-                () -> r.auditor().counts().toString());
+                result.auditor().counts().getOrDefault("ended_withheld", 0L) > 0,
+                () -> result.auditor().counts().toString());
     }
 
-    /** Where partners tell waits, a forwarder that does not hear them is caught. */
+    /** A forwarder that ignores the partners' retry-after periods is reported. */
     @Test
     void forwarderIgnoringRetryAfterBreaksWaitRule() throws ConfigurationException {
-        Scenario s = ScenarioReader.parse(
+        Scenario scenario = ScenarioReader.parse(
                 "waits",
                 List.of(
                         "[traffic]",
@@ -141,16 +141,16 @@
                         "limit rate",
                         "tells-wait 100%",
                         "wait 500ms 900ms"));
-        assertEquals(Set.of(), run(s, 1, Fault.NONE).auditor().broken().keySet());
+        assertEquals(Set.of(), run(scenario, 1, Fault.NONE).auditor().broken().keySet());
         assertEquals(
                 Set.of(Rule.WAIT),
-                run(s, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
+                run(scenario, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
     }
 
-    /** A scenario that can never be served ends like any other, with its figure. */
+    /** A scenario in which nothing can be delivered ends like any other, with a service of 0. */
     @Test
     void permanentOutageScenarioEndsWithZeroService() throws ConfigurationException {
-        Scenario s = ScenarioReader.parse(
+        Scenario scenario = ScenarioReader.parse(
                 "hopeless",
                 List.of(
                         "[traffic]",
@@ -161,8 +161,8 @@
                         "at 0s",
                         "for 1h",
                         "part 100%"));
-        RehearsalResult r = run(s, 1, Fault.NONE);
-        assertEquals(0, r.auditor().service().whole());
-        assertEquals(Map.of(), r.auditor().broken());
+        RehearsalResult result = run(scenario, 1, Fault.NONE);
+        assertEquals(0, result.auditor().service().whole());
+        assertEquals(Map.of(), result.auditor().broken());
     }
 }
