--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAgain() throws Exception {
+    void writtenDeparturesAreReadBack() throws Exception {
         Departure odd = new Departure("tab\there\nüé%41+ x", "several", Long.MAX_VALUE, 0);
         DepartureFile.write(state, List.of(FIRST, odd, SECOND));
         assertEquals(List.of(FIRST, odd, SECOND), DepartureFile.read(state));
@@ -67,19 +67,19 @@
     }
 
     @Test
-    void withoutAFileThereAreNone() throws Exception {
+    void missingFileIsReadAsEmpty() throws Exception {
         assertEquals(List.of(), DepartureFile.read(state));
     }
 
     @Test
-    void aFileThatCannotBeReadIsNamed() throws Exception {
+    void unreadableFileIsNamed() throws Exception {
         Files.createDirectory(file());
         ConfigurationException e = assertThrows(ConfigurationException.class, () -> DepartureFile.read(state));
         assertTrue(e.getMessage().startsWith("state: departures can't be read: "), e.getMessage());
     }
 
     @Test
-    void damagedLinesAreLoggedAndPassedOver() throws Exception {
+    void damagedLinesAreLoggedAndSkipped() throws Exception {
         DepartureFile.write(state, List.of(FIRST, SECOND));
         String good = Files.readString(file());
         String first = good.substring(0, good.indexOf('\n') + 1);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void bytesThatAreNoTextAreDamageToo() throws Exception {
+    void invalidUtf8IsSkipped() throws Exception {
         DepartureFile.write(state, List.of(FIRST));
         byte[] good = Files.readAllBytes(file());
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aHalfWrittenLineIsPassedOver() throws Exception {
+    void partlyWrittenLineIsSkipped() throws Exception {
         DepartureFile.write(state, List.of(FIRST, SECOND));
         byte[] whole = Files.readAllBytes(file());
         int firstEnd = new String(whole, StandardCharsets.US_ASCII).indexOf('\n') + 1;
@@ -128,7 +128,7 @@
     }
 
     @Test
-    void theOldestAreLeftOutWhereThereIsNoRoom() throws Exception {
+    void oldestDeparturesAreDroppedWhereSpaceIsShort() throws Exception {
         List<Departure> many = IntStream.range(0, 4_096)
                 .mapToObj(i -> new Departure("s-" + i, "10.1.0.1:8500", i, FIRST.wallMicros()))
                 .toList();
@@ -140,14 +140,14 @@
     }
 
     @Test
-    void aNameThatIsTooLongIsLeftOutAlone() throws Exception {
+    void onlyTheTooLongEntryIsDropped() throws Exception {
         Departure longest = new Departure("x".repeat(DepartureFile.MAX_LINE_BYTES), "a", 1, 1);
         assertTrue(loggedByWriting(List.of(FIRST, longest, SECOND)).contains("1 endpoints"));
         assertEquals(List.of(FIRST, SECOND), DepartureFile.read(state));
     }
 
     @Test
-    void ofAFileThatIsTooLongTheBeginningIsRead() throws Exception {
+    void tooLongFileIsReadFromItsBeginning() throws Exception {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             lines.add("s-" + i + "\ta\t1\t1\n");
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aWriteThatFailsLeavesTheFileAsItIs() throws Exception {
+    void failedWriteLeavesTheFileUnchanged() throws Exception {
         DepartureFile.write(state, List.of(FIRST));
         Files.createDirectory(state.resolve(DepartureFile.FILE + ".new"));
         assertThrows(IOException.class, () -> DepartureFile.write(state, List.of(SECOND)));
@@ -167,7 +167,7 @@
 
     /** A small disk has room for a part of them: the latest. */
     @Test
-    void aSmallerBoundLeavesTheOldestOut() throws Exception {
+    void smallerSizeLimitDropsTheOldest() throws Exception {
         List<Departure> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             all.add(new Departure("s-" + i, "10.2.0.1:8500", i, 1));
