--- a/src/test/java/lilaclever/program/DrainFaultRun.java
+++ b/src/test/java/lilaclever/program/DrainFaultRun.java
@@ -22,7 +22,7 @@
     private static final long AGENT_INDEX = 100, HIGHER_INDEX = 900, LOWER_INDEX = 1;
     private static final int CHANGE_COUNT = 200;
     /** Longer than after which any change counts as told, and its grace. */
-    private static final long SETTLE_MS = 8_000;
+    private static final long SETTLE_MILLIS = 8_000;
 
     private static final long WARM_UP_MS = 300, OUTAGE_MS = 3_000;
 
@@ -74,7 +74,7 @@
             agent.setBehaviour(manner, delayMs);
             pause(millis);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         });
     }
 
@@ -86,7 +86,7 @@
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(OUTAGE_MS);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         });
     }
 
@@ -120,19 +120,19 @@
             agent.silenceWatches();
             pause(100);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
         all.put("oversize whole list in answer to a watch", underLoad((trial, agent) -> {
             agent.setBehaviour(AgentBehaviour.OVERSIZE_WHOLE);
             agent.restart(3 * AGENT_INDEX);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
         all.put("discovery restarted with a lower index", underLoad((trial, agent) -> {
             agent.restart(LOWER_INDEX);
             pause(WARM_UP_MS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
         all.put("discovery restarted, and has passed the old index", underLoad((trial, agent) -> {
             agent.setBehaviour(AgentBehaviour.REFUSING);
@@ -140,7 +140,7 @@
             trial.setStatus(DRAINED_ENDPOINT, Status.LEFT);
             publishManyChanges(trial);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
         all.put("discovery restarted, refusing meanwhile", underLoad((trial, agent) -> {
             agent.setBehaviour(AgentBehaviour.REFUSING);
@@ -148,7 +148,7 @@
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             agent.restart(LOWER_INDEX);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
     }
 
@@ -167,7 +167,7 @@
             trial.reload(trial.agent(LOWER_INDEX));
             pause(1_000);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
         all.put("SIGHUP to an agent that is silent, drain before", underLoad((trial, agent) -> {
             DrainAgent other = trial.agent(HIGHER_INDEX);
@@ -183,7 +183,7 @@
             trial.reload(other);
             pause(200);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
         all.put("SIGHUP several, back and forth, drain between", underLoad((trial, agent) -> {
             DrainAgent other = trial.agent(LOWER_INDEX);
@@ -194,7 +194,7 @@
                     trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
                 }
             }
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         }));
     }
 
@@ -208,7 +208,7 @@
             agent.setBehaviour(manner, delayMs);
             trial.start(agent, known);
             trial.startClients();
-            pause(manner == AgentBehaviour.SILENT ? OUTAGE_MS : SETTLE_MS);
+            pause(manner == AgentBehaviour.SILENT ? OUTAGE_MS : SETTLE_MILLIS);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
             pause(2_000);
         };
@@ -252,7 +252,7 @@
             trial.startClients();
             pause(WARM_UP_MS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         });
         all.put("known list of a higher index, drained before", trial -> {
             String known = knownList(trial, HIGHER_INDEX);
@@ -260,7 +260,7 @@
             trial.setStatus(DRAINED_ENDPOINT, Status.LEFT);
             trial.start(agent, known);
             trial.startClients();
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         });
         all.put("known list of another agent's count, which this one has passed", trial -> {
             DrainAgent agent = trial.agent(LOWER_INDEX);
@@ -269,7 +269,7 @@
             publishManyChanges(trial);
             trial.start(agent, known);
             trial.startClients();
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         });
         all.put("oversize whole list at the start", trial -> {
             DrainAgent agent = trial.agent(AGENT_INDEX);
@@ -278,7 +278,7 @@
             trial.startClients();
             pause(WARM_UP_MS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(SETTLE_MS);
+            pause(SETTLE_MILLIS);
         });
         all.put("drain told in an earlier life, then discovery silent", trial -> {
             String known = knownList(trial);
