--- a/src/test/java/lilaclever/program/DrainFaultRun.java
+++ b/src/test/java/lilaclever/program/DrainFaultRun.java
@@ -24,7 +24,7 @@
     /** Longer than after which any change counts as told, and its grace. */
     private static final long SETTLE_MILLIS = 8_000;
 
-    private static final long WARM_UP_MS = 300, OUTAGE_MS = 3_000;
+    private static final long WARM_UP_MILLIS = 300, OUTAGE_MS = 3_000;
 
     private DrainFaultRun() {}
 
@@ -43,7 +43,7 @@
             DrainAgent agent = trial.agent(AGENT_INDEX);
             trial.start(agent, "null");
             trial.startClients();
-            pause(WARM_UP_MS);
+            pause(WARM_UP_MILLIS);
             then.run(trial, agent);
         };
     }
@@ -82,7 +82,7 @@
     private static FaultScenario drainDuring(AgentBehaviour manner) {
         return underLoad((trial, agent) -> {
             agent.setBehaviour(manner);
-            pause(WARM_UP_MS);
+            pause(WARM_UP_MILLIS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(OUTAGE_MS);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
@@ -114,7 +114,7 @@
                 AgentBehaviour.CONTRADICTING,
                 AgentBehaviour.UNREADABLE_ENTRY,
                 AgentBehaviour.UNKNOWN_STATUS)) {
-            all.put("discovery " + manner, drainAfter(manner, 0, WARM_UP_MS));
+            all.put("discovery " + manner, drainAfter(manner, 0, WARM_UP_MILLIS));
         }
         all.put("watch falls silent", underLoad((trial, agent) -> {
             agent.silenceWatches();
@@ -130,7 +130,7 @@
         }));
         all.put("discovery restarted with a lower index", underLoad((trial, agent) -> {
             agent.restart(LOWER_INDEX);
-            pause(WARM_UP_MS);
+            pause(WARM_UP_MILLIS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(SETTLE_MILLIS);
         }));
@@ -250,7 +250,7 @@
             DrainAgent agent = trial.agent(LOWER_INDEX);
             trial.start(agent, knownList(trial, HIGHER_INDEX));
             trial.startClients();
-            pause(WARM_UP_MS);
+            pause(WARM_UP_MILLIS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(SETTLE_MILLIS);
         });
@@ -276,7 +276,7 @@
             agent.setBehaviour(AgentBehaviour.OVERSIZE_WHOLE);
             trial.start(agent, knownList(trial));
             trial.startClients();
-            pause(WARM_UP_MS);
+            pause(WARM_UP_MILLIS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(SETTLE_MILLIS);
         });
@@ -340,7 +340,7 @@
 
     private static void exchangeAddresses(DrainTestBed trial) throws Exception {
         int other = trial.add(OTHER_GROUP);
-        pause(WARM_UP_MS);
+        pause(WARM_UP_MILLIS);
         trial.relist(DRAINED_ENDPOINT, trial.endpoint(other).address(), GROUP);
         trial.relist(other, trial.endpoint(DRAINED_ENDPOINT).address(), OTHER_GROUP);
     }
