--- a/src/test/java/lilaclever/program/DrainFaultRun.java
+++ b/src/test/java/lilaclever/program/DrainFaultRun.java
@@ -24,7 +24,7 @@
     /** Longer than after which any change counts as told, and its grace. */
     private static final long SETTLE_MILLIS = 8_000;
 
-    private static final long WARM_UP_MILLIS = 300, OUTAGE_MS = 3_000;
+    private static final long WARM_UP_MILLIS = 300, OUTAGE_MILLIS = 3_000;
 
     private DrainFaultRun() {}
 
@@ -84,7 +84,7 @@
             agent.setBehaviour(manner);
             pause(WARM_UP_MILLIS);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
             pause(SETTLE_MILLIS);
         });
@@ -159,7 +159,7 @@
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(1_000);
             trial.reload(behind);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
             behind.catchUp();
             pause(1_500);
         }));
@@ -175,7 +175,7 @@
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
             pause(100);
             trial.reload(other);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
         }));
         all.put("SIGHUP to an agent that answers 0.4 s late", underLoad((trial, agent) -> {
             DrainAgent other = trial.agent(HIGHER_INDEX);
@@ -208,7 +208,7 @@
             agent.setBehaviour(manner, delayMs);
             trial.start(agent, known);
             trial.startClients();
-            pause(manner == AgentBehaviour.SILENT ? OUTAGE_MS : SETTLE_MILLIS);
+            pause(manner == AgentBehaviour.SILENT ? OUTAGE_MILLIS : SETTLE_MILLIS);
             agent.setBehaviour(AgentBehaviour.AT_ONCE);
             pause(2_000);
         };
@@ -350,7 +350,7 @@
             trial.endpoint(DRAINED_ENDPOINT).setBehaviour(manner, 5);
             pause(500);
             trial.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
         });
     }
 
@@ -383,15 +383,15 @@
         all.put("an id gets another group", underLoad((trial, agent) -> {
             trial.add(OTHER_GROUP);
             trial.relist(DRAINED_ENDPOINT, trial.endpoint(DRAINED_ENDPOINT).address(), OTHER_GROUP);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
         }));
         all.put("an id gets another address", underLoad((trial, agent) -> {
             moveAddress(trial);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
         }));
         all.put("two ids exchange their addresses", underLoad((trial, agent) -> {
             exchangeAddresses(trial);
-            pause(OUTAGE_MS);
+            pause(OUTAGE_MILLIS);
         }));
     }
 
