--- a/src/test/java/lilaclever/program/DrainTestBed.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -39,7 +39,7 @@
     private volatile List<String> classes = List.of("status", "order", "payment", "payment");
     private Forwarder forwarder;
     private Process process;
-    private DrainAgent watched;
+    private DrainAgent watchedAgent;
 
     /** A trial whose forwarders keep their state in the folder and send so many messages in a call at most. */
     DrainTestBed(Path state, int messagesInACall) {
@@ -140,7 +140,7 @@
 
     /** The same as a process of its own whose virtual machine takes so long to start. */
     void start(DrainAgent agent, String known, long virtualMachineMs) throws Exception {
-        watched = agent;
+        watchedAgent = agent;
         auditor.started(agent.name, System.nanoTime());
         Thread.sleep(virtualMachineMs);
         forwarder = Forwarder.start(Config.parse(configText(agent, known), Map.of()), null);
@@ -149,7 +149,7 @@
 
     /** Starts the real program in a process of its own, which can be killed, with these options of the JVM. */
     void startProcess(DrainAgent agent, String known, String options) throws IOException {
-        watched = agent;
+        watchedAgent = agent;
         auditor.started(agent.name, System.nanoTime());
         process = ForwarderSetup.startProcess(state, configText(agent, known), "export JAVA_TOOL_OPTIONS='" + options + "'");
         BufferedReader log = process.errorReader();
@@ -176,11 +176,11 @@
     }
 
     DrainAgent watched() {
-        return watched;
+        return watchedAgent;
     }
 
     void reload(DrainAgent agent) throws IOException {
-        watched = agent;
+        watchedAgent = agent;
         Path file = Files.writeString(state.resolve("config.json"), configText(agent, "null"));
         auditor.reloaded(agent.name, System.nanoTime());
         forwarder.reload(Map.of("ROUTER_CONFIG", file.toString()));
