--- a/src/test/java/lilaclever/program/DrainSchedule.java
+++ b/src/test/java/lilaclever/program/DrainSchedule.java
@@ -282,7 +282,7 @@
             case RELOADS -> {
                 for (int i = random.nextInt(3, 8); i > 0; i--) {
                     drain();
-                    testBed.reload(testBed.watched() == firstAgent ? secondAgent : firstAgent);
+                    testBed.reload(testBed.watchedAgent() == firstAgent ? secondAgent : firstAgent);
                     Thread.sleep(random.nextInt(100)); // reloads come at any distance
                 }
             }
@@ -307,7 +307,7 @@
         String known = testBed.listAfter(FIRST_INDEX + outdated, outdated);
         testBed.stop();
         logStep("restart with list " + outdated);
-        testBed.start(testBed.watched(), known, fault == Fault.RESTART ? JVM_START_MILLIS : 0);
+        testBed.start(testBed.watchedAgent(), known, fault == Fault.RESTART ? JVM_START_MILLIS : 0);
     }
 
     // ---- the end ------------------------------------------------------------------------------------------
--- a/src/test/java/lilaclever/program/DrainTestBed.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -175,7 +175,7 @@
         auditor.ended(System.nanoTime());
     }
 
-    DrainAgent watched() {
+    DrainAgent watchedAgent() {
         return watchedAgent;
     }
 
