--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -27,7 +27,7 @@
 
 /** Stories of the HL7 port between scripted clients, an endpoint and a platform; HTTP beside it. */
 class MllpTest {
-    private static final String CONF = """
+    private static final String OPERATOR_FILE = """
             [identity]
             shared yes
             http-practice X-Practice
@@ -88,7 +88,7 @@
     }
 
     private void serve() throws Exception {
-        serve(CONF);
+        serve(OPERATOR_FILE);
     }
 
     private void serve(String conf) throws Exception {
@@ -191,7 +191,7 @@
     @Test
     void messageThatTheJournalCannotStoreIsNeverAccepted() throws Exception {
         forwarder.stop();
-        serve(CONF, 0.3);
+        serve(OPERATOR_FILE, 0.3);
         Map<String, Integer> codes = new TreeMap<>();
         try (Wire wire = Wire.connect(mllp)) {
             for (int i = 0; i < 12; i++) {
@@ -455,7 +455,7 @@
         Path folder = java.nio.file.Files.createDirectory(state.resolve("killed"));
         String config = ForwarderSetup.configText(platform.address(), folder, endpoint.address(), 3)
                 .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]");
-        Path conf = java.nio.file.Files.writeString(folder.resolve("conf"), CONF);
+        Path conf = java.nio.file.Files.writeString(folder.resolve("conf"), OPERATOR_FILE);
         Process process = ForwarderSetup.startProcess(folder, config, "true", "--conf", conf.toString());
         try {
             List<java.net.InetSocketAddress> at = readListenAddresses(process);
@@ -540,7 +540,7 @@
     @Test
     void controlIdCanBeReusedAfterItsWindow() throws Exception {
         forwarder.stop();
-        serve(CONF.replace("[mllp clinics]", "window-order 1s\n[mllp clinics]"));
+        serve(OPERATOR_FILE.replace("[mllp clinics]", "window-order 1s\n[mllp clinics]"));
         endpointAnswers.addAll(List.of("200 OK", "200 OK"));
         try (Wire client = Wire.connect(mllp)) {
             assertEquals("AA M1", sendAndReadAck(client, order("APP", "M1", "NE|AL")));
--- a/src/test/java/lilaclever/program/StrainRun.java
+++ b/src/test/java/lilaclever/program/StrainRun.java
@@ -55,7 +55,7 @@
     }
 
     /** What a lane found. */
-    private static final class Findings {
+    private static final class RunFindings {
         final TreeMap<String, Long> counts = new TreeMap<>();
         final List<String> brokenHistories = new ArrayList<>();
         final List<Long> readyMillis = new ArrayList<>(), latencyMillis = new ArrayList<>(), recoveryMillis = new ArrayList<>();
@@ -72,7 +72,7 @@
         }
     }
 
-    private final Findings findings;
+    private final RunFindings findings;
     private final SplittableRandom random;
     private final String mode;
     /** Names the lane's messages, and its address: a port that one lane's process leaves may be the next one's. */
@@ -86,7 +86,7 @@
     private volatile boolean ended;
     private Process process;
 
-    private StrainRun(String mode, int lane, long seed, Findings findings) throws IOException {
+    private StrainRun(String mode, int lane, long seed, RunFindings findings) throws IOException {
         this.mode = mode;
         this.lane = lane;
         this.findings = findings;
@@ -395,7 +395,7 @@
         int cycles = Integer.parseInt(args[1]);
         int lanes = Integer.parseInt(args[2]);
         SplittableRandom seeds = new SplittableRandom(Long.parseLong(args[3]));
-        Findings findings = new Findings();
+        RunFindings findings = new RunFindings();
         List<Thread> threads = new ArrayList<>();
         LinkedBlockingQueue<Throwable> failures = new LinkedBlockingQueue<>();
         for (int i = 0; i < lanes; i++) {
--- a/src/test/java/lilaclever/program/WithheldCallsTest.java
+++ b/src/test/java/lilaclever/program/WithheldCallsTest.java
@@ -107,12 +107,12 @@
     }
 
     /** An endpoint to which connections come up only once its queue of connections has room. */
-    private static final class LateEndpoint implements AutoCloseable {
+    private static final class EndpointWithFullBacklog implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> queued = List.of(new Socket(), new Socket());
+        private final List<Socket> backlogFillers = List.of(new Socket(), new Socket());
 
-        LateEndpoint() throws IOException {
-            for (Socket each : queued) {
+        EndpointWithFullBacklog() throws IOException {
+            for (Socket each : backlogFillers) {
                 each.connect(server.getLocalSocketAddress());
             }
         }
@@ -123,7 +123,7 @@
 
         /** Lets connections come up and gives the first request that is read, or null where none comes. */
         String firstRequest() throws IOException {
-            for (Socket each : queued) {
+            for (Socket each : backlogFillers) {
                 server.accept().close();
                 each.close();
             }
@@ -151,7 +151,7 @@
     void callWhoseConnectionIsEstablishedAfterADrainIsNotWritten(String status, int destination) throws Exception {
         try (Peer discovery = discovery();
                 Peer other = endpoint();
-                LateEndpoint draining = new LateEndpoint()) {
+                EndpointWithFullBacklog draining = new EndpointWithFullBacklog()) {
             serve(discovery.address(), draining.address());
             try (Wire client = Wire.connect(address)) {
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
@@ -172,7 +172,7 @@
     @Test
     void connectionEstablishedRightAfterADrainCarriesNoCall() throws Exception {
         try (Peer discovery = discovery();
-                LateEndpoint draining = new LateEndpoint()) {
+                EndpointWithFullBacklog draining = new EndpointWithFullBacklog()) {
             serve(discovery.address(), draining.address());
             try (Wire client = Wire.connect(address)) {
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
@@ -189,7 +189,7 @@
     void callToAChangedAddressGoesToTheNewAddress() throws Exception {
         try (Peer discovery = discovery();
                 Peer moved = endpoint();
-                LateEndpoint old = new LateEndpoint()) {
+                EndpointWithFullBacklog old = new EndpointWithFullBacklog()) {
             serve(discovery.address(), old.address());
             try (Wire client = Wire.connect(address)) {
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
