--- a/src/test/java/lilaclever/program/DiscoveryOrderTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryOrderTest.java
@@ -32,7 +32,7 @@
         awaitCounter("entries_endpoints 0");
         submit("a");
         handedIn.countDown();
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
         assertTrue(agent.nextRequest().isAfter(1));
         assertTrue(agent.nextRequest().isAfter(5));
         assertTrue(agent.nextRequest().isForWholeList(), "nothing is built on an older list");
@@ -79,7 +79,7 @@
         assertTrue(agent.nextRequest().isAfter(3));
         assertTrue(agent.nextRequest().isAfter(4));
         submit("a");
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
         assertEquals(0, calls.size());
     }
 
@@ -98,7 +98,7 @@
         start(agent, wholeList(1, entry("e1", e1, "active")));
         submit("a");
         handedIn.countDown();
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
     }
 
     /** An agent that says nothing does not hold the known list back for long. */
@@ -108,7 +108,7 @@
         Agent agent = new Agent(asked -> {});
         start(agent, wholeList(1, entry("e1", e1, "active")));
         submit("a");
-        assertEquals("e1 a", next(calls));
+        assertEquals("e1 a", take(calls));
         assertTrue(agent.nextRequest().isForWholeList(), "its index may be of another agent's count");
     }
 }
