--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -94,7 +94,7 @@
     /** Changes up to this index are not known one by one. */
     private long oldestIndex;
 
-    private boolean behind;
+    private boolean isBehind;
 
     /** An agent that has received the given changes and counts from the given index on. */
     DrainAgent(String name, DrainAuditor auditor, long firstIndex, List<DrainChange> has) throws IOException {
@@ -115,7 +115,7 @@
     // ---- what it knows -------------------------------------------------------------------------------------
     /** Discovery tells it a change, which it gets at once, or at its return. */
     synchronized void publish(DrainChange change) {
-        if (behind || behaviour == AgentBehaviour.SILENT || behaviour == AgentBehaviour.REFUSING) {
+        if (isBehind || behaviour == AgentBehaviour.SILENT || behaviour == AgentBehaviour.REFUSING) {
             undeliveredChanges.add(change);
         } else {
             applyChange(change);
@@ -132,11 +132,11 @@
 
     /** From now on changes reach it late: with {@link #catchUp}. */
     synchronized void fallBehind() {
-        behind = true;
+        isBehind = true;
     }
 
     synchronized void catchUp() {
-        behind = false;
+        isBehind = false;
         List<DrainChange> all = List.copyOf(undeliveredChanges);
         undeliveredChanges.clear();
         all.forEach(this::publish);
@@ -215,7 +215,7 @@
 
     private void catchUpWith(AgentBehaviour next) {
         behaviour = next;
-        if (!behind) {
+        if (!isBehind) {
             catchUp();
         }
     }
