--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -38,11 +38,11 @@
     private static final double[] DEADLINE_SECONDS = {8, 4, 9};
 
     /** One arrival of the plan: when, what, and on which port; {@code again}: its number is that of an earlier one. */
-    private record Arrival(long atNanos, int number, int kind, int destination, boolean hl7, boolean isResubmission) {}
+    private record Arrival(long atNanos, int number, int classIndex, int destination, boolean hl7, boolean isResubmission) {}
 
     /** What became of one message. */
     private static final class MessageHistory {
-        final int kind;
+        final int classIndex;
         final AtomicInteger calls = new AtomicInteger(),
                 delivered = new AtomicInteger(),
                 submissions = new AtomicInteger(),
@@ -55,7 +55,7 @@
         volatile String finalStatuses = "";
 
         MessageHistory(int kind) {
-            this.kind = kind;
+            this.classIndex = kind;
         }
 
         synchronized void addFinalStatus(String what) {
@@ -110,7 +110,7 @@
     }
 
     private static String body(Arrival a) {
-        return "MSH|^~\\&|APP|F|LAB" + a.destination() + "|L|20260101||" + EVENTS[a.kind()] + "|M" + a.number()
+        return "MSH|^~\\&|APP|F|LAB" + a.destination() + "|L|20260101||" + EVENTS[a.classIndex()] + "|M" + a.number()
                 + "|P|2.5|||AL|AL\rORC|NW|1\rNTE|" + "x".repeat(200) + '\r';
     }
 
@@ -129,7 +129,7 @@
                     wire.writeResponse("503 full", "");
                     continue;
                 }
-                if (s.kind == 2 && s.mayHaveRun) {
+                if (s.classIndex == 2 && s.mayHaveRun) {
                     count("BROKEN payment sent again");
                 }
                 s.mayHaveRun = true;
@@ -184,8 +184,8 @@
                 String body = body(a);
                 keptConnection.get()
                         .writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: "
-                                + CLASSES[a.kind()]
-                                + "\r\nReq-Deadline: " + DEADLINE_SECONDS[a.kind()]
+                                + CLASSES[a.classIndex()]
+                                + "\r\nReq-Deadline: " + DEADLINE_SECONDS[a.classIndex()]
                                 + "\r\nX-Practice: north\r\nIdempotency-Key: M" + a.number()
                                 + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + body.length()
                                 + "\r\n\r\n" + body);
@@ -426,7 +426,7 @@
                                             ? "refused"
                                             : "UNKNOWN end");
             if (s.delivered.get() > 1) {
-                count("answered by an endpoint more than once, " + CLASSES[s.kind]);
+                count("answered by an endpoint more than once, " + CLASSES[s.classIndex]);
             }
             if (s.delivered.get() == 0 && taken && s.finalStatuses.isEmpty()) {
                 count("BROKEN no end");
--- a/src/test/java/lilaclever/program/StrainRun.java
+++ b/src/test/java/lilaclever/program/StrainRun.java
@@ -36,7 +36,7 @@
 
     /** One message's story; times in nanoseconds. */
     private static final class MessageHistory {
-        final int kind;
+        final int classIndex;
         final long sentAt;
         long acceptedAt, deliveredAt, noticeAt;
         int openAttempts;
@@ -45,7 +45,7 @@
         final List<Long> mayHaveRunAt = new ArrayList<>();
 
         MessageHistory(int kind, long sentAt) {
-            this.kind = kind;
+            this.classIndex = kind;
             this.sentAt = sentAt;
         }
 
@@ -67,7 +67,7 @@
         synchronized void countBroken(String rule, String id, MessageHistory s) {
             count("BROKEN " + rule, 1);
             if (brokenHistories.size() < 10) {
-                brokenHistories.add(rule + ": " + id + " " + CLASSES[s.kind] + " " + s.events);
+                brokenHistories.add(rule + ": " + id + " " + CLASSES[s.classIndex] + " " + s.events);
             }
         }
     }
@@ -131,9 +131,9 @@
 
     private void checkRepeat(String id, MessageHistory s, long now) {
         if (!s.mayHaveRunAt.isEmpty()) {
-            if (s.kind == 2) {
+            if (s.classIndex == 2) {
                 findings.countBroken("payment sent twice", id, s);
-            } else if (s.kind == 0 && now - s.mayHaveRunAt.get(0) > REPEAT_WINDOW_NANOS + 50 * NANOS_PER_MILLI) {
+            } else if (s.classIndex == 0 && now - s.mayHaveRunAt.get(0) > REPEAT_WINDOW_NANOS + 50 * NANOS_PER_MILLI) {
                 findings.countBroken("order sent again after its window", id, s);
             }
         }
@@ -365,7 +365,7 @@
             }
             findings.count("taken", 1);
             findings.count(s.deliveredAt > 0 ? "delivered" : s.noticeAt > 0 ? "ended by notice" : "no end", 1);
-            long due = s.sentAt + (long) (DEADLINE_SECONDS[s.kind] * 1000 * NANOS_PER_MILLI) + NOTICE_GRACE_NANOS;
+            long due = s.sentAt + (long) (DEADLINE_SECONDS[s.classIndex] * 1000 * NANOS_PER_MILLI) + NOTICE_GRACE_NANOS;
             if (s.deliveredAt == 0 && s.noticeAt == 0) {
                 findings.countBroken(mode.equals("flip") ? "lost (its record was hit)" : "lost", id, s);
             } else if (Math.min(
