--- a/src/test/java/lilaclever/log/LogsTest.java
+++ b/src/test/java/lilaclever/log/LogsTest.java
@@ -17,17 +17,17 @@
 /** The log's lines, as people and machines read them. */
 @ResourceLock(Resources.SYSTEM_ERR)
 class LogsTest {
-    private interface Work {
+    private interface LogCalls {
         void run();
     }
 
-    private static String written(Logs.Settings settings, Work work) {
+    private static String captureLog(Logs.Settings settings, LogCalls calls) {
         PrintStream before = System.err;
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try {
             Logs.set(settings);
             System.setErr(new PrintStream(bytes, true, StandardCharsets.UTF_8));
-            work.run();
+            calls.run();
         } finally {
             System.setErr(before);
         }
@@ -35,17 +35,17 @@
     }
 
     @AfterEach
-    void asItWas() {
+    void restoreDefaults() {
         Logs.set(Logs.Settings.USUAL);
     }
 
     /** Tools and supervisors read these lines: their form is that of always. */
     @Test
-    void textIsAsItAlwaysWas() {
+    void textFormIsStable() {
         assertEquals(
                 "lilaclever: n0 serves at [/127.0.0.1:1]\nlilaclever: journal: x.seg could not be deleted: why "
                         + "segment=x.seg\n",
-                written(Logs.Settings.USUAL, () -> {
+                captureLog(Logs.Settings.USUAL, () -> {
                     Logs.info("", "serves", "n0 serves at [/127.0.0.1:1]");
                     Logs.warn(
                             "journal",
@@ -61,15 +61,15 @@
 
     /** What came from outside must not make lines of its own. */
     @Test
-    void aLineStaysOneLine() {
+    void lineBreaksInValuesAreReplaced() {
         assertEquals(
                 "lilaclever: a?b message=m?1\n",
-                written(Logs.Settings.USUAL, () -> Logs.info("", "x", "a\nb", "message", "m\r1")));
+                captureLog(Logs.Settings.USUAL, () -> Logs.info("", "x", "a\nb", "message", "m\r1")));
     }
 
     @Test
-    void textMayHaveTimes() {
-        String line = written(
+    void textCanIncludeTimes() {
+        String line = captureLog(
                 new Logs.Settings(Logs.Form.TEXT, Logs.Level.INFO, true), () -> Logs.warn("mllp", "x", "closed"));
         assertTrue(
                 line.matches("\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d(\\.\\d+)?Z warning lilaclever: mllp: closed\n"),
@@ -77,8 +77,8 @@
     }
 
     @Test
-    void jsonHasTheFields() {
-        String line = written(
+    void jsonContainsTheFields() {
+        String line = captureLog(
                 new Logs.Settings(Logs.Form.JSON, Logs.Level.DEBUG, false),
                 () -> Logs.debug("", "attempt", "sent \"now\"\n", "message", "m1", "partner", 7));
         JsonObject read = JsonParser.parseString(line).getAsJsonObject();
@@ -91,8 +91,8 @@
     }
 
     @Test
-    void levelsHold() {
-        assertEquals("lilaclever: bad\n", written(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false), () -> {
+    void messagesBelowTheLevelAreDropped() {
+        assertEquals("lilaclever: bad\n", captureLog(new Logs.Settings(Logs.Form.TEXT, Logs.Level.ERROR, false), () -> {
             Logs.warn("", "w", "not written");
             Logs.error("", "e", "bad");
         }));
@@ -103,8 +103,8 @@
      * out.
      */
     @Test
-    void librariesUseTheSameLines() {
-        String lines = written(new Logs.Settings(Logs.Form.TEXT, Logs.Level.DEBUG, false), () -> {
+    void librariesLogInTheSameForm() {
+        String lines = captureLog(new Logs.Settings(Logs.Form.TEXT, Logs.Level.DEBUG, false), () -> {
             Logs.debug("", "x", "ours");
             LoggerFactory.getLogger("some.Library").debug("not written");
             LoggerFactory.getLogger("some.Library").warn("odd {}", 5);
@@ -114,8 +114,8 @@
     }
 
     @Test
-    void whatWasThrownIsThere() {
-        String lines = written(
+    void stackTraceIsWritten() {
+        String lines = captureLog(
                 Logs.Settings.USUAL,
                 () -> Logs.error("", "task-failed", "a task failed", new IllegalStateException("why")));
         assertTrue(lines.startsWith("lilaclever: a task failed\njava.lang.IllegalStateException: why\n\tat "), lines);
--- a/src/test/java/lilaclever/program/CrossingsTest.java
+++ b/src/test/java/lilaclever/program/ConnectionRacesTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** What crosses a close, a silence or an end: bytes that come just then, and answers that come just after. */
-class CrossingsTest {
-    private static final long MS = 1_000_000;
+class ConnectionRacesTest {
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     @TempDir
     private Path state;
@@ -39,7 +39,7 @@
     private SocketAddress address;
 
     @AfterEach
-    void end() {
+    void stop() {
         if (forwarder != null) {
             forwarder.stop();
         }
@@ -53,8 +53,8 @@
         address = forwarder.addresses().get(0);
     }
 
-    private void process(String text, int descriptors) throws IOException {
-        process = Setup.process(state, text, descriptors);
+    private void startProcess(String text, int descriptors) throws IOException {
+        process = ForwarderSetup.startProcess(state, text, descriptors);
         var log = process.errorReader();
         String line = log.readLine();
         while (!line.contains("serves at")) {
@@ -65,14 +65,14 @@
 
     private Peer endpoint() throws IOException {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 calls.add(r.headers().get("req-id"));
                 wire.answer("200 OK", "");
             }
         });
     }
 
-    private static long next(LinkedBlockingQueue<Long> times) throws InterruptedException {
+    private static long take(LinkedBlockingQueue<Long> times) throws InterruptedException {
         Long time = times.poll(20, TimeUnit.SECONDS);
         assertNotNull(time, "nothing came");
         return time;
@@ -100,57 +100,59 @@
                 "POST /api HTTP/1.1~Content-Length: 5~~ab | 408",
                 "-|-"
             })
-    void whatCrossesACloseIsDroppedAndResetsNothing(String said, String status) throws Exception {
+    void dataReceivedDuringACloseIsDroppedWithoutAReset(String sent, String status) throws Exception {
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = endpoint()) {
-            serve(Setup.text(platform.address(), state, endpoint.address(), 3));
-            try (Wire first = Wire.to(address)) { // once it has gone out the known list counts, and calls go at once
-                assertTrue(first.handIn("first", "payment", 20, "").startsWith("202"));
-                assertEquals("first", Peer.next(calls));
+            serve(ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3));
+            try (Wire first =
+                    Wire.connect(address)) { // once it has gone out the known list counts, and calls go at once
+                assertTrue(first.submit("first", "payment", 20, "").startsWith("202"));
+                assertEquals("first", Peer.take(calls));
             }
-            try (Wire client = Wire.to(address)) {
-                if (!said.equals("-")) {
-                    client.say(said.replace("~", "\r\n"));
-                    assertEquals(status, client.request().path());
+            try (Wire client = Wire.connect(address)) {
+                if (!sent.equals("-")) {
+                    client.say(sent.replace("~", "\r\n"));
+                    assertEquals(status, client.readRequest().path());
                 }
-                assertNull(client.request(), "closed from that side");
+                assertNull(client.readRequest(), "closed from that side");
                 client.say(request("late"));
                 client.say(request("later")); // where the first one has met a reset, this one fails
-                assertNull(client.request());
+                assertNull(client.readRequest());
             }
-            try (Wire other = Wire.to(address)) {
-                assertTrue(other.handIn("z", "payment", 20, "").startsWith("202"));
-                while (!Peer.next(calls).equals("z")) {
+            try (Wire other = Wire.connect(address)) {
+                assertTrue(other.submit("z", "payment", 20, "").startsWith("202"));
+                while (!Peer.take(calls).equals("z")) {
                     assertEquals("202", status, "only what was taken on before the close goes on");
                 }
                 assertEquals(0, calls.size());
-                until(other, "\nentries_clients 1\n"); // nothing lingers once the client has closed
+                awaitCounter(other, "\nentries_clients 1\n"); // nothing lingers once the client has closed
             }
         }
     }
 
     /** A client that never closes its side is not waited for without end. */
     @Test
-    void aClientThatDoesNotCloseIsLetGo() throws Exception {
+    void connectionIsReleasedWhereTheClientDoesNotClose() throws Exception {
         try (Peer platform = Peer.platform("", notices)) {
-            serve(Setup.text(platform.address(), state, null, 3));
-            try (Wire stays = Wire.to(address);
-                    Wire client = Wire.to(address)) {
+            serve(ForwarderSetup.configText(platform.address(), state, null, 3));
+            try (Wire stays = Wire.connect(address);
+                    Wire client = Wire.connect(address)) {
                 stays.say("nonsense\r\n\r\n");
-                assertEquals("400", stays.request().path());
-                assertNull(stays.request());
-                until(client, "\nentries_clients 1\n");
+                assertEquals("400", stays.readRequest().path());
+                assertNull(stays.readRequest());
+                awaitCounter(client, "\nentries_clients 1\n");
             }
         }
     }
 
-    private static void until(Wire client, String count) throws IOException {
+    private static void awaitCounter(Wire client, String counterLine) throws IOException {
         String last = "";
-        for (long end = System.nanoTime() + 10_000 * MS; !last.contains(count) && System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + 10_000 * NANOS_PER_MILLI;
+                !last.contains(counterLine) && System.nanoTime() < end; ) {
             client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-            last = client.request().body();
+            last = client.readRequest().body();
         }
-        assertTrue(last.contains(count), last);
+        assertTrue(last.contains(counterLine), last);
     }
 
     /**
@@ -158,89 +160,91 @@
      * out.
      */
     @Test
-    void idleClientsDoNotTakeTheDescriptorsOfDiscoveryAndCalls() throws Exception {
+    void idleClientsLeaveDescriptorsForDiscoveryAndCalls() throws Exception {
         LinkedBlockingQueue<String> lists = new LinkedBlockingQueue<>();
-        List<Wire> crowd = new ArrayList<>();
+        List<Wire> idleClients = new ArrayList<>();
         try (Peer endpoint = endpoint();
-                Peer platform = Peer.platform(() -> Peer.next(lists), notices)) {
-            process(
-                    Setup.text(platform.address(), state, null, 3)
+                Peer platform = Peer.platform(() -> Peer.take(lists), notices)) {
+            startProcess(
+                    ForwarderSetup.configText(platform.address(), state, null, 3)
                             .replace("\"limits\": {\"disk", "\"limits\": {\"sockets\": 100, \"disk"),
                     100);
             for (int i = 0; i < 150; i++) {
-                Wire wire = Wire.to(address);
-                crowd.add(wire);
+                Wire wire = Wire.connect(address);
+                idleClients.add(wire);
                 wire.say("GET /health/ready HTTP/1.1\r\n\r\n");
-                assertEquals("200", wire.request().path(), "after " + i);
+                assertEquals("200", wire.readRequest().path(), "after " + i);
             }
             for (int i = 0; i < 150; i++) {
-                crowd.add(Wire.to(address)); // and such as never ask
+                idleClients.add(Wire.connect(address)); // and such as never ask
             }
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("m", "payment", 20, "").startsWith("202"));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("m", "payment", 20, "").startsWith("202"));
             }
             String delivered = null;
             for (int i = 0; delivered == null; i++) {
                 assertTrue(i < 200, "no list was heard");
-                lists.add(Setup.list(endpoint.address())); // to a call that was made meanwhile, or to the next
+                lists.add(ForwarderSetup.endpointList(
+                        endpoint.address())); // to a call that was made meanwhile, or to the next
                 delivered = calls.poll(100, TimeUnit.MILLISECONDS);
             }
             assertEquals("m", delivered);
         } finally {
-            crowd.forEach(Wire::close);
+            idleClients.forEach(Wire::close);
         }
     }
 
     // ---- discovery -----------------------------------------------------------------------------------------
     /** A watch that has fallen silent: what it misses is heard within the 6 s after which it counts as told. */
     @Test
-    void aSilentWatchIsOpenedAnewInTime() throws Exception {
+    void unresponsiveWatchIsReopenedInTime() throws Exception {
         LinkedBlockingQueue<Long> silentSince = new LinkedBlockingQueue<>();
-        LinkedBlockingQueue<Long> heard = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<Long> polledAt = new LinkedBlockingQueue<>();
         try (Peer second = endpoint();
                 Peer platform = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                         if (r.path().contains("?")) { // a watch: its changes never come
                             silentSince.add(System.nanoTime());
-                            wire.hang();
+                            wire.readWithoutAnswering();
                         } else if (silentSince.isEmpty()) {
-                            wire.answer("200 OK", Setup.known());
+                            wire.answer("200 OK", ForwarderSetup.knownList());
                         } else {
-                            heard.add(System.nanoTime());
+                            polledAt.add(System.nanoTime());
                             wire.answer(
                                     "200 OK",
-                                    Setup.list(second.address())
+                                    ForwarderSetup.endpointList(second.address())
                                             .replace("e1", "e2")
                                             .replace("\"index\":1", "\"index\":2"));
                         }
                     }
                 })) {
-            serve(Setup.text(platform.address(), state, "127.0.0.1:9", 3));
-            assertTrue(-next(silentSince) + next(heard) < 5_000 * MS, "a second before it counts as told");
-            try (Wire client = Wire.to(address)) {
-                until(client, "\nentries_listed 2\n"); // the known one, and the one that was missed
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                assertEquals("a", Peer.next(calls));
+            serve(ForwarderSetup.configText(platform.address(), state, "127.0.0.1:9", 3));
+            assertTrue(
+                    -take(silentSince) + take(polledAt) < 5_000 * NANOS_PER_MILLI, "a second before it counts as told");
+            try (Wire client = Wire.connect(address)) {
+                awaitCounter(client, "\nentries_listed 2\n"); // the known one, and the one that was missed
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                assertEquals("a", Peer.take(calls));
             }
         }
     }
 
     /** While discovery is silent it is asked again and again: what it has at its return counts as told at once. */
     @Test
-    void aReturnOfDiscoveryIsHeardWithinTheGraceOfADrain() throws Exception {
-        LinkedBlockingQueue<Long> asked = new LinkedBlockingQueue<>();
+    void unresponsiveDiscoveryIsPolledWithinTheDrainGrace() throws Exception {
+        LinkedBlockingQueue<Long> requestTimes = new LinkedBlockingQueue<>();
         try (Peer platform = new Peer(wire -> {
-            while (wire.request() != null) {
-                asked.add(System.nanoTime());
-                wire.hang();
+            while (wire.readRequest() != null) {
+                requestTimes.add(System.nanoTime());
+                wire.readWithoutAnswering();
             }
         })) {
-            serve(Setup.text(platform.address(), state, "127.0.0.1:9", 3));
-            long first = next(asked);
+            serve(ForwarderSetup.configText(platform.address(), state, "127.0.0.1:9", 3));
+            long first = take(requestTimes);
             for (int i = 0; i < 5; i++) {
-                next(asked);
+                take(requestTimes);
             }
-            assertTrue(System.nanoTime() - first < 5 * 500 * MS, "five times, each within the grace");
+            assertTrue(System.nanoTime() - first < 5 * 500 * NANOS_PER_MILLI, "five times, each within the grace");
         }
     }
 
@@ -250,85 +254,86 @@
      */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aNoticeOnASilentConnectionIsToldAgainInTime(boolean silent) throws Exception {
-        LinkedBlockingQueue<Long> told = new LinkedBlockingQueue<>();
+    void noticeOnAnUnresponsiveConnectionIsRepeatedInTime(boolean silent) throws Exception {
+        LinkedBlockingQueue<Long> noticeTimes = new LinkedBlockingQueue<>();
         try (Peer platform = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null && told.size() < 2; r = wire.request()) {
+                    for (Request r = wire.readRequest(); r != null && noticeTimes.size() < 2; r = wire.readRequest()) {
                         if (!r.path().equals("/status")) {
                             continue; // a watch: nothing ever changes
                         }
-                        told.add(System.nanoTime());
-                        if (told.size() > 1) {
+                        noticeTimes.add(System.nanoTime());
+                        if (noticeTimes.size() > 1) {
                             wire.answer("204 No Content", "");
                         } else if (silent) {
-                            wire.hang();
+                            wire.readWithoutAnswering();
                         } else {
                             return;
                         }
                     }
                 });
                 Peer endpoint = new Peer(wire -> {
-                    while (wire.request() != null) {
+                    while (wire.readRequest() != null) {
                         wire.answer("500 no", "");
                     }
                 })) {
-            serve(Setup.text(platform.address(), state, endpoint.address(), 3));
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
+            serve(ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
             }
-            assertTrue(-next(told) + next(told) < 300 * MS, "while it counts");
+            assertTrue(-take(noticeTimes) + take(noticeTimes) < 300 * NANOS_PER_MILLI, "while it counts");
         }
     }
 
     // ---- restarts ------------------------------------------------------------------------------------------
     /** A window of one second, and a kill while the call is out: a repeat comes within the window or not at all. */
     @Test
-    void aRestartKeepsAWindowOfOneSecond() throws Exception {
+    void repeatWindowOfOneSecondIsKeptAcrossARestart() throws Exception {
         LinkedBlockingQueue<Long> times = new LinkedBlockingQueue<>();
         String text = null;
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = new Peer(wire -> {
-                    while (wire.request() != null) {
+                    while (wire.readRequest() != null) {
                         times.add(System.nanoTime());
-                        wire.hang();
+                        wire.readWithoutAnswering();
                     }
                 })) {
-            text = Setup.text(platform.address(), state, endpoint.address(), 3)
+            text = ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3)
                     .replace("\"repeatWindowS\": 5", "\"repeatWindowS\": 1");
-            process(text, 1024);
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "order", 20, "").startsWith("202"));
+            startProcess(text, 1024);
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "order", 20, "").startsWith("202"));
             }
-            long first = next(times);
+            long first = take(times);
             process.destroyForcibly().waitFor();
-            process(text, 1024);
-            assertTrue(Peer.next(notices).contains("\"a\""), "its end is told");
+            startProcess(text, 1024);
+            assertTrue(Peer.take(notices).contains("\"a\""), "its end is told");
             for (Long again = times.poll(); again != null; again = times.poll()) {
-                assertTrue(again - first <= 1_050 * MS, "within the window");
+                assertTrue(again - first <= 1_050 * NANOS_PER_MILLI, "within the window");
             }
         }
     }
 
     /** What a restart finds untried is tried, also where it is more than the settings now let it hold. */
     @Test
-    void whatARestartFindsUntriedIsTried() throws Exception {
+    void untriedMessagesAreTriedAfterARestart() throws Exception {
         Set<String> untried = new TreeSet<>();
         try (Peer endpoint = endpoint();
-                Peer platform =
-                        Peer.platform(Setup.list(endpoint.address()).replace("\"index\":1", "\"index\":2"), notices)) {
-            String text = Setup.text(platform.address(), state, endpoint.address(), 3)
+                Peer platform = Peer.platform(
+                        ForwarderSetup.endpointList(endpoint.address()).replace("\"index\":1", "\"index\":2"),
+                        notices)) {
+            String text = ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3)
                     .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]");
-            process(text.replace("active", "leaving"), 1024); // known, but nothing new may go there
-            try (Wire client = Wire.to(address)) {
+            startProcess(text.replace("active", "leaving"), 1024); // known, but nothing new may go there
+            try (Wire client = Wire.connect(address)) {
                 for (int i = 0; i < 60; i++) {
-                    assertTrue(client.handIn("m" + i, "payment", 20, "").startsWith("202"));
+                    assertTrue(client.submit("m" + i, "payment", 20, "").startsWith("202"));
                     untried.add("m" + i);
                 }
             }
             process.destroyForcibly().waitFor();
-            process(text.replace("\"openCap\": 200", "\"openCap\": 50"), 1024);
+            startProcess(text.replace("\"openCap\": 200", "\"openCap\": 50"), 1024);
             while (!untried.isEmpty()) {
-                assertTrue(untried.remove(Peer.next(calls)));
+                assertTrue(untried.remove(Peer.take(calls)));
             }
         }
     }
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureNoteTest.java
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void whatIsWrittenIsReadAgain() throws Exception {
+    void writtenDeparturesAreReadBack() throws Exception {
         Departure odd = new Departure("tab\there\nüé%41+ x", "several", Long.MAX_VALUE, 0);
         DepartureNote.write(state, List.of(FIRST, odd, SECOND));
         assertEquals(List.of(FIRST, odd, SECOND), DepartureNote.read(state));
@@ -67,19 +67,19 @@
     }
 
     @Test
-    void withoutAFileThereAreNone() throws Exception {
+    void missingFileIsReadAsEmpty() throws Exception {
         assertEquals(List.of(), DepartureNote.read(state));
     }
 
     @Test
-    void aFileThatCannotBeReadIsNamed() throws Exception {
+    void unreadableFileIsNamed() throws Exception {
         Files.createDirectory(file());
         ConfigurationException e = assertThrows(ConfigurationException.class, () -> DepartureNote.read(state));
         assertTrue(e.getMessage().startsWith("state: departures can't be read: "), e.getMessage());
     }
 
     @Test
-    void damagedLinesAreLoggedAndPassedOver() throws Exception {
+    void damagedLinesAreLoggedAndSkipped() throws Exception {
         DepartureNote.write(state, List.of(FIRST, SECOND));
         String good = Files.readString(file());
         String first = good.substring(0, good.indexOf('\n') + 1);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void bytesThatAreNoTextAreDamageToo() throws Exception {
+    void invalidUtf8IsSkipped() throws Exception {
         DepartureNote.write(state, List.of(FIRST));
         byte[] good = Files.readAllBytes(file());
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -116,7 +116,7 @@
     }
 
     @Test
-    void aHalfWrittenLineIsPassedOver() throws Exception {
+    void partlyWrittenLineIsSkipped() throws Exception {
         DepartureNote.write(state, List.of(FIRST, SECOND));
         byte[] whole = Files.readAllBytes(file());
         int firstEnd = new String(whole, StandardCharsets.US_ASCII).indexOf('\n') + 1;
@@ -128,26 +128,26 @@
     }
 
     @Test
-    void theOldestAreLeftOutWhereThereIsNoRoom() throws Exception {
+    void oldestDeparturesAreDroppedWhereSpaceIsShort() throws Exception {
         List<Departure> many = IntStream.range(0, 4_096)
                 .mapToObj(i -> new Departure("s-" + i, "10.1.0.1:8500", i, FIRST.atMicros()))
                 .toList();
         assertTrue(loggedByWriting(many).contains("do not fit into departures"));
         assertTrue(Files.size(file()) <= DepartureNote.NOTE_BYTES / 2, "bytes: " + Files.size(file()));
-        List<Departure> kept = DepartureNote.read(state);
-        assertTrue(kept.size() > 700, "kept: " + kept.size());
-        assertEquals(many.subList(many.size() - kept.size(), many.size()), kept);
+        List<Departure> retained = DepartureNote.read(state);
+        assertTrue(retained.size() > 700, "kept: " + retained.size());
+        assertEquals(many.subList(many.size() - retained.size(), many.size()), retained);
     }
 
     @Test
-    void aNameThatIsTooLongIsLeftOutAlone() throws Exception {
+    void onlyTheTooLongEntryIsDropped() throws Exception {
         Departure longest = new Departure("x".repeat(DepartureNote.LINE_BYTES), "a", 1, 1);
         assertTrue(loggedByWriting(List.of(FIRST, longest, SECOND)).contains("1 endpoints"));
         assertEquals(List.of(FIRST, SECOND), DepartureNote.read(state));
     }
 
     @Test
-    void ofAFileThatIsTooLongTheBeginningIsRead() throws Exception {
+    void tooLongFileIsReadFromItsBeginning() throws Exception {
         List<String> lines = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             lines.add("s-" + i + "\ta\t1\t1\n");
@@ -158,7 +158,7 @@
     }
 
     @Test
-    void aWriteThatFailsLeavesTheFileAsItIs() throws Exception {
+    void failedWriteLeavesTheFileUnchanged() throws Exception {
         DepartureNote.write(state, List.of(FIRST));
         Files.createDirectory(state.resolve(DepartureNote.FILE + ".new"));
         assertThrows(IOException.class, () -> DepartureNote.write(state, List.of(SECOND)));
@@ -167,16 +167,16 @@
 
     /** A small disk has room for a part of them: the latest. */
     @Test
-    void aSmallerBoundLeavesTheOldestOut() throws Exception {
+    void smallerSizeLimitDropsTheOldest() throws Exception {
         List<Departure> all = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
             all.add(new Departure("s-" + i, "10.2.0.1:8500", i, 1));
         }
-        int bound = 1_000;
-        DepartureNote.write(state, all, bound);
-        assertTrue(Files.size(state.resolve(DepartureNote.FILE)) <= bound);
-        List<Departure> kept = DepartureNote.read(state);
-        assertTrue(!kept.isEmpty() && kept.size() < all.size(), "kept: " + kept.size());
-        assertEquals(all.subList(all.size() - kept.size(), all.size()), kept);
+        int maxBytes = 1_000;
+        DepartureNote.write(state, all, maxBytes);
+        assertTrue(Files.size(state.resolve(DepartureNote.FILE)) <= maxBytes);
+        List<Departure> retained = DepartureNote.read(state);
+        assertTrue(!retained.isEmpty() && retained.size() < all.size(), "kept: " + retained.size());
+        assertEquals(all.subList(all.size() - retained.size(), all.size()), retained);
     }
 }
--- a/src/test/java/lilaclever/program/DiscoveryFaultsTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryFaultsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Lists of which a part can't be read: the rest counts, and the log says what is at fault. */
-class DiscoveryFaultsTest extends DiscoveryRig {
+class DiscoveryFaultsTest extends DiscoveryFixture {
     private static final Logger LOGGER = Logger.getLogger("lilaclever.directory");
 
     private final LinkedBlockingQueue<String> log = new LinkedBlockingQueue<>();
@@ -38,16 +38,16 @@
     };
 
     @BeforeEach
-    void listen() {
+    void addLogHandler() {
         LOGGER.addHandler(handler);
     }
 
     @AfterEach
-    void stopListening() {
+    void removeLogHandler() {
         LOGGER.removeHandler(handler);
     }
 
-    private void untilLogged(String part) throws InterruptedException {
+    private void awaitLogged(String part) throws InterruptedException {
         String line = next(log);
         while (!line.contains(part)) {
             line = next(log);
@@ -71,41 +71,41 @@
                 "\"zone\":\"z\" | \"zone\":\"z\",\"weight\":\"much\" | weight: can't be read: much; the default",
                 "\"zone\":\"z\" | \"zone\":\"z\",\"since_ms\":1e30 | since_ms: can't be read: 1e30; the default",
             })
-    void anEntryThatCannotBeReadIsNamedAndTheRestCounts(String good, String bad, String problem) throws Exception {
+    void unreadableEntryIsLoggedAndTheRestIsApplied(String good, String bad, String problem) throws Exception {
         String e1 = endpoint("e1");
         String e3 = endpoint("e3");
         String faulty = entry("e2", "127.0.0.1:9", "active").replace(good, bad);
         assertTrue(faulty.contains(bad));
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                asked.answer(whole(2, entry("e1", e1, "leaving"), faulty, entry("e3", e3, "active")));
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                request.answer(wholeList(2, entry("e1", e1, "leaving"), faulty, entry("e3", e3, "active")));
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active")));
-        handIn("a");
-        untilLogged("entry 2 (e2): " + problem);
-        agent.next();
-        Asked second = agent.next();
-        assertTrue(second.isWhole(), second.path());
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        submit("a");
+        awaitLogged("entry 2 (e2): " + problem);
+        agent.nextRequest();
+        AgentRequest second = agent.nextRequest();
+        assertTrue(second.isForWholeList(), second.path());
         assertEquals("e3 a", next(calls));
         assertEquals(0, calls.size());
     }
 
     /** An endpoint whose entry has become unreadable gets nothing new. */
     @Test
-    void anEndpointWhoseEntryCannotBeReadIsOut() throws Exception {
+    void endpointWithAnUnreadableEntryGetsNoNewMessages() throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
-        CountDownLatch handedIn = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                handedIn.await();
-                asked.answer(whole(2, entry("e1", e1, "drained"), entry("e2", e2, "active")));
+        CountDownLatch submitted = new CountDownLatch(1);
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                submitted.await();
+                request.answer(wholeList(2, entry("e1", e1, "drained"), entry("e2", e2, "active")));
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active")));
-        handIn("a");
-        handedIn.countDown();
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        submit("a");
+        submitted.countDown();
         assertEquals("e2 a", next(calls));
     }
 
@@ -118,44 +118,44 @@
                 "\"index\":2 | \"index\":\"two\" | list: index: can't be read: two",
                 "\"snapshot\":true | \"snapshot\":1 | list: snapshot: can't be read: 1",
             })
-    void whatLeavesInAListWithoutIndexOrKindCounts(String good, String bad, String problem) throws Exception {
+    void removalsInAListWithoutIndexOrKindAreApplied(String good, String bad, String problem) throws Exception {
         String e1 = endpoint("e1");
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                asked.answer(whole(2, entry("e1", e1, "left")).replace(good, bad));
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                request.answer(wholeList(2, entry("e1", e1, "left")).replace(good, bad));
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
-        untilLogged(problem);
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
+        awaitLogged(problem);
     }
 
     /** A fault that stays has the whole list asked for seldom; between these calls changes are heard at once. */
     @Test
-    void aFaultThatStaysIsAskedAboutSeldomAndChangesAreHeard() throws Exception {
+    void persistentFaultIsPolledRarelyAndChangesAreStillReceived() throws Exception {
         String e1 = endpoint("e1");
         String bad = entry("e2", "127.0.0.1:9", "resting");
-        CountDownLatch departs = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.isWhole()) {
-                asked.answer(whole(departs.getCount() == 0 ? 3 : 2, bad));
-            } else if (asked.isAfter(1)) {
-                asked.answer(changes(2, bad, entry("e1", e1, "active")));
-            } else if (departs.getCount() == 0 && asked.isAfter(2)) {
-                asked.answer(changes(3, entry("e1", e1, "left")));
+        CountDownLatch endpointLeft = new CountDownLatch(1);
+        Agent agent = new Agent(request -> {
+            if (request.isForWholeList()) {
+                request.answer(wholeList(endpointLeft.getCount() == 0 ? 3 : 2, bad));
+            } else if (request.isAfter(1)) {
+                request.answer(changes(2, bad, entry("e1", e1, "active")));
+            } else if (endpointLeft.getCount() == 0 && request.isAfter(2)) {
+                request.answer(changes(3, entry("e1", e1, "left")));
             }
         });
-        serve(agent, whole(1, entry("e1", e1, "active")));
-        int wholes = 0;
+        serveWithKnownList(agent, wholeList(1, entry("e1", e1, "active")));
+        int wholeListRequests = 0;
         int watches = 0;
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(5); System.nanoTime() < end; ) {
-            Asked next = agent.next();
-            wholes += next.isWhole() ? 1 : 0;
+            AgentRequest next = agent.nextRequest();
+            wholeListRequests += next.isForWholeList() ? 1 : 0;
             watches += next.isAfter(2) ? 1 : 0;
         }
-        assertTrue(wholes >= 2 && wholes <= 12, "whole lists in 5 s: " + wholes);
+        assertTrue(wholeListRequests >= 2 && wholeListRequests <= 12, "whole lists in 5 s: " + wholeListRequests);
         assertTrue(watches >= 2, "watches: " + watches);
-        departs.countDown();
-        until("entries_endpoints 0");
+        endpointLeft.countDown();
+        awaitCounter("entries_endpoints 0");
     }
 }
--- a/src/test/java/lilaclever/program/DiscoveryRig.java
+++ b/src/test/java/lilaclever/program/DiscoveryFixture.java
@@ -18,12 +18,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** A forwarder, endpoints, and agents of discovery whose answers a test scripts. */
-abstract class DiscoveryRig {
-    private static final long PATIENCE_MILLIS = 20_000;
+abstract class DiscoveryFixture {
+    private static final long TIMEOUT_MILLIS = 20_000;
 
     /** One request to an agent, with the connection that it came on. */
-    record Asked(int number, String path, Wire wire) {
-        boolean isWhole() {
+    record AgentRequest(int number, String path, Wire wire) {
+        boolean isForWholeList() {
             return !path.contains("?");
         }
 
@@ -42,16 +42,16 @@
 
     /** Answers a request, or leaves it open. */
     interface Script {
-        void on(Asked asked) throws IOException, InterruptedException;
+        void onRequest(AgentRequest request) throws IOException, InterruptedException;
     }
 
     /** An agent of discovery; it notes what it is asked, and which requests' connections the forwarder has closed. */
     final class Agent {
-        final LinkedBlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
-        final LinkedBlockingQueue<Integer> closed = new LinkedBlockingQueue<>();
-        private int count;
+        final LinkedBlockingQueue<AgentRequest> requests = new LinkedBlockingQueue<>();
+        final LinkedBlockingQueue<Integer> closedRequests = new LinkedBlockingQueue<>();
+        private int requestCount;
         /** Answers the first request, which asks for the whole list; null if the script does. */
-        private volatile String first;
+        private volatile String firstAnswer;
 
         private final Peer peer;
 
@@ -59,40 +59,40 @@
             peer = new Peer(wire -> {
                 int last = 0;
                 try {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
-                        String list = takeFirst();
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                        String list = takeFirstAnswer();
                         if (list != null) {
                             wire.answer("200 OK", list);
                             continue;
                         }
-                        Asked next = new Asked(number(), r.path(), wire);
+                        AgentRequest next = new AgentRequest(nextNumber(), r.path(), wire);
                         last = next.number();
-                        asked.add(next);
-                        script.on(next);
+                        requests.add(next);
+                        script.onRequest(next);
                     }
                 } finally {
-                    closed.add(last);
+                    closedRequests.add(last);
                 }
             });
-            open.add(peer);
+            openPeers.add(peer);
         }
 
-        private synchronized String takeFirst() {
-            String list = first;
-            first = null;
+        private synchronized String takeFirstAnswer() {
+            String list = firstAnswer;
+            firstAnswer = null;
             return list;
         }
 
-        private synchronized int number() {
-            return ++count;
+        private synchronized int nextNumber() {
+            return ++requestCount;
         }
 
         String address() {
             return peer.address();
         }
 
-        Asked next() throws InterruptedException {
-            return DiscoveryRig.next(asked);
+        AgentRequest nextRequest() throws InterruptedException {
+            return DiscoveryFixture.next(requests);
         }
     }
 
@@ -102,22 +102,22 @@
     /** The name of the endpoint and the id of the message, of each call. */
     final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
 
-    private final List<AutoCloseable> open = new CopyOnWriteArrayList<>();
+    private final List<AutoCloseable> openPeers = new CopyOnWriteArrayList<>();
     private Forwarder forwarder;
     private SocketAddress address;
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         if (forwarder != null) {
             forwarder.stop();
         }
-        for (AutoCloseable each : open) {
+        for (AutoCloseable each : openPeers) {
             each.close();
         }
     }
 
     static <T> T next(LinkedBlockingQueue<T> queue) throws InterruptedException {
-        T value = queue.poll(PATIENCE_MILLIS, TimeUnit.MILLISECONDS);
+        T value = queue.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         assertNotNull(value, "nothing came");
         return value;
     }
@@ -125,12 +125,12 @@
     /** An endpoint of destination 7 that accepts what it gets; its entry is {@link #entry}'s. */
     String endpoint(String name) throws IOException {
         Peer peer = new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 calls.add(name + " " + r.headers().get("req-id"));
                 wire.answer("200 OK", "");
             }
         });
-        open.add(peer);
+        openPeers.add(peer);
         return peer.address();
     }
 
@@ -139,7 +139,7 @@
                 + "\",\"zone\":\"z\",\"type\":\"lab\",\"group\":7,\"status\":\"" + status + "\"}";
     }
 
-    static String whole(long index, String... entries) {
+    static String wholeList(long index, String... entries) {
         return list(index, true, entries);
     }
 
@@ -152,44 +152,45 @@
     }
 
     /** A configuration with this list as the known one, or "null". */
-    String text(Agent agent, String known) {
-        return Setup.text(agent.address(), state, null, 3).replace("\"known\": null", "\"known\": " + known);
+    String configText(Agent agent, String known) {
+        return ForwarderSetup.configText(agent.address(), state, null, 3)
+                .replace("\"known\": null", "\"known\": " + known);
     }
 
     /** Starts a forwarder whose known list is what the agent has too; the script's first request is a watch. */
-    void serve(Agent agent, String known) throws Exception {
-        agent.first = known.equals("null") ? null : known;
+    void serveWithKnownList(Agent agent, String known) throws Exception {
+        agent.firstAnswer = known.equals("null") ? null : known;
         start(agent, known);
     }
 
     /** Starts a forwarder; the script gets all requests, and the first one asks for the whole list. */
     void start(Agent agent, String known) throws Exception {
-        forwarder = Forwarder.start(Config.parse(text(agent, known), Map.of()), null);
+        forwarder = Forwarder.start(Config.parse(configText(agent, known), Map.of()), null);
         address = forwarder.addresses().get(0);
     }
 
     /** Has the configuration read again, with discovery at this agent. */
     void reload(Agent agent, String known) throws IOException {
-        Path file = Files.writeString(state.resolve("config.json"), text(agent, known));
+        Path file = Files.writeString(state.resolve("config.json"), configText(agent, known));
         forwarder.reload(Map.of("ROUTER_CONFIG", file.toString()));
     }
 
-    void handIn(String id) throws IOException {
-        try (Wire client = Wire.to(address)) {
-            assertTrue(client.handIn(id, "payment", 20, "").startsWith("202"));
+    void submit(String id) throws IOException {
+        try (Wire client = Wire.connect(address)) {
+            assertTrue(client.submit(id, "payment", 20, "").startsWith("202"));
         }
     }
 
     /** Waits until the forwarder counts so many, as it writes a line of its counters. */
-    void until(String count) throws IOException {
+    void awaitCounter(String counterLine) throws IOException {
         String last = "";
-        try (Wire client = Wire.to(address)) {
-            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(PATIENCE_MILLIS);
-            while (!last.contains("\n" + count + "\n") && System.nanoTime() < end) {
+        try (Wire client = Wire.connect(address)) {
+            long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MILLIS);
+            while (!last.contains("\n" + counterLine + "\n") && System.nanoTime() < end) {
                 client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-                last = client.request().body();
+                last = client.readRequest().body();
             }
         }
-        assertTrue(last.contains("\n" + count + "\n"), last);
+        assertTrue(last.contains("\n" + counterLine + "\n"), last);
     }
 }
--- a/src/test/java/lilaclever/program/DiscoveryOrderTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryOrderTest.java
@@ -9,106 +9,106 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** Lists with a lower index than the one held, and the first moments after a start. */
-class DiscoveryOrderTest extends DiscoveryRig {
+class DiscoveryOrderTest extends DiscoveryFixture {
     /** What has left stays so until a list in order brings it back; that list is asked for. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void anOlderListNeverBringsBackWhatHasLeft(boolean isWhole) throws Exception {
+    void olderListDoesNotRestoreARemovedEndpoint(boolean isWhole) throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
-        CountDownLatch handedIn = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                asked.answer(changes(5, entry("e1", e1, "left")));
-            } else if (asked.number() == 2) {
-                handedIn.await();
+        CountDownLatch submitted = new CountDownLatch(1);
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                request.answer(changes(5, entry("e1", e1, "left")));
+            } else if (request.number() == 2) {
+                submitted.await();
                 String older = entry("e1", e1, "active");
-                asked.answer(isWhole ? whole(3, older) : changes(3, older));
-            } else if (asked.isWhole()) {
-                asked.answer(whole(6, entry("e2", e2, "active")));
+                request.answer(isWhole ? wholeList(3, older) : changes(3, older));
+            } else if (request.isForWholeList()) {
+                request.answer(wholeList(6, entry("e2", e2, "active")));
             }
         });
-        serve(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
-        handIn("a");
-        handedIn.countDown();
+        serveWithKnownList(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
+        submit("a");
+        submitted.countDown();
         assertEquals("e2 a", next(calls));
-        assertTrue(agent.next().isAfter(1));
-        assertTrue(agent.next().isAfter(5));
-        assertTrue(agent.next().isWhole(), "nothing is built on an older list");
-        assertTrue(agent.next().isAfter(6));
+        assertTrue(agent.nextRequest().isAfter(1));
+        assertTrue(agent.nextRequest().isAfter(5));
+        assertTrue(agent.nextRequest().isForWholeList(), "nothing is built on an older list");
+        assertTrue(agent.nextRequest().isAfter(6));
         assertEquals(0, calls.size());
     }
 
     /** What an older list says or shows to have left counts at once: it is safe whatever has overtaken the list. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void whatLeavesInAnOlderListCountsAtOnce(boolean isWhole) throws Exception {
+    void removalsInAnOlderListAreAppliedAtOnce(boolean isWhole) throws Exception {
         String e1 = endpoint("e1");
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                asked.answer(changes(5));
-            } else if (asked.number() == 2) {
-                asked.answer(isWhole ? whole(3) : changes(3, entry("e1", e1, "left")));
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                request.answer(changes(5));
+            } else if (request.number() == 2) {
+                request.answer(isWhole ? wholeList(3) : changes(3, entry("e1", e1, "left")));
             } // all others are never answered
         });
-        serve(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
-        agent.next();
-        assertTrue(agent.next().isAfter(5));
-        assertTrue(agent.next().isWhole());
+        serveWithKnownList(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
+        agent.nextRequest();
+        assertTrue(agent.nextRequest().isAfter(5));
+        assertTrue(agent.nextRequest().isForWholeList());
     }
 
     /** Discovery begins to count anew: its changes are heard from there on, not only a minute later. */
     @Test
-    void theChangesOfARestartedDiscoveryCount() throws Exception {
+    void changesAfterADiscoveryRestartAreApplied() throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
-        Agent agent = new Agent(asked -> {
-            if (asked.isWhole()) {
-                asked.answer(whole(3, entry("e1", e1, "active")));
-            } else if (asked.isAfter(3)) {
-                asked.answer(changes(4, entry("e1", e1, "left"), entry("e2", e2, "active")));
-            } else if (asked.isAfter(41)) {
-                asked.answer(changes(3));
+        Agent agent = new Agent(request -> {
+            if (request.isForWholeList()) {
+                request.answer(wholeList(3, entry("e1", e1, "active")));
+            } else if (request.isAfter(3)) {
+                request.answer(changes(4, entry("e1", e1, "left"), entry("e2", e2, "active")));
+            } else if (request.isAfter(41)) {
+                request.answer(changes(3));
             } // a watch after 4: nothing ever changes
         });
-        serve(agent, whole(41, entry("e1", e1, "active")));
-        assertTrue(agent.next().isAfter(41));
-        assertTrue(agent.next().isWhole());
-        assertTrue(agent.next().isAfter(3));
-        assertTrue(agent.next().isAfter(4));
-        handIn("a");
+        serveWithKnownList(agent, wholeList(41, entry("e1", e1, "active")));
+        assertTrue(agent.nextRequest().isAfter(41));
+        assertTrue(agent.nextRequest().isForWholeList());
+        assertTrue(agent.nextRequest().isAfter(3));
+        assertTrue(agent.nextRequest().isAfter(4));
+        submit("a");
         assertEquals("e2 a", next(calls));
         assertEquals(0, calls.size());
     }
 
     /** What the agent has counts as told from the first moment: the known list is not acted upon before it answers. */
     @Test
-    void nothingGoesOutBeforeTheFirstAnswer() throws Exception {
+    void noCallIsMadeBeforeTheFirstDiscoveryAnswer() throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
-        CountDownLatch handedIn = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                handedIn.await();
-                asked.answer(whole(2, entry("e1", e1, "leaving"), entry("e2", e2, "active")));
+        CountDownLatch submitted = new CountDownLatch(1);
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                submitted.await();
+                request.answer(wholeList(2, entry("e1", e1, "leaving"), entry("e2", e2, "active")));
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active")));
-        handIn("a");
-        handedIn.countDown();
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        submit("a");
+        submitted.countDown();
         assertEquals("e2 a", next(calls));
     }
 
     /** An agent that says nothing does not hold the known list back for long. */
     @Test
-    void theKnownListCountsWhereNoAnswerComes() throws Exception {
+    void knownListIsUsedWhenTheAgentDoesNotAnswer() throws Exception {
         String e1 = endpoint("e1");
-        Agent agent = new Agent(asked -> {});
-        start(agent, whole(1, entry("e1", e1, "active")));
-        handIn("a");
+        Agent agent = new Agent(request -> {});
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        submit("a");
         assertEquals("e1 a", next(calls));
-        assertTrue(agent.next().isWhole(), "its index may be of another agent's count");
+        assertTrue(agent.nextRequest().isForWholeList(), "its index may be of another agent's count");
     }
 }
--- a/src/test/java/lilaclever/program/DiscoveryPartialAnswerTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryPartialAnswerTest.java
@@ -13,139 +13,143 @@
 import org.junit.jupiter.api.Test;
 
 /** Answers that stall, trickle, break off or are larger than the bound. */
-class DiscoveryPartialAnswerTest extends DiscoveryRig {
-    private static final int BOUND = 4 << 20;
+class DiscoveryPartialAnswerTest extends DiscoveryFixture {
+    private static final int MAX_LIST_BYTES = 4 << 20;
 
-    private static String head(int length) {
+    private static String responseHead(int length) {
         return "HTTP/1.1 200 OK\r\nContent-Length: " + length + "\r\n\r\n";
     }
 
     /** Writes an answer up to the text's mark; gives the rest. */
-    private static String begin(Wire wire, String list, String mark) throws IOException {
+    private static String sendUpTo(Wire wire, String list, String mark) throws IOException {
         int at = list.indexOf(mark);
-        wire.say(head(list.length()) + list.substring(0, at));
+        wire.say(responseHead(list.length()) + list.substring(0, at));
         return list.substring(at);
     }
 
     /** An answer that stops in its middle, for longer than answers of endpoints may, and then goes on. */
     @Test
-    void anAnswerThatStallsIsHeard() throws Exception {
+    void stalledAnswerIsReadWhenItContinues() throws Exception {
         String e1 = endpoint("e1");
         CountDownLatch second = new CountDownLatch(2);
-        Agent agent = new Agent(asked -> {
+        Agent agent = new Agent(request -> {
             second.countDown();
-            if (asked.number() == 1) {
-                String rest = begin(asked.wire(), changes(2, entry("e1", e1, "left")), "\"name\"");
+            if (request.number() == 1) {
+                String rest = sendUpTo(request.wire(), changes(2, entry("e1", e1, "left")), "\"name\"");
                 second.await();
-                asked.wire().say(rest);
+                request.wire().say(rest);
             }
         });
-        serve(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
+        serveWithKnownList(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
     }
 
     /** An answer that never ends is given up, and what has left by what had come of it counts. */
     @Test
-    void anAnswerThatTricklesIsGivenUpAndItsDeparturesCount() throws Exception {
+    void tricklingAnswerIsAbortedAndItsRemovalsAreApplied() throws Exception {
         String e1 = endpoint("e1");
         Semaphore pieces = new Semaphore(0);
-        Agent agent = new Agent(asked -> {
+        Agent agent = new Agent(request -> {
             pieces.release();
-            if (asked.number() == 1) {
-                asked.wire()
-                        .say(head(1_000_000)
+            if (request.number() == 1) {
+                request.wire()
+                        .say(responseHead(1_000_000)
                                 + changes(2, entry("e1", e1, "left")).replace("]}", ""));
                 while (true) {
                     pieces.acquire(); // one more for each further request
-                    asked.wire().say(" ");
+                    request.wire().say(" ");
                 }
             }
         });
-        serve(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
-        Asked next = agent.next();
-        while (!next.isWhole()) {
-            next = agent.next();
+        serveWithKnownList(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
+        AgentRequest next = agent.nextRequest();
+        while (!next.isForWholeList()) {
+            next = agent.nextRequest();
         }
     }
 
     /** What has left by an answer that breaks off counts; what it does not name any more is there all the same. */
     @Test
-    void ofAnAnswerThatBreaksOffDeparturesCountAndTheWholeListIsAskedFor() throws Exception {
+    void removalsInATruncatedAnswerAreAppliedAndTheWholeListIsRequested() throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
-                begin(asked.wire(), whole(2, entry("e1", e1, "leaving"), entry("e2", e2, "active")), "\"e2\"");
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
+                sendUpTo(request.wire(), wholeList(2, entry("e1", e1, "leaving"), entry("e2", e2, "active")), "\"e2\"");
                 throw new IOException("the agent dies");
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active"), entry("e2", e2, "active")));
-        handIn("a");
+        start(agent, wholeList(1, entry("e1", e1, "active"), entry("e2", e2, "active")));
+        submit("a");
         assertEquals("e2 a", next(calls));
-        assertTrue(agent.next().isWhole());
-        Asked second = agent.next();
-        assertTrue(second.isWhole() || agent.next().isWhole());
+        assertTrue(agent.nextRequest().isForWholeList());
+        AgentRequest second = agent.nextRequest();
+        assertTrue(second.isForWholeList() || agent.nextRequest().isForWholeList());
     }
 
     /** An agent whose whole list is over the bound is heard by its changes, and by the part that is read. */
     @Test
-    void anAgentWithTooLargeAListIsHeardByItsChanges() throws Exception {
+    void changesAreAppliedWhereTheWholeListIsTooLarge() throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
-        CountDownLatch departed = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.isWhole()) {
-                String first = whole(50, entry("e1", e1, "left")).replace("]}", ",");
-                asked.wire().say(head(BOUND + 100_000) + first + " ".repeat(BOUND + 100_000 - first.length()));
-            } else if (asked.isAfter(41)) {
-                departed.await();
-                asked.answer(changes(51, entry("e2", e2, "active")));
+        CountDownLatch removalApplied = new CountDownLatch(1);
+        Agent agent = new Agent(request -> {
+            if (request.isForWholeList()) {
+                String first = wholeList(50, entry("e1", e1, "left")).replace("]}", ",");
+                request.wire()
+                        .say(responseHead(MAX_LIST_BYTES + 100_000)
+                                + first
+                                + " ".repeat(MAX_LIST_BYTES + 100_000 - first.length()));
+            } else if (request.isAfter(41)) {
+                removalApplied.await();
+                request.answer(changes(51, entry("e2", e2, "active")));
             }
         });
-        start(agent, whole(41, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
-        departed.countDown();
-        handIn("a");
+        start(agent, wholeList(41, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
+        removalApplied.countDown();
+        submit("a");
         assertEquals("e2 a", next(calls));
-        assertTrue(agent.next().isWhole());
-        assertTrue(agent.next().isAfter(41));
+        assertTrue(agent.nextRequest().isForWholeList());
+        assertTrue(agent.nextRequest().isAfter(41));
     }
 
     /** The largest list fits the heap of a small machine. */
     @Test
-    void theLargestListFitsASmallHeap() throws Exception {
+    void largestListFitsInASmallHeap() throws Exception {
         String e1 = endpoint("e1");
         String others = IntStream.range(0, 20_000)
                 .mapToObj(i -> entry("s-" + i + "-" + "x".repeat(106), "127.0.0.1:9", "leaving"))
                 .collect(Collectors.joining(","));
-        String list = whole(2, others, entry("e1", e1, "active"));
+        String list = wholeList(2, others, entry("e1", e1, "active"));
         int length = list.getBytes(StandardCharsets.UTF_8).length;
-        assertTrue(length < BOUND && length > BOUND * 9 / 10, "bytes: " + length);
-        Agent agent = new Agent(asked -> {
-            if (asked.isWhole()) {
-                asked.answer(list);
+        assertTrue(length < MAX_LIST_BYTES && length > MAX_LIST_BYTES * 9 / 10, "bytes: " + length);
+        Agent agent = new Agent(request -> {
+            if (request.isForWholeList()) {
+                request.answer(list);
             }
         });
-        Process process = Setup.process(state, text(agent, "null"), "export JAVA_TOOL_OPTIONS=-Xmx64m");
+        Process process =
+                ForwarderSetup.startProcess(state, configText(agent, "null"), "export JAVA_TOOL_OPTIONS=-Xmx64m");
         try {
             var log = process.errorReader();
             String line = log.readLine();
             while (!line.contains("serves at")) {
                 line = log.readLine();
             }
-            Thread drain = new Thread(() -> log.lines().forEach(System.err::println));
-            drain.setDaemon(true);
-            drain.start();
+            Thread logReader = new Thread(() -> log.lines().forEach(System.err::println));
+            logReader.setDaemon(true);
+            logReader.start();
             int port = Integer.parseInt(line.replaceAll(".*:(\\d+)]", "$1"));
-            try (Wire client = Wire.to(new java.net.InetSocketAddress("127.0.0.1", port))) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
+            try (Wire client = Wire.connect(new java.net.InetSocketAddress("127.0.0.1", port))) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
             }
             assertEquals("e1 a", next(calls));
-            assertTrue(agent.next().isWhole());
-            Asked second = agent.next();
-            while (second.isWhole()) {
-                second = agent.next();
+            assertTrue(agent.nextRequest().isForWholeList());
+            AgentRequest second = agent.nextRequest();
+            while (second.isForWholeList()) {
+                second = agent.nextRequest();
             }
             assertTrue(second.isAfter(2));
         } finally {
--- a/src/test/java/lilaclever/program/DiscoverySlowTest.java
+++ b/src/test/java/lilaclever/program/DiscoverySlowTest.java
@@ -7,90 +7,90 @@
 import org.junit.jupiter.api.Test;
 
 /** Agents whose answers come late: requests are counted by the test, so that late means after the next ones. */
-class DiscoverySlowTest extends DiscoveryRig {
-    private static final long LONGEST_SPAN_NANOS = 3_000_000_000L, LEAST_SPAN_NANOS = 2_900_000_000L;
+class DiscoverySlowTest extends DiscoveryFixture {
+    private static final long MAX_OPEN_NANOS = 3_000_000_000L, MIN_OPEN_NANOS = 2_900_000_000L;
 
     /** Where each look takes longer than looks are waited for, the first is answered all the same. */
     @Test
-    void aSlowAnswerIsHeard() throws Exception {
+    void answerSlowerThanThePollTimeoutIsUsed() throws Exception {
         String e1 = endpoint("e1");
-        CountDownLatch third = new CountDownLatch(3);
-        Agent agent = new Agent(asked -> {
-            third.countDown();
-            if (asked.number() == 1) {
-                third.await();
-                asked.answer(whole(2));
+        CountDownLatch thirdRequest = new CountDownLatch(3);
+        Agent agent = new Agent(request -> {
+            thirdRequest.countDown();
+            if (request.number() == 1) {
+                thirdRequest.await();
+                request.answer(wholeList(2));
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
-        Asked watch = agent.next();
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
+        AgentRequest watch = agent.nextRequest();
         while (!watch.isWatch()) {
-            watch = agent.next();
+            watch = agent.nextRequest();
         }
         assertTrue(watch.isAfter(2), "an agent that is slow is watched as any other");
     }
 
     /** A watch whose change comes late is heard, though discovery is already asked again. */
     @Test
-    void aLateWatchIsHeard() throws Exception {
+    void lateWatchAnswerIsUsedAfterANewPoll() throws Exception {
         String e1 = endpoint("e1");
-        CountDownLatch lookedAgain = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.isWatch()) {
-                lookedAgain.await();
-                asked.answer(changes(2, entry("e1", e1, "left")));
+        CountDownLatch polledAgain = new CountDownLatch(1);
+        Agent agent = new Agent(request -> {
+            if (request.isWatch()) {
+                polledAgain.await();
+                request.answer(changes(2, entry("e1", e1, "left")));
             } else {
-                lookedAgain.countDown();
+                polledAgain.countDown();
             }
         });
-        serve(agent, whole(1, entry("e1", e1, "active")));
-        until("entries_endpoints 0");
+        serveWithKnownList(agent, wholeList(1, entry("e1", e1, "active")));
+        awaitCounter("entries_endpoints 0");
     }
 
     /** An answer that comes later than that of a later request is older, and takes the watch back nowhere. */
     @Test
-    void anOvertakenAnswerChangesNothing() throws Exception {
+    void answerOvertakenByALaterOneIsIgnored() throws Exception {
         String e1 = endpoint("e1");
         String e2 = endpoint("e2");
         CountDownLatch overtaken = new CountDownLatch(1);
         CountDownLatch answered = new CountDownLatch(1);
-        Agent agent = new Agent(asked -> {
-            if (asked.number() == 1) {
+        Agent agent = new Agent(request -> {
+            if (request.number() == 1) {
                 overtaken.await();
-                asked.answer(whole(2, entry("e1", e1, "active"), entry("e2", e2, "active")));
+                request.answer(wholeList(2, entry("e1", e1, "active"), entry("e2", e2, "active")));
                 answered.countDown();
-            } else if (asked.number() == 2) {
-                asked.answer(whole(3, entry("e2", e2, "active")));
-            } else if (asked.isAfter(3)) {
+            } else if (request.number() == 2) {
+                request.answer(wholeList(3, entry("e2", e2, "active")));
+            } else if (request.isAfter(3)) {
                 overtaken.countDown();
                 answered.await();
-                asked.answer(changes(4));
+                request.answer(changes(4));
             }
         });
-        start(agent, whole(1, entry("e1", e1, "active")));
-        assertTrue(agent.next().isWhole());
-        assertTrue(agent.next().isWhole());
-        assertTrue(agent.next().isAfter(3));
-        assertTrue(agent.next().isAfter(4));
-        handIn("a");
+        start(agent, wholeList(1, entry("e1", e1, "active")));
+        assertTrue(agent.nextRequest().isForWholeList());
+        assertTrue(agent.nextRequest().isForWholeList());
+        assertTrue(agent.nextRequest().isAfter(3));
+        assertTrue(agent.nextRequest().isAfter(4));
+        submit("a");
         assertEquals("e2 a", next(calls));
     }
 
     /** A silent agent gets a request anew again and again; beside it one late request is open, for 3 s at most. */
     @Test
-    void oneLateRequestStaysOpenAndNotForEver() throws Exception {
-        Agent agent = new Agent(asked -> {});
-        serve(agent, "null");
-        agent.next();
+    void oneLateRequestStaysOpenForALimitedTime() throws Exception {
+        Agent agent = new Agent(request -> {});
+        serveWithKnownList(agent, "null");
+        agent.nextRequest();
         long first = System.nanoTime();
         int before = 0;
-        for (int number = next(agent.closed); number != 1; number = next(agent.closed)) {
+        for (int number = next(agent.closedRequests); number != 1; number = next(agent.closedRequests)) {
             assertTrue(number > before, "later ones are closed one after the other");
             before = number;
         }
-        long span = System.nanoTime() - first;
+        long openNanos = System.nanoTime() - first;
         assertTrue(before >= 2, "quick looks were closed before");
-        assertTrue(span >= LEAST_SPAN_NANOS && span < 2 * LONGEST_SPAN_NANOS, "open for " + span + " ns");
+        assertTrue(openNanos >= MIN_OPEN_NANOS && openNanos < 2 * MAX_OPEN_NANOS, "open for " + openNanos + " ns");
     }
 }
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -18,56 +18,56 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 import lilaclever.lab.sockets.Wire;
-import lilaclever.program.DrainAuditor.Answering;
+import lilaclever.program.DrainAuditor.AnswerQuality;
 
 /** A discovery agent on a socket, which tells a forwarder what it has received of the membership, as scripted. */
 final class DrainAgent implements AutoCloseable {
-    private static final Pattern WATCH = Pattern.compile(".*\\?after=(-?\\d+)&wait_ms=(\\d+)");
-    private static final int QUEUE = 50;
-    private static final int BIND_TRIES = 1_000;
-    private static final int PIECE = 1, PIECE_EVERY_MS = 100;
+    private static final Pattern WATCH_TARGET = Pattern.compile(".*\\?after=(-?\\d+)&wait_ms=(\\d+)");
+    private static final int BACKLOG = 50;
+    private static final int BIND_ATTEMPTS = 1_000;
+    private static final int PIECE_CHARS = 1, PIECE_INTERVAL_MILLIS = 100;
     /** More than any forwarder has to read of one list. */
-    private static final int OVERSIZE = 5 << 20;
+    private static final int OVERSIZE_BYTES = 5 << 20;
 
     /** How it answers. */
-    enum Manner {
-        AT_ONCE(Answering.AT_ONCE),
+    enum AgentBehaviour {
+        AT_ONCE(AnswerQuality.AT_ONCE),
         /** Every answer is late by the delay. */
-        SLOW(Answering.POORLY),
+        SLOW(AnswerQuality.POORLY),
         /** Accepts and never answers; learns nothing meanwhile. */
-        SILENT(Answering.SILENT),
+        SILENT(AnswerQuality.SILENT),
         /** Connections are refused; learns nothing meanwhile. */
-        REFUSING(Answering.POORLY),
+        REFUSING(AnswerQuality.POORLY),
         /** Connections are reset once they have asked. */
-        RESETTING(Answering.POORLY),
+        RESETTING(AnswerQuality.POORLY),
         /** The first half of the answer comes, then a byte now and then for as long as the connection lasts. */
-        TRICKLING(Answering.POORLY),
+        TRICKLING(AnswerQuality.POORLY),
         /** The first half of the answer comes, then nothing. */
-        STALLING(Answering.POORLY),
+        STALLING(AnswerQuality.POORLY),
         /** Each connection ends after one answer, without having said so. */
-        CLOSING(Answering.AT_ONCE),
+        CLOSING(AnswerQuality.AT_ONCE),
         /** The first half of the answer comes, then the connection ends. */
-        CUT(Answering.POORLY),
+        CUT(AnswerQuality.POORLY),
         /** 503 instead of a list. */
-        BUSY(Answering.POORLY),
+        BUSY(AnswerQuality.POORLY),
         /** Watches are answered with the whole list. */
-        WHOLE_LISTS(Answering.AT_ONCE),
-        INDENTED(Answering.AT_ONCE),
+        WHOLE_LISTS(AnswerQuality.AT_ONCE),
+        INDENTED(AnswerQuality.AT_ONCE),
         /** Each entry comes twice. */
-        TWICE(Answering.AT_ONCE),
+        TWICE(AnswerQuality.AT_ONCE),
         /** After an entry that is draining or gone comes an older one of the same name that is active. */
-        CONTRADICTING(Answering.POORLY),
+        CONTRADICTING(AnswerQuality.POORLY),
         /** One more entry has no address. */
-        UNREADABLE_ENTRY(Answering.POORLY),
+        UNREADABLE_ENTRY(AnswerQuality.POORLY),
         /** One more entry has a status that the protocol does not name. */
-        UNKNOWN_STATUS(Answering.AT_ONCE),
+        UNKNOWN_STATUS(AnswerQuality.AT_ONCE),
         /** Whole lists are longer than what anybody reads; changes are as ever. */
-        OVERSIZE_WHOLE(Answering.POORLY);
+        OVERSIZE_WHOLE(AnswerQuality.POORLY);
 
-        private final Answering answering;
+        private final AnswerQuality answerQuality;
 
-        Manner(Answering answering) {
-            this.answering = answering;
+        AgentBehaviour(AnswerQuality answerQuality) {
+            this.answerQuality = answerQuality;
         }
     }
 
@@ -76,23 +76,23 @@
     private final int port;
     private ServerSocket server;
     /** Bound and not listening: while connections are refused nobody else gets the port. */
-    private Socket portKept;
+    private Socket portHolder;
 
-    private final Set<Wire> open = ConcurrentHashMap.newKeySet();
-    private volatile Manner manner = Manner.AT_ONCE;
+    private final Set<Wire> openConnections = ConcurrentHashMap.newKeySet();
+    private volatile AgentBehaviour behaviour = AgentBehaviour.AT_ONCE;
     private volatile int delayMs;
     /** Watches that are open now bring nothing any more. */
-    private final Set<Thread> silenced = ConcurrentHashMap.newKeySet();
+    private final Set<Thread> silencedThreads = ConcurrentHashMap.newKeySet();
 
-    private final Set<Thread> watching = ConcurrentHashMap.newKeySet();
+    private final Set<Thread> watchThreads = ConcurrentHashMap.newKeySet();
 
-    private record Numbered(long index, DrainChange change) {}
+    private record IndexedChange(long index, DrainChange change) {}
 
-    private final Map<String, Numbered> latest = new LinkedHashMap<>();
-    private final List<DrainChange> unheard = new ArrayList<>();
+    private final Map<String, IndexedChange> latestByName = new LinkedHashMap<>();
+    private final List<DrainChange> undeliveredChanges = new ArrayList<>();
     private long index;
     /** Changes up to this index are not known one by one. */
-    private long oldest;
+    private long oldestIndex;
 
     private boolean behind;
 
@@ -101,10 +101,10 @@
         this.name = name;
         this.auditor = auditor;
         this.index = firstIndex;
-        this.oldest = firstIndex;
-        this.server = new ServerSocket(0, QUEUE, InetAddress.getLoopbackAddress());
+        this.oldestIndex = firstIndex;
+        this.server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         this.port = server.getLocalPort();
-        has.forEach(this::learn);
+        has.forEach(this::applyChange);
         listen(server);
     }
 
@@ -114,18 +114,18 @@
 
     // ---- what it knows -------------------------------------------------------------------------------------
     /** Discovery tells it a change, which it gets at once, or at its return. */
-    synchronized void tell(DrainChange change) {
-        if (behind || manner == Manner.SILENT || manner == Manner.REFUSING) {
-            unheard.add(change);
+    synchronized void publish(DrainChange change) {
+        if (behind || behaviour == AgentBehaviour.SILENT || behaviour == AgentBehaviour.REFUSING) {
+            undeliveredChanges.add(change);
         } else {
-            learn(change);
+            applyChange(change);
         }
     }
 
-    private synchronized void learn(DrainChange change) {
+    private synchronized void applyChange(DrainChange change) {
         index++;
-        latest.remove(change.name());
-        latest.put(change.name(), new Numbered(index, change));
+        latestByName.remove(change.name());
+        latestByName.put(change.name(), new IndexedChange(index, change));
         auditor.received(name, change, System.nanoTime());
         notifyAll();
     }
@@ -137,24 +137,24 @@
 
     synchronized void catchUp() {
         behind = false;
-        List<DrainChange> all = List.copyOf(unheard);
-        unheard.clear();
-        all.forEach(this::tell);
+        List<DrainChange> all = List.copyOf(undeliveredChanges);
+        undeliveredChanges.clear();
+        all.forEach(this::publish);
     }
 
     /** It starts anew, counts from the given index on, and knows the list as it is but no earlier changes. */
     synchronized void restart(long firstIndex) {
-        List<DrainChange> listed = latest.values().stream()
-                .map(Numbered::change)
+        List<DrainChange> listed = latestByName.values().stream()
+                .map(IndexedChange::change)
                 .filter(x -> x.status() != DrainChange.Status.LEFT)
                 .toList();
-        latest.clear();
+        latestByName.clear();
         index = firstIndex;
         for (DrainChange each : listed) {
-            latest.put(each.name(), new Numbered(++index, each));
+            latestByName.put(each.name(), new IndexedChange(++index, each));
         }
-        oldest = index;
-        open.forEach(Wire::reset);
+        oldestIndex = index;
+        openConnections.forEach(Wire::reset);
         notifyAll();
     }
 
@@ -163,58 +163,59 @@
     }
 
     // ---- how it answers ------------------------------------------------------------------------------------
-    void answers(Manner next) throws IOException {
-        answers(next, 0);
+    void setBehaviour(AgentBehaviour newBehaviour) throws IOException {
+        setBehaviour(newBehaviour, 0);
     }
 
-    void answers(Manner next, int lateByMs) throws IOException {
-        Manner before = manner;
-        delayMs = lateByMs;
-        if (next == Manner.REFUSING) {
-            auditor.answers(name, next.answering, System.nanoTime());
-            manner = next;
+    void setBehaviour(AgentBehaviour newBehaviour, int newDelayMs) throws IOException {
+        AgentBehaviour before = behaviour;
+        delayMs = newDelayMs;
+        if (newBehaviour == AgentBehaviour.REFUSING) {
+            auditor.answerQualityChanged(name, newBehaviour.answerQuality, System.nanoTime());
+            behaviour = newBehaviour;
             server.close();
-            open.forEach(Wire::reset);
-            keepPort();
+            openConnections.forEach(Wire::reset);
+            holdPort();
             return;
         }
-        if (before == Manner.REFUSING) {
-            portKept.close();
+        if (before == AgentBehaviour.REFUSING) {
+            portHolder.close();
             server = new ServerSocket();
             server.setReuseAddress(true);
-            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), QUEUE);
+            server.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), BACKLOG);
             listen(server);
         }
         synchronized (this) {
-            if (before == Manner.REFUSING) { // what it gets just now counts as from one that could not be reached
-                catchUpAs(next);
-                auditor.answers(name, next.answering, System.nanoTime());
+            if (before
+                    == AgentBehaviour.REFUSING) { // what it gets just now counts as from one that could not be reached
+                catchUpWith(newBehaviour);
+                auditor.answerQualityChanged(name, newBehaviour.answerQuality, System.nanoTime());
             } else {
-                auditor.answers(name, next.answering, System.nanoTime());
-                catchUpAs(next);
+                auditor.answerQualityChanged(name, newBehaviour.answerQuality, System.nanoTime());
+                catchUpWith(newBehaviour);
             }
         }
     }
 
-    private void keepPort() throws IOException {
-        for (int tries = BIND_TRIES; ; tries--) {
-            portKept = new Socket();
-            portKept.setReuseAddress(true);
+    private void holdPort() throws IOException {
+        for (int attemptsLeft = BIND_ATTEMPTS; ; attemptsLeft--) {
+            portHolder = new Socket();
+            portHolder.setReuseAddress(true);
             try {
-                portKept.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
+                portHolder.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
                 return;
             } catch (BindException e) { // the thread that accepts has not let go of it yet
-                portKept.close();
-                if (tries == 0) {
+                portHolder.close();
+                if (attemptsLeft == 0) {
                     throw e;
                 }
-                LockSupport.parkNanos(DrainAuditor.MS);
+                LockSupport.parkNanos(DrainAuditor.NANOS_PER_MILLI);
             }
         }
     }
 
-    private void catchUpAs(Manner next) {
-        manner = next;
+    private void catchUpWith(AgentBehaviour newBehaviour) {
+        behaviour = newBehaviour;
         if (!behind) {
             catchUp();
         }
@@ -223,76 +224,78 @@
     /** All watches that are open fall silent; a new one is answered. */
     synchronized void silenceWatches() {
         auditor.watchFellSilent(name, System.nanoTime());
-        silenced.addAll(watching);
+        silencedThreads.addAll(watchThreads);
     }
 
     private void listen(ServerSocket on) {
-        DrainThreads.start("agent " + name, () -> {
+        StandInThreads.start("agent " + name, () -> {
             while (true) {
                 Socket socket = on.accept();
-                DrainThreads.start("watch of " + name, () -> serve(socket));
+                StandInThreads.start("watch of " + name, () -> serve(socket));
             }
         });
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
         Wire wire = new Wire(socket);
-        open.add(wire);
+        openConnections.add(wire);
         try (wire) {
-            for (Wire.Head asked = wire.read(); asked != null; asked = wire.read()) {
-                if (asked.method().equals("POST")) {
+            for (Wire.Head request = wire.read(); request != null; request = wire.read()) {
+                if (request.method().equals("POST")) {
                     wire.answer("204 No Content", "");
-                } else if (!answer(wire, asked.target())) {
+                } else if (!answer(wire, request.target())) {
                     return;
                 }
             }
         } finally {
-            open.remove(wire);
-            silenced.remove(Thread.currentThread());
+            openConnections.remove(wire);
+            silencedThreads.remove(Thread.currentThread());
         }
     }
 
     /** False if the connection is to be closed. */
     private boolean answer(Wire wire, String target) throws IOException, InterruptedException {
-        if (manner == Manner.RESETTING) {
+        if (behaviour == AgentBehaviour.RESETTING) {
             wire.reset();
             return false;
         }
-        Matcher watch = WATCH.matcher(target);
-        String list =
-                watch.matches() ? waitFor(Long.parseLong(watch.group(1)), Integer.parseInt(watch.group(2))) : whole();
-        Manner now = manner;
-        if (now == Manner.SLOW) {
+        Matcher watch = WATCH_TARGET.matcher(target);
+        String list = watch.matches()
+                ? awaitChanges(Long.parseLong(watch.group(1)), Integer.parseInt(watch.group(2)))
+                : wholeList();
+        AgentBehaviour current = behaviour;
+        if (current == AgentBehaviour.SLOW) {
             Thread.sleep(delayMs); // stands for an agent that has no processor time
         }
-        if (now == Manner.SILENT || silenced.contains(Thread.currentThread())) {
+        if (current == AgentBehaviour.SILENT || silencedThreads.contains(Thread.currentThread())) {
             Thread.sleep(Long.MAX_VALUE);
         }
-        return say(wire, now, list);
+        return sendAnswer(wire, current, list);
     }
 
-    private static boolean say(Wire wire, Manner now, String list) throws IOException, InterruptedException {
-        String all = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
-        int half = all.length() - list.length() / 2;
-        switch (now) {
+    private static boolean sendAnswer(Wire wire, AgentBehaviour current, String list)
+            throws IOException, InterruptedException {
+        String response = "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
+        int half = response.length() - list.length() / 2;
+        switch (current) {
             case CUT -> {
-                wire.say(all.substring(0, half));
+                wire.say(response.substring(0, half));
                 return false;
             }
             case STALLING -> {
-                wire.say(all.substring(0, half));
+                wire.say(response.substring(0, half));
                 Thread.sleep(Long.MAX_VALUE);
                 return false;
             }
             case CLOSING -> {
-                wire.say(all);
+                wire.say(response);
                 return false;
             }
             case TRICKLING -> {
-                wire.say(all.substring(0, half));
-                for (int at = half; at < all.length(); at += PIECE) {
-                    Thread.sleep(PIECE_EVERY_MS); // stands for a slow network
-                    wire.say(all.substring(at, Math.min(all.length(), at + PIECE)));
+                wire.say(response.substring(0, half));
+                for (int at = half; at < response.length(); at += PIECE_CHARS) {
+                    Thread.sleep(PIECE_INTERVAL_MILLIS); // stands for a slow network
+                    wire.say(response.substring(at, Math.min(response.length(), at + PIECE_CHARS)));
                 }
                 return true;
             }
@@ -301,48 +304,48 @@
                 return true;
             }
             default -> {
-                wire.say(all);
+                wire.say(response);
                 return true;
             }
         }
     }
 
-    private synchronized String waitFor(long after, int waitMs) throws InterruptedException {
-        watching.add(Thread.currentThread());
+    private synchronized String awaitChanges(long after, int waitMs) throws InterruptedException {
+        watchThreads.add(Thread.currentThread());
         try {
-            long end = System.nanoTime() + waitMs * DrainAuditor.MS;
+            long end = System.nanoTime() + waitMs * DrainAuditor.NANOS_PER_MILLI;
             for (long left = waitMs; index <= after && left > 0; ) {
                 wait(left);
-                left = (end - System.nanoTime()) / DrainAuditor.MS;
+                left = (end - System.nanoTime()) / DrainAuditor.NANOS_PER_MILLI;
             }
         } finally {
-            watching.remove(Thread.currentThread());
+            watchThreads.remove(Thread.currentThread());
         }
-        if (after > index || after < oldest || manner == Manner.WHOLE_LISTS) {
-            return whole();
+        if (after > index || after < oldestIndex || behaviour == AgentBehaviour.WHOLE_LISTS) {
+            return wholeList();
         }
-        return text(
+        return listJson(
                 false,
-                latest.values().stream()
+                latestByName.values().stream()
                         .filter(x -> x.index() > after)
-                        .map(Numbered::change)
+                        .map(IndexedChange::change)
                         .toList());
     }
 
     /** The whole list as it is now. */
-    synchronized String whole() {
-        return text(
+    synchronized String wholeList() {
+        return listJson(
                 true,
-                latest.values().stream()
-                        .map(Numbered::change)
+                latestByName.values().stream()
+                        .map(IndexedChange::change)
                         .filter(x -> x.status() != DrainChange.Status.LEFT)
                         .toList());
     }
 
-    private String text(boolean whole, List<DrainChange> changes) {
-        Manner now = manner;
-        String entries = changes.stream().flatMap(x -> entries(now, x)).collect(Collectors.joining(","));
-        String more = switch (now) {
+    private String listJson(boolean whole, List<DrainChange> changes) {
+        AgentBehaviour current = behaviour;
+        String entries = changes.stream().flatMap(x -> entries(current, x)).collect(Collectors.joining(","));
+        String more = switch (current) {
             case UNREADABLE_ENTRY -> "{\"name\":\"broken\",\"group\":7,\"status\":\"active\"}";
             case UNKNOWN_STATUS ->
                 "{\"name\":\"resting\",\"address\":\"127.0.0.1:9\",\"zone\":\"z\",\"type\":\"lab\","
@@ -351,10 +354,10 @@
         };
         String list = "{\"index\":" + index + ",\"snapshot\":" + whole + ",\"endpoints\":["
                 + Stream.of(entries, more).filter(x -> !x.isEmpty()).collect(Collectors.joining(",")) + "]}";
-        if (now == Manner.OVERSIZE_WHOLE && whole) {
-            return list + " ".repeat(OVERSIZE);
+        if (current == AgentBehaviour.OVERSIZE_WHOLE && whole) {
+            return list + " ".repeat(OVERSIZE_BYTES);
         }
-        return now == Manner.INDENTED
+        return current == AgentBehaviour.INDENTED
                 ? list.replace("{", "{\n  ")
                         .replace(",", ",\n  ")
                         .replace(":", " : ")
@@ -362,8 +365,8 @@
                 : list;
     }
 
-    private static Stream<String> entries(Manner now, DrainChange change) {
-        return switch (now) {
+    private static Stream<String> entries(AgentBehaviour current, DrainChange change) {
+        return switch (current) {
             case TWICE -> Stream.of(change.json(), change.json());
             case CONTRADICTING ->
                 change.isActive()
@@ -384,6 +387,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        open.forEach(Wire::reset);
+        openConnections.forEach(Wire::reset);
     }
 }
--- a/src/test/java/lilaclever/program/DrainAuditor.java
+++ b/src/test/java/lilaclever/program/DrainAuditor.java
@@ -32,13 +32,14 @@
  * is told"; "Every time limit is 50 ms longer" on sockets; "the time of a send counts from its first byte".
  */
 final class DrainAuditor {
-    static final long MS = 1_000_000;
-    static final long GRACE = 500 * MS, SOCKET_SLACK = 50 * MS;
-    static final long AT_THE_LATEST = 6_000 * MS, AFTER_RELOAD = 4_000 * MS;
+    static final long NANOS_PER_MILLI = 1_000_000;
+    static final long GRACE_NANOS = 500 * NANOS_PER_MILLI, SOCKET_TOLERANCE_NANOS = 50 * NANOS_PER_MILLI;
+    static final long MAX_NOTIFICATION_DELAY_NANOS = 6_000 * NANOS_PER_MILLI,
+            RELOAD_NOTIFICATION_DELAY_NANOS = 4_000 * NANOS_PER_MILLI;
     private static final long NEVER = Long.MAX_VALUE / 2;
 
     /** How an agent answers. */
-    enum Answering {
+    enum AnswerQuality {
         AT_ONCE,
         /** Late, not at all with an answer that can be read, or by refusing connections. */
         POORLY,
@@ -49,99 +50,100 @@
     record Violation(String call, Target target, DrainChange change, long lateNanos) {
         @Override
         public String toString() {
-            return "call " + call + " to " + target + " " + lateNanos / MS + " ms after the grace of " + change;
+            return "call " + call + " to " + target + " " + lateNanos / NANOS_PER_MILLI + " ms after the grace of "
+                    + change;
         }
     }
 
-    private record Truth(DrainChange change, long at) {}
+    private record MembershipChange(DrainChange change, long at) {}
 
-    private record Received(String agent, long version, long at) {}
+    private record ReceivedChange(String agent, long version, long at) {}
 
-    private record Period(String agent, Answering answering, long from) {}
+    private record AnswerPeriod(String agent, AnswerQuality answerQuality, long from) {}
 
     /** From when a process watched an agent. */
     private record Watch(String agent, long from, boolean reloaded) {}
 
-    private record Written(String call, Target target, long firstByte) {}
+    private record WrittenCall(String call, Target target, long firstByte) {}
 
-    private static final class Life {
+    private static final class ProcessRun {
         final long start;
         long end = NEVER;
         final List<Watch> watches = new ArrayList<>();
 
-        Life(long start) {
+        ProcessRun(long start) {
             this.start = start;
         }
     }
 
-    private final List<Truth> truths = new ArrayList<>();
-    private final List<Received> received = new ArrayList<>();
-    private final List<Period> periods = new ArrayList<>();
-    private final Map<String, Long> silentWatches = new LinkedHashMap<>();
-    private final List<Life> lives = new ArrayList<>();
-    private final List<Written> written = new ArrayList<>();
+    private final List<MembershipChange> membershipChanges = new ArrayList<>();
+    private final List<ReceivedChange> receivedChanges = new ArrayList<>();
+    private final List<AnswerPeriod> answerPeriods = new ArrayList<>();
+    private final Map<String, Long> watchesSilentSince = new LinkedHashMap<>();
+    private final List<ProcessRun> processRuns = new ArrayList<>();
+    private final List<WrittenCall> writtenCalls = new ArrayList<>();
 
     /** Discovery has a change. */
     synchronized void changed(DrainChange change, long at) {
-        truths.add(new Truth(change, at));
+        membershipChanges.add(new MembershipChange(change, at));
     }
 
     /** An agent has got a change. */
     synchronized void received(String agent, DrainChange change, long at) {
-        received.add(new Received(agent, change.version(), at));
+        receivedChanges.add(new ReceivedChange(agent, change.version(), at));
     }
 
     /** An agent answers in this way from now on; before the first of these it answers at once. */
-    synchronized void answers(String agent, Answering answering, long from) {
-        periods.add(new Period(agent, answering, from));
+    synchronized void answerQualityChanged(String agent, AnswerQuality answerQuality, long from) {
+        answerPeriods.add(new AnswerPeriod(agent, answerQuality, from));
     }
 
     /** The watches that are open at the agent bring nothing any more. */
     synchronized void watchFellSilent(String agent, long at) {
-        silentWatches.put(agent, at);
+        watchesSilentSince.put(agent, at);
     }
 
     /** A process of the forwarder starts, and watches this agent. */
     synchronized void started(String agent, long at) {
-        Life life = new Life(at);
-        life.watches.add(new Watch(agent, at, false));
-        lives.add(life);
+        ProcessRun processRun = new ProcessRun(at);
+        processRun.watches.add(new Watch(agent, at, false));
+        processRuns.add(processRun);
     }
 
     /** The process that was started last has been told to watch another agent. */
     synchronized void reloaded(String agent, long at) {
-        lives.get(lives.size() - 1).watches.add(new Watch(agent, at, true));
+        processRuns.get(processRuns.size() - 1).watches.add(new Watch(agent, at, true));
     }
 
     /** The process that was started last has ended. */
     synchronized void ended(long at) {
-        lives.get(lives.size() - 1).end = at;
+        processRuns.get(processRuns.size() - 1).end = at;
     }
 
     /** The first byte of a call has come. */
     synchronized void called(String call, Target target, long firstByte) {
-        written.add(new Written(call, target, firstByte));
+        writtenCalls.add(new WrittenCall(call, target, firstByte));
     }
 
-    synchronized int calls() {
-        return written.size();
+    synchronized int callCount() {
+        return writtenCalls.size();
     }
 
     /** The first byte of the first call to each target since the moment. */
     synchronized Map<Target, Long> firstCallsSince(long from) {
-        return written.stream()
+        return writtenCalls.stream()
                 .filter(x -> x.firstByte() >= from)
-                .collect(Collectors.toMap(Written::target, Written::firstByte, Math::min));
+                .collect(Collectors.toMap(WrittenCall::target, WrittenCall::firstByte, Math::min));
     }
 
     /** How many calls each target got. */
     synchronized Map<Target, Long> callsByTarget() {
-        return written.stream().collect(Collectors.groupingBy(Written::target, Collectors.counting()));
+        return writtenCalls.stream().collect(Collectors.groupingBy(WrittenCall::target, Collectors.counting()));
     }
 
     /** Calls whose first byte came at or after the moment. */
     synchronized long callsSince(Target target, long from) {
-        return written.stream()
+        return writtenCalls.stream()
                 .filter(x -> x.target().equals(target) && x.firstByte() >= from)
                 .count();
     }
@@ -149,14 +151,17 @@
     /** All calls that were written too late. */
     synchronized List<Violation> violations() {
         List<Violation> all = new ArrayList<>();
-        for (Written each : written) {
-            Truth barring = barring(each);
-            if (barring == null) {
+        for (WrittenCall each : writtenCalls) {
+            MembershipChange excluding = excludingChange(each);
+            if (excluding == null) {
                 continue;
             }
-            long late = each.firstByte() - (toldAt(barring.change(), lifeAt(each.firstByte())) + GRACE + SOCKET_SLACK);
-            if (late > 0) {
-                all.add(new Violation(each.call(), each.target(), barring.change(), late));
+            long lateNanos = each.firstByte()
+                    - (notifiedAt(excluding.change(), processRunAt(each.firstByte()))
+                            + GRACE_NANOS
+                            + SOCKET_TOLERANCE_NANOS);
+            if (lateNanos > 0) {
+                all.add(new Violation(each.call(), each.target(), excluding.change(), lateNanos));
             }
         }
         return all;
@@ -164,8 +169,8 @@
 
     /** Calls to where no list had named an active endpoint of that group until then: the wrong destination. */
     synchronized List<String> misdirected() {
-        return written.stream()
-                .filter(call -> truths.stream()
+        return writtenCalls.stream()
+                .filter(call -> membershipChanges.stream()
                         .noneMatch(x -> x.at() <= call.firstByte()
                                 && x.change().isActive()
                                 && x.change().target().equals(call.target())))
@@ -174,83 +179,84 @@
     }
 
     /** The change since which the target takes no calls, or null: the first one since it was listed as active. */
-    private Truth barring(Written call) {
-        Truth barring = null;
-        Truth listed = null;
-        for (Truth truth : truths) {
-            if (truth.at() > call.firstByte()) {
+    private MembershipChange excludingChange(WrittenCall call) {
+        MembershipChange excluding = null;
+        MembershipChange listed = null;
+        for (MembershipChange change : membershipChanges) {
+            if (change.at() > call.firstByte()) {
                 break;
             }
-            boolean here = truth.change().target().equals(call.target());
-            if (here && truth.change().isActive()) {
-                listed = truth;
-                barring = null;
+            boolean here = change.change().target().equals(call.target());
+            if (here && change.change().isActive()) {
+                listed = change;
+                excluding = null;
             } else if (listed != null
-                    && barring == null
-                    && truth.change().name().equals(listed.change().name())) {
-                barring = truth; // draining, gone, or listed with another address or group
+                    && excluding == null
+                    && change.change().name().equals(listed.change().name())) {
+                excluding = change; // draining, gone, or listed with another address or group
             }
         }
-        return barring;
+        return excluding;
     }
 
-    private int lifeAt(long at) {
+    private int processRunAt(long at) {
         int last = 0;
-        for (int i = 0; i < lives.size(); i++) {
-            last = lives.get(i).start <= at ? i : last;
+        for (int i = 0; i < processRuns.size(); i++) {
+            last = processRuns.get(i).start <= at ? i : last;
         }
         return last;
     }
 
     /** When a change counts as told to the process with this number. */
-    private long toldAt(DrainChange change, int life) {
-        Life now = lives.get(life);
-        long told = NEVER;
-        for (int i = 0; i < now.watches.size(); i++) {
-            Watch watch = now.watches.get(i);
-            long until = i + 1 < now.watches.size() ? now.watches.get(i + 1).from() : now.end;
-            for (Received x : received) {
+    private long notifiedAt(DrainChange change, int runNumber) {
+        ProcessRun run = processRuns.get(runNumber);
+        long notified = NEVER;
+        for (int i = 0; i < run.watches.size(); i++) {
+            Watch watch = run.watches.get(i);
+            long until = i + 1 < run.watches.size() ? run.watches.get(i + 1).from() : run.end;
+            for (ReceivedChange x : receivedChanges) {
                 if (x.agent().equals(watch.agent()) && x.version() == change.version()) {
-                    long by = toldBy(watch, x.at());
-                    told = by < until ? Math.min(told, by) : told;
+                    long by = notifiedByWatchAt(watch, x.at());
+                    notified = by < until ? Math.min(notified, by) : notified;
                 }
             }
         }
-        if (life > 0 && toldAt(change, life - 1) < lives.get(life - 1).end) {
-            told = Math.min(told, now.start);
+        if (runNumber > 0 && notifiedAt(change, runNumber - 1) < processRuns.get(runNumber - 1).end) {
+            notified = Math.min(notified, run.start);
         }
-        return told;
+        return notified;
     }
 
     /** When what an agent received at this moment counts as told by this watch of it. */
-    private long toldBy(Watch watch, long receivedAt) {
+    private long notifiedByWatchAt(Watch watch, long receivedAt) {
         long reachable = Math.max(receivedAt, watch.from());
-        long told = watch.reloaded() ? Math.max(receivedAt, watch.from() + AFTER_RELOAD) : reachable;
-        Period period = periodAt(watch.agent(), reachable);
-        if (period.answering() == Answering.POORLY) {
-            told = Math.max(told, reachable + AT_THE_LATEST);
-        } else if (period.answering() == Answering.SILENT) {
-            told = Math.max(told, endOf(period));
+        long notified =
+                watch.reloaded() ? Math.max(receivedAt, watch.from() + RELOAD_NOTIFICATION_DELAY_NANOS) : reachable;
+        AnswerPeriod period = periodAt(watch.agent(), reachable);
+        if (period.answerQuality() == AnswerQuality.POORLY) {
+            notified = Math.max(notified, reachable + MAX_NOTIFICATION_DELAY_NANOS);
+        } else if (period.answerQuality() == AnswerQuality.SILENT) {
+            notified = Math.max(notified, endOf(period));
         }
-        Long silent = silentWatches.get(watch.agent());
+        Long silent = watchesSilentSince.get(watch.agent());
         if (silent != null && silent >= watch.from() && silent <= receivedAt) {
-            told = Math.max(told, silent + AT_THE_LATEST);
+            notified = Math.max(notified, silent + MAX_NOTIFICATION_DELAY_NANOS);
         }
-        return told;
+        return notified;
     }
 
-    private Period periodAt(String agent, long at) {
-        Period last = new Period(agent, Answering.AT_ONCE, 0);
-        for (Period period : periods) {
+    private AnswerPeriod periodAt(String agent, long at) {
+        AnswerPeriod last = new AnswerPeriod(agent, AnswerQuality.AT_ONCE, 0);
+        for (AnswerPeriod period : answerPeriods) {
             last = period.agent().equals(agent) && period.from() <= at ? period : last;
         }
         return last;
     }
 
-    private long endOf(Period silence) {
-        return periods.stream()
-                .filter(x -> x.agent().equals(silence.agent()) && x.from() > silence.from())
-                .mapToLong(Period::from)
+    private long endOf(AnswerPeriod silentPeriod) {
+        return answerPeriods.stream()
+                .filter(x -> x.agent().equals(silentPeriod.agent()) && x.from() > silentPeriod.from())
+                .mapToLong(AnswerPeriod::from)
                 .min()
                 .orElse(NEVER);
     }
--- a/src/test/java/lilaclever/program/DrainAuditorTest.java
+++ b/src/test/java/lilaclever/program/DrainAuditorTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import java.util.List;
-import lilaclever.program.DrainAuditor.Answering;
+import lilaclever.program.DrainAuditor.AnswerQuality;
 import lilaclever.program.DrainChange.Status;
 import lilaclever.program.DrainChange.Target;
 import org.junit.jupiter.api.BeforeEach;
@@ -11,9 +11,9 @@
 
 /** The auditor itself: it reports a call that is too late, accepts one in time, and knows when a change is told. */
 class DrainAuditorTest {
-    private static final long MS = DrainAuditor.MS;
+    private static final long NANOS_PER_MILLI = DrainAuditor.NANOS_PER_MILLI;
     /** Grace and slack of sockets. */
-    private static final long GRACE_MS = 550;
+    private static final long GRACE_AND_TOLERANCE_MILLIS = 550;
 
     private final DrainAuditor auditor = new DrainAuditor();
     private int calls;
@@ -23,124 +23,124 @@
     }
 
     @BeforeEach
-    void listed() {
+    void startWithListedEndpoint() {
         change("a", 1, Status.ACTIVE, 0);
-        auditor.started("a", 10 * MS);
+        auditor.started("a", 10 * NANOS_PER_MILLI);
     }
 
     private void change(String agent, int version, Status status, long atMs) {
-        auditor.changed(change(version, status), atMs * MS);
-        auditor.received(agent, change(version, status), atMs * MS);
+        auditor.changed(change(version, status), atMs * NANOS_PER_MILLI);
+        auditor.received(agent, change(version, status), atMs * NANOS_PER_MILLI);
     }
 
-    private void call(long atMs) {
-        auditor.called("m" + ++calls, new Target("here", 7), atMs * MS);
+    private void callAt(long atMs) {
+        auditor.called("m" + ++calls, new Target("here", 7), atMs * NANOS_PER_MILLI);
     }
 
     /** The last moment at which a call may come, in milliseconds: a call is tried then, and one just after. */
-    private void assertLastCall(long atMs) {
-        call(atMs);
+    private void assertLastAllowedCall(long atMs) {
+        callAt(atMs);
         assertEquals(List.of(), auditor.violations(), "in time");
-        call(atMs + 1);
+        callAt(atMs + 1);
         List<DrainAuditor.Violation> found = auditor.violations();
         assertEquals(1, found.size(), "one is too late");
         assertEquals("m" + calls, found.get(0).call());
-        assertEquals(MS, found.get(0).lateNanos());
+        assertEquals(NANOS_PER_MILLI, found.get(0).lateNanos());
     }
 
     @Test
-    void anAgentThatAnswersHasToldAtOnce() {
+    void changeAtAnAnsweringAgentCountsAtOnce() {
         change("a", 2, Status.LEAVING, 1_000);
-        assertLastCall(1_000 + GRACE_MS);
+        assertLastAllowedCall(1_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void theFirstSignThatItLeavesCounts() {
+    void graceStartsWithTheFirstSignOfRemoval() {
         change("a", 2, Status.LEAVING, 1_000);
         change("a", 3, Status.LEFT, 1_400);
-        assertLastCall(1_000 + GRACE_MS);
+        assertLastAllowedCall(1_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void oneThatIsBackTakesCalls() {
+    void relistedEndpointTakesCalls() {
         change("a", 2, Status.LEAVING, 1_000);
         change("a", 3, Status.ACTIVE, 2_000);
-        call(2_001);
+        callAt(2_001);
         change("a", 4, Status.LEFT, 3_000);
-        assertLastCall(3_000 + GRACE_MS);
+        assertLastAllowedCall(3_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void aNewProcessKnowsWhatWasToldBefore() {
+    void graceOfAnEarlierChangeStartsWithTheNewProcess() {
         change("a", 2, Status.LEAVING, 1_000);
-        auditor.ended(1_200 * MS);
-        auditor.started("a", 3_000 * MS);
-        assertLastCall(3_000 + GRACE_MS);
+        auditor.ended(1_200 * NANOS_PER_MILLI);
+        auditor.started("a", 3_000 * NANOS_PER_MILLI);
+        assertLastAllowedCall(3_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void whatAnEarlierProcessWasToldIsToldThoughTheAgentIsSilent() {
+    void changeKnownToAnEarlierProcessCountsThoughTheAgentIsSilent() {
         change("a", 2, Status.LEAVING, 1_000);
-        auditor.ended(1_200 * MS);
-        auditor.answers("a", Answering.SILENT, 1_300 * MS);
-        auditor.started("a", 3_000 * MS);
-        assertLastCall(3_000 + GRACE_MS);
+        auditor.ended(1_200 * NANOS_PER_MILLI);
+        auditor.answerQualityChanged("a", AnswerQuality.SILENT, 1_300 * NANOS_PER_MILLI);
+        auditor.started("a", 3_000 * NANOS_PER_MILLI);
+        assertLastAllowedCall(3_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void whatASilentAgentToldNobodyCountsFromItsReturn() {
-        auditor.ended(900 * MS);
+    void changeAtASilentAgentCountsFromItsReturn() {
+        auditor.ended(900 * NANOS_PER_MILLI);
         change("a", 2, Status.LEAVING, 1_000);
-        auditor.answers("a", Answering.SILENT, 1_300 * MS);
-        auditor.started("a", 3_000 * MS);
-        auditor.answers("a", Answering.AT_ONCE, 7_000 * MS);
-        assertLastCall(7_000 + GRACE_MS);
+        auditor.answerQualityChanged("a", AnswerQuality.SILENT, 1_300 * NANOS_PER_MILLI);
+        auditor.started("a", 3_000 * NANOS_PER_MILLI);
+        auditor.answerQualityChanged("a", AnswerQuality.AT_ONCE, 7_000 * NANOS_PER_MILLI);
+        assertLastAllowedCall(7_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void anAgentThatAnswersPoorlyHasToldAfterSixSeconds() {
-        auditor.answers("a", Answering.POORLY, 500 * MS);
+    void changeAtAPoorlyAnsweringAgentCountsAfterSixSeconds() {
+        auditor.answerQualityChanged("a", AnswerQuality.POORLY, 500 * NANOS_PER_MILLI);
         change("a", 2, Status.LEAVING, 1_000);
-        assertLastCall(7_000 + GRACE_MS);
+        assertLastAllowedCall(7_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void aWatchThatFellSilentHasToldSixSecondsAfterThat() {
-        auditor.watchFellSilent("a", 500 * MS);
+    void changeMissedByASilentWatchCountsAfterSixSeconds() {
+        auditor.watchFellSilent("a", 500 * NANOS_PER_MILLI);
         change("a", 2, Status.LEAVING, 1_000);
-        assertLastCall(6_500 + GRACE_MS);
+        assertLastAllowedCall(6_500 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void afterASighupWhatOnlyTheNewAgentHasCountsFourSecondsLater() {
-        auditor.changed(change(2, Status.LEAVING), 1_000 * MS);
-        auditor.received("b", change(2, Status.LEAVING), 1_000 * MS);
-        auditor.reloaded("b", 2_000 * MS);
-        assertLastCall(6_000 + GRACE_MS);
+    void changeKnownOnlyToTheNewAgentCountsFourSecondsAfterSighup() {
+        auditor.changed(change(2, Status.LEAVING), 1_000 * NANOS_PER_MILLI);
+        auditor.received("b", change(2, Status.LEAVING), 1_000 * NANOS_PER_MILLI);
+        auditor.reloaded("b", 2_000 * NANOS_PER_MILLI);
+        assertLastAllowedCall(6_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void afterASighupWhatTheOldAgentToldStaysTold() {
+    void changeKnownToTheOldAgentStillCountsAfterSighup() {
         change("a", 2, Status.LEAVING, 1_000);
-        auditor.reloaded("b", 1_100 * MS);
-        assertLastCall(1_000 + GRACE_MS);
+        auditor.reloaded("b", 1_100 * NANOS_PER_MILLI);
+        assertLastAllowedCall(1_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     /** An id that gets another address or group takes no calls any more where it was. */
     @Test
-    void theOldAddressAndTheOldGroupTakeNoCalls() {
+    void oldAddressAndOldGroupTakeNoCalls() {
         DrainChange moved = new DrainChange(2, "e1", "there", 7, Status.ACTIVE);
-        auditor.changed(moved, 1_000 * MS);
-        auditor.received("a", moved, 1_000 * MS);
-        auditor.called("other", new Target("there", 7), 9_000 * MS);
-        assertLastCall(1_000 + GRACE_MS);
+        auditor.changed(moved, 1_000 * NANOS_PER_MILLI);
+        auditor.received("a", moved, 1_000 * NANOS_PER_MILLI);
+        auditor.called("other", new Target("there", 7), 9_000 * NANOS_PER_MILLI);
+        assertLastAllowedCall(1_000 + GRACE_AND_TOLERANCE_MILLIS);
     }
 
     @Test
-    void aCallToWhatWasNeverListedIsMisdirected() {
-        call(100);
+    void callToAnUnlistedTargetIsMisdirected() {
+        callAt(100);
         assertEquals(List.of(), auditor.misdirected());
-        auditor.called("other", new Target("here", 8), 100 * MS);
+        auditor.called("other", new Target("here", 8), 100 * NANOS_PER_MILLI);
         assertEquals(1, auditor.misdirected().size());
     }
 }
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -20,12 +20,12 @@
  * <p>Ids of messages begin with the destination's number and a dash, as a call does not carry it.
  */
 final class DrainEndpoint implements AutoCloseable {
-    private static final String CALL = "/receive";
-    private static final int QUEUE = 8;
-    private static final int FULL_AFTER_MS = 100;
+    private static final String CALL_PATH_PREFIX = "/receive";
+    private static final int BACKLOG = 8;
+    private static final int BACKLOG_FULL_TIMEOUT_MILLIS = 100;
 
     /** How it answers a call. */
-    enum Manner {
+    enum EndpointBehaviour {
         DELIVERS("200 OK"),
         TURNS_AWAY("503 full"),
         FAILS("500 failed"),
@@ -34,35 +34,35 @@
 
         private final String answer;
 
-        Manner(String answer) {
+        EndpointBehaviour(String answer) {
             this.answer = answer;
         }
     }
 
-    private final ServerSocket server = new ServerSocket(0, QUEUE, InetAddress.getLoopbackAddress());
+    private final ServerSocket server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
     private final DrainAuditor auditor;
     private final Semaphore accepting = new Semaphore(1);
-    private final Set<Wire> open = ConcurrentHashMap.newKeySet();
-    private final List<Socket> fillers = new ArrayList<>();
+    private final Set<Wire> openConnections = ConcurrentHashMap.newKeySet();
+    private final List<Socket> backlogFillers = new ArrayList<>();
     private boolean stopped;
-    private volatile Manner manner = Manner.DELIVERS;
+    private volatile EndpointBehaviour behaviour = EndpointBehaviour.DELIVERS;
     private volatile int answerAfterMs = 80;
 
     DrainEndpoint(DrainAuditor auditor) throws IOException {
         this.auditor = auditor;
-        DrainThreads.start("endpoint " + address(), this::accept);
+        StandInThreads.start("endpoint " + address(), this::accept);
     }
 
     String address() {
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    void answers(Manner now, int afterMs) {
-        manner = now;
+    void setBehaviour(EndpointBehaviour newBehaviour, int afterMs) {
+        behaviour = newBehaviour;
         answerAfterMs = afterMs;
     }
 
-    /** Fills the queue of connections: no connection comes up until {@link #acceptAgain}. */
+    /** Fills the queue of connections: no connection comes up until {@link #resumeAccepting}. */
     synchronized void stopAccepting() throws IOException, InterruptedException {
         if (stopped) {
             return;
@@ -71,9 +71,9 @@
         accepting.acquire();
         while (true) {
             Socket filler = new Socket();
-            fillers.add(filler);
+            backlogFillers.add(filler);
             try {
-                filler.connect(server.getLocalSocketAddress(), FULL_AFTER_MS);
+                filler.connect(server.getLocalSocketAddress(), BACKLOG_FULL_TIMEOUT_MILLIS);
             } catch (SocketTimeoutException e) {
                 filler.close();
                 return;
@@ -81,21 +81,21 @@
         }
     }
 
-    synchronized void acceptAgain() throws IOException {
+    synchronized void resumeAccepting() throws IOException {
         if (!stopped) {
             return;
         }
         stopped = false;
-        for (Socket filler : fillers) {
+        for (Socket filler : backlogFillers) {
             filler.close();
         }
-        fillers.clear();
+        backlogFillers.clear();
         accepting.release();
     }
 
     /** Closes all connections, as an endpoint does with idle ones. */
     void closeConnections() {
-        open.forEach(Wire::close);
+        openConnections.forEach(Wire::close);
     }
 
     private void accept() throws IOException, InterruptedException {
@@ -103,52 +103,52 @@
             Socket socket = server.accept();
             accepting.acquire();
             accepting.release();
-            DrainThreads.start("call to " + address(), () -> serve(socket));
+            StandInThreads.start("call to " + address(), () -> serve(socket));
         }
     }
 
     private void serve(Socket socket) throws IOException, InterruptedException {
         try (Wire wire = new Wire(socket)) {
-            open.add(wire);
+            openConnections.add(wire);
             for (Wire.Head call = wire.read(); call != null; call = wire.read()) {
-                if (!call.target().startsWith(CALL)) {
+                if (!call.target().startsWith(CALL_PATH_PREFIX)) {
                     wire.answer("404 no probes", "");
                     continue;
                 }
-                note(call);
+                reportCall(call);
                 Thread.sleep(answerAfterMs); // stands for the time that a call takes
                 answer(wire, call);
-                if (manner == Manner.CLOSES_IDLE) {
+                if (behaviour == EndpointBehaviour.CLOSES_IDLE) {
                     return;
                 }
             }
         } finally {
-            open.removeIf(x -> !x.isOpen());
+            openConnections.removeIf(x -> !x.isOpen());
         }
     }
 
-    private void note(Wire.Head call) {
-        for (String id : ids(call)) {
+    private void reportCall(Wire.Head call) {
+        for (String id : messageIds(call)) {
             int group = Integer.parseInt(id.substring(0, id.indexOf('-')));
             auditor.called(id, new Target(address(), group), call.firstByteNanos());
         }
     }
 
     private void answer(Wire wire, Wire.Head call) throws IOException {
-        StringBuilder ends = new StringBuilder();
-        if (isSeveral(call)) {
-            ids(call).forEach(id -> ends.append(id).append(" accepted\r\n"));
+        StringBuilder results = new StringBuilder();
+        if (hasSeveralMessages(call)) {
+            messageIds(call).forEach(id -> results.append(id).append(" accepted\r\n"));
         }
-        wire.answer(manner.answer, ends.toString());
+        wire.answer(behaviour.answer, results.toString());
     }
 
-    private static boolean isSeveral(Wire.Head call) {
+    private static boolean hasSeveralMessages(Wire.Head call) {
         return call.target().equals("/receive-many");
     }
 
     /** The ids of a call's messages; bodies are without line ends. */
-    private static List<String> ids(Wire.Head call) {
-        if (!isSeveral(call)) {
+    private static List<String> messageIds(Wire.Head call) {
+        if (!hasSeveralMessages(call)) {
             return List.of(call.header("Req-Id", "?"));
         }
         List<String> ids = new ArrayList<>();
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -38,19 +38,21 @@
 /** A call waits for its attempt to be on the disk, and its endpoint drains meanwhile. */
 class DrainJournalTest {
     private static final int GROUP = 7;
-    private static final long CONNECT = 1_500_000, KEEP_ALIVE = 15_000_000, BUDGET = 10_000_000;
+    private static final long CONNECT_TIMEOUT_MICROS = 1_500_000,
+            KEEP_ALIVE_MICROS = 15_000_000,
+            MESSAGE_DEADLINE_MICROS = 10_000_000;
     private static final long DISK_BYTES = 3 << 20;
 
     @TempDir
     private Path state;
 
     private final DrainAuditor auditor = new DrainAuditor();
-    private final CountDownLatch forcing = new CountDownLatch(1);
-    private final CountDownLatch ended = new CountDownLatch(1);
+    private final CountDownLatch syncAllowed = new CountDownLatch(1);
+    private final CountDownLatch messageEnded = new CountDownLatch(1);
 
     /** A folder in which nothing is forced until that is let go. */
-    private record HeldDisk(Disk disk, CountDownLatch released) implements Disk {
-        private record HeldFile(DiskFile file, CountDownLatch released) implements DiskFile {
+    private record DiskWithBlockedSync(Disk disk, CountDownLatch released) implements Disk {
+        private record FileWithBlockedSync(DiskFile file, CountDownLatch released) implements DiskFile {
             @Override
             public int read(ByteBuffer into, long position) throws IOException {
                 return file.read(into, position);
@@ -94,7 +96,7 @@
 
         @Override
         public DiskFile open(String name) throws IOException {
-            return new HeldFile(disk.open(name), released);
+            return new FileWithBlockedSync(disk.open(name), released);
         }
 
         @Override
@@ -130,13 +132,13 @@
 
         @Override
         public void turnedDown(Message message, FinalStatus verdict) {
-            ended.countDown();
+            messageEnded.countDown();
         }
 
         @Override
         public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
             settled.run();
-            ended.countDown();
+            messageEnded.countDown();
         }
     }
 
@@ -150,7 +152,7 @@
         return new DrainChange(version, name, endpoint.address(), GROUP, status);
     }
 
-    private void told(DrainChange change) {
+    private void recordChange(DrainChange change) {
         long now = System.nanoTime();
         auditor.changed(change, now);
         auditor.received("agent", change, now);
@@ -158,13 +160,13 @@
 
     @Test
     @Timeout(30)
-    void aCallThatWaitsForTheDiskIsNotWrittenToWhatDrainsMeanwhile() throws Exception {
-        Config config = Setup.config("127.0.0.1:9", state, null);
+    void callWaitingForTheJournalIsNotWrittenToADrainingEndpoint() throws Exception {
+        Config config = ForwarderSetup.config("127.0.0.1:9", state, null);
         try (DrainEndpoint draining = new DrainEndpoint(auditor);
                 DrainEndpoint other = new DrainEndpoint(auditor);
                 Transport transport = new Transport();
                 SegmentedJournal journal = new SegmentedJournal(
-                        new HeldDisk(FolderDisk.take(state), forcing),
+                        new DiskWithBlockedSync(FolderDisk.take(state), syncAllowed),
                         DISK_BYTES,
                         new Durability(Durability.How.GROUP, 0),
                         new JournalClocks(Core::micros, Core::wall, BootClock.read(Core::micros, Core::wall)),
@@ -177,17 +179,19 @@
                     Operator.none(config).identity().windows());
             Front front = new QuietFront();
             core.add(front);
-            HttpDeliverer deliverer = new HttpDeliverer(core, transport, CONNECT, KEEP_ALIVE, 1);
+            HttpDeliverer deliverer = new HttpDeliverer(core, transport, CONNECT_TIMEOUT_MICROS, KEEP_ALIVE_MICROS, 1);
             deliverer.start();
             auditor.started("agent", System.nanoTime());
-            told(change(1, "e0", draining, Status.ACTIVE));
-            told(change(2, "e1", other, Status.ACTIVE));
+            recordChange(change(1, "e0", draining, Status.ACTIVE));
+            recordChange(change(2, "e1", other, Status.ACTIVE));
             core.start(List.of(listed("e0", draining, Presence.ACTIVE, deliverer)), 1);
             int payment = config.classNames().indexOf("payment");
             core.post(() -> core.handIn(
-                    front, new Submission("7-1", null, payment, GROUP, null, new byte[0], false, false, BUDGET)));
-            CountDownLatch heard = new CountDownLatch(1);
-            untilACallWaits(core);
+                    front,
+                    new Submission(
+                            "7-1", null, payment, GROUP, null, new byte[0], false, false, MESSAGE_DEADLINE_MICROS)));
+            CountDownLatch listApplied = new CountDownLatch(1);
+            awaitPendingCall(core);
             core.post(() -> {
                 core.listing(
                         ListingKind.CHANGES,
@@ -195,34 +199,34 @@
                         List.of(
                                 listed("e0", draining, Presence.LEAVING, deliverer),
                                 listed("e1", other, Presence.ACTIVE, deliverer)));
-                told(change(3, "e0", draining, Status.LEAVING));
-                heard.countDown();
+                recordChange(change(3, "e0", draining, Status.LEAVING));
+                listApplied.countDown();
             });
-            assertTrue(heard.await(10, TimeUnit.SECONDS));
+            assertTrue(listApplied.await(10, TimeUnit.SECONDS));
             // The grace passes, and what socket timing is allowed on top of it.
-            TimeUnit.NANOSECONDS.sleep(DrainAuditor.GRACE + 2 * DrainAuditor.SOCKET_SLACK);
-            forcing.countDown();
-            assertTrue(ended.await(10, TimeUnit.SECONDS), "the message goes to the other endpoint");
+            TimeUnit.NANOSECONDS.sleep(DrainAuditor.GRACE_NANOS + 2 * DrainAuditor.SOCKET_TOLERANCE_NANOS);
+            syncAllowed.countDown();
+            assertTrue(messageEnded.await(10, TimeUnit.SECONDS), "the message goes to the other endpoint");
             core.end();
             assertEquals(List.of(), auditor.violations());
             assertEquals(Map.of(new Target(other.address(), GROUP), 1L), auditor.callsByTarget());
         } finally {
-            forcing.countDown();
+            syncAllowed.countDown();
         }
     }
 
-    private static void untilACallWaits(Core core) throws InterruptedException {
+    private static void awaitPendingCall(Core core) throws InterruptedException {
         String text = "";
         for (long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
                 !text.contains("\ncalls 1\n") && System.nanoTime() < end; ) {
             CountDownLatch read = new CountDownLatch(1);
-            String[] counted = new String[1];
+            String[] counterText = new String[1];
             core.post(() -> {
-                counted[0] = core.counters().text();
+                counterText[0] = core.counters().text();
                 read.countDown();
             });
             read.await(1, TimeUnit.SECONDS);
-            text = counted[0];
+            text = counterText[0];
         }
         assertTrue(text.contains("\ncalls 1\n"), text);
     }
--- a/src/test/java/lilaclever/program/DrainSchedule.java
+++ b/src/test/java/lilaclever/program/DrainSchedule.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.stream.Collectors;
-import lilaclever.program.DrainAgent.Manner;
+import lilaclever.program.DrainAgent.AgentBehaviour;
 import lilaclever.program.DrainAuditor.Violation;
 import lilaclever.program.DrainChange.Status;
 
@@ -18,16 +18,16 @@
     private static final int[] GROUPS = {7, 8};
     private static final int ENDPOINTS_PER_GROUP = 4;
     private static final long FIRST_INDEX = 1_000;
-    private static final int LEAST_PAUSE_MS = 50, MOST_PAUSE_MS = 400;
-    private static final long PLAY_MS = 4_000;
+    private static final int MIN_STEP_INTERVAL_MILLIS = 50, MAX_STEP_INTERVAL_MILLIS = 400;
+    private static final long RUN_MILLIS = 4_000;
     /** Any change counts as told 6 s after discovery had it and could be reached; then its grace, and some calls. */
-    private static final long SETTLE_MS = 7_000;
+    private static final long SETTLE_MILLIS = 7_000;
 
-    private static final long BEHIND_MS = 1_000;
+    private static final long AGENT_LAG_MILLIS = 1_000;
     /** What the start of a process takes on half a core, before the program's own first step. */
-    private static final long VIRTUAL_MACHINE_MS = 1_000;
+    private static final long JVM_START_MILLIS = 1_000;
 
-    private static final long SERVED_WITHIN_MS = 3_000;
+    private static final long FIRST_CALL_TIMEOUT_MILLIS = 3_000;
 
     /** What goes wrong with discovery in a schedule, besides all that goes wrong in every one. */
     enum Fault {
@@ -83,51 +83,51 @@
                             .append(" after ")
                             .append(change)
                             .append(", the last one by ")
-                            .append(all.get(all.size() - 1).lateNanos() / DrainAuditor.MS)
+                            .append(all.get(all.size() - 1).lateNanos() / DrainAuditor.NANOS_PER_MILLI)
                             .append(" ms"));
             return text.toString();
         }
     }
 
     private interface Step {
-        void play() throws Exception;
+        void run() throws Exception;
     }
 
     private final Fault fault;
     private final long seed;
     private final SplittableRandom random;
-    private final DrainTrial trial;
+    private final DrainTestBed testBed;
     private final List<String> log = new ArrayList<>();
-    private final List<Integer> changing = new ArrayList<>();
-    private final List<Integer> staying = new ArrayList<>();
-    private DrainAgent first;
-    private DrainAgent second;
+    private final List<Integer> changingEndpoints = new ArrayList<>();
+    private final List<Integer> stayingEndpoints = new ArrayList<>();
+    private DrainAgent firstAgent;
+    private DrainAgent secondAgent;
 
     DrainSchedule(Fault fault, long seed, Path state) {
         this.fault = fault;
         this.seed = seed;
         this.random = new SplittableRandom(seed);
-        this.trial = new DrainTrial(state, random.nextInt(3) == 0 ? 20 : 1);
+        this.testBed = new DrainTestBed(state, random.nextInt(3) == 0 ? 20 : 1);
     }
 
-    Result play() throws Exception {
-        try (trial) {
-            begin();
-            long end = System.nanoTime() + PLAY_MS * DrainAuditor.MS;
-            begin(fault);
+    Result run() throws Exception {
+        try (testBed) {
+            startForwarder();
+            long end = System.nanoTime() + RUN_MILLIS * DrainAuditor.NANOS_PER_MILLI;
+            startFault(fault);
             while (System.nanoTime() < end) {
                 pause();
-                next().play();
+                nextStep().run();
             }
-            end(fault);
+            endFault(fault);
             settle();
             return new Result(
                     fault,
                     seed,
-                    trial.auditor.calls(),
-                    trial.auditor.violations(),
-                    trial.auditor.misdirected(),
-                    unserved());
+                    testBed.auditor.callCount(),
+                    testBed.auditor.violations(),
+                    testBed.auditor.misdirected(),
+                    unservedEndpoints());
         }
     }
 
@@ -136,108 +136,108 @@
         return log;
     }
 
-    private void begin() throws Exception {
+    private void startForwarder() throws Exception {
         for (int group : GROUPS) {
-            staying.add(trial.add(group));
+            stayingEndpoints.add(testBed.add(group));
             for (int i = 1; i < ENDPOINTS_PER_GROUP; i++) {
-                changing.add(trial.add(group));
+                changingEndpoints.add(testBed.add(group));
             }
         }
-        first = trial.agent(FIRST_INDEX);
-        second = trial.agent(random.nextInt(2) == 0 ? 1 : 2 * FIRST_INDEX);
+        firstAgent = testBed.agent(FIRST_INDEX);
+        secondAgent = testBed.agent(random.nextInt(2) == 0 ? 1 : 2 * FIRST_INDEX);
         if (fault == Fault.SLOW || fault == Fault.VERY_SLOW) { // from the start on
-            first.answers(Manner.SLOW, fault == Fault.SLOW ? 400 : 1_000);
+            firstAgent.setBehaviour(AgentBehaviour.SLOW, fault == Fault.SLOW ? 400 : 1_000);
         }
-        long knownIndex = fault == Fault.KNOWN_OF_HIGHER_INDEX ? 9 * FIRST_INDEX : first.index();
-        String known = trial.listOf(knownIndex, trial.version());
-        trial.start(first, fault == Fault.KNOWN_OF_HIGHER_INDEX || random.nextBoolean() ? known : "null");
-        trial.load();
-        for (int each : staying) {
-            trial.gets(each, 0, SERVED_WITHIN_MS);
+        long knownIndex = fault == Fault.KNOWN_OF_HIGHER_INDEX ? 9 * FIRST_INDEX : firstAgent.index();
+        String knownList = testBed.listAfter(knownIndex, testBed.version());
+        testBed.start(firstAgent, fault == Fault.KNOWN_OF_HIGHER_INDEX || random.nextBoolean() ? knownList : "null");
+        testBed.startClients();
+        for (int each : stayingEndpoints) {
+            testBed.awaitCall(each, 0, FIRST_CALL_TIMEOUT_MILLIS);
         }
     }
 
     private void pause() throws InterruptedException {
-        Thread.sleep(random.nextInt(LEAST_PAUSE_MS, MOST_PAUSE_MS)); // the schedule's own time
+        Thread.sleep(random.nextInt(MIN_STEP_INTERVAL_MILLIS, MAX_STEP_INTERVAL_MILLIS)); // the schedule's own time
     }
 
-    private void note(String what) {
-        log.add(what + " (list " + trial.version() + ")");
+    private void logStep(String what) {
+        log.add(what + " (list " + testBed.version() + ")");
     }
 
     // ---- what goes wrong in every schedule -----------------------------------------------------------------
-    private Step next() {
+    private Step nextStep() {
         return switch (random.nextInt(8)) {
             case 0, 1 -> this::drain;
             case 2 -> this::remove;
-            case 3 -> this::bringBack;
+            case 3 -> this::relist;
             case 4, 5 -> this::drainWithLateConnections;
             case 6 -> this::closeIdleConnections;
-            default -> this::changeManner;
+            default -> this::changeEndpointBehaviour;
         };
     }
 
-    private int any() {
-        return changing.get(random.nextInt(changing.size()));
+    private int randomEndpoint() {
+        return changingEndpoints.get(random.nextInt(changingEndpoints.size()));
     }
 
     private void drain() {
-        int endpoint = any();
-        note("drain e" + endpoint);
-        if (trial.now(endpoint).isActive()) {
-            trial.set(endpoint, Status.LEAVING);
+        int endpoint = randomEndpoint();
+        logStep("drain e" + endpoint);
+        if (testBed.current(endpoint).isActive()) {
+            testBed.setStatus(endpoint, Status.LEAVING);
         }
     }
 
     private void remove() {
-        int endpoint = any();
-        note("remove e" + endpoint);
-        if (trial.now(endpoint).status() != Status.LEFT) {
-            trial.set(endpoint, Status.LEFT);
+        int endpoint = randomEndpoint();
+        logStep("remove e" + endpoint);
+        if (testBed.current(endpoint).status() != Status.LEFT) {
+            testBed.setStatus(endpoint, Status.LEFT);
         }
     }
 
-    private void bringBack() {
-        int endpoint = any();
-        note("bring back e" + endpoint);
-        if (!trial.now(endpoint).isActive()) {
-            trial.set(endpoint, Status.ACTIVE);
+    private void relist() {
+        int endpoint = randomEndpoint();
+        logStep("bring back e" + endpoint);
+        if (!testBed.current(endpoint).isActive()) {
+            testBed.setStatus(endpoint, Status.ACTIVE);
         }
     }
 
     private void drainWithLateConnections() throws Exception {
-        DrainEndpoint endpoint = trial.endpoint(any());
-        note("late connections at " + endpoint.address());
+        DrainEndpoint endpoint = testBed.endpoint(randomEndpoint());
+        logStep("late connections at " + endpoint.address());
         endpoint.stopAccepting();
         endpoint.closeConnections();
         pause();
-        int number = changing.stream()
-                .filter(x -> trial.endpoint(x) == endpoint)
+        int number = changingEndpoints.stream()
+                .filter(x -> testBed.endpoint(x) == endpoint)
                 .findFirst()
                 .orElseThrow();
-        if (trial.now(number).isActive()) {
-            trial.set(number, random.nextBoolean() ? Status.LEAVING : Status.LEFT);
+        if (testBed.current(number).isActive()) {
+            testBed.setStatus(number, random.nextBoolean() ? Status.LEAVING : Status.LEFT);
         }
-        endpoint.acceptAgain();
+        endpoint.resumeAccepting();
     }
 
     private void closeIdleConnections() {
-        int endpoint = any();
-        note("close connections of e" + endpoint);
-        trial.endpoint(endpoint).closeConnections();
+        int endpoint = randomEndpoint();
+        logStep("close connections of e" + endpoint);
+        testBed.endpoint(endpoint).closeConnections();
     }
 
-    private void changeManner() {
-        int endpoint = any();
-        DrainEndpoint.Manner[] all = DrainEndpoint.Manner.values();
-        DrainEndpoint.Manner manner = all[random.nextInt(all.length)];
-        note("e" + endpoint + " " + manner);
-        trial.endpoint(endpoint).answers(manner, random.nextInt(5, 120));
+    private void changeEndpointBehaviour() {
+        int endpoint = randomEndpoint();
+        DrainEndpoint.EndpointBehaviour[] all = DrainEndpoint.EndpointBehaviour.values();
+        DrainEndpoint.EndpointBehaviour behaviour = all[random.nextInt(all.length)];
+        logStep("e" + endpoint + " " + behaviour);
+        testBed.endpoint(endpoint).setBehaviour(behaviour, random.nextInt(5, 120));
     }
 
     // ---- the one fault of discovery -------------------------------------------------------------------------
-    private void begin(Fault which) throws Exception {
-        note(which.name());
+    private void startFault(Fault which) throws Exception {
+        logStep(which.name());
         switch (which) {
             case SILENT,
                     REFUSING,
@@ -252,10 +252,10 @@
                     UNREADABLE_ENTRY,
                     UNKNOWN_STATUS,
                     INDENTED,
-                    WHOLE_LISTS -> first.answers(Manner.valueOf(which.name()));
-            case SILENT_WATCH -> first.silenceWatches();
-            case RESTARTED_LOWER -> first.restart(random.nextInt(100));
-            case RELOAD_TO_ONE_BEHIND -> second.fallBehind();
+                    WHOLE_LISTS -> firstAgent.setBehaviour(AgentBehaviour.valueOf(which.name()));
+            case SILENT_WATCH -> firstAgent.silenceWatches();
+            case RESTARTED_LOWER -> firstAgent.restart(random.nextInt(100));
+            case RELOAD_TO_ONE_BEHIND -> secondAgent.fallBehind();
             case OTHER_GROUP -> moveToOtherGroup();
             default -> {}
         }
@@ -263,39 +263,40 @@
 
     /** One endpoint of each group is listed for the other one, under the same name and address. */
     private void moveToOtherGroup() {
-        for (int endpoint : List.of(changing.get(0), changing.get(changing.size() - 1))) {
-            DrainChange now = trial.now(endpoint);
-            trial.relist(endpoint, now.address(), now.group() == GROUPS[0] ? GROUPS[1] : GROUPS[0]);
+        for (int endpoint : List.of(changingEndpoints.get(0), changingEndpoints.get(changingEndpoints.size() - 1))) {
+            DrainChange now = testBed.current(endpoint);
+            testBed.relist(endpoint, now.address(), now.group() == GROUPS[0] ? GROUPS[1] : GROUPS[0]);
         }
     }
 
     /** Discovery is well again; reloads and restarts come now, when the list has changed. */
-    private void end(Fault which) throws Exception {
-        note("end of " + which);
+    private void endFault(Fault which) throws Exception {
+        logStep("end of " + which);
         switch (which) {
-            case SILENT, REFUSING, RESETTING, TRICKLING, STALLING, CUT, BUSY -> first.answers(Manner.AT_ONCE);
+            case SILENT, REFUSING, RESETTING, TRICKLING, STALLING, CUT, BUSY ->
+                firstAgent.setBehaviour(AgentBehaviour.AT_ONCE);
             case RELOAD_TO_ONE_BEHIND -> {
-                trial.reload(second);
-                Thread.sleep(BEHIND_MS); // what the new agent does not know yet counts all the same
-                second.catchUp();
+                testBed.reload(secondAgent);
+                Thread.sleep(AGENT_LAG_MILLIS); // what the new agent does not know yet counts all the same
+                secondAgent.catchUp();
             }
             case RELOADS -> {
                 for (int i = random.nextInt(3, 8); i > 0; i--) {
                     drain();
-                    trial.reload(trial.watched() == first ? second : first);
+                    testBed.reload(testBed.watched() == firstAgent ? secondAgent : firstAgent);
                     Thread.sleep(random.nextInt(100)); // reloads come at any distance
                 }
             }
             case RESTART -> restart();
             case RESTART_WHILE_SLOW -> {
-                first.answers(Manner.SLOW, 1_000);
+                firstAgent.setBehaviour(AgentBehaviour.SLOW, 1_000);
                 restart();
             }
             case RESTART_WHILE_SILENT -> {
-                first.answers(Manner.SILENT);
+                firstAgent.setBehaviour(AgentBehaviour.SILENT);
                 restart();
                 pause();
-                first.answers(Manner.AT_ONCE);
+                firstAgent.setBehaviour(AgentBehaviour.AT_ONCE);
             }
             default -> {}
         }
@@ -303,26 +304,26 @@
 
     /** The configuration still names the list from before the first start. */
     private void restart() throws Exception {
-        int outdated = GROUPS.length * ENDPOINTS_PER_GROUP;
-        String known = trial.listOf(FIRST_INDEX + outdated, outdated);
-        trial.stop();
-        note("restart with list " + outdated);
-        trial.start(trial.watched(), known, fault == Fault.RESTART ? VIRTUAL_MACHINE_MS : 0);
+        int outdatedVersion = GROUPS.length * ENDPOINTS_PER_GROUP;
+        String knownList = testBed.listAfter(FIRST_INDEX + outdatedVersion, outdatedVersion);
+        testBed.stop();
+        logStep("restart with list " + outdatedVersion);
+        testBed.start(testBed.watched(), knownList, fault == Fault.RESTART ? JVM_START_MILLIS : 0);
     }
 
     // ---- the end ------------------------------------------------------------------------------------------
     private void settle() throws InterruptedException {
-        for (int endpoint : changing) {
-            trial.endpoint(endpoint).answers(DrainEndpoint.Manner.DELIVERS, 80);
+        for (int endpoint : changingEndpoints) {
+            testBed.endpoint(endpoint).setBehaviour(DrainEndpoint.EndpointBehaviour.DELIVERS, 80);
         }
-        Thread.sleep(SETTLE_MS); // until all counts as told, and calls that would be too late have come
+        Thread.sleep(SETTLE_MILLIS); // until all counts as told, and calls that would be too late have come
     }
 
-    private List<String> unserved() throws InterruptedException {
+    private List<String> unservedEndpoints() throws InterruptedException {
         List<String> unserved = new ArrayList<>();
-        for (int each : staying) {
-            if (!trial.gets(each, System.nanoTime(), SERVED_WITHIN_MS)) {
-                unserved.add(trial.now(each).name());
+        for (int each : stayingEndpoints) {
+            if (!testBed.awaitCall(each, System.nanoTime(), FIRST_CALL_TIMEOUT_MILLIS)) {
+                unserved.add(testBed.current(each).name());
             }
         }
         return unserved;
--- a/src/test/java/lilaclever/program/DrainScheduleTest.java
+++ b/src/test/java/lilaclever/program/DrainScheduleTest.java
@@ -19,34 +19,34 @@
  * grace, and what is active gets its calls. {@link DrainSweep} plays more of them.
  */
 class DrainScheduleTest {
-    private record Play(Fault fault, long seed) {}
+    private record ScheduleRun(Fault fault, long seed) {}
 
-    private static final List<Play> PLAYS = List.of(
-            new Play(Fault.NONE, 1),
-            new Play(Fault.VERY_SLOW, 2),
-            new Play(Fault.SILENT, 3),
-            new Play(Fault.TRICKLING, 4),
-            new Play(Fault.RESTARTED_LOWER, 5),
-            new Play(Fault.RELOAD_TO_ONE_BEHIND, 6),
-            new Play(Fault.OTHER_GROUP, 9),
-            new Play(Fault.UNREADABLE_ENTRY, 7),
-            new Play(Fault.RESTART, 8),
-            new Play(Fault.KNOWN_OF_HIGHER_INDEX, 10),
-            new Play(Fault.CONTRADICTING, 11),
-            new Play(Fault.RELOADS, 12));
+    private static final List<ScheduleRun> RUNS = List.of(
+            new ScheduleRun(Fault.NONE, 1),
+            new ScheduleRun(Fault.VERY_SLOW, 2),
+            new ScheduleRun(Fault.SILENT, 3),
+            new ScheduleRun(Fault.TRICKLING, 4),
+            new ScheduleRun(Fault.RESTARTED_LOWER, 5),
+            new ScheduleRun(Fault.RELOAD_TO_ONE_BEHIND, 6),
+            new ScheduleRun(Fault.OTHER_GROUP, 9),
+            new ScheduleRun(Fault.UNREADABLE_ENTRY, 7),
+            new ScheduleRun(Fault.RESTART, 8),
+            new ScheduleRun(Fault.KNOWN_OF_HIGHER_INDEX, 10),
+            new ScheduleRun(Fault.CONTRADICTING, 11),
+            new ScheduleRun(Fault.RELOADS, 12));
 
     @TempDir
     private Path folder;
 
     @Test
-    void nothingGoesToDrainingOrRemovedEndpointsAfterTheGrace() throws Exception {
+    void noCallReachesDrainingOrRemovedEndpointsAfterTheGrace() throws Exception {
         // All at once: a schedule is a few hundred small messages, and mostly waits.
-        ExecutorService beside = Executors.newFixedThreadPool(PLAYS.size());
+        ExecutorService executor = Executors.newFixedThreadPool(RUNS.size());
         try {
             List<Future<Result>> results = new ArrayList<>();
-            for (Play play : PLAYS) {
-                Path state = Files.createDirectory(folder.resolve(play.fault().name() + play.seed()));
-                results.add(beside.submit(() -> new DrainSchedule(play.fault(), play.seed(), state).play()));
+            for (ScheduleRun run : RUNS) {
+                Path state = Files.createDirectory(folder.resolve(run.fault().name() + run.seed()));
+                results.add(executor.submit(() -> new DrainSchedule(run.fault(), run.seed(), state).run()));
             }
             List<String> failed = new ArrayList<>();
             for (Future<Result> each : results) {
@@ -58,7 +58,7 @@
             }
             assertTrue(failed.isEmpty(), () -> String.join("\n", failed));
         } finally {
-            beside.shutdownNow();
+            executor.shutdownNow();
         }
     }
 }
--- a/src/test/java/lilaclever/program/DrainSweep.java
+++ b/src/test/java/lilaclever/program/DrainSweep.java
@@ -14,9 +14,9 @@
         long firstSeed = Long.parseLong(arguments[0]);
         int seeds = Integer.parseInt(arguments[1]);
         for (Fault fault : Fault.values()) {
-            for (long seed = firstSeed; seed < firstSeed + seeds && isMeant(arguments, fault); seed++) {
+            for (long seed = firstSeed; seed < firstSeed + seeds && isSelected(arguments, fault); seed++) {
                 DrainSchedule schedule = new DrainSchedule(fault, seed, Files.createTempDirectory("drain"));
-                System.out.println(schedule.play());
+                System.out.println(schedule.run());
                 if (Boolean.getBoolean("drain.schedule")) {
                     schedule.log().forEach(line -> System.out.println("        " + line));
                 }
@@ -25,7 +25,7 @@
         System.exit(0);
     }
 
-    private static boolean isMeant(String[] arguments, Fault fault) {
+    private static boolean isSelected(String[] arguments, Fault fault) {
         for (int i = 2; i < arguments.length; i++) {
             if (arguments[i].equals(fault.name())) {
                 return true;
--- a/src/test/java/lilaclever/program/DrainTrial.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -20,19 +20,19 @@
  * A forwarder, its discovery, its endpoints and its clients on loopback sockets, all watched by an auditor. Endpoints
  * are numbered; each change goes to discovery, which tells it to all agents.
  */
-final class DrainTrial implements AutoCloseable {
-    private static final int CLIENTS = 3;
-    private static final int PAUSE_MS = 50;
+final class DrainTestBed implements AutoCloseable {
+    private static final int CLIENT_COUNT = 3;
+    private static final int SUBMIT_INTERVAL_MILLIS = 50;
     private static final double DEADLINE_SECONDS = 5;
 
     final DrainAuditor auditor = new DrainAuditor();
     private final Path state;
-    private final int messagesInACall;
+    private final int maxMessagesPerCall;
     private final List<DrainEndpoint> endpoints = new ArrayList<>();
     private final List<DrainAgent> agents = new ArrayList<>();
     private final Map<String, DrainChange> membership = new LinkedHashMap<>();
     private final List<DrainChange> history = new ArrayList<>();
-    private final AtomicInteger messages = new AtomicInteger();
+    private final AtomicInteger messageCount = new AtomicInteger();
     private final Set<Integer> groups = ConcurrentHashMap.newKeySet();
     private volatile SocketAddress address;
     private volatile boolean closed;
@@ -42,9 +42,9 @@
     private DrainAgent watched;
 
     /** A trial whose forwarders keep their state in the folder and send so many messages in a call at most. */
-    DrainTrial(Path state, int messagesInACall) {
+    DrainTestBed(Path state, int maxMessagesPerCall) {
         this.state = state;
-        this.messagesInACall = messagesInACall;
+        this.maxMessagesPerCall = maxMessagesPerCall;
     }
 
     // ---- membership ----------------------------------------------------------------------------------------
@@ -53,7 +53,7 @@
         DrainEndpoint endpoint = new DrainEndpoint(auditor);
         endpoints.add(endpoint);
         int number = endpoints.size() - 1;
-        list("e" + number, endpoint.address(), group, Status.ACTIVE);
+        publishChange("e" + number, endpoint.address(), group, Status.ACTIVE);
         return number;
     }
 
@@ -61,26 +61,26 @@
         return endpoints.get(number);
     }
 
-    void set(int number, Status status) {
+    void setStatus(int number, Status status) {
         DrainChange now = membership.get("e" + number);
-        list(now.name(), now.address(), now.group(), status);
+        publishChange(now.name(), now.address(), now.group(), status);
     }
 
     /** The name of one endpoint is listed with another's address or another group from now on. */
     void relist(int number, String address, int group) {
-        list("e" + number, address, group, Status.ACTIVE);
+        publishChange("e" + number, address, group, Status.ACTIVE);
     }
 
-    DrainChange now(int number) {
+    DrainChange current(int number) {
         return membership.get("e" + number);
     }
 
-    private synchronized void list(String name, String at, int group, Status status) {
+    private synchronized void publishChange(String name, String at, int group, Status status) {
         DrainChange change = new DrainChange(history.size() + 1, name, at, group, status);
         history.add(change);
         membership.put(name, change);
         auditor.changed(change, System.nanoTime());
-        agents.forEach(agent -> agent.tell(change));
+        agents.forEach(agent -> agent.publish(change));
         groups.add(group);
     }
 
@@ -100,7 +100,7 @@
         DrainAgent agent = agent(firstIndex, changes);
         agent.fallBehind();
         synchronized (this) {
-            history.subList(changes, history.size()).forEach(agent::tell);
+            history.subList(changes, history.size()).forEach(agent::publish);
         }
         return agent;
     }
@@ -113,7 +113,7 @@
 
     // ---- the forwarder -------------------------------------------------------------------------------------
     /** The list as an agent that had the first so many changes would write it. */
-    String listOf(long index, int changes) {
+    String listAfter(long index, int changes) {
         Map<String, DrainChange> all = new LinkedHashMap<>();
         history.subList(0, changes).forEach(x -> all.put(x.name(), x));
         return "{\"index\":" + index + ",\"snapshot\":true,\"endpoints\":["
@@ -126,39 +126,40 @@
                 + "]}";
     }
 
-    private String text(DrainAgent agent, String known) {
-        return Setup.text(agent.address(), state, null, 3)
+    private String configText(DrainAgent agent, String knownList) {
+        return ForwarderSetup.configText(agent.address(), state, null, 3)
                 .replace("\"aimS\": 1, \"deadlineS\": 28", "\"aimS\": 3, \"deadlineS\": 28")
-                .replace("\"kindBatch\": [20]", "\"kindBatch\": [" + messagesInACall + "]")
-                .replace("\"known\": null", "\"known\": " + known);
+                .replace("\"kindBatch\": [20]", "\"kindBatch\": [" + maxMessagesPerCall + "]")
+                .replace("\"known\": null", "\"known\": " + knownList);
     }
 
     /** Starts a forwarder in this process; {@code known} may be {@code "null"}. */
-    void start(DrainAgent agent, String known) throws Exception {
-        start(agent, known, 0);
+    void start(DrainAgent agent, String knownList) throws Exception {
+        start(agent, knownList, 0);
     }
 
     /** The same as a process of its own whose virtual machine takes so long to start. */
-    void start(DrainAgent agent, String known, long virtualMachineMs) throws Exception {
+    void start(DrainAgent agent, String knownList, long jvmStartMillis) throws Exception {
         watched = agent;
         auditor.started(agent.name, System.nanoTime());
-        Thread.sleep(virtualMachineMs);
-        forwarder = Forwarder.start(Config.parse(text(agent, known), Map.of()), null);
+        Thread.sleep(jvmStartMillis);
+        forwarder = Forwarder.start(Config.parse(configText(agent, knownList), Map.of()), null);
         address = forwarder.addresses().get(0);
     }
 
     /** Starts the real program in a process of its own, which can be killed, with these options of the JVM. */
-    void startProcess(DrainAgent agent, String known, String options) throws IOException {
+    void startProcess(DrainAgent agent, String knownList, String options) throws IOException {
         watched = agent;
         auditor.started(agent.name, System.nanoTime());
-        process = Setup.process(state, text(agent, known), "export JAVA_TOOL_OPTIONS='" + options + "'");
+        process = ForwarderSetup.startProcess(
+                state, configText(agent, knownList), "export JAVA_TOOL_OPTIONS='" + options + "'");
         BufferedReader log = process.errorReader();
         String line = log.readLine();
         while (!line.contains("serves at")) {
             line = log.readLine();
         }
         address = new InetSocketAddress("127.0.0.1", Integer.parseInt(line.replaceAll(".*:(\\d+)]", "$1")));
-        DrainThreads.start("log", () -> log.lines().forEach(rest -> {}));
+        StandInThreads.start("log", () -> log.lines().forEach(rest -> {}));
     }
 
     /** Ends the process as a crash would. */
@@ -181,53 +182,53 @@
 
     void reload(DrainAgent agent) throws IOException {
         watched = agent;
-        Path file = Files.writeString(state.resolve("config.json"), text(agent, "null"));
+        Path file = Files.writeString(state.resolve("config.json"), configText(agent, "null"));
         auditor.reloaded(agent.name, System.nanoTime());
         forwarder.reload(Map.of("ROUTER_CONFIG", file.toString()));
     }
 
     // ---- clients -------------------------------------------------------------------------------------------
     /** Clients hand in messages for all groups in turn, until the trial is closed. */
-    void load() {
-        for (int i = 0; i < CLIENTS; i++) {
-            DrainThreads.start("client " + i, this::handIn);
+    void startClients() {
+        for (int i = 0; i < CLIENT_COUNT; i++) {
+            StandInThreads.start("client " + i, this::submitRepeatedly);
         }
     }
 
-    private void handIn() throws InterruptedException {
+    private void submitRepeatedly() throws InterruptedException {
         while (!closed) {
             SocketAddress to = address;
             if (to != null) {
-                try (Wire client = Wire.to(to)) {
+                try (Wire client = Wire.connect(to)) {
                     while (to.equals(address) && !closed) {
                         for (int group : groups) {
-                            int number = messages.incrementAndGet();
+                            int number = messageCount.incrementAndGet();
                             String kind = classes.get(number % classes.size());
-                            client.handIn(group + "-" + number, kind, group, DEADLINE_SECONDS, "ok");
+                            client.submit(group + "-" + number, kind, group, DEADLINE_SECONDS, "ok");
                         }
-                        Thread.sleep(PAUSE_MS); // the rate of the load
+                        Thread.sleep(SUBMIT_INTERVAL_MILLIS); // the rate of the load
                     }
                 } catch (IOException e) {
                     // the forwarder is going; the next one is tried
                 }
             }
-            Thread.sleep(PAUSE_MS);
+            Thread.sleep(SUBMIT_INTERVAL_MILLIS);
         }
     }
 
     /** Clients hand in messages of these classes from now on. */
-    void classes(String... names) {
+    void setClasses(String... names) {
         classes = List.of(names);
     }
 
-    int handedIn() {
-        return messages.get();
+    int submittedCount() {
+        return messageCount.get();
     }
 
     /** True once a call has come to the endpoint since the moment. */
-    boolean gets(int number, long sinceNanos, long withinMs) throws InterruptedException {
-        long end = System.nanoTime() + withinMs * DrainAuditor.MS;
-        while (auditor.callsSince(now(number).target(), sinceNanos) == 0) {
+    boolean awaitCall(int number, long sinceNanos, long withinMs) throws InterruptedException {
+        long end = System.nanoTime() + withinMs * DrainAuditor.NANOS_PER_MILLI;
+        while (auditor.callsSince(current(number).target(), sinceNanos) == 0) {
             if (System.nanoTime() > end) {
                 return false;
             }
@@ -241,7 +242,7 @@
         closed = true;
         address = null;
         for (DrainEndpoint each : endpoints) {
-            each.acceptAgain();
+            each.resumeAccepting();
         }
         if (forwarder != null) {
             forwarder.stop();
--- a/src/test/java/lilaclever/program/Setup.java
+++ b/src/test/java/lilaclever/program/ForwarderSetup.java
@@ -13,31 +13,31 @@
 import lilaclever.conf.ConfigurationException;
 
 /** Configurations of forwarders under test. */
-final class Setup {
-    private Setup() {}
+final class ForwarderSetup {
+    private ForwarderSetup() {}
 
-    static final String MAIL = """
+    static final String MAIL_CONFIG_TEMPLATE = """
             {"hostName": "mx.test", "classes": {"order": "order", "status": "status"}, "reportClass": "status",
              "listeners": [{"protocol": "smtp", "address": "127.0.0.1:0"},
               {"protocol": "lmtp", "address": "127.0.0.1:0"}],
              "routes": [%s]}""";
 
-    static String list(String endpoint) {
+    static String endpointList(String endpoint) {
         return "{\"index\":1,\"snapshot\":true,\"endpoints\":[{\"name\":\"e1\",\"address\":\"" + endpoint
                 + "\",\"zone\":\"z\",\"type\":\"lab\",\"group\":7,\"status\":\"active\"}]}";
     }
 
     /** The list that the last configuration had as known; empty where it had none. */
-    private static volatile String known = "";
+    private static volatile String knownList = "";
 
     /** What a platform says that has no list of its own: all is as the last configuration has it. */
-    static String known() {
-        return known;
+    static String knownList() {
+        return knownList;
     }
 
     /** A configuration; the endpoint is known from the start, or null. */
-    static String text(String discovery, Path state, String endpoint, double diskMb) {
-        known = endpoint == null ? "" : list(endpoint);
+    static String configText(String discovery, Path state, String endpoint, double diskMb) {
+        knownList = endpoint == null ? "" : endpointList(endpoint);
         String template = """
                 {"name": "n0", "listen": "127.0.0.1:0", "discovery": "%s", "state": "%s", "seed": "0b",
                  "limits": {"disk_mb": %s}, "known": %s,
@@ -51,25 +51,26 @@
                    {"name": "payment", "aimS": 1, "deadlineS": 28, "credit": 3, "repeat": "non_idempotent"}],
                   "rules": {"answerSlackS": 0.02, "coldFrom": 0.5, "tipMultiple": 1.5, "rampTimeS": 0.1,
                    "overloadForS": 3, "drainGraceS": 0.5, "askWithinS": 10}}}""";
-        return template.formatted(discovery, state, diskMb, endpoint == null ? "null" : list(endpoint));
+        return template.formatted(discovery, state, diskMb, endpoint == null ? "null" : endpointList(endpoint));
     }
 
     static Config config(String discovery, Path state, String endpoint) throws ConfigurationException {
-        return Config.parse(text(discovery, state, endpoint, 3), Map.of());
+        return Config.parse(configText(discovery, state, endpoint, 3), Map.of());
     }
 
     /** The real program in a process of its own, which can be killed, with so many descriptors. */
-    static Process process(Path folder, String config, int descriptors) throws IOException {
-        return process(folder, config, "ulimit -n " + descriptors);
+    static Process startProcess(Path folder, String config, int descriptors) throws IOException {
+        return startProcess(folder, config, "ulimit -n " + descriptors);
     }
 
     /** The same, where a shell has done something before. */
-    static Process process(Path folder, String config, String before, String... more) throws IOException {
+    static Process startProcess(Path folder, String config, String shellCommand, String... arguments)
+            throws IOException {
         Path file = Files.writeString(folder.resolve("config.json"), config);
         List<String> command = new ArrayList<>(List.of(
                 "sh",
                 "-c",
-                before + " && exec \"$@\"",
+                shellCommand + " && exec \"$@\"",
                 "sh",
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-ea",
@@ -78,7 +79,7 @@
                 System.getProperty("java.class.path"),
                 "lilaclever.program.Main",
                 "serve"));
-        command.addAll(List.of(more));
+        command.addAll(List.of(arguments));
         ProcessBuilder builder = new ProcessBuilder(command);
         builder.environment().put("ROUTER_CONFIG", file.toString());
         builder.environment().put("ROUTER_DISCOVERY", config.replaceAll("(?s).*\"discovery\": \"([^\"]*)\".*", "$1"));
@@ -86,13 +87,14 @@
     }
 
     /** A program that serves, and where: HTTP first. */
-    record Served(Process process, List<InetSocketAddress> addresses) {}
+    record RunningForwarder(Process process, List<InetSocketAddress> addresses) {}
 
     /**
      * The built jar in a process of its own with the platform's flags, once it serves; on core 0 alone where that is
      * asked for. Lines of its log go to {@code log}; {@code conf} may be null.
      */
-    static Served serve(Path folder, String config, String conf, boolean oneCore, int heapMb, Consumer<String> log)
+    static RunningForwarder startJar(
+            Path folder, String config, String conf, boolean oneCore, int heapMb, Consumer<String> log)
             throws IOException {
         List<String> command = new ArrayList<>(oneCore ? List.of("taskset", "-c", "0") : List.of());
         command.addAll(List.of(
@@ -120,10 +122,10 @@
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             log.accept(line);
             if (line.contains("serves at")) {
-                Thread drain = new Thread(() -> lines.lines().forEach(log));
-                drain.setDaemon(true);
-                drain.start();
-                return new Served(
+                Thread logReader = new Thread(() -> lines.lines().forEach(log));
+                logReader.setDaemon(true);
+                logReader.start();
+                return new RunningForwarder(
                         process,
                         Pattern.compile("/([0-9.]+):(\\d+)")
                                 .matcher(line)
