--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -46,7 +46,7 @@
     private SocketAddress address;
 
     @AfterEach
-    void end() {
+    void stopForwarderAndProcess() {
         if (forwarder != null) {
             forwarder.stop();
         }
@@ -56,26 +56,26 @@
     }
 
     private void serve(String platform, String endpoint) throws Exception {
-        forwarder = Forwarder.start(Setup.config(platform, state, endpoint), null);
+        forwarder = Forwarder.start(ForwarderSetup.config(platform, state, endpoint), null);
         address = forwarder.addresses().get(0);
     }
 
     /** Starts the program in a process and waits until it serves. */
-    private BufferedReader start(String platform, String endpoint) throws IOException {
-        process = Setup.process(state, Setup.text(platform, state, endpoint, 3), 1024);
+    private BufferedReader startProcess(String platform, String endpoint) throws IOException {
+        process = ForwarderSetup.startProcess(state, ForwarderSetup.configText(platform, state, endpoint, 3), 1024);
         BufferedReader log = process.errorReader();
-        address = address(log);
+        address = readListenAddress(log);
         return log;
     }
 
-    private static SocketAddress address(BufferedReader log) throws IOException {
+    private static SocketAddress readListenAddress(BufferedReader log) throws IOException {
         return new InetSocketAddress(
-                "127.0.0.1", Integer.parseInt(until(log, "serves at").replaceAll(".*:(\\d+)]", "$1")));
+                "127.0.0.1", Integer.parseInt(readLogUntil(log, "serves at").replaceAll(".*:(\\d+)]", "$1")));
     }
 
-    private Peer endpoint(Peer.Script afterRequest) throws IOException {
+    private Peer recordingEndpoint(Peer.Script answerScript) throws IOException {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 calls.add(r.path()
                         + ' '
                         + r.headers().get("req-id")
@@ -83,13 +83,13 @@
                         + r.headers().get("idempotency-key")
                         + ' '
                         + r.body());
-                afterRequest.talk(wire);
+                answerScript.run(wire);
             }
         });
     }
 
-    private Peer good() throws IOException {
-        return endpoint(wire -> wire.answer("200 OK", ""));
+    private Peer acceptingEndpoint() throws IOException {
+        return recordingEndpoint(wire -> wire.answer("200 OK", ""));
     }
 
     /**
@@ -98,47 +98,48 @@
      * all the same; one that can't be read changes nothing.
      */
     @Test
-    void whereHangupIsIgnoredAChangedFileIsTakenOn() throws Exception {
-        LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    void changedConfigurationIsReloadedWhereSighupIsIgnored() throws Exception {
+        LinkedBlockingQueue<String> discoveryRequests = new LinkedBlockingQueue<>();
         try (Peer before = Peer.platform("", notices);
                 Peer after = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
-                        asked.add(r.path());
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                        discoveryRequests.add(r.path());
                     }
                 })) {
-            process = Setup.process(state, Setup.text(before.address(), state, null, 3), "trap '' HUP");
+            process = ForwarderSetup.startProcess(
+                    state, ForwarderSetup.configText(before.address(), state, null, 3), "trap '' HUP");
             BufferedReader log = process.errorReader();
-            until(log, "SIGHUP is ignored by whoever started this program");
-            until(log, "serves at");
+            readLogUntil(log, "SIGHUP is ignored by whoever started this program");
+            readLogUntil(log, "serves at");
             Path file = state.resolve("config.json");
             Files.writeString(file, "{\"discovery\": ");
-            until(log, "stays");
-            Files.writeString(file, Setup.text(after.address(), state, null, 3));
-            until(log, "configuration read again");
-            assertEquals("/registry/instances", Peer.next(asked));
+            readLogUntil(log, "stays");
+            Files.writeString(file, ForwarderSetup.configText(after.address(), state, null, 3));
+            readLogUntil(log, "configuration read again");
+            assertEquals("/registry/instances", Peer.take(discoveryRequests));
         }
     }
 
     @Test
-    void aMessagePassesUnchangedOnAConnectionThatIsKept() throws Exception {
+    void messagesAreForwardedUnchangedOnOnePersistentConnection() throws Exception {
         AtomicInteger connections = new AtomicInteger();
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = new Peer(wire -> {
                     connections.incrementAndGet();
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                         calls.add(r.headers().get("req-id") + r.headers().get("idempotency-key") + r.body());
                         wire.answer("200 OK", "fine");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 for (String id : new String[] {"a", "b", "c"}) {
-                    assertTrue(client.handIn(id, "order", 5, "x\r\n\0" + id).startsWith("202"));
-                    assertEquals(id + "k-" + id + "x\r\n\0" + id, Peer.next(calls));
-                    untilDelivered(client, id.charAt(0) - 'a' + 1);
+                    assertTrue(client.submit(id, "order", 5, "x\r\n\0" + id).startsWith("202"));
+                    assertEquals(id + "k-" + id + "x\r\n\0" + id, Peer.take(calls));
+                    awaitDelivered(client, id.charAt(0) - 'a' + 1);
                 }
-                assertTrue(client.handIn("d", "no-such", 5, "").startsWith("400"));
-                assertTrue(counters(client).contains("\ntaken 3\n"));
+                assertTrue(client.submit("d", "no-such", 5, "").startsWith("400"));
+                assertTrue(readCounters(client).contains("\ntaken 3\n"));
             }
             assertEquals(1, connections.get());
         }
@@ -146,21 +147,21 @@
 
     /** With records forced before their consequence, all goes as without, and a client that left is forgotten. */
     @Test
-    void aGroupCommitHoldsNothingBackForGood() throws Exception {
+    void groupCommitDelaysNoCallOrResultIndefinitely() throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = good()) {
-            Config config = Setup.config(platform.address(), state, endpoint.address());
+                Peer endpoint = acceptingEndpoint()) {
+            Config config = ForwarderSetup.config(platform.address(), state, endpoint.address());
             Operator operator = Operator.of(ConfFile.parse("f", List.of("[journal]", "durability group")), config);
             forwarder = Forwarder.start(config, operator, null);
             address = forwarder.addresses().get(0);
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(client.handIn("m" + i, i % 2 == 0 ? "payment" : "status", 5, "x")
+                    assertTrue(client.submit("m" + i, i % 2 == 0 ? "payment" : "status", 5, "x")
                             .startsWith("202"));
-                    assertTrue(Peer.next(calls).startsWith("/receive m" + i + " "));
+                    assertTrue(Peer.take(calls).startsWith("/receive m" + i + " "));
                 }
-                untilDelivered(client, 20);
-                while (!counters(client).contains("\nentries_owed 0\n")) {
+                awaitDelivered(client, 20);
+                while (!readCounters(client).contains("\nentries_owed 0\n")) {
                     continue; // the last end is being forced
                 }
             }
@@ -178,30 +179,31 @@
         "payment, 410, 1, ''",
         "payment, 504, 2, ''"
     })
-    void outcomesDecideWhetherAMessageIsSentAgain(String kind, String first, int sent, String notice) throws Exception {
+    void attemptOutcomeDecidesWhetherAMessageIsRetried(String kind, String firstAnswer, int attempts, String notice)
+            throws Exception {
         AtomicInteger count = new AtomicInteger();
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = endpoint(wire -> {
+                Peer endpoint = recordingEndpoint(wire -> {
                     if (count.getAndIncrement() > 0) {
                         wire.answer("200 OK", "");
-                    } else if (first.equals("drop")) {
+                    } else if (firstAnswer.equals("drop")) {
                         wire.close();
                     } else {
-                        wire.answer(first + " no", "");
+                        wire.answer(firstAnswer + " no", "");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", kind, 20, "").startsWith("202"));
-                for (int i = 0; i < sent; i++) {
-                    Peer.next(calls);
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", kind, 20, "").startsWith("202"));
+                for (int i = 0; i < attempts; i++) {
+                    Peer.take(calls);
                 }
                 if (!notice.isEmpty()) {
-                    assertEquals("{\"id\":\"a\",\"status\":\"" + notice + "\"}", Peer.next(notices));
+                    assertEquals("{\"id\":\"a\",\"status\":\"" + notice + "\"}", Peer.take(notices));
                 }
                 // One more message goes through: nothing of the first came in between.
-                assertTrue(client.handIn("z", "status", 6, "").startsWith("202"));
-                assertTrue(Peer.next(calls).startsWith("/receive z "));
+                assertTrue(client.submit("z", "status", 6, "").startsWith("202"));
+                assertTrue(Peer.take(calls).startsWith("/receive z "));
             }
         }
     }
@@ -209,11 +211,11 @@
     /** Guards against a full table of connections that slows all calls to a partner, as if they were over its limit. */
     @ParameterizedTest
     @CsvSource({"1, 503, close, no_room", "1, 503, keep-alive, full", "2, 503, close, full", "1, 429, close, full"})
-    void aFullTableOfConnectionsIsToldApartFromAFullPartner(
-            int refusedCall, String status, String connection, String ending) throws Exception {
+    void fullConnectionTableIsDistinguishedFromFullPartner(
+            int refusedCall, String status, String connection, String outcome) throws Exception {
         AtomicInteger count = new AtomicInteger();
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = endpoint(wire -> {
+                Peer endpoint = recordingEndpoint(wire -> {
                     if (count.incrementAndGet() == refusedCall) {
                         wire.say("HTTP/1.1 " + status + " no\r\nConnection: " + connection
                                 + "\r\nContent-Length: 0\r\n\r\n");
@@ -222,84 +224,84 @@
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 for (int i = 1; i <= 2; i++) {
-                    assertTrue(client.handIn("m" + i, "status", 6, "").startsWith("202"));
-                    untilDelivered(client, i);
+                    assertTrue(client.submit("m" + i, "status", 6, "").startsWith("202"));
+                    awaitDelivered(client, i);
                 }
-                assertTrue(counters(client).contains("\nending_" + ending + " 1\n"), counters(client));
+                assertTrue(readCounters(client).contains("\nending_" + outcome + " 1\n"), readCounters(client));
             }
         }
     }
 
     @Test
-    void aSilentEndpointIsGivenUpByClosingAndAPaymentIsNotSentAgain() throws Exception {
+    void callToUnresponsiveEndpointIsClosedAndPaymentIsNotRetried() throws Exception {
         LinkedBlockingQueue<String> closed = new LinkedBlockingQueue<>();
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = endpoint(wire -> {
+                Peer endpoint = recordingEndpoint(wire -> {
                     try {
-                        wire.hang();
+                        wire.readWithoutAnswering();
                     } finally {
                         closed.add("closed");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 0.5, "").startsWith("202"));
-                assertTrue(Peer.next(notices).contains("undeliverable"));
-                Peer.next(closed);
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 0.5, "").startsWith("202"));
+                assertTrue(Peer.take(notices).contains("undeliverable"));
+                Peer.take(closed);
                 assertEquals(1, calls.size());
             }
         }
     }
 
     /** Its port is nobody else's, and connections to it are refused. */
-    private static Socket bound() throws IOException {
+    private static Socket boundSocketThatDoesNotListen() throws IOException {
         Socket socket = new Socket();
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
         return socket;
     }
 
     @Test
-    void whereNothingListensAPaymentNeverRanAndTheClientIsToldToComeAgain() throws Exception {
+    void paymentIsDeferredWhereNothingListens() throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Socket nobody = bound()) {
-            serve(platform.address(), "127.0.0.1:" + nobody.getLocalPort());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 1.5, "").startsWith("202"));
-                assertTrue(Peer.next(notices).startsWith("{\"id\":\"a\",\"status\":\"deferred\",\"again_ms\":"));
+                Socket notListening = boundSocketThatDoesNotListen()) {
+            serve(platform.address(), "127.0.0.1:" + notListening.getLocalPort());
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 1.5, "").startsWith("202"));
+                assertTrue(Peer.take(notices).startsWith("{\"id\":\"a\",\"status\":\"deferred\",\"again_ms\":"));
             }
         }
     }
 
     @Test
-    void aNoticeIsToldUntilThePlatformSaysThatItHasHeard() throws Exception {
-        AtomicInteger told = new AtomicInteger();
+    void noticeIsRepeatedUntilThePlatformConfirmsIt() throws Exception {
+        AtomicInteger received = new AtomicInteger();
         try (Peer platform = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
-                        if (r.path().equals("/status") && told.incrementAndGet() == 1) {
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                        if (r.path().equals("/status") && received.incrementAndGet() == 1) {
                             wire.close();
                         } else if (r.path().equals("/status")) {
                             notices.add(r.body());
-                            wire.answer(told.get() == 2 ? "500 not now" : "204 No Content", "");
+                            wire.answer(received.get() == 2 ? "500 not now" : "204 No Content", "");
                         }
                     }
                 });
-                Peer endpoint = endpoint(wire -> wire.answer("500 no", ""))) {
+                Peer endpoint = recordingEndpoint(wire -> wire.answer("500 no", ""))) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                assertEquals(Peer.next(notices), Peer.next(notices));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                assertEquals(Peer.take(notices), Peer.take(notices));
             }
         }
     }
 
     /** Its list comes once the latch says so, to whichever call asks: those before have been given up. */
-    private Peer platformThatTellsLater(CountDownLatch listed, String endpoint) throws IOException {
+    private Peer platformWithDelayedList(CountDownLatch listed, String endpoint) throws IOException {
         return Peer.platform(
                 () -> {
                     listed.await(20, TimeUnit.SECONDS);
-                    return Setup.list(endpoint);
+                    return ForwarderSetup.endpointList(endpoint);
                 },
                 notices);
     }
@@ -308,53 +310,54 @@
      * Guards against sending on what was ended while the call's connection came up: its client may have it sent again.
      */
     @Test
-    void aMessageThatEndsBeforeItsCallIsWrittenLeavesTheCall() throws Exception {
+    void messageThatExpiresBeforeItsCallIsWrittenIsRemovedFromTheCall() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         try (ServerSocket endpoint = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Peer platform = platformThatTellsLater(listed, "127.0.0.1:" + endpoint.getLocalPort())) {
+                Peer platform = platformWithDelayedList(listed, "127.0.0.1:" + endpoint.getLocalPort())) {
             endpoint.setSoTimeout(20_000);
-            List<Socket> before = List.of(new Socket(), new Socket());
-            for (Socket each : before) {
+            List<Socket> queueFillers = List.of(new Socket(), new Socket());
+            for (Socket each : queueFillers) {
                 each.connect(endpoint.getLocalSocketAddress()); // no room is left for the next until these are accepted
             }
             serve(platform.address(), null);
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("stays", "payment", 28, "x").startsWith("202"));
-                assertTrue(client.handIn("ends", "status", 0.8, "y").startsWith("202"));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("stays", "payment", 28, "x").startsWith("202"));
+                assertTrue(client.submit("ends", "status", 0.8, "y").startsWith("202"));
                 listed.countDown();
-                assertTrue(Peer.next(notices).contains("ends"));
-                for (Socket each : before) {
+                assertTrue(Peer.take(notices).contains("ends"));
+                for (Socket each : queueFillers) {
                     endpoint.accept().close();
                     each.close();
                 }
                 try (Wire call = new Wire(endpoint.accept())) {
-                    assertEquals("stays k-stays 1\r\nx\r\n", call.request().body());
+                    assertEquals("stays k-stays 1\r\nx\r\n", call.readRequest().body());
                     call.answer("200 OK", "stays deferred\r\n"); // still the answer of a call of several
                 }
                 try (Wire again = new Wire(endpoint.accept())) {
-                    assertEquals("stays", again.request().headers().get("req-id"));
+                    assertEquals("stays", again.readRequest().headers().get("req-id"));
                 }
             }
         }
     }
 
     @Test
-    void whatGoesToOneEndpointInOneTurnSharesACall() throws Exception {
+    void messagesToOneEndpointInOneTurnShareACall() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
-        try (Peer endpoint = endpoint(wire -> wire.answer("200 OK", "b fault\r\na accepted\r\nc deferred\r\n"));
-                Peer platform = platformThatTellsLater(listed, endpoint.address())) {
+        try (Peer endpoint =
+                        recordingEndpoint(wire -> wire.answer("200 OK", "b fault\r\na accepted\r\nc deferred\r\n"));
+                Peer platform = platformWithDelayedList(listed, endpoint.address())) {
             serve(platform.address(), null);
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 for (String id : new String[] {"a", "b", "c"}) {
-                    assertTrue(client.handIn(id, "payment", 28, "body-" + id).startsWith("202"));
+                    assertTrue(client.submit(id, "payment", 28, "body-" + id).startsWith("202"));
                 }
             }
             listed.countDown();
             assertEquals(
                     "/receive-many null null a k-a 6\r\nbody-a\r\nb k-b 6\r\nbody-b\r\nc k-c 6\r\nbody-c\r\n",
-                    Peer.next(calls));
-            assertTrue(Peer.next(notices).contains("{\"id\":\"b\",\"status\":\"undeliverable\"}"));
-            assertTrue(Peer.next(calls).startsWith("/receive c "), "only what never ran comes again");
+                    Peer.take(calls));
+            assertTrue(Peer.take(notices).contains("{\"id\":\"b\",\"status\":\"undeliverable\"}"));
+            assertTrue(Peer.take(calls).startsWith("/receive c "), "only what never ran comes again");
         }
     }
 
@@ -375,15 +378,15 @@
                 "Content-Length: 99~~a accepted~b accepted~c accepted~",
                 "Transfer-Encoding: chunked~~24~a accepted~b accepted~c accepted~~"
             })
-    void anAnswerToSeveralCountsOnlyWhole(String answer) throws Exception {
+    void incompleteAnswerToSeveralMessagesDeliversNone(String answer) throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         try (ServerSocket endpoint = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-                Peer platform = platformThatTellsLater(listed, "127.0.0.1:" + endpoint.getLocalPort())) {
+                Peer platform = platformWithDelayedList(listed, "127.0.0.1:" + endpoint.getLocalPort())) {
             endpoint.setSoTimeout(20_000);
             serve(platform.address(), null);
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 for (String id : new String[] {"a", "b", "c"}) {
-                    assertTrue(client.handIn(id, "payment", 28, "").startsWith("202"));
+                    assertTrue(client.submit(id, "payment", 28, "").startsWith("202"));
                 }
             }
             listed.countDown();
@@ -394,7 +397,7 @@
             }
             Set<String> ended = new TreeSet<>();
             for (int i = 0; i < 3; i++) {
-                ended.add(Peer.next(notices));
+                ended.add(Peer.take(notices));
             }
             assertEquals(
                     "[{\"id\":\"a\",\"status\":\"undeliverable\"}, {\"id\":\"b\",\"status\":\"undeliverable\"}, "
@@ -408,15 +411,15 @@
      * later counts for none of its messages.
      */
     @Test
-    void aCallOfSeveralIsOverWithTheTimeOfItsFirstMessage() throws Exception {
+    void callOfSeveralMessagesEndsAtTheEarliestDeadline() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         try (ServerSocket endpoint = new ServerSocket(0, 10, InetAddress.getLoopbackAddress());
-                Peer platform = platformThatTellsLater(listed, "127.0.0.1:" + endpoint.getLocalPort())) {
+                Peer platform = platformWithDelayedList(listed, "127.0.0.1:" + endpoint.getLocalPort())) {
             endpoint.setSoTimeout(20_000);
             serve(platform.address(), null);
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 28, "").startsWith("202"));
-                assertTrue(client.handIn("b", "payment", 1.5, "").startsWith("202"));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 28, "").startsWith("202"));
+                assertTrue(client.submit("b", "payment", 1.5, "").startsWith("202"));
             }
             listed.countDown();
             Set<String> ended = new TreeSet<>();
@@ -424,10 +427,10 @@
                 var request = call.read();
                 assertEquals("/receive-many", request.target());
                 assertTrue(Double.parseDouble(request.header("Req-Deadline", "")) < 1.5);
-                ended.add(Peer.next(notices));
+                ended.add(Peer.take(notices));
                 answerLate(call, "a accepted\r\nb accepted\r\n");
             }
-            ended.add(Peer.next(notices));
+            ended.add(Peer.take(notices));
             assertEquals(
                     "[{\"id\":\"a\",\"status\":\"undeliverable\"}, {\"id\":\"b\",\"status\":\"undeliverable\"}]",
                     ended.toString());
@@ -444,82 +447,86 @@
     }
 
     @Test
-    void whatWasTakenOnOutlastsAKill() throws Exception {
-        LinkedBlockingQueue<String> hanging = new LinkedBlockingQueue<>();
-        AtomicInteger life = new AtomicInteger();
+    void acceptedMessagesSurviveAKill() throws Exception {
+        LinkedBlockingQueue<String> unansweredCalls = new LinkedBlockingQueue<>();
+        AtomicInteger processRun = new AtomicInteger();
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = endpoint(wire -> {
-                    if (life.get() == 0) {
-                        hanging.add("out");
-                        wire.hang();
+                Peer endpoint = recordingEndpoint(wire -> {
+                    if (processRun.get() == 0) {
+                        unansweredCalls.add("out");
+                        wire.readWithoutAnswering();
                     } else {
                         wire.answer("200 OK", "");
                     }
                 })) {
-            start(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("pay", "payment", 28, "").startsWith("202"));
-                Peer.next(hanging);
-                assertTrue(client.handIn("tell", "status", 28, "again").startsWith("202"));
-                Peer.next(hanging);
+            startProcess(platform.address(), endpoint.address());
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("pay", "payment", 28, "").startsWith("202"));
+                Peer.take(unansweredCalls);
+                assertTrue(client.submit("tell", "status", 28, "again").startsWith("202"));
+                Peer.take(unansweredCalls);
             }
             process.destroyForcibly().waitFor();
-            life.set(1);
+            processRun.set(1);
             calls.clear();
-            start(platform.address(), endpoint.address());
-            assertEquals("{\"id\":\"pay\",\"status\":\"undeliverable\"}", Peer.next(notices), "it may have run");
-            assertEquals("/receive tell k-tell again", Peer.next(calls), "safe to repeat");
+            startProcess(platform.address(), endpoint.address());
+            assertEquals("{\"id\":\"pay\",\"status\":\"undeliverable\"}", Peer.take(notices), "it may have run");
+            assertEquals("/receive tell k-tell again", Peer.take(calls), "safe to repeat");
         }
     }
 
     @Test
-    void atTheSignalItTakesNothingNewAndKeepsWhatItCanNotFinish() throws Exception {
+    void sigtermStopsIntakeAndKeepsUnfinishedMessages() throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Peer good = good();
-                Socket nobody = bound()) {
-            BufferedReader log = start(platform.address(), "127.0.0.1:" + nobody.getLocalPort());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("held", "payment", 28, "").startsWith("202"));
+                Peer good = acceptingEndpoint();
+                Socket notListening = boundSocketThatDoesNotListen()) {
+            BufferedReader log = startProcess(platform.address(), "127.0.0.1:" + notListening.getLocalPort());
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("held", "payment", 28, "").startsWith("202"));
                 process.toHandle().destroy(); // Process.destroy would close its output too
-                assertEquals(null, client.request(), "an idle connection is closed");
+                assertEquals(null, client.readRequest(), "an idle connection is closed");
             }
             assertTrue(process.waitFor(10, TimeUnit.SECONDS));
             assertTrue(log.lines().anyMatch("taken 1"::equals), "counters are printed at the end");
-            assertThrows(IOException.class, () -> Wire.to(address));
-            start(platform.address(), good.address());
-            assertTrue(Peer.next(calls).startsWith("/receive held "));
+            assertThrows(IOException.class, () -> Wire.connect(address));
+            startProcess(platform.address(), good.address());
+            assertTrue(Peer.take(calls).startsWith("/receive held "));
         }
     }
 
     @Test
-    void atSighupTheNewFilesDiscoveryTakesOverAndNothingIsLost() throws Exception {
-        LinkedBlockingQueue<String> moved = new LinkedBlockingQueue<>();
-        LinkedBlockingQueue<String> fresh = new LinkedBlockingQueue<>();
-        try (Peer first = endpoint(wire -> wire.answer("500 no", ""));
+    void sighupSwitchesToTheNewDiscoveryAndLosesNothing() throws Exception {
+        LinkedBlockingQueue<String> noticesAfterReload = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<String> callsToNewEndpoint = new LinkedBlockingQueue<>();
+        try (Peer first = recordingEndpoint(wire -> wire.answer("500 no", ""));
                 Peer second = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
-                        fresh.add(r.headers().get("req-id"));
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                        callsToNewEndpoint.add(r.headers().get("req-id"));
                         wire.answer("200 OK", "");
                     }
                 });
-                Peer before = new Peer(Wire::hang); // takes the watch and the notice, and answers neither
-                Peer after = Peer.platform(Setup.list(second.address()).replace("e1", "e2"), moved)) {
+                Peer before =
+                        new Peer(Wire::readWithoutAnswering); // takes the watch and the notice, and answers neither
+                Peer after = Peer.platform(
+                        ForwarderSetup.endpointList(second.address()).replace("e1", "e2"), noticesAfterReload)) {
             Path file = state.resolve("config.json");
-            BufferedReader log = start(before.address(), first.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                assertTrue(Peer.next(calls).startsWith("/receive a "));
-                Files.writeString(file, Setup.text("nowhere", state, null, 3));
-                hangUp();
-                assertTrue(until(log, "configuration: discovery: ").contains("stays"));
-                Files.writeString(file, Setup.text(after.address(), state, null, 3));
-                hangUp();
-                assertEquals("{\"id\":\"a\",\"status\":\"undeliverable\"}", Peer.next(moved), "still owed");
-                assertTrue(client.handIn("b", "status", 6, "").startsWith("202"));
-                assertEquals("b", Peer.next(fresh), "at the latest after the first endpoint has failed it");
+            BufferedReader log = startProcess(before.address(), first.address());
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                assertTrue(Peer.take(calls).startsWith("/receive a "));
+                Files.writeString(file, ForwarderSetup.configText("nowhere", state, null, 3));
+                sendSighup();
+                assertTrue(readLogUntil(log, "configuration: discovery: ").contains("stays"));
+                Files.writeString(file, ForwarderSetup.configText(after.address(), state, null, 3));
+                sendSighup();
+                assertEquals(
+                        "{\"id\":\"a\",\"status\":\"undeliverable\"}", Peer.take(noticesAfterReload), "still owed");
+                assertTrue(client.submit("b", "status", 6, "").startsWith("202"));
+                assertEquals(
+                        "b", Peer.take(callsToNewEndpoint), "at the latest after the first endpoint has failed it");
                 for (String id : new String[] {"c", "d", "e", "f", "g"}) {
-                    assertTrue(client.handIn(id, "payment", 6, "").startsWith("202"));
-                    assertEquals(id, Peer.next(fresh), "the first endpoint is not in the new list");
+                    assertTrue(client.submit(id, "payment", 6, "").startsWith("202"));
+                    assertEquals(id, Peer.take(callsToNewEndpoint), "the first endpoint is not in the new list");
                 }
             }
             // The next start has the variables of the first one, and the file as it is now.
@@ -529,12 +536,12 @@
                     Config.parse(Files.readString(file), variables).discovery());
             assertEquals(
                     before.address(),
-                    Config.parse(Setup.text("127.0.0.1:9", state, null, 3), variables)
+                    Config.parse(ForwarderSetup.configText("127.0.0.1:9", state, null, 3), variables)
                             .discovery());
         }
     }
 
-    private void hangUp() throws Exception {
+    private void sendSighup() throws Exception {
         assertEquals(
                 0,
                 new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
@@ -542,7 +549,7 @@
                         .waitFor());
     }
 
-    private static String until(BufferedReader log, String part) throws IOException {
+    private static String readLogUntil(BufferedReader log, String part) throws IOException {
         String line = log.readLine();
         while (line != null && !line.contains(part)) {
             line = log.readLine();
@@ -571,49 +578,49 @@
                 "Content-Length: 2 | Content-Length: 60000000 | 413",
                 "Content-Length: 2 | Content-Length: 2~Transfer-Encoding: chunked | 400"
             })
-    void aBadRequestIsToldSoAndGoesNowhere(String part, String instead, String status) throws Exception {
+    void invalidRequestIsRejectedAndNotForwarded(String part, String instead, String status) throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = good()) {
+                Peer endpoint = acceptingEndpoint()) {
             serve(platform.address(), endpoint.address());
             String good = "POST /api HTTP/1.1~Req-Id: x~Req-Kind: order~Req-Deadline: 5~Idempotency-Key: k~X-Envelope: "
                     + "dest=7~"
                     + "Content-Length: 2~~ok";
             assertTrue(good.contains(part));
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 client.say(good.replace(part, instead == null ? "" : instead)
                         .replace("~", "\r\n")
                         .replace("#", "\0"));
-                assertEquals(status, client.request().path());
+                assertEquals(status, client.readRequest().path());
             }
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 client.say(good.replace("~", "\r\n"));
-                assertEquals("202", client.request().path());
+                assertEquals("202", client.readRequest().path());
             }
-            assertEquals("/receive x k ok", Peer.next(calls));
+            assertEquals("/receive x k ok", Peer.take(calls));
             assertEquals(0, calls.size());
         }
     }
 
     @Test
-    void silenceAndHalfARequestAreEndedAndAnOpenIdMakesNoSecondMessage() throws Exception {
+    void idleAndIncompleteRequestsTimeOutAndAPendingIdIsNotForwardedTwice() throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = endpoint(Wire::hang)) {
+                Peer endpoint = recordingEndpoint(Wire::readWithoutAnswering)) {
             serve(platform.address(), endpoint.address());
             long began = System.nanoTime();
-            try (Wire silent = Wire.to(address);
-                    Wire half = Wire.to(address);
-                    Wire client = Wire.to(address);
-                    Wire other = Wire.to(address)) {
+            try (Wire silent = Wire.connect(address);
+                    Wire half = Wire.connect(address);
+                    Wire client = Wire.connect(address);
+                    Wire other = Wire.connect(address)) {
                 half.say("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
-                assertTrue(client.handIn("a", "payment", 20, "mine").startsWith("202"));
-                assertTrue(other.handIn("a", "payment", 20, "another's").startsWith("202"));
-                assertEquals("408", half.request().path());
-                assertEquals(null, half.request());
-                assertEquals(null, silent.request());
+                assertTrue(client.submit("a", "payment", 20, "mine").startsWith("202"));
+                assertTrue(other.submit("a", "payment", 20, "another's").startsWith("202"));
+                assertEquals("408", half.readRequest().path());
+                assertEquals(null, half.readRequest());
+                assertEquals(null, silent.readRequest());
                 assertTrue(System.nanoTime() - began < 3_000_000_000L, "within 3 s");
-                assertEquals("/receive a k-a mine", Peer.next(calls));
+                assertEquals("/receive a k-a mine", Peer.take(calls));
                 assertEquals(0, calls.size());
-                assertTrue(client.handIn("b", "status", 20, "").startsWith("202"), "a usual connection stays");
+                assertTrue(client.submit("b", "status", 20, "").startsWith("202"), "a usual connection stays");
             }
         }
     }
@@ -621,26 +628,26 @@
     /** Neither connections that say nothing nor such as asked once and stay open take the room of who comes next. */
     @ParameterizedTest
     @CsvSource({"false", "true"})
-    void aCrowdTakesNobodysRoom(boolean asksOnce) throws Exception {
-        List<Wire> crowd = new ArrayList<>();
+    void idleConnectionsDoNotExhaustTheCapacityForNewClients(boolean asksOnce) throws Exception {
+        List<Wire> idleConnections = new ArrayList<>();
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = good()) {
-            process = Setup.process(
+                Peer endpoint = acceptingEndpoint()) {
+            process = ForwarderSetup.startProcess(
                     state,
-                    Setup.text(platform.address(), state, endpoint.address(), 3)
+                    ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3)
                             .replace("\"limits\": {\"disk", "\"limits\": {\"sockets\": 100, \"disk"),
                     100);
-            address = address(process.errorReader());
+            address = readListenAddress(process.errorReader());
             for (int i = 0; i < 300; i++) {
-                Wire wire = Wire.to(address);
-                crowd.add(wire);
+                Wire wire = Wire.connect(address);
+                idleConnections.add(wire);
                 if (asksOnce || i % 30 == 0) {
-                    assertTrue(wire.handIn("m" + i, "payment", 20, "").startsWith("202"), "after " + i);
-                    assertTrue(Peer.next(calls).startsWith("/receive m" + i + ' '));
+                    assertTrue(wire.submit("m" + i, "payment", 20, "").startsWith("202"), "after " + i);
+                    assertTrue(Peer.take(calls).startsWith("/receive m" + i + ' '));
                 }
             }
         } finally {
-            for (Wire wire : crowd) {
+            for (Wire wire : idleConnections) {
                 wire.close();
             }
         }
@@ -660,12 +667,12 @@
                 "HTTP/1.1 100 Go on~~HTTP/1.1 500 no~Content-Length: 0~~ | undeliverable",
                 "HTTP/1.1 200 OK~Srv-Load: x0=?~Content-Length: 0~~HTTP/1.1 200 OK~Content-Length: 0~~ | "
             })
-    void aSpoiltAnswerMayHaveRunAndItsConnectionIsNotUsedAgain(String answer, String notice) throws Exception {
+    void malformedAnswerMayHaveRunAndItsConnectionIsNotReused(String answer, String notice) throws Exception {
         AtomicInteger connections = new AtomicInteger();
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = new Peer(wire -> {
                     int connection = connections.incrementAndGet();
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                         calls.add(connection + r.headers().get("req-id"));
                         wire.say(
                                 r.headers().get("req-id").equals("a")
@@ -674,82 +681,83 @@
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                assertEquals("1a", Peer.next(calls));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                assertEquals("1a", Peer.take(calls));
                 if (notice == null) {
-                    untilDelivered(client, 1);
+                    awaitDelivered(client, 1);
                 } else {
-                    assertEquals("{\"id\":\"a\",\"status\":\"" + notice + "\"}", Peer.next(notices));
+                    assertEquals("{\"id\":\"a\",\"status\":\"" + notice + "\"}", Peer.take(notices));
                 }
-                assertTrue(client.handIn("b", "payment", 20, "").startsWith("202"));
+                assertTrue(client.submit("b", "payment", 20, "").startsWith("202"));
                 if (!answer.contains("500")) {
-                    assertEquals("2b", Peer.next(calls));
+                    assertEquals("2b", Peer.take(calls));
                 }
                 assertEquals(
-                        "{\"id\":\"b\",\"status\":\"undeliverable\"}", Peer.next(notices), "no other answer's end");
+                        "{\"id\":\"b\",\"status\":\"undeliverable\"}", Peer.take(notices), "no other answer's end");
             }
         }
     }
 
-    private static void untilDelivered(Wire client, int count) throws IOException {
-        while (!counters(client).contains("\ndelivered " + count + '\n')) {
+    private static void awaitDelivered(Wire client, int count) throws IOException {
+        while (!readCounters(client).contains("\ndelivered " + count + '\n')) {
             Thread.onSpinWait();
         }
     }
 
-    private static String counters(Wire client) throws IOException {
+    private static String readCounters(Wire client) throws IOException {
         client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-        return client.request().body();
+        return client.readRequest().body();
     }
 
     /** Ever-new clients, ids and keys: of those that are over nothing is kept but the keys' ends, for their time. */
     @Test
-    void whatIsOverLeavesNoEntries() throws Exception {
+    void finishedMessagesLeaveNoEntries() throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Peer endpoint = good()) {
+                Peer endpoint = acceptingEndpoint()) {
             serve(platform.address(), endpoint.address());
             for (int i = 0; i < 200; i++) {
-                try (Wire client = Wire.to(address)) {
-                    assertTrue(client.handIn("m" + i, i % 2 == 0 ? "order" : "status", 20, "")
+                try (Wire client = Wire.connect(address)) {
+                    assertTrue(client.submit("m" + i, i % 2 == 0 ? "order" : "status", 20, "")
                             .startsWith("202"));
                 }
             }
-            try (Wire client = Wire.to(address)) {
-                untilDelivered(client, 200);
+            try (Wire client = Wire.connect(address)) {
+                awaitDelivered(client, 200);
                 List<String> grown = List.of("unread");
                 for (long end = System.nanoTime() + 10_000_000_000L; !grown.isEmpty() && System.nanoTime() < end; ) {
-                    grown = counters(client)
+                    grown = readCounters(client)
                             .lines()
                             .filter(x -> x.startsWith("entries_") && !x.contains("_remembered "))
                             .filter(x -> Integer.parseInt(x.substring(x.indexOf(' ') + 1)) > 10)
                             .toList();
                 }
                 assertEquals(List.of(), grown);
-                assertTrue(counters(client).contains("\nentries_held 0\n"));
+                assertTrue(readCounters(client).contains("\nentries_held 0\n"));
             }
         }
     }
 
     @Test
-    void theSelfTestDeliversAndLeavesNothing() throws Exception {
+    void selfTestSucceeds() throws Exception {
         assertEquals(0, SelfTest.run());
     }
 
     @Test
-    void aFullDiskRefusesNewWorkAndNothingElse() throws Exception {
+    void fullDiskOnlyRejectsNewMessages() throws Exception {
         try (Peer platform = Peer.platform("", notices)) {
-            forwarder = Forwarder.start(Config.parse(Setup.text(platform.address(), state, null, 0.4), Map.of()), null);
+            forwarder = Forwarder.start(
+                    Config.parse(ForwarderSetup.configText(platform.address(), state, null, 0.4), Map.of()), null);
             address = forwarder.addresses().get(0);
-            int taken = 0;
+            int accepted = 0;
             String answer = "202";
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 while (answer.startsWith("202")) {
-                    answer = client.handIn("m" + taken++, "payment", 28, "x".repeat(30_000));
+                    answer = client.submit("m" + accepted++, "payment", 28, "x".repeat(30_000));
                 }
                 assertTrue(answer.startsWith("503") && answer.toLowerCase().contains("retry-after"), answer);
             }
-            assertTrue(taken > 2 && taken < 14, taken + " taken");
+            assertTrue(accepted > 2 && accepted < 14, accepted + " taken");
             try (Stream<Path> files = Files.list(state)) {
                 assertTrue(files.mapToLong(f -> f.toFile().length()).sum() <= 0.4 * 1024 * 1024);
             }
@@ -766,8 +774,8 @@
                 "\"callSlots\": 20 | \"callSlots\": 0 | limits.slots",
                 "\"seed\": \"0b\" | \"seed\": \"zz\" | seed"
             })
-    void aFaultyKeyIsNamed(String good, String bad, String key) {
-        String text = Setup.text("127.0.0.1:1", state, null, 3);
+    void invalidConfigurationKeyIsNamed(String good, String bad, String key) {
+        String text = ForwarderSetup.configText("127.0.0.1:1", state, null, 3);
         assertTrue(text.contains(good));
         assertTrue(assertThrows(ConfigurationException.class, () -> Config.parse(text.replace(good, bad), Map.of()))
                 .getMessage()
--- a/src/test/java/lilaclever/program/HelpTest.java
+++ b/src/test/java/lilaclever/program/HelpTest.java
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void optionsAreTold() {
+    void helpListsOptions() {
         assertTrue(help("rehearse", "-h").contains("--seed N"));
         assertTrue(help("help", "serve").contains("--conf FILE"));
         assertFalse(Help.isWanted(new String[] {"version"}));
--- a/src/test/java/lilaclever/program/KnownListTest.java
+++ b/src/test/java/lilaclever/program/KnownListTest.java
@@ -35,7 +35,7 @@
     }
 
     private String text(String platform) {
-        return Setup.text(platform, state, null, 3).replace("\"known\": null", "\"known\": " + list());
+        return ForwarderSetup.configText(platform, state, null, 3).replace("\"known\": null", "\"known\": " + list());
     }
 
     /** How many objects of classes of this name can be reached, after a full collection. */
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void aForwarderKeepsNeitherTheTreeNorTheListThatItStartedWith() throws Exception {
+    void forwarderRetainsNeitherTheJsonTreeNorTheParsedList() throws Exception {
         try (Peer platform =
                 Peer.platform("{\"index\":1,\"snapshot\":true,\"endpoints\":[]}", new LinkedBlockingQueue<>())) {
             Forwarder forwarder = Forwarder.start(Config.parse(text(platform.address()), Map.of()), null);
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void aListThatCannotBeReadIsToldByItsKey() {
+    void invalidListIsReportedByItsKey() {
         ConfigurationException bad = assertThrows(
                 ConfigurationException.class,
                 () -> Config.parse(text("127.0.0.1:9").replace("\"status\":\"active\"", "\"x\":1"), Map.of()));
@@ -80,7 +80,7 @@
 
     /** At SIGHUP the list counts for nothing, and is not read. */
     @Test
-    void aConfigurationThatIsReadAgainHasNoList() throws Exception {
+    void reloadedConfigurationHasNoKnownList() throws Exception {
         File file = Files.writeString(state.resolve("config.json"), text("127.0.0.1:9"))
                 .toFile();
         Map<String, String> variables = Map.of("ROUTER_CONFIG", file.toString());
--- a/src/test/java/lilaclever/program/MailTest.java
+++ b/src/test/java/lilaclever/program/MailTest.java
@@ -39,12 +39,12 @@
     private SocketAddress http, smtp, lmtp;
 
     @BeforeEach
-    void begin() throws IOException {
+    void startPlatform() throws IOException {
         platform = Peer.platform("", notices);
     }
 
     @AfterEach
-    void end() throws IOException {
+    void stop() throws IOException {
         forwarder.stop();
         platform.close();
     }
@@ -59,10 +59,10 @@
     }
 
     private void serve(int idleSeconds, String... routes) throws Exception {
-        Config config = Setup.config(platform.address(), state, null);
+        Config config = ForwarderSetup.config(platform.address(), state, null);
         forwarder = Forwarder.start(
                 config,
-                config.parseMail(Setup.MAIL
+                config.parseMail(ForwarderSetup.MAIL_CONFIG_TEMPLATE
                         .formatted(String.join(",", routes))
                         .replace("{\"hostName\"", "{\"idleSeconds\": " + idleSeconds + ", \"hostName\"")));
         http = forwarder.addresses().get(0);
@@ -71,12 +71,12 @@
     }
 
     /** What the stand-in server does with a content, or with a recipient: a reply, or null for a drop. */
-    interface Fate {
-        String of(String text) throws IOException, InterruptedException;
+    interface ReplyScript {
+        String reply(String text) throws IOException, InterruptedException;
     }
 
     /** A stand-in server of either protocol: offers all, keeps what came whole. */
-    private Peer server(Fate recipient, Fate content) throws IOException {
+    private Peer server(ReplyScript recipient, ReplyScript content) throws IOException {
         return new Peer(wire -> {
             wire.say("220 stand-in\r\n");
             for (String line = wire.line(); line != null; line = wire.line()) {
@@ -84,14 +84,14 @@
                 if (line.startsWith("EHLO") || line.startsWith("LHLO")) {
                     reply = "250-stand-in\r\n250-PIPELINING\r\n250 SIZE 100000";
                 } else if (line.startsWith("RCPT")) {
-                    reply = recipient.of(line);
+                    reply = recipient.reply(line);
                 } else if (line.equals("DATA")) {
                     wire.say("354 go on\r\n");
                     StringBuilder text = new StringBuilder();
                     for (String row = wire.line(); !row.equals("."); row = wire.line()) {
                         text.append(row).append('\n');
                     }
-                    reply = content.of(text.toString());
+                    reply = content.reply(text.toString());
                 }
                 if (reply == null) {
                     return;
@@ -101,16 +101,16 @@
         });
     }
 
-    private Peer good() throws IOException {
+    private Peer acceptingServer() throws IOException {
         return server(r -> "250 2.1.5 good", text -> {
             mails.add(text);
             return "250 2.0.0 kept";
         });
     }
 
-    private static void greet(Wire wire, String hello) throws IOException {
-        assertTrue(wire.reply().startsWith("220"));
-        assertTrue(wire.ask(hello + " client").startsWith("250"));
+    private static void greet(Wire wire, String greeting) throws IOException {
+        assertTrue(wire.readReply().startsWith("220"));
+        assertTrue(wire.sendCommand(greeting + " client").startsWith("250"));
     }
 
     /** Sends one mail, all commands in one group, and gives the replies to its content. */
@@ -121,11 +121,11 @@
         }
         wire.say(group + "DATA\r\n");
         for (int i = 0; i <= to.length; i++) {
-            assertTrue(wire.reply().startsWith("250"));
+            assertTrue(wire.readReply().startsWith("250"));
         }
-        assertTrue(wire.reply().startsWith("354"));
+        assertTrue(wire.readReply().startsWith("354"));
         wire.say(content + "\r\n.\r\n");
-        return new ArrayList<>(List.of(wire.reply()));
+        return new ArrayList<>(List.of(wire.readReply()));
     }
 
     private static String payment(String id) {
@@ -134,14 +134,14 @@
 
     /** The server has the whole payment and drops: it may have run. It is never sent again, and always answered. */
     @Test
-    void aThousandDropsAfterTheEndOfDataPayNothingTwice() throws Exception {
+    void droppedConnectionsAfterTheEndOfDataRepeatNoPayment() throws Exception {
         int lanes = 8;
-        int each = 125;
-        Map<String, AtomicInteger> paid = new ConcurrentHashMap<>();
+        int paymentsPerLane = 125;
+        Map<String, AtomicInteger> deliveriesById = new ConcurrentHashMap<>();
         AtomicInteger drops = new AtomicInteger();
         try (Peer server = server(r -> "250 good", text -> {
             String id = text.replaceAll("(?s).*Message-ID: <(.*?)>.*", "$1");
-            paid.computeIfAbsent(id, x -> new AtomicInteger()).incrementAndGet();
+            deliveriesById.computeIfAbsent(id, x -> new AtomicInteger()).incrementAndGet();
             if (id.startsWith("drop")) {
                 drops.incrementAndGet();
                 return null;
@@ -159,9 +159,9 @@
                 String to = "till@lane" + lane + ".test";
                 Callable<Integer> client = () -> {
                     int answers = 0;
-                    try (Wire wire = Wire.to(lmtp)) {
+                    try (Wire wire = Wire.connect(lmtp)) {
                         greet(wire, "LHLO");
-                        for (int i = 0; i < each; i++) {
+                        for (int i = 0; i < paymentsPerLane; i++) {
                             // One that is kept after each that is dropped: the server is not taken for dead.
                             for (String kind : new String[] {"drop", "keep"}) {
                                 String content = payment(kind + i + to);
@@ -185,35 +185,35 @@
                 answers += f.get();
             }
             clients.shutdown();
-            assertEquals(4 * lanes * each, answers);
+            assertEquals(4 * lanes * paymentsPerLane, answers);
             assertEquals(1000, drops.get());
-            assertEquals(2000, paid.size());
-            assertTrue(paid.values().stream().allMatch(n -> n.get() == 1), "each payment came once");
+            assertEquals(2000, deliveriesById.size());
+            assertTrue(deliveriesById.values().stream().allMatch(n -> n.get() == 1), "each payment came once");
         }
     }
 
     @Test
-    void eachLmtpRecipientGetsItsOwnFinalAnswerInOrder() throws Exception {
+    void eachLmtpRecipientGetsItsOwnFinalReplyInOrder() throws Exception {
         try (Peer server = server(r -> r.contains("bad@") ? "550 5.1.1 nobody" : "250 good", t -> "250 2.0.0 kept")) {
             serve(route("a.test", 1, "lmtp", server.address()), route("b.test", 2, "smtp", server.address()));
-            try (Wire wire = Wire.to(lmtp)) {
+            try (Wire wire = Wire.connect(lmtp)) {
                 greet(wire, "LHLO");
                 List<String> replies = send(wire, "", payment("x"), "good@a.test", "bad@a.test", "good@b.test");
-                replies.add(wire.reply());
-                replies.add(wire.reply());
+                replies.add(wire.readReply());
+                replies.add(wire.readReply());
                 assertEquals(List.of("250 2.1.5 delivered", "550 5.1.1 nobody", "250 2.1.5 delivered"), replies);
             }
         }
     }
 
     @Test
-    void beforeTheEndOfDataAndAfterAny4xxAPaymentNeverRanAndIsSentAgain() throws Exception {
+    void paymentIsRetriedAfterADropBeforeTheEndOfDataOrA4xxReply() throws Exception {
         AtomicInteger tries = new AtomicInteger();
         try (Peer server = server(
                 r -> tries.incrementAndGet() == 1 ? null : "250 good",
                 t -> tries.get() == 2 ? "451 4.3.0 later" : "250 2.0.0 kept")) {
             serve(route("a.test", 1, "smtp", server.address()));
-            try (Wire wire = Wire.to(lmtp)) {
+            try (Wire wire = Wire.connect(lmtp)) {
                 greet(wire, "LHLO");
                 assertTrue(send(wire, "", payment("x"), "till@a.test").get(0).startsWith("250"));
                 assertEquals(3, tries.get());
@@ -222,11 +222,11 @@
     }
 
     @Test
-    void aFinalFailureAfterSmtpTookItIsReportedToTheReversePathOnce() throws Exception {
+    void failureAfterSmtpAcceptanceIsReportedOnceToTheReversePath() throws Exception {
         try (Peer bad = server(r -> "550 5.1.1 nobody here", t -> "250 kept");
-                Peer good = good()) {
+                Peer good = acceptingServer()) {
             serve(route("bad.test", 1, "lmtp", bad.address()), route("sender.test", 2, "smtp", good.address()));
-            try (Wire wire = Wire.to(smtp)) {
+            try (Wire wire = Wire.connect(smtp)) {
                 greet(wire, "EHLO");
                 assertEquals(
                         "250 2.0.0 taken on",
@@ -234,7 +234,7 @@
                 assertEquals(
                         "250 2.0.0 taken on",
                         send(wire, "me@sender.test", payment("m"), "x@bad.test").get(0));
-                String report = Peer.next(mails);
+                String report = Peer.take(mails);
                 for (String part : List.of(
                         "To: <me@sender.test>",
                         "report-type=delivery-status",
@@ -252,7 +252,7 @@
                 assertTrue(send(wire, "me@sender.test", payment("o"), "y@sender.test")
                         .get(0)
                         .startsWith("250"));
-                assertTrue(Peer.next(mails).contains("Message-ID: <o>"), "no other report came in between");
+                assertTrue(Peer.take(mails).contains("Message-ID: <o>"), "no other report came in between");
             }
         }
     }
@@ -260,7 +260,7 @@
     /** The hard case: the whole content is accepted, then nothing comes. Sent again only as the class allows. */
     @ParameterizedTest
     @CsvSource({"payment, 1, 554 5.4.0", "unheard-of, 1, 554 5.4.0", "order, 2, 250 2.1.5", "status, 2, 250 2.1.5"})
-    void silenceAfterTheEndOfDataMayHaveRun(String kind, int sent, String answer) throws Exception {
+    void unansweredEndOfDataIsRetriedOnlyIfTheClassAllowsIt(String kind, int attempts, String answer) throws Exception {
         AtomicInteger tries = new AtomicInteger();
         CountDownLatch never = new CountDownLatch(1);
         try (Peer server = server(r -> "250 good", text -> {
@@ -270,12 +270,12 @@
             return "250 2.0.0 kept";
         })) {
             serve(route("a.test", 1, "lmtp", server.address()));
-            try (Wire wire = Wire.to(lmtp)) {
+            try (Wire wire = Wire.connect(lmtp)) {
                 greet(wire, "LHLO");
                 String reply = send(wire, "", payment("x").replace("payment", kind), "till@a.test")
                         .get(0);
                 assertTrue(reply.startsWith(answer), reply);
-                assertEquals(sent, tries.get());
+                assertEquals(attempts, tries.get());
             }
         } finally {
             never.countDown();
@@ -291,46 +291,46 @@
     }
 
     @Test
-    void whatSmtpTookOnOutlastsTheProcess() throws Exception {
-        AtomicInteger life = new AtomicInteger();
-        try (Peer server = server(r -> life.get() == 0 ? "450 4.2.1 not\rnow" : "250 good", text -> {
+    void mailAcceptedOverSmtpSurvivesARestart() throws Exception {
+        AtomicInteger processRun = new AtomicInteger();
+        try (Peer server = server(r -> processRun.get() == 0 ? "450 4.2.1 not\rnow" : "250 good", text -> {
             mails.add(text);
             return "250 2.0.0 kept";
         })) {
             String route = route("a.test", 1, "smtp", server.address());
             serve(route);
-            try (Wire wire = Wire.to(smtp)) {
+            try (Wire wire = Wire.connect(smtp)) {
                 greet(wire, "EHLO");
                 assertEquals(
                         "250 2.0.0 taken on",
                         send(wire, "", payment("x"), "till@a.test").get(0));
             }
             forwarder.stop();
-            life.set(1);
+            processRun.set(1);
             serve(route);
-            assertTrue(Peer.next(mails).contains("Message-ID: <x>"));
+            assertTrue(Peer.take(mails).contains("Message-ID: <x>"));
         }
     }
 
     @Test
-    void aMessageWithoutAnEnvelopeEndsAtOnceWhereOnlyMailIsTaken() throws Exception {
-        try (Peer good = good()) {
+    void messageWithoutAMailEnvelopeForAMailDestinationIsUndeliverable() throws Exception {
+        try (Peer good = acceptingServer()) {
             serve(route("a.test", 1, "smtp", good.address()));
-            try (Wire client = Wire.to(http)) {
+            try (Wire client = Wire.connect(http)) {
                 assertTrue(
-                        client.handIn("a", "payment", 1_000_001, 20, "no mail").startsWith("202"));
-                assertEquals("{\"id\":\"a\",\"status\":\"undeliverable\"}", Peer.next(notices));
+                        client.submit("a", "payment", 1_000_001, 20, "no mail").startsWith("202"));
+                assertEquals("{\"id\":\"a\",\"status\":\"undeliverable\"}", Peer.take(notices));
             }
         }
     }
 
     @Test
-    void theServerKeepsToItsProtocol() throws Exception {
-        try (Peer good = good()) {
+    void smtpServerFollowsTheProtocol() throws Exception {
+        try (Peer good = acceptingServer()) {
             serve(route("a.test", 1, "smtp", good.address()));
-            try (Wire wire = Wire.to(smtp)) {
-                assertTrue(wire.reply().startsWith("220 mx.test ESMTP"));
-                String[][] talk = {
+            try (Wire wire = Wire.connect(smtp)) {
+                assertTrue(wire.readReply().startsWith("220 mx.test ESMTP"));
+                String[][] commands = {
                     {"MAIL FROM:<a@b>", "503 5.5.1"},
                     {"LHLO x", "500 5.5.1"},
                     {"EHLO x", "250 ENH"},
@@ -347,9 +347,9 @@
                     {"DATA", "503 5.5.1"},
                     {"VRFY x", "252 2.1.5"}
                 };
-                for (String[] turn : talk) {
-                    String reply = wire.ask(turn[0]);
-                    assertTrue(reply.startsWith(turn[1]), turn[0] + " gave " + reply);
+                for (String[] exchange : commands) {
+                    String reply = wire.sendCommand(exchange[0]);
+                    assertTrue(reply.startsWith(exchange[1]), exchange[0] + " gave " + reply);
                 }
                 assertTrue(send(wire, "", "a\n.\nMAIL FROM:<smuggled>", "x@a.test")
                         .get(0)
@@ -360,8 +360,8 @@
                 assertTrue(send(wire, "", "S: s\r\n\r\n..dot\r\n...\r\nend", "x@a.test")
                         .get(0)
                         .startsWith("250"));
-                assertTrue(Peer.next(mails).endsWith("S: s\n\n..dot\n...\nend\n"), "dots travel stuffed");
-                assertTrue(wire.ask("QUIT").startsWith("221 2.0.0"));
+                assertTrue(Peer.take(mails).endsWith("S: s\n\n..dot\n...\nend\n"), "dots travel stuffed");
+                assertTrue(wire.sendCommand("QUIT").startsWith("221 2.0.0"));
                 assertEquals(null, wire.line());
             }
         }
@@ -375,34 +375,35 @@
         "1, DATA, x, 40, 200, 421 4.4.2 the mail",
         "300, ., NOOP, 100000, 0, "
     })
-    void whoeverSendsWithoutEndIsSentAway(int idle, String last, String line, int times, int pause, String farewell)
+    void clientThatSendsWithoutEndIsDisconnected(
+            int idleSeconds, String lastCommand, String line, int lineCount, int pauseMillis, String lastReply)
             throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
         try (Peer slow = server(r -> "250 good", t -> answer.await(60, TimeUnit.SECONDS) ? "250 late" : "250 later")) {
-            serve(idle, route("a.test", 1, "smtp", slow.address()));
-            try (Wire wire = Wire.to(lmtp)) {
+            serve(idleSeconds, route("a.test", 1, "smtp", slow.address()));
+            try (Wire wire = Wire.connect(lmtp)) {
                 greet(wire, "LHLO");
-                wire.say(last == null ? "" : "MAIL FROM:<a@b>\r\nRCPT TO:<x@a.test>\r\nDATA\r\n");
-                if (".".equals(last)) {
+                wire.say(lastCommand == null ? "" : "MAIL FROM:<a@b>\r\nRCPT TO:<x@a.test>\r\nDATA\r\n");
+                if (".".equals(lastCommand)) {
                     wire.say("\r\nx\r\n.\r\n");
                 }
-                String said = "";
+                String received = "";
                 try {
-                    for (int i = 0; i < times; i += pause == 0 ? 100 : 1) {
-                        wire.say((line + "\r\n").repeat(pause == 0 ? 100 : 1));
-                        Thread.sleep(pause);
+                    for (int i = 0; i < lineCount; i += pauseMillis == 0 ? 100 : 1) {
+                        wire.say((line + "\r\n").repeat(pauseMillis == 0 ? 100 : 1));
+                        Thread.sleep(pauseMillis);
                     }
                 } catch (SocketException e) {
                     // closed meanwhile: what it said is read below
                 }
                 try {
                     for (String reply = wire.line(); reply != null; reply = wire.line()) {
-                        said = reply;
+                        received = reply;
                     }
                 } catch (SocketException e) {
                     // the end as well
                 }
-                assertTrue(farewell == null || said.startsWith(farewell), said);
+                assertTrue(lastReply == null || received.startsWith(lastReply), received);
             } finally {
                 answer.countDown();
             }
--- a/src/test/java/lilaclever/program/ManyServersTest.java
+++ b/src/test/java/lilaclever/program/ManyEndpointsTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** One forwarder and as many servers as the largest fleets have. */
-class ManyServersTest {
-    private static final int SERVERS = 1_030, MOST_OUT = 1_024;
+class ManyEndpointsTest {
+    private static final int ENDPOINTS = 1_030, MAX_SUSPENDED = 1_024;
 
     @TempDir
     private Path state;
@@ -36,16 +36,16 @@
 
     /** A list that comes in pieces, with ids twice; a message to each server; and all but a few taken out by hand. */
     @Test
-    void aThousandServersAreServedAndCanBeTakenOut() throws Exception {
-        Set<String> asked = ConcurrentHashMap.newKeySet();
-        LinkedBlockingQueue<String> got = new LinkedBlockingQueue<>();
+    void aThousandEndpointsGetMessagesAndCanBeSuspended() throws Exception {
+        Set<String> calledIds = ConcurrentHashMap.newKeySet();
+        LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
         try (ServerSocket all = new ServerSocket()) {
             all.bind(new InetSocketAddress("0.0.0.0", 0), 512);
             Thread accepts = new Thread(() -> {
                 try {
                     while (true) {
                         Wire wire = new Wire(all.accept());
-                        Thread serves = new Thread(() -> serve(wire, got));
+                        Thread serves = new Thread(() -> serve(wire, calls));
                         serves.setDaemon(true);
                         serves.start();
                     }
@@ -57,7 +57,7 @@
             accepts.start();
             int port = all.getLocalPort();
             try (Peer platform = new Peer(wire -> {
-                for (Request r = wire.request(); r != null; r = wire.request()) {
+                for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                     if (r.path().equals("/status")) {
                         wire.answer("204 No Content", "");
                     } else if (!r.path().contains("?")) {
@@ -67,45 +67,45 @@
                     } else if (r.path().contains("after=1&")) {
                         wire.answer(
                                 "200 OK",
-                                "{\"index\":2,\"snapshot\":false,\"endpoints\":[" + entries(500, SERVERS, port) + ','
+                                "{\"index\":2,\"snapshot\":false,\"endpoints\":[" + entries(500, ENDPOINTS, port) + ','
                                         + entries(0, 20, port) + "]}");
                     } // a later watch: nothing ever changes
                 }
             })) {
                 Config config = Config.parse(
-                        Setup.text(platform.address(), state, null, 3)
+                        ForwarderSetup.configText(platform.address(), state, null, 3)
                                 .replace("\"listen\"", "\"operator\": \"127.0.0.1:0\", \"listen\""),
                         Map.of());
                 Forwarder forwarder = Forwarder.start(config, null);
                 try {
                     SocketAddress address = forwarder.addresses().get(0);
-                    try (Wire client = Wire.to(address)) {
-                        until(client, "\nentries_endpoints " + SERVERS + "\n");
-                        for (int i = 0; i < SERVERS; i++) {
-                            String answer = client.handIn("m" + i, "status", i, 6, "");
+                    try (Wire client = Wire.connect(address)) {
+                        awaitCounter(client, "\nentries_endpoints " + ENDPOINTS + "\n");
+                        for (int i = 0; i < ENDPOINTS; i++) {
+                            String answer = client.submit("m" + i, "status", i, 6, "");
                             assertTrue(answer.startsWith("202"), answer);
-                            asked.add(Peer.next(got));
+                            calledIds.add(Peer.take(calls));
                         }
-                        assertEquals(SERVERS, asked.size());
+                        assertEquals(ENDPOINTS, calledIds.size());
                     }
-                    for (int i = 0; i < MOST_OUT; i++) {
-                        assertEquals("200 server-" + i, operator(forwarder, "SUSPEND server-" + i));
+                    for (int i = 0; i < MAX_SUSPENDED; i++) {
+                        assertEquals("200 server-" + i, operatorCommand(forwarder, "SUSPEND server-" + i));
                     }
                     assertEquals(
                             "400 no more than 1024 endpoints may be out at once",
-                            operator(forwarder, "SUSPEND server-1024"));
+                            operatorCommand(forwarder, "SUSPEND server-1024"));
                 } finally {
                     forwarder.stop();
                 }
-                assertEquals(MOST_OUT, config.suspended().size());
+                assertEquals(MAX_SUSPENDED, config.suspended().size());
             }
         }
     }
 
-    private static void serve(Wire wire, LinkedBlockingQueue<String> got) {
+    private static void serve(Wire wire, LinkedBlockingQueue<String> calls) {
         try (wire) {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
-                got.add(r.headers().get("req-id"));
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                calls.add(r.headers().get("req-id"));
                 wire.answer("200 OK", "");
             }
         } catch (java.io.IOException e) {
@@ -113,18 +113,18 @@
         }
     }
 
-    private static String operator(Forwarder forwarder, String line) throws Exception {
-        try (Wire wire = Wire.to(forwarder.addresses().get(1))) {
-            return wire.ask(line);
+    private static String operatorCommand(Forwarder forwarder, String line) throws Exception {
+        try (Wire wire = Wire.connect(forwarder.addresses().get(1))) {
+            return wire.sendCommand(line);
         }
     }
 
-    private static void until(Wire client, String count) throws Exception {
+    private static void awaitCounter(Wire client, String counterLine) throws Exception {
         String last = "";
-        for (long end = System.nanoTime() + 20_000_000_000L; !last.contains(count) && System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + 20_000_000_000L; !last.contains(counterLine) && System.nanoTime() < end; ) {
             client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-            last = client.request().body();
+            last = client.readRequest().body();
         }
-        assertTrue(last.contains(count), last);
+        assertTrue(last.contains(counterLine), last);
     }
 }
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -28,50 +28,54 @@
  * and nothing delivered twice.
  */
 final class MixedRun {
-    private static final long MS = 1_000_000;
-    private static final int DESTINATIONS = 6, FIRST = 7, AT_ONCE = 2, SERVICE_MS = 100, MLLP_LINES = 8;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final int DESTINATIONS = 6,
+            FIRST_DESTINATION = 7,
+            ENDPOINT_SLOTS = 2,
+            SERVICE_MILLIS = 100,
+            MLLP_CLIENTS = 8;
     /** Two endpoints for each destination, each with so many calls at once. */
-    private static final double CAPACITY = DESTINATIONS * 2 * AT_ONCE * 1000.0 / SERVICE_MS;
+    private static final double CAPACITY_PER_SECOND = DESTINATIONS * 2 * ENDPOINT_SLOTS * 1000.0 / SERVICE_MILLIS;
 
     private static final String[] CLASSES = {"order", "status", "payment"};
     private static final String[] EVENTS = {"ORM^O01", "ORU^R01", "DFT^P03"};
-    private static final double[] DEADLINES = {8, 4, 9};
+    private static final double[] DEADLINE_SECONDS = {8, 4, 9};
 
     /** One arrival of the plan: when, what, and on which port; {@code again}: its number is that of an earlier one. */
-    private record Arrival(long at, int number, int kind, int destination, boolean hl7, boolean again) {}
+    private record Arrival(long atNanos, int number, int kind, int destination, boolean hl7, boolean isResubmission) {}
 
     /** What became of one message. */
-    private static final class Story {
+    private static final class MessageHistory {
         final int kind;
         final AtomicInteger calls = new AtomicInteger(),
                 delivered = new AtomicInteger(),
-                asks = new AtomicInteger(),
-                finals = new AtomicInteger(),
+                submissions = new AtomicInteger(),
+                finalAcks = new AtomicInteger(),
                 notices = new AtomicInteger(),
-                httpTaken = new AtomicInteger(),
-                hl7Taken = new AtomicInteger(),
-                hl7Asks = new AtomicInteger();
-        volatile boolean mayHaveRun, refusedAtOnce, told, asksBeforeKill;
-        volatile String ends = "";
+                httpAccepted = new AtomicInteger(),
+                hl7Accepted = new AtomicInteger(),
+                hl7Submissions = new AtomicInteger();
+        volatile boolean mayHaveRun, refusedAtOnce, told, submittedBeforeKill;
+        volatile String finalStatuses = "";
 
-        Story(int kind) {
+        MessageHistory(int kind) {
             this.kind = kind;
         }
 
-        synchronized void end(String what) {
-            ends += what + ' ';
+        synchronized void addFinalStatus(String what) {
+            finalStatuses += what + ' ';
         }
     }
 
     private final boolean mixed;
     private final SplittableRandom random;
     private final Path folder;
-    private final Map<Integer, Story> stories = new ConcurrentHashMap<>();
+    private final Map<Integer, MessageHistory> histories = new ConcurrentHashMap<>();
     private final Map<String, Integer> httpIds = new ConcurrentHashMap<>();
-    private final List<Long> httpMs = java.util.Collections.synchronizedList(new ArrayList<>());
-    private final List<Long> hl7Ms = java.util.Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> httpAcceptMillis = java.util.Collections.synchronizedList(new ArrayList<>());
+    private final List<Long> hl7AcceptMillis = java.util.Collections.synchronizedList(new ArrayList<>());
     private final TreeMap<String, Long> counts = new TreeMap<>();
-    private final java.util.Set<String> noticed = ConcurrentHashMap.newKeySet();
+    private final java.util.Set<String> notifiedIds = ConcurrentHashMap.newKeySet();
     private final AtomicLong ids = new AtomicLong();
     private volatile InetSocketAddress http, hl7;
     private volatile boolean ended;
@@ -90,22 +94,22 @@
     // ---- the plan ---------------------------------------------------------------------------------------
     private List<Arrival> plan(int seconds, double load) {
         List<Arrival> all = new ArrayList<>();
-        double rate = CAPACITY * load;
+        double rate = CAPACITY_PER_SECOND * load;
         double t = 0;
         for (int n = 0; t < seconds; n++) {
             t += -Math.log(1 - random.nextDouble()) / rate;
             int draw = random.nextInt(100);
             int kind = draw < 57 ? 0 : draw < 80 ? 1 : 2;
-            int destination = FIRST + random.nextInt(DESTINATIONS);
+            int destination = FIRST_DESTINATION + random.nextInt(DESTINATIONS);
             boolean onHl7 = random.nextBoolean(), twice = random.nextInt(20) == 0;
             long later = (long) ((t + 0.9 * random.nextDouble()) * 1e9);
-            stories.put(n, new Story(kind));
+            histories.put(n, new MessageHistory(kind));
             all.add(new Arrival((long) (t * 1e9), n, kind, destination, mixed && onHl7, false));
             if (twice) {
                 all.add(new Arrival(later, n, kind, destination, mixed && !onHl7, true));
             }
         }
-        all.sort(Comparator.comparingLong(Arrival::at));
+        all.sort(Comparator.comparingLong(Arrival::atNanos));
         return all;
     }
 
@@ -120,10 +124,10 @@
     }
 
     private Peer endpoint() throws IOException {
-        Semaphore slots = new Semaphore(AT_ONCE);
+        Semaphore slots = new Semaphore(ENDPOINT_SLOTS);
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
-                Story s = stories.get(number(r.body()));
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                MessageHistory s = histories.get(number(r.body()));
                 s.calls.incrementAndGet();
                 if (!slots.tryAcquire()) {
                     wire.answer("503 full", "");
@@ -134,7 +138,7 @@
                 }
                 s.mayHaveRun = true;
                 try {
-                    Thread.sleep(SERVICE_MS);
+                    Thread.sleep(SERVICE_MILLIS);
                     s.delivered.incrementAndGet();
                     wire.answer("200 OK", "");
                 } finally {
@@ -146,17 +150,19 @@
 
     private Peer platform() throws IOException {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 if (r.path().equals("/status")) {
                     r.body().lines().forEach(l -> {
                         String id = l.replaceAll(".*\"id\":\"([^\"]*)\".*", "$1");
                         Integer n = httpIds.remove(id);
-                        if (!noticed.add(id)) {
+                        if (!notifiedIds.add(id)) {
                             count("notices told once more after the kill, over HTTP");
                         }
                         if (n != null) { // else told before: the platform passes a second notice over
-                            stories.get(n).notices.incrementAndGet();
-                            stories.get(n).end("notice " + (l.contains("deferred") ? "refused" : "failed"));
+                            histories.get(n).notices.incrementAndGet();
+                            histories
+                                    .get(n)
+                                    .addFinalStatus("notice " + (l.contains("deferred") ? "refused" : "failed"));
                         }
                     });
                     wire.answer("204 No Content", "");
@@ -168,35 +174,36 @@
     }
 
     // ---- clients ----------------------------------------------------------------------------------------
-    private final ThreadLocal<Wire> kept = new ThreadLocal<>();
+    private final ThreadLocal<Wire> keptConnection = new ThreadLocal<>();
 
     /** Hands in over HTTP; what had no answer is handed in again, as after a forwarder's death. */
-    private void overHttp(Arrival a, long due) {
-        Story s = stories.get(a.number());
+    private void submitOverHttp(Arrival a, long due) {
+        MessageHistory s = histories.get(a.number());
         for (int i = 0; i < 100 && !ended; i++) {
-            s.asks.incrementAndGet();
+            s.submissions.incrementAndGet();
             String id = "h" + ids.getAndIncrement();
             httpIds.put(id, a.number());
             try {
-                if (kept.get() == null) {
-                    kept.set(Wire.to(http));
+                if (keptConnection.get() == null) {
+                    keptConnection.set(Wire.connect(http));
                 }
                 String body = body(a);
-                kept.get()
+                keptConnection
+                        .get()
                         .say("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: " + CLASSES[a.kind()]
-                                + "\r\nReq-Deadline: " + DEADLINES[a.kind()]
+                                + "\r\nReq-Deadline: " + DEADLINE_SECONDS[a.kind()]
                                 + "\r\nX-Practice: north\r\nIdempotency-Key: M" + a.number()
                                 + "\r\nX-Envelope: dest=" + a.destination() + "\r\nContent-Length: " + body.length()
                                 + "\r\n\r\n" + body);
-                Request answer = kept.get().request();
+                Request answer = keptConnection.get().readRequest();
                 if (answer != null) {
                     if (i == 0) {
-                        httpMs.add((System.nanoTime() - due) / MS);
+                        httpAcceptMillis.add((System.nanoTime() - due) / NANOS_PER_MILLI);
                     }
                     switch (answer.path()) {
-                        case "202" -> s.httpTaken.incrementAndGet();
-                        case "200" -> s.end("told delivered");
-                        case "500" -> s.end("told failed");
+                        case "202" -> s.httpAccepted.incrementAndGet();
+                        case "200" -> s.addFinalStatus("told delivered");
+                        case "500" -> s.addFinalStatus("told failed");
                         default -> s.refusedAtOnce = true;
                     }
                     return;
@@ -205,7 +212,7 @@
                 // below
             }
             httpIds.remove(id);
-            kept.remove();
+            keptConnection.remove();
             pause(100);
         }
     }
@@ -222,16 +229,16 @@
      * One client's line: messages go out as they are due; what had no acknowledgement is sent again on the next
      * connection.
      */
-    private final class Line {
+    private final class MllpClient {
         private final Map<Integer, Arrival> unanswered = new LinkedHashMap<>();
-        private final Map<Integer, Long> due = new ConcurrentHashMap<>();
+        private final Map<Integer, Long> dueNanos = new ConcurrentHashMap<>();
         private Wire wire;
 
         synchronized void send(Arrival a, long at) {
-            stories.get(a.number()).asks.incrementAndGet();
-            stories.get(a.number()).hl7Asks.incrementAndGet();
+            histories.get(a.number()).submissions.incrementAndGet();
+            histories.get(a.number()).hl7Submissions.incrementAndGet();
             unanswered.put(a.number(), a);
-            due.put(a.number(), at);
+            dueNanos.put(a.number(), at);
             try {
                 if (wire != null) {
                     wire.frame(body(a));
@@ -242,20 +249,20 @@
         }
 
         private synchronized void connect() throws IOException {
-            wire = Wire.to(hl7);
+            wire = Wire.connect(hl7);
             for (Arrival a : unanswered.values()) {
-                stories.get(a.number()).asks.incrementAndGet();
-                stories.get(a.number()).hl7Asks.incrementAndGet();
+                histories.get(a.number()).submissions.incrementAndGet();
+                histories.get(a.number()).hl7Submissions.incrementAndGet();
                 wire.frame(body(a));
             }
         }
 
-        void read() {
+        void readAcks() {
             while (!ended) {
                 try {
                     connect();
                     for (String frame = wire.frame(); frame != null; frame = wire.frame()) {
-                        acknowledged(frame.split("\r")[1].split("\\|"));
+                        handleAck(frame.split("\r")[1].split("\\|"));
                     }
                 } catch (IOException e) {
                     pause(100);
@@ -263,22 +270,22 @@
             }
         }
 
-        private synchronized void acknowledged(String[] msa) {
+        private synchronized void handleAck(String[] msa) {
             int n = Integer.parseInt(msa[2].substring(1));
-            Story s = stories.get(n);
-            Long at = due.remove(n);
+            MessageHistory s = histories.get(n);
+            Long at = dueNanos.remove(n);
             if (at != null && msa[1].startsWith("C")) {
-                hl7Ms.add((System.nanoTime() - at) / MS);
+                hl7AcceptMillis.add((System.nanoTime() - at) / NANOS_PER_MILLI);
             }
             switch (msa[1]) {
-                case "CA" -> s.hl7Taken.incrementAndGet();
+                case "CA" -> s.hl7Accepted.incrementAndGet();
                 case "CE", "CR" -> {
                     s.refusedAtOnce = true;
                     unanswered.remove(n);
                 }
                 default -> {
-                    s.finals.incrementAndGet();
-                    s.end(msa[1]);
+                    s.finalAcks.incrementAndGet();
+                    s.addFinalStatus(msa[1]);
                     unanswered.remove(n);
                 }
             }
@@ -287,7 +294,7 @@
 
     // ---- the process ------------------------------------------------------------------------------------
     private void start(String config, String conf) throws IOException {
-        Setup.Served served = Setup.serve(folder, config, conf, true, 64, line -> {
+        ForwarderSetup.RunningForwarder served = ForwarderSetup.startJar(folder, config, conf, true, 64, line -> {
             if (line.contains("Exception") || line.contains("does not hold")) {
                 count("log: " + line);
             }
@@ -322,20 +329,20 @@
                 """);
         for (int d = 0; d < DESTINATIONS; d++) {
             conf.append("[hl7-destination ")
-                    .append(FIRST + d)
+                    .append(FIRST_DESTINATION + d)
                     .append("]\nreceivers LAB")
-                    .append(FIRST + d)
+                    .append(FIRST_DESTINATION + d)
                     .append('\n');
             for (int e = 0; e < 2; e++) {
                 peers.add(endpoint());
                 list.append(list.isEmpty() ? "" : ",")
                         .append(("{\"name\":\"e%d-%d\",\"address\":\"%s\",\"zone\":\"z\",\"type\":\"lab\","
                                         + "\"group\":%d,\"status\":\"active\"}")
-                                .formatted(d, e, peers.get(peers.size() - 1).address(), FIRST + d));
+                                .formatted(d, e, peers.get(peers.size() - 1).address(), FIRST_DESTINATION + d));
             }
         }
         Peer platform = platform();
-        String config = Setup.text(platform.address(), folder.resolve("state"), null, 8)
+        String config = ForwarderSetup.configText(platform.address(), folder.resolve("state"), null, 8)
                 .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]")
                 .replace("\"callSlots\": 20", "\"callSlots\": 60")
                 .replace("\"openCap\": 200", "\"openCap\": 1200")
@@ -344,32 +351,32 @@
                 .replace("\"deadlineS\": 28", "\"deadlineS\": 9")
                 .replace("\"known\": null", "\"known\": {\"index\":1,\"snapshot\":true,\"endpoints\":[" + list + "]}");
         start(config, conf.toString());
-        ExecutorService web = Executors.newFixedThreadPool(64);
-        List<Line> lines = connectLines();
+        ExecutorService httpClients = Executors.newFixedThreadPool(64);
+        List<MllpClient> mllpClients = startMllpClients();
         Thread.sleep(1500);
-        Thread killer = killer(seconds, config, conf.toString());
+        Thread killer = killThread(seconds, config, conf.toString());
         killer.start();
         long begin = System.nanoTime();
-        long late = 0;
+        long maxLateNanos = 0;
         for (Arrival a : plan) {
-            long due = begin + a.at();
+            long due = begin + a.atNanos();
             TimeUnit.NANOSECONDS.sleep(due - System.nanoTime());
-            late = Math.max(late, System.nanoTime() - due);
+            maxLateNanos = Math.max(maxLateNanos, System.nanoTime() - due);
             if (a.hl7()) {
-                lines.get(a.number() % MLLP_LINES).send(a, due);
+                mllpClients.get(a.number() % MLLP_CLIENTS).send(a, due);
             } else {
-                web.execute(() -> overHttp(a, due));
+                httpClients.execute(() -> submitOverHttp(a, due));
             }
         }
         killer.join();
         Thread.sleep(13_000); // every deadline is past, every end told
         ended = true;
-        web.shutdownNow();
+        httpClients.shutdownNow();
         process.destroyForcibly().waitFor();
         System.out.println("## " + (mixed ? "both ports" : "HTTP alone") + ", " + seconds + " s at "
-                + Math.round(load * 100) + "% of " + Math.round(CAPACITY)
+                + Math.round(load * 100) + "% of " + Math.round(CAPACITY_PER_SECOND)
                 + " messages a second, a kill in the middle; the plan was at most "
-                + late / MS + " ms late");
+                + maxLateNanos / NANOS_PER_MILLI + " ms late");
         check(plan);
         for (Peer p : peers) {
             p.close();
@@ -377,24 +384,26 @@
         platform.close();
     }
 
-    private List<Line> connectLines() {
-        List<Line> lines = new ArrayList<>();
-        for (int i = 0; i < MLLP_LINES; i++) {
-            Line line = new Line();
-            lines.add(line);
-            Thread t = new Thread(line::read);
+    private List<MllpClient> startMllpClients() {
+        List<MllpClient> clients = new ArrayList<>();
+        for (int i = 0; i < MLLP_CLIENTS; i++) {
+            MllpClient client = new MllpClient();
+            clients.add(client);
+            Thread t = new Thread(client::readAcks);
             t.setDaemon(true);
             t.start();
         }
-        return lines;
+        return clients;
     }
 
     /** Kills the process in the middle and starts it again. */
-    private Thread killer(int seconds, String config, String conf) {
+    private Thread killThread(int seconds, String config, String conf) {
         return new Thread(() -> {
             pause(seconds * 500L);
             try {
-                stories.values().forEach(x -> x.asksBeforeKill = x.hl7Asks.get() > 0 && x.finals.get() == 0);
+                histories
+                        .values()
+                        .forEach(x -> x.submittedBeforeKill = x.hl7Submissions.get() > 0 && x.finalAcks.get() == 0);
                 process.destroyForcibly().waitFor();
                 pause(600);
                 start(config, conf);
@@ -405,13 +414,13 @@
     }
 
     private void check(List<Arrival> plan) {
-        long twice = plan.stream().filter(Arrival::again).count();
-        counts.put("messages", (long) stories.size());
-        counts.put("hand-ins of the plan a second time", twice);
-        stories.forEach((n, s) -> {
+        long resubmissions = plan.stream().filter(Arrival::isResubmission).count();
+        counts.put("messages", (long) histories.size());
+        counts.put("hand-ins of the plan a second time", resubmissions);
+        histories.forEach((n, s) -> {
             counts.merge("calls", (long) s.calls.get(), Long::sum);
-            boolean taken = s.httpTaken.get() + s.hl7Taken.get() > 0;
-            if (taken) {
+            boolean accepted = s.httpAccepted.get() + s.hl7Accepted.get() > 0;
+            if (accepted) {
                 count("taken on");
             } else if (s.delivered.get() == 0) {
                 count("never taken on");
@@ -419,49 +428,58 @@
             count(
                     s.delivered.get() > 0
                             ? "delivered"
-                            : s.ends.contains("failed") || s.ends.contains("AE")
+                            : s.finalStatuses.contains("failed") || s.finalStatuses.contains("AE")
                                     ? "failed"
-                                    : s.ends.contains("refused") || s.ends.contains("AR") || s.refusedAtOnce
+                                    : s.finalStatuses.contains("refused")
+                                                    || s.finalStatuses.contains("AR")
+                                                    || s.refusedAtOnce
                                             ? "refused"
                                             : "UNKNOWN end");
             if (s.delivered.get() > 1) {
                 count("answered by an endpoint more than once, " + CLASSES[s.kind]);
             }
-            if (s.delivered.get() == 0 && taken && s.ends.isEmpty()) {
+            if (s.delivered.get() == 0 && accepted && s.finalStatuses.isEmpty()) {
                 count("BROKEN no end");
-                System.out.println("no end: M" + n + " asks " + s.asks + " http " + s.httpTaken + " hl7 " + s.hl7Taken
-                        + " calls " + s.calls);
+                System.out.println("no end: M" + n + " asks " + s.submissions + " http " + s.httpAccepted + " hl7 "
+                        + s.hl7Accepted + " calls " + s.calls);
             }
-            if (s.hl7Taken.get() > 0 && s.finals.get() == 0) {
+            if (s.hl7Accepted.get() > 0 && s.finalAcks.get() == 0) {
                 count("BROKEN an HL7 client without its end");
             }
-            if (s.finals.get() > Math.max(1, s.hl7Taken.get())) {
+            if (s.finalAcks.get() > Math.max(1, s.hl7Accepted.get())) {
                 // Each asking has an answer of its own. A kill between an end's last byte and the record that it was
                 // told
                 // has the same end told once more; it must be the same.
-                boolean again = s.asksBeforeKill
-                        && s.finals.get() == s.hl7Asks.get() + 1
-                        && java.util.Arrays.stream(s.ends.split(" ")).distinct().count() == 1;
+                boolean again = s.submittedBeforeKill
+                        && s.finalAcks.get() == s.hl7Submissions.get() + 1
+                        && java.util.Arrays.stream(s.finalStatuses.split(" "))
+                                        .distinct()
+                                        .count()
+                                == 1;
                 count(
-                        s.finals.get() <= s.hl7Asks.get()
+                        s.finalAcks.get() <= s.hl7Submissions.get()
                                 ? "asked again over HL7, and answered again"
                                 : again
                                         ? "the same end told once more after the kill, over HL7"
                                         : "BROKEN an HL7 client answered twice");
-                System.out.println("M" + n + ": asked over HL7 " + s.hl7Asks + ", over both " + s.asks + ", CA "
-                        + s.hl7Taken + ", ends " + s.ends + "calls " + s.calls + " delivered " + s.delivered
-                        + (s.asksBeforeKill ? ", first asked before the kill" : ""));
+                System.out.println("M" + n + ": asked over HL7 " + s.hl7Submissions + ", over both " + s.submissions
+                        + ", CA "
+                        + s.hl7Accepted + ", ends " + s.finalStatuses + "calls " + s.calls + " delivered " + s.delivered
+                        + (s.submittedBeforeKill ? ", first asked before the kill" : ""));
             }
-            if (s.ends.contains("A") && s.delivered.get() > 0 && s.ends.matches(".*A[ER].*") && s.ends.contains("AA")) {
+            if (s.finalStatuses.contains("A")
+                    && s.delivered.get() > 0
+                    && s.finalStatuses.matches(".*A[ER].*")
+                    && s.finalStatuses.contains("AA")) {
                 count("BROKEN two different ends");
             }
         });
         counts.forEach((what, n) -> System.out.println("| " + what + " | " + n + " |"));
-        System.out.println("| taking-on by HTTP, ms | " + spread(httpMs) + " |");
-        System.out.println("| taking-on by HL7, ms | " + spread(hl7Ms) + " |");
+        System.out.println("| taking-on by HTTP, ms | " + percentiles(httpAcceptMillis) + " |");
+        System.out.println("| taking-on by HL7, ms | " + percentiles(hl7AcceptMillis) + " |");
     }
 
-    private static String spread(List<Long> values) {
+    private static String percentiles(List<Long> values) {
         long[] all = values.stream().mapToLong(Long::longValue).sorted().toArray();
         return all.length == 0
                 ? "none"
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -58,30 +58,30 @@
     private final LinkedBlockingQueue<String> notices = new LinkedBlockingQueue<>();
     private final LinkedBlockingQueue<Request> calls = new LinkedBlockingQueue<>();
     /** What the endpoint answers next; it waits for it. */
-    private final LinkedBlockingQueue<String> fates = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> endpointAnswers = new LinkedBlockingQueue<>();
 
     private Peer platform, endpoint;
     private Forwarder forwarder;
     private SocketAddress http, mllp;
 
     @BeforeEach
-    void begin() throws Exception {
+    void startPeersAndForwarder() throws Exception {
         platform = Peer.platform("", notices);
         endpoint = new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 calls.add(r);
-                String fate = fates.take();
-                if (fate.equals("drop")) {
+                String answer = endpointAnswers.take();
+                if (answer.equals("drop")) {
                     return;
                 }
-                wire.answer(fate, "");
+                wire.answer(answer, "");
             }
         });
         serve();
     }
 
     @AfterEach
-    void end() throws IOException {
+    void stop() throws IOException {
         forwarder.stop();
         platform.close();
         endpoint.close();
@@ -98,7 +98,7 @@
     private void serve(String conf, double diskMb) throws Exception {
         // One message a call: the endpoint is asked for each on its own.
         Config config = Config.parse(
-                Setup.text(platform.address(), state, endpoint.address(), diskMb)
+                ForwarderSetup.configText(platform.address(), state, endpoint.address(), diskMb)
                         .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]"),
                 java.util.Map.of());
         forwarder = Forwarder.start(
@@ -121,7 +121,7 @@
     }
 
     /** The code and the control id of the next acknowledgement. */
-    private static String ack(Wire wire) throws IOException {
+    private static String readAck(Wire wire) throws IOException {
         String frame = wire.frame();
         return frame == null
                 ? null
@@ -130,29 +130,29 @@
                         + frame.split("\r")[1].split("\\|", 4)[2];
     }
 
-    private static String asks(Wire wire, String message) throws IOException {
+    private static String sendAndReadAck(Wire wire, String message) throws IOException {
         wire.frame(message);
-        return ack(wire);
+        return readAck(wire);
     }
 
-    private static String post(Wire wire, String id, String kind, String practice, String key, String body)
+    private static String submitOverHttp(Wire wire, String id, String kind, String practice, String key, String body)
             throws IOException {
         wire.say(
                 "POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: 9"
                         + "\r\nX-Practice: " + practice + "\r\nIdempotency-Key: " + key
                         + "\r\nX-Envelope: dest=7\r\nContent-Length: "
                         + body.length() + "\r\n\r\n" + body);
-        return wire.request().path();
+        return wire.readRequest().path();
     }
 
-    private Request call() throws InterruptedException {
+    private Request nextCall() throws InterruptedException {
         return calls.poll(20, TimeUnit.SECONDS);
     }
 
     private long counter(String name) throws IOException {
-        try (Wire wire = Wire.to(http)) {
+        try (Wire wire = Wire.connect(http)) {
             wire.say("GET /counters HTTP/1.1\r\nHost: a\r\n\r\n");
-            return wire.request()
+            return wire.readRequest()
                     .body()
                     .lines()
                     .filter(l -> l.startsWith(name + ' '))
@@ -162,7 +162,7 @@
         }
     }
 
-    private void until(String name, long value) throws Exception {
+    private void awaitCounter(String name, long value) throws Exception {
         for (int i = 0; i < 1000 && counter(name) != value; i++) {
             Thread.sleep(10);
         }
@@ -171,31 +171,31 @@
 
     // ---- the two modes ----------------------------------------------------------------------------------
     @Test
-    void enhancedModeTellsTheTakingOnAndTheEnd() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
-            assertEquals("CA M1", asks(client, order("M1")));
-            Request call = call();
+    void enhancedModeAcknowledgesAcceptanceAndFinalStatus() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
+            Request call = nextCall();
             assertEquals(order("M1"), call.body());
             assertEquals("north.M1", call.headers().get("idempotency-key"));
-            fates.add("200 OK");
-            assertEquals("AA M1", ack(client));
-            assertEquals("CA M2", asks(client, payment("M2")));
-            call();
-            fates.add("drop");
-            assertEquals("AE M2", ack(client)); // it may have run, and must not be repeated
+            endpointAnswers.add("200 OK");
+            assertEquals("AA M1", readAck(client));
+            assertEquals("CA M2", sendAndReadAck(client, payment("M2")));
+            nextCall();
+            endpointAnswers.add("drop");
+            assertEquals("AE M2", readAck(client)); // it may have run, and must not be repeated
         }
         assertNull(calls.poll());
     }
 
     /** The taking-on was told before the journal had the message: a client would hear CA for what is then refused. */
     @Test
-    void whatTheJournalCanNotTakeIsNeverAccepted() throws Exception {
+    void messageThatTheJournalCannotStoreIsNeverAccepted() throws Exception {
         forwarder.stop();
         serve(CONF, 0.3);
         Map<String, Integer> codes = new TreeMap<>();
-        try (Wire wire = Wire.to(mllp)) {
+        try (Wire wire = Wire.connect(mllp)) {
             for (int i = 0; i < 12; i++) {
-                String ack = asks(wire, order("B" + i) + "NTE|" + "x".repeat(50_000) + '\r');
+                String ack = sendAndReadAck(wire, order("B" + i) + "NTE|" + "x".repeat(50_000) + '\r');
                 assertEquals("B" + i, ack.substring(3), "one answer for each, in order");
                 codes.merge(ack.substring(0, 2), 1, Integer::sum);
             }
@@ -205,40 +205,40 @@
 
     /** In original mode an acknowledgement that nobody waits for would pass for that of another message. */
     @Test
-    void anEndInOriginalModeIsForItsConnectionAlone() throws Exception {
-        try (Wire other = Wire.to(mllp)) {
-            Wire gone = Wire.to(mllp);
-            gone.frame(order("APP", "A1", ""));
-            call();
+    void finalAcknowledgementInOriginalModeGoesToItsOwnConnectionOnly() throws Exception {
+        try (Wire other = Wire.connect(mllp)) {
+            Wire closed = Wire.connect(mllp);
+            closed.frame(order("APP", "A1", ""));
+            nextCall();
             other.frame(order("APP", "B1", ""));
-            call();
-            gone.close();
-            until("entries_mllp_connections", 1);
-            fates.addAll(List.of("200 OK", "200 OK"));
-            assertEquals("AA B1", ack(other));
-            until("delivered", 2);
-            fates.add("200 OK");
-            assertEquals("AA B2", asks(other, order("APP", "B2", "")));
+            nextCall();
+            closed.close();
+            awaitCounter("entries_mllp_connections", 1);
+            endpointAnswers.addAll(List.of("200 OK", "200 OK"));
+            assertEquals("AA B1", readAck(other));
+            awaitCounter("delivered", 2);
+            endpointAnswers.add("200 OK");
+            assertEquals("AA B2", sendAndReadAck(other, order("APP", "B2", "")));
         }
     }
 
     /** In original mode the one acknowledgement is the end. */
     @Test
-    void originalModeHasOneAcknowledgement() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
+    void originalModeSendsOnlyTheFinalAcknowledgement() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
             client.frame(order("APP", "M1", ""));
-            call();
-            fates.add("200 OK");
-            assertEquals("AA M1", ack(client));
-            assertEquals("AA M1", asks(client, order("APP", "M1", ""))); // asked again
+            nextCall();
+            endpointAnswers.add("200 OK");
+            assertEquals("AA M1", readAck(client));
+            assertEquals("AA M1", sendAndReadAck(client, order("APP", "M1", ""))); // asked again
         }
         assertNull(calls.poll());
     }
 
     /** What an endpoint has never run is refused at the end of its tries, with a time to come back. */
     @Test
-    void aRefusalSaysThatItMayComeAgain() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
+    void refusedMessageIsAnsweredWithARetryTime() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
             client.frame(order("M1").replace("LAB", "NOBODY"));
             String frame = client.frame();
             assertTrue(frame.contains("MSA|CE|M1|") && frame.contains("|come-again|1|"), frame);
@@ -248,13 +248,13 @@
     }
 
     @Test
-    void eachMessageOfABatchHasItsOwnEnd() throws Exception {
-        fates.addAll(List.of("200 OK", "200 OK"));
-        try (Wire client = Wire.to(mllp)) {
+    void eachMessageOfABatchIsAcknowledgedSeparately() throws Exception {
+        endpointAnswers.addAll(List.of("200 OK", "200 OK"));
+        try (Wire client = Wire.connect(mllp)) {
             client.frame("BHS|^~\\&|APP\r" + order("APP", "M1", "NE|AL") + order("APP", "M2", "NE|AL") + "BTS|2\r");
             assertEquals(
                     List.of("AA M1", "AA M2"),
-                    java.util.stream.Stream.of(ack(client), ack(client))
+                    java.util.stream.Stream.of(readAck(client), readAck(client))
                             .sorted()
                             .toList());
             client.frame("BHS|^~\\&|APP\r" + order("M3") + "BTS|2\r");
@@ -266,15 +266,15 @@
     // ---- clients that leave -----------------------------------------------------------------------------
     /** Guards against a message delivered twice since its client did not hear that it was taken on. */
     @Test
-    void whoComesBackBeforeTheEndJoinsTheMessage() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
+    void resentMessageIsAttachedToThePendingOne() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
             client.frame(order("M1"));
         } // gone before or after its accept acknowledgement
-        call();
-        try (Wire again = Wire.to(mllp)) {
-            assertEquals("CA M1", asks(again, order("M1")));
-            fates.add("200 OK");
-            assertEquals("AA M1", ack(again));
+        nextCall();
+        try (Wire again = Wire.connect(mllp)) {
+            assertEquals("CA M1", sendAndReadAck(again, order("M1")));
+            endpointAnswers.add("200 OK");
+            assertEquals("AA M1", readAck(again));
         }
         assertNull(calls.poll());
         assertEquals(1, counter("taken"));
@@ -282,73 +282,73 @@
 
     /** An end that could not be told is owed to the practice's next connection. */
     @Test
-    void anEndIsOwedToTheNextConnection() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
-            assertEquals("CA M1", asks(client, order("M1")));
-        }
-        until("entries_mllp_connections", 0);
-        call();
-        fates.add("200 OK");
-        until("entries_mllp_owed", 1);
-        fates.add("200 OK");
-        try (Wire other = Wire.to(mllp)) { // not its own
+    void finalStatusIsSentOnThePracticesNextConnection() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
+        }
+        awaitCounter("entries_mllp_connections", 0);
+        nextCall();
+        endpointAnswers.add("200 OK");
+        awaitCounter("entries_mllp_owed", 1);
+        endpointAnswers.add("200 OK");
+        try (Wire other = Wire.connect(mllp)) { // not its own
             other.frame(order("SUD", "S1", "NE|AL"));
-            assertEquals("AA S1", ack(other));
+            assertEquals("AA S1", readAck(other));
         }
-        fates.add("200 OK");
-        try (Wire client = Wire.to(mllp)) {
+        endpointAnswers.add("200 OK");
+        try (Wire client = Wire.connect(mllp)) {
             client.frame(order("M2"));
-            assertEquals("AA M1", ack(client));
-            assertEquals("CA M2", ack(client));
-            assertEquals("AA M2", ack(client));
+            assertEquals("AA M1", readAck(client));
+            assertEquals("CA M2", readAck(client));
+            assertEquals("AA M2", readAck(client));
         }
-        until("entries_owed", 0);
+        awaitCounter("entries_owed", 0);
     }
 
     /** A client that asks again itself gets its end once, not a second time as one that was owed. */
     @Test
-    void whoAsksAgainIsToldOnce() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
-            assertEquals("CA M1", asks(client, order("M1")));
+    void resentMessageIsAnsweredOnceOnly() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
         }
-        until("entries_mllp_connections", 0);
-        fates.add("200 OK");
-        until("entries_mllp_owed", 1);
-        fates.add("200 OK");
-        try (Wire client = Wire.to(mllp)) {
-            assertEquals("CA M1", asks(client, order("M1")));
-            assertEquals("AA M1", ack(client));
-            assertEquals("CA M2", asks(client, order("M2")));
-            assertEquals("AA M2", ack(client));
+        awaitCounter("entries_mllp_connections", 0);
+        endpointAnswers.add("200 OK");
+        awaitCounter("entries_mllp_owed", 1);
+        endpointAnswers.add("200 OK");
+        try (Wire client = Wire.connect(mllp)) {
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
+            assertEquals("AA M1", readAck(client));
+            assertEquals("CA M2", sendAndReadAck(client, order("M2")));
+            assertEquals("AA M2", readAck(client));
         }
-        until("entries_owed", 0);
+        awaitCounter("entries_owed", 0);
     }
 
     /** Guards against ends that are lost with the process: the next life owes them, also those decided before. */
     @Test
-    void endsAreOwedAcrossARestart() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
-            assertEquals("CA M1", asks(client, order("M1")));
-            call();
-            assertEquals("CA M2", asks(client, payment("M2")));
-            call();
-        }
-        until("entries_mllp_connections", 0);
-        fates.addAll(List.of("200 OK", "200 OK"));
-        until("entries_mllp_owed", 2);
+    void pendingNotificationsSurviveARestart() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
+            nextCall();
+            assertEquals("CA M2", sendAndReadAck(client, payment("M2")));
+            nextCall();
+        }
+        awaitCounter("entries_mllp_connections", 0);
+        endpointAnswers.addAll(List.of("200 OK", "200 OK"));
+        awaitCounter("entries_mllp_owed", 2);
         forwarder.stop();
         serve();
-        until("entries_mllp_owed", 2);
-        fates.add("200 OK");
-        try (Wire client = Wire.to(mllp)) {
+        awaitCounter("entries_mllp_owed", 2);
+        endpointAnswers.add("200 OK");
+        try (Wire client = Wire.connect(mllp)) {
             client.frame(order("M3"));
             assertEquals(
                     List.of("AA M1", "AA M2"),
-                    java.util.stream.Stream.of(ack(client), ack(client))
+                    java.util.stream.Stream.of(readAck(client), readAck(client))
                             .sorted()
                             .toList());
-            assertEquals("CA M3", ack(client));
-            assertEquals("AA M3", ack(client));
+            assertEquals("CA M3", readAck(client));
+            assertEquals("AA M3", readAck(client));
         }
         assertEquals(3, calls.size() + 2);
     }
@@ -357,22 +357,23 @@
     /** Guards against a message that comes on both ports being delivered twice, whichever is first. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void onBothPortsItIsOneMessage(boolean httpFirst) throws Exception {
-        try (Wire client = Wire.to(mllp);
-                Wire web = Wire.to(http)) {
+    void messageSubmittedOnBothPortsIsDeliveredOnce(boolean httpFirst) throws Exception {
+        try (Wire client = Wire.connect(mllp);
+                Wire web = Wire.connect(http)) {
             if (httpFirst) {
-                assertEquals("202", post(web, "h1", "order", "north", "M1", order("M1")));
-                assertEquals("CA M1", asks(client, order("M1")));
+                assertEquals("202", submitOverHttp(web, "h1", "order", "north", "M1", order("M1")));
+                assertEquals("CA M1", sendAndReadAck(client, order("M1")));
             } else {
-                assertEquals("CA M1", asks(client, order("M1")));
-                assertEquals("202", post(web, "h1", "order", "north", "M1", order("M1")));
+                assertEquals("CA M1", sendAndReadAck(client, order("M1")));
+                assertEquals("202", submitOverHttp(web, "h1", "order", "north", "M1", order("M1")));
             }
-            call();
-            fates.add("200 OK");
-            assertEquals("AA M1", ack(client));
-            assertEquals("200", post(web, "h2", "order", "north", "M1", order("M1"))); // its end is remembered
-            assertEquals("CA M1", asks(client, order("M1")));
-            assertEquals("AA M1", ack(client));
+            nextCall();
+            endpointAnswers.add("200 OK");
+            assertEquals("AA M1", readAck(client));
+            assertEquals(
+                    "200", submitOverHttp(web, "h2", "order", "north", "M1", order("M1"))); // its end is remembered
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
+            assertEquals("AA M1", readAck(client));
         }
         assertNull(calls.poll());
         assertNull(notices.poll());
@@ -382,13 +383,13 @@
 
     /** Both in the same turn, many times: one call each. */
     @Test
-    void inTheSameMomentToo() throws Exception {
+    void messageSubmittedOnBothPortsAtOnceIsDeliveredOnce() throws Exception {
         int n = 50;
         for (int i = 0; i < n; i++) {
-            fates.add("200 OK");
+            endpointAnswers.add("200 OK");
         }
-        try (Wire client = Wire.to(mllp);
-                Wire web = Wire.to(http)) {
+        try (Wire client = Wire.connect(mllp);
+                Wire web = Wire.connect(http)) {
             for (int i = 0; i < n; i++) {
                 String message = order("APP", "M" + i, "NE|AL");
                 CountDownLatch both = new CountDownLatch(2);
@@ -397,7 +398,7 @@
                     try {
                         both.countDown();
                         both.await();
-                        assertTrue(post(web, "h" + control, "order", "north", control, message)
+                        assertTrue(submitOverHttp(web, "h" + control, "order", "north", control, message)
                                 .matches("20[02]"));
                     } catch (IOException | InterruptedException e) {
                         throw new IllegalStateException(e);
@@ -406,7 +407,7 @@
                 other.start();
                 both.countDown();
                 both.await();
-                assertEquals("AA M" + i, asks(client, message));
+                assertEquals("AA M" + i, sendAndReadAck(client, message));
                 other.join();
             }
         }
@@ -419,30 +420,30 @@
     /** A failure is told on each port under the id that came there, also where the process ended in between. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void bothPortsHearOfAFailure(boolean restart) throws Exception {
-        Wire client = Wire.to(mllp);
-        assertEquals("CA M1", asks(client, payment("M1")));
-        call();
-        try (Wire web = Wire.to(http)) {
-            assertEquals("202", post(web, "h1", "payment", "north", "M1", payment("M1")));
+    void failureIsReportedOnBothPorts(boolean restart) throws Exception {
+        Wire client = Wire.connect(mllp);
+        assertEquals("CA M1", sendAndReadAck(client, payment("M1")));
+        nextCall();
+        try (Wire web = Wire.connect(http)) {
+            assertEquals("202", submitOverHttp(web, "h1", "payment", "north", "M1", payment("M1")));
         }
         if (restart) {
             client.close();
             forwarder.stop(); // the call is cut: it may have run
             serve();
-            client = Wire.to(mllp);
-            fates.add("drop");
+            client = Wire.connect(mllp);
+            endpointAnswers.add("drop");
             client.frame(payment("M1"));
-            assertEquals("CA M1", ack(client));
+            assertEquals("CA M1", readAck(client));
         } else {
-            fates.add("drop");
+            endpointAnswers.add("drop");
         }
-        assertEquals("AE M1", ack(client));
-        assertTrue(Peer.next(notices).contains("\"id\":\"h1\",\"status\":\"undeliverable\""));
+        assertEquals("AE M1", readAck(client));
+        assertTrue(Peer.take(notices).contains("\"id\":\"h1\",\"status\":\"undeliverable\""));
         client.close();
         assertNull(calls.poll());
-        try (Wire web = Wire.to(http)) { // and it stays failed for whoever asks
-            assertEquals("500", post(web, "h2", "payment", "north", "M1", payment("M1")));
+        try (Wire web = Wire.connect(http)) { // and it stays failed for whoever asks
+            assertEquals("500", submitOverHttp(web, "h2", "payment", "north", "M1", payment("M1")));
         }
     }
 
@@ -450,37 +451,37 @@
      * Guards against a client of the other port that is never told the end, since the process was killed in between.
      */
     @Test
-    void aClientThatJoinedIsToldAfterAKillToo() throws Exception {
+    void clientOfTheOtherPortIsNotifiedAfterAKill() throws Exception {
         Path folder = java.nio.file.Files.createDirectory(state.resolve("killed"));
-        String config = Setup.text(platform.address(), folder, endpoint.address(), 3)
+        String config = ForwarderSetup.configText(platform.address(), folder, endpoint.address(), 3)
                 .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]");
         Path conf = java.nio.file.Files.writeString(folder.resolve("conf"), CONF);
-        Process process = Setup.process(folder, config, "true", "--conf", conf.toString());
+        Process process = ForwarderSetup.startProcess(folder, config, "true", "--conf", conf.toString());
         try {
-            List<java.net.InetSocketAddress> at = addresses(process);
-            try (Wire client = Wire.to(at.get(1));
-                    Wire web = Wire.to(at.get(0))) {
-                assertEquals("CA M1", asks(client, payment("M1")));
-                call();
-                assertEquals("202", post(web, "h1", "payment", "north", "M1", payment("M1")));
+            List<java.net.InetSocketAddress> addresses = readListenAddresses(process);
+            try (Wire client = Wire.connect(addresses.get(1));
+                    Wire web = Wire.connect(addresses.get(0))) {
+                assertEquals("CA M1", sendAndReadAck(client, payment("M1")));
+                nextCall();
+                assertEquals("202", submitOverHttp(web, "h1", "payment", "north", "M1", payment("M1")));
             }
             process.destroyForcibly().waitFor();
-            process = Setup.process(folder, config, "true", "--conf", conf.toString());
-            at = addresses(process);
-            assertTrue(Peer.next(notices).contains("\"id\":\"h1\",\"status\":\"undeliverable\""));
-            try (Wire client = Wire.to(at.get(1))) {
+            process = ForwarderSetup.startProcess(folder, config, "true", "--conf", conf.toString());
+            addresses = readListenAddresses(process);
+            assertTrue(Peer.take(notices).contains("\"id\":\"h1\",\"status\":\"undeliverable\""));
+            try (Wire client = Wire.connect(addresses.get(1))) {
                 client.frame(payment("M1")); // asks again, and hears the end
-                assertEquals("CA M1", ack(client));
-                assertEquals("AE M1", ack(client));
+                assertEquals("CA M1", readAck(client));
+                assertEquals("AE M1", readAck(client));
             }
         } finally {
             process.destroyForcibly();
-            fates.add("drop");
+            endpointAnswers.add("drop");
         }
         assertNull(calls.poll());
     }
 
-    private static List<java.net.InetSocketAddress> addresses(Process process) throws IOException {
+    private static List<java.net.InetSocketAddress> readListenAddresses(Process process) throws IOException {
         for (String line = process.errorReader().readLine();
                 line != null;
                 line = process.errorReader().readLine()) {
@@ -497,59 +498,61 @@
 
     /** Guards against the second of two messages vanishing behind the first one's identity. */
     @Test
-    void otherContentUnderAnIdentityIsRefused() throws Exception {
-        try (Wire client = Wire.to(mllp);
-                Wire web = Wire.to(http)) {
-            assertEquals("CA M1", asks(client, order("M1")));
+    void differentContentUnderTheSameIdentityIsRejected() throws Exception {
+        try (Wire client = Wire.connect(mllp);
+                Wire web = Wire.connect(http)) {
+            assertEquals("CA M1", sendAndReadAck(client, order("M1")));
             client.frame(order("M1") + "NTE|other\r");
             assertTrue(client.frame().contains("ERR||MSH^1^10|205^Duplicate key identifier^HL70357|E"));
-            assertEquals("409", post(web, "h1", "order", "north", "M1", "other"));
-            fates.add("200 OK");
-            assertEquals("AA M1", ack(client));
-            assertEquals("CR M1", asks(client, order("M1") + "NTE|other\r"));
+            assertEquals("409", submitOverHttp(web, "h1", "order", "north", "M1", "other"));
+            endpointAnswers.add("200 OK");
+            assertEquals("AA M1", readAck(client));
+            assertEquals("CR M1", sendAndReadAck(client, order("M1") + "NTE|other\r"));
         }
     }
 
     @Test
-    void practicesMayUseTheSameControlIds() throws Exception {
-        fates.addAll(List.of("200 OK", "200 OK"));
-        try (Wire one = Wire.to(mllp);
-                Wire two = Wire.to(mllp)) {
-            assertEquals("AA M1", asks(one, order("APP", "M1", "NE|AL")));
-            assertEquals("AA M1", asks(two, order("SUD", "M1", "NE|AL")));
+    void controlIdsOfDifferentPracticesAreIndependent() throws Exception {
+        endpointAnswers.addAll(List.of("200 OK", "200 OK"));
+        try (Wire one = Wire.connect(mllp);
+                Wire two = Wire.connect(mllp)) {
+            assertEquals("AA M1", sendAndReadAck(one, order("APP", "M1", "NE|AL")));
+            assertEquals("AA M1", sendAndReadAck(two, order("SUD", "M1", "NE|AL")));
         }
-        assertFalse(
-                call().headers().get("idempotency-key").equals(call().headers().get("idempotency-key")));
+        assertFalse(nextCall()
+                .headers()
+                .get("idempotency-key")
+                .equals(nextCall().headers().get("idempotency-key")));
     }
 
     /** Without a practice HTTP is as it was: each Req-Id is a message of its own. */
     @Test
-    void withoutAPracticeHttpIsAsItWas() throws Exception {
-        fates.addAll(List.of("200 OK", "200 OK"));
-        try (Wire web = Wire.to(http)) {
-            assertTrue(web.handIn("a", "order", 5, "x").startsWith("202"));
-            assertTrue(web.handIn("b", "order", 5, "x").startsWith("202"));
+    void httpMessagesWithoutAPracticeAreNotDeduplicated() throws Exception {
+        endpointAnswers.addAll(List.of("200 OK", "200 OK"));
+        try (Wire web = Wire.connect(http)) {
+            assertTrue(web.submit("a", "order", 5, "x").startsWith("202"));
+            assertTrue(web.submit("b", "order", 5, "x").startsWith("202"));
         }
-        call();
-        call();
-        until("delivered", 2);
+        nextCall();
+        nextCall();
+        awaitCounter("delivered", 2);
     }
 
     /** A control id may be used again once its window is over: guards against a new message taken for an old one. */
     @Test
-    void anIdentityIsFreeAgainAfterItsWindow() throws Exception {
+    void controlIdCanBeReusedAfterItsWindow() throws Exception {
         forwarder.stop();
         serve(CONF.replace("[mllp clinics]", "window-order 1s\n[mllp clinics]"));
-        fates.addAll(List.of("200 OK", "200 OK"));
-        try (Wire client = Wire.to(mllp)) {
-            assertEquals("AA M1", asks(client, order("APP", "M1", "NE|AL")));
+        endpointAnswers.addAll(List.of("200 OK", "200 OK"));
+        try (Wire client = Wire.connect(mllp)) {
+            assertEquals("AA M1", sendAndReadAck(client, order("APP", "M1", "NE|AL")));
             String other = order("APP", "M1", "AL|AL") + "NTE|the next day\r";
-            String answer = asks(client, other);
+            String answer = sendAndReadAck(client, other);
             while (answer.equals("CR M1")) { // its window is not over
-                answer = asks(client, other);
+                answer = sendAndReadAck(client, other);
             }
             assertEquals("CA M1", answer);
-            assertEquals("AA M1", ack(client));
+            assertEquals("AA M1", readAck(client));
         }
         assertEquals(2, calls.size());
     }
@@ -558,33 +561,33 @@
     /** Guards against what is no frame, and half a frame, holding a connection. */
     @ParameterizedTest
     @ValueSource(strings = {"GET / HTTP/1.1\r\n\r\n", "\u000bMSH|half", "\u000bMSH|\u000b"})
-    void whatIsNoFrameEndsTheConnection(String noise) throws Exception {
-        try (Wire client = Wire.to(mllp)) {
+    void invalidFrameClosesTheConnection(String noise) throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
             client.say(noise);
             assertNull(client.line());
         } catch (java.net.SocketException e) {
             // closed with bytes unread
         }
-        until("entries_mllp_connections", 0);
+        awaitCounter("entries_mllp_connections", 0);
     }
 
     /** Only the networks that the operator names get in; the others are closed before anything is read. */
     @Test
-    void strangersAreTurnedAway() throws Exception {
+    void connectionFromAnUnlistedNetworkIsClosed() throws Exception {
         java.net.Socket socket = new java.net.Socket();
         socket.bind(new java.net.InetSocketAddress("127.0.0.2", 0));
         socket.connect(mllp, 5000);
         try (Wire stranger = new Wire(socket)) {
             assertNull(stranger.line());
         }
-        until("mllp_turned_away", 1);
+        awaitCounter("mllp_turned_away", 1);
         assertEquals(0, counter("entries_mllp_connections"));
     }
 
     /** Messages that can't be read are answered, and whoever sends nothing else is sent away. */
     @Test
-    void nonsenseIsAnsweredAndThenEnded() throws Exception {
-        try (Wire client = Wire.to(mllp)) {
+    void clientSendingOnlyInvalidMessagesIsAnsweredThenDisconnected() throws Exception {
+        try (Wire client = Wire.connect(mllp)) {
             for (int i = 0; i < 9; i++) {
                 client.frame("PID|" + i + "\r");
                 assertTrue(client.frame().contains("MSA|AE"));
@@ -595,17 +598,17 @@
 
     /** A client that sends more than it may is told to come again, and the others are served. */
     @Test
-    void tooManyAtOnceAreToldToComeAgain() throws Exception {
-        try (Wire greedy = Wire.to(mllp);
-                Wire other = Wire.to(mllp)) {
+    void clientOverItsLimitIsRejectedAndOthersAreServed() throws Exception {
+        try (Wire greedy = Wire.connect(mllp);
+                Wire other = Wire.connect(mllp)) {
             for (int i = 0; i < 6; i++) {
-                assertEquals((i < 4 ? "CA M" : "CE M") + i, asks(greedy, order("M" + i)));
+                assertEquals((i < 4 ? "CA M" : "CE M") + i, sendAndReadAck(greedy, order("M" + i)));
             }
-            assertEquals("CA S1", asks(other, order("SUD", "S1", "AL|NE")));
+            assertEquals("CA S1", sendAndReadAck(other, order("SUD", "S1", "AL|NE")));
             for (int i = 0; i < 5; i++) {
-                fates.add("200 OK");
+                endpointAnswers.add("200 OK");
             }
-            until("delivered", 5);
+            awaitCounter("delivered", 5);
         }
     }
 }
--- a/src/test/java/lilaclever/program/OperatorPortTest.java
+++ b/src/test/java/lilaclever/program/OperatorPortTest.java
@@ -29,31 +29,31 @@
     private Forwarder forwarder;
 
     @AfterEach
-    void end() {
+    void stop() {
         forwarder.stop();
     }
 
     private void serve(Peer platform, Peer endpoint) throws Exception {
         forwarder = Forwarder.start(
                 Config.parse(
-                        Setup.text(platform.address(), state, endpoint.address(), 3),
+                        ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3),
                         Map.of("ROUTER_OPERATOR", "127.0.0.1:0")),
                 null);
     }
 
-    private SocketAddress operators() {
+    private SocketAddress operatorAddress() {
         return forwarder.addresses().get(1);
     }
 
-    private String ask(String line) throws Exception {
-        try (Wire wire = Wire.to(operators())) {
-            return wire.ask(line);
+    private String sendCommand(String line) throws Exception {
+        try (Wire wire = Wire.connect(operatorAddress())) {
+            return wire.sendCommand(line);
         }
     }
 
     private Peer endpoint() throws Exception {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 calls.add(r.headers().get("req-id"));
                 wire.answer("200 OK", "");
             }
@@ -61,88 +61,88 @@
     }
 
     private Peer platform(Peer endpoint) throws Exception {
-        return Peer.platform(Setup.list(endpoint.address()), notices);
+        return Peer.platform(ForwarderSetup.endpointList(endpoint.address()), notices);
     }
 
-    private void handIn(String id, double deadline) throws Exception {
-        try (Wire client = Wire.to(forwarder.addresses().get(0))) {
-            assertTrue(client.handIn(id, "status", deadline, "x").startsWith("202"));
+    private void submit(String id, double deadline) throws Exception {
+        try (Wire client = Wire.connect(forwarder.addresses().get(0))) {
+            assertTrue(client.submit(id, "status", deadline, "x").startsWith("202"));
         }
     }
 
     /** Guards against sending to what an operator has taken out, in this life and in the next one, and for ever. */
     @Test
-    void anEndpointOutByHandGetsNothingUntilItIsPutBackAlsoAfterARestart() throws Exception {
+    void suspendedEndpointGetsNoCallsUntilRestoredAlsoAfterARestart() throws Exception {
         try (Peer endpoint = endpoint();
                 Peer platform = platform(endpoint)) {
             serve(platform, endpoint);
-            assertTrue(ask("SUSPEND e1").startsWith("200"));
-            assertTrue(ask("SUSPEND e1").startsWith("200"), "a second call out is harmless");
-            handIn("out", 0.5);
-            assertTrue(Peer.next(notices).contains("out"), "it ends with no call");
+            assertTrue(sendCommand("SUSPEND e1").startsWith("200"));
+            assertTrue(sendCommand("SUSPEND e1").startsWith("200"), "a second call out is harmless");
+            submit("out", 0.5);
+            assertTrue(Peer.take(notices).contains("out"), "it ends with no call");
             forwarder.stop();
             serve(platform, endpoint);
-            handIn("still", 0.5);
-            assertTrue(Peer.next(notices).contains("still"));
-            assertTrue(ask("RESTORE e1").startsWith("200"), "one call ends two");
-            handIn("back", 6);
-            assertEquals("back", Peer.next(calls), "and nothing went before");
+            submit("still", 0.5);
+            assertTrue(Peer.take(notices).contains("still"));
+            assertTrue(sendCommand("RESTORE e1").startsWith("200"), "one call ends two");
+            submit("back", 6);
+            assertEquals("back", Peer.take(calls), "and nothing went before");
             assertEquals(List.of(), Files.readAllLines(state.resolve("suspended")));
         }
     }
 
     /** Guards against a yes to what can't be done or is no call. */
     @Test
-    void whatIsNoCallOrWasNeverListedIsRefusedWithItsName() throws Exception {
+    void invalidCommandsAndUnknownEndpointsAreRejected() throws Exception {
         try (Peer endpoint = endpoint();
                 Peer platform = platform(endpoint)) {
             serve(platform, endpoint);
-            assertEquals("200 ready", ask("STATUS"));
-            assertEquals("400 e9: never listed", ask("SUSPEND e9"));
-            assertEquals("400 e9: never listed", ask("RESTORE e9"));
+            assertEquals("200 ready", sendCommand("STATUS"));
+            assertEquals("400 e9: never listed", sendCommand("SUSPEND e9"));
+            assertEquals("400 e9: never listed", sendCommand("RESTORE e9"));
             for (String bad : new String[] {"", "STATUS now", "SUSPEND", "suspend e1", "x".repeat(300)}) {
-                assertTrue(ask(bad).startsWith("400 STATUS"), bad);
+                assertTrue(sendCommand(bad).startsWith("400 STATUS"), bad);
             }
         }
     }
 
     /** Guards against callers who finish no line and hold the place of those who do. */
     @Test
-    void callersWhoSayNothingMakeRoom() throws Exception {
+    void idleOperatorConnectionsAreClosedForNewOnes() throws Exception {
         try (Peer endpoint = endpoint();
                 Peer platform = platform(endpoint)) {
             serve(platform, endpoint);
-            List<Wire> silent = new ArrayList<>();
+            List<Wire> idleConnections = new ArrayList<>();
             for (int i = 0; i < 3 * OperatorPort.MOST; i++) {
-                silent.add(Wire.to(operators()));
-                silent.get(i).say("STAT");
+                idleConnections.add(Wire.connect(operatorAddress()));
+                idleConnections.get(i).say("STAT");
             }
-            assertEquals("200 ready", ask("STATUS"));
-            assertEquals(null, silent.get(0).line(), "the oldest has gone");
-            silent.forEach(Wire::close);
+            assertEquals("200 ready", sendCommand("STATUS"));
+            assertEquals(null, idleConnections.get(0).line(), "the oldest has gone");
+            idleConnections.forEach(Wire::close);
         }
     }
 
     /** Guards against a yes that the disk does not keep. */
     @Test
-    void whatCanNotBeNotedStaysIn() throws Exception {
+    void endpointStaysInServiceWhereSuspensionCannotBeStored() throws Exception {
         try (Peer endpoint = endpoint();
                 Peer platform = platform(endpoint)) {
             serve(platform, endpoint);
             Files.createDirectory(state.resolve("suspended.new"));
-            assertEquals("400 e1: can't be noted on disk, so it stays in", ask("SUSPEND e1"));
-            handIn("in", 6);
-            assertEquals("in", Peer.next(calls));
+            assertEquals("400 e1: can't be noted on disk, so it stays in", sendCommand("SUSPEND e1"));
+            submit("in", 6);
+            assertEquals("in", Peer.take(calls));
         }
     }
 
     /** Guards against a start that forgets what was taken out, and an address that is none. */
     @Test
-    void aNoteThatCanNotBeReadAndABadAddressAreNamed() throws Exception {
+    void unreadableSuspensionFileAndInvalidAddressAreReported() throws Exception {
         try (Peer endpoint = endpoint();
                 Peer platform = platform(endpoint)) {
             serve(platform, endpoint);
-            String text = Setup.text(platform.address(), state, endpoint.address(), 3);
+            String text = ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3);
             ConfigurationException bad = assertThrows(
                     ConfigurationException.class, () -> Config.parse(text, Map.of("ROUTER_OPERATOR", "nowhere")));
             assertTrue(bad.getMessage().contains("operator"), bad.getMessage());
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorTest.java
@@ -16,7 +16,7 @@
 /** The operator's file: every fault is told with file, line and key. */
 class OperatorTest {
     private static Config config() throws ConfigurationException {
-        return Setup.config("127.0.0.1:9", Path.of("nowhere"), null);
+        return ForwarderSetup.config("127.0.0.1:9", Path.of("nowhere"), null);
     }
 
     private static Operator of(String text) throws ConfigurationException {
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void whatIsAbsentIsAsThePlatformHasIt() throws ConfigurationException {
+    void missingSettingsHaveDefaults() throws ConfigurationException {
         assertEquals(Operator.none(config()), of("# nothing\n\n[journal]\n"));
         assertEquals(
                 Durability.NONE.how(),
@@ -33,12 +33,12 @@
 
     /** The file that is shipped says what holds without it. */
     @Test
-    void theShippedFileIsGoodAndSaysTheDefaults() throws Exception {
+    void shippedFileIsValidAndContainsTheDefaults() throws Exception {
         assertEquals(Operator.none(config()), Operator.read(Path.of("deploy/lilaclever.conf"), config()));
     }
 
     @Test
-    void valuesMayGoOnInTheNextLine() throws ConfigurationException {
+    void valuesMayContinueOnTheNextLine() throws ConfigurationException {
         Operator read = of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
                 + "\ninterval 250\n  ms\nremember 90s\n");
         assertEquals(
@@ -68,14 +68,14 @@
                 "[journal]/a=b                 | f:2: a=b: not a key: small letters, digits and '-'",
                 "[journal]/~more               | f:2: continues nothing: a key begins its line without a space"
             })
-    void faultsAreToldWithFileLineAndKey(String text, String message) {
+    void errorsNameFileLineAndKey(String text, String message) {
         ConfigurationException e = assertThrows(
                 ConfigurationException.class, () -> of(text.replace('/', '\n').replace('~', ' ')));
         assertEquals(message, e.getMessage());
     }
 
     @Test
-    void whatIsNoTextIsRefused(@org.junit.jupiter.api.io.TempDir Path folder) throws Exception {
+    void fileThatIsNotUtf8IsRejected(@org.junit.jupiter.api.io.TempDir Path folder) throws Exception {
         Path file = Files.write(folder.resolve("x"), new byte[] {(byte) 0xc3, 0x28});
         assertEquals(
                 List.of("--conf: " + file + " is not UTF-8"),
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -12,18 +12,18 @@
 /** A scripted peer on a loopback socket: each connection is talked to by the script on a thread of its own. */
 final class Peer implements AutoCloseable {
     interface Script {
-        void talk(Wire wire) throws IOException, InterruptedException;
+        void run(Wire wire) throws IOException, InterruptedException;
     }
 
     private final ServerSocket server = new ServerSocket(0, 100, InetAddress.getLoopbackAddress());
 
     Peer(Script script) throws IOException {
-        start(() -> {
+        startThread(() -> {
             while (true) {
                 Wire wire = new Wire(server.accept());
-                start(() -> {
+                startThread(() -> {
                     try (wire) {
-                        script.talk(wire);
+                        script.run(wire);
                     }
                 });
             }
@@ -34,7 +34,7 @@
         void run() throws IOException, InterruptedException;
     }
 
-    private static void start(Task task) {
+    private static void startThread(Task task) {
         Thread thread = new Thread(() -> {
             try {
                 task.run();
@@ -60,18 +60,18 @@
      * forwarder's configuration has it.
      */
     static Peer platform(String list, LinkedBlockingQueue<String> notices) throws IOException {
-        return platform(() -> list.isEmpty() ? Setup.known() : list, notices);
+        return platform(() -> list.isEmpty() ? ForwarderSetup.knownList() : list, notices);
     }
 
     /** Gives the directory's list once it is to be told. */
-    interface Lists {
+    interface ListSource {
         String next() throws InterruptedException;
     }
 
     /** The same whose list may come later. */
-    static Peer platform(Lists lists, LinkedBlockingQueue<String> notices) throws IOException {
+    static Peer platform(ListSource lists, LinkedBlockingQueue<String> notices) throws IOException {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 if (r.path.equals("/status")) {
                     r.body.lines().forEach(notices::add);
                     wire.answer("204 No Content", "");
@@ -82,7 +82,7 @@
         });
     }
 
-    static String next(LinkedBlockingQueue<String> queue) throws InterruptedException {
+    static String take(LinkedBlockingQueue<String> queue) throws InterruptedException {
         String value = queue.poll(20, TimeUnit.SECONDS);
         if (value == null) {
             throw new AssertionError("nothing came");
@@ -94,26 +94,26 @@
 
     /** One connection, either side of it: the stand-ins' own, with what scripts say and ask. */
     static final class Wire extends lilaclever.lab.sockets.Wire {
-        private static final int PATIENCE = 30_000;
+        private static final int READ_TIMEOUT_MILLIS = 30_000;
 
         Wire(Socket socket) throws IOException {
             super(socket);
-            patience(PATIENCE);
+            patience(READ_TIMEOUT_MILLIS);
         }
 
-        static Wire to(java.net.SocketAddress address) throws IOException {
+        static Wire connect(java.net.SocketAddress address) throws IOException {
             Socket socket = new Socket();
             socket.connect(address, 5_000);
             return new Wire(socket);
         }
 
         /** Says a line and gives the last line of the reply. */
-        String ask(String line) throws IOException {
+        String sendCommand(String line) throws IOException {
             say(line + "\r\n");
-            return reply();
+            return readReply();
         }
 
-        String reply() throws IOException {
+        String readReply() throws IOException {
             String reply = line();
             while (reply != null && reply.length() > 3 && reply.charAt(3) == '-') {
                 reply = line();
@@ -122,7 +122,7 @@
         }
 
         /** The next request, or an answer with its status as the path; null at the end. */
-        Request request() throws IOException {
+        Request readRequest() throws IOException {
             Head head = read();
             return head == null
                     ? null
@@ -130,15 +130,15 @@
         }
 
         /** Hands a message in and gives the answer's first line and headers. */
-        String handIn(String id, String kind, double deadline, String body) throws IOException {
-            return handIn(id, kind, 7, deadline, body);
+        String submit(String id, String kind, double deadline, String body) throws IOException {
+            return submit(id, kind, 7, deadline, body);
         }
 
-        String handIn(String id, String kind, int destination, double deadline, String body) throws IOException {
+        String submit(String id, String kind, int destination, double deadline, String body) throws IOException {
             say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: "
                     + deadline + "\r\nIdempotency-Key: k-" + id + "\r\nX-Envelope: dest=" + destination
                     + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
-            Request answer = request();
+            Request answer = readRequest();
             return answer == null ? "closed" : answer.path + ' ' + answer.headers;
         }
 
@@ -147,7 +147,7 @@
             reset(); // as a dying process would
         }
 
-        void hang() throws IOException {
+        void readWithoutAnswering() throws IOException {
             while (line() != null) {
                 continue; // takes everything, says nothing
             }
--- a/src/test/java/lilaclever/program/PortsRun.java
+++ b/src/test/java/lilaclever/program/PortsRun.java
@@ -18,7 +18,11 @@
  * message when the last one is taken on; endpoints answer at once. Then idle connections are opened and counted.
  */
 final class PortsRun {
-    private static final int CLIENTS = 16, WARM_S = 15, RUN_S = 15, IDLE = 1000, ENDPOINTS = 4;
+    private static final int CLIENTS = 16,
+            WARM_UP_SECONDS = 15,
+            MEASURE_SECONDS = 15,
+            IDLE_CONNECTIONS = 1000,
+            ENDPOINTS = 4;
 
     private final Path folder = Files.createTempDirectory("ports");
     private final AtomicLong calls = new AtomicLong();
@@ -47,7 +51,7 @@
                 [hl7-destination 7]
                 receivers LAB
                 """;
-        Setup.Served served = Setup.serve(folder, config, conf, true, 128, line -> {});
+        ForwarderSetup.RunningForwarder served = ForwarderSetup.startJar(folder, config, conf, true, 128, line -> {});
         process = served.process();
         http = served.addresses().get(0);
         hl7 = served.addresses().get(1);
@@ -55,7 +59,7 @@
 
     /** Hands in one message and waits until it is taken on; true if it was. */
     private interface Client {
-        boolean handIn(Wire wire, String id) throws IOException;
+        boolean submit(Wire wire, String id) throws IOException;
     }
 
     private static String body(String id, String wanted) {
@@ -63,13 +67,13 @@
                 + "x".repeat(200) + '\r';
     }
 
-    private static Client web(String practice) {
+    private static Client httpClient(String practice) {
         return (wire, id) -> {
             String body = body(id, "");
             wire.say("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: order\r\nReq-Deadline: 9\r\n"
                     + practice + "Idempotency-Key: " + id + "\r\nX-Envelope: dest=7\r\nContent-Length: " + body.length()
                     + "\r\n\r\n" + body);
-            Request answer = wire.request();
+            Request answer = wire.readRequest();
             if (answer == null) {
                 throw new IOException("closed");
             }
@@ -77,7 +81,7 @@
         };
     }
 
-    private static Client frames(String wanted) {
+    private static Client mllpClient(String wanted) {
         return (wire, id) -> {
             wire.frame(body(id, wanted));
             String ack = wire.frame();
@@ -94,28 +98,30 @@
     private void measure(String what, InetSocketAddress address, Client client) throws InterruptedException {
         List<long[]> all = new ArrayList<>();
         AtomicLong refused = new AtomicLong();
-        long begin = System.nanoTime(), from = begin + WARM_S * 1_000_000_000L, to = from + RUN_S * 1_000_000_000L;
+        long begin = System.nanoTime(),
+                from = begin + WARM_UP_SECONDS * 1_000_000_000L,
+                to = from + MEASURE_SECONDS * 1_000_000_000L;
         List<Thread> threads = new ArrayList<>();
         for (int c = 0; c < CLIENTS; c++) {
             String prefix = what.replaceAll("[^A-Za-z]", "") + c + "-";
             Thread t = new Thread(() -> {
-                List<Long> took = new ArrayList<>();
+                List<Long> latenciesNanos = new ArrayList<>();
                 Wire wire = null;
                 for (int n = 0; System.nanoTime() < to; n++) {
                     long at = System.nanoTime();
                     try {
-                        wire = wire == null ? Wire.to(address) : wire;
-                        if (!client.handIn(wire, prefix + n)) {
+                        wire = wire == null ? Wire.connect(address) : wire;
+                        if (!client.submit(wire, prefix + n)) {
                             refused.incrementAndGet();
                         } else if (at > from) {
-                            took.add(System.nanoTime() - at);
+                            latenciesNanos.add(System.nanoTime() - at);
                         }
                     } catch (IOException e) {
                         wire = null;
                     }
                 }
                 synchronized (all) {
-                    all.add(took.stream().mapToLong(Long::longValue).toArray());
+                    all.add(latenciesNanos.stream().mapToLong(Long::longValue).toArray());
                 }
             });
             threads.add(t);
@@ -129,14 +135,14 @@
         System.out.printf(
                 "| %s | %d | %.2f | %.2f | %d |%n",
                 what,
-                sorted.length / RUN_S,
+                sorted.length / MEASURE_SECONDS,
                 sorted[sorted.length / 2] / 1e6,
                 sorted[(int) (sorted.length * 0.99)] / 1e6,
                 refused.get());
     }
 
     /** Bytes of objects that are live, by the machine's own histogram, which collects before it counts. */
-    private long live() throws IOException {
+    private long liveBytes() throws IOException {
         Process jcmd = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "jcmd").toString(),
                         Long.toString(process.pid()),
@@ -149,39 +155,41 @@
         return Long.parseLong(total.trim().split("\\s+")[2]);
     }
 
-    private void idle(String what, InetSocketAddress address, Client client) throws IOException, InterruptedException {
-        long before = live();
+    private void measureIdleConnections(String what, InetSocketAddress address, Client client)
+            throws IOException, InterruptedException {
+        long before = liveBytes();
         List<Wire> wires = new ArrayList<>();
-        for (int i = 0; i < IDLE; i++) {
-            Wire wire = Wire.to(address);
-            client.handIn(wire, "idle" + what.charAt(1) + i);
+        for (int i = 0; i < IDLE_CONNECTIONS; i++) {
+            Wire wire = Wire.connect(address);
+            client.submit(wire, "idle" + what.charAt(1) + i);
             wires.add(wire);
         }
         Thread.sleep(1000);
-        long bytes = live() - before;
+        long bytes = liveBytes() - before;
         long open = wires.stream().filter(Wire::isOpen).count();
         for (Wire wire : wires) {
             wire.close();
         }
         for (int i = 0; i < 3; i++) { // a selector lets go of what is closed when it has waked some times
             Thread.sleep(2_000);
-            try (Wire wire = Wire.to(http)) {
+            try (Wire wire = Wire.connect(http)) {
                 wire.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-                wire.request();
+                wire.readRequest();
             }
         }
-        System.out.println("| " + what + " | " + bytes / IDLE + " | " + open + " | " + (live() - before) / IDLE + " |");
+        System.out.println("| " + what + " | " + bytes / IDLE_CONNECTIONS + " | " + open + " | "
+                + (liveBytes() - before) / IDLE_CONNECTIONS + " |");
     }
 
-    private void load() throws InterruptedException {
+    private void measureLoad() throws InterruptedException {
         System.out.println(
                 "| port | messages a second | taking-on, median, ms | 99th percentile, ms | refused |\n| --- | --- | "
                         + "--- | --- | --- |");
         for (int round = 1; round <= 2; round++) {
-            measure("HTTP, round " + "ab".charAt(round - 1), http, web(""));
-            measure("HTTP with identity, round " + "ab".charAt(round - 1), http, web("X-Practice: north\r\n"));
-            measure("HL7, AL and NE, round " + "ab".charAt(round - 1), hl7, frames("AL|NE"));
-            measure("HL7, AL and AL, round " + "ab".charAt(round - 1), hl7, frames("AL|AL"));
+            measure("HTTP, round " + "ab".charAt(round - 1), http, httpClient(""));
+            measure("HTTP with identity, round " + "ab".charAt(round - 1), http, httpClient("X-Practice: north\r\n"));
+            measure("HL7, AL and NE, round " + "ab".charAt(round - 1), hl7, mllpClient("AL|NE"));
+            measure("HL7, AL and AL, round " + "ab".charAt(round - 1), hl7, mllpClient("AL|AL"));
         }
     }
 
@@ -189,7 +197,7 @@
         StringBuilder list = new StringBuilder();
         for (int e = 0; e < ENDPOINTS; e++) {
             Peer peer = new Peer(wire -> {
-                for (Request r = wire.request(); r != null; r = wire.request()) {
+                for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                     calls.incrementAndGet();
                     wire.answer("200 OK", "");
                 }
@@ -200,23 +208,23 @@
                             .formatted(e, peer.address()));
         }
         Peer platform = Peer.platform("", new java.util.concurrent.LinkedBlockingQueue<>());
-        start(Setup.text(platform.address(), folder.resolve("state"), null, 64)
+        start(ForwarderSetup.configText(platform.address(), folder.resolve("state"), null, 64)
                 .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]")
                 .replace("\"callSlots\": 20", "\"callSlots\": 64")
                 .replace("\"openCap\": 200", "\"openCap\": 5000")
                 .replace("\"disk_mb\": 64", "\"disk_mb\": 64, \"sockets\": 8192")
                 .replace("\"known\": null", "\"known\": {\"index\":1,\"snapshot\":true,\"endpoints\":[" + list + "]}"));
         if (load) {
-            load();
+            measureLoad();
         }
         System.out.println(
                 "\n| idle connection of | bytes of live objects | still open | left when they are closed |\n| --- | "
                         + "--- | --- | --- |");
         Thread.sleep(load ? 20_000 : 1_000); // what the load has left is gone
-        idle("HL7 over MLLP", hl7, (wire, id) -> true);
-        idle("HTTP", http, (wire, id) -> {
+        measureIdleConnections("HL7 over MLLP", hl7, (wire, id) -> true);
+        measureIdleConnections("HTTP", http, (wire, id) -> {
             wire.say("GET /health/ready HTTP/1.1\r\nHost: a\r\n\r\n");
-            return wire.request() != null;
+            return wire.readRequest() != null;
         });
         process.destroyForcibly().waitFor();
     }
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -61,7 +61,7 @@
      * virtual time.
      */
     @Test
-    void aDayOnSocketsHasThePlanOfVirtualTime() throws Exception {
+    void socketRehearsalFollowsThePlanOfVirtualTime() throws Exception {
         Scenario s = scenario(
                 "[traffic]",
                 "length 5s",
@@ -96,7 +96,7 @@
 
     /** A daemon that dies by itself is named, and the day goes on with the next life. */
     @Test
-    void aDaemonThatDiesIsNamed() throws Exception {
+    void forwarderProcessThatDiesIsReported() throws Exception {
         List<String> dies = new ArrayList<>(List.of("timeout", "-s", "KILL", "4"));
         dies.addAll(ChildProcessCommand.command("serve"));
         Result r = run(scenario("[traffic]", "length 4s", "load 50%"), dies);
@@ -112,7 +112,7 @@
 
     /** A daemon that can't start, such as one whose port is taken, ends the rehearsal with its own words. */
     @Test
-    void aDaemonThatCanNotStartEndsTheRun() throws Exception {
+    void forwarderProcessThatCannotStartEndsTheRehearsal() throws Exception {
         IOException e = assertThrows(
                 IOException.class,
                 () -> run(
@@ -128,12 +128,12 @@
 
     /** Its threads kept a daemon alive whose port was taken: it served nobody, and nobody started it again. */
     @Test
-    void aDaemonWhosePortIsTakenSaysSoAndEnds() throws Exception {
+    void forwarderWhosePortIsInUseReportsItAndExits() throws Exception {
         try (java.net.ServerSocket taken = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
             String address = "127.0.0.1:" + taken.getLocalPort();
-            Process p = Setup.process(
+            Process p = ForwarderSetup.startProcess(
                     folder,
-                    Setup.text("127.0.0.1:1", folder.resolve("state"), null, 3)
+                    ForwarderSetup.configText("127.0.0.1:1", folder.resolve("state"), null, 3)
                             .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"" + address + '"'),
                     256);
             try {
@@ -149,7 +149,7 @@
 
     /** Told to stop in the middle: what there is is given, and it says that it is a part. */
     @Test
-    void aRunCutShortIsPartial() throws Exception {
+    void interruptedRunIsMarkedPartial() throws Exception {
         long[] now = {0};
         Result r = RealSockets.run(
                 scenario("[traffic]", "length 60s", "load 50%"),
@@ -167,7 +167,7 @@
      * A hook of the machine's end could not draw the page: AWT refuses to begin then, and the report was half written.
      */
     @Test
-    void ctrlCLeavesAWholeReportOfAPart() throws Exception {
+    void interruptLeavesACompleteReportOfAPartialRun() throws Exception {
         List<String> command = new ArrayList<>(ChildProcessCommand.command(
                 "rehearse",
                 "run",
@@ -179,7 +179,7 @@
         Process p = new ProcessBuilder(command).redirectErrorStream(true).start();
         try {
             Path logs = folder.resolve("out/forwarders");
-            for (int i = 0; i < 3000 && !serves(logs); i++) {
+            for (int i = 0; i < 3000 && !isServing(logs); i++) {
                 Thread.sleep(10);
             }
             p.toHandle().destroy(); // SIGTERM is treated as Ctrl-C is
@@ -193,7 +193,7 @@
         }
     }
 
-    private static boolean serves(Path logs) throws IOException {
+    private static boolean isServing(Path logs) throws IOException {
         if (!java.nio.file.Files.exists(logs)) {
             return false;
         }
@@ -212,7 +212,7 @@
 
     /** Guards against false figures: stand-ins that were late say so, and by how much. */
     @Test
-    void aRunWhoseStandInsWereLateIsNotTrusted() {
+    void runWithLateStandInsIsMarkedUntrusted() {
         Histogram late = new Histogram(3_600_000_000L, 3);
         late.recordValueWithCount(100, 990);
         assertTrue(TimingQuality.of(late, 0).good());
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void whatIsTooLargeForOneMachineIsSaidSo() throws ConfigurationException {
+    void scenarioTooLargeForOneMachineIsRejected() throws ConfigurationException {
         assertTrue(RealSockets.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "forwarders 2000")))
                 .startsWith("forwarders: 2000"));
         assertTrue(RealSockets.tooLarge(ScenarioReader.parse("x", List.of("[fleet]", "destinations 5000")))
--- a/src/test/java/lilaclever/program/RetryAfterTest.java
+++ b/src/test/java/lilaclever/program/RetryAfterTest.java
@@ -25,7 +25,7 @@
 
 /** Told waits: whatever an endpoint's answer says besides, no byte of a call goes there before the wait is over. */
 class RetryAfterTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
 
     @TempDir
     private Path state;
@@ -35,36 +35,37 @@
     private SocketAddress address;
 
     @AfterEach
-    void end() {
+    void stop() {
         if (forwarder != null) {
             forwarder.stop();
         }
     }
 
     private void serve(String platform, String endpoint) throws Exception {
-        forwarder = Forwarder.start(Setup.config(platform, state, endpoint), null);
+        forwarder = Forwarder.start(ForwarderSetup.config(platform, state, endpoint), null);
         address = forwarder.addresses().get(0);
     }
 
-    private static String counters(Wire client) throws IOException {
+    private static String readCounters(Wire client) throws IOException {
         client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-        return client.request().body();
+        return client.readRequest().body();
     }
 
-    private static void until(Wire client, String count) throws IOException {
-        String last = counters(client);
-        for (long end = System.nanoTime() + 10_000 * MS; !last.contains(count) && System.nanoTime() < end; ) {
-            last = counters(client);
+    private static void awaitCounter(Wire client, String counterLine) throws IOException {
+        String last = readCounters(client);
+        for (long end = System.nanoTime() + 10_000 * NANOS_PER_MILLI;
+                !last.contains(counterLine) && System.nanoTime() < end; ) {
+            last = readCounters(client);
         }
-        assertTrue(last.contains(count), last);
+        assertTrue(last.contains(counterLine), last);
     }
 
     /** An endpoint whose queue of connections is full until some that wait in it are taken out. */
-    private static final class Narrow implements AutoCloseable {
+    private static final class EndpointWithFullBacklog implements AutoCloseable {
         final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        private final List<Socket> before = List.of(new Socket(), new Socket());
+        private final List<Socket> backlogFillers = List.of(new Socket(), new Socket());
 
-        Narrow() throws IOException {
+        EndpointWithFullBacklog() throws IOException {
             server.setSoTimeout(20_000);
         }
 
@@ -76,14 +77,14 @@
             return new Wire(server.accept());
         }
 
-        void fill() throws IOException {
-            for (Socket each : before) {
+        void fillBacklog() throws IOException {
+            for (Socket each : backlogFillers) {
                 each.connect(server.getLocalSocketAddress());
             }
         }
 
-        void empty() throws IOException {
-            for (Socket each : before) {
+        void emptyBacklog() throws IOException {
+            for (Socket each : backlogFillers) {
                 server.accept().close();
                 each.close();
             }
@@ -99,29 +100,29 @@
      * Guards the rule where it broke: a call was decided, another one was told a wait, and then its connection came up.
      */
     @Test
-    void aCallWhoseConnectionComesUpUnderAWaitIsNotWritten() throws Exception {
+    void callWhoseConnectionIsEstablishedDuringRetryAfterIsNotWritten() throws Exception {
         try (Peer platform = Peer.platform("", notices);
-                Narrow endpoint = new Narrow()) {
+                EndpointWithFullBacklog endpoint = new EndpointWithFullBacklog()) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("first", "payment", 20, "x").startsWith("202"));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("first", "payment", 20, "x").startsWith("202"));
                 try (Wire first = endpoint.accept()) {
-                    assertEquals("first", first.request().headers().get("req-id"));
-                    endpoint.fill();
-                    assertTrue(client.handIn("second", "payment", 20, "y").startsWith("202"));
-                    until(client, "\ncalls 2\n");
-                    long told = System.nanoTime();
+                    assertEquals("first", first.readRequest().headers().get("req-id"));
+                    endpoint.fillBacklog();
+                    assertTrue(client.submit("second", "payment", 20, "y").startsWith("202"));
+                    awaitCounter(client, "\ncalls 2\n");
+                    long sentAt = System.nanoTime();
                     first.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
-                    endpoint.empty();
+                    endpoint.emptyBacklog();
                     try (Wire late = endpoint.accept()) {
-                        if (late.request() == null) { // closed without a byte
+                        if (late.readRequest() == null) { // closed without a byte
                             try (Wire next = endpoint.accept()) {
-                                next.request();
+                                next.readRequest();
                             }
                         }
                     }
-                    assertTrue(System.nanoTime() - told >= 3000 * MS, "nothing within the wait");
-                    assertTrue(counters(client).contains("\nending_withheld 1\n"), "counted");
+                    assertTrue(System.nanoTime() - sentAt >= 3000 * NANOS_PER_MILLI, "nothing within the wait");
+                    assertTrue(readCounters(client).contains("\nending_withheld 1\n"), "counted");
                 }
             }
         }
@@ -148,12 +149,12 @@
                 "HTTP/1.1 429 no~X-Retry-In-Ms: -60000~Content-Length: 0~~ | 0",
                 "HTTP/1.1 429 no~X-Retry-In-Ms: 6e4~Content-Length: 0~~ | 0"
             })
-    void aWaitBindsInAnyAnswer(String answer, int waits) throws Exception {
-        LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    void retryAfterIsRespectedInAnyAnswer(String answer, int activeWaits) throws Exception {
+        LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
-                        asked.add(r.headers().get("req-id"));
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                        calls.add(r.headers().get("req-id"));
                         wire.say(answer.replace("~", "\r\n"));
                         if (answer.endsWith("half") || answer.endsWith("what")) {
                             return; // the rest never comes
@@ -161,14 +162,14 @@
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "status", 6, "").startsWith("202"));
-                assertEquals("a", Peer.next(asked));
-                until(client, "\nending_"); // its outcome is told
-                assertTrue(counters(client).contains("\nentries_waits " + waits + "\n"));
-                if (waits > 0) {
-                    assertTrue(client.handIn("b", "status", 6, "").startsWith("503"), "the module knows it too");
-                    assertEquals(0, asked.size());
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "status", 6, "").startsWith("202"));
+                assertEquals("a", Peer.take(calls));
+                awaitCounter(client, "\nending_"); // its outcome is told
+                assertTrue(readCounters(client).contains("\nentries_waits " + activeWaits + "\n"));
+                if (activeWaits > 0) {
+                    assertTrue(client.submit("b", "status", 6, "").startsWith("503"), "the module knows it too");
+                    assertEquals(0, calls.size());
                 }
             }
         }
@@ -176,29 +177,29 @@
 
     /** One that waits for longer than any message lives is ended at once, and its client told so. */
     @Test
-    void aWaitWithoutEndHoldsNoMessageBack() throws Exception {
+    void messageIsDeferredWhereRetryAfterExceedsItsDeadline() throws Exception {
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = new Peer(wire -> {
-                    while (wire.request() != null) {
+                    while (wire.readRequest() != null) {
                         wire.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: " + "9".repeat(400)
                                 + "\r\nContent-Length: 0\r\n\r\n");
                     }
                 })) {
             serve(platform.address(), endpoint.address());
-            try (Wire client = Wire.to(address)) {
+            try (Wire client = Wire.connect(address)) {
                 long began = System.nanoTime();
-                assertTrue(client.handIn("a", "payment", 25, "").startsWith("202"));
-                assertTrue(Peer.next(notices).contains("deferred"));
-                assertTrue(client.handIn("b", "payment", 25, "").startsWith("503"), "told at once");
-                assertTrue(System.nanoTime() - began < 10_000 * MS, "not held until its time is up");
-                assertTrue(counters(client).contains("\ncalls 1\n"));
+                assertTrue(client.submit("a", "payment", 25, "").startsWith("202"));
+                assertTrue(Peer.take(notices).contains("deferred"));
+                assertTrue(client.submit("b", "payment", 25, "").startsWith("503"), "told at once");
+                assertTrue(System.nanoTime() - began < 10_000 * NANOS_PER_MILLI, "not held until its time is up");
+                assertTrue(readCounters(client).contains("\ncalls 1\n"));
             }
         }
     }
 
     /** A call that is half written, as its endpoint reads slowly, does not get its last byte under a wait. */
     @Test
-    void theRestOfACallDoesNotFollowUnderAWait() throws Exception {
+    void partlyWrittenCallIsAbortedDuringRetryAfter() throws Exception {
         CountDownLatch listed = new CountDownLatch(1);
         try (ServerSocket endpoint = new ServerSocket()) {
             endpoint.setReceiveBufferSize(4096);
@@ -208,35 +209,37 @@
             try (Peer platform = Peer.platform(
                     () -> {
                         listed.await(20, TimeUnit.SECONDS); // whichever call asks: those before have been given up
-                        return Setup.list(where);
+                        return ForwarderSetup.endpointList(where);
                     },
                     notices)) {
                 forwarder = Forwarder.start(
                         Config.parse(
-                                Setup.text(platform.address(), state, null, 40)
+                                ForwarderSetup.configText(platform.address(), state, null, 40)
                                         .replace("\"kindBatch\": [20]", "\"kindBatch\": [100]"),
                                 Map.of()),
                         null);
                 address = forwarder.addresses().get(0);
-                try (Wire client = Wire.to(address)) {
+                try (Wire client = Wire.connect(address)) {
                     String large = "x".repeat(60_000);
                     for (int i = 0; i < 100; i++) { // more in one call than any buffer of the system takes
-                        String answer = client.handIn("m" + i, "payment", 20, large);
+                        String answer = client.submit("m" + i, "payment", 20, large);
                         assertTrue(answer.startsWith("202"), answer);
                     }
                     listed.countDown();
                     try (Wire slow = new Wire(endpoint.accept())) {
-                        assertTrue(client.handIn("other", "payment", 20, "").startsWith("202"));
+                        assertTrue(client.submit("other", "payment", 20, "").startsWith("202"));
                         try (Wire other = new Wire(endpoint.accept())) {
-                            assertEquals("other", other.request().headers().get("req-id"));
-                            until(client, "\nentries_partly_written_calls 1\n");
-                            long told = System.nanoTime();
+                            assertEquals("other", other.readRequest().headers().get("req-id"));
+                            awaitCounter(client, "\nentries_partly_written_calls 1\n");
+                            long sentAt = System.nanoTime();
                             other.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 1500\r\nContent-Length: 0\r\n\r\n");
-                            until(client, "\nending_withheld 100\n");
-                            assertThrows(IOException.class, slow::request, "it ends before its last byte");
+                            awaitCounter(client, "\nending_withheld 100\n");
+                            assertThrows(IOException.class, slow::readRequest, "it ends before its last byte");
                             try (Wire next = new Wire(endpoint.accept())) {
-                                next.request();
-                                assertTrue(System.nanoTime() - told >= 1500 * MS, "nothing within the wait");
+                                next.readRequest();
+                                assertTrue(
+                                        System.nanoTime() - sentAt >= 1500 * NANOS_PER_MILLI,
+                                        "nothing within the wait");
                             }
                         }
                     }
--- a/src/test/java/lilaclever/program/RenewTest.java
+++ b/src/test/java/lilaclever/program/SettingsReloadTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** New settings while the program runs: classes come, go and change, attempts drop, and broken files change nothing. */
-class RenewTest {
+class SettingsReloadTest {
     private static final String PAYMENT =
             "{\"name\": \"payment\", \"aimS\": 1, \"deadlineS\": 28, \"credit\": 3, \"repeat\": \"non_idempotent\"}";
     private static final String RUSH =
@@ -35,7 +35,7 @@
     private Path state;
 
     private final LinkedBlockingQueue<String> notices = new LinkedBlockingQueue<>();
-    private final LinkedBlockingQueue<String> asked = new LinkedBlockingQueue<>();
+    private final LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
     private final AtomicInteger status = new AtomicInteger(200);
     private Map<String, String> variables;
     private Peer platform, endpoint;
@@ -43,11 +43,11 @@
     private SocketAddress address;
 
     @BeforeEach
-    void peers() throws IOException {
+    void startPeers() throws IOException {
         platform = Peer.platform("", notices);
         endpoint = new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
-                asked.add(r.headers().get("req-id"));
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                calls.add(r.headers().get("req-id"));
                 wire.answer(status.get() + " as told", "");
             }
         });
@@ -55,7 +55,7 @@
     }
 
     @AfterEach
-    void end() throws IOException {
+    void stop() throws IOException {
         if (forwarder != null) {
             forwarder.stop();
         }
@@ -63,8 +63,8 @@
         endpoint.close();
     }
 
-    private String text() {
-        return Setup.text(platform.address(), state, endpoint.address(), 3);
+    private String configText() {
+        return ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3);
     }
 
     private void write(String text) throws IOException {
@@ -78,35 +78,35 @@
     }
 
     /** Serves with the usual classes, and has one message tried once; the endpoint answers so. */
-    private void serveAndTry(int answer, String id, String kind) throws Exception {
+    private void serveAndAttempt(int answer, String id, String kind) throws Exception {
         status.set(answer);
-        serve(text());
-        assertEquals("202", handIn(address, id, kind));
-        assertEquals(id, Peer.next(asked));
+        serve(configText());
+        assertEquals("202", submit(address, id, kind));
+        assertEquals(id, Peer.take(calls));
     }
 
-    private void renew(String text) throws IOException {
+    private void reload(String text) throws IOException {
         write(text);
         forwarder.reload(variables);
     }
 
-    private static String handIn(SocketAddress to, String id, String kind) throws IOException {
-        try (Wire client = Wire.to(to)) {
-            return client.handIn(id, kind, 20, "").substring(0, 3);
+    private static String submit(SocketAddress to, String id, String kind) throws IOException {
+        try (Wire client = Wire.connect(to)) {
+            return client.submit(id, kind, 20, "").substring(0, 3);
         }
     }
 
     @Test
-    void classesComeAndGoAtOnce() throws Exception {
-        serve(text());
-        assertEquals("400", handIn(address, "a", "rush"));
-        renew(text().replace(PAYMENT, RUSH));
-        assertEquals("202", handIn(address, "b", "rush"));
-        assertEquals("b", Peer.next(asked));
-        assertEquals("400", handIn(address, "c", "payment"));
-        renew(text());
-        assertEquals("202", handIn(address, "d", "payment"));
-        assertEquals("400", handIn(address, "e", "rush"));
+    void classesAreAddedAndRemovedAtOnce() throws Exception {
+        serve(configText());
+        assertEquals("400", submit(address, "a", "rush"));
+        reload(configText().replace(PAYMENT, RUSH));
+        assertEquals("202", submit(address, "b", "rush"));
+        assertEquals("b", Peer.take(calls));
+        assertEquals("400", submit(address, "c", "payment"));
+        reload(configText());
+        assertEquals("202", submit(address, "d", "payment"));
+        assertEquals("400", submit(address, "e", "rush"));
     }
 
     /**
@@ -114,45 +114,46 @@
      * so.
      */
     @Test
-    void aMessageUnderWayKeepsItsClass() throws Exception {
-        serveAndTry(500, "old", "status");
-        renew(text().replace("\"repeat\": \"read_like\"", "\"repeat\": \"non_idempotent\""));
-        assertEquals("old", Peer.next(asked), "it is tried again");
+    void pendingMessageKeepsTheOldClassSettings() throws Exception {
+        serveAndAttempt(500, "old", "status");
+        reload(configText().replace("\"repeat\": \"read_like\"", "\"repeat\": \"non_idempotent\""));
+        assertEquals("old", Peer.take(calls), "it is tried again");
         status.set(200);
-        assertEquals("old", Peer.next(asked));
+        assertEquals("old", Peer.take(calls));
         status.set(500);
-        assertEquals("202", handIn(address, "new", "status"));
-        assertEquals("new", Peer.next(asked));
-        assertEquals("{\"id\":\"new\",\"status\":\"undeliverable\"}", Peer.next(notices), "it may have run");
+        assertEquals("202", submit(address, "new", "status"));
+        assertEquals("new", Peer.take(calls));
+        assertEquals("{\"id\":\"new\",\"status\":\"undeliverable\"}", Peer.take(notices), "it may have run");
     }
 
     /** What has had as many attempts as are allowed now ends at once, and its client is told so. */
     @Test
-    void fewerAttemptsEndWhatHasHadThem() throws Exception {
-        serveAndTry(503, "a", "payment");
-        assertEquals("a", Peer.next(asked));
-        renew(text().replace("\"maxAttempts\": 8", "\"maxAttempts\": 1"));
-        assertTrue(Peer.next(notices).contains("\"deferred\""));
+    void loweredAttemptLimitEndsMessagesThatReachedIt() throws Exception {
+        serveAndAttempt(503, "a", "payment");
+        assertEquals("a", Peer.take(calls));
+        reload(configText().replace("\"maxAttempts\": 8", "\"maxAttempts\": 1"));
+        assertTrue(Peer.take(notices).contains("\"deferred\""));
     }
 
     /** Numbers of classes in the journal mean the same after a restart, whatever the file says by then. */
     @Test
-    void aMessageOfAClassThatIsGoneOutlastsARestart() throws Exception {
-        try (Socket nobody = new Socket()) {
-            nobody.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            String away = Setup.text(platform.address(), state, "127.0.0.1:" + nobody.getLocalPort(), 3);
-            serve(away);
-            renew(away.replace(PAYMENT, RUSH));
-            assertEquals("202", handIn(address, "held", "rush"));
-            renew(away.replace("\"name\": \"status\"", "\"name\": \"other\""));
+    void messageOfARemovedClassSurvivesARestart() throws Exception {
+        try (Socket notListening = new Socket()) {
+            notListening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            String unreachableConfig =
+                    ForwarderSetup.configText(platform.address(), state, "127.0.0.1:" + notListening.getLocalPort(), 3);
+            serve(unreachableConfig);
+            reload(unreachableConfig.replace(PAYMENT, RUSH));
+            assertEquals("202", submit(address, "held", "rush"));
+            reload(unreachableConfig.replace("\"name\": \"status\"", "\"name\": \"other\""));
             forwarder.stop();
         }
-        serve(text().replace(PAYMENT, RUSH.replace("rush", "last").replace("read_like", "non_idempotent")));
-        assertEquals("held", Peer.next(asked));
+        serve(configText().replace(PAYMENT, RUSH.replace("rush", "last").replace("read_like", "non_idempotent")));
+        assertEquals("held", Peer.take(calls));
         status.set(500);
-        assertEquals("202", handIn(address, "once", "last"));
-        assertEquals("once", Peer.next(asked));
-        assertTrue(Peer.next(notices).contains("\"once\",\"status\":\"undeliverable\""));
+        assertEquals("202", submit(address, "once", "last"));
+        assertEquals("once", Peer.take(calls));
+        assertTrue(Peer.take(notices).contains("\"once\",\"status\":\"undeliverable\""));
     }
 
     @ParameterizedTest
@@ -166,25 +167,25 @@
                 "\"name\": \"order\", | | requestClasses.name",
                 "\"rules\": { | \"rules\": | no JSON"
             })
-    void aBrokenFileChangesNothing(String part, String instead, String named) throws Exception {
-        serve(text());
-        assertTrue(text().contains(part));
-        String bad = text().replace(PAYMENT, RUSH).replace(part, instead == null ? "" : instead);
+    void invalidFileChangesNothing(String part, String instead, String named) throws Exception {
+        serve(configText());
+        assertTrue(configText().contains(part));
+        String bad = configText().replace(PAYMENT, RUSH).replace(part, instead == null ? "" : instead);
         write(bad);
-        Config used = Config.parse(text(), Map.of());
+        Config used = Config.parse(configText(), Map.of());
         assertTrue(assertThrows(ConfigurationException.class, () -> Config.reread(variables, used))
                 .getMessage()
                 .contains(named));
-        for (String broken : new String[] {bad, "", text().substring(0, 700)}) {
-            renew(broken);
-            assertEquals("400", handIn(address, "a", "rush"));
-            assertEquals("202", handIn(address, "b" + broken.length(), "payment"));
+        for (String broken : new String[] {bad, "", configText().substring(0, 700)}) {
+            reload(broken);
+            assertEquals("400", submit(address, "a", "rush"));
+            assertEquals("202", submit(address, "b" + broken.length(), "payment"));
         }
     }
 
     @Test
-    void moreClassesThanFitAreRefused() throws Exception {
-        Config config = Config.parse(text(), Map.of());
+    void tooManyClassesAreRejected() throws Exception {
+        Config config = Config.parse(configText(), Map.of());
         ClassTable table = config.table();
         for (int i = 0; i < 62; i++) {
             table = table.followedBy(
--- a/src/test/java/lilaclever/program/DrainThreads.java
+++ b/src/test/java/lilaclever/program/StandInThreads.java
@@ -3,8 +3,8 @@
 import java.io.IOException;
 
 /** Threads of stand-ins: they end with their sockets, and never keep the tests' process alive. */
-final class DrainThreads {
-    private DrainThreads() {}
+final class StandInThreads {
+    private StandInThreads() {}
 
     interface Task {
         void run() throws IOException, InterruptedException;
