--- a/src/test/java/lilaclever/program/StrainRun.java
+++ b/src/test/java/lilaclever/program/StrainRun.java
@@ -25,49 +25,54 @@
  * <p>A lane is one process with its clients, endpoints and platform. Messages have short deadlines so that a run ends.
  */
 final class StrainRun {
-    private static final int CLIENTS = 6, SENDS_A_SECOND = 20;
-    private static final long MS = 1_000_000, NOTICE_GRACE = 400 * MS, RESTART_GRACE = 1500 * MS, WINDOW = 5_000 * MS;
+    private static final int CLIENTS = 6, SENDS_PER_SECOND = 20;
+    private static final long NANOS_PER_MILLI = 1_000_000,
+            NOTICE_GRACE_NANOS = 400 * NANOS_PER_MILLI,
+            RESTART_GRACE_NANOS = 1500 * NANOS_PER_MILLI,
+            REPEAT_WINDOW_NANOS = 5_000 * NANOS_PER_MILLI;
     /** Of a thousand calls: so many are refused, up to so many fail, up to so many have their connection dropped. */
-    private static final int FULL = 1, FAULT = 10, DROP = 20;
+    private static final int FULL_BELOW = 1, FAULT_BELOW = 10, DROP_BELOW = 20;
 
-    private static final int DESTINATIONS = 6, FIRST = 7;
+    private static final int DESTINATIONS = 6, FIRST_DESTINATION = 7;
     private static final String[] CLASSES = {"order", "status", "payment"};
-    private static final double[] DEADLINES = {8, 4, 9};
+    private static final double[] DEADLINE_SECONDS = {8, 4, 9};
 
     /** One message's story; times in nanoseconds. */
-    private static final class Story {
+    private static final class MessageHistory {
         final int kind;
         final long sentAt;
-        long takenAt, deliveredAt, noticeAt;
-        int open;
-        Wire last;
+        long acceptedAt, deliveredAt, noticeAt;
+        int openAttempts;
+        Wire lastConnection;
         final List<String> events = new ArrayList<>();
         final List<Long> mayHaveRunAt = new ArrayList<>();
 
-        Story(int kind, long sentAt) {
+        MessageHistory(int kind, long sentAt) {
             this.kind = kind;
             this.sentAt = sentAt;
         }
 
-        synchronized void add(long at, String what) {
-            events.add((at - sentAt) / MS + " ms " + what);
+        synchronized void addEvent(long at, String what) {
+            events.add((at - sentAt) / NANOS_PER_MILLI + " ms " + what);
         }
     }
 
     /** What a lane found. */
     private static final class Findings {
         final TreeMap<String, Long> counts = new TreeMap<>();
-        final List<String> stories = new ArrayList<>();
-        final List<Long> readyMs = new ArrayList<>(), latencyMs = new ArrayList<>(), backMs = new ArrayList<>();
+        final List<String> brokenHistories = new ArrayList<>();
+        final List<Long> readyMillis = new ArrayList<>(),
+                latencyMillis = new ArrayList<>(),
+                recoveryMillis = new ArrayList<>();
 
-        synchronized void add(String what, long n) {
+        synchronized void count(String what, long n) {
             counts.merge(what, n, Long::sum);
         }
 
-        synchronized void broken(String rule, String id, Story s) {
-            add("BROKEN " + rule, 1);
-            if (stories.size() < 10) {
-                stories.add(rule + ": " + id + " " + CLASSES[s.kind] + " " + s.events);
+        synchronized void countBroken(String rule, String id, MessageHistory s) {
+            count("BROKEN " + rule, 1);
+            if (brokenHistories.size() < 10) {
+                brokenHistories.add(rule + ": " + id + " " + CLASSES[s.kind] + " " + s.events);
             }
         }
     }
@@ -79,9 +84,9 @@
     private final int lane;
 
     private final Path folder;
-    private final Map<String, Story> stories = new ConcurrentHashMap<>();
+    private final Map<String, MessageHistory> histories = new ConcurrentHashMap<>();
     private final AtomicLong ids = new AtomicLong();
-    private final List<long[]> downs = new ArrayList<>();
+    private final List<long[]> downtimes = new ArrayList<>();
     private volatile InetSocketAddress address;
     private volatile boolean ended;
     private Process process;
@@ -96,80 +101,80 @@
 
     // ---- peers ------------------------------------------------------------------------------------------
     private Peer endpoint(long seed) throws IOException {
-        SplittableRandom own = new SplittableRandom(seed);
+        SplittableRandom endpointRandom = new SplittableRandom(seed);
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
-                Story s = stories.get(r.headers().getOrDefault("req-id", ""));
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
+                MessageHistory s = histories.get(r.headers().getOrDefault("req-id", ""));
                 int draw;
-                synchronized (own) {
-                    draw = own.nextInt(1000);
+                synchronized (endpointRandom) {
+                    draw = endpointRandom.nextInt(1000);
                 }
                 if (s == null || !r.path().equals("/receive")) {
-                    findings.add("BROKEN unknown message at an endpoint", 1);
+                    findings.count("BROKEN unknown message at an endpoint", 1);
                     wire.answer("400 what", "");
                     continue;
                 }
                 long now = System.nanoTime();
                 synchronized (s) {
-                    if (s.open > 0 && s.last.isOpen()) {
-                        findings.broken("two attempts out", r.headers().get("req-id"), s);
+                    if (s.openAttempts > 0 && s.lastConnection.isOpen()) {
+                        findings.countBroken("two attempts out", r.headers().get("req-id"), s);
                     }
-                    if (s.noticeAt > 0 && now - s.noticeAt > 50 * MS) {
-                        findings.broken("called after its end", r.headers().get("req-id"), s);
+                    if (s.noticeAt > 0 && now - s.noticeAt > 50 * NANOS_PER_MILLI) {
+                        findings.countBroken("called after its end", r.headers().get("req-id"), s);
                     }
-                    if (draw >= FULL) {
-                        mayRun(r.headers().get("req-id"), s, now);
+                    if (draw >= FULL_BELOW) {
+                        checkRepeat(r.headers().get("req-id"), s, now);
                     }
-                    s.open++;
-                    s.last = wire;
+                    s.openAttempts++;
+                    s.lastConnection = wire;
                 }
-                s.add(now, "call " + draw);
+                s.addEvent(now, "call " + draw);
                 answer(wire, s, draw);
             }
         });
     }
 
-    private void mayRun(String id, Story s, long now) {
+    private void checkRepeat(String id, MessageHistory s, long now) {
         if (!s.mayHaveRunAt.isEmpty()) {
             if (s.kind == 2) {
-                findings.broken("payment sent twice", id, s);
-            } else if (s.kind == 0 && now - s.mayHaveRunAt.get(0) > WINDOW + 50 * MS) {
-                findings.broken("order sent again after its window", id, s);
+                findings.countBroken("payment sent twice", id, s);
+            } else if (s.kind == 0 && now - s.mayHaveRunAt.get(0) > REPEAT_WINDOW_NANOS + 50 * NANOS_PER_MILLI) {
+                findings.countBroken("order sent again after its window", id, s);
             }
         }
         s.mayHaveRunAt.add(now);
     }
 
-    private static void answer(Wire wire, Story s, int draw) throws IOException, InterruptedException {
+    private static void answer(Wire wire, MessageHistory s, int draw) throws IOException, InterruptedException {
         try {
             Thread.sleep(draw < 950 ? 5 + draw % 20 : 300);
-            if (draw < FULL) {
+            if (draw < FULL_BELOW) {
                 wire.answer("503 full", "");
-            } else if (draw < FAULT) {
+            } else if (draw < FAULT_BELOW) {
                 wire.answer("500 fault", "");
-            } else if (draw < DROP) {
+            } else if (draw < DROP_BELOW) {
                 wire.close();
             } else {
                 long now = System.nanoTime();
                 synchronized (s) {
                     s.deliveredAt = s.deliveredAt == 0 ? now : s.deliveredAt;
                 }
-                s.add(now, "200");
+                s.addEvent(now, "200");
                 wire.answer("200 OK", "");
             }
         } finally {
             synchronized (s) {
-                s.open--;
+                s.openAttempts--;
             }
         }
     }
 
     private Peer platform(String list) throws IOException {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 if (r.path().equals("/status")) {
                     long now = System.nanoTime();
-                    r.body().lines().forEach(l -> notice(l, now));
+                    r.body().lines().forEach(l -> recordNotice(l, now));
                     wire.answer("204 No Content", "");
                 } else if (!r.path().contains("?")) {
                     wire.answer("200 OK", list);
@@ -178,48 +183,49 @@
         });
     }
 
-    private void notice(String line, long now) {
-        Story s = stories.get(line.replaceAll(".*\"id\":\"([^\"]*)\".*", "$1"));
+    private void recordNotice(String line, long now) {
+        MessageHistory s = histories.get(line.replaceAll(".*\"id\":\"([^\"]*)\".*", "$1"));
         if (s != null) {
             synchronized (s) {
                 s.noticeAt = s.noticeAt == 0 ? now : s.noticeAt;
             }
-            s.add(now, line);
+            s.addEvent(now, line);
         }
     }
 
     private void client(long seed) {
-        SplittableRandom own = new SplittableRandom(seed);
+        SplittableRandom clientRandom = new SplittableRandom(seed);
         Wire wire = null;
-        long next = System.nanoTime();
+        long nextSendNanos = System.nanoTime();
         while (!ended) {
-            next += (long) (2 * own.nextDouble() * 1000 / SENDS_A_SECOND * MS);
+            nextSendNanos += (long) (2 * clientRandom.nextDouble() * 1000 / SENDS_PER_SECOND * NANOS_PER_MILLI);
             try {
-                TimeUnit.NANOSECONDS.sleep(next - System.nanoTime());
+                TimeUnit.NANOSECONDS.sleep(nextSendNanos - System.nanoTime());
                 if (wire == null) {
-                    wire = Wire.to(address);
+                    wire = Wire.connect(address);
                 }
-                int draw = own.nextInt(100);
+                int draw = clientRandom.nextInt(100);
                 int kind = draw < 57 ? 0 : draw < 80 ? 1 : 2;
                 String id = "m" + lane + "-" + ids.getAndIncrement();
-                Story s = new Story(kind, System.nanoTime());
-                stories.put(id, s);
-                String answer = wire.handIn(
+                MessageHistory s = new MessageHistory(kind, System.nanoTime());
+                histories.put(id, s);
+                String answer = wire.submit(
                         id,
                         CLASSES[kind],
-                        FIRST + own.nextInt(DESTINATIONS),
-                        DEADLINES[kind],
-                        "x".repeat(200 + own.nextInt(200)));
+                        FIRST_DESTINATION + clientRandom.nextInt(DESTINATIONS),
+                        DEADLINE_SECONDS[kind],
+                        "x".repeat(200 + clientRandom.nextInt(200)));
                 long now = System.nanoTime();
-                s.add(now, answer.split(" ")[0]);
+                s.addEvent(now, answer.split(" ")[0]);
                 if (answer.startsWith("202")) {
-                    s.takenAt = now;
+                    s.acceptedAt = now;
                 } else if (answer.equals("closed")) {
                     wire = null;
                 }
             } catch (IOException e) {
                 wire = null;
-                next = Math.max(next, System.nanoTime() - 100 * MS); // no burst of what could not be sent
+                nextSendNanos = Math.max(
+                        nextSendNanos, System.nanoTime() - 100 * NANOS_PER_MILLI); // no burst of what could not be sent
             } catch (InterruptedException e) {
                 return;
             }
@@ -229,8 +235,9 @@
     // ---- the process ------------------------------------------------------------------------------------
     private void start(String config) throws IOException {
         long began = System.nanoTime();
-        Setup.Served served = Setup.serve(folder, config, null, false, 64, this::note);
-        findings.readyMs.add((System.nanoTime() - began) / MS);
+        ForwarderSetup.RunningForwarder served =
+                ForwarderSetup.startJar(folder, config, null, false, 64, this::checkLogLine);
+        findings.readyMillis.add((System.nanoTime() - began) / NANOS_PER_MILLI);
         process = served.process();
         address = served.addresses().get(0);
     }
@@ -239,24 +246,24 @@
         return "127.0.1." + (lane + 1);
     }
 
-    private void note(String line) {
+    private void checkLogLine(String line) {
         if (line.contains("Exception") || line.contains("does not hold") || line.contains("can't be read")) {
-            findings.add("log: " + line.replaceAll("segment-\\S+|\\d+", "#").replaceAll("^(.{60}).*", "$1"), 1);
+            findings.count("log: " + line.replaceAll("segment-\\S+|\\d+", "#").replaceAll("^(.{60}).*", "$1"), 1);
         }
     }
 
     private void kill() throws IOException, InterruptedException {
         long at = System.nanoTime();
         process.destroyForcibly().waitFor();
-        downs.add(new long[] {at, Long.MAX_VALUE});
+        downtimes.add(new long[] {at, Long.MAX_VALUE});
     }
 
-    private void up() {
-        downs.get(downs.size() - 1)[1] = System.nanoTime() + RESTART_GRACE;
+    private void endDowntime() {
+        downtimes.get(downtimes.size() - 1)[1] = System.nanoTime() + RESTART_GRACE_NANOS;
     }
 
     /** Flips one bit in the used part of one segment. */
-    private void flip() throws IOException {
+    private void flipBit() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(folder.resolve("state"))) {
             files = all.filter(f -> f.getFileName().toString().startsWith("segment-"))
@@ -275,7 +282,7 @@
         }
     }
 
-    private void limitFiles(String bytes) throws IOException, InterruptedException {
+    private void limitFileSize(String bytes) throws IOException, InterruptedException {
         new ProcessBuilder("prlimit", "--pid", "" + process.pid(), "--fsize=" + bytes + ":unlimited")
                 .inheritIO()
                 .start()
@@ -292,10 +299,10 @@
                     list.append(list.toString().endsWith("[") ? "" : ",")
                             .append(("{\"name\":\"e%d-%s\",\"address\":\"%s\","
                                             + "\"zone\":\"z\",\"type\":\"lab\",\"group\":%d,\"status\":\"active\"}")
-                                    .formatted(d, peer == one ? "a" : "b", peer.address(), FIRST + d));
+                                    .formatted(d, peer == one ? "a" : "b", peer.address(), FIRST_DESTINATION + d));
                 }
             }
-            String config = Setup.text(platform.address(), folder.resolve("state"), null, 3)
+            String config = ForwarderSetup.configText(platform.address(), folder.resolve("state"), null, 3)
                     .replace("\"kindBatch\": [20]", "\"kindBatch\": [1]")
                     .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"" + listen() + ":0\"")
                     .replace("\"known\": null", "\"known\": " + list.append("]}"));
@@ -308,16 +315,16 @@
             clients.forEach(Thread::start);
             for (int i = 0; i < cycles; i++) {
                 if (mode.equals("full")) {
-                    fill();
+                    fillDisk();
                 }
                 Thread.sleep(mode.equals("full") ? 500 : 200 + random.nextInt(1800));
                 kill();
                 if (mode.equals("flip")) {
-                    flip();
+                    flipBit();
                 }
                 start(config);
-                up();
-                findings.add(mode + " kills", 1);
+                endDowntime();
+                findings.count(mode + " kills", 1);
             }
             Thread.sleep(1000);
             ended = true;
@@ -333,55 +340,55 @@
     }
 
     /** The disk fills in the middle of the load, stays so for some seconds, and has room again. */
-    private void fill() throws IOException, InterruptedException {
+    private void fillDisk() throws IOException, InterruptedException {
         Thread.sleep(2000);
-        limitFiles("" + (random.nextBoolean() ? 4096 : 20_000));
+        limitFileSize("" + (random.nextBoolean() ? 4096 : 20_000));
         Thread.sleep(3000 + random.nextInt(3000));
-        limitFiles("unlimited");
+        limitFileSize("unlimited");
         long freed = System.nanoTime();
         // Back to normal: within one second nine in ten were taken, and delivered as fast as usual.
-        while (System.nanoTime() - freed < 40_000 * MS) {
+        while (System.nanoTime() - freed < 40_000 * NANOS_PER_MILLI) {
             Thread.sleep(500);
-            long from = System.nanoTime() - 1500 * MS;
-            List<Story> lately = stories.values().stream()
-                    .filter(s -> s.sentAt > from && s.sentAt < from + 1000 * MS && s.sentAt > freed)
+            long from = System.nanoTime() - 1500 * NANOS_PER_MILLI;
+            List<MessageHistory> recent = histories.values().stream()
+                    .filter(s -> s.sentAt > from && s.sentAt < from + 1000 * NANOS_PER_MILLI && s.sentAt > freed)
                     .toList();
-            long good = lately.stream()
-                    .filter(s -> s.deliveredAt > 0 && s.deliveredAt - s.sentAt < 500 * MS)
+            long good = recent.stream()
+                    .filter(s -> s.deliveredAt > 0 && s.deliveredAt - s.sentAt < 500 * NANOS_PER_MILLI)
                     .count();
-            if (lately.size() > 40 && good > 0.8 * lately.size()) {
+            if (recent.size() > 40 && good > 0.8 * recent.size()) {
                 break;
             }
         }
-        findings.backMs.add((System.nanoTime() - freed) / MS);
+        findings.recoveryMillis.add((System.nanoTime() - freed) / NANOS_PER_MILLI);
     }
 
     // ---- the rules --------------------------------------------------------------------------------------
     private void check() {
-        stories.forEach((id, s) -> {
-            findings.add("handed in", 1);
-            if (s.takenAt == 0) {
+        histories.forEach((id, s) -> {
+            findings.count("handed in", 1);
+            if (s.acceptedAt == 0) {
                 return;
             }
-            findings.add("taken", 1);
-            findings.add(s.deliveredAt > 0 ? "delivered" : s.noticeAt > 0 ? "ended by notice" : "no end", 1);
-            long due = s.sentAt + (long) (DEADLINES[s.kind] * 1000 * MS) + NOTICE_GRACE;
+            findings.count("taken", 1);
+            findings.count(s.deliveredAt > 0 ? "delivered" : s.noticeAt > 0 ? "ended by notice" : "no end", 1);
+            long due = s.sentAt + (long) (DEADLINE_SECONDS[s.kind] * 1000 * NANOS_PER_MILLI) + NOTICE_GRACE_NANOS;
             if (s.deliveredAt == 0 && s.noticeAt == 0) {
-                findings.broken(mode.equals("flip") ? "lost (its record was hit)" : "lost", id, s);
+                findings.countBroken(mode.equals("flip") ? "lost (its record was hit)" : "lost", id, s);
             } else if (Math.min(
                                     s.deliveredAt > 0 ? s.deliveredAt : Long.MAX_VALUE,
                                     s.noticeAt > 0 ? s.noticeAt : Long.MAX_VALUE)
                             > due
-                    && downs.stream().noneMatch(d -> d[0] < due && due < d[1])) {
-                findings.broken("ended late", id, s);
+                    && downtimes.stream().noneMatch(d -> d[0] < due && due < d[1])) {
+                findings.countBroken("ended late", id, s);
             }
-            if (s.deliveredAt > 0 && downs.stream().noneMatch(d -> d[0] < s.deliveredAt && s.sentAt < d[1])) {
-                findings.latencyMs.add((s.deliveredAt - s.sentAt) / MS);
+            if (s.deliveredAt > 0 && downtimes.stream().noneMatch(d -> d[0] < s.deliveredAt && s.sentAt < d[1])) {
+                findings.latencyMillis.add((s.deliveredAt - s.sentAt) / NANOS_PER_MILLI);
             }
         });
     }
 
-    private static String spread(List<Long> values) {
+    private static String percentiles(List<Long> values) {
         long[] all = values.stream().mapToLong(Long::longValue).sorted().toArray();
         return all.length == 0
                 ? "none"
@@ -415,12 +422,13 @@
         }
         System.out.println("| " + String.join(" ", Arrays.asList(args)) + " | |\n| --- | --- |");
         findings.counts.forEach((what, n) -> System.out.println("| " + what + " | " + n + " |"));
-        System.out.println("| ready after a start, ms | " + spread(findings.readyMs) + " |");
-        System.out.println("| handed in to delivered, no restart between, ms | " + spread(findings.latencyMs) + " |");
+        System.out.println("| ready after a start, ms | " + percentiles(findings.readyMillis) + " |");
+        System.out.println(
+                "| handed in to delivered, no restart between, ms | " + percentiles(findings.latencyMillis) + " |");
         if (mode.equals("full")) {
-            System.out.println("| room again to normal service, ms | " + spread(findings.backMs) + " |");
+            System.out.println("| room again to normal service, ms | " + percentiles(findings.recoveryMillis) + " |");
         }
-        findings.stories.forEach(System.out::println);
+        findings.brokenHistories.forEach(System.out::println);
         failures.forEach(Throwable::printStackTrace);
         System.exit(
                 failures.isEmpty()
--- a/src/test/java/lilaclever/program/WithheldCallsTest.java
+++ b/src/test/java/lilaclever/program/WithheldCallsTest.java
@@ -25,10 +25,10 @@
 
 /** Calls that were decided before the list changed and come to their connection after: no byte of them is written. */
 class WithheldCallsTest {
-    private static final long MS = 1_000_000;
+    private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int DESTINATION = 7;
     /** A connection attempt is repeated by the system after 1 s; an endpoint that got none within this got none. */
-    private static final int NO_CONNECTION_MILLIS = 3_000;
+    private static final int CONNECT_WAIT_MILLIS = 3_000;
 
     @TempDir
     private Path state;
@@ -47,7 +47,7 @@
     }
 
     private void serve(String discovery, String endpoint) throws Exception {
-        String text = Setup.text(discovery, state, endpoint, 3)
+        String text = ForwarderSetup.configText(discovery, state, endpoint, 3)
                 .replace("\"connectTimeoutS\": 1.5", "\"connectTimeoutS\": 15")
                 .replace("\"ownLimits\": [false]", "\"ownLimits\": [true]");
         forwarder = Forwarder.start(Config.parse(text, Map.of()), null);
@@ -58,14 +58,14 @@
     private Peer discovery() throws IOException {
         return new Peer(wire -> {
             long index = 1;
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 if (r.path().equals("/status")) {
                     r.body().lines().forEach(notices::add);
                     wire.answer("204 No Content", "");
                     continue;
                 }
                 if (!r.path().contains("?")) {
-                    wire.answer("200 OK", Setup.known());
+                    wire.answer("200 OK", ForwarderSetup.knownList());
                     continue;
                 }
                 String entries = changes.poll(1_500, TimeUnit.MILLISECONDS);
@@ -86,24 +86,25 @@
 
     private Peer endpoint() throws IOException {
         return new Peer(wire -> {
-            for (Request r = wire.request(); r != null; r = wire.request()) {
+            for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                 calls.add(r.headers().get("req-id"));
                 wire.answer("200 OK", "");
             }
         });
     }
 
-    private static String counters(Wire client) throws IOException {
+    private static String readCounters(Wire client) throws IOException {
         client.say("GET /counters HTTP/1.1\r\nHost: app.svc\r\n\r\n");
-        return client.request().body();
+        return client.readRequest().body();
     }
 
-    private static void until(Wire client, String count) throws IOException {
-        String last = counters(client);
-        for (long end = System.nanoTime() + 10_000 * MS; !last.contains(count) && System.nanoTime() < end; ) {
-            last = counters(client);
+    private static void awaitCounter(Wire client, String counterLine) throws IOException {
+        String last = readCounters(client);
+        for (long end = System.nanoTime() + 10_000 * NANOS_PER_MILLI;
+                !last.contains(counterLine) && System.nanoTime() < end; ) {
+            last = readCounters(client);
         }
-        assertTrue(last.contains(count), last);
+        assertTrue(last.contains(counterLine), last);
     }
 
     /** An endpoint to which connections come up only once its queue of connections has room. */
@@ -127,9 +128,9 @@
                 server.accept().close();
                 each.close();
             }
-            server.setSoTimeout(NO_CONNECTION_MILLIS);
+            server.setSoTimeout(CONNECT_WAIT_MILLIS);
             try (Wire late = new Wire(server.accept())) {
-                Request request = late.request();
+                Request request = late.readRequest();
                 return request == null ? null : request.headers().get("req-id");
             } catch (SocketTimeoutException none) {
                 return null;
@@ -148,37 +149,37 @@
      */
     @ParameterizedTest
     @CsvSource({"leaving, 7", "left, 7", "active, 8"})
-    void aCallWhoseConnectionComesUpAfterADrainIsNotWritten(String status, int destination) throws Exception {
+    void callWhoseConnectionIsEstablishedAfterADrainIsNotWritten(String status, int destination) throws Exception {
         try (Peer discovery = discovery();
                 Peer other = endpoint();
                 LateEndpoint draining = new LateEndpoint()) {
             serve(discovery.address(), draining.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                until(client, "\ncalls 1\n");
-                long told = System.nanoTime();
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                awaitCounter(client, "\ncalls 1\n");
+                long listedAt = System.nanoTime();
                 changes.add(entry("e1", draining.address(), destination, status)
                         + ','
                         + entry("e2", other.address(), DESTINATION, "active"));
-                assertEquals("a", Peer.next(calls));
-                assertTrue(System.nanoTime() - told < 500 * MS, "at once");
+                assertEquals("a", Peer.take(calls));
+                assertTrue(System.nanoTime() - listedAt < 500 * NANOS_PER_MILLI, "at once");
                 assertNull(draining.firstRequest(), "nothing goes to the endpoint that has left");
-                assertTrue(counters(client).contains("\nending_withheld 1\n"), "counted as no attempt");
+                assertTrue(readCounters(client).contains("\nending_withheld 1\n"), "counted as no attempt");
             }
         }
     }
 
     /** The same where the connection comes up as soon as the list is heard. */
     @Test
-    void aConnectionThatComesUpRightAfterADrainCarriesNoCall() throws Exception {
+    void connectionEstablishedRightAfterADrainCarriesNoCall() throws Exception {
         try (Peer discovery = discovery();
                 LateEndpoint draining = new LateEndpoint()) {
             serve(discovery.address(), draining.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                until(client, "\ncalls 1\n");
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                awaitCounter(client, "\ncalls 1\n");
                 changes.add(entry("e1", draining.address(), DESTINATION, "leaving"));
-                until(client, "\nentries_departed 1\n");
+                awaitCounter(client, "\nentries_departed 1\n");
                 assertNull(draining.firstRequest());
             }
         }
@@ -186,16 +187,16 @@
 
     /** Its address has changed while the call's connection was coming up: the old address gets nothing. */
     @Test
-    void aCallToAnAddressThatHasChangedGoesToTheNewOne() throws Exception {
+    void callToAChangedAddressGoesToTheNewAddress() throws Exception {
         try (Peer discovery = discovery();
                 Peer moved = endpoint();
                 LateEndpoint old = new LateEndpoint()) {
             serve(discovery.address(), old.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("a", "payment", 20, "").startsWith("202"));
-                until(client, "\ncalls 1\n");
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
+                awaitCounter(client, "\ncalls 1\n");
                 changes.add(entry("e1", moved.address(), DESTINATION, "active"));
-                assertEquals("a", Peer.next(calls));
+                assertEquals("a", Peer.take(calls));
                 assertNull(old.firstRequest());
             }
         }
@@ -203,31 +204,31 @@
 
     /** A name that goes to another destination takes no message of the one it served before. */
     @Test
-    void anEndpointThatChangesItsDestinationGetsNoMessageOfTheOldOne() throws Exception {
+    void endpointMovedToAnotherDestinationGetsNoMessagesOfTheOldOne() throws Exception {
         LinkedBlockingQueue<String> callsOfOther = new LinkedBlockingQueue<>();
         try (Peer discovery = discovery();
                 Peer first = endpoint();
                 Peer second = new Peer(wire -> {
-                    for (Request r = wire.request(); r != null; r = wire.request()) {
+                    for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                         callsOfOther.add(r.headers().get("req-id"));
                         wire.answer("200 OK", "");
                     }
                 })) {
             serve(discovery.address(), first.address());
-            try (Wire client = Wire.to(address)) {
-                assertTrue(client.handIn("before", "payment", 20, "").startsWith("202"));
-                assertEquals("before", Peer.next(calls));
+            try (Wire client = Wire.connect(address)) {
+                assertTrue(client.submit("before", "payment", 20, "").startsWith("202"));
+                assertEquals("before", Peer.take(calls));
                 changes.add(entry("e1", second.address(), 8, "active")
                         + ','
                         + entry("e2", first.address(), DESTINATION, "active"));
-                until(client, "\nentries_listed 2\n");
+                awaitCounter(client, "\nentries_listed 2\n");
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(client.handIn("seven" + i, "payment", 7, 20, "").startsWith("202"));
-                    assertTrue(client.handIn("eight" + i, "payment", 8, 20, "").startsWith("202"));
+                    assertTrue(client.submit("seven" + i, "payment", 7, 20, "").startsWith("202"));
+                    assertTrue(client.submit("eight" + i, "payment", 8, 20, "").startsWith("202"));
                 }
                 for (int i = 0; i < 20; i++) {
-                    assertTrue(Peer.next(calls).startsWith("seven"));
-                    assertTrue(Peer.next(callsOfOther).startsWith("eight"));
+                    assertTrue(Peer.take(calls).startsWith("seven"));
+                    assertTrue(Peer.take(callsOfOther).startsWith("eight"));
                 }
             }
         }
