--- a/src/test/java/lilaclever/program/DiscoveryFaultsTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryFaultsTest.java
@@ -48,9 +48,9 @@
     }
 
     private void awaitLogged(String part) throws InterruptedException {
-        String line = next(log);
+        String line = take(log);
         while (!line.contains(part)) {
-            line = next(log);
+            line = take(log);
         }
     }
 
@@ -87,7 +87,7 @@
         agent.nextRequest();
         AgentRequest second = agent.nextRequest();
         assertTrue(second.isForWholeList(), second.path());
-        assertEquals("e3 a", next(calls));
+        assertEquals("e3 a", take(calls));
         assertEquals(0, calls.size());
     }
 
@@ -106,7 +106,7 @@
         start(agent, wholeList(1, entry("e1", e1, "active")));
         submit("a");
         submitted.countDown();
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
     }
 
     /** A list without its index or kind adds no endpoints, but its removals are applied. */
--- a/src/test/java/lilaclever/program/DiscoveryFixture.java
+++ b/src/test/java/lilaclever/program/DiscoveryFixture.java
@@ -92,7 +92,7 @@
         }
 
         AgentRequest nextRequest() throws InterruptedException {
-            return DiscoveryFixture.next(requests);
+            return DiscoveryFixture.take(requests);
         }
     }
 
@@ -116,7 +116,7 @@
         }
     }
 
-    static <T> T next(LinkedBlockingQueue<T> queue) throws InterruptedException {
+    static <T> T take(LinkedBlockingQueue<T> queue) throws InterruptedException {
         T value = queue.poll(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         assertNotNull(value, "nothing received in time");
         return value;
--- a/src/test/java/lilaclever/program/DiscoveryMoveTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryMoveTest.java
@@ -67,8 +67,8 @@
         assertEquals(0, before.closedRequests.size());
         answers.countDown();
         submit("a");
-        assertEquals("e2 a", next(calls));
-        next(before.closedRequests);
+        assertEquals("e2 a", take(calls));
+        take(before.closedRequests);
         AgentRequest watch = after.nextRequest();
         while (watch.isForWholeList()) {
             watch = after.nextRequest();
@@ -91,7 +91,7 @@
         assertTrue(second.nextRequest().isForWholeList());
         reload(third, knownList(e1));
         assertTrue(third.nextRequest().isForWholeList());
-        assertEquals(1, next(second.closedRequests), "its first request");
+        assertEquals(1, take(second.closedRequests), "its first request");
         assertEquals(0, first.closedRequests.size());
         endpointLeft.countDown();
         awaitCounter("entries_endpoints 0");
@@ -111,7 +111,7 @@
             reload(second, knownList(e1));
             assertTrue(second.nextRequest().isForWholeList());
             reload(first, knownList(e1));
-            next(second.closedRequests);
+            take(second.closedRequests);
         }
         endpointLeft.countDown();
         awaitCounter("entries_endpoints 0");
--- a/src/test/java/lilaclever/program/DiscoveryOrderTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryOrderTest.java
@@ -32,7 +32,7 @@
         awaitCounter("entries_endpoints 0");
         submit("a");
         submitted.countDown();
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
         assertTrue(agent.nextRequest().isAfter(1));
         assertTrue(agent.nextRequest().isAfter(5));
         assertTrue(agent.nextRequest().isForWholeList(), "changes are not requested after an older list");
@@ -79,7 +79,7 @@
         assertTrue(agent.nextRequest().isAfter(3));
         assertTrue(agent.nextRequest().isAfter(4));
         submit("a");
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
         assertEquals(0, calls.size());
     }
 
@@ -101,7 +101,7 @@
         start(agent, wholeList(1, entry("e1", e1, "active")));
         submit("a");
         submitted.countDown();
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
     }
 
     /** An unresponsive agent delays the use of the known list only briefly. */
@@ -111,7 +111,7 @@
         Agent agent = new Agent(request -> {});
         start(agent, wholeList(1, entry("e1", e1, "active")));
         submit("a");
-        assertEquals("e1 a", next(calls));
+        assertEquals("e1 a", take(calls));
         assertTrue(agent.nextRequest().isForWholeList(), "the index of the known list may be that of another agent");
     }
 }
--- a/src/test/java/lilaclever/program/DiscoveryPartialAnswerTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryPartialAnswerTest.java
@@ -31,12 +31,12 @@
     @Test
     void stalledAnswerIsReadWhenItContinues() throws Exception {
         String e1 = endpoint("e1");
-        CountDownLatch second = new CountDownLatch(2);
+        CountDownLatch secondRequest = new CountDownLatch(2);
         Agent agent = new Agent(request -> {
-            second.countDown();
+            secondRequest.countDown();
             if (request.number() == 1) {
                 String rest = sendUpTo(request.wire(), changes(2, entry("e1", e1, "left")), "\"name\"");
-                second.await();
+                secondRequest.await();
                 request.wire().say(rest);
             }
         });
@@ -82,7 +82,7 @@
         });
         start(agent, wholeList(1, entry("e1", e1, "active"), entry("e2", e2, "active")));
         submit("a");
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
         assertTrue(agent.nextRequest().isForWholeList());
         AgentRequest second = agent.nextRequest();
         assertTrue(second.isForWholeList() || agent.nextRequest().isForWholeList());
@@ -110,7 +110,7 @@
         awaitCounter("entries_endpoints 0");
         removalApplied.countDown();
         submit("a");
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
         assertTrue(agent.nextRequest().isForWholeList());
         assertTrue(agent.nextRequest().isAfter(41));
     }
@@ -145,7 +145,7 @@
             try (Wire client = Wire.connect(new java.net.InetSocketAddress("127.0.0.1", port))) {
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
             }
-            assertEquals("e1 a", next(calls));
+            assertEquals("e1 a", take(calls));
             assertTrue(agent.nextRequest().isForWholeList());
             AgentRequest second = agent.nextRequest();
             while (second.isForWholeList()) {
--- a/src/test/java/lilaclever/program/DiscoverySlowTest.java
+++ b/src/test/java/lilaclever/program/DiscoverySlowTest.java
@@ -74,7 +74,7 @@
         assertTrue(agent.nextRequest().isAfter(3));
         assertTrue(agent.nextRequest().isAfter(4));
         submit("a");
-        assertEquals("e2 a", next(calls));
+        assertEquals("e2 a", take(calls));
     }
 
     /**
@@ -88,7 +88,7 @@
         agent.nextRequest();
         long first = System.nanoTime();
         int before = 0;
-        for (int number = next(agent.closedRequests); number != 1; number = next(agent.closedRequests)) {
+        for (int number = take(agent.closedRequests); number != 1; number = take(agent.closedRequests)) {
             assertTrue(number > before, "later requests are closed in order");
             before = number;
         }
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -94,17 +94,18 @@
     /** Changes up to this index are not known individually. */
     private long oldestIndex;
 
-    private boolean behind;
+    private boolean isBehind;
 
     /** An agent that has received the given changes and counts its index from the given one. */
-    DrainAgent(String name, DrainAuditor auditor, long firstIndex, List<DrainChange> has) throws IOException {
+    DrainAgent(String name, DrainAuditor auditor, long firstIndex, List<DrainChange> initialChanges)
+            throws IOException {
         this.name = name;
         this.auditor = auditor;
         this.index = firstIndex;
         this.oldestIndex = firstIndex;
         this.server = new ServerSocket(0, BACKLOG, InetAddress.getLoopbackAddress());
         this.port = server.getLocalPort();
-        has.forEach(this::applyChange);
+        initialChanges.forEach(this::applyChange);
         listen(server);
     }
 
@@ -115,7 +116,7 @@
     // Membership
     /** Gives the agent a change, at once or when it recovers. */
     synchronized void publish(DrainChange change) {
-        if (behind || behaviour == AgentBehaviour.SILENT || behaviour == AgentBehaviour.REFUSING) {
+        if (isBehind || behaviour == AgentBehaviour.SILENT || behaviour == AgentBehaviour.REFUSING) {
             undeliveredChanges.add(change);
         } else {
             applyChange(change);
@@ -132,11 +133,11 @@
 
     /** Delays changes from now on until {@link #catchUp}. */
     synchronized void fallBehind() {
-        behind = true;
+        isBehind = true;
     }
 
     synchronized void catchUp() {
-        behind = false;
+        isBehind = false;
         List<DrainChange> all = List.copyOf(undeliveredChanges);
         undeliveredChanges.clear();
         all.forEach(this::publish);
@@ -216,7 +217,7 @@
 
     private void catchUpWith(AgentBehaviour newBehaviour) {
         behaviour = newBehaviour;
-        if (!behind) {
+        if (!isBehind) {
             catchUp();
         }
     }
@@ -227,10 +228,10 @@
         silencedThreads.addAll(watchThreads);
     }
 
-    private void listen(ServerSocket on) {
+    private void listen(ServerSocket serverSocket) {
         StandInThreads.start("agent " + name, () -> {
             while (true) {
-                Socket socket = on.accept();
+                Socket socket = serverSocket.accept();
                 StandInThreads.start("watch of " + name, () -> serve(socket));
             }
         });
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -44,7 +44,7 @@
     private final Semaphore accepting = new Semaphore(1);
     private final Set<Wire> openConnections = ConcurrentHashMap.newKeySet();
     private final List<Socket> backlogFillers = new ArrayList<>();
-    private boolean stopped;
+    private boolean isStopped;
     private volatile EndpointBehaviour behaviour = EndpointBehaviour.DELIVERS;
     private volatile int answerAfterMs = 80;
 
@@ -64,10 +64,10 @@
 
     /** Fills the connection backlog: no connection is established until {@link #resumeAccepting}. */
     synchronized void stopAccepting() throws IOException, InterruptedException {
-        if (stopped) {
+        if (isStopped) {
             return;
         }
-        stopped = true;
+        isStopped = true;
         accepting.acquire();
         while (true) {
             Socket filler = new Socket();
@@ -82,10 +82,10 @@
     }
 
     synchronized void resumeAccepting() throws IOException {
-        if (!stopped) {
+        if (!isStopped) {
             return;
         }
-        stopped = false;
+        isStopped = false;
         for (Socket filler : backlogFillers) {
             filler.close();
         }
--- a/src/test/java/lilaclever/program/DrainJournalTest.java
+++ b/src/test/java/lilaclever/program/DrainJournalTest.java
@@ -131,12 +131,12 @@
         public void taken(Message message) {}
 
         @Override
-        public void turnedDown(Message message, FinalStatus verdict) {
+        public void turnedDown(Message message, FinalStatus finalStatus) {
             messageEnded.countDown();
         }
 
         @Override
-        public void ended(Message message, String id, FinalStatus verdict, Runnable settled) {
+        public void ended(Message message, String id, FinalStatus finalStatus, Runnable settled) {
             settled.run();
             messageEnded.countDown();
         }
--- a/src/test/java/lilaclever/program/DrainSchedule.java
+++ b/src/test/java/lilaclever/program/DrainSchedule.java
@@ -21,7 +21,8 @@
     private static final int MIN_STEP_INTERVAL_MILLIS = 50, MAX_STEP_INTERVAL_MILLIS = 400;
     private static final long RUN_MILLIS = 4_000;
     /**
-     * Any change counts as notified 6 s after discovery had it and could be reached; then follow its grace and some calls.
+     * Any change counts as notified 6 s after discovery had it and could be reached; then follow its grace and some
+     * calls.
      */
     private static final long SETTLE_MILLIS = 7_000;
 
--- a/src/test/java/lilaclever/program/DrainTestBed.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -203,8 +203,8 @@
                     while (to.equals(address) && !closed) {
                         for (int group : groups) {
                             int number = messageCount.incrementAndGet();
-                            String kind = classes.get(number % classes.size());
-                            client.submit(group + "-" + number, kind, group, DEADLINE_SECONDS, "ok");
+                            String messageClass = classes.get(number % classes.size());
+                            client.submit(group + "-" + number, messageClass, group, DEADLINE_SECONDS, "ok");
                         }
                         Thread.sleep(SUBMIT_INTERVAL_MILLIS); // limits the rate of the load
                     }
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -185,8 +185,8 @@
         "payment, 410, 1, ''",
         "payment, 504, 2, ''"
     })
-    void attemptOutcomeDecidesWhetherAMessageIsRetried(String kind, String firstAnswer, int attempts, String notice)
-            throws Exception {
+    void attemptOutcomeDecidesWhetherAMessageIsRetried(
+            String messageClass, String firstAnswer, int attempts, String notice) throws Exception {
         AtomicInteger count = new AtomicInteger();
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = recordingEndpoint(wire -> {
@@ -200,7 +200,7 @@
                 })) {
             serve(platform.address(), endpoint.address());
             try (Wire client = Wire.connect(address)) {
-                assertTrue(client.submit("a", kind, 20, "").startsWith("202"));
+                assertTrue(client.submit("a", messageClass, 20, "").startsWith("202"));
                 for (int i = 0; i < attempts; i++) {
                     Peer.take(calls);
                 }
@@ -591,7 +591,7 @@
                 "Content-Length: 2 | Content-Length: 60000000 | 413",
                 "Content-Length: 2 | Content-Length: 2~Transfer-Encoding: chunked | 400"
             })
-    void invalidRequestIsRejectedAndNotForwarded(String part, String instead, String status) throws Exception {
+    void invalidRequestIsRejectedAndNotForwarded(String part, String replacement, String status) throws Exception {
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = acceptingEndpoint()) {
             serve(platform.address(), endpoint.address());
@@ -600,7 +600,7 @@
                     + "Content-Length: 2~~ok";
             assertTrue(good.contains(part));
             try (Wire client = Wire.connect(address)) {
-                client.say(good.replace(part, instead == null ? "" : instead)
+                client.say(good.replace(part, replacement == null ? "" : replacement)
                         .replace("~", "\r\n")
                         .replace("#", "\0"));
                 assertEquals(status, client.readRequest().path());
--- a/src/test/java/lilaclever/program/MailTest.java
+++ b/src/test/java/lilaclever/program/MailTest.java
@@ -166,11 +166,11 @@
                         greet(wire, "LHLO");
                         for (int i = 0; i < paymentsPerLane; i++) {
                             // A delivered payment after each dropped one keeps the server from being considered down.
-                            for (String kind : new String[] {"drop", "keep"}) {
-                                String content = payment(kind + i + to);
+                            for (String idPrefix : new String[] {"drop", "keep"}) {
+                                String content = payment(idPrefix + i + to);
                                 String first =
                                         send(wire, "a@b.test", content, to).get(0);
-                                assertTrue(first.startsWith(kind.equals("drop") ? "554 5.4.0" : "250"), first);
+                                assertTrue(first.startsWith(idPrefix.equals("drop") ? "554 5.4.0" : "250"), first);
                                 assertEquals(
                                         first,
                                         send(wire, "a@b.test", content, to).get(0),
@@ -211,15 +211,15 @@
 
     @Test
     void paymentIsRetriedAfterADropBeforeTheEndOfDataOrA4xxReply() throws Exception {
-        AtomicInteger tries = new AtomicInteger();
+        AtomicInteger attemptCount = new AtomicInteger();
         try (Peer server = server(
-                r -> tries.incrementAndGet() == 1 ? null : "250 good",
-                t -> tries.get() == 2 ? "451 4.3.0 later" : "250 2.0.0 kept")) {
+                r -> attemptCount.incrementAndGet() == 1 ? null : "250 good",
+                t -> attemptCount.get() == 2 ? "451 4.3.0 later" : "250 2.0.0 kept")) {
             serve(route("a.test", 1, "smtp", server.address()));
             try (Wire wire = Wire.connect(lmtp)) {
                 greet(wire, "LHLO");
                 assertTrue(send(wire, "", payment("x"), "till@a.test").get(0).startsWith("250"));
-                assertEquals(3, tries.get());
+                assertEquals(3, attemptCount.get());
             }
         }
     }
@@ -263,11 +263,12 @@
     /** The server accepts the whole content and never replies: the mail is sent again only if its class allows it. */
     @ParameterizedTest
     @CsvSource({"payment, 1, 554 5.4.0", "unheard-of, 1, 554 5.4.0", "order, 2, 250 2.1.5", "status, 2, 250 2.1.5"})
-    void unansweredEndOfDataIsRetriedOnlyIfTheClassAllowsIt(String kind, int attempts, String answer) throws Exception {
-        AtomicInteger tries = new AtomicInteger();
+    void unansweredEndOfDataIsRetriedOnlyIfTheClassAllowsIt(String messageClass, int attempts, String answer)
+            throws Exception {
+        AtomicInteger attemptCount = new AtomicInteger();
         CountDownLatch never = new CountDownLatch(1);
         try (Peer server = server(r -> "250 good", text -> {
-            if (tries.incrementAndGet() == 1) {
+            if (attemptCount.incrementAndGet() == 1) {
                 await(never);
             }
             return "250 2.0.0 kept";
@@ -275,10 +276,10 @@
             serve(route("a.test", 1, "lmtp", server.address()));
             try (Wire wire = Wire.connect(lmtp)) {
                 greet(wire, "LHLO");
-                String reply = send(wire, "", payment("x").replace("payment", kind), "till@a.test")
+                String reply = send(wire, "", payment("x").replace("payment", messageClass), "till@a.test")
                         .get(0);
                 assertTrue(reply.startsWith(answer), reply);
-                assertEquals(attempts, tries.get());
+                assertEquals(attempts, attemptCount.get());
             }
         } finally {
             never.countDown();
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -45,11 +45,12 @@
      * One submission of the plan: its time, content and port; {@code isResubmission}: the number is that of an earlier
      * one.
      */
-    private record Arrival(long atNanos, int number, int kind, int destination, boolean hl7, boolean isResubmission) {}
+    private record Arrival(
+            long atNanos, int number, int classIndex, int destination, boolean hl7, boolean isResubmission) {}
 
     /** The submissions, calls and results of one message. */
     private static final class MessageHistory {
-        final int kind;
+        final int classIndex;
         final AtomicInteger calls = new AtomicInteger(),
                 delivered = new AtomicInteger(),
                 submissions = new AtomicInteger(),
@@ -61,8 +62,8 @@
         volatile boolean mayHaveRun, refusedAtOnce, told, submittedBeforeKill;
         volatile String finalStatuses = "";
 
-        MessageHistory(int kind) {
-            this.kind = kind;
+        MessageHistory(int classIndex) {
+            this.classIndex = classIndex;
         }
 
         synchronized void addFinalStatus(String what) {
@@ -102,14 +103,14 @@
         for (int n = 0; t < seconds; n++) {
             t += -Math.log(1 - random.nextDouble()) / rate;
             int randomPercent = random.nextInt(100);
-            int kind = randomPercent < 57 ? 0 : randomPercent < 80 ? 1 : 2;
+            int classIndex = randomPercent < 57 ? 0 : randomPercent < 80 ? 1 : 2;
             int destination = FIRST_DESTINATION + random.nextInt(DESTINATIONS);
             boolean onHl7 = random.nextBoolean(), twice = random.nextInt(20) == 0;
             long later = (long) ((t + 0.9 * random.nextDouble()) * 1e9);
-            histories.put(n, new MessageHistory(kind));
-            all.add(new Arrival((long) (t * 1e9), n, kind, destination, mixed && onHl7, false));
+            histories.put(n, new MessageHistory(classIndex));
+            all.add(new Arrival((long) (t * 1e9), n, classIndex, destination, mixed && onHl7, false));
             if (twice) {
-                all.add(new Arrival(later, n, kind, destination, mixed && !onHl7, true));
+                all.add(new Arrival(later, n, classIndex, destination, mixed && !onHl7, true));
             }
         }
         all.sort(Comparator.comparingLong(Arrival::atNanos));
@@ -117,7 +118,7 @@
     }
 
     private static String body(Arrival arrival) {
-        return "MSH|^~\\&|APP|F|LAB" + arrival.destination() + "|L|20260101||" + EVENTS[arrival.kind()] + "|M"
+        return "MSH|^~\\&|APP|F|LAB" + arrival.destination() + "|L|20260101||" + EVENTS[arrival.classIndex()] + "|M"
                 + arrival.number() + "|P|2.5|||AL|AL\rORC|NW|1\rNTE|" + "x".repeat(200) + '\r';
     }
 
@@ -136,7 +137,7 @@
                     wire.answer("503 full", "");
                     continue;
                 }
-                if (history.kind == 2 && history.mayHaveRun) {
+                if (history.classIndex == 2 && history.mayHaveRun) {
                     count("BROKEN payment sent again");
                 }
                 history.mayHaveRun = true;
@@ -194,8 +195,8 @@
                 keptConnection
                         .get()
                         .say("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: "
-                                + CLASSES[arrival.kind()]
-                                + "\r\nReq-Deadline: " + DEADLINE_SECONDS[arrival.kind()]
+                                + CLASSES[arrival.classIndex()]
+                                + "\r\nReq-Deadline: " + DEADLINE_SECONDS[arrival.classIndex()]
                                 + "\r\nX-Practice: north\r\nIdempotency-Key: M" + arrival.number()
                                 + "\r\nX-Envelope: dest=" + arrival.destination() + "\r\nContent-Length: "
                                 + body.length()
@@ -441,7 +442,7 @@
                                             ? "refused"
                                             : "UNKNOWN end");
             if (history.delivered.get() > 1) {
-                count("answered by an endpoint more than once, " + CLASSES[history.kind]);
+                count("answered by an endpoint more than once, " + CLASSES[history.classIndex]);
             }
             if (history.delivered.get() == 0 && accepted && history.finalStatuses.isEmpty()) {
                 count("BROKEN no end");
@@ -454,7 +455,7 @@
             if (history.finalAcks.get() > Math.max(1, history.hl7Accepted.get())) {
                 // Each submission has its own acknowledgement. A kill between the last byte of a final status and the
                 // record that it was sent repeats that status once; it must be the same.
-                boolean again = history.submittedBeforeKill
+                boolean repeatedAfterKill = history.submittedBeforeKill
                         && history.finalAcks.get() == history.hl7Submissions.get() + 1
                         && java.util.Arrays.stream(history.finalStatuses.split(" "))
                                         .distinct()
@@ -463,7 +464,7 @@
                 count(
                         history.finalAcks.get() <= history.hl7Submissions.get()
                                 ? "asked again over HL7, and answered again"
-                                : again
+                                : repeatedAfterKill
                                         ? "the same end told once more after the kill, over HL7"
                                         : "BROKEN an HL7 client answered twice");
                 System.out.println(
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -135,13 +135,13 @@
         return readAck(wire);
     }
 
-    private static String submitOverHttp(Wire wire, String id, String kind, String practice, String key, String body)
-            throws IOException {
-        wire.say(
-                "POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: 9"
-                        + "\r\nX-Practice: " + practice + "\r\nIdempotency-Key: " + key
-                        + "\r\nX-Envelope: dest=7\r\nContent-Length: "
-                        + body.length() + "\r\n\r\n" + body);
+    private static String submitOverHttp(
+            Wire wire, String id, String messageClass, String practice, String key, String body) throws IOException {
+        wire.say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + messageClass
+                + "\r\nReq-Deadline: 9"
+                + "\r\nX-Practice: " + practice + "\r\nIdempotency-Key: " + key
+                + "\r\nX-Envelope: dest=7\r\nContent-Length: "
+                + body.length() + "\r\n\r\n" + body);
         return wire.readRequest().path();
     }
 
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -130,12 +130,14 @@
         }
 
         /** Submits a message and returns the status and the headers of the answer. */
-        String submit(String id, String kind, double deadline, String body) throws IOException {
-            return submit(id, kind, 7, deadline, body);
+        String submit(String id, String messageClass, double deadline, String body) throws IOException {
+            return submit(id, messageClass, 7, deadline, body);
         }
 
-        String submit(String id, String kind, int destination, double deadline, String body) throws IOException {
-            say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + kind + "\r\nReq-Deadline: "
+        String submit(String id, String messageClass, int destination, double deadline, String body)
+                throws IOException {
+            say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id + "\r\nReq-Kind: " + messageClass
+                    + "\r\nReq-Deadline: "
                     + deadline + "\r\nIdempotency-Key: k-" + id + "\r\nX-Envelope: dest=" + destination
                     + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body);
             Request answer = readRequest();
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -97,9 +97,9 @@
     /** A forwarder process that dies is reported, and the rehearsal continues with the next process. */
     @Test
     void forwarderProcessThatDiesIsReported() throws Exception {
-        List<String> killedCommand = new ArrayList<>(List.of("timeout", "-s", "KILL", "4"));
-        killedCommand.addAll(ChildProcessCommand.command("serve"));
-        Result r = run(scenario("[traffic]", "length 4s", "load 50%"), killedCommand);
+        List<String> commandWithTimeLimit = new ArrayList<>(List.of("timeout", "-s", "KILL", "4"));
+        commandWithTimeLimit.addAll(ChildProcessCommand.command("serve"));
+        Result r = run(scenario("[traffic]", "length 4s", "load 50%"), commandWithTimeLimit);
         assertTrue(
                 r.auditor().counts().get("deaths") >= 2,
                 () -> r.auditor().counts().toString());
--- a/src/test/java/lilaclever/program/RetryAfterTest.java
+++ b/src/test/java/lilaclever/program/RetryAfterTest.java
@@ -118,8 +118,8 @@
                     long sentAt = System.nanoTime();
                     first.say("HTTP/1.1 429 no\r\nX-Retry-In-Ms: 3000\r\nContent-Length: 0\r\n\r\n");
                     endpoint.emptyBacklog();
-                    try (Wire late = endpoint.accept()) {
-                        if (late.readRequest() == null) { // closed without a byte of the call
+                    try (Wire lateConnection = endpoint.accept()) {
+                        if (lateConnection.readRequest() == null) { // closed without a byte of the call
                             try (Wire next = endpoint.accept()) {
                                 next.readRequest();
                             }
@@ -136,7 +136,7 @@
 
     /**
      * A retry-after period counts in any answer and form, even if the rest of the answer is malformed; a value that is
-     * not a number is ignored.
+     * not a plain positive number is ignored.
      */
     @ParameterizedTest
     @CsvSource(
--- a/src/test/java/lilaclever/program/SettingsReloadTest.java
+++ b/src/test/java/lilaclever/program/SettingsReloadTest.java
@@ -84,10 +84,10 @@
      * Serves with the default test classes and has one message attempted once; the endpoint answers with the given
      * status.
      */
-    private void serveAndAttempt(int answer, String id, String kind) throws Exception {
+    private void serveAndAttempt(int answer, String id, String messageClass) throws Exception {
         status.set(answer);
         serve(configText());
-        assertEquals("202", submit(address, id, kind));
+        assertEquals("202", submit(address, id, messageClass));
         assertEquals(id, Peer.take(calls));
     }
 
@@ -96,9 +96,9 @@
         forwarder.reload(variables);
     }
 
-    private static String submit(SocketAddress to, String id, String kind) throws IOException {
+    private static String submit(SocketAddress to, String id, String messageClass) throws IOException {
         try (Wire client = Wire.connect(to)) {
-            return client.submit(id, kind, 20, "").substring(0, 3);
+            return client.submit(id, messageClass, 20, "").substring(0, 3);
         }
     }
 
@@ -174,15 +174,15 @@
                 "\"name\": \"order\", | | requestClasses.name",
                 "\"rules\": { | \"rules\": | no JSON"
             })
-    void invalidFileChangesNothing(String part, String instead, String named) throws Exception {
+    void invalidFileChangesNothing(String part, String replacement, String expectedMessage) throws Exception {
         serve(configText());
         assertTrue(configText().contains(part));
-        String bad = configText().replace(PAYMENT, RUSH).replace(part, instead == null ? "" : instead);
+        String bad = configText().replace(PAYMENT, RUSH).replace(part, replacement == null ? "" : replacement);
         write(bad);
         Config used = Config.parse(configText(), Map.of());
         assertTrue(assertThrows(ConfigurationException.class, () -> Config.reread(variables, used))
                 .getMessage()
-                .contains(named));
+                .contains(expectedMessage));
         for (String broken : new String[] {bad, "", configText().substring(0, 700)}) {
             reload(broken);
             assertEquals("400", submit(address, "a", "rush"));
--- a/src/test/java/lilaclever/program/StrainRun.java
+++ b/src/test/java/lilaclever/program/StrainRun.java
@@ -43,7 +43,7 @@
 
     /** The history of one message; times in nanoseconds. */
     private static final class MessageHistory {
-        final int kind;
+        final int classIndex;
         final long sentAt;
         long acceptedAt, deliveredAt, noticeAt;
         int openAttempts;
@@ -51,8 +51,8 @@
         final List<String> events = new ArrayList<>();
         final List<Long> mayHaveRunAt = new ArrayList<>();
 
-        MessageHistory(int kind, long sentAt) {
-            this.kind = kind;
+        MessageHistory(int classIndex, long sentAt) {
+            this.classIndex = classIndex;
             this.sentAt = sentAt;
         }
 
@@ -76,7 +76,7 @@
         synchronized void countBroken(String rule, String id, MessageHistory history) {
             count("BROKEN " + rule, 1);
             if (brokenHistories.size() < 10) {
-                brokenHistories.add(rule + ": " + id + " " + CLASSES[history.kind] + " " + history.events);
+                brokenHistories.add(rule + ": " + id + " " + CLASSES[history.classIndex] + " " + history.events);
             }
         }
     }
@@ -143,9 +143,9 @@
 
     private void checkRepeat(String id, MessageHistory history, long now) {
         if (!history.mayHaveRunAt.isEmpty()) {
-            if (history.kind == 2) {
+            if (history.classIndex == 2) {
                 findings.countBroken("payment sent twice", id, history);
-            } else if (history.kind == 0
+            } else if (history.classIndex == 0
                     && now - history.mayHaveRunAt.get(0) > REPEAT_WINDOW_NANOS + 50 * NANOS_PER_MILLI) {
                 findings.countBroken("order sent again after its window", id, history);
             }
@@ -214,15 +214,15 @@
                     wire = Wire.connect(address);
                 }
                 int randomPercent = clientRandom.nextInt(100);
-                int kind = randomPercent < 57 ? 0 : randomPercent < 80 ? 1 : 2;
+                int classIndex = randomPercent < 57 ? 0 : randomPercent < 80 ? 1 : 2;
                 String id = "m" + lane + "-" + ids.getAndIncrement();
-                MessageHistory history = new MessageHistory(kind, System.nanoTime());
+                MessageHistory history = new MessageHistory(classIndex, System.nanoTime());
                 histories.put(id, history);
                 String answer = wire.submit(
                         id,
-                        CLASSES[kind],
+                        CLASSES[classIndex],
                         FIRST_DESTINATION + clientRandom.nextInt(DESTINATIONS),
-                        DEADLINE_SECONDS[kind],
+                        DEADLINE_SECONDS[classIndex],
                         "x".repeat(200 + clientRandom.nextInt(200)));
                 long now = System.nanoTime();
                 history.addEvent(now, answer.split(" ")[0]);
@@ -387,7 +387,7 @@
             findings.count(
                     history.deliveredAt > 0 ? "delivered" : history.noticeAt > 0 ? "ended by notice" : "no end", 1);
             long due = history.sentAt
-                    + (long) (DEADLINE_SECONDS[history.kind] * 1000 * NANOS_PER_MILLI)
+                    + (long) (DEADLINE_SECONDS[history.classIndex] * 1000 * NANOS_PER_MILLI)
                     + NOTICE_GRACE_NANOS;
             if (history.deliveredAt == 0 && history.noticeAt == 0) {
                 findings.countBroken(mode.equals("flip") ? "lost (its record was hit)" : "lost", id, history);
--- a/src/test/java/lilaclever/program/WithheldCallsTest.java
+++ b/src/test/java/lilaclever/program/WithheldCallsTest.java
@@ -162,12 +162,12 @@
             try (Wire client = Wire.connect(address)) {
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
                 awaitCounter(client, "\ncalls 1\n");
-                long listedAt = System.nanoTime();
+                long publishedAt = System.nanoTime();
                 changes.add(entry("e1", draining.address(), destination, status)
                         + ','
                         + entry("e2", other.address(), DESTINATION, "active"));
                 assertEquals("a", Peer.take(calls));
-                assertTrue(System.nanoTime() - listedAt < 500 * NANOS_PER_MILLI, "at once");
+                assertTrue(System.nanoTime() - publishedAt < 500 * NANOS_PER_MILLI, "at once");
                 assertNull(draining.firstRequest(), "no call to the endpoint that has left");
                 assertTrue(readCounters(client).contains("\nending_withheld 1\n"), "not counted as an attempt");
             }
