--- a/src/test/java/lilaclever/program/ConnectionRacesTest.java
+++ b/src/test/java/lilaclever/program/ConnectionRacesTest.java
@@ -107,8 +107,8 @@
         try (Peer platform = Peer.platform("", notices);
                 Peer endpoint = endpoint()) {
             serve(ForwarderSetup.configText(platform.address(), state, endpoint.address(), 3));
-            try (Wire first = Wire.connect(
-                    address)) { // once it is delivered the known list is in use, and calls are made at once
+            // Once this message is delivered the known list is in use, and calls are made at once.
+            try (Wire first = Wire.connect(address)) {
                 assertTrue(first.submit("first", "payment", 20, "").startsWith("202"));
                 assertEquals("first", Peer.take(calls));
             }
