--- a/src/test/java/lilaclever/program/SettingsReloadTest.java
+++ b/src/test/java/lilaclever/program/SettingsReloadTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** New settings while the program runs: classes come, go and change, attempts drop, and broken files change nothing. */
+/**
+ * Reloads of the settings: classes are added, removed and changed, the attempt limit is lowered, and invalid files
+ * change nothing.
+ */
 class SettingsReloadTest {
     private static final String PAYMENT =
             "{\"name\": \"payment\", \"aimS\": 1, \"deadlineS\": 28, \"credit\": 3, \"repeat\": \"non_idempotent\"}";
@@ -77,11 +80,14 @@
         address = forwarder.addresses().get(0);
     }
 
-    /** Serves with the usual classes, and has one message tried once; the endpoint answers so. */
-    private void serveAndAttempt(int answer, String id, String kind) throws Exception {
+    /**
+     * Serves with the default test classes and has one message attempted once; the endpoint answers with the given
+     * status.
+     */
+    private void serveAndAttempt(int answer, String id, String messageClass) throws Exception {
         status.set(answer);
         serve(configText());
-        assertEquals("202", submit(address, id, kind));
+        assertEquals("202", submit(address, id, messageClass));
         assertEquals(id, Peer.take(calls));
     }
 
@@ -90,9 +96,9 @@
         forwarder.reload(variables);
     }
 
-    private static String submit(SocketAddress to, String id, String kind) throws IOException {
+    private static String submit(SocketAddress to, String id, String messageClass) throws IOException {
         try (Wire client = Wire.connect(to)) {
-            return client.submit(id, kind, 20, "").substring(0, 3);
+            return client.submit(id, messageClass, 20, "").substring(0, 3);
         }
     }
 
@@ -110,14 +116,13 @@
     }
 
     /**
-     * A class that changes is another one for what comes later: what may not be repeated any more still may if it was
-     * so.
+     * A changed class applies to later messages only: a pending message may still be repeated if its class allowed it.
      */
     @Test
     void pendingMessageKeepsTheOldClassSettings() throws Exception {
         serveAndAttempt(500, "old", "status");
         reload(configText().replace("\"repeat\": \"read_like\"", "\"repeat\": \"non_idempotent\""));
-        assertEquals("old", Peer.take(calls), "it is tried again");
+        assertEquals("old", Peer.take(calls), "it is retried");
         status.set(200);
         assertEquals("old", Peer.take(calls));
         status.set(500);
@@ -126,7 +131,7 @@
         assertEquals("{\"id\":\"new\",\"status\":\"undeliverable\"}", Peer.take(notices), "it may have run");
     }
 
-    /** What has had as many attempts as are allowed now ends at once, and its client is told so. */
+    /** A message that has had as many attempts as the new limit allows ends at once, and its client is notified. */
     @Test
     void loweredAttemptLimitEndsMessagesThatReachedIt() throws Exception {
         serveAndAttempt(503, "a", "payment");
@@ -135,16 +140,19 @@
         assertTrue(Peer.take(notices).contains("\"deferred\""));
     }
 
-    /** Numbers of classes in the journal mean the same after a restart, whatever the file says by then. */
+    /**
+     * The numbers of classes in the journal keep their meaning across a restart, whatever the file contains by then.
+     */
     @Test
     void messageOfARemovedClassSurvivesARestart() throws Exception {
-        try (Socket nobody = new Socket()) {
-            nobody.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            String away = ForwarderSetup.configText(platform.address(), state, "127.0.0.1:" + nobody.getLocalPort(), 3);
-            serve(away);
-            reload(away.replace(PAYMENT, RUSH));
+        try (Socket notListening = new Socket()) {
+            notListening.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            String unreachableConfig =
+                    ForwarderSetup.configText(platform.address(), state, "127.0.0.1:" + notListening.getLocalPort(), 3);
+            serve(unreachableConfig);
+            reload(unreachableConfig.replace(PAYMENT, RUSH));
             assertEquals("202", submit(address, "held", "rush"));
-            reload(away.replace("\"name\": \"status\"", "\"name\": \"other\""));
+            reload(unreachableConfig.replace("\"name\": \"status\"", "\"name\": \"other\""));
             forwarder.stop();
         }
         serve(configText().replace(PAYMENT, RUSH.replace("rush", "last").replace("read_like", "non_idempotent")));
@@ -166,15 +174,15 @@
                 "\"name\": \"order\", | | requestClasses.name",
                 "\"rules\": { | \"rules\": | no JSON"
             })
-    void invalidFileChangesNothing(String part, String instead, String named) throws Exception {
+    void invalidFileChangesNothing(String part, String replacement, String expectedMessage) throws Exception {
         serve(configText());
         assertTrue(configText().contains(part));
-        String bad = configText().replace(PAYMENT, RUSH).replace(part, instead == null ? "" : instead);
+        String bad = configText().replace(PAYMENT, RUSH).replace(part, replacement == null ? "" : replacement);
         write(bad);
         Config used = Config.parse(configText(), Map.of());
         assertTrue(assertThrows(ConfigurationException.class, () -> Config.reread(variables, used))
                 .getMessage()
-                .contains(named));
+                .contains(expectedMessage));
         for (String broken : new String[] {bad, "", configText().substring(0, 700)}) {
             reload(broken);
             assertEquals("400", submit(address, "a", "rush"));
--- a/src/test/java/lilaclever/program/StrainRun.java
+++ b/src/test/java/lilaclever/program/StrainRun.java
@@ -19,22 +19,29 @@
 import lilaclever.program.Peer.Wire;
 
 /**
- * The journal under strain, outside CI: real processes under load, killed at random moments, or with a disk that fills,
- * or with a bit flipped while they are down; then every message's story is checked. {@code bench/strain} starts it.
+ * Strains the journal, outside CI: real processes under load are killed at random moments, have their disk filled, or
+ * have a bit of the journal flipped while they are down; then the history of every message is checked.
+ * {@code bench/strain} starts it.
  *
  * <p>A lane is one process with its clients, endpoints and platform. Messages have short deadlines so that a run ends.
  */
 final class StrainRun {
     private static final int CLIENTS = 6, SENDS_PER_SECOND = 20;
-    private static final long NANOS_PER_MILLI = 1_000_000, NOTICE_GRACE_NANOS = 400 * NANOS_PER_MILLI, RESTART_GRACE_NANOS = 1500 * NANOS_PER_MILLI, REPEAT_WINDOW_NANOS = 5_000 * NANOS_PER_MILLI;
-    /** Of a thousand calls: so many are refused, up to so many fail, up to so many have their connection dropped. */
+    private static final long NANOS_PER_MILLI = 1_000_000,
+            NOTICE_GRACE_NANOS = 400 * NANOS_PER_MILLI,
+            RESTART_GRACE_NANOS = 1500 * NANOS_PER_MILLI,
+            REPEAT_WINDOW_NANOS = 5_000 * NANOS_PER_MILLI;
+    /**
+     * Calls with a random number below these thresholds, out of 1000, are refused, fail or have their connection
+     * dropped.
+     */
     private static final int FULL_BELOW = 1, FAULT_BELOW = 10, DROP_BELOW = 20;
 
     private static final int DESTINATIONS = 6, FIRST_DESTINATION = 7;
     private static final String[] CLASSES = {"order", "status", "payment"};
     private static final double[] DEADLINE_SECONDS = {8, 4, 9};
 
-    /** One message's story; times in nanoseconds. */
+    /** The history of one message; times in nanoseconds. */
     private static final class MessageHistory {
         final int classIndex;
         final long sentAt;
@@ -44,8 +51,8 @@
         final List<String> events = new ArrayList<>();
         final List<Long> mayHaveRunAt = new ArrayList<>();
 
-        MessageHistory(int kind, long sentAt) {
-            this.classIndex = kind;
+        MessageHistory(int classIndex, long sentAt) {
+            this.classIndex = classIndex;
             this.sentAt = sentAt;
         }
 
@@ -54,20 +61,22 @@
         }
     }
 
-    /** What a lane found. */
+    /** Counts and broken rules of all lanes. */
     private static final class RunFindings {
         final TreeMap<String, Long> counts = new TreeMap<>();
         final List<String> brokenHistories = new ArrayList<>();
-        final List<Long> readyMillis = new ArrayList<>(), latencyMillis = new ArrayList<>(), recoveryMillis = new ArrayList<>();
+        final List<Long> readyMillis = new ArrayList<>(),
+                latencyMillis = new ArrayList<>(),
+                recoveryMillis = new ArrayList<>();
 
         synchronized void count(String what, long n) {
             counts.merge(what, n, Long::sum);
         }
 
-        synchronized void countBroken(String rule, String id, MessageHistory s) {
+        synchronized void countBroken(String rule, String id, MessageHistory history) {
             count("BROKEN " + rule, 1);
             if (brokenHistories.size() < 10) {
-                brokenHistories.add(rule + ": " + id + " " + CLASSES[s.classIndex] + " " + s.events);
+                brokenHistories.add(rule + ": " + id + " " + CLASSES[history.classIndex] + " " + history.events);
             }
         }
     }
@@ -75,7 +84,10 @@
     private final RunFindings findings;
     private final SplittableRandom random;
     private final String mode;
-    /** Names the lane's messages, and its address: a port that one lane's process leaves may be the next one's. */
+    /**
+     * Number of the lane in its message ids and its own address: with a shared address, a port that one lane's process
+     * releases could be taken by another lane's process.
+     */
     private final int lane;
 
     private final Path folder;
@@ -94,72 +106,74 @@
         folder = Files.createTempDirectory("strain");
     }
 
-    // ---- peers ------------------------------------------------------------------------------------------
+    // Peers
     private Peer endpoint(long seed) throws IOException {
-        SplittableRandom own = new SplittableRandom(seed);
+        SplittableRandom endpointRandom = new SplittableRandom(seed);
         return new Peer(wire -> {
             for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
-                MessageHistory s = histories.get(r.headers().getOrDefault("req-id", ""));
-                int draw;
-                synchronized (own) {
-                    draw = own.nextInt(1000);
+                MessageHistory history = histories.get(r.headers().getOrDefault("req-id", ""));
+                int randomPerThousand;
+                synchronized (endpointRandom) {
+                    randomPerThousand = endpointRandom.nextInt(1000);
                 }
-                if (s == null || !r.path().equals("/receive")) {
+                if (history == null || !r.path().equals("/receive")) {
                     findings.count("BROKEN unknown message at an endpoint", 1);
                     wire.writeResponse("400 what", "");
                     continue;
                 }
                 long now = System.nanoTime();
-                synchronized (s) {
-                    if (s.openAttempts > 0 && s.lastConnection.isOpen()) {
-                        findings.countBroken("two attempts out", r.headers().get("req-id"), s);
+                synchronized (history) {
+                    if (history.openAttempts > 0 && history.lastConnection.isOpen()) {
+                        findings.countBroken("two attempts out", r.headers().get("req-id"), history);
                     }
-                    if (s.noticeAt > 0 && now - s.noticeAt > 50 * NANOS_PER_MILLI) {
-                        findings.countBroken("called after its end", r.headers().get("req-id"), s);
+                    if (history.noticeAt > 0 && now - history.noticeAt > 50 * NANOS_PER_MILLI) {
+                        findings.countBroken("called after its end", r.headers().get("req-id"), history);
                     }
-                    if (draw >= FULL_BELOW) {
-                        checkRepeat(r.headers().get("req-id"), s, now);
+                    if (randomPerThousand >= FULL_BELOW) {
+                        checkRepeat(r.headers().get("req-id"), history, now);
                     }
-                    s.openAttempts++;
-                    s.lastConnection = wire;
+                    history.openAttempts++;
+                    history.lastConnection = wire;
                 }
-                s.addEvent(now, "call " + draw);
-                answer(wire, s, draw);
+                history.addEvent(now, "call " + randomPerThousand);
+                answer(wire, history, randomPerThousand);
             }
         });
     }
 
-    private void checkRepeat(String id, MessageHistory s, long now) {
-        if (!s.mayHaveRunAt.isEmpty()) {
-            if (s.classIndex == 2) {
-                findings.countBroken("payment sent twice", id, s);
-            } else if (s.classIndex == 0 && now - s.mayHaveRunAt.get(0) > REPEAT_WINDOW_NANOS + 50 * NANOS_PER_MILLI) {
-                findings.countBroken("order sent again after its window", id, s);
+    private void checkRepeat(String id, MessageHistory history, long now) {
+        if (!history.mayHaveRunAt.isEmpty()) {
+            if (history.classIndex == 2) {
+                findings.countBroken("payment sent twice", id, history);
+            } else if (history.classIndex == 0
+                    && now - history.mayHaveRunAt.get(0) > REPEAT_WINDOW_NANOS + 50 * NANOS_PER_MILLI) {
+                findings.countBroken("order sent again after its window", id, history);
             }
         }
-        s.mayHaveRunAt.add(now);
+        history.mayHaveRunAt.add(now);
     }
 
-    private static void answer(Wire wire, MessageHistory s, int draw) throws IOException, InterruptedException {
+    private static void answer(Wire wire, MessageHistory history, int randomPerThousand)
+            throws IOException, InterruptedException {
         try {
-            Thread.sleep(draw < 950 ? 5 + draw % 20 : 300);
-            if (draw < FULL_BELOW) {
+            Thread.sleep(randomPerThousand < 950 ? 5 + randomPerThousand % 20 : 300);
+            if (randomPerThousand < FULL_BELOW) {
                 wire.writeResponse("503 full", "");
-            } else if (draw < FAULT_BELOW) {
+            } else if (randomPerThousand < FAULT_BELOW) {
                 wire.writeResponse("500 fault", "");
-            } else if (draw < DROP_BELOW) {
+            } else if (randomPerThousand < DROP_BELOW) {
                 wire.close();
             } else {
                 long now = System.nanoTime();
-                synchronized (s) {
-                    s.deliveredAt = s.deliveredAt == 0 ? now : s.deliveredAt;
+                synchronized (history) {
+                    history.deliveredAt = history.deliveredAt == 0 ? now : history.deliveredAt;
                 }
-                s.addEvent(now, "200");
+                history.addEvent(now, "200");
                 wire.writeResponse("200 OK", "");
             }
         } finally {
-            synchronized (s) {
-                s.openAttempts--;
+            synchronized (history) {
+                history.openAttempts--;
             }
         }
     }
@@ -179,57 +193,60 @@
     }
 
     private void recordNotice(String line, long now) {
-        MessageHistory s = histories.get(line.replaceAll(".*\"id\":\"([^\"]*)\".*", "$1"));
-        if (s != null) {
-            synchronized (s) {
-                s.noticeAt = s.noticeAt == 0 ? now : s.noticeAt;
+        MessageHistory history = histories.get(line.replaceAll(".*\"id\":\"([^\"]*)\".*", "$1"));
+        if (history != null) {
+            synchronized (history) {
+                history.noticeAt = history.noticeAt == 0 ? now : history.noticeAt;
             }
-            s.addEvent(now, line);
+            history.addEvent(now, line);
         }
     }
 
     private void client(long seed) {
-        SplittableRandom own = new SplittableRandom(seed);
+        SplittableRandom clientRandom = new SplittableRandom(seed);
         Wire wire = null;
-        long next = System.nanoTime();
+        long nextSendNanos = System.nanoTime();
         while (!ended) {
-            next += (long) (2 * own.nextDouble() * 1000 / SENDS_PER_SECOND * NANOS_PER_MILLI);
+            nextSendNanos += (long) (2 * clientRandom.nextDouble() * 1000 / SENDS_PER_SECOND * NANOS_PER_MILLI);
             try {
-                TimeUnit.NANOSECONDS.sleep(next - System.nanoTime());
+                TimeUnit.NANOSECONDS.sleep(nextSendNanos - System.nanoTime());
                 if (wire == null) {
                     wire = Wire.connect(address);
                 }
-                int draw = own.nextInt(100);
-                int kind = draw < 57 ? 0 : draw < 80 ? 1 : 2;
+                int randomPercent = clientRandom.nextInt(100);
+                int classIndex = randomPercent < 57 ? 0 : randomPercent < 80 ? 1 : 2;
                 String id = "m" + lane + "-" + ids.getAndIncrement();
-                MessageHistory s = new MessageHistory(kind, System.nanoTime());
-                histories.put(id, s);
+                MessageHistory history = new MessageHistory(classIndex, System.nanoTime());
+                histories.put(id, history);
                 String answer = wire.submit(
                         id,
-                        CLASSES[kind],
-                        FIRST_DESTINATION + own.nextInt(DESTINATIONS),
-                        DEADLINE_SECONDS[kind],
-                        "x".repeat(200 + own.nextInt(200)));
+                        CLASSES[classIndex],
+                        FIRST_DESTINATION + clientRandom.nextInt(DESTINATIONS),
+                        DEADLINE_SECONDS[classIndex],
+                        "x".repeat(200 + clientRandom.nextInt(200)));
                 long now = System.nanoTime();
-                s.addEvent(now, answer.split(" ")[0]);
+                history.addEvent(now, answer.split(" ")[0]);
                 if (answer.startsWith("202")) {
-                    s.acceptedAt = now;
+                    history.acceptedAt = now;
                 } else if (answer.equals("closed")) {
                     wire = null;
                 }
             } catch (IOException e) {
                 wire = null;
-                next = Math.max(next, System.nanoTime() - 100 * NANOS_PER_MILLI); // no burst of what could not be sent
+                nextSendNanos = Math.max(
+                        nextSendNanos,
+                        System.nanoTime() - 100 * NANOS_PER_MILLI); // no burst to make up for unsent messages
             } catch (InterruptedException e) {
                 return;
             }
         }
     }
 
-    // ---- the process ------------------------------------------------------------------------------------
+    // The process
     private void start(String config) throws IOException {
         long began = System.nanoTime();
-        ForwarderSetup.RunningForwarder served = ForwarderSetup.startJar(folder, config, null, false, 64, this::checkLogLine);
+        ForwarderSetup.RunningForwarder served =
+                ForwarderSetup.startJar(folder, config, null, false, 64, this::checkLogLine);
         findings.readyMillis.add((System.nanoTime() - began) / NANOS_PER_MILLI);
         process = served.process();
         address = served.addresses().get(0);
@@ -255,7 +272,7 @@
         downtimes.get(downtimes.size() - 1)[1] = System.nanoTime() + RESTART_GRACE_NANOS;
     }
 
-    /** Flips one bit in the used part of one segment. */
+    /** Flips one bit in the used part of a random segment. */
     private void flipBit() throws IOException {
         List<Path> files;
         try (Stream<Path> all = Files.list(folder.resolve("state"))) {
@@ -324,7 +341,7 @@
             for (Thread t : clients) {
                 t.join();
             }
-            Thread.sleep(10_000); // every deadline is past, and every end told
+            Thread.sleep(10_000); // until every deadline is past and every result reported
             process.destroyForcibly().waitFor();
             check();
         } finally {
@@ -332,51 +349,58 @@
         }
     }
 
-    /** The disk fills in the middle of the load, stays so for some seconds, and has room again. */
+    /** Fills the disk under load for some seconds, then frees it and waits for normal service. */
     private void fillDisk() throws IOException, InterruptedException {
         Thread.sleep(2000);
         limitFileSize("" + (random.nextBoolean() ? 4096 : 20_000));
         Thread.sleep(3000 + random.nextInt(3000));
         limitFileSize("unlimited");
         long freed = System.nanoTime();
-        // Back to normal: within one second nine in ten were taken, and delivered as fast as usual.
+        // Service is normal once over 80% of one second's messages are delivered within 500 ms.
         while (System.nanoTime() - freed < 40_000 * NANOS_PER_MILLI) {
             Thread.sleep(500);
             long from = System.nanoTime() - 1500 * NANOS_PER_MILLI;
-            List<MessageHistory> lately = histories.values().stream()
-                    .filter(s -> s.sentAt > from && s.sentAt < from + 1000 * NANOS_PER_MILLI && s.sentAt > freed)
+            List<MessageHistory> recent = histories.values().stream()
+                    .filter(history -> history.sentAt > from
+                            && history.sentAt < from + 1000 * NANOS_PER_MILLI
+                            && history.sentAt > freed)
                     .toList();
-            long good = lately.stream()
-                    .filter(s -> s.deliveredAt > 0 && s.deliveredAt - s.sentAt < 500 * NANOS_PER_MILLI)
+            long good = recent.stream()
+                    .filter(history ->
+                            history.deliveredAt > 0 && history.deliveredAt - history.sentAt < 500 * NANOS_PER_MILLI)
                     .count();
-            if (lately.size() > 40 && good > 0.8 * lately.size()) {
+            if (recent.size() > 40 && good > 0.8 * recent.size()) {
                 break;
             }
         }
         findings.recoveryMillis.add((System.nanoTime() - freed) / NANOS_PER_MILLI);
     }
 
-    // ---- the rules --------------------------------------------------------------------------------------
+    // The rules
     private void check() {
-        histories.forEach((id, s) -> {
+        histories.forEach((id, history) -> {
             findings.count("handed in", 1);
-            if (s.acceptedAt == 0) {
+            if (history.acceptedAt == 0) {
                 return;
             }
             findings.count("taken", 1);
-            findings.count(s.deliveredAt > 0 ? "delivered" : s.noticeAt > 0 ? "ended by notice" : "no end", 1);
-            long due = s.sentAt + (long) (DEADLINE_SECONDS[s.classIndex] * 1000 * NANOS_PER_MILLI) + NOTICE_GRACE_NANOS;
-            if (s.deliveredAt == 0 && s.noticeAt == 0) {
-                findings.countBroken(mode.equals("flip") ? "lost (its record was hit)" : "lost", id, s);
+            findings.count(
+                    history.deliveredAt > 0 ? "delivered" : history.noticeAt > 0 ? "ended by notice" : "no end", 1);
+            long due = history.sentAt
+                    + (long) (DEADLINE_SECONDS[history.classIndex] * 1000 * NANOS_PER_MILLI)
+                    + NOTICE_GRACE_NANOS;
+            if (history.deliveredAt == 0 && history.noticeAt == 0) {
+                findings.countBroken(mode.equals("flip") ? "lost (its record was hit)" : "lost", id, history);
             } else if (Math.min(
-                                    s.deliveredAt > 0 ? s.deliveredAt : Long.MAX_VALUE,
-                                    s.noticeAt > 0 ? s.noticeAt : Long.MAX_VALUE)
+                                    history.deliveredAt > 0 ? history.deliveredAt : Long.MAX_VALUE,
+                                    history.noticeAt > 0 ? history.noticeAt : Long.MAX_VALUE)
                             > due
                     && downtimes.stream().noneMatch(d -> d[0] < due && due < d[1])) {
-                findings.countBroken("ended late", id, s);
+                findings.countBroken("ended late", id, history);
             }
-            if (s.deliveredAt > 0 && downtimes.stream().noneMatch(d -> d[0] < s.deliveredAt && s.sentAt < d[1])) {
-                findings.latencyMillis.add((s.deliveredAt - s.sentAt) / NANOS_PER_MILLI);
+            if (history.deliveredAt > 0
+                    && downtimes.stream().noneMatch(d -> d[0] < history.deliveredAt && history.sentAt < d[1])) {
+                findings.latencyMillis.add((history.deliveredAt - history.sentAt) / NANOS_PER_MILLI);
             }
         });
     }
@@ -416,7 +440,8 @@
         System.out.println("| " + String.join(" ", Arrays.asList(args)) + " | |\n| --- | --- |");
         findings.counts.forEach((what, n) -> System.out.println("| " + what + " | " + n + " |"));
         System.out.println("| ready after a start, ms | " + percentiles(findings.readyMillis) + " |");
-        System.out.println("| handed in to delivered, no restart between, ms | " + percentiles(findings.latencyMillis) + " |");
+        System.out.println(
+                "| handed in to delivered, no restart between, ms | " + percentiles(findings.latencyMillis) + " |");
         if (mode.equals("full")) {
             System.out.println("| room again to normal service, ms | " + percentiles(findings.recoveryMillis) + " |");
         }
--- a/src/test/java/lilaclever/program/WithheldCallsTest.java
+++ b/src/test/java/lilaclever/program/WithheldCallsTest.java
@@ -23,11 +23,16 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Calls that were decided before the list changed and come to their connection after: no byte of them is written. */
+/**
+ * Calls decided before the endpoint list changed whose connection is established afterwards: no byte of them is
+ * written.
+ */
 class WithheldCallsTest {
     private static final long NANOS_PER_MILLI = 1_000_000;
     private static final int DESTINATION = 7;
-    /** A connection attempt is repeated by the system after 1 s; an endpoint that got none within this got none. */
+    /**
+     * The system retries a connection attempt after 1 s, so an endpoint without a connection within this time got none.
+     */
     private static final int CONNECT_WAIT_MILLIS = 3_000;
 
     @TempDir
@@ -54,7 +59,7 @@
         address = forwarder.addresses().get(0);
     }
 
-    /** Discovery that tells each change once it is there; a watch without one ends with no change. */
+    /** A discovery agent that answers watches with each change as it is added, and with no change after a while. */
     private Peer discovery() throws IOException {
         return new Peer(wire -> {
             long index = 1;
@@ -79,9 +84,9 @@
         return "{\"index\":" + index + ",\"snapshot\":false,\"endpoints\":[" + entries + "]}";
     }
 
-    private static String entry(String name, String at, int destination, String status) {
-        return "{\"name\":\"" + name + "\",\"address\":\"" + at + "\",\"zone\":\"z\",\"type\":\"lab\",\"group\":"
-                + destination + ",\"status\":\"" + status + "\"}";
+    private static String entry(String name, String endpointAddress, int destination, String status) {
+        return "{\"name\":\"" + name + "\",\"address\":\"" + endpointAddress
+                + "\",\"zone\":\"z\",\"type\":\"lab\",\"group\":" + destination + ",\"status\":\"" + status + "\"}";
     }
 
     private Peer endpoint() throws IOException {
@@ -98,15 +103,16 @@
         return client.readRequest().body();
     }
 
-    private static void awaitCounter(Wire client, String count) throws IOException {
+    private static void awaitCounter(Wire client, String counterLine) throws IOException {
         String last = readCounters(client);
-        for (long end = System.nanoTime() + 10_000 * NANOS_PER_MILLI; !last.contains(count) && System.nanoTime() < end; ) {
+        for (long end = System.nanoTime() + 10_000 * NANOS_PER_MILLI;
+                !last.contains(counterLine) && System.nanoTime() < end; ) {
             last = readCounters(client);
         }
-        assertTrue(last.contains(count), last);
+        assertTrue(last.contains(counterLine), last);
     }
 
-    /** An endpoint to which connections come up only once its queue of connections has room. */
+    /** An endpoint whose connections are established only once its backlog has space. */
     private static final class EndpointWithFullBacklog implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         private final List<Socket> backlogFillers = List.of(new Socket(), new Socket());
@@ -121,15 +127,15 @@
             return "127.0.0.1:" + server.getLocalPort();
         }
 
-        /** Lets connections come up and gives the first request that is read, or null where none comes. */
+        /** Accepts connections and returns the first request read, or null where none arrives. */
         String firstRequest() throws IOException {
             for (Socket each : backlogFillers) {
                 server.accept().close();
                 each.close();
             }
             server.setSoTimeout(CONNECT_WAIT_MILLIS);
-            try (Wire late = new Wire(server.accept())) {
-                Request request = late.readRequest();
+            try (Wire connection = new Wire(server.accept())) {
+                Request request = connection.readRequest();
                 return request == null ? null : request.headers().get("req-id");
             } catch (SocketTimeoutException none) {
                 return null;
@@ -143,8 +149,8 @@
     }
 
     /**
-     * The call's connection is still coming up when its endpoint leaves: nothing is written there once it is up, and
-     * the message goes to another endpoint at once, its attempt not counted.
+     * The endpoint leaves while the call's connection is being established: the call is not written there, and the
+     * message goes to another endpoint at once, without counting the attempt.
      */
     @ParameterizedTest
     @CsvSource({"leaving, 7", "left, 7", "active, 8"})
@@ -156,19 +162,19 @@
             try (Wire client = Wire.connect(address)) {
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
                 awaitCounter(client, "\ncalls 1\n");
-                long told = System.nanoTime();
+                long publishedAt = System.nanoTime();
                 changes.add(entry("e1", draining.address(), destination, status)
                         + ','
                         + entry("e2", other.address(), DESTINATION, "active"));
                 assertEquals("a", Peer.take(calls));
-                assertTrue(System.nanoTime() - told < 500 * NANOS_PER_MILLI, "at once");
-                assertNull(draining.firstRequest(), "nothing goes to the endpoint that has left");
-                assertTrue(readCounters(client).contains("\nending_withheld 1\n"), "counted as no attempt");
+                assertTrue(System.nanoTime() - publishedAt < 500 * NANOS_PER_MILLI, "at once");
+                assertNull(draining.firstRequest(), "no call to the endpoint that has left");
+                assertTrue(readCounters(client).contains("\nending_withheld 1\n"), "not counted as an attempt");
             }
         }
     }
 
-    /** The same where the connection comes up as soon as the list is heard. */
+    /** The connection is established as soon as the list is received: the call is not written. */
     @Test
     void connectionEstablishedRightAfterADrainCarriesNoCall() throws Exception {
         try (Peer discovery = discovery();
@@ -184,7 +190,9 @@
         }
     }
 
-    /** Its address has changed while the call's connection was coming up: the old address gets nothing. */
+    /**
+     * The endpoint's address changes while the call's connection is being established: the old address gets nothing.
+     */
     @Test
     void callToAChangedAddressGoesToTheNewAddress() throws Exception {
         try (Peer discovery = discovery();
@@ -201,7 +209,7 @@
         }
     }
 
-    /** A name that goes to another destination takes no message of the one it served before. */
+    /** An endpoint moved to another destination gets no message of the destination that it served before. */
     @Test
     void endpointMovedToAnotherDestinationGetsNoMessagesOfTheOldOne() throws Exception {
         LinkedBlockingQueue<String> callsOfOther = new LinkedBlockingQueue<>();
