--- a/src/main/java/lilaclever/lab/model/PartnerKind.java
+++ b/src/main/java/lilaclever/lab/model/PartnerKind.java
@@ -12,7 +12,7 @@
  * @param tellsWait the share of partners whose refusals tell a wait
  * @param refusedCount the share of partners where refused calls use up the limit
  * @param connections over the calls served at once; 0: any number
- * @param batch messages in a call at most
+ * @param maxBatch messages in a call at most
  * @param itemCost work of a further message in a call, over that of the first
  */
 public record PartnerKind(
@@ -31,7 +31,7 @@
         double[] connections,
         double[] leastConnections,
         double variation,
-        int batch,
+        int maxBatch,
         double itemCost) {
     /** Calls are not limited, limited by a plain rate, or by a count in each span of time. */
     public enum Limit {
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -34,7 +34,7 @@
     /** The settings of the forwarder with that number. */
     DecisionModule.Settings forForwarder(int number) {
         List<DecisionModule.EndpointKind> kinds = scenario.kinds().stream()
-                .map(k -> new DecisionModule.EndpointKind(false, k.batch()))
+                .map(k -> new DecisionModule.EndpointKind(false, k.maxBatch()))
                 .toList();
         List<DecisionModule.MessageClass> classes =
                 scenario.classes().stream().map(MessageClass::terms).toList();
