--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -30,9 +30,9 @@
      * The answer to a call, or to one message of it.
      *
      * @param atMicros when it is written; for {@link Status#NEVER} nothing is
-     * @param waitMicros told with FULL; 0: none
+     * @param retryAfterMicros told with FULL; 0: none
      */
-    public record Answer(Status status, long atMicros, long waitMicros) {}
+    public record Answer(Status status, long atMicros, long retryAfterMicros) {}
 
     /** What may be wrong with a partner. */
     public enum Outage {
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -200,7 +200,7 @@
         switch (answer.status()) {
             case NO_CONNECTION -> reset();
             case FULL ->
-                timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.waitMicros())));
+                timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.retryAfterMicros())));
             case ERROR ->
                 timeline.at(
                         answer.atMicros(),
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -158,18 +158,18 @@
             case FULL -> {
                 attemptsOver(call, "full", true);
                 runUnlessKilled(answer.atMicros(), () -> {
-                    if (answer.waitMicros() > 0 && !state.closed) {
+                    if (answer.retryAfterMicros() > 0 && !state.closed) {
                         world.auditor()
                                 .waitTold(
                                         forwarderNumber,
                                         call.endpoint.destination(),
                                         world.nowMicros(),
-                                        answer.waitMicros());
+                                        answer.retryAfterMicros());
                     }
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
                     runUnlessKilled(
                             world.nowMicros() + world.networkDelayMicros(),
-                            () -> endCall(call, state, AttemptResult.FULL, deaf ? 0 : answer.waitMicros(), true));
+                            () -> endCall(call, state, AttemptResult.FULL, deaf ? 0 : answer.retryAfterMicros(), true));
                 });
             }
             case ERROR -> {
