--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -44,7 +44,7 @@
     }
 
     /** What a fleet shares: how partners come back. */
-    public record Cold(double from, long rampMicros, double tipMultiple, long overloadMicros) {}
+    public record Cold(double initialCapacity, long rampMicros, double tipMultiple, long overloadMicros) {}
 
     /** {@code work}: in messages that come alone. */
     private record Arrival(long at, int forwarder, double work) {}
@@ -190,7 +190,7 @@
         if (coldSince == Long.MIN_VALUE || now - coldSince >= cold.rampMicros()) {
             return 1;
         }
-        return cold.from() + (1 - cold.from()) * (now - coldSince) / cold.rampMicros();
+        return cold.initialCapacity() + (1 - cold.initialCapacity()) * (now - coldSince) / cold.rampMicros();
     }
 
     /** True if it is down after it fell over, or from something that is wrong now. */
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -75,7 +75,7 @@
                 ANSWER_SLACK_MICROS,
                 WATCH_WITHIN_MICROS,
                 fleet.drainGraceMicros(),
-                fleet.cold().from(),
+                fleet.cold().initialCapacity(),
                 fleet.cold().rampMicros(),
                 fleet.cold().tipMultiple(),
                 fleet.cold().overloadMicros(),
