--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -44,7 +44,7 @@
     }
 
     /** What a fleet shares: how partners come back. */
-    public record Cold(double initialCapacity, long rampMicros, double tipMultiple, long overloadMicros) {}
+    public record Cold(double initialCapacity, long rampMicros, double overloadFactor, long overloadMicros) {}
 
     /** {@code work}: in messages that come alone. */
     private record Arrival(long at, int forwarder, double work) {}
@@ -309,7 +309,7 @@
         }
         double sent = lately.stream().mapToDouble(Arrival::work).sum();
         // A little slack for chance, as a few calls are no flood.
-        if (sent > 3 + cold.tipMultiple() * perSecond * warmth(now) * cold.overloadMicros() / 1e6) {
+        if (sent > 3 + cold.overloadFactor() * perSecond * warmth(now) * cold.overloadMicros() / 1e6) {
             double knowing = lately.stream()
                     .filter(a -> sawItFail.contains(a.forwarder()))
                     .mapToDouble(Arrival::work)
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -77,7 +77,7 @@
                 fleet.drainGraceMicros(),
                 fleet.cold().initialCapacity(),
                 fleet.cold().rampMicros(),
-                fleet.cold().tipMultiple(),
+                fleet.cold().overloadFactor(),
                 fleet.cold().overloadMicros(),
                 0);
     }
