--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -135,7 +135,7 @@
     }
 
     /** Seconds that it works on a message in the mean, when warm. */
-    public double meanSeconds() {
+    public double meanServiceSeconds() {
         return meanSeconds;
     }
 
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -26,7 +26,7 @@
         ratePerSecond = fleet.ratePerSecond() / fleet.forwarders();
         double busy = 0;
         for (int i = 0; i < partners.size(); i++) {
-            busy += weights[i] * ratePerSecond * partners.get(i).meanSeconds();
+            busy += weights[i] * ratePerSecond * partners.get(i).meanServiceSeconds();
         }
         busyCalls = busy;
     }
