--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -338,7 +338,7 @@
     }
 
     /** How often it fell over. */
-    public int falls() {
+    public int overloads() {
         return falls;
     }
 
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -343,6 +343,6 @@
                 partner.calls(),
                 partner.refused(),
                 partner.served(),
-                partner.falls());
+                partner.overloads());
     }
 }
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -146,10 +146,10 @@
         assertTrue(p.isOut(9 * S));
         assertEquals(0.25, p.warmth(10 * S), 0.01);
         assertEquals(0.625, p.warmth(14 * S), 0.01);
-        for (int i = 0; i < 400 && p.falls() == 0; i++) {
+        for (int i = 0; i < 400 && p.overloads() == 0; i++) {
             call(p, 3, 10 * S + i * 10_000L);
         }
-        assertEquals(1, p.falls());
+        assertEquals(1, p.overloads());
         assertEquals(1, p.fallsByKnowing()); // forwarder 3 had seen it refuse
         assertTrue(p.isOut(60 * S));
     }
@@ -160,10 +160,10 @@
         p.outage(Outage.DOWN, 0, 10 * S);
         assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * S).status());
         p.heardFailure(3, 9 * S);
-        for (int i = 0; i < 400 && p.falls() == 0; i++) {
+        for (int i = 0; i < 400 && p.overloads() == 0; i++) {
             call(p, 4, 10 * S + i * 10_000L);
         }
-        assertEquals(1, p.falls());
+        assertEquals(1, p.overloads());
         assertEquals(0, p.fallsByKnowing());
     }
 
