--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -343,7 +343,7 @@
     }
 
     /** How often it fell over and two thirds of what came were from forwarders that had seen it fail. */
-    public int fallsByKnowing() {
+    public int overloadsByInformedForwarders() {
         return fallsByKnowing;
     }
 }
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -326,7 +326,7 @@
     }
 
     private void reportFailBacks(Partner partner) {
-        int overloads = partner.fallsByKnowing();
+        int overloads = partner.overloadsByInformedForwarders();
         if (overloads > 0) {
             String description = "destination " + partner.destination() + " was pushed over " + overloads
                     + " times by forwarders that saw it fail";
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -150,7 +150,7 @@
             call(p, 3, 10 * S + i * 10_000L);
         }
         assertEquals(1, p.overloads());
-        assertEquals(1, p.fallsByKnowing()); // forwarder 3 had seen it refuse
+        assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen it refuse
         assertTrue(p.isOut(60 * S));
     }
 
@@ -164,7 +164,7 @@
             call(p, 4, 10 * S + i * 10_000L);
         }
         assertEquals(1, p.overloads());
-        assertEquals(0, p.fallsByKnowing());
+        assertEquals(0, p.overloadsByInformedForwarders());
     }
 
     @Test
