--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -140,7 +140,7 @@
     }
 
     /** An endpoint is there from now on. */
-    public void add(String host) {
+    public void addEndpoint(String host) {
         endpoints.put(host, new Endpoint(servers));
     }
 
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -70,7 +70,7 @@
     /** Adds a new endpoint of the partner without notifying the forwarders. */
     DecisionModule.EndpointEntry addEndpoint(Partner partner) {
         String host = "s-" + partner.destination() + "-" + hostCount++;
-        partner.add(host);
+        partner.addEndpoint(host);
         int kind = scenario.kinds().indexOf(partner.kind());
         DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
                 host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.nowMicros());
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -41,7 +41,7 @@
     private static Partner partner(Limit limit) {
         Partner p = new Partner(
                 7, kind(limit, 0), 1, 10, 100_000, new Partner.Cold(0.25, 8 * S, 1.5, 3 * S), new RandomStream(1, "p"));
-        p.add("e");
+        p.addEndpoint("e");
         return p;
     }
 
@@ -192,7 +192,7 @@
                 1000,
                 new Partner.Cold(0.25, 8 * S, 1.5, 3 * S),
                 new RandomStream(1, "p"));
-        p.add("e");
+        p.addEndpoint("e");
         assertTrue(p.connect("e", 0) && p.connect("e", 1));
         assertFalse(p.connect("e", 1));
         p.disconnectAll(0);
