--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -145,7 +145,7 @@
     }
 
     /** An endpoint is gone. */
-    public void remove(String host) {
+    public void removeEndpoint(String host) {
         endpoints.remove(host);
     }
 
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -88,7 +88,7 @@
         long staysForMicros =
                 drainsForMicros + longestDelayMicros + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN_MICROS;
         timeline.after(staysForMicros, () -> {
-            partner.remove(host);
+            partner.removeEndpoint(host);
             notifyForwarders(List.of(change(host, Presence.LEFT)));
         });
     }
