--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -156,7 +156,7 @@
 
     // ---- health -----------------------------------------------------------------------------------------
     /** Something goes wrong until the given time; {@code strength}: the share that fails, or how many times slower. */
-    public void outage(Outage what, double howMuch, long until) {
+    public void startOutage(Outage what, double howMuch, long until) {
         outage = what;
         strength = howMuch;
         outageUntil = until;
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -115,7 +115,7 @@
         double strength = random.in(event.strength());
         Partner.Outage outage = Partner.Outage.valueOf(event.what().name());
         for (Partner partner : somePartners(event)) {
-            timeline.at(atMicros, () -> partner.outage(outage, strength, timeline.nowMicros() + durationMicros));
+            timeline.at(atMicros, () -> partner.startOutage(outage, strength, timeline.nowMicros() + durationMicros));
         }
     }
 
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -140,7 +140,7 @@
     @Test
     void itComesBackColdAndFallsOverWhereItIsFlooded() {
         Partner p = partner(Limit.NONE);
-        p.outage(Outage.SHUT, 0, 10 * S);
+        p.startOutage(Outage.SHUT, 0, 10 * S);
         assertEquals(Status.FULL, call(p, 3, 9 * S).status());
         p.heardFailure(3, 9 * S);
         assertTrue(p.isOut(9 * S));
@@ -157,7 +157,7 @@
     @Test
     void whoDidNotSeeItFailIsNotToBlame() {
         Partner p = partner(Limit.NONE);
-        p.outage(Outage.DOWN, 0, 10 * S);
+        p.startOutage(Outage.DOWN, 0, 10 * S);
         assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * S).status());
         p.heardFailure(3, 9 * S);
         for (int i = 0; i < 400 && p.overloads() == 0; i++) {
@@ -170,14 +170,14 @@
     @Test
     void outagesAnswerAsTheyAreNamed() {
         Partner p = partner(Limit.NONE);
-        p.outage(Outage.SILENT, 0, S);
+        p.startOutage(Outage.SILENT, 0, S);
         assertEquals(Status.NEVER, call(p, 0, 0).status());
         assertFalse(p.answersStill("e", S / 2));
-        p.outage(Outage.FAILING, 1, 2 * S);
+        p.startOutage(Outage.FAILING, 1, 2 * S);
         assertEquals(Status.ERROR, call(p, 0, S).status());
         Partner slow = partner(Limit.NONE);
         long usual = call(slow, 0, 0).atMicros();
-        slow.outage(Outage.SLOW, 4, 10 * S);
+        slow.startOutage(Outage.SLOW, 4, 10 * S);
         assertEquals(4 * usual, call(slow, 0, 5 * S).atMicros() - 5 * S, 4);
         assertEquals(1, slow.warmth(11 * S)); // slow is no outage: it does not come back cold
     }
