--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -166,7 +166,7 @@
     }
 
     /** Lowers its limit to a part until the given time, without a word; that is no outage. */
-    public void lower(double toPart, long until) {
+    public void lowerLimit(double toPart, long until) {
         allowance.lower(toPart, until);
     }
 
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -107,7 +107,7 @@
     private void planLowerLimits(ScheduledEvent event, long atMicros, long durationMicros) {
         double part = random.in(event.strength());
         for (Partner partner : somePartners(event)) {
-            timeline.at(atMicros, () -> partner.lower(part, timeline.nowMicros() + durationMicros));
+            timeline.at(atMicros, () -> partner.lowerLimit(part, timeline.nowMicros() + durationMicros));
         }
     }
 
