--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -185,7 +185,7 @@
     }
 
     /** The part of its usual work that it can do now. */
-    public double warmth(long now) {
+    public double capacityShare(long now) {
         now(now);
         if (coldSince == Long.MIN_VALUE || now - coldSince >= cold.rampMicros()) {
             return 1;
@@ -278,7 +278,7 @@
             all += work[i] * (i == 0 ? 1 : kind.itemCost());
         }
         double took =
-                all * pace * random.lognormal(kind.variation()) / warmth(now) * (wrong == Outage.SLOW ? strength : 1);
+                all * pace * random.lognormal(kind.variation()) / capacityShare(now) * (wrong == Outage.SLOW ? strength : 1);
         e.freeAt[soonest] = begin + (long) took;
         served += work.length;
         // An outage that begins before the answer takes it along; that is seen when the answer is due.
@@ -309,7 +309,7 @@
         }
         double sent = lately.stream().mapToDouble(Arrival::work).sum();
         // A little slack for chance, as a few calls are no flood.
-        if (sent > 3 + cold.overloadFactor() * perSecond * warmth(now) * cold.overloadMicros() / 1e6) {
+        if (sent > 3 + cold.overloadFactor() * perSecond * capacityShare(now) * cold.overloadMicros() / 1e6) {
             double knowing = lately.stream()
                     .filter(a -> sawItFail.contains(a.forwarder()))
                     .mapToDouble(Arrival::work)
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -162,7 +162,7 @@
         long[] workMicros = ids.stream().mapToLong(clients::workMicros).toArray();
         series.add("calls", 1);
         Answer answer = partner.call(host, forwarder, workMicros, nowMicros());
-        if (fault == Fault.FLOODS && partner.warmth(nowMicros()) < 1) {
+        if (fault == Fault.FLOODS && partner.capacityShare(nowMicros()) < 1) {
             for (int i = 0; i < FLOOD_REPEATS; i++) {
                 partner.call(host, forwarder, workMicros, nowMicros());
             }
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -144,8 +144,8 @@
         assertEquals(Status.FULL, call(p, 3, 9 * S).status());
         p.heardFailure(3, 9 * S);
         assertTrue(p.isOut(9 * S));
-        assertEquals(0.25, p.warmth(10 * S), 0.01);
-        assertEquals(0.625, p.warmth(14 * S), 0.01);
+        assertEquals(0.25, p.capacityShare(10 * S), 0.01);
+        assertEquals(0.625, p.capacityShare(14 * S), 0.01);
         for (int i = 0; i < 400 && p.overloads() == 0; i++) {
             call(p, 3, 10 * S + i * 10_000L);
         }
@@ -179,7 +179,7 @@
         long usual = call(slow, 0, 0).atMicros();
         slow.startOutage(Outage.SLOW, 4, 10 * S);
         assertEquals(4 * usual, call(slow, 0, 5 * S).atMicros() - 5 * S, 4);
-        assertEquals(1, slow.warmth(11 * S)); // slow is no outage: it does not come back cold
+        assertEquals(1, slow.capacityShare(11 * S)); // slow is no outage: it does not come back cold
     }
 
     @Test
