--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -194,7 +194,7 @@
     }
 
     /** True if it is down after it fell over, or from something that is wrong now. */
-    public boolean isOut(long now) {
+    public boolean isUnavailable(long now) {
         return now(now) != null && now(now) != Outage.SLOW;
     }
 
@@ -247,7 +247,7 @@
 
     /** A forwarder has been told that a call or probe has failed or was refused here. */
     public void heardFailure(int forwarder, long now) {
-        if (isOut(now)) {
+        if (isUnavailable(now)) {
             sawItFail.add(forwarder);
         }
     }
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -135,7 +135,7 @@
         state.arrived = true;
         call.messages.forEach(m -> world.onRequestReceived(m.id(), forwarderNumber, call.endpoint.destination()));
         String host = call.endpoint.host();
-        if (!connected && partner.hosts().contains(host) && !partner.isOut(world.nowMicros())) {
+        if (!connected && partner.hosts().contains(host) && !partner.isUnavailable(world.nowMicros())) {
             // Too many connections: the partner answers that it has no capacity, and closes the connection.
             runUnlessKilled(
                     world.nowMicros() + world.networkDelayMicros(),
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -143,7 +143,7 @@
         p.startOutage(Outage.SHUT, 0, 10 * S);
         assertEquals(Status.FULL, call(p, 3, 9 * S).status());
         p.heardFailure(3, 9 * S);
-        assertTrue(p.isOut(9 * S));
+        assertTrue(p.isUnavailable(9 * S));
         assertEquals(0.25, p.capacityShare(10 * S), 0.01);
         assertEquals(0.625, p.capacityShare(14 * S), 0.01);
         for (int i = 0; i < 400 && p.overloads() == 0; i++) {
@@ -151,7 +151,7 @@
         }
         assertEquals(1, p.overloads());
         assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen it refuse
-        assertTrue(p.isOut(60 * S));
+        assertTrue(p.isUnavailable(60 * S));
     }
 
     @Test
