--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -246,7 +246,7 @@
     }
 
     /** A forwarder has been told that a call or probe has failed or was refused here. */
-    public void heardFailure(int forwarder, long now) {
+    public void failureSeen(int forwarder, long now) {
         if (isUnavailable(now)) {
             sawItFail.add(forwarder);
         }
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -92,7 +92,7 @@
         if (!isClosed) {
             attemptsOver(inFlightIds, "given up", false);
             if (!inFlightIds.isEmpty()) {
-                partner.heardFailure(forwarder, timeline.nowMicros());
+                partner.failureSeen(forwarder, timeline.nowMicros());
             }
             close();
         }
@@ -102,7 +102,7 @@
     void reset() {
         if (!isClosed) {
             attemptsOver(inFlightIds, "reset", false);
-            partner.heardFailure(forwarder, timeline.nowMicros());
+            partner.failureSeen(forwarder, timeline.nowMicros());
             connection.reset();
             close();
         }
@@ -191,7 +191,7 @@
         }
         if (!hasCapacity) {
             attemptsOver(ids, "full", true);
-            partner.heardFailure(forwarder, timeline.nowMicros());
+            partner.failureSeen(forwarder, timeline.nowMicros());
             respond("503 Service Unavailable", "", "Connection: close");
             close();
             return;
@@ -206,7 +206,7 @@
                         answer.atMicros(),
                         () -> answerIfInFlight(ids, () -> {
                             attemptsOver(ids, "error", false);
-                            partner.heardFailure(forwarder, timeline.nowMicros());
+                            partner.failureSeen(forwarder, timeline.nowMicros());
                             respond("500 Internal Server Error", "");
                         }));
             case DELIVERED -> timeline.at(answer.atMicros(), () -> answerDelivered(ids, answer));
@@ -223,7 +223,7 @@
 
     private void answerFull(List<String> ids, long retryAfterMicros) {
         attemptsOver(ids, "full", true);
-        partner.heardFailure(forwarder, timeline.nowMicros());
+        partner.failureSeen(forwarder, timeline.nowMicros());
         if (retryAfterMicros > 0) {
             world.auditor().waitTold(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
             respond("429 Too Many Requests", "", "X-Retry-In-Ms: " + (retryAfterMicros + 999) / 1000);
@@ -265,7 +265,7 @@
             timeline.at(answer.atMicros(), () -> {
                 if (!isClosed) {
                     if (!status.startsWith("200")) {
-                        partner.heardFailure(forwarder, timeline.nowMicros());
+                        partner.failureSeen(forwarder, timeline.nowMicros());
                     }
                     respond(status, "");
                 }
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -211,7 +211,7 @@
             retryAfterTable.recordRetryAfter(call.endpoint, world.nowMicros() + retryAfterMicros);
         }
         if (result != AttemptResult.DELIVERED && result != AttemptResult.WITHHELD) {
-            world.partner(call.endpoint.destination()).heardFailure(forwarderNumber, world.nowMicros());
+            world.partner(call.endpoint.destination()).failureSeen(forwarderNumber, world.nowMicros());
         }
         if (keepsConnection) {
             idleConnections.release(call.endpoint.host(), call.endpoint.host(), world.nowMicros());
@@ -234,7 +234,7 @@
         }
         state.closed = true;
         callsInFlight.remove(call);
-        world.partner(call.endpoint.destination()).heardFailure(forwarderNumber, world.nowMicros());
+        world.partner(call.endpoint.destination()).failureSeen(forwarderNumber, world.nowMicros());
         world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), forwarderNumber);
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
         AttemptResult result =
@@ -279,7 +279,7 @@
                             sentMicros + settings.limits().connectTimeoutMicros());
             runUnlessKilled(endsAtMicros, () -> {
                 if (result != AttemptResult.DELIVERED) {
-                    partner.heardFailure(forwarderNumber, world.nowMicros());
+                    partner.failureSeen(forwarderNumber, world.nowMicros());
                 }
                 core.post(() -> core.probeEnded(endpoint.host(), result, world.nowMicros() - sentMicros));
             });
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -142,7 +142,7 @@
         Partner p = partner(Limit.NONE);
         p.startOutage(Outage.SHUT, 0, 10 * S);
         assertEquals(Status.FULL, call(p, 3, 9 * S).status());
-        p.heardFailure(3, 9 * S);
+        p.failureSeen(3, 9 * S);
         assertTrue(p.isUnavailable(9 * S));
         assertEquals(0.25, p.capacityShare(10 * S), 0.01);
         assertEquals(0.625, p.capacityShare(14 * S), 0.01);
@@ -159,7 +159,7 @@
         Partner p = partner(Limit.NONE);
         p.startOutage(Outage.DOWN, 0, 10 * S);
         assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * S).status());
-        p.heardFailure(3, 9 * S);
+        p.failureSeen(3, 9 * S);
         for (int i = 0; i < 400 && p.overloads() == 0; i++) {
             call(p, 4, 10 * S + i * 10_000L);
         }
