--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -293,7 +293,7 @@
     }
 
     /** True if an answer that was decided earlier can be written now: something may have gone wrong since. */
-    public boolean answersStill(String host, long now) {
+    public boolean canStillAnswer(String host, long now) {
         Outage wrong = now(now);
         return endpoints.containsKey(host) && wrong != Outage.SILENT && wrong != Outage.DOWN;
     }
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -234,7 +234,7 @@
 
     /** The partner has done the work, whether or not the forwarder still waits for the answer. */
     private void answerDelivered(List<String> ids, Answer answer) {
-        if (isClosed || inFlightIds != ids || !partner.answersStill(host, answer.atMicros())) {
+        if (isClosed || inFlightIds != ids || !partner.canStillAnswer(host, answer.atMicros())) {
             ids.forEach(id -> world.onProcessed(id, false));
             return;
         }
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -185,7 +185,7 @@
 
     /** The partner has done the work, whether or not the forwarder still waits for the answer. */
     private void answerDelivered(Call call, CallState state, Partner partner, Answer answer) {
-        if (state.closed || !partner.answersStill(call.endpoint.host(), answer.atMicros())) {
+        if (state.closed || !partner.canStillAnswer(call.endpoint.host(), answer.atMicros())) {
             call.messages.forEach(m -> world.onProcessed(m.id(), false));
             return;
         }
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -172,7 +172,7 @@
         Partner p = partner(Limit.NONE);
         p.startOutage(Outage.SILENT, 0, S);
         assertEquals(Status.NEVER, call(p, 0, 0).status());
-        assertFalse(p.answersStill("e", S / 2));
+        assertFalse(p.canStillAnswer("e", S / 2));
         p.startOutage(Outage.FAILING, 1, 2 * S);
         assertEquals(Status.ERROR, call(p, 0, S).status());
         Partner slow = partner(Limit.NONE);
