--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -107,7 +107,7 @@
     }
 
     /** How often each rule was broken. */
-    public Map<Rule, Integer> broken() {
+    public Map<Rule, Integer> breachCounts() {
         return broken;
     }
 
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -68,13 +68,13 @@
     }
 
     private static void rules(StringBuilder all, RehearsalResult r) {
-        if (r.auditor().broken().isEmpty()) {
+        if (r.auditor().breachCounts().isEmpty()) {
             all.append("<p>All rules were kept.</p>\n");
             return;
         }
         all.append("<h2 class=\"bad\">Broken rules</h2><ul>");
         r.auditor()
-                .broken()
+                .breachCounts()
                 .forEach((rule, n) -> all.append("<li>")
                         .append(Report.name(rule))
                         .append(", ")
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -67,7 +67,7 @@
         all.addProperty("worst_class", round(s.worstClass()));
         all.addProperty("deductions", round(s.deductions(Prices.USUAL)));
         JsonObject broken = new JsonObject();
-        a.broken().forEach((rule, n) -> broken.addProperty(name(rule), n));
+        a.breachCounts().forEach((rule, n) -> broken.addProperty(name(rule), n));
         all.add("broken_rules", broken);
         JsonObject counts = new JsonObject();
         a.counts().forEach(counts::addProperty);
@@ -218,11 +218,11 @@
         if (r.timingQuality() != null) {
             all.append(r.timingQuality().summary()).append('\n');
         }
-        if (r.auditor().broken().isEmpty()) {
+        if (r.auditor().breachCounts().isEmpty()) {
             return all + "all rules kept\n";
         }
         r.auditor()
-                .broken()
+                .breachCounts()
                 .forEach((rule, n) -> all.append("BROKEN ")
                         .append(name(rule))
                         .append(", ")
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -190,7 +190,7 @@
                                                         .lines()
                                                         .findFirst()
                                                         .orElse("") + "\n");
-                        broken.addAndGet(result.auditor().broken().isEmpty() ? 0 : 1);
+                        broken.addAndGet(result.auditor().breachCounts().isEmpty() ? 0 : 1);
                         if (result.timingQuality() != null
                                 && !result.timingQuality().isAcceptable()) {
                             doubtful.incrementAndGet();
@@ -300,7 +300,7 @@
                                 point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
                         result -> {
                             services.add(result.auditor().service().figure(Prices.USUAL));
-                            broken.addAndGet(result.auditor().broken().size());
+                            broken.addAndGet(result.auditor().breachCounts().size());
                         });
                 if (interrupt.isRequested()) {
                     break; // interrupted runs give no valid point
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -47,7 +47,7 @@
 
     private Set<Rule> broken() {
         auditor.finish(300 * S);
-        return auditor.broken().keySet();
+        return auditor.breachCounts().keySet();
     }
 
     @Test
@@ -111,10 +111,10 @@
         taken(2, STATUS, S);
         auditor.noticed(2, "deferred", 2 * S);
         auditor.noticed(2, "deferred", 3 * S); // a second notice of the same does no harm
-        assertEquals(1, auditor.broken().get(Rule.ONE_END));
+        assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
         auditor.noticed(2, "undeliverable", 3 * S);
         attempt(2, 4 * S, "full", true);
-        assertEquals(3, auditor.broken().get(Rule.ONE_END));
+        assertEquals(3, auditor.breachCounts().get(Rule.ONE_END));
     }
 
     /** While a forwarder is away, and shortly after, no end is overdue. */
@@ -128,7 +128,7 @@
         auditor.died(0, 25 * S);
         auditor.ready(0, 26 * S);
         auditor.noticed(2, "undeliverable", 28 * S);
-        assertEquals(1, auditor.broken().get(Rule.ONE_END));
+        assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
     }
 
     @Test
@@ -136,9 +136,9 @@
         taken(1, STATUS, 0);
         auditor.told(0, "e", false, S);
         attempt(1, S + 540_000, "full", true);
-        assertEquals(Set.of(), auditor.broken().keySet());
+        assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 560_000, "full", true);
-        assertEquals(Set.of(Rule.DRAIN), auditor.broken().keySet());
+        assertEquals(Set.of(Rule.DRAIN), auditor.breachCounts().keySet());
     }
 
     @Test
@@ -148,12 +148,12 @@
         attempt(1, S + 90_000, "full", true); // it crossed the telling
         auditor.attempt(1, 1, "e", 7, S + 500_000); // another forwarder was not told
         auditor.attemptOver(1, "full", true, S + 500_001);
-        assertEquals(Set.of(), auditor.broken().keySet());
+        assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 500_010, "full", true);
-        assertEquals(Set.of(Rule.WAIT), auditor.broken().keySet());
+        assertEquals(Set.of(Rule.WAIT), auditor.breachCounts().keySet());
         auditor.died(0, S + 600_000);
         attempt(1, S + 700_000, "full", true);
-        assertEquals(1, auditor.broken().get(Rule.WAIT));
+        assertEquals(1, auditor.breachCounts().get(Rule.WAIT));
     }
 
     @Test
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -71,7 +71,7 @@
             })
     void shippedScenarioBreaksNoRule(String name) throws ConfigurationException {
         RehearsalResult result = run(name, Fault.NONE);
-        assertEquals(Map.of(), result.auditor().broken(), () -> Report.summary(result));
+        assertEquals(Map.of(), result.auditor().breachCounts(), () -> Report.summary(result));
         long messages = result.auditor().counts().get("messages");
         assertTrue(messages > 500, name + " has " + messages);
     }
@@ -92,7 +92,7 @@
     })
     void faultyForwarderBreaksTheExpectedRule(String name, Fault fault, Rule rule) throws ConfigurationException {
         RehearsalResult result = run(name, fault);
-        assertTrue(result.auditor().broken().containsKey(rule), () -> Report.summary(result));
+        assertTrue(result.auditor().breachCounts().containsKey(rule), () -> Report.summary(result));
         assertTrue(rule == Rule.FAIL_BACK
                 || result.auditor().breaches().stream()
                         .anyMatch(b -> b.rule() == rule && !b.story().isEmpty()));
@@ -122,7 +122,7 @@
                                 "wait 500ms 3s")),
                 1,
                 Fault.NONE);
-        assertEquals(Map.of(), result.auditor().broken(), () -> Report.summary(result));
+        assertEquals(Map.of(), result.auditor().breachCounts(), () -> Report.summary(result));
         assertTrue(
                 result.auditor().counts().getOrDefault("ended_withheld", 0L) > 0,
                 () -> result.auditor().counts().toString());
@@ -141,10 +141,10 @@
                         "limit rate",
                         "tells-wait 100%",
                         "wait 500ms 900ms"));
-        assertEquals(Set.of(), run(scenario, 1, Fault.NONE).auditor().broken().keySet());
+        assertEquals(Set.of(), run(scenario, 1, Fault.NONE).auditor().breachCounts().keySet());
         assertEquals(
                 Set.of(Rule.WAIT),
-                run(scenario, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
+                run(scenario, 1, Fault.IGNORES_WAITS).auditor().breachCounts().keySet());
     }
 
     /** A scenario in which nothing can be delivered ends like any other, with a service of 0. */
@@ -163,6 +163,6 @@
                         "part 100%"));
         RehearsalResult result = run(scenario, 1, Fault.NONE);
         assertEquals(0, result.auditor().service().whole());
-        assertEquals(Map.of(), result.auditor().broken());
+        assertEquals(Map.of(), result.auditor().breachCounts());
     }
 }
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -79,7 +79,7 @@
                 "part 30%");
         RehearsalResult r = run(s, ChildProcessCommand.command("serve"));
         RehearsalResult v = VirtualRehearsal.run(s, 1, Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
+        assertEquals(Map.of(), r.auditor().breachCounts(), () -> Report.summary(r));
         assertEquals(v.auditor().counts().get("messages"), r.auditor().counts().get("messages"));
         assertEquals(v.eventPeriods(), r.eventPeriods());
         assertEquals(1, r.auditor().counts().get("restarts"));
