--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -122,7 +122,7 @@
     }
 
     /** A rule was broken that is not one message's. */
-    public void broken(Rule rule, long at, String what) {
+    public void addBreach(Rule rule, long at, String what) {
         breach(rule, at, what, null);
     }
 
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -65,7 +65,7 @@
     /** A forwarder's process has ended unexpectedly: its connections are closed, and it is restarted after a delay. */
     void onUnexpectedExit(int forwarder, String cause) {
         auditor.count("deaths");
-        auditor.broken(Rule.INVARIANT, timeline.nowMicros(), "forwarder " + forwarder + " died: " + cause);
+        auditor.addBreach(Rule.INVARIANT, timeline.nowMicros(), "forwarder " + forwarder + " died: " + cause);
         onExit(forwarder);
         timeline.after(RESTART_DELAY_MICROS, () -> start(forwarder, false));
     }
@@ -104,7 +104,7 @@
     void reportBrokenInvariants() {
         for (ForwarderHandle forwarder : forwarders) {
             if (forwarder.brokenInvariants() > 0) {
-                auditor.broken(
+                auditor.addBreach(
                         Rule.INVARIANT,
                         timeline.nowMicros(),
                         "forwarder " + forwarder.number() + ": " + forwarder.brokenInvariants() + " times");
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -330,7 +330,7 @@
         if (overloads > 0) {
             String description = "destination " + partner.destination() + " was pushed over " + overloads
                     + " times by forwarders that saw it fail";
-            auditor.broken(Rule.FAIL_BACK, nowMicros(), description);
+            auditor.addBreach(Rule.FAIL_BACK, nowMicros(), description);
         }
     }
 
