--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -136,7 +136,7 @@
 
     // ---- clients ----------------------------------------------------------------------------------------
     /** A message is handed in for the first time. */
-    public void arrives(int number, int messageClass, int destination, long workMicros, long at) {
+    public void messageArrived(int number, int messageClass, int destination, long workMicros, long at) {
         Story s = new Story(
                 number, messageClass, at, at + classes.get(messageClass).terms().deadlineMicros(), workMicros);
         s.line(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -81,7 +81,7 @@
     void arrive(Arrival arrival) {
         arrivals.put(arrival.number(), arrival);
         retriesLeft.put(arrival.number(), scenario.fleet().clientRetries());
-        auditor.arrives(
+        auditor.messageArrived(
                 arrival.number(),
                 arrival.messageClass(),
                 arrival.destination(),
