--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -146,7 +146,7 @@
     }
 
     /** It is handed in to a forwarder. */
-    public void handedIn(int number, int forwarder, long at) {
+    public void submitted(int number, int forwarder, long at) {
         Story s = open.get(number);
         if (s != null) {
             s.earlier = s.attempts.size();
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -99,7 +99,7 @@
         }
         int number = arrival.number();
         int forwarder = loadBalancer.pickForwarder();
-        auditor.handedIn(number, forwarder, timeline.nowMicros());
+        auditor.submitted(number, forwarder, timeline.nowMicros());
         String previousId = currentIds.get(number);
         String id = "m" + number + '-' + (previousId == null ? 0 : submissionNumber(previousId) + 1);
         timeline.after(scenario.fleet().networkMicros(), () -> {
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -34,7 +34,7 @@
 
     private void taken(int n, int messageClass, long at) {
         auditor.messageArrived(n, messageClass, 7, 1000, at);
-        auditor.handedIn(n, 0, at);
+        auditor.submitted(n, 0, at);
         auditor.taken(n, 0, at);
     }
 
