--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -156,7 +156,7 @@
     }
 
     /** The forwarder has told its client that it takes the message on. */
-    public void taken(int number, int forwarder, long at) {
+    public void accepted(int number, int forwarder, long at) {
         count("taken");
         Story s = open.get(number);
         if (s != null) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -154,7 +154,7 @@
     void onAccepted(String id) {
         Integer forwarder = unanswered.remove(id);
         if (forwarder != null) {
-            auditor.taken(messageNumber(id), forwarder, timeline.nowMicros());
+            auditor.accepted(messageNumber(id), forwarder, timeline.nowMicros());
         }
     }
 
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -35,7 +35,7 @@
     private void taken(int n, int messageClass, long at) {
         auditor.messageArrived(n, messageClass, 7, 1000, at);
         auditor.submitted(n, 0, at);
-        auditor.taken(n, 0, at);
+        auditor.accepted(n, 0, at);
     }
 
     private void attempt(int n, long at, String how, boolean neverRan) {
