--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -168,7 +168,7 @@
     }
 
     /** The client was turned away. */
-    public void turnedDown(int number, long at, long comeBackMicros) {
+    public void rejected(int number, long at, long comeBackMicros) {
         count("turned_down");
         Story s = open.get(number);
         if (s != null) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -163,7 +163,7 @@
         if (unanswered.remove(id) == null) {
             return; // it has been submitted again since
         }
-        auditor.turnedDown(messageNumber(id), timeline.nowMicros(), retryAfterMicros);
+        auditor.rejected(messageNumber(id), timeline.nowMicros(), retryAfterMicros);
         series.add("turned_down", 1);
         retry(messageNumber(id), retryAfterMicros);
     }
