--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -180,7 +180,7 @@
     }
 
     /** The platform has had a notice of its end. */
-    public void noticed(int number, String status, long at) {
+    public void noticeReceived(int number, String status, long at) {
         count("notices_" + status);
         Story s = open.get(number);
         if (s == null) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -180,7 +180,7 @@
             return;
         }
         boolean deferred = status.equals(DEFERRED);
-        auditor.noticed(messageNumber(id), status, timeline.nowMicros());
+        auditor.noticeReceived(messageNumber(id), status, timeline.nowMicros());
         series.add(deferred ? "refused" : "failed", 1);
         if (deferred) {
             retry(messageNumber(id), 0);
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -59,7 +59,7 @@
         taken(2, ORDER, 0);
         attempt(2, S, "error", false);
         attempt(2, 5 * S, "error", false); // within its window
-        auditor.noticed(2, "undeliverable", 19 * S);
+        auditor.noticeReceived(2, "undeliverable", 19 * S);
         taken(3, STATUS, 0);
         attempt(3, S, "given up", false);
         attempt(3, 6 * S, "delivered", false);
@@ -75,7 +75,7 @@
         taken(1, PAYMENT, 0);
         attempt(1, S, "given up", false);
         attempt(1, 2 * S, null, false);
-        auditor.noticed(1, "undeliverable", 3 * S);
+        auditor.noticeReceived(1, "undeliverable", 3 * S);
         assertEquals(Set.of(Rule.REPEAT), broken());
         assertTrue(auditor.breaches().get(0).story().stream().anyMatch(l -> l.contains("given up")));
     }
@@ -107,12 +107,12 @@
     @Test
     void lateAndDoubleEndsAreSeen() {
         taken(1, STATUS, 0);
-        auditor.noticed(1, "undeliverable", 6 * S + 400_000);
+        auditor.noticeReceived(1, "undeliverable", 6 * S + 400_000);
         taken(2, STATUS, S);
-        auditor.noticed(2, "deferred", 2 * S);
-        auditor.noticed(2, "deferred", 3 * S); // a second notice of the same does no harm
+        auditor.noticeReceived(2, "deferred", 2 * S);
+        auditor.noticeReceived(2, "deferred", 3 * S); // a second notice of the same does no harm
         assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
-        auditor.noticed(2, "undeliverable", 3 * S);
+        auditor.noticeReceived(2, "undeliverable", 3 * S);
         attempt(2, 4 * S, "full", true);
         assertEquals(3, auditor.breachCounts().get(Rule.ONE_END));
     }
@@ -123,11 +123,11 @@
         taken(1, STATUS, 0);
         auditor.died(0, 5 * S);
         auditor.ready(0, 8 * S);
-        auditor.noticed(1, "undeliverable", 9 * S);
+        auditor.noticeReceived(1, "undeliverable", 9 * S);
         taken(2, STATUS, 20 * S);
         auditor.died(0, 25 * S);
         auditor.ready(0, 26 * S);
-        auditor.noticed(2, "undeliverable", 28 * S);
+        auditor.noticeReceived(2, "undeliverable", 28 * S);
         assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
     }
 
