--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -221,7 +221,7 @@
 
     // ---- calls ------------------------------------------------------------------------------------------
     /** A forwarder sends a message: the first byte of the call leaves. */
-    public void attempt(int number, int forwarder, String host, int destination, long at) {
+    public void attemptStarted(int number, int forwarder, String host, int destination, long at) {
         count("attempts");
         Long gone = toldGone.get(forwarder + " " + host);
         Story s = open.get(number);
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -149,7 +149,7 @@
 
     /** A forwarder sends the first byte of a message's call. */
     public void onAttemptStarted(String id, int forwarder, String host, int destination, long atMicros) {
-        auditor.attempt(messageNumber(id), forwarder, host, destination, atMicros);
+        auditor.attemptStarted(messageNumber(id), forwarder, host, destination, atMicros);
     }
 
     /** A partner has received the last byte of a message's call. */
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -39,7 +39,7 @@
     }
 
     private void attempt(int n, long at, String how, boolean neverRan) {
-        auditor.attempt(n, 0, "e", 7, at);
+        auditor.attemptStarted(n, 0, "e", 7, at);
         if (how != null) {
             auditor.attemptOver(n, how, neverRan, at + 1000);
         }
@@ -146,7 +146,7 @@
         taken(1, STATUS, 0);
         auditor.waitTold(0, 7, S, S);
         attempt(1, S + 90_000, "full", true); // it crossed the telling
-        auditor.attempt(1, 1, "e", 7, S + 500_000); // another forwarder was not told
+        auditor.attemptStarted(1, 1, "e", 7, S + 500_000); // another forwarder was not told
         auditor.attemptOver(1, "full", true, S + 500_001);
         assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 500_010, "full", true);
