--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -247,7 +247,7 @@
      * The last byte of a call of this message comes, where that is later than its sending: no wait must bind it then
      * either.
      */
-    public void comes(int number, int forwarder, int destination, long at) {
+    public void callArrived(int number, int forwarder, int destination, long at) {
         checkWait(forwarder, destination, at, open.get(number));
     }
 
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -154,7 +154,7 @@
 
     /** A partner has received the last byte of a message's call. */
     public void onRequestReceived(String id, int forwarder, int destination) {
-        auditor.comes(messageNumber(id), forwarder, destination, nowMicros());
+        auditor.callArrived(messageNumber(id), forwarder, destination, nowMicros());
     }
 
     /** A partner has received a complete call with these messages; returns its answer. */
