--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -290,7 +290,7 @@
     }
 
     /** True while an attempt is out. */
-    public boolean isOut(int number) {
+    public boolean hasAttemptInProgress(int number) {
         Story s = open.get(number);
         return s != null && s.attempts.stream().anyMatch(a -> a.out);
     }
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -173,7 +173,7 @@
             return;
         }
         if (waitedMicros < MAX_ATTEMPT_END_DELAY_MICROS
-                && ids.stream().anyMatch(id -> world.auditor().isOut(World.messageNumber(id)))) {
+                && ids.stream().anyMatch(id -> world.auditor().hasAttemptInProgress(World.messageNumber(id)))) {
             // The end of the earlier attempt may be queued for this thread.
             timeline.after(
                     ATTEMPT_END_RECHECK_MICROS,
