--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -192,7 +192,7 @@
         }
         s.noticed = status;
         if (status.equals("deferred")
-                && riskAt(number) >= 0
+                && firstPossibleEffectMicros(number) >= 0
                 && classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(
                     Rule.REPEAT,
@@ -296,7 +296,7 @@
     }
 
     /** When the first attempt was made that may have run; -1 if none may have. */
-    public long riskAt(int number) {
+    public long firstPossibleEffectMicros(int number) {
         Story s = open.get(number);
         if (s != null) {
             for (Attempt a : s.attempts) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -200,7 +200,7 @@
      * A message that may have taken effect is not repeated, or with an idempotency key only inside its repeat window.
      */
     private boolean mayRetry(int number, long atMicros) {
-        long riskAtMicros = auditor.riskAt(number);
+        long riskAtMicros = auditor.firstPossibleEffectMicros(number);
         if (riskAtMicros < 0) {
             return true;
         }
