--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -309,7 +309,7 @@
     }
 
     /** The last attempt of a message is over, as the partner knows it. */
-    public void attemptOver(int number, String how, boolean neverRan, long at) {
+    public void attemptEnded(int number, String how, boolean neverRan, long at) {
         Story s = open.get(number);
         if (s == null || s.attempts.isEmpty()) {
             return;
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -175,7 +175,7 @@
 
     /** An attempt has ended on the partner's side. */
     public void onAttemptOver(String id, String result, boolean neverRan) {
-        auditor.attemptOver(messageNumber(id), result, neverRan, nowMicros());
+        auditor.attemptEnded(messageNumber(id), result, neverRan, nowMicros());
     }
 
     /** A partner has processed a message; {@code isAnswered} if its answer goes out on an open connection. */
@@ -183,7 +183,7 @@
         auditor.service().work(clients.workMicros(id), !isAnswered);
         if (isAnswered) {
             int number = messageNumber(id);
-            auditor.attemptOver(number, "delivered", false, nowMicros());
+            auditor.attemptEnded(number, "delivered", false, nowMicros());
             auditor.delivered(number, nowMicros());
             series.add("delivered", 1);
         }
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -41,7 +41,7 @@
     private void attempt(int n, long at, String how, boolean neverRan) {
         auditor.attemptStarted(n, 0, "e", 7, at);
         if (how != null) {
-            auditor.attemptOver(n, how, neverRan, at + 1000);
+            auditor.attemptEnded(n, how, neverRan, at + 1000);
         }
     }
 
@@ -147,7 +147,7 @@
         auditor.waitTold(0, 7, S, S);
         attempt(1, S + 90_000, "full", true); // it crossed the telling
         auditor.attemptStarted(1, 1, "e", 7, S + 500_000); // another forwarder was not told
-        auditor.attemptOver(1, "full", true, S + 500_001);
+        auditor.attemptEnded(1, "full", true, S + 500_001);
         assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 500_010, "full", true);
         assertEquals(Set.of(Rule.WAIT), auditor.breachCounts().keySet());
