--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -342,7 +342,7 @@
     }
 
     /** A forwarder was told to wait. */
-    public void waitTold(int forwarder, int destination, long at, long waitMicros) {
+    public void retryAfterReceived(int forwarder, int destination, long at, long waitMicros) {
         waits.merge(forwarder + " " + destination, new long[] {at, at + waitMicros}, (a, b) -> b[1] > a[1] ? b : a);
     }
 
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -225,7 +225,7 @@
         attemptsOver(ids, "full", true);
         partner.failureSeen(forwarder, timeline.nowMicros());
         if (retryAfterMicros > 0) {
-            world.auditor().waitTold(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
+            world.auditor().retryAfterReceived(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
             respond("429 Too Many Requests", "", "X-Retry-In-Ms: " + (retryAfterMicros + 999) / 1000);
         } else {
             respond("503 Service Unavailable", "");
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -160,7 +160,7 @@
                 runUnlessKilled(answer.atMicros(), () -> {
                     if (answer.retryAfterMicros() > 0 && !state.closed) {
                         world.auditor()
-                                .waitTold(
+                                .retryAfterReceived(
                                         forwarderNumber,
                                         call.endpoint.destination(),
                                         world.nowMicros(),
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -144,7 +144,7 @@
     @Test
     void toldWaitsAreKeptUntilARestart() {
         taken(1, STATUS, 0);
-        auditor.waitTold(0, 7, S, S);
+        auditor.retryAfterReceived(0, 7, S, S);
         attempt(1, S + 90_000, "full", true); // it crossed the telling
         auditor.attemptStarted(1, 1, "e", 7, S + 500_000); // another forwarder was not told
         auditor.attemptEnded(1, "full", true, S + 500_001);
