--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -347,7 +347,7 @@
     }
 
     /** A forwarder was told of an endpoint. */
-    public void told(int forwarder, String host, boolean active, long at) {
+    public void endpointReported(int forwarder, String host, boolean active, long at) {
         if (active) {
             toldGone.remove(forwarder + " " + host);
         } else {
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -106,7 +106,7 @@
     }
 
     private void recordReceived(int forwarder, DecisionModule.EndpointEntry entry) {
-        auditor.told(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.nowMicros());
+        auditor.endpointReported(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.nowMicros());
     }
 
     private DecisionModule.EndpointEntry change(String host, Presence presence) {
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -134,7 +134,7 @@
     @Test
     void nothingGoesToADrainingEndpointAfterItsGrace() {
         taken(1, STATUS, 0);
-        auditor.told(0, "e", false, S);
+        auditor.endpointReported(0, "e", false, S);
         attempt(1, S + 540_000, "full", true);
         assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 560_000, "full", true);
