--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -357,7 +357,7 @@
 
     // ---- lives ------------------------------------------------------------------------------------------
     /** A forwarder has died. */
-    public void died(int forwarder, long at) {
+    public void forwarderDied(int forwarder, long at) {
         count("restarts");
         downs.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
         waits.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -72,7 +72,7 @@
 
     private void onExit(int forwarder) {
         partners.forEach(p -> p.disconnectAll(forwarder));
-        auditor.died(forwarder, timeline.nowMicros());
+        auditor.forwarderDied(forwarder, timeline.nowMicros());
         loadBalancer.onExit(forwarder);
         clients.onForwarderExit(forwarder);
     }
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -121,11 +121,11 @@
     @Test
     void aRestartPutsEndsOff() {
         taken(1, STATUS, 0);
-        auditor.died(0, 5 * S);
+        auditor.forwarderDied(0, 5 * S);
         auditor.ready(0, 8 * S);
         auditor.noticeReceived(1, "undeliverable", 9 * S);
         taken(2, STATUS, 20 * S);
-        auditor.died(0, 25 * S);
+        auditor.forwarderDied(0, 25 * S);
         auditor.ready(0, 26 * S);
         auditor.noticeReceived(2, "undeliverable", 28 * S);
         assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
@@ -151,7 +151,7 @@
         assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 500_010, "full", true);
         assertEquals(Set.of(Rule.WAIT), auditor.breachCounts().keySet());
-        auditor.died(0, S + 600_000);
+        auditor.forwarderDied(0, S + 600_000);
         attempt(1, S + 700_000, "full", true);
         assertEquals(1, auditor.breachCounts().get(Rule.WAIT));
     }
