--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -369,7 +369,7 @@
     }
 
     /** It is ready again. */
-    public void ready(int forwarder, long at) {
+    public void forwarderReady(int forwarder, long at) {
         ArrayDeque<long[]> all = downs.get(forwarder);
         if (all != null) {
             all.peekLast()[1] = at + RESTART;
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -80,7 +80,7 @@
     /** A forwarder is ready to serve. */
     void onReady(int forwarder) {
         everReady.add(forwarder);
-        auditor.ready(forwarder, timeline.nowMicros());
+        auditor.forwarderReady(forwarder, timeline.nowMicros());
         directory.onReady(forwarder);
         timeline.after(READY_DETECTION_MICROS, () -> loadBalancer.onReady(forwarder));
     }
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -122,11 +122,11 @@
     void aRestartPutsEndsOff() {
         taken(1, STATUS, 0);
         auditor.forwarderDied(0, 5 * S);
-        auditor.ready(0, 8 * S);
+        auditor.forwarderReady(0, 8 * S);
         auditor.noticeReceived(1, "undeliverable", 9 * S);
         taken(2, STATUS, 20 * S);
         auditor.forwarderDied(0, 25 * S);
-        auditor.ready(0, 26 * S);
+        auditor.forwarderReady(0, 26 * S);
         auditor.noticeReceived(2, "undeliverable", 28 * S);
         assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
     }
