--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -381,7 +381,7 @@
 
     // ---- the end ----------------------------------------------------------------------------------------
     /** Closes the stories of messages whose time was over long ago. Once a second is enough. */
-    public void sweep(long now) {
+    public void closeExpired(long now) {
         for (Iterator<Story> i = open.values().iterator(); i.hasNext(); ) {
             Story s = i.next();
             if (s.firstAt + KEEP > now || s.due + KEEP > now) {
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -289,7 +289,7 @@
     }
 
     private void runEverySecond(LongConsumer progress) {
-        auditor.sweep(nowMicros());
+        auditor.closeExpired(nowMicros());
         int pendingCount = forwarders.pendingCount();
         if (pendingCount >= 0) {
             series.add("held", pendingCount);
