--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -84,8 +84,8 @@
         List<Breach> breaches = r.auditor().breaches();
         for (Breach b : breaches.subList(0, Math.min(5, breaches.size()))) {
             all.append("<p>").append(escape(b.what())).append("</p>");
-            if (!b.story().isEmpty()) {
-                all.append("<pre>").append(escape(String.join("\n", b.story()))).append("</pre>\n");
+            if (!b.history().isEmpty()) {
+                all.append("<pre>").append(escape(String.join("\n", b.history()))).append("</pre>\n");
             }
         }
     }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -100,7 +100,7 @@
             o.addProperty("at_s", b.atMicros() / 1e6);
             o.addProperty("what", b.what());
             JsonArray lines = new JsonArray();
-            b.story().forEach(lines::add);
+            b.history().forEach(lines::add);
             o.add("story", lines);
             stories.add(o);
         }
@@ -230,7 +230,7 @@
                         .append(" times\n"));
         Breach first = r.auditor().breaches().get(0);
         all.append("first: ").append(first.what()).append('\n');
-        first.story().forEach(line -> all.append("    ").append(line).append('\n'));
+        first.history().forEach(line -> all.append("    ").append(line).append('\n'));
         return all.toString();
     }
 }
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -77,7 +77,7 @@
         attempt(1, 2 * S, null, false);
         auditor.noticeReceived(1, "undeliverable", 3 * S);
         assertEquals(Set.of(Rule.REPEAT), broken());
-        assertTrue(auditor.breaches().get(0).story().stream().anyMatch(l -> l.contains("given up")));
+        assertTrue(auditor.breaches().get(0).history().stream().anyMatch(l -> l.contains("given up")));
     }
 
     @Test
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -95,7 +95,7 @@
         assertTrue(result.auditor().breachCounts().containsKey(rule), () -> Report.summary(result));
         assertTrue(rule == Rule.FAIL_BACK
                 || result.auditor().breaches().stream()
-                        .anyMatch(b -> b.rule() == rule && !b.story().isEmpty()));
+                        .anyMatch(b -> b.rule() == rule && !b.history().isEmpty()));
     }
 
     /**
