--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -83,7 +83,7 @@
         all.append("</ul>\n");
         List<Breach> breaches = r.auditor().breaches();
         for (Breach b : breaches.subList(0, Math.min(5, breaches.size()))) {
-            all.append("<p>").append(escape(b.what())).append("</p>");
+            all.append("<p>").append(escape(b.description())).append("</p>");
             if (!b.history().isEmpty()) {
                 all.append("<pre>").append(escape(String.join("\n", b.history()))).append("</pre>\n");
             }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -98,7 +98,7 @@
             JsonObject o = new JsonObject();
             o.addProperty("rule", name(b.rule()));
             o.addProperty("at_s", b.atMicros() / 1e6);
-            o.addProperty("what", b.what());
+            o.addProperty("what", b.description());
             JsonArray lines = new JsonArray();
             b.history().forEach(lines::add);
             o.add("story", lines);
@@ -229,7 +229,7 @@
                         .append(n)
                         .append(" times\n"));
         Breach first = r.auditor().breaches().get(0);
-        all.append("first: ").append(first.what()).append('\n');
+        all.append("first: ").append(first.description()).append('\n');
         first.history().forEach(line -> all.append("    ").append(line).append('\n'));
         return all.toString();
     }
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -106,7 +106,7 @@
         assertTrue(
                 r.auditor().breaches().stream()
                         .anyMatch(b ->
-                                b.rule() == Rule.INVARIANT && b.what().contains("forwarder 0 died: exit code 137")),
+                                b.rule() == Rule.INVARIANT && b.description().contains("forwarder 0 died: exit code 137")),
                 () -> r.auditor().breaches().toString());
     }
 
