--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -95,7 +95,7 @@
     }
 
     /** What comes off, a share. */
-    public double deductions(Prices p) {
+    public double deductions(DeductionRates p) {
         double tries = Math.max(1, firstTries);
         return (p.connection() * Math.min(1, connections / tries)
                         + p.probe() * Math.min(1, probes / tries)
@@ -105,7 +105,7 @@
     }
 
     /** The figure, 0 to 1. */
-    public double figure(Prices p) {
+    public double figure(DeductionRates p) {
         return Math.max(0, WHOLE * whole() + WORST_WINDOW * worstWindow() + WORST_CLASS * worstClass() - deductions(p));
     }
 
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import lilaclever.lab.audit.Breach;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.audit.Service;
 import lilaclever.lab.model.MessageClass;
 import lilaclever.lab.world.RehearsalResult;
@@ -58,7 +58,7 @@
         all.append("<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
                 + "</tr><tr>");
         for (double x : new double[] {
-            s.figure(Prices.USUAL), s.whole(), s.worstWindow(), s.worstClass(), s.deductions(Prices.USUAL)
+            s.figure(DeductionRates.USUAL), s.whole(), s.worstWindow(), s.worstClass(), s.deductions(DeductionRates.USUAL)
         }) {
             all.append("<td>").append(String.format(Locale.ROOT, "%.3f", x)).append("</td>");
         }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongConsumer;
 import lilaclever.conf.ConfigurationException;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.model.Traffic;
 import lilaclever.lab.report.Comparison;
 import lilaclever.lab.report.Report;
@@ -198,7 +198,7 @@
                                 System.out.println(result.timingQuality().summary());
                             }
                         }
-                        services.add(result.auditor().service().figure(Prices.USUAL));
+                        services.add(result.auditor().service().figure(DeductionRates.USUAL));
                     });
         } finally {
             interrupt.finish();
@@ -299,7 +299,7 @@
                         i -> VirtualRehearsal.run(
                                 point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
                         result -> {
-                            services.add(result.auditor().service().figure(Prices.USUAL));
+                            services.add(result.auditor().service().figure(DeductionRates.USUAL));
                             broken.addAndGet(result.auditor().breachCounts().size());
                         });
                 if (interrupt.isRequested()) {
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -170,8 +170,8 @@
         assertEquals(0.5, s.whole(), 1e-9);
         assertEquals(0, s.worstWindow(), 1e-9);
         assertEquals(0.5, s.worstClass(), 1e-9);
-        assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new Prices(0, 0, 0, 0)), 1e-9);
+        assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
         s.connection();
-        assertEquals(0.06 / 20, s.deductions(new Prices(6, 3, 3, 1.4)), 1e-9);
+        assertEquals(0.06 / 20, s.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
     }
 }
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import lilaclever.conf.ConfigurationException;
 import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.report.Comparison;
 import lilaclever.lab.report.Report;
 import lilaclever.lab.scenario.Scenario;
@@ -78,7 +78,7 @@
 
     @Test
     void quietScenarioReachesServiceGoal() throws ConfigurationException {
-        assertTrue(run("quiet", Fault.NONE).auditor().service().figure(Prices.USUAL) > 0.9);
+        assertTrue(run("quiet", Fault.NONE).auditor().service().figure(DeductionRates.USUAL) > 0.9);
     }
 
     /** Guards against an auditor that detects nothing: each fault must be reported under the rule that it breaks. */
