--- a/src/main/java/lilaclever/lab/audit/DeductionRates.java
+++ b/src/main/java/lilaclever/lab/audit/DeductionRates.java
@@ -3,5 +3,5 @@
 /** What is taken off the service, in points of a hundred, each times its share or rate. */
 public record DeductionRates(double connection, double waste, double lateFail, double probe) {
     /** As at the exchange that the forwarder was built for. */
-    public static final DeductionRates USUAL = new DeductionRates(6, 3, 3, 1.4);
+    public static final DeductionRates DEFAULT = new DeductionRates(6, 3, 3, 1.4);
 }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -61,11 +61,11 @@
         if (r.timingQuality() != null) {
             all.add("trust", trust(r.timingQuality()));
         }
-        all.addProperty("service", round(s.figure(DeductionRates.USUAL)));
+        all.addProperty("service", round(s.figure(DeductionRates.DEFAULT)));
         all.addProperty("whole_run", round(s.whole()));
         all.addProperty("worst_10_s", round(s.worstWindow()));
         all.addProperty("worst_class", round(s.worstClass()));
-        all.addProperty("deductions", round(s.deductions(DeductionRates.USUAL)));
+        all.addProperty("deductions", round(s.deductions(DeductionRates.DEFAULT)));
         JsonObject broken = new JsonObject();
         a.breachCounts().forEach((rule, n) -> broken.addProperty(name(rule), n));
         all.add("broken_rules", broken);
@@ -190,11 +190,11 @@
                 r.scenario().name(),
                 r.seed(),
                 r.isPartial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
-                s.figure(DeductionRates.USUAL),
+                s.figure(DeductionRates.DEFAULT),
                 s.whole(),
                 s.worstWindow(),
                 s.worstClass(),
-                s.deductions(DeductionRates.USUAL)));
+                s.deductions(DeductionRates.DEFAULT)));
         Map<String, Long> counts = r.auditor().counts();
         long messages = counts.getOrDefault("messages", 0L);
         all.append(String.format(
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -198,7 +198,7 @@
                                 System.out.println(result.timingQuality().summary());
                             }
                         }
-                        services.add(result.auditor().service().figure(DeductionRates.USUAL));
+                        services.add(result.auditor().service().figure(DeductionRates.DEFAULT));
                     });
         } finally {
             interrupt.finish();
@@ -299,7 +299,7 @@
                         i -> VirtualRehearsal.run(
                                 point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::isRequested),
                         result -> {
-                            services.add(result.auditor().service().figure(DeductionRates.USUAL));
+                            services.add(result.auditor().service().figure(DeductionRates.DEFAULT));
                             broken.addAndGet(result.auditor().breachCounts().size());
                         });
                 if (interrupt.isRequested()) {
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -78,7 +78,7 @@
 
     @Test
     void quietScenarioReachesServiceGoal() throws ConfigurationException {
-        assertTrue(run("quiet", Fault.NONE).auditor().service().figure(DeductionRates.USUAL) > 0.9);
+        assertTrue(run("quiet", Fault.NONE).auditor().service().figure(DeductionRates.DEFAULT) > 0.9);
     }
 
     /** Guards against an auditor that detects nothing: each fault must be reported under the rule that it breaks. */
