--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -42,7 +42,7 @@
     }
 
     /** A new connection to a partner. */
-    public void connection() {
+    public void addConnection() {
         connections++;
     }
 
--- a/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
@@ -52,7 +52,7 @@
                     socket.close();
                     return;
                 }
-                world.auditor().service().connection();
+                world.auditor().service().addConnection();
                 PartnerConnection connection = new PartnerConnection(
                         world,
                         timeline,
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -98,7 +98,7 @@
                 world.onAttemptStarted(m.id(), forwarderNumber, host, call.endpoint.destination(), world.nowMicros()));
         boolean isReused = idleConnections.acquire(host, world.nowMicros()) != null;
         if (!isReused) {
-            world.auditor().service().connection();
+            world.auditor().service().addConnection();
         }
         long arrivesAtMicros = world.nowMicros()
                 + world.networkDelayMicros() * (isReused ? 1 : NEW_CONNECTION_TRIPS)
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -171,7 +171,7 @@
         assertEquals(0, s.worstWindow(), 1e-9);
         assertEquals(0.5, s.worstClass(), 1e-9);
         assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
-        s.connection();
+        s.addConnection();
         assertEquals(0.06 / 20, s.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
     }
 }
