--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -47,7 +47,7 @@
     }
 
     /** A probe. */
-    public void probe() {
+    public void addProbe() {
         probes++;
     }
 
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -253,7 +253,7 @@
         if (isClosed) {
             return;
         }
-        world.auditor().service().probe();
+        world.auditor().service().addProbe();
         Answer answer = partner.call(host, forwarder, new long[] {1000}, timeline.nowMicros());
         String status = switch (answer.status()) {
             case DELIVERED -> "200 OK";
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -260,7 +260,7 @@
     @Override
     public void probe(Call.Endpoint endpoint) {
         long sentMicros = world.nowMicros();
-        world.auditor().service().probe();
+        world.auditor().service().addProbe();
         Partner partner = world.partner(endpoint.destination());
         runUnlessKilled(sentMicros + 2 * world.networkDelayMicros(), () -> {
             Answer answer =
