--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -52,7 +52,7 @@
     }
 
     /** Work that a partner did, microseconds; wasted where it delivered nothing. */
-    public void work(long micros, boolean wasted) {
+    public void addWork(long micros, boolean wasted) {
         workWasted += wasted ? micros : 0;
     }
 
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -180,7 +180,7 @@
 
     /** A partner has processed a message; {@code isAnswered} if its answer goes out on an open connection. */
     public void onProcessed(String id, boolean isAnswered) {
-        auditor.service().work(clients.workMicros(id), !isAnswered);
+        auditor.service().addWork(clients.workMicros(id), !isAnswered);
         if (isAnswered) {
             int number = messageNumber(id);
             auditor.attemptEnded(number, "delivered", false, nowMicros());
