--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -62,7 +62,7 @@
     }
 
     /** The share of the whole run. */
-    public double whole() {
+    public double wholeRun() {
         return share(sum(classGot), sum(classAsked));
     }
 
@@ -106,7 +106,7 @@
 
     /** The figure, 0 to 1. */
     public double figure(DeductionRates p) {
-        return Math.max(0, WHOLE * whole() + WORST_WINDOW * worstWindow() + WORST_CLASS * worstClass() - deductions(p));
+        return Math.max(0, WHOLE * wholeRun() + WORST_WINDOW * worstWindow() + WORST_CLASS * worstClass() - deductions(p));
     }
 
     /** The share of each second; no number where nothing was asked. */
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -58,7 +58,7 @@
         all.append("<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
                 + "</tr><tr>");
         for (double x : new double[] {
-            s.figure(DeductionRates.DEFAULT), s.whole(), s.worstWindow(), s.worstClass(), s.deductions(DeductionRates.DEFAULT)
+            s.figure(DeductionRates.DEFAULT), s.wholeRun(), s.worstWindow(), s.worstClass(), s.deductions(DeductionRates.DEFAULT)
         }) {
             all.append("<td>").append(String.format(Locale.ROOT, "%.3f", x)).append("</td>");
         }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -62,7 +62,7 @@
             all.add("trust", trust(r.timingQuality()));
         }
         all.addProperty("service", round(s.figure(DeductionRates.DEFAULT)));
-        all.addProperty("whole_run", round(s.whole()));
+        all.addProperty("whole_run", round(s.wholeRun()));
         all.addProperty("worst_10_s", round(s.worstWindow()));
         all.addProperty("worst_class", round(s.worstClass()));
         all.addProperty("deductions", round(s.deductions(DeductionRates.DEFAULT)));
@@ -191,7 +191,7 @@
                 r.seed(),
                 r.isPartial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
                 s.figure(DeductionRates.DEFAULT),
-                s.whole(),
+                s.wholeRun(),
                 s.worstWindow(),
                 s.worstClass(),
                 s.deductions(DeductionRates.DEFAULT)));
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -167,7 +167,7 @@
         }
         auditor.finish(300 * S);
         Service s = auditor.service();
-        assertEquals(0.5, s.whole(), 1e-9);
+        assertEquals(0.5, s.wholeRun(), 1e-9);
         assertEquals(0, s.worstWindow(), 1e-9);
         assertEquals(0.5, s.worstClass(), 1e-9);
         assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -162,7 +162,7 @@
                         "for 1h",
                         "part 100%"));
         RehearsalResult result = run(scenario, 1, Fault.NONE);
-        assertEquals(0, result.auditor().service().whole());
+        assertEquals(0, result.auditor().service().wholeRun());
         assertEquals(Map.of(), result.auditor().breachCounts());
     }
 }
