--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -22,7 +22,7 @@
      * The forwarders and what they are allowed.
      *
      * @param ratePerSecond of the whole fleet at full load
-     * @param slotsRoom slots over what a forwarder's part of the full load keeps busy
+     * @param slotFactor slots over what a forwarder's part of the full load keeps busy
      * @param holdSeconds messages that a forwarder may hold, in seconds of its part of the full load
      * @param directoryDelay how late the directory tells a change
      * @param frontMemory how long the front goes on sending to a dead forwarder
@@ -34,7 +34,7 @@
             double ratePerSecond,
             double zipf,
             double[] endpoints,
-            double slotsRoom,
+            double slotFactor,
             int leastSlots,
             double holdSeconds,
             int leastHeld,
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -59,7 +59,7 @@
         return new DecisionModule.Limits(
                 fleet.mostAttempts(),
                 Math.max(fleet.leastHeld(), (int) (fleet.holdSeconds() * ratePerSecond)),
-                Math.max(fleet.leastSlots(), (int) Math.ceil(fleet.slotsRoom() * busyCalls)),
+                Math.max(fleet.leastSlots(), (int) Math.ceil(fleet.slotFactor() * busyCalls)),
                 true,
                 true,
                 false,
