--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -35,7 +35,7 @@
             double zipf,
             double[] endpoints,
             double slotFactor,
-            int leastSlots,
+            int minSlots,
             double holdSeconds,
             int leastHeld,
             long roundMicros,
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -59,7 +59,7 @@
         return new DecisionModule.Limits(
                 fleet.mostAttempts(),
                 Math.max(fleet.leastHeld(), (int) (fleet.holdSeconds() * ratePerSecond)),
-                Math.max(fleet.leastSlots(), (int) Math.ceil(fleet.slotFactor() * busyCalls)),
+                Math.max(fleet.minSlots(), (int) Math.ceil(fleet.slotFactor() * busyCalls)),
                 true,
                 true,
                 false,
