--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -37,7 +37,7 @@
             double slotFactor,
             int minSlots,
             double pendingSeconds,
-            int leastHeld,
+            int minPending,
             long roundMicros,
             int mostAttempts,
             long connectMicros,
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -58,7 +58,7 @@
     private DecisionModule.Limits limits() {
         return new DecisionModule.Limits(
                 fleet.mostAttempts(),
-                Math.max(fleet.leastHeld(), (int) (fleet.pendingSeconds() * ratePerSecond)),
+                Math.max(fleet.minPending(), (int) (fleet.pendingSeconds() * ratePerSecond)),
                 Math.max(fleet.minSlots(), (int) Math.ceil(fleet.slotFactor() * busyCalls)),
                 true,
                 true,
