--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -39,7 +39,7 @@
             double pendingSeconds,
             int minPending,
             long roundMicros,
-            int mostAttempts,
+            int maxAttempts,
             long connectMicros,
             long keepAliveMicros,
             long networkMicros,
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -57,7 +57,7 @@
 
     private DecisionModule.Limits limits() {
         return new DecisionModule.Limits(
-                fleet.mostAttempts(),
+                fleet.maxAttempts(),
                 Math.max(fleet.minPending(), (int) (fleet.pendingSeconds() * ratePerSecond)),
                 Math.max(fleet.minSlots(), (int) Math.ceil(fleet.slotFactor() * busyCalls)),
                 true,
