--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -40,7 +40,7 @@
             int minPending,
             long roundMicros,
             int maxAttempts,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
             long networkMicros,
             long handshakeMicros,
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -64,7 +64,7 @@
                 true,
                 false,
                 1,
-                fleet.connectMicros(),
+                fleet.connectTimeoutMicros(),
                 fleet.keepAliveMicros(),
                 true,
                 MAX_RETRY_AFTER_MICROS);
