--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -24,7 +24,7 @@
      * @param ratePerSecond of the whole fleet at full load
      * @param slotFactor slots over what a forwarder's part of the full load keeps busy
      * @param pendingSeconds messages that a forwarder may hold, in seconds of its part of the full load
-     * @param directoryDelay how late the directory tells a change
+     * @param directoryDelayMicros how late the directory tells a change
      * @param frontMemory how long the front goes on sending to a dead forwarder
      * @param comesAgain how long a client waits before it hands in again what was refused, or what a dead forwarder had
      */
@@ -44,7 +44,7 @@
             long keepAliveMicros,
             long networkMicros,
             long handshakeMicros,
-            long[] directoryDelay,
+            long[] directoryDelayMicros,
             long[] frontMemory,
             int clientRetries,
             long[] comesAgain,
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -84,7 +84,7 @@
      */
     void replaceEndpoint(String host, Partner partner, long drainsForMicros) {
         notifyForwarders(List.of(addEndpoint(partner), change(host, Presence.LEAVING)));
-        long longestDelayMicros = scenario.fleet().directoryDelay()[1];
+        long longestDelayMicros = scenario.fleet().directoryDelayMicros()[1];
         long staysForMicros =
                 drainsForMicros + longestDelayMicros + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN_MICROS;
         timeline.after(staysForMicros, () -> {
@@ -132,7 +132,7 @@
         long newVersion = ++version;
         for (ForwarderHandle forwarder : forwarders) {
             int number = forwarder.number();
-            long atMicros = timeline.nowMicros() + random.in(scenario.fleet().directoryDelay());
+            long atMicros = timeline.nowMicros() + random.in(scenario.fleet().directoryDelayMicros());
             atMicros = Math.max(Math.max(atMicros, latestUpdateMicros[number]), updatesDelayedUntilMicros[number]);
             latestUpdateMicros[number] = atMicros;
             timeline.at(atMicros, () -> deliver(forwarder, newVersion, changed));
