--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -25,7 +25,7 @@
      * @param slotFactor slots over what a forwarder's part of the full load keeps busy
      * @param pendingSeconds messages that a forwarder may hold, in seconds of its part of the full load
      * @param directoryDelayMicros how late the directory tells a change
-     * @param frontMemory how long the front goes on sending to a dead forwarder
+     * @param frontMemoryMicros how long the front goes on sending to a dead forwarder
      * @param comesAgain how long a client waits before it hands in again what was refused, or what a dead forwarder had
      */
     public record Fleet(
@@ -45,7 +45,7 @@
             long networkMicros,
             long handshakeMicros,
             long[] directoryDelayMicros,
-            long[] frontMemory,
+            long[] frontMemoryMicros,
             int clientRetries,
             long[] comesAgain,
             Partner.Cold cold,
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -59,7 +59,7 @@
                 new EndpointDirectory(scenario, fault, timeline, auditor, new RandomStream(seed, "directory"), members);
         partners = new PartnerFactory(scenario, seed).create(weights, directory);
         LoadBalancer loadBalancer =
-                new LoadBalancer(timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemory());
+                new LoadBalancer(timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemoryMicros());
         clients = new SimulatedClients(
                 scenario, timeline, auditor, series, loadBalancer, members, new RandomStream(seed, "clients"));
         forwarders = new ForwarderFleet(members, partners, directory, loadBalancer, clients, timeline, auditor);
