--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -26,7 +26,7 @@
      * @param pendingSeconds messages that a forwarder may hold, in seconds of its part of the full load
      * @param directoryDelayMicros how late the directory tells a change
      * @param frontMemoryMicros how long the front goes on sending to a dead forwarder
-     * @param comesAgain how long a client waits before it hands in again what was refused, or what a dead forwarder had
+     * @param resubmitDelayMicros how long a client waits before it hands in again what was refused, or what a dead forwarder had
      */
     public record Fleet(
             int forwarders,
@@ -47,7 +47,7 @@
             long[] directoryDelayMicros,
             long[] frontMemoryMicros,
             int clientRetries,
-            long[] comesAgain,
+            long[] resubmitDelayMicros,
             Partner.Cold cold,
             long drainGraceMicros,
             long diskBytes) {}
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -146,7 +146,7 @@
     private void resubmit(String id) {
         Arrival arrival = arrivals.get(messageNumber(id));
         if (arrival != null) {
-            timeline.after(random.in(scenario.fleet().comesAgain()), () -> submit(arrival));
+            timeline.after(random.in(scenario.fleet().resubmitDelayMicros()), () -> submit(arrival));
         }
     }
 
@@ -189,7 +189,7 @@
 
     private void retry(int number, long retryAfterMicros) {
         int retriesLeftForMessage = retriesLeft.get(number);
-        long delayMicros = Math.max(retryAfterMicros, random.in(scenario.fleet().comesAgain()));
+        long delayMicros = Math.max(retryAfterMicros, random.in(scenario.fleet().resubmitDelayMicros()));
         if (retriesLeftForMessage > 0 && mayRetry(number, timeline.nowMicros() + delayMicros)) {
             retriesLeft.put(number, retriesLeftForMessage - 1);
             timeline.after(delayMicros, () -> submit(arrivals.get(number)));
