--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -75,10 +75,10 @@
                 ANSWER_SLACK_MICROS,
                 WATCH_WITHIN_MICROS,
                 fleet.drainGraceMicros(),
-                fleet.cold().initialCapacity(),
-                fleet.cold().rampMicros(),
-                fleet.cold().overloadFactor(),
-                fleet.cold().overloadMicros(),
+                fleet.partnerRecovery().initialCapacity(),
+                fleet.partnerRecovery().rampMicros(),
+                fleet.partnerRecovery().overloadFactor(),
+                fleet.partnerRecovery().overloadMicros(),
                 0);
     }
 }
