--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -262,7 +262,7 @@
         Traffic traffic = new Traffic(
                 scenario.traffic().shape(),
                 fleet.ratePerSecond(),
-                scenario.traffic().clumps(),
+                scenario.traffic().burstShare(),
                 scenario.traffic().clumpSeconds(),
                 scenario.classes(),
                 weights,
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -377,7 +377,7 @@
                 new Scenario.TrafficPlan(
                         s.traffic().lengthMicros(),
                         List.of(new Traffic.Point(0, load)),
-                        s.traffic().clumps(),
+                        s.traffic().burstShare(),
                         s.traffic().clumpSeconds(),
                         s.traffic().hl7()),
                 s.events());
