--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -263,7 +263,7 @@
                 scenario.traffic().shape(),
                 fleet.ratePerSecond(),
                 scenario.traffic().burstShare(),
-                scenario.traffic().clumpSeconds(),
+                scenario.traffic().burstSeconds(),
                 scenario.classes(),
                 weights,
                 partners);
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -378,7 +378,7 @@
                         s.traffic().lengthMicros(),
                         List.of(new Traffic.Point(0, load)),
                         s.traffic().burstShare(),
-                        s.traffic().clumpSeconds(),
+                        s.traffic().burstSeconds(),
                         s.traffic().hl7()),
                 s.events());
     }
