--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -56,14 +56,14 @@
      * What is handed in.
      *
      * @param burstShare the share of messages that come in clumps, and a clump's size in seconds of its partner's capacity
-     * @param hl7 the share of messages whose clients speak HL7; in virtual time there is no wire, and it changes
+     * @param hl7Share the share of messages whose clients speak HL7; in virtual time there is no wire, and it changes
      * nothing
      */
     public record TrafficPlan(
-            long lengthMicros, List<Traffic.Point> shape, double burstShare, double[] burstSeconds, double hl7) {
+            long lengthMicros, List<Traffic.Point> shape, double burstShare, double[] burstSeconds, double hl7Share) {
         /** True if the message comes by HL7: the same in each run. */
         public boolean byHl7(int number) {
-            return (number * 0x9E3779B97F4A7C15L >>> 40) / (double) (1 << 24) < hl7;
+            return (number * 0x9E3779B97F4A7C15L >>> 40) / (double) (1 << 24) < hl7Share;
         }
     }
 
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -74,7 +74,7 @@
             throw new UncheckedIOException(e);
         }
         httpSubmitter = new HttpSubmitter(world, timeline, address);
-        hl7Submitter = world.scenario().traffic().hl7() > 0 ? createHl7Submitter() : null;
+        hl7Submitter = world.scenario().traffic().hl7Share() > 0 ? createHl7Submitter() : null;
     }
 
     private Hl7Submitter createHl7Submitter() {
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -379,7 +379,7 @@
                         List.of(new Traffic.Point(0, load)),
                         s.traffic().burstShare(),
                         s.traffic().burstSeconds(),
-                        s.traffic().hl7()),
+                        s.traffic().hl7Share()),
                 s.events());
     }
 
