--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -62,7 +62,7 @@
     public record TrafficPlan(
             long lengthMicros, List<Traffic.Point> shape, double burstShare, double[] burstSeconds, double hl7Share) {
         /** True if the message comes by HL7: the same in each run. */
-        public boolean byHl7(int number) {
+        public boolean usesHl7(int number) {
             return (number * 0x9E3779B97F4A7C15L >>> 40) / (double) (1 << 24) < hl7Share;
         }
     }
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -240,7 +240,7 @@
 
     @Override
     public void submit(String id, Arrival arrival, long leftMicros) {
-        if (hl7Submitter != null && world.scenario().traffic().byHl7(arrival.number())) {
+        if (hl7Submitter != null && world.scenario().traffic().usesHl7(arrival.number())) {
             hl7Submitter.submit(id, arrival, leftMicros);
         } else {
             httpSubmitter.submit(id, arrival, leftMicros);
