--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -101,7 +101,7 @@
      */
     public record ScheduledEvent(
             String name,
-            EventType what,
+            EventType type,
             long[] at,
             long[] forMicros,
             double part,
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -47,7 +47,7 @@
     void plan(ScheduledEvent event) {
         long atMicros = random.in(event.at());
         long durationMicros = random.in(event.forMicros());
-        switch (event.what()) {
+        switch (event.type()) {
             case RESTART -> planRestarts(event, atMicros, durationMicros);
             case DRAIN -> planDrains(event, atMicros, durationMicros);
             case HOT -> planUnevenLoad(event, atMicros, durationMicros);
@@ -113,7 +113,7 @@
 
     private void planOutages(ScheduledEvent event, long atMicros, long durationMicros) {
         double strength = random.in(event.strength());
-        Partner.Outage outage = Partner.Outage.valueOf(event.what().name());
+        Partner.Outage outage = Partner.Outage.valueOf(event.type().name());
         for (Partner partner : somePartners(event)) {
             timeline.at(atMicros, () -> partner.startOutage(outage, strength, timeline.nowMicros() + durationMicros));
         }
