--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -91,7 +91,7 @@
     /**
      * Something that happens at a time, once or several times.
      *
-     * @param at when it begins, drawn
+     * @param startMicros when it begins, drawn
      * @param forMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
      * @param part of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
      * @param kind only partners of that kind; null: any
@@ -102,7 +102,7 @@
     public record ScheduledEvent(
             String name,
             EventType type,
-            long[] at,
+            long[] startMicros,
             long[] forMicros,
             double part,
             Target target,
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -45,7 +45,7 @@
 
     /** Draws the event's time and targets and schedules it. */
     void plan(ScheduledEvent event) {
-        long atMicros = random.in(event.at());
+        long atMicros = random.in(event.startMicros());
         long durationMicros = random.in(event.forMicros());
         switch (event.type()) {
             case RESTART -> planRestarts(event, atMicros, durationMicros);
