--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -92,7 +92,7 @@
      * Something that happens at a time, once or several times.
      *
      * @param startMicros when it begins, drawn
-     * @param forMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
+     * @param durationMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
      * @param part of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
      * @param kind only partners of that kind; null: any
      * @param strength SILENT and the like: none; FAILING: the share that fails; SLOW: how many times slower; LOWERED:
@@ -103,7 +103,7 @@
             String name,
             EventType type,
             long[] startMicros,
-            long[] forMicros,
+            long[] durationMicros,
             double part,
             Target target,
             String kind,
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -46,7 +46,7 @@
     /** Draws the event's time and targets and schedules it. */
     void plan(ScheduledEvent event) {
         long atMicros = random.in(event.startMicros());
-        long durationMicros = random.in(event.forMicros());
+        long durationMicros = random.in(event.durationMicros());
         switch (event.type()) {
             case RESTART -> planRestarts(event, atMicros, durationMicros);
             case DRAIN -> planDrains(event, atMicros, durationMicros);
