--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -93,7 +93,7 @@
      *
      * @param startMicros when it begins, drawn
      * @param durationMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
-     * @param part of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
+     * @param share of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
      * @param kind only partners of that kind; null: any
      * @param strength SILENT and the like: none; FAILING: the share that fails; SLOW: how many times slower; LOWERED:
      * the part of its limit that is left; HOT: the share of all traffic
@@ -104,7 +104,7 @@
             EventType type,
             long[] startMicros,
             long[] durationMicros,
-            double part,
+            double share,
             Target target,
             String kind,
             double[] strength,
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -59,7 +59,7 @@
     }
 
     private void planRestarts(ScheduledEvent event, long atMicros, long durationMicros) {
-        List<Integer> chosen = someForwarders(event.part());
+        List<Integer> chosen = someForwarders(event.share());
         for (int i = 0; i < chosen.size(); i++) {
             int forwarder = chosen.get(i);
             long downMicros = random.in(event.downMicros());
@@ -70,7 +70,7 @@
     private void planDrains(ScheduledEvent event, long atMicros, long durationMicros) {
         List<String> hosts = directory.hosts();
         shuffle(hosts);
-        int count = (int) Math.round(event.part() * hosts.size());
+        int count = (int) Math.round(event.share() * hosts.size());
         for (int i = 0; i < count; i++) {
             String host = hosts.get(i);
             long drainsForMicros = random.in(event.downMicros());
@@ -86,7 +86,7 @@
     }
 
     private void planUnevenLoad(ScheduledEvent event, long atMicros, long durationMicros) {
-        List<Integer> hot = someForwarders(event.part());
+        List<Integer> hot = someForwarders(event.share());
         double share = random.in(event.strength());
         int others = forwarderCount - hot.size();
         if (others == 0) {
@@ -99,7 +99,7 @@
     }
 
     private void planDirectoryDelays(ScheduledEvent event, long atMicros, long durationMicros) {
-        for (int forwarder : someForwarders(event.part())) {
+        for (int forwarder : someForwarders(event.share())) {
             timeline.at(atMicros, () -> directory.delayUpdates(forwarder, timeline.nowMicros() + durationMicros));
         }
     }
@@ -136,7 +136,7 @@
         } else if (event.target() == Target.SMALL) {
             Collections.reverse(all);
         }
-        return all.subList(0, Math.min(all.size(), atLeastOne(event.part(), all.size())));
+        return all.subList(0, Math.min(all.size(), atLeastOne(event.share(), all.size())));
     }
 
     private static int atLeastOne(double part, int count) {
