--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/lab/report/Comparison.java
@@ -51,7 +51,7 @@
     }
 
     /** The table. */
-    public static String of(Path a, Path b) throws IOException {
+    public static String table(Path a, Path b) throws IOException {
         TreeMap<String, JsonObject> first = read(a), second = read(b);
         List<String> both = first.keySet().stream().filter(second::containsKey).toList();
         StringBuilder all = new StringBuilder();
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -387,7 +387,7 @@
         if (operands.size() != 2) {
             throw new ConfigurationException("rehearse compare", "two folders of runs, not " + operands.size());
         }
-        System.out.print(Comparison.of(Path.of(operands.get(0)), Path.of(operands.get(1))));
+        System.out.print(Comparison.table(Path.of(operands.get(0)), Path.of(operands.get(1))));
         return EXIT_PASSED;
     }
 }
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -51,7 +51,7 @@
         assertTrue(Files.readString(folder.resolve("a/index.html")).contains("data:image/png;base64,"));
         Report.write(run(ScenarioReader.read("bad-afternoon"), 2, Fault.NONE), folder.resolve("c"));
         assertNotEquals(-1, Files.mismatch(folder.resolve("a/report.json"), folder.resolve("c/report.json")));
-        assertTrue(Comparison.of(folder.resolve("a"), folder.resolve("b"))
+        assertTrue(Comparison.table(folder.resolve("a"), folder.resolve("b"))
                 .contains("1 of them of the same scenario and seed"));
     }
 
