--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -317,7 +317,7 @@
                     Locale.ROOT,
                     "service stays at %.2f up to a load of %.0f%%%n",
                     minService,
-                    sweep.keepsUpTo(minService));
+                    sweep.highestLoadMeeting(minService));
         }
         System.out.println("plot: " + outputFolder(first).resolve("sweep.png"));
         return interrupt.isRequested() ? Interrupt.EXIT_CODE : allBroken.get() == 0 ? EXIT_PASSED : EXIT_RULES_BROKEN;
