--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -20,73 +20,73 @@
  */
 public final class Auditor {
     /** An end may come so late after a message's time, and so late after a restart. */
-    private static final long NOTICE = 300_000, RESTART = 1_500_000;
+    private static final long NOTICE_DELAY_MICROS = 300_000, RESTART_RECOVERY_MICROS = 1_500_000;
     /** Every limit of time is so much longer, and calls that cross a told wait are let through. */
-    private static final long SLACK = 50_000, CROSSING = 100_000;
+    private static final long TIMING_SLACK_MICROS = 50_000, CROSSING_CALLS_MICROS = 100_000;
 
-    private static final long KEEP = 30_000_000;
-    private static final int MOST_BREACHES = 1000, MOST_STORIES = 20;
+    private static final long RETENTION_MICROS = 30_000_000;
+    private static final int MAX_BREACHES = 1000, MAX_BREACHES_WITH_HISTORY = 20;
 
     /** One attempt. */
     private static final class Attempt {
-        final long at;
+        final long sentAtMicros;
         final String host;
-        boolean out = true;
+        boolean inProgress = true;
         /** The partner is known not to have run it. */
-        boolean neverRan;
+        boolean knownNotRun;
 
         Attempt(long at, String host) {
-            this.at = at;
+            this.sentAtMicros = at;
             this.host = host;
         }
     }
 
     /** One message, over all its hand-ins. */
-    private static final class Story {
+    private static final class MessageHistory {
         final int number, messageClass;
-        final long firstAt, due, work;
-        long deliveredAt = -1, takenAt = -1;
+        final long firstSubmittedMicros, deadlineMicros, workMicros;
+        long deliveredAtMicros = -1, acceptedAtMicros = -1;
         int forwarder = -1;
-        String noticed;
-        boolean refused;
+        String noticedStatus;
+        boolean rejected;
         /** Attempts of earlier hand-ins: what may come again is the client's own choice. */
-        int earlier;
+        int earlierAttempts;
 
         final List<Attempt> attempts = new ArrayList<>(2);
         final List<String> lines = new ArrayList<>(6);
 
-        Story(int number, int messageClass, long firstAt, long due, long work) {
+        MessageHistory(int number, int messageClass, long firstAt, long due, long work) {
             this.number = number;
             this.messageClass = messageClass;
-            this.firstAt = firstAt;
-            this.due = due;
-            this.work = work;
+            this.firstSubmittedMicros = firstAt;
+            this.deadlineMicros = due;
+            this.workMicros = work;
         }
 
-        void line(long at, String what) {
+        void addLine(long at, String what) {
             lines.add(String.format(java.util.Locale.ROOT, "%.3f s %s", at / 1e6, what));
         }
     }
 
     private final List<MessageClass> classes;
-    private final long drainGrace;
+    private final long drainGraceMicros;
     private final Service service;
     private final List<Histogram> latencies = new ArrayList<>();
-    private final Map<Integer, Story> open = new LinkedHashMap<>();
+    private final Map<Integer, MessageHistory> histories = new LinkedHashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
-    private final TreeMap<Rule, Integer> broken = new TreeMap<>();
+    private final TreeMap<Rule, Integer> breachCounts = new TreeMap<>();
     private final TreeMap<String, Long> counts = new TreeMap<>();
     /** When a forwarder was told that an endpoint drains or is gone. */
-    private final Map<String, Long> toldGone = new HashMap<>();
+    private final Map<String, Long> removalReportedMicros = new HashMap<>();
 
-    private final Map<String, long[]> waits = new HashMap<>();
+    private final Map<String, long[]> retryAfterPeriods = new HashMap<>();
     /** Each forwarder's times of being away, the last while: from its death to some time after it is ready. */
-    private final Map<Integer, ArrayDeque<long[]>> downs = new HashMap<>();
+    private final Map<Integer, ArrayDeque<long[]>> downtimes = new HashMap<>();
 
     /** An auditor of a run with these classes. */
     public Auditor(List<MessageClass> classes, long drainGraceMicros) {
         this.classes = classes;
-        this.drainGrace = drainGraceMicros;
+        this.drainGraceMicros = drainGraceMicros;
         service = new Service(classes.size());
         classes.forEach(c -> latencies.add(new Histogram(3_600_000_000L, 3)));
     }
@@ -108,7 +108,7 @@
 
     /** How often each rule was broken. */
     public Map<Rule, Integer> breachCounts() {
-        return broken;
+        return breachCounts;
     }
 
     /** What was counted. */
@@ -126,31 +126,31 @@
         breach(rule, at, what, null);
     }
 
-    private void breach(Rule rule, long at, String what, Story s) {
-        broken.merge(rule, 1, Integer::sum);
-        if (breaches.size() < MOST_BREACHES) {
+    private void breach(Rule rule, long at, String what, MessageHistory s) {
+        breachCounts.merge(rule, 1, Integer::sum);
+        if (breaches.size() < MAX_BREACHES) {
             breaches.add(new Breach(
-                    rule, at, what, s == null || breaches.size() >= MOST_STORIES ? List.of() : List.copyOf(s.lines)));
+                    rule, at, what, s == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY ? List.of() : List.copyOf(s.lines)));
         }
     }
 
     // ---- clients ----------------------------------------------------------------------------------------
     /** A message is handed in for the first time. */
     public void messageArrived(int number, int messageClass, int destination, long workMicros, long at) {
-        Story s = new Story(
+        MessageHistory s = new MessageHistory(
                 number, messageClass, at, at + classes.get(messageClass).terms().deadlineMicros(), workMicros);
-        s.line(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
-        open.put(number, s);
-        service.offered(workMicros);
+        s.addLine(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
+        histories.put(number, s);
+        service.addOfferedWork(workMicros);
         count("messages");
     }
 
     /** It is handed in to a forwarder. */
     public void submitted(int number, int forwarder, long at) {
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s != null) {
-            s.earlier = s.attempts.size();
-            s.line(at, "handed in to forwarder " + forwarder);
+            s.earlierAttempts = s.attempts.size();
+            s.addLine(at, "handed in to forwarder " + forwarder);
         }
         count("hand_ins");
     }
@@ -158,22 +158,22 @@
     /** The forwarder has told its client that it takes the message on. */
     public void accepted(int number, int forwarder, long at) {
         count("taken");
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s != null) {
-            s.takenAt = at;
+            s.acceptedAtMicros = at;
             s.forwarder = forwarder;
-            s.noticed = null;
-            s.line(at, "taken on");
+            s.noticedStatus = null;
+            s.addLine(at, "taken on");
         }
     }
 
     /** The client was turned away. */
     public void rejected(int number, long at, long comeBackMicros) {
         count("turned_down");
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s != null) {
-            s.refused = true;
-            s.line(
+            s.rejected = true;
+            s.addLine(
                     at,
                     "turned down" + (comeBackMicros > 0 ? ", to come back in " + comeBackMicros / 1000 + " ms" : ""));
         }
@@ -182,15 +182,15 @@
     /** The platform has had a notice of its end. */
     public void noticeReceived(int number, String status, long at) {
         count("notices_" + status);
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s == null) {
             return;
         }
-        s.line(at, "notice: " + status);
-        if (s.noticed != null && !s.noticed.equals(status)) {
-            breach(Rule.ONE_END, at, "message " + number + " has ended as " + s.noticed + " and as " + status, s);
+        s.addLine(at, "notice: " + status);
+        if (s.noticedStatus != null && !s.noticedStatus.equals(status)) {
+            breach(Rule.ONE_END, at, "message " + number + " has ended as " + s.noticedStatus + " and as " + status, s);
         }
-        s.noticed = status;
+        s.noticedStatus = status;
         if (status.equals("deferred")
                 && firstPossibleEffectMicros(number) >= 0
                 && classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
@@ -200,19 +200,19 @@
                     "message " + number + " may have run, and its client is asked to hand it in again",
                     s);
         }
-        if (late(s, at)) {
-            breach(Rule.ONE_END, at, "message " + number + " ended " + (at - s.due) / 1000 + " ms after its time", s);
+        if (isLate(s, at)) {
+            breach(Rule.ONE_END, at, "message " + number + " ended " + (at - s.deadlineMicros) / 1000 + " ms after its time", s);
         }
     }
 
-    private boolean late(Story s, long at) {
-        return at > s.due + NOTICE && !away(s.forwarder, s.due, at);
+    private boolean isLate(MessageHistory s, long at) {
+        return at > s.deadlineMicros + NOTICE_DELAY_MICROS && !wasDown(s.forwarder, s.deadlineMicros, at);
     }
 
     /** True if the forwarder was away when the end was due, or has just come back. */
-    private boolean away(int forwarder, long due, long at) {
-        for (long[] d : downs.getOrDefault(forwarder, new ArrayDeque<>())) {
-            if (d[0] <= due + NOTICE && due <= d[1] && at <= d[1]) {
+    private boolean wasDown(int forwarder, long due, long at) {
+        for (long[] d : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
+            if (d[0] <= due + NOTICE_DELAY_MICROS && due <= d[1] && at <= d[1]) {
                 return true;
             }
         }
@@ -223,12 +223,12 @@
     /** A forwarder sends a message: the first byte of the call leaves. */
     public void attemptStarted(int number, int forwarder, String host, int destination, long at) {
         count("attempts");
-        Long gone = toldGone.get(forwarder + " " + host);
-        Story s = open.get(number);
+        Long gone = removalReportedMicros.get(forwarder + " " + host);
+        MessageHistory s = histories.get(number);
         if (s != null) {
-            s.line(at, "forwarder " + forwarder + " sends it to " + host);
+            s.addLine(at, "forwarder " + forwarder + " sends it to " + host);
         }
-        if (gone != null && at > gone + drainGrace + SLACK) {
+        if (gone != null && at > gone + drainGraceMicros + TIMING_SLACK_MICROS) {
             breach(
                     Rule.DRAIN,
                     at,
@@ -236,7 +236,7 @@
                             + " ms after it was told that it drains or is gone",
                     s);
         }
-        checkWait(forwarder, destination, at, s);
+        checkRetryAfter(forwarder, destination, at, s);
         if (s != null) {
             checkRepeat(s, at);
             s.attempts.add(new Attempt(at, host));
@@ -248,12 +248,12 @@
      * either.
      */
     public void callArrived(int number, int forwarder, int destination, long at) {
-        checkWait(forwarder, destination, at, open.get(number));
+        checkRetryAfter(forwarder, destination, at, histories.get(number));
     }
 
-    private void checkWait(int forwarder, int destination, long at, Story s) {
-        long[] wait = waits.get(forwarder + " " + destination);
-        if (wait != null && at > wait[0] + CROSSING && at < wait[1]) {
+    private void checkRetryAfter(int forwarder, int destination, long at, MessageHistory s) {
+        long[] wait = retryAfterPeriods.get(forwarder + " " + destination);
+        if (wait != null && at > wait[0] + CROSSING_CALLS_MICROS && at < wait[1]) {
             breach(
                     Rule.WAIT,
                     at,
@@ -263,20 +263,20 @@
         }
     }
 
-    private void checkRepeat(Story s, long at) {
+    private void checkRepeat(MessageHistory s, long at) {
         long risk = -1;
         for (int i = 0; i < s.attempts.size(); i++) {
             Attempt a = s.attempts.get(i);
-            if (a.out) {
+            if (a.inProgress) {
                 breach(Rule.ONE_ATTEMPT, at, "message " + s.number + " is sent while an attempt is out", s);
             }
-            risk = i >= s.earlier && !a.neverRan && risk < 0 ? a.at : risk;
+            risk = i >= s.earlierAttempts && !a.knownNotRun && risk < 0 ? a.sentAtMicros : risk;
         }
         MessageClass c = classes.get(s.messageClass);
         RepeatSafety repeat = c.terms().repeat();
         if (risk >= 0
                 && (repeat == RepeatSafety.UNSAFE
-                        || repeat == RepeatSafety.KEYED && at > risk + c.terms().repeatWindowMicros() + SLACK)) {
+                        || repeat == RepeatSafety.KEYED && at > risk + c.terms().repeatWindowMicros() + TIMING_SLACK_MICROS)) {
             breach(
                     Rule.REPEAT,
                     at,
@@ -284,24 +284,24 @@
                             + " ms after an attempt that may have run",
                     s);
         }
-        if (s.noticed != null) {
-            breach(Rule.ONE_END, at, "message " + s.number + " is sent after it has ended as " + s.noticed, s);
+        if (s.noticedStatus != null) {
+            breach(Rule.ONE_END, at, "message " + s.number + " is sent after it has ended as " + s.noticedStatus, s);
         }
     }
 
     /** True while an attempt is out. */
     public boolean hasAttemptInProgress(int number) {
-        Story s = open.get(number);
-        return s != null && s.attempts.stream().anyMatch(a -> a.out);
+        MessageHistory s = histories.get(number);
+        return s != null && s.attempts.stream().anyMatch(a -> a.inProgress);
     }
 
     /** When the first attempt was made that may have run; -1 if none may have. */
     public long firstPossibleEffectMicros(int number) {
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s != null) {
             for (Attempt a : s.attempts) {
-                if (!a.neverRan) {
-                    return a.at;
+                if (!a.knownNotRun) {
+                    return a.sentAtMicros;
                 }
             }
         }
@@ -310,16 +310,16 @@
 
     /** The last attempt of a message is over, as the partner knows it. */
     public void attemptEnded(int number, String how, boolean neverRan, long at) {
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s == null || s.attempts.isEmpty()) {
             return;
         }
         for (int i = s.attempts.size() - 1; i >= 0; i--) {
             Attempt a = s.attempts.get(i);
-            if (a.out) {
-                a.out = false;
-                a.neverRan = neverRan;
-                s.line(at, how);
+            if (a.inProgress) {
+                a.inProgress = false;
+                a.knownNotRun = neverRan;
+                s.addLine(at, how);
                 count("ended_" + how.replace(' ', '_'));
                 return;
             }
@@ -328,14 +328,14 @@
 
     /** A partner's answer that it has the message is written, and its connection is open. */
     public void delivered(int number, long at) {
-        Story s = open.get(number);
+        MessageHistory s = histories.get(number);
         if (s == null) {
             return;
         }
-        if (s.deliveredAt < 0) {
-            s.deliveredAt = at;
+        if (s.deliveredAtMicros < 0) {
+            s.deliveredAtMicros = at;
             count("delivered");
-            latencies.get(s.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - s.firstAt)));
+            latencies.get(s.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - s.firstSubmittedMicros)));
         } else if (classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(Rule.REPEAT, at, classes.get(s.messageClass).name() + " " + number + " has taken effect twice", s);
         }
@@ -343,15 +343,15 @@
 
     /** A forwarder was told to wait. */
     public void retryAfterReceived(int forwarder, int destination, long at, long waitMicros) {
-        waits.merge(forwarder + " " + destination, new long[] {at, at + waitMicros}, (a, b) -> b[1] > a[1] ? b : a);
+        retryAfterPeriods.merge(forwarder + " " + destination, new long[] {at, at + waitMicros}, (a, b) -> b[1] > a[1] ? b : a);
     }
 
     /** A forwarder was told of an endpoint. */
     public void endpointReported(int forwarder, String host, boolean active, long at) {
         if (active) {
-            toldGone.remove(forwarder + " " + host);
+            removalReportedMicros.remove(forwarder + " " + host);
         } else {
-            toldGone.putIfAbsent(forwarder + " " + host, at);
+            removalReportedMicros.putIfAbsent(forwarder + " " + host, at);
         }
     }
 
@@ -359,20 +359,20 @@
     /** A forwarder has died. */
     public void forwarderDied(int forwarder, long at) {
         count("restarts");
-        downs.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
-        waits.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
-        for (Story s : open.values()) {
-            if (s.forwarder == forwarder && s.takenAt >= 0 && s.deliveredAt < 0) {
-                s.line(at, "forwarder " + forwarder + " dies");
+        downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
+        retryAfterPeriods.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
+        for (MessageHistory s : histories.values()) {
+            if (s.forwarder == forwarder && s.acceptedAtMicros >= 0 && s.deliveredAtMicros < 0) {
+                s.addLine(at, "forwarder " + forwarder + " dies");
             }
         }
     }
 
     /** It is ready again. */
     public void forwarderReady(int forwarder, long at) {
-        ArrayDeque<long[]> all = downs.get(forwarder);
+        ArrayDeque<long[]> all = downtimes.get(forwarder);
         if (all != null) {
-            all.peekLast()[1] = at + RESTART;
+            all.peekLast()[1] = at + RESTART_RECOVERY_MICROS;
             while (all.size() > 10) {
                 all.removeFirst();
             }
@@ -382,10 +382,10 @@
     // ---- the end ----------------------------------------------------------------------------------------
     /** Closes the stories of messages whose time was over long ago. Once a second is enough. */
     public void closeExpired(long now) {
-        for (Iterator<Story> i = open.values().iterator(); i.hasNext(); ) {
-            Story s = i.next();
-            if (s.firstAt + KEEP > now || s.due + KEEP > now) {
-                if (s.firstAt + KEEP > now) {
+        for (Iterator<MessageHistory> i = histories.values().iterator(); i.hasNext(); ) {
+            MessageHistory s = i.next();
+            if (s.firstSubmittedMicros + RETENTION_MICROS > now || s.deadlineMicros + RETENTION_MICROS > now) {
+                if (s.firstSubmittedMicros + RETENTION_MICROS > now) {
                     return; // the others are younger
                 }
                 continue;
@@ -393,33 +393,33 @@
             close(s, now);
             i.remove();
         }
-        waits.values().removeIf(w -> w[1] + KEEP < now);
+        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < now);
     }
 
     /** The run is over: closes all stories. */
     public void finish(long now) {
-        open.values().forEach(s -> close(s, now));
-        open.clear();
+        histories.values().forEach(s -> close(s, now));
+        histories.clear();
     }
 
-    private void close(Story s, long now) {
-        if (s.takenAt >= 0
-                && s.deliveredAt < 0
-                && s.noticed == null
-                && now > s.due + NOTICE
-                && !away(s.forwarder, s.due, now)) {
-            breach(Rule.ONE_END, s.due, "message " + s.number + " has no end", s);
+    private void close(MessageHistory s, long now) {
+        if (s.acceptedAtMicros >= 0
+                && s.deliveredAtMicros < 0
+                && s.noticedStatus == null
+                && now > s.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(s.forwarder, s.deadlineMicros, now)) {
+            breach(Rule.ONE_END, s.deadlineMicros, "message " + s.number + " has no end", s);
         }
         MessageClass c = classes.get(s.messageClass);
-        double got = s.deliveredAt < 0 ? 0 : c.worth(s.deliveredAt - s.firstAt);
-        service.count(s.messageClass, s.firstAt, c.terms().worth(), got, got == 0 && s.noticed != null);
+        double got = s.deliveredAtMicros < 0 ? 0 : c.worth(s.deliveredAtMicros - s.firstSubmittedMicros);
+        service.addMessage(s.messageClass, s.firstSubmittedMicros, c.terms().worth(), got, got == 0 && s.noticedStatus != null);
         count(
-                s.deliveredAt >= 0
+                s.deliveredAtMicros >= 0
                         ? "fate_delivered"
-                        : s.noticed != null
-                                ? "fate_" + s.noticed
-                                : s.refused
+                        : s.noticedStatus != null
+                                ? "fate_" + s.noticedStatus
+                                : s.rejected
                                         ? "fate_turned_down"
-                                        : s.takenAt >= 0 ? "fate_unknown" : "fate_never_taken");
+                                        : s.acceptedAtMicros >= 0 ? "fate_unknown" : "fate_never_taken");
     }
 }
--- a/src/main/java/lilaclever/lab/model/Traffic.java
+++ b/src/main/java/lilaclever/lab/model/Traffic.java
@@ -14,8 +14,8 @@
     public record Point(long atMicros, double load) {}
 
     private final List<Point> shape;
-    private final double perSecond, clumpShare;
-    private final double[] clumpSeconds;
+    private final double messagesPerSecond, burstShare;
+    private final double[] burstSeconds;
     private final List<MessageClass> classes;
     private final double[] weights;
     private final List<Partner> partners;
@@ -30,9 +30,9 @@
             double[] weights,
             List<Partner> partners) {
         this.shape = shape;
-        this.perSecond = perSecond;
-        this.clumpShare = clumpShare;
-        this.clumpSeconds = clumpSeconds;
+        this.messagesPerSecond = perSecond;
+        this.burstShare = clumpShare;
+        this.burstSeconds = clumpSeconds;
         this.classes = classes;
         this.weights = weights;
         this.partners = partners;
@@ -63,7 +63,7 @@
         List<Arrival> all = new ArrayList<>();
         double t = 0;
         while (most > 0) {
-            t += random.exponential(1e6 / (most * perSecond));
+            t += random.exponential(1e6 / (most * messagesPerSecond));
             if (t >= endMicros) {
                 break;
             }
@@ -73,8 +73,8 @@
             int found = java.util.Arrays.binarySearch(upTo, random.unit() * sum);
             int at = Math.min(weights.length - 1, found < 0 ? -found - 1 : found + 1);
             // Of all messages a share comes in clumps: the mean size of one is taken off the chance of beginning one.
-            double size = partners.get(at).capacity() * random.in(clumpSeconds);
-            int count = clumpShare > 0 && random.chance(clumpShare / Math.max(1, size)) ? Math.max(1, (int) size) : 1;
+            double size = partners.get(at).capacity() * random.in(burstSeconds);
+            int count = burstShare > 0 && random.chance(burstShare / Math.max(1, size)) ? Math.max(1, (int) size) : 1;
             for (int i = 0; i < count; i++) {
                 all.add(arrival((long) (t + i * 1000.0), at, random));
             }
--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/lab/report/Comparison.java
@@ -19,7 +19,7 @@
 public final class Comparison {
     private static final String[] FIGURES = {"service", "whole_run", "worst_10_s", "worst_class", "deductions"};
     /** Student's t at 97.5% for 1 to 30 degrees of freedom. */
-    private static final double[] T = {
+    private static final double[] STUDENT_T_97_5 = {
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120,
         2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042
     };
@@ -119,7 +119,7 @@
         double mean = mean(values);
         double squares =
                 values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum();
-        double half = (n - 1 <= T.length ? T[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
+        double half = (n - 1 <= STUDENT_T_97_5.length ? STUDENT_T_97_5[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
         return new double[] {mean - half, mean + half};
     }
 }
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -13,11 +13,11 @@
 
 /** The page of a run: one file with its plots in it. */
 final class Page {
-    private static final double[] NONE = {};
+    private static final double[] NO_VALUES = {};
 
     private Page() {}
 
-    static String of(RehearsalResult r) {
+    static String render(RehearsalResult r) {
         StringBuilder all = new StringBuilder(
                         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(r.scenario().name()))
@@ -76,7 +76,7 @@
         r.auditor()
                 .breachCounts()
                 .forEach((rule, n) -> all.append("<li>")
-                        .append(Report.name(rule))
+                        .append(Report.ruleName(rule))
                         .append(", ")
                         .append(n)
                         .append(" times</li>"));
@@ -118,7 +118,7 @@
     private static Map<String, double[]> pick(RehearsalResult r, String... names) {
         Map<String, double[]> picked = new LinkedHashMap<>();
         for (String n : names) {
-            double[] values = r.series().getOrDefault(n, NONE);
+            double[] values = r.series().getOrDefault(n, NO_VALUES);
             if (values.length > 0) {
                 picked.put(n.replace('_', ' '), values);
             }
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -124,7 +124,7 @@
         }
         chart.getXYPlot().setRenderer(renderer);
         chart.getXYPlot().getRangeAxis().setRange(0, 1.02);
-        ground(chart);
+        styleBackground(chart);
         return bytes(chart, WIDTH, HEIGHT + 100);
     }
 
@@ -142,10 +142,10 @@
             renderer.setSeriesStroke(i, new BasicStroke(1.6f));
         }
         chart.getXYPlot().setRenderer(renderer);
-        ground(chart);
+        styleBackground(chart);
     }
 
-    private static void ground(JFreeChart chart) {
+    private static void styleBackground(JFreeChart chart) {
         chart.setBackgroundPaint(Color.WHITE);
         chart.getXYPlot().setBackgroundPaint(new Color(0xfa, 0xfa, 0xfa));
         chart.getXYPlot().setDomainGridlinePaint(Color.LIGHT_GRAY);
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -46,7 +46,7 @@
                 r.auditor().latency(c).outputPercentileDistribution(text, 5, 1000.0); // milliseconds
             }
         }
-        Files.writeString(folder.resolve("index.html"), Page.of(r));
+        Files.writeString(folder.resolve("index.html"), Page.render(r));
     }
 
     /** All figures. */
@@ -67,7 +67,7 @@
         all.addProperty("worst_class", round(s.worstClass()));
         all.addProperty("deductions", round(s.deductions(DeductionRates.DEFAULT)));
         JsonObject broken = new JsonObject();
-        a.breachCounts().forEach((rule, n) -> broken.addProperty(name(rule), n));
+        a.breachCounts().forEach((rule, n) -> broken.addProperty(ruleName(rule), n));
         all.add("broken_rules", broken);
         JsonObject counts = new JsonObject();
         a.counts().forEach(counts::addProperty);
@@ -96,7 +96,7 @@
         JsonArray stories = new JsonArray();
         for (Breach b : a.breaches().subList(0, Math.min(20, a.breaches().size()))) {
             JsonObject o = new JsonObject();
-            o.addProperty("rule", name(b.rule()));
+            o.addProperty("rule", ruleName(b.rule()));
             o.addProperty("at_s", b.atMicros() / 1e6);
             o.addProperty("what", b.description());
             JsonArray lines = new JsonArray();
@@ -141,7 +141,7 @@
         return Math.round(x * 10_000) / 10_000.0;
     }
 
-    static String name(Breach.Rule rule) {
+    static String ruleName(Breach.Rule rule) {
         return rule.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
@@ -224,7 +224,7 @@
         r.auditor()
                 .breachCounts()
                 .forEach((rule, n) -> all.append("BROKEN ")
-                        .append(name(rule))
+                        .append(ruleName(rule))
                         .append(", ")
                         .append(n)
                         .append(" times\n"));
--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -48,7 +48,7 @@
             long[] frontMemoryMicros,
             int clientRetries,
             long[] resubmitDelayMicros,
-            Partner.Cold partnerRecovery,
+            Partner.Recovery partnerRecovery,
             long drainGraceMicros,
             long diskBytes) {}
 
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -39,8 +39,8 @@
             "partners-refuse",
             "bad-afternoon");
 
-    private static final long MS = 1000, SECOND = 1_000_000, HOUR = 3600 * SECOND;
-    private static final double MOST = 1e6;
+    private static final long MILLISECOND_MICROS = 1000, SECOND_MICROS = 1_000_000, HOUR_MICROS = 3600 * SECOND_MICROS;
+    private static final double MAX_REAL = 1e6;
     private static final Set<String> SECTIONS = Set.of("about", "fleet", "traffic", "kind", "class", "event");
 
     private final ConfFile file;
@@ -118,34 +118,34 @@
         return new Fleet(
                 forwarders,
                 (int) s.integer("destinations", 18, 1, 100_000),
-                s.decimal("rate", 65, 0.01, MOST),
+                s.decimal("rate", 65, 0.01, MAX_REAL),
                 s.decimal("zipf", 1, 0, 3),
                 s.range("endpoints", 1, 3, 1, 2_000),
                 s.decimal("slots-room", 2, 0.1, 100),
                 (int) s.integer("least-slots", 4, 1, 10_000),
                 s.decimal("hold", 5, 0.1, 1000),
                 (int) s.integer("least-held", 12, 1, 1_000_000),
-                s.durationMicros("round", 5 * MS, 100, SECOND),
+                s.durationMicros("round", 5 * MILLISECOND_MICROS, 100, SECOND_MICROS),
                 (int) s.integer("attempts", 8, 1, 100),
-                s.durationMicros("connect-timeout", 1500 * MS, MS, 60 * SECOND),
-                s.durationMicros("keep-alive", 15 * SECOND, 100 * MS, HOUR),
-                s.durationMicros("network", MS / 2, 0, SECOND),
-                s.durationMicros("handshake", 2 * MS, 0, SECOND),
-                s.durationRangeMicros("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
-                s.durationRangeMicros("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
+                s.durationMicros("connect-timeout", 1500 * MILLISECOND_MICROS, MILLISECOND_MICROS, 60 * SECOND_MICROS),
+                s.durationMicros("keep-alive", 15 * SECOND_MICROS, 100 * MILLISECOND_MICROS, HOUR_MICROS),
+                s.durationMicros("network", MILLISECOND_MICROS / 2, 0, SECOND_MICROS),
+                s.durationMicros("handshake", 2 * MILLISECOND_MICROS, 0, SECOND_MICROS),
+                s.durationRangeMicros("directory-delay", SECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
+                s.durationRangeMicros("front-memory", 1300 * MILLISECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
                 (int) s.integer("client-retries", 1, 0, 100),
-                s.durationRangeMicros("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
-                new Partner.Cold(
+                s.durationRangeMicros("comes-again", 770 * MILLISECOND_MICROS, 1900 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS),
+                new Partner.Recovery(
                         s.share("cold-from", 0.24, 1),
-                        s.durationMicros("cold-ramp", 9500 * MS, 0, HOUR),
+                        s.durationMicros("cold-ramp", 9500 * MILLISECOND_MICROS, 0, HOUR_MICROS),
                         s.decimal("tip", 1.5, 0.1, 100),
-                        s.durationMicros("tip-for", 3 * SECOND, 100 * MS, HOUR)),
-                s.durationMicros("drain-grace", 500 * MS, 0, 60 * SECOND),
+                        s.durationMicros("tip-for", 3 * SECOND_MICROS, 100 * MILLISECOND_MICROS, HOUR_MICROS)),
+                s.durationMicros("drain-grace", 500 * MILLISECOND_MICROS, 0, 60 * SECOND_MICROS),
                 s.sizeBytes("disk", 3 << 20, 1 << 17, 1L << 34));
     }
 
     private TrafficPlan traffic(Section s) throws ConfigurationException {
-        long length = s.durationMicros("length", 60 * SECOND, SECOND, 48 * HOUR);
+        long length = s.durationMicros("length", 60 * SECOND_MICROS, SECOND_MICROS, 48 * HOUR_MICROS);
         List<Traffic.Point> shape = new ArrayList<>();
         List<String> words = s.words("load");
         if (words.isEmpty()) {
@@ -156,7 +156,7 @@
         }
         for (int i = 0; i + 1 < words.size(); i += 2) {
             Traffic.Point p = new Traffic.Point(
-                    s.durationMicros("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
+                    s.durationMicros("load", words.get(i), 0, 48 * HOUR_MICROS), s.share("load", words.get(i + 1), 100));
             if (!shape.isEmpty() && p.atMicros() <= shape.get(shape.size() - 1).atMicros()) {
                 throw s.error("load", "times must grow: " + words.get(i));
             }
@@ -203,15 +203,15 @@
                 s.flag("large", lab),
                 limit,
                 s.range("headroom", 0.94, 1.9, 0.01, 1000),
-                s.range("least-rate", 1.9, 4, 0.001, MOST),
-                s.durationMicros("span", 2 * SECOND, 10 * MS, HOUR),
+                s.range("least-rate", 1.9, 4, 0.001, MAX_REAL),
+                s.durationMicros("span", 2 * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS),
                 s.range("spare", 1.15, 1.6, 0.1, 100),
                 s.range("depth", 0.3, 1, 0, 1000),
                 s.share("tells-wait", 0, 1),
-                s.durationRangeMicros("wait", 200 * MS, SECOND, 0, HOUR),
+                s.durationRangeMicros("wait", 200 * MILLISECOND_MICROS, SECOND_MICROS, 0, HOUR_MICROS),
                 s.share("refused-count", 1, 1),
-                s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MOST),
-                s.range("least-connections", 7.2, 15, 1, MOST),
+                s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MAX_REAL),
+                s.range("least-connections", 7.2, 15, 1, MAX_REAL),
                 s.decimal("variation", 0.5, 0, 10),
                 (int) s.integer("batch", lab ? 20 : 1, 1, 1000),
                 s.decimal("item-cost", 0.15, 0, 1));
@@ -281,22 +281,22 @@
             double worth,
             DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
-        long aim = s.durationMicros("aim", aimMs * MS, MS, HOUR);
-        long deadline = s.durationMicros("deadline", deadlineS * SECOND, 10 * MS, HOUR);
+        long aim = s.durationMicros("aim", aimMs * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS);
+        long deadline = s.durationMicros("deadline", deadlineS * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS);
         if (aim > deadline) {
             throw s.error("aim", "is after the deadline");
         }
         return new MessageClass(
                 name,
                 s.share("share", share, 1),
-                s.durationRangeMicros("work", leastMs * MS, mostMs * MS, 1, HOUR),
+                s.durationRangeMicros("work", leastMs * MILLISECOND_MICROS, mostMs * MILLISECOND_MICROS, 1, HOUR_MICROS),
                 new DecisionModule.MessageClass(
                         aim,
                         deadline,
-                        s.decimal("worth", worth, 0, MOST),
+                        s.decimal("worth", worth, 0, MAX_REAL),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
                         DecisionModule.KeyScope.ALL,
-                        s.durationMicros("window", 5 * SECOND, 0, HOUR),
+                        s.durationMicros("window", 5 * SECOND_MICROS, 0, HOUR_MICROS),
                         false,
                         s.share("late", late, 1),
                         true));
@@ -328,16 +328,16 @@
             all.add(new ScheduledEvent(
                     s.qualifier(),
                     what,
-                    s.durationRangeMicros("at", 0, 0, 0, 48 * HOUR),
-                    s.durationRangeMicros("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
+                    s.durationRangeMicros("at", 0, 0, 0, 48 * HOUR_MICROS),
+                    s.durationRangeMicros("for", 10 * SECOND_MICROS, 20 * SECOND_MICROS, MILLISECOND_MICROS, 48 * HOUR_MICROS),
                     s.share("part", what == EventType.RESTART || what == EventType.DRAIN ? 1 : 0.2, 1),
                     s.choice("target", Target.class, Target.ANY),
                     kind,
                     strength,
                     what == EventType.RESTART
-                            ? s.durationRangeMicros("down", 300 * MS, 1500 * MS, MS, HOUR)
+                            ? s.durationRangeMicros("down", 300 * MILLISECOND_MICROS, 1500 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS)
                             : what == EventType.DRAIN
-                                    ? s.durationRangeMicros("down", 2 * SECOND, 6 * SECOND, 0, HOUR)
+                                    ? s.durationRangeMicros("down", 2 * SECOND_MICROS, 6 * SECOND_MICROS, 0, HOUR_MICROS)
                                     : new long[] {0, 0}));
         }
         return all;
