--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -26,23 +26,23 @@
         new Random(1).nextBytes(body);
         try (Store store = Store.open(kind, folder)) {
             for (int i = 0; i < 4 * held; i++) {
-                store.taken("message-" + i, body);
-                store.attempt("message-" + i);
+                store.recordAccepted("message-" + i, body);
+                store.recordAttempt("message-" + i);
                 if (i >= held) {
-                    store.ended("message-" + (i - held));
+                    store.recordSettled("message-" + (i - held));
                 }
                 if (i % 10 == 0) {
-                    store.turn();
+                    store.endTurn();
                 }
             }
-            store.turn();
+            store.endTurn();
         }
     }
 
     private static void remember(int ends, Path folder) throws IOException {
         try (SegmentedJournal journal = new SegmentedJournal(
                 FolderDisk.lock(folder),
-                Store.MOST,
+                Store.MAX_BYTES,
                 Durability.NONE,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                 new java.util.SplittableRandom())) {
@@ -78,7 +78,7 @@
                     .findFirst()
                     .orElse("?");
             System.out.println(
-                    kind + " owed " + store.owed() + " opened in " + ms + " ms, " + peak.replaceAll("\\s+", " "));
+                    kind + " owed " + store.pendingCount() + " opened in " + ms + " ms, " + peak.replaceAll("\\s+", " "));
         }
     }
 }
--- a/src/main/java/lilaclever/lab/fleet/EventQueue.java
+++ b/src/main/java/lilaclever/lab/fleet/EventQueue.java
@@ -18,12 +18,12 @@
     }
 
     /** How many events were added so far. */
-    long added() {
+    long addedCount() {
         return added;
     }
 
     /** Lets something happen after a delay of 0 or more, microseconds. */
-    void after(long delayMicros, Runnable action) {
+    void schedule(long delayMicros, Runnable action) {
         if (size == times.length) {
             grow();
         }
--- a/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
@@ -5,15 +5,15 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import lilaclever.lab.fleet.FleetFigures.Figure;
-import lilaclever.lab.fleet.Schedule.Happening;
+import lilaclever.lab.fleet.Schedule.PhaseType;
 import lilaclever.lab.fleet.Schedule.Phase;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Plays a schedule with a fleet of hollow forwarders in virtual time. */
 public final class FleetSimulation {
-    private static final long SECOND = 1_000_000;
-    private static final long WARM_UP_MICROS = 60 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long WARM_UP_MICROS = 60 * SECOND_MICROS;
     /** All forwarders register within this time, so that few shards are placed before all members are known. */
     private static final int START_SPREAD_MICROS = 50_000;
 
@@ -54,7 +54,7 @@
                     FleetForwarders.clockOf(clocks, settings, queue),
                     Math.max(1, relaysOfRegion)));
         }
-        forwarders.regions(regions);
+        forwarders.setRegions(regions);
         publisher = new ConfigurationPublisher(
                 settings,
                 queue,
@@ -79,15 +79,15 @@
         long started = queue.now();
         regions.forEach(region -> region.traffic().reset());
         regions.forEach(region -> region.checker().gapMillis().reset());
-        forwarders.all().forEach(HollowForwarder::resetTraffic);
+        forwarders.all().forEach(SimulatedForwarder::resetTraffic);
         publisher.start();
         List<PhaseFigures> phases = new ArrayList<>();
         for (Phase phase : schedule.phases()) {
-            PhaseFigures figures = play(phase);
+            PhaseFigures figures = simulatePhase(phase);
             phaseEnded.accept(figures);
             phases.add(figures);
         }
-        double seconds = (queue.now() - started) / (double) SECOND;
+        double seconds = (queue.now() - started) / (double) SECOND_MICROS;
         return new FleetFigures(
                 settings,
                 schedule.label(),
@@ -98,28 +98,28 @@
                 measuredFigures(seconds));
     }
 
-    private PhaseFigures play(Phase phase) {
+    private PhaseFigures simulatePhase(Phase phase) {
         checks.resetPeak();
         regions.forEach(region -> region.checker().resetPeak());
         long began = queue.now();
         long movesBefore = moves();
         int unservedBefore = checks.unserved();
-        List<Integer> shardsBefore = shardsOf(forwarders.all());
-        List<HollowForwarder> affected = failures.begin(phase);
+        List<Integer> shardsBefore = shardCounts(forwarders.all());
+        List<SimulatedForwarder> affected = failures.startPhase(phase);
         int lost = checks.unserved() - unservedBefore;
-        queue.runUntil(began + phase.seconds() * SECOND);
+        queue.runUntil(began + phase.seconds() * SECOND_MICROS);
         Histogram everywhere = configurations.everywhereMillis(began, queue.now());
         return new PhaseFigures(
-                phase.happening().name().toLowerCase(Locale.ROOT),
+                phase.type().name().toLowerCase(Locale.ROOT),
                 phase.seconds(),
                 lost,
                 restoredSeconds(began),
                 share(checks.peakUnserved(), settings.shards()),
                 peakUnservedInRegion(),
                 moves() - movesBefore,
-                leastMoves(phase.happening(), affected, shardsBefore),
-                fullest(false),
-                fullest(true),
+                leastMoves(phase.type(), affected, shardsBefore),
+                fullestLoad(false),
+                fullestLoad(true),
                 everywhere.getTotalCount(),
                 everywhere.getValueAtPercentile(PERCENTILE),
                 everywhere.getMaxValue());
@@ -133,7 +133,7 @@
             }
             last = Math.max(last, region.checker().lastRestoredMicros());
         }
-        return Math.max(0, last - began) / (double) SECOND;
+        return Math.max(0, last - began) / (double) SECOND_MICROS;
     }
 
     private double peakUnservedInRegion() {
@@ -150,20 +150,20 @@
         return regions.stream().mapToLong(region -> region.checker().moves()).sum();
     }
 
-    private List<Integer> shardsOf(List<HollowForwarder> some) {
+    private List<Integer> shardCounts(List<SimulatedForwarder> some) {
         List<Integer> counts = new ArrayList<>();
-        for (HollowForwarder forwarder : some) {
+        for (SimulatedForwarder forwarder : some) {
             OwnershipChecker checker = regions.get(forwarder.region).checker();
-            counts.add(forwarder.running() ? checker.shardsOf(forwarder.process) : 0);
+            counts.add(forwarder.isRunning() ? checker.shardsOf(forwarder.process) : 0);
         }
         return counts;
     }
 
     /** What was lost has to move, and what came back has to be moved to who returned; a planned restart does both. */
-    private long leastMoves(Happening happening, List<HollowForwarder> affected, List<Integer> shardsBefore) {
-        boolean returned = happening == Happening.RETURN || happening == Happening.RECONNECTED;
+    private long leastMoves(PhaseType happening, List<SimulatedForwarder> affected, List<Integer> shardsBefore) {
+        boolean returned = happening == PhaseType.RETURN || happening == PhaseType.RECONNECTED;
         if (returned) {
-            return shardsOf(affected).stream().mapToLong(Integer::longValue).sum();
+            return shardCounts(affected).stream().mapToLong(Integer::longValue).sum();
         }
         return failures.leastMoves()
                 + affected.stream()
@@ -172,7 +172,7 @@
     }
 
     /** Load of the fullest forwarder against the mean of its region: of shards, or of destinations. */
-    private double fullest(boolean byDestinations) {
+    private double fullestLoad(boolean byDestinations) {
         double fullest = 0;
         for (RegionControl region : regions) {
             long[] loads = new long[forwarders.all().size()];
@@ -197,14 +197,14 @@
         return fullest;
     }
 
-    private boolean reachable(HollowForwarder forwarder) {
-        return forwarder.running() && forwarder.cutOffUntil < queue.now();
+    private boolean reachable(SimulatedForwarder forwarder) {
+        return forwarder.isRunning() && forwarder.cutOffUntilMicros < queue.now();
     }
 
     private List<Figure> deterministicFigures(double seconds) {
         List<Figure> figures = new ArrayList<>();
         figures.add(new Figure("virtual_seconds", seconds));
-        figures.add(new Figure("events", queue.added()));
+        figures.add(new Figure("events", queue.addedCount()));
         figures.add(new Figure("messages", network.messages()));
         figures.add(new Figure("messages_lost", network.lost()));
         figures.add(new Figure(
@@ -257,7 +257,7 @@
         double total = 0;
         double most = 0;
         double busiest = 0;
-        for (HollowForwarder forwarder : forwarders.all()) {
+        for (SimulatedForwarder forwarder : forwarders.all()) {
             total += forwarder.bytes();
             most = Math.max(most, forwarder.bytes() / seconds);
             busiest = Math.max(busiest, forwarder.busiestBytesPerSecond());
--- a/src/main/java/lilaclever/lab/fleet/Network.java
+++ b/src/main/java/lilaclever/lab/fleet/Network.java
@@ -30,16 +30,16 @@
         if (isLost()) {
             return;
         }
-        queue.after(regionDelay(hops), receipt);
+        queue.schedule(regionDelayMicros(hops), receipt);
         if (random.nextDouble() < duplication) {
-            queue.after(regionDelay(hops), receipt);
+            queue.schedule(regionDelayMicros(hops), receipt);
         }
     }
 
     /** Sends from one region to another. */
     void betweenRegions(Runnable receipt) {
         if (!isLost()) {
-            queue.after(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), receipt);
+            queue.schedule(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), receipt);
         }
     }
 
@@ -60,7 +60,7 @@
         return true;
     }
 
-    private long regionDelay(int hops) {
+    private long regionDelayMicros(int hops) {
         long delay = hops * MIN_HOP_MICROS + random.nextInt(hops * HOP_SPREAD_MICROS);
         return random.nextDouble() < SLOW_SHARE ? delay + random.nextInt(SLOW_SPREAD_MICROS) : delay;
     }
