--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -47,7 +47,7 @@
         final Submission submission;
         final long deadlineWall;
         final int recordBytes;
-        int attempts;
+        int attemptCount;
         boolean inProgress, mayHaveRun;
         String host = "", firstRunHost = "";
         int zone, firstRunZone;
@@ -219,7 +219,7 @@
     /** All attempts of a message in one record: what a compaction makes of them. */
     private static void writePreviousAttempts(DataOutputStream out, Entry e) throws IOException {
         out.writeUTF(e.submission.id());
-        out.writeInt(e.attempts);
+        out.writeInt(e.attemptCount);
         out.writeBoolean(e.inProgress);
         out.writeUTF(e.host);
         out.writeInt(e.zone);
@@ -287,7 +287,7 @@
         for (Entry e : pending.values()) {
             String id = e.submission.id();
             all.write(acceptedRecord(e.front, e.submission, e.deadlineWall));
-            if (e.attempts > 0) {
+            if (e.attemptCount > 0) {
                 all.write(record(Type.PREVIOUS_ATTEMPTS, out -> writePreviousAttempts(out, e)));
             }
             if (e.finalStatus != null) {
@@ -359,7 +359,7 @@
             }
             switch (type) {
                 case ATTEMPT -> {
-                    e.attempts++;
+                    e.attemptCount++;
                     e.inProgress = true;
                     e.host = in.readUTF();
                     e.zone = in.readInt();
@@ -372,7 +372,7 @@
                     }
                 }
                 case PREVIOUS_ATTEMPTS -> {
-                    e.attempts = in.readInt();
+                    e.attemptCount = in.readInt();
                     e.inProgress = in.readBoolean();
                     e.host = in.readUTF();
                     e.zone = in.readInt();
