--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -20,73 +20,73 @@
  */
 public final class Auditor {
     /** An end may come so late after a message's time, and so late after a restart. */
-    private static final long NOTICE = 300_000, RESTART = 1_500_000;
+    private static final long NOTICE_DELAY_MICROS = 300_000, RESTART_RECOVERY_MICROS = 1_500_000;
     /** Every limit of time is so much longer, and calls that cross a told wait are let through. */
-    private static final long SLACK = 50_000, CROSSING = 100_000;
+    private static final long TIMING_SLACK_MICROS = 50_000, CROSSING_CALLS_MICROS = 100_000;
 
-    private static final long KEEP = 30_000_000;
-    private static final int MOST_BREACHES = 1000, MOST_STORIES = 20;
+    private static final long RETENTION_MICROS = 30_000_000;
+    private static final int MAX_BREACHES = 1000, MAX_BREACHES_WITH_HISTORY = 20;
 
     /** One attempt. */
     private static final class Attempt {
-        final long at;
+        final long sentAtMicros;
         final String host;
-        boolean out = true;
+        boolean inProgress = true;
         /** The partner is known not to have run it. */
-        boolean neverRan;
+        boolean knownNotRun;
 
-        Attempt(long at, String host) {
-            this.at = at;
+        Attempt(long sentAtMicros, String host) {
+            this.sentAtMicros = sentAtMicros;
             this.host = host;
         }
     }
 
     /** One message, over all its hand-ins. */
-    private static final class Story {
+    private static final class MessageHistory {
         final int number, messageClass;
-        final long firstAt, due, work;
-        long deliveredAt = -1, takenAt = -1;
+        final long firstSubmittedMicros, deadlineMicros, workMicros;
+        long deliveredAtMicros = -1, acceptedAtMicros = -1;
         int forwarder = -1;
-        String noticed;
-        boolean refused;
+        String noticedStatus;
+        boolean rejected;
         /** Attempts of earlier hand-ins: what may come again is the client's own choice. */
-        int earlier;
+        int earlierAttempts;
 
         final List<Attempt> attempts = new ArrayList<>(2);
         final List<String> lines = new ArrayList<>(6);
 
-        Story(int number, int messageClass, long firstAt, long due, long work) {
+        MessageHistory(int number, int messageClass, long firstSubmittedMicros, long deadlineMicros, long workMicros) {
             this.number = number;
             this.messageClass = messageClass;
-            this.firstAt = firstAt;
-            this.due = due;
-            this.work = work;
+            this.firstSubmittedMicros = firstSubmittedMicros;
+            this.deadlineMicros = deadlineMicros;
+            this.workMicros = workMicros;
         }
 
-        void line(long at, String what) {
+        void addLine(long at, String what) {
             lines.add(String.format(java.util.Locale.ROOT, "%.3f s %s", at / 1e6, what));
         }
     }
 
     private final List<MessageClass> classes;
-    private final long drainGrace;
+    private final long drainGraceMicros;
     private final Service service;
     private final List<Histogram> latencies = new ArrayList<>();
-    private final Map<Integer, Story> open = new LinkedHashMap<>();
+    private final Map<Integer, MessageHistory> histories = new LinkedHashMap<>();
     private final List<Breach> breaches = new ArrayList<>();
-    private final TreeMap<Rule, Integer> broken = new TreeMap<>();
+    private final TreeMap<Rule, Integer> breachCounts = new TreeMap<>();
     private final TreeMap<String, Long> counts = new TreeMap<>();
     /** When a forwarder was told that an endpoint drains or is gone. */
-    private final Map<String, Long> toldGone = new HashMap<>();
+    private final Map<String, Long> removalReportedMicros = new HashMap<>();
 
-    private final Map<String, long[]> waits = new HashMap<>();
+    private final Map<String, long[]> retryAfterPeriods = new HashMap<>();
     /** Each forwarder's times of being away, the last while: from its death to some time after it is ready. */
-    private final Map<Integer, ArrayDeque<long[]>> downs = new HashMap<>();
+    private final Map<Integer, ArrayDeque<long[]>> downtimes = new HashMap<>();
 
     /** An auditor of a run with these classes. */
     public Auditor(List<MessageClass> classes, long drainGraceMicros) {
         this.classes = classes;
-        this.drainGrace = drainGraceMicros;
+        this.drainGraceMicros = drainGraceMicros;
         service = new Service(classes.size());
         classes.forEach(c -> latencies.add(new Histogram(3_600_000_000L, 3)));
     }
@@ -107,8 +107,8 @@
     }
 
     /** How often each rule was broken. */
-    public Map<Rule, Integer> broken() {
-        return broken;
+    public Map<Rule, Integer> breachCounts() {
+        return breachCounts;
     }
 
     /** What was counted. */
@@ -122,97 +122,97 @@
     }
 
     /** A rule was broken that is not one message's. */
-    public void broken(Rule rule, long at, String what) {
+    public void addBreach(Rule rule, long at, String what) {
         breach(rule, at, what, null);
     }
 
-    private void breach(Rule rule, long at, String what, Story s) {
-        broken.merge(rule, 1, Integer::sum);
-        if (breaches.size() < MOST_BREACHES) {
+    private void breach(Rule rule, long at, String description, MessageHistory history) {
+        breachCounts.merge(rule, 1, Integer::sum);
+        if (breaches.size() < MAX_BREACHES) {
             breaches.add(new Breach(
-                    rule, at, what, s == null || breaches.size() >= MOST_STORIES ? List.of() : List.copyOf(s.lines)));
+                    rule, at, description, history == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY ? List.of() : List.copyOf(history.lines)));
         }
     }
 
     // ---- clients ----------------------------------------------------------------------------------------
     /** A message is handed in for the first time. */
-    public void arrives(int number, int messageClass, int destination, long workMicros, long at) {
-        Story s = new Story(
+    public void messageArrived(int number, int messageClass, int destination, long workMicros, long at) {
+        MessageHistory history = new MessageHistory(
                 number, messageClass, at, at + classes.get(messageClass).terms().deadlineMicros(), workMicros);
-        s.line(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
-        open.put(number, s);
-        service.offered(workMicros);
+        history.addLine(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
+        histories.put(number, history);
+        service.addOfferedWork(workMicros);
         count("messages");
     }
 
     /** It is handed in to a forwarder. */
-    public void handedIn(int number, int forwarder, long at) {
-        Story s = open.get(number);
-        if (s != null) {
-            s.earlier = s.attempts.size();
-            s.line(at, "handed in to forwarder " + forwarder);
+    public void submitted(int number, int forwarder, long at) {
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.earlierAttempts = history.attempts.size();
+            history.addLine(at, "handed in to forwarder " + forwarder);
         }
         count("hand_ins");
     }
 
     /** The forwarder has told its client that it takes the message on. */
-    public void taken(int number, int forwarder, long at) {
+    public void accepted(int number, int forwarder, long at) {
         count("taken");
-        Story s = open.get(number);
-        if (s != null) {
-            s.takenAt = at;
-            s.forwarder = forwarder;
-            s.noticed = null;
-            s.line(at, "taken on");
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.acceptedAtMicros = at;
+            history.forwarder = forwarder;
+            history.noticedStatus = null;
+            history.addLine(at, "taken on");
         }
     }
 
     /** The client was turned away. */
-    public void turnedDown(int number, long at, long comeBackMicros) {
+    public void rejected(int number, long at, long retryAfterMicros) {
         count("turned_down");
-        Story s = open.get(number);
-        if (s != null) {
-            s.refused = true;
-            s.line(
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.rejected = true;
+            history.addLine(
                     at,
-                    "turned down" + (comeBackMicros > 0 ? ", to come back in " + comeBackMicros / 1000 + " ms" : ""));
+                    "turned down" + (retryAfterMicros > 0 ? ", to come back in " + retryAfterMicros / 1000 + " ms" : ""));
         }
     }
 
     /** The platform has had a notice of its end. */
-    public void noticed(int number, String status, long at) {
+    public void noticeReceived(int number, String status, long at) {
         count("notices_" + status);
-        Story s = open.get(number);
-        if (s == null) {
+        MessageHistory history = histories.get(number);
+        if (history == null) {
             return;
         }
-        s.line(at, "notice: " + status);
-        if (s.noticed != null && !s.noticed.equals(status)) {
-            breach(Rule.ONE_END, at, "message " + number + " has ended as " + s.noticed + " and as " + status, s);
+        history.addLine(at, "notice: " + status);
+        if (history.noticedStatus != null && !history.noticedStatus.equals(status)) {
+            breach(Rule.ONE_END, at, "message " + number + " has ended as " + history.noticedStatus + " and as " + status, history);
         }
-        s.noticed = status;
+        history.noticedStatus = status;
         if (status.equals("deferred")
-                && riskAt(number) >= 0
-                && classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
+                && firstPossibleEffectMicros(number) >= 0
+                && classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(
                     Rule.REPEAT,
                     at,
                     "message " + number + " may have run, and its client is asked to hand it in again",
-                    s);
+                    history);
         }
-        if (late(s, at)) {
-            breach(Rule.ONE_END, at, "message " + number + " ended " + (at - s.due) / 1000 + " ms after its time", s);
+        if (isLate(history, at)) {
+            breach(Rule.ONE_END, at, "message " + number + " ended " + (at - history.deadlineMicros) / 1000 + " ms after its time", history);
         }
     }
 
-    private boolean late(Story s, long at) {
-        return at > s.due + NOTICE && !away(s.forwarder, s.due, at);
+    private boolean isLate(MessageHistory history, long at) {
+        return at > history.deadlineMicros + NOTICE_DELAY_MICROS && !wasDown(history.forwarder, history.deadlineMicros, at);
     }
 
     /** True if the forwarder was away when the end was due, or has just come back. */
-    private boolean away(int forwarder, long due, long at) {
-        for (long[] d : downs.getOrDefault(forwarder, new ArrayDeque<>())) {
-            if (d[0] <= due + NOTICE && due <= d[1] && at <= d[1]) {
+    private boolean wasDown(int forwarder, long due, long at) {
+        for (long[] d : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
+            if (d[0] <= due + NOTICE_DELAY_MICROS && due <= d[1] && at <= d[1]) {
                 return true;
             }
         }
@@ -221,25 +221,25 @@
 
     // ---- calls ------------------------------------------------------------------------------------------
     /** A forwarder sends a message: the first byte of the call leaves. */
-    public void attempt(int number, int forwarder, String host, int destination, long at) {
+    public void attemptStarted(int number, int forwarder, String host, int destination, long at) {
         count("attempts");
-        Long gone = toldGone.get(forwarder + " " + host);
-        Story s = open.get(number);
-        if (s != null) {
-            s.line(at, "forwarder " + forwarder + " sends it to " + host);
+        Long removalReported = removalReportedMicros.get(forwarder + " " + host);
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.addLine(at, "forwarder " + forwarder + " sends it to " + host);
         }
-        if (gone != null && at > gone + drainGrace + SLACK) {
+        if (removalReported != null && at > removalReported + drainGraceMicros + TIMING_SLACK_MICROS) {
             breach(
                     Rule.DRAIN,
                     at,
-                    "forwarder " + forwarder + " sends to " + host + " " + (at - gone) / 1000
+                    "forwarder " + forwarder + " sends to " + host + " " + (at - removalReported) / 1000
                             + " ms after it was told that it drains or is gone",
-                    s);
+                    history);
         }
-        checkWait(forwarder, destination, at, s);
-        if (s != null) {
-            checkRepeat(s, at);
-            s.attempts.add(new Attempt(at, host));
+        checkRetryAfter(forwarder, destination, at, history);
+        if (history != null) {
+            checkRepeat(history, at);
+            history.attempts.add(new Attempt(at, host));
         }
     }
 
@@ -247,61 +247,61 @@
      * The last byte of a call of this message comes, where that is later than its sending: no wait must bind it then
      * either.
      */
-    public void comes(int number, int forwarder, int destination, long at) {
-        checkWait(forwarder, destination, at, open.get(number));
+    public void callArrived(int number, int forwarder, int destination, long at) {
+        checkRetryAfter(forwarder, destination, at, histories.get(number));
     }
 
-    private void checkWait(int forwarder, int destination, long at, Story s) {
-        long[] wait = waits.get(forwarder + " " + destination);
-        if (wait != null && at > wait[0] + CROSSING && at < wait[1]) {
+    private void checkRetryAfter(int forwarder, int destination, long at, MessageHistory history) {
+        long[] period = retryAfterPeriods.get(forwarder + " " + destination);
+        if (period != null && at > period[0] + CROSSING_CALLS_MICROS && at < period[1]) {
             breach(
                     Rule.WAIT,
                     at,
-                    "forwarder " + forwarder + " sends to destination " + destination + " " + (wait[1] - at) / 1000
+                    "forwarder " + forwarder + " sends to destination " + destination + " " + (period[1] - at) / 1000
                             + " ms before the end of a wait that it was told",
-                    s);
+                    history);
         }
     }
 
-    private void checkRepeat(Story s, long at) {
-        long risk = -1;
-        for (int i = 0; i < s.attempts.size(); i++) {
-            Attempt a = s.attempts.get(i);
-            if (a.out) {
-                breach(Rule.ONE_ATTEMPT, at, "message " + s.number + " is sent while an attempt is out", s);
+    private void checkRepeat(MessageHistory history, long at) {
+        long possibleEffectMicros = -1;
+        for (int i = 0; i < history.attempts.size(); i++) {
+            Attempt a = history.attempts.get(i);
+            if (a.inProgress) {
+                breach(Rule.ONE_ATTEMPT, at, "message " + history.number + " is sent while an attempt is out", history);
             }
-            risk = i >= s.earlier && !a.neverRan && risk < 0 ? a.at : risk;
+            possibleEffectMicros = i >= history.earlierAttempts && !a.knownNotRun && possibleEffectMicros < 0 ? a.sentAtMicros : possibleEffectMicros;
         }
-        MessageClass c = classes.get(s.messageClass);
+        MessageClass c = classes.get(history.messageClass);
         RepeatSafety repeat = c.terms().repeat();
-        if (risk >= 0
+        if (possibleEffectMicros >= 0
                 && (repeat == RepeatSafety.UNSAFE
-                        || repeat == RepeatSafety.KEYED && at > risk + c.terms().repeatWindowMicros() + SLACK)) {
+                        || repeat == RepeatSafety.KEYED && at > possibleEffectMicros + c.terms().repeatWindowMicros() + TIMING_SLACK_MICROS)) {
             breach(
                     Rule.REPEAT,
                     at,
-                    c.name() + " " + s.number + " is sent again " + (at - risk) / 1000
+                    c.name() + " " + history.number + " is sent again " + (at - possibleEffectMicros) / 1000
                             + " ms after an attempt that may have run",
-                    s);
+                    history);
         }
-        if (s.noticed != null) {
-            breach(Rule.ONE_END, at, "message " + s.number + " is sent after it has ended as " + s.noticed, s);
+        if (history.noticedStatus != null) {
+            breach(Rule.ONE_END, at, "message " + history.number + " is sent after it has ended as " + history.noticedStatus, history);
         }
     }
 
     /** True while an attempt is out. */
-    public boolean isOut(int number) {
-        Story s = open.get(number);
-        return s != null && s.attempts.stream().anyMatch(a -> a.out);
+    public boolean hasAttemptInProgress(int number) {
+        MessageHistory history = histories.get(number);
+        return history != null && history.attempts.stream().anyMatch(a -> a.inProgress);
     }
 
     /** When the first attempt was made that may have run; -1 if none may have. */
-    public long riskAt(int number) {
-        Story s = open.get(number);
-        if (s != null) {
-            for (Attempt a : s.attempts) {
-                if (!a.neverRan) {
-                    return a.at;
+    public long firstPossibleEffectMicros(int number) {
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            for (Attempt a : history.attempts) {
+                if (!a.knownNotRun) {
+                    return a.sentAtMicros;
                 }
             }
         }
@@ -309,18 +309,18 @@
     }
 
     /** The last attempt of a message is over, as the partner knows it. */
-    public void attemptOver(int number, String how, boolean neverRan, long at) {
-        Story s = open.get(number);
-        if (s == null || s.attempts.isEmpty()) {
+    public void attemptEnded(int number, String outcome, boolean knownNotRun, long at) {
+        MessageHistory history = histories.get(number);
+        if (history == null || history.attempts.isEmpty()) {
             return;
         }
-        for (int i = s.attempts.size() - 1; i >= 0; i--) {
-            Attempt a = s.attempts.get(i);
-            if (a.out) {
-                a.out = false;
-                a.neverRan = neverRan;
-                s.line(at, how);
-                count("ended_" + how.replace(' ', '_'));
+        for (int i = history.attempts.size() - 1; i >= 0; i--) {
+            Attempt a = history.attempts.get(i);
+            if (a.inProgress) {
+                a.inProgress = false;
+                a.knownNotRun = knownNotRun;
+                history.addLine(at, outcome);
+                count("ended_" + outcome.replace(' ', '_'));
                 return;
             }
         }
@@ -328,51 +328,51 @@
 
     /** A partner's answer that it has the message is written, and its connection is open. */
     public void delivered(int number, long at) {
-        Story s = open.get(number);
-        if (s == null) {
+        MessageHistory history = histories.get(number);
+        if (history == null) {
             return;
         }
-        if (s.deliveredAt < 0) {
-            s.deliveredAt = at;
+        if (history.deliveredAtMicros < 0) {
+            history.deliveredAtMicros = at;
             count("delivered");
-            latencies.get(s.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - s.firstAt)));
-        } else if (classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
-            breach(Rule.REPEAT, at, classes.get(s.messageClass).name() + " " + number + " has taken effect twice", s);
+            latencies.get(history.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - history.firstSubmittedMicros)));
+        } else if (classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
+            breach(Rule.REPEAT, at, classes.get(history.messageClass).name() + " " + number + " has taken effect twice", history);
         }
     }
 
     /** A forwarder was told to wait. */
-    public void waitTold(int forwarder, int destination, long at, long waitMicros) {
-        waits.merge(forwarder + " " + destination, new long[] {at, at + waitMicros}, (a, b) -> b[1] > a[1] ? b : a);
+    public void retryAfterReceived(int forwarder, int destination, long at, long retryAfterMicros) {
+        retryAfterPeriods.merge(forwarder + " " + destination, new long[] {at, at + retryAfterMicros}, (a, b) -> b[1] > a[1] ? b : a);
     }
 
     /** A forwarder was told of an endpoint. */
-    public void told(int forwarder, String host, boolean active, long at) {
+    public void endpointReported(int forwarder, String host, boolean active, long at) {
         if (active) {
-            toldGone.remove(forwarder + " " + host);
+            removalReportedMicros.remove(forwarder + " " + host);
         } else {
-            toldGone.putIfAbsent(forwarder + " " + host, at);
+            removalReportedMicros.putIfAbsent(forwarder + " " + host, at);
         }
     }
 
     // ---- lives ------------------------------------------------------------------------------------------
     /** A forwarder has died. */
-    public void died(int forwarder, long at) {
+    public void forwarderDied(int forwarder, long at) {
         count("restarts");
-        downs.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
-        waits.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
-        for (Story s : open.values()) {
-            if (s.forwarder == forwarder && s.takenAt >= 0 && s.deliveredAt < 0) {
-                s.line(at, "forwarder " + forwarder + " dies");
+        downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
+        retryAfterPeriods.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
+        for (MessageHistory history : histories.values()) {
+            if (history.forwarder == forwarder && history.acceptedAtMicros >= 0 && history.deliveredAtMicros < 0) {
+                history.addLine(at, "forwarder " + forwarder + " dies");
             }
         }
     }
 
     /** It is ready again. */
-    public void ready(int forwarder, long at) {
-        ArrayDeque<long[]> all = downs.get(forwarder);
+    public void forwarderReady(int forwarder, long at) {
+        ArrayDeque<long[]> all = downtimes.get(forwarder);
         if (all != null) {
-            all.peekLast()[1] = at + RESTART;
+            all.peekLast()[1] = at + RESTART_RECOVERY_MICROS;
             while (all.size() > 10) {
                 all.removeFirst();
             }
@@ -381,45 +381,45 @@
 
     // ---- the end ----------------------------------------------------------------------------------------
     /** Closes the stories of messages whose time was over long ago. Once a second is enough. */
-    public void sweep(long now) {
-        for (Iterator<Story> i = open.values().iterator(); i.hasNext(); ) {
-            Story s = i.next();
-            if (s.firstAt + KEEP > now || s.due + KEEP > now) {
-                if (s.firstAt + KEEP > now) {
+    public void closeExpired(long now) {
+        for (Iterator<MessageHistory> i = histories.values().iterator(); i.hasNext(); ) {
+            MessageHistory history = i.next();
+            if (history.firstSubmittedMicros + RETENTION_MICROS > now || history.deadlineMicros + RETENTION_MICROS > now) {
+                if (history.firstSubmittedMicros + RETENTION_MICROS > now) {
                     return; // the others are younger
                 }
                 continue;
             }
-            close(s, now);
+            close(history, now);
             i.remove();
         }
-        waits.values().removeIf(w -> w[1] + KEEP < now);
+        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < now);
     }
 
     /** The run is over: closes all stories. */
     public void finish(long now) {
-        open.values().forEach(s -> close(s, now));
-        open.clear();
+        histories.values().forEach(history -> close(history, now));
+        histories.clear();
     }
 
-    private void close(Story s, long now) {
-        if (s.takenAt >= 0
-                && s.deliveredAt < 0
-                && s.noticed == null
-                && now > s.due + NOTICE
-                && !away(s.forwarder, s.due, now)) {
-            breach(Rule.ONE_END, s.due, "message " + s.number + " has no end", s);
+    private void close(MessageHistory history, long now) {
+        if (history.acceptedAtMicros >= 0
+                && history.deliveredAtMicros < 0
+                && history.noticedStatus == null
+                && now > history.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(history.forwarder, history.deadlineMicros, now)) {
+            breach(Rule.ONE_END, history.deadlineMicros, "message " + history.number + " has no end", history);
         }
-        MessageClass c = classes.get(s.messageClass);
-        double got = s.deliveredAt < 0 ? 0 : c.worth(s.deliveredAt - s.firstAt);
-        service.count(s.messageClass, s.firstAt, c.terms().worth(), got, got == 0 && s.noticed != null);
+        MessageClass c = classes.get(history.messageClass);
+        double deliveredWorth = history.deliveredAtMicros < 0 ? 0 : c.worth(history.deliveredAtMicros - history.firstSubmittedMicros);
+        service.addMessage(history.messageClass, history.firstSubmittedMicros, c.terms().worth(), deliveredWorth, deliveredWorth == 0 && history.noticedStatus != null);
         count(
-                s.deliveredAt >= 0
+                history.deliveredAtMicros >= 0
                         ? "fate_delivered"
-                        : s.noticed != null
-                                ? "fate_" + s.noticed
-                                : s.refused
+                        : history.noticedStatus != null
+                                ? "fate_" + history.noticedStatus
+                                : history.rejected
                                         ? "fate_turned_down"
-                                        : s.takenAt >= 0 ? "fate_unknown" : "fate_never_taken");
+                                        : history.acceptedAtMicros >= 0 ? "fate_unknown" : "fate_never_taken");
     }
 }
--- a/src/main/java/lilaclever/lab/audit/Breach.java
+++ b/src/main/java/lilaclever/lab/audit/Breach.java
@@ -3,7 +3,7 @@
 import java.util.List;
 
 /** A broken rule, and the whole story of the message that it was broken with. */
-public record Breach(Rule rule, long atMicros, String what, List<String> story) {
+public record Breach(Rule rule, long atMicros, String description, List<String> history) {
     /** The rules that forwarders keep. */
     public enum Rule {
         /** Each message that was taken on has one end, in time. */
--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -8,110 +8,110 @@
  * handed in. 45% the whole run, 35% the worst ten seconds, 20% the worst class; prices come off.
  */
 public final class Service {
-    private static final double WHOLE = 0.45, WORST_WINDOW = 0.35, WORST_CLASS = 0.2;
-    private static final int WINDOW = 10;
+    private static final double WHOLE_RUN_WEIGHT = 0.45, WORST_WINDOW_WEIGHT = 0.35, WORST_CLASS_WEIGHT = 0.2;
+    private static final int WINDOW_SECONDS = 10;
 
-    private final double[] classAsked, classGot;
-    private final List<double[]> seconds = new ArrayList<>();
-    private double lateFailed, workOffered, workWasted;
-    private long firstTries, connections, probes;
+    private final double[] offeredByClass, deliveredByClass;
+    private final List<double[]> totalsBySecond = new ArrayList<>();
+    private double lateFailedWorth, offeredWorkMicros, wastedWorkMicros;
+    private long messages, connections, probes;
 
     /** For so many classes. */
     public Service(int classes) {
-        classAsked = new double[classes];
-        classGot = new double[classes];
+        offeredByClass = new double[classes];
+        deliveredByClass = new double[classes];
     }
 
-    private double[] second(long micros) {
+    private double[] totalsOfSecond(long micros) {
         int s = (int) (micros / 1_000_000);
-        while (seconds.size() <= s) {
-            seconds.add(new double[2]);
+        while (totalsBySecond.size() <= s) {
+            totalsBySecond.add(new double[2]);
         }
-        return seconds.get(s);
+        return totalsBySecond.get(s);
     }
 
     /** A message's story is over; {@code late}: it was ended undelivered after its aim. */
-    void count(int messageClass, long firstAt, double asked, double got, boolean late) {
-        firstTries++;
-        classAsked[messageClass] += asked;
-        classGot[messageClass] += got;
-        double[] s = second(firstAt);
-        s[0] += asked;
-        s[1] += got;
-        lateFailed += late ? asked : 0;
+    void addMessage(int messageClass, long firstSubmittedMicros, double offeredWorth, double deliveredWorth, boolean lateFailure) {
+        messages++;
+        offeredByClass[messageClass] += offeredWorth;
+        deliveredByClass[messageClass] += deliveredWorth;
+        double[] s = totalsOfSecond(firstSubmittedMicros);
+        s[0] += offeredWorth;
+        s[1] += deliveredWorth;
+        lateFailedWorth += lateFailure ? offeredWorth : 0;
     }
 
     /** A new connection to a partner. */
-    public void connection() {
+    public void addConnection() {
         connections++;
     }
 
     /** A probe. */
-    public void probe() {
+    public void addProbe() {
         probes++;
     }
 
     /** Work that a partner did, microseconds; wasted where it delivered nothing. */
-    public void work(long micros, boolean wasted) {
-        workWasted += wasted ? micros : 0;
+    public void addWork(long micros, boolean wasted) {
+        wastedWorkMicros += wasted ? micros : 0;
     }
 
     /** Work that was asked for. */
-    void offered(long micros) {
-        workOffered += micros;
+    void addOfferedWork(long micros) {
+        offeredWorkMicros += micros;
     }
 
     /** The share of the whole run. */
-    public double whole() {
-        return share(sum(classGot), sum(classAsked));
+    public double wholeRun() {
+        return shareOrOne(sum(deliveredByClass), sum(offeredByClass));
     }
 
     /** The share of the worst ten seconds. */
     public double worstWindow() {
         double worst = 1;
-        for (int from = 0; from == 0 || from + WINDOW <= seconds.size(); from++) {
-            double asked = 0, got = 0;
-            for (int s = from; s < Math.min(seconds.size(), from + WINDOW); s++) {
-                asked += seconds.get(s)[0];
-                got += seconds.get(s)[1];
+        for (int from = 0; from == 0 || from + WINDOW_SECONDS <= totalsBySecond.size(); from++) {
+            double offeredWorth = 0, deliveredWorth = 0;
+            for (int s = from; s < Math.min(totalsBySecond.size(), from + WINDOW_SECONDS); s++) {
+                offeredWorth += totalsBySecond.get(s)[0];
+                deliveredWorth += totalsBySecond.get(s)[1];
             }
-            worst = asked > 0 ? Math.min(worst, got / asked) : worst;
+            worst = offeredWorth > 0 ? Math.min(worst, deliveredWorth / offeredWorth) : worst;
         }
         return worst;
     }
 
     /** The share of a class; 1 where nothing was asked. */
     public double ofClass(int messageClass) {
-        return share(classGot[messageClass], classAsked[messageClass]);
+        return shareOrOne(deliveredByClass[messageClass], offeredByClass[messageClass]);
     }
 
     /** The share of the worst class. */
     public double worstClass() {
         double worst = 1;
-        for (int c = 0; c < classAsked.length; c++) {
+        for (int c = 0; c < offeredByClass.length; c++) {
             worst = Math.min(worst, ofClass(c));
         }
         return worst;
     }
 
     /** What comes off, a share. */
-    public double deductions(Prices p) {
-        double tries = Math.max(1, firstTries);
-        return (p.connection() * Math.min(1, connections / tries)
-                        + p.probe() * Math.min(1, probes / tries)
-                        + p.lateFail() * share0(lateFailed, sum(classAsked))
-                        + p.waste() * Math.min(1, share0(workWasted, workOffered)))
+    public double deductions(DeductionRates rates) {
+        double messageCount = Math.max(1, messages);
+        return (rates.connection() * Math.min(1, connections / messageCount)
+                        + rates.probe() * Math.min(1, probes / messageCount)
+                        + rates.lateFailure() * shareOrZero(lateFailedWorth, sum(offeredByClass))
+                        + rates.wastedWork() * Math.min(1, shareOrZero(wastedWorkMicros, offeredWorkMicros)))
                 / 100;
     }
 
     /** The figure, 0 to 1. */
-    public double figure(Prices p) {
-        return Math.max(0, WHOLE * whole() + WORST_WINDOW * worstWindow() + WORST_CLASS * worstClass() - deductions(p));
+    public double figure(DeductionRates rates) {
+        return Math.max(0, WHOLE_RUN_WEIGHT * wholeRun() + WORST_WINDOW_WEIGHT * worstWindow() + WORST_CLASS_WEIGHT * worstClass() - deductions(rates));
     }
 
     /** The share of each second; no number where nothing was asked. */
     public double[] bySecond() {
-        return seconds.stream()
+        return totalsBySecond.stream()
                 .mapToDouble(s -> s[0] > 0 ? s[1] / s[0] : Double.NaN)
                 .toArray();
     }
@@ -134,11 +134,11 @@
         return sum;
     }
 
-    private static double share(double got, double asked) {
-        return asked > 0 ? got / asked : 1;
+    private static double shareOrOne(double deliveredWorth, double offeredWorth) {
+        return offeredWorth > 0 ? deliveredWorth / offeredWorth : 1;
     }
 
-    private static double share0(double part, double whole) {
+    private static double shareOrZero(double part, double whole) {
         return whole > 0 ? part / whole : 0;
     }
 }
--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -22,17 +22,17 @@
         DELIVERED,
         ERROR,
         FULL,
-        NEVER,
+        NO_ANSWER,
         NO_CONNECTION
     }
 
     /**
      * The answer to a call, or to one message of it.
      *
-     * @param atMicros when it is written; for {@link Status#NEVER} nothing is
-     * @param waitMicros told with FULL; 0: none
+     * @param atMicros when it is written; for {@link Status#NO_ANSWER} nothing is
+     * @param retryAfterMicros told with FULL; 0: none
      */
-    public record Answer(Status status, long atMicros, long waitMicros) {}
+    public record Answer(Status status, long atMicros, long retryAfterMicros) {}
 
     /** What may be wrong with a partner. */
     public enum Outage {
@@ -44,43 +44,43 @@
     }
 
     /** What a fleet shares: how partners come back. */
-    public record Cold(double from, long rampMicros, double tipMultiple, long overloadMicros) {}
+    public record Recovery(double initialCapacity, long rampMicros, double overloadFactor, long overloadMicros) {}
 
     /** {@code work}: in messages that come alone. */
-    private record Arrival(long at, int forwarder, double work) {}
+    private record RecentCall(long atMicros, int forwarder, double work) {}
 
     private final class Endpoint {
-        final long[] freeAt;
+        final long[] serverFreeAtMicros;
         final Map<Integer, Integer> connections = new HashMap<>();
 
         Endpoint(int servers) {
-            freeAt = new long[servers];
+            serverFreeAtMicros = new long[servers];
         }
     }
 
-    private static final double MOST_STRETCH = 3;
-    private static final long REFUSED_AFTER = 2_000, FAILS_AFTER = 5_000, DOWN_FOR = 3_600_000_000L;
+    private static final double MAX_WORK_FACTOR = 3;
+    private static final long REFUSAL_DELAY_MICROS = 2_000, ERROR_DELAY_MICROS = 5_000, OVERLOAD_DOWNTIME_MICROS = 3_600_000_000L;
 
     private final int destination;
     private final PartnerKind kind;
-    private final Cold cold;
+    private final Recovery recovery;
     private final RandomStream random;
-    private final double pace, perSecond, meanSeconds;
+    private final double workFactor, messagesPerSecond, meanServiceSeconds;
     private final int servers;
-    private final long depthMicros;
-    private final int connections;
-    private final boolean tellsWait;
-    private final Allowance allowance;
+    private final long maxQueueMicros;
+    private final int maxConnections;
+    private final boolean sendsRetryAfter;
+    private final CallLimiter limiter;
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
     /** Work since it came back, of the last while: what makes it fall over. */
-    private final ArrayDeque<Arrival> lately = new ArrayDeque<>();
+    private final ArrayDeque<RecentCall> recentCalls = new ArrayDeque<>();
 
-    private final Set<Integer> sawItFail = new HashSet<>();
+    private final Set<Integer> forwardersThatSawFailure = new HashSet<>();
     private Outage outage;
-    private double strength;
-    private long outageUntil, coldSince = Long.MIN_VALUE, fallenUntil = Long.MIN_VALUE;
+    private double outageStrength;
+    private long outageUntilMicros, recoveringSinceMicros = Long.MIN_VALUE, overloadedUntilMicros = Long.MIN_VALUE;
     private long calls, refused, served;
-    private int falls, fallsByKnowing;
+    private int overloads, overloadsByInformedForwarders;
 
     /**
      * A partner that gets so many messages a second at full load.
@@ -93,30 +93,30 @@
             int endpointCount,
             double ratePerSecond,
             double meanWorkMicros,
-            Cold cold,
+            Recovery recovery,
             RandomStream random) {
         this.destination = destination;
         this.kind = kind;
-        this.cold = cold;
+        this.recovery = recovery;
         this.random = random;
-        double drawnPace = random.lognormal(0.6);
-        double limit = Math.max(random.in(kind.leastRate()), random.in(kind.headroom()) * ratePerSecond);
-        double capacity = limit * (kind.limit() == PartnerKind.Limit.NONE ? 1 : random.in(kind.spare()));
-        double needed = capacity * meanWorkMicros * drawnPace / 1e6 / endpointCount;
+        double drawnWorkFactor = random.lognormal(0.6);
+        double limit = Math.max(random.in(kind.minRate()), random.in(kind.headroom()) * ratePerSecond);
+        double capacity = limit * (kind.limit() == PartnerKind.Limit.NONE ? 1 : random.in(kind.spareCapacity()));
+        double needed = capacity * meanWorkMicros * drawnWorkFactor / 1e6 / endpointCount;
         servers = Math.max(1, (int) Math.round(needed));
         // Servers are whole: the pace makes up for it, so that what was drawn is what the partner can do. Of a partner
         // so
         // small that one server is mostly idle it makes up a part only.
-        pace = drawnPace * Math.min(MOST_STRETCH, servers / needed);
-        double work = meanWorkMicros * pace / 1e6;
-        perSecond = servers * endpointCount / work;
-        meanSeconds = work;
-        depthMicros = (long) (random.in(kind.depthSeconds()) * 1e6);
-        connections = kind.connections()[1] == 0
+        workFactor = drawnWorkFactor * Math.min(MAX_WORK_FACTOR, servers / needed);
+        double meanWorkSeconds = meanWorkMicros * workFactor / 1e6;
+        messagesPerSecond = servers * endpointCount / meanWorkSeconds;
+        meanServiceSeconds = meanWorkSeconds;
+        maxQueueMicros = (long) (random.in(kind.queueSeconds()) * 1e6);
+        maxConnections = kind.connectionsPerServer()[1] == 0
                 ? Integer.MAX_VALUE
-                : (int) Math.max(random.in(kind.leastConnections()), random.in(kind.connections()) * servers);
-        tellsWait = random.chance(kind.tellsWait());
-        allowance = new Allowance(kind.limit(), limit, kind.spanMicros(), random.chance(kind.refusedCount()));
+                : (int) Math.max(random.in(kind.minConnections()), random.in(kind.connectionsPerServer()) * servers);
+        sendsRetryAfter = random.chance(kind.retryAfterShare());
+        limiter = new CallLimiter(kind.limit(), limit, kind.windowMicros(), random.chance(kind.countsRefusedShare()));
     }
 
     /** Its number. */
@@ -131,21 +131,21 @@
 
     /** Messages a second that it can do when warm and of usual health. */
     public double capacity() {
-        return perSecond;
+        return messagesPerSecond;
     }
 
     /** Seconds that it works on a message in the mean, when warm. */
-    public double meanSeconds() {
-        return meanSeconds;
+    public double meanServiceSeconds() {
+        return meanServiceSeconds;
     }
 
     /** An endpoint is there from now on. */
-    public void add(String host) {
+    public void addEndpoint(String host) {
         endpoints.put(host, new Endpoint(servers));
     }
 
     /** An endpoint is gone. */
-    public void remove(String host) {
+    public void removeEndpoint(String host) {
         endpoints.remove(host);
     }
 
@@ -156,168 +156,168 @@
 
     // ---- health -----------------------------------------------------------------------------------------
     /** Something goes wrong until the given time; {@code strength}: the share that fails, or how many times slower. */
-    public void outage(Outage what, double howMuch, long until) {
-        outage = what;
-        strength = howMuch;
-        outageUntil = until;
-        if (what != Outage.SLOW) {
-            sawItFail.clear();
+    public void startOutage(Outage type, double startedStrength, long untilMicros) {
+        outage = type;
+        outageStrength = startedStrength;
+        outageUntilMicros = untilMicros;
+        if (type != Outage.SLOW) {
+            forwardersThatSawFailure.clear();
         }
     }
 
     /** Lowers its limit to a part until the given time, without a word; that is no outage. */
-    public void lower(double toPart, long until) {
-        allowance.lower(toPart, until);
+    public void lowerLimit(double share, long untilMicros) {
+        limiter.lower(share, untilMicros);
     }
 
-    private Outage now(long now) {
-        if (outage != null && now >= outageUntil) {
+    private Outage currentOutage(long now) {
+        if (outage != null && now >= outageUntilMicros) {
             if (outage != Outage.SLOW) {
-                coldSince = outageUntil;
-                lately.clear();
+                recoveringSinceMicros = outageUntilMicros;
+                recentCalls.clear();
                 endpoints
                         .values()
-                        .forEach(e -> java.util.Arrays.fill(e.freeAt, outageUntil)); // what was queued is dropped
+                        .forEach(endpoint -> java.util.Arrays.fill(endpoint.serverFreeAtMicros, outageUntilMicros)); // what was queued is dropped
             }
             outage = null;
         }
-        return now < fallenUntil ? Outage.DOWN : outage;
+        return now < overloadedUntilMicros ? Outage.DOWN : outage;
     }
 
     /** The part of its usual work that it can do now. */
-    public double warmth(long now) {
-        now(now);
-        if (coldSince == Long.MIN_VALUE || now - coldSince >= cold.rampMicros()) {
+    public double capacityShare(long now) {
+        currentOutage(now);
+        if (recoveringSinceMicros == Long.MIN_VALUE || now - recoveringSinceMicros >= recovery.rampMicros()) {
             return 1;
         }
-        return cold.from() + (1 - cold.from()) * (now - coldSince) / cold.rampMicros();
+        return recovery.initialCapacity() + (1 - recovery.initialCapacity()) * (now - recoveringSinceMicros) / recovery.rampMicros();
     }
 
     /** True if it is down after it fell over, or from something that is wrong now. */
-    public boolean isOut(long now) {
-        return now(now) != null && now(now) != Outage.SLOW;
+    public boolean isUnavailable(long now) {
+        return currentOutage(now) != null && currentOutage(now) != Outage.SLOW;
     }
 
     /** True while nobody can connect to it. */
     public boolean isDown(long now) {
-        return now(now) == Outage.DOWN;
+        return currentOutage(now) == Outage.DOWN;
     }
 
     // ---- calls ------------------------------------------------------------------------------------------
     /** A forwarder opens a connection; false if it holds as many as it takes. */
     public boolean connect(String host, int forwarder) {
-        Endpoint e = endpoints.get(host);
-        if (e == null) {
+        Endpoint endpoint = endpoints.get(host);
+        if (endpoint == null) {
             return false;
         }
-        int all = e.connections.values().stream().mapToInt(Integer::intValue).sum();
-        if (all >= connections) {
+        int openConnections = endpoint.connections.values().stream().mapToInt(Integer::intValue).sum();
+        if (openConnections >= maxConnections) {
             return false;
         }
-        e.connections.merge(forwarder, 1, Integer::sum);
+        endpoint.connections.merge(forwarder, 1, Integer::sum);
         return true;
     }
 
     /** A connection of a forwarder is closed. */
     public void disconnect(String host, int forwarder) {
-        Endpoint e = endpoints.get(host);
-        if (e != null) {
-            e.connections.computeIfPresent(forwarder, (f, n) -> n > 1 ? n - 1 : null);
+        Endpoint endpoint = endpoints.get(host);
+        if (endpoint != null) {
+            endpoint.connections.computeIfPresent(forwarder, (f, n) -> n > 1 ? n - 1 : null);
         }
     }
 
     /** A forwarder has died: its connections are gone. */
     public void disconnectAll(int forwarder) {
-        endpoints.values().forEach(e -> e.connections.remove(forwarder));
+        endpoints.values().forEach(endpoint -> endpoint.connections.remove(forwarder));
     }
 
     /** A call's last byte has come; {@code work}: of each message at a partner of usual pace, microseconds. */
     public Answer call(String host, int forwarder, long[] work, long now) {
         calls++;
-        Outage wrong = now(now);
-        Endpoint e = endpoints.get(host);
-        Answer answer = e == null || wrong == Outage.DOWN
+        Outage current = currentOutage(now);
+        Endpoint endpoint = endpoints.get(host);
+        Answer answer = endpoint == null || current == Outage.DOWN
                 ? new Answer(Status.NO_CONNECTION, now, 0)
-                : answer(e, work, wrong, now);
-        if (wrong == null) {
-            tip(forwarder, 1 + (work.length - 1) * kind.itemCost(), now);
+                : answer(endpoint, work, current, now);
+        if (current == null) {
+            checkOverload(forwarder, 1 + (work.length - 1) * kind.extraMessageCost(), now);
         }
         return answer;
     }
 
     /** A forwarder has been told that a call or probe has failed or was refused here. */
-    public void heardFailure(int forwarder, long now) {
-        if (isOut(now)) {
-            sawItFail.add(forwarder);
+    public void failureSeen(int forwarder, long now) {
+        if (isUnavailable(now)) {
+            forwardersThatSawFailure.add(forwarder);
         }
     }
 
-    private Answer answer(Endpoint e, long[] work, Outage wrong, long now) {
-        if (wrong == Outage.SHUT) {
-            return full(now);
+    private Answer answer(Endpoint endpoint, long[] work, Outage current, long now) {
+        if (current == Outage.SHUT) {
+            return refuse(now);
         }
-        if (wrong == Outage.FAILING && random.chance(strength)) {
-            return new Answer(Status.ERROR, now + FAILS_AFTER, 0);
+        if (current == Outage.FAILING && random.chance(outageStrength)) {
+            return new Answer(Status.ERROR, now + ERROR_DELAY_MICROS, 0);
         }
-        if (!allowance.take(now)) {
-            return full(now);
+        if (!limiter.tryAcquire(now)) {
+            return refuse(now);
         }
-        if (wrong == Outage.SILENT) {
-            return new Answer(Status.NEVER, Long.MAX_VALUE, 0);
+        if (current == Outage.SILENT) {
+            return new Answer(Status.NO_ANSWER, Long.MAX_VALUE, 0);
         }
         int soonest = 0;
-        for (int i = 1; i < e.freeAt.length; i++) {
-            soonest = e.freeAt[i] < e.freeAt[soonest] ? i : soonest;
+        for (int i = 1; i < endpoint.serverFreeAtMicros.length; i++) {
+            soonest = endpoint.serverFreeAtMicros[i] < endpoint.serverFreeAtMicros[soonest] ? i : soonest;
         }
-        long begin = Math.max(now, e.freeAt[soonest]);
-        if (begin - now > depthMicros) {
-            return full(now);
+        long startMicros = Math.max(now, endpoint.serverFreeAtMicros[soonest]);
+        if (startMicros - now > maxQueueMicros) {
+            return refuse(now);
         }
-        double all = 0;
+        double totalWork = 0;
         for (int i = 0; i < work.length; i++) {
-            all += work[i] * (i == 0 ? 1 : kind.itemCost());
+            totalWork += work[i] * (i == 0 ? 1 : kind.extraMessageCost());
         }
-        double took =
-                all * pace * random.lognormal(kind.variation()) / warmth(now) * (wrong == Outage.SLOW ? strength : 1);
-        e.freeAt[soonest] = begin + (long) took;
+        double serviceMicros =
+                totalWork * workFactor * random.lognormal(kind.workVariation()) / capacityShare(now) * (current == Outage.SLOW ? outageStrength : 1);
+        endpoint.serverFreeAtMicros[soonest] = startMicros + (long) serviceMicros;
         served += work.length;
         // An outage that begins before the answer takes it along; that is seen when the answer is due.
-        return new Answer(Status.DELIVERED, begin + (long) took, 0);
+        return new Answer(Status.DELIVERED, startMicros + (long) serviceMicros, 0);
     }
 
-    private Answer full(long now) {
+    private Answer refuse(long now) {
         refused++;
-        long wait =
-                tellsWait && outage == null ? Math.max(random.in(kind.waitMicros()), allowance.roomAt(now) - now) : 0;
-        return new Answer(Status.FULL, now + REFUSED_AFTER, wait);
+        long retryAfterMicros =
+                sendsRetryAfter && outage == null ? Math.max(random.in(kind.retryAfterMicros()), limiter.availableAtMicros(now) - now) : 0;
+        return new Answer(Status.FULL, now + REFUSAL_DELAY_MICROS, retryAfterMicros);
     }
 
     /** True if an answer that was decided earlier can be written now: something may have gone wrong since. */
-    public boolean answersStill(String host, long now) {
-        Outage wrong = now(now);
-        return endpoints.containsKey(host) && wrong != Outage.SILENT && wrong != Outage.DOWN;
+    public boolean canStillAnswer(String host, long now) {
+        Outage current = currentOutage(now);
+        return endpoints.containsKey(host) && current != Outage.SILENT && current != Outage.DOWN;
     }
 
-    private void tip(int forwarder, double work, long now) {
-        if (coldSince == Long.MIN_VALUE || now - coldSince >= cold.rampMicros() + cold.overloadMicros()) {
-            lately.clear();
+    private void checkOverload(int forwarder, double work, long now) {
+        if (recoveringSinceMicros == Long.MIN_VALUE || now - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadMicros()) {
+            recentCalls.clear();
             return;
         }
-        lately.addLast(new Arrival(now, forwarder, work));
-        while (lately.peekFirst().at() < now - cold.overloadMicros()) {
-            lately.removeFirst();
+        recentCalls.addLast(new RecentCall(now, forwarder, work));
+        while (recentCalls.peekFirst().atMicros() < now - recovery.overloadMicros()) {
+            recentCalls.removeFirst();
         }
-        double sent = lately.stream().mapToDouble(Arrival::work).sum();
+        double totalWork = recentCalls.stream().mapToDouble(RecentCall::work).sum();
         // A little slack for chance, as a few calls are no flood.
-        if (sent > 3 + cold.tipMultiple() * perSecond * warmth(now) * cold.overloadMicros() / 1e6) {
-            double knowing = lately.stream()
-                    .filter(a -> sawItFail.contains(a.forwarder()))
-                    .mapToDouble(Arrival::work)
+        if (totalWork > 3 + recovery.overloadFactor() * messagesPerSecond * capacityShare(now) * recovery.overloadMicros() / 1e6) {
+            double informedWork = recentCalls.stream()
+                    .filter(a -> forwardersThatSawFailure.contains(a.forwarder()))
+                    .mapToDouble(RecentCall::work)
                     .sum();
-            falls++;
-            fallsByKnowing += knowing >= 2 * sent / 3 ? 1 : 0;
-            fallenUntil = now + DOWN_FOR;
-            lately.clear();
+            overloads++;
+            overloadsByInformedForwarders += informedWork >= 2 * totalWork / 3 ? 1 : 0;
+            overloadedUntilMicros = now + OVERLOAD_DOWNTIME_MICROS;
+            recentCalls.clear();
         }
     }
 
@@ -338,12 +338,12 @@
     }
 
     /** How often it fell over. */
-    public int falls() {
-        return falls;
+    public int overloads() {
+        return overloads;
     }
 
     /** How often it fell over and two thirds of what came were from forwarders that had seen it fail. */
-    public int fallsByKnowing() {
-        return fallsByKnowing;
+    public int overloadsByInformedForwarders() {
+        return overloadsByInformedForwarders;
     }
 }
--- a/src/main/java/lilaclever/lab/model/PartnerKind.java
+++ b/src/main/java/lilaclever/lab/model/PartnerKind.java
@@ -7,13 +7,13 @@
  * @param large true where its partners get much of the traffic
  * @param limit how it limits calls
  * @param headroom its limit over its calls at full load
- * @param leastRate a second
- * @param spanMicros of {@link Limit#WINDOW}
- * @param tellsWait the share of partners whose refusals tell a wait
- * @param refusedCount the share of partners where refused calls use up the limit
- * @param connections over the calls served at once; 0: any number
- * @param batch messages in a call at most
- * @param itemCost work of a further message in a call, over that of the first
+ * @param minRate a second
+ * @param windowMicros of {@link Limit#WINDOW}
+ * @param retryAfterShare the share of partners whose refusals tell a wait
+ * @param countsRefusedShare the share of partners where refused calls use up the limit
+ * @param connectionsPerServer over the calls served at once; 0: any number
+ * @param maxBatch messages in a call at most
+ * @param extraMessageCost work of a further message in a call, over that of the first
  */
 public record PartnerKind(
         String name,
@@ -21,18 +21,18 @@
         boolean large,
         Limit limit,
         double[] headroom,
-        double[] leastRate,
-        long spanMicros,
-        double[] spare,
-        double[] depthSeconds,
-        double tellsWait,
-        long[] waitMicros,
-        double refusedCount,
-        double[] connections,
-        double[] leastConnections,
-        double variation,
-        int batch,
-        double itemCost) {
+        double[] minRate,
+        long windowMicros,
+        double[] spareCapacity,
+        double[] queueSeconds,
+        double retryAfterShare,
+        long[] retryAfterMicros,
+        double countsRefusedShare,
+        double[] connectionsPerServer,
+        double[] minConnections,
+        double workVariation,
+        int maxBatch,
+        double extraMessageCost) {
     /** Calls are not limited, limited by a plain rate, or by a count in each span of time. */
     public enum Limit {
         NONE,
--- a/src/main/java/lilaclever/lab/model/Traffic.java
+++ b/src/main/java/lilaclever/lab/model/Traffic.java
@@ -14,8 +14,8 @@
     public record Point(long atMicros, double load) {}
 
     private final List<Point> shape;
-    private final double perSecond, clumpShare;
-    private final double[] clumpSeconds;
+    private final double messagesPerSecond, burstShare;
+    private final double[] burstSeconds;
     private final List<MessageClass> classes;
     private final double[] weights;
     private final List<Partner> partners;
@@ -23,16 +23,16 @@
     /** {@code weights}: of the destinations, summing to 1, in the partners' order. */
     public Traffic(
             List<Point> shape,
-            double perSecond,
-            double clumpShare,
-            double[] clumpSeconds,
+            double messagesPerSecond,
+            double burstShare,
+            double[] burstSeconds,
             List<MessageClass> classes,
             double[] weights,
             List<Partner> partners) {
         this.shape = shape;
-        this.perSecond = perSecond;
-        this.clumpShare = clumpShare;
-        this.clumpSeconds = clumpSeconds;
+        this.messagesPerSecond = messagesPerSecond;
+        this.burstShare = burstShare;
+        this.burstSeconds = burstSeconds;
         this.classes = classes;
         this.weights = weights;
         this.partners = partners;
@@ -53,35 +53,35 @@
 
     /** All arrivals up to the end, in order. */
     public List<Arrival> draw(long endMicros, RandomStream random) {
-        double most = shape.stream().mapToDouble(Point::load).max().orElse(0);
-        double[] upTo = new double[weights.length];
+        double maxLoad = shape.stream().mapToDouble(Point::load).max().orElse(0);
+        double[] cumulativeWeights = new double[weights.length];
         double sum = 0;
         for (int i = 0; i < weights.length; i++) {
             sum += weights[i];
-            upTo[i] = sum;
+            cumulativeWeights[i] = sum;
         }
-        List<Arrival> all = new ArrayList<>();
-        double t = 0;
-        while (most > 0) {
-            t += random.exponential(1e6 / (most * perSecond));
-            if (t >= endMicros) {
+        List<Arrival> arrivals = new ArrayList<>();
+        double atMicros = 0;
+        while (maxLoad > 0) {
+            atMicros += random.exponential(1e6 / (maxLoad * messagesPerSecond));
+            if (atMicros >= endMicros) {
                 break;
             }
-            if (!random.chance(load((long) t) / most)) {
+            if (!random.chance(load((long) atMicros) / maxLoad)) {
                 continue;
             }
-            int found = java.util.Arrays.binarySearch(upTo, random.unit() * sum);
-            int at = Math.min(weights.length - 1, found < 0 ? -found - 1 : found + 1);
+            int found = java.util.Arrays.binarySearch(cumulativeWeights, random.unit() * sum);
+            int partner = Math.min(weights.length - 1, found < 0 ? -found - 1 : found + 1);
             // Of all messages a share comes in clumps: the mean size of one is taken off the chance of beginning one.
-            double size = partners.get(at).capacity() * random.in(clumpSeconds);
-            int count = clumpShare > 0 && random.chance(clumpShare / Math.max(1, size)) ? Math.max(1, (int) size) : 1;
+            double burstSize = partners.get(partner).capacity() * random.in(burstSeconds);
+            int count = burstShare > 0 && random.chance(burstShare / Math.max(1, burstSize)) ? Math.max(1, (int) burstSize) : 1;
             for (int i = 0; i < count; i++) {
-                all.add(arrival((long) (t + i * 1000.0), at, random));
+                arrivals.add(arrival((long) (atMicros + i * 1000.0), partner, random));
             }
         }
-        all.sort(Comparator.comparingLong(Arrival::atMicros));
-        List<Arrival> numbered = new ArrayList<>(all.size());
-        for (Arrival a : all) {
+        arrivals.sort(Comparator.comparingLong(Arrival::atMicros));
+        List<Arrival> numbered = new ArrayList<>(arrivals.size());
+        for (Arrival a : arrivals) {
             numbered.add(new Arrival(a.atMicros(), numbered.size(), a.messageClass(), a.destination(), a.workMicros()));
         }
         return numbered;
--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/lab/report/Comparison.java
@@ -19,7 +19,7 @@
 public final class Comparison {
     private static final String[] FIGURES = {"service", "whole_run", "worst_10_s", "worst_class", "deductions"};
     /** Student's t at 97.5% for 1 to 30 degrees of freedom. */
-    private static final double[] T = {
+    private static final double[] STUDENT_T_97_5 = {
         12.706, 4.303, 3.182, 2.776, 2.571, 2.447, 2.365, 2.306, 2.262, 2.228, 2.201, 2.179, 2.160, 2.145, 2.131, 2.120,
         2.110, 2.101, 2.093, 2.086, 2.080, 2.074, 2.069, 2.064, 2.060, 2.056, 2.052, 2.048, 2.045, 2.042
     };
@@ -28,14 +28,14 @@
 
     /** Reads all reports below the folder, by scenario and seed. */
     public static TreeMap<String, JsonObject> read(Path folder) throws IOException {
-        TreeMap<String, JsonObject> all = new TreeMap<>();
+        TreeMap<String, JsonObject> reports = new TreeMap<>();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path f : files.filter(p -> p.getFileName().toString().equals("report.json"))
                     .sorted()
                     .toList()) {
                 try {
                     JsonObject r = JsonParser.parseString(Files.readString(f)).getAsJsonObject();
-                    all.put(
+                    reports.put(
                             r.get("scenario").getAsString() + ", seed "
                                     + r.get("seed").getAsLong(),
                             r);
@@ -44,34 +44,34 @@
                 }
             }
         }
-        if (all.isEmpty()) {
+        if (reports.isEmpty()) {
             throw new IOException(folder + " holds no report.json");
         }
-        return all;
+        return reports;
     }
 
     /** The table. */
-    public static String of(Path a, Path b) throws IOException {
+    public static String table(Path a, Path b) throws IOException {
         TreeMap<String, JsonObject> first = read(a), second = read(b);
-        List<String> both = first.keySet().stream().filter(second::containsKey).toList();
-        StringBuilder all = new StringBuilder();
-        all.append(String.format(
+        List<String> sharedRuns = first.keySet().stream().filter(second::containsKey).toList();
+        StringBuilder text = new StringBuilder();
+        text.append(String.format(
                 Locale.ROOT,
                 "%d runs in %s, %d in %s, %d of them of the same scenario and seed%n",
                 first.size(),
                 a,
                 second.size(),
                 b,
-                both.size()));
-        if (both.isEmpty()) {
-            return all.append("nothing to compare: play both with the same scenarios and seeds\n")
+                sharedRuns.size()));
+        if (sharedRuns.isEmpty()) {
+            return text.append("nothing to compare: play both with the same scenarios and seeds\n")
                     .toString();
         }
-        all.append(String.format("%-14s %8s %8s %11s   %s%n", "figure", "A", "B", "B less A", "95% of chance"));
+        text.append(String.format("%-14s %8s %8s %11s   %s%n", "figure", "A", "B", "B less A", "95% of chance"));
         for (String figure : FIGURES) {
             List<Double> differences = new ArrayList<>();
             double sumA = 0, sumB = 0;
-            for (String run : both) {
+            for (String run : sharedRuns) {
                 double x = first.get(run).get(figure).getAsDouble(),
                         y = second.get(run).get(figure).getAsDouble();
                 sumA += x;
@@ -79,12 +79,12 @@
                 differences.add(y - x);
             }
             double[] interval = interval(differences);
-            all.append(String.format(
+            text.append(String.format(
                     Locale.ROOT,
                     "%-14s %8.4f %8.4f %+11.4f   %s%n",
                     figure,
-                    sumA / both.size(),
-                    sumB / both.size(),
+                    sumA / sharedRuns.size(),
+                    sumB / sharedRuns.size(),
                     mean(differences),
                     interval == null
                             ? "one pair tells nothing of chance"
@@ -95,10 +95,10 @@
                                     interval[1],
                                     interval[0] > 0 || interval[1] < 0 ? "" : ", may be chance")));
         }
-        for (String run : both) {
-            all.append(broken(run, "A", first.get(run))).append(broken(run, "B", second.get(run)));
+        for (String run : sharedRuns) {
+            text.append(broken(run, "A", first.get(run))).append(broken(run, "B", second.get(run)));
         }
-        return all.toString();
+        return text.toString();
     }
 
     private static String broken(String run, String set, JsonObject report) {
@@ -119,7 +119,7 @@
         double mean = mean(values);
         double squares =
                 values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum();
-        double half = (n - 1 <= T.length ? T[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
+        double half = (n - 1 <= STUDENT_T_97_5.length ? STUDENT_T_97_5[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
         return new double[] {mean - half, mean + half};
     }
 }
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -5,7 +5,7 @@
 import java.util.Locale;
 import java.util.Map;
 import lilaclever.lab.audit.Breach;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.audit.Service;
 import lilaclever.lab.model.MessageClass;
 import lilaclever.lab.world.Result;
@@ -13,12 +13,12 @@
 
 /** The page of a run: one file with its plots in it. */
 final class Page {
-    private static final double[] NONE = {};
+    private static final double[] NO_VALUES = {};
 
     private Page() {}
 
-    static String of(Result r) {
-        StringBuilder all = new StringBuilder(
+    static String render(Result r) {
+        StringBuilder html = new StringBuilder(
                         "<!DOCTYPE html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>")
                 .append(escape(r.scenario().name()))
                 .append("</title><style>body{font:15px sans-serif;max-width:920px;margin:2em auto;"
@@ -27,7 +27,7 @@
                         + "border-bottom:1px solid "
                         + "#ddd}td:first-child,th:first-child{text-align:left}img{max-width:100%}"
                         + ".bad{color:#a00}pre{background:#f6f6f6;padding:.6em;overflow:auto}</style></head><body>\n");
-        all.append("<h1>")
+        html.append("<h1>")
                 .append(escape(r.scenario().name()))
                 .append("</h1>\n<p>")
                 .append(escape(r.scenario().about()))
@@ -36,63 +36,63 @@
                 .append(r.trust() == null ? ", virtual time." : ", on sockets.")
                 .append("</p>\n");
         if (r.partial()) {
-            all.append("<p class=\"bad\">Cut short after ")
+            html.append("<p class=\"bad\">Cut short after ")
                     .append(r.endMicros() / 1_000_000)
                     .append(" s: what follows is of that part.</p>\n");
         }
         if (r.trust() != null) {
-            all.append(r.trust().good() ? "<p>" : "<p class=\"bad\">")
+            html.append(r.trust().good() ? "<p>" : "<p class=\"bad\">")
                     .append(escape(r.trust().text()))
                     .append("</p>\n");
         }
-        figures(all, r);
-        rules(all, r);
-        plots(all, r);
-        classes(all, r);
-        partners(all, r);
-        return all.append("</body></html>\n").toString();
+        figures(html, r);
+        rules(html, r);
+        plots(html, r);
+        classes(html, r);
+        partners(html, r);
+        return html.append("</body></html>\n").toString();
     }
 
-    private static void figures(StringBuilder all, Result r) {
+    private static void figures(StringBuilder html, Result r) {
         Service s = r.auditor().service();
-        all.append("<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
+        html.append("<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
                 + "</tr><tr>");
         for (double x : new double[] {
-            s.figure(Prices.USUAL), s.whole(), s.worstWindow(), s.worstClass(), s.deductions(Prices.USUAL)
+            s.figure(DeductionRates.DEFAULT), s.wholeRun(), s.worstWindow(), s.worstClass(), s.deductions(DeductionRates.DEFAULT)
         }) {
-            all.append("<td>").append(String.format(Locale.ROOT, "%.3f", x)).append("</td>");
+            html.append("<td>").append(String.format(Locale.ROOT, "%.3f", x)).append("</td>");
         }
-        all.append(
+        html.append(
                 "</tr></table>\n<p>Service is 45% the whole run, 35% the worst ten seconds, 20% the worst class, less "
                         + "prices.</p>\n");
     }
 
-    private static void rules(StringBuilder all, Result r) {
-        if (r.auditor().broken().isEmpty()) {
-            all.append("<p>All rules were kept.</p>\n");
+    private static void rules(StringBuilder html, Result r) {
+        if (r.auditor().breachCounts().isEmpty()) {
+            html.append("<p>All rules were kept.</p>\n");
             return;
         }
-        all.append("<h2 class=\"bad\">Broken rules</h2><ul>");
+        html.append("<h2 class=\"bad\">Broken rules</h2><ul>");
         r.auditor()
-                .broken()
-                .forEach((rule, n) -> all.append("<li>")
-                        .append(Report.name(rule))
+                .breachCounts()
+                .forEach((rule, n) -> html.append("<li>")
+                        .append(Report.ruleName(rule))
                         .append(", ")
                         .append(n)
                         .append(" times</li>"));
-        all.append("</ul>\n");
+        html.append("</ul>\n");
         List<Breach> breaches = r.auditor().breaches();
         for (Breach b : breaches.subList(0, Math.min(5, breaches.size()))) {
-            all.append("<p>").append(escape(b.what())).append("</p>");
-            if (!b.story().isEmpty()) {
-                all.append("<pre>").append(escape(String.join("\n", b.story()))).append("</pre>\n");
+            html.append("<p>").append(escape(b.description())).append("</p>");
+            if (!b.history().isEmpty()) {
+                html.append("<pre>").append(escape(String.join("\n", b.history()))).append("</pre>\n");
             }
         }
     }
 
-    private static void plots(StringBuilder all, Result r) {
+    private static void plots(StringBuilder html, Result r) {
         plot(
-                all,
+                html,
                 "Service by the second of the first handing-in",
                 Plots.overTime(
                         "share of worth",
@@ -100,7 +100,7 @@
                         r.events(),
                         1.05));
         plot(
-                all,
+                html,
                 "Messages a second",
                 Plots.overTime(
                         "messages",
@@ -108,17 +108,17 @@
                         r.events(),
                         0));
         plot(
-                all,
+                html,
                 "Calls, and those that partners refused",
                 Plots.overTime("calls a second", pick(r, "calls", "refusals"), r.events(), 0));
-        plot(all, "Messages held by all forwarders", Plots.overTime("messages", pick(r, "held"), r.events(), 0));
-        plot(all, "Time to delivery", Plots.latencies(r));
+        plot(html, "Messages held by all forwarders", Plots.overTime("messages", pick(r, "held"), r.events(), 0));
+        plot(html, "Time to delivery", Plots.latencies(r));
     }
 
     private static Map<String, double[]> pick(Result r, String... names) {
         Map<String, double[]> picked = new LinkedHashMap<>();
         for (String n : names) {
-            double[] values = r.series().getOrDefault(n, NONE);
+            double[] values = r.series().getOrDefault(n, NO_VALUES);
             if (values.length > 0) {
                 picked.put(n.replace('_', ' '), values);
             }
@@ -126,8 +126,8 @@
         return picked;
     }
 
-    private static void plot(StringBuilder all, String title, String image) {
-        all.append("<h2>")
+    private static void plot(StringBuilder html, String title, String image) {
+        html.append("<h2>")
                 .append(title)
                 .append("</h2><img alt=\"")
                 .append(title)
@@ -136,14 +136,14 @@
                 .append("\">\n");
     }
 
-    private static void classes(StringBuilder all, Result r) {
-        all.append("<h2>Classes</h2><table><tr><th>class</th><th>service</th><th>delivered</th><th>median, ms</th>"
+    private static void classes(StringBuilder html, Result r) {
+        html.append("<h2>Classes</h2><table><tr><th>class</th><th>service</th><th>delivered</th><th>median, ms</th>"
                 + "<th>99%, ms</th>"
                 + "<th>most, ms</th></tr>");
         for (int c = 0; c < r.scenario().classes().size(); c++) {
             MessageClass mc = r.scenario().classes().get(c);
             Histogram h = r.auditor().latency(c);
-            all.append(String.format(
+            html.append(String.format(
                     Locale.ROOT,
                     "<tr><td>%s</td><td>%.3f</td><td>%d</td><td>%d</td><td>%d</td><td>%d</td></tr>",
                     escape(mc.name()),
@@ -153,16 +153,16 @@
                     h.getValueAtPercentile(99) / 1000,
                     h.getMaxValue() / 1000));
         }
-        all.append("</table>\n");
+        html.append("</table>\n");
     }
 
-    private static void partners(StringBuilder all, Result r) {
-        all.append("<h2>Partners with the most traffic</h2><table><tr><th>destination</th><th>kind</th><th>messages a "
+    private static void partners(StringBuilder html, Result r) {
+        html.append("<h2>Partners with the most traffic</h2><table><tr><th>destination</th><th>kind</th><th>messages a "
                 + "second, at most</th>"
                 + "<th>share of traffic</th><th>calls</th><th>refused</th><th>fallen over</th></tr>");
         for (Result.PartnerRow p :
                 r.partners().subList(0, Math.min(20, r.partners().size()))) {
-            all.append(String.format(
+            html.append(String.format(
                     Locale.ROOT,
                     "<tr><td>%d</td><td>%s</td><td>%.1f</td><td>%.1f%%</td><td>%d</td><td>%d</td><td>%d</td></tr>",
                     p.destination(),
@@ -173,7 +173,7 @@
                     p.refused(),
                     p.falls()));
         }
-        all.append("</table>\n");
+        html.append("</table>\n");
     }
 
     static String escape(String text) {
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -49,7 +49,7 @@
     private Plots() {}
 
     /** A line for each series over the seconds of the run, with what happened as bands. */
-    static String overTime(String yLabel, Map<String, double[]> lines, List<Result.Band> bands, double most) {
+    static String overTime(String yLabel, Map<String, double[]> lines, List<Result.Band> bands, double maxY) {
         XYSeriesCollection data = new XYSeriesCollection();
         lines.forEach((name, values) -> {
             XYSeries s = new XYSeries(name);
@@ -62,8 +62,8 @@
         });
         JFreeChart chart = chart("seconds", yLabel, data);
         XYPlot plot = chart.getXYPlot();
-        if (most > 0) {
-            plot.getRangeAxis().setRange(0, most);
+        if (maxY > 0) {
+            plot.getRangeAxis().setRange(0, maxY);
         } else {
             ((NumberAxis) plot.getRangeAxis()).setAutoRangeIncludesZero(true);
         }
@@ -123,7 +123,7 @@
         }
         chart.getXYPlot().setRenderer(renderer);
         chart.getXYPlot().getRangeAxis().setRange(0, 1.02);
-        ground(chart);
+        styleBackground(chart);
         return bytes(chart, WIDTH, HEIGHT + 100);
     }
 
@@ -141,10 +141,10 @@
             renderer.setSeriesStroke(i, new BasicStroke(1.6f));
         }
         chart.getXYPlot().setRenderer(renderer);
-        ground(chart);
+        styleBackground(chart);
     }
 
-    private static void ground(JFreeChart chart) {
+    private static void styleBackground(JFreeChart chart) {
         chart.setBackgroundPaint(Color.WHITE);
         chart.getXYPlot().setBackgroundPaint(new Color(0xfa, 0xfa, 0xfa));
         chart.getXYPlot().setDomainGridlinePaint(Color.LIGHT_GRAY);
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -15,7 +15,7 @@
 import java.util.Map;
 import lilaclever.lab.audit.Auditor;
 import lilaclever.lab.audit.Breach;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.audit.Service;
 import lilaclever.lab.model.MessageClass;
 import lilaclever.lab.world.Result;
@@ -46,29 +46,29 @@
                 r.auditor().latency(c).outputPercentileDistribution(text, 5, 1000.0); // milliseconds
             }
         }
-        Files.writeString(folder.resolve("index.html"), Page.of(r));
+        Files.writeString(folder.resolve("index.html"), Page.render(r));
     }
 
     /** All figures. */
     public static JsonObject json(Result r) {
         Auditor a = r.auditor();
         Service s = a.service();
-        JsonObject all = new JsonObject();
-        all.addProperty("scenario", r.scenario().name());
-        all.addProperty("seed", r.seed());
-        all.addProperty("played", r.trust() == null ? "virtual time" : "sockets");
-        all.addProperty("partial", r.partial());
+        JsonObject json = new JsonObject();
+        json.addProperty("scenario", r.scenario().name());
+        json.addProperty("seed", r.seed());
+        json.addProperty("played", r.trust() == null ? "virtual time" : "sockets");
+        json.addProperty("partial", r.partial());
         if (r.trust() != null) {
-            all.add("trust", trust(r.trust()));
+            json.add("trust", trust(r.trust()));
         }
-        all.addProperty("service", round(s.figure(Prices.USUAL)));
-        all.addProperty("whole_run", round(s.whole()));
-        all.addProperty("worst_10_s", round(s.worstWindow()));
-        all.addProperty("worst_class", round(s.worstClass()));
-        all.addProperty("deductions", round(s.deductions(Prices.USUAL)));
+        json.addProperty("service", round(s.figure(DeductionRates.DEFAULT)));
+        json.addProperty("whole_run", round(s.wholeRun()));
+        json.addProperty("worst_10_s", round(s.worstWindow()));
+        json.addProperty("worst_class", round(s.worstClass()));
+        json.addProperty("deductions", round(s.deductions(DeductionRates.DEFAULT)));
         JsonObject broken = new JsonObject();
-        a.broken().forEach((rule, n) -> broken.addProperty(name(rule), n));
-        all.add("broken_rules", broken);
+        a.breachCounts().forEach((rule, n) -> broken.addProperty(ruleName(rule), n));
+        json.add("broken_rules", broken);
         JsonObject counts = new JsonObject();
         a.counts().forEach(counts::addProperty);
         counts.addProperty("new_connections", s.connections());
@@ -76,12 +76,12 @@
         counts.addProperty(
                 "partners_fallen_over",
                 r.partners().stream().mapToInt(Result.PartnerRow::falls).sum());
-        all.add("counts", counts);
+        json.add("counts", counts);
         JsonObject classes = new JsonObject();
         for (int c = 0; c < r.scenario().classes().size(); c++) {
             classes.add(r.scenario().classes().get(c).name(), ofClass(r, c));
         }
-        all.add("classes", classes);
+        json.add("classes", classes);
         JsonArray events = new JsonArray();
         for (Result.Band b : r.events()) {
             JsonObject e = new JsonObject();
@@ -90,22 +90,22 @@
             e.addProperty("to_s", b.toMicros() / 1e6);
             events.add(e);
         }
-        all.add("events", events);
-        JsonArray stories = new JsonArray();
+        json.add("events", events);
+        JsonArray breaches = new JsonArray();
         for (Breach b : a.breaches().subList(0, Math.min(20, a.breaches().size()))) {
             JsonObject o = new JsonObject();
-            o.addProperty("rule", name(b.rule()));
+            o.addProperty("rule", ruleName(b.rule()));
             o.addProperty("at_s", b.atMicros() / 1e6);
-            o.addProperty("what", b.what());
+            o.addProperty("what", b.description());
             JsonArray lines = new JsonArray();
-            b.story().forEach(lines::add);
+            b.history().forEach(lines::add);
             o.add("story", lines);
-            stories.add(o);
+            breaches.add(o);
         }
-        all.add("breaches", stories);
-        all.addProperty("virtual_seconds", r.endMicros() / 1_000_000);
-        all.addProperty("scheduled_events", r.scheduled());
-        return all;
+        json.add("breaches", breaches);
+        json.addProperty("virtual_seconds", r.endMicros() / 1_000_000);
+        json.addProperty("scheduled_events", r.scheduled());
+        return json;
     }
 
     private static JsonObject trust(TimingQuality t) {
@@ -139,32 +139,32 @@
         return Math.round(x * 10_000) / 10_000.0;
     }
 
-    static String name(Breach.Rule rule) {
+    static String ruleName(Breach.Rule rule) {
         return rule.name().toLowerCase(Locale.ROOT).replace('_', '-');
     }
 
     private static String seconds(Result r) {
         List<String> names = new ArrayList<>(r.series().keySet());
         int length = r.series().values().stream().mapToInt(v -> v.length).max().orElse(0);
-        StringBuilder all = new StringBuilder("second,service," + String.join(",", names) + "\n");
+        StringBuilder csv = new StringBuilder("second,service," + String.join(",", names) + "\n");
         double[] service = r.auditor().service().bySecond();
         for (int i = 0; i < length; i++) {
-            all.append(i)
+            csv.append(i)
                     .append(',')
                     .append(i < service.length && !Double.isNaN(service[i]) ? String.valueOf(round(service[i])) : "");
             for (String n : names) {
-                all.append(',').append((long) r.series().get(n)[i]);
+                csv.append(',').append((long) r.series().get(n)[i]);
             }
-            all.append('\n');
+            csv.append('\n');
         }
-        return all.toString();
+        return csv.toString();
     }
 
     private static String partners(Result r) {
-        StringBuilder all = new StringBuilder(
+        StringBuilder csv = new StringBuilder(
                 "destination,kind,messages_a_second_at_most,share_of_traffic,calls,refused,served,fallen_over\n");
         for (Result.PartnerRow p : r.partners()) {
-            all.append(String.format(
+            csv.append(String.format(
                     Locale.ROOT,
                     "%d,%s,%.2f,%.4f,%d,%d,%d,%d%n",
                     p.destination(),
@@ -176,26 +176,26 @@
                     p.served(),
                     p.falls()));
         }
-        return all.toString();
+        return csv.toString();
     }
 
     /** A few lines for the terminal. */
     public static String summary(Result r) {
         Service s = r.auditor().service();
-        StringBuilder all = new StringBuilder(String.format(
+        StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%s, seed %d%s: service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f, prices %.3f)%n",
                 r.scenario().name(),
                 r.seed(),
                 r.partial() ? ", CUT SHORT after " + r.endMicros() / 1_000_000 + " s" : "",
-                s.figure(Prices.USUAL),
-                s.whole(),
+                s.figure(DeductionRates.DEFAULT),
+                s.wholeRun(),
                 s.worstWindow(),
                 s.worstClass(),
-                s.deductions(Prices.USUAL)));
+                s.deductions(DeductionRates.DEFAULT)));
         Map<String, Long> counts = r.auditor().counts();
         long messages = counts.getOrDefault("messages", 0L);
-        all.append(String.format(
+        text.append(String.format(
                 Locale.ROOT,
                 "%d messages, %d delivered, %d attempts, %d restarts%n",
                 messages,
@@ -205,7 +205,7 @@
         for (int c = 0; c < r.scenario().classes().size(); c++) {
             MessageClass mc = r.scenario().classes().get(c);
             Histogram h = r.auditor().latency(c);
-            all.append(String.format(
+            text.append(String.format(
                     Locale.ROOT,
                     "  %-16s service %.3f, delivered in %d ms (median), %d ms (99th percentile)%n",
                     mc.name(),
@@ -214,21 +214,21 @@
                     h.getValueAtPercentile(99) / 1000));
         }
         if (r.trust() != null) {
-            all.append(r.trust().text()).append('\n');
+            text.append(r.trust().text()).append('\n');
         }
-        if (r.auditor().broken().isEmpty()) {
-            return all + "all rules kept\n";
+        if (r.auditor().breachCounts().isEmpty()) {
+            return text + "all rules kept\n";
         }
         r.auditor()
-                .broken()
-                .forEach((rule, n) -> all.append("BROKEN ")
-                        .append(name(rule))
+                .breachCounts()
+                .forEach((rule, n) -> text.append("BROKEN ")
+                        .append(ruleName(rule))
                         .append(", ")
                         .append(n)
                         .append(" times\n"));
         Breach first = r.auditor().breaches().get(0);
-        all.append("first: ").append(first.what()).append('\n');
-        first.story().forEach(line -> all.append("    ").append(line).append('\n'));
-        return all.toString();
+        text.append("first: ").append(first.description()).append('\n');
+        first.history().forEach(line -> text.append("    ").append(line).append('\n'));
+        return text.toString();
     }
 }
--- a/src/main/java/lilaclever/lab/report/Sweep.java
+++ b/src/main/java/lilaclever/lab/report/Sweep.java
@@ -45,7 +45,7 @@
     }
 
     /** The highest load at which the service is still at the aim, by a straight line between points; 0 if none is. */
-    public double keepsUpTo(double aim) {
+    public double highestLoadMeeting(double aim) {
         double last = 0;
         for (int i = 0; i < points.size(); i++) {
             if (points.get(i)[1] >= aim) {
--- a/src/main/java/lilaclever/lab/scenario/Overrides.java
+++ b/src/main/java/lilaclever/lab/scenario/Overrides.java
@@ -11,7 +11,7 @@
  * fleet.forwarders=8} or {@code "kind supplier.headroom=1 1.2"}. What they say is checked as if it stood in the file.
  */
 public final class Overrides {
-    private static final Pattern FORM = Pattern.compile("([a-z-]+(?: [A-Za-z0-9_-]+)?)\\.([a-z][a-z0-9-]*)=(.*)");
+    private static final Pattern SETTING = Pattern.compile("([a-z-]+(?: [A-Za-z0-9_-]+)?)\\.([a-z][a-z0-9-]*)=(.*)");
 
     private Overrides() {}
 
@@ -19,7 +19,7 @@
     public record Setting(String section, String key, String value) {
         /** Reads {@code SECTION.KEY=VALUE}. */
         public static Setting of(String text) throws ConfigurationException {
-            Matcher m = FORM.matcher(text);
+            Matcher m = SETTING.matcher(text);
             if (!m.matches()) {
                 throw new ConfigurationException("--set", "SECTION.KEY=VALUE, such as fleet.forwarders=8, not " + text);
             }
--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -22,11 +22,11 @@
      * The forwarders and what they are allowed.
      *
      * @param ratePerSecond of the whole fleet at full load
-     * @param slotsRoom slots over what a forwarder's part of the full load keeps busy
-     * @param holdSeconds messages that a forwarder may hold, in seconds of its part of the full load
-     * @param directoryDelay how late the directory tells a change
-     * @param frontMemory how long the front goes on sending to a dead forwarder
-     * @param comesAgain how long a client waits before it hands in again what was refused, or what a dead forwarder had
+     * @param slotFactor slots over what a forwarder's part of the full load keeps busy
+     * @param pendingSeconds messages that a forwarder may hold, in seconds of its part of the full load
+     * @param directoryDelayMicros how late the directory tells a change
+     * @param frontMemoryMicros how long the front goes on sending to a dead forwarder
+     * @param resubmitDelayMicros how long a client waits before it hands in again what was refused, or what a dead forwarder had
      */
     public record Fleet(
             int forwarders,
@@ -34,36 +34,36 @@
             double ratePerSecond,
             double zipf,
             double[] endpoints,
-            double slotsRoom,
-            int leastSlots,
-            double holdSeconds,
-            int leastHeld,
+            double slotFactor,
+            int minSlots,
+            double pendingSeconds,
+            int minPending,
             long roundMicros,
-            int mostAttempts,
-            long connectMicros,
+            int maxAttempts,
+            long connectTimeoutMicros,
             long keepAliveMicros,
             long networkMicros,
             long handshakeMicros,
-            long[] directoryDelay,
-            long[] frontMemory,
+            long[] directoryDelayMicros,
+            long[] frontMemoryMicros,
             int clientRetries,
-            long[] comesAgain,
-            Partner.Cold cold,
+            long[] resubmitDelayMicros,
+            Partner.Recovery partnerRecovery,
             long drainGraceMicros,
             long diskBytes) {}
 
     /**
      * What is handed in.
      *
-     * @param clumps the share of messages that come in clumps, and a clump's size in seconds of its partner's capacity
-     * @param hl7 the share of messages whose clients speak HL7; in virtual time there is no wire, and it changes
+     * @param burstShare the share of messages that come in clumps, and a clump's size in seconds of its partner's capacity
+     * @param hl7Share the share of messages whose clients speak HL7; in virtual time there is no wire, and it changes
      * nothing
      */
     public record TrafficPlan(
-            long lengthMicros, List<Traffic.Point> shape, double clumps, double[] clumpSeconds, double hl7) {
+            long lengthMicros, List<Traffic.Point> shape, double burstShare, double[] burstSeconds, double hl7Share) {
         /** True if the message comes by HL7: the same in each run. */
-        public boolean byHl7(int number) {
-            return (number * 0x9E3779B97F4A7C15L >>> 40) / (double) (1 << 24) < hl7;
+        public boolean usesHl7(int number) {
+            return (number * 0x9E3779B97F4A7C15L >>> 40) / (double) (1 << 24) < hl7Share;
         }
     }
 
@@ -91,9 +91,9 @@
     /**
      * Something that happens at a time, once or several times.
      *
-     * @param at when it begins, drawn
-     * @param forMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
-     * @param part of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
+     * @param startMicros when it begins, drawn
+     * @param durationMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
+     * @param share of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
      * @param kind only partners of that kind; null: any
      * @param strength SILENT and the like: none; FAILING: the share that fails; SLOW: how many times slower; LOWERED:
      * the part of its limit that is left; HOT: the share of all traffic
@@ -101,10 +101,10 @@
      */
     public record ScheduledEvent(
             String name,
-            EventType what,
-            long[] at,
-            long[] forMicros,
-            double part,
+            EventType type,
+            long[] startMicros,
+            long[] durationMicros,
+            double share,
             Target target,
             String kind,
             double[] strength,
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -39,8 +39,8 @@
             "partners-refuse",
             "bad-afternoon");
 
-    private static final long MS = 1000, SECOND = 1_000_000, HOUR = 3600 * SECOND;
-    private static final double MOST = 1e6;
+    private static final long MILLISECOND_MICROS = 1000, SECOND_MICROS = 1_000_000, HOUR_MICROS = 3600 * SECOND_MICROS;
+    private static final double MAX_REAL = 1e6;
     private static final Set<String> SECTIONS = Set.of("about", "fleet", "traffic", "kind", "class", "event");
 
     private final ConfFile file;
@@ -118,34 +118,34 @@
         return new Fleet(
                 forwarders,
                 (int) s.whole("destinations", 18, 1, 100_000),
-                s.real("rate", 65, 0.01, MOST),
+                s.real("rate", 65, 0.01, MAX_REAL),
                 s.real("zipf", 1, 0, 3),
                 s.range("endpoints", 1, 3, 1, 2_000),
                 s.real("slots-room", 2, 0.1, 100),
                 (int) s.whole("least-slots", 4, 1, 10_000),
                 s.real("hold", 5, 0.1, 1000),
                 (int) s.whole("least-held", 12, 1, 1_000_000),
-                s.time("round", 5 * MS, 100, SECOND),
+                s.time("round", 5 * MILLISECOND_MICROS, 100, SECOND_MICROS),
                 (int) s.whole("attempts", 8, 1, 100),
-                s.time("connect-timeout", 1500 * MS, MS, 60 * SECOND),
-                s.time("keep-alive", 15 * SECOND, 100 * MS, HOUR),
-                s.time("network", MS / 2, 0, SECOND),
-                s.time("handshake", 2 * MS, 0, SECOND),
-                s.times("directory-delay", SECOND, 4 * SECOND, 0, HOUR),
-                s.times("front-memory", 1300 * MS, 4 * SECOND, 0, HOUR),
+                s.time("connect-timeout", 1500 * MILLISECOND_MICROS, MILLISECOND_MICROS, 60 * SECOND_MICROS),
+                s.time("keep-alive", 15 * SECOND_MICROS, 100 * MILLISECOND_MICROS, HOUR_MICROS),
+                s.time("network", MILLISECOND_MICROS / 2, 0, SECOND_MICROS),
+                s.time("handshake", 2 * MILLISECOND_MICROS, 0, SECOND_MICROS),
+                s.times("directory-delay", SECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
+                s.times("front-memory", 1300 * MILLISECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
                 (int) s.whole("client-retries", 1, 0, 100),
-                s.times("comes-again", 770 * MS, 1900 * MS, MS, HOUR),
-                new Partner.Cold(
+                s.times("comes-again", 770 * MILLISECOND_MICROS, 1900 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS),
+                new Partner.Recovery(
                         s.share("cold-from", 0.24, 1),
-                        s.time("cold-ramp", 9500 * MS, 0, HOUR),
+                        s.time("cold-ramp", 9500 * MILLISECOND_MICROS, 0, HOUR_MICROS),
                         s.real("tip", 1.5, 0.1, 100),
-                        s.time("tip-for", 3 * SECOND, 100 * MS, HOUR)),
-                s.time("drain-grace", 500 * MS, 0, 60 * SECOND),
+                        s.time("tip-for", 3 * SECOND_MICROS, 100 * MILLISECOND_MICROS, HOUR_MICROS)),
+                s.time("drain-grace", 500 * MILLISECOND_MICROS, 0, 60 * SECOND_MICROS),
                 s.size("disk", 3 << 20, 1 << 17, 1L << 34));
     }
 
     private TrafficPlan traffic(Section s) throws ConfigurationException {
-        long length = s.time("length", 60 * SECOND, SECOND, 48 * HOUR);
+        long length = s.time("length", 60 * SECOND_MICROS, SECOND_MICROS, 48 * HOUR_MICROS);
         List<Traffic.Point> shape = new ArrayList<>();
         List<String> words = s.words("load");
         if (words.isEmpty()) {
@@ -156,7 +156,7 @@
         }
         for (int i = 0; i + 1 < words.size(); i += 2) {
             Traffic.Point p = new Traffic.Point(
-                    s.time("load", words.get(i), 0, 48 * HOUR), s.share("load", words.get(i + 1), 100));
+                    s.time("load", words.get(i), 0, 48 * HOUR_MICROS), s.share("load", words.get(i + 1), 100));
             if (!shape.isEmpty() && p.atMicros() <= shape.get(shape.size() - 1).atMicros()) {
                 throw s.bad("load", "times must grow: " + words.get(i));
             }
@@ -193,27 +193,27 @@
         return kinds;
     }
 
-    private static PartnerKind kind(Section s, boolean lab) throws ConfigurationException {
-        boolean absent = !s.isThere();
+    private static PartnerKind kind(Section s, boolean lensLab) throws ConfigurationException {
+        boolean isDefault = !s.isThere();
         PartnerKind.Limit limit =
-                s.choice("limit", PartnerKind.Limit.class, lab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
+                s.choice("limit", PartnerKind.Limit.class, lensLab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
         return new PartnerKind(
-                absent ? lab ? "lens-lab" : "supplier" : s.which(),
-                s.share("share", absent ? lab ? 0.25 : 0.75 : 1, 1),
-                s.flag("large", lab),
+                isDefault ? lensLab ? "lens-lab" : "supplier" : s.which(),
+                s.share("share", isDefault ? lensLab ? 0.25 : 0.75 : 1, 1),
+                s.flag("large", lensLab),
                 limit,
                 s.range("headroom", 0.94, 1.9, 0.01, 1000),
-                s.range("least-rate", 1.9, 4, 0.001, MOST),
-                s.time("span", 2 * SECOND, 10 * MS, HOUR),
+                s.range("least-rate", 1.9, 4, 0.001, MAX_REAL),
+                s.time("span", 2 * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS),
                 s.range("spare", 1.15, 1.6, 0.1, 100),
                 s.range("depth", 0.3, 1, 0, 1000),
                 s.share("tells-wait", 0, 1),
-                s.times("wait", 200 * MS, SECOND, 0, HOUR),
+                s.times("wait", 200 * MILLISECOND_MICROS, SECOND_MICROS, 0, HOUR_MICROS),
                 s.share("refused-count", 1, 1),
-                s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MOST),
-                s.range("least-connections", 7.2, 15, 1, MOST),
+                s.range("connections", lensLab ? 0 : 2.3, lensLab ? 0 : 3.7, 0, MAX_REAL),
+                s.range("least-connections", 7.2, 15, 1, MAX_REAL),
                 s.real("variation", 0.5, 0, 10),
-                (int) s.whole("batch", lab ? 20 : 1, 1, 1000),
+                (int) s.whole("batch", lensLab ? 20 : 1, 1, 1000),
                 s.real("item-cost", 0.15, 0, 1));
     }
 
@@ -272,44 +272,44 @@
             Section s,
             String name,
             double share,
-            long leastMs,
-            long mostMs,
-            long aimMs,
-            long deadlineS,
-            double late,
+            long minWorkMillis,
+            long maxWorkMillis,
+            long aimMillis,
+            long deadlineSeconds,
+            double lateShare,
             double worth,
             DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
-        long aim = s.time("aim", aimMs * MS, MS, HOUR);
-        long deadline = s.time("deadline", deadlineS * SECOND, 10 * MS, HOUR);
+        long aim = s.time("aim", aimMillis * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS);
+        long deadline = s.time("deadline", deadlineSeconds * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS);
         if (aim > deadline) {
             throw s.bad("aim", "is after the deadline");
         }
         return new MessageClass(
                 name,
                 s.share("share", share, 1),
-                s.times("work", leastMs * MS, mostMs * MS, 1, HOUR),
+                s.times("work", minWorkMillis * MILLISECOND_MICROS, maxWorkMillis * MILLISECOND_MICROS, 1, HOUR_MICROS),
                 new DecisionModule.MessageClass(
                         aim,
                         deadline,
-                        s.real("worth", worth, 0, MOST),
+                        s.real("worth", worth, 0, MAX_REAL),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
                         DecisionModule.KeyScope.ALL,
-                        s.time("window", 5 * SECOND, 0, HOUR),
+                        s.time("window", 5 * SECOND_MICROS, 0, HOUR_MICROS),
                         false,
-                        s.share("late", late, 1),
+                        s.share("late", lateShare, 1),
                         true));
     }
 
     private List<ScheduledEvent> events(List<PartnerKind> kinds) throws ConfigurationException {
-        List<ScheduledEvent> all = new ArrayList<>();
+        List<ScheduledEvent> events = new ArrayList<>();
         for (Section s : file.sections("event")) {
             if (!s.has("what")) {
                 throw s.bad(
                         "what",
                         "missing: one of restart, drain, silent, failing, shut, down, slow, lowered, hot, deaf");
             }
-            EventType what = s.choice("what", EventType.class, EventType.RESTART);
+            EventType type = s.choice("what", EventType.class, EventType.RESTART);
             if (!s.has("at")) {
                 throw s.bad("at", "missing: a time, or the least and the most");
             }
@@ -317,28 +317,28 @@
             if (kind != null && kinds.stream().noneMatch(k -> k.name().equals(kind))) {
                 throw s.bad("kind", "no such kind of partner: " + kind);
             }
-            double[] strength = switch (what) {
+            double[] strength = switch (type) {
                 case FAILING -> s.range("strength", 0.5, 1, 0, 1);
                 case SLOW -> s.range("strength", 3, 6, 1, 1000);
                 case LOWERED -> s.range("strength", 0.3, 0.7, 0, 1);
                 case HOT -> s.range("strength", 0.06, 0.22, 0, 1);
                 default -> new double[] {0, 0};
             };
-            all.add(new ScheduledEvent(
+            events.add(new ScheduledEvent(
                     s.which(),
-                    what,
-                    s.times("at", 0, 0, 0, 48 * HOUR),
-                    s.times("for", 10 * SECOND, 20 * SECOND, MS, 48 * HOUR),
-                    s.share("part", what == EventType.RESTART || what == EventType.DRAIN ? 1 : 0.2, 1),
+                    type,
+                    s.times("at", 0, 0, 0, 48 * HOUR_MICROS),
+                    s.times("for", 10 * SECOND_MICROS, 20 * SECOND_MICROS, MILLISECOND_MICROS, 48 * HOUR_MICROS),
+                    s.share("part", type == EventType.RESTART || type == EventType.DRAIN ? 1 : 0.2, 1),
                     s.choice("target", Target.class, Target.ANY),
                     kind,
                     strength,
-                    what == EventType.RESTART
-                            ? s.times("down", 300 * MS, 1500 * MS, MS, HOUR)
-                            : what == EventType.DRAIN
-                                    ? s.times("down", 2 * SECOND, 6 * SECOND, 0, HOUR)
+                    type == EventType.RESTART
+                            ? s.times("down", 300 * MILLISECOND_MICROS, 1500 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS)
+                            : type == EventType.DRAIN
+                                    ? s.times("down", 2 * SECOND_MICROS, 6 * SECOND_MICROS, 0, HOUR_MICROS)
                                     : new long[] {0, 0}));
         }
-        return all;
+        return events;
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/Listeners.java
+++ b/src/main/java/lilaclever/lab/sockets/Listeners.java
@@ -52,7 +52,7 @@
                     socket.close();
                     return;
                 }
-                world.auditor().service().connection();
+                world.auditor().service().addConnection();
                 PartnerConnection c = new PartnerConnection(
                         world,
                         time,
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -90,7 +90,7 @@
         if (!closed) {
             over(out, "given up", false);
             if (!out.isEmpty()) {
-                partner.heardFailure(forwarder, time.now());
+                partner.failureSeen(forwarder, time.now());
             }
             close();
         }
@@ -100,7 +100,7 @@
     void cut() {
         if (!closed) {
             over(out, "reset", false);
-            partner.heardFailure(forwarder, time.now());
+            partner.failureSeen(forwarder, time.now());
             wire.reset();
             close();
         }
@@ -163,7 +163,7 @@
             return;
         }
         if (waited < MOST_OVERTAKEN
-                && ids.stream().anyMatch(id -> world.auditor().isOut(World.number(id)))) {
+                && ids.stream().anyMatch(id -> world.auditor().hasAttemptInProgress(World.number(id)))) {
             time.after(
                     OVERTAKEN, () -> receive(ids, at, waited + OVERTAKEN)); // its end may be on its way to this thread
             return;
@@ -179,7 +179,7 @@
         }
         if (!welcome) {
             over(ids, "full", true);
-            partner.heardFailure(forwarder, time.now());
+            partner.failureSeen(forwarder, time.now());
             write("503 Service Unavailable", "", "Connection: close");
             close();
             return;
@@ -187,13 +187,13 @@
         Answer a = world.call(partner, host, forwarder, ids);
         switch (a.status()) {
             case NO_CONNECTION -> cut();
-            case FULL -> time.at(a.atMicros(), () -> answer(ids, () -> full(ids, a.waitMicros())));
+            case FULL -> time.at(a.atMicros(), () -> answer(ids, () -> full(ids, a.retryAfterMicros())));
             case ERROR ->
                 time.at(
                         a.atMicros(),
                         () -> answer(ids, () -> {
                             over(ids, "error", false);
-                            partner.heardFailure(forwarder, time.now());
+                            partner.failureSeen(forwarder, time.now());
                             write("500 Internal Server Error", "");
                         }));
             case DELIVERED -> time.at(a.atMicros(), () -> delivered(ids, a));
@@ -210,9 +210,9 @@
 
     private void full(List<String> ids, long wait) {
         over(ids, "full", true);
-        partner.heardFailure(forwarder, time.now());
+        partner.failureSeen(forwarder, time.now());
         if (wait > 0) {
-            world.auditor().waitTold(forwarder, partner.destination(), time.now(), wait);
+            world.auditor().retryAfterReceived(forwarder, partner.destination(), time.now(), wait);
             write("429 Too Many Requests", "", "X-Retry-In-Ms: " + (wait + 999) / 1000);
         } else {
             write("503 Service Unavailable", "");
@@ -221,7 +221,7 @@
 
     /** The partner has done the work, whether or not anybody still waits for its answer. */
     private void delivered(List<String> ids, Answer a) {
-        if (closed || out != ids || !partner.answersStill(host, a.atMicros())) {
+        if (closed || out != ids || !partner.canStillAnswer(host, a.atMicros())) {
             ids.forEach(id -> world.onProcessed(id, false));
             return;
         }
@@ -240,7 +240,7 @@
         if (closed) {
             return;
         }
-        world.auditor().service().probe();
+        world.auditor().service().addProbe();
         Answer a = partner.call(host, forwarder, new long[] {1000}, time.now());
         String status = switch (a.status()) {
             case DELIVERED -> "200 OK";
@@ -252,7 +252,7 @@
             time.at(a.atMicros(), () -> {
                 if (!closed) {
                     if (!status.startsWith("200")) {
-                        partner.heardFailure(forwarder, time.now());
+                        partner.failureSeen(forwarder, time.now());
                     }
                     write(status, "");
                 }
--- a/src/main/java/lilaclever/lab/sockets/Settings.java
+++ b/src/main/java/lilaclever/lab/sockets/Settings.java
@@ -48,7 +48,7 @@
         JsonArray shapes = new JsonArray(), zones = new JsonArray(), batch = new JsonArray(), own = new JsonArray();
         for (PartnerKind k : s.kinds()) {
             shapes.add(k.name());
-            batch.add(k.batch());
+            batch.add(k.maxBatch());
             own.add(false);
         }
         zones.add(ZONE);
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
@@ -71,7 +71,7 @@
             throw new UncheckedIOException(e);
         }
         clients = new Clients(world, time, address);
-        line = world.scenario().traffic().hl7() > 0 ? hl7() : null;
+        line = world.scenario().traffic().hl7Share() > 0 ? hl7() : null;
     }
 
     private Hl7Line hl7() {
@@ -235,7 +235,7 @@
     // ---- what it is given -------------------------------------------------------------------------------
     @Override
     public void handIn(String id, Arrival arrival, long leftMicros) {
-        if (line != null && world.scenario().traffic().byHl7(arrival.number())) {
+        if (line != null && world.scenario().traffic().usesHl7(arrival.number())) {
             line.handIn(id, arrival, leftMicros);
         } else {
             clients.handIn(id, arrival, leftMicros);
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -87,7 +87,7 @@
         call.messages.forEach(m -> world.onAttempt(m.id(), number, host, call.endpoint.destination(), world.now()));
         boolean kept = idle.acquire(host, world.now()) != null;
         if (!kept) {
-            world.auditor().service().connection();
+            world.auditor().service().addConnection();
         }
         long arrivesAt = world.now()
                 + world.network() * (kept ? 1 : WAYS_OF_NEW_CONNECTION)
@@ -120,7 +120,7 @@
         state.arrived = true;
         call.messages.forEach(m -> world.onRequestReceived(m.id(), number, call.endpoint.destination()));
         String host = call.endpoint.host();
-        if (!connected && partner.hosts().contains(host) && !partner.isOut(world.now())) {
+        if (!connected && partner.hosts().contains(host) && !partner.isUnavailable(world.now())) {
             // Too many connections: the partner says that it has no room, and closes.
             later(world.now() + world.network(), () -> end(call, state, AttemptResult.NO_ROOM, 0, false));
             attemptsOver(call, "full", true);
@@ -136,13 +136,13 @@
             case FULL -> {
                 attemptsOver(call, "full", true);
                 later(answer.atMicros(), () -> {
-                    if (answer.waitMicros() > 0 && !state.closed) {
-                        world.auditor().waitTold(number, call.endpoint.destination(), world.now(), answer.waitMicros());
+                    if (answer.retryAfterMicros() > 0 && !state.closed) {
+                        world.auditor().retryAfterReceived(number, call.endpoint.destination(), world.now(), answer.retryAfterMicros());
                     }
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
                     later(
                             world.now() + world.network(),
-                            () -> end(call, state, AttemptResult.FULL, deaf ? 0 : answer.waitMicros(), true));
+                            () -> end(call, state, AttemptResult.FULL, deaf ? 0 : answer.retryAfterMicros(), true));
                 });
             }
             case ERROR -> {
@@ -156,7 +156,7 @@
 
     /** The partner has done the work, whether or not anybody still waits for its answer. */
     private void delivered(Call call, CallState state, Partner partner, Answer answer) {
-        if (state.closed || !partner.answersStill(call.endpoint.host(), answer.atMicros())) {
+        if (state.closed || !partner.canStillAnswer(call.endpoint.host(), answer.atMicros())) {
             call.messages.forEach(m -> world.onProcessed(m.id(), false));
             return;
         }
@@ -179,7 +179,7 @@
             waits.recordRetryAfter(call.endpoint, world.now() + wait);
         }
         if (ending != AttemptResult.DELIVERED && ending != AttemptResult.WITHHELD) {
-            world.partner(call.endpoint.destination()).heardFailure(number, world.now());
+            world.partner(call.endpoint.destination()).failureSeen(number, world.now());
         }
         if (keeps) {
             idle.release(call.endpoint.host(), call.endpoint.host(), world.now());
@@ -202,7 +202,7 @@
         }
         state.closed = true;
         calls.remove(call);
-        world.partner(call.endpoint.destination()).heardFailure(number, world.now());
+        world.partner(call.endpoint.destination()).failureSeen(number, world.now());
         world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), number);
         attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
         AttemptResult ending =
@@ -228,7 +228,7 @@
     @Override
     public void probe(Call.Endpoint endpoint) {
         long sent = world.now();
-        world.auditor().service().probe();
+        world.auditor().service().addProbe();
         Partner partner = world.partner(endpoint.destination());
         later(sent + 2 * world.network(), () -> {
             Answer answer = partner.call(endpoint.host(), number, new long[] {PROBE_WORK}, world.now());
@@ -246,7 +246,7 @@
                             sent + settings.limits().connectTimeoutMicros());
             later(at, () -> {
                 if (ending != AttemptResult.DELIVERED) {
-                    partner.heardFailure(number, world.now());
+                    partner.failureSeen(number, world.now());
                 }
                 core.post(() -> core.probeEnded(endpoint.host(), ending, world.now() - sent));
             });
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/lab/world/EndpointDirectory.java
@@ -70,7 +70,7 @@
     /** A new endpoint of that partner. Nobody is told yet. */
     DecisionModule.EndpointEntry addEndpoint(Partner partner) {
         String host = "s-" + partner.destination() + "-" + hostCount++;
-        partner.add(host);
+        partner.addEndpoint(host);
         int kind = scenario.kinds().indexOf(partner.kind());
         DecisionModule.EndpointEntry entry = new DecisionModule.EndpointEntry(
                 host, partner.destination(), 0, kind, Presence.ACTIVE, 0, timeline.now());
@@ -84,10 +84,10 @@
      */
     void replaceEndpoint(String host, Partner partner, long drainsForMicros) {
         tell(List.of(addEndpoint(partner), change(host, Presence.LEAVING)));
-        long longestDelay = scenario.fleet().directoryDelay()[1];
+        long longestDelay = scenario.fleet().directoryDelayMicros()[1];
         long staysFor = drainsForMicros + longestDelay + scenario.fleet().drainGraceMicros() + REMOVAL_MARGIN;
         timeline.after(staysFor, () -> {
-            partner.remove(host);
+            partner.removeEndpoint(host);
             tell(List.of(change(host, Presence.LEFT)));
         });
     }
@@ -105,7 +105,7 @@
     }
 
     private void recordHeard(int forwarder, DecisionModule.EndpointEntry entry) {
-        auditor.told(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.now());
+        auditor.endpointReported(forwarder, entry.host(), entry.presence() == Presence.ACTIVE, timeline.now());
     }
 
     private DecisionModule.EndpointEntry change(String host, Presence presence) {
@@ -131,7 +131,7 @@
         long newVersion = ++version;
         for (ForwarderHandle forwarder : forwarders) {
             int number = forwarder.number();
-            long at = timeline.now() + random.in(scenario.fleet().directoryDelay());
+            long at = timeline.now() + random.in(scenario.fleet().directoryDelayMicros());
             at = Math.max(Math.max(at, latestNewsAt[number]), silentUntil[number]);
             latestNewsAt[number] = at;
             timeline.at(at, () -> deliver(forwarder, newVersion, changed));
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/lab/world/EventPlanner.java
@@ -45,9 +45,9 @@
 
     /** Plans an event. */
     void plan(ScheduledEvent event) {
-        long at = random.in(event.at());
-        long length = random.in(event.forMicros());
-        switch (event.what()) {
+        long at = random.in(event.startMicros());
+        long length = random.in(event.durationMicros());
+        switch (event.type()) {
             case RESTART -> planRestarts(event, at, length);
             case DRAIN -> planDrains(event, at, length);
             case HOT -> planHotForwarders(event, at, length);
@@ -59,7 +59,7 @@
     }
 
     private void planRestarts(ScheduledEvent event, long at, long length) {
-        List<Integer> chosen = someForwarders(event.part());
+        List<Integer> chosen = someForwarders(event.share());
         for (int i = 0; i < chosen.size(); i++) {
             int forwarder = chosen.get(i);
             long down = random.in(event.downMicros());
@@ -70,7 +70,7 @@
     private void planDrains(ScheduledEvent event, long at, long length) {
         List<String> hosts = directory.hosts();
         shuffle(hosts);
-        int count = (int) Math.round(event.part() * hosts.size());
+        int count = (int) Math.round(event.share() * hosts.size());
         for (int i = 0; i < count; i++) {
             String host = hosts.get(i);
             long drainsFor = random.in(event.downMicros());
@@ -86,7 +86,7 @@
     }
 
     private void planHotForwarders(ScheduledEvent event, long at, long length) {
-        List<Integer> hot = someForwarders(event.part());
+        List<Integer> hot = someForwarders(event.share());
         double share = random.in(event.strength());
         int others = forwarderCount - hot.size();
         if (others == 0) {
@@ -99,7 +99,7 @@
     }
 
     private void planSilentDirectory(ScheduledEvent event, long at, long length) {
-        for (int forwarder : someForwarders(event.part())) {
+        for (int forwarder : someForwarders(event.share())) {
             timeline.at(at, () -> directory.silence(forwarder, timeline.now() + length));
         }
     }
@@ -107,15 +107,15 @@
     private void planLowerLimits(ScheduledEvent event, long at, long length) {
         double part = random.in(event.strength());
         for (Partner partner : somePartners(event)) {
-            timeline.at(at, () -> partner.lower(part, timeline.now() + length));
+            timeline.at(at, () -> partner.lowerLimit(part, timeline.now() + length));
         }
     }
 
     private void planOutages(ScheduledEvent event, long at, long length) {
         double strength = random.in(event.strength());
-        Partner.Outage outage = Partner.Outage.valueOf(event.what().name());
+        Partner.Outage outage = Partner.Outage.valueOf(event.type().name());
         for (Partner partner : somePartners(event)) {
-            timeline.at(at, () -> partner.outage(outage, strength, timeline.now() + length));
+            timeline.at(at, () -> partner.startOutage(outage, strength, timeline.now() + length));
         }
     }
 
@@ -136,7 +136,7 @@
         } else if (event.target() == Target.SMALL) {
             Collections.reverse(all);
         }
-        return all.subList(0, Math.min(all.size(), atLeastOne(event.part(), all.size())));
+        return all.subList(0, Math.min(all.size(), atLeastOne(event.share(), all.size())));
     }
 
     private static int atLeastOne(double part, int count) {
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderFleet.java
@@ -65,14 +65,14 @@
     /** A forwarder has died by itself: its connections are gone, and it is started again by whoever runs it. */
     void onUnexpectedDeath(int forwarder, String how) {
         auditor.count("deaths");
-        auditor.broken(Rule.INVARIANT, timeline.now(), "forwarder " + forwarder + " died: " + how);
+        auditor.addBreach(Rule.INVARIANT, timeline.now(), "forwarder " + forwarder + " died: " + how);
         onDeath(forwarder);
         timeline.after(DEATH_DETECTION, () -> start(forwarder, false));
     }
 
     private void onDeath(int forwarder) {
         partners.forEach(p -> p.disconnectAll(forwarder));
-        auditor.died(forwarder, timeline.now());
+        auditor.forwarderDied(forwarder, timeline.now());
         loadBalancer.onDeath(forwarder);
         clients.onDeath(forwarder);
     }
@@ -80,7 +80,7 @@
     /** A forwarder serves. */
     void onReady(int forwarder) {
         haveServed.add(forwarder);
-        auditor.ready(forwarder, timeline.now());
+        auditor.forwarderReady(forwarder, timeline.now());
         directory.onReady(forwarder);
         timeline.after(READY_DETECTION, () -> loadBalancer.onReady(forwarder));
     }
@@ -104,7 +104,7 @@
     void reportBrokenInvariants() {
         for (ForwarderHandle forwarder : forwarders) {
             if (forwarder.broken() > 0) {
-                auditor.broken(
+                auditor.addBreach(
                         Rule.INVARIANT,
                         timeline.now(),
                         "forwarder " + forwarder.number() + ": " + forwarder.broken() + " times");
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/lab/world/ForwarderSettings.java
@@ -26,7 +26,7 @@
         ratePerSecond = fleet.ratePerSecond() / fleet.forwarders();
         double busy = 0;
         for (int i = 0; i < partners.size(); i++) {
-            busy += weights[i] * ratePerSecond * partners.get(i).meanSeconds();
+            busy += weights[i] * ratePerSecond * partners.get(i).meanServiceSeconds();
         }
         busyCalls = busy;
     }
@@ -34,7 +34,7 @@
     /** Those of the forwarder with that number. */
     DecisionModule.Settings of(int number) {
         List<DecisionModule.EndpointKind> kinds = scenario.kinds().stream()
-                .map(k -> new DecisionModule.EndpointKind(false, k.batch()))
+                .map(k -> new DecisionModule.EndpointKind(false, k.maxBatch()))
                 .toList();
         List<DecisionModule.MessageClass> classes =
                 scenario.classes().stream().map(MessageClass::terms).toList();
@@ -57,14 +57,14 @@
 
     private DecisionModule.Limits limits() {
         return new DecisionModule.Limits(
-                fleet.mostAttempts(),
-                Math.max(fleet.leastHeld(), (int) (fleet.holdSeconds() * ratePerSecond)),
-                Math.max(fleet.leastSlots(), (int) Math.ceil(fleet.slotsRoom() * busyCalls)),
+                fleet.maxAttempts(),
+                Math.max(fleet.minPending(), (int) (fleet.pendingSeconds() * ratePerSecond)),
+                Math.max(fleet.minSlots(), (int) Math.ceil(fleet.slotFactor() * busyCalls)),
                 true,
                 true,
                 false,
                 1,
-                fleet.connectMicros(),
+                fleet.connectTimeoutMicros(),
                 fleet.keepAliveMicros(),
                 true,
                 LONGEST_COME_BACK);
@@ -75,10 +75,10 @@
                 ANSWER_SLACK,
                 ASK_WITHIN,
                 fleet.drainGraceMicros(),
-                fleet.cold().from(),
-                fleet.cold().rampMicros(),
-                fleet.cold().tipMultiple(),
-                fleet.cold().overloadMicros(),
+                fleet.partnerRecovery().initialCapacity(),
+                fleet.partnerRecovery().rampMicros(),
+                fleet.partnerRecovery().overloadFactor(),
+                fleet.partnerRecovery().overloadMicros(),
                 0);
     }
 }
--- a/src/main/java/lilaclever/lab/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/lab/world/PartnerFactory.java
@@ -52,7 +52,7 @@
                     endpoints,
                     weights[rank] * fleet.ratePerSecond(),
                     meanWork,
-                    fleet.cold(),
+                    fleet.partnerRecovery(),
                     new RandomStream(seed, "partner " + rank));
             partners.add(partner);
             for (int i = 0; i < endpoints; i++) {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/lab/world/SimulatedClients.java
@@ -78,7 +78,7 @@
     void arrive(Arrival arrival) {
         arrivals.put(arrival.number(), arrival);
         retriesLeft.put(arrival.number(), scenario.fleet().clientRetries());
-        auditor.arrives(
+        auditor.messageArrived(
                 arrival.number(), arrival.messageClass(), arrival.destination(), arrival.workMicros(), timeline.now());
         series.add("arrived", 1);
         submit(arrival);
@@ -92,7 +92,7 @@
         }
         int number = arrival.number();
         int forwarder = loadBalancer.pick();
-        auditor.handedIn(number, forwarder, timeline.now());
+        auditor.submitted(number, forwarder, timeline.now());
         String before = currentIds.get(number);
         String id = "m" + number + '-' + (before == null ? 0 : submission(before) + 1);
         timeline.after(scenario.fleet().networkMicros(), () -> {
@@ -139,7 +139,7 @@
     private void resubmit(String id) {
         Arrival arrival = arrivals.get(number(id));
         if (arrival != null) {
-            timeline.after(random.in(scenario.fleet().comesAgain()), () -> submit(arrival));
+            timeline.after(random.in(scenario.fleet().resubmitDelayMicros()), () -> submit(arrival));
         }
     }
 
@@ -147,7 +147,7 @@
     void onAccepted(String id) {
         Integer forwarder = unanswered.remove(id);
         if (forwarder != null) {
-            auditor.taken(number(id), forwarder, timeline.now());
+            auditor.accepted(number(id), forwarder, timeline.now());
         }
     }
 
@@ -156,7 +156,7 @@
         if (unanswered.remove(id) == null) {
             return; // it was submitted elsewhere since
         }
-        auditor.turnedDown(number(id), timeline.now(), retryAfterMicros);
+        auditor.rejected(number(id), timeline.now(), retryAfterMicros);
         series.add("turned_down", 1);
         retry(number(id), retryAfterMicros);
     }
@@ -173,7 +173,7 @@
             return;
         }
         boolean deferred = status.equals(DEFERRED);
-        auditor.noticed(number(id), status, timeline.now());
+        auditor.noticeReceived(number(id), status, timeline.now());
         series.add(deferred ? "refused" : "failed", 1);
         if (deferred) {
             retry(number(id), 0);
@@ -182,7 +182,7 @@
 
     private void retry(int number, long retryAfterMicros) {
         int left = retriesLeft.get(number);
-        long after = Math.max(retryAfterMicros, random.in(scenario.fleet().comesAgain()));
+        long after = Math.max(retryAfterMicros, random.in(scenario.fleet().resubmitDelayMicros()));
         if (left > 0 && mayRetry(number, timeline.now() + after)) {
             retriesLeft.put(number, left - 1);
             timeline.after(after, () -> submit(arrivals.get(number)));
@@ -191,7 +191,7 @@
 
     /** What may have taken effect is not submitted again, or with a key only inside its window. */
     private boolean mayRetry(int number, long at) {
-        long riskAt = auditor.riskAt(number);
+        long riskAt = auditor.firstPossibleEffectMicros(number);
         if (riskAt < 0) {
             return true;
         }
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -58,7 +58,7 @@
                 new EndpointDirectory(scenario, fault, timeline, auditor, new RandomStream(seed, "directory"), members);
         partners = new PartnerFactory(scenario, seed).make(weights, directory);
         LoadBalancer loadBalancer =
-                new LoadBalancer(timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemory());
+                new LoadBalancer(timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemoryMicros());
         clients = new SimulatedClients(
                 scenario, timeline, auditor, series, loadBalancer, members, new RandomStream(seed, "clients"));
         forwarders = new ForwarderFleet(members, partners, directory, loadBalancer, clients, timeline, auditor);
@@ -145,12 +145,12 @@
     // ---- calls to partners ------------------------------------------------------------------------------
     /** A forwarder sends a message: the first byte of the call leaves. */
     public void onAttempt(String id, int forwarder, String host, int destination, long at) {
-        auditor.attempt(number(id), forwarder, host, destination, at);
+        auditor.attemptStarted(number(id), forwarder, host, destination, at);
     }
 
     /** The last byte of a message's call has come. */
     public void onRequestReceived(String id, int forwarder, int destination) {
-        auditor.comes(number(id), forwarder, destination, now());
+        auditor.callArrived(number(id), forwarder, destination, now());
     }
 
     /** A call with these messages has come whole; tells what the partner makes of it. */
@@ -158,7 +158,7 @@
         long[] work = ids.stream().mapToLong(clients::workMicros).toArray();
         series.add("calls", 1);
         Answer answer = partner.call(host, forwarder, work, now());
-        if (fault == Fault.FLOODS && partner.warmth(now()) < 1) {
+        if (fault == Fault.FLOODS && partner.capacityShare(now()) < 1) {
             for (int i = 0; i < FLOOD_REPEATS; i++) {
                 partner.call(host, forwarder, work, now());
             }
@@ -171,15 +171,15 @@
 
     /** An attempt is over, as the partner knows it. */
     public void onAttemptOver(String id, String how, boolean neverRan) {
-        auditor.attemptOver(number(id), how, neverRan, now());
+        auditor.attemptEnded(number(id), how, neverRan, now());
     }
 
     /** A partner has worked on a message; {@code heard}: its answer goes out on an open connection. */
     public void onProcessed(String id, boolean heard) {
-        auditor.service().work(clients.workMicros(id), !heard);
+        auditor.service().addWork(clients.workMicros(id), !heard);
         if (heard) {
             int number = number(id);
-            auditor.attemptOver(number, "delivered", false, now());
+            auditor.attemptEnded(number, "delivered", false, now());
             auditor.delivered(number, now());
             series.add("delivered", 1);
         }
@@ -255,8 +255,8 @@
         Traffic traffic = new Traffic(
                 scenario.traffic().shape(),
                 fleet.ratePerSecond(),
-                scenario.traffic().clumps(),
-                scenario.traffic().clumpSeconds(),
+                scenario.traffic().burstShare(),
+                scenario.traffic().burstSeconds(),
                 scenario.classes(),
                 weights,
                 partners);
@@ -282,7 +282,7 @@
     }
 
     private void everySecond(LongConsumer progress) {
-        auditor.sweep(now());
+        auditor.closeExpired(now());
         int held = forwarders.held();
         if (held >= 0) {
             series.add("held", held);
@@ -310,11 +310,11 @@
     }
 
     private void reportFailBacks(Partner partner) {
-        int falls = partner.fallsByKnowing();
+        int falls = partner.overloadsByInformedForwarders();
         if (falls > 0) {
             String what = "destination " + partner.destination() + " was pushed over " + falls
                     + " times by forwarders that saw it fail";
-            auditor.broken(Rule.FAIL_BACK, now(), what);
+            auditor.addBreach(Rule.FAIL_BACK, now(), what);
         }
     }
 
@@ -327,6 +327,6 @@
                 partner.calls(),
                 partner.refused(),
                 partner.served(),
-                partner.falls());
+                partner.overloads());
     }
 }
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.LongConsumer;
 import lilaclever.conf.ConfigurationException;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.model.Traffic;
 import lilaclever.lab.report.Comparison;
 import lilaclever.lab.report.Report;
@@ -183,14 +183,14 @@
                                 alone
                                         ? Report.summary(r)
                                         : Report.summary(r).lines().findFirst().orElse("") + "\n");
-                        broken.addAndGet(r.auditor().broken().isEmpty() ? 0 : 1);
+                        broken.addAndGet(r.auditor().breachCounts().isEmpty() ? 0 : 1);
                         if (r.trust() != null && !r.trust().good()) {
                             doubtful.incrementAndGet();
                             if (!alone) {
                                 System.out.println(r.trust().text());
                             }
                         }
-                        services.add(r.auditor().service().figure(Prices.USUAL));
+                        services.add(r.auditor().service().figure(DeductionRates.DEFAULT));
                     });
         } finally {
             interrupt.done();
@@ -277,8 +277,8 @@
                         n,
                         i -> VirtualTime.run(point.scenario(), seed + i, Fault.NONE, now -> {}, interrupt::come),
                         r -> {
-                            services.add(r.auditor().service().figure(Prices.USUAL));
-                            broken.addAndGet(r.auditor().broken().size());
+                            services.add(r.auditor().service().figure(DeductionRates.DEFAULT));
+                            broken.addAndGet(r.auditor().breachCounts().size());
                         });
                 if (interrupt.come()) {
                     break; // a point of cut runs is none
@@ -291,7 +291,7 @@
             interrupt.done();
         }
         if (overLoad) {
-            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", aim, sweep.keepsUpTo(aim));
+            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", aim, sweep.highestLoadMeeting(aim));
         }
         System.out.println("plot: " + folder(first).resolve("sweep.png"));
         return interrupt.come() ? Interrupt.CODE : allBroken.get() == 0 ? GOOD : BROKEN;
@@ -351,9 +351,9 @@
                 new Scenario.TrafficPlan(
                         s.traffic().lengthMicros(),
                         List.of(new Traffic.Point(0, load)),
-                        s.traffic().clumps(),
-                        s.traffic().clumpSeconds(),
-                        s.traffic().hl7()),
+                        s.traffic().burstShare(),
+                        s.traffic().burstSeconds(),
+                        s.traffic().hl7Share()),
                 s.events());
     }
 
@@ -361,7 +361,7 @@
         if (names.size() != 2) {
             throw new ConfigurationException("rehearse compare", "two folders of runs, not " + names.size());
         }
-        System.out.print(Comparison.of(Path.of(names.get(0)), Path.of(names.get(1))));
+        System.out.print(Comparison.table(Path.of(names.get(0)), Path.of(names.get(1))));
         return GOOD;
     }
 }
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -33,21 +33,21 @@
     }
 
     private void taken(int n, int messageClass, long at) {
-        auditor.arrives(n, messageClass, 7, 1000, at);
-        auditor.handedIn(n, 0, at);
-        auditor.taken(n, 0, at);
+        auditor.messageArrived(n, messageClass, 7, 1000, at);
+        auditor.submitted(n, 0, at);
+        auditor.accepted(n, 0, at);
     }
 
     private void attempt(int n, long at, String how, boolean neverRan) {
-        auditor.attempt(n, 0, "e", 7, at);
+        auditor.attemptStarted(n, 0, "e", 7, at);
         if (how != null) {
-            auditor.attemptOver(n, how, neverRan, at + 1000);
+            auditor.attemptEnded(n, how, neverRan, at + 1000);
         }
     }
 
     private Set<Rule> broken() {
         auditor.finish(300 * S);
-        return auditor.broken().keySet();
+        return auditor.breachCounts().keySet();
     }
 
     @Test
@@ -59,7 +59,7 @@
         taken(2, ORDER, 0);
         attempt(2, S, "error", false);
         attempt(2, 5 * S, "error", false); // within its window
-        auditor.noticed(2, "undeliverable", 19 * S);
+        auditor.noticeReceived(2, "undeliverable", 19 * S);
         taken(3, STATUS, 0);
         attempt(3, S, "given up", false);
         attempt(3, 6 * S, "delivered", false);
@@ -75,9 +75,9 @@
         taken(1, PAYMENT, 0);
         attempt(1, S, "given up", false);
         attempt(1, 2 * S, null, false);
-        auditor.noticed(1, "undeliverable", 3 * S);
+        auditor.noticeReceived(1, "undeliverable", 3 * S);
         assertEquals(Set.of(Rule.REPEAT), broken());
-        assertTrue(auditor.breaches().get(0).story().stream().anyMatch(l -> l.contains("given up")));
+        assertTrue(auditor.breaches().get(0).history().stream().anyMatch(l -> l.contains("given up")));
     }
 
     @Test
@@ -107,53 +107,53 @@
     @Test
     void lateAndDoubleEndsAreSeen() {
         taken(1, STATUS, 0);
-        auditor.noticed(1, "undeliverable", 6 * S + 400_000);
+        auditor.noticeReceived(1, "undeliverable", 6 * S + 400_000);
         taken(2, STATUS, S);
-        auditor.noticed(2, "deferred", 2 * S);
-        auditor.noticed(2, "deferred", 3 * S); // a second notice of the same does no harm
-        assertEquals(1, auditor.broken().get(Rule.ONE_END));
-        auditor.noticed(2, "undeliverable", 3 * S);
+        auditor.noticeReceived(2, "deferred", 2 * S);
+        auditor.noticeReceived(2, "deferred", 3 * S); // a second notice of the same does no harm
+        assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
+        auditor.noticeReceived(2, "undeliverable", 3 * S);
         attempt(2, 4 * S, "full", true);
-        assertEquals(3, auditor.broken().get(Rule.ONE_END));
+        assertEquals(3, auditor.breachCounts().get(Rule.ONE_END));
     }
 
     /** While a forwarder is away, and shortly after, no end is overdue. */
     @Test
     void aRestartPutsEndsOff() {
         taken(1, STATUS, 0);
-        auditor.died(0, 5 * S);
-        auditor.ready(0, 8 * S);
-        auditor.noticed(1, "undeliverable", 9 * S);
+        auditor.forwarderDied(0, 5 * S);
+        auditor.forwarderReady(0, 8 * S);
+        auditor.noticeReceived(1, "undeliverable", 9 * S);
         taken(2, STATUS, 20 * S);
-        auditor.died(0, 25 * S);
-        auditor.ready(0, 26 * S);
-        auditor.noticed(2, "undeliverable", 28 * S);
-        assertEquals(1, auditor.broken().get(Rule.ONE_END));
+        auditor.forwarderDied(0, 25 * S);
+        auditor.forwarderReady(0, 26 * S);
+        auditor.noticeReceived(2, "undeliverable", 28 * S);
+        assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
     }
 
     @Test
     void nothingGoesToADrainingEndpointAfterItsGrace() {
         taken(1, STATUS, 0);
-        auditor.told(0, "e", false, S);
+        auditor.endpointReported(0, "e", false, S);
         attempt(1, S + 540_000, "full", true);
-        assertEquals(Set.of(), auditor.broken().keySet());
+        assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 560_000, "full", true);
-        assertEquals(Set.of(Rule.DRAIN), auditor.broken().keySet());
+        assertEquals(Set.of(Rule.DRAIN), auditor.breachCounts().keySet());
     }
 
     @Test
     void toldWaitsAreKeptUntilARestart() {
         taken(1, STATUS, 0);
-        auditor.waitTold(0, 7, S, S);
+        auditor.retryAfterReceived(0, 7, S, S);
         attempt(1, S + 90_000, "full", true); // it crossed the telling
-        auditor.attempt(1, 1, "e", 7, S + 500_000); // another forwarder was not told
-        auditor.attemptOver(1, "full", true, S + 500_001);
-        assertEquals(Set.of(), auditor.broken().keySet());
+        auditor.attemptStarted(1, 1, "e", 7, S + 500_000); // another forwarder was not told
+        auditor.attemptEnded(1, "full", true, S + 500_001);
+        assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, S + 500_010, "full", true);
-        assertEquals(Set.of(Rule.WAIT), auditor.broken().keySet());
-        auditor.died(0, S + 600_000);
+        assertEquals(Set.of(Rule.WAIT), auditor.breachCounts().keySet());
+        auditor.forwarderDied(0, S + 600_000);
         attempt(1, S + 700_000, "full", true);
-        assertEquals(1, auditor.broken().get(Rule.WAIT));
+        assertEquals(1, auditor.breachCounts().get(Rule.WAIT));
     }
 
     @Test
@@ -167,11 +167,11 @@
         }
         auditor.finish(300 * S);
         Service s = auditor.service();
-        assertEquals(0.5, s.whole(), 1e-9);
+        assertEquals(0.5, s.wholeRun(), 1e-9);
         assertEquals(0, s.worstWindow(), 1e-9);
         assertEquals(0.5, s.worstClass(), 1e-9);
-        assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new Prices(0, 0, 0, 0)), 1e-9);
-        s.connection();
-        assertEquals(0.06 / 20, s.deductions(new Prices(6, 3, 3, 1.4)), 1e-9);
+        assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
+        s.addConnection();
+        assertEquals(0.06 / 20, s.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
     }
 }
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -40,8 +40,8 @@
 
     private static Partner partner(Limit limit) {
         Partner p = new Partner(
-                7, kind(limit, 0), 1, 10, 100_000, new Partner.Cold(0.25, 8 * S, 1.5, 3 * S), new RandomStream(1, "p"));
-        p.add("e");
+                7, kind(limit, 0), 1, 10, 100_000, new Partner.Recovery(0.25, 8 * S, 1.5, 3 * S), new RandomStream(1, "p"));
+        p.addEndpoint("e");
         return p;
     }
 
@@ -61,7 +61,7 @@
                     2,
                     60 + i,
                     100_000,
-                    new Partner.Cold(0.25, 8 * S, 1.5, 3 * S),
+                    new Partner.Recovery(0.25, 8 * S, 1.5, 3 * S),
                     new RandomStream(i, "p"));
             assertEquals(60 + i, p.capacity(), 1e-6);
         }
@@ -84,30 +84,30 @@
     /** Twenty in a span of two seconds, and no more until the next begins; it tells when that is. */
     @Test
     void aWindowIsACountInASpan() {
-        Allowance a = new Allowance(Limit.WINDOW, 10, 2 * S, true);
-        assertEquals(20, IntStream.range(0, 50).filter(i -> a.take(i * 10_000L)).count());
-        assertEquals(2 * S, a.roomAt(S));
-        assertTrue(a.take(2 * S));
+        CallLimiter a = new CallLimiter(Limit.WINDOW, 10, 2 * S, true);
+        assertEquals(20, IntStream.range(0, 50).filter(i -> a.tryAcquire(i * 10_000L)).count());
+        assertEquals(2 * S, a.availableAtMicros(S));
+        assertTrue(a.tryAcquire(2 * S));
     }
 
     /** Half of a limit is left for a while, and all of it afterwards, however the limit counts. */
     @Test
     void aLoweredLimitLetsAPartThroughAndIsRaisedAgain() {
         for (Limit limit : List.of(Limit.WINDOW, Limit.RATE)) {
-            Allowance a = new Allowance(limit, 10, 2 * S, false);
+            CallLimiter a = new CallLimiter(limit, 10, 2 * S, false);
             a.lower(0.5, 10 * S);
-            a.take(0);
+            a.tryAcquire(0);
             assertEquals(
                     40,
                     IntStream.range(0, 400)
-                            .filter(i -> a.take(2 * S + i * 20_000L))
+                            .filter(i -> a.tryAcquire(2 * S + i * 20_000L))
                             .count(),
                     4,
                     limit + " lowered");
             assertEquals(
                     100,
                     IntStream.range(0, 500)
-                            .filter(i -> a.take(10 * S + i * 20_000L))
+                            .filter(i -> a.tryAcquire(10 * S + i * 20_000L))
                             .count(),
                     4,
                     limit + " raised");
@@ -117,12 +117,12 @@
     /** Where refused calls count, whoever goes on asking at a high rate gets nothing. */
     @Test
     void refusedCallsMayUseUpARate() {
-        Allowance counts = new Allowance(Limit.RATE, 10, S, true), forgives = new Allowance(Limit.RATE, 10, S, false);
+        CallLimiter counts = new CallLimiter(Limit.RATE, 10, S, true), forgives = new CallLimiter(Limit.RATE, 10, S, false);
         assertTrue(
-                IntStream.range(0, 1000).filter(i -> counts.take(i * 10_000L)).count() < 20);
+                IntStream.range(0, 1000).filter(i -> counts.tryAcquire(i * 10_000L)).count() < 20);
         assertEquals(
                 102,
-                IntStream.range(0, 1000).filter(i -> forgives.take(i * 10_000L)).count(),
+                IntStream.range(0, 1000).filter(i -> forgives.tryAcquire(i * 10_000L)).count(),
                 3);
     }
 
@@ -140,46 +140,46 @@
     @Test
     void itComesBackColdAndFallsOverWhereItIsFlooded() {
         Partner p = partner(Limit.NONE);
-        p.outage(Outage.SHUT, 0, 10 * S);
+        p.startOutage(Outage.SHUT, 0, 10 * S);
         assertEquals(Status.FULL, call(p, 3, 9 * S).status());
-        p.heardFailure(3, 9 * S);
-        assertTrue(p.isOut(9 * S));
-        assertEquals(0.25, p.warmth(10 * S), 0.01);
-        assertEquals(0.625, p.warmth(14 * S), 0.01);
-        for (int i = 0; i < 400 && p.falls() == 0; i++) {
+        p.failureSeen(3, 9 * S);
+        assertTrue(p.isUnavailable(9 * S));
+        assertEquals(0.25, p.capacityShare(10 * S), 0.01);
+        assertEquals(0.625, p.capacityShare(14 * S), 0.01);
+        for (int i = 0; i < 400 && p.overloads() == 0; i++) {
             call(p, 3, 10 * S + i * 10_000L);
         }
-        assertEquals(1, p.falls());
-        assertEquals(1, p.fallsByKnowing()); // forwarder 3 had seen it refuse
-        assertTrue(p.isOut(60 * S));
+        assertEquals(1, p.overloads());
+        assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen it refuse
+        assertTrue(p.isUnavailable(60 * S));
     }
 
     @Test
     void whoDidNotSeeItFailIsNotToBlame() {
         Partner p = partner(Limit.NONE);
-        p.outage(Outage.DOWN, 0, 10 * S);
+        p.startOutage(Outage.DOWN, 0, 10 * S);
         assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * S).status());
-        p.heardFailure(3, 9 * S);
-        for (int i = 0; i < 400 && p.falls() == 0; i++) {
+        p.failureSeen(3, 9 * S);
+        for (int i = 0; i < 400 && p.overloads() == 0; i++) {
             call(p, 4, 10 * S + i * 10_000L);
         }
-        assertEquals(1, p.falls());
-        assertEquals(0, p.fallsByKnowing());
+        assertEquals(1, p.overloads());
+        assertEquals(0, p.overloadsByInformedForwarders());
     }
 
     @Test
     void outagesAnswerAsTheyAreNamed() {
         Partner p = partner(Limit.NONE);
-        p.outage(Outage.SILENT, 0, S);
-        assertEquals(Status.NEVER, call(p, 0, 0).status());
-        assertFalse(p.answersStill("e", S / 2));
-        p.outage(Outage.FAILING, 1, 2 * S);
+        p.startOutage(Outage.SILENT, 0, S);
+        assertEquals(Status.NO_ANSWER, call(p, 0, 0).status());
+        assertFalse(p.canStillAnswer("e", S / 2));
+        p.startOutage(Outage.FAILING, 1, 2 * S);
         assertEquals(Status.ERROR, call(p, 0, S).status());
         Partner slow = partner(Limit.NONE);
         long usual = call(slow, 0, 0).atMicros();
-        slow.outage(Outage.SLOW, 4, 10 * S);
+        slow.startOutage(Outage.SLOW, 4, 10 * S);
         assertEquals(4 * usual, call(slow, 0, 5 * S).atMicros() - 5 * S, 4);
-        assertEquals(1, slow.warmth(11 * S)); // slow is no outage: it does not come back cold
+        assertEquals(1, slow.capacityShare(11 * S)); // slow is no outage: it does not come back cold
     }
 
     @Test
@@ -190,9 +190,9 @@
                 1,
                 1,
                 1000,
-                new Partner.Cold(0.25, 8 * S, 1.5, 3 * S),
+                new Partner.Recovery(0.25, 8 * S, 1.5, 3 * S),
                 new RandomStream(1, "p"));
-        p.add("e");
+        p.addEndpoint("e");
         assertTrue(p.connect("e", 0) && p.connect("e", 1));
         assertFalse(p.connect("e", 1));
         p.disconnectAll(0);
--- a/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
+++ b/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
@@ -82,7 +82,7 @@
                         Overrides.Setting.of("fleet.forwarders=8"),
                         Overrides.Setting.of("event one-restart.part=10%")));
         assertEquals(8, s.fleet().forwarders());
-        assertEquals(0.1, s.events().get(0).part());
+        assertEquals(0.1, s.events().get(0).share());
         assertEquals(
                 ScenarioReader.read("month-end").traffic().lengthMicros(),
                 s.traffic().lengthMicros());
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -12,7 +12,7 @@
 import java.util.stream.Stream;
 import lilaclever.conf.ConfigurationException;
 import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.audit.Prices;
+import lilaclever.lab.audit.DeductionRates;
 import lilaclever.lab.report.Comparison;
 import lilaclever.lab.report.Report;
 import lilaclever.lab.scenario.Scenario;
@@ -51,7 +51,7 @@
         assertTrue(Files.readString(folder.resolve("a/index.html")).contains("data:image/png;base64,"));
         Report.write(run(ScenarioReader.read("bad-afternoon"), 2, Fault.NONE), folder.resolve("c"));
         assertNotEquals(-1, Files.mismatch(folder.resolve("a/report.json"), folder.resolve("c/report.json")));
-        assertTrue(Comparison.of(folder.resolve("a"), folder.resolve("b"))
+        assertTrue(Comparison.table(folder.resolve("a"), folder.resolve("b"))
                 .contains("1 of them of the same scenario and seed"));
     }
 
@@ -71,14 +71,14 @@
             })
     void noRuleIsBroken(String name) throws ConfigurationException {
         Result r = run(name, Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
+        assertEquals(Map.of(), r.auditor().breachCounts(), () -> Report.summary(r));
         long messages = r.auditor().counts().get("messages");
         assertTrue(messages > 500, name + " has " + messages);
     }
 
     @Test
     void aQuietDayIsServed() throws ConfigurationException {
-        assertTrue(run("quiet", Fault.NONE).auditor().service().figure(Prices.USUAL) > 0.9);
+        assertTrue(run("quiet", Fault.NONE).auditor().service().figure(DeductionRates.DEFAULT) > 0.9);
     }
 
     /** Guards against an auditor that sees nothing: each fault is caught, and by the rule that it breaks. */
@@ -92,10 +92,10 @@
     })
     void aBrokenForwarderIsCaughtAndNamed(String name, Fault fault, Rule rule) throws ConfigurationException {
         Result r = run(name, fault);
-        assertTrue(r.auditor().broken().containsKey(rule), () -> Report.summary(r));
+        assertTrue(r.auditor().breachCounts().containsKey(rule), () -> Report.summary(r));
         assertTrue(rule == Rule.FAIL_BACK
                 || r.auditor().breaches().stream()
-                        .anyMatch(b -> b.rule() == rule && !b.story().isEmpty()));
+                        .anyMatch(b -> b.rule() == rule && !b.history().isEmpty()));
     }
 
     /**
@@ -122,7 +122,7 @@
                                 "wait 500ms 3s")),
                 1,
                 Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
+        assertEquals(Map.of(), r.auditor().breachCounts(), () -> Report.summary(r));
         assertTrue(
                 r.auditor().counts().getOrDefault("ended_withheld", 0L) > 0,
                 () -> r.auditor().counts().toString());
@@ -141,10 +141,10 @@
                         "limit rate",
                         "tells-wait 100%",
                         "wait 500ms 900ms"));
-        assertEquals(Set.of(), run(s, 1, Fault.NONE).auditor().broken().keySet());
+        assertEquals(Set.of(), run(s, 1, Fault.NONE).auditor().breachCounts().keySet());
         assertEquals(
                 Set.of(Rule.WAIT),
-                run(s, 1, Fault.IGNORES_WAITS).auditor().broken().keySet());
+                run(s, 1, Fault.IGNORES_WAITS).auditor().breachCounts().keySet());
     }
 
     /** A scenario that can never be served ends like any other, with its figure. */
@@ -162,7 +162,7 @@
                         "for 1h",
                         "part 100%"));
         Result r = run(s, 1, Fault.NONE);
-        assertEquals(0, r.auditor().service().whole());
-        assertEquals(Map.of(), r.auditor().broken());
+        assertEquals(0, r.auditor().service().wholeRun());
+        assertEquals(Map.of(), r.auditor().breachCounts());
     }
 }
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -79,7 +79,7 @@
                 "part 30%");
         Result r = run(s, ChildProcessCommand.command("serve"));
         Result v = VirtualTime.run(s, 1, Fault.NONE);
-        assertEquals(Map.of(), r.auditor().broken(), () -> Report.summary(r));
+        assertEquals(Map.of(), r.auditor().breachCounts(), () -> Report.summary(r));
         assertEquals(v.auditor().counts().get("messages"), r.auditor().counts().get("messages"));
         assertEquals(v.events(), r.events());
         assertEquals(1, r.auditor().counts().get("restarts"));
@@ -106,7 +106,7 @@
         assertTrue(
                 r.auditor().breaches().stream()
                         .anyMatch(b ->
-                                b.rule() == Rule.INVARIANT && b.what().contains("forwarder 0 died: exit code 137")),
+                                b.rule() == Rule.INVARIANT && b.description().contains("forwarder 0 died: exit code 137")),
                 () -> r.auditor().breaches().toString());
     }
 
