--- a/bench/java/lilaclever/journal/JournalBench.java
+++ b/bench/java/lilaclever/journal/JournalBench.java
@@ -34,7 +34,7 @@
         value = 1,
         jvmArgsAppend = {"-Xmx10g", "-XX:+UseZGC"})
 public class JournalBench {
-    private static final int BODY = 300;
+    private static final int BODY_BYTES = 300;
 
     /** The store. */
     @Param({"segments", "one-file", "mvstore"})
@@ -45,40 +45,40 @@
     public int held;
 
     private Path folder;
-    private long writtenBefore;
-    private Store open;
-    private long next;
-    private final byte[] body = new byte[BODY];
+    private long writtenBytesBefore;
+    private Store openStore;
+    private long nextMessage;
+    private final byte[] body = new byte[BODY_BYTES];
 
     /** Fills the store. */
     @Setup(Level.Trial)
     public void fill() throws IOException {
         new Random(1).nextBytes(body);
         folder = Files.createTempDirectory("journal-bench");
-        open = Store.open(store, folder);
-        writtenBefore = written();
-        while (next < held) {
-            open.taken("message-" + next++, body);
-            if (next % 100 == 0) {
-                open.turn();
+        openStore = Store.open(store, folder);
+        writtenBytesBefore = writtenBytes();
+        while (nextMessage < held) {
+            openStore.recordAccepted("message-" + nextMessage++, body);
+            if (nextMessage % 100 == 0) {
+                openStore.endTurn();
             }
         }
-        open.turn();
+        openStore.endTurn();
     }
 
     /** One turn. */
     @Benchmark
     public void turn() {
-        open.taken("message-" + next, body);
-        open.attempt("message-" + next);
-        open.outcome("message-" + next);
-        open.ended("message-" + (next - held));
-        next++;
-        open.turn();
+        openStore.recordAccepted("message-" + nextMessage, body);
+        openStore.recordAttempt("message-" + nextMessage);
+        openStore.recordOutcome("message-" + nextMessage);
+        openStore.recordSettled("message-" + (nextMessage - held));
+        nextMessage++;
+        openStore.endTurn();
     }
 
     /** Bytes that the process has handed to the system, by its own account. */
-    private static long written() throws IOException {
+    private static long writtenBytes() throws IOException {
         return Files.readAllLines(Path.of("/proc/self/io")).stream()
                 .filter(l -> l.startsWith("wchar: "))
                 .mapToLong(l -> Long.parseLong(l.substring(7)))
@@ -89,15 +89,15 @@
     /** Prints bytes a message, and how long opening takes. */
     @TearDown(Level.Trial)
     public void end() throws IOException {
-        System.out.printf("%nFIGURE %s %d bytes-a-message %d%n", store, held, (written() - writtenBefore) / next);
-        open.close();
+        System.out.printf("%nFIGURE %s %d bytes-a-message %d%n", store, held, (writtenBytes() - writtenBytesBefore) / nextMessage);
+        openStore.close();
         System.gc();
         for (int i = 0; i < 3; i++) {
-            long began = System.nanoTime();
-            try (Store again = Store.open(store, folder)) {
+            long startNanos = System.nanoTime();
+            try (Store reopened = Store.open(store, folder)) {
                 System.out.printf(
                         "FIGURE %s %d open-ms %d owed %d%n",
-                        store, held, (System.nanoTime() - began) / 1_000_000, again.owed());
+                        store, held, (System.nanoTime() - startNanos) / 1_000_000, reopened.pendingCount());
             }
         }
         try (Stream<Path> files = Files.walk(folder)) {
--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -23,22 +23,22 @@
  * as a whole, on the caller's thread, when most of it is past.
  */
 final class OneFileJournal implements AutoCloseable {
-    private static final int HEAD = 8;
-    private static final int LARGEST = 1 << 20;
-    private static final long BLOCK = 512;
+    private static final int HEADER_BYTES = 8;
+    private static final int MAX_RECORD_BYTES = 1 << 20;
+    private static final long BLOCK_BYTES = 512;
     /** Room kept for the ends of what is already held, so that new work can't use it up. */
-    private static final long RESERVE = 128 * 1024;
+    private static final long RESERVED_BYTES = 128 * 1024;
     /** A file under this size is not worth writing anew. */
-    private static final long SMALL = 128 * 1024;
+    private static final long MIN_COMPACTION_BYTES = 128 * 1024;
 
     private enum Type {
-        TAKEN,
+        ACCEPTED,
         ATTEMPT,
         OUTCOME,
-        VERDICT,
-        ENDED,
+        FINAL_STATUS,
+        SETTLED,
         REMEMBERED,
-        PAST
+        PREVIOUS_ATTEMPTS
     }
 
     /** What replay found of one message; fields as in the core's message. */
@@ -46,58 +46,58 @@
         final String front;
         final Submission submission;
         final long deadlineWall;
-        final int bytes;
+        final int recordBytes;
         int attempts;
-        boolean out, mayHaveRun;
-        String host = "", riskHost = "";
-        int zone, riskZone;
-        long sentWall, riskWall;
-        FinalStatus verdict;
-
-        Entry(String front, Submission submission, long deadlineWall, int bytes) {
-            this.bytes = bytes;
+        boolean inProgress, mayHaveRun;
+        String host = "", firstRunHost = "";
+        int zone, firstRunZone;
+        long sentWall, firstRunWall;
+        FinalStatus finalStatus;
+
+        Entry(String front, Submission submission, long deadlineWall, int recordBytes) {
+            this.recordBytes = recordBytes;
             this.front = front;
             this.submission = submission;
             this.deadlineWall = deadlineWall;
         }
 
-        void risk() {
+        void markMayHaveRun() {
             if (!mayHaveRun) {
                 mayHaveRun = true;
-                riskHost = host;
-                riskZone = zone;
-                riskWall = sentWall;
+                firstRunHost = host;
+                firstRunZone = zone;
+                firstRunWall = sentWall;
             }
         }
     }
 
     /** The end of a message whose resending gets it again, and when that is forgotten. */
-    record Remembered(FinalStatus verdict, long untilWall) {}
+    record Remembered(FinalStatus finalStatus, long untilWall) {}
 
-    private interface Content {
+    private interface RecordContent {
         void write(DataOutputStream out) throws IOException;
     }
 
     private final Path path;
-    private final long most;
+    private final long maxBytes;
     /** What is owed, and what is remembered: the state that a compaction writes. */
-    final Map<String, Entry> owed = new LinkedHashMap<>();
+    final Map<String, Entry> pending = new LinkedHashMap<>();
 
     final Map<String, Remembered> remembered = new LinkedHashMap<>();
     private FileChannel file;
-    private long size;
-    private long live;
+    private long fileBytes;
+    private long liveBytes;
 
     /** Opens the journal in the folder and replays it; it keeps within so many bytes, compaction included. */
-    OneFileJournal(Path folder, long mostBytes) throws IOException {
+    OneFileJournal(Path folder, long maxBytes) throws IOException {
         this.path = folder.resolve("journal");
-        this.most = mostBytes;
+        this.maxBytes = maxBytes;
         Files.createDirectories(folder);
-        Files.deleteIfExists(unfinished());
+        Files.deleteIfExists(temporaryPath());
         if (Files.exists(path)) {
-            size = replay(Files.readAllBytes(path));
+            fileBytes = replay(Files.readAllBytes(path));
             try (FileChannel torn = FileChannel.open(path, StandardOpenOption.WRITE)) {
-                torn.truncate(size); // what follows a torn record could not be read
+                torn.truncate(fileBytes); // what follows a torn record could not be read
             }
         }
         if (!compact()) {
@@ -109,24 +109,24 @@
         file = FileChannel.open(path, StandardOpenOption.WRITE, StandardOpenOption.APPEND);
     }
 
-    private Path unfinished() {
+    private Path temporaryPath() {
         return path.resolveSibling("journal.new");
     }
 
     // ---- writing ----------------------------------------------------------------------------------------
     /** Takes a message on; false if there is no room for it, and then nothing was written. */
-    boolean taken(String front, Submission submission, long deadlineWall, long nowWall) {
-        byte[] record = taken(front, submission, deadlineWall);
-        if (!room(record.length) && !(compactAgain(nowWall) && room(record.length)) || !append(record)) {
+    boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
+        byte[] record = acceptedRecord(front, submission, deadlineWall);
+        if (!hasRoom(record.length) && !(tryCompact(nowWall) && hasRoom(record.length)) || !append(record)) {
             return false;
         }
-        live += record.length;
-        owed.put(submission.id(), new Entry(front, submission, deadlineWall, record.length));
+        liveBytes += record.length;
+        pending.put(submission.id(), new Entry(front, submission, deadlineWall, record.length));
         return true;
     }
 
     /** An attempt is about to be made. */
-    boolean attempt(String id, String host, int zone, long wall) {
+    boolean recordAttempt(String id, String host, int zone, long wall) {
         return write(Type.ATTEMPT, out -> {
             out.writeUTF(id);
             out.writeUTF(host);
@@ -136,42 +136,42 @@
     }
 
     /** An attempt has ended. */
-    boolean outcome(String id, boolean neverRan) {
+    boolean recordOutcome(String id, boolean knownNotRun) {
         return write(Type.OUTCOME, out -> {
             out.writeUTF(id);
-            out.writeBoolean(neverRan);
+            out.writeBoolean(knownNotRun);
         });
     }
 
     /** The message's end is decided and owed to its client. */
-    boolean verdict(String id, FinalStatus verdict) {
-        return write(Type.VERDICT, out -> {
+    boolean recordFinalStatus(String id, FinalStatus finalStatus) {
+        return write(Type.FINAL_STATUS, out -> {
             out.writeUTF(id);
-            write(out, verdict);
+            write(out, finalStatus);
         });
     }
 
     /** Nothing more is owed. */
-    void ended(String id) {
-        write(Type.ENDED, out -> out.writeUTF(id));
+    void recordSettled(String id) {
+        write(Type.SETTLED, out -> out.writeUTF(id));
     }
 
     /** The end is to be given again to whoever resends the message. */
-    void remember(String identity, FinalStatus verdict, long untilWall) {
-        write(Type.REMEMBERED, out -> remembered(out, identity, new Remembered(verdict, untilWall)));
+    void remember(String identity, FinalStatus finalStatus, long untilWall) {
+        write(Type.REMEMBERED, out -> writeRemembered(out, identity, new Remembered(finalStatus, untilWall)));
     }
 
-    private boolean write(Type type, Content content) {
+    private boolean write(Type type, RecordContent content) {
         byte[] record = record(type, content);
         boolean written = append(record);
         if (written) {
-            apply(ByteBuffer.wrap(record).position(HEAD).slice());
+            apply(ByteBuffer.wrap(record).position(HEADER_BYTES).slice());
         }
         return written;
     }
 
-    private static byte[] taken(String front, Submission h, long deadlineWall) {
-        return record(Type.TAKEN, out -> {
+    private static byte[] acceptedRecord(String front, Submission h, long deadlineWall) {
+        return record(Type.ACCEPTED, out -> {
             out.writeUTF(front);
             out.writeUTF(h.id());
             out.writeUTF(h.identity() == null ? "" : h.identity());
@@ -187,19 +187,19 @@
         });
     }
 
-    private static void write(DataOutputStream out, FinalStatus verdict) throws IOException {
-        out.writeByte(verdict.kind().ordinal());
-        out.writeLong(verdict.retryAfterMicros());
-        out.writeUTF(verdict.detail());
+    private static void write(DataOutputStream out, FinalStatus finalStatus) throws IOException {
+        out.writeByte(finalStatus.kind().ordinal());
+        out.writeLong(finalStatus.retryAfterMicros());
+        out.writeUTF(finalStatus.detail());
     }
 
-    private static void remembered(DataOutputStream out, String identity, Remembered r) throws IOException {
+    private static void writeRemembered(DataOutputStream out, String identity, Remembered r) throws IOException {
         out.writeUTF(identity);
-        write(out, r.verdict());
+        write(out, r.finalStatus());
         out.writeLong(r.untilWall());
     }
 
-    private static byte[] record(Type type, Content content) {
+    private static byte[] record(Type type, RecordContent content) {
         try {
             ByteArrayOutputStream bytes = new ByteArrayOutputStream();
             DataOutputStream out = new DataOutputStream(bytes);
@@ -208,8 +208,8 @@
             content.write(out);
             byte[] record = bytes.toByteArray();
             CRC32 sum = new CRC32();
-            sum.update(record, HEAD, record.length - HEAD);
-            ByteBuffer.wrap(record).putInt(record.length - HEAD).putInt((int) sum.getValue());
+            sum.update(record, HEADER_BYTES, record.length - HEADER_BYTES);
+            ByteBuffer.wrap(record).putInt(record.length - HEADER_BYTES).putInt((int) sum.getValue());
             return record;
         } catch (IOException e) {
             throw new UncheckedIOException(e); // memory does not fail so
@@ -217,21 +217,21 @@
     }
 
     /** All attempts of a message in one record: what a compaction makes of them. */
-    private static void past(DataOutputStream out, Entry e) throws IOException {
+    private static void writePreviousAttempts(DataOutputStream out, Entry e) throws IOException {
         out.writeUTF(e.submission.id());
         out.writeInt(e.attempts);
-        out.writeBoolean(e.out);
+        out.writeBoolean(e.inProgress);
         out.writeUTF(e.host);
         out.writeInt(e.zone);
         out.writeLong(e.sentWall);
         out.writeBoolean(e.mayHaveRun);
-        out.writeUTF(e.riskHost);
-        out.writeInt(e.riskZone);
-        out.writeLong(e.riskWall);
+        out.writeUTF(e.firstRunHost);
+        out.writeInt(e.firstRunZone);
+        out.writeLong(e.firstRunWall);
     }
 
     private boolean append(byte[] record) {
-        if (size + record.length > most - BLOCK) {
+        if (fileBytes + record.length > maxBytes - BLOCK_BYTES) {
             return false;
         }
         try {
@@ -239,12 +239,12 @@
             while (buffer.hasRemaining()) {
                 file.write(buffer);
             }
-            size += record.length;
+            fileBytes += record.length;
             return true;
         } catch (IOException e) {
             // A part of the record may be in the file: cut it off, or what follows could not be read.
             try {
-                file.truncate(size);
+                file.truncate(fileBytes);
             } catch (IOException again) {
                 e.addSuppressed(again);
             }
@@ -255,25 +255,25 @@
 
     // ---- room -------------------------------------------------------------------------------------------
     /** True while the file, a further record and the file's next writing fit together. */
-    private boolean room(long record) {
-        return size + live + 2 * record + RESERVE + 2 * BLOCK <= most;
+    private boolean hasRoom(long record) {
+        return fileBytes + liveBytes + 2 * record + RESERVED_BYTES + 2 * BLOCK_BYTES <= maxBytes;
     }
 
     /** Writes the file anew if most of it is past, or if the room for ends gets short; called once a turn. */
-    void tidy(long nowWall) {
-        boolean scarce = size + live + RESERVE > most && size > live + RESERVE / 4;
-        if (size > SMALL && size > 3 * live || scarce) {
-            compactAgain(nowWall);
+    void compactIfNeeded(long nowWall) {
+        boolean scarce = fileBytes + liveBytes + RESERVED_BYTES > maxBytes && fileBytes > liveBytes + RESERVED_BYTES / 4;
+        if (fileBytes > MIN_COMPACTION_BYTES && fileBytes > 3 * liveBytes || scarce) {
+            tryCompact(nowWall);
         }
     }
 
-    private boolean compactAgain(long nowWall) {
+    private boolean tryCompact(long nowWall) {
         remembered.values().removeIf(r -> r.untilWall() <= nowWall);
         try {
             return compact();
         } catch (IOException e) {
             System.err.println("lilaclever: journal: " + e);
-            unfinished().toFile().delete(); // a part of it would take room from the file that counts
+            temporaryPath().toFile().delete(); // a part of it would take room from the file that counts
             return false;
         }
     }
@@ -284,33 +284,33 @@
      */
     private boolean compact() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
-        for (Entry e : owed.values()) {
+        for (Entry e : pending.values()) {
             String id = e.submission.id();
-            all.write(taken(e.front, e.submission, e.deadlineWall));
+            all.write(acceptedRecord(e.front, e.submission, e.deadlineWall));
             if (e.attempts > 0) {
-                all.write(record(Type.PAST, out -> past(out, e)));
+                all.write(record(Type.PREVIOUS_ATTEMPTS, out -> writePreviousAttempts(out, e)));
             }
-            if (e.verdict != null) {
-                all.write(record(Type.VERDICT, out -> {
+            if (e.finalStatus != null) {
+                all.write(record(Type.FINAL_STATUS, out -> {
                     out.writeUTF(id);
-                    write(out, e.verdict);
+                    write(out, e.finalStatus);
                 }));
             }
         }
         for (Map.Entry<String, Remembered> r : remembered.entrySet()) {
-            all.write(record(Type.REMEMBERED, out -> remembered(out, r.getKey(), r.getValue())));
+            all.write(record(Type.REMEMBERED, out -> writeRemembered(out, r.getKey(), r.getValue())));
         }
-        if (size + all.size() > most - 2 * BLOCK) {
+        if (fileBytes + all.size() > maxBytes - 2 * BLOCK_BYTES) {
             return false;
         }
-        Files.write(unfinished(), all.toByteArray());
-        Files.move(unfinished(), path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.write(temporaryPath(), all.toByteArray());
+        Files.move(temporaryPath(), path, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         if (file != null) {
             file.close();
         }
         open();
-        size = all.size();
-        live = size;
+        fileBytes = all.size();
+        liveBytes = fileBytes;
         return true;
     }
 
@@ -318,24 +318,24 @@
     /** Applies the whole records; gives their length. */
     private int replay(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
-        int good = 0;
-        while (in.remaining() >= HEAD) {
+        int validBytes = 0;
+        while (in.remaining() >= HEADER_BYTES) {
             int length = in.getInt();
             int sum = in.getInt();
-            if (length <= 0 || length > LARGEST || length > in.remaining()) {
-                return good; // torn by a kill: its consequence has not happened
+            if (length <= 0 || length > MAX_RECORD_BYTES || length > in.remaining()) {
+                return validBytes; // torn by a kill: its consequence has not happened
             }
             ByteBuffer content = in.slice(in.position(), length);
             in.position(in.position() + length);
             CRC32 crc = new CRC32();
             crc.update(content.duplicate());
             if ((int) crc.getValue() != sum) {
-                return good;
+                return validBytes;
             }
             apply(content);
-            good = in.position();
+            validBytes = in.position();
         }
-        return good;
+        return validBytes;
     }
 
     private void apply(ByteBuffer content) {
@@ -343,49 +343,49 @@
         content.get(bytes);
         try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
             Type type = Type.values()[in.readByte()];
-            if (type == Type.TAKEN) {
-                readTaken(in, bytes.length + HEAD);
+            if (type == Type.ACCEPTED) {
+                readAccepted(in, bytes.length + HEADER_BYTES);
                 return;
             }
             String id = in.readUTF();
             if (type == Type.REMEMBERED) {
-                remembered.put(id, new Remembered(readVerdict(in), in.readLong()));
-                live += bytes.length + HEAD;
+                remembered.put(id, new Remembered(readFinalStatus(in), in.readLong()));
+                liveBytes += bytes.length + HEADER_BYTES;
                 return;
             }
-            Entry e = owed.get(id);
+            Entry e = pending.get(id);
             if (e == null) {
                 return;
             }
             switch (type) {
                 case ATTEMPT -> {
                     e.attempts++;
-                    e.out = true;
+                    e.inProgress = true;
                     e.host = in.readUTF();
                     e.zone = in.readInt();
                     e.sentWall = in.readLong();
                 }
                 case OUTCOME -> {
-                    e.out = false;
+                    e.inProgress = false;
                     if (!in.readBoolean()) {
-                        e.risk();
+                        e.markMayHaveRun();
                     }
                 }
-                case PAST -> {
+                case PREVIOUS_ATTEMPTS -> {
                     e.attempts = in.readInt();
-                    e.out = in.readBoolean();
+                    e.inProgress = in.readBoolean();
                     e.host = in.readUTF();
                     e.zone = in.readInt();
                     e.sentWall = in.readLong();
                     e.mayHaveRun = in.readBoolean();
-                    e.riskHost = in.readUTF();
-                    e.riskZone = in.readInt();
-                    e.riskWall = in.readLong();
+                    e.firstRunHost = in.readUTF();
+                    e.firstRunZone = in.readInt();
+                    e.firstRunWall = in.readLong();
                 }
-                case VERDICT -> e.verdict = readVerdict(in);
+                case FINAL_STATUS -> e.finalStatus = readFinalStatus(in);
                 default -> {
-                    owed.remove(id);
-                    live -= e.bytes;
+                    pending.remove(id);
+                    liveBytes -= e.recordBytes;
                 }
             }
         } catch (IOException e) {
@@ -393,24 +393,24 @@
         }
     }
 
-    private static FinalStatus readVerdict(DataInputStream in) throws IOException {
+    private static FinalStatus readFinalStatus(DataInputStream in) throws IOException {
         return new FinalStatus(FinalStatus.Kind.values()[in.readByte()], in.readLong(), in.readUTF());
     }
 
-    private void readTaken(DataInputStream in, int recordSize) throws IOException {
+    private void readAccepted(DataInputStream in, int recordSize) throws IOException {
         String front = in.readUTF();
         String id = in.readUTF();
         String identity = in.readUTF();
         int messageClass = in.readInt();
         int destination = in.readInt();
         String key = in.readUTF();
-        boolean again = in.readBoolean();
+        boolean resubmitted = in.readBoolean();
         boolean inherited = in.readBoolean();
-        long budget = in.readLong();
-        long deadline = in.readLong();
+        long budgetMicros = in.readLong();
+        long deadlineWall = in.readLong();
         byte[] body = in.readNBytes(in.readInt());
-        live += recordSize;
-        owed.put(
+        liveBytes += recordSize;
+        pending.put(
                 id,
                 new Entry(
                         front,
@@ -421,10 +421,10 @@
                                 destination,
                                 key.isEmpty() ? null : key,
                                 body,
-                                again,
+                                resubmitted,
                                 inherited,
-                                budget),
-                        deadline,
+                                budgetMicros),
+                        deadlineWall,
                         recordSize));
     }
 
--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -21,64 +21,64 @@
         }
     }
 
-    private static void fill(String kind, int held, Path folder) throws IOException {
+    private static void fill(String kind, int pending, Path folder) throws IOException {
         byte[] body = new byte[300];
         new Random(1).nextBytes(body);
         try (Store store = Store.open(kind, folder)) {
-            for (int i = 0; i < 4 * held; i++) {
-                store.taken("message-" + i, body);
-                store.attempt("message-" + i);
-                if (i >= held) {
-                    store.ended("message-" + (i - held));
+            for (int i = 0; i < 4 * pending; i++) {
+                store.recordAccepted("message-" + i, body);
+                store.recordAttempt("message-" + i);
+                if (i >= pending) {
+                    store.recordSettled("message-" + (i - pending));
                 }
                 if (i % 10 == 0) {
-                    store.turn();
+                    store.endTurn();
                 }
             }
-            store.turn();
+            store.endTurn();
         }
     }
 
-    private static void remember(int ends, Path folder) throws IOException {
+    private static void remember(int count, Path folder) throws IOException {
         try (SegmentedJournal journal = new SegmentedJournal(
                 FolderDisk.lock(folder),
-                Store.MOST,
+                Store.MAX_BYTES,
                 Durability.NONE,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                 new java.util.SplittableRandom())) {
-            long longest = 0;
-            for (int i = 0; i < ends; i++) {
+            long longestNanos = 0;
+            for (int i = 0; i < count; i++) {
                 journal.remember(
                         "<" + i + "@mail.example> frames@supplier.example",
                         new lilaclever.routing.FinalStatus(
                                 lilaclever.routing.FinalStatus.Kind.DELIVERED, 0, "250 2.0.0 queued"),
-                        i < ends / 2 ? 1 : 1000);
-                long began = System.nanoTime();
+                        i < count / 2 ? 1 : 1000);
+                long startNanos = System.nanoTime();
                 journal.maintain(0);
-                longest = i > 5000 ? Math.max(longest, System.nanoTime() - began) : 0;
+                longestNanos = i > 5000 ? Math.max(longestNanos, System.nanoTime() - startNanos) : 0;
             }
-            System.out.println("remembered " + journal.rememberedCount() + ", longest slice us " + longest / 1000);
-            longest = 0;
+            System.out.println("remembered " + journal.rememberedCount() + ", longest slice us " + longestNanos / 1000);
+            longestNanos = 0;
             int turns = 0;
-            for (; journal.rememberedCount() > ends / 2; turns++) {
-                long began = System.nanoTime();
+            for (; journal.rememberedCount() > count / 2; turns++) {
+                long startNanos = System.nanoTime();
                 journal.maintain(2);
-                longest = Math.max(longest, System.nanoTime() - began);
+                longestNanos = Math.max(longestNanos, System.nanoTime() - startNanos);
             }
-            System.out.println("half of them past and forgotten in " + turns + " turns, longest us " + longest / 1000);
+            System.out.println("half of them past and forgotten in " + turns + " turns, longest us " + longestNanos / 1000);
         }
     }
 
     private static void open(String kind, Path folder) throws IOException {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (Store store = Store.open(kind, folder)) {
-            long ms = (System.nanoTime() - began) / 1_000_000;
-            String peak = Files.readAllLines(Path.of("/proc/self/status")).stream()
+            long openMillis = (System.nanoTime() - startNanos) / 1_000_000;
+            String peakMemory = Files.readAllLines(Path.of("/proc/self/status")).stream()
                     .filter(l -> l.startsWith("VmHWM"))
                     .findFirst()
                     .orElse("?");
             System.out.println(
-                    kind + " owed " + store.owed() + " opened in " + ms + " ms, " + peak.replaceAll("\\s+", " "));
+                    kind + " owed " + store.pendingCount() + " opened in " + openMillis + " ms, " + peakMemory.replaceAll("\\s+", " "));
         }
     }
 }
--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -12,20 +12,20 @@
 
 /** One way to keep what is owed, as the core uses it: what a turn wrote is in a file before the turn's end. */
 interface Store extends AutoCloseable {
-    long MOST = 8L << 30;
+    long MAX_BYTES = 8L << 30;
 
-    void taken(String id, byte[] body);
+    void recordAccepted(String id, byte[] body);
 
-    void attempt(String id);
+    void recordAttempt(String id);
 
-    void outcome(String id);
+    void recordOutcome(String id);
 
-    void ended(String id);
+    void recordSettled(String id);
 
     /** The end of a turn: a slice of the store's own work. */
-    void turn();
+    void endTurn();
 
-    int owed();
+    int pendingCount();
 
     @Override
     void close() throws IOException;
@@ -50,41 +50,41 @@
         Segments(Path folder) throws IOException {
             journal = new SegmentedJournal(
                     FolderDisk.lock(folder),
-                    MOST,
+                    MAX_BYTES,
                     Durability.NONE,
                     new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                     new SplittableRandom(1));
         }
 
         @Override
-        public void taken(String id, byte[] body) {
+        public void recordAccepted(String id, byte[] body) {
             if (!journal.recordAccepted("http", submission(id, body), 99, 0)) {
                 throw new IllegalStateException("no room");
             }
         }
 
         @Override
-        public void attempt(String id) {
+        public void recordAttempt(String id) {
             journal.recordAttempt(id, "endpoint-7", 0, 1);
         }
 
         @Override
-        public void outcome(String id) {
+        public void recordOutcome(String id) {
             journal.recordOutcome(id, true);
         }
 
         @Override
-        public void ended(String id) {
+        public void recordSettled(String id) {
             journal.recordSettled(id);
         }
 
         @Override
-        public void turn() {
+        public void endTurn() {
             journal.maintain(0);
         }
 
         @Override
-        public int owed() {
+        public int pendingCount() {
             return journal.pendingMessages().size();
         }
 
@@ -99,39 +99,39 @@
         private final OneFileJournal journal;
 
         OneFile(Path folder) throws IOException {
-            journal = new OneFileJournal(folder, MOST);
+            journal = new OneFileJournal(folder, MAX_BYTES);
         }
 
         @Override
-        public void taken(String id, byte[] body) {
-            if (!journal.taken("http", submission(id, body), 99, 0)) {
+        public void recordAccepted(String id, byte[] body) {
+            if (!journal.recordAccepted("http", submission(id, body), 99, 0)) {
                 throw new IllegalStateException("no room");
             }
         }
 
         @Override
-        public void attempt(String id) {
-            journal.attempt(id, "endpoint-7", 0, 1);
+        public void recordAttempt(String id) {
+            journal.recordAttempt(id, "endpoint-7", 0, 1);
         }
 
         @Override
-        public void outcome(String id) {
-            journal.outcome(id, true);
+        public void recordOutcome(String id) {
+            journal.recordOutcome(id, true);
         }
 
         @Override
-        public void ended(String id) {
-            journal.ended(id);
+        public void recordSettled(String id) {
+            journal.recordSettled(id);
         }
 
         @Override
-        public void turn() {
-            journal.tidy(0);
+        public void endTurn() {
+            journal.compactIfNeeded(0);
         }
 
         @Override
-        public int owed() {
-            return journal.owed.size();
+        public int pendingCount() {
+            return journal.pending.size();
         }
 
         @Override
@@ -143,7 +143,7 @@
     /** H2's MVStore: an entry a message, changed in place; a commit a turn, compaction by its own thread. */
     final class H2 implements Store {
         private final MVStore store;
-        private final MVMap<String, byte[]> owed;
+        private final MVMap<String, byte[]> pending;
 
         H2(Path folder) throws IOException {
             java.nio.file.Files.createDirectories(folder);
@@ -151,49 +151,49 @@
                     .fileName(folder.resolve("store.mv").toString())
                     .cacheSize(64)
                     .open();
-            owed = store.openMap("owed");
+            pending = store.openMap("owed");
         }
 
         @Override
-        public void taken(String id, byte[] body) {
+        public void recordAccepted(String id, byte[] body) {
             SegmentFormat.RecordWriter w = new SegmentFormat.RecordWriter();
             RecordEncoder.accepted(w, new lilaclever.routing.PendingMessage("http", submission(id, body), 99));
             ByteBuffer all = w.withChecksums(0);
             byte[] bytes = new byte[all.remaining() + 60];
             all.get(bytes, 0, all.remaining());
-            owed.put(id, bytes);
+            pending.put(id, bytes);
         }
 
-        private void change(String id, String what) {
-            byte[] bytes = owed.get(id).clone();
-            byte[] mark = what.getBytes(StandardCharsets.US_ASCII);
+        private void change(String id, String state) {
+            byte[] bytes = pending.get(id).clone();
+            byte[] mark = state.getBytes(StandardCharsets.US_ASCII);
             System.arraycopy(mark, 0, bytes, bytes.length - mark.length, mark.length);
-            owed.put(id, bytes);
+            pending.put(id, bytes);
         }
 
         @Override
-        public void attempt(String id) {
+        public void recordAttempt(String id) {
             change(id, "endpoint-7 out");
         }
 
         @Override
-        public void outcome(String id) {
+        public void recordOutcome(String id) {
             change(id, "endpoint-7 ran");
         }
 
         @Override
-        public void ended(String id) {
-            owed.remove(id);
+        public void recordSettled(String id) {
+            pending.remove(id);
         }
 
         @Override
-        public void turn() {
+        public void endTurn() {
             store.commit();
         }
 
         @Override
-        public int owed() {
-            return owed.size();
+        public int pendingCount() {
+            return pending.size();
         }
 
         @Override
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -22,33 +22,33 @@
  * how long what waits for the disk has to wait.
  */
 public final class TurnRun {
-    private static final int BODY = 300, LONGEST = 12;
+    private static final int BODY_BYTES = 300, REPORTED_TURNS = 12;
     private static final List<java.lang.management.GarbageCollectorMXBean> COLLECTORS =
             java.lang.management.ManagementFactory.getGarbageCollectorMXBeans();
-    private static final long MOST = 4L << 30;
+    private static final long MAX_BYTES = 4L << 30;
 
     /**
      * What a turn took, nanoseconds: in all, of the processor, in the disk's operations, and in the longest of these;
      * milliseconds of collections.
      */
-    private record Turn(long index, long all, long cpu, long disk, long longest, String operation, long collected) {}
+    private record Turn(long index, long totalNanos, long cpuNanos, long diskNanos, long longestOperationNanos, String operation, long collectionMillis) {}
 
     private final TimedDisk disk;
     private final SegmentedJournal journal;
-    private final ConcurrentLinkedQueue<Runnable> loop = new ConcurrentLinkedQueue<>();
-    private final byte[] body = new byte[BODY];
-    private long next;
+    private final ConcurrentLinkedQueue<Runnable> loopTasks = new ConcurrentLinkedQueue<>();
+    private final byte[] body = new byte[BODY_BYTES];
+    private long nextMessage;
 
     private TurnRun(Path folder, Durability durability) throws IOException {
         new Random(1).nextBytes(body);
         disk = new TimedDisk(FolderDisk.lock(folder));
         journal = new SegmentedJournal(
                 disk,
-                MOST,
+                MAX_BYTES,
                 durability,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                 new SplittableRandom(1));
-        journal.setLoop(loop::add);
+        journal.setLoop(loopTasks::add);
     }
 
     /** Runs what the arguments name. */
@@ -56,11 +56,11 @@
         Path folder = Files.createTempDirectory("turn-run");
         try {
             if (args[0].equals("turns")) {
-                new TurnRun(folder, Durability.NONE).turns(Integer.parseInt(args[1]), Long.parseLong(args[2]));
+                new TurnRun(folder, Durability.NONE).measureTurns(Integer.parseInt(args[1]), Long.parseLong(args[2]));
             } else {
-                Durability.Mode how = Durability.Mode.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
-                new TurnRun(folder, new Durability(how, 50_000))
-                        .steady(args[1], Integer.parseInt(args[2]), Integer.parseInt(args[3]));
+                Durability.Mode mode = Durability.Mode.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
+                new TurnRun(folder, new Durability(mode, 50_000))
+                        .measureSteadyRate(args[1], Integer.parseInt(args[2]), Integer.parseInt(args[3]));
             }
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
@@ -69,18 +69,18 @@
         }
     }
 
-    private void turn(int held, Runnable durable) {
-        take();
-        journal.whenDurable(durable);
-        journal.recordAttempt("message-" + next, "endpoint-7", 0, 1);
-        journal.recordOutcome("message-" + next, true);
-        journal.recordSettled("message-" + (next - held));
-        next++;
+    private void runTurn(int held, Runnable onDurable) {
+        accept();
+        journal.whenDurable(onDurable);
+        journal.recordAttempt("message-" + nextMessage, "endpoint-7", 0, 1);
+        journal.recordOutcome("message-" + nextMessage, true);
+        journal.recordSettled("message-" + (nextMessage - held));
+        nextMessage++;
         journal.maintain(0);
     }
 
-    private void take() {
-        String id = "message-" + next;
+    private void accept() {
+        String id = "message-" + nextMessage;
         if (!journal.recordAccepted(
                 "http", new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000), 99, 0)) {
             throw new IllegalStateException("no room");
@@ -88,97 +88,97 @@
     }
 
     private void fill(int held) {
-        while (next < held) {
-            take();
-            next++;
+        while (nextMessage < held) {
+            accept();
+            nextMessage++;
             journal.maintain(0);
         }
     }
 
-    private void turns(int held, long turns) throws IOException {
+    private void measureTurns(int held, long turns) throws IOException {
         fill(held);
         for (long i = 0; i < turns / 4; i++) {
-            turn(held, () -> {});
+            runTurn(held, () -> {});
         }
-        PriorityQueue<Turn> longest = new PriorityQueue<>(Comparator.comparingLong(Turn::all));
+        PriorityQueue<Turn> longest = new PriorityQueue<>(Comparator.comparingLong(Turn::totalNanos));
         java.lang.management.ThreadMXBean thread = java.lang.management.ManagementFactory.getThreadMXBean();
-        long mostCpu = 0, over = 0, overCpu = 0;
+        long maxCpuNanos = 0, slowTurns = 0, slowCpuTurns = 0;
         for (long i = 0; i < turns; i++) {
-            disk.begin();
-            long collectedBefore = collected();
-            long cpuBegan = thread.getCurrentThreadCpuTime();
-            long began = System.nanoTime();
-            turn(held, () -> {});
-            long all = System.nanoTime() - began;
-            long cpu = thread.getCurrentThreadCpuTime() - cpuBegan;
-            mostCpu = Math.max(mostCpu, cpu);
-            over += all > 2_000_000 ? 1 : 0;
-            overCpu += cpu > 2_000_000 ? 1 : 0;
-            longest.add(new Turn(i, all, cpu, disk.spent, disk.longest, disk.operation, collected() - collectedBefore));
-            if (longest.size() > LONGEST) {
+            disk.reset();
+            long collectedBefore = collectionMillis();
+            long cpuStartNanos = thread.getCurrentThreadCpuTime();
+            long startNanos = System.nanoTime();
+            runTurn(held, () -> {});
+            long totalNanos = System.nanoTime() - startNanos;
+            long cpuNanos = thread.getCurrentThreadCpuTime() - cpuStartNanos;
+            maxCpuNanos = Math.max(maxCpuNanos, cpuNanos);
+            slowTurns += totalNanos > 2_000_000 ? 1 : 0;
+            slowCpuTurns += cpuNanos > 2_000_000 ? 1 : 0;
+            longest.add(new Turn(i, totalNanos, cpuNanos, disk.totalNanos, disk.longestNanos, disk.operation, collectionMillis() - collectedBefore));
+            if (longest.size() > REPORTED_TURNS) {
                 longest.poll();
             }
         }
         System.out.printf(
                 "held %d, turns %d: over 2 ms %d, by the processor's time (the system's for it included) %d; "
                         + "most of the processor's time %.0f us%n",
-                held, turns, over, overCpu, mostCpu / 1e3);
+                held, turns, slowTurns, slowCpuTurns, maxCpuNanos / 1e3);
         List<Turn> sorted = new ArrayList<>(longest);
-        sorted.sort(Comparator.comparingLong(Turn::all).reversed());
+        sorted.sort(Comparator.comparingLong(Turn::totalNanos).reversed());
         for (Turn t : sorted) {
             System.out.printf(
                     "  turn %d: %6.0f us in all, %6.0f of the processor, %6.0f in the disk's operations, the longest "
                             + "%s %6.0f, collections %d ms%n",
-                    t.index, t.all / 1e3, t.cpu / 1e3, t.disk / 1e3, t.operation, t.longest / 1e3, t.collected);
+                    t.index, t.totalNanos / 1e3, t.cpuNanos / 1e3, t.diskNanos / 1e3, t.operation, t.longestOperationNanos / 1e3, t.collectionMillis);
         }
         journal.close();
     }
 
-    private static long collected() {
-        long all = 0;
+    private static long collectionMillis() {
+        long millis = 0;
         for (java.lang.management.GarbageCollectorMXBean g : COLLECTORS) {
-            all += g.getCollectionTime();
+            millis += g.getCollectionTime();
         }
-        return all;
+        return millis;
     }
 
-    private void steady(String how, int rate, int seconds) throws IOException {
+    private void measureSteadyRate(String mode, int rate, int seconds) throws IOException {
         int held = 1000;
         fill(held);
         int turns = rate * seconds;
-        long[] took = new long[turns], waited = new long[turns];
-        long start = System.nanoTime() + 1_000_000_000L;
+        long[] turnNanos = new long[turns], durableNanos = new long[turns];
+        long startNanos = System.nanoTime() + 1_000_000_000L;
         for (int i = 0; i < turns; ) {
-            for (Runnable task = loop.poll(); task != null; task = loop.poll()) {
+            for (Runnable task = loopTasks.poll(); task != null; task = loopTasks.poll()) {
                 task.run();
             }
-            if (System.nanoTime() < start + i * 1_000_000_000L / rate) {
+            if (System.nanoTime() < startNanos + i * 1_000_000_000L / rate) {
                 Thread.onSpinWait();
                 continue;
             }
-            long began = System.nanoTime();
+            long turnStartNanos = System.nanoTime();
             int index = i++;
-            turn(held, () -> waited[index] = System.nanoTime() - began);
-            took[index] = System.nanoTime() - began;
+            runTurn(held, () -> durableNanos[index] = System.nanoTime() - turnStartNanos);
+            turnNanos[index] = System.nanoTime() - turnStartNanos;
         }
-        long until = System.nanoTime() + 2_000_000_000L;
-        while (System.nanoTime() < until) {
-            for (Runnable task = loop.poll(); task != null; task = loop.poll()) {
+        long endNanos = System.nanoTime() + 2_000_000_000L;
+        while (System.nanoTime() < endNanos) {
+            for (Runnable task = loopTasks.poll(); task != null; task = loopTasks.poll()) {
                 task.run();
             }
         }
         System.out.printf(
                 "%s at %d turns a second: turn %s; until it may be told %s; forcings %d, each %s us%n",
-                how,
+                mode,
                 rate,
-                figures(took),
-                figures(waited),
-                disk.forcings.size(),
-                figures(disk.forcings.stream().mapToLong(Long::longValue).toArray()));
+                percentiles(turnNanos),
+                percentiles(durableNanos),
+                disk.syncNanos.size(),
+                percentiles(disk.syncNanos.stream().mapToLong(Long::longValue).toArray()));
         journal.close();
     }
 
-    private static String figures(long[] nanos) {
+    private static String percentiles(long[] nanos) {
         long[] sorted = nanos.clone();
         Arrays.sort(sorted);
         return sorted.length == 0
@@ -193,31 +193,31 @@
     /** A disk that times its operations. */
     private static final class TimedDisk implements Disk {
         private final Disk real;
-        private final ConcurrentLinkedQueue<Long> forcings = new ConcurrentLinkedQueue<>();
-        private long spent, longest;
+        private final ConcurrentLinkedQueue<Long> syncNanos = new ConcurrentLinkedQueue<>();
+        private long totalNanos, longestNanos;
         private String operation = "";
 
         TimedDisk(Disk real) {
             this.real = real;
         }
 
-        void begin() {
-            spent = 0;
-            longest = 0;
+        void reset() {
+            totalNanos = 0;
+            longestNanos = 0;
             operation = "none";
         }
 
-        private interface Step<T> {
+        private interface DiskOperation<T> {
             T run() throws IOException;
         }
 
-        private <T> T timed(String name, Step<T> step) throws IOException {
-            long began = System.nanoTime();
+        private <T> T timed(String name, DiskOperation<T> step) throws IOException {
+            long startNanos = System.nanoTime();
             T result = step.run();
-            long took = System.nanoTime() - began;
-            spent += took;
-            if (took > longest) {
-                longest = took;
+            long nanos = System.nanoTime() - startNanos;
+            totalNanos += nanos;
+            if (nanos > longestNanos) {
+                longestNanos = nanos;
                 operation = name;
             }
             return result;
@@ -296,7 +296,7 @@
             public void sync() throws IOException {
                 long began = System.nanoTime(); // on the forcing thread
                 file.sync();
-                forcings.add(System.nanoTime() - began);
+                syncNanos.add(System.nanoTime() - began);
             }
 
             @Override
--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -13,7 +13,7 @@
  * that ends a frame. {@code bench/fuzz} runs it.
  */
 public final class MllpFuzzer {
-    private static final int LARGEST = 4096;
+    private static final int MAX_FRAME_BYTES = 4096;
     private static final Hl7Reader READER = new Hl7Reader(
             new MllpSettings(
                     List.of(),
@@ -38,27 +38,27 @@
 
     /** One connection's bytes, read in two pieces. */
     public static void fuzzerTestOneInput(byte[] data) {
-        FrameReader frames = new FrameReader(LARGEST);
+        FrameReader frames = new FrameReader(MAX_FRAME_BYTES);
         int cut = data.length / 2;
         try {
-            frames.read(java.util.Arrays.copyOf(data, cut)).forEach(MllpFuzzer::message);
-            frames.read(java.util.Arrays.copyOfRange(data, cut, data.length)).forEach(MllpFuzzer::message);
+            frames.read(java.util.Arrays.copyOf(data, cut)).forEach(MllpFuzzer::processFrame);
+            frames.read(java.util.Arrays.copyOfRange(data, cut, data.length)).forEach(MllpFuzzer::processFrame);
         } catch (FrameReader.Spoilt e) {
-            message(data); // most inputs are no frames: what they hold is tried as a message
+            processFrame(data); // most inputs are no frames: what they hold is tried as a message
         }
     }
 
-    private static void message(byte[] frame) {
+    private static void processFrame(byte[] frame) {
         try {
             for (byte[] message : frame.length > 0 && Batch.is(frame) ? Batch.split(frame) : List.of(frame)) {
-                one(message);
+                processMessage(message);
             }
         } catch (Hl7Fault e) {
-            check(ACKS.fault(Code.AR, Header.none(), e));
+            checkAnswer(ACKS.fault(Code.AR, Header.none(), e));
         }
     }
 
-    private static void one(byte[] message) {
+    private static void processMessage(byte[] message) {
         Header header = Header.none();
         try {
             header = Header.read(message);
@@ -66,15 +66,15 @@
             if (r.identity().isEmpty() || r.deliveryKey().length() > 128 || r.budgetMicros() < 0) {
                 throw new IllegalStateException("not in our terms: " + r);
             }
-            check(ACKS.good(Code.CA, header));
-            check(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
-            check(ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
+            checkAnswer(ACKS.good(Code.CA, header));
+            checkAnswer(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
+            checkAnswer(ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
         } catch (Hl7Fault e) {
-            check(ACKS.fault(Code.AE, header, e));
+            checkAnswer(ACKS.fault(Code.AE, header, e));
         }
     }
 
-    private static void check(byte[] answer) {
+    private static void checkAnswer(byte[] answer) {
         for (byte b : answer) {
             if (b >= 0 && b < ' ' && b != '\r') {
                 throw new IllegalStateException("a control character in an answer");
--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -19,32 +19,32 @@
         UNREADABLE
     }
 
-    private static final Pattern WAIT = Pattern.compile("wait_ms=(\\d+)");
+    private static final Pattern WAIT_MILLIS = Pattern.compile("wait_ms=(\\d+)");
     private static final String NO_CHANGE = "{\"index\":1,\"snapshot\":false,\"endpoints\":[]}";
 
     private final Behaviour behaviour;
     private final ServerSocket server;
     /** A port that is taken where nobody listens. */
-    private final Socket refusing;
+    private final Socket boundSocket;
 
     AgentStandIn(Behaviour behaviour) throws IOException {
         this.behaviour = behaviour;
         InetSocketAddress any = new InetSocketAddress(InetAddress.getByName("127.0.0.1"), 0);
         server = new ServerSocket();
-        refusing = new Socket();
+        boundSocket = new Socket();
         if (behaviour == Behaviour.REFUSES) {
-            refusing.bind(any);
+            boundSocket.bind(any);
         } else {
             server.bind(any);
-            daemon(this::accept);
+            startDaemon(this::accept);
         }
     }
 
     String address() {
-        return "127.0.0.1:" + (behaviour == Behaviour.REFUSES ? refusing.getLocalPort() : server.getLocalPort());
+        return "127.0.0.1:" + (behaviour == Behaviour.REFUSES ? boundSocket.getLocalPort() : server.getLocalPort());
     }
 
-    static void daemon(Runnable task) {
+    static void startDaemon(Runnable task) {
         Thread thread = new Thread(task);
         thread.setDaemon(true);
         thread.start();
@@ -54,14 +54,14 @@
         try {
             while (true) {
                 Socket socket = server.accept();
-                daemon(() -> talk(socket));
+                startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
             // closed: the run is over
         }
     }
 
-    private void talk(Socket socket) {
+    private void serve(Socket socket) {
         try (Wire wire = new Wire(socket)) {
             for (Wire.Head call = wire.read(); call != null; call = wire.read()) {
                 if (call.target().equals("/status")) {
@@ -69,7 +69,7 @@
                 } else if (behaviour == Behaviour.UNREADABLE) {
                     wire.answer("503 Service Unavailable", "");
                 } else if (behaviour == Behaviour.ANSWERS) {
-                    Matcher wait = WAIT.matcher(call.target());
+                    Matcher wait = WAIT_MILLIS.matcher(call.target());
                     Thread.sleep(wait.find() ? Long.parseLong(wait.group(1)) : 0);
                     wire.answer("200 OK", NO_CHANGE);
                 }
@@ -82,6 +82,6 @@
     @Override
     public void close() throws IOException {
         server.close();
-        refusing.close();
+        boundSocket.close();
     }
 }
--- a/bench/java/lilaclever/scale/CountingDisk.java
+++ b/bench/java/lilaclever/scale/CountingDisk.java
@@ -8,14 +8,14 @@
 /** A disk that counts the bytes that are written to it. */
 final class CountingDisk implements Disk {
     private final Disk real;
-    private long written;
+    private long writtenBytes;
 
     CountingDisk(Disk real) {
         this.real = real;
     }
 
     long writtenBytes() {
-        return written;
+        return writtenBytes;
     }
 
     @Override
@@ -67,7 +67,7 @@
 
         @Override
         public void write(ByteBuffer bytes, long position) throws IOException {
-            written += bytes.remaining();
+            writtenBytes += bytes.remaining();
             file.write(bytes, position);
         }
 
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -22,11 +22,11 @@
  * after the other, and one endpoint takes each. Each line of the output is a {@link Sample}.
  */
 final class EventRun {
-    private static final int CLIENTS = 4, WARM_UP = 10_000;
+    private static final int CLIENTS = 4, WARM_UP_EVENTS = 10_000;
     /** Each client hands in a message so often at most, so that none has to be refused: 800 a second by all. */
-    private static final long PACE_NANOS = 5_000_000;
+    private static final long SEND_INTERVAL_NANOS = 5_000_000;
     /** Longer than the deadline of a message: what is not delivered by then never will be. */
-    private static final long MOST_WAIT_SECONDS = 10;
+    private static final long MAX_WAIT_SECONDS = 10;
 
     private static final String BODY = "x".repeat(300);
 
@@ -42,14 +42,14 @@
         try (Endpoint endpoint = new Endpoint();
                 AgentStandIn agent = new AgentStandIn(Behaviour.ANSWERS);
                 ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), 1, endpoint.address())) {
-            send(forwarder, endpoint, "warm-", WARM_UP);
-            double cpu = forwarder.cpuSeconds();
-            long bytes = forwarder.transferredBytes();
-            long began = System.nanoTime();
+            send(forwarder, endpoint, "warm-", WARM_UP_EVENTS);
+            double cpuSecondsBefore = forwarder.cpuSeconds();
+            long bytesBefore = forwarder.transferredBytes();
+            long startNanos = System.nanoTime();
             send(forwarder, endpoint, "event-", events);
-            double seconds = (System.nanoTime() - began) / 1e9;
-            Sample.print("process_event_cpu", events, forwarder.cpuSeconds() - cpu, "s");
-            Sample.print("process_event_bytes", events, forwarder.transferredBytes() - bytes, "bytes");
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
+            Sample.print("process_event_cpu", events, forwarder.cpuSeconds() - cpuSecondsBefore, "s");
+            Sample.print("process_event_bytes", events, forwarder.transferredBytes() - bytesBefore, "bytes");
             Sample.print("process_event_rate", events, events / seconds, "1/s");
         }
     }
@@ -61,13 +61,13 @@
         List<Future<?>> done = new ArrayList<>();
         for (int client = 0; client < CLIENTS; client++) {
             String mine = prefix + client + "-";
-            done.add(clients.submit(() -> client(forwarder, mine, events / CLIENTS)));
+            done.add(clients.submit(() -> runClient(forwarder, mine, events / CLIENTS)));
         }
         try {
             for (Future<?> each : done) {
                 each.get();
             }
-            if (!delivered.await(MOST_WAIT_SECONDS, TimeUnit.SECONDS)) {
+            if (!delivered.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IOException(delivered.getCount() + " of " + events + " were not delivered");
             }
         } catch (ExecutionException e) {
@@ -77,12 +77,12 @@
         }
     }
 
-    private static Void client(ForwarderProcess forwarder, String prefix, int events) throws IOException {
+    private static Void runClient(ForwarderProcess forwarder, String prefix, int events) throws IOException {
         try (Wire wire = new Wire(
                 new Socket(forwarder.address().getAddress(), forwarder.address().getPort()))) {
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             for (int i = 0; i < events; i++) {
-                LockSupport.parkNanos(began + i * PACE_NANOS - System.nanoTime());
+                LockSupport.parkNanos(startNanos + i * SEND_INTERVAL_NANOS - System.nanoTime());
                 String id = prefix + i;
                 wire.say("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
                         + "\r\nReq-Kind: status\r\nReq-Deadline: 6\r\n" + "Idempotency-Key: k-" + id
@@ -102,7 +102,7 @@
         private volatile CountDownLatch expected = new CountDownLatch(0);
 
         Endpoint() throws IOException {
-            AgentStandIn.daemon(this::accept);
+            AgentStandIn.startDaemon(this::accept);
         }
 
         String address() {
@@ -118,14 +118,14 @@
             try {
                 while (true) {
                     Socket socket = server.accept();
-                    AgentStandIn.daemon(() -> talk(socket));
+                    AgentStandIn.startDaemon(() -> serve(socket));
                 }
             } catch (IOException e) {
                 // closed: the run is over
             }
         }
 
-        private void talk(Socket socket) {
+        private void serve(Socket socket) {
             try (Wire wire = new Wire(socket)) {
                 for (Wire.Head call = wire.read(); call != null; call = wire.read()) {
                     wire.answer("200 OK", "");
--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -36,7 +36,7 @@
             "event_cpu",
             "process_event_cpu");
     private static final int WIDTH = 640, HEIGHT = 360;
-    private static final int LEAST_SIZES = 4;
+    private static final int MIN_SIZES = 4;
 
     private FitRun() {}
 
@@ -49,7 +49,7 @@
         for (Map.Entry<String, List<Sample>> measure : measures.entrySet()) {
             List<Sample> samples = measure.getValue();
             long sizes = samples.stream().mapToDouble(Sample::size).distinct().count();
-            if (sizes < LEAST_SIZES) {
+            if (sizes < MIN_SIZES) {
                 continue; // measured at one size, as the ways of an agent are
             }
             Slope slope = Slope.fit(samples.stream()
--- a/bench/java/lilaclever/scale/ForwarderProcess.java
+++ b/bench/java/lilaclever/scale/ForwarderProcess.java
@@ -19,14 +19,14 @@
 
 /** The built program in a process of its own, which serves, and what it uses. */
 final class ForwarderProcess implements AutoCloseable {
-    private static final Path JAVA_HOME = Path.of(System.getProperty("java.home"), "bin");
+    private static final Path JAVA_BIN = Path.of(System.getProperty("java.home"), "bin");
     /** Ticks of the processor clock in /proc are 10 ms on every Linux that the program runs on. */
     private static final double SECONDS_PER_TICK = 0.01;
 
     private static final int USER_TICKS = 11, SYSTEM_TICKS = 12;
-    private static final int PLATFORM_HEAP_MB = 64, LARGE_HEAP_MB = 3_000, MOST_FOR_PLATFORM_HEAP = 1_000;
-    private static final Pattern TOTAL = Pattern.compile("(?m)^Total\\s+\\d+\\s+(\\d+)");
-    private static final Pattern PORT = Pattern.compile("serves at \\[/[0-9.]+:(\\d+)");
+    private static final int PLATFORM_HEAP_MB = 64, LARGE_HEAP_MB = 3_000, MAX_ENDPOINTS_FOR_PLATFORM_HEAP = 1_000;
+    private static final Pattern HISTOGRAM_TOTAL = Pattern.compile("(?m)^Total\\s+\\d+\\s+(\\d+)");
+    private static final Pattern SERVING_PORT = Pattern.compile("serves at \\[/[0-9.]+:(\\d+)");
 
     private final Path folder;
     private final Process process;
@@ -41,9 +41,9 @@
     ForwarderProcess(Path jar, String agent, int endpoints, String endpointAddress) throws IOException {
         folder = Files.createTempDirectory("scale");
         Path config = Files.writeString(folder.resolve("config.json"), config(agent, endpoints, endpointAddress));
-        int heap = endpoints <= MOST_FOR_PLATFORM_HEAP ? PLATFORM_HEAP_MB : LARGE_HEAP_MB;
+        int heap = endpoints <= MAX_ENDPOINTS_FOR_PLATFORM_HEAP ? PLATFORM_HEAP_MB : LARGE_HEAP_MB;
         List<String> command = new ArrayList<>(List.of(
-                JAVA_HOME.resolve("java").toString(),
+                JAVA_BIN.resolve("java").toString(),
                 "-Djava.net.preferIPv4Stack=true",
                 "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1",
@@ -59,10 +59,10 @@
         ProcessBuilder builder =
                 new ProcessBuilder(command).redirectErrorStream(true).directory(folder.toFile());
         builder.environment().put("ROUTER_CONFIG", config.toString());
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         process = builder.start();
         awaitServing();
-        startSeconds = (System.nanoTime() - began) / 1e9;
+        startSeconds = (System.nanoTime() - startNanos) / 1e9;
         startCpuSeconds = cpuSeconds();
     }
 
@@ -87,10 +87,10 @@
         StringBuilder log = new StringBuilder();
         for (String line = lines.readLine(); line != null; line = lines.readLine()) {
             log.append(line).append('\n');
-            Matcher serving = PORT.matcher(line);
+            Matcher serving = SERVING_PORT.matcher(line);
             if (serving.find()) {
                 port = Integer.parseInt(serving.group(1));
-                AgentStandIn.daemon(() -> lines.lines().forEach(ignored -> {}));
+                AgentStandIn.startDaemon(() -> lines.lines().forEach(ignored -> {}));
                 return;
             }
         }
@@ -122,12 +122,12 @@
     /** Bytes of the heap that can be reached, after a full collection. */
     long liveHeapBytes() throws IOException {
         Process histogram = new ProcessBuilder(
-                        JAVA_HOME.resolve("jcmd").toString(), Long.toString(process.pid()), "GC.class_histogram")
+                        JAVA_BIN.resolve("jcmd").toString(), Long.toString(process.pid()), "GC.class_histogram")
                 .redirectErrorStream(true)
                 .start();
         try (InputStream out = histogram.getInputStream()) {
             String text = new String(out.readAllBytes(), StandardCharsets.UTF_8);
-            Matcher total = TOTAL.matcher(text);
+            Matcher total = HISTOGRAM_TOTAL.matcher(text);
             if (!total.find()) {
                 throw new IOException("no histogram: " + text.lines().limit(5).toList());
             }
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -19,45 +19,45 @@
  */
 final class HollowRun {
     /** What one owner has at the size that the fleet is planned for. */
-    private static final int OWNED = 374, DOWN = 4;
+    private static final int OWNED_DESTINATIONS = 374, DOWN_DESTINATIONS = 4;
 
-    private static final int BODY = 300;
+    private static final int BODY_BYTES = 300;
     /** 1,842 events a second, in turns of 5 ms. */
-    private static final int EVENTS_IN_A_TURN = 9;
+    private static final int EVENTS_PER_TURN = 9;
 
-    private static final int MESSAGES_IN_A_TURN = 1_000,
+    private static final int MESSAGES_PER_TURN = 1_000,
             BUSY_TURNS = 200,
             CHANGES = 100,
             IDLE_SECONDS = 60,
             WAITING_SECONDS = 10;
     private static final int WARM_UP_EVENTS = 50_000, EVENTS_BY_DESTINATIONS = 50_000;
-    private static final double NANOS = 1e9;
-    private static final long MOST_TURN_NANOS = 60_000_000_000L;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final long MAX_TURN_NANOS = 60_000_000_000L;
 
     private HollowRun() {}
 
     public static void main(String[] args) throws IOException {
         int[] sizes =
                 Arrays.stream(args, 1, args.length).mapToInt(Integer::parseInt).toArray();
-        events("", OWNED, WARM_UP_EVENTS); // compiled by the time that it is measured
+        measureEvents("", OWNED_DESTINATIONS, WARM_UP_EVENTS); // compiled by the time that it is measured
         for (int size : sizes) {
             switch (args[0]) {
-                case "destinations" -> destinations(size);
-                case "held" -> held(size);
-                case "events" -> events("event", OWNED, size);
+                case "destinations" -> measureDestinations(size);
+                case "held" -> measurePending(size);
+                case "events" -> measureEvents("event", OWNED_DESTINATIONS, size);
                 default -> throw new IllegalArgumentException("destinations, held or events, not " + args[0]);
             }
         }
     }
 
-    private interface Step {
+    private interface FolderTask {
         void run(Path folder) throws IOException;
     }
 
-    private static void inFolder(Step step) throws IOException {
+    private static void withTemporaryFolder(FolderTask task) throws IOException {
         Path folder = Files.createTempDirectory("scale");
         try {
-            step.run(folder);
+            task.run(folder);
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder())
@@ -66,8 +66,8 @@
         }
     }
 
-    private static void destinations(int size) throws IOException {
-        inFolder(folder -> {
+    private static void measureDestinations(int size) throws IOException {
+        withTemporaryFolder(folder -> {
             long before = Usage.liveHeapBytes();
             HollowForwarder[] started = new HollowForwarder[1];
             double start = Usage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
@@ -84,41 +84,41 @@
                 Sample.print("idle_second_cpu", size, idle / IDLE_SECONDS, "s");
             }
         });
-        events("event_by_destinations", size, EVENTS_BY_DESTINATIONS);
+        measureEvents("event_by_destinations", size, EVENTS_BY_DESTINATIONS);
     }
 
-    private static HollowForwarder open(Path folder, int destinations, int firstDown, int mostHeld) {
+    private static HollowForwarder open(Path folder, int destinations, int firstDown, int maxPending) {
         try {
-            return new HollowForwarder(folder, destinations, firstDown, mostHeld);
+            return new HollowForwarder(folder, destinations, firstDown, maxPending);
         } catch (IOException e) {
             throw new IllegalStateException("a new folder", e);
         }
     }
 
-    private static void held(int size) throws IOException {
-        inFolder(folder -> {
+    private static void measurePending(int size) throws IOException {
+        withTemporaryFolder(folder -> {
             long before = Usage.liveHeapBytes();
-            try (HollowForwarder forwarder = open(folder, 1 + DOWN, 1, 2 * size)) {
+            try (HollowForwarder forwarder = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size)) {
                 for (int i = 0; i < size; i++) {
-                    forwarder.handIn(1 + i % DOWN, new byte[BODY]);
-                    if (i % MESSAGES_IN_A_TURN == 0) {
+                    forwarder.handIn(1 + i % DOWN_DESTINATIONS, new byte[BODY_BYTES]);
+                    if (i % MESSAGES_PER_TURN == 0) {
                         forwarder.turn();
                     }
                 }
                 forwarder.turn();
-                requireHeld(forwarder, size);
+                requirePending(forwarder, size);
                 Sample.print("held_heap", size, Usage.liveHeapBytes() - before, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
                 double waiting = Usage.cpuSeconds(() -> forwarder.pass(WAITING_SECONDS * HollowForwarder.SECOND));
                 Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
                 Histogram turns = busyTurns(forwarder);
-                Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS, "s");
-                Sample.print("held_busy_turn_p99_cpu", size, turns.getValueAtPercentile(99) / NANOS, "s");
+                Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS_PER_SECOND, "s");
+                Sample.print("held_busy_turn_p99_cpu", size, turns.getValueAtPercentile(99) / NANOS_PER_SECOND, "s");
             }
             HollowForwarder[] reopened = new HollowForwarder[1];
-            double recovery = Usage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN, 1, 2 * size));
+            double recovery = Usage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size));
             try (HollowForwarder forwarder = reopened[0]) {
-                requireHeld(forwarder, size);
+                requirePending(forwarder, size);
                 Sample.print("held_recovery_cpu", size, recovery, "s");
             }
         });
@@ -126,31 +126,31 @@
 
     /** Turns in each of which one message for a healthy destination comes, while the others wait. */
     private static Histogram busyTurns(HollowForwarder forwarder) {
-        Histogram turns = new Histogram(MOST_TURN_NANOS, 3);
+        Histogram turns = new Histogram(MAX_TURN_NANOS, 3);
         for (int i = 0; i < BUSY_TURNS; i++) {
-            forwarder.handIn(0, new byte[BODY]);
-            turns.recordValue((long) (Usage.cpuSeconds(forwarder::turn) * NANOS));
+            forwarder.handIn(0, new byte[BODY_BYTES]);
+            turns.recordValue((long) (Usage.cpuSeconds(forwarder::turn) * NANOS_PER_SECOND));
         }
         forwarder.pass(HollowForwarder.SECOND);
         return turns;
     }
 
-    private static void requireHeld(HollowForwarder forwarder, int size) {
+    private static void requirePending(HollowForwarder forwarder, int size) {
         if (forwarder.held() != size) {
             throw new IllegalStateException("held " + forwarder.held() + " of " + size);
         }
     }
 
     /** Nothing is printed where the measure has no name. */
-    private static void events(String measure, int destinations, int events) throws IOException {
-        inFolder(folder -> {
+    private static void measureEvents(String measure, int destinations, int events) throws IOException {
+        withTemporaryFolder(folder -> {
             CountingDisk disk = new CountingDisk(FolderDisk.lock(folder));
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(11);
             try (HollowForwarder forwarder = new HollowForwarder(disk, destinations, destinations, 10_000)) {
                 double cpu = Usage.cpuSeconds(() -> {
                     for (int i = 0; i < events; i++) {
-                        forwarder.handIn(random.nextInt(destinations), new byte[BODY]);
-                        if (i % EVENTS_IN_A_TURN == 0) {
+                        forwarder.handIn(random.nextInt(destinations), new byte[BODY_BYTES]);
+                        if (i % EVENTS_PER_TURN == 0) {
                             forwarder.turn();
                         }
                     }
--- a/bench/java/lilaclever/scale/ProcessRun.java
+++ b/bench/java/lilaclever/scale/ProcessRun.java
@@ -16,7 +16,7 @@
     /** What a process does in its first seconds, such as compiling, is no part of being idle. */
     private static final long SETTLE_MILLIS = 5_000;
 
-    private static final String NOBODY = "127.0.0.1:9";
+    private static final String UNUSED_ADDRESS = "127.0.0.1:9";
 
     private ProcessRun() {}
 
@@ -24,14 +24,14 @@
         Path jar = Path.of(args[1]).toAbsolutePath();
         if (args[0].equals("listed")) {
             for (int size : sizes(args, 2)) {
-                listed(jar, size);
+                measureListed(jar, size);
             }
         } else {
             for (int size : sizes(args, 3)) {
-                idle(jar, Behaviour.ANSWERS, size, Long.parseLong(args[2]));
+                measureIdle(jar, Behaviour.ANSWERS, size, Long.parseLong(args[2]));
             }
             for (Behaviour behaviour : List.of(Behaviour.REFUSES, Behaviour.SILENT, Behaviour.UNREADABLE)) {
-                idle(jar, behaviour, 1, Long.parseLong(args[2]));
+                measureIdle(jar, behaviour, 1, Long.parseLong(args[2]));
             }
         }
     }
@@ -42,9 +42,9 @@
                 .toArray();
     }
 
-    private static void listed(Path jar, int size) throws IOException {
+    private static void measureListed(Path jar, int size) throws IOException {
         try (AgentStandIn agent = new AgentStandIn(Behaviour.ANSWERS);
-                ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), size, NOBODY)) {
+                ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), size, UNUSED_ADDRESS)) {
             Sample.print("listed_start_wall", size, forwarder.startSeconds(), "s");
             Sample.print("listed_start_cpu", size, forwarder.startCpuSeconds(), "s");
             Sample.print("listed_peak_memory", size, forwarder.peakMemoryBytes(), "bytes");
@@ -52,22 +52,22 @@
         }
     }
 
-    private static void idle(Path jar, Behaviour behaviour, int size, long seconds)
+    private static void measureIdle(Path jar, Behaviour behaviour, int size, long seconds)
             throws IOException, InterruptedException {
         try (AgentStandIn agent = new AgentStandIn(behaviour);
-                ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), size, NOBODY)) {
+                ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), size, UNUSED_ADDRESS)) {
             Thread.sleep(SETTLE_MILLIS);
             double before = forwarder.cpuSeconds();
             long bytesBefore = forwarder.transferredBytes();
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Thread.sleep(seconds * 1_000);
-            double passed = (System.nanoTime() - began) / 1e9;
-            String agentDoes = behaviour.name().toLowerCase(Locale.ROOT);
-            Sample.print("idle_cpu_agent_" + agentDoes, size, (forwarder.cpuSeconds() - before) / passed, "core");
+            double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+            String behaviourName = behaviour.name().toLowerCase(Locale.ROOT);
+            Sample.print("idle_cpu_agent_" + behaviourName, size, (forwarder.cpuSeconds() - before) / elapsedSeconds, "core");
             Sample.print(
-                    "idle_bytes_agent_" + agentDoes,
+                    "idle_bytes_agent_" + behaviourName,
                     size,
-                    (forwarder.transferredBytes() - bytesBefore) / passed,
+                    (forwarder.transferredBytes() - bytesBefore) / elapsedSeconds,
                     "bytes/s");
         }
     }
--- a/src/main/java/lilaclever/lab/fleet/ConfigurationLog.java
+++ b/src/main/java/lilaclever/lab/fleet/ConfigurationLog.java
@@ -10,7 +10,7 @@
     private final List<Change> changes = new ArrayList<>();
     private final Histogram reachableMillis = new Histogram(3);
     private final Histogram cutOffMillis = new Histogram(3);
-    private long published;
+    private long latestVersion;
 
     /** A change: published when, and after how long in force at the last forwarder that was reachable throughout. */
     static final class Change {
@@ -30,28 +30,28 @@
     /** Publishes the next version and gives its number, from 1. */
     long publish() {
         changes.add(new Change(queue.now()));
-        published++;
-        return published;
+        latestVersion++;
+        return latestVersion;
     }
 
     long latest() {
-        return published;
+        return latestVersion;
     }
 
-    long publishedAt(long version) {
+    long publishedAtMicros(long version) {
         return changes.get((int) (version - 1)).publishedMicros;
     }
 
     /** A process has gone from one version to a later one. */
-    void applied(ForwarderProcess process, long before, long after, long regionCutOffUntil) {
+    void applied(ForwarderProcess process, long before, long after, long regionCutOffUntilMicros) {
         for (long version = before + 1; version <= after; version++) {
             Change change = changes.get((int) (version - 1));
             if (process.startedMicros >= change.publishedMicros) {
                 continue;
             }
             long micros = queue.now() - change.publishedMicros;
-            boolean reachable = process.forwarder.cutOffUntil < change.publishedMicros
-                    && regionCutOffUntil < change.publishedMicros;
+            boolean reachable = process.forwarder.cutOffUntilMicros < change.publishedMicros
+                    && regionCutOffUntilMicros < change.publishedMicros;
             (reachable ? reachableMillis : cutOffMillis).recordValue(micros / 1_000);
             if (reachable) {
                 change.forwarders++;
--- a/src/main/java/lilaclever/lab/fleet/ConfigurationPublisher.java
+++ b/src/main/java/lilaclever/lab/fleet/ConfigurationPublisher.java
@@ -6,9 +6,9 @@
 
 /** Publishes changes of the configuration to the controllers of all regions, and calls them each second. */
 final class ConfigurationPublisher {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
-    private static final double MICROS_PER_DAY = 86_400.0 * SECOND;
+    private static final double MICROS_PER_DAY = 86_400.0 * SECOND_MICROS;
 
     private final FleetSettings settings;
     private final EventQueue queue;
@@ -39,12 +39,12 @@
     }
 
     void start() {
-        tellAll();
+        sendToAllRegions();
         scheduleNext();
     }
 
     private void scheduleNext() {
-        queue.after((long) (MICROS_PER_DAY / settings.configurationsPerDay() * exponential.sample()), () -> {
+        queue.schedule((long) (MICROS_PER_DAY / settings.configurationsPerDay() * exponential.sample()), () -> {
             publish();
             scheduleNext();
         });
@@ -53,23 +53,23 @@
     private void publish() {
         long version = log.publish();
         regions.forEach(region -> sendUntilArrived(region, version));
-        queue.after(settings.configurationBoundMicros(), () -> checkAge(version));
+        queue.schedule(settings.configurationBoundMicros(), () -> checkAge(version));
     }
 
     private void sendUntilArrived(RegionControl region, long version) {
         if (region.configurationVersion() >= version) {
             return;
         }
-        tell(region);
-        queue.after(RETRY_MICROS, () -> sendUntilArrived(region, version));
+        send(region);
+        queue.schedule(RETRY_MICROS, () -> sendUntilArrived(region, version));
     }
 
-    private void tellAll() {
-        regions.forEach(this::tell);
-        queue.after(SECOND, this::tellAll);
+    private void sendToAllRegions() {
+        regions.forEach(this::send);
+        queue.schedule(SECOND_MICROS, this::sendToAllRegions);
     }
 
-    private void tell(RegionControl region) {
+    private void send(RegionControl region) {
         long version = log.latest();
         long sent = queue.now();
         if (isCutOff(region)) {
@@ -77,26 +77,26 @@
         }
         network.betweenRegions(() -> {
             if (!isCutOff(region)) {
-                region.publisherHeard(version, sent);
+                region.configurationPublished(version, sent);
             }
         });
     }
 
     private boolean isCutOff(RegionControl region) {
-        return queue.now() < region.cutOffUntil;
+        return queue.now() < region.cutOffUntilMicros;
     }
 
     private void checkAge(long version) {
-        checks.checked();
-        long published = log.publishedAt(version);
-        for (HollowForwarder forwarder : forwarders.all()) {
+        checks.countCheck();
+        long published = log.publishedAtMicros(version);
+        for (SimulatedForwarder forwarder : forwarders.all()) {
             ForwarderProcess process = forwarder.process;
-            if (process == null || process.configurationFreshUntil <= queue.now()) {
+            if (process == null || process.configurationFreshUntilMicros <= queue.now()) {
                 continue;
             }
             long has = regions.get(forwarder.region).configurationOf(process);
             if (has < version) {
-                checks.broken(new FleetBreach(
+                checks.addBreach(new FleetBreach(
                         FleetBreach.Kind.STALE_CONFIGURATION,
                         queue.now(),
                         forwarder.region,
--- a/src/main/java/lilaclever/lab/fleet/ControlTraffic.java
+++ b/src/main/java/lilaclever/lab/fleet/ControlTraffic.java
@@ -5,7 +5,7 @@
 /** Bytes and processor time of a region's control machines, and processor time of the forwarders' part. */
 final class ControlTraffic {
     /** One of so many renewals is timed at the holder. */
-    private static final int HOLDER_SAMPLE = 64;
+    private static final int HOLDER_SAMPLE_INTERVAL = 64;
 
     private final long[] relayBytes;
     private long controllerBytes;
@@ -28,35 +28,35 @@
     }
 
     /** A message between a forwarder and the controller: in and out at the relay, and once at the controller. */
-    void relayed(HollowForwarder forwarder, int bytes) {
+    void countRelayed(SimulatedForwarder forwarder, int bytes) {
         relayBytes[forwarder.id.number() % relayBytes.length] += 2L * bytes;
         controllerBytes += bytes;
     }
 
-    void sentByController(int bytes) {
+    void countSentByController(int bytes) {
         controllerBytes += bytes;
     }
 
-    void fromPublisher(int bytes) {
+    void countReceivedFromPublisher(int bytes) {
         controllerBytes += bytes;
     }
 
-    void controllerTook(long nanos) {
+    void addControllerTime(long nanos) {
         commands++;
         controllerNanos += nanos;
     }
 
     boolean sampleHolder() {
         renewals++;
-        return renewals % HOLDER_SAMPLE == 0;
+        return renewals % HOLDER_SAMPLE_INTERVAL == 0;
     }
 
-    void holderTook(long nanos) {
+    void addHolderTime(long nanos) {
         sampledRenewals++;
         sampledHolderNanos += nanos;
     }
 
-    void deltaTook(long nanos) {
+    void addDeltaTime(long nanos) {
         deltas++;
         deltaNanos += nanos;
     }
@@ -78,11 +78,11 @@
 
     /** Bytes of the busiest machine: a relay or the controller. */
     long busiestMachineBytes() {
-        long most = controllerBytes;
+        long max = controllerBytes;
         for (long bytes : relayBytes) {
-            most = Math.max(most, bytes);
+            max = Math.max(max, bytes);
         }
-        return most;
+        return max;
     }
 
     long controllerBytes() {
--- a/src/main/java/lilaclever/lab/fleet/EventQueue.java
+++ b/src/main/java/lilaclever/lab/fleet/EventQueue.java
@@ -18,27 +18,27 @@
     }
 
     /** How many events were added so far. */
-    long added() {
+    long addedCount() {
         return added;
     }
 
     /** Lets something happen after a delay of 0 or more, microseconds. */
-    void after(long delayMicros, Runnable action) {
+    void schedule(long delayMicros, Runnable action) {
         if (size == times.length) {
             grow();
         }
-        int place = size++;
+        int index = size++;
         long time = nowMicros + Math.max(0, delayMicros);
         long number = added++;
-        while (place > 0) {
-            int parent = (place - 1) >>> 1;
+        while (index > 0) {
+            int parent = (index - 1) >>> 1;
             if (before(times[parent], numbers[parent], time, number)) {
                 break;
             }
-            move(parent, place);
-            place = parent;
+            move(parent, index);
+            index = parent;
         }
-        set(place, time, number, action);
+        set(index, time, number, action);
     }
 
     /** Lets everything happen that is due up to a time, and then advances to it. */
@@ -61,7 +61,7 @@
         if (size == 0) {
             return;
         }
-        int place = 0;
+        int index = 0;
         int child = 1;
         while (child < size) {
             if (child + 1 < size && before(times[child + 1], numbers[child + 1], times[child], numbers[child])) {
@@ -70,21 +70,21 @@
             if (before(time, number, times[child], numbers[child])) {
                 break;
             }
-            move(child, place);
-            place = child;
-            child = 2 * place + 1;
+            move(child, index);
+            index = child;
+            child = 2 * index + 1;
         }
-        set(place, time, number, action);
+        set(index, time, number, action);
     }
 
     private void move(int from, int to) {
         set(to, times[from], numbers[from], actions[from]);
     }
 
-    private void set(int place, long time, long number, Runnable action) {
-        times[place] = time;
-        numbers[place] = number;
-        actions[place] = action;
+    private void set(int index, long time, long number, Runnable action) {
+        times[index] = time;
+        numbers[index] = number;
+        actions[index] = action;
     }
 
     private void grow() {
--- a/src/main/java/lilaclever/lab/fleet/FleetChecks.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetChecks.java
@@ -11,7 +11,7 @@
     private int unserved;
     private int peakUnserved;
 
-    void checked() {
+    void countCheck() {
         checks++;
     }
 
@@ -20,7 +20,7 @@
     }
 
     /** Keeps the first breaches; the number is bounded. */
-    void broken(FleetBreach breach) {
+    void addBreach(FleetBreach breach) {
         if (breaches.size() < MAX_BREACHES) {
             breaches.add(breach);
         }
--- a/src/main/java/lilaclever/lab/fleet/FleetForwarders.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetForwarders.java
@@ -8,21 +8,21 @@
 
 /** All hollow forwarders of the fleet, and their processes' beginnings and ends. */
 final class FleetForwarders {
-    private static final long SECOND = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     /** How long a process takes from its end to the start of the next one. */
-    private static final long MIN_RESTART_MICROS = 3 * SECOND;
+    private static final long MIN_RESTART_MICROS = 3 * SECOND_MICROS;
 
-    private static final int RESTART_SPREAD_MICROS = (int) (5 * SECOND);
+    private static final int RESTART_SPREAD_MICROS = (int) (5 * SECOND_MICROS);
     /** How long the last call to a destination that is up, or down, is still out. */
-    private static final int CALL_MICROS = 500_000;
+    private static final int MAX_CALL_MICROS = 500_000;
 
-    private static final int CALL_TO_DOWN_MICROS = (int) (5 * SECOND);
+    private static final int MAX_CALL_TO_DOWN_MICROS = (int) (5 * SECOND_MICROS);
 
     private final FleetSettings settings;
     private final EventQueue queue;
     private final UniformRandomProvider random;
-    private final List<HollowForwarder> all = new ArrayList<>();
-    private final List<List<HollowForwarder>> byRegion = new ArrayList<>();
+    private final List<SimulatedForwarder> all = new ArrayList<>();
+    private final List<List<SimulatedForwarder>> byRegion = new ArrayList<>();
     private final List<DestinationCounts> destinations = new ArrayList<>();
     private List<RegionControl> regions;
 
@@ -51,7 +51,7 @@
         int firstOfZone = (int) (((long) zone * settings.forwarders() + settings.zones() - 1) / settings.zones());
         int machine = (number - firstOfZone) / settings.forwardersPerMachine();
         int region = settings.regionOf(zone);
-        HollowForwarder forwarder = new HollowForwarder(
+        SimulatedForwarder forwarder = new SimulatedForwarder(
                 new MemberId(number),
                 region,
                 zone,
@@ -69,19 +69,19 @@
         return new SimulatedClock(queue, 1 + drift, random.nextInt(Integer.MAX_VALUE));
     }
 
-    void regions(List<RegionControl> regionControls) {
+    void setRegions(List<RegionControl> regionControls) {
         regions = regionControls;
     }
 
-    List<HollowForwarder> all() {
+    List<SimulatedForwarder> all() {
         return all;
     }
 
-    List<HollowForwarder> ofRegion(int region) {
+    List<SimulatedForwarder> ofRegion(int region) {
         return byRegion.get(region);
     }
 
-    HollowForwarder byId(MemberId id) {
+    SimulatedForwarder byId(MemberId id) {
         return all.get(id.number());
     }
 
@@ -90,7 +90,7 @@
     }
 
     /** Makes the next process of a forwarder; it takes the place of the present one, if there is one. */
-    ForwarderProcess newProcess(HollowForwarder forwarder, boolean previousProcessEnded) {
+    ForwarderProcess newProcess(SimulatedForwarder forwarder, boolean previousProcessEnded) {
         forwarder.incarnation++;
         LeaseHolder holder = new LeaseHolder(forwarder.id, forwarder.incarnation, settings.timing());
         forwarder.process =
@@ -99,46 +99,46 @@
     }
 
     /** The process has handed its shards over: it ends and is started again. */
-    void left(ForwarderProcess process) {
+    void leaveCompleted(ForwarderProcess process) {
         if (!process.ended) {
-            end(process.forwarder);
-            startAfter(process.forwarder, restartMicros());
+            stop(process.forwarder);
+            startAfter(process.forwarder, randomRestartMicros());
         }
     }
 
-    void crash(HollowForwarder forwarder) {
-        if (forwarder.running()) {
-            end(forwarder);
-            startAfter(forwarder, restartMicros());
+    void crash(SimulatedForwarder forwarder) {
+        if (forwarder.isRunning()) {
+            stop(forwarder);
+            startAfter(forwarder, randomRestartMicros());
         }
     }
 
-    void leave(HollowForwarder forwarder) {
-        if (forwarder.running()) {
+    void leave(SimulatedForwarder forwarder) {
+        if (forwarder.isRunning()) {
             forwarder.process.leaving = true;
         }
     }
 
-    void end(HollowForwarder forwarder) {
-        regions.get(forwarder.region).end(forwarder);
+    void stop(SimulatedForwarder forwarder) {
+        regions.get(forwarder.region).stop(forwarder);
     }
 
     /** Starts a forwarder after a while, unless it runs by then. */
-    void startAfter(HollowForwarder forwarder, long delayMicros) {
-        queue.after(delayMicros, () -> {
-            if (!forwarder.running()) {
+    void startAfter(SimulatedForwarder forwarder, long delayMicros) {
+        queue.schedule(delayMicros, () -> {
+            if (!forwarder.isRunning()) {
                 regions.get(forwarder.region).start(forwarder, true);
             }
         });
     }
 
     /** How long the last call for a shard is still out. */
-    long callMicros(int region, int shard) {
-        int most = destinations.get(region).downOf(shard) > 0 ? CALL_TO_DOWN_MICROS : CALL_MICROS;
-        return random.nextInt(most);
+    long randomCallMicros(int region, int shard) {
+        int maxMicros = destinations.get(region).downOf(shard) > 0 ? MAX_CALL_TO_DOWN_MICROS : MAX_CALL_MICROS;
+        return random.nextInt(maxMicros);
     }
 
-    private long restartMicros() {
+    private long randomRestartMicros() {
         return MIN_RESTART_MICROS + random.nextInt(RESTART_SPREAD_MICROS);
     }
 }
--- a/src/main/java/lilaclever/lab/fleet/FleetMain.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetMain.java
@@ -60,13 +60,13 @@
             new ControlMemory(FleetSettings.ofSize(1, FleetSettings.FULL_FORWARDERS)).print(System.out);
             return;
         }
-        System.exit(main.playAll(runs) ? 0 : BREACHES_FOUND);
+        System.exit(main.simulateAll(runs) ? 0 : BREACHES_FOUND);
     }
 
-    private boolean playAll(List<FleetRun> all) throws InterruptedException {
+    private boolean simulateAll(List<FleetRun> all) throws InterruptedException {
         ExecutorService executor = Executors.newFixedThreadPool(threads);
         List<Future<Boolean>> results = new ArrayList<>();
-        all.forEach(run -> results.add(executor.submit(() -> play(run))));
+        all.forEach(run -> results.add(executor.submit(() -> simulate(run))));
         executor.shutdown();
         boolean passed = true;
         for (Future<Boolean> result : results) {
@@ -80,14 +80,14 @@
         return passed;
     }
 
-    private boolean play(FleetRun run) throws IOException {
-        long begin = System.nanoTime();
+    private boolean simulate(FleetRun run) throws IOException {
+        long startNanos = System.nanoTime();
         FleetSettings settings = FleetSettings.ofSize(run.seed(), run.forwarders())
                 .withLoadBound(loadBound)
                 .withReassignmentsPerSecond(reassignments);
         FleetFigures figures = new FleetSimulation(settings, run.schedule())
                 .run(phase -> System.err.println(run.fileName() + "\t" + phase.row()));
-        double realSeconds = (System.nanoTime() - begin) / 1e9;
+        double realSeconds = (System.nanoTime() - startNanos) / 1e9;
         Path file = folder.resolve(run.fileName());
         Files.createDirectories(folder);
         try (PrintStream out = new PrintStream(Files.newOutputStream(file), false, StandardCharsets.UTF_8)) {
--- a/src/main/java/lilaclever/lab/fleet/FleetRun.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetRun.java
@@ -4,7 +4,7 @@
 
 /** One run that is asked for on the command line, as {@code SCHEDULE/FORWARDERS/SEED}. */
 record FleetRun(Schedule schedule, int forwarders, long seed) {
-    private static final int PARTS = 3;
+    private static final int PART_COUNT = 3;
 
     /**
      * Reads a run.
@@ -13,7 +13,7 @@
      */
     static FleetRun parse(String text) {
         String[] parts = text.split("/");
-        if (parts.length != PARTS) {
+        if (parts.length != PART_COUNT) {
             throw new IllegalArgumentException("not SCHEDULE/FORWARDERS/SEED: " + text);
         }
         Schedule schedule = Schedule.valueOf(parts[0].toUpperCase(Locale.ROOT).replace('-', '_'));
--- a/src/main/java/lilaclever/lab/fleet/FleetSettings.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetSettings.java
@@ -118,7 +118,7 @@
     }
 
     /** The same fleet with another pace of reassignment, shards a second in a region. */
-    public FleetSettings withReassignmentsPerSecond(int pace) {
+    public FleetSettings withReassignmentsPerSecond(int shardsPerSecond) {
         return new FleetSettings(
                 seed,
                 regions,
@@ -132,7 +132,7 @@
                 controlMachines,
                 timing,
                 loadBound,
-                pace,
+                shardsPerSecond,
                 treeDegree,
                 configurationBytes,
                 configurationsPerDay,
--- a/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
@@ -5,15 +5,15 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import lilaclever.lab.fleet.FleetFigures.Figure;
-import lilaclever.lab.fleet.Schedule.Happening;
+import lilaclever.lab.fleet.Schedule.PhaseType;
 import lilaclever.lab.fleet.Schedule.Phase;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
 /** Plays a schedule with a fleet of hollow forwarders in virtual time. */
 public final class FleetSimulation {
-    private static final long SECOND = 1_000_000;
-    private static final long WARM_UP_MICROS = 60 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000;
+    private static final long WARM_UP_MICROS = 60 * SECOND_MICROS;
     /** All forwarders register within this time, so that few shards are placed before all members are known. */
     private static final int START_SPREAD_MICROS = 50_000;
 
@@ -54,7 +54,7 @@
                     FleetForwarders.clockOf(clocks, settings, queue),
                     Math.max(1, relaysOfRegion)));
         }
-        forwarders.regions(regions);
+        forwarders.setRegions(regions);
         publisher = new ConfigurationPublisher(
                 settings,
                 queue,
@@ -76,18 +76,18 @@
     public FleetFigures run(Consumer<PhaseFigures> phaseEnded) {
         forwarders.all().forEach(forwarder -> forwarders.startAfter(forwarder, starts.nextInt(START_SPREAD_MICROS)));
         queue.runUntil(WARM_UP_MICROS);
-        long started = queue.now();
+        long startMicros = queue.now();
         regions.forEach(region -> region.traffic().reset());
         regions.forEach(region -> region.checker().gapMillis().reset());
-        forwarders.all().forEach(HollowForwarder::resetTraffic);
+        forwarders.all().forEach(SimulatedForwarder::resetTraffic);
         publisher.start();
         List<PhaseFigures> phases = new ArrayList<>();
         for (Phase phase : schedule.phases()) {
-            PhaseFigures figures = play(phase);
+            PhaseFigures figures = simulatePhase(phase);
             phaseEnded.accept(figures);
             phases.add(figures);
         }
-        double seconds = (queue.now() - started) / (double) SECOND;
+        double seconds = (queue.now() - startMicros) / (double) SECOND_MICROS;
         return new FleetFigures(
                 settings,
                 schedule.label(),
@@ -98,34 +98,34 @@
                 measuredFigures(seconds));
     }
 
-    private PhaseFigures play(Phase phase) {
+    private PhaseFigures simulatePhase(Phase phase) {
         checks.resetPeak();
         regions.forEach(region -> region.checker().resetPeak());
-        long began = queue.now();
+        long startMicros = queue.now();
         long movesBefore = moves();
         int unservedBefore = checks.unserved();
-        List<Integer> shardsBefore = shardsOf(forwarders.all());
-        List<HollowForwarder> affected = failures.begin(phase);
+        List<Integer> shardsBefore = shardCounts(forwarders.all());
+        List<SimulatedForwarder> affected = failures.startPhase(phase);
         int lost = checks.unserved() - unservedBefore;
-        queue.runUntil(began + phase.seconds() * SECOND);
-        Histogram everywhere = configurations.everywhereMillis(began, queue.now());
+        queue.runUntil(startMicros + phase.seconds() * SECOND_MICROS);
+        Histogram everywhere = configurations.everywhereMillis(startMicros, queue.now());
         return new PhaseFigures(
-                phase.happening().name().toLowerCase(Locale.ROOT),
+                phase.type().name().toLowerCase(Locale.ROOT),
                 phase.seconds(),
                 lost,
-                restoredSeconds(began),
+                restoredSeconds(startMicros),
                 share(checks.peakUnserved(), settings.shards()),
                 peakUnservedInRegion(),
                 moves() - movesBefore,
-                leastMoves(phase.happening(), affected, shardsBefore),
-                fullest(false),
-                fullest(true),
+                leastMoves(phase.type(), affected, shardsBefore),
+                fullestLoad(false),
+                fullestLoad(true),
                 everywhere.getTotalCount(),
                 everywhere.getValueAtPercentile(PERCENTILE),
                 everywhere.getMaxValue());
     }
 
-    private double restoredSeconds(long began) {
+    private double restoredSeconds(long startMicros) {
         long last = 0;
         for (RegionControl region : regions) {
             if (region.checker().unserved() > 0) {
@@ -133,7 +133,7 @@
             }
             last = Math.max(last, region.checker().lastRestoredMicros());
         }
-        return Math.max(0, last - began) / (double) SECOND;
+        return Math.max(0, last - startMicros) / (double) SECOND_MICROS;
     }
 
     private double peakUnservedInRegion() {
@@ -150,20 +150,20 @@
         return regions.stream().mapToLong(region -> region.checker().moves()).sum();
     }
 
-    private List<Integer> shardsOf(List<HollowForwarder> some) {
+    private List<Integer> shardCounts(List<SimulatedForwarder> selected) {
         List<Integer> counts = new ArrayList<>();
-        for (HollowForwarder forwarder : some) {
+        for (SimulatedForwarder forwarder : selected) {
             OwnershipChecker checker = regions.get(forwarder.region).checker();
-            counts.add(forwarder.running() ? checker.shardsOf(forwarder.process) : 0);
+            counts.add(forwarder.isRunning() ? checker.shardsOf(forwarder.process) : 0);
         }
         return counts;
     }
 
     /** What was lost has to move, and what came back has to be moved to who returned; a planned restart does both. */
-    private long leastMoves(Happening happening, List<HollowForwarder> affected, List<Integer> shardsBefore) {
-        boolean returned = happening == Happening.RETURN || happening == Happening.RECONNECTED;
+    private long leastMoves(PhaseType type, List<SimulatedForwarder> affected, List<Integer> shardsBefore) {
+        boolean returned = type == PhaseType.RETURN || type == PhaseType.RECONNECTED;
         if (returned) {
-            return shardsOf(affected).stream().mapToLong(Integer::longValue).sum();
+            return shardCounts(affected).stream().mapToLong(Integer::longValue).sum();
         }
         return failures.leastMoves()
                 + affected.stream()
@@ -172,7 +172,7 @@
     }
 
     /** Load of the fullest forwarder against the mean of its region: of shards, or of destinations. */
-    private double fullest(boolean byDestinations) {
+    private double fullestLoad(boolean byDestinations) {
         double fullest = 0;
         for (RegionControl region : regions) {
             long[] loads = new long[forwarders.all().size()];
@@ -197,14 +197,14 @@
         return fullest;
     }
 
-    private boolean reachable(HollowForwarder forwarder) {
-        return forwarder.running() && forwarder.cutOffUntil < queue.now();
+    private boolean reachable(SimulatedForwarder forwarder) {
+        return forwarder.isRunning() && forwarder.cutOffUntilMicros < queue.now();
     }
 
     private List<Figure> deterministicFigures(double seconds) {
         List<Figure> figures = new ArrayList<>();
         figures.add(new Figure("virtual_seconds", seconds));
-        figures.add(new Figure("events", queue.added()));
+        figures.add(new Figure("events", queue.addedCount()));
         figures.add(new Figure("messages", network.messages()));
         figures.add(new Figure("messages_lost", network.lost()));
         figures.add(new Figure(
@@ -234,11 +234,11 @@
         figures.add(new Figure("change_everywhere_p50_ms", everywhere.getValueAtPercentile(50)));
         figures.add(new Figure("change_everywhere_p999_ms", everywhere.getValueAtPercentile(PERCENTILE)));
         figures.add(new Figure("change_everywhere_worst_ms", everywhere.getMaxValue()));
-        Histogram each = configurations.reachableMillis();
-        figures.add(new Figure("change_at_forwarder_samples", each.getTotalCount()));
-        figures.add(new Figure("change_at_forwarder_p50_ms", each.getValueAtPercentile(50)));
-        figures.add(new Figure("change_at_forwarder_p999_ms", each.getValueAtPercentile(PERCENTILE)));
-        figures.add(new Figure("change_at_forwarder_worst_ms", each.getMaxValue()));
+        Histogram atForwarder = configurations.reachableMillis();
+        figures.add(new Figure("change_at_forwarder_samples", atForwarder.getTotalCount()));
+        figures.add(new Figure("change_at_forwarder_p50_ms", atForwarder.getValueAtPercentile(50)));
+        figures.add(new Figure("change_at_forwarder_p999_ms", atForwarder.getValueAtPercentile(PERCENTILE)));
+        figures.add(new Figure("change_at_forwarder_worst_ms", atForwarder.getMaxValue()));
         figures.add(new Figure(
                 "change_at_cut_off_forwarder_worst_ms",
                 configurations.cutOffMillis().getMaxValue()));
@@ -257,7 +257,7 @@
         double total = 0;
         double most = 0;
         double busiest = 0;
-        for (HollowForwarder forwarder : forwarders.all()) {
+        for (SimulatedForwarder forwarder : forwarders.all()) {
             total += forwarder.bytes();
             most = Math.max(most, forwarder.bytes() / seconds);
             busiest = Math.max(busiest, forwarder.busiestBytesPerSecond());
--- a/src/main/java/lilaclever/lab/fleet/ForwarderProcess.java
+++ b/src/main/java/lilaclever/lab/fleet/ForwarderProcess.java
@@ -9,7 +9,7 @@
     /** Most versions that are kept while an earlier one is missing; what is dropped is fetched again. */
     static final int MAX_EARLY_VERSIONS = 64;
 
-    final HollowForwarder forwarder;
+    final SimulatedForwarder forwarder;
     final long incarnation;
     final boolean previousProcessEnded;
     final long startedMicros;
@@ -20,7 +20,7 @@
     /** Last heartbeat and the reading of the clock at which it was sent. */
     long lastSequence;
 
-    long lastSentReading;
+    long lastSentClockMicros;
 
     /** Number of the last batch of the region's map, and those that arrived before their predecessors. */
     long mapVersion;
@@ -28,17 +28,17 @@
     final TreeSet<Long> earlyVersions = new TreeSet<>();
     boolean fetchScheduled;
     /** Virtual time until which the process takes its map, and its configuration, to be current. */
-    long mapFreshUntil;
+    long mapFreshUntilMicros;
 
-    long configurationFreshUntil;
+    long configurationFreshUntilMicros;
 
     /** Virtual time until which it may send for the shards that the last renewal covered. */
-    long permittedUntil;
+    long permittedUntilMicros;
     /** Whether the checker has it as the sender for all shards assigned to it. */
-    boolean settled;
+    boolean servesAllShards;
 
     ForwarderProcess(
-            HollowForwarder forwarder,
+            SimulatedForwarder forwarder,
             long incarnation,
             boolean previousProcessEnded,
             long startedMicros,
@@ -56,7 +56,7 @@
     }
 
     /** Keeps a version that came early. */
-    void keepEarly(long version) {
+    void addEarlyVersion(long version) {
         earlyVersions.add(version);
         if (earlyVersions.size() > MAX_EARLY_VERSIONS) {
             earlyVersions.pollLast();
--- a/src/main/java/lilaclever/lab/fleet/MapDistribution.java
+++ b/src/main/java/lilaclever/lab/fleet/MapDistribution.java
@@ -21,11 +21,11 @@
     /** How long a forwarder waits for a version that is under way before it asks for it. */
     private static final long FETCH_DELAY_MICROS = 300_000;
     /** How long a sender in the tree waits for a receiver's acknowledgement. */
-    private static final long ACKNOWLEDGE_MICROS = 300_000;
+    private static final long ACKNOWLEDGEMENT_TIMEOUT_MICROS = 300_000;
 
     private static final long FETCH_RETRY_MICROS = 1_000_000;
     /** Changes of the map are gathered for so long before they are sent through the tree as one. */
-    private static final long BATCH_MICROS = 100_000;
+    private static final long BATCH_DELAY_MICROS = 100_000;
     /** After so many batches the tree is built anew, so that the cost of passing on goes round. */
     private static final int VERSIONS_PER_TREE = 4;
 
@@ -39,7 +39,7 @@
     private final ConfigurationLog configurations;
     private final ControlTraffic traffic;
     private final Supplier<List<MemberId>> members;
-    private final LongSupplier regionCutOffUntil;
+    private final LongSupplier regionCutOffUntilMicros;
     private final MapHistory history = new MapHistory();
     private final DeltaBatch batch = new DeltaBatch();
     private final ShardMap sampleMap;
@@ -58,7 +58,7 @@
             ConfigurationLog configurations,
             ControlTraffic traffic,
             Supplier<List<MemberId>> members,
-            LongSupplier regionCutOffUntil) {
+            LongSupplier regionCutOffUntilMicros) {
         this.region = region;
         this.shards = shards;
         this.settings = settings;
@@ -69,7 +69,7 @@
         this.configurations = configurations;
         this.traffic = traffic;
         this.members = members;
-        this.regionCutOffUntil = regionCutOffUntil;
+        this.regionCutOffUntilMicros = regionCutOffUntilMicros;
         sampleMap = new ShardMap(region, shards);
     }
 
@@ -89,9 +89,9 @@
     }
 
     /** Takes a change of the map, which is sent with others in a moment. */
-    void changed(MapDelta delta) {
+    void addChange(MapDelta delta) {
         if (batch.isEmpty()) {
-            queue.after(BATCH_MICROS, this::publishBatch);
+            queue.schedule(BATCH_DELAY_MICROS, this::publishBatch);
         }
         batch.add(delta);
     }
@@ -100,27 +100,27 @@
         MapDelta delta = batch.take();
         byte[] encoded = MapCodec.encode(delta);
         boolean configurationChanged = delta.configurationVersion() > history.configurationAt(history.latest());
-        int contents = configurationChanged ? settings.configurationBytes() : 0;
-        history.add(delta, encoded.length + contents);
+        int configurationBytes = configurationChanged ? settings.configurationBytes() : 0;
+        history.add(delta, encoded.length + configurationBytes);
         applyToSample(encoded);
         long version = history.latest();
         if (membersChanged || version - treeVersion >= VERSIONS_PER_TREE) {
             buildTree(version);
         }
-        Passage passage = new Passage(version, MessageSizes.mapMessage(encoded.length + contents), tree);
-        tree.heads().forEach(head -> sendDelta(null, head, passage));
-        queue.after(settings.mapBoundMicros(), () -> checkMapAge(version));
+        Transmission transmission = new Transmission(version, MessageSizes.mapMessage(encoded.length + configurationBytes), tree);
+        tree.heads().forEach(head -> sendDelta(null, head, transmission));
+        queue.schedule(settings.mapBoundMicros(), () -> checkMapAge(version));
     }
 
     /** What every forwarder does with a delta is done and timed once. */
     private void applyToSample(byte[] encoded) {
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         try {
             sampleMap.apply(MapCodec.decodeDelta(encoded));
         } catch (MapFormatException e) {
             throw new IllegalStateException("delta that was just encoded", e);
         }
-        traffic.deltaTook(System.nanoTime() - begin);
+        traffic.addDeltaTime(System.nanoTime() - startNanos);
     }
 
     private void buildTree(long version) {
@@ -134,11 +134,11 @@
     }
 
     private void checkMapAge(long version) {
-        checks.checked();
-        for (HollowForwarder forwarder : forwarders.ofRegion(region)) {
+        checks.countCheck();
+        for (SimulatedForwarder forwarder : forwarders.ofRegion(region)) {
             ForwarderProcess process = forwarder.process;
-            if (process != null && process.mapVersion < version && process.mapFreshUntil > queue.now()) {
-                checks.broken(new FleetBreach(
+            if (process != null && process.mapVersion < version && process.mapFreshUntilMicros > queue.now()) {
+                checks.addBreach(new FleetBreach(
                         FleetBreach.Kind.STALE_MAP,
                         queue.now(),
                         region,
@@ -151,7 +151,7 @@
     void fetchIfBehind(ForwarderProcess process, long mapVersion) {
         if (process.mapVersion < mapVersion && !process.fetchScheduled) {
             process.fetchScheduled = true;
-            queue.after(FETCH_DELAY_MICROS, () -> fetch(process, mapVersion));
+            queue.schedule(FETCH_DELAY_MICROS, () -> fetch(process, mapVersion));
         }
     }
 
@@ -160,25 +160,25 @@
             process.fetchScheduled = false;
             return;
         }
-        process.forwarder.transferred(MessageSizes.OVERHEAD, queue.now());
+        process.forwarder.countBytes(MessageSizes.OVERHEAD_BYTES, queue.now());
         traffic.fetches++;
         if (!process.forwarder.isCutOff(queue.now())) {
             network.withinRegion(CONTROLLER_HOPS, () -> answerFetch(process));
         }
-        queue.after(FETCH_RETRY_MICROS, () -> fetch(process, mapVersion));
+        queue.schedule(FETCH_RETRY_MICROS, () -> fetch(process, mapVersion));
     }
 
     private void answerFetch(ForwarderProcess process) {
         long version = history.latest();
         long deltas = history.bytesBetween(process.mapVersion, version);
         int bytes = MessageSizes.mapMessage((int) Math.min(deltas, snapshotBytes()));
-        traffic.relayed(process.forwarder, bytes);
+        traffic.countRelayed(process.forwarder, bytes);
         if (process.forwarder.isCutOff(queue.now())) {
             return;
         }
         network.withinRegion(CONTROLLER_HOPS, () -> {
             if (!process.ended && !process.forwarder.isCutOff(queue.now())) {
-                process.forwarder.transferred(bytes, queue.now());
+                process.forwarder.countBytes(bytes, queue.now());
                 advance(process, version);
             }
         });
@@ -190,22 +190,22 @@
     }
 
     /** A delta on its way through one tree. */
-    private record Passage(long version, int bytes, DistributionTree tree) {}
+    private record Transmission(long version, int bytes, DistributionTree tree) {}
 
     /** Whoever gets a delta through a tree is in it, since the tree sends to its members only. */
-    private void deltaArrived(ForwarderProcess process, Passage passage) {
-        process.forwarder.transferred(passage.bytes(), queue.now());
-        long version = passage.version();
+    private void deltaArrived(ForwarderProcess process, Transmission transmission) {
+        process.forwarder.countBytes(transmission.bytes(), queue.now());
+        long version = transmission.version();
         if (version <= process.mapVersion || process.earlyVersions.contains(version)) {
             return;
         }
-        for (MemberId child : passage.tree().childrenOf(process.forwarder.id)) {
-            sendDelta(process.forwarder, child, passage);
+        for (MemberId child : transmission.tree().childrenOf(process.forwarder.id)) {
+            sendDelta(process.forwarder, child, transmission);
         }
         if (version == process.mapVersion + 1) {
             advance(process, version);
         } else {
-            process.keepEarly(version);
+            process.addEarlyVersion(version);
             fetchIfBehind(process, version);
         }
     }
@@ -216,26 +216,26 @@
      *
      * @param sender a forwarder, or null for the controller
      */
-    private void sendDelta(HollowForwarder sender, MemberId receiver, Passage passage) {
-        Delivery delivery = new Delivery(sender, receiver, passage);
+    private void sendDelta(SimulatedForwarder sender, MemberId receiver, Transmission transmission) {
+        Delivery delivery = new Delivery(sender, receiver, transmission);
         delivery.send();
-        queue.after(ACKNOWLEDGE_MICROS, delivery::resendUnlessAcknowledged);
+        queue.schedule(ACKNOWLEDGEMENT_TIMEOUT_MICROS, delivery::resendUnlessAcknowledged);
     }
 
     private final class Delivery {
-        private final HollowForwarder sender;
+        private final SimulatedForwarder sender;
         private final MemberId receiver;
-        private final Passage passage;
+        private final Transmission transmission;
         private boolean acknowledged;
 
-        Delivery(HollowForwarder sender, MemberId receiver, Passage passage) {
+        Delivery(SimulatedForwarder sender, MemberId receiver, Transmission transmission) {
             this.sender = sender;
             this.receiver = receiver;
-            this.passage = passage;
+            this.transmission = transmission;
         }
 
         void send() {
-            countAtSender(passage.bytes());
+            countAtSender(transmission.bytes());
             if (!senderCutOff()) {
                 network.withinRegion(TREE_HOPS, this::arrived);
             }
@@ -246,26 +246,26 @@
             if (process == null || process.forwarder.isCutOff(queue.now())) {
                 return;
             }
-            deltaArrived(process, passage);
-            process.forwarder.transferred(MessageSizes.ACKNOWLEDGEMENT, queue.now());
+            deltaArrived(process, transmission);
+            process.forwarder.countBytes(MessageSizes.ACKNOWLEDGEMENT_BYTES, queue.now());
             network.withinRegion(TREE_HOPS, this::acknowledged);
         }
 
         private void acknowledged() {
             if (!senderCutOff()) {
-                countAtSender(MessageSizes.ACKNOWLEDGEMENT);
+                countAtSender(MessageSizes.ACKNOWLEDGEMENT_BYTES);
                 acknowledged = true;
             }
         }
 
         void resendUnlessAcknowledged() {
-            if (acknowledged || sender != null && !sender.running()) {
+            if (acknowledged || sender != null && !sender.isRunning()) {
                 return;
             }
             traffic.resends++;
             send();
-            for (MemberId next : passage.tree().childrenOf(receiver)) {
-                sendDelta(sender, next, passage);
+            for (MemberId next : transmission.tree().childrenOf(receiver)) {
+                sendDelta(sender, next, transmission);
             }
         }
 
@@ -275,9 +275,9 @@
 
         private void countAtSender(int bytes) {
             if (sender == null) {
-                traffic.sentByController(bytes);
+                traffic.countSentByController(bytes);
             } else {
-                sender.transferred(bytes, queue.now());
+                sender.countBytes(bytes, queue.now());
             }
         }
     }
@@ -296,6 +296,6 @@
                 process,
                 history.configurationAt(before),
                 history.configurationAt(process.mapVersion),
-                regionCutOffUntil.getAsLong());
+                regionCutOffUntilMicros.getAsLong());
     }
 }
--- a/src/main/java/lilaclever/lab/fleet/MapHistory.java
+++ b/src/main/java/lilaclever/lab/fleet/MapHistory.java
@@ -6,17 +6,17 @@
 /** The batches of a region's map by number: sizes and configuration versions. The contents are kept by nobody. */
 final class MapHistory {
     private static final int INITIAL_CAPACITY = 1 << 10;
-    private long[] bytesUpTo = new long[INITIAL_CAPACITY];
+    private long[] cumulativeBytes = new long[INITIAL_CAPACITY];
     private long[] configurationVersions = new long[INITIAL_CAPACITY];
     private int latest;
 
     void add(MapDelta delta, int encodedBytes) {
         latest++;
-        if (latest == bytesUpTo.length) {
-            bytesUpTo = Arrays.copyOf(bytesUpTo, 2 * latest);
+        if (latest == cumulativeBytes.length) {
+            cumulativeBytes = Arrays.copyOf(cumulativeBytes, 2 * latest);
             configurationVersions = Arrays.copyOf(configurationVersions, 2 * latest);
         }
-        bytesUpTo[latest] = bytesUpTo[latest - 1] + encodedBytes;
+        cumulativeBytes[latest] = cumulativeBytes[latest - 1] + encodedBytes;
         configurationVersions[latest] = delta.configurationVersion();
     }
 
@@ -26,7 +26,7 @@
 
     /** Bytes of all batches after one number up to another. */
     long bytesBetween(long after, long upTo) {
-        return bytesUpTo[(int) upTo] - bytesUpTo[(int) after];
+        return cumulativeBytes[(int) upTo] - cumulativeBytes[(int) after];
     }
 
     long configurationAt(long version) {
--- a/src/main/java/lilaclever/lab/fleet/MessageSizes.java
+++ b/src/main/java/lilaclever/lab/fleet/MessageSizes.java
@@ -10,44 +10,44 @@
  */
 final class MessageSizes {
     /** IPv6 and TCP headers with timestamps (72), TLS 1.3 record (22), length and kind (5), a bare acknowledgement. */
-    static final int OVERHEAD = 72 + 22 + 5 + 72;
+    static final int OVERHEAD_BYTES = 72 + 22 + 5 + 72;
 
-    private static final int NUMBER = 8;
+    private static final int NUMBER_BYTES = 8;
     /** A version that has arrived; it carries the bare acknowledgement with it. */
-    static final int ACKNOWLEDGEMENT = 72 + 22 + 5 + NUMBER;
+    static final int ACKNOWLEDGEMENT_BYTES = 72 + 22 + 5 + NUMBER_BYTES;
 
-    private static final int HEARTBEAT = 4 * NUMBER;
+    private static final int HEARTBEAT_BYTES = 4 * NUMBER_BYTES;
     /** A renewal with the versions of map and configuration. */
-    private static final int RENEWAL = 7 * NUMBER;
+    private static final int RENEWAL_BYTES = 7 * NUMBER_BYTES;
 
-    private static final int GRANT = 2 * NUMBER;
-    private static final int SMALL = 4 * NUMBER;
+    private static final int GRANT_BYTES = 2 * NUMBER_BYTES;
+    private static final int SMALL_BODY_BYTES = 4 * NUMBER_BYTES;
 
     private MessageSizes() {}
 
-    static int of(ControllerCommand command) {
+    static int bytesOf(ControllerCommand command) {
         if (command instanceof ControllerCommand.Heartbeat) {
-            return OVERHEAD + HEARTBEAT;
+            return OVERHEAD_BYTES + HEARTBEAT_BYTES;
         }
         if (command instanceof ControllerCommand.Release release) {
-            return OVERHEAD + SMALL + GRANT * release.shards().size();
+            return OVERHEAD_BYTES + SMALL_BODY_BYTES + GRANT_BYTES * release.shards().size();
         }
-        return OVERHEAD + SMALL;
+        return OVERHEAD_BYTES + SMALL_BODY_BYTES;
     }
 
-    static int of(ControllerEvent event) {
+    static int bytesOf(ControllerEvent event) {
         if (event instanceof ControllerEvent.LeaseRenewed) {
-            return OVERHEAD + RENEWAL;
+            return OVERHEAD_BYTES + RENEWAL_BYTES;
         }
         if (event instanceof ControllerEvent.AssignmentChanged change) {
-            return OVERHEAD
-                    + SMALL
-                    + GRANT * (change.granted().size() + change.revoked().size());
+            return OVERHEAD_BYTES
+                    + SMALL_BODY_BYTES
+                    + GRANT_BYTES * (change.granted().size() + change.revoked().size());
         }
-        return OVERHEAD + SMALL;
+        return OVERHEAD_BYTES + SMALL_BODY_BYTES;
     }
 
     static int mapMessage(int encodedBytes) {
-        return OVERHEAD + encodedBytes;
+        return OVERHEAD_BYTES + encodedBytes;
     }
 }
--- a/src/main/java/lilaclever/lab/fleet/Network.java
+++ b/src/main/java/lilaclever/lab/fleet/Network.java
@@ -26,20 +26,20 @@
     }
 
     /** Sends within a region, over so many machines in between. */
-    void withinRegion(int hops, Runnable receipt) {
+    void withinRegion(int hops, Runnable onArrival) {
         if (isLost()) {
             return;
         }
-        queue.after(regionDelay(hops), receipt);
+        queue.schedule(regionDelayMicros(hops), onArrival);
         if (random.nextDouble() < duplication) {
-            queue.after(regionDelay(hops), receipt);
+            queue.schedule(regionDelayMicros(hops), onArrival);
         }
     }
 
     /** Sends from one region to another. */
-    void betweenRegions(Runnable receipt) {
+    void betweenRegions(Runnable onArrival) {
         if (!isLost()) {
-            queue.after(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), receipt);
+            queue.schedule(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), onArrival);
         }
     }
 
@@ -60,7 +60,7 @@
         return true;
     }
 
-    private long regionDelay(int hops) {
+    private long regionDelayMicros(int hops) {
         long delay = hops * MIN_HOP_MICROS + random.nextInt(hops * HOP_SPREAD_MICROS);
         return random.nextDouble() < SLOW_SHARE ? delay + random.nextInt(SLOW_SPREAD_MICROS) : delay;
     }
--- a/src/main/java/lilaclever/lab/fleet/OwnershipChecker.java
+++ b/src/main/java/lilaclever/lab/fleet/OwnershipChecker.java
@@ -18,7 +18,7 @@
     private final ForwarderProcess[] senders;
     private final long[] epochs;
     /** Since when nobody may send for the shard, or {@link #SERVED}. */
-    private final long[] unservedSince;
+    private final long[] unservedSinceMicros;
 
     private final Histogram gapMillis = new Histogram(3);
     private int unserved;
@@ -32,15 +32,15 @@
         this.checks = checks;
         senders = new ForwarderProcess[shards];
         epochs = new long[shards];
-        unservedSince = new long[shards];
-        Arrays.fill(unservedSince, 0);
+        unservedSinceMicros = new long[shards];
+        Arrays.fill(unservedSinceMicros, 0);
         unserved = shards;
         checks.unservedChanged(shards);
     }
 
     /** A process has applied a renewal. */
     void renewed(ForwarderProcess process) {
-        if (!process.settled) {
+        if (!process.servesAllShards) {
             findNewPermissions(process);
         }
     }
@@ -49,7 +49,7 @@
     void assignmentChanged(ForwarderProcess process, Iterable<Integer> revoked) {
         for (int shard : revoked) {
             if (senders[shard] == process) {
-                stopped(shard, queue.now());
+                markUnserved(shard, queue.now());
             }
         }
         findNewPermissions(process);
@@ -57,13 +57,13 @@
 
     /** A process has ended, or its lease has: nobody may send for its shards since then. */
     void ended(ForwarderProcess process) {
-        long since = Math.min(queue.now(), process.permittedUntil);
+        long sinceMicros = Math.min(queue.now(), process.permittedUntilMicros);
         for (int shard : process.holder.assignedShardNumbers()) {
             if (senders[shard] == process) {
-                stopped(shard, since);
+                markUnserved(shard, sinceMicros);
             }
         }
-        process.settled = false;
+        process.servesAllShards = false;
     }
 
     /** How many shards a process is the present sender of. */
@@ -79,7 +79,7 @@
 
     /** The sender of a shard, or null if nobody may send for it. */
     ForwarderProcess senderOf(int shard) {
-        return unservedSince[shard] == SERVED ? senders[shard] : null;
+        return unservedSinceMicros[shard] == SERVED ? senders[shard] : null;
     }
 
     int shards() {
@@ -114,36 +114,36 @@
     }
 
     private void findNewPermissions(ForwarderProcess process) {
-        boolean settled = true;
+        boolean servesAllShards = true;
         for (int shard : process.holder.assignedShardNumbers()) {
-            if (senders[shard] == process && unservedSince[shard] == SERVED) {
+            if (senders[shard] == process && unservedSinceMicros[shard] == SERVED) {
                 continue;
             }
             SendPermission permission = process.holder.maySend(shard, process.forwarder.clock.now());
             if (permission instanceof SendPermission.Permitted permitted) {
-                begins(process, shard, permitted.epoch());
+                permissionStarted(process, shard, permitted.epoch());
             } else {
-                settled = false;
+                servesAllShards = false;
             }
         }
-        process.settled = settled;
+        process.servesAllShards = servesAllShards;
     }
 
-    private void begins(ForwarderProcess process, int shard, long epoch) {
-        ForwarderProcess before = senders[shard];
-        checks.checked();
-        if (before != null && before != process) {
-            checkFormer(before, process, shard, epoch);
+    private void permissionStarted(ForwarderProcess process, int shard, long epoch) {
+        ForwarderProcess previous = senders[shard];
+        checks.countCheck();
+        if (previous != null && previous != process) {
+            checkPreviousSender(previous, process, shard, epoch);
         }
-        if (before == null || before.forwarder != process.forwarder) {
+        if (previous == null || previous.forwarder != process.forwarder) {
             moves++;
         }
-        if (unservedSince[shard] == SERVED) {
+        if (unservedSinceMicros[shard] == SERVED) {
             // The former sender's lease has run out without notice: since then nobody might send.
-            stopped(shard, Math.min(queue.now(), before.permittedUntil));
+            markUnserved(shard, Math.min(queue.now(), previous.permittedUntilMicros));
         }
-        gapMillis.recordValue((queue.now() - unservedSince[shard]) / 1_000);
-        unservedSince[shard] = SERVED;
+        gapMillis.recordValue((queue.now() - unservedSinceMicros[shard]) / 1_000);
+        unservedSinceMicros[shard] = SERVED;
         unserved--;
         checks.unservedChanged(-1);
         lastRestoredMicros = queue.now();
@@ -151,28 +151,28 @@
         epochs[shard] = epoch;
     }
 
-    private void checkFormer(ForwarderProcess before, ForwarderProcess process, int shard, long epoch) {
-        if (before.maySend(shard)) {
-            broken(
+    private void checkPreviousSender(ForwarderProcess previous, ForwarderProcess process, int shard, long epoch) {
+        if (previous.maySend(shard)) {
+            addBreach(
                     FleetBreach.Kind.TWO_SENDERS,
-                    "shard " + shard + ": " + before.forwarder.id + " and " + process.forwarder.id);
+                    "shard " + shard + ": " + previous.forwarder.id + " and " + process.forwarder.id);
         }
         if (epoch <= epochs[shard]) {
-            broken(FleetBreach.Kind.EPOCH_NOT_GREATER, "shard " + shard + ": " + epoch + " after " + epochs[shard]);
+            addBreach(FleetBreach.Kind.EPOCH_NOT_GREATER, "shard " + shard + ": " + epoch + " after " + epochs[shard]);
         }
-        before.settled = false;
+        previous.servesAllShards = false;
     }
 
-    private void stopped(int shard, long sinceMicros) {
-        if (unservedSince[shard] == SERVED) {
-            unservedSince[shard] = sinceMicros;
+    private void markUnserved(int shard, long sinceMicros) {
+        if (unservedSinceMicros[shard] == SERVED) {
+            unservedSinceMicros[shard] = sinceMicros;
             unserved++;
             peakUnserved = Math.max(peakUnserved, unserved);
             checks.unservedChanged(1);
         }
     }
 
-    private void broken(FleetBreach.Kind kind, String detail) {
-        checks.broken(new FleetBreach(kind, queue.now(), region, detail));
+    private void addBreach(FleetBreach.Kind kind, String detail) {
+        checks.addBreach(new FleetBreach(kind, queue.now(), region, detail));
     }
 }
--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -14,7 +14,7 @@
 /** The control of one region: its controller, the relays before it, and the processes that they serve. */
 final class RegionControl {
     /** The controller takes its configuration to be current for so long after word from the publisher. */
-    private static final long PUBLISHER_SILENCE_MICROS = 3_000_000;
+    private static final long PUBLISHER_TIMEOUT_MICROS = 3_000_000;
 
     final int region;
     private final FleetSettings settings;
@@ -26,11 +26,11 @@
     private final SimulatedClock clock;
     private final ControlTraffic traffic;
     private final MapDistribution map;
-    private long nextAdvance = Long.MAX_VALUE;
-    private long publisherHeardMicros;
+    private long nextAdvanceMicros = Long.MAX_VALUE;
+    private long publisherSentMicros;
     private long configurationVersion;
     /** Virtual time until which the region is cut off from the others. */
-    long cutOffUntil;
+    long cutOffUntilMicros;
 
     RegionControl(
             int region,
@@ -69,7 +69,7 @@
                 configurations,
                 traffic,
                 controller::members,
-                () -> cutOffUntil);
+                () -> cutOffUntilMicros);
     }
 
     OwnershipChecker checker() {
@@ -91,14 +91,14 @@
     // Forwarders' side
 
     /** Starts a process of a forwarder that is down, or that gives its present process up. */
-    void start(HollowForwarder forwarder, boolean previousProcessEnded) {
+    void start(SimulatedForwarder forwarder, boolean previousProcessEnded) {
         ForwarderProcess process = forwarders.newProcess(forwarder, previousProcessEnded);
         register(process);
-        beat(process);
+        sendHeartbeat(process);
     }
 
     /** Ends a forwarder's process without a word to anybody. */
-    void end(HollowForwarder forwarder) {
+    void stop(SimulatedForwarder forwarder) {
         ForwarderProcess process = forwarder.process;
         if (process != null) {
             checker.ended(process);
@@ -118,33 +118,33 @@
                         process.previousProcessEnded));
     }
 
-    private void beat(ForwarderProcess process) {
+    private void sendHeartbeat(ForwarderProcess process) {
         if (process.ended) {
             return;
         }
-        long reading = process.forwarder.clock.now();
+        long clockMicros = process.forwarder.clock.now();
         if (process.lastSequence > 0 && process.holder.appliedRevision() == 0) {
             register(process);
         }
-        ControllerCommand.Heartbeat heartbeat = process.holder.heartbeat(reading);
+        ControllerCommand.Heartbeat heartbeat = process.holder.heartbeat(clockMicros);
         process.lastSequence = heartbeat.sequence();
-        process.lastSentReading = reading;
+        process.lastSentClockMicros = clockMicros;
         send(process, heartbeat);
         if (process.leaving) {
             send(process, new ControllerCommand.Leave(process.forwarder.id, process.incarnation));
         }
-        queue.after(process.forwarder.clock.delayOf(settings.timing().heartbeatMicros()), () -> beat(process));
+        queue.schedule(process.forwarder.clock.delayOf(settings.timing().heartbeatMicros()), () -> sendHeartbeat(process));
     }
 
     private void send(ForwarderProcess process, ControllerCommand command) {
-        int bytes = MessageSizes.of(command);
-        process.forwarder.transferred(bytes, queue.now());
+        int bytes = MessageSizes.bytesOf(command);
+        process.forwarder.countBytes(bytes, queue.now());
         if (process.forwarder.isCutOff(queue.now())) {
             return;
         }
         network.withinRegion(MapDistribution.CONTROLLER_HOPS, () -> {
             if (!process.forwarder.isCutOff(queue.now())) {
-                traffic.relayed(process.forwarder, bytes);
+                traffic.countRelayed(process.forwarder, bytes);
                 apply(command);
             }
         });
@@ -155,24 +155,24 @@
             ControllerEvent.LeaseRenewed renewal,
             long mapVersion,
             boolean configurationCurrent) {
-        long reading = process.forwarder.clock.now();
+        long clockMicros = process.forwarder.clock.now();
         boolean sampled = traffic.sampleHolder();
-        long begin = sampled ? System.nanoTime() : 0;
-        process.holder.renewed(renewal, reading);
+        long startNanos = sampled ? System.nanoTime() : 0;
+        process.holder.renewed(renewal, clockMicros);
         if (sampled) {
-            traffic.holderTook(System.nanoTime() - begin);
+            traffic.addHolderTime(System.nanoTime() - startNanos);
         }
         if (renewal.sequence() == process.lastSequence) {
             long leaseMicros = (long)
                     (settings.timing().leaseMicros() * (1 - settings.timing().maxDrift()));
-            long until = process.forwarder.clock.virtualTimeOf(process.lastSentReading + leaseMicros);
-            process.permittedUntil =
-                    Math.max(process.permittedUntil, until - settings.timing().marginMicros());
+            long untilMicros = process.forwarder.clock.virtualTimeOf(process.lastSentClockMicros + leaseMicros);
+            process.permittedUntilMicros =
+                    Math.max(process.permittedUntilMicros, untilMicros - settings.timing().marginMicros());
             if (process.mapVersion >= mapVersion) {
-                process.mapFreshUntil = Math.max(process.mapFreshUntil, until);
-                process.configurationFreshUntil = configurationCurrent
-                        ? Math.max(process.configurationFreshUntil, until)
-                        : process.configurationFreshUntil;
+                process.mapFreshUntilMicros = Math.max(process.mapFreshUntilMicros, untilMicros);
+                process.configurationFreshUntilMicros = configurationCurrent
+                        ? Math.max(process.configurationFreshUntilMicros, untilMicros)
+                        : process.configurationFreshUntilMicros;
             }
         }
         checker.renewed(process);
@@ -191,11 +191,11 @@
 
     /** For each shard that is about to be revoked a call is out, and ends some time later. */
     private void startCalls(ForwarderProcess process, ControllerEvent.AssignmentChanged change) {
-        long reading = process.forwarder.clock.now();
+        long clockMicros = process.forwarder.clock.now();
         change.revoked().forEach(grant -> {
-            if (process.holder.maySend(grant.shard(), reading) instanceof SendPermission.Permitted permitted) {
-                process.holder.started(grant.shard(), permitted.epoch(), reading);
-                queue.after(forwarders.callMicros(region, grant.shard()), () -> {
+            if (process.holder.maySend(grant.shard(), clockMicros) instanceof SendPermission.Permitted permitted) {
+                process.holder.started(grant.shard(), permitted.epoch(), clockMicros);
+                queue.schedule(forwarders.randomCallMicros(region, grant.shard()), () -> {
                     process.holder.finished(grant.shard(), permitted.epoch());
                     sendRelease(process);
                 });
@@ -211,8 +211,8 @@
 
     private void rejected(ForwarderProcess process, RejectionReason reason) {
         if (reason == RejectionReason.UNKNOWN_MEMBER && process.holder.appliedRevision() > 0) {
-            HollowForwarder forwarder = process.forwarder;
-            end(forwarder);
+            SimulatedForwarder forwarder = process.forwarder;
+            stop(forwarder);
             start(forwarder, true);
         }
     }
@@ -220,11 +220,11 @@
     // Controller's side
 
     /** Word from the publisher of configurations arrives, with the version that is in force. */
-    void publisherHeard(long version, long sentMicros) {
-        publisherHeardMicros = Math.max(publisherHeardMicros, sentMicros);
+    void configurationPublished(long version, long sentMicros) {
+        publisherSentMicros = Math.max(publisherSentMicros, sentMicros);
         if (version > configurationVersion) {
             configurationVersion = version;
-            traffic.fromPublisher(settings.configurationBytes());
+            traffic.countReceivedFromPublisher(settings.configurationBytes());
             apply(new ControllerCommand.PublishConfiguration(version));
         }
     }
@@ -239,34 +239,34 @@
     }
 
     private void apply(ControllerCommand command) {
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         List<ControllerEvent> events = controller.apply(command, clock.now());
-        traffic.controllerTook(System.nanoTime() - begin);
+        traffic.addControllerTime(System.nanoTime() - startNanos);
         events.forEach(this::dispatch);
         scheduleAdvance();
     }
 
     private void scheduleAdvance() {
-        long due = controller.nextDueMicros();
-        if (due != Long.MAX_VALUE && due < nextAdvance) {
-            nextAdvance = due;
-            queue.after(clock.delayOf(Math.max(0, due - clock.now())), () -> advanceTime(due));
+        long dueMicros = controller.nextDueMicros();
+        if (dueMicros != Long.MAX_VALUE && dueMicros < nextAdvanceMicros) {
+            nextAdvanceMicros = dueMicros;
+            queue.schedule(clock.delayOf(Math.max(0, dueMicros - clock.now())), () -> advanceTime(dueMicros));
         }
     }
 
-    private void advanceTime(long due) {
-        if (nextAdvance == due) {
-            nextAdvance = Long.MAX_VALUE;
+    private void advanceTime(long dueMicros) {
+        if (nextAdvanceMicros == dueMicros) {
+            nextAdvanceMicros = Long.MAX_VALUE;
             apply(new ControllerCommand.AdvanceTime());
         }
     }
 
     private void dispatch(ControllerEvent event) {
-        int bytes = MessageSizes.of(event);
+        int bytes = MessageSizes.bytesOf(event);
         if (event instanceof ControllerEvent.LeaseRenewed renewal) {
             long version = map.latest();
-            boolean current = queue.now() - publisherHeardMicros < PUBLISHER_SILENCE_MICROS;
-            toProcess(
+            boolean current = queue.now() - publisherSentMicros < PUBLISHER_TIMEOUT_MICROS;
+            sendToProcess(
                     renewal.member(),
                     renewal.incarnation(),
                     bytes,
@@ -275,18 +275,18 @@
             if (change.fromRevision() == 0) {
                 map.membersChanged();
             }
-            toProcess(change.member(), change.incarnation(), bytes, process -> assignmentChanged(process, change));
+            sendToProcess(change.member(), change.incarnation(), bytes, process -> assignmentChanged(process, change));
         } else if (event instanceof ControllerEvent.MapChanged change) {
-            map.changed(change.delta());
+            map.addChange(change.delta());
         } else if (event instanceof ControllerEvent.MemberExpired) {
             map.membersChanged();
             traffic.expirations++;
         } else if (event instanceof ControllerEvent.LeaveCompleted left) {
             map.membersChanged();
-            toProcess(left.member(), left.incarnation(), bytes, process -> forwarders.left(process));
+            sendToProcess(left.member(), left.incarnation(), bytes, process -> forwarders.leaveCompleted(process));
         } else if (event instanceof ControllerEvent.CommandRejected rejection
                 && rejection.command() instanceof ControllerCommand.Heartbeat heartbeat) {
-            toProcess(
+            sendToProcess(
                     heartbeat.member(),
                     heartbeat.incarnation(),
                     bytes,
@@ -294,21 +294,21 @@
         }
     }
 
-    private interface Receipt {
-        void by(ForwarderProcess process);
+    private interface ProcessAction {
+        void apply(ForwarderProcess process);
     }
 
-    private void toProcess(MemberId member, long incarnation, int bytes, Receipt receipt) {
-        HollowForwarder forwarder = forwarders.byId(member);
-        traffic.relayed(forwarder, bytes);
+    private void sendToProcess(MemberId member, long incarnation, int bytes, ProcessAction action) {
+        SimulatedForwarder forwarder = forwarders.byId(member);
+        traffic.countRelayed(forwarder, bytes);
         if (forwarder.isCutOff(queue.now())) {
             return;
         }
         network.withinRegion(MapDistribution.CONTROLLER_HOPS, () -> {
             ForwarderProcess process = forwarder.process;
             if (process != null && process.incarnation == incarnation && !process.forwarder.isCutOff(queue.now())) {
-                forwarder.transferred(bytes, queue.now());
-                receipt.by(process);
+                forwarder.countBytes(bytes, queue.now());
+                action.apply(process);
             }
         });
     }
--- a/src/main/java/lilaclever/lab/fleet/Schedule.java
+++ b/src/main/java/lilaclever/lab/fleet/Schedule.java
@@ -7,36 +7,36 @@
 public enum Schedule {
     /** One failure of each kind after the other, each with its return. */
     INCIDENTS(List.of(
-            new Phase(Happening.QUIET, 120),
-            new Phase(Happening.MACHINE_LOST, 60),
-            new Phase(Happening.RETURN, 60),
-            new Phase(Happening.RACK_LOST, 60),
-            new Phase(Happening.RETURN, 60),
-            new Phase(Happening.ZONE_LOST, 120),
-            new Phase(Happening.RETURN, 180),
-            new Phase(Happening.REGION_CUT_OFF, 300),
-            new Phase(Happening.RECONNECTED, 60),
-            new Phase(Happening.MEMBERS_CUT_OFF, 60),
-            new Phase(Happening.RECONNECTED, 60))),
+            new Phase(PhaseType.QUIET, 120),
+            new Phase(PhaseType.MACHINE_LOST, 60),
+            new Phase(PhaseType.RETURN, 60),
+            new Phase(PhaseType.RACK_LOST, 60),
+            new Phase(PhaseType.RETURN, 60),
+            new Phase(PhaseType.ZONE_LOST, 120),
+            new Phase(PhaseType.RETURN, 180),
+            new Phase(PhaseType.REGION_CUT_OFF, 300),
+            new Phase(PhaseType.RECONNECTED, 60),
+            new Phase(PhaseType.MEMBERS_CUT_OFF, 60),
+            new Phase(PhaseType.RECONNECTED, 60))),
     /** The failures of an ordinary day at their usual pace, for half an hour. */
-    ORDINARY(List.of(new Phase(Happening.ORDINARY_FAILURES, 1_800), new Phase(Happening.QUIET, 30))),
+    ORDINARY(List.of(new Phase(PhaseType.ORDINARY_FAILURES, 1_800), new Phase(PhaseType.QUIET, 30))),
     /** Planned restarts at the pace at which all are restarted within a day, for ten minutes. */
-    RESTART_PACE(List.of(new Phase(Happening.PLANNED_RESTARTS, 600), new Phase(Happening.QUIET, 30))),
+    RESTART_PACE(List.of(new Phase(PhaseType.PLANNED_RESTARTS, 600), new Phase(PhaseType.QUIET, 30))),
     /** Failures of each kind in a few minutes, for a small fleet. */
     SHORT(List.of(
-            new Phase(Happening.QUIET, 10),
-            new Phase(Happening.MACHINE_LOST, 30),
-            new Phase(Happening.RETURN, 20),
-            new Phase(Happening.ZONE_LOST, 40),
-            new Phase(Happening.RETURN, 30),
-            new Phase(Happening.REGION_CUT_OFF, 30),
-            new Phase(Happening.RECONNECTED, 20),
-            new Phase(Happening.MEMBERS_CUT_OFF, 30),
-            new Phase(Happening.RECONNECTED, 20),
-            new Phase(Happening.PLANNED_RESTARTS, 30)));
+            new Phase(PhaseType.QUIET, 10),
+            new Phase(PhaseType.MACHINE_LOST, 30),
+            new Phase(PhaseType.RETURN, 20),
+            new Phase(PhaseType.ZONE_LOST, 40),
+            new Phase(PhaseType.RETURN, 30),
+            new Phase(PhaseType.REGION_CUT_OFF, 30),
+            new Phase(PhaseType.RECONNECTED, 20),
+            new Phase(PhaseType.MEMBERS_CUT_OFF, 30),
+            new Phase(PhaseType.RECONNECTED, 20),
+            new Phase(PhaseType.PLANNED_RESTARTS, 30)));
 
     /** What begins a phase, or goes on in it. */
-    enum Happening {
+    enum PhaseType {
         QUIET,
         MACHINE_LOST,
         RACK_LOST,
@@ -50,7 +50,7 @@
     }
 
     /** A phase, seconds. */
-    record Phase(Happening happening, int seconds) {}
+    record Phase(PhaseType type, int seconds) {}
 
     private final List<Phase> phases;
 
--- a/src/main/java/lilaclever/lab/fleet/HollowForwarder.java
+++ b/src/main/java/lilaclever/lab/fleet/SimulatedForwarder.java
@@ -3,7 +3,7 @@
 import lilaclever.placement.MemberId;
 
 /** A forwarder without sockets: its place, its clock, its present process if it runs, and its control traffic. */
-final class HollowForwarder {
+final class SimulatedForwarder {
     private static final long WINDOW_MICROS = 10_000_000;
 
     final MemberId id;
@@ -18,14 +18,14 @@
 
     long incarnation;
     /** Virtual time until which nothing reaches it or leaves it. */
-    long cutOffUntil;
+    long cutOffUntilMicros;
 
     private long bytes;
-    private long window;
+    private long windowIndex;
     private long windowBytes;
     private long busiestWindowBytes;
 
-    HollowForwarder(
+    SimulatedForwarder(
             MemberId id, int region, int zone, int zoneWithinRegion, int machine, int rack, SimulatedClock clock) {
         this.id = id;
         this.region = region;
@@ -36,20 +36,20 @@
         this.clock = clock;
     }
 
-    boolean running() {
+    boolean isRunning() {
         return process != null;
     }
 
     /** Whether nothing reaches it or leaves it at this time. */
     boolean isCutOff(long nowMicros) {
-        return nowMicros < cutOffUntil;
+        return nowMicros < cutOffUntilMicros;
     }
 
     /** Counts bytes that it sent or received. */
-    void transferred(int count, long nowMicros) {
-        long present = nowMicros / WINDOW_MICROS;
-        if (present != window) {
-            window = present;
+    void countBytes(int count, long nowMicros) {
+        long currentIndex = nowMicros / WINDOW_MICROS;
+        if (currentIndex != windowIndex) {
+            windowIndex = currentIndex;
             windowBytes = 0;
         }
         bytes += count;
--- a/src/test/java/lilaclever/lab/fleet/FleetSimulationTest.java
+++ b/src/test/java/lilaclever/lab/fleet/FleetSimulationTest.java
@@ -13,7 +13,7 @@
 
     @Test
     void smallFleetKeepsTheRulesThroughFailuresOfEachKind() {
-        FleetFigures figures = play(1);
+        FleetFigures figures = simulate(1);
         assertEquals(List.of(), figures.breaches());
         assertTrue(figures.checks() > 5_000, "checks: " + figures.checks());
         assertTrue(figures.figure("expirations") > 40, figures.toString());
@@ -30,12 +30,12 @@
 
     @Test
     void oneSeedGivesTheSameRun() {
-        FleetFigures first = play(2);
-        FleetFigures second = play(2);
+        FleetFigures first = simulate(2);
+        FleetFigures second = simulate(2);
         assertEquals(first.phases(), second.phases());
         assertEquals(first.deterministic(), second.deterministic());
         assertEquals(first.checks(), second.checks());
-        assertNotEquals(first.deterministic(), play(3).deterministic());
+        assertNotEquals(first.deterministic(), simulate(3).deterministic());
     }
 
     @Test
@@ -43,7 +43,7 @@
         FleetSettings settings = FleetSettings.of(4, 2, 6, 60);
         assertEquals(
                 List.of(FleetBreach.Kind.STALE_MAP),
-                kinds(settings.withAgeBounds(1_000, settings.configurationBoundMicros())));
+                breachKinds(settings.withAgeBounds(1_000, settings.configurationBoundMicros())));
     }
 
     @Test
@@ -51,15 +51,15 @@
         FleetSettings settings = FleetSettings.of(4, 2, 6, 60);
         assertEquals(
                 List.of(FleetBreach.Kind.STALE_CONFIGURATION),
-                kinds(settings.withAgeBounds(settings.mapBoundMicros(), 20_000)));
+                breachKinds(settings.withAgeBounds(settings.mapBoundMicros(), 20_000)));
     }
 
-    private static List<FleetBreach.Kind> kinds(FleetSettings settings) {
+    private static List<FleetBreach.Kind> breachKinds(FleetSettings settings) {
         return new FleetSimulation(settings, Schedule.SHORT)
                 .run().breaches().stream().map(FleetBreach::kind).distinct().toList();
     }
 
-    private static FleetFigures play(long seed) {
+    private static FleetFigures simulate(long seed) {
         return new FleetSimulation(FleetSettings.of(seed, 2, 6, 200), Schedule.SHORT).run();
     }
 
--- a/src/test/java/lilaclever/lab/fleet/OwnershipCheckerTest.java
+++ b/src/test/java/lilaclever/lab/fleet/OwnershipCheckerTest.java
@@ -22,59 +22,59 @@
 
     @Test
     void twoHoldersOfOneShardAreABreach() {
-        own(process(1), 1);
-        own(process(2), 2);
-        assertEquals(List.of(FleetBreach.Kind.TWO_SENDERS), kinds());
+        grantShard(process(1), 1);
+        grantShard(process(2), 2);
+        assertEquals(List.of(FleetBreach.Kind.TWO_SENDERS), breachKinds());
     }
 
     @Test
     void holderThatResumesWhileAnotherSendsIsABreach() {
         ForwarderProcess first = process(1);
-        own(first, 1);
+        grantShard(first, 1);
         queue.runUntil(9_000_000);
-        own(process(2), 2);
-        assertEquals(List.of(), kinds());
+        grantShard(process(2), 2);
+        assertEquals(List.of(), breachKinds());
         renew(first, 2);
-        assertEquals(List.of(FleetBreach.Kind.TWO_SENDERS, FleetBreach.Kind.EPOCH_NOT_GREATER), kinds());
+        assertEquals(List.of(FleetBreach.Kind.TWO_SENDERS, FleetBreach.Kind.EPOCH_NOT_GREATER), breachKinds());
     }
 
     @Test
     void epochThatIsNotGreaterIsABreach() {
-        own(process(1), 5);
+        grantShard(process(1), 5);
         queue.runUntil(9_000_000);
-        own(process(2), 5);
-        assertEquals(List.of(FleetBreach.Kind.EPOCH_NOT_GREATER), kinds());
+        grantShard(process(2), 5);
+        assertEquals(List.of(FleetBreach.Kind.EPOCH_NOT_GREATER), breachKinds());
     }
 
     @Test
     void gapCountsFromTheEndOfTheFormerLease() {
         assertEquals(4, checker.unserved());
         ForwarderProcess first = process(1);
-        own(first, 1);
+        grantShard(first, 1);
         assertEquals(3, checker.unserved());
-        first.permittedUntil = 7_000_000;
+        first.permittedUntilMicros = 7_000_000;
         queue.runUntil(9_000_000);
-        own(process(2), 2);
+        grantShard(process(2), 2);
         assertEquals(2_000, checker.gapMillis().getMaxValue(), 10);
         assertEquals(2, checker.moves());
-        assertEquals(List.of(), kinds());
+        assertEquals(List.of(), breachKinds());
     }
 
     @Test
     void processThatEndsLeavesItsShardsWithoutAnOwner() {
         ForwarderProcess process = process(1);
-        own(process, 1);
+        grantShard(process, 1);
         checker.ended(process);
         assertEquals(4, checker.unserved());
     }
 
     private ForwarderProcess process(int number) {
         MemberId id = new MemberId(number);
-        HollowForwarder forwarder = new HollowForwarder(id, 0, 0, 0, 0, 0, new SimulatedClock(queue, 1, 0));
+        SimulatedForwarder forwarder = new SimulatedForwarder(id, 0, 0, 0, 0, 0, new SimulatedClock(queue, 1, 0));
         return new ForwarderProcess(forwarder, 1, true, 0, new LeaseHolder(id, 1, TIMING));
     }
 
-    private void own(ForwarderProcess process, long epoch) {
+    private void grantShard(ForwarderProcess process, long epoch) {
         process.holder.assignmentChanged(new ControllerEvent.AssignmentChanged(
                 process.forwarder.id, 1, 0, 1, true, List.of(new ShardGrant(SHARD, epoch)), List.of()));
         checker.assignmentChanged(process, Set.of());
@@ -89,7 +89,7 @@
         checker.renewed(process);
     }
 
-    private List<FleetBreach.Kind> kinds() {
+    private List<FleetBreach.Kind> breachKinds() {
         return checks.breaches().stream().map(FleetBreach::kind).toList();
     }
 }
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -14,7 +14,7 @@
 
 /** The models of partners and traffic, without any host. */
 class PartnerTest {
-    private static final long S = 1_000_000;
+    private static final long SECOND_MICROS = 1_000_000;
     private static final double[] ONE = {1, 1};
 
     private static PartnerKind kind(Limit limit, double connections) {
@@ -25,7 +25,7 @@
                 limit,
                 new double[] {1, 1},
                 ONE,
-                2 * S,
+                2 * SECOND_MICROS,
                 new double[] {1.5, 1.5},
                 new double[] {0.5, 0.5},
                 1,
@@ -40,7 +40,7 @@
 
     private static Partner partner(Limit limit) {
         Partner p = new Partner(
-                7, kind(limit, 0), 1, 10, 100_000, new Partner.Recovery(0.25, 8 * S, 1.5, 3 * S), new RandomStream(1, "p"));
+                7, kind(limit, 0), 1, 10, 100_000, new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS), new RandomStream(1, "p"));
         p.addEndpoint("e");
         return p;
     }
@@ -53,7 +53,7 @@
      * Whole servers gave a small partner four times the room that was drawn for it: no load was too much for the fleet.
      */
     @Test
-    void aPartnerCanDoWhatWasDrawnForIt() {
+    void capacityIsTheDrawnCapacity() {
         for (int i = 0; i < 50; i++) {
             Partner p = new Partner(
                     7,
@@ -61,14 +61,14 @@
                     2,
                     60 + i,
                     100_000,
-                    new Partner.Recovery(0.25, 8 * S, 1.5, 3 * S),
+                    new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS),
                     new RandomStream(i, "p"));
             assertEquals(60 + i, p.capacity(), 1e-6);
         }
     }
 
     @Test
-    void streamsOfASeedAreTheSameAndOfNamesDiffer() {
+    void streamsDependOnSeedAndName() {
         assertEquals(new RandomStream(1, "a").unit(), new RandomStream(1, "a").unit());
         assertTrue(new RandomStream(1, "a").unit() != new RandomStream(1, "b").unit());
         RandomStream d = new RandomStream(5, "x");
@@ -83,31 +83,31 @@
 
     /** Twenty in a span of two seconds, and no more until the next begins; it tells when that is. */
     @Test
-    void aWindowIsACountInASpan() {
-        CallLimiter a = new CallLimiter(Limit.WINDOW, 10, 2 * S, true);
+    void windowLimitsTheCallsInEachPeriod() {
+        CallLimiter a = new CallLimiter(Limit.WINDOW, 10, 2 * SECOND_MICROS, true);
         assertEquals(20, IntStream.range(0, 50).filter(i -> a.tryAcquire(i * 10_000L)).count());
-        assertEquals(2 * S, a.availableAtMicros(S));
-        assertTrue(a.tryAcquire(2 * S));
+        assertEquals(2 * SECOND_MICROS, a.availableAtMicros(SECOND_MICROS));
+        assertTrue(a.tryAcquire(2 * SECOND_MICROS));
     }
 
     /** Half of a limit is left for a while, and all of it afterwards, however the limit counts. */
     @Test
-    void aLoweredLimitLetsAPartThroughAndIsRaisedAgain() {
+    void loweredLimitAppliesUntilItsEnd() {
         for (Limit limit : List.of(Limit.WINDOW, Limit.RATE)) {
-            CallLimiter a = new CallLimiter(limit, 10, 2 * S, false);
-            a.lower(0.5, 10 * S);
+            CallLimiter a = new CallLimiter(limit, 10, 2 * SECOND_MICROS, false);
+            a.lower(0.5, 10 * SECOND_MICROS);
             a.tryAcquire(0);
             assertEquals(
                     40,
                     IntStream.range(0, 400)
-                            .filter(i -> a.tryAcquire(2 * S + i * 20_000L))
+                            .filter(i -> a.tryAcquire(2 * SECOND_MICROS + i * 20_000L))
                             .count(),
                     4,
                     limit + " lowered");
             assertEquals(
                     100,
                     IntStream.range(0, 500)
-                            .filter(i -> a.tryAcquire(10 * S + i * 20_000L))
+                            .filter(i -> a.tryAcquire(10 * SECOND_MICROS + i * 20_000L))
                             .count(),
                     4,
                     limit + " raised");
@@ -116,81 +116,81 @@
 
     /** Where refused calls count, whoever goes on asking at a high rate gets nothing. */
     @Test
-    void refusedCallsMayUseUpARate() {
-        CallLimiter counts = new CallLimiter(Limit.RATE, 10, S, true), forgives = new CallLimiter(Limit.RATE, 10, S, false);
+    void refusedCallsMayCountAgainstARate() {
+        CallLimiter counting = new CallLimiter(Limit.RATE, 10, SECOND_MICROS, true), notCounting = new CallLimiter(Limit.RATE, 10, SECOND_MICROS, false);
         assertTrue(
-                IntStream.range(0, 1000).filter(i -> counts.tryAcquire(i * 10_000L)).count() < 20);
+                IntStream.range(0, 1000).filter(i -> counting.tryAcquire(i * 10_000L)).count() < 20);
         assertEquals(
                 102,
-                IntStream.range(0, 1000).filter(i -> forgives.tryAcquire(i * 10_000L)).count(),
+                IntStream.range(0, 1000).filter(i -> notCounting.tryAcquire(i * 10_000L)).count(),
                 3);
     }
 
     @Test
-    void whatItCanDoIsAllItDoes() {
+    void partnerServesNoMoreThanItsCapacity() {
         Partner p = partner(Limit.NONE);
         long done = IntStream.range(0, 10_000)
                 .mapToObj(i -> call(p, 0, i * 5000L)) // 200 a second for 50 s
-                .filter(a -> a.status() == Status.DELIVERED && a.atMicros() <= 50 * S)
+                .filter(a -> a.status() == Status.DELIVERED && a.atMicros() <= 50 * SECOND_MICROS)
                 .count();
         assertEquals(p.capacity() * 50, done, p.capacity() * 2);
     }
 
     /** Guards against a partner that comes back at full strength: then nothing that is rehearsed would fall over. */
     @Test
-    void itComesBackColdAndFallsOverWhereItIsFlooded() {
+    void recoveringPartnerStartsSlowlyAndFailsUnderOverload() {
         Partner p = partner(Limit.NONE);
-        p.startOutage(Outage.SHUT, 0, 10 * S);
-        assertEquals(Status.FULL, call(p, 3, 9 * S).status());
-        p.failureSeen(3, 9 * S);
-        assertTrue(p.isUnavailable(9 * S));
-        assertEquals(0.25, p.capacityShare(10 * S), 0.01);
-        assertEquals(0.625, p.capacityShare(14 * S), 0.01);
+        p.startOutage(Outage.SHUT, 0, 10 * SECOND_MICROS);
+        assertEquals(Status.FULL, call(p, 3, 9 * SECOND_MICROS).status());
+        p.failureSeen(3, 9 * SECOND_MICROS);
+        assertTrue(p.isUnavailable(9 * SECOND_MICROS));
+        assertEquals(0.25, p.capacityShare(10 * SECOND_MICROS), 0.01);
+        assertEquals(0.625, p.capacityShare(14 * SECOND_MICROS), 0.01);
         for (int i = 0; i < 400 && p.overloads() == 0; i++) {
-            call(p, 3, 10 * S + i * 10_000L);
+            call(p, 3, 10 * SECOND_MICROS + i * 10_000L);
         }
         assertEquals(1, p.overloads());
         assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen it refuse
-        assertTrue(p.isUnavailable(60 * S));
+        assertTrue(p.isUnavailable(60 * SECOND_MICROS));
     }
 
     @Test
-    void whoDidNotSeeItFailIsNotToBlame() {
+    void overloadByUninformedForwardersIsCountedSeparately() {
         Partner p = partner(Limit.NONE);
-        p.startOutage(Outage.DOWN, 0, 10 * S);
-        assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * S).status());
-        p.failureSeen(3, 9 * S);
+        p.startOutage(Outage.DOWN, 0, 10 * SECOND_MICROS);
+        assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * SECOND_MICROS).status());
+        p.failureSeen(3, 9 * SECOND_MICROS);
         for (int i = 0; i < 400 && p.overloads() == 0; i++) {
-            call(p, 4, 10 * S + i * 10_000L);
+            call(p, 4, 10 * SECOND_MICROS + i * 10_000L);
         }
         assertEquals(1, p.overloads());
         assertEquals(0, p.overloadsByInformedForwarders());
     }
 
     @Test
-    void outagesAnswerAsTheyAreNamed() {
+    void eachOutageAnswersInItsWay() {
         Partner p = partner(Limit.NONE);
-        p.startOutage(Outage.SILENT, 0, S);
+        p.startOutage(Outage.SILENT, 0, SECOND_MICROS);
         assertEquals(Status.NO_ANSWER, call(p, 0, 0).status());
-        assertFalse(p.canStillAnswer("e", S / 2));
-        p.startOutage(Outage.FAILING, 1, 2 * S);
-        assertEquals(Status.ERROR, call(p, 0, S).status());
+        assertFalse(p.canStillAnswer("e", SECOND_MICROS / 2));
+        p.startOutage(Outage.FAILING, 1, 2 * SECOND_MICROS);
+        assertEquals(Status.ERROR, call(p, 0, SECOND_MICROS).status());
         Partner slow = partner(Limit.NONE);
         long usual = call(slow, 0, 0).atMicros();
-        slow.startOutage(Outage.SLOW, 4, 10 * S);
-        assertEquals(4 * usual, call(slow, 0, 5 * S).atMicros() - 5 * S, 4);
-        assertEquals(1, slow.capacityShare(11 * S)); // slow is no outage: it does not come back cold
+        slow.startOutage(Outage.SLOW, 4, 10 * SECOND_MICROS);
+        assertEquals(4 * usual, call(slow, 0, 5 * SECOND_MICROS).atMicros() - 5 * SECOND_MICROS, 4);
+        assertEquals(1, slow.capacityShare(11 * SECOND_MICROS)); // slow is no outage: it does not come back cold
     }
 
     @Test
-    void itTakesOnlySoManyConnections() {
+    void connectionsAreLimited() {
         Partner p = new Partner(
                 7,
                 kind(Limit.NONE, 1),
                 1,
                 1,
                 1000,
-                new Partner.Recovery(0.25, 8 * S, 1.5, 3 * S),
+                new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS),
                 new RandomStream(1, "p"));
         p.addEndpoint("e");
         assertTrue(p.connect("e", 0) && p.connect("e", 1));
@@ -201,23 +201,23 @@
 
     /** The load is kept, its shape too, and what comes in clumps counts as part of it. */
     @Test
-    void trafficHasTheLoadThatWasAskedFor() {
+    void trafficHasTheConfiguredLoad() {
         List<MessageClass> classes = List.of(
                 new MessageClass("a", 0.75, new long[] {1, 1}, null),
                 new MessageClass("b", 0.25, new long[] {1, 1}, null));
-        for (double clumps : new double[] {0, 0.3}) {
+        for (double burstShare : new double[] {0, 0.3}) {
             Traffic t = new Traffic(
-                    List.of(new Traffic.Point(0, 0.5), new Traffic.Point(100 * S, 1.5)),
+                    List.of(new Traffic.Point(0, 0.5), new Traffic.Point(100 * SECOND_MICROS, 1.5)),
                     50,
-                    clumps,
+                    burstShare,
                     new double[] {2, 2},
                     classes,
                     Traffic.zipf(2, 0),
                     List.of(partner(Limit.NONE), partner(Limit.NONE)));
-            List<Arrival> all = t.draw(200 * S, new RandomStream(3, "arrivals"));
-            assertEquals(50 * 100 + 75 * 100, all.size(), 12_500 * (clumps == 0 ? 0.04 : 0.45));
+            List<Arrival> all = t.draw(200 * SECOND_MICROS, new RandomStream(3, "arrivals"));
+            assertEquals(50 * 100 + 75 * 100, all.size(), 12_500 * (burstShare == 0 ? 0.04 : 0.45));
             assertEquals(0.25, all.stream().filter(a -> a.messageClass() == 1).count() / (double) all.size(), 0.02);
-            assertEquals(1.0, t.load(50 * S), 1e-9);
+            assertEquals(1.0, t.load(50 * SECOND_MICROS), 1e-9);
             for (int i = 0; i < all.size(); i++) {
                 assertEquals(i, all.get(i).number());
             }
--- a/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
+++ b/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
@@ -14,7 +14,7 @@
 /** Scenarios: those that are shipped are good, and each fault is told with its line and key. */
 class ScenarioReaderTest {
     @Test
-    void allThatIsShippedIsGood() throws ConfigurationException {
+    void shippedScenariosAreValid() throws ConfigurationException {
         assertTrue(ScenarioReader.SHIPPED.size() >= 8);
         for (String name : ScenarioReader.SHIPPED) {
             Scenario s = ScenarioReader.read(name);
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void whatIsAbsentIsAsAtTheExchange() throws ConfigurationException {
+    void emptyFileGivesTheDefaults() throws ConfigurationException {
         Scenario s = ScenarioReader.parse("f", List.of());
         assertEquals(
                 List.of("lens-lab", "supplier"),
@@ -59,7 +59,7 @@
                 "[class a]/aim 30s/deadline 20s  | f:2: class a.aim: is after the deadline",
                 "[fleet]/cold-form 1%            | f:2: fleet.cold-form: no such key; is cold-from meant?"
             })
-    void faultsAreToldWithFileLineAndKey(String text, String message) {
+    void errorsNameFileLineAndKey(String text, String message) {
         assertEquals(
                 message,
                 assertThrows(ConfigurationException.class, () -> ScenarioReader.parse("f", List.of(text.split("/"))))
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void anUnknownNameIsToldWithTheNearest() {
+    void unknownNameSuggestsTheNearest() {
         assertTrue(assertThrows(ConfigurationException.class, () -> ScenarioReader.read("mondy"))
                 .getMessage()
                 .contains("is monday meant?"));
@@ -75,7 +75,7 @@
 
     /** Settings of the command line take the place of the file's, are checked like them, and touch nothing else. */
     @Test
-    void settingsTakeTheFilesPlace() throws ConfigurationException {
+    void settingsOverrideTheFile() throws ConfigurationException {
         Scenario s = ScenarioReader.read(
                 "month-end",
                 List.of(
