--- a/bench/java/lilaclever/journal/JournalBench.java
+++ b/bench/java/lilaclever/journal/JournalBench.java
@@ -89,7 +89,9 @@
     /** Prints bytes a message, and how long opening takes. */
     @TearDown(Level.Trial)
     public void end() throws IOException {
-        System.out.printf("%nFIGURE %s %d bytes-a-message %d%n", store, held, (writtenBytes() - writtenBytesBefore) / nextMessage);
+        System.out.printf(
+                "%nFIGURE %s %d bytes-a-message %d%n",
+                store, held, (writtenBytes() - writtenBytesBefore) / nextMessage);
         openStore.close();
         System.gc();
         for (int i = 0; i < 3; i++) {
--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -261,7 +261,8 @@
 
     /** Writes the file anew if most of it is past, or if the room for ends gets short; called once a turn. */
     void compactIfNeeded(long nowWall) {
-        boolean scarce = fileBytes + liveBytes + RESERVED_BYTES > maxBytes && fileBytes > liveBytes + RESERVED_BYTES / 4;
+        boolean scarce =
+                fileBytes + liveBytes + RESERVED_BYTES > maxBytes && fileBytes > liveBytes + RESERVED_BYTES / 4;
         if (fileBytes > MIN_COMPACTION_BYTES && fileBytes > 3 * liveBytes || scarce) {
             tryCompact(nowWall);
         }
--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -65,7 +65,8 @@
                 journal.maintain(2);
                 longestNanos = Math.max(longestNanos, System.nanoTime() - startNanos);
             }
-            System.out.println("half of them past and forgotten in " + turns + " turns, longest us " + longestNanos / 1000);
+            System.out.println(
+                    "half of them past and forgotten in " + turns + " turns, longest us " + longestNanos / 1000);
         }
     }
 
@@ -77,8 +78,8 @@
                     .filter(l -> l.startsWith("VmHWM"))
                     .findFirst()
                     .orElse("?");
-            System.out.println(
-                    kind + " owed " + store.pendingCount() + " opened in " + openMillis + " ms, " + peakMemory.replaceAll("\\s+", " "));
+            System.out.println(kind + " owed " + store.pendingCount() + " opened in " + openMillis + " ms, "
+                    + peakMemory.replaceAll("\\s+", " "));
         }
     }
 }
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -31,7 +31,14 @@
      * What a turn took, nanoseconds: in all, of the processor, in the disk's operations, and in the longest of these;
      * milliseconds of collections.
      */
-    private record Turn(long index, long totalNanos, long cpuNanos, long diskNanos, long longestOperationNanos, String operation, long collectionMillis) {}
+    private record Turn(
+            long index,
+            long totalNanos,
+            long cpuNanos,
+            long diskNanos,
+            long longestOperationNanos,
+            String operation,
+            long collectionMillis) {}
 
     private final TimedDisk disk;
     private final SegmentedJournal journal;
@@ -114,7 +121,14 @@
             maxCpuNanos = Math.max(maxCpuNanos, cpuNanos);
             slowTurns += totalNanos > 2_000_000 ? 1 : 0;
             slowCpuTurns += cpuNanos > 2_000_000 ? 1 : 0;
-            longest.add(new Turn(i, totalNanos, cpuNanos, disk.totalNanos, disk.longestNanos, disk.operation, collectionMillis() - collectedBefore));
+            longest.add(new Turn(
+                    i,
+                    totalNanos,
+                    cpuNanos,
+                    disk.totalNanos,
+                    disk.longestNanos,
+                    disk.operation,
+                    collectionMillis() - collectedBefore));
             if (longest.size() > REPORTED_TURNS) {
                 longest.poll();
             }
@@ -129,7 +143,13 @@
             System.out.printf(
                     "  turn %d: %6.0f us in all, %6.0f of the processor, %6.0f in the disk's operations, the longest "
                             + "%s %6.0f, collections %d ms%n",
-                    t.index, t.totalNanos / 1e3, t.cpuNanos / 1e3, t.diskNanos / 1e3, t.operation, t.longestOperationNanos / 1e3, t.collectionMillis);
+                    t.index,
+                    t.totalNanos / 1e3,
+                    t.cpuNanos / 1e3,
+                    t.diskNanos / 1e3,
+                    t.operation,
+                    t.longestOperationNanos / 1e3,
+                    t.collectionMillis);
         }
         journal.close();
     }
--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -68,7 +68,8 @@
             }
             checkAnswer(ACKS.good(Code.CA, header));
             checkAnswer(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
-            checkAnswer(ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
+            checkAnswer(
+                    ACKS.comeBack(Code.AR, header, new FinalStatus(FinalStatus.Kind.REFUSED, 1_500_000, "busy|^~\\&")));
         } catch (Hl7Fault e) {
             checkAnswer(ACKS.fault(Code.AE, header, e));
         }
--- a/bench/java/lilaclever/scale/ProcessRun.java
+++ b/bench/java/lilaclever/scale/ProcessRun.java
@@ -63,7 +63,11 @@
             Thread.sleep(seconds * 1_000);
             double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
             String behaviourName = behaviour.name().toLowerCase(Locale.ROOT);
-            Sample.print("idle_cpu_agent_" + behaviourName, size, (forwarder.cpuSeconds() - before) / elapsedSeconds, "core");
+            Sample.print(
+                    "idle_cpu_agent_" + behaviourName,
+                    size,
+                    (forwarder.cpuSeconds() - before) / elapsedSeconds,
+                    "core");
             Sample.print(
                     "idle_bytes_agent_" + behaviourName,
                     size,
--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -14,25 +14,25 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Watches a run from outside of the forwarders: what clients, partners, directory and platform see. It knows the rules
- * and the service figure, and the story of each message until some time after its end. Whatever host plays the run
- * tells it; times in microseconds since the run began. One thread.
+ * Observes a run from outside the forwarders, as clients, partners, directory and platform see it. It checks the rules,
+ * computes the service figure and keeps the history of each message until some time after its final status. The host of
+ * the run, virtual or on sockets, reports every event; times are in microseconds since the start of the run. Not
+ * thread-safe.
  */
 public final class Auditor {
-    /** An end may come so late after a message's time, and so late after a restart. */
+    /** Allowed delay of a final status after a message's deadline, and after a restart. */
     private static final long NOTICE_DELAY_MICROS = 300_000, RESTART_RECOVERY_MICROS = 1_500_000;
-    /** Every limit of time is so much longer, and calls that cross a told wait are let through. */
+    /** Tolerance of every time limit, and the time in which calls may cross an answer with a retry-after period. */
     private static final long TIMING_SLACK_MICROS = 50_000, CROSSING_CALLS_MICROS = 100_000;
 
     private static final long RETENTION_MICROS = 30_000_000;
     private static final int MAX_BREACHES = 1000, MAX_BREACHES_WITH_HISTORY = 20;
 
-    /** One attempt. */
     private static final class Attempt {
         final long sentAtMicros;
         final String host;
         boolean inProgress = true;
-        /** The partner is known not to have run it. */
+        /** Whether the partner is known not to have processed it. */
         boolean knownNotRun;
 
         Attempt(long sentAtMicros, String host) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** One message, over all its hand-ins. */
+    /** History of one message, over all its submissions. */
     private static final class MessageHistory {
         final int number, messageClass;
         final long firstSubmittedMicros, deadlineMicros, workMicros;
@@ -49,7 +49,7 @@
         int forwarder = -1;
         String noticedStatus;
         boolean rejected;
-        /** Attempts of earlier hand-ins: what may come again is the client's own choice. */
+        /** Number of attempts of earlier submissions; the client itself chose to repeat these. */
         int earlierAttempts;
 
         final List<Attempt> attempts = new ArrayList<>(2);
@@ -76,14 +76,14 @@
     private final List<Breach> breaches = new ArrayList<>();
     private final TreeMap<Rule, Integer> breachCounts = new TreeMap<>();
     private final TreeMap<String, Long> counts = new TreeMap<>();
-    /** When a forwarder was told that an endpoint drains or is gone. */
+    /** When a forwarder learned that an endpoint drains or was removed, by forwarder and host. */
     private final Map<String, Long> removalReportedMicros = new HashMap<>();
 
     private final Map<String, long[]> retryAfterPeriods = new HashMap<>();
-    /** Each forwarder's times of being away, the last while: from its death to some time after it is ready. */
+    /** Recent downtimes of each forwarder, from its death until some time after it is ready again. */
     private final Map<Integer, ArrayDeque<long[]>> downtimes = new HashMap<>();
 
-    /** An auditor of a run with these classes. */
+    /** Creates the auditor of a run with the given message classes. */
     public Auditor(List<MessageClass> classes, long drainGraceMicros) {
         this.classes = classes;
         this.drainGraceMicros = drainGraceMicros;
@@ -91,17 +91,17 @@
         classes.forEach(c -> latencies.add(new Histogram(3_600_000_000L, 3)));
     }
 
-    /** The service so far. */
+    /** The service figure so far. */
     public Service service() {
         return service;
     }
 
-    /** Time from the first handing-in to the delivery of a class's messages, microseconds. */
+    /** Time from the first submission to the delivery of the messages of a class, microseconds. */
     public Histogram latency(int messageClass) {
         return latencies.get(messageClass);
     }
 
-    /** Broken rules, with stories of the first. */
+    /** Broken rules; the first of them carry the history of the message. */
     public List<Breach> breaches() {
         return breaches;
     }
@@ -111,17 +111,17 @@
         return breachCounts;
     }
 
-    /** What was counted. */
+    /** All counts by name. */
     public Map<String, Long> counts() {
         return counts;
     }
 
-    /** One more. */
+    /** Increments a count. */
     public void count(String what) {
         counts.merge(what, 1L, Long::sum);
     }
 
-    /** A rule was broken that is not one message's. */
+    /** Records a broken rule that concerns no single message. */
     public void addBreach(Rule rule, long at, String what) {
         breach(rule, at, what, null);
     }
@@ -130,12 +130,17 @@
         breachCounts.merge(rule, 1, Integer::sum);
         if (breaches.size() < MAX_BREACHES) {
             breaches.add(new Breach(
-                    rule, at, description, history == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY ? List.of() : List.copyOf(history.lines)));
+                    rule,
+                    at,
+                    description,
+                    history == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY
+                            ? List.of()
+                            : List.copyOf(history.lines)));
         }
     }
 
-    // ---- clients ----------------------------------------------------------------------------------------
-    /** A message is handed in for the first time. */
+    // Events at clients
+    /** A message is submitted for the first time. */
     public void messageArrived(int number, int messageClass, int destination, long workMicros, long at) {
         MessageHistory history = new MessageHistory(
                 number, messageClass, at, at + classes.get(messageClass).terms().deadlineMicros(), workMicros);
@@ -145,17 +150,17 @@
         count("messages");
     }
 
-    /** It is handed in to a forwarder. */
+    /** A message is submitted to a forwarder. */
     public void submitted(int number, int forwarder, long at) {
         MessageHistory history = histories.get(number);
         if (history != null) {
             history.earlierAttempts = history.attempts.size();
-            history.addLine(at, "handed in to forwarder " + forwarder);
+            history.addLine(at, "submitted to forwarder " + forwarder);
         }
         count("hand_ins");
     }
 
-    /** The forwarder has told its client that it takes the message on. */
+    /** The forwarder has answered its client that it accepted the message. */
     public void accepted(int number, int forwarder, long at) {
         count("taken");
         MessageHistory history = histories.get(number);
@@ -163,23 +168,22 @@
             history.acceptedAtMicros = at;
             history.forwarder = forwarder;
             history.noticedStatus = null;
-            history.addLine(at, "taken on");
+            history.addLine(at, "accepted");
         }
     }
 
-    /** The client was turned away. */
+    /** The forwarder has rejected the message. */
     public void rejected(int number, long at, long retryAfterMicros) {
         count("turned_down");
         MessageHistory history = histories.get(number);
         if (history != null) {
             history.rejected = true;
             history.addLine(
-                    at,
-                    "turned down" + (retryAfterMicros > 0 ? ", to come back in " + retryAfterMicros / 1000 + " ms" : ""));
+                    at, "rejected" + (retryAfterMicros > 0 ? ", retry after " + retryAfterMicros / 1000 + " ms" : ""));
         }
     }
 
-    /** The platform has had a notice of its end. */
+    /** The platform has received a notice of the message's final status. */
     public void noticeReceived(int number, String status, long at) {
         count("notices_" + status);
         MessageHistory history = histories.get(number);
@@ -188,7 +192,11 @@
         }
         history.addLine(at, "notice: " + status);
         if (history.noticedStatus != null && !history.noticedStatus.equals(status)) {
-            breach(Rule.ONE_END, at, "message " + number + " has ended as " + history.noticedStatus + " and as " + status, history);
+            breach(
+                    Rule.ONE_END,
+                    at,
+                    "message " + number + " has final status " + history.noticedStatus + " and then " + status,
+                    history);
         }
         history.noticedStatus = status;
         if (status.equals("deferred")
@@ -197,19 +205,25 @@
             breach(
                     Rule.REPEAT,
                     at,
-                    "message " + number + " may have run, and its client is asked to hand it in again",
+                    "message " + number + " may have been processed, and its client is asked to submit it again",
                     history);
         }
         if (isLate(history, at)) {
-            breach(Rule.ONE_END, at, "message " + number + " ended " + (at - history.deadlineMicros) / 1000 + " ms after its time", history);
+            breach(
+                    Rule.ONE_END,
+                    at,
+                    "message " + number + " got its final status " + (at - history.deadlineMicros) / 1000
+                            + " ms after its deadline",
+                    history);
         }
     }
 
     private boolean isLate(MessageHistory history, long at) {
-        return at > history.deadlineMicros + NOTICE_DELAY_MICROS && !wasDown(history.forwarder, history.deadlineMicros, at);
+        return at > history.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(history.forwarder, history.deadlineMicros, at);
     }
 
-    /** True if the forwarder was away when the end was due, or has just come back. */
+    /** True if the forwarder was down when the final status was due, or has just restarted. */
     private boolean wasDown(int forwarder, long due, long at) {
         for (long[] d : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
             if (d[0] <= due + NOTICE_DELAY_MICROS && due <= d[1] && at <= d[1]) {
@@ -219,8 +233,8 @@
         return false;
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
-    /** A forwarder sends a message: the first byte of the call leaves. */
+    // Calls and attempts
+    /** A forwarder starts an attempt: the first byte of the call is sent. */
     public void attemptStarted(int number, int forwarder, String host, int destination, long at) {
         count("attempts");
         Long removalReported = removalReportedMicros.get(forwarder + " " + host);
@@ -233,7 +247,7 @@
                     Rule.DRAIN,
                     at,
                     "forwarder " + forwarder + " sends to " + host + " " + (at - removalReported) / 1000
-                            + " ms after it was told that it drains or is gone",
+                            + " ms after it learned that the endpoint drains or was removed",
                     history);
         }
         checkRetryAfter(forwarder, destination, at, history);
@@ -244,8 +258,8 @@
     }
 
     /**
-     * The last byte of a call of this message comes, where that is later than its sending: no wait must bind it then
-     * either.
+     * The last byte of a call with this message arrives, if that is later than its start. No retry-after period may be
+     * in force at that time either.
      */
     public void callArrived(int number, int forwarder, int destination, long at) {
         checkRetryAfter(forwarder, destination, at, histories.get(number));
@@ -258,7 +272,7 @@
                     Rule.WAIT,
                     at,
                     "forwarder " + forwarder + " sends to destination " + destination + " " + (period[1] - at) / 1000
-                            + " ms before the end of a wait that it was told",
+                            + " ms before the end of a retry-after period",
                     history);
         }
     }
@@ -268,34 +282,45 @@
         for (int i = 0; i < history.attempts.size(); i++) {
             Attempt a = history.attempts.get(i);
             if (a.inProgress) {
-                breach(Rule.ONE_ATTEMPT, at, "message " + history.number + " is sent while an attempt is out", history);
+                breach(
+                        Rule.ONE_ATTEMPT,
+                        at,
+                        "message " + history.number + " is sent while an attempt is in progress",
+                        history);
             }
-            possibleEffectMicros = i >= history.earlierAttempts && !a.knownNotRun && possibleEffectMicros < 0 ? a.sentAtMicros : possibleEffectMicros;
+            possibleEffectMicros = i >= history.earlierAttempts && !a.knownNotRun && possibleEffectMicros < 0
+                    ? a.sentAtMicros
+                    : possibleEffectMicros;
         }
         MessageClass c = classes.get(history.messageClass);
         RepeatSafety repeat = c.terms().repeat();
         if (possibleEffectMicros >= 0
                 && (repeat == RepeatSafety.UNSAFE
-                        || repeat == RepeatSafety.KEYED && at > possibleEffectMicros + c.terms().repeatWindowMicros() + TIMING_SLACK_MICROS)) {
+                        || repeat == RepeatSafety.KEYED
+                                && at > possibleEffectMicros + c.terms().repeatWindowMicros() + TIMING_SLACK_MICROS)) {
             breach(
                     Rule.REPEAT,
                     at,
                     c.name() + " " + history.number + " is sent again " + (at - possibleEffectMicros) / 1000
-                            + " ms after an attempt that may have run",
+                            + " ms after an attempt that may have been processed",
                     history);
         }
         if (history.noticedStatus != null) {
-            breach(Rule.ONE_END, at, "message " + history.number + " is sent after it has ended as " + history.noticedStatus, history);
+            breach(
+                    Rule.ONE_END,
+                    at,
+                    "message " + history.number + " is sent after its final status " + history.noticedStatus,
+                    history);
         }
     }
 
-    /** True while an attempt is out. */
+    /** True while an attempt is in progress. */
     public boolean hasAttemptInProgress(int number) {
         MessageHistory history = histories.get(number);
         return history != null && history.attempts.stream().anyMatch(a -> a.inProgress);
     }
 
-    /** When the first attempt was made that may have run; -1 if none may have. */
+    /** Start of the first attempt that may have been processed; -1 if there is none. */
     public long firstPossibleEffectMicros(int number) {
         MessageHistory history = histories.get(number);
         if (history != null) {
@@ -308,7 +333,7 @@
         return -1;
     }
 
-    /** The last attempt of a message is over, as the partner knows it. */
+    /** The last attempt of a message has ended, as seen by the partner. */
     public void attemptEnded(int number, String outcome, boolean knownNotRun, long at) {
         MessageHistory history = histories.get(number);
         if (history == null || history.attempts.isEmpty()) {
@@ -326,7 +351,7 @@
         }
     }
 
-    /** A partner's answer that it has the message is written, and its connection is open. */
+    /** A partner has written its answer that it has the message, on an open connection. */
     public void delivered(int number, long at) {
         MessageHistory history = histories.get(number);
         if (history == null) {
@@ -335,18 +360,25 @@
         if (history.deliveredAtMicros < 0) {
             history.deliveredAtMicros = at;
             count("delivered");
-            latencies.get(history.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - history.firstSubmittedMicros)));
+            latencies
+                    .get(history.messageClass)
+                    .recordValue(Math.min(3_600_000_000L, Math.max(0, at - history.firstSubmittedMicros)));
         } else if (classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
-            breach(Rule.REPEAT, at, classes.get(history.messageClass).name() + " " + number + " has taken effect twice", history);
+            breach(
+                    Rule.REPEAT,
+                    at,
+                    classes.get(history.messageClass).name() + " " + number + " was delivered twice",
+                    history);
         }
     }
 
-    /** A forwarder was told to wait. */
+    /** A forwarder has received an answer with a retry-after period. */
     public void retryAfterReceived(int forwarder, int destination, long at, long retryAfterMicros) {
-        retryAfterPeriods.merge(forwarder + " " + destination, new long[] {at, at + retryAfterMicros}, (a, b) -> b[1] > a[1] ? b : a);
+        retryAfterPeriods.merge(
+                forwarder + " " + destination, new long[] {at, at + retryAfterMicros}, (a, b) -> b[1] > a[1] ? b : a);
     }
 
-    /** A forwarder was told of an endpoint. */
+    /** A forwarder has learned the state of an endpoint. */
     public void endpointReported(int forwarder, String host, boolean active, long at) {
         if (active) {
             removalReportedMicros.remove(forwarder + " " + host);
@@ -355,12 +387,14 @@
         }
     }
 
-    // ---- lives ------------------------------------------------------------------------------------------
-    /** A forwarder has died. */
+    // Restarts of forwarders
+    /** A forwarder process has died. */
     public void forwarderDied(int forwarder, long at) {
         count("restarts");
         downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
-        retryAfterPeriods.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
+        retryAfterPeriods
+                .keySet()
+                .removeIf(k -> k.startsWith(forwarder + " ")); // retry-after periods do not outlast a restart
         for (MessageHistory history : histories.values()) {
             if (history.forwarder == forwarder && history.acceptedAtMicros >= 0 && history.deliveredAtMicros < 0) {
                 history.addLine(at, "forwarder " + forwarder + " dies");
@@ -368,7 +402,7 @@
         }
     }
 
-    /** It is ready again. */
+    /** A forwarder is ready again. */
     public void forwarderReady(int forwarder, long at) {
         ArrayDeque<long[]> all = downtimes.get(forwarder);
         if (all != null) {
@@ -379,14 +413,15 @@
         }
     }
 
-    // ---- the end ----------------------------------------------------------------------------------------
-    /** Closes the stories of messages whose time was over long ago. Once a second is enough. */
+    // Completion
+    /** Closes the histories of messages whose deadline passed long ago. Calling it once a second is enough. */
     public void closeExpired(long now) {
         for (Iterator<MessageHistory> i = histories.values().iterator(); i.hasNext(); ) {
             MessageHistory history = i.next();
-            if (history.firstSubmittedMicros + RETENTION_MICROS > now || history.deadlineMicros + RETENTION_MICROS > now) {
+            if (history.firstSubmittedMicros + RETENTION_MICROS > now
+                    || history.deadlineMicros + RETENTION_MICROS > now) {
                 if (history.firstSubmittedMicros + RETENTION_MICROS > now) {
-                    return; // the others are younger
+                    return; // the remaining ones are newer
                 }
                 continue;
             }
@@ -396,7 +431,7 @@
         retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < now);
     }
 
-    /** The run is over: closes all stories. */
+    /** Closes all histories at the end of the run. */
     public void finish(long now) {
         histories.values().forEach(history -> close(history, now));
         histories.clear();
@@ -408,11 +443,17 @@
                 && history.noticedStatus == null
                 && now > history.deadlineMicros + NOTICE_DELAY_MICROS
                 && !wasDown(history.forwarder, history.deadlineMicros, now)) {
-            breach(Rule.ONE_END, history.deadlineMicros, "message " + history.number + " has no end", history);
+            breach(Rule.ONE_END, history.deadlineMicros, "message " + history.number + " has no final status", history);
         }
         MessageClass c = classes.get(history.messageClass);
-        double deliveredWorth = history.deliveredAtMicros < 0 ? 0 : c.worth(history.deliveredAtMicros - history.firstSubmittedMicros);
-        service.addMessage(history.messageClass, history.firstSubmittedMicros, c.terms().worth(), deliveredWorth, deliveredWorth == 0 && history.noticedStatus != null);
+        double deliveredWorth =
+                history.deliveredAtMicros < 0 ? 0 : c.worth(history.deliveredAtMicros - history.firstSubmittedMicros);
+        service.addMessage(
+                history.messageClass,
+                history.firstSubmittedMicros,
+                c.terms().worth(),
+                deliveredWorth,
+                deliveredWorth == 0 && history.noticedStatus != null);
         count(
                 history.deliveredAtMicros >= 0
                         ? "fate_delivered"
--- a/src/main/java/lilaclever/lab/audit/Breach.java
+++ b/src/main/java/lilaclever/lab/audit/Breach.java
@@ -2,23 +2,26 @@
 
 import java.util.List;
 
-/** A broken rule, and the whole story of the message that it was broken with. */
+/** A broken rule, with the history of the message concerned. */
 public record Breach(Rule rule, long atMicros, String description, List<String> history) {
-    /** The rules that forwarders keep. */
+    /** The rules that forwarders must keep. */
     public enum Rule {
-        /** Each message that was taken on has one end, in time. */
+        /** Each accepted message gets exactly one final status, in time. */
         ONE_END,
-        /** What may have run is resent only as its class allows. */
+        /** A message that may have been processed is resent only as its class allows. */
         REPEAT,
-        /** One attempt out at any moment. */
+        /** At most one attempt of a message is in progress at any time. */
         ONE_ATTEMPT,
-        /** Nothing new to an endpoint that drains or is gone, once the forwarder was told and some time is over. */
+        /**
+         * No new call to an endpoint that drains or was removed, after a grace period from when the forwarder learned
+         * it.
+         */
         DRAIN,
-        /** No returning partner pushed over by forwarders that saw it fail. */
+        /** No recovering partner is overloaded by forwarders that saw it fail. */
         FAIL_BACK,
-        /** Told waits kept. */
+        /** Retry-after periods are observed. */
         WAIT,
-        /** What must hold inside a forwarder. */
+        /** Invariants inside a forwarder hold. */
         INVARIANT
     }
 }
--- a/src/main/java/lilaclever/lab/audit/DeductionRates.java
+++ b/src/main/java/lilaclever/lab/audit/DeductionRates.java
@@ -1,7 +1,10 @@
 package lilaclever.lab.audit;
 
-/** What is taken off the service, in points of a hundred, each times its share or rate. */
+/**
+ * Deductions from the service figure, in percentage points, each multiplied by its rate: new connections and probes per
+ * message, the share of wasted work, and the share of worth of messages that got a final status without delivery.
+ */
 public record DeductionRates(double connection, double wastedWork, double lateFailure, double probe) {
-    /** As at the exchange that the forwarder was built for. */
+    /** Rates of the exchange for which the forwarder was built. */
     public static final DeductionRates DEFAULT = new DeductionRates(6, 3, 3, 1.4);
 }
--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/lab/audit/Service.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * The service figure: worth delivered over worth asked for, each message counted at the second in which it was first
- * handed in. 45% the whole run, 35% the worst ten seconds, 20% the worst class; prices come off.
+ * The service figure: worth delivered over worth offered, each message counted in the second of its first submission.
+ * It is 45% the whole run, 35% the worst ten seconds and 20% the worst class, less the deductions.
  */
 public final class Service {
     private static final double WHOLE_RUN_WEIGHT = 0.45, WORST_WINDOW_WEIGHT = 0.35, WORST_CLASS_WEIGHT = 0.2;
@@ -16,7 +16,7 @@
     private double lateFailedWorth, offeredWorkMicros, wastedWorkMicros;
     private long messages, connections, probes;
 
-    /** For so many classes. */
+    /** Creates the figure for the given number of message classes. */
     public Service(int classes) {
         offeredByClass = new double[classes];
         deliveredByClass = new double[classes];
@@ -30,8 +30,13 @@
         return totalsBySecond.get(s);
     }
 
-    /** A message's story is over; {@code late}: it was ended undelivered after its aim. */
-    void addMessage(int messageClass, long firstSubmittedMicros, double offeredWorth, double deliveredWorth, boolean lateFailure) {
+    /** Adds a message whose history is complete; {@code lateFailure}: it got a final status without delivery. */
+    void addMessage(
+            int messageClass,
+            long firstSubmittedMicros,
+            double offeredWorth,
+            double deliveredWorth,
+            boolean lateFailure) {
         messages++;
         offeredByClass[messageClass] += offeredWorth;
         deliveredByClass[messageClass] += deliveredWorth;
@@ -41,32 +46,32 @@
         lateFailedWorth += lateFailure ? offeredWorth : 0;
     }
 
-    /** A new connection to a partner. */
+    /** Counts a new connection to a partner. */
     public void addConnection() {
         connections++;
     }
 
-    /** A probe. */
+    /** Counts a probe. */
     public void addProbe() {
         probes++;
     }
 
-    /** Work that a partner did, microseconds; wasted where it delivered nothing. */
+    /** Adds work of a partner, microseconds; it is wasted if it led to no delivery. */
     public void addWork(long micros, boolean wasted) {
         wastedWorkMicros += wasted ? micros : 0;
     }
 
-    /** Work that was asked for. */
+    /** Adds the work of a new message. */
     void addOfferedWork(long micros) {
         offeredWorkMicros += micros;
     }
 
-    /** The share of the whole run. */
+    /** Delivered share of the whole run. */
     public double wholeRun() {
         return shareOrOne(sum(deliveredByClass), sum(offeredByClass));
     }
 
-    /** The share of the worst ten seconds. */
+    /** Delivered share of the worst ten seconds. */
     public double worstWindow() {
         double worst = 1;
         for (int from = 0; from == 0 || from + WINDOW_SECONDS <= totalsBySecond.size(); from++) {
@@ -80,12 +85,12 @@
         return worst;
     }
 
-    /** The share of a class; 1 where nothing was asked. */
+    /** Delivered share of a class; 1 if nothing was offered. */
     public double ofClass(int messageClass) {
         return shareOrOne(deliveredByClass[messageClass], offeredByClass[messageClass]);
     }
 
-    /** The share of the worst class. */
+    /** Delivered share of the worst class. */
     public double worstClass() {
         double worst = 1;
         for (int c = 0; c < offeredByClass.length; c++) {
@@ -94,7 +99,7 @@
         return worst;
     }
 
-    /** What comes off, a share. */
+    /** Sum of the deductions, as a share. */
     public double deductions(DeductionRates rates) {
         double messageCount = Math.max(1, messages);
         return (rates.connection() * Math.min(1, connections / messageCount)
@@ -104,24 +109,29 @@
                 / 100;
     }
 
-    /** The figure, 0 to 1. */
+    /** The service figure, 0 to 1. */
     public double figure(DeductionRates rates) {
-        return Math.max(0, WHOLE_RUN_WEIGHT * wholeRun() + WORST_WINDOW_WEIGHT * worstWindow() + WORST_CLASS_WEIGHT * worstClass() - deductions(rates));
+        return Math.max(
+                0,
+                WHOLE_RUN_WEIGHT * wholeRun()
+                        + WORST_WINDOW_WEIGHT * worstWindow()
+                        + WORST_CLASS_WEIGHT * worstClass()
+                        - deductions(rates));
     }
 
-    /** The share of each second; no number where nothing was asked. */
+    /** Delivered share of each second; NaN where nothing was offered. */
     public double[] bySecond() {
         return totalsBySecond.stream()
                 .mapToDouble(s -> s[0] > 0 ? s[1] / s[0] : Double.NaN)
                 .toArray();
     }
 
-    /** New connections so far. */
+    /** Number of new connections so far. */
     public long connections() {
         return connections;
     }
 
-    /** Probes so far. */
+    /** Number of probes so far. */
     public long probes() {
         return probes;
     }
--- a/src/main/java/lilaclever/lab/fleet/ConfigurationLog.java
+++ b/src/main/java/lilaclever/lab/fleet/ConfigurationLog.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import org.HdrHistogram.Histogram;
 
-/** When each version of the configuration was published, and when the last forwarder that could be reached had it. */
+/** Records when each version of the configuration was published, and when the last reachable forwarder had it. */
 final class ConfigurationLog {
     private final EventQueue queue;
     private final List<Change> changes = new ArrayList<>();
@@ -12,7 +12,10 @@
     private final Histogram cutOffMillis = new Histogram(3);
     private long latestVersion;
 
-    /** A change: published when, and after how long in force at the last forwarder that was reachable throughout. */
+    /**
+     * A configuration change: when it was published, and how long it took to the last forwarder that was reachable
+     * throughout.
+     */
     static final class Change {
         final long publishedMicros;
         long slowestMicros;
@@ -27,7 +30,7 @@
         this.queue = queue;
     }
 
-    /** Publishes the next version and gives its number, from 1. */
+    /** Records the publication of the next version and returns its number, from 1. */
     long publish() {
         changes.add(new Change(queue.now()));
         latestVersion++;
@@ -42,7 +45,7 @@
         return changes.get((int) (version - 1)).publishedMicros;
     }
 
-    /** A process has gone from one version to a later one. */
+    /** Records that a process has gone from one version to a later one. */
     void applied(ForwarderProcess process, long before, long after, long regionCutOffUntilMicros) {
         for (long version = before + 1; version <= after; version++) {
             Change change = changes.get((int) (version - 1));
@@ -60,17 +63,17 @@
         }
     }
 
-    /** How long changes took to each forwarder that was reachable, milliseconds. */
+    /** Delay of changes at each reachable forwarder, milliseconds. */
     Histogram reachableMillis() {
         return reachableMillis;
     }
 
-    /** How long changes took to forwarders that were cut off when they were published, or after, milliseconds. */
+    /** Delay of changes at forwarders that were cut off when they were published, or later, milliseconds. */
     Histogram cutOffMillis() {
         return cutOffMillis;
     }
 
-    /** How long the changes that were published in a span took until the last reachable forwarder, milliseconds. */
+    /** Delay until the last reachable forwarder of the changes published in an interval, milliseconds. */
     Histogram everywhereMillis(long fromMicros, long toMicros) {
         Histogram millis = new Histogram(3);
         for (Change change : changes) {
--- a/src/main/java/lilaclever/lab/fleet/ConfigurationPublisher.java
+++ b/src/main/java/lilaclever/lab/fleet/ConfigurationPublisher.java
@@ -4,7 +4,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Publishes changes of the configuration to the controllers of all regions, and calls them each second. */
+/** Publishes configuration changes to the controllers of all regions, and sends them the latest version each second. */
 final class ConfigurationPublisher {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
--- a/src/main/java/lilaclever/lab/fleet/ControlMemory.java
+++ b/src/main/java/lilaclever/lab/fleet/ControlMemory.java
@@ -13,7 +13,10 @@
 import lilaclever.placement.ShardGrant;
 import lilaclever.placement.ShardMap;
 
-/** Heap of what ownership keeps in a forwarder and in a controller: used after full collections, with and without. */
+/**
+ * Measures the heap used by the ownership state in a forwarder and in a controller, as the difference after full
+ * garbage collections with and without it.
+ */
 final class ControlMemory {
     private static final int HOLDERS = 10_000;
     private static final int MAPS = 100;
--- a/src/main/java/lilaclever/lab/fleet/ControlTraffic.java
+++ b/src/main/java/lilaclever/lab/fleet/ControlTraffic.java
@@ -2,9 +2,9 @@
 
 import java.util.Arrays;
 
-/** Bytes and processor time of a region's control machines, and processor time of the forwarders' part. */
+/** Bytes and CPU time of a region's control machines, and CPU time of the forwarders' part. */
 final class ControlTraffic {
-    /** One of so many renewals is timed at the holder. */
+    /** One renewal in this many is timed at the holder. */
     private static final int HOLDER_SAMPLE_INTERVAL = 64;
 
     private final long[] relayBytes;
@@ -16,7 +16,7 @@
     private long sampledHolderNanos;
     private long deltas;
     private long deltaNanos;
-    /** Members whose lease has ended, and versions of the map that were fetched instead of passed on. */
+    /** Members whose lease has expired, and map versions that were fetched instead of received through the tree. */
     long expirations;
 
     long fetches;
@@ -27,7 +27,7 @@
         relayBytes = new long[relays];
     }
 
-    /** A message between a forwarder and the controller: in and out at the relay, and once at the controller. */
+    /** Counts a message between a forwarder and the controller: in and out at the relay, and once at the controller. */
     void countRelayed(SimulatedForwarder forwarder, int bytes) {
         relayBytes[forwarder.id.number() % relayBytes.length] += 2L * bytes;
         controllerBytes += bytes;
@@ -76,7 +76,7 @@
         resends = 0;
     }
 
-    /** Bytes of the busiest machine: a relay or the controller. */
+    /** Bytes of the busiest machine, a relay or the controller. */
     long busiestMachineBytes() {
         long max = controllerBytes;
         for (long bytes : relayBytes) {
@@ -105,12 +105,12 @@
         return renewals;
     }
 
-    /** Processor time of all renewals at the holders of the region, estimated from those that were timed. */
+    /** CPU time of all renewals at the holders of the region, estimated from the timed ones. */
     double holderNanos() {
         return sampledRenewals == 0 ? 0 : (double) sampledHolderNanos / sampledRenewals * renewals;
     }
 
-    /** Processor time that one forwarder takes to read and apply all deltas. */
+    /** CPU time that one forwarder takes to read and apply all deltas. */
     long deltaNanos() {
         return deltaNanos;
     }
--- a/src/main/java/lilaclever/lab/fleet/DestinationCounts.java
+++ b/src/main/java/lilaclever/lab/fleet/DestinationCounts.java
@@ -3,7 +3,7 @@
 import lilaclever.placement.ShardHasher;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** How many destinations of a region are in each of its shards, and how many of those are down. */
+/** Number of destinations in each shard of a region, and how many of those are down. */
 final class DestinationCounts {
     private final int[] all;
     private final int[] down;
--- a/src/main/java/lilaclever/lab/fleet/EventQueue.java
+++ b/src/main/java/lilaclever/lab/fleet/EventQueue.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** What is to happen when, in virtual time. Events at the same time happen in the order in which they were added. */
+/** Event queue in virtual time, a binary heap. Events at the same time run in the order in which they were added. */
 final class EventQueue {
     private static final int INITIAL_CAPACITY = 1 << 12;
     private long[] times = new long[INITIAL_CAPACITY];
@@ -12,17 +12,17 @@
     private long added;
     private long nowMicros;
 
-    /** The present virtual time, microseconds from the start. */
+    /** The current virtual time, microseconds since the start. */
     long now() {
         return nowMicros;
     }
 
-    /** How many events were added so far. */
+    /** Number of events added so far. */
     long addedCount() {
         return added;
     }
 
-    /** Lets something happen after a delay of 0 or more, microseconds. */
+    /** Schedules an action after a delay in microseconds; a negative delay counts as 0. */
     void schedule(long delayMicros, Runnable action) {
         if (size == times.length) {
             grow();
@@ -41,7 +41,7 @@
         set(index, time, number, action);
     }
 
-    /** Lets everything happen that is due up to a time, and then advances to it. */
+    /** Runs all actions due up to a time, and then advances to it. */
     void runUntil(long endMicros) {
         while (size > 0 && times[0] <= endMicros) {
             nowMicros = times[0];
--- a/src/main/java/lilaclever/lab/fleet/Failures.java
+++ b/src/main/java/lilaclever/lab/fleet/Failures.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Lets machines, racks and zones fail and return, cuts off regions and members, and restarts forwarders. */
+/** Injects failures: machines, racks and zones fail and return, regions and members are cut off, forwarders restart. */
 final class Failures {
     private static final long SECOND_MICROS = 1_000_000;
     private static final double SECONDS_PER_DAY = 86_400;
@@ -15,9 +15,9 @@
     private static final int RESTARTS_PER_DAY = 3_100;
     private static final double UNPLANNED_SHARE = 0.1;
     private static final long MACHINE_REPAIR_MICROS = 600 * SECOND_MICROS;
-    /** Processes that return together start within this time. */
+    /** Processes that return together start within this interval. */
     private static final int START_SPREAD_MICROS = (int) (2 * SECOND_MICROS);
-    /** Share of a zone's members that are cut off from their controller. */
+    /** One in this many of a zone's members is cut off from the controller. */
     private static final int CUT_OFF_DIVISOR = 3;
 
     private final FleetSettings settings;
@@ -43,7 +43,7 @@
         this.exponential = ZigguratSampler.Exponential.of(random);
     }
 
-    /** Begins a phase and gives the forwarders that it takes away or brings back. */
+    /** Starts a phase and returns the forwarders that it stops or brings back. */
     List<SimulatedForwarder> startPhase(Phase phase) {
         SimulatedForwarder chosen = anyForwarder();
         leastMoves = 0;
@@ -57,16 +57,19 @@
             case REGION_CUT_OFF -> cutOffRegion(chosen.region, endMicros);
             case MEMBERS_CUT_OFF -> cutOffMembers(chosen, endMicros);
             case RECONNECTED -> {
-                // What was cut off comes back by itself, at the time that was set when it was cut off.
+                // What was cut off reconnects at the time that was set when it was cut off.
             }
             case ORDINARY_FAILURES -> ordinaryFailures(endMicros);
             case PLANNED_RESTARTS -> plannedRestarts(endMicros);
-            default -> throw new IllegalStateException("no such happening: " + phase.type());
+            default -> throw new IllegalStateException("unknown phase type: " + phase.type());
         }
         return affected;
     }
 
-    /** Least possible moves of this phase's planned restarts and lost machines: each shard away, and later back. */
+    /**
+     * Least possible number of moves for the planned restarts and lost machines of this phase: each shard moves away,
+     * and later back.
+     */
     long leastMoves() {
         return leastMoves;
     }
@@ -92,7 +95,7 @@
     private void cutOffMembers(SimulatedForwarder chosen, long untilMicros) {
         affected = select(other -> sameZone(chosen, other) && other.id.number() % CUT_OFF_DIVISOR == 0);
         affected.forEach(other -> other.cutOffUntilMicros = untilMicros);
-        // By then their leases have ended, and they do not send any more.
+        // By then their leases have expired, and they no longer send.
         queue.schedule(settings.timing().leaseMicros(), () -> affected.forEach(this::markLeaseExpired));
     }
 
--- a/src/main/java/lilaclever/lab/fleet/FleetChecks.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetChecks.java
@@ -3,7 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What the checkers of all regions gather: breaches, and how many shards nobody may send for. */
+/**
+ * Results of the checkers of all regions: breaches, and the number of unserved shards (no process may send for them).
+ */
 final class FleetChecks {
     private static final int MAX_BREACHES = 100;
     private final List<FleetBreach> breaches = new ArrayList<>();
@@ -19,7 +21,7 @@
         return checks;
     }
 
-    /** Keeps the first breaches; the number is bounded. */
+    /** Records a breach; only the first {@link #MAX_BREACHES} are kept. */
     void addBreach(FleetBreach breach) {
         if (breaches.size() < MAX_BREACHES) {
             breaches.add(breach);
--- a/src/main/java/lilaclever/lab/fleet/FleetFigures.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetFigures.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a run gave.
+ * Results of a run.
  *
- * @param settings  the fleet
- * @param schedule  what happened
- * @param breaches  rules that were broken; the first hundred
- * @param checks    comparisons that the checkers made
- * @param phases    figures by phase
- * @param deterministic figures of the whole run that follow from the seed alone, by name
- * @param measured  figures that depend on the machine, by name
+ * @param settings the fleet
+ * @param schedule name of the schedule
+ * @param breaches broken rules, the first hundred
+ * @param checks number of comparisons made by the checkers
+ * @param phases figures by phase
+ * @param deterministic figures of the whole run that depend on the seed alone
+ * @param measured figures that depend on the machine
  */
 public record FleetFigures(
         FleetSettings settings,
@@ -21,7 +21,7 @@
         List<PhaseFigures> phases,
         List<Figure> deterministic,
         List<Figure> measured) {
-    /** A figure with its name and unit. */
+    /** A figure; its name includes the unit. */
     public record Figure(String name, double value) {}
 
     /** Copies the lists. */
@@ -32,7 +32,7 @@
         measured = List.copyOf(measured);
     }
 
-    /** Value of a figure of the run. */
+    /** Returns a deterministic figure by name. */
     public double figure(String name) {
         for (Figure figure : deterministic) {
             if (figure.name().equals(name)) {
--- a/src/main/java/lilaclever/lab/fleet/FleetForwarders.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetForwarders.java
@@ -6,14 +6,14 @@
 import lilaclever.placement.MemberId;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** All hollow forwarders of the fleet, and their processes' beginnings and ends. */
+/** All simulated forwarders of the fleet, and the start and stop of their processes. */
 final class FleetForwarders {
     private static final long SECOND_MICROS = 1_000_000;
-    /** How long a process takes from its end to the start of the next one. */
+    /** Time from the end of a process to the start of the next one. */
     private static final long MIN_RESTART_MICROS = 3 * SECOND_MICROS;
 
     private static final int RESTART_SPREAD_MICROS = (int) (5 * SECOND_MICROS);
-    /** How long the last call to a destination that is up, or down, is still out. */
+    /** Longest remaining time of the last call to a destination that is up, or down. */
     private static final int MAX_CALL_MICROS = 500_000;
 
     private static final int MAX_CALL_TO_DOWN_MICROS = (int) (5 * SECOND_MICROS);
@@ -63,7 +63,7 @@
         byRegion.get(region).add(forwarder);
     }
 
-    /** A clock within the bound: any two of them differ by the drift at most. */
+    /** Returns a clock within the drift bound: the rates of any two of them differ by the bound at most. */
     static SimulatedClock clockOf(UniformRandomProvider random, FleetSettings settings, EventQueue queue) {
         double drift = settings.timing().maxDrift() * (random.nextDouble() - 0.5);
         return new SimulatedClock(queue, 1 + drift, random.nextInt(Integer.MAX_VALUE));
@@ -89,7 +89,7 @@
         return destinations.get(region);
     }
 
-    /** Makes the next process of a forwarder; it takes the place of the present one, if there is one. */
+    /** Creates the next process of a forwarder, which replaces the current one if there is one. */
     ForwarderProcess newProcess(SimulatedForwarder forwarder, boolean previousProcessEnded) {
         forwarder.incarnation++;
         LeaseHolder holder = new LeaseHolder(forwarder.id, forwarder.incarnation, settings.timing());
@@ -98,7 +98,7 @@
         return forwarder.process;
     }
 
-    /** The process has handed its shards over: it ends and is started again. */
+    /** A process has handed over its shards: stops it and starts it again. */
     void leaveCompleted(ForwarderProcess process) {
         if (!process.ended) {
             stop(process.forwarder);
@@ -123,7 +123,7 @@
         regions.get(forwarder.region).stop(forwarder);
     }
 
-    /** Starts a forwarder after a while, unless it runs by then. */
+    /** Starts a forwarder after a delay, unless it runs by then. */
     void startAfter(SimulatedForwarder forwarder, long delayMicros) {
         queue.schedule(delayMicros, () -> {
             if (!forwarder.isRunning()) {
@@ -132,7 +132,7 @@
         });
     }
 
-    /** How long the last call for a shard is still out. */
+    /** Random remaining time of the last call in progress for a shard. */
     long randomCallMicros(int region, int shard) {
         int maxMicros = destinations.get(region).downOf(shard) > 0 ? MAX_CALL_TO_DOWN_MICROS : MAX_CALL_MICROS;
         return random.nextInt(maxMicros);
--- a/src/main/java/lilaclever/lab/fleet/FleetMain.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetMain.java
@@ -16,7 +16,7 @@
 import org.kohsuke.args4j.CmdLineParser;
 import org.kohsuke.args4j.Option;
 
-/** Plays the fleet in virtual time from the command line and writes what it gave, a table for each run. */
+/** Command line of the fleet simulation in virtual time; writes a table of results for each run. */
 public final class FleetMain {
     private static final int USAGE_ERROR = 2;
     private static final int BREACHES_FOUND = 1;
@@ -26,19 +26,19 @@
             metaVar = "RUN")
     private List<String> runs = new ArrayList<>();
 
-    @Option(name = "--threads", usage = "runs that are played at the same time")
+    @Option(name = "--threads", usage = "number of concurrent runs")
     private int threads = 1;
 
-    @Option(name = "--load-bound", usage = "bound on a forwarder's shards against its share")
+    @Option(name = "--load-bound", usage = "bound on the ratio of a forwarder's shards to its share")
     private double loadBound = FleetSettings.LOAD_BOUND;
 
-    @Option(name = "--reassignments", usage = "shards a second of a region that may get another owner")
+    @Option(name = "--reassignments", usage = "shards of a region reassigned per second at most")
     private int reassignments = FleetSettings.REASSIGNMENTS_PER_SECOND;
 
-    @Option(name = "--memory", usage = "measure the heap of holders, maps and a controller instead")
+    @Option(name = "--memory", usage = "measure the heap of lease holders, maps and a controller instead")
     private boolean memory;
 
-    @Option(name = "--out", usage = "folder that the tables are written to", metaVar = "FOLDER")
+    @Option(name = "--out", usage = "folder for the tables", metaVar = "FOLDER")
     private Path folder = Path.of("docs/scale/fleet");
 
     private FleetMain() {}
--- a/src/main/java/lilaclever/lab/fleet/FleetRun.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetRun.java
@@ -2,14 +2,14 @@
 
 import java.util.Locale;
 
-/** One run that is asked for on the command line, as {@code SCHEDULE/FORWARDERS/SEED}. */
+/** A run requested on the command line as {@code SCHEDULE/FORWARDERS/SEED}. */
 record FleetRun(Schedule schedule, int forwarders, long seed) {
     private static final int PART_COUNT = 3;
 
     /**
-     * Reads a run.
+     * Parses a run.
      *
-     * @throws IllegalArgumentException if it is not of that form, or the schedule is unknown
+     * @throws IllegalArgumentException if it does not have that form, or the schedule is unknown
      */
     static FleetRun parse(String text) {
         String[] parts = text.split("/");
@@ -20,7 +20,7 @@
         return new FleetRun(schedule, Integer.parseInt(parts[1]), Long.parseLong(parts[2]));
     }
 
-    /** Name of its table. */
+    /** File name of its table. */
     String fileName() {
         return schedule.label() + "-" + forwarders + "-seed" + seed + ".tsv";
     }
--- a/src/main/java/lilaclever/lab/fleet/FleetSettings.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetSettings.java
@@ -3,28 +3,28 @@
 import lilaclever.placement.LeaseTiming;
 
 /**
- * Size and manners of a simulated fleet.
+ * Size and parameters of a simulated fleet.
  *
- * @param seed                     what all random choices follow from
- * @param regions                  number of regions
- * @param zones                    number of zones of the whole fleet, spread evenly over the regions
- * @param forwarders               number of forwarders, spread evenly over the zones
- * @param shards                   number of shards of the whole fleet, spread over the regions as the zones are
- * @param destinations             number of destinations, spread in the same way
- * @param downShare                share of the destinations that are down
- * @param forwardersPerMachine     forwarders that fail together with their machine
- * @param machinesPerRack          machines that fail together with their rack
- * @param controlMachines          machines for control: a controller for each region, the rest relays
- * @param timing                   times of the leases
- * @param loadBound                bound on a forwarder's shards against its share
- * @param reassignmentsPerSecond   pace of reassignment of a region
- * @param treeDegree               most receivers of a forwarder in the distribution tree
- * @param configurationBytes       size of a change of the configuration
- * @param configurationsPerDay     changes of the configuration a day
- * @param messageLoss              share of messages that are lost
- * @param messageDuplication       share of messages that arrive twice
- * @param mapBoundMicros           age of a map that no forwarder may take to be current: the lease
- * @param configurationBoundMicros the same for the configuration: the lease, and the publisher's silence and its delay
+ * @param seed seed of all random choices
+ * @param regions number of regions
+ * @param zones number of zones of the whole fleet, spread evenly over the regions
+ * @param forwarders number of forwarders, spread evenly over the zones
+ * @param shards number of shards of the whole fleet, spread over the regions as the zones are
+ * @param destinations number of destinations, spread in the same way
+ * @param downShare share of the destinations that are down
+ * @param forwardersPerMachine forwarders that fail together with their machine
+ * @param machinesPerRack machines that fail together with their rack
+ * @param controlMachines machines of the control plane: a controller for each region, the rest relays
+ * @param timing timing of the leases
+ * @param loadBound bound on the ratio of a forwarder's shards to its share
+ * @param reassignmentsPerSecond shards of a region that are reassigned per second at most
+ * @param treeDegree most children of a forwarder in the distribution tree
+ * @param configurationBytes size of a change of the configuration
+ * @param configurationsPerDay changes of the configuration a day
+ * @param messageLoss share of messages that are lost
+ * @param messageDuplication share of messages that arrive twice
+ * @param mapBoundMicros greatest age of a map that a forwarder may consider current: the lease
+ * @param configurationBoundMicros the same for the configuration: the lease, the publisher's timeout and its delay
  */
 public record FleetSettings(
         long seed,
@@ -47,11 +47,11 @@
         double messageDuplication,
         long mapBoundMicros,
         long configurationBoundMicros) {
-    /** Forwarders of the fleet at its coming size. */
+    /** Forwarders of the fleet at its planned size. */
     public static final int FULL_FORWARDERS = 19_000;
-    /** Bound on a forwarder's shards against its share, unless another is asked for. */
+    /** Default bound on the ratio of a forwarder's shards to its share. */
     public static final double LOAD_BOUND = 1.05;
-    /** Pace of reassignment, shards a second in a region, unless another is asked for. */
+    /** Default rate of reassignment, shards a second in a region. */
     public static final int REASSIGNMENTS_PER_SECOND = 2_000;
 
     private static final int FULL_SHARDS = 262_144;
@@ -60,12 +60,14 @@
     private static final int REGIONS = 9;
     private static final int ZONES = 28;
 
-    /** The fleet with so many forwarders, and shards, destinations and control machines in proportion. */
+    /**
+     * Returns a fleet of the given number of forwarders, with shards, destinations and control machines in proportion.
+     */
     public static FleetSettings ofSize(long seed, int forwarders) {
         return of(seed, REGIONS, ZONES, forwarders);
     }
 
-    /** A fleet with other numbers of regions and zones. */
+    /** Returns a fleet with the given numbers of regions, zones and forwarders. */
     public static FleetSettings of(long seed, int regions, int zones, int forwarders) {
         double share = (double) forwarders / FULL_FORWARDERS;
         int controlMachines = Math.max(2 * regions, (int) Math.round(FULL_CONTROL_MACHINES * share));
@@ -92,7 +94,7 @@
                 12_000_000);
     }
 
-    /** The same fleet with another bound on load. */
+    /** Returns the same fleet with another load bound. */
     public FleetSettings withLoadBound(double bound) {
         return new FleetSettings(
                 seed,
@@ -117,7 +119,7 @@
                 configurationBoundMicros);
     }
 
-    /** The same fleet with another pace of reassignment, shards a second in a region. */
+    /** Returns the same fleet with another rate of reassignment, shards a second in a region. */
     public FleetSettings withReassignmentsPerSecond(int shardsPerSecond) {
         return new FleetSettings(
                 seed,
@@ -142,7 +144,7 @@
                 configurationBoundMicros);
     }
 
-    /** The same fleet with other bounds on the age of map and configuration. */
+    /** Returns the same fleet with other bounds on the age of map and configuration. */
     FleetSettings withAgeBounds(long mapMicros, long configurationMicros) {
         return new FleetSettings(
                 seed,
@@ -177,12 +179,12 @@
         return zone / regions;
     }
 
-    /** How many zones a region has. */
+    /** Number of zones of a region. */
     int zonesOf(int region) {
         return (zones - region + regions - 1) / regions;
     }
 
-    /** A region's part of a number of things that are spread over the zones. */
+    /** A region's part of a total that is spread evenly over the zones. */
     int partOf(int region, int total) {
         int zonesBefore = 0;
         for (int other = 0; other < region; other++) {
--- a/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import lilaclever.lab.fleet.FleetFigures.Figure;
-import lilaclever.lab.fleet.Schedule.PhaseType;
 import lilaclever.lab.fleet.Schedule.Phase;
+import lilaclever.lab.fleet.Schedule.PhaseType;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Plays a schedule with a fleet of hollow forwarders in virtual time. */
+/** Simulates a schedule with a fleet of simulated forwarders in virtual time. */
 public final class FleetSimulation {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long WARM_UP_MICROS = 60 * SECOND_MICROS;
-    /** All forwarders register within this time, so that few shards are placed before all members are known. */
+    /** All forwarders register within this interval, so that few shards are placed before all members are known. */
     private static final int START_SPREAD_MICROS = 50_000;
 
     private static final double PERCENTILE = 99.9;
@@ -31,7 +31,7 @@
     private final Failures failures;
     private final UniformRandomProvider starts;
 
-    /** Fleet of these settings, which has not started yet. */
+    /** Creates a fleet with these settings, not yet started. */
     public FleetSimulation(FleetSettings settings, Schedule schedule) {
         this.settings = settings;
         this.schedule = schedule;
@@ -67,12 +67,12 @@
         failures = new Failures(settings, queue, forwarders, regions, streams.stream("failures"));
     }
 
-    /** Plays the schedule from the start of all forwarders to its end. */
+    /** Runs the schedule from the start of all forwarders to its end. */
     public FleetFigures run() {
         return run(phase -> {});
     }
 
-    /** Plays the schedule, and tells of each phase as it ends. */
+    /** Runs the schedule and reports each phase as it ends. */
     public FleetFigures run(Consumer<PhaseFigures> phaseEnded) {
         forwarders.all().forEach(forwarder -> forwarders.startAfter(forwarder, starts.nextInt(START_SPREAD_MICROS)));
         queue.runUntil(WARM_UP_MICROS);
@@ -159,7 +159,7 @@
         return counts;
     }
 
-    /** What was lost has to move, and what came back has to be moved to who returned; a planned restart does both. */
+    /** Lost shards have to move, and returned forwarders have to get shards back; a planned restart needs both. */
     private long leastMoves(PhaseType type, List<SimulatedForwarder> affected, List<Integer> shardsBefore) {
         boolean returned = type == PhaseType.RETURN || type == PhaseType.RECONNECTED;
         if (returned) {
@@ -171,7 +171,7 @@
                         .sum();
     }
 
-    /** Load of the fullest forwarder against the mean of its region: of shards, or of destinations. */
+    /** Ratio of the fullest forwarder's load to the mean of its region, in shards or in destinations. */
     private double fullestLoad(boolean byDestinations) {
         double fullest = 0;
         for (RegionControl region : regions) {
--- a/src/main/java/lilaclever/lab/fleet/ForwarderProcess.java
+++ b/src/main/java/lilaclever/lab/fleet/ForwarderProcess.java
@@ -4,9 +4,9 @@
 import lilaclever.placement.LeaseHolder;
 import lilaclever.placement.SendPermission;
 
-/** One life of a hollow forwarder's process: a real lease holder, and the version of the map that it has. */
+/** One process run of a simulated forwarder: a real lease holder, and the map version that it has. */
 final class ForwarderProcess {
-    /** Most versions that are kept while an earlier one is missing; what is dropped is fetched again. */
+    /** Most versions that are retained while an earlier one is missing; dropped versions are fetched again. */
     static final int MAX_EARLY_VERSIONS = 64;
 
     final SimulatedForwarder forwarder;
@@ -17,24 +17,24 @@
     boolean ended;
     boolean leaving;
 
-    /** Last heartbeat and the reading of the clock at which it was sent. */
+    /** Last heartbeat and the clock reading at which it was sent. */
     long lastSequence;
 
     long lastSentClockMicros;
 
-    /** Number of the last batch of the region's map, and those that arrived before their predecessors. */
+    /** Number of the last applied batch of the region's map, and later ones that arrived out of order. */
     long mapVersion;
 
     final TreeSet<Long> earlyVersions = new TreeSet<>();
     boolean fetchScheduled;
-    /** Virtual time until which the process takes its map, and its configuration, to be current. */
+    /** Virtual time until which the process considers its map, and its configuration, current. */
     long mapFreshUntilMicros;
 
     long configurationFreshUntilMicros;
 
-    /** Virtual time until which it may send for the shards that the last renewal covered. */
+    /** Virtual time until which it may send for the shards covered by the last renewal. */
     long permittedUntilMicros;
-    /** Whether the checker has it as the sender for all shards assigned to it. */
+    /** Whether the checker has this process as the sender for all shards assigned to it. */
     boolean servesAllShards;
 
     ForwarderProcess(
@@ -50,12 +50,12 @@
         this.holder = holder;
     }
 
-    /** Whether it may send for a shard at this moment. */
+    /** Whether it may send for a shard now. */
     boolean maySend(int shard) {
         return !ended && holder.maySend(shard, forwarder.clock.now()) instanceof SendPermission.Permitted;
     }
 
-    /** Keeps a version that came early. */
+    /** Retains a version that arrived before its predecessor. */
     void addEarlyVersion(long version) {
         earlyVersions.add(version);
         if (earlyVersions.size() > MAX_EARLY_VERSIONS) {
--- a/src/main/java/lilaclever/lab/fleet/MapDistribution.java
+++ b/src/main/java/lilaclever/lab/fleet/MapDistribution.java
@@ -12,21 +12,21 @@
 import lilaclever.placement.MemberId;
 import lilaclever.placement.ShardMap;
 
-/** Brings the changes of a region's map, and with them the configuration, to all of its forwarders. */
+/** Distributes the changes of a region's map, and with them the configuration, to all of its forwarders. */
 final class MapDistribution {
-    /** Machines that a message between a forwarder and the controller passes: a relay, and the controller's own. */
+    /** Hops of a message between a forwarder and the controller: to a relay, and to the controller's machine. */
     static final int CONTROLLER_HOPS = 2;
 
     private static final int TREE_HOPS = 1;
-    /** How long a forwarder waits for a version that is under way before it asks for it. */
+    /** How long a forwarder waits for a version in transit before it fetches it. */
     private static final long FETCH_DELAY_MICROS = 300_000;
     /** How long a sender in the tree waits for a receiver's acknowledgement. */
     private static final long ACKNOWLEDGEMENT_TIMEOUT_MICROS = 300_000;
 
     private static final long FETCH_RETRY_MICROS = 1_000_000;
-    /** Changes of the map are gathered for so long before they are sent through the tree as one. */
+    /** Time for which map changes are collected into one batch. */
     private static final long BATCH_DELAY_MICROS = 100_000;
-    /** After so many batches the tree is built anew, so that the cost of passing on goes round. */
+    /** The tree is rebuilt after this many batches, so that the cost of relaying rotates among the forwarders. */
     private static final int VERSIONS_PER_TREE = 4;
 
     private final int region;
@@ -78,17 +78,17 @@
         return history.latest();
     }
 
-    /** Version of the configuration that a process has. */
+    /** Configuration version that a process has. */
     long configurationOf(ForwarderProcess process) {
         return history.configurationAt(process.mapVersion);
     }
 
-    /** The members of the region have changed: the next batch goes through another tree. */
+    /** The members of the region have changed; the next batch goes through a new tree. */
     void membersChanged() {
         membersChanged = true;
     }
 
-    /** Takes a change of the map, which is sent with others in a moment. */
+    /** Adds a map change to the next batch. */
     void addChange(MapDelta delta) {
         if (batch.isEmpty()) {
             queue.schedule(BATCH_DELAY_MICROS, this::publishBatch);
@@ -107,12 +107,13 @@
         if (membersChanged || version - treeVersion >= VERSIONS_PER_TREE) {
             buildTree(version);
         }
-        Transmission transmission = new Transmission(version, MessageSizes.mapMessage(encoded.length + configurationBytes), tree);
+        Transmission transmission =
+                new Transmission(version, MessageSizes.mapMessage(encoded.length + configurationBytes), tree);
         tree.heads().forEach(head -> sendDelta(null, head, transmission));
         queue.schedule(settings.mapBoundMicros(), () -> checkMapAge(version));
     }
 
-    /** What every forwarder does with a delta is done and timed once. */
+    /** Decodes and applies a delta once, as every forwarder does, and measures the time. */
     private void applyToSample(byte[] encoded) {
         long startNanos = System.nanoTime();
         try {
@@ -147,7 +148,7 @@
         }
     }
 
-    /** Lets a process that is behind ask for what it lacks, unless that comes by itself in time. */
+    /** Schedules a fetch of missing versions for a process that is behind, in case they do not arrive in time. */
     void fetchIfBehind(ForwarderProcess process, long mapVersion) {
         if (process.mapVersion < mapVersion && !process.fetchScheduled) {
             process.fetchScheduled = true;
@@ -189,10 +190,12 @@
         return 3 * shards;
     }
 
-    /** A delta on its way through one tree. */
+    /** A delta that is being distributed through one tree. */
     private record Transmission(long version, int bytes, DistributionTree tree) {}
 
-    /** Whoever gets a delta through a tree is in it, since the tree sends to its members only. */
+    /**
+     * Handles a received delta. The receiver is always a member of the tree, since the tree sends to its members only.
+     */
     private void deltaArrived(ForwarderProcess process, Transmission transmission) {
         process.forwarder.countBytes(transmission.bytes(), queue.now());
         long version = transmission.version();
@@ -211,8 +214,8 @@
     }
 
     /**
-     * Sends a delta on. If the receiver does not acknowledge it in time, it is sent once more, and to the receiver's
-     * own receivers in its place.
+     * Sends a delta to a receiver. If it is not acknowledged in time, it is sent once more, and also to the receiver's
+     * children in its place.
      *
      * @param sender a forwarder, or null for the controller
      */
--- a/src/main/java/lilaclever/lab/fleet/MapHistory.java
+++ b/src/main/java/lilaclever/lab/fleet/MapHistory.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import lilaclever.placement.MapDelta;
 
-/** The batches of a region's map by number: sizes and configuration versions. The contents are kept by nobody. */
+/** Sizes and configuration versions of the batches of a region's map, by number. The contents are not retained. */
 final class MapHistory {
     private static final int INITIAL_CAPACITY = 1 << 10;
     private long[] cumulativeBytes = new long[INITIAL_CAPACITY];
@@ -24,7 +24,7 @@
         return latest;
     }
 
-    /** Bytes of all batches after one number up to another. */
+    /** Total bytes of the batches after one number up to and including another. */
     long bytesBetween(long after, long upTo) {
         return cumulativeBytes[(int) upTo] - cumulativeBytes[(int) after];
     }
--- a/src/main/java/lilaclever/lab/fleet/Network.java
+++ b/src/main/java/lilaclever/lab/fleet/Network.java
@@ -2,7 +2,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Brings messages over in virtual time: late, in another order, sometimes twice or not at all. */
+/** Delivers messages in virtual time, with delay, reordering, duplication and loss. */
 final class Network {
     private static final long MIN_HOP_MICROS = 200;
     private static final int HOP_SPREAD_MICROS = 1_800;
@@ -25,7 +25,7 @@
         this.duplication = settings.messageDuplication();
     }
 
-    /** Sends within a region, over so many machines in between. */
+    /** Sends a message within a region over the given number of hops. */
     void withinRegion(int hops, Runnable onArrival) {
         if (isLost()) {
             return;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Sends from one region to another. */
+    /** Sends a message from one region to another. */
     void betweenRegions(Runnable onArrival) {
         if (!isLost()) {
             queue.schedule(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), onArrival);
--- a/src/main/java/lilaclever/lab/fleet/OwnershipChecker.java
+++ b/src/main/java/lilaclever/lab/fleet/OwnershipChecker.java
@@ -5,9 +5,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Follows who may send for each shard of a region, over virtual time. A permission begins only when a process applies a
- * renewal or an assignment, so it is there that the former sender is asked whether it may still send. That covers every
- * moment: a permission ends by the passing of time, but never begins by it.
+ * Tracks over virtual time which process may send for each shard of a region. A permission starts only when a process
+ * applies a renewal or an assignment, so that is when the checker verifies that the previous sender may no longer send.
+ * This covers every moment: time alone can end a permission, but never start one.
  */
 final class OwnershipChecker {
     private static final long SERVED = -1;
@@ -17,7 +17,7 @@
     private final FleetChecks checks;
     private final ForwarderProcess[] senders;
     private final long[] epochs;
-    /** Since when nobody may send for the shard, or {@link #SERVED}. */
+    /** Time since which nobody may send for the shard, or {@link #SERVED}. */
     private final long[] unservedSinceMicros;
 
     private final Histogram gapMillis = new Histogram(3);
@@ -45,7 +45,7 @@
         }
     }
 
-    /** A process has applied a change of its assignment; what was revoked is stopped. */
+    /** A process has applied a change of its assignment and no longer sends for the revoked shards. */
     void assignmentChanged(ForwarderProcess process, Iterable<Integer> revoked) {
         for (int shard : revoked) {
             if (senders[shard] == process) {
@@ -55,7 +55,7 @@
         findNewPermissions(process);
     }
 
-    /** A process has ended, or its lease has: nobody may send for its shards since then. */
+    /** A process or its lease has ended: its shards are unserved from then on. */
     void ended(ForwarderProcess process) {
         long sinceMicros = Math.min(queue.now(), process.permittedUntilMicros);
         for (int shard : process.holder.assignedShardNumbers()) {
@@ -66,7 +66,7 @@
         process.servesAllShards = false;
     }
 
-    /** How many shards a process is the present sender of. */
+    /** Number of shards that a process currently sends for. */
     int shardsOf(ForwarderProcess process) {
         int count = 0;
         for (int shard : process.holder.assignedShardNumbers()) {
@@ -77,7 +77,7 @@
         return count;
     }
 
-    /** The sender of a shard, or null if nobody may send for it. */
+    /** The current sender of a shard, or null if it is unserved. */
     ForwarderProcess senderOf(int shard) {
         return unservedSinceMicros[shard] == SERVED ? senders[shard] : null;
     }
@@ -94,17 +94,17 @@
         return peakUnserved;
     }
 
-    /** How many shards have got a sender in another forwarder than before. */
+    /** Number of times a shard got a sender in a different forwarder. */
     long moves() {
         return moves;
     }
 
-    /** When a shard that nobody might send for last got a sender. */
+    /** When an unserved shard last got a sender. */
     long lastRestoredMicros() {
         return lastRestoredMicros;
     }
 
-    /** How long shards were without a sender, milliseconds. */
+    /** Durations for which shards were unserved, milliseconds. */
     Histogram gapMillis() {
         return gapMillis;
     }
@@ -139,7 +139,7 @@
             moves++;
         }
         if (unservedSinceMicros[shard] == SERVED) {
-            // The former sender's lease has run out without notice: since then nobody might send.
+            // The previous sender's lease expired unnoticed; the shard has been unserved since then.
             markUnserved(shard, Math.min(queue.now(), previous.permittedUntilMicros));
         }
         gapMillis.recordValue((queue.now() - unservedSinceMicros[shard]) / 1_000);
--- a/src/main/java/lilaclever/lab/fleet/RandomStreams.java
+++ b/src/main/java/lilaclever/lab/fleet/RandomStreams.java
@@ -5,7 +5,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Named streams of random numbers from one seed, so that one part's change does not move what the others draw. */
+/**
+ * Named streams of random numbers from one seed, so that a change of one part does not change the numbers drawn by the
+ * others.
+ */
 final class RandomStreams {
     private final long seed;
 
--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -11,9 +11,9 @@
 import lilaclever.placement.RejectionReason;
 import lilaclever.placement.SendPermission;
 
-/** The control of one region: its controller, the relays before it, and the processes that they serve. */
+/** The control plane of one region: its controller, the relays in front of it, and the processes that they serve. */
 final class RegionControl {
-    /** The controller takes its configuration to be current for so long after word from the publisher. */
+    /** The controller considers its configuration current for this long after a message from the publisher was sent. */
     private static final long PUBLISHER_TIMEOUT_MICROS = 3_000_000;
 
     final int region;
@@ -90,14 +90,14 @@
 
     // Forwarders' side
 
-    /** Starts a process of a forwarder that is down, or that gives its present process up. */
+    /** Starts a process of a forwarder that is down or gives up its current process. */
     void start(SimulatedForwarder forwarder, boolean previousProcessEnded) {
         ForwarderProcess process = forwarders.newProcess(forwarder, previousProcessEnded);
         register(process);
         sendHeartbeat(process);
     }
 
-    /** Ends a forwarder's process without a word to anybody. */
+    /** Stops a forwarder's process without notifying anyone. */
     void stop(SimulatedForwarder forwarder) {
         ForwarderProcess process = forwarder.process;
         if (process != null) {
@@ -133,7 +133,8 @@
         if (process.leaving) {
             send(process, new ControllerCommand.Leave(process.forwarder.id, process.incarnation));
         }
-        queue.schedule(process.forwarder.clock.delayOf(settings.timing().heartbeatMicros()), () -> sendHeartbeat(process));
+        queue.schedule(
+                process.forwarder.clock.delayOf(settings.timing().heartbeatMicros()), () -> sendHeartbeat(process));
     }
 
     private void send(ForwarderProcess process, ControllerCommand command) {
@@ -166,8 +167,9 @@
             long leaseMicros = (long)
                     (settings.timing().leaseMicros() * (1 - settings.timing().maxDrift()));
             long untilMicros = process.forwarder.clock.virtualTimeOf(process.lastSentClockMicros + leaseMicros);
-            process.permittedUntilMicros =
-                    Math.max(process.permittedUntilMicros, untilMicros - settings.timing().marginMicros());
+            process.permittedUntilMicros = Math.max(
+                    process.permittedUntilMicros,
+                    untilMicros - settings.timing().marginMicros());
             if (process.mapVersion >= mapVersion) {
                 process.mapFreshUntilMicros = Math.max(process.mapFreshUntilMicros, untilMicros);
                 process.configurationFreshUntilMicros = configurationCurrent
@@ -189,7 +191,7 @@
         sendRelease(process);
     }
 
-    /** For each shard that is about to be revoked a call is out, and ends some time later. */
+    /** Simulates a call in progress for each shard that is about to be revoked, which ends some time later. */
     private void startCalls(ForwarderProcess process, ControllerEvent.AssignmentChanged change) {
         long clockMicros = process.forwarder.clock.now();
         change.revoked().forEach(grant -> {
@@ -219,7 +221,7 @@
 
     // Controller's side
 
-    /** Word from the publisher of configurations arrives, with the version that is in force. */
+    /** A message from the configuration publisher arrives, with the version in force. */
     void configurationPublished(long version, long sentMicros) {
         publisherSentMicros = Math.max(publisherSentMicros, sentMicros);
         if (version > configurationVersion) {
@@ -233,7 +235,7 @@
         return configurationVersion;
     }
 
-    /** Version of the configuration that a process has. */
+    /** Configuration version that a process has. */
     long configurationOf(ForwarderProcess process) {
         return map.configurationOf(process);
     }
--- a/src/main/java/lilaclever/lab/fleet/Schedule.java
+++ b/src/main/java/lilaclever/lab/fleet/Schedule.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Locale;
 
-/** What happens to a simulated fleet. */
+/** Schedules of failures and restarts for a simulated fleet. */
 public enum Schedule {
-    /** One failure of each kind after the other, each with its return. */
+    /** One failure of each kind after the other, each followed by its recovery. */
     INCIDENTS(List.of(
             new Phase(PhaseType.QUIET, 120),
             new Phase(PhaseType.MACHINE_LOST, 60),
@@ -18,11 +18,11 @@
             new Phase(PhaseType.RECONNECTED, 60),
             new Phase(PhaseType.MEMBERS_CUT_OFF, 60),
             new Phase(PhaseType.RECONNECTED, 60))),
-    /** The failures of an ordinary day at their usual pace, for half an hour. */
+    /** The failures of an ordinary day at their usual rate, for half an hour. */
     ORDINARY(List.of(new Phase(PhaseType.ORDINARY_FAILURES, 1_800), new Phase(PhaseType.QUIET, 30))),
-    /** Planned restarts at the pace at which all are restarted within a day, for ten minutes. */
+    /** Planned restarts at the rate that restarts all forwarders within a day, for ten minutes. */
     RESTART_PACE(List.of(new Phase(PhaseType.PLANNED_RESTARTS, 600), new Phase(PhaseType.QUIET, 30))),
-    /** Failures of each kind in a few minutes, for a small fleet. */
+    /** Failures of most kinds in a few minutes, for a small fleet. */
     SHORT(List.of(
             new Phase(PhaseType.QUIET, 10),
             new Phase(PhaseType.MACHINE_LOST, 30),
@@ -35,7 +35,7 @@
             new Phase(PhaseType.RECONNECTED, 20),
             new Phase(PhaseType.PLANNED_RESTARTS, 30)));
 
-    /** What begins a phase, or goes on in it. */
+    /** The event that starts a phase, or that goes on during it. */
     enum PhaseType {
         QUIET,
         MACHINE_LOST,
@@ -49,7 +49,7 @@
         PLANNED_RESTARTS
     }
 
-    /** A phase, seconds. */
+    /** A phase with its duration in seconds. */
     record Phase(PhaseType type, int seconds) {}
 
     private final List<Phase> phases;
--- a/src/main/java/lilaclever/lab/fleet/SimulatedClock.java
+++ b/src/main/java/lilaclever/lab/fleet/SimulatedClock.java
@@ -1,24 +1,24 @@
 package lilaclever.lab.fleet;
 
-/** A monotonic clock that runs a little fast or slow against the virtual time. */
+/** A monotonic clock that drifts against the virtual time. */
 final class SimulatedClock {
     private final EventQueue queue;
     private final double rate;
     private final long offsetMicros;
 
-    /** Clock with that rate (1 is exact) and that reading at the virtual time 0. */
+    /** Creates a clock with the given rate (1 is exact) and reading at virtual time 0. */
     SimulatedClock(EventQueue queue, double rate, long offsetMicros) {
         this.queue = queue;
         this.rate = rate;
         this.offsetMicros = offsetMicros;
     }
 
-    /** The present reading, microseconds. */
+    /** The current reading, microseconds. */
     long now() {
         return offsetMicros + (long) (queue.now() * rate);
     }
 
-    /** Virtual time that passes while the clock advances by so much, microseconds. */
+    /** Virtual time that passes while the clock advances by the given time, microseconds. */
     long delayOf(long clockMicros) {
         return (long) Math.ceil(clockMicros / rate);
     }
--- a/src/main/java/lilaclever/lab/fleet/SimulatedForwarder.java
+++ b/src/main/java/lilaclever/lab/fleet/SimulatedForwarder.java
@@ -2,7 +2,7 @@
 
 import lilaclever.placement.MemberId;
 
-/** A forwarder without sockets: its place, its clock, its present process if it runs, and its control traffic. */
+/** A forwarder without sockets: its location, its clock, its current process if it runs, and its control traffic. */
 final class SimulatedForwarder {
     private static final long WINDOW_MICROS = 10_000_000;
 
@@ -17,7 +17,7 @@
     ForwarderProcess process;
 
     long incarnation;
-    /** Virtual time until which nothing reaches it or leaves it. */
+    /** Virtual time until which it is cut off: nothing reaches it or leaves it. */
     long cutOffUntilMicros;
 
     private long bytes;
@@ -40,12 +40,12 @@
         return process != null;
     }
 
-    /** Whether nothing reaches it or leaves it at this time. */
+    /** Whether it is cut off at this time. */
     boolean isCutOff(long nowMicros) {
         return nowMicros < cutOffUntilMicros;
     }
 
-    /** Counts bytes that it sent or received. */
+    /** Counts bytes sent or received. */
     void countBytes(int count, long nowMicros) {
         long currentIndex = nowMicros / WINDOW_MICROS;
         if (currentIndex != windowIndex) {
--- a/src/main/java/lilaclever/lab/fleet/package-info.java
+++ b/src/main/java/lilaclever/lab/fleet/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The fleet's ownership of destinations in virtual time: the real controllers and lease holders of all regions, with a
- * simulated network, clocks and failures, and a checker that follows every step. One seed gives the same run.
+ * Simulation in virtual time of how the fleet owns destinations: the real controllers and lease holders of all regions,
+ * with a simulated network, clocks and failures, and a checker that verifies every step. A run is determined by its
+ * seed.
  */
 package lilaclever.lab.fleet;
--- a/src/main/java/lilaclever/lab/model/Arrival.java
+++ b/src/main/java/lilaclever/lab/model/Arrival.java
@@ -1,4 +1,7 @@
 package lilaclever.lab.model;
 
-/** A message that will be handed in, drawn ahead: its sender does not wait for earlier ones. */
+/**
+ * A message to be submitted at a time drawn in advance, independent of the outcome of earlier messages (an open-loop
+ * load).
+ */
 public record Arrival(long atMicros, int number, int messageClass, int destination, long workMicros) {}
--- a/src/main/java/lilaclever/lab/model/CallLimiter.java
+++ b/src/main/java/lilaclever/lab/model/CallLimiter.java
@@ -1,6 +1,8 @@
 package lilaclever.lab.model;
 
-/** What a partner's limit lets through: a plain rate, or a count in each span of time. Times only go forward. */
+/**
+ * Limits the calls to a partner, by a plain rate or by a count in each fixed window. Times passed in never decrease.
+ */
 final class CallLimiter {
     private final PartnerKind.Limit limit;
     private final double perSecond;
@@ -8,12 +10,14 @@
     private final boolean countsRefusedCalls;
     private double available;
     private long refilledAtMicros;
-    /** Part of its usual rate that it lets through until a time. */
+    /** Share of the usual rate that is allowed until {@link #loweredUntilMicros}. */
     private double loweredShare = 1;
 
     private long loweredUntilMicros = Long.MIN_VALUE;
 
-    /** {@code perSecond} in the mean; a rate lets a fifth of a second's calls through at once. */
+    /**
+     * Allows {@code perSecond} calls on average; with a plain rate, up to a fifth of a second's calls may come at once.
+     */
     CallLimiter(PartnerKind.Limit limit, double perSecond, long windowMicros, boolean countsRefusedCalls) {
         this.limit = limit;
         this.perSecond = perSecond;
@@ -22,7 +26,7 @@
         available = burstSize(0);
     }
 
-    /** Lets only a part of the usual rate through until then. */
+    /** Allows only a share of the usual rate until the given time. */
     void lower(double share, long untilMicros) {
         loweredShare = share;
         loweredUntilMicros = untilMicros;
@@ -38,7 +42,7 @@
                 : Math.max(1, Math.floor(callsPerSecond(now) * windowMicros / 1e6));
     }
 
-    /** True if a call now is within the limit; it counts from now on. */
+    /** Returns whether a call at this time is within the limit, and counts it if so. */
     boolean tryAcquire(long now) {
         if (limit == PartnerKind.Limit.NONE) {
             return true;
@@ -64,7 +68,7 @@
         }
     }
 
-    /** When there is room again if nobody else takes it. */
+    /** The time at which the next call will be allowed if no other call comes first. */
     long availableAtMicros(long now) {
         return limit == PartnerKind.Limit.RATE
                 ? now + (long) (Math.max(0, 1 - available) / callsPerSecond(now) * 1e6)
--- a/src/main/java/lilaclever/lab/model/MessageClass.java
+++ b/src/main/java/lilaclever/lab/model/MessageClass.java
@@ -3,13 +3,13 @@
 import lilaclever.DecisionModule;
 
 /**
- * A class of messages as partners and operators see it.
+ * A message class: its share of the traffic, its processing cost and its delivery terms.
  *
  * @param share of all messages
- * @param workMicros the least and the most that a partner of usual pace works on one
+ * @param workMicros the least and the most processing time of one message at a partner of average speed
  */
 public record MessageClass(String name, double share, long[] workMicros, DecisionModule.MessageClass terms) {
-    /** What a delivery is worth so long after the message was first handed in. */
+    /** The worth of a delivery at the given time after the message was first submitted. */
     public double worth(long sinceMicros) {
         if (sinceMicros > terms.deadlineMicros()) {
             return 0;
--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -10,14 +10,16 @@
 import java.util.Set;
 
 /**
- * One partner: its endpoints with their pace and queues, its limit, its outages and how it comes back. No I/O; it is
- * told the time with each call, and times only go forward. What it answers is decided when a call's last byte has come.
+ * Model of one partner: its endpoints with their processing speed and queues, its call limit, its outages and its
+ * recovery. It does no I/O; the caller passes the time, which never decreases. The answer to a call is decided when the
+ * call's last byte arrives.
  *
- * <p>An outage (silent, failing, shut, down) leaves it cold: it then does a part of its usual work and warms up evenly.
- * Sent more than a multiple of what it can do at the moment for a while, it falls over and stays down.
+ * <p>After an outage (silent, failing, shut, down) it has only a part of its usual capacity, which rises linearly. If
+ * it receives more than a multiple of its present capacity for some time while it recovers, it fails under overload and
+ * stays down.
  */
 public final class Partner {
-    /** How a call ends at the partner. */
+    /** Result of a call at the partner. */
     public enum Status {
         DELIVERED,
         ERROR,
@@ -29,12 +31,12 @@
     /**
      * The answer to a call, or to one message of it.
      *
-     * @param atMicros when it is written; for {@link Status#NO_ANSWER} nothing is
-     * @param retryAfterMicros told with FULL; 0: none
+     * @param atMicros when the answer is written; with {@link Status#NO_ANSWER} none is
+     * @param retryAfterMicros sent with FULL; 0: none
      */
     public record Answer(Status status, long atMicros, long retryAfterMicros) {}
 
-    /** What may be wrong with a partner. */
+    /** Kinds of outage of a partner. */
     public enum Outage {
         SILENT,
         FAILING,
@@ -43,10 +45,14 @@
         SLOW
     }
 
-    /** What a fleet shares: how partners come back. */
+    /**
+     * How partners recover from an outage, common to all partners of a scenario: the capacity share right after the
+     * outage, the duration of the linear ramp to full capacity, and the multiple of the present capacity that, over
+     * {@code overloadMicros}, makes a recovering partner fail.
+     */
     public record Recovery(double initialCapacity, long rampMicros, double overloadFactor, long overloadMicros) {}
 
-    /** {@code work}: in messages that come alone. */
+    /** A call during recovery; {@code work} is measured in single-message calls. */
     private record RecentCall(long atMicros, int forwarder, double work) {}
 
     private final class Endpoint {
@@ -59,7 +65,9 @@
     }
 
     private static final double MAX_WORK_FACTOR = 3;
-    private static final long REFUSAL_DELAY_MICROS = 2_000, ERROR_DELAY_MICROS = 5_000, OVERLOAD_DOWNTIME_MICROS = 3_600_000_000L;
+    private static final long REFUSAL_DELAY_MICROS = 2_000,
+            ERROR_DELAY_MICROS = 5_000,
+            OVERLOAD_DOWNTIME_MICROS = 3_600_000_000L;
 
     private final int destination;
     private final PartnerKind kind;
@@ -72,7 +80,9 @@
     private final boolean sendsRetryAfter;
     private final CallLimiter limiter;
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
-    /** Work since it came back, of the last while: what makes it fall over. */
+    /**
+     * Calls of the last {@link Recovery#overloadMicros} during recovery, which decide whether it fails under overload.
+     */
     private final ArrayDeque<RecentCall> recentCalls = new ArrayDeque<>();
 
     private final Set<Integer> forwardersThatSawFailure = new HashSet<>();
@@ -83,9 +93,9 @@
     private int overloads, overloadsByInformedForwarders;
 
     /**
-     * A partner that gets so many messages a second at full load.
+     * Creates a partner that receives {@code ratePerSecond} messages a second at full load.
      *
-     * @param meanWorkMicros of a message at a partner of usual pace
+     * @param meanWorkMicros mean processing time of a message at a partner of average speed
      */
     public Partner(
             int destination,
@@ -104,9 +114,8 @@
         double capacity = limit * (kind.limit() == PartnerKind.Limit.NONE ? 1 : random.in(kind.spareCapacity()));
         double needed = capacity * meanWorkMicros * drawnWorkFactor / 1e6 / endpointCount;
         servers = Math.max(1, (int) Math.round(needed));
-        // Servers are whole: the pace makes up for it, so that what was drawn is what the partner can do. Of a partner
-        // so
-        // small that one server is mostly idle it makes up a part only.
+        // The number of servers is rounded; the work factor compensates, so that the capacity is the drawn one. For a
+        // partner so small that one server is mostly idle, the compensation is bounded.
         workFactor = drawnWorkFactor * Math.min(MAX_WORK_FACTOR, servers / needed);
         double meanWorkSeconds = meanWorkMicros * workFactor / 1e6;
         messagesPerSecond = servers * endpointCount / meanWorkSeconds;
@@ -119,43 +128,46 @@
         limiter = new CallLimiter(kind.limit(), limit, kind.windowMicros(), random.chance(kind.countsRefusedShare()));
     }
 
-    /** Its number. */
+    /** The destination number of this partner. */
     public int destination() {
         return destination;
     }
 
-    /** Its kind. */
+    /** The kind of this partner. */
     public PartnerKind kind() {
         return kind;
     }
 
-    /** Messages a second that it can do when warm and of usual health. */
+    /** Messages a second that it can process at full capacity. */
     public double capacity() {
         return messagesPerSecond;
     }
 
-    /** Seconds that it works on a message in the mean, when warm. */
+    /** Mean processing time of a message at full capacity, seconds. */
     public double meanServiceSeconds() {
         return meanServiceSeconds;
     }
 
-    /** An endpoint is there from now on. */
+    /** Adds an endpoint. */
     public void addEndpoint(String host) {
         endpoints.put(host, new Endpoint(servers));
     }
 
-    /** An endpoint is gone. */
+    /** Removes an endpoint. */
     public void removeEndpoint(String host) {
         endpoints.remove(host);
     }
 
-    /** Its endpoints. */
+    /** Hosts of its endpoints. */
     public List<String> hosts() {
         return new ArrayList<>(endpoints.keySet());
     }
 
-    // ---- health -----------------------------------------------------------------------------------------
-    /** Something goes wrong until the given time; {@code strength}: the share that fails, or how many times slower. */
+    // Outages and recovery
+    /**
+     * Starts an outage that lasts until the given time. The strength is the share of failing calls (FAILING) or the
+     * factor of the processing time (SLOW).
+     */
     public void startOutage(Outage type, double startedStrength, long untilMicros) {
         outage = type;
         outageStrength = startedStrength;
@@ -165,7 +177,7 @@
         }
     }
 
-    /** Lowers its limit to a part until the given time, without a word; that is no outage. */
+    /** Lowers its call limit to a share until the given time, without announcing it; this is not an outage. */
     public void lowerLimit(double share, long untilMicros) {
         limiter.lower(share, untilMicros);
     }
@@ -177,40 +189,44 @@
                 recentCalls.clear();
                 endpoints
                         .values()
-                        .forEach(endpoint -> java.util.Arrays.fill(endpoint.serverFreeAtMicros, outageUntilMicros)); // what was queued is dropped
+                        .forEach(endpoint -> java.util.Arrays.fill(
+                                endpoint.serverFreeAtMicros, outageUntilMicros)); // queued calls are dropped
             }
             outage = null;
         }
         return now < overloadedUntilMicros ? Outage.DOWN : outage;
     }
 
-    /** The part of its usual work that it can do now. */
+    /** The share of its full capacity that is available now. */
     public double capacityShare(long now) {
         currentOutage(now);
         if (recoveringSinceMicros == Long.MIN_VALUE || now - recoveringSinceMicros >= recovery.rampMicros()) {
             return 1;
         }
-        return recovery.initialCapacity() + (1 - recovery.initialCapacity()) * (now - recoveringSinceMicros) / recovery.rampMicros();
+        return recovery.initialCapacity()
+                + (1 - recovery.initialCapacity()) * (now - recoveringSinceMicros) / recovery.rampMicros();
     }
 
-    /** True if it is down after it fell over, or from something that is wrong now. */
+    /** True during an outage or after a failure under overload; slowness alone does not count. */
     public boolean isUnavailable(long now) {
         return currentOutage(now) != null && currentOutage(now) != Outage.SLOW;
     }
 
-    /** True while nobody can connect to it. */
+    /** True while no connection can be opened. */
     public boolean isDown(long now) {
         return currentOutage(now) == Outage.DOWN;
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
-    /** A forwarder opens a connection; false if it holds as many as it takes. */
+    // Connections and calls
+    /** Opens a connection of a forwarder; false if the endpoint is unknown or its connection limit is reached. */
     public boolean connect(String host, int forwarder) {
         Endpoint endpoint = endpoints.get(host);
         if (endpoint == null) {
             return false;
         }
-        int openConnections = endpoint.connections.values().stream().mapToInt(Integer::intValue).sum();
+        int openConnections = endpoint.connections.values().stream()
+                .mapToInt(Integer::intValue)
+                .sum();
         if (openConnections >= maxConnections) {
             return false;
         }
@@ -218,7 +234,7 @@
         return true;
     }
 
-    /** A connection of a forwarder is closed. */
+    /** Closes a connection of a forwarder. */
     public void disconnect(String host, int forwarder) {
         Endpoint endpoint = endpoints.get(host);
         if (endpoint != null) {
@@ -226,12 +242,15 @@
         }
     }
 
-    /** A forwarder has died: its connections are gone. */
+    /** Closes all connections of a forwarder that has died. */
     public void disconnectAll(int forwarder) {
         endpoints.values().forEach(endpoint -> endpoint.connections.remove(forwarder));
     }
 
-    /** A call's last byte has come; {@code work}: of each message at a partner of usual pace, microseconds. */
+    /**
+     * Decides the answer to a call whose last byte has arrived. {@code work} is the processing time of each message at
+     * a partner of average speed, microseconds.
+     */
     public Answer call(String host, int forwarder, long[] work, long now) {
         calls++;
         Outage current = currentOutage(now);
@@ -245,7 +264,7 @@
         return answer;
     }
 
-    /** A forwarder has been told that a call or probe has failed or was refused here. */
+    /** Records that a forwarder has learned of a failed or refused call or probe. */
     public void failureSeen(int forwarder, long now) {
         if (isUnavailable(now)) {
             forwardersThatSawFailure.add(forwarder);
@@ -277,29 +296,34 @@
         for (int i = 0; i < work.length; i++) {
             totalWork += work[i] * (i == 0 ? 1 : kind.extraMessageCost());
         }
-        double serviceMicros =
-                totalWork * workFactor * random.lognormal(kind.workVariation()) / capacityShare(now) * (current == Outage.SLOW ? outageStrength : 1);
+        double serviceMicros = totalWork
+                * workFactor
+                * random.lognormal(kind.workVariation())
+                / capacityShare(now)
+                * (current == Outage.SLOW ? outageStrength : 1);
         endpoint.serverFreeAtMicros[soonest] = startMicros + (long) serviceMicros;
         served += work.length;
-        // An outage that begins before the answer takes it along; that is seen when the answer is due.
+        // An outage that begins before the answer is due suppresses it; canStillAnswer() checks that when it is due.
         return new Answer(Status.DELIVERED, startMicros + (long) serviceMicros, 0);
     }
 
     private Answer refuse(long now) {
         refused++;
-        long retryAfterMicros =
-                sendsRetryAfter && outage == null ? Math.max(random.in(kind.retryAfterMicros()), limiter.availableAtMicros(now) - now) : 0;
+        long retryAfterMicros = sendsRetryAfter && outage == null
+                ? Math.max(random.in(kind.retryAfterMicros()), limiter.availableAtMicros(now) - now)
+                : 0;
         return new Answer(Status.FULL, now + REFUSAL_DELAY_MICROS, retryAfterMicros);
     }
 
-    /** True if an answer that was decided earlier can be written now: something may have gone wrong since. */
+    /** True if an answer that was decided earlier can be written now; an outage may have begun since. */
     public boolean canStillAnswer(String host, long now) {
         Outage current = currentOutage(now);
         return endpoints.containsKey(host) && current != Outage.SILENT && current != Outage.DOWN;
     }
 
     private void checkOverload(int forwarder, double work, long now) {
-        if (recoveringSinceMicros == Long.MIN_VALUE || now - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadMicros()) {
+        if (recoveringSinceMicros == Long.MIN_VALUE
+                || now - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadMicros()) {
             recentCalls.clear();
             return;
         }
@@ -308,8 +332,14 @@
             recentCalls.removeFirst();
         }
         double totalWork = recentCalls.stream().mapToDouble(RecentCall::work).sum();
-        // A little slack for chance, as a few calls are no flood.
-        if (totalWork > 3 + recovery.overloadFactor() * messagesPerSecond * capacityShare(now) * recovery.overloadMicros() / 1e6) {
+        // The constant tolerates a few calls at low rates, which are no overload.
+        if (totalWork
+                > 3
+                        + recovery.overloadFactor()
+                                * messagesPerSecond
+                                * capacityShare(now)
+                                * recovery.overloadMicros()
+                                / 1e6) {
             double informedWork = recentCalls.stream()
                     .filter(a -> forwardersThatSawFailure.contains(a.forwarder()))
                     .mapToDouble(RecentCall::work)
@@ -321,28 +351,30 @@
         }
     }
 
-    // ---- figures ----------------------------------------------------------------------------------------
-    /** Calls that came. */
+    // Figures
+    /** Calls received. */
     public long calls() {
         return calls;
     }
 
-    /** Calls that it turned away. */
+    /** Calls refused. */
     public long refused() {
         return refused;
     }
 
-    /** Messages that it worked on. */
+    /** Messages processed. */
     public long served() {
         return served;
     }
 
-    /** How often it fell over. */
+    /** How often it failed under overload. */
     public int overloads() {
         return overloads;
     }
 
-    /** How often it fell over and two thirds of what came were from forwarders that had seen it fail. */
+    /**
+     * How often it failed under overload with at least two thirds of the work from forwarders that had seen it fail.
+     */
     public int overloadsByInformedForwarders() {
         return overloadsByInformedForwarders;
     }
--- a/src/main/java/lilaclever/lab/model/PartnerKind.java
+++ b/src/main/java/lilaclever/lab/model/PartnerKind.java
@@ -1,19 +1,19 @@
 package lilaclever.lab.model;
 
 /**
- * A kind of partner; two figures are the least and the most of what is drawn for each.
+ * A kind of partner. An array of two numbers is the range from which a value is drawn for each partner.
  *
  * @param share of all partners
- * @param large true where its partners get much of the traffic
- * @param limit how it limits calls
- * @param headroom its limit over its calls at full load
- * @param minRate a second
- * @param windowMicros of {@link Limit#WINDOW}
- * @param retryAfterShare the share of partners whose refusals tell a wait
- * @param countsRefusedShare the share of partners where refused calls use up the limit
- * @param connectionsPerServer over the calls served at once; 0: any number
- * @param maxBatch messages in a call at most
- * @param extraMessageCost work of a further message in a call, over that of the first
+ * @param large whether its partners receive the larger shares of the traffic
+ * @param limit how its partners limit calls
+ * @param headroom ratio of the call limit to the calls at full load
+ * @param minRate least call limit, calls a second
+ * @param windowMicros length of the window of {@link Limit#WINDOW}
+ * @param retryAfterShare share of partners whose refusals carry a retry-after period
+ * @param countsRefusedShare share of partners where refused calls count against the limit
+ * @param connectionsPerServer connection limit per call served at once; 0: unlimited
+ * @param maxBatch most messages in a call
+ * @param extraMessageCost processing cost of each further message in a call, relative to the first
  */
 public record PartnerKind(
         String name,
@@ -33,7 +33,7 @@
         double workVariation,
         int maxBatch,
         double extraMessageCost) {
-    /** Calls are not limited, limited by a plain rate, or by a count in each span of time. */
+    /** Calls are unlimited, limited by a plain rate, or limited by a count in each fixed window. */
     public enum Limit {
         NONE,
         RATE,
--- a/src/main/java/lilaclever/lab/model/RandomStream.java
+++ b/src/main/java/lilaclever/lab/model/RandomStream.java
@@ -7,19 +7,19 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Random numbers from a named stream of a seed. Each part of the world draws from a stream of its own, so that one
- * part's change does not move what the others draw.
+ * Random numbers from a named stream of a seed. Each part of a simulation draws from its own stream, so that a change
+ * of one part does not change the numbers drawn by the others.
  */
 public final class RandomStream {
     private final UniformRandomProvider random;
     private final ZigguratSampler.Exponential exponential;
     private final ZigguratSampler.NormalizedGaussian gaussian;
 
-    /** The stream of that name. */
+    /** Creates the stream of the given name; the name is a part of the seed. */
     public RandomStream(long seed, String name) {
         CRC32C sum = new CRC32C();
         sum.update(name.getBytes(StandardCharsets.UTF_8));
-        // SplitMix spreads neighbouring seeds; the generator then has the whole state from it.
+        // SplitMix decorrelates neighbouring seeds; its output seeds the whole state of the generator.
         long mixed = RandomSource.SPLIT_MIX_64
                 .create(seed ^ sum.getValue() << 32 ^ name.hashCode())
                 .nextLong();
@@ -28,42 +28,42 @@
         gaussian = ZigguratSampler.NormalizedGaussian.of(random);
     }
 
-    /** From 0 to under 1. */
+    /** Uniform in [0, 1). */
     public double unit() {
         return random.nextDouble();
     }
 
-    /** True with that probability. */
+    /** True with the given probability. */
     public boolean chance(double probability) {
         return random.nextDouble() < probability;
     }
 
-    /** From 0 to under the bound. */
+    /** Uniform integer in [0, bound). */
     public int below(int bound) {
         return random.nextInt(bound);
     }
 
-    /** Between two numbers, evenly. */
+    /** Uniform between two numbers. */
     public double between(double least, double most) {
         return least + (most - least) * random.nextDouble();
     }
 
-    /** Between the two numbers of a range, evenly. */
+    /** Uniform between the two numbers of a range. */
     public double in(double[] range) {
         return between(range[0], range[1]);
     }
 
-    /** Between the two times of a range, evenly, microseconds. */
+    /** Uniform between the two times of a range, microseconds. */
     public long in(long[] range) {
         return range[0] + (long) ((range[1] - range[0]) * random.nextDouble());
     }
 
-    /** Exponential with that mean. */
+    /** Exponential with the given mean. */
     public double exponential(double mean) {
         return mean * exponential.sample();
     }
 
-    /** Lognormal with mean 1 and that coefficient of variation. */
+    /** Lognormal with mean 1 and the given coefficient of variation. */
     public double lognormal(double cv) {
         double variance = Math.log1p(cv * cv);
         return Math.exp(Math.sqrt(variance) * gaussian.sample() - variance / 2);
--- a/src/main/java/lilaclever/lab/model/Traffic.java
+++ b/src/main/java/lilaclever/lab/model/Traffic.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Draws all arrivals of a run ahead. Load is a share of the full load and changes along straight lines between the
- * points of its shape; arrivals come by chance (a Poisson process, drawn by thinning), some of them in clumps for one
+ * Draws all arrivals of a run in advance. The load is a share of the full load, interpolated linearly between the
+ * points of its shape. Arrivals are a Poisson process, drawn by thinning; some of them come in bursts for one
  * destination.
  */
 public final class Traffic {
-    /** The load from a time on, up to the next point. */
+    /** The load at a time. */
     public record Point(long atMicros, double load) {}
 
     private final List<Point> shape;
@@ -20,7 +20,10 @@
     private final double[] weights;
     private final List<Partner> partners;
 
-    /** {@code weights}: of the destinations, summing to 1, in the partners' order. */
+    /**
+     * Creates the traffic; {@code weights} are the shares of the destinations, summing to 1, in the order of the
+     * partners.
+     */
     public Traffic(
             List<Point> shape,
             double messagesPerSecond,
@@ -38,7 +41,7 @@
         this.partners = partners;
     }
 
-    /** The load at a time, a share of the full load. */
+    /** The load at a time, as a share of the full load. */
     public double load(long at) {
         Point before = shape.get(0);
         for (Point p : shape) {
@@ -51,7 +54,7 @@
         return before.load();
     }
 
-    /** All arrivals up to the end, in order. */
+    /** Draws all arrivals up to the end, in order of time. */
     public List<Arrival> draw(long endMicros, RandomStream random) {
         double maxLoad = shape.stream().mapToDouble(Point::load).max().orElse(0);
         double[] cumulativeWeights = new double[weights.length];
@@ -72,9 +75,11 @@
             }
             int found = java.util.Arrays.binarySearch(cumulativeWeights, random.unit() * sum);
             int partner = Math.min(weights.length - 1, found < 0 ? -found - 1 : found + 1);
-            // Of all messages a share comes in clumps: the mean size of one is taken off the chance of beginning one.
+            // burstShare is a share of messages, so the chance of starting a burst is divided by the size of the burst.
             double burstSize = partners.get(partner).capacity() * random.in(burstSeconds);
-            int count = burstShare > 0 && random.chance(burstShare / Math.max(1, burstSize)) ? Math.max(1, (int) burstSize) : 1;
+            int count = burstShare > 0 && random.chance(burstShare / Math.max(1, burstSize))
+                    ? Math.max(1, (int) burstSize)
+                    : 1;
             for (int i = 0; i < count; i++) {
                 arrivals.add(arrival((long) (atMicros + i * 1000.0), partner, random));
             }
@@ -98,7 +103,7 @@
                 random.in(classes.get(c).workMicros()));
     }
 
-    /** The index whose part of the sum the number from 0 to 1 falls into. */
+    /** The index into whose part of the sum a number from 0 to 1 falls. */
     public static int pick(double[] parts, double unit) {
         double sum = 0;
         for (double p : parts) {
@@ -114,7 +119,7 @@
         return parts.length - 1;
     }
 
-    /** Parts that fall by Zipf's law with that exponent, summing to 1. */
+    /** Shares by Zipf's law with the given exponent, summing to 1. */
     public static double[] zipf(int count, double exponent) {
         double[] parts = new double[count];
         double sum = 0;
--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/lab/report/Comparison.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * Two sets of runs side by side. Runs of the same scenario and seed are pairs, and the mean of their differences has a
- * confidence interval of 95% (Student's t): where it holds 0, chance alone may have made the difference.
+ * Compares two sets of runs. Runs of the same scenario and seed form pairs; the mean of their differences has a 95%
+ * confidence interval (Student's t). If that contains 0, the difference may be due to chance.
  */
 public final class Comparison {
     private static final String[] FIGURES = {"service", "whole_run", "worst_10_s", "worst_class", "deductions"};
@@ -26,7 +26,7 @@
 
     private Comparison() {}
 
-    /** Reads all reports below the folder, by scenario and seed. */
+    /** Reads all reports below a folder, keyed by scenario and seed. */
     public static TreeMap<String, JsonObject> read(Path folder) throws IOException {
         TreeMap<String, JsonObject> reports = new TreeMap<>();
         try (Stream<Path> files = Files.walk(folder)) {
@@ -40,20 +40,21 @@
                                     + r.get("seed").getAsLong(),
                             r);
                 } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-                    throw new IOException(f + " is no report", e);
+                    throw new IOException(f + " is not a report", e);
                 }
             }
         }
         if (reports.isEmpty()) {
-            throw new IOException(folder + " holds no report.json");
+            throw new IOException("no report.json below " + folder);
         }
         return reports;
     }
 
-    /** The table. */
+    /** Returns the comparison as a table. */
     public static String table(Path a, Path b) throws IOException {
         TreeMap<String, JsonObject> first = read(a), second = read(b);
-        List<String> sharedRuns = first.keySet().stream().filter(second::containsKey).toList();
+        List<String> sharedRuns =
+                first.keySet().stream().filter(second::containsKey).toList();
         StringBuilder text = new StringBuilder();
         text.append(String.format(
                 Locale.ROOT,
@@ -64,7 +65,7 @@
                 b,
                 sharedRuns.size()));
         if (sharedRuns.isEmpty()) {
-            return text.append("nothing to compare: play both with the same scenarios and seeds\n")
+            return text.append("nothing to compare: run both with the same scenarios and seeds\n")
                     .toString();
         }
         text.append(String.format("%-14s %8s %8s %11s   %s%n", "figure", "A", "B", "B less A", "95% of chance"));
@@ -87,7 +88,7 @@
                     sumB / sharedRuns.size(),
                     mean(differences),
                     interval == null
-                            ? "one pair tells nothing of chance"
+                            ? "no interval from a single pair"
                             : String.format(
                                     Locale.ROOT,
                                     "%+.4f to %+.4f%s",
@@ -110,7 +111,7 @@
         return values.stream().mapToDouble(Double::doubleValue).average().orElse(0);
     }
 
-    /** The interval of 95% round the mean; null for fewer than two values. */
+    /** The 95% confidence interval of the mean; null for fewer than two values. */
     public static double[] interval(List<Double> values) {
         int n = values.size();
         if (n < 2) {
@@ -119,7 +120,8 @@
         double mean = mean(values);
         double squares =
                 values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum();
-        double half = (n - 1 <= STUDENT_T_97_5.length ? STUDENT_T_97_5[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
+        double half =
+                (n - 1 <= STUDENT_T_97_5.length ? STUDENT_T_97_5[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
         return new double[] {mean - half, mean + half};
     }
 }
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/lab/report/Page.java
@@ -11,7 +11,7 @@
 import lilaclever.lab.world.Result;
 import org.HdrHistogram.Histogram;
 
-/** The page of a run: one file with its plots in it. */
+/** The HTML page of a run: a single file with its plots embedded. */
 final class Page {
     private static final double[] NO_VALUES = {};
 
@@ -55,10 +55,15 @@
 
     private static void figures(StringBuilder html, Result r) {
         Service s = r.auditor().service();
-        html.append("<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
-                + "</tr><tr>");
+        html.append(
+                "<table><tr><th>service</th><th>whole run</th><th>worst 10 s</th><th>worst class</th><th>prices</th>"
+                        + "</tr><tr>");
         for (double x : new double[] {
-            s.figure(DeductionRates.DEFAULT), s.wholeRun(), s.worstWindow(), s.worstClass(), s.deductions(DeductionRates.DEFAULT)
+            s.figure(DeductionRates.DEFAULT),
+            s.wholeRun(),
+            s.worstWindow(),
+            s.worstClass(),
+            s.deductions(DeductionRates.DEFAULT)
         }) {
             html.append("<td>").append(String.format(Locale.ROOT, "%.3f", x)).append("</td>");
         }
@@ -85,7 +90,9 @@
         for (Breach b : breaches.subList(0, Math.min(5, breaches.size()))) {
             html.append("<p>").append(escape(b.description())).append("</p>");
             if (!b.history().isEmpty()) {
-                html.append("<pre>").append(escape(String.join("\n", b.history()))).append("</pre>\n");
+                html.append("<pre>")
+                        .append(escape(String.join("\n", b.history())))
+                        .append("</pre>\n");
             }
         }
     }
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -48,7 +48,7 @@
 
     private Plots() {}
 
-    /** A line for each series over the seconds of the run, with what happened as bands. */
+    /** Plots a line for each series over the seconds of the run, with the events as bands. */
     static String overTime(String yLabel, Map<String, double[]> lines, List<Result.Band> bands, double maxY) {
         XYSeriesCollection data = new XYSeriesCollection();
         lines.forEach((name, values) -> {
@@ -82,7 +82,7 @@
         return png(chart, WIDTH, HEIGHT);
     }
 
-    /** For each class, the share of deliveries that took longer than a time. */
+    /** Plots, for each class, the share of deliveries that took longer than a time. */
     static String latencies(Result r) {
         XYSeriesCollection data = new XYSeriesCollection();
         List<MessageClass> classes = r.scenario().classes();
@@ -104,7 +104,7 @@
         return png(chart, WIDTH, HEIGHT);
     }
 
-    /** A curve with its band of uncertainty: points of x, mean, lower and upper end. */
+    /** Plots curves with their confidence bands; a point is x, mean, lower and upper end. */
     static byte[] curve(String xLabel, String yLabel, Map<String, List<double[]>> curves) {
         YIntervalSeriesCollection data = new YIntervalSeriesCollection();
         curves.forEach((name, points) -> {
@@ -161,7 +161,7 @@
         try {
             ImageIO.write(image, "png", out);
         } catch (IOException e) {
-            throw new IllegalStateException("into memory", e);
+            throw new IllegalStateException("encoding a PNG image in memory failed", e);
         }
         return out.toByteArray();
     }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -23,15 +23,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Writes a run's folder: {@code report.json} (figures; the same scenario and seed give the same bytes), {@code
- * seconds.csv}, {@code partners.csv}, a latency log of each class, and {@code index.html} with plots.
+ * Writes the report folder of a run: {@code report.json} with the figures (in virtual time the same scenario and seed
+ * give the same bytes), {@code seconds.csv}, {@code partners.csv}, a latency histogram of each class, and {@code
+ * index.html} with plots.
  */
 public final class Report {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
     private Report() {}
 
-    /** Writes the folder. */
+    /** Writes the report folder. */
     public static void write(Result r, Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.writeString(
@@ -49,7 +50,7 @@
         Files.writeString(folder.resolve("index.html"), Page.render(r));
     }
 
-    /** All figures. */
+    /** Returns all figures of a run as JSON. */
     public static JsonObject json(Result r) {
         Auditor a = r.auditor();
         Service s = a.service();
@@ -179,7 +180,7 @@
         return csv.toString();
     }
 
-    /** A few lines for the terminal. */
+    /** Returns a short summary for the terminal. */
     public static String summary(Result r) {
         Service s = r.auditor().service();
         StringBuilder text = new StringBuilder(String.format(
--- a/src/main/java/lilaclever/lab/report/Sweep.java
+++ b/src/main/java/lilaclever/lab/report/Sweep.java
@@ -8,18 +8,24 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Service against load or a setting: a point for each, with the interval of 95% over the seeds. */
+/**
+ * The service figure against the load or a setting: a point for each value, with the 95% confidence interval over the
+ * seeds.
+ */
 public final class Sweep {
     private final List<double[]> points = new ArrayList<>();
     private final StringBuilder csv = new StringBuilder("at,service,low,high,runs,broken_rules\n");
     private final String axis;
 
-    /** {@code axis}: what is swept. */
+    /** Creates a sweep over the setting that {@code axis} names. */
     public Sweep(String axis) {
         this.axis = axis;
     }
 
-    /** The runs of one point; {@code broken}: rules broken in all of them. */
+    /**
+     * Adds the runs of one point and returns its line of text; {@code broken} is the number of rules broken in all of
+     * them.
+     */
     public String add(double at, String label, List<Double> services, int broken) {
         double mean = Comparison.mean(services);
         double[] interval = Comparison.interval(services);
@@ -44,7 +50,10 @@
         Files.write(folder.resolve("sweep.png"), Plots.curve(axis, "service", Map.of(scenario, points)));
     }
 
-    /** The highest load at which the service is still at the aim, by a straight line between points; 0 if none is. */
+    /**
+     * The highest load at which the service still meets the aim, interpolated linearly between points; 0 if there is
+     * none.
+     */
     public double highestLoadMeeting(double aim) {
         double last = 0;
         for (int i = 0; i < points.size(); i++) {
--- a/src/main/java/lilaclever/lab/scenario/Overrides.java
+++ b/src/main/java/lilaclever/lab/scenario/Overrides.java
@@ -7,15 +7,15 @@
 import lilaclever.conf.ConfigurationException;
 
 /**
- * Settings on the command line in place of a scenario's own: {@code SECTION.KEY=VALUE}, such as {@code
- * fleet.forwarders=8} or {@code "kind supplier.headroom=1 1.2"}. What they say is checked as if it stood in the file.
+ * Settings on the command line that override those of a scenario: {@code SECTION.KEY=VALUE}, such as {@code
+ * fleet.forwarders=8} or {@code "kind supplier.headroom=1 1.2"}. They are checked as if they stood in the file.
  */
 public final class Overrides {
     private static final Pattern SETTING = Pattern.compile("([a-z-]+(?: [A-Za-z0-9_-]+)?)\\.([a-z][a-z0-9-]*)=(.*)");
 
     private Overrides() {}
 
-    /** One setting. */
+    /** A setting that overrides one of the file. */
     public record Setting(String section, String key, String value) {
         /** Reads {@code SECTION.KEY=VALUE}. */
         public static Setting of(String text) throws ConfigurationException {
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The lines of a scenario with the settings in place of its own. */
+    /** Returns the lines of a scenario with the settings applied. */
     static List<String> apply(List<String> lines, List<Setting> settings) {
         List<String> all = new ArrayList<>(lines);
         for (Setting s : settings) {
@@ -42,7 +42,7 @@
         return all;
     }
 
-    /** Takes the key out of the section, with lines that continue it. */
+    /** Removes the key from the section, with its continuation lines. */
     private static void remove(List<String> all, int section, String key) {
         for (int i = section + 1; i < all.size() && !all.get(i).startsWith("["); i++) {
             if (all.get(i).matches(Pattern.quote(key) + "(\\s.*)?")) {
--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -7,8 +7,8 @@
 import lilaclever.lab.model.Traffic;
 
 /**
- * A rehearsal: a fleet, its partners, its traffic, and what happens. Two figures are the least and the most of what is
- * drawn.
+ * A scenario of a rehearsal: the fleet, its partners, its traffic and the events. An array of two numbers is the range
+ * from which a value is drawn.
  */
 public record Scenario(
         String name,
@@ -19,14 +19,15 @@
         TrafficPlan traffic,
         List<ScheduledEvent> events) {
     /**
-     * The forwarders and what they are allowed.
+     * The forwarders, their limits and their surroundings.
      *
-     * @param ratePerSecond of the whole fleet at full load
-     * @param slotFactor slots over what a forwarder's part of the full load keeps busy
-     * @param pendingSeconds messages that a forwarder may hold, in seconds of its part of the full load
-     * @param directoryDelayMicros how late the directory tells a change
-     * @param frontMemoryMicros how long the front goes on sending to a dead forwarder
-     * @param resubmitDelayMicros how long a client waits before it hands in again what was refused, or what a dead forwarder had
+     * @param ratePerSecond messages a second of the whole fleet at full load
+     * @param slotFactor ratio of a forwarder's slots to those that its part of the full load keeps busy
+     * @param pendingSeconds limit of a forwarder's pending messages, in seconds of its part of the full load
+     * @param directoryDelayMicros delay of changes in the directory
+     * @param frontMemoryMicros how long the load balancer goes on sending to a dead forwarder
+     * @param resubmitDelayMicros how long a client waits before it submits a rejected message again, or one that a dead
+     * forwarder had
      */
     public record Fleet(
             int forwarders,
@@ -53,21 +54,21 @@
             long diskBytes) {}
 
     /**
-     * What is handed in.
+     * The traffic.
      *
-     * @param burstShare the share of messages that come in clumps, and a clump's size in seconds of its partner's capacity
-     * @param hl7Share the share of messages whose clients speak HL7; in virtual time there is no wire, and it changes
-     * nothing
+     * @param burstShare share of messages that come in bursts
+     * @param hl7Share share of messages whose clients speak HL7; no effect in virtual time, where there is no wire
+     * protocol
      */
     public record TrafficPlan(
             long lengthMicros, List<Traffic.Point> shape, double burstShare, double[] burstSeconds, double hl7Share) {
-        /** True if the message comes by HL7: the same in each run. */
+        /** Whether a message is submitted over HL7; the same for a message number in every run. */
         public boolean usesHl7(int number) {
             return (number * 0x9E3779B97F4A7C15L >>> 40) / (double) (1 << 24) < hl7Share;
         }
     }
 
-    /** What can happen. */
+    /** Types of scheduled events. */
     public enum EventType {
         RESTART,
         DRAIN,
@@ -81,7 +82,7 @@
         DEAF
     }
 
-    /** Which partners it happens to. */
+    /** Which partners an event affects. */
     public enum Target {
         ANY,
         BUSIEST,
@@ -89,15 +90,15 @@
     }
 
     /**
-     * Something that happens at a time, once or several times.
+     * An event at a time, of one or more forwarders, endpoints or partners.
      *
-     * @param startMicros when it begins, drawn
-     * @param durationMicros how long it lasts; with RESTART, DRAIN: over how long it is spread
-     * @param share of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN), of the partners (others)
-     * @param kind only partners of that kind; null: any
-     * @param strength SILENT and the like: none; FAILING: the share that fails; SLOW: how many times slower; LOWERED:
-     * the part of its limit that is left; HOT: the share of all traffic
-     * @param downMicros with RESTART: how long one is away; with DRAIN: how long an endpoint drains
+     * @param startMicros start time, drawn from the range
+     * @param durationMicros duration; with RESTART and DRAIN the time over which they are spread
+     * @param share share of the forwarders (RESTART, HOT, DEAF), of the endpoints (DRAIN) or of the partners (others)
+     * @param kind affects only partners of this kind; null: any
+     * @param strength FAILING: share of failing calls; SLOW: factor of the processing time; LOWERED: remaining share of
+     * the limit; HOT: share of all traffic; unused by the others
+     * @param downMicros RESTART: how long a forwarder is down; DRAIN: how long an endpoint drains
      */
     public record ScheduledEvent(
             String name,
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -24,9 +24,9 @@
 import lilaclever.lab.scenario.Scenario.Target;
 import lilaclever.lab.scenario.Scenario.TrafficPlan;
 
-/** Reads scenarios. What a file does not set is as at a small exchange of lens labs, suppliers and processors. */
+/** Reads scenarios. Defaults describe a small exchange of lens labs, suppliers and processors. */
 public final class ScenarioReader {
-    /** The scenarios that are shipped, by name. */
+    /** Names of the shipped scenarios. */
     public static final List<String> SHIPPED = List.of(
             "quiet",
             "monday",
@@ -56,7 +56,7 @@
         return read(nameOrPath, List.of());
     }
 
-    /** The same with other settings in place of its own. */
+    /** Reads a scenario with settings that override its own. */
     public static Scenario read(String nameOrPath, List<Overrides.Setting> settings) throws ConfigurationException {
         if (SHIPPED.contains(nameOrPath)) {
             List<String> lines = Overrides.apply(text(nameOrPath).lines().toList(), settings);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Reads a scenario from lines. */
+    /** Reads a scenario from the lines of a file. */
     public static Scenario parse(String name, List<String> lines) throws ConfigurationException {
         return new ScenarioReader(ConfFile.parse(name, lines), name).read();
     }
@@ -93,7 +93,7 @@
                 BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8))) {
             return String.join("\n", lines.lines().toList()) + '\n';
         } catch (IOException e) {
-            throw new IllegalStateException(shipped + " is not in the jar", e);
+            throw new IllegalStateException("scenario " + shipped + " is missing from the jar", e);
         }
     }
 
@@ -134,7 +134,12 @@
                 s.times("directory-delay", SECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
                 s.times("front-memory", 1300 * MILLISECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
                 (int) s.whole("client-retries", 1, 0, 100),
-                s.times("comes-again", 770 * MILLISECOND_MICROS, 1900 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS),
+                s.times(
+                        "comes-again",
+                        770 * MILLISECOND_MICROS,
+                        1900 * MILLISECOND_MICROS,
+                        MILLISECOND_MICROS,
+                        HOUR_MICROS),
                 new Partner.Recovery(
                         s.share("cold-from", 0.24, 1),
                         s.time("cold-ramp", 9500 * MILLISECOND_MICROS, 0, HOUR_MICROS),
@@ -334,7 +339,12 @@
                     kind,
                     strength,
                     type == EventType.RESTART
-                            ? s.times("down", 300 * MILLISECOND_MICROS, 1500 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS)
+                            ? s.times(
+                                    "down",
+                                    300 * MILLISECOND_MICROS,
+                                    1500 * MILLISECOND_MICROS,
+                                    MILLISECOND_MICROS,
+                                    HOUR_MICROS)
                             : type == EventType.DRAIN
                                     ? s.times("down", 2 * SECOND_MICROS, 6 * SECOND_MICROS, 0, HOUR_MICROS)
                                     : new long[] {0, 0}));
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
@@ -137,7 +137,9 @@
                 attemptsOver(call, "full", true);
                 later(answer.atMicros(), () -> {
                     if (answer.retryAfterMicros() > 0 && !state.closed) {
-                        world.auditor().retryAfterReceived(number, call.endpoint.destination(), world.now(), answer.retryAfterMicros());
+                        world.auditor()
+                                .retryAfterReceived(
+                                        number, call.endpoint.destination(), world.now(), answer.retryAfterMicros());
                     }
                     boolean deaf = world.fault() == Fault.IGNORES_WAITS;
                     later(
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/lab/world/World.java
@@ -57,8 +57,8 @@
         directory =
                 new EndpointDirectory(scenario, fault, timeline, auditor, new RandomStream(seed, "directory"), members);
         partners = new PartnerFactory(scenario, seed).make(weights, directory);
-        LoadBalancer loadBalancer =
-                new LoadBalancer(timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemoryMicros());
+        LoadBalancer loadBalancer = new LoadBalancer(
+                timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemoryMicros());
         clients = new SimulatedClients(
                 scenario, timeline, auditor, series, loadBalancer, members, new RandomStream(seed, "clients"));
         forwarders = new ForwarderFleet(members, partners, directory, loadBalancer, clients, timeline, auditor);
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -291,7 +291,8 @@
             interrupt.done();
         }
         if (overLoad) {
-            System.out.printf(Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", aim, sweep.highestLoadMeeting(aim));
+            System.out.printf(
+                    Locale.ROOT, "service stays at %.2f up to a load of %.0f%%%n", aim, sweep.highestLoadMeeting(aim));
         }
         System.out.println("plot: " + folder(first).resolve("sweep.png"));
         return interrupt.come() ? Interrupt.CODE : allBroken.get() == 0 ? GOOD : BROKEN;
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/lab/audit/AuditorTest.java
@@ -10,7 +10,7 @@
 import lilaclever.lab.model.MessageClass;
 import org.junit.jupiter.api.Test;
 
-/** Each rule, kept and broken, as the auditor sees it. */
+/** Checks that the auditor detects each broken rule and reports none where all are kept. */
 class AuditorTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final int ORDER = 0, STATUS = 1, PAYMENT = 2;
@@ -29,7 +29,15 @@
                 1 / 3.0,
                 new long[] {1, 1},
                 new DecisionModule.MessageClass(
-                        aimSeconds * SECOND_MICROS, deadlineSeconds * SECOND_MICROS, 1, repeat, DecisionModule.KeyScope.ALL, 5 * SECOND_MICROS, false, lateShare, true));
+                        aimSeconds * SECOND_MICROS,
+                        deadlineSeconds * SECOND_MICROS,
+                        1,
+                        repeat,
+                        DecisionModule.KeyScope.ALL,
+                        5 * SECOND_MICROS,
+                        false,
+                        lateShare,
+                        true));
     }
 
     private void acceptMessage(int n, int messageClass, long at) {
@@ -58,7 +66,7 @@
         auditor.delivered(1, 2 * SECOND_MICROS);
         acceptMessage(2, ORDER, 0);
         attempt(2, SECOND_MICROS, "error", false);
-        attempt(2, 5 * SECOND_MICROS, "error", false); // within its window
+        attempt(2, 5 * SECOND_MICROS, "error", false); // within the repeat window
         auditor.noticeReceived(2, "undeliverable", 19 * SECOND_MICROS);
         acceptMessage(3, STATUS, 0);
         attempt(3, SECOND_MICROS, "given up", false);
@@ -67,7 +75,10 @@
         assertEquals(Set.of(), brokenRules());
         assertEquals(1, auditor.service().ofClass(PAYMENT));
         assertEquals(0, auditor.service().ofClass(ORDER));
-        assertEquals(Math.pow(0.5, (5 * SECOND_MICROS - 1.0) / SECOND_MICROS), auditor.service().ofClass(STATUS), 1e-6);
+        assertEquals(
+                Math.pow(0.5, (5 * SECOND_MICROS - 1.0) / SECOND_MICROS),
+                auditor.service().ofClass(STATUS),
+                1e-6);
     }
 
     @Test
@@ -110,14 +121,14 @@
         auditor.noticeReceived(1, "undeliverable", 6 * SECOND_MICROS + 400_000);
         acceptMessage(2, STATUS, SECOND_MICROS);
         auditor.noticeReceived(2, "deferred", 2 * SECOND_MICROS);
-        auditor.noticeReceived(2, "deferred", 3 * SECOND_MICROS); // a second notice of the same does no harm
+        auditor.noticeReceived(2, "deferred", 3 * SECOND_MICROS); // a repeated notice of the same status is allowed
         assertEquals(1, auditor.breachCounts().get(Rule.ONE_END));
         auditor.noticeReceived(2, "undeliverable", 3 * SECOND_MICROS);
         attempt(2, 4 * SECOND_MICROS, "full", true);
         assertEquals(3, auditor.breachCounts().get(Rule.ONE_END));
     }
 
-    /** While a forwarder is away, and shortly after, no end is overdue. */
+    /** While a forwarder is down, and shortly after, no final status is overdue. */
     @Test
     void restartExtendsTheTimeForAFinalStatus() {
         acceptMessage(1, STATUS, 0);
@@ -145,8 +156,8 @@
     void retryAfterPeriodsHoldUntilARestart() {
         acceptMessage(1, STATUS, 0);
         auditor.retryAfterReceived(0, 7, SECOND_MICROS, SECOND_MICROS);
-        attempt(1, SECOND_MICROS + 90_000, "full", true); // it crossed the telling
-        auditor.attemptStarted(1, 1, "e", 7, SECOND_MICROS + 500_000); // another forwarder was not told
+        attempt(1, SECOND_MICROS + 90_000, "full", true); // it crossed the answer with the retry-after period
+        auditor.attemptStarted(1, 1, "e", 7, SECOND_MICROS + 500_000); // another forwarder has not received the answer
         auditor.attemptEnded(1, "full", true, SECOND_MICROS + 500_001);
         assertEquals(Set.of(), auditor.breachCounts().keySet());
         attempt(1, SECOND_MICROS + 500_010, "full", true);
--- a/src/test/java/lilaclever/lab/fleet/FleetSimulationTest.java
+++ b/src/test/java/lilaclever/lab/fleet/FleetSimulationTest.java
@@ -7,7 +7,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A small fleet: 200 forwarders in 2 regions of 3 zones, failures of each kind in a few minutes of virtual time. */
+/**
+ * Tests with small fleets, of 200 forwarders in 2 regions of 3 zones, through failures in a few minutes of virtual
+ * time.
+ */
 class FleetSimulationTest {
     private static final double LOAD_BOUND = 1.25;
 
--- a/src/test/java/lilaclever/lab/fleet/OwnershipCheckerTest.java
+++ b/src/test/java/lilaclever/lab/fleet/OwnershipCheckerTest.java
@@ -11,7 +11,10 @@
 import lilaclever.placement.ShardGrant;
 import org.junit.jupiter.api.Test;
 
-/** The checker notices what it is there for, from holders that are told what no controller would tell them. */
+/**
+ * Checks that the checker detects each breach, with lease holders that receive events that no correct controller would
+ * send.
+ */
 class OwnershipCheckerTest {
     private static final LeaseTiming TIMING = new LeaseTiming(2_000_000, 8_000_000, 0.001, 500_000);
     private static final int SHARD = 2;
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/lab/model/PartnerTest.java
@@ -12,7 +12,7 @@
 import lilaclever.lab.model.PartnerKind.Limit;
 import org.junit.jupiter.api.Test;
 
-/** The models of partners and traffic, without any host. */
+/** Tests of the partner and traffic models alone. */
 class PartnerTest {
     private static final long SECOND_MICROS = 1_000_000;
     private static final double[] ONE = {1, 1};
@@ -40,7 +40,13 @@
 
     private static Partner partner(Limit limit) {
         Partner p = new Partner(
-                7, kind(limit, 0), 1, 10, 100_000, new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS), new RandomStream(1, "p"));
+                7,
+                kind(limit, 0),
+                1,
+                10,
+                100_000,
+                new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS),
+                new RandomStream(1, "p"));
         p.addEndpoint("e");
         return p;
     }
@@ -50,7 +56,8 @@
     }
 
     /**
-     * Whole servers gave a small partner four times the room that was drawn for it: no load was too much for the fleet.
+     * Guards against rounding to whole servers, which gave a small partner four times its drawn capacity, so that no
+     * load was too much for the fleet.
      */
     @Test
     void capacityIsTheDrawnCapacity() {
@@ -81,16 +88,18 @@
                 0.01);
     }
 
-    /** Twenty in a span of two seconds, and no more until the next begins; it tells when that is. */
+    /** Twenty calls in a window of two seconds, and none more until the next window begins, whose start it reports. */
     @Test
     void windowLimitsTheCallsInEachPeriod() {
         CallLimiter a = new CallLimiter(Limit.WINDOW, 10, 2 * SECOND_MICROS, true);
-        assertEquals(20, IntStream.range(0, 50).filter(i -> a.tryAcquire(i * 10_000L)).count());
+        assertEquals(
+                20,
+                IntStream.range(0, 50).filter(i -> a.tryAcquire(i * 10_000L)).count());
         assertEquals(2 * SECOND_MICROS, a.availableAtMicros(SECOND_MICROS));
         assertTrue(a.tryAcquire(2 * SECOND_MICROS));
     }
 
-    /** Half of a limit is left for a while, and all of it afterwards, however the limit counts. */
+    /** Half of the limit applies for a time and the whole of it afterwards, for each kind of limit. */
     @Test
     void loweredLimitAppliesUntilItsEnd() {
         for (Limit limit : List.of(Limit.WINDOW, Limit.RATE)) {
@@ -114,15 +123,20 @@
         }
     }
 
-    /** Where refused calls count, whoever goes on asking at a high rate gets nothing. */
+    /** Where refused calls count, a client that keeps calling at a high rate gets nothing through. */
     @Test
     void refusedCallsMayCountAgainstARate() {
-        CallLimiter counting = new CallLimiter(Limit.RATE, 10, SECOND_MICROS, true), notCounting = new CallLimiter(Limit.RATE, 10, SECOND_MICROS, false);
-        assertTrue(
-                IntStream.range(0, 1000).filter(i -> counting.tryAcquire(i * 10_000L)).count() < 20);
+        CallLimiter counting = new CallLimiter(Limit.RATE, 10, SECOND_MICROS, true),
+                notCounting = new CallLimiter(Limit.RATE, 10, SECOND_MICROS, false);
+        assertTrue(IntStream.range(0, 1000)
+                        .filter(i -> counting.tryAcquire(i * 10_000L))
+                        .count()
+                < 20);
         assertEquals(
                 102,
-                IntStream.range(0, 1000).filter(i -> notCounting.tryAcquire(i * 10_000L)).count(),
+                IntStream.range(0, 1000)
+                        .filter(i -> notCounting.tryAcquire(i * 10_000L))
+                        .count(),
                 3);
     }
 
@@ -136,7 +150,7 @@
         assertEquals(p.capacity() * 50, done, p.capacity() * 2);
     }
 
-    /** Guards against a partner that comes back at full strength: then nothing that is rehearsed would fall over. */
+    /** Guards against partners that recover at full capacity at once: then no rehearsal would show an overload. */
     @Test
     void recoveringPartnerStartsSlowlyAndFailsUnderOverload() {
         Partner p = partner(Limit.NONE);
@@ -150,7 +164,7 @@
             call(p, 3, 10 * SECOND_MICROS + i * 10_000L);
         }
         assertEquals(1, p.overloads());
-        assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen it refuse
+        assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen a refusal
         assertTrue(p.isUnavailable(60 * SECOND_MICROS));
     }
 
@@ -179,7 +193,7 @@
         long usual = call(slow, 0, 0).atMicros();
         slow.startOutage(Outage.SLOW, 4, 10 * SECOND_MICROS);
         assertEquals(4 * usual, call(slow, 0, 5 * SECOND_MICROS).atMicros() - 5 * SECOND_MICROS, 4);
-        assertEquals(1, slow.capacityShare(11 * SECOND_MICROS)); // slow is no outage: it does not come back cold
+        assertEquals(1, slow.capacityShare(11 * SECOND_MICROS)); // slowness is no outage and needs no recovery
     }
 
     @Test
@@ -199,7 +213,7 @@
         assertTrue(p.connect("e", 1));
     }
 
-    /** The load is kept, its shape too, and what comes in clumps counts as part of it. */
+    /** The load follows its shape, and messages in bursts count as part of it. */
     @Test
     void trafficHasTheConfiguredLoad() {
         List<MessageClass> classes = List.of(
--- a/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
+++ b/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Scenarios: those that are shipped are good, and each fault is told with its line and key. */
+/** Shipped scenarios are valid, and each error is reported with its line and key. */
 class ScenarioReaderTest {
     @Test
     void shippedScenariosAreValid() throws ConfigurationException {
@@ -73,7 +73,7 @@
                 .contains("is monday meant?"));
     }
 
-    /** Settings of the command line take the place of the file's, are checked like them, and touch nothing else. */
+    /** Settings on the command line override those of the file, are checked in the same way and change nothing else. */
     @Test
     void settingsOverrideTheFile() throws ConfigurationException {
         Scenario s = ScenarioReader.read(
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -105,8 +105,8 @@
                 () -> r.auditor().counts().toString());
         assertTrue(
                 r.auditor().breaches().stream()
-                        .anyMatch(b ->
-                                b.rule() == Rule.INVARIANT && b.description().contains("forwarder 0 died: exit code 137")),
+                        .anyMatch(b -> b.rule() == Rule.INVARIANT
+                                && b.description().contains("forwarder 0 died: exit code 137")),
                 () -> r.auditor().breaches().toString());
     }
 
