--- a/bench/java/lilaclever/journal/JournalBench.java
+++ b/bench/java/lilaclever/journal/JournalBench.java
@@ -22,8 +22,9 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * One turn of the loop as the journal sees it, with so many messages held: one is taken, attempted, ended, and the
- * store's own work is done. So compaction runs all the time, at the pace that the load needs.
+ * One turn of the event loop as the journal sees it, with a constant number of pending messages: one message is
+ * accepted and attempted, one is settled, and the store does its maintenance. Compaction therefore runs all the time,
+ * at the rate that the load needs.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.SampleTime)
@@ -36,11 +37,11 @@
 public class JournalBench {
     private static final int BODY_BYTES = 300;
 
-    /** The store. */
+    /** The store under test. */
     @Param({"segments", "one-file", "mvstore"})
     public String store;
 
-    /** Messages held all the time. */
+    /** Number of pending messages. */
     @Param({"1000", "10000", "100000", "1000000"})
     public int held;
 
@@ -50,7 +51,7 @@
     private long nextMessage;
     private final byte[] body = new byte[BODY_BYTES];
 
-    /** Fills the store. */
+    /** Fills the store with pending messages. */
     @Setup(Level.Trial)
     public void fill() throws IOException {
         new Random(1).nextBytes(body);
@@ -77,7 +78,7 @@
         openStore.endTurn();
     }
 
-    /** Bytes that the process has handed to the system, by its own account. */
+    /** Bytes that the process has passed to write calls, from /proc/self/io. */
     private static long writtenBytes() throws IOException {
         return Files.readAllLines(Path.of("/proc/self/io")).stream()
                 .filter(l -> l.startsWith("wchar: "))
@@ -86,7 +87,7 @@
                 .orElse(0);
     }
 
-    /** Prints bytes a message, and how long opening takes. */
+    /** Prints the bytes written per message, and how long opening the store takes. */
     @TearDown(Level.Trial)
     public void end() throws IOException {
         System.out.printf(
--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -19,16 +19,16 @@
 import lilaclever.routing.Submission;
 
 /**
- * The journal as it was before the segments, kept to be measured beside them: one append-only file that is written anew
- * as a whole, on the caller's thread, when most of it is past.
+ * The journal format used before segments, retained for comparison: a single append-only file that is rewritten as a
+ * whole, on the caller's thread, when most of it is obsolete.
  */
 final class OneFileJournal implements AutoCloseable {
     private static final int HEADER_BYTES = 8;
     private static final int MAX_RECORD_BYTES = 1 << 20;
     private static final long BLOCK_BYTES = 512;
-    /** Room kept for the ends of what is already held, so that new work can't use it up. */
+    /** Space reserved for the final statuses of pending messages, so that new messages can't use it up. */
     private static final long RESERVED_BYTES = 128 * 1024;
-    /** A file under this size is not worth writing anew. */
+    /** A smaller file is not worth rewriting. */
     private static final long MIN_COMPACTION_BYTES = 128 * 1024;
 
     private enum Type {
@@ -41,7 +41,7 @@
         PREVIOUS_ATTEMPTS
     }
 
-    /** What replay found of one message; fields as in the core's message. */
+    /** State of one pending message as recovered from the file. */
     public static final class Entry {
         final String front;
         final Submission submission;
@@ -71,7 +71,7 @@
         }
     }
 
-    /** The end of a message whose resending gets it again, and when that is forgotten. */
+    /** Final status that is returned for a resubmitted message, and when it expires. */
     record Remembered(FinalStatus finalStatus, long untilWall) {}
 
     private interface RecordContent {
@@ -80,7 +80,7 @@
 
     private final Path path;
     private final long maxBytes;
-    /** What is owed, and what is remembered: the state that a compaction writes. */
+    /** Pending messages and remembered final statuses: the state that a compaction writes. */
     final Map<String, Entry> pending = new LinkedHashMap<>();
 
     final Map<String, Remembered> remembered = new LinkedHashMap<>();
@@ -88,7 +88,9 @@
     private long fileBytes;
     private long liveBytes;
 
-    /** Opens the journal in the folder and replays it; it keeps within so many bytes, compaction included. */
+    /**
+     * Opens the journal in the folder and replays it; its size stays within {@code maxBytes}, also during a compaction.
+     */
     OneFileJournal(Path folder, long maxBytes) throws IOException {
         this.path = folder.resolve("journal");
         this.maxBytes = maxBytes;
@@ -97,7 +99,7 @@
         if (Files.exists(path)) {
             fileBytes = replay(Files.readAllBytes(path));
             try (FileChannel torn = FileChannel.open(path, StandardOpenOption.WRITE)) {
-                torn.truncate(fileBytes); // what follows a torn record could not be read
+                torn.truncate(fileBytes); // records after a torn one would be unreadable
             }
         }
         if (!compact()) {
@@ -113,8 +115,8 @@
         return path.resolveSibling("journal.new");
     }
 
-    // ---- writing ----------------------------------------------------------------------------------------
-    /** Takes a message on; false if there is no room for it, and then nothing was written. */
+    // Writing
+    /** Records an accepted message; false if there is no space for it, in which case nothing is written. */
     boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
         byte[] record = acceptedRecord(front, submission, deadlineWall);
         if (!hasRoom(record.length) && !(tryCompact(nowWall) && hasRoom(record.length)) || !append(record)) {
@@ -125,7 +127,7 @@
         return true;
     }
 
-    /** An attempt is about to be made. */
+    /** Records that an attempt is about to start. */
     boolean recordAttempt(String id, String host, int zone, long wall) {
         return write(Type.ATTEMPT, out -> {
             out.writeUTF(id);
@@ -135,7 +137,7 @@
         });
     }
 
-    /** An attempt has ended. */
+    /** Records the end of an attempt. */
     boolean recordOutcome(String id, boolean knownNotRun) {
         return write(Type.OUTCOME, out -> {
             out.writeUTF(id);
@@ -143,7 +145,7 @@
         });
     }
 
-    /** The message's end is decided and owed to its client. */
+    /** Records a message's final status, which its client has yet to receive. */
     boolean recordFinalStatus(String id, FinalStatus finalStatus) {
         return write(Type.FINAL_STATUS, out -> {
             out.writeUTF(id);
@@ -151,12 +153,12 @@
         });
     }
 
-    /** Nothing more is owed. */
+    /** Records that a message is settled. */
     void recordSettled(String id) {
         write(Type.SETTLED, out -> out.writeUTF(id));
     }
 
-    /** The end is to be given again to whoever resends the message. */
+    /** Records a final status to be returned for a resubmitted message. */
     void remember(String identity, FinalStatus finalStatus, long untilWall) {
         write(Type.REMEMBERED, out -> writeRemembered(out, identity, new Remembered(finalStatus, untilWall)));
     }
@@ -212,11 +214,11 @@
             ByteBuffer.wrap(record).putInt(record.length - HEADER_BYTES).putInt((int) sum.getValue());
             return record;
         } catch (IOException e) {
-            throw new UncheckedIOException(e); // memory does not fail so
+            throw new UncheckedIOException(e); // can't happen when writing to memory
         }
     }
 
-    /** All attempts of a message in one record: what a compaction makes of them. */
+    /** Writes all previous attempts of a message as one record, for a compaction. */
     private static void writePreviousAttempts(DataOutputStream out, Entry e) throws IOException {
         out.writeUTF(e.submission.id());
         out.writeInt(e.attempts);
@@ -242,7 +244,7 @@
             fileBytes += record.length;
             return true;
         } catch (IOException e) {
-            // A part of the record may be in the file: cut it off, or what follows could not be read.
+            // A part of the record may be in the file. It is cut off, since records after it would be unreadable.
             try {
                 file.truncate(fileBytes);
             } catch (IOException again) {
@@ -253,13 +255,13 @@
         }
     }
 
-    // ---- room -------------------------------------------------------------------------------------------
-    /** True while the file, a further record and the file's next writing fit together. */
+    // Free space and compaction
+    /** True while the file, one more record and the file of the next compaction fit into the limit together. */
     private boolean hasRoom(long record) {
         return fileBytes + liveBytes + 2 * record + RESERVED_BYTES + 2 * BLOCK_BYTES <= maxBytes;
     }
 
-    /** Writes the file anew if most of it is past, or if the room for ends gets short; called once a turn. */
+    /** Compacts the file if most of it is obsolete, or if the reserved space runs short; called once a turn. */
     void compactIfNeeded(long nowWall) {
         boolean scarce =
                 fileBytes + liveBytes + RESERVED_BYTES > maxBytes && fileBytes > liveBytes + RESERVED_BYTES / 4;
@@ -274,14 +276,14 @@
             return compact();
         } catch (IOException e) {
             System.err.println("lilaclever: journal: " + e);
-            temporaryPath().toFile().delete(); // a part of it would take room from the file that counts
+            temporaryPath().toFile().delete(); // a partial file would take space from the valid one
             return false;
         }
     }
 
     /**
-     * Writes what is live to a new file, then puts it in the old one's place: a kill leaves one or the other.
-     * False if the two have no room side by side, and then nothing was done.
+     * Writes the live state to a new file and atomically replaces the old one with it, so that a kill leaves one or the
+     * other. False if there is no space for both, in which case nothing is done.
      */
     private boolean compact() throws IOException {
         ByteArrayOutputStream all = new ByteArrayOutputStream();
@@ -315,8 +317,8 @@
         return true;
     }
 
-    // ---- reading ----------------------------------------------------------------------------------------
-    /** Applies the whole records; gives their length. */
+    // Reading
+    /** Applies all complete records and returns their total length. */
     private int replay(byte[] bytes) {
         ByteBuffer in = ByteBuffer.wrap(bytes);
         int validBytes = 0;
@@ -324,7 +326,7 @@
             int length = in.getInt();
             int sum = in.getInt();
             if (length <= 0 || length > MAX_RECORD_BYTES || length > in.remaining()) {
-                return validBytes; // torn by a kill: its consequence has not happened
+                return validBytes; // torn by a kill, so nothing that depends on this record has happened
             }
             ByteBuffer content = in.slice(in.position(), length);
             in.position(in.position() + length);
--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -6,9 +6,10 @@
 import java.util.Random;
 
 /**
- * How long a folder takes to open, and with how much memory, in a process of its own: {@code fill KIND HELD FOLDER}
- * makes a folder with so many messages held and three times as many past, {@code remember HELD FOLDER} one with so many
- * remembered ends, {@code open KIND FOLDER} opens it and prints milliseconds and the most memory that the process had.
+ * Measures the time and memory that opening a journal folder takes, in a separate process. {@code fill KIND HELD
+ * FOLDER} makes a folder with that many pending messages and three times as many settled ones, {@code remember HELD
+ * FOLDER} one with that many remembered final statuses, and {@code open KIND FOLDER} opens it and prints the
+ * milliseconds and the peak memory of the process.
  */
 final class OpeningRun {
     private OpeningRun() {}
--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -10,7 +10,7 @@
 import org.h2.mvstore.MVMap;
 import org.h2.mvstore.MVStore;
 
-/** One way to keep what is owed, as the core uses it: what a turn wrote is in a file before the turn's end. */
+/** A store of pending messages as the core uses it: what a turn wrote is in a file before the end of the turn. */
 interface Store extends AutoCloseable {
     long MAX_BYTES = 8L << 30;
 
@@ -22,7 +22,7 @@
 
     void recordSettled(String id);
 
-    /** The end of a turn: a slice of the store's own work. */
+    /** Ends a turn, with a slice of the store's maintenance. */
     void endTurn();
 
     int pendingCount();
@@ -43,7 +43,7 @@
         return new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000);
     }
 
-    /** The journal of this project. */
+    /** The segmented journal, which the program uses. */
     final class Segments implements Store {
         private final Journal journal;
 
@@ -94,7 +94,7 @@
         }
     }
 
-    /** The journal as it was. */
+    /** The former journal of a single file. */
     final class OneFile implements Store {
         private final OneFileJournal journal;
 
@@ -140,7 +140,9 @@
         }
     }
 
-    /** H2's MVStore: an entry a message, changed in place; a commit a turn, compaction by its own thread. */
+    /**
+     * H2's MVStore, with one entry per message, changed in place, one commit per turn and compaction on its own thread.
+     */
     final class H2 implements Store {
         private final MVStore store;
         private final MVMap<String, byte[]> pending;
@@ -198,7 +200,7 @@
 
         @Override
         public void close() {
-            store.closeImmediately(); // as a killed process leaves it
+            store.closeImmediately(); // leaves the file as a killed process would
         }
     }
 }
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -16,10 +16,10 @@
 import lilaclever.routing.Submission;
 
 /**
- * Turns of the journal, and what the longest of them were spent on: each operation on the disk is timed, so that what
- * the system took is told from what the code took. {@code TurnRun turns HELD TURNS}: back to back, no forcing.
- * {@code TurnRun durability HOW RATE SECONDS}: turns at a steady rate, as the loop has them; how long a turn takes, and
- * how long what waits for the disk has to wait.
+ * Measures turns of the journal and shows where the longest of them spent their time. Each disk operation is timed, to
+ * separate the time of the operating system from that of the code. {@code TurnRun turns HELD TURNS} runs turns back to
+ * back, without syncs. {@code TurnRun durability HOW RATE SECONDS} runs turns at a steady rate, as the event loop does,
+ * and measures the duration of a turn and the delay until its records are durable.
  */
 public final class TurnRun {
     private static final int BODY_BYTES = 300, REPORTED_TURNS = 12;
@@ -28,8 +28,8 @@
     private static final long MAX_BYTES = 4L << 30;
 
     /**
-     * What a turn took, nanoseconds: in all, of the processor, in the disk's operations, and in the longest of these;
-     * milliseconds of collections.
+     * Duration of a turn in nanoseconds: wall-clock time, CPU time, time in disk operations and in the longest of them;
+     * and the milliseconds of garbage collection in it.
      */
     private record Turn(
             long index,
@@ -58,7 +58,7 @@
         journal.setLoop(loopTasks::add);
     }
 
-    /** Runs what the arguments name. */
+    /** Runs the measurement that the arguments name. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("turn-run");
         try {
@@ -210,7 +210,7 @@
                         sorted[sorted.length - 1] / 1e3);
     }
 
-    /** A disk that times its operations. */
+    /** A disk that measures the duration of its operations. */
     private static final class TimedDisk implements Disk {
         private final Disk real;
         private final ConcurrentLinkedQueue<Long> syncNanos = new ConcurrentLinkedQueue<>();
@@ -314,7 +314,7 @@
 
             @Override
             public void sync() throws IOException {
-                long began = System.nanoTime(); // on the forcing thread
+                long began = System.nanoTime(); // on the sync thread
                 file.sync();
                 syncNanos.add(System.nanoTime() - began);
             }
--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -8,8 +8,8 @@
 import lilaclever.routing.FinalStatus;
 
 /**
- * What Jazzer is given to break: bytes of a connection go through frames, batches, header, fields and answers as they
- * do in the program. Only {@link FrameReader.Spoilt} and {@link Hl7Fault} may come out, and no answer may hold a byte
+ * Fuzz target for Jazzer: the bytes of a connection go through frames, batches, header, fields and answers as they do
+ * in the program. Only {@link FrameReader.Spoilt} and {@link Hl7Fault} may be thrown, and no answer may contain a byte
  * that ends a frame. {@code bench/fuzz} runs it.
  */
 public final class MllpFuzzer {
@@ -36,7 +36,7 @@
 
     private MllpFuzzer() {}
 
-    /** One connection's bytes, read in two pieces. */
+    /** Reads the bytes of one connection in two pieces. */
     public static void fuzzerTestOneInput(byte[] data) {
         FrameReader frames = new FrameReader(MAX_FRAME_BYTES);
         int cut = data.length / 2;
@@ -44,7 +44,7 @@
             frames.read(java.util.Arrays.copyOf(data, cut)).forEach(MllpFuzzer::processFrame);
             frames.read(java.util.Arrays.copyOfRange(data, cut, data.length)).forEach(MllpFuzzer::processFrame);
         } catch (FrameReader.Spoilt e) {
-            processFrame(data); // most inputs are no frames: what they hold is tried as a message
+            processFrame(data); // most inputs are not valid frames; they are tried as a message
         }
     }
 
@@ -64,7 +64,7 @@
             header = Header.read(message);
             Request r = READER.read(header, message);
             if (r.identity().isEmpty() || r.deliveryKey().length() > 128 || r.budgetMicros() < 0) {
-                throw new IllegalStateException("not in our terms: " + r);
+                throw new IllegalStateException("request violates its constraints: " + r);
             }
             checkAnswer(ACKS.good(Code.CA, header));
             checkAnswer(ACKS.failed(Code.AE, header, FinalStatus.of(FinalStatus.Kind.FAILED)));
--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -9,9 +9,9 @@
 import java.util.regex.Pattern;
 import lilaclever.lab.sockets.Wire;
 
-/** The platform's agent as an idle forwarder meets it: no change ever comes, and it may be out of order. */
+/** Stand-in for the platform's agent towards an idle forwarder: it never reports a change, and may misbehave. */
 final class AgentStandIn implements AutoCloseable {
-    /** How the agent treats a call. */
+    /** How the agent answers calls. */
     enum Behaviour {
         ANSWERS,
         REFUSES,
@@ -24,7 +24,7 @@
 
     private final Behaviour behaviour;
     private final ServerSocket server;
-    /** A port that is taken where nobody listens. */
+    /** Bound to a port without listening, so that connections to it are refused. */
     private final Socket boundSocket;
 
     AgentStandIn(Behaviour behaviour) throws IOException {
@@ -57,7 +57,7 @@
                 startDaemon(() -> serve(socket));
             }
         } catch (IOException e) {
-            // closed: the run is over
+            // closed at the end of the run
         }
     }
 
@@ -75,7 +75,7 @@
                 }
             }
         } catch (IOException | InterruptedException e) {
-            // the forwarder has ended
+            // the forwarder has stopped
         }
     }
 
--- a/bench/java/lilaclever/scale/CountingDisk.java
+++ b/bench/java/lilaclever/scale/CountingDisk.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import lilaclever.journal.Disk;
 
-/** A disk that counts the bytes that are written to it. */
+/** A disk that counts the bytes written to it. */
 final class CountingDisk implements Disk {
     private final Disk real;
     private long writtenBytes;
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -18,14 +18,16 @@
 import lilaclever.scale.AgentStandIn.Behaviour;
 
 /**
- * What an event costs the built program over real sockets: {@code EventRun JAR EVENTS...}. Clients hand in one message
- * after the other, and one endpoint takes each. Each line of the output is a {@link Sample}.
+ * Measures the cost of an event in the built program over real sockets: {@code EventRun JAR EVENTS...}. Clients submit
+ * one message after the other, and one endpoint accepts each. Each line of the output is a {@link Sample}.
  */
 final class EventRun {
     private static final int CLIENTS = 4, WARM_UP_EVENTS = 10_000;
-    /** Each client hands in a message so often at most, so that none has to be refused: 800 a second by all. */
+    /**
+     * Least interval between the messages of a client, so that none has to be rejected: 800 a second from all clients.
+     */
     private static final long SEND_INTERVAL_NANOS = 5_000_000;
-    /** Longer than the deadline of a message: what is not delivered by then never will be. */
+    /** Longer than the deadline of a message; later deliveries are impossible. */
     private static final long MAX_WAIT_SECONDS = 10;
 
     private static final String BODY = "x".repeat(300);
@@ -89,14 +91,14 @@
                         + "\r\nX-Envelope: dest=0\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY);
                 Wire.Head answer = wire.read();
                 if (answer == null || !answer.target().startsWith("202")) {
-                    throw new IOException(id + " was not taken on: " + answer);
+                    throw new IOException(id + " was not accepted: " + answer);
                 }
             }
         }
         return null;
     }
 
-    /** One endpoint that takes every message at once. */
+    /** An endpoint that accepts every message at once. */
     private static final class Endpoint implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
         private volatile CountDownLatch expected = new CountDownLatch(0);
@@ -121,7 +123,7 @@
                     AgentStandIn.startDaemon(() -> serve(socket));
                 }
             } catch (IOException e) {
-                // closed: the run is over
+                // closed at the end of the run
             }
         }
 
@@ -132,7 +134,7 @@
                     expected.countDown();
                 }
             } catch (IOException e) {
-                // the forwarder has closed it
+                // the forwarder has closed the connection
             }
         }
 
--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -21,8 +21,8 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /**
- * Lays a line through each measure of all {@code *.samples.tsv} in a folder, writes {@code fits.tsv} there, and a plot
- * of each measure that decides something. {@code FitRun FOLDER}.
+ * Fits a line to each measure of all {@code *.samples.tsv} in a folder, and writes {@code fits.tsv} and plots of the
+ * main measures there. {@code FitRun FOLDER}.
  */
 final class FitRun {
     private static final Set<String> PLOTTED = Set.of(
@@ -50,7 +50,7 @@
             List<Sample> samples = measure.getValue();
             long sizes = samples.stream().mapToDouble(Sample::size).distinct().count();
             if (sizes < MIN_SIZES) {
-                continue; // measured at one size, as the ways of an agent are
+                continue; // measured at too few sizes, as the agent's behaviours are
             }
             Slope slope = Slope.fit(samples.stream()
                     .map(s -> new Slope.Point(s.size(), s.value()))
--- a/bench/java/lilaclever/scale/ForwarderProcess.java
+++ b/bench/java/lilaclever/scale/ForwarderProcess.java
@@ -17,10 +17,10 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** The built program in a process of its own, which serves, and what it uses. */
+/** The built program, serving in a separate process, and its resource usage. */
 final class ForwarderProcess implements AutoCloseable {
     private static final Path JAVA_BIN = Path.of(System.getProperty("java.home"), "bin");
-    /** Ticks of the processor clock in /proc are 10 ms on every Linux that the program runs on. */
+    /** CPU ticks in /proc are 10 ms on every Linux that the program supports. */
     private static final double SECONDS_PER_TICK = 0.01;
 
     private static final int USER_TICKS = 11, SYSTEM_TICKS = 12;
@@ -35,8 +35,8 @@
     private int port;
 
     /**
-     * Starts the jar, with its archive of classes beside it, with so many endpoints known, each of a destination of
-     * its own.
+     * Starts the jar, using the class data archive beside it, with the given number of known endpoints, each of its own
+     * destination.
      */
     ForwarderProcess(Path jar, String agent, int endpoints, String endpointAddress) throws IOException {
         folder = Files.createTempDirectory("scale");
@@ -97,29 +97,29 @@
         throw new IOException("the program did not start:\n" + log);
     }
 
-    /** Where it takes messages. */
+    /** Address at which it accepts messages. */
     InetSocketAddress address() {
         return new InetSocketAddress("127.0.0.1", port);
     }
 
-    /** From the start of the process until it serves, wall clock. */
+    /** Wall-clock time from the start of the process until it serves. */
     double startSeconds() {
         return startSeconds;
     }
 
-    /** Processor time of all threads until it serves. */
+    /** CPU time of all threads until it serves. */
     double startCpuSeconds() {
         return startCpuSeconds;
     }
 
-    /** Processor time of all threads since the start. */
+    /** CPU time of all threads since the start. */
     double cpuSeconds() throws IOException {
         String stat = Files.readString(Path.of("/proc", Long.toString(process.pid()), "stat"));
         String[] fields = stat.substring(stat.lastIndexOf(')') + 2).split(" ");
         return (Long.parseLong(fields[USER_TICKS]) + Long.parseLong(fields[SYSTEM_TICKS])) * SECONDS_PER_TICK;
     }
 
-    /** Bytes of the heap that can be reached, after a full collection. */
+    /** Bytes of live heap objects, after a full garbage collection. */
     long liveHeapBytes() throws IOException {
         Process histogram = new ProcessBuilder(
                         JAVA_BIN.resolve("jcmd").toString(), Long.toString(process.pid()), "GC.class_histogram")
@@ -129,7 +129,8 @@
             String text = new String(out.readAllBytes(), StandardCharsets.UTF_8);
             Matcher total = HISTOGRAM_TOTAL.matcher(text);
             if (!total.find()) {
-                throw new IOException("no histogram: " + text.lines().limit(5).toList());
+                throw new IOException(
+                        "no class histogram: " + text.lines().limit(5).toList());
             }
             return Long.parseLong(total.group(1));
         }
@@ -143,7 +144,7 @@
                 .sum();
     }
 
-    /** The most memory that the process has had, bytes. */
+    /** Peak resident memory of the process, bytes. */
     long peakMemoryBytes() throws IOException {
         return Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "status")).stream()
                 .filter(line -> line.startsWith("VmHWM"))
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -13,12 +13,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Figures of hollow forwarders: {@code destinations SIZE...}, {@code held SIZE...} and {@code events SIZE...} by
- * destinations listed, messages held for destinations that are down, and events delivered. Each line of the output is
- * a {@link Sample}. Processor time is that of the loop alone: collections of the heap run on other threads.
+ * Measures forwarders without sockets: {@code destinations SIZE...} by listed destinations, {@code held SIZE...} by
+ * pending messages for destinations that are down, and {@code events SIZE...} by delivered events. Each line of the
+ * output is a {@link Sample}. CPU time is that of the event loop alone; garbage collections run on other threads.
  */
 final class HollowRun {
-    /** What one owner has at the size that the fleet is planned for. */
+    /** Destinations of one owner at the planned size of the fleet. */
     private static final int OWNED_DESTINATIONS = 374, DOWN_DESTINATIONS = 4;
 
     private static final int BODY_BYTES = 300;
@@ -39,7 +39,8 @@
     public static void main(String[] args) throws IOException {
         int[] sizes =
                 Arrays.stream(args, 1, args.length).mapToInt(Integer::parseInt).toArray();
-        measureEvents("", OWNED_DESTINATIONS, WARM_UP_EVENTS); // compiled by the time that it is measured
+        measureEvents(
+                "", OWNED_DESTINATIONS, WARM_UP_EVENTS); // warm-up, so that the code is compiled before it is measured
         for (int size : sizes) {
             switch (args[0]) {
                 case "destinations" -> measureDestinations(size);
@@ -91,7 +92,7 @@
         try {
             return new HollowForwarder(folder, destinations, firstDown, maxPending);
         } catch (IOException e) {
-            throw new IllegalStateException("a new folder", e);
+            throw new IllegalStateException("opening a forwarder in a new folder failed", e);
         }
     }
 
@@ -124,7 +125,7 @@
         });
     }
 
-    /** Turns in each of which one message for a healthy destination comes, while the others wait. */
+    /** Measures turns with one message for a healthy destination each, while the other messages are pending. */
     private static Histogram busyTurns(HollowForwarder forwarder) {
         Histogram turns = new Histogram(MAX_TURN_NANOS, 3);
         for (int i = 0; i < BUSY_TURNS; i++) {
@@ -137,11 +138,11 @@
 
     private static void requirePending(HollowForwarder forwarder, int size) {
         if (forwarder.held() != size) {
-            throw new IllegalStateException("held " + forwarder.held() + " of " + size);
+            throw new IllegalStateException("pending " + forwarder.held() + " of " + size);
         }
     }
 
-    /** Nothing is printed where the measure has no name. */
+    /** Prints nothing if the name of the measure is empty. */
     private static void measureEvents(String measure, int destinations, int events) throws IOException {
         withTemporaryFolder(folder -> {
             CountingDisk disk = new CountingDisk(FolderDisk.lock(folder));
--- a/bench/java/lilaclever/scale/ProcessRun.java
+++ b/bench/java/lilaclever/scale/ProcessRun.java
@@ -8,12 +8,12 @@
 import lilaclever.scale.AgentStandIn.Behaviour;
 
 /**
- * Figures that need the built program in a process of its own: {@code listed JAR SIZE...} gives heap, memory and start
- * by endpoints known, {@code idle JAR SECONDS SIZE...} the processor time of an idle process by endpoints known and by
- * how its agent behaves. Each line of the output is a {@link Sample}.
+ * Measures the built program in a separate process: {@code listed JAR SIZE...} the heap, memory and start time by
+ * number of known endpoints, {@code idle JAR SECONDS SIZE...} the CPU time of an idle process by number of known
+ * endpoints and by behaviour of its agent. Each line of the output is a {@link Sample}.
  */
 final class ProcessRun {
-    /** What a process does in its first seconds, such as compiling, is no part of being idle. */
+    /** Excludes the first seconds of a process, in which it still compiles code. */
     private static final long SETTLE_MILLIS = 5_000;
 
     private static final String UNUSED_ADDRESS = "127.0.0.1:9";
