--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -47,7 +47,7 @@
         final Submission submission;
         final long deadlineWall;
         final int recordBytes;
-        int attempts;
+        int attemptCount;
         boolean inProgress, mayHaveRun;
         String host = "", firstRunHost = "";
         int zone, firstRunZone;
@@ -221,7 +221,7 @@
     /** Writes all previous attempts of a message as one record, for a compaction. */
     private static void writePreviousAttempts(DataOutputStream out, Entry e) throws IOException {
         out.writeUTF(e.submission.id());
-        out.writeInt(e.attempts);
+        out.writeInt(e.attemptCount);
         out.writeBoolean(e.inProgress);
         out.writeUTF(e.host);
         out.writeInt(e.zone);
@@ -290,7 +290,7 @@
         for (Entry e : pending.values()) {
             String id = e.submission.id();
             all.write(acceptedRecord(e.front, e.submission, e.deadlineWall));
-            if (e.attempts > 0) {
+            if (e.attemptCount > 0) {
                 all.write(record(Type.PREVIOUS_ATTEMPTS, out -> writePreviousAttempts(out, e)));
             }
             if (e.finalStatus != null) {
@@ -362,7 +362,7 @@
             }
             switch (type) {
                 case ATTEMPT -> {
-                    e.attempts++;
+                    e.attemptCount++;
                     e.inProgress = true;
                     e.host = in.readUTF();
                     e.zone = in.readInt();
@@ -375,7 +375,7 @@
                     }
                 }
                 case PREVIOUS_ATTEMPTS -> {
-                    e.attempts = in.readInt();
+                    e.attemptCount = in.readInt();
                     e.inProgress = in.readBoolean();
                     e.host = in.readUTF();
                     e.zone = in.readInt();
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -76,12 +76,12 @@
         }
     }
 
-    private void runTurn(int held, Runnable onDurable) {
+    private void runTurn(int pendingCount, Runnable onDurable) {
         accept();
         journal.whenDurable(onDurable);
         journal.recordAttempt("message-" + nextMessage, "endpoint-7", 0, 1);
         journal.recordOutcome("message-" + nextMessage, true);
-        journal.recordSettled("message-" + (nextMessage - held));
+        journal.recordSettled("message-" + (nextMessage - pendingCount));
         nextMessage++;
         journal.maintain(0);
     }
@@ -94,18 +94,18 @@
         }
     }
 
-    private void fill(int held) {
-        while (nextMessage < held) {
+    private void fill(int pendingCount) {
+        while (nextMessage < pendingCount) {
             accept();
             nextMessage++;
             journal.maintain(0);
         }
     }
 
-    private void measureTurns(int held, long turns) throws IOException {
-        fill(held);
+    private void measureTurns(int pendingCount, long turns) throws IOException {
+        fill(pendingCount);
         for (long i = 0; i < turns / 4; i++) {
-            runTurn(held, () -> {});
+            runTurn(pendingCount, () -> {});
         }
         PriorityQueue<Turn> longest = new PriorityQueue<>(Comparator.comparingLong(Turn::totalNanos));
         java.lang.management.ThreadMXBean thread = java.lang.management.ManagementFactory.getThreadMXBean();
@@ -115,7 +115,7 @@
             long collectedBefore = collectionMillis();
             long cpuStartNanos = thread.getCurrentThreadCpuTime();
             long startNanos = System.nanoTime();
-            runTurn(held, () -> {});
+            runTurn(pendingCount, () -> {});
             long totalNanos = System.nanoTime() - startNanos;
             long cpuNanos = thread.getCurrentThreadCpuTime() - cpuStartNanos;
             maxCpuNanos = Math.max(maxCpuNanos, cpuNanos);
@@ -136,7 +136,7 @@
         System.out.printf(
                 "held %d, turns %d: over 2 ms %d, by the processor's time (the system's for it included) %d; "
                         + "most of the processor's time %.0f us%n",
-                held, turns, slowTurns, slowCpuTurns, maxCpuNanos / 1e3);
+                pendingCount, turns, slowTurns, slowCpuTurns, maxCpuNanos / 1e3);
         List<Turn> sorted = new ArrayList<>(longest);
         sorted.sort(Comparator.comparingLong(Turn::totalNanos).reversed());
         for (Turn t : sorted) {
@@ -163,8 +163,8 @@
     }
 
     private void measureSteadyRate(String mode, int rate, int seconds) throws IOException {
-        int held = 1000;
-        fill(held);
+        int pendingCount = 1000;
+        fill(pendingCount);
         int turns = rate * seconds;
         long[] turnNanos = new long[turns], durableNanos = new long[turns];
         long startNanos = System.nanoTime() + 1_000_000_000L;
@@ -178,7 +178,7 @@
             }
             long turnStartNanos = System.nanoTime();
             int index = i++;
-            runTurn(held, () -> durableNanos[index] = System.nanoTime() - turnStartNanos);
+            runTurn(pendingCount, () -> durableNanos[index] = System.nanoTime() - turnStartNanos);
             turnNanos[index] = System.nanoTime() - turnStartNanos;
         }
         long endNanos = System.nanoTime() + 2_000_000_000L;
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -69,11 +69,11 @@
 
     private static void measureDestinations(int size) throws IOException {
         withTemporaryFolder(folder -> {
-            long before = Usage.liveHeapBytes();
+            long heapBytesBefore = Usage.liveHeapBytes();
             HollowForwarder[] started = new HollowForwarder[1];
             double start = Usage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
             try (HollowForwarder forwarder = started[0]) {
-                Sample.print("destination_heap", size, Usage.liveHeapBytes() - before, "bytes");
+                Sample.print("destination_heap", size, Usage.liveHeapBytes() - heapBytesBefore, "bytes");
                 Sample.print("destination_start_cpu", size, start, "s");
                 double changes = Usage.cpuSeconds(() -> {
                     for (int i = 0; i < CHANGES; i++) {
@@ -98,7 +98,7 @@
 
     private static void measurePending(int size) throws IOException {
         withTemporaryFolder(folder -> {
-            long before = Usage.liveHeapBytes();
+            long heapBytesBefore = Usage.liveHeapBytes();
             try (HollowForwarder forwarder = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size)) {
                 for (int i = 0; i < size; i++) {
                     forwarder.handIn(1 + i % DOWN_DESTINATIONS, new byte[BODY_BYTES]);
@@ -108,7 +108,7 @@
                 }
                 forwarder.turn();
                 requirePending(forwarder, size);
-                Sample.print("held_heap", size, Usage.liveHeapBytes() - before, "bytes");
+                Sample.print("held_heap", size, Usage.liveHeapBytes() - heapBytesBefore, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
                 double waiting = Usage.cpuSeconds(() -> forwarder.pass(WAITING_SECONDS * HollowForwarder.SECOND));
                 Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
--- a/bench/java/lilaclever/scale/ProcessRun.java
+++ b/bench/java/lilaclever/scale/ProcessRun.java
@@ -57,7 +57,7 @@
         try (AgentStandIn agent = new AgentStandIn(behaviour);
                 ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), size, UNUSED_ADDRESS)) {
             Thread.sleep(SETTLE_MILLIS);
-            double before = forwarder.cpuSeconds();
+            double cpuSecondsBefore = forwarder.cpuSeconds();
             long bytesBefore = forwarder.transferredBytes();
             long startNanos = System.nanoTime();
             Thread.sleep(seconds * 1_000);
@@ -66,7 +66,7 @@
             Sample.print(
                     "idle_cpu_agent_" + behaviourName,
                     size,
-                    (forwarder.cpuSeconds() - before) / elapsedSeconds,
+                    (forwarder.cpuSeconds() - cpuSecondsBefore) / elapsedSeconds,
                     "core");
             Sample.print(
                     "idle_bytes_agent_" + behaviourName,
--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -63,8 +63,8 @@
             this.workMicros = workMicros;
         }
 
-        void addLine(long at, String what) {
-            lines.add(String.format(java.util.Locale.ROOT, "%.3f s %s", at / 1e6, what));
+        void addLine(long atMicros, String what) {
+            lines.add(String.format(java.util.Locale.ROOT, "%.3f s %s", atMicros / 1e6, what));
         }
     }
 
@@ -122,16 +122,16 @@
     }
 
     /** Records a broken rule that concerns no single message. */
-    public void addBreach(Rule rule, long at, String what) {
-        breach(rule, at, what, null);
+    public void addBreach(Rule rule, long atMicros, String what) {
+        breach(rule, atMicros, what, null);
     }
 
-    private void breach(Rule rule, long at, String description, MessageHistory history) {
+    private void breach(Rule rule, long atMicros, String description, MessageHistory history) {
         breachCounts.merge(rule, 1, Integer::sum);
         if (breaches.size() < MAX_BREACHES) {
             breaches.add(new Breach(
                     rule,
-                    at,
+                    atMicros,
                     description,
                     history == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY
                             ? List.of()
@@ -141,60 +141,65 @@
 
     // Events at clients
     /** A message is submitted for the first time. */
-    public void messageArrived(int number, int messageClass, int destination, long workMicros, long at) {
+    public void messageArrived(int number, int messageClass, int destination, long workMicros, long atMicros) {
         MessageHistory history = new MessageHistory(
-                number, messageClass, at, at + classes.get(messageClass).terms().deadlineMicros(), workMicros);
-        history.addLine(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
+                number,
+                messageClass,
+                atMicros,
+                atMicros + classes.get(messageClass).terms().deadlineMicros(),
+                workMicros);
+        history.addLine(atMicros, classes.get(messageClass).name() + " " + number + " for destination " + destination);
         histories.put(number, history);
         service.addOfferedWork(workMicros);
         count("messages");
     }
 
     /** A message is submitted to a forwarder. */
-    public void submitted(int number, int forwarder, long at) {
+    public void submitted(int number, int forwarder, long atMicros) {
         MessageHistory history = histories.get(number);
         if (history != null) {
             history.earlierAttempts = history.attempts.size();
-            history.addLine(at, "submitted to forwarder " + forwarder);
+            history.addLine(atMicros, "submitted to forwarder " + forwarder);
         }
         count("hand_ins");
     }
 
     /** The forwarder has answered its client that it accepted the message. */
-    public void accepted(int number, int forwarder, long at) {
+    public void accepted(int number, int forwarder, long atMicros) {
         count("taken");
         MessageHistory history = histories.get(number);
         if (history != null) {
-            history.acceptedAtMicros = at;
+            history.acceptedAtMicros = atMicros;
             history.forwarder = forwarder;
             history.noticedStatus = null;
-            history.addLine(at, "accepted");
+            history.addLine(atMicros, "accepted");
         }
     }
 
     /** The forwarder has rejected the message. */
-    public void rejected(int number, long at, long retryAfterMicros) {
+    public void rejected(int number, long atMicros, long retryAfterMicros) {
         count("turned_down");
         MessageHistory history = histories.get(number);
         if (history != null) {
             history.rejected = true;
             history.addLine(
-                    at, "rejected" + (retryAfterMicros > 0 ? ", retry after " + retryAfterMicros / 1000 + " ms" : ""));
+                    atMicros,
+                    "rejected" + (retryAfterMicros > 0 ? ", retry after " + retryAfterMicros / 1000 + " ms" : ""));
         }
     }
 
     /** The platform has received a notice of the message's final status. */
-    public void noticeReceived(int number, String status, long at) {
+    public void noticeReceived(int number, String status, long atMicros) {
         count("notices_" + status);
         MessageHistory history = histories.get(number);
         if (history == null) {
             return;
         }
-        history.addLine(at, "notice: " + status);
+        history.addLine(atMicros, "notice: " + status);
         if (history.noticedStatus != null && !history.noticedStatus.equals(status)) {
             breach(
                     Rule.ONE_END,
-                    at,
+                    atMicros,
                     "message " + number + " has final status " + history.noticedStatus + " and then " + status,
                     history);
         }
@@ -204,29 +209,29 @@
                 && classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(
                     Rule.REPEAT,
-                    at,
+                    atMicros,
                     "message " + number + " may have been processed, and its client is asked to submit it again",
                     history);
         }
-        if (isLate(history, at)) {
+        if (isLate(history, atMicros)) {
             breach(
                     Rule.ONE_END,
-                    at,
-                    "message " + number + " got its final status " + (at - history.deadlineMicros) / 1000
+                    atMicros,
+                    "message " + number + " got its final status " + (atMicros - history.deadlineMicros) / 1000
                             + " ms after its deadline",
                     history);
         }
     }
 
-    private boolean isLate(MessageHistory history, long at) {
-        return at > history.deadlineMicros + NOTICE_DELAY_MICROS
-                && !wasDown(history.forwarder, history.deadlineMicros, at);
+    private boolean isLate(MessageHistory history, long atMicros) {
+        return atMicros > history.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(history.forwarder, history.deadlineMicros, atMicros);
     }
 
     /** True if the forwarder was down when the final status was due, or has just restarted. */
-    private boolean wasDown(int forwarder, long due, long at) {
-        for (long[] d : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
-            if (d[0] <= due + NOTICE_DELAY_MICROS && due <= d[1] && at <= d[1]) {
+    private boolean wasDown(int forwarder, long dueMicros, long atMicros) {
+        for (long[] downtime : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
+            if (downtime[0] <= dueMicros + NOTICE_DELAY_MICROS && dueMicros <= downtime[1] && atMicros <= downtime[1]) {
                 return true;
             }
         }
@@ -235,25 +240,25 @@
 
     // Calls and attempts
     /** A forwarder starts an attempt: the first byte of the call is sent. */
-    public void attemptStarted(int number, int forwarder, String host, int destination, long at) {
+    public void attemptStarted(int number, int forwarder, String host, int destination, long atMicros) {
         count("attempts");
         Long removalReported = removalReportedMicros.get(forwarder + " " + host);
         MessageHistory history = histories.get(number);
         if (history != null) {
-            history.addLine(at, "forwarder " + forwarder + " sends it to " + host);
+            history.addLine(atMicros, "forwarder " + forwarder + " sends it to " + host);
         }
-        if (removalReported != null && at > removalReported + drainGraceMicros + TIMING_SLACK_MICROS) {
+        if (removalReported != null && atMicros > removalReported + drainGraceMicros + TIMING_SLACK_MICROS) {
             breach(
                     Rule.DRAIN,
-                    at,
-                    "forwarder " + forwarder + " sends to " + host + " " + (at - removalReported) / 1000
+                    atMicros,
+                    "forwarder " + forwarder + " sends to " + host + " " + (atMicros - removalReported) / 1000
                             + " ms after it learned that the endpoint drains or was removed",
                     history);
         }
-        checkRetryAfter(forwarder, destination, at, history);
+        checkRetryAfter(forwarder, destination, atMicros, history);
         if (history != null) {
-            checkRepeat(history, at);
-            history.attempts.add(new Attempt(at, host));
+            checkRepeat(history, atMicros);
+            history.attempts.add(new Attempt(atMicros, host));
         }
     }
 
@@ -261,30 +266,30 @@
      * The last byte of a call with this message arrives, if that is later than its start. No retry-after period may be
      * in force at that time either.
      */
-    public void callArrived(int number, int forwarder, int destination, long at) {
-        checkRetryAfter(forwarder, destination, at, histories.get(number));
+    public void callArrived(int number, int forwarder, int destination, long atMicros) {
+        checkRetryAfter(forwarder, destination, atMicros, histories.get(number));
     }
 
-    private void checkRetryAfter(int forwarder, int destination, long at, MessageHistory history) {
+    private void checkRetryAfter(int forwarder, int destination, long atMicros, MessageHistory history) {
         long[] period = retryAfterPeriods.get(forwarder + " " + destination);
-        if (period != null && at > period[0] + CROSSING_CALLS_MICROS && at < period[1]) {
+        if (period != null && atMicros > period[0] + CROSSING_CALLS_MICROS && atMicros < period[1]) {
             breach(
                     Rule.WAIT,
-                    at,
-                    "forwarder " + forwarder + " sends to destination " + destination + " " + (period[1] - at) / 1000
-                            + " ms before the end of a retry-after period",
+                    atMicros,
+                    "forwarder " + forwarder + " sends to destination " + destination + " "
+                            + (period[1] - atMicros) / 1000 + " ms before the end of a retry-after period",
                     history);
         }
     }
 
-    private void checkRepeat(MessageHistory history, long at) {
+    private void checkRepeat(MessageHistory history, long atMicros) {
         long possibleEffectMicros = -1;
         for (int i = 0; i < history.attempts.size(); i++) {
             Attempt a = history.attempts.get(i);
             if (a.inProgress) {
                 breach(
                         Rule.ONE_ATTEMPT,
-                        at,
+                        atMicros,
                         "message " + history.number + " is sent while an attempt is in progress",
                         history);
             }
@@ -297,18 +302,21 @@
         if (possibleEffectMicros >= 0
                 && (repeat == RepeatSafety.UNSAFE
                         || repeat == RepeatSafety.KEYED
-                                && at > possibleEffectMicros + c.terms().repeatWindowMicros() + TIMING_SLACK_MICROS)) {
+                                && atMicros
+                                        > possibleEffectMicros
+                                                + c.terms().repeatWindowMicros()
+                                                + TIMING_SLACK_MICROS)) {
             breach(
                     Rule.REPEAT,
-                    at,
-                    c.name() + " " + history.number + " is sent again " + (at - possibleEffectMicros) / 1000
+                    atMicros,
+                    c.name() + " " + history.number + " is sent again " + (atMicros - possibleEffectMicros) / 1000
                             + " ms after an attempt that may have been processed",
                     history);
         }
         if (history.noticedStatus != null) {
             breach(
                     Rule.ONE_END,
-                    at,
+                    atMicros,
                     "message " + history.number + " is sent after its final status " + history.noticedStatus,
                     history);
         }
@@ -334,7 +342,7 @@
     }
 
     /** The last attempt of a message has ended, as seen by the partner. */
-    public void attemptEnded(int number, String outcome, boolean knownNotRun, long at) {
+    public void attemptEnded(int number, String outcome, boolean knownNotRun, long atMicros) {
         MessageHistory history = histories.get(number);
         if (history == null || history.attempts.isEmpty()) {
             return;
@@ -344,7 +352,7 @@
             if (a.inProgress) {
                 a.inProgress = false;
                 a.knownNotRun = knownNotRun;
-                history.addLine(at, outcome);
+                history.addLine(atMicros, outcome);
                 count("ended_" + outcome.replace(' ', '_'));
                 return;
             }
@@ -352,97 +360,99 @@
     }
 
     /** A partner has written its answer that it has the message, on an open connection. */
-    public void delivered(int number, long at) {
+    public void delivered(int number, long atMicros) {
         MessageHistory history = histories.get(number);
         if (history == null) {
             return;
         }
         if (history.deliveredAtMicros < 0) {
-            history.deliveredAtMicros = at;
+            history.deliveredAtMicros = atMicros;
             count("delivered");
             latencies
                     .get(history.messageClass)
-                    .recordValue(Math.min(3_600_000_000L, Math.max(0, at - history.firstSubmittedMicros)));
+                    .recordValue(Math.min(3_600_000_000L, Math.max(0, atMicros - history.firstSubmittedMicros)));
         } else if (classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(
                     Rule.REPEAT,
-                    at,
+                    atMicros,
                     classes.get(history.messageClass).name() + " " + number + " was delivered twice",
                     history);
         }
     }
 
     /** A forwarder has received an answer with a retry-after period. */
-    public void retryAfterReceived(int forwarder, int destination, long at, long retryAfterMicros) {
+    public void retryAfterReceived(int forwarder, int destination, long atMicros, long retryAfterMicros) {
         retryAfterPeriods.merge(
-                forwarder + " " + destination, new long[] {at, at + retryAfterMicros}, (a, b) -> b[1] > a[1] ? b : a);
+                forwarder + " " + destination,
+                new long[] {atMicros, atMicros + retryAfterMicros},
+                (a, b) -> b[1] > a[1] ? b : a);
     }
 
     /** A forwarder has learned the state of an endpoint. */
-    public void endpointReported(int forwarder, String host, boolean active, long at) {
-        if (active) {
+    public void endpointReported(int forwarder, String host, boolean isActive, long atMicros) {
+        if (isActive) {
             removalReportedMicros.remove(forwarder + " " + host);
         } else {
-            removalReportedMicros.putIfAbsent(forwarder + " " + host, at);
+            removalReportedMicros.putIfAbsent(forwarder + " " + host, atMicros);
         }
     }
 
     // Restarts of forwarders
     /** A forwarder process has died. */
-    public void forwarderDied(int forwarder, long at) {
+    public void forwarderDied(int forwarder, long atMicros) {
         count("restarts");
-        downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
+        downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {atMicros, Long.MAX_VALUE});
         retryAfterPeriods
                 .keySet()
                 .removeIf(k -> k.startsWith(forwarder + " ")); // retry-after periods do not outlast a restart
         for (MessageHistory history : histories.values()) {
             if (history.forwarder == forwarder && history.acceptedAtMicros >= 0 && history.deliveredAtMicros < 0) {
-                history.addLine(at, "forwarder " + forwarder + " dies");
+                history.addLine(atMicros, "forwarder " + forwarder + " dies");
             }
         }
     }
 
     /** A forwarder is ready again. */
-    public void forwarderReady(int forwarder, long at) {
-        ArrayDeque<long[]> all = downtimes.get(forwarder);
-        if (all != null) {
-            all.peekLast()[1] = at + RESTART_RECOVERY_MICROS;
-            while (all.size() > 10) {
-                all.removeFirst();
+    public void forwarderReady(int forwarder, long atMicros) {
+        ArrayDeque<long[]> forwarderDowntimes = downtimes.get(forwarder);
+        if (forwarderDowntimes != null) {
+            forwarderDowntimes.peekLast()[1] = atMicros + RESTART_RECOVERY_MICROS;
+            while (forwarderDowntimes.size() > 10) {
+                forwarderDowntimes.removeFirst();
             }
         }
     }
 
     // Completion
     /** Closes the histories of messages whose deadline passed long ago. Calling it once a second is enough. */
-    public void closeExpired(long now) {
+    public void closeExpired(long nowMicros) {
         for (Iterator<MessageHistory> i = histories.values().iterator(); i.hasNext(); ) {
             MessageHistory history = i.next();
-            if (history.firstSubmittedMicros + RETENTION_MICROS > now
-                    || history.deadlineMicros + RETENTION_MICROS > now) {
-                if (history.firstSubmittedMicros + RETENTION_MICROS > now) {
+            if (history.firstSubmittedMicros + RETENTION_MICROS > nowMicros
+                    || history.deadlineMicros + RETENTION_MICROS > nowMicros) {
+                if (history.firstSubmittedMicros + RETENTION_MICROS > nowMicros) {
                     return; // the remaining ones are newer
                 }
                 continue;
             }
-            close(history, now);
+            close(history, nowMicros);
             i.remove();
         }
-        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < now);
+        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < nowMicros);
     }
 
     /** Closes all histories at the end of the run. */
-    public void finish(long now) {
-        histories.values().forEach(history -> close(history, now));
+    public void finish(long nowMicros) {
+        histories.values().forEach(history -> close(history, nowMicros));
         histories.clear();
     }
 
-    private void close(MessageHistory history, long now) {
+    private void close(MessageHistory history, long nowMicros) {
         if (history.acceptedAtMicros >= 0
                 && history.deliveredAtMicros < 0
                 && history.noticedStatus == null
-                && now > history.deadlineMicros + NOTICE_DELAY_MICROS
-                && !wasDown(history.forwarder, history.deadlineMicros, now)) {
+                && nowMicros > history.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(history.forwarder, history.deadlineMicros, nowMicros)) {
             breach(Rule.ONE_END, history.deadlineMicros, "message " + history.number + " has no final status", history);
         }
         MessageClass c = classes.get(history.messageClass);
--- a/src/main/java/lilaclever/lab/fleet/DestinationCounts.java
+++ b/src/main/java/lilaclever/lab/fleet/DestinationCounts.java
@@ -5,16 +5,16 @@
 
 /** Number of destinations in each shard of a region, and how many of those are down. */
 final class DestinationCounts {
-    private final int[] all;
+    private final int[] total;
     private final int[] down;
 
     DestinationCounts(int region, int shards, int destinations, double downShare, UniformRandomProvider random) {
-        all = new int[shards];
+        total = new int[shards];
         down = new int[shards];
         ShardHasher hasher = new ShardHasher(shards);
         for (int destination = 0; destination < destinations; destination++) {
             int shard = hasher.shardOf(region, destination);
-            all[shard]++;
+            total[shard]++;
             if (random.nextDouble() < downShare) {
                 down[shard]++;
             }
@@ -22,7 +22,7 @@
     }
 
     int of(int shard) {
-        return all[shard];
+        return total[shard];
     }
 
     int downOf(int shard) {
--- a/src/main/java/lilaclever/lab/fleet/FleetForwarders.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetForwarders.java
@@ -21,7 +21,7 @@
     private final FleetSettings settings;
     private final EventQueue queue;
     private final UniformRandomProvider random;
-    private final List<SimulatedForwarder> all = new ArrayList<>();
+    private final List<SimulatedForwarder> forwarders = new ArrayList<>();
     private final List<List<SimulatedForwarder>> byRegion = new ArrayList<>();
     private final List<DestinationCounts> destinations = new ArrayList<>();
     private List<RegionControl> regions;
@@ -59,7 +59,7 @@
                 machine,
                 machine / settings.machinesPerRack(),
                 clockOf(clocks, settings, queue));
-        all.add(forwarder);
+        forwarders.add(forwarder);
         byRegion.get(region).add(forwarder);
     }
 
@@ -74,7 +74,7 @@
     }
 
     List<SimulatedForwarder> all() {
-        return all;
+        return forwarders;
     }
 
     List<SimulatedForwarder> ofRegion(int region) {
@@ -82,7 +82,7 @@
     }
 
     SimulatedForwarder byId(MemberId id) {
-        return all.get(id.number());
+        return forwarders.get(id.number());
     }
 
     DestinationCounts destinationsOf(int region) {
--- a/src/main/java/lilaclever/lab/fleet/FleetMain.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetMain.java
@@ -63,10 +63,10 @@
         System.exit(main.simulateAll(runs) ? 0 : BREACHES_FOUND);
     }
 
-    private boolean simulateAll(List<FleetRun> all) throws InterruptedException {
+    private boolean simulateAll(List<FleetRun> requestedRuns) throws InterruptedException {
         ExecutorService executor = Executors.newFixedThreadPool(threads);
         List<Future<Boolean>> results = new ArrayList<>();
-        all.forEach(run -> results.add(executor.submit(() -> simulate(run))));
+        requestedRuns.forEach(run -> results.add(executor.submit(() -> simulate(run))));
         executor.shutdown();
         boolean passed = true;
         for (Future<Boolean> result : results) {
--- a/src/main/java/lilaclever/lab/fleet/Network.java
+++ b/src/main/java/lilaclever/lab/fleet/Network.java
@@ -13,16 +13,16 @@
 
     private final EventQueue queue;
     private final UniformRandomProvider random;
-    private final double loss;
-    private final double duplication;
+    private final double lossShare;
+    private final double duplicationShare;
     private long messages;
     private long lost;
 
     Network(EventQueue queue, UniformRandomProvider random, FleetSettings settings) {
         this.queue = queue;
         this.random = random;
-        this.loss = settings.messageLoss();
-        this.duplication = settings.messageDuplication();
+        this.lossShare = settings.messageLoss();
+        this.duplicationShare = settings.messageDuplication();
     }
 
     /** Sends a message within a region over the given number of hops. */
@@ -31,7 +31,7 @@
             return;
         }
         queue.schedule(regionDelayMicros(hops), onArrival);
-        if (random.nextDouble() < duplication) {
+        if (random.nextDouble() < duplicationShare) {
             queue.schedule(regionDelayMicros(hops), onArrival);
         }
     }
@@ -53,7 +53,7 @@
 
     private boolean isLost() {
         messages++;
-        if (random.nextDouble() >= loss) {
+        if (random.nextDouble() >= lossShare) {
             return false;
         }
         lost++;
--- a/src/main/java/lilaclever/lab/model/CallLimiter.java
+++ b/src/main/java/lilaclever/lab/model/CallLimiter.java
@@ -32,46 +32,47 @@
         loweredUntilMicros = untilMicros;
     }
 
-    private double callsPerSecond(long now) {
-        return now < loweredUntilMicros ? perSecond * loweredShare : perSecond;
+    private double callsPerSecond(long nowMicros) {
+        return nowMicros < loweredUntilMicros ? perSecond * loweredShare : perSecond;
     }
 
-    private double burstSize(long now) {
+    private double burstSize(long nowMicros) {
         return limit == PartnerKind.Limit.RATE
-                ? Math.max(1, callsPerSecond(now) / 5)
-                : Math.max(1, Math.floor(callsPerSecond(now) * windowMicros / 1e6));
+                ? Math.max(1, callsPerSecond(nowMicros) / 5)
+                : Math.max(1, Math.floor(callsPerSecond(nowMicros) * windowMicros / 1e6));
     }
 
     /** Returns whether a call at this time is within the limit, and counts it if so. */
-    boolean tryAcquire(long now) {
+    boolean tryAcquire(long nowMicros) {
         if (limit == PartnerKind.Limit.NONE) {
             return true;
         }
-        refill(now);
+        refill(nowMicros);
         if (available >= 1) {
             available--;
             return true;
         }
         if (countsRefusedCalls && limit == PartnerKind.Limit.RATE) {
-            available = Math.max(-burstSize(now), available - 1);
+            available = Math.max(-burstSize(nowMicros), available - 1);
         }
         return false;
     }
 
-    private void refill(long now) {
+    private void refill(long nowMicros) {
         if (limit == PartnerKind.Limit.RATE) {
-            available = Math.min(burstSize(now), available + (now - refilledAtMicros) / 1e6 * callsPerSecond(now));
-            refilledAtMicros = now;
-        } else if (now / windowMicros != refilledAtMicros / windowMicros) {
-            available = burstSize(now);
-            refilledAtMicros = now;
+            available = Math.min(
+                    burstSize(nowMicros), available + (nowMicros - refilledAtMicros) / 1e6 * callsPerSecond(nowMicros));
+            refilledAtMicros = nowMicros;
+        } else if (nowMicros / windowMicros != refilledAtMicros / windowMicros) {
+            available = burstSize(nowMicros);
+            refilledAtMicros = nowMicros;
         }
     }
 
     /** The time at which the next call will be allowed if no other call comes first. */
-    long availableAtMicros(long now) {
+    long availableAtMicros(long nowMicros) {
         return limit == PartnerKind.Limit.RATE
-                ? now + (long) (Math.max(0, 1 - available) / callsPerSecond(now) * 1e6)
-                : (now / windowMicros + 1) * windowMicros;
+                ? nowMicros + (long) (Math.max(0, 1 - available) / callsPerSecond(nowMicros) * 1e6)
+                : (nowMicros / windowMicros + 1) * windowMicros;
     }
 }
--- a/src/main/java/lilaclever/lab/model/MessageClass.java
+++ b/src/main/java/lilaclever/lab/model/MessageClass.java
@@ -17,10 +17,10 @@
         if (sinceMicros <= terms.aimMicros() || terms.aimMicros() == 0) {
             return terms.worth();
         }
-        double late = sinceMicros - terms.aimMicros();
-        double left = terms.halves()
-                ? Math.pow(0.5, late / terms.aimMicros())
-                : 1 - late / (terms.deadlineMicros() - terms.aimMicros()) * (1 - terms.lateShare());
-        return terms.worth() * Math.max(terms.lateShare(), left);
+        double lateMicros = sinceMicros - terms.aimMicros();
+        double remainingShare = terms.halves()
+                ? Math.pow(0.5, lateMicros / terms.aimMicros())
+                : 1 - lateMicros / (terms.deadlineMicros() - terms.aimMicros()) * (1 - terms.lateShare());
+        return terms.worth() * Math.max(terms.lateShare(), remainingShare);
     }
 }
--- a/src/main/java/lilaclever/lab/model/Partner.java
+++ b/src/main/java/lilaclever/lab/model/Partner.java
@@ -182,8 +182,8 @@
         limiter.lower(share, untilMicros);
     }
 
-    private Outage currentOutage(long now) {
-        if (outage != null && now >= outageUntilMicros) {
+    private Outage currentOutage(long nowMicros) {
+        if (outage != null && nowMicros >= outageUntilMicros) {
             if (outage != Outage.SLOW) {
                 recoveringSinceMicros = outageUntilMicros;
                 recentCalls.clear();
@@ -194,27 +194,27 @@
             }
             outage = null;
         }
-        return now < overloadedUntilMicros ? Outage.DOWN : outage;
+        return nowMicros < overloadedUntilMicros ? Outage.DOWN : outage;
     }
 
     /** The share of its full capacity that is available now. */
-    public double capacityShare(long now) {
-        currentOutage(now);
-        if (recoveringSinceMicros == Long.MIN_VALUE || now - recoveringSinceMicros >= recovery.rampMicros()) {
+    public double capacityShare(long nowMicros) {
+        currentOutage(nowMicros);
+        if (recoveringSinceMicros == Long.MIN_VALUE || nowMicros - recoveringSinceMicros >= recovery.rampMicros()) {
             return 1;
         }
         return recovery.initialCapacity()
-                + (1 - recovery.initialCapacity()) * (now - recoveringSinceMicros) / recovery.rampMicros();
+                + (1 - recovery.initialCapacity()) * (nowMicros - recoveringSinceMicros) / recovery.rampMicros();
     }
 
     /** True during an outage or after a failure under overload; slowness alone does not count. */
-    public boolean isUnavailable(long now) {
-        return currentOutage(now) != null && currentOutage(now) != Outage.SLOW;
+    public boolean isUnavailable(long nowMicros) {
+        return currentOutage(nowMicros) != null && currentOutage(nowMicros) != Outage.SLOW;
     }
 
     /** True while no connection can be opened. */
-    public boolean isDown(long now) {
-        return currentOutage(now) == Outage.DOWN;
+    public boolean isDown(long nowMicros) {
+        return currentOutage(nowMicros) == Outage.DOWN;
     }
 
     // Connections and calls
@@ -251,35 +251,35 @@
      * Decides the answer to a call whose last byte has arrived. {@code work} is the processing time of each message at
      * a partner of average speed, microseconds.
      */
-    public Answer call(String host, int forwarder, long[] work, long now) {
+    public Answer call(String host, int forwarder, long[] work, long nowMicros) {
         calls++;
-        Outage current = currentOutage(now);
+        Outage current = currentOutage(nowMicros);
         Endpoint endpoint = endpoints.get(host);
         Answer answer = endpoint == null || current == Outage.DOWN
-                ? new Answer(Status.NO_CONNECTION, now, 0)
-                : answer(endpoint, work, current, now);
+                ? new Answer(Status.NO_CONNECTION, nowMicros, 0)
+                : answer(endpoint, work, current, nowMicros);
         if (current == null) {
-            checkOverload(forwarder, 1 + (work.length - 1) * kind.extraMessageCost(), now);
+            checkOverload(forwarder, 1 + (work.length - 1) * kind.extraMessageCost(), nowMicros);
         }
         return answer;
     }
 
     /** Records that a forwarder has learned of a failed or refused call or probe. */
-    public void failureSeen(int forwarder, long now) {
-        if (isUnavailable(now)) {
+    public void failureSeen(int forwarder, long nowMicros) {
+        if (isUnavailable(nowMicros)) {
             forwardersThatSawFailure.add(forwarder);
         }
     }
 
-    private Answer answer(Endpoint endpoint, long[] work, Outage current, long now) {
+    private Answer answer(Endpoint endpoint, long[] work, Outage current, long nowMicros) {
         if (current == Outage.SHUT) {
-            return refuse(now);
+            return refuse(nowMicros);
         }
         if (current == Outage.FAILING && random.chance(outageStrength)) {
-            return new Answer(Status.ERROR, now + ERROR_DELAY_MICROS, 0);
+            return new Answer(Status.ERROR, nowMicros + ERROR_DELAY_MICROS, 0);
         }
-        if (!limiter.tryAcquire(now)) {
-            return refuse(now);
+        if (!limiter.tryAcquire(nowMicros)) {
+            return refuse(nowMicros);
         }
         if (current == Outage.SILENT) {
             return new Answer(Status.NO_ANSWER, Long.MAX_VALUE, 0);
@@ -288,9 +288,9 @@
         for (int i = 1; i < endpoint.serverFreeAtMicros.length; i++) {
             soonest = endpoint.serverFreeAtMicros[i] < endpoint.serverFreeAtMicros[soonest] ? i : soonest;
         }
-        long startMicros = Math.max(now, endpoint.serverFreeAtMicros[soonest]);
-        if (startMicros - now > maxQueueMicros) {
-            return refuse(now);
+        long startMicros = Math.max(nowMicros, endpoint.serverFreeAtMicros[soonest]);
+        if (startMicros - nowMicros > maxQueueMicros) {
+            return refuse(nowMicros);
         }
         double totalWork = 0;
         for (int i = 0; i < work.length; i++) {
@@ -299,7 +299,7 @@
         double serviceMicros = totalWork
                 * workFactor
                 * random.lognormal(kind.workVariation())
-                / capacityShare(now)
+                / capacityShare(nowMicros)
                 * (current == Outage.SLOW ? outageStrength : 1);
         endpoint.serverFreeAtMicros[soonest] = startMicros + (long) serviceMicros;
         served += work.length;
@@ -307,28 +307,28 @@
         return new Answer(Status.DELIVERED, startMicros + (long) serviceMicros, 0);
     }
 
-    private Answer refuse(long now) {
+    private Answer refuse(long nowMicros) {
         refused++;
         long retryAfterMicros = sendsRetryAfter && outage == null
-                ? Math.max(random.in(kind.retryAfterMicros()), limiter.availableAtMicros(now) - now)
+                ? Math.max(random.in(kind.retryAfterMicros()), limiter.availableAtMicros(nowMicros) - nowMicros)
                 : 0;
-        return new Answer(Status.FULL, now + REFUSAL_DELAY_MICROS, retryAfterMicros);
+        return new Answer(Status.FULL, nowMicros + REFUSAL_DELAY_MICROS, retryAfterMicros);
     }
 
     /** True if an answer that was decided earlier can be written now; an outage may have begun since. */
-    public boolean canStillAnswer(String host, long now) {
-        Outage current = currentOutage(now);
+    public boolean canStillAnswer(String host, long nowMicros) {
+        Outage current = currentOutage(nowMicros);
         return endpoints.containsKey(host) && current != Outage.SILENT && current != Outage.DOWN;
     }
 
-    private void checkOverload(int forwarder, double work, long now) {
+    private void checkOverload(int forwarder, double work, long nowMicros) {
         if (recoveringSinceMicros == Long.MIN_VALUE
-                || now - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadMicros()) {
+                || nowMicros - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadMicros()) {
             recentCalls.clear();
             return;
         }
-        recentCalls.addLast(new RecentCall(now, forwarder, work));
-        while (recentCalls.peekFirst().atMicros() < now - recovery.overloadMicros()) {
+        recentCalls.addLast(new RecentCall(nowMicros, forwarder, work));
+        while (recentCalls.peekFirst().atMicros() < nowMicros - recovery.overloadMicros()) {
             recentCalls.removeFirst();
         }
         double totalWork = recentCalls.stream().mapToDouble(RecentCall::work).sum();
@@ -337,7 +337,7 @@
                 > 3
                         + recovery.overloadFactor()
                                 * messagesPerSecond
-                                * capacityShare(now)
+                                * capacityShare(nowMicros)
                                 * recovery.overloadMicros()
                                 / 1e6) {
             double informedWork = recentCalls.stream()
@@ -346,7 +346,7 @@
                     .sum();
             overloads++;
             overloadsByInformedForwarders += informedWork >= 2 * totalWork / 3 ? 1 : 0;
-            overloadedUntilMicros = now + OVERLOAD_DOWNTIME_MICROS;
+            overloadedUntilMicros = nowMicros + OVERLOAD_DOWNTIME_MICROS;
             recentCalls.clear();
         }
     }
--- a/src/main/java/lilaclever/lab/model/Traffic.java
+++ b/src/main/java/lilaclever/lab/model/Traffic.java
@@ -42,12 +42,12 @@
     }
 
     /** The load at a time, as a share of the full load. */
-    public double load(long at) {
+    public double load(long atMicros) {
         Point before = shape.get(0);
         for (Point p : shape) {
-            if (p.atMicros() > at) {
-                double part = (double) (at - before.atMicros()) / (p.atMicros() - before.atMicros());
-                return before.load() + part * (p.load() - before.load());
+            if (p.atMicros() > atMicros) {
+                double fraction = (double) (atMicros - before.atMicros()) / (p.atMicros() - before.atMicros());
+                return before.load() + fraction * (p.load() - before.load());
             }
             before = p;
         }
@@ -92,15 +92,15 @@
         return numbered;
     }
 
-    private Arrival arrival(long at, int partner, RandomStream random) {
+    private Arrival arrival(long atMicros, int partner, RandomStream random) {
         double[] shares = classes.stream().mapToDouble(MessageClass::share).toArray();
-        int c = pick(shares, random.unit());
+        int messageClass = pick(shares, random.unit());
         return new Arrival(
-                at,
+                atMicros,
                 0,
-                c,
+                messageClass,
                 partners.get(partner).destination(),
-                random.in(classes.get(c).workMicros()));
+                random.in(classes.get(messageClass).workMicros()));
     }
 
     /** The index into whose part of the sum a number from 0 to 1 falls. */
@@ -109,10 +109,10 @@
         for (double p : parts) {
             sum += p;
         }
-        double left = unit * sum;
+        double remaining = unit * sum;
         for (int i = 0; i < parts.length; i++) {
-            left -= parts[i];
-            if (left < 0) {
+            remaining -= parts[i];
+            if (remaining < 0) {
                 return i;
             }
         }
--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/lab/report/Comparison.java
@@ -45,7 +45,7 @@
             }
         }
         if (reports.isEmpty()) {
-            throw new IOException("no report.json below " + folder);
+            throw new IOException(folder + " contains no report.json");
         }
         return reports;
     }
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -49,9 +49,9 @@
     private Plots() {}
 
     /** Plots a line for each series over the seconds of the run, with the events as bands. */
-    static String overTime(String yLabel, Map<String, double[]> lines, List<Result.Band> bands, double maxY) {
+    static String overTime(String yLabel, Map<String, double[]> series, List<Result.Band> bands, double maxY) {
         XYSeriesCollection data = new XYSeriesCollection();
-        lines.forEach((name, values) -> {
+        series.forEach((name, values) -> {
             XYSeries s = new XYSeries(name);
             for (int i = 0; i < values.length; i++) {
                 if (!Double.isNaN(values[i])) {
--- a/src/main/java/lilaclever/lab/report/Sweep.java
+++ b/src/main/java/lilaclever/lab/report/Sweep.java
@@ -55,15 +55,15 @@
      * none.
      */
     public double highestLoadMeeting(double aim) {
-        double last = 0;
+        double highest = 0;
         for (int i = 0; i < points.size(); i++) {
             if (points.get(i)[1] >= aim) {
-                last = points.get(i)[0];
+                highest = points.get(i)[0];
             } else if (i > 0 && points.get(i - 1)[1] >= aim) {
                 double[] a = points.get(i - 1), b = points.get(i);
                 return a[0] + (a[1] - aim) / (a[1] - b[1]) * (b[0] - a[0]);
             }
         }
-        return last;
+        return highest;
     }
 }
--- a/src/main/java/lilaclever/lab/scenario/Overrides.java
+++ b/src/main/java/lilaclever/lab/scenario/Overrides.java
@@ -29,28 +29,28 @@
 
     /** Returns the lines of a scenario with the settings applied. */
     static List<String> apply(List<String> lines, List<Setting> settings) {
-        List<String> all = new ArrayList<>(lines);
+        List<String> result = new ArrayList<>(lines);
         for (Setting s : settings) {
-            int section = all.indexOf('[' + s.section() + ']');
+            int section = result.indexOf('[' + s.section() + ']');
             if (section < 0) {
-                all.add('[' + s.section() + ']');
-                section = all.size() - 1;
+                result.add('[' + s.section() + ']');
+                section = result.size() - 1;
             }
-            remove(all, section, s.key());
-            all.add(section + 1, s.key() + ' ' + s.value());
+            remove(result, section, s.key());
+            result.add(section + 1, s.key() + ' ' + s.value());
         }
-        return all;
+        return result;
     }
 
     /** Removes the key from the section, with its continuation lines. */
-    private static void remove(List<String> all, int section, String key) {
-        for (int i = section + 1; i < all.size() && !all.get(i).startsWith("["); i++) {
-            if (all.get(i).matches(Pattern.quote(key) + "(\\s.*)?")) {
-                all.remove(i);
-                while (i < all.size()
-                        && !all.get(i).isBlank()
-                        && Character.isWhitespace(all.get(i).charAt(0))) {
-                    all.remove(i);
+    private static void remove(List<String> result, int section, String key) {
+        for (int i = section + 1; i < result.size() && !result.get(i).startsWith("["); i++) {
+            if (result.get(i).matches(Pattern.quote(key) + "(\\s.*)?")) {
+                result.remove(i);
+                while (i < result.size()
+                        && !result.get(i).isBlank()
+                        && Character.isWhitespace(result.get(i).charAt(0))) {
+                    result.remove(i);
                 }
                 return;
             }
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -93,7 +93,7 @@
                 BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8))) {
             return String.join("\n", lines.lines().toList()) + '\n';
         } catch (IOException e) {
-            throw new IllegalStateException("scenario " + shipped + " is missing from the jar", e);
+            throw new IllegalStateException(shipped + " is missing from the jar", e);
         }
     }
 
