--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/lab/scenario/Scenario.java
@@ -57,6 +57,7 @@
      * The traffic.
      *
      * @param burstShare share of messages that come in bursts
+     * @param burstSeconds size of a burst, in seconds of its partner's capacity
      * @param hl7Share share of messages whose clients speak HL7; no effect in virtual time, where there is no wire
      * protocol
      */
