--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -6,9 +6,10 @@
 import java.util.Random;
 
 /**
- * How long a folder takes to open, and with how much memory, in a process of its own: {@code fill KIND HELD FOLDER}
- * makes a folder with so many messages held and three times as many past, {@code remember HELD FOLDER} one with so many
- * remembered ends, {@code open KIND FOLDER} opens it and prints milliseconds and the most memory that the process had.
+ * Measures the time and memory that opening a journal folder takes, in a separate process. {@code fill KIND HELD
+ * FOLDER} makes a folder with that many pending messages and three times as many settled ones, {@code remember HELD
+ * FOLDER} one with that many remembered final statuses, and {@code open KIND FOLDER} opens it and prints the
+ * milliseconds and the peak memory of the process.
  */
 final class OpeningRun {
     private OpeningRun() {}
@@ -21,15 +22,15 @@
         }
     }
 
-    private static void fill(String kind, int held, Path folder) throws IOException {
+    private static void fill(String kind, int pending, Path folder) throws IOException {
         byte[] body = new byte[300];
         new Random(1).nextBytes(body);
         try (Store store = Store.open(kind, folder)) {
-            for (int i = 0; i < 4 * held; i++) {
+            for (int i = 0; i < 4 * pending; i++) {
                 store.recordAccepted("message-" + i, body);
                 store.recordAttempt("message-" + i);
-                if (i >= held) {
-                    store.recordSettled("message-" + (i - held));
+                if (i >= pending) {
+                    store.recordSettled("message-" + (i - pending));
                 }
                 if (i % 10 == 0) {
                     store.endTurn();
@@ -39,46 +40,47 @@
         }
     }
 
-    private static void remember(int ends, Path folder) throws IOException {
+    private static void remember(int count, Path folder) throws IOException {
         try (SegmentedJournal journal = new SegmentedJournal(
                 FolderDisk.lock(folder),
                 Store.MAX_BYTES,
                 Durability.NONE,
                 new JournalClocks(() -> System.nanoTime() / 1000, () -> 0, BootClock.UNKNOWN),
                 new java.util.SplittableRandom())) {
-            long longest = 0;
-            for (int i = 0; i < ends; i++) {
+            long longestNanos = 0;
+            for (int i = 0; i < count; i++) {
                 journal.remember(
                         "<" + i + "@mail.example> frames@supplier.example",
                         new lilaclever.routing.FinalStatus(
                                 lilaclever.routing.FinalStatus.Kind.DELIVERED, 0, "250 2.0.0 queued"),
-                        i < ends / 2 ? 1 : 1000);
-                long began = System.nanoTime();
+                        i < count / 2 ? 1 : 1000);
+                long startNanos = System.nanoTime();
                 journal.maintain(0);
-                longest = i > 5000 ? Math.max(longest, System.nanoTime() - began) : 0;
+                longestNanos = i > 5000 ? Math.max(longestNanos, System.nanoTime() - startNanos) : 0;
             }
-            System.out.println("remembered " + journal.rememberedCount() + ", longest slice us " + longest / 1000);
-            longest = 0;
+            System.out.println("remembered " + journal.rememberedCount() + ", longest slice us " + longestNanos / 1000);
+            longestNanos = 0;
             int turns = 0;
-            for (; journal.rememberedCount() > ends / 2; turns++) {
-                long began = System.nanoTime();
+            for (; journal.rememberedCount() > count / 2; turns++) {
+                long startNanos = System.nanoTime();
                 journal.maintain(2);
-                longest = Math.max(longest, System.nanoTime() - began);
+                longestNanos = Math.max(longestNanos, System.nanoTime() - startNanos);
             }
-            System.out.println("half of them past and forgotten in " + turns + " turns, longest us " + longest / 1000);
+            System.out.println(
+                    "half of them past and forgotten in " + turns + " turns, longest us " + longestNanos / 1000);
         }
     }
 
     private static void open(String kind, Path folder) throws IOException {
-        long began = System.nanoTime();
+        long startNanos = System.nanoTime();
         try (Store store = Store.open(kind, folder)) {
-            long ms = (System.nanoTime() - began) / 1_000_000;
-            String peak = Files.readAllLines(Path.of("/proc/self/status")).stream()
+            long openMillis = (System.nanoTime() - startNanos) / 1_000_000;
+            String peakMemory = Files.readAllLines(Path.of("/proc/self/status")).stream()
                     .filter(l -> l.startsWith("VmHWM"))
                     .findFirst()
                     .orElse("?");
-            System.out.println(
-                    kind + " owed " + store.pendingCount() + " opened in " + ms + " ms, " + peak.replaceAll("\\s+", " "));
+            System.out.println(kind + " owed " + store.pendingCount() + " opened in " + openMillis + " ms, "
+                    + peakMemory.replaceAll("\\s+", " "));
         }
     }
 }
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -16,10 +16,10 @@
 import lilaclever.routing.Submission;
 
 /**
- * Turns of the journal, and what the longest of them were spent on: each operation on the disk is timed, so that what
- * the system took is told from what the code took. {@code TurnRun turns HELD TURNS}: back to back, no forcing.
- * {@code TurnRun durability HOW RATE SECONDS}: turns at a steady rate, as the loop has them; how long a turn takes, and
- * how long what waits for the disk has to wait.
+ * Measures turns of the journal and shows where the longest of them spent their time. Each disk operation is timed, to
+ * separate the time of the operating system from that of the code. {@code TurnRun turns HELD TURNS} runs turns back to
+ * back, without syncs. {@code TurnRun durability HOW RATE SECONDS} runs turns at a steady rate, as the event loop does,
+ * and measures the duration of a turn and the delay until its records are durable.
  */
 public final class TurnRun {
     private static final int BODY_BYTES = 300, REPORTED_TURNS = 12;
@@ -28,10 +28,17 @@
     private static final long MAX_BYTES = 4L << 30;
 
     /**
-     * What a turn took, nanoseconds: in all, of the processor, in the disk's operations, and in the longest of these;
-     * milliseconds of collections.
+     * Duration of a turn in nanoseconds: wall-clock time, CPU time, time in disk operations and in the longest of them;
+     * and the milliseconds of garbage collection in it.
      */
-    private record Turn(long index, long totalNanos, long cpuNanos, long diskNanos, long longestOperationNanos, String operation, long collectionMillis) {}
+    private record Turn(
+            long index,
+            long totalNanos,
+            long cpuNanos,
+            long diskNanos,
+            long longestOperationNanos,
+            String operation,
+            long collectionMillis) {}
 
     private final TimedDisk disk;
     private final SegmentedJournal journal;
@@ -51,15 +58,15 @@
         journal.setLoop(loopTasks::add);
     }
 
-    /** Runs what the arguments name. */
+    /** Runs the measurement that the arguments name. */
     public static void main(String[] args) throws Exception {
         Path folder = Files.createTempDirectory("turn-run");
         try {
             if (args[0].equals("turns")) {
                 new TurnRun(folder, Durability.NONE).measureTurns(Integer.parseInt(args[1]), Long.parseLong(args[2]));
             } else {
-                Durability.Mode how = Durability.Mode.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
-                new TurnRun(folder, new Durability(how, 50_000))
+                Durability.Mode mode = Durability.Mode.valueOf(args[1].toUpperCase(java.util.Locale.ROOT));
+                new TurnRun(folder, new Durability(mode, 50_000))
                         .measureSteadyRate(args[1], Integer.parseInt(args[2]), Integer.parseInt(args[3]));
             }
         } finally {
@@ -69,12 +76,12 @@
         }
     }
 
-    private void runTurn(int held, Runnable durable) {
+    private void runTurn(int pendingCount, Runnable onDurable) {
         accept();
-        journal.whenDurable(durable);
+        journal.whenDurable(onDurable);
         journal.recordAttempt("message-" + nextMessage, "endpoint-7", 0, 1);
         journal.recordOutcome("message-" + nextMessage, true);
-        journal.recordSettled("message-" + (nextMessage - held));
+        journal.recordSettled("message-" + (nextMessage - pendingCount));
         nextMessage++;
         journal.maintain(0);
     }
@@ -87,34 +94,41 @@
         }
     }
 
-    private void fill(int held) {
-        while (nextMessage < held) {
+    private void fill(int pendingCount) {
+        while (nextMessage < pendingCount) {
             accept();
             nextMessage++;
             journal.maintain(0);
         }
     }
 
-    private void measureTurns(int held, long turns) throws IOException {
-        fill(held);
+    private void measureTurns(int pendingCount, long turns) throws IOException {
+        fill(pendingCount);
         for (long i = 0; i < turns / 4; i++) {
-            runTurn(held, () -> {});
+            runTurn(pendingCount, () -> {});
         }
         PriorityQueue<Turn> longest = new PriorityQueue<>(Comparator.comparingLong(Turn::totalNanos));
         java.lang.management.ThreadMXBean thread = java.lang.management.ManagementFactory.getThreadMXBean();
-        long mostCpu = 0, over = 0, overCpu = 0;
+        long maxCpuNanos = 0, slowTurns = 0, slowCpuTurns = 0;
         for (long i = 0; i < turns; i++) {
             disk.reset();
             long collectedBefore = collectionMillis();
-            long cpuBegan = thread.getCurrentThreadCpuTime();
-            long began = System.nanoTime();
-            runTurn(held, () -> {});
-            long all = System.nanoTime() - began;
-            long cpu = thread.getCurrentThreadCpuTime() - cpuBegan;
-            mostCpu = Math.max(mostCpu, cpu);
-            over += all > 2_000_000 ? 1 : 0;
-            overCpu += cpu > 2_000_000 ? 1 : 0;
-            longest.add(new Turn(i, all, cpu, disk.totalNanos, disk.longestNanos, disk.operation, collectionMillis() - collectedBefore));
+            long cpuStartNanos = thread.getCurrentThreadCpuTime();
+            long startNanos = System.nanoTime();
+            runTurn(pendingCount, () -> {});
+            long totalNanos = System.nanoTime() - startNanos;
+            long cpuNanos = thread.getCurrentThreadCpuTime() - cpuStartNanos;
+            maxCpuNanos = Math.max(maxCpuNanos, cpuNanos);
+            slowTurns += totalNanos > 2_000_000 ? 1 : 0;
+            slowCpuTurns += cpuNanos > 2_000_000 ? 1 : 0;
+            longest.add(new Turn(
+                    i,
+                    totalNanos,
+                    cpuNanos,
+                    disk.totalNanos,
+                    disk.longestNanos,
+                    disk.operation,
+                    collectionMillis() - collectedBefore));
             if (longest.size() > REPORTED_TURNS) {
                 longest.poll();
             }
@@ -122,57 +136,63 @@
         System.out.printf(
                 "held %d, turns %d: over 2 ms %d, by the processor's time (the system's for it included) %d; "
                         + "most of the processor's time %.0f us%n",
-                held, turns, over, overCpu, mostCpu / 1e3);
+                pendingCount, turns, slowTurns, slowCpuTurns, maxCpuNanos / 1e3);
         List<Turn> sorted = new ArrayList<>(longest);
         sorted.sort(Comparator.comparingLong(Turn::totalNanos).reversed());
         for (Turn t : sorted) {
             System.out.printf(
                     "  turn %d: %6.0f us in all, %6.0f of the processor, %6.0f in the disk's operations, the longest "
                             + "%s %6.0f, collections %d ms%n",
-                    t.index, t.totalNanos / 1e3, t.cpuNanos / 1e3, t.diskNanos / 1e3, t.operation, t.longestOperationNanos / 1e3, t.collectionMillis);
+                    t.index,
+                    t.totalNanos / 1e3,
+                    t.cpuNanos / 1e3,
+                    t.diskNanos / 1e3,
+                    t.operation,
+                    t.longestOperationNanos / 1e3,
+                    t.collectionMillis);
         }
         journal.close();
     }
 
     private static long collectionMillis() {
-        long all = 0;
+        long millis = 0;
         for (java.lang.management.GarbageCollectorMXBean g : COLLECTORS) {
-            all += g.getCollectionTime();
+            millis += g.getCollectionTime();
         }
-        return all;
+        return millis;
     }
 
-    private void measureSteadyRate(String how, int rate, int seconds) throws IOException {
-        int held = 1000;
-        fill(held);
+    private void measureSteadyRate(String mode, int rate, int seconds) throws IOException {
+        int pendingCount = 1000;
+        fill(pendingCount);
         int turns = rate * seconds;
-        long[] took = new long[turns], waited = new long[turns];
-        long start = System.nanoTime() + 1_000_000_000L;
+        long[] turnNanos = new long[turns], durableNanos = new long[turns];
+        long startNanos = System.nanoTime() + 1_000_000_000L;
         for (int i = 0; i < turns; ) {
             for (Runnable task = loopTasks.poll(); task != null; task = loopTasks.poll()) {
                 task.run();
             }
-            if (System.nanoTime() < start + i * 1_000_000_000L / rate) {
+            if (System.nanoTime() < startNanos + i * 1_000_000_000L / rate) {
                 Thread.onSpinWait();
                 continue;
             }
-            long began = System.nanoTime();
+            long turnStartNanos = System.nanoTime();
             int index = i++;
-            runTurn(held, () -> waited[index] = System.nanoTime() - began);
-            took[index] = System.nanoTime() - began;
+            runTurn(pendingCount, () -> durableNanos[index] = System.nanoTime() - turnStartNanos);
+            turnNanos[index] = System.nanoTime() - turnStartNanos;
         }
-        long until = System.nanoTime() + 2_000_000_000L;
-        while (System.nanoTime() < until) {
+        long endNanos = System.nanoTime() + 2_000_000_000L;
+        while (System.nanoTime() < endNanos) {
             for (Runnable task = loopTasks.poll(); task != null; task = loopTasks.poll()) {
                 task.run();
             }
         }
         System.out.printf(
                 "%s at %d turns a second: turn %s; until it may be told %s; forcings %d, each %s us%n",
-                how,
+                mode,
                 rate,
-                percentiles(took),
-                percentiles(waited),
+                percentiles(turnNanos),
+                percentiles(durableNanos),
                 disk.syncNanos.size(),
                 percentiles(disk.syncNanos.stream().mapToLong(Long::longValue).toArray()));
         journal.close();
@@ -190,7 +210,7 @@
                         sorted[sorted.length - 1] / 1e3);
     }
 
-    /** A disk that times its operations. */
+    /** A disk that measures the duration of its operations. */
     private static final class TimedDisk implements Disk {
         private final Disk real;
         private final ConcurrentLinkedQueue<Long> syncNanos = new ConcurrentLinkedQueue<>();
@@ -212,12 +232,12 @@
         }
 
         private <T> T timed(String name, DiskOperation<T> step) throws IOException {
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             T result = step.run();
-            long took = System.nanoTime() - began;
-            totalNanos += took;
-            if (took > longestNanos) {
-                longestNanos = took;
+            long nanos = System.nanoTime() - startNanos;
+            totalNanos += nanos;
+            if (nanos > longestNanos) {
+                longestNanos = nanos;
                 operation = name;
             }
             return result;
@@ -294,7 +314,7 @@
 
             @Override
             public void sync() throws IOException {
-                long began = System.nanoTime(); // on the forcing thread
+                long began = System.nanoTime(); // on the sync thread
                 file.sync();
                 syncNanos.add(System.nanoTime() - began);
             }
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -18,14 +18,16 @@
 import lilaclever.scale.AgentStandIn.Behaviour;
 
 /**
- * What an event costs the built program over real sockets: {@code EventRun JAR EVENTS...}. Clients hand in one message
- * after the other, and one endpoint takes each. Each line of the output is a {@link Sample}.
+ * Measures the cost of an event in the built program over real sockets: {@code EventRun JAR EVENTS...}. Clients submit
+ * one message after the other, and one endpoint accepts each. Each line of the output is a {@link Sample}.
  */
 final class EventRun {
     private static final int CLIENTS = 4, WARM_UP_EVENTS = 10_000;
-    /** Each client hands in a message so often at most, so that none has to be refused: 800 a second by all. */
+    /**
+     * Least interval between the messages of a client, so that none has to be rejected: 800 a second from all clients.
+     */
     private static final long SEND_INTERVAL_NANOS = 5_000_000;
-    /** Longer than the deadline of a message: what is not delivered by then never will be. */
+    /** Longer than the deadline of a message; later deliveries are impossible. */
     private static final long MAX_WAIT_SECONDS = 10;
 
     private static final String BODY = "x".repeat(300);
@@ -43,13 +45,13 @@
                 AgentStandIn agent = new AgentStandIn(Behaviour.ANSWERS);
                 ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), 1, endpoint.address())) {
             send(forwarder, endpoint, "warm-", WARM_UP_EVENTS);
-            double cpu = forwarder.cpuSeconds();
-            long bytes = forwarder.transferredBytes();
-            long began = System.nanoTime();
+            double cpuSecondsBefore = forwarder.cpuSeconds();
+            long bytesBefore = forwarder.transferredBytes();
+            long startNanos = System.nanoTime();
             send(forwarder, endpoint, "event-", events);
-            double seconds = (System.nanoTime() - began) / 1e9;
-            Sample.print("process_event_cpu", events, forwarder.cpuSeconds() - cpu, "s");
-            Sample.print("process_event_bytes", events, forwarder.transferredBytes() - bytes, "bytes");
+            double seconds = (System.nanoTime() - startNanos) / 1e9;
+            Sample.print("process_event_cpu", events, forwarder.cpuSeconds() - cpuSecondsBefore, "s");
+            Sample.print("process_event_bytes", events, forwarder.transferredBytes() - bytesBefore, "bytes");
             Sample.print("process_event_rate", events, events / seconds, "1/s");
         }
     }
@@ -80,23 +82,23 @@
     private static Void runClient(ForwarderProcess forwarder, String prefix, int events) throws IOException {
         try (StandInConnection wire = new StandInConnection(
                 new Socket(forwarder.address().getAddress(), forwarder.address().getPort()))) {
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             for (int i = 0; i < events; i++) {
-                LockSupport.parkNanos(began + i * SEND_INTERVAL_NANOS - System.nanoTime());
+                LockSupport.parkNanos(startNanos + i * SEND_INTERVAL_NANOS - System.nanoTime());
                 String id = prefix + i;
                 wire.writeText("POST /api HTTP/1.1\r\nHost: app.svc\r\nReq-Id: " + id
                         + "\r\nReq-Kind: status\r\nReq-Deadline: 6\r\n" + "Idempotency-Key: k-" + id
                         + "\r\nX-Envelope: dest=0\r\nContent-Length: " + BODY.length() + "\r\n\r\n" + BODY);
                 StandInConnection.HttpMessage answer = wire.readHttp();
                 if (answer == null || !answer.target().startsWith("202")) {
-                    throw new IOException(id + " was not taken on: " + answer);
+                    throw new IOException(id + " was not accepted: " + answer);
                 }
             }
         }
         return null;
     }
 
-    /** One endpoint that takes every message at once. */
+    /** An endpoint that accepts every message at once. */
     private static final class Endpoint implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 100, InetAddress.getByName("127.0.0.1"));
         private volatile CountDownLatch expected = new CountDownLatch(0);
@@ -121,7 +123,7 @@
                     AgentStandIn.startDaemon(() -> serve(socket));
                 }
             } catch (IOException e) {
-                // closed: the run is over
+                // closed at the end of the run
             }
         }
 
@@ -132,7 +134,7 @@
                     expected.countDown();
                 }
             } catch (IOException e) {
-                // the forwarder has closed it
+                // the forwarder has closed the connection
             }
         }
 
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -13,12 +13,12 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Figures of hollow forwarders: {@code destinations SIZE...}, {@code held SIZE...} and {@code events SIZE...} by
- * destinations listed, messages held for destinations that are down, and events delivered. Each line of the output is
- * a {@link Sample}. Processor time is that of the loop alone: collections of the heap run on other threads.
+ * Measures forwarders without sockets: {@code destinations SIZE...} by listed destinations, {@code held SIZE...} by
+ * pending messages for destinations that are down, and {@code events SIZE...} by delivered events. Each line of the
+ * output is a {@link Sample}. CPU time is that of the event loop alone; garbage collections run on other threads.
  */
 final class HollowRun {
-    /** What one owner has at the size that the fleet is planned for. */
+    /** Destinations of one owner at the planned size of the fleet. */
     private static final int OWNED_DESTINATIONS = 374, DOWN_DESTINATIONS = 4;
 
     private static final int BODY_BYTES = 300;
@@ -39,7 +39,8 @@
     public static void main(String[] args) throws IOException {
         int[] sizes =
                 Arrays.stream(args, 1, args.length).mapToInt(Integer::parseInt).toArray();
-        measureEvents("", OWNED_DESTINATIONS, WARM_UP_EVENTS); // compiled by the time that it is measured
+        measureEvents(
+                "", OWNED_DESTINATIONS, WARM_UP_EVENTS); // warm-up, so that the code is compiled before it is measured
         for (int size : sizes) {
             switch (args[0]) {
                 case "destinations" -> measureDestinations(size);
@@ -54,10 +55,10 @@
         void run(Path folder) throws IOException;
     }
 
-    private static void withTemporaryFolder(FolderTask step) throws IOException {
+    private static void withTemporaryFolder(FolderTask task) throws IOException {
         Path folder = Files.createTempDirectory("scale");
         try {
-            step.run(folder);
+            task.run(folder);
         } finally {
             try (Stream<Path> files = Files.walk(folder)) {
                 files.sorted(Comparator.reverseOrder())
@@ -68,11 +69,11 @@
 
     private static void measureDestinations(int size) throws IOException {
         withTemporaryFolder(folder -> {
-            long before = ResourceUsage.liveHeapBytes();
+            long heapBytesBefore = ResourceUsage.liveHeapBytes();
             SocketlessForwarder[] started = new SocketlessForwarder[1];
             double start = ResourceUsage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
             try (SocketlessForwarder forwarder = started[0]) {
-                Sample.print("destination_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
+                Sample.print("destination_heap", size, ResourceUsage.liveHeapBytes() - heapBytesBefore, "bytes");
                 Sample.print("destination_start_cpu", size, start, "s");
                 double changes = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < CHANGES; i++) {
@@ -88,17 +89,17 @@
         measureEvents("event_by_destinations", size, EVENTS_BY_DESTINATIONS);
     }
 
-    private static SocketlessForwarder open(Path folder, int destinations, int firstDown, int mostHeld) {
+    private static SocketlessForwarder open(Path folder, int destinations, int firstDown, int maxPending) {
         try {
-            return new SocketlessForwarder(folder, destinations, firstDown, mostHeld);
+            return new SocketlessForwarder(folder, destinations, firstDown, maxPending);
         } catch (IOException e) {
-            throw new IllegalStateException("a new folder", e);
+            throw new IllegalStateException("opening a forwarder in a new folder failed", e);
         }
     }
 
     private static void measurePending(int size) throws IOException {
         withTemporaryFolder(folder -> {
-            long before = ResourceUsage.liveHeapBytes();
+            long heapBytesBefore = ResourceUsage.liveHeapBytes();
             try (SocketlessForwarder forwarder = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size)) {
                 for (int i = 0; i < size; i++) {
                     forwarder.submit(1 + i % DOWN_DESTINATIONS, new byte[BODY_BYTES]);
@@ -108,7 +109,7 @@
                 }
                 forwarder.turn();
                 requirePending(forwarder, size);
-                Sample.print("held_heap", size, ResourceUsage.liveHeapBytes() - before, "bytes");
+                Sample.print("held_heap", size, ResourceUsage.liveHeapBytes() - heapBytesBefore, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
                 double waiting = ResourceUsage.cpuSeconds(
                         () -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
@@ -118,7 +119,8 @@
                 Sample.print("held_busy_turn_p99_cpu", size, turns.getValueAtPercentile(99) / NANOS_PER_SECOND, "s");
             }
             SocketlessForwarder[] reopened = new SocketlessForwarder[1];
-            double recovery = ResourceUsage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size));
+            double recovery =
+                    ResourceUsage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size));
             try (SocketlessForwarder forwarder = reopened[0]) {
                 requirePending(forwarder, size);
                 Sample.print("held_recovery_cpu", size, recovery, "s");
@@ -126,7 +128,7 @@
         });
     }
 
-    /** Turns in each of which one message for a healthy destination comes, while the others wait. */
+    /** Measures turns with one message for a healthy destination each, while the other messages are pending. */
     private static Histogram busyTurns(SocketlessForwarder forwarder) {
         Histogram turns = new Histogram(MAX_TURN_NANOS, 3);
         for (int i = 0; i < BUSY_TURNS; i++) {
@@ -139,11 +141,11 @@
 
     private static void requirePending(SocketlessForwarder forwarder, int size) {
         if (forwarder.pendingMessages() != size) {
-            throw new IllegalStateException("held " + forwarder.pendingMessages() + " of " + size);
+            throw new IllegalStateException("pending " + forwarder.pendingMessages() + " of " + size);
         }
     }
 
-    /** Nothing is printed where the measure has no name. */
+    /** Prints nothing if the name of the measure is empty. */
     private static void measureEvents(String measure, int destinations, int events) throws IOException {
         withTemporaryFolder(folder -> {
             CountingDisk disk = new CountingDisk(FolderDisk.lock(folder));
--- a/bench/java/lilaclever/scale/ProcessRun.java
+++ b/bench/java/lilaclever/scale/ProcessRun.java
@@ -8,12 +8,12 @@
 import lilaclever.scale.AgentStandIn.Behaviour;
 
 /**
- * Figures that need the built program in a process of its own: {@code listed JAR SIZE...} gives heap, memory and start
- * by endpoints known, {@code idle JAR SECONDS SIZE...} the processor time of an idle process by endpoints known and by
- * how its agent behaves. Each line of the output is a {@link Sample}.
+ * Measures the built program in a separate process: {@code listed JAR SIZE...} the heap, memory and start time by
+ * number of known endpoints, {@code idle JAR SECONDS SIZE...} the CPU time of an idle process by number of known
+ * endpoints and by behaviour of its agent. Each line of the output is a {@link Sample}.
  */
 final class ProcessRun {
-    /** What a process does in its first seconds, such as compiling, is no part of being idle. */
+    /** Excludes the first seconds of a process, in which it still compiles code. */
     private static final long SETTLE_MILLIS = 5_000;
 
     private static final String UNUSED_ADDRESS = "127.0.0.1:9";
@@ -57,17 +57,21 @@
         try (AgentStandIn agent = new AgentStandIn(behaviour);
                 ForwarderProcess forwarder = new ForwarderProcess(jar, agent.address(), size, UNUSED_ADDRESS)) {
             Thread.sleep(SETTLE_MILLIS);
-            double before = forwarder.cpuSeconds();
+            double cpuSecondsBefore = forwarder.cpuSeconds();
             long bytesBefore = forwarder.transferredBytes();
-            long began = System.nanoTime();
+            long startNanos = System.nanoTime();
             Thread.sleep(seconds * 1_000);
-            double passed = (System.nanoTime() - began) / 1e9;
-            String agentDoes = behaviour.name().toLowerCase(Locale.ROOT);
-            Sample.print("idle_cpu_agent_" + agentDoes, size, (forwarder.cpuSeconds() - before) / passed, "core");
+            double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+            String behaviourName = behaviour.name().toLowerCase(Locale.ROOT);
             Sample.print(
-                    "idle_bytes_agent_" + agentDoes,
+                    "idle_cpu_agent_" + behaviourName,
                     size,
-                    (forwarder.transferredBytes() - bytesBefore) / passed,
+                    (forwarder.cpuSeconds() - cpuSecondsBefore) / elapsedSeconds,
+                    "core");
+            Sample.print(
+                    "idle_bytes_agent_" + behaviourName,
+                    size,
+                    (forwarder.transferredBytes() - bytesBefore) / elapsedSeconds,
                     "bytes/s");
         }
     }
--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/lab/audit/Auditor.java
@@ -14,34 +14,34 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Watches a run from outside of the forwarders: what clients, partners, directory and platform see. It knows the rules
- * and the service figure, and the story of each message until some time after its end. Whatever host plays the run
- * tells it; times in microseconds since the run began. One thread.
+ * Observes a run from outside the forwarders, as clients, partners, directory and platform see it. It checks the rules,
+ * computes the service figure and keeps the history of each message until some time after its final status. The host of
+ * the run, virtual or on sockets, reports every event; times are in microseconds since the start of the run. Not
+ * thread-safe.
  */
 public final class Auditor {
-    /** An end may come so late after a message's time, and so late after a restart. */
+    /** Allowed delay of a final status after a message's deadline, and after a restart. */
     private static final long NOTICE_DELAY_MICROS = 300_000, RESTART_RECOVERY_MICROS = 1_500_000;
-    /** Every limit of time is so much longer, and calls that cross a told wait are let through. */
+    /** Tolerance of every time limit, and the time in which calls may cross an answer with a retry-after period. */
     private static final long TIMING_SLACK_MICROS = 50_000, CROSSING_CALLS_MICROS = 100_000;
 
     private static final long RETENTION_MICROS = 30_000_000;
     private static final int MAX_BREACHES = 1000, MAX_BREACHES_WITH_HISTORY = 20;
 
-    /** One attempt. */
     private static final class Attempt {
         final long sentAtMicros;
         final String host;
         boolean inProgress = true;
-        /** The partner is known not to have run it. */
+        /** Whether the partner is known not to have processed it. */
         boolean knownNotRun;
 
-        Attempt(long at, String host) {
-            this.sentAtMicros = at;
+        Attempt(long sentAtMicros, String host) {
+            this.sentAtMicros = sentAtMicros;
             this.host = host;
         }
     }
 
-    /** One message, over all its hand-ins. */
+    /** History of one message, over all its submissions. */
     private static final class MessageHistory {
         final int number, messageClass;
         final long firstSubmittedMicros, deadlineMicros, workMicros;
@@ -49,22 +49,22 @@
         int forwarder = -1;
         String noticedStatus;
         boolean rejected;
-        /** Attempts of earlier hand-ins: what may come again is the client's own choice. */
+        /** Number of attempts of earlier submissions; the client itself chose to repeat these. */
         int earlierAttempts;
 
         final List<Attempt> attempts = new ArrayList<>(2);
         final List<String> lines = new ArrayList<>(6);
 
-        MessageHistory(int number, int messageClass, long firstAt, long due, long work) {
+        MessageHistory(int number, int messageClass, long firstSubmittedMicros, long deadlineMicros, long workMicros) {
             this.number = number;
             this.messageClass = messageClass;
-            this.firstSubmittedMicros = firstAt;
-            this.deadlineMicros = due;
-            this.workMicros = work;
+            this.firstSubmittedMicros = firstSubmittedMicros;
+            this.deadlineMicros = deadlineMicros;
+            this.workMicros = workMicros;
         }
 
-        void addLine(long at, String what) {
-            lines.add(String.format(java.util.Locale.ROOT, "%.3f s %s", at / 1e6, what));
+        void addLine(long atMicros, String what) {
+            lines.add(String.format(java.util.Locale.ROOT, "%.3f s %s", atMicros / 1e6, what));
         }
     }
 
@@ -76,14 +76,14 @@
     private final List<Breach> breaches = new ArrayList<>();
     private final TreeMap<Rule, Integer> breachCounts = new TreeMap<>();
     private final TreeMap<String, Long> counts = new TreeMap<>();
-    /** When a forwarder was told that an endpoint drains or is gone. */
+    /** When a forwarder learned that an endpoint drains or was removed, by forwarder and host. */
     private final Map<String, Long> removalReportedMicros = new HashMap<>();
 
     private final Map<String, long[]> retryAfterPeriods = new HashMap<>();
-    /** Each forwarder's times of being away, the last while: from its death to some time after it is ready. */
+    /** Recent downtimes of each forwarder, from its death until some time after it is ready again. */
     private final Map<Integer, ArrayDeque<long[]>> downtimes = new HashMap<>();
 
-    /** An auditor of a run with these classes. */
+    /** Creates the auditor of a run with the given message classes. */
     public Auditor(List<MessageClass> classes, long drainGraceMicros) {
         this.classes = classes;
         this.drainGraceMicros = drainGraceMicros;
@@ -91,17 +91,17 @@
         classes.forEach(c -> latencies.add(new Histogram(3_600_000_000L, 3)));
     }
 
-    /** The service so far. */
+    /** The service figure so far. */
     public Service service() {
         return service;
     }
 
-    /** Time from the first handing-in to the delivery of a class's messages, microseconds. */
+    /** Time from the first submission to the delivery of the messages of a class, microseconds. */
     public Histogram latency(int messageClass) {
         return latencies.get(messageClass);
     }
 
-    /** Broken rules, with stories of the first. */
+    /** Broken rules; the first of them carry the history of the message. */
     public List<Breach> breaches() {
         return breaches;
     }
@@ -111,195 +111,228 @@
         return breachCounts;
     }
 
-    /** What was counted. */
+    /** All counts by name. */
     public Map<String, Long> counts() {
         return counts;
     }
 
-    /** One more. */
+    /** Increments a count. */
     public void count(String what) {
         counts.merge(what, 1L, Long::sum);
     }
 
-    /** A rule was broken that is not one message's. */
-    public void addBreach(Rule rule, long at, String what) {
-        breach(rule, at, what, null);
+    /** Records a broken rule that concerns no single message. */
+    public void addBreach(Rule rule, long atMicros, String what) {
+        breach(rule, atMicros, what, null);
     }
 
-    private void breach(Rule rule, long at, String what, MessageHistory s) {
+    private void breach(Rule rule, long atMicros, String description, MessageHistory history) {
         breachCounts.merge(rule, 1, Integer::sum);
         if (breaches.size() < MAX_BREACHES) {
             breaches.add(new Breach(
-                    rule, at, what, s == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY ? List.of() : List.copyOf(s.lines)));
+                    rule,
+                    atMicros,
+                    description,
+                    history == null || breaches.size() >= MAX_BREACHES_WITH_HISTORY
+                            ? List.of()
+                            : List.copyOf(history.lines)));
         }
     }
 
-    // ---- clients ----------------------------------------------------------------------------------------
-    /** A message is handed in for the first time. */
-    public void messageArrived(int number, int messageClass, int destination, long workMicros, long at) {
-        MessageHistory s = new MessageHistory(
-                number, messageClass, at, at + classes.get(messageClass).terms().deadlineMicros(), workMicros);
-        s.addLine(at, classes.get(messageClass).name() + " " + number + " for destination " + destination);
-        histories.put(number, s);
+    // Events at clients
+    /** A message is submitted for the first time. */
+    public void messageArrived(int number, int messageClass, int destination, long workMicros, long atMicros) {
+        MessageHistory history = new MessageHistory(
+                number,
+                messageClass,
+                atMicros,
+                atMicros + classes.get(messageClass).terms().deadlineMicros(),
+                workMicros);
+        history.addLine(atMicros, classes.get(messageClass).name() + " " + number + " for destination " + destination);
+        histories.put(number, history);
         service.addOfferedWork(workMicros);
         count("messages");
     }
 
-    /** It is handed in to a forwarder. */
-    public void submitted(int number, int forwarder, long at) {
-        MessageHistory s = histories.get(number);
-        if (s != null) {
-            s.earlierAttempts = s.attempts.size();
-            s.addLine(at, "handed in to forwarder " + forwarder);
+    /** A message is submitted to a forwarder. */
+    public void submitted(int number, int forwarder, long atMicros) {
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.earlierAttempts = history.attempts.size();
+            history.addLine(atMicros, "submitted to forwarder " + forwarder);
         }
         count("hand_ins");
     }
 
-    /** The forwarder has told its client that it takes the message on. */
-    public void accepted(int number, int forwarder, long at) {
+    /** The forwarder has answered its client that it accepted the message. */
+    public void accepted(int number, int forwarder, long atMicros) {
         count("taken");
-        MessageHistory s = histories.get(number);
-        if (s != null) {
-            s.acceptedAtMicros = at;
-            s.forwarder = forwarder;
-            s.noticedStatus = null;
-            s.addLine(at, "taken on");
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.acceptedAtMicros = atMicros;
+            history.forwarder = forwarder;
+            history.noticedStatus = null;
+            history.addLine(atMicros, "accepted");
         }
     }
 
-    /** The client was turned away. */
-    public void rejected(int number, long at, long comeBackMicros) {
+    /** The forwarder has rejected the message. */
+    public void rejected(int number, long atMicros, long retryAfterMicros) {
         count("turned_down");
-        MessageHistory s = histories.get(number);
-        if (s != null) {
-            s.rejected = true;
-            s.addLine(
-                    at,
-                    "turned down" + (comeBackMicros > 0 ? ", to come back in " + comeBackMicros / 1000 + " ms" : ""));
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.rejected = true;
+            history.addLine(
+                    atMicros,
+                    "rejected" + (retryAfterMicros > 0 ? ", retry after " + retryAfterMicros / 1000 + " ms" : ""));
         }
     }
 
-    /** The platform has had a notice of its end. */
-    public void noticeReceived(int number, String status, long at) {
+    /** The platform has received a notice of the message's final status. */
+    public void noticeReceived(int number, String status, long atMicros) {
         count("notices_" + status);
-        MessageHistory s = histories.get(number);
-        if (s == null) {
+        MessageHistory history = histories.get(number);
+        if (history == null) {
             return;
         }
-        s.addLine(at, "notice: " + status);
-        if (s.noticedStatus != null && !s.noticedStatus.equals(status)) {
-            breach(Rule.ONE_END, at, "message " + number + " has ended as " + s.noticedStatus + " and as " + status, s);
+        history.addLine(atMicros, "notice: " + status);
+        if (history.noticedStatus != null && !history.noticedStatus.equals(status)) {
+            breach(
+                    Rule.ONE_END,
+                    atMicros,
+                    "message " + number + " has final status " + history.noticedStatus + " and then " + status,
+                    history);
         }
-        s.noticedStatus = status;
+        history.noticedStatus = status;
         if (status.equals("deferred")
                 && firstPossibleEffectMicros(number) >= 0
-                && classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
+                && classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
             breach(
                     Rule.REPEAT,
-                    at,
-                    "message " + number + " may have run, and its client is asked to hand it in again",
-                    s);
+                    atMicros,
+                    "message " + number + " may have been processed, and its client is asked to submit it again",
+                    history);
         }
-        if (isLate(s, at)) {
-            breach(Rule.ONE_END, at, "message " + number + " ended " + (at - s.deadlineMicros) / 1000 + " ms after its time", s);
+        if (isLate(history, atMicros)) {
+            breach(
+                    Rule.ONE_END,
+                    atMicros,
+                    "message " + number + " got its final status " + (atMicros - history.deadlineMicros) / 1000
+                            + " ms after its deadline",
+                    history);
         }
     }
 
-    private boolean isLate(MessageHistory s, long at) {
-        return at > s.deadlineMicros + NOTICE_DELAY_MICROS && !wasDown(s.forwarder, s.deadlineMicros, at);
+    private boolean isLate(MessageHistory history, long atMicros) {
+        return atMicros > history.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(history.forwarder, history.deadlineMicros, atMicros);
     }
 
-    /** True if the forwarder was away when the end was due, or has just come back. */
-    private boolean wasDown(int forwarder, long due, long at) {
-        for (long[] d : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
-            if (d[0] <= due + NOTICE_DELAY_MICROS && due <= d[1] && at <= d[1]) {
+    /** True if the forwarder was down when the final status was due, or has just restarted. */
+    private boolean wasDown(int forwarder, long dueMicros, long atMicros) {
+        for (long[] downtime : downtimes.getOrDefault(forwarder, new ArrayDeque<>())) {
+            if (downtime[0] <= dueMicros + NOTICE_DELAY_MICROS && dueMicros <= downtime[1] && atMicros <= downtime[1]) {
                 return true;
             }
         }
         return false;
     }
 
-    // ---- calls ------------------------------------------------------------------------------------------
-    /** A forwarder sends a message: the first byte of the call leaves. */
-    public void attemptStarted(int number, int forwarder, String host, int destination, long at) {
+    // Calls and attempts
+    /** A forwarder starts an attempt: the first byte of the call is sent. */
+    public void attemptStarted(int number, int forwarder, String host, int destination, long atMicros) {
         count("attempts");
-        Long gone = removalReportedMicros.get(forwarder + " " + host);
-        MessageHistory s = histories.get(number);
-        if (s != null) {
-            s.addLine(at, "forwarder " + forwarder + " sends it to " + host);
+        Long removalReported = removalReportedMicros.get(forwarder + " " + host);
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            history.addLine(atMicros, "forwarder " + forwarder + " sends it to " + host);
         }
-        if (gone != null && at > gone + drainGraceMicros + TIMING_SLACK_MICROS) {
+        if (removalReported != null && atMicros > removalReported + drainGraceMicros + TIMING_SLACK_MICROS) {
             breach(
                     Rule.DRAIN,
-                    at,
-                    "forwarder " + forwarder + " sends to " + host + " " + (at - gone) / 1000
-                            + " ms after it was told that it drains or is gone",
-                    s);
+                    atMicros,
+                    "forwarder " + forwarder + " sends to " + host + " " + (atMicros - removalReported) / 1000
+                            + " ms after it learned that the endpoint drains or was removed",
+                    history);
         }
-        checkRetryAfter(forwarder, destination, at, s);
-        if (s != null) {
-            checkRepeat(s, at);
-            s.attempts.add(new Attempt(at, host));
+        checkRetryAfter(forwarder, destination, atMicros, history);
+        if (history != null) {
+            checkRepeat(history, atMicros);
+            history.attempts.add(new Attempt(atMicros, host));
         }
     }
 
     /**
-     * The last byte of a call of this message comes, where that is later than its sending: no wait must bind it then
-     * either.
+     * The last byte of a call with this message arrives, if that is later than its start. No retry-after period may be
+     * in force at that time either.
      */
-    public void callArrived(int number, int forwarder, int destination, long at) {
-        checkRetryAfter(forwarder, destination, at, histories.get(number));
+    public void callArrived(int number, int forwarder, int destination, long atMicros) {
+        checkRetryAfter(forwarder, destination, atMicros, histories.get(number));
     }
 
-    private void checkRetryAfter(int forwarder, int destination, long at, MessageHistory s) {
-        long[] wait = retryAfterPeriods.get(forwarder + " " + destination);
-        if (wait != null && at > wait[0] + CROSSING_CALLS_MICROS && at < wait[1]) {
+    private void checkRetryAfter(int forwarder, int destination, long atMicros, MessageHistory history) {
+        long[] period = retryAfterPeriods.get(forwarder + " " + destination);
+        if (period != null && atMicros > period[0] + CROSSING_CALLS_MICROS && atMicros < period[1]) {
             breach(
                     Rule.WAIT,
-                    at,
-                    "forwarder " + forwarder + " sends to destination " + destination + " " + (wait[1] - at) / 1000
-                            + " ms before the end of a wait that it was told",
-                    s);
+                    atMicros,
+                    "forwarder " + forwarder + " sends to destination " + destination + " "
+                            + (period[1] - atMicros) / 1000 + " ms before the end of a retry-after period",
+                    history);
         }
     }
 
-    private void checkRepeat(MessageHistory s, long at) {
-        long risk = -1;
-        for (int i = 0; i < s.attempts.size(); i++) {
-            Attempt a = s.attempts.get(i);
+    private void checkRepeat(MessageHistory history, long atMicros) {
+        long possibleEffectMicros = -1;
+        for (int i = 0; i < history.attempts.size(); i++) {
+            Attempt a = history.attempts.get(i);
             if (a.inProgress) {
-                breach(Rule.ONE_ATTEMPT, at, "message " + s.number + " is sent while an attempt is out", s);
+                breach(
+                        Rule.ONE_ATTEMPT,
+                        atMicros,
+                        "message " + history.number + " is sent while an attempt is in progress",
+                        history);
             }
-            risk = i >= s.earlierAttempts && !a.knownNotRun && risk < 0 ? a.sentAtMicros : risk;
+            possibleEffectMicros = i >= history.earlierAttempts && !a.knownNotRun && possibleEffectMicros < 0
+                    ? a.sentAtMicros
+                    : possibleEffectMicros;
         }
-        MessageClass c = classes.get(s.messageClass);
+        MessageClass c = classes.get(history.messageClass);
         RepeatSafety repeat = c.terms().repeat();
-        if (risk >= 0
+        if (possibleEffectMicros >= 0
                 && (repeat == RepeatSafety.UNSAFE
-                        || repeat == RepeatSafety.KEYED && at > risk + c.terms().repeatWindowMicros() + TIMING_SLACK_MICROS)) {
+                        || repeat == RepeatSafety.KEYED
+                                && atMicros
+                                        > possibleEffectMicros
+                                                + c.terms().repeatWindowMicros()
+                                                + TIMING_SLACK_MICROS)) {
             breach(
                     Rule.REPEAT,
-                    at,
-                    c.name() + " " + s.number + " is sent again " + (at - risk) / 1000
-                            + " ms after an attempt that may have run",
-                    s);
+                    atMicros,
+                    c.name() + " " + history.number + " is sent again " + (atMicros - possibleEffectMicros) / 1000
+                            + " ms after an attempt that may have been processed",
+                    history);
         }
-        if (s.noticedStatus != null) {
-            breach(Rule.ONE_END, at, "message " + s.number + " is sent after it has ended as " + s.noticedStatus, s);
+        if (history.noticedStatus != null) {
+            breach(
+                    Rule.ONE_END,
+                    atMicros,
+                    "message " + history.number + " is sent after its final status " + history.noticedStatus,
+                    history);
         }
     }
 
-    /** True while an attempt is out. */
+    /** True while an attempt is in progress. */
     public boolean hasAttemptInProgress(int number) {
-        MessageHistory s = histories.get(number);
-        return s != null && s.attempts.stream().anyMatch(a -> a.inProgress);
+        MessageHistory history = histories.get(number);
+        return history != null && history.attempts.stream().anyMatch(a -> a.inProgress);
     }
 
-    /** When the first attempt was made that may have run; -1 if none may have. */
+    /** Start of the first attempt that may have been processed; -1 if there is none. */
     public long firstPossibleEffectMicros(int number) {
-        MessageHistory s = histories.get(number);
-        if (s != null) {
-            for (Attempt a : s.attempts) {
+        MessageHistory history = histories.get(number);
+        if (history != null) {
+            for (Attempt a : history.attempts) {
                 if (!a.knownNotRun) {
                     return a.sentAtMicros;
                 }
@@ -308,118 +341,136 @@
         return -1;
     }
 
-    /** The last attempt of a message is over, as the partner knows it. */
-    public void attemptEnded(int number, String how, boolean neverRan, long at) {
-        MessageHistory s = histories.get(number);
-        if (s == null || s.attempts.isEmpty()) {
+    /** The last attempt of a message has ended, as seen by the partner. */
+    public void attemptEnded(int number, String outcome, boolean knownNotRun, long atMicros) {
+        MessageHistory history = histories.get(number);
+        if (history == null || history.attempts.isEmpty()) {
             return;
         }
-        for (int i = s.attempts.size() - 1; i >= 0; i--) {
-            Attempt a = s.attempts.get(i);
+        for (int i = history.attempts.size() - 1; i >= 0; i--) {
+            Attempt a = history.attempts.get(i);
             if (a.inProgress) {
                 a.inProgress = false;
-                a.knownNotRun = neverRan;
-                s.addLine(at, how);
-                count("ended_" + how.replace(' ', '_'));
+                a.knownNotRun = knownNotRun;
+                history.addLine(atMicros, outcome);
+                count("ended_" + outcome.replace(' ', '_'));
                 return;
             }
         }
     }
 
-    /** A partner's answer that it has the message is written, and its connection is open. */
-    public void delivered(int number, long at) {
-        MessageHistory s = histories.get(number);
-        if (s == null) {
+    /** A partner has written its answer that it has the message, on an open connection. */
+    public void delivered(int number, long atMicros) {
+        MessageHistory history = histories.get(number);
+        if (history == null) {
             return;
         }
-        if (s.deliveredAtMicros < 0) {
-            s.deliveredAtMicros = at;
+        if (history.deliveredAtMicros < 0) {
+            history.deliveredAtMicros = atMicros;
             count("delivered");
-            latencies.get(s.messageClass).recordValue(Math.min(3_600_000_000L, Math.max(0, at - s.firstSubmittedMicros)));
-        } else if (classes.get(s.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
-            breach(Rule.REPEAT, at, classes.get(s.messageClass).name() + " " + number + " has taken effect twice", s);
+            latencies
+                    .get(history.messageClass)
+                    .recordValue(Math.min(3_600_000_000L, Math.max(0, atMicros - history.firstSubmittedMicros)));
+        } else if (classes.get(history.messageClass).terms().repeat() == RepeatSafety.UNSAFE) {
+            breach(
+                    Rule.REPEAT,
+                    atMicros,
+                    classes.get(history.messageClass).name() + " " + number + " was delivered twice",
+                    history);
         }
     }
 
-    /** A forwarder was told to wait. */
-    public void retryAfterReceived(int forwarder, int destination, long at, long waitMicros) {
-        retryAfterPeriods.merge(forwarder + " " + destination, new long[] {at, at + waitMicros}, (a, b) -> b[1] > a[1] ? b : a);
+    /** A forwarder has received an answer with a retry-after period. */
+    public void retryAfterReceived(int forwarder, int destination, long atMicros, long retryAfterMicros) {
+        retryAfterPeriods.merge(
+                forwarder + " " + destination,
+                new long[] {atMicros, atMicros + retryAfterMicros},
+                (a, b) -> b[1] > a[1] ? b : a);
     }
 
-    /** A forwarder was told of an endpoint. */
-    public void endpointReported(int forwarder, String host, boolean active, long at) {
-        if (active) {
+    /** A forwarder has learned the state of an endpoint. */
+    public void endpointReported(int forwarder, String host, boolean isActive, long atMicros) {
+        if (isActive) {
             removalReportedMicros.remove(forwarder + " " + host);
         } else {
-            removalReportedMicros.putIfAbsent(forwarder + " " + host, at);
+            removalReportedMicros.putIfAbsent(forwarder + " " + host, atMicros);
         }
     }
 
-    // ---- lives ------------------------------------------------------------------------------------------
-    /** A forwarder has died. */
-    public void forwarderDied(int forwarder, long at) {
+    // Restarts of forwarders
+    /** A forwarder process has died. */
+    public void forwarderDied(int forwarder, long atMicros) {
         count("restarts");
-        downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {at, Long.MAX_VALUE});
-        retryAfterPeriods.keySet().removeIf(k -> k.startsWith(forwarder + " ")); // a restart ends the wait
-        for (MessageHistory s : histories.values()) {
-            if (s.forwarder == forwarder && s.acceptedAtMicros >= 0 && s.deliveredAtMicros < 0) {
-                s.addLine(at, "forwarder " + forwarder + " dies");
+        downtimes.computeIfAbsent(forwarder, f -> new ArrayDeque<>()).addLast(new long[] {atMicros, Long.MAX_VALUE});
+        retryAfterPeriods
+                .keySet()
+                .removeIf(k -> k.startsWith(forwarder + " ")); // retry-after periods do not outlast a restart
+        for (MessageHistory history : histories.values()) {
+            if (history.forwarder == forwarder && history.acceptedAtMicros >= 0 && history.deliveredAtMicros < 0) {
+                history.addLine(atMicros, "forwarder " + forwarder + " dies");
             }
         }
     }
 
-    /** It is ready again. */
-    public void forwarderReady(int forwarder, long at) {
-        ArrayDeque<long[]> all = downtimes.get(forwarder);
-        if (all != null) {
-            all.peekLast()[1] = at + RESTART_RECOVERY_MICROS;
-            while (all.size() > 10) {
-                all.removeFirst();
+    /** A forwarder is ready again. */
+    public void forwarderReady(int forwarder, long atMicros) {
+        ArrayDeque<long[]> forwarderDowntimes = downtimes.get(forwarder);
+        if (forwarderDowntimes != null) {
+            forwarderDowntimes.peekLast()[1] = atMicros + RESTART_RECOVERY_MICROS;
+            while (forwarderDowntimes.size() > 10) {
+                forwarderDowntimes.removeFirst();
             }
         }
     }
 
-    // ---- the end ----------------------------------------------------------------------------------------
-    /** Closes the stories of messages whose time was over long ago. Once a second is enough. */
-    public void closeExpired(long now) {
+    // Completion
+    /** Closes the histories of messages whose deadline passed long ago. Calling it once a second is enough. */
+    public void closeExpired(long nowMicros) {
         for (Iterator<MessageHistory> i = histories.values().iterator(); i.hasNext(); ) {
-            MessageHistory s = i.next();
-            if (s.firstSubmittedMicros + RETENTION_MICROS > now || s.deadlineMicros + RETENTION_MICROS > now) {
-                if (s.firstSubmittedMicros + RETENTION_MICROS > now) {
-                    return; // the others are younger
+            MessageHistory history = i.next();
+            if (history.firstSubmittedMicros + RETENTION_MICROS > nowMicros
+                    || history.deadlineMicros + RETENTION_MICROS > nowMicros) {
+                if (history.firstSubmittedMicros + RETENTION_MICROS > nowMicros) {
+                    return; // the remaining ones are newer
                 }
                 continue;
             }
-            close(s, now);
+            close(history, nowMicros);
             i.remove();
         }
-        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < now);
+        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < nowMicros);
     }
 
-    /** The run is over: closes all stories. */
-    public void finish(long now) {
-        histories.values().forEach(s -> close(s, now));
+    /** Closes all histories at the end of the run. */
+    public void finish(long nowMicros) {
+        histories.values().forEach(history -> close(history, nowMicros));
         histories.clear();
     }
 
-    private void close(MessageHistory s, long now) {
-        if (s.acceptedAtMicros >= 0
-                && s.deliveredAtMicros < 0
-                && s.noticedStatus == null
-                && now > s.deadlineMicros + NOTICE_DELAY_MICROS
-                && !wasDown(s.forwarder, s.deadlineMicros, now)) {
-            breach(Rule.ONE_END, s.deadlineMicros, "message " + s.number + " has no end", s);
+    private void close(MessageHistory history, long nowMicros) {
+        if (history.acceptedAtMicros >= 0
+                && history.deliveredAtMicros < 0
+                && history.noticedStatus == null
+                && nowMicros > history.deadlineMicros + NOTICE_DELAY_MICROS
+                && !wasDown(history.forwarder, history.deadlineMicros, nowMicros)) {
+            breach(Rule.ONE_END, history.deadlineMicros, "message " + history.number + " has no final status", history);
         }
-        MessageClass c = classes.get(s.messageClass);
-        double got = s.deliveredAtMicros < 0 ? 0 : c.worth(s.deliveredAtMicros - s.firstSubmittedMicros);
-        service.addMessage(s.messageClass, s.firstSubmittedMicros, c.terms().worth(), got, got == 0 && s.noticedStatus != null);
+        MessageClass c = classes.get(history.messageClass);
+        double deliveredWorth =
+                history.deliveredAtMicros < 0 ? 0 : c.worth(history.deliveredAtMicros - history.firstSubmittedMicros);
+        service.addMessage(
+                history.messageClass,
+                history.firstSubmittedMicros,
+                c.terms().worth(),
+                deliveredWorth,
+                deliveredWorth == 0 && history.noticedStatus != null);
         count(
-                s.deliveredAtMicros >= 0
+                history.deliveredAtMicros >= 0
                         ? "fate_delivered"
-                        : s.noticedStatus != null
-                                ? "fate_" + s.noticedStatus
-                                : s.rejected
+                        : history.noticedStatus != null
+                                ? "fate_" + history.noticedStatus
+                                : history.rejected
                                         ? "fate_turned_down"
-                                        : s.acceptedAtMicros >= 0 ? "fate_unknown" : "fate_never_taken");
+                                        : history.acceptedAtMicros >= 0 ? "fate_unknown" : "fate_never_taken");
     }
 }
--- a/src/main/java/lilaclever/lab/fleet/Failures.java
+++ b/src/main/java/lilaclever/lab/fleet/Failures.java
@@ -7,7 +7,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Lets machines, racks and zones fail and return, cuts off regions and members, and restarts forwarders. */
+/** Injects failures: machines, racks and zones fail and return, regions and members are cut off, forwarders restart. */
 final class Failures {
     private static final long SECOND_MICROS = 1_000_000;
     private static final double SECONDS_PER_DAY = 86_400;
@@ -15,9 +15,9 @@
     private static final int RESTARTS_PER_DAY = 3_100;
     private static final double UNPLANNED_SHARE = 0.1;
     private static final long MACHINE_REPAIR_MICROS = 600 * SECOND_MICROS;
-    /** Processes that return together start within this time. */
+    /** Processes that return together start within this interval. */
     private static final int START_SPREAD_MICROS = (int) (2 * SECOND_MICROS);
-    /** Share of a zone's members that are cut off from their controller. */
+    /** One in this many of a zone's members is cut off from the controller. */
     private static final int CUT_OFF_DIVISOR = 3;
 
     private final FleetSettings settings;
@@ -43,30 +43,33 @@
         this.exponential = ZigguratSampler.Exponential.of(random);
     }
 
-    /** Begins a phase and gives the forwarders that it takes away or brings back. */
+    /** Starts a phase and returns the forwarders that it stops or brings back. */
     List<SimulatedForwarder> startPhase(Phase phase) {
         SimulatedForwarder chosen = anyForwarder();
         leastMoves = 0;
-        long end = queue.now() + phase.seconds() * SECOND_MICROS;
+        long endMicros = queue.now() + phase.seconds() * SECOND_MICROS;
         switch (phase.type()) {
             case QUIET -> affected = List.of();
             case MACHINE_LOST -> stopSelected(other -> sameZone(chosen, other) && other.machine == chosen.machine);
             case RACK_LOST -> stopSelected(other -> sameZone(chosen, other) && other.rack == chosen.rack);
             case ZONE_LOST -> stopSelected(other -> sameZone(chosen, other));
             case RETURN -> affected.forEach(other -> forwarders.startAfter(other, random.nextInt(START_SPREAD_MICROS)));
-            case REGION_CUT_OFF -> cutOffRegion(chosen.region, end);
-            case MEMBERS_CUT_OFF -> cutOffMembers(chosen, end);
+            case REGION_CUT_OFF -> cutOffRegion(chosen.region, endMicros);
+            case MEMBERS_CUT_OFF -> cutOffMembers(chosen, endMicros);
             case RECONNECTED -> {
-                // What was cut off comes back by itself, at the time that was set when it was cut off.
+                // What was cut off reconnects at the time that was set when it was cut off.
             }
-            case ORDINARY_FAILURES -> ordinaryFailures(end);
-            case PLANNED_RESTARTS -> plannedRestarts(end);
-            default -> throw new IllegalStateException("no such happening: " + phase.type());
+            case ORDINARY_FAILURES -> ordinaryFailures(endMicros);
+            case PLANNED_RESTARTS -> plannedRestarts(endMicros);
+            default -> throw new IllegalStateException("unknown phase type: " + phase.type());
         }
         return affected;
     }
 
-    /** Least possible moves of this phase's planned restarts and lost machines: each shard away, and later back. */
+    /**
+     * Least possible number of moves for the planned restarts and lost machines of this phase: each shard moves away,
+     * and later back.
+     */
     long leastMoves() {
         return leastMoves;
     }
@@ -92,7 +95,7 @@
     private void cutOffMembers(SimulatedForwarder chosen, long untilMicros) {
         affected = select(other -> sameZone(chosen, other) && other.id.number() % CUT_OFF_DIVISOR == 0);
         affected.forEach(other -> other.cutOffUntilMicros = untilMicros);
-        // By then their leases have ended, and they do not send any more.
+        // By then their leases have expired, and they no longer send.
         queue.schedule(settings.timing().leaseMicros(), () -> affected.forEach(this::markLeaseExpired));
     }
 
@@ -104,32 +107,32 @@
 
     private void ordinaryFailures(long endMicros) {
         affected = List.of();
-        double size = (double) settings.forwarders() / FleetSettings.FULL_FORWARDERS;
-        repeat(MACHINES_LOST_PER_DAY * size, endMicros, this::loseMachineTemporarily);
-        repeat(RESTARTS_PER_DAY * size, endMicros, this::restartOne);
+        double fleetShare = (double) settings.forwarders() / FleetSettings.FULL_FORWARDERS;
+        repeat(MACHINES_LOST_PER_DAY * fleetShare, endMicros, this::loseMachineTemporarily);
+        repeat(RESTARTS_PER_DAY * fleetShare, endMicros, this::restartOne);
     }
 
     private void plannedRestarts(long endMicros) {
         affected = List.of();
         List<SimulatedForwarder> order = new ArrayList<>(forwarders.all());
-        for (int place = order.size() - 1; place > 0; place--) {
-            SimulatedForwarder other = order.set(random.nextInt(place + 1), order.get(place));
-            order.set(place, other);
+        for (int index = order.size() - 1; index > 0; index--) {
+            SimulatedForwarder other = order.set(random.nextInt(index + 1), order.get(index));
+            order.set(index, other);
         }
         long interval = (long) (SECONDS_PER_DAY * SECOND_MICROS / order.size());
         restartNext(order, 0, interval, endMicros);
     }
 
-    private void restartNext(List<SimulatedForwarder> order, int place, long intervalMicros, long endMicros) {
-        if (queue.now() < endMicros && place < order.size()) {
-            leave(order.get(place));
-            queue.schedule(intervalMicros, () -> restartNext(order, place + 1, intervalMicros, endMicros));
+    private void restartNext(List<SimulatedForwarder> order, int index, long intervalMicros, long endMicros) {
+        if (queue.now() < endMicros && index < order.size()) {
+            leave(order.get(index));
+            queue.schedule(intervalMicros, () -> restartNext(order, index + 1, intervalMicros, endMicros));
         }
     }
 
     private void repeat(double timesPerDay, long endMicros, Runnable action) {
-        long wait = (long) (SECONDS_PER_DAY * SECOND_MICROS / timesPerDay * exponential.sample());
-        queue.schedule(wait, () -> {
+        long delayMicros = (long) (SECONDS_PER_DAY * SECOND_MICROS / timesPerDay * exponential.sample());
+        queue.schedule(delayMicros, () -> {
             if (queue.now() < endMicros) {
                 action.run();
                 repeat(timesPerDay, endMicros, action);
--- a/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
+++ b/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
@@ -5,16 +5,16 @@
 import java.util.Locale;
 import java.util.function.Consumer;
 import lilaclever.lab.fleet.FleetFigures.Figure;
-import lilaclever.lab.fleet.Schedule.PhaseType;
 import lilaclever.lab.fleet.Schedule.Phase;
+import lilaclever.lab.fleet.Schedule.PhaseType;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Plays a schedule with a fleet of hollow forwarders in virtual time. */
+/** Simulates a schedule with a fleet of simulated forwarders in virtual time. */
 public final class FleetSimulation {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long WARM_UP_MICROS = 60 * SECOND_MICROS;
-    /** All forwarders register within this time, so that few shards are placed before all members are known. */
+    /** All forwarders register within this interval, so that few shards are placed before all members are known. */
     private static final int START_SPREAD_MICROS = 50_000;
 
     private static final double PERCENTILE = 99.9;
@@ -31,7 +31,7 @@
     private final Failures failures;
     private final UniformRandomProvider starts;
 
-    /** Fleet of these settings, which has not started yet. */
+    /** Creates a fleet with these settings, not yet started. */
     public FleetSimulation(FleetSettings settings, Schedule schedule) {
         this.settings = settings;
         this.schedule = schedule;
@@ -67,16 +67,16 @@
         failures = new Failures(settings, queue, forwarders, regions, streams.stream("failures"));
     }
 
-    /** Plays the schedule from the start of all forwarders to its end. */
+    /** Runs the schedule from the start of all forwarders to its end. */
     public FleetFigures run() {
         return run(phase -> {});
     }
 
-    /** Plays the schedule, and tells of each phase as it ends. */
+    /** Runs the schedule and reports each phase as it ends. */
     public FleetFigures run(Consumer<PhaseFigures> phaseEnded) {
         forwarders.all().forEach(forwarder -> forwarders.startAfter(forwarder, starts.nextInt(START_SPREAD_MICROS)));
         queue.runUntil(WARM_UP_MICROS);
-        long started = queue.now();
+        long startMicros = queue.now();
         regions.forEach(region -> region.traffic().reset());
         regions.forEach(region -> region.checker().gapMillis().reset());
         forwarders.all().forEach(SimulatedForwarder::resetTraffic);
@@ -87,7 +87,7 @@
             phaseEnded.accept(figures);
             phases.add(figures);
         }
-        double seconds = (queue.now() - started) / (double) SECOND_MICROS;
+        double seconds = (queue.now() - startMicros) / (double) SECOND_MICROS;
         return new FleetFigures(
                 settings,
                 schedule.label(),
@@ -101,19 +101,19 @@
     private PhaseFigures simulatePhase(Phase phase) {
         checks.resetPeak();
         regions.forEach(region -> region.checker().resetPeak());
-        long began = queue.now();
+        long startMicros = queue.now();
         long movesBefore = moves();
         int unservedBefore = checks.unserved();
         List<Integer> shardsBefore = shardCounts(forwarders.all());
         List<SimulatedForwarder> affected = failures.startPhase(phase);
         int lost = checks.unserved() - unservedBefore;
-        queue.runUntil(began + phase.seconds() * SECOND_MICROS);
-        Histogram everywhere = configurations.everywhereMillis(began, queue.now());
+        queue.runUntil(startMicros + phase.seconds() * SECOND_MICROS);
+        Histogram everywhere = configurations.everywhereMillis(startMicros, queue.now());
         return new PhaseFigures(
                 phase.type().name().toLowerCase(Locale.ROOT),
                 phase.seconds(),
                 lost,
-                restoredSeconds(began),
+                restoredSeconds(startMicros),
                 share(checks.peakUnserved(), settings.shards()),
                 peakUnservedInRegion(),
                 moves() - movesBefore,
@@ -125,7 +125,7 @@
                 everywhere.getMaxValue());
     }
 
-    private double restoredSeconds(long began) {
+    private double restoredSeconds(long startMicros) {
         long last = 0;
         for (RegionControl region : regions) {
             if (region.checker().unserved() > 0) {
@@ -133,7 +133,7 @@
             }
             last = Math.max(last, region.checker().lastRestoredMicros());
         }
-        return Math.max(0, last - began) / (double) SECOND_MICROS;
+        return Math.max(0, last - startMicros) / (double) SECOND_MICROS;
     }
 
     private double peakUnservedInRegion() {
@@ -150,18 +150,18 @@
         return regions.stream().mapToLong(region -> region.checker().moves()).sum();
     }
 
-    private List<Integer> shardCounts(List<SimulatedForwarder> some) {
+    private List<Integer> shardCounts(List<SimulatedForwarder> selected) {
         List<Integer> counts = new ArrayList<>();
-        for (SimulatedForwarder forwarder : some) {
+        for (SimulatedForwarder forwarder : selected) {
             OwnershipChecker checker = regions.get(forwarder.region).checker();
             counts.add(forwarder.isRunning() ? checker.shardsOf(forwarder.process) : 0);
         }
         return counts;
     }
 
-    /** What was lost has to move, and what came back has to be moved to who returned; a planned restart does both. */
-    private long leastMoves(PhaseType happening, List<SimulatedForwarder> affected, List<Integer> shardsBefore) {
-        boolean returned = happening == PhaseType.RETURN || happening == PhaseType.RECONNECTED;
+    /** Lost shards have to move, and returned forwarders have to get shards back; a planned restart needs both. */
+    private long leastMoves(PhaseType type, List<SimulatedForwarder> affected, List<Integer> shardsBefore) {
+        boolean returned = type == PhaseType.RETURN || type == PhaseType.RECONNECTED;
         if (returned) {
             return shardCounts(affected).stream().mapToLong(Integer::longValue).sum();
         }
@@ -171,7 +171,7 @@
                         .sum();
     }
 
-    /** Load of the fullest forwarder against the mean of its region: of shards, or of destinations. */
+    /** Ratio of the fullest forwarder's load to the mean of its region, in shards or in destinations. */
     private double fullestLoad(boolean byDestinations) {
         double fullest = 0;
         for (RegionControl region : regions) {
@@ -234,11 +234,11 @@
         figures.add(new Figure("change_everywhere_p50_ms", everywhere.getValueAtPercentile(50)));
         figures.add(new Figure("change_everywhere_p999_ms", everywhere.getValueAtPercentile(PERCENTILE)));
         figures.add(new Figure("change_everywhere_worst_ms", everywhere.getMaxValue()));
-        Histogram each = configurations.reachableMillis();
-        figures.add(new Figure("change_at_forwarder_samples", each.getTotalCount()));
-        figures.add(new Figure("change_at_forwarder_p50_ms", each.getValueAtPercentile(50)));
-        figures.add(new Figure("change_at_forwarder_p999_ms", each.getValueAtPercentile(PERCENTILE)));
-        figures.add(new Figure("change_at_forwarder_worst_ms", each.getMaxValue()));
+        Histogram atForwarder = configurations.reachableMillis();
+        figures.add(new Figure("change_at_forwarder_samples", atForwarder.getTotalCount()));
+        figures.add(new Figure("change_at_forwarder_p50_ms", atForwarder.getValueAtPercentile(50)));
+        figures.add(new Figure("change_at_forwarder_p999_ms", atForwarder.getValueAtPercentile(PERCENTILE)));
+        figures.add(new Figure("change_at_forwarder_worst_ms", atForwarder.getMaxValue()));
         figures.add(new Figure(
                 "change_at_cut_off_forwarder_worst_ms",
                 configurations.cutOffMillis().getMaxValue()));
--- a/src/main/java/lilaclever/lab/fleet/Network.java
+++ b/src/main/java/lilaclever/lab/fleet/Network.java
@@ -2,7 +2,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 
-/** Brings messages over in virtual time: late, in another order, sometimes twice or not at all. */
+/** Delivers messages in virtual time, with delay, reordering, duplication and loss. */
 final class Network {
     private static final long MIN_HOP_MICROS = 200;
     private static final int HOP_SPREAD_MICROS = 1_800;
@@ -25,21 +25,21 @@
         this.duplicationShare = settings.messageDuplication();
     }
 
-    /** Sends within a region, over so many machines in between. */
-    void withinRegion(int hops, Runnable receipt) {
+    /** Sends a message within a region over the given number of hops. */
+    void withinRegion(int hops, Runnable onArrival) {
         if (isLost()) {
             return;
         }
-        queue.schedule(regionDelayMicros(hops), receipt);
+        queue.schedule(regionDelayMicros(hops), onArrival);
         if (random.nextDouble() < duplicationShare) {
-            queue.schedule(regionDelayMicros(hops), receipt);
+            queue.schedule(regionDelayMicros(hops), onArrival);
         }
     }
 
-    /** Sends from one region to another. */
-    void betweenRegions(Runnable receipt) {
+    /** Sends a message from one region to another. */
+    void betweenRegions(Runnable onArrival) {
         if (!isLost()) {
-            queue.schedule(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), receipt);
+            queue.schedule(MIN_WIDE_AREA_MICROS + random.nextInt(WIDE_AREA_SPREAD_MICROS), onArrival);
         }
     }
 
--- a/src/main/java/lilaclever/lab/fleet/RegionControl.java
+++ b/src/main/java/lilaclever/lab/fleet/RegionControl.java
@@ -11,9 +11,9 @@
 import lilaclever.placement.RejectionReason;
 import lilaclever.placement.SendPermission;
 
-/** The control of one region: its controller, the relays before it, and the processes that they serve. */
+/** The control plane of one region: its controller, the relays in front of it, and the processes that they serve. */
 final class RegionControl {
-    /** The controller takes its configuration to be current for so long after word from the publisher. */
+    /** The controller considers its configuration current for this long after a message from the publisher was sent. */
     private static final long PUBLISHER_TIMEOUT_MICROS = 3_000_000;
 
     final int region;
@@ -90,14 +90,14 @@
 
     // Forwarders' side
 
-    /** Starts a process of a forwarder that is down, or that gives its present process up. */
+    /** Starts a process of a forwarder that is down or gives up its current process. */
     void start(SimulatedForwarder forwarder, boolean previousProcessEnded) {
         ForwarderProcess process = forwarders.newProcess(forwarder, previousProcessEnded);
         register(process);
         sendHeartbeat(process);
     }
 
-    /** Ends a forwarder's process without a word to anybody. */
+    /** Stops a forwarder's process without notifying anyone. */
     void stop(SimulatedForwarder forwarder) {
         ForwarderProcess process = forwarder.process;
         if (process != null) {
@@ -122,18 +122,19 @@
         if (process.ended) {
             return;
         }
-        long reading = process.forwarder.clock.now();
+        long clockMicros = process.forwarder.clock.now();
         if (process.lastSequence > 0 && process.holder.appliedRevision() == 0) {
             register(process);
         }
-        ControllerCommand.Heartbeat heartbeat = process.holder.heartbeat(reading);
+        ControllerCommand.Heartbeat heartbeat = process.holder.heartbeat(clockMicros);
         process.lastSequence = heartbeat.sequence();
-        process.lastSentClockMicros = reading;
+        process.lastSentClockMicros = clockMicros;
         send(process, heartbeat);
         if (process.leaving) {
             send(process, new ControllerCommand.Leave(process.forwarder.id, process.incarnation));
         }
-        queue.schedule(process.forwarder.clock.delayOf(settings.timing().heartbeatMicros()), () -> sendHeartbeat(process));
+        queue.schedule(
+                process.forwarder.clock.delayOf(settings.timing().heartbeatMicros()), () -> sendHeartbeat(process));
     }
 
     private void send(ForwarderProcess process, ControllerCommand command) {
@@ -155,23 +156,24 @@
             ControllerEvent.LeaseRenewed renewal,
             long mapVersion,
             boolean configurationCurrent) {
-        long reading = process.forwarder.clock.now();
+        long clockMicros = process.forwarder.clock.now();
         boolean sampled = traffic.sampleHolder();
-        long begin = sampled ? System.nanoTime() : 0;
-        process.holder.leaseRenewed(renewal, reading);
+        long startNanos = sampled ? System.nanoTime() : 0;
+        process.holder.leaseRenewed(renewal, clockMicros);
         if (sampled) {
-            traffic.addHolderTime(System.nanoTime() - begin);
+            traffic.addHolderTime(System.nanoTime() - startNanos);
         }
         if (renewal.sequence() == process.lastSequence) {
             long leaseMicros = (long)
                     (settings.timing().leaseMicros() * (1 - settings.timing().maxDrift()));
-            long until = process.forwarder.clock.virtualTimeOf(process.lastSentClockMicros + leaseMicros);
-            process.permittedUntilMicros =
-                    Math.max(process.permittedUntilMicros, until - settings.timing().marginMicros());
+            long untilMicros = process.forwarder.clock.virtualTimeOf(process.lastSentClockMicros + leaseMicros);
+            process.permittedUntilMicros = Math.max(
+                    process.permittedUntilMicros,
+                    untilMicros - settings.timing().marginMicros());
             if (process.mapVersion >= mapVersion) {
-                process.mapFreshUntilMicros = Math.max(process.mapFreshUntilMicros, until);
+                process.mapFreshUntilMicros = Math.max(process.mapFreshUntilMicros, untilMicros);
                 process.configurationFreshUntilMicros = configurationCurrent
-                        ? Math.max(process.configurationFreshUntilMicros, until)
+                        ? Math.max(process.configurationFreshUntilMicros, untilMicros)
                         : process.configurationFreshUntilMicros;
             }
         }
@@ -189,12 +191,12 @@
         sendRelease(process);
     }
 
-    /** For each shard that is about to be revoked a call is out, and ends some time later. */
+    /** Simulates a call in progress for each shard that is about to be revoked, which ends some time later. */
     private void startCalls(ForwarderProcess process, ControllerEvent.AssignmentChanged change) {
-        long reading = process.forwarder.clock.now();
+        long clockMicros = process.forwarder.clock.now();
         change.revoked().forEach(grant -> {
-            if (process.holder.maySend(grant.shard(), reading) instanceof SendPermission.Permitted permitted) {
-                process.holder.callStarted(grant.shard(), permitted.epoch(), reading);
+            if (process.holder.maySend(grant.shard(), clockMicros) instanceof SendPermission.Permitted permitted) {
+                process.holder.callStarted(grant.shard(), permitted.epoch(), clockMicros);
                 queue.schedule(forwarders.randomCallMicros(region, grant.shard()), () -> {
                     process.holder.callFinished(grant.shard(), permitted.epoch());
                     sendRelease(process);
@@ -219,7 +221,7 @@
 
     // Controller's side
 
-    /** Word from the publisher of configurations arrives, with the version that is in force. */
+    /** A message from the configuration publisher arrives, with the version in force. */
     void configurationPublished(long version, long sentMicros) {
         publisherSentMicros = Math.max(publisherSentMicros, sentMicros);
         if (version > configurationVersion) {
@@ -233,29 +235,29 @@
         return configurationVersion;
     }
 
-    /** Version of the configuration that a process has. */
+    /** Configuration version that a process has. */
     long configurationOf(ForwarderProcess process) {
         return map.configurationOf(process);
     }
 
     private void apply(ControllerCommand command) {
-        long begin = System.nanoTime();
+        long startNanos = System.nanoTime();
         List<ControllerEvent> events = controller.apply(command, clock.now());
-        traffic.addControllerTime(System.nanoTime() - begin);
+        traffic.addControllerTime(System.nanoTime() - startNanos);
         events.forEach(this::dispatch);
         scheduleAdvance();
     }
 
     private void scheduleAdvance() {
-        long due = controller.nextDueMicros();
-        if (due != Long.MAX_VALUE && due < nextAdvanceMicros) {
-            nextAdvanceMicros = due;
-            queue.schedule(clock.delayOf(Math.max(0, due - clock.now())), () -> advanceTime(due));
+        long dueMicros = controller.nextDueMicros();
+        if (dueMicros != Long.MAX_VALUE && dueMicros < nextAdvanceMicros) {
+            nextAdvanceMicros = dueMicros;
+            queue.schedule(clock.delayOf(Math.max(0, dueMicros - clock.now())), () -> advanceTime(dueMicros));
         }
     }
 
-    private void advanceTime(long due) {
-        if (nextAdvanceMicros == due) {
+    private void advanceTime(long dueMicros) {
+        if (nextAdvanceMicros == dueMicros) {
             nextAdvanceMicros = Long.MAX_VALUE;
             apply(new ControllerCommand.AdvanceTime());
         }
@@ -298,7 +300,7 @@
         void apply(ForwarderProcess process);
     }
 
-    private void sendToProcess(MemberId member, long incarnation, int bytes, ProcessAction receipt) {
+    private void sendToProcess(MemberId member, long incarnation, int bytes, ProcessAction action) {
         SimulatedForwarder forwarder = forwarders.byId(member);
         traffic.countRelayed(forwarder, bytes);
         if (forwarder.isCutOff(queue.now())) {
@@ -308,7 +310,7 @@
             ForwarderProcess process = forwarder.process;
             if (process != null && process.incarnation == incarnation && !process.forwarder.isCutOff(queue.now())) {
                 forwarder.countBytes(bytes, queue.now());
-                receipt.apply(process);
+                action.apply(process);
             }
         });
     }
--- a/src/main/java/lilaclever/lab/model/CallLimiter.java
+++ b/src/main/java/lilaclever/lab/model/CallLimiter.java
@@ -1,6 +1,8 @@
 package lilaclever.lab.model;
 
-/** What a partner's limit lets through: a plain rate, or a count in each span of time. Times only go forward. */
+/**
+ * Limits the calls to a partner, by a plain rate or by a count in each fixed window. Times passed in never decrease.
+ */
 final class CallLimiter {
     private final PartnerKind.Limit limit;
     private final double perSecond;
@@ -8,66 +10,69 @@
     private final boolean countsRefusedCalls;
     private double available;
     private long refilledAtMicros;
-    /** Part of its usual rate that it lets through until a time. */
+    /** Share of the usual rate that is allowed until {@link #loweredUntilMicros}. */
     private double loweredShare = 1;
 
     private long loweredUntilMicros = Long.MIN_VALUE;
 
-    /** {@code perSecond} in the mean; a rate lets a fifth of a second's calls through at once. */
-    CallLimiter(PartnerKind.Limit limit, double perSecond, long spanMicros, boolean refusedCount) {
+    /**
+     * Allows {@code perSecond} calls on average; with a plain rate, up to a fifth of a second's calls may come at once.
+     */
+    CallLimiter(PartnerKind.Limit limit, double perSecond, long windowMicros, boolean countsRefusedCalls) {
         this.limit = limit;
         this.perSecond = perSecond;
-        this.windowMicros = spanMicros;
-        this.countsRefusedCalls = refusedCount;
+        this.windowMicros = windowMicros;
+        this.countsRefusedCalls = countsRefusedCalls;
         available = burstSize(0);
     }
 
-    /** Lets only a part of the usual rate through until then. */
-    void lower(double toPart, long until) {
-        loweredShare = toPart;
-        loweredUntilMicros = until;
+    /** Allows only a share of the usual rate until the given time. */
+    void lower(double share, long untilMicros) {
+        loweredShare = share;
+        loweredUntilMicros = untilMicros;
     }
 
-    private double callsPerSecond(long now) {
-        return now < loweredUntilMicros ? perSecond * loweredShare : perSecond;
+    private double callsPerSecond(long nowMicros) {
+        return nowMicros < loweredUntilMicros ? perSecond * loweredShare : perSecond;
     }
 
-    private double burstSize(long now) {
+    private double burstSize(long nowMicros) {
         return limit == PartnerKind.Limit.RATE
-                ? Math.max(1, callsPerSecond(now) / 5)
-                : Math.max(1, Math.floor(callsPerSecond(now) * windowMicros / 1e6));
+                ? Math.max(1, callsPerSecond(nowMicros) / 5)
+                : Math.max(1, Math.floor(callsPerSecond(nowMicros) * windowMicros / 1e6));
     }
 
-    /** True if a call now is within the limit; it counts from now on. */
-    boolean tryAcquire(long now) {
+    /** Returns whether a call at this time is within the limit, and counts it if so. */
+    boolean tryAcquire(long nowMicros) {
         if (limit == PartnerKind.Limit.NONE) {
             return true;
         }
-        refill(now);
+        refill(nowMicros);
         if (available >= 1) {
             available--;
             return true;
         }
         if (countsRefusedCalls && limit == PartnerKind.Limit.RATE) {
-            available = Math.max(-burstSize(now), available - 1);
+            available = Math.max(-burstSize(nowMicros), available - 1);
         }
         return false;
     }
 
-    private void refill(long now) {
+    private void refill(long nowMicros) {
         if (limit == PartnerKind.Limit.RATE) {
-            available = Math.min(burstSize(now), available + (now - refilledAtMicros) / 1e6 * callsPerSecond(now));
-            refilledAtMicros = now;
-        } else if (now / windowMicros != refilledAtMicros / windowMicros) {
-            available = burstSize(now);
-            refilledAtMicros = now;
+            available = Math.min(
+                    burstSize(nowMicros), available + (nowMicros - refilledAtMicros) / 1e6 * callsPerSecond(nowMicros));
+            refilledAtMicros = nowMicros;
+        } else if (nowMicros / windowMicros != refilledAtMicros / windowMicros) {
+            available = burstSize(nowMicros);
+            refilledAtMicros = nowMicros;
         }
     }
 
-    /** When there is room again if nobody else takes it. */
-    long availableAtMicros(long now) {
+    /** The time at which the next call will be allowed if no other call comes first. */
+    long availableAtMicros(long nowMicros) {
         return limit == PartnerKind.Limit.RATE
-                ? now + (long) (Math.max(0, 1 - available) / callsPerSecond(now) * 1e6)
-                : (now / windowMicros + 1) * windowMicros;
+                ? nowMicros + (long) (Math.max(0, 1 - available) / callsPerSecond(nowMicros) * 1e6)
+                : (nowMicros / windowMicros + 1) * windowMicros;
     }
 }
--- a/src/main/java/lilaclever/lab/model/Traffic.java
+++ b/src/main/java/lilaclever/lab/model/Traffic.java
@@ -5,12 +5,12 @@
 import java.util.List;
 
 /**
- * Draws all arrivals of a run ahead. Load is a share of the full load and changes along straight lines between the
- * points of its shape; arrivals come by chance (a Poisson process, drawn by thinning), some of them in clumps for one
+ * Draws all arrivals of a run in advance. The load is a share of the full load, interpolated linearly between the
+ * points of its shape. Arrivals are a Poisson process, drawn by thinning; some of them come in bursts for one
  * destination.
  */
 public final class Traffic {
-    /** The load from a time on, up to the next point. */
+    /** The load at a time. */
     public record Point(long atMicros, double load) {}
 
     private final List<Point> shape;
@@ -20,101 +20,106 @@
     private final double[] weights;
     private final List<Partner> partners;
 
-    /** {@code weights}: of the destinations, summing to 1, in the partners' order. */
+    /**
+     * Creates the traffic; {@code weights} are the shares of the destinations, summing to 1, in the order of the
+     * partners.
+     */
     public Traffic(
             List<Point> shape,
-            double perSecond,
-            double clumpShare,
-            double[] clumpSeconds,
+            double messagesPerSecond,
+            double burstShare,
+            double[] burstSeconds,
             List<MessageClass> classes,
             double[] weights,
             List<Partner> partners) {
         this.shape = shape;
-        this.messagesPerSecond = perSecond;
-        this.burstShare = clumpShare;
-        this.burstSeconds = clumpSeconds;
+        this.messagesPerSecond = messagesPerSecond;
+        this.burstShare = burstShare;
+        this.burstSeconds = burstSeconds;
         this.classes = classes;
         this.weights = weights;
         this.partners = partners;
     }
 
-    /** The load at a time, a share of the full load. */
-    public double load(long at) {
+    /** The load at a time, as a share of the full load. */
+    public double load(long atMicros) {
         Point before = shape.get(0);
         for (Point p : shape) {
-            if (p.atMicros() > at) {
-                double part = (double) (at - before.atMicros()) / (p.atMicros() - before.atMicros());
-                return before.load() + part * (p.load() - before.load());
+            if (p.atMicros() > atMicros) {
+                double fraction = (double) (atMicros - before.atMicros()) / (p.atMicros() - before.atMicros());
+                return before.load() + fraction * (p.load() - before.load());
             }
             before = p;
         }
         return before.load();
     }
 
-    /** All arrivals up to the end, in order. */
+    /** Draws all arrivals up to the end, in order of time. */
     public List<Arrival> draw(long endMicros, RandomStream random) {
-        double most = shape.stream().mapToDouble(Point::load).max().orElse(0);
-        double[] upTo = new double[weights.length];
+        double maxLoad = shape.stream().mapToDouble(Point::load).max().orElse(0);
+        double[] cumulativeWeights = new double[weights.length];
         double sum = 0;
         for (int i = 0; i < weights.length; i++) {
             sum += weights[i];
-            upTo[i] = sum;
+            cumulativeWeights[i] = sum;
         }
-        List<Arrival> all = new ArrayList<>();
-        double t = 0;
-        while (most > 0) {
-            t += random.exponential(1e6 / (most * messagesPerSecond));
-            if (t >= endMicros) {
+        List<Arrival> arrivals = new ArrayList<>();
+        double atMicros = 0;
+        while (maxLoad > 0) {
+            atMicros += random.exponential(1e6 / (maxLoad * messagesPerSecond));
+            if (atMicros >= endMicros) {
                 break;
             }
-            if (!random.chance(load((long) t) / most)) {
+            if (!random.chance(load((long) atMicros) / maxLoad)) {
                 continue;
             }
-            int found = java.util.Arrays.binarySearch(upTo, random.unit() * sum);
-            int at = Math.min(weights.length - 1, found < 0 ? -found - 1 : found + 1);
-            // Of all messages a share comes in clumps: the mean size of one is taken off the chance of beginning one.
-            double size = partners.get(at).capacity() * random.in(burstSeconds);
-            int count = burstShare > 0 && random.chance(burstShare / Math.max(1, size)) ? Math.max(1, (int) size) : 1;
+            int found = java.util.Arrays.binarySearch(cumulativeWeights, random.unit() * sum);
+            int partner = Math.min(weights.length - 1, found < 0 ? -found - 1 : found + 1);
+            // burstShare is a share of messages, so the chance of starting a burst is divided by the size of the burst.
+            double burstSize = partners.get(partner).capacity() * random.in(burstSeconds);
+            int count = burstShare > 0 && random.chance(burstShare / Math.max(1, burstSize))
+                    ? Math.max(1, (int) burstSize)
+                    : 1;
             for (int i = 0; i < count; i++) {
-                all.add(arrival((long) (t + i * 1000.0), at, random));
+                arrivals.add(arrival((long) (atMicros + i * 1000.0), partner, random));
             }
         }
-        all.sort(Comparator.comparingLong(Arrival::atMicros));
-        List<Arrival> numbered = new ArrayList<>(all.size());
-        for (Arrival a : all) {
+        arrivals.sort(Comparator.comparingLong(Arrival::atMicros));
+        List<Arrival> numbered = new ArrayList<>(arrivals.size());
+        for (Arrival a : arrivals) {
             numbered.add(new Arrival(a.atMicros(), numbered.size(), a.messageClass(), a.destination(), a.workMicros()));
         }
         return numbered;
     }
 
-    private Arrival arrival(long at, int partner, RandomStream random) {
+    private Arrival arrival(long atMicros, int partner, RandomStream random) {
         double[] shares = classes.stream().mapToDouble(MessageClass::share).toArray();
-        int c = pick(shares, random.unit());
+        int messageClass = pick(shares, random.unit());
         return new Arrival(
-                at,
+                atMicros,
                 0,
-                c,
+                messageClass,
                 partners.get(partner).destination(),
-                random.in(classes.get(c).workMicros()));
+                random.in(classes.get(messageClass).workMicros()));
     }
 
-    /** The index whose part of the sum the number from 0 to 1 falls into. */
+    /** The index into whose part of the sum a number from 0 to 1 falls. */
     public static int pick(double[] parts, double unit) {
         double sum = 0;
         for (double p : parts) {
             sum += p;
         }
-        double left = unit * sum;
+        double remaining = unit * sum;
         for (int i = 0; i < parts.length; i++) {
-            left -= parts[i];
-            if (left < 0) {
+            remaining -= parts[i];
+            if (remaining < 0) {
                 return i;
             }
         }
         return parts.length - 1;
     }
 
-    /** Parts that fall by Zipf's law with that exponent, summing to 1. */
+    /** Shares by Zipf's law with the given exponent, summing to 1. */
     public static double[] zipf(int count, double exponent) {
         double[] parts = new double[count];
         double sum = 0;
--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/lab/report/Comparison.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * Two sets of runs side by side. Runs of the same scenario and seed are pairs, and the mean of their differences has a
- * confidence interval of 95% (Student's t): where it holds 0, chance alone may have made the difference.
+ * Compares two sets of runs. Runs of the same scenario and seed form pairs; the mean of their differences has a 95%
+ * confidence interval (Student's t). If that contains 0, the difference may be due to chance.
  */
 public final class Comparison {
     private static final String[] FIGURES = {"service", "whole_run", "worst_10_s", "worst_class", "deductions"};
@@ -26,52 +26,53 @@
 
     private Comparison() {}
 
-    /** Reads all reports below the folder, by scenario and seed. */
+    /** Reads all reports below a folder, keyed by scenario and seed. */
     public static TreeMap<String, JsonObject> read(Path folder) throws IOException {
-        TreeMap<String, JsonObject> all = new TreeMap<>();
+        TreeMap<String, JsonObject> reports = new TreeMap<>();
         try (Stream<Path> files = Files.walk(folder)) {
             for (Path f : files.filter(p -> p.getFileName().toString().equals("report.json"))
                     .sorted()
                     .toList()) {
                 try {
                     JsonObject r = JsonParser.parseString(Files.readString(f)).getAsJsonObject();
-                    all.put(
+                    reports.put(
                             r.get("scenario").getAsString() + ", seed "
                                     + r.get("seed").getAsLong(),
                             r);
                 } catch (JsonParseException | IllegalStateException | NullPointerException e) {
-                    throw new IOException(f + " is no report", e);
+                    throw new IOException(f + " is not a report", e);
                 }
             }
         }
-        if (all.isEmpty()) {
-            throw new IOException(folder + " holds no report.json");
+        if (reports.isEmpty()) {
+            throw new IOException(folder + " contains no report.json");
         }
-        return all;
+        return reports;
     }
 
-    /** The table. */
+    /** Returns the comparison as a table. */
     public static String table(Path a, Path b) throws IOException {
         TreeMap<String, JsonObject> first = read(a), second = read(b);
-        List<String> both = first.keySet().stream().filter(second::containsKey).toList();
-        StringBuilder all = new StringBuilder();
-        all.append(String.format(
+        List<String> sharedRuns =
+                first.keySet().stream().filter(second::containsKey).toList();
+        StringBuilder text = new StringBuilder();
+        text.append(String.format(
                 Locale.ROOT,
                 "%d runs in %s, %d in %s, %d of them of the same scenario and seed%n",
                 first.size(),
                 a,
                 second.size(),
                 b,
-                both.size()));
-        if (both.isEmpty()) {
-            return all.append("nothing to compare: play both with the same scenarios and seeds\n")
+                sharedRuns.size()));
+        if (sharedRuns.isEmpty()) {
+            return text.append("nothing to compare: run both with the same scenarios and seeds\n")
                     .toString();
         }
-        all.append(String.format("%-14s %8s %8s %11s   %s%n", "figure", "A", "B", "B less A", "95% of chance"));
+        text.append(String.format("%-14s %8s %8s %11s   %s%n", "figure", "A", "B", "B less A", "95% of chance"));
         for (String figure : FIGURES) {
             List<Double> differences = new ArrayList<>();
             double sumA = 0, sumB = 0;
-            for (String run : both) {
+            for (String run : sharedRuns) {
                 double x = first.get(run).get(figure).getAsDouble(),
                         y = second.get(run).get(figure).getAsDouble();
                 sumA += x;
@@ -79,15 +80,15 @@
                 differences.add(y - x);
             }
             double[] interval = interval(differences);
-            all.append(String.format(
+            text.append(String.format(
                     Locale.ROOT,
                     "%-14s %8.4f %8.4f %+11.4f   %s%n",
                     figure,
-                    sumA / both.size(),
-                    sumB / both.size(),
+                    sumA / sharedRuns.size(),
+                    sumB / sharedRuns.size(),
                     mean(differences),
                     interval == null
-                            ? "one pair tells nothing of chance"
+                            ? "no interval from a single pair"
                             : String.format(
                                     Locale.ROOT,
                                     "%+.4f to %+.4f%s",
@@ -95,10 +96,10 @@
                                     interval[1],
                                     interval[0] > 0 || interval[1] < 0 ? "" : ", may be chance")));
         }
-        for (String run : both) {
-            all.append(broken(run, "A", first.get(run))).append(broken(run, "B", second.get(run)));
+        for (String run : sharedRuns) {
+            text.append(broken(run, "A", first.get(run))).append(broken(run, "B", second.get(run)));
         }
-        return all.toString();
+        return text.toString();
     }
 
     private static String broken(String run, String set, JsonObject report) {
@@ -110,7 +111,7 @@
         return values.stream().mapToDouble(Double::doubleValue).average().orElse(0);
     }
 
-    /** The interval of 95% round the mean; null for fewer than two values. */
+    /** The 95% confidence interval of the mean; null for fewer than two values. */
     public static double[] interval(List<Double> values) {
         int n = values.size();
         if (n < 2) {
@@ -119,7 +120,8 @@
         double mean = mean(values);
         double squares =
                 values.stream().mapToDouble(v -> (v - mean) * (v - mean)).sum();
-        double half = (n - 1 <= STUDENT_T_97_5.length ? STUDENT_T_97_5[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
+        double half =
+                (n - 1 <= STUDENT_T_97_5.length ? STUDENT_T_97_5[n - 2] : 1.96) * Math.sqrt(squares / (n - 1) / n);
         return new double[] {mean - half, mean + half};
     }
 }
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/lab/report/Plots.java
@@ -48,11 +48,11 @@
 
     private Plots() {}
 
-    /** A line for each series over the seconds of the run, with what happened as bands. */
+    /** Plots a line for each series over the seconds of the run, with the events as bands. */
     static String overTime(
-            String yLabel, Map<String, double[]> lines, List<RehearsalResult.EventPeriod> bands, double most) {
+            String yLabel, Map<String, double[]> series, List<RehearsalResult.EventPeriod> bands, double maxY) {
         XYSeriesCollection data = new XYSeriesCollection();
-        lines.forEach((name, values) -> {
+        series.forEach((name, values) -> {
             XYSeries s = new XYSeries(name);
             for (int i = 0; i < values.length; i++) {
                 if (!Double.isNaN(values[i])) {
@@ -63,8 +63,8 @@
         });
         JFreeChart chart = chart("seconds", yLabel, data);
         XYPlot plot = chart.getXYPlot();
-        if (most > 0) {
-            plot.getRangeAxis().setRange(0, most);
+        if (maxY > 0) {
+            plot.getRangeAxis().setRange(0, maxY);
         } else {
             ((NumberAxis) plot.getRangeAxis()).setAutoRangeIncludesZero(true);
         }
@@ -83,7 +83,7 @@
         return png(chart, WIDTH, HEIGHT);
     }
 
-    /** For each class, the share of deliveries that took longer than a time. */
+    /** Plots, for each class, the share of deliveries that took longer than a time. */
     static String latencies(RehearsalResult r) {
         XYSeriesCollection data = new XYSeriesCollection();
         List<MessageClass> classes = r.scenario().classes();
@@ -105,7 +105,7 @@
         return png(chart, WIDTH, HEIGHT);
     }
 
-    /** A curve with its band of uncertainty: points of x, mean, lower and upper end. */
+    /** Plots curves with their confidence bands; a point is x, mean, lower and upper end. */
     static byte[] curve(String xLabel, String yLabel, Map<String, List<double[]>> curves) {
         YIntervalSeriesCollection data = new YIntervalSeriesCollection();
         curves.forEach((name, points) -> {
@@ -162,7 +162,7 @@
         try {
             ImageIO.write(image, "png", out);
         } catch (IOException e) {
-            throw new IllegalStateException("into memory", e);
+            throw new IllegalStateException("encoding a PNG image in memory failed", e);
         }
         return out.toByteArray();
     }
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/lab/report/Report.java
@@ -23,15 +23,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Writes a run's folder: {@code report.json} (figures; the same scenario and seed give the same bytes), {@code
- * seconds.csv}, {@code partners.csv}, a latency log of each class, and {@code index.html} with plots.
+ * Writes the report folder of a run: {@code report.json} with the figures (in virtual time the same scenario and seed
+ * give the same bytes), {@code seconds.csv}, {@code partners.csv}, a latency histogram of each class, and {@code
+ * index.html} with plots.
  */
 public final class Report {
     private static final double[] PERCENTILES = {50, 90, 99, 99.9, 100};
 
     private Report() {}
 
-    /** Writes the folder. */
+    /** Writes the report folder. */
     public static void write(RehearsalResult r, Path folder) throws IOException {
         Files.createDirectories(folder);
         Files.writeString(
@@ -49,26 +50,26 @@
         Files.writeString(folder.resolve("index.html"), Page.render(r));
     }
 
-    /** All figures. */
+    /** Returns all figures of a run as JSON. */
     public static JsonObject json(RehearsalResult r) {
         Auditor a = r.auditor();
         Service s = a.service();
-        JsonObject all = new JsonObject();
-        all.addProperty("scenario", r.scenario().name());
-        all.addProperty("seed", r.seed());
-        all.addProperty("played", r.timingQuality() == null ? "virtual time" : "sockets");
-        all.addProperty("partial", r.isPartial());
+        JsonObject json = new JsonObject();
+        json.addProperty("scenario", r.scenario().name());
+        json.addProperty("seed", r.seed());
+        json.addProperty("played", r.timingQuality() == null ? "virtual time" : "sockets");
+        json.addProperty("partial", r.isPartial());
         if (r.timingQuality() != null) {
-            all.add("trust", trust(r.timingQuality()));
+            json.add("trust", trust(r.timingQuality()));
         }
-        all.addProperty("service", round(s.figure(DeductionRates.DEFAULT)));
-        all.addProperty("whole_run", round(s.wholeRun()));
-        all.addProperty("worst_10_s", round(s.worstWindow()));
-        all.addProperty("worst_class", round(s.worstClass()));
-        all.addProperty("deductions", round(s.deductions(DeductionRates.DEFAULT)));
+        json.addProperty("service", round(s.figure(DeductionRates.DEFAULT)));
+        json.addProperty("whole_run", round(s.wholeRun()));
+        json.addProperty("worst_10_s", round(s.worstWindow()));
+        json.addProperty("worst_class", round(s.worstClass()));
+        json.addProperty("deductions", round(s.deductions(DeductionRates.DEFAULT)));
         JsonObject broken = new JsonObject();
         a.breachCounts().forEach((rule, n) -> broken.addProperty(ruleName(rule), n));
-        all.add("broken_rules", broken);
+        json.add("broken_rules", broken);
         JsonObject counts = new JsonObject();
         a.counts().forEach(counts::addProperty);
         counts.addProperty("new_connections", s.connections());
@@ -78,12 +79,12 @@
                 r.partners().stream()
                         .mapToInt(RehearsalResult.PartnerRow::overloads)
                         .sum());
-        all.add("counts", counts);
+        json.add("counts", counts);
         JsonObject classes = new JsonObject();
         for (int c = 0; c < r.scenario().classes().size(); c++) {
             classes.add(r.scenario().classes().get(c).name(), ofClass(r, c));
         }
-        all.add("classes", classes);
+        json.add("classes", classes);
         JsonArray events = new JsonArray();
         for (RehearsalResult.EventPeriod b : r.eventPeriods()) {
             JsonObject e = new JsonObject();
@@ -92,8 +93,8 @@
             e.addProperty("to_s", b.toMicros() / 1e6);
             events.add(e);
         }
-        all.add("events", events);
-        JsonArray stories = new JsonArray();
+        json.add("events", events);
+        JsonArray breaches = new JsonArray();
         for (Breach b : a.breaches().subList(0, Math.min(20, a.breaches().size()))) {
             JsonObject o = new JsonObject();
             o.addProperty("rule", ruleName(b.rule()));
@@ -102,12 +103,12 @@
             JsonArray lines = new JsonArray();
             b.history().forEach(lines::add);
             o.add("story", lines);
-            stories.add(o);
+            breaches.add(o);
         }
-        all.add("breaches", stories);
-        all.addProperty("virtual_seconds", r.endMicros() / 1_000_000);
-        all.addProperty("scheduled_events", r.actionCount());
-        return all;
+        json.add("breaches", breaches);
+        json.addProperty("virtual_seconds", r.endMicros() / 1_000_000);
+        json.addProperty("scheduled_events", r.actionCount());
+        return json;
     }
 
     private static JsonObject trust(TimingQuality t) {
@@ -148,25 +149,25 @@
     private static String seconds(RehearsalResult r) {
         List<String> names = new ArrayList<>(r.series().keySet());
         int length = r.series().values().stream().mapToInt(v -> v.length).max().orElse(0);
-        StringBuilder all = new StringBuilder("second,service," + String.join(",", names) + "\n");
+        StringBuilder csv = new StringBuilder("second,service," + String.join(",", names) + "\n");
         double[] service = r.auditor().service().bySecond();
         for (int i = 0; i < length; i++) {
-            all.append(i)
+            csv.append(i)
                     .append(',')
                     .append(i < service.length && !Double.isNaN(service[i]) ? String.valueOf(round(service[i])) : "");
             for (String n : names) {
-                all.append(',').append((long) r.series().get(n)[i]);
+                csv.append(',').append((long) r.series().get(n)[i]);
             }
-            all.append('\n');
+            csv.append('\n');
         }
-        return all.toString();
+        return csv.toString();
     }
 
     private static String partners(RehearsalResult r) {
-        StringBuilder all = new StringBuilder(
+        StringBuilder csv = new StringBuilder(
                 "destination,kind,messages_a_second_at_most,share_of_traffic,calls,refused,served,fallen_over\n");
         for (RehearsalResult.PartnerRow p : r.partners()) {
-            all.append(String.format(
+            csv.append(String.format(
                     Locale.ROOT,
                     "%d,%s,%.2f,%.4f,%d,%d,%d,%d%n",
                     p.destination(),
@@ -178,13 +179,13 @@
                     p.served(),
                     p.overloads()));
         }
-        return all.toString();
+        return csv.toString();
     }
 
-    /** A few lines for the terminal. */
+    /** Returns a short summary for the terminal. */
     public static String summary(RehearsalResult r) {
         Service s = r.auditor().service();
-        StringBuilder all = new StringBuilder(String.format(
+        StringBuilder text = new StringBuilder(String.format(
                 Locale.ROOT,
                 "%s, seed %d%s: service %.3f (whole run %.3f, worst 10 s %.3f, worst class %.3f, prices %.3f)%n",
                 r.scenario().name(),
@@ -197,7 +198,7 @@
                 s.deductions(DeductionRates.DEFAULT)));
         Map<String, Long> counts = r.auditor().counts();
         long messages = counts.getOrDefault("messages", 0L);
-        all.append(String.format(
+        text.append(String.format(
                 Locale.ROOT,
                 "%d messages, %d delivered, %d attempts, %d restarts%n",
                 messages,
@@ -207,7 +208,7 @@
         for (int c = 0; c < r.scenario().classes().size(); c++) {
             MessageClass mc = r.scenario().classes().get(c);
             Histogram h = r.auditor().latency(c);
-            all.append(String.format(
+            text.append(String.format(
                     Locale.ROOT,
                     "  %-16s service %.3f, delivered in %d ms (median), %d ms (99th percentile)%n",
                     mc.name(),
@@ -216,21 +217,21 @@
                     h.getValueAtPercentile(99) / 1000));
         }
         if (r.timingQuality() != null) {
-            all.append(r.timingQuality().summary()).append('\n');
+            text.append(r.timingQuality().summary()).append('\n');
         }
         if (r.auditor().breachCounts().isEmpty()) {
-            return all + "all rules kept\n";
+            return text + "all rules kept\n";
         }
         r.auditor()
                 .breachCounts()
-                .forEach((rule, n) -> all.append("BROKEN ")
+                .forEach((rule, n) -> text.append("BROKEN ")
                         .append(ruleName(rule))
                         .append(", ")
                         .append(n)
                         .append(" times\n"));
         Breach first = r.auditor().breaches().get(0);
-        all.append("first: ").append(first.description()).append('\n');
-        first.history().forEach(line -> all.append("    ").append(line).append('\n'));
-        return all.toString();
+        text.append("first: ").append(first.description()).append('\n');
+        first.history().forEach(line -> text.append("    ").append(line).append('\n'));
+        return text.toString();
     }
 }
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
@@ -24,9 +24,9 @@
 import lilaclever.lab.scenario.Scenario.Target;
 import lilaclever.lab.scenario.Scenario.TrafficPlan;
 
-/** Reads scenarios. What a file does not set is as at a small exchange of lens labs, suppliers and processors. */
+/** Reads scenarios. Defaults describe a small exchange of lens labs, suppliers and processors. */
 public final class ScenarioReader {
-    /** The scenarios that are shipped, by name. */
+    /** Names of the shipped scenarios. */
     public static final List<String> SHIPPED = List.of(
             "quiet",
             "monday",
@@ -56,7 +56,7 @@
         return read(nameOrPath, List.of());
     }
 
-    /** The same with other settings in place of its own. */
+    /** Reads a scenario with settings that override its own. */
     public static Scenario read(String nameOrPath, List<Overrides.Setting> settings) throws ConfigurationException {
         if (SHIPPED.contains(nameOrPath)) {
             List<String> lines = Overrides.apply(text(nameOrPath).lines().toList(), settings);
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Reads a scenario from lines. */
+    /** Reads a scenario from the lines of a file. */
     public static Scenario parse(String name, List<String> lines) throws ConfigurationException {
         return new ScenarioReader(ConfFile.parse(name, lines), name).read();
     }
@@ -93,7 +93,7 @@
                 BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8))) {
             return String.join("\n", lines.lines().toList()) + '\n';
         } catch (IOException e) {
-            throw new IllegalStateException(shipped + " is not in the jar", e);
+            throw new IllegalStateException(shipped + " is missing from the jar", e);
         }
     }
 
@@ -134,7 +134,12 @@
                 s.durationRangeMicros("directory-delay", SECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
                 s.durationRangeMicros("front-memory", 1300 * MILLISECOND_MICROS, 4 * SECOND_MICROS, 0, HOUR_MICROS),
                 (int) s.integer("client-retries", 1, 0, 100),
-                s.durationRangeMicros("comes-again", 770 * MILLISECOND_MICROS, 1900 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS),
+                s.durationRangeMicros(
+                        "comes-again",
+                        770 * MILLISECOND_MICROS,
+                        1900 * MILLISECOND_MICROS,
+                        MILLISECOND_MICROS,
+                        HOUR_MICROS),
                 new Partner.Recovery(
                         s.share("cold-from", 0.24, 1),
                         s.durationMicros("cold-ramp", 9500 * MILLISECOND_MICROS, 0, HOUR_MICROS),
@@ -156,7 +161,8 @@
         }
         for (int i = 0; i + 1 < words.size(); i += 2) {
             Traffic.Point p = new Traffic.Point(
-                    s.durationMicros("load", words.get(i), 0, 48 * HOUR_MICROS), s.share("load", words.get(i + 1), 100));
+                    s.durationMicros("load", words.get(i), 0, 48 * HOUR_MICROS),
+                    s.share("load", words.get(i + 1), 100));
             if (!shape.isEmpty() && p.atMicros() <= shape.get(shape.size() - 1).atMicros()) {
                 throw s.error("load", "times must grow: " + words.get(i));
             }
@@ -193,14 +199,14 @@
         return kinds;
     }
 
-    private static PartnerKind kind(Section s, boolean lab) throws ConfigurationException {
-        boolean absent = !s.isPresent();
+    private static PartnerKind kind(Section s, boolean lensLab) throws ConfigurationException {
+        boolean isDefault = !s.isPresent();
         PartnerKind.Limit limit =
-                s.choice("limit", PartnerKind.Limit.class, lab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
+                s.choice("limit", PartnerKind.Limit.class, lensLab ? PartnerKind.Limit.WINDOW : PartnerKind.Limit.NONE);
         return new PartnerKind(
-                absent ? lab ? "lens-lab" : "supplier" : s.qualifier(),
-                s.share("share", absent ? lab ? 0.25 : 0.75 : 1, 1),
-                s.flag("large", lab),
+                isDefault ? lensLab ? "lens-lab" : "supplier" : s.qualifier(),
+                s.share("share", isDefault ? lensLab ? 0.25 : 0.75 : 1, 1),
+                s.flag("large", lensLab),
                 limit,
                 s.range("headroom", 0.94, 1.9, 0.01, 1000),
                 s.range("least-rate", 1.9, 4, 0.001, MAX_REAL),
@@ -210,10 +216,10 @@
                 s.share("tells-wait", 0, 1),
                 s.durationRangeMicros("wait", 200 * MILLISECOND_MICROS, SECOND_MICROS, 0, HOUR_MICROS),
                 s.share("refused-count", 1, 1),
-                s.range("connections", lab ? 0 : 2.3, lab ? 0 : 3.7, 0, MAX_REAL),
+                s.range("connections", lensLab ? 0 : 2.3, lensLab ? 0 : 3.7, 0, MAX_REAL),
                 s.range("least-connections", 7.2, 15, 1, MAX_REAL),
                 s.decimal("variation", 0.5, 0, 10),
-                (int) s.integer("batch", lab ? 20 : 1, 1, 1000),
+                (int) s.integer("batch", lensLab ? 20 : 1, 1, 1000),
                 s.decimal("item-cost", 0.15, 0, 1));
     }
 
@@ -273,23 +279,25 @@
             Section s,
             String name,
             double share,
-            long leastMs,
-            long mostMs,
-            long aimMs,
-            long deadlineS,
-            double late,
+            long minWorkMillis,
+            long maxWorkMillis,
+            long aimMillis,
+            long deadlineSeconds,
+            double lateShare,
             double worth,
             DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
-        long aim = s.durationMicros("aim", aimMs * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS);
-        long deadline = s.durationMicros("deadline", deadlineS * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS);
+        long aim = s.durationMicros("aim", aimMillis * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS);
+        long deadline =
+                s.durationMicros("deadline", deadlineSeconds * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS);
         if (aim > deadline) {
             throw s.error("aim", "is after the deadline");
         }
         return new MessageClass(
                 name,
                 s.share("share", share, 1),
-                s.durationRangeMicros("work", leastMs * MILLISECOND_MICROS, mostMs * MILLISECOND_MICROS, 1, HOUR_MICROS),
+                s.durationRangeMicros(
+                        "work", minWorkMillis * MILLISECOND_MICROS, maxWorkMillis * MILLISECOND_MICROS, 1, HOUR_MICROS),
                 new DecisionModule.MessageClass(
                         aim,
                         deadline,
@@ -298,19 +306,19 @@
                         DecisionModule.KeyScope.ALL,
                         s.durationMicros("window", 5 * SECOND_MICROS, 0, HOUR_MICROS),
                         false,
-                        s.share("late", late, 1),
+                        s.share("late", lateShare, 1),
                         true));
     }
 
     private List<ScheduledEvent> events(List<PartnerKind> kinds) throws ConfigurationException {
-        List<ScheduledEvent> all = new ArrayList<>();
+        List<ScheduledEvent> events = new ArrayList<>();
         for (Section s : file.sections("event")) {
             if (!s.has("what")) {
                 throw s.error(
                         "what",
                         "missing: one of restart, drain, silent, failing, shut, down, slow, lowered, hot, deaf");
             }
-            EventType what = s.choice("what", EventType.class, EventType.RESTART);
+            EventType type = s.choice("what", EventType.class, EventType.RESTART);
             if (!s.has("at")) {
                 throw s.error("at", "missing: a time, or the least and the most");
             }
@@ -318,28 +326,35 @@
             if (kind != null && kinds.stream().noneMatch(k -> k.name().equals(kind))) {
                 throw s.error("kind", "no such kind of partner: " + kind);
             }
-            double[] strength = switch (what) {
+            double[] strength = switch (type) {
                 case FAILING -> s.range("strength", 0.5, 1, 0, 1);
                 case SLOW -> s.range("strength", 3, 6, 1, 1000);
                 case LOWERED -> s.range("strength", 0.3, 0.7, 0, 1);
                 case HOT -> s.range("strength", 0.06, 0.22, 0, 1);
                 default -> new double[] {0, 0};
             };
-            all.add(new ScheduledEvent(
+            events.add(new ScheduledEvent(
                     s.qualifier(),
-                    what,
+                    type,
                     s.durationRangeMicros("at", 0, 0, 0, 48 * HOUR_MICROS),
-                    s.durationRangeMicros("for", 10 * SECOND_MICROS, 20 * SECOND_MICROS, MILLISECOND_MICROS, 48 * HOUR_MICROS),
-                    s.share("part", what == EventType.RESTART || what == EventType.DRAIN ? 1 : 0.2, 1),
+                    s.durationRangeMicros(
+                            "for", 10 * SECOND_MICROS, 20 * SECOND_MICROS, MILLISECOND_MICROS, 48 * HOUR_MICROS),
+                    s.share("part", type == EventType.RESTART || type == EventType.DRAIN ? 1 : 0.2, 1),
                     s.choice("target", Target.class, Target.ANY),
                     kind,
                     strength,
-                    what == EventType.RESTART
-                            ? s.durationRangeMicros("down", 300 * MILLISECOND_MICROS, 1500 * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS)
-                            : what == EventType.DRAIN
-                                    ? s.durationRangeMicros("down", 2 * SECOND_MICROS, 6 * SECOND_MICROS, 0, HOUR_MICROS)
+                    type == EventType.RESTART
+                            ? s.durationRangeMicros(
+                                    "down",
+                                    300 * MILLISECOND_MICROS,
+                                    1500 * MILLISECOND_MICROS,
+                                    MILLISECOND_MICROS,
+                                    HOUR_MICROS)
+                            : type == EventType.DRAIN
+                                    ? s.durationRangeMicros(
+                                            "down", 2 * SECOND_MICROS, 6 * SECOND_MICROS, 0, HOUR_MICROS)
                                     : new long[] {0, 0}));
         }
-        return all;
+        return events;
     }
 }
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
@@ -200,7 +200,9 @@
         switch (answer.status()) {
             case NO_CONNECTION -> reset();
             case FULL ->
-                timeline.at(answer.atMicros(), () -> answerIfInFlight(ids, () -> answerFull(ids, answer.retryAfterMicros())));
+                timeline.at(
+                        answer.atMicros(),
+                        () -> answerIfInFlight(ids, () -> answerFull(ids, answer.retryAfterMicros())));
             case ERROR ->
                 timeline.at(
                         answer.atMicros(),
@@ -225,7 +227,8 @@
         attemptsOver(ids, "full", true);
         partner.failureSeen(forwarder, timeline.nowMicros());
         if (retryAfterMicros > 0) {
-            world.auditor().retryAfterReceived(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
+            world.auditor()
+                    .retryAfterReceived(forwarder, partner.destination(), timeline.nowMicros(), retryAfterMicros);
             respond("429 Too Many Requests", "", "X-Retry-In-Ms: " + (retryAfterMicros + 999) / 1000);
         } else {
             respond("503 Service Unavailable", "");
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/lab/virtual/WorldTest.java
@@ -141,7 +141,8 @@
                         "limit rate",
                         "tells-wait 100%",
                         "wait 500ms 900ms"));
-        assertEquals(Set.of(), run(scenario, 1, Fault.NONE).auditor().breachCounts().keySet());
+        assertEquals(
+                Set.of(), run(scenario, 1, Fault.NONE).auditor().breachCounts().keySet());
         assertEquals(
                 Set.of(Rule.WAIT),
                 run(scenario, 1, Fault.IGNORES_WAITS).auditor().breachCounts().keySet());
