--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -7,7 +7,7 @@
 import java.net.Socket;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import lilaclever.lab.sockets.StandInConnection;
+import lilaclever.simulation.sockets.StandInConnection;
 
 /** Stand-in for the platform's agent towards an idle forwarder: it never reports a change, and may misbehave. */
 final class AgentStandIn implements AutoCloseable {
--- a/bench/java/lilaclever/scale/EventRun.java
+++ b/bench/java/lilaclever/scale/EventRun.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
-import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.scale.AgentStandIn.Behaviour;
+import lilaclever.simulation.sockets.StandInConnection;
 
 /**
  * Measures the cost of an event in the built program over real sockets: {@code EventRun JAR EVENTS...}. Clients submit
--- a/src/main/java/lilaclever/lab/audit/Auditor.java
+++ b/src/main/java/lilaclever/simulation/audit/Auditor.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.audit;
+package lilaclever.simulation.audit;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -9,8 +9,8 @@
 import java.util.Map;
 import java.util.TreeMap;
 import lilaclever.DecisionModule.RepeatSafety;
-import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.model.MessageClass;
+import lilaclever.simulation.audit.Breach.Rule;
+import lilaclever.simulation.model.MessageClass;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/lilaclever/lab/audit/DeductionRates.java
+++ b/src/main/java/lilaclever/simulation/audit/DeductionRates.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.audit;
+package lilaclever.simulation.audit;
 
 /**
  * Deductions from the service figure, in percentage points, each multiplied by its rate: new connections and probes per
--- a/src/main/java/lilaclever/lab/audit/Service.java
+++ b/src/main/java/lilaclever/simulation/audit/Service.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.audit;
+package lilaclever.simulation.audit;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/lilaclever/lab/fleet/Failures.java
+++ b/src/main/java/lilaclever/simulation/fleet/Failures.java
@@ -1,9 +1,9 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Predicate;
-import lilaclever.lab.fleet.Schedule.Phase;
+import lilaclever.simulation.fleet.Schedule.Phase;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
--- a/src/main/java/lilaclever/lab/fleet/FleetSimulation.java
+++ b/src/main/java/lilaclever/simulation/fleet/FleetSimulation.java
@@ -1,12 +1,12 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
-import lilaclever.lab.fleet.FleetFigures.Figure;
-import lilaclever.lab.fleet.Schedule.Phase;
-import lilaclever.lab.fleet.Schedule.PhaseType;
+import lilaclever.simulation.fleet.FleetFigures.Figure;
+import lilaclever.simulation.fleet.Schedule.Phase;
+import lilaclever.simulation.fleet.Schedule.PhaseType;
 import org.HdrHistogram.Histogram;
 import org.apache.commons.rng.UniformRandomProvider;
 
--- a/src/main/java/lilaclever/lab/fleet/Network.java
+++ b/src/main/java/lilaclever/simulation/fleet/Network.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 import org.apache.commons.rng.UniformRandomProvider;
 
--- a/src/main/java/lilaclever/lab/fleet/OwnershipChecker.java
+++ b/src/main/java/lilaclever/simulation/fleet/OwnershipChecker.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 import java.util.Arrays;
 import lilaclever.placement.SendPermission;
--- a/src/main/java/lilaclever/lab/fleet/PhaseFigures.java
+++ b/src/main/java/lilaclever/simulation/fleet/PhaseFigures.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 /**
  * Figures of one phase of a schedule.
--- a/src/main/java/lilaclever/lab/fleet/SimulatedClock.java
+++ b/src/main/java/lilaclever/simulation/fleet/SimulatedClock.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 /** A monotonic clock that drifts against the virtual time. */
 final class SimulatedClock {
--- a/src/main/java/lilaclever/lab/fleet/package-info.java
+++ b/src/main/java/lilaclever/simulation/fleet/package-info.java
@@ -3,4 +3,4 @@
  * with a simulated network, clocks and failures, and a checker that verifies every step. A run is determined by its
  * seed.
  */
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
--- a/src/main/java/lilaclever/lab/model/Arrival.java
+++ b/src/main/java/lilaclever/simulation/model/Arrival.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.model;
+package lilaclever.simulation.model;
 
 /**
  * A message to be submitted at a time drawn in advance, independent of the outcome of earlier messages (an open-loop
--- a/src/main/java/lilaclever/lab/model/CallLimiter.java
+++ b/src/main/java/lilaclever/simulation/model/CallLimiter.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.model;
+package lilaclever.simulation.model;
 
 /**
  * Limits the calls to a partner, by a plain rate or by a count in each fixed window. Times passed in never decrease.
--- a/src/main/java/lilaclever/lab/model/PartnerKind.java
+++ b/src/main/java/lilaclever/simulation/model/PartnerKind.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.model;
+package lilaclever.simulation.model;
 
 /**
  * A kind of partner. An array of two numbers is the range from which a value is drawn for each partner.
--- a/src/main/java/lilaclever/lab/model/RandomStream.java
+++ b/src/main/java/lilaclever/simulation/model/RandomStream.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.model;
+package lilaclever.simulation.model;
 
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32C;
--- a/src/main/java/lilaclever/lab/model/Traffic.java
+++ b/src/main/java/lilaclever/simulation/model/Traffic.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.model;
+package lilaclever.simulation.model;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/lilaclever/lab/report/Comparison.java
+++ b/src/main/java/lilaclever/simulation/report/Comparison.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.report;
+package lilaclever.simulation.report;
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParseException;
--- a/src/main/java/lilaclever/lab/report/Page.java
+++ b/src/main/java/lilaclever/simulation/report/Page.java
@@ -1,14 +1,14 @@
-package lilaclever.lab.report;
+package lilaclever.simulation.report;
 
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lilaclever.lab.audit.Breach;
-import lilaclever.lab.audit.DeductionRates;
-import lilaclever.lab.audit.Service;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.world.RehearsalResult;
+import lilaclever.simulation.audit.Breach;
+import lilaclever.simulation.audit.DeductionRates;
+import lilaclever.simulation.audit.Service;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.world.RehearsalResult;
 import org.HdrHistogram.Histogram;
 
 /** The HTML page of a run: a single file with its plots embedded. */
--- a/src/main/java/lilaclever/lab/report/Plots.java
+++ b/src/main/java/lilaclever/simulation/report/Plots.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.report;
+package lilaclever.simulation.report;
 
 import java.awt.BasicStroke;
 import java.awt.Color;
@@ -10,8 +10,8 @@
 import java.util.List;
 import java.util.Map;
 import javax.imageio.ImageIO;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.world.RehearsalResult;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.world.RehearsalResult;
 import org.HdrHistogram.Histogram;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.JFreeChart;
--- a/src/main/java/lilaclever/lab/report/Report.java
+++ b/src/main/java/lilaclever/simulation/report/Report.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.report;
+package lilaclever.simulation.report;
 
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
@@ -13,13 +13,13 @@
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import lilaclever.lab.audit.Auditor;
-import lilaclever.lab.audit.Breach;
-import lilaclever.lab.audit.DeductionRates;
-import lilaclever.lab.audit.Service;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.world.RehearsalResult;
-import lilaclever.lab.world.TimingQuality;
+import lilaclever.simulation.audit.Auditor;
+import lilaclever.simulation.audit.Breach;
+import lilaclever.simulation.audit.DeductionRates;
+import lilaclever.simulation.audit.Service;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.world.RehearsalResult;
+import lilaclever.simulation.world.TimingQuality;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/lilaclever/lab/report/Sweep.java
+++ b/src/main/java/lilaclever/simulation/report/Sweep.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.report;
+package lilaclever.simulation.report;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/lilaclever/lab/scenario/Overrides.java
+++ b/src/main/java/lilaclever/simulation/scenario/Overrides.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.scenario;
+package lilaclever.simulation.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/lilaclever/lab/scenario/Scenario.java
+++ b/src/main/java/lilaclever/simulation/scenario/Scenario.java
@@ -1,10 +1,10 @@
-package lilaclever.lab.scenario;
+package lilaclever.simulation.scenario;
 
 import java.util.List;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.PartnerKind;
-import lilaclever.lab.model.Traffic;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.PartnerKind;
+import lilaclever.simulation.model.Traffic;
 
 /**
  * A scenario of a rehearsal: the fleet, its partners, its traffic and the events. An array of two numbers is the range
--- a/src/main/java/lilaclever/lab/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/simulation/scenario/ScenarioReader.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.scenario;
+package lilaclever.simulation.scenario;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -14,15 +14,15 @@
 import lilaclever.conf.ConfFile;
 import lilaclever.conf.ConfFile.Section;
 import lilaclever.conf.ConfigurationException;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.PartnerKind;
-import lilaclever.lab.model.Traffic;
-import lilaclever.lab.scenario.Scenario.EventType;
-import lilaclever.lab.scenario.Scenario.Fleet;
-import lilaclever.lab.scenario.Scenario.ScheduledEvent;
-import lilaclever.lab.scenario.Scenario.Target;
-import lilaclever.lab.scenario.Scenario.TrafficPlan;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.PartnerKind;
+import lilaclever.simulation.model.Traffic;
+import lilaclever.simulation.scenario.Scenario.EventType;
+import lilaclever.simulation.scenario.Scenario.Fleet;
+import lilaclever.simulation.scenario.Scenario.ScheduledEvent;
+import lilaclever.simulation.scenario.Scenario.Target;
+import lilaclever.simulation.scenario.Scenario.TrafficPlan;
 
 /** Reads scenarios. Defaults describe a small exchange of lens labs, suppliers and processors. */
 public final class ScenarioReader {
@@ -89,7 +89,7 @@
 
     /** The text of a shipped scenario. */
     public static String text(String shipped) {
-        try (InputStream in = ScenarioReader.class.getResourceAsStream("/lilaclever/lab/" + shipped + ".conf");
+        try (InputStream in = ScenarioReader.class.getResourceAsStream("/lilaclever/simulation/" + shipped + ".conf");
                 BufferedReader lines = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8))) {
             return String.join("\n", lines.lines().toList()) + '\n';
         } catch (IOException e) {
--- a/src/main/java/lilaclever/lab/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/simulation/sockets/ForwarderConfigJson.java
@@ -1,12 +1,12 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.nio.file.Path;
 import lilaclever.DecisionModule;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.model.PartnerKind;
-import lilaclever.lab.scenario.Scenario;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.model.PartnerKind;
+import lilaclever.simulation.scenario.Scenario;
 
 /** The JSON configuration of a forwarder, as the platform would write it for the scenario. */
 final class ForwarderConfigJson {
--- a/src/main/java/lilaclever/lab/sockets/Hl7Submitter.java
+++ b/src/main/java/lilaclever/simulation/sockets/Hl7Submitter.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -6,8 +6,8 @@
 import java.util.Locale;
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
-import lilaclever.lab.model.Arrival;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.model.Arrival;
+import lilaclever.simulation.world.World;
 
 /**
  * A clinic system's connection to one forwarder: HL7 v2.5 over MLLP in enhanced mode, with many messages in flight on
--- a/src/main/java/lilaclever/lab/sockets/HttpSubmitter.java
+++ b/src/main/java/lilaclever/simulation/sockets/HttpSubmitter.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.IOException;
 import java.net.ConnectException;
@@ -9,9 +9,9 @@
 import java.util.concurrent.ConcurrentLinkedDeque;
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
-import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.StandInConnection.HttpMessage;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.model.Arrival;
+import lilaclever.simulation.sockets.StandInConnection.HttpMessage;
+import lilaclever.simulation.world.World;
 
 /**
  * The HTTP clients of one forwarder. Each submission has a connection to itself until it is answered; then the
--- a/src/main/java/lilaclever/lab/sockets/LoopbackPorts.java
+++ b/src/main/java/lilaclever/simulation/sockets/LoopbackPorts.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.IOException;
 import java.net.BindException;
--- a/src/main/java/lilaclever/lab/sockets/OperatorFile.java
+++ b/src/main/java/lilaclever/simulation/sockets/OperatorFile.java
@@ -1,7 +1,7 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.util.Locale;
-import lilaclever.lab.scenario.Scenario;
+import lilaclever.simulation.scenario.Scenario;
 
 /** The operator's file of a forwarder with an HL7 port, and the codes and names that its HL7 clients use. */
 final class OperatorFile {
--- a/src/main/java/lilaclever/lab/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/simulation/sockets/PartnerConnection.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -8,10 +8,10 @@
 import java.util.List;
 import java.util.Set;
 import java.util.function.Consumer;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.sockets.StandInConnection.HttpMessage;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.Partner.Answer;
+import lilaclever.simulation.sockets.StandInConnection.HttpMessage;
+import lilaclever.simulation.world.World;
 
 /**
  * A forwarder's connection to a partner's endpoint. It reads calls, asks the partner's model for the answer and writes
--- a/src/main/java/lilaclever/lab/sockets/PartnerListeners.java
+++ b/src/main/java/lilaclever/simulation/sockets/PartnerListeners.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.IOException;
 import java.net.ServerSocket;
@@ -9,8 +9,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.world.World;
 
 /**
  * The partners' listening sockets: one for each pair of endpoint and forwarder, so that the caller is known. While a
--- a/src/main/java/lilaclever/lab/sockets/PlatformStandIn.java
+++ b/src/main/java/lilaclever/simulation/sockets/PlatformStandIn.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -16,8 +16,8 @@
 import java.util.function.Function;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.lab.sockets.StandInConnection.HttpMessage;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.sockets.StandInConnection.HttpMessage;
+import lilaclever.simulation.world.World;
 
 /**
  * A stand-in for the platform services that one forwarder uses: the discovery agent, which serves the endpoint list and
--- a/src/main/java/lilaclever/lab/sockets/RealTimeline.java
+++ b/src/main/java/lilaclever/simulation/sockets/RealTimeline.java
@@ -1,11 +1,11 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.util.PriorityQueue;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
-import lilaclever.lab.world.ScheduledAction;
-import lilaclever.lab.world.Timeline;
+import lilaclever.simulation.world.ScheduledAction;
+import lilaclever.simulation.world.Timeline;
 import org.HdrHistogram.Histogram;
 
 /**
--- a/src/main/java/lilaclever/lab/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/simulation/sockets/SocketForwarder.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.File;
 import java.io.IOException;
@@ -14,10 +14,10 @@
 import java.util.regex.Pattern;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.lab.model.Arrival;
-import lilaclever.lab.sockets.StandInConnection.HttpMessage;
-import lilaclever.lab.world.ForwarderHandle;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.model.Arrival;
+import lilaclever.simulation.sockets.StandInConnection.HttpMessage;
+import lilaclever.simulation.world.ForwarderHandle;
+import lilaclever.simulation.world.World;
 
 /** A forwarder of the fleet that runs the real program in its own process. */
 final class SocketForwarder implements ForwarderHandle {
--- a/src/main/java/lilaclever/lab/sockets/SocketRehearsal.java
+++ b/src/main/java/lilaclever/simulation/sockets/SocketRehearsal.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.sockets;
+package lilaclever.simulation.sockets;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -8,11 +8,11 @@
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
-import lilaclever.lab.scenario.Scenario;
-import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.RehearsalResult;
-import lilaclever.lab.world.TimingQuality;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.scenario.Scenario;
+import lilaclever.simulation.world.Fault;
+import lilaclever.simulation.world.RehearsalResult;
+import lilaclever.simulation.world.TimingQuality;
+import lilaclever.simulation.world.World;
 
 /**
  * Runs a rehearsal in real time over the loopback interface. Each forwarder is the real program in its own process;
--- a/src/main/java/lilaclever/lab/virtual/MemoryDisk.java
+++ b/src/main/java/lilaclever/simulation/virtual/MemoryDisk.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.virtual;
+package lilaclever.simulation.virtual;
 
 import java.nio.ByteBuffer;
 import java.util.Arrays;
--- a/src/main/java/lilaclever/lab/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualDeliverer.java
@@ -1,19 +1,19 @@
-package lilaclever.lab.virtual;
+package lilaclever.simulation.virtual;
 
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.AttemptResult;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.World;
 import lilaclever.routing.Call;
 import lilaclever.routing.Core;
 import lilaclever.routing.Deliverer;
 import lilaclever.routing.Message;
 import lilaclever.routing.RetryAfterTable;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.Partner.Answer;
+import lilaclever.simulation.world.Fault;
+import lilaclever.simulation.world.World;
 import lilaclever.transport.ConnectionPool;
 
 /**
--- a/src/main/java/lilaclever/lab/virtual/VirtualForwarder.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualForwarder.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.virtual;
+package lilaclever.simulation.virtual;
 
 import java.io.IOException;
 import java.util.List;
@@ -10,10 +10,6 @@
 import lilaclever.journal.Durability;
 import lilaclever.journal.JournalClocks;
 import lilaclever.journal.SegmentedJournal;
-import lilaclever.lab.model.Arrival;
-import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.ForwarderHandle;
-import lilaclever.lab.world.World;
 import lilaclever.protocol.http.HttpFront;
 import lilaclever.routing.Call;
 import lilaclever.routing.Clock;
@@ -24,6 +20,10 @@
 import lilaclever.routing.Message;
 import lilaclever.routing.RetryAfterTable;
 import lilaclever.routing.Submission;
+import lilaclever.simulation.model.Arrival;
+import lilaclever.simulation.world.Fault;
+import lilaclever.simulation.world.ForwarderHandle;
+import lilaclever.simulation.world.World;
 
 /**
  * A forwarder of the fleet in virtual time: the real core with its decision module and journal. Its front and its
--- a/src/main/java/lilaclever/lab/virtual/VirtualRehearsal.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualRehearsal.java
@@ -1,11 +1,11 @@
-package lilaclever.lab.virtual;
+package lilaclever.simulation.virtual;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.LongConsumer;
-import lilaclever.lab.scenario.Scenario;
-import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.RehearsalResult;
-import lilaclever.lab.world.World;
+import lilaclever.simulation.scenario.Scenario;
+import lilaclever.simulation.world.Fault;
+import lilaclever.simulation.world.RehearsalResult;
+import lilaclever.simulation.world.World;
 
 /**
  * Runs a rehearsal in virtual time, on one thread, with the real cores, decision modules and journals. The same
--- a/src/main/java/lilaclever/lab/virtual/VirtualTimeline.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualTimeline.java
@@ -1,9 +1,9 @@
-package lilaclever.lab.virtual;
+package lilaclever.simulation.virtual;
 
 import java.util.PriorityQueue;
 import java.util.function.BooleanSupplier;
-import lilaclever.lab.world.ScheduledAction;
-import lilaclever.lab.world.Timeline;
+import lilaclever.simulation.world.ScheduledAction;
+import lilaclever.simulation.world.Timeline;
 
 /** A timeline in virtual time: actions run on one thread in the order of their times; equal times, as scheduled. */
 final class VirtualTimeline implements Timeline {
--- a/src/main/java/lilaclever/lab/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/simulation/world/EndpointDirectory.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -6,10 +6,10 @@
 import java.util.Map;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.lab.audit.Auditor;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.RandomStream;
-import lilaclever.lab.scenario.Scenario;
+import lilaclever.simulation.audit.Auditor;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.RandomStream;
+import lilaclever.simulation.scenario.Scenario;
 
 /** The directory service of a rehearsal: the endpoint list, its version, and the updates sent to forwarders. */
 final class EndpointDirectory {
--- a/src/main/java/lilaclever/lab/world/EventPlanner.java
+++ b/src/main/java/lilaclever/simulation/world/EventPlanner.java
@@ -1,14 +1,14 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
 import lilaclever.DecisionModule;
 import lilaclever.DecisionModule.Presence;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.RandomStream;
-import lilaclever.lab.scenario.Scenario.ScheduledEvent;
-import lilaclever.lab.scenario.Scenario.Target;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.RandomStream;
+import lilaclever.simulation.scenario.Scenario.ScheduledEvent;
+import lilaclever.simulation.scenario.Scenario.Target;
 
 /** Draws the times and targets of a scenario's events and schedules them. */
 final class EventPlanner {
--- a/src/main/java/lilaclever/lab/world/Fault.java
+++ b/src/main/java/lilaclever/simulation/world/Fault.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 /** A deliberate fault of the forwarders under test, which the auditor must detect. */
 public enum Fault {
--- a/src/main/java/lilaclever/lab/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/simulation/world/ForwarderFleet.java
@@ -1,11 +1,11 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import lilaclever.lab.audit.Auditor;
-import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.model.Partner;
+import lilaclever.simulation.audit.Auditor;
+import lilaclever.simulation.audit.Breach.Rule;
+import lilaclever.simulation.model.Partner;
 
 /** Starts and kills the forwarders, and notifies directory, load balancer, clients and partners of both. */
 final class ForwarderFleet {
--- a/src/main/java/lilaclever/lab/world/ForwarderHandle.java
+++ b/src/main/java/lilaclever/simulation/world/ForwarderHandle.java
@@ -1,8 +1,8 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.List;
 import lilaclever.DecisionModule;
-import lilaclever.lab.model.Arrival;
+import lilaclever.simulation.model.Arrival;
 
 /**
  * The world's access to one forwarder of the fleet: a real core in virtual time, or a process on real sockets. All
--- a/src/main/java/lilaclever/lab/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/simulation/world/ForwarderSettings.java
@@ -1,11 +1,11 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.List;
 import lilaclever.DecisionModule;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.scenario.Scenario;
-import lilaclever.lab.scenario.Scenario.Fleet;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.scenario.Scenario;
+import lilaclever.simulation.scenario.Scenario.Fleet;
 
 /** Derives the forwarders' settings from a scenario. */
 final class ForwarderSettings {
--- a/src/main/java/lilaclever/lab/world/LoadBalancer.java
+++ b/src/main/java/lilaclever/simulation/world/LoadBalancer.java
@@ -1,10 +1,10 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
-import lilaclever.lab.model.RandomStream;
-import lilaclever.lab.model.Traffic;
+import lilaclever.simulation.model.RandomStream;
+import lilaclever.simulation.model.Traffic;
 
 /** The load balancer between clients and forwarders. It detects only after a delay that a forwarder is down. */
 final class LoadBalancer {
--- a/src/main/java/lilaclever/lab/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/simulation/world/PartnerFactory.java
@@ -1,14 +1,14 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
-import lilaclever.lab.model.MessageClass;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.PartnerKind;
-import lilaclever.lab.model.RandomStream;
-import lilaclever.lab.scenario.Scenario;
-import lilaclever.lab.scenario.Scenario.Fleet;
+import lilaclever.simulation.model.MessageClass;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.PartnerKind;
+import lilaclever.simulation.model.RandomStream;
+import lilaclever.simulation.scenario.Scenario;
+import lilaclever.simulation.scenario.Scenario.Fleet;
 
 /** Creates a scenario's partners and their endpoints, the same ones for the same seed. */
 final class PartnerFactory {
--- a/src/main/java/lilaclever/lab/world/RehearsalResult.java
+++ b/src/main/java/lilaclever/simulation/world/RehearsalResult.java
@@ -1,9 +1,9 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.List;
 import java.util.TreeMap;
-import lilaclever.lab.audit.Auditor;
-import lilaclever.lab.scenario.Scenario;
+import lilaclever.simulation.audit.Auditor;
+import lilaclever.simulation.scenario.Scenario;
 
 /**
  * The result of a rehearsal.
--- a/src/main/java/lilaclever/lab/world/ScheduledAction.java
+++ b/src/main/java/lilaclever/simulation/world/ScheduledAction.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 /** An action on a timeline, ordered by time, and by the order of scheduling where times are equal. */
 public record ScheduledAction(long atMicros, long sequence, Runnable action) implements Comparable<ScheduledAction> {
--- a/src/main/java/lilaclever/lab/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/simulation/world/SimulatedClients.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -6,10 +6,10 @@
 import java.util.List;
 import java.util.Map;
 import lilaclever.DecisionModule;
-import lilaclever.lab.audit.Auditor;
-import lilaclever.lab.model.Arrival;
-import lilaclever.lab.model.RandomStream;
-import lilaclever.lab.scenario.Scenario;
+import lilaclever.simulation.audit.Auditor;
+import lilaclever.simulation.model.Arrival;
+import lilaclever.simulation.model.RandomStream;
+import lilaclever.simulation.scenario.Scenario;
 
 /**
  * The clients of a rehearsal. They submit each message through the load balancer, and submit it again when it was
--- a/src/main/java/lilaclever/lab/world/Timeline.java
+++ b/src/main/java/lilaclever/simulation/world/Timeline.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 /** The time of a rehearsal and its scheduled actions, which run one after the other on one thread. */
 public interface Timeline {
--- a/src/main/java/lilaclever/lab/world/TimingQuality.java
+++ b/src/main/java/lilaclever/simulation/world/TimingQuality.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.Locale;
 import org.HdrHistogram.Histogram;
--- a/src/main/java/lilaclever/lab/world/World.java
+++ b/src/main/java/lilaclever/simulation/world/World.java
@@ -1,18 +1,18 @@
-package lilaclever.lab.world;
+package lilaclever.simulation.world;
 
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongConsumer;
 import lilaclever.DecisionModule;
-import lilaclever.lab.audit.Auditor;
-import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.model.Arrival;
-import lilaclever.lab.model.Partner;
-import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.model.RandomStream;
-import lilaclever.lab.model.Traffic;
-import lilaclever.lab.scenario.Scenario;
-import lilaclever.lab.scenario.Scenario.Fleet;
+import lilaclever.simulation.audit.Auditor;
+import lilaclever.simulation.audit.Breach.Rule;
+import lilaclever.simulation.model.Arrival;
+import lilaclever.simulation.model.Partner;
+import lilaclever.simulation.model.Partner.Answer;
+import lilaclever.simulation.model.RandomStream;
+import lilaclever.simulation.model.Traffic;
+import lilaclever.simulation.scenario.Scenario;
+import lilaclever.simulation.scenario.Scenario.Fleet;
 
 /**
  * The simulated world of a rehearsal: a fleet of forwarders and models of their environment, namely partners,
--- a/src/test/java/lilaclever/program/DrainAgent.java
+++ b/src/test/java/lilaclever/program/DrainAgent.java
@@ -17,8 +17,8 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
-import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.program.DrainAuditor.AnswerQuality;
+import lilaclever.simulation.sockets.StandInConnection;
 
 /** A scripted discovery agent on a socket, which sends the membership changes that it has received to a forwarder. */
 final class DrainAgent implements AutoCloseable {
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.Semaphore;
-import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.program.DrainChange.Target;
+import lilaclever.simulation.sockets.StandInConnection;
 
 /**
  * An endpoint on a socket that reports the first byte of each call to the auditor. Its connection backlog can be
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -405,7 +405,7 @@
                 }
             }
             listed.countDown();
-            try (var call = new lilaclever.lab.sockets.StandInConnection(
+            try (var call = new lilaclever.simulation.sockets.StandInConnection(
                     endpoint.accept())) { // closes in order, without a reset
                 assertEquals("/receive-many", call.readHttp().target());
                 call.writeText("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
@@ -438,7 +438,7 @@
             }
             listed.countDown();
             Set<String> ended = new TreeSet<>();
-            try (var call = new lilaclever.lab.sockets.StandInConnection(endpoint.accept())) {
+            try (var call = new lilaclever.simulation.sockets.StandInConnection(endpoint.accept())) {
                 var request = call.readHttp();
                 assertEquals("/receive-many", request.target());
                 assertTrue(Double.parseDouble(request.header("Req-Deadline", "")) < 1.5);
@@ -453,7 +453,7 @@
     }
 
     /** Answers a call that may already have been aborted. */
-    private static void answerLate(lilaclever.lab.sockets.StandInConnection call, String body) {
+    private static void answerLate(lilaclever.simulation.sockets.StandInConnection call, String body) {
         try {
             call.writeResponse("200 OK", body);
         } catch (IOException closed) {
--- a/src/test/java/lilaclever/program/Peer.java
+++ b/src/test/java/lilaclever/program/Peer.java
@@ -93,7 +93,7 @@
     record Request(String path, Map<String, String> headers, String body) {}
 
     /** One connection, as client or server, with what scripts send and receive. */
-    static final class Wire extends lilaclever.lab.sockets.StandInConnection {
+    static final class Wire extends lilaclever.simulation.sockets.StandInConnection {
         private static final int READ_TIMEOUT_MILLIS = 30_000;
 
         Wire(Socket socket) throws IOException {
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -8,10 +8,10 @@
 import java.util.List;
 import lilaclever.benchlink.SettingsReader;
 import lilaclever.identity.IdempotencyWindows;
-import lilaclever.lab.sockets.StandInConnection;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
 import lilaclever.routing.Journal;
+import lilaclever.simulation.sockets.StandInConnection;
 import org.junit.jupiter.api.Test;
 
 /** The HTTP front when the layers below it fail. */
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
-import lilaclever.lab.sockets.StandInConnection;
+import lilaclever.simulation.sockets.StandInConnection;
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.CompletionHandler;
 import org.glassfish.grizzly.Connection;
--- a/src/test/java/lilaclever/lab/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/simulation/audit/AuditorTest.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.audit;
+package lilaclever.simulation.audit;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Set;
 import lilaclever.DecisionModule;
-import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.model.MessageClass;
+import lilaclever.simulation.audit.Breach.Rule;
+import lilaclever.simulation.model.MessageClass;
 import org.junit.jupiter.api.Test;
 
 /** Checks that the auditor detects each broken rule and reports none where all are kept. */
--- a/src/test/java/lilaclever/lab/fleet/FleetSimulationTest.java
+++ b/src/test/java/lilaclever/simulation/fleet/FleetSimulationTest.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.fleet;
+package lilaclever.simulation.fleet;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/src/test/java/lilaclever/lab/model/PartnerTest.java
+++ b/src/test/java/lilaclever/simulation/model/PartnerTest.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.model;
+package lilaclever.simulation.model;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,10 +6,10 @@
 
 import java.util.List;
 import java.util.stream.IntStream;
-import lilaclever.lab.model.Partner.Answer;
-import lilaclever.lab.model.Partner.Outage;
-import lilaclever.lab.model.Partner.Status;
-import lilaclever.lab.model.PartnerKind.Limit;
+import lilaclever.simulation.model.Partner.Answer;
+import lilaclever.simulation.model.Partner.Outage;
+import lilaclever.simulation.model.Partner.Status;
+import lilaclever.simulation.model.PartnerKind.Limit;
 import org.junit.jupiter.api.Test;
 
 /** Tests of the partner and traffic models alone. */
--- a/src/test/java/lilaclever/lab/scenario/ScenarioReaderTest.java
+++ b/src/test/java/lilaclever/simulation/scenario/ScenarioReaderTest.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.scenario;
+package lilaclever.simulation.scenario;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/lilaclever/lab/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/simulation/virtual/WorldTest.java
@@ -1,4 +1,4 @@
-package lilaclever.lab.virtual;
+package lilaclever.simulation.virtual;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
@@ -11,14 +11,14 @@
 import java.util.Set;
 import java.util.stream.Stream;
 import lilaclever.conf.ConfigurationException;
-import lilaclever.lab.audit.Breach.Rule;
-import lilaclever.lab.audit.DeductionRates;
-import lilaclever.lab.report.Comparison;
-import lilaclever.lab.report.Report;
-import lilaclever.lab.scenario.Scenario;
-import lilaclever.lab.scenario.ScenarioReader;
-import lilaclever.lab.world.Fault;
-import lilaclever.lab.world.RehearsalResult;
+import lilaclever.simulation.audit.Breach.Rule;
+import lilaclever.simulation.audit.DeductionRates;
+import lilaclever.simulation.report.Comparison;
+import lilaclever.simulation.report.Report;
+import lilaclever.simulation.scenario.Scenario;
+import lilaclever.simulation.scenario.ScenarioReader;
+import lilaclever.simulation.world.Fault;
+import lilaclever.simulation.world.RehearsalResult;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
