--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -18,14 +18,14 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 import lilaclever.DecisionModule;
-import lilaclever.benchlink.SettingsReader;
-import lilaclever.benchlink.WireException;
 import lilaclever.conf.ConfigurationException;
 import lilaclever.log.Logs;
 import lilaclever.protocol.http.EndpointList;
 import lilaclever.protocol.mail.MailSettings;
 import lilaclever.protocol.operator.OperatorPort;
 import lilaclever.routing.ManualDrains;
+import lilaclever.simhost.SettingsReader;
+import lilaclever.simhost.WireException;
 import lilaclever.transport.Transport;
 
 /**
--- a/src/main/java/lilaclever/program/Main.java
+++ b/src/main/java/lilaclever/program/Main.java
@@ -107,7 +107,7 @@
     public static final class SimhostCommand implements Command {
         @Override
         public Integer run() {
-            return lilaclever.benchlink.Main.run();
+            return lilaclever.simhost.Main.run();
         }
     }
 
--- a/src/main/java/lilaclever/benchlink/Main.java
+++ b/src/main/java/lilaclever/simhost/Main.java
@@ -1,4 +1,4 @@
-package lilaclever.benchlink;
+package lilaclever.simhost;
 
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
--- a/src/main/java/lilaclever/benchlink/SettingsReader.java
+++ b/src/main/java/lilaclever/simhost/SettingsReader.java
@@ -1,4 +1,4 @@
-package lilaclever.benchlink;
+package lilaclever.simhost;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
--- a/src/main/java/lilaclever/benchlink/WireException.java
+++ b/src/main/java/lilaclever/simhost/WireException.java
@@ -1,4 +1,4 @@
-package lilaclever.benchlink;
+package lilaclever.simhost;
 
 /** Input that violates the wire format; the message names the line and the field. */
 public final class WireException extends Exception {
--- a/src/main/java/lilaclever/benchlink/WireWriter.java
+++ b/src/main/java/lilaclever/simhost/WireWriter.java
@@ -1,4 +1,4 @@
-package lilaclever.benchlink;
+package lilaclever.simhost;
 
 import java.io.IOException;
 import java.io.Writer;
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -6,11 +6,11 @@
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.util.List;
-import lilaclever.benchlink.SettingsReader;
 import lilaclever.identity.IdempotencyWindows;
 import lilaclever.routing.Core;
 import lilaclever.routing.Counters;
 import lilaclever.routing.Journal;
+import lilaclever.simhost.SettingsReader;
 import lilaclever.simulation.sockets.StandInConnection;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/lilaclever/benchlink/MainTest.java
+++ b/src/test/java/lilaclever/simhost/MainTest.java
@@ -1,4 +1,4 @@
-package lilaclever.benchlink;
+package lilaclever.simhost;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
