--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -534,7 +534,7 @@
         assertEquals(1, harness.hostsSentTo().size(), "one trial call after the retry-after, not all waiting messages");
     }
 
-    /** Runs rounds for a while; every send ends with this ending 5 ms later. Returns the number of sends. */
+    /** Runs rounds for a while; every send has this result after 5 ms. Returns the number of sends. */
     private int answerAll(Map<String, Integer> attemptCounts, long micros, AttemptResult ending) {
         int sent = 0;
         for (long untilMicros = harness.nowMicros + micros; harness.nowMicros < untilMicros; ) {
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -36,9 +36,13 @@
     private final List<List<Event>> pendingEvents = new ArrayList<>();
     private final Map<Integer, Long> wakeAtMicros = new HashMap<>();
     private final Map<String, Integer> attempts = new LinkedHashMap<>();
+    /** Forwarders that saw the outage. */
     private final Set<Integer> informed = new HashSet<>();
+
     private long seed;
+    /** Calls by forwarders that saw the outage. */
     private int callsByInformed;
+    /** Calls by other forwarders. */
     private int callsByUninformed;
 
     private void simulate(
@@ -241,7 +245,7 @@
             }
         }
 
-        /** Runs a span of time; {@code outageEnding}: how each call ends, null where the destination delivers. */
+        /** Runs a span of time; {@code outageResult}: the result of each call, null where the destination delivers. */
         void run(long fromMicros, long toMicros, AttemptResult outageEnding) {
             outageStartMicros = outageEnding != null ? fromMicros : outageStartMicros;
             recoveryStartMicros = outageEnding == null && outageStartMicros > 0 ? fromMicros : Long.MAX_VALUE;
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -282,7 +282,7 @@
         message.finished = true;
     }
 
-    /** Calls sent in any window of a recovery must stay below multiple x present capacity x window. */
+    /** Calls sent in any window of a recovery must not exceed overload multiple x present capacity x window. */
     private void checkBudget(long nowMicros, String limit, Recovery recovery) {
         if (nowMicros < recovery.startMicros
                 || nowMicros > recovery.startMicros + settings.rules().rampMicros()) {
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -12,9 +12,9 @@
     private static final long SECOND_MICROS = 1_000_000;
 
     /**
-     * Guards against wall times being shifted in a process whose clocks are simulated: both of its clocks advance by 2
-     * s over a restart, the machine's by 9 s. Shifting deadlines and repeat windows by the difference lost messages,
-     * and sent orders again too late.
+     * Guards against wall times being shifted in a process whose clocks are simulated: both of its clocks advance by
+     * 2 s over a restart, the machine's by 9 s. When deadlines and repeat windows were shifted by the difference,
+     * messages were lost and orders were resent after their repeat window.
      */
     @Test
     void simulatedClocksShiftNothing() throws IOException {
@@ -51,8 +51,8 @@
     }
 
     /**
-     * A machine that was suspended in between: its wall clock was not set, so nothing is shifted, although the
-     * monotonic clock stood still.
+     * After a suspension of the machine nothing is shifted: its wall clock was not set, although the monotonic clock
+     * stood still.
      */
     @Test
     void monotonicClockThatStoodStillIsNotTrusted() {
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -19,7 +19,7 @@
 class CrashTest {
     private static final long QUOTA_BYTES = 160 * 1024;
 
-    /** Checks the state found after a cut: that of the last acknowledged step, or of the next one. */
+    /** Checks the state recovered after a cut: that of the last acknowledged step, or of the next one. */
     private static void check(RandomRun randomRun, int done, SimDisk disk, String description) throws IOException {
         int checkpoint = 0;
         while (checkpoint + 1 < randomRun.checkpoints.size()
@@ -140,7 +140,7 @@
                             .toList();
                     List<String> later = turn + 1 < messagesThen.size() ? messagesThen.get(turn + 1) : List.of();
                     for (String id : messagesThen.get(turn)) {
-                        // What ended since may be there or not; everything else must be.
+                        // A message that ended since then may be there or not; every other one must be.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
                         assertTrue(!stays || recoveredIds.contains(id.split(" ")[0]), id + " cut at " + done);
                     }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -173,7 +173,7 @@
         journal.close();
     }
 
-    /** A message that ended before a failed sync stays ended: that record is written again too. */
+    /** A message that ended before a failed sync is not pending after a power cut: its final record is rewritten too. */
     @Test
     void unsyncedEndIsWrittenAgain() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -284,7 +284,7 @@
                 Set<String> known = new java.util.HashSet<>(now);
                 boolean allWritten = journal.unwrittenCount() == 0;
                 journal.whenDurable(() -> {
-                    if (allWritten) { // a result that the disk did not accept may be reported all the same
+                    if (allWritten) { // a result that could not be written may be reported all the same
                         confirmed.stream().filter(id -> !known.contains(id)).forEach(ended::add);
                     }
                     confirmed.clear();
--- a/src/test/java/lilaclever/journal/RandomRun.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -151,8 +151,8 @@
                 }
             }
             default -> {
-                if (message.deadlineWallMicros() % 5
-                        > 0) { // the others stay pending and must be copied forward again and again
+                // The others stay pending and must be copied forward again and again.
+                if (message.deadlineWallMicros() % 5 > 0) {
                     journal.recordSettled(id);
                     pending.remove(id);
                 }
@@ -204,10 +204,10 @@
                 "" + submission.budgetMicros(),
                 "" + message.deadlineWallMicros(),
                 message.attempts()
-                        + (message.isInFlight() ? " out" : "")
+                        + (message.isInFlight() ? " in flight" : "")
                         + (message.attempts() > 0 ? " " + message.lastHost() + message.lastAttemptWallMicros() : ""),
                 message.mayHaveRun()
-                        ? "risk " + message.possibleRunHost() + message.possibleRunZone() + "@"
+                        ? "may have run at " + message.possibleRunHost() + message.possibleRunZone() + "@"
                                 + message.possibleRunWallMicros()
                         : "",
                 String.valueOf(message.finalStatus()),
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -89,7 +89,10 @@
         disk.putFile(name, content);
     }
 
-    /** One flipped bit at any position: all records but one are read, and no payment is repeated on a guess. */
+    /**
+     * One flipped bit at any position: all records but one are read, and every attempt counts as one that may have run,
+     * so that no payment is repeated.
+     */
     @Test
     void flippedBitLosesOneRecordAndAttemptsMayHaveRun() throws IOException {
         List<Integer> starts = new ArrayList<>();
@@ -103,8 +106,8 @@
         List<SimDisk.Operation> ops = List.copyOf(disk.operations);
         String name = Segment.fileName(1);
         int used = ops.stream()
-                .filter(o -> o.kind() == SimDisk.OperationKind.WRITE && o.bytes().length < 1000)
-                .mapToInt(o -> (int) o.position() + o.bytes().length)
+                .filter(operation -> operation.kind() == SimDisk.OperationKind.WRITE && operation.bytes().length < 1000)
+                .mapToInt(operation -> (int) operation.position() + operation.bytes().length)
                 .max()
                 .orElse(0);
         for (int at = 0; at < used; at += at < 700 ? 1 : 7) {
@@ -146,10 +149,7 @@
         }
     }
 
-    /**
-     * A client can't hide a record in a body that would be read when recovery searches for the next valid one after
-     * damage.
-     */
+    /** Recovery from damage, which searches for the next valid record, must not accept one inside a client's body. */
     @Test
     void recordInsideBodyIsNeverRead() throws IOException {
         SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
@@ -500,7 +500,7 @@
         }
     }
 
-    /** Within one turn more may be written than the preallocated segments hold: then segments are compacted at once. */
+    /** If one turn writes more than the preallocated segments can take, segments are compacted at once. */
     @Test
     void manyRecordsInOneTurnFindSpace() throws IOException {
         try (SegmentedJournal journal = open()) {
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -92,9 +92,9 @@
     private SegmentedJournal journal;
     private RandomRun randomRun;
     private long clockMicros;
-    /** Whether operations fail now, and how many have failed. */
+    /** Whether operations fail now. */
     private volatile boolean failing;
-
+    /** Number of operations that have failed since faults were last injected. */
     private volatile int failures;
 
     /** Each target and any operation at all, both errors, both durations, with and without a kill. */
@@ -213,7 +213,7 @@
         }
     }
 
-    /** The journal must know every file in the folder: a forgotten one would take space until a restart. */
+    /** The journal must know every file in the folder: any other would take space until a restart. */
     private void checkFiles(String description) {
         assertEquals(journal.fileCount(), disk.fileNames().size(), description + ": files " + disk.fileNames());
         assertTrue(
@@ -264,7 +264,7 @@
         quotaBytes = target != null && target.kind() == SimDisk.OperationKind.DELETE ? 4 * QUOTA_BYTES : QUOTA_BYTES;
         open(Durability.NONE, seed);
         if (quotaBytes > QUOTA_BYTES) {
-            // more files than the live records need after their messages have ended, so that some are deleted
+            // Creates more files than the live records need once their messages have ended, so that some are deleted.
             randomRun.runWithoutCheckpoints(1500, LARGEST_BODY_BYTES, 400);
         }
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -340,7 +340,7 @@
 
     private void checkMap(MapDelta delta) {
         if (map.apply(delta) != MapUpdate.APPLIED) {
-            breaches.add("delta " + delta + " does not follow on version " + map.version());
+            breaches.add("delta " + delta + " does not follow version " + map.version());
         }
         if (!map.snapshot().equals(controller.snapshot())) {
             breaches.add("map at " + map.version() + " is not the controller's");
@@ -361,8 +361,8 @@
                 counts.shardsWithASender++;
                 Process other = senders[shard];
                 if (other != null) {
-                    breaches.add("at " + nowMicros + " shard " + shard + " is sent for by " + other.id + "/"
-                            + other.incarnation + " and " + process.id + "/" + process.incarnation);
+                    breaches.add("at " + nowMicros + " both " + other.id + "/" + other.incarnation + " and "
+                            + process.id + "/" + process.incarnation + " may send for shard " + shard);
                 }
                 senders[shard] = process;
             }
--- a/src/test/java/lilaclever/placement/TestRegion.java
+++ b/src/test/java/lilaclever/placement/TestRegion.java
@@ -27,9 +27,9 @@
 
     final PlacementController controller;
     final ShardMap map;
-    /** Number of map deltas so far and their total size. */
+    /** Number of map deltas so far. */
     long deltaCount;
-
+    /** Total size of the map deltas so far. */
     long deltaBytes;
     /** Whether the CPU time of commands is measured. */
     boolean measuresCpuTime;
--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A call whose attempt is not yet durable when its endpoint drains is not started; another endpoint is used. */
+/** If an endpoint drains before the attempt of a call to it is durable, the call goes to another endpoint. */
 class DrainBeforeStartTest {
     private static final long SECOND = 1_000_000, ROUND = 5_000;
     private static final int DESTINATION = 7;
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -27,7 +27,7 @@
 /**
  * Random schedules in virtual time: endpoints come and go, two agents learn of it late and have separate indexes,
  * responses arrive out of order, truncated, contradictory or without an index, indexes restart, and the forwarder
- * switches agents and is restarted. An auditor that reads the same lists checks what the core is told.
+ * switches agents and is restarted. An auditor that reads the same lists checks the updates of the core.
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
@@ -186,19 +186,17 @@
         CONTRADICTORY
     }
 
-    /** Tracks the lists that the forwarder has received, and checks what it tells the core. */
+    /** Tracks the lists that the forwarder has received, and checks the updates that it sends to the core. */
     private static final class Auditor {
         /** All departures of each name, and those that no later list has contradicted. */
         private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(),
                 uncontradicted = new HashMap<>();
         /** By name and address: lists that stated the address, while the endpoint is active. */
         private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
-        /**
-         * Names listed since the process started or stored before; keys of name, agent and index of the lists that had
-         * the name as other than departed.
-         */
-        private final Set<String> names = new HashSet<>(), named = new HashSet<>();
-
+        /** Names listed since the process started, or stored before. */
+        private final Set<String> names = new HashSet<>();
+        /** Name, agent and index of each entry that did not say that the endpoint had departed. */
+        private final Set<String> named = new HashSet<>();
         /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
         /** Departures of the initial list, until the first response, with which they are stored. */
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -51,7 +51,7 @@
         }
     }
 
-    /** On a busy machine, a received but unread response (with a retry-after) takes effect before a call is sent. */
+    /** A response (such as a retry-after) that has arrived but is still unread takes effect before a call is sent. */
     @Test
     void receivedBytesAreReadBeforeTheTaskRuns() throws Exception {
         LinkedBlockingQueue<String> order = new LinkedBlockingQueue<>();
