--- a/src/test/java/lilaclever/AdmissionTest.java
+++ b/src/test/java/lilaclever/AdmissionTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -26,7 +26,7 @@
         }
         assertTrue(admission.isOverQuota(0));
         assertFalse(admission.isOverQuota(1), "each tenant has its own quota");
-        fixture.advanceClock(200 * MILLISECOND);
+        fixture.advanceClock(200 * MILLISECOND_MICROS);
         assertFalse(admission.isOverQuota(0));
         assertTrue(admission.isOverQuota(0));
     }
@@ -84,7 +84,7 @@
         assertTrue(admission.leastWorthMessage().queue == inLargestBacklog.queue);
         Endpoint endpoint = fixture.addEndpoint();
         for (int i = 0; i < 100; i++) {
-            fixture.advanceClock(100 * MILLISECOND);
+            fixture.advanceClock(100 * MILLISECOND_MICROS);
             parts.rates.onDelivered(fixture.limit, endpoint);
         }
         assertEquals(
@@ -95,21 +95,21 @@
     void theRetryAfterOfARefusalIsWhenCapacityIsExpected() {
         fixture.addEndpoint();
         assertEquals(0, admission.retryAfterMicros(fixture.queue), "no message is waiting");
-        parts.limits.onRetryAfter(fixture.limit, 300 * MILLISECOND);
-        assertEquals(300 * MILLISECOND, admission.retryAfterMicros(fixture.queue));
+        parts.limits.onRetryAfter(fixture.limit, 300 * MILLISECOND_MICROS);
+        assertEquals(300 * MILLISECOND_MICROS, admission.retryAfterMicros(fixture.queue));
         fixture.addMessage(SAFE);
         assertEquals(
-                2 * SECOND,
+                2 * SECOND_MICROS,
                 admission.retryAfterMicros(fixture.queue),
                 "at half a call a second: the longest retry-after");
         fixture.limit.usualRate = 10;
         fixture.limit.usualRateUnfilled = 0;
-        assertEquals(400 * MILLISECOND, admission.retryAfterMicros(fixture.queue), "at ten calls a second");
+        assertEquals(400 * MILLISECOND_MICROS, admission.retryAfterMicros(fixture.queue), "at ten calls a second");
     }
 
     @Test
     void withoutAnActiveEndpointTheRetryAfterIsTheLongest() {
         fixture.addEndpoint().active = false;
-        assertEquals(2 * SECOND, admission.retryAfterMicros(fixture.queue));
+        assertEquals(2 * SECOND_MICROS, admission.retryAfterMicros(fixture.queue));
     }
 }
--- a/src/test/java/lilaclever/CallDispatchTest.java
+++ b/src/test/java/lilaclever/CallDispatchTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.KEYED;
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -37,7 +37,7 @@
         queue.latestLimit = new DestinationLimit();
         Endpoint endpoint = new Endpoint("other", queue, queue.latestLimit, 0, 0, batch);
         endpoint.active = true;
-        endpoint.trialIntervalMicros = SECOND;
+        endpoint.trialIntervalMicros = SECOND_MICROS;
         queue.endpoints.add(endpoint);
         queue.latestLimit.endpoints.add(endpoint);
         fixture.state.queues.put(2, queue);
@@ -76,16 +76,16 @@
         fixture.addEndpoint();
         Message message = fixture.addMessage(SAFE);
         Message shortOfTime = fixture.addMessage(SAFE);
-        shortOfTime.deadlineAtMicros = fixture.state.nowMicros + SECOND;
+        shortOfTime.deadlineAtMicros = fixture.state.nowMicros + SECOND_MICROS;
         Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
-        repeated.uncertainSentAtMicros = fixture.state.nowMicros - 4 * SECOND;
+        repeated.uncertainSentAtMicros = fixture.state.nowMicros - 4 * SECOND_MICROS;
         dispatch();
         assertEquals(
                 List.of(
-                        new Action.Send(repeated.id, "e0", fixture.state.nowMicros + 995 * MILLISECOND),
-                        new Action.Send(message.id, "e0", fixture.state.nowMicros + 2 * SECOND),
-                        new Action.Send(shortOfTime.id, "e0", fixture.state.nowMicros + SECOND)),
+                        new Action.Send(repeated.id, "e0", fixture.state.nowMicros + 995 * MILLISECOND_MICROS),
+                        new Action.Send(message.id, "e0", fixture.state.nowMicros + 2 * SECOND_MICROS),
+                        new Action.Send(shortOfTime.id, "e0", fixture.state.nowMicros + SECOND_MICROS)),
                 fixture.state.actions);
     }
 
@@ -117,8 +117,8 @@
     void theNextCheckIsWhenAMessageMayFirstBeSent() {
         Endpoint endpoint = fixture.addEndpoint();
         fixture.addMessage(SAFE);
-        endpoint.avoidUntilMicros = fixture.state.nowMicros + 300 * MILLISECOND;
-        assertEquals(fixture.state.nowMicros + 300 * MILLISECOND, dispatch());
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 300 * MILLISECOND_MICROS;
+        assertEquals(fixture.state.nowMicros + 300 * MILLISECOND_MICROS, dispatch());
         assertEquals(List.of(), idsSent());
     }
 
@@ -129,8 +129,8 @@
         fixture.startCall(unanswered, endpoint);
         fixture.state.slotsInUse = 4;
         messageFor(endpointOfOtherDestination(1), 1);
-        assertEquals(fixture.state.nowMicros + 400 * MILLISECOND, dispatch());
-        fixture.advanceClock(400 * MILLISECOND);
+        assertEquals(fixture.state.nowMicros + 400 * MILLISECOND_MICROS, dispatch());
+        fixture.advanceClock(400 * MILLISECOND_MICROS);
         dispatch();
         assertEquals(List.of(new Action.Cancel(unanswered.id, 0)), fixture.state.actions);
     }
--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.KEYED;
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -27,48 +27,48 @@
 
     @Test
     void beforeAnyAnswerTheTimeoutIsTheAimAndTwiceThatForUnsafeMessages() {
-        assertEquals(2 * SECOND, timeout(SAFE));
-        assertEquals(4 * SECOND, timeout(UNSAFE));
+        assertEquals(2 * SECOND_MICROS, timeout(SAFE));
+        assertEquals(4 * SECOND_MICROS, timeout(UNSAFE));
     }
 
     @Test
     void theTimeoutIsSixTimesTheUsualAnswerTimeAndAtLeastHalfTheAim() {
-        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
-        assertEquals(SECOND, timeout(SAFE));
-        timeouts.onDelivered(fixture.limit, 10_100 * MILLISECOND);
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
+        assertEquals(SECOND_MICROS, timeout(SAFE));
+        timeouts.onDelivered(fixture.limit, 10_100 * MILLISECOND_MICROS);
         assertEquals(
-                1_100 * MILLISECOND,
+                1_100 * MILLISECOND_MICROS,
                 (long) fixture.limit.meanResponseMicros,
                 "moved by a tenth towards the new answer time");
-        assertEquals(6_600 * MILLISECOND, timeout(SAFE));
+        assertEquals(6_600 * MILLISECOND_MICROS, timeout(SAFE));
     }
 
     @Test
     void theFirstAttemptOfAKeyedMessageLeavesHalfItsRepeatWindow() {
-        fixture.limit.meanResponseMicros = 2 * SECOND;
-        assertEquals(2_500 * MILLISECOND, timeout(KEYED));
+        fixture.limit.meanResponseMicros = 2 * SECOND_MICROS;
+        assertEquals(2_500 * MILLISECOND_MICROS, timeout(KEYED));
         Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
-        assertEquals(12 * SECOND, timeouts.timeoutMicros(repeated, fixture.limit));
+        assertEquals(12 * SECOND_MICROS, timeouts.timeoutMicros(repeated, fixture.limit));
     }
 
     @Test
     void timedOutCallsLengthenTheTimeoutUpToFourfoldUntilAPromptAnswer() {
-        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
         for (int i = 0; i < 3; i++) {
             timeouts.lengthen(fixture.limit);
         }
-        assertEquals(4 * SECOND, timeout(SAFE));
-        timeouts.onDelivered(fixture.limit, 400 * MILLISECOND);
-        assertEquals(2_800 * MILLISECOND, timeout(SAFE), "a slow answer takes 30 % off");
-        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
-        assertEquals(SECOND, timeout(SAFE));
+        assertEquals(4 * SECOND_MICROS, timeout(SAFE));
+        timeouts.onDelivered(fixture.limit, 400 * MILLISECOND_MICROS);
+        assertEquals(2_800 * MILLISECOND_MICROS, timeout(SAFE), "a slow answer takes 30 % off");
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
+        assertEquals(SECOND_MICROS, timeout(SAFE));
     }
 
     @Test
     void oneSlowDestinationHardlyMovesTheUsualAnswerTime() {
-        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
-        timeouts.onDelivered(fixture.limit, 10 * SECOND);
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
+        timeouts.onDelivered(fixture.limit, 10 * SECOND_MICROS);
         assertEquals(
                 107_500, fixture.state.overallMeanResponseMicros, 1, "moved by a fortieth of 300 ms, not of 9.9 s");
         assertEquals(430_000, timeouts.slowResponseMicros(), 4);
@@ -81,32 +81,33 @@
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
-        assertEquals(2 * SECOND, timeout(SAFE));
+        assertEquals(2 * SECOND_MICROS, timeout(SAFE));
         fixture.state.slotsInUse = 3;
-        assertEquals(1_200 * MILLISECOND, timeout(SAFE));
-        assertEquals(4 * SECOND, timeout(UNSAFE));
+        assertEquals(1_200 * MILLISECOND_MICROS, timeout(SAFE));
+        assertEquals(4 * SECOND_MICROS, timeout(UNSAFE));
     }
 
     @Test
     void overdueCallsAreCancelledOnlyAsFarAsSlotsAreNeeded() {
-        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
         Message first = fixture.addMessage(SAFE);
         Message unsafe = fixture.addMessage(UNSAFE);
         Message second = fixture.addMessage(SAFE);
         for (Message message : List.of(first, unsafe, second)) {
             fixture.startCall(message, endpoint);
         }
-        assertEquals(fixture.state.nowMicros + 800 * MILLISECOND, timeouts.cancelOverdue(1), "eight times 100 ms");
-        fixture.advanceClock(800 * MILLISECOND);
+        assertEquals(
+                fixture.state.nowMicros + 800 * MILLISECOND_MICROS, timeouts.cancelOverdue(1), "eight times 100 ms");
+        fixture.advanceClock(800 * MILLISECOND_MICROS);
         timeouts.cancelOverdue(1);
         assertEquals(List.of(new Action.Cancel(first.id, 0)), fixture.state.actions);
-        fixture.advanceClock(MILLISECOND);
+        fixture.advanceClock(MILLISECOND_MICROS);
         timeouts.cancelOverdue(1);
         assertTrue(fixture.state.actions.isEmpty(), "the slot that is needed is about to be free");
         long nextCheckMicros = timeouts.cancelOverdue(3);
         assertEquals(List.of(new Action.Cancel(second.id, 0)), fixture.state.actions);
         assertEquals(
-                fixture.state.nowMicros - 801 * MILLISECOND + 2_400 * MILLISECOND,
+                fixture.state.nowMicros - 801 * MILLISECOND_MICROS + 2_400 * MILLISECOND_MICROS,
                 nextCheckMicros,
                 "24 times 100 ms for the unsafe message");
     }
@@ -115,7 +116,7 @@
     void noCallIsCancelledWhereTheSettingsForbidIt() {
         PolicyFixture fixtureWithoutCancel = new PolicyFixture(withoutCancel());
         fixtureWithoutCancel.startCall(fixtureWithoutCancel.addMessage(SAFE), fixtureWithoutCancel.addEndpoint());
-        fixtureWithoutCancel.advanceClock(60 * SECOND);
+        fixtureWithoutCancel.advanceClock(60 * SECOND_MICROS);
         new CallTimeouts(fixtureWithoutCancel.state, new TransientFailures(fixtureWithoutCancel.state))
                 .cancelOverdue(1);
         assertTrue(fixtureWithoutCancel.state.actions.isEmpty());
--- a/src/test/java/lilaclever/ConnectionReuseTest.java
+++ b/src/test/java/lilaclever/ConnectionReuseTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -28,7 +28,7 @@
         connections.onSend(endpoint);
         assertFalse(connections.hasIdleConnection(endpoint));
         connections.onCallEnded(endpoint, AttemptResult.FULL);
-        fixture.advanceClock(5 * SECOND - 1);
+        fixture.advanceClock(5 * SECOND_MICROS - 1);
         assertTrue(connections.hasIdleConnection(endpoint));
         fixture.advanceClock(1);
         assertFalse(connections.hasIdleConnection(endpoint));
@@ -38,8 +38,8 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"NO_CONNECTION", "NO_ROOM", "RESET", "NOT_SENT"})
-    void attemptsThatEndWithoutAConnectionLeaveNoneIdle(AttemptResult ending) {
-        connections.onCallEnded(endpoint, ending);
+    void attemptsThatEndWithoutAConnectionLeaveNoneIdle(AttemptResult result) {
+        connections.onCallEnded(endpoint, result);
         assertFalse(connections.hasIdleConnection(endpoint));
     }
 
--- a/src/test/java/lilaclever/DecisionModuleHarness.java
+++ b/src/test/java/lilaclever/DecisionModuleHarness.java
@@ -18,10 +18,10 @@
 /** Runs a decision module round by round: passes it events, checks its rules, and keeps the last round's actions. */
 final class DecisionModuleHarness {
     /** Microseconds in a millisecond. */
-    static final long MILLISECOND = 1_000;
+    static final long MILLISECOND_MICROS = 1_000;
 
     /** Microseconds in a second. */
-    static final long SECOND = 1_000_000;
+    static final long SECOND_MICROS = 1_000_000;
 
     /** Message classes of {@link #settings}, by index. */
     static final int SAFE = 0;
@@ -34,7 +34,7 @@
     DecisionModule module;
     RuleChecker checker;
     List<Action> actions = List.of();
-    long nowMicros = 1000 * SECOND;
+    long nowMicros = 1000 * SECOND_MICROS;
     private int messagesCreated;
 
     DecisionModuleHarness(Settings settings) {
@@ -50,34 +50,65 @@
         return harness;
     }
 
-    static Settings settings(int slots, int maxOpen, int maxAttempts, boolean askForList) {
-        return settings(slots, maxOpen, maxAttempts, askForList, 2);
+    static Settings settings(int slots, int maxOpenMessages, int maxAttempts, boolean mustWatchList) {
+        return settings(slots, maxOpenMessages, maxAttempts, mustWatchList, 2);
     }
 
-    static Settings settings(int slots, int maxOpen, int maxAttempts, boolean askForList, int forwarders) {
+    static Settings settings(int slots, int maxOpenMessages, int maxAttempts, boolean mustWatchList, int forwarders) {
         return new Settings(
                 0,
                 forwarders,
                 0,
                 2,
-                5 * MILLISECOND,
-                askForList,
+                5 * MILLISECOND_MICROS,
+                mustWatchList,
                 DecisionModule.WeightMeaning.NONE,
                 true,
                 0.1,
                 List.of(
-                        new MessageClass(2 * SECOND, 20 * SECOND, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false),
                         new MessageClass(
-                                2 * SECOND, 20 * SECOND, 1, RepeatSafety.KEYED, KeyScope.ALL, 5 * SECOND, false),
-                        new MessageClass(2 * SECOND, 20 * SECOND, 1, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                                2 * SECOND_MICROS, 20 * SECOND_MICROS, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false),
                         new MessageClass(
-                                2 * SECOND, 20 * SECOND, 1, RepeatSafety.KEYED, KeyScope.ZONE, 5 * SECOND, false)),
+                                2 * SECOND_MICROS,
+                                20 * SECOND_MICROS,
+                                1,
+                                RepeatSafety.KEYED,
+                                KeyScope.ALL,
+                                5 * SECOND_MICROS,
+                                false),
+                        new MessageClass(
+                                2 * SECOND_MICROS, 20 * SECOND_MICROS, 1, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                        new MessageClass(
+                                2 * SECOND_MICROS,
+                                20 * SECOND_MICROS,
+                                1,
+                                RepeatSafety.KEYED,
+                                KeyScope.ZONE,
+                                5 * SECOND_MICROS,
+                                false)),
                 List.of(new EndpointKind(false, 1), new EndpointKind(true, 1), new EndpointKind(false, 5)),
                 List.of(new DecisionModule.Tenant(0.5, 5), new DecisionModule.Tenant(0.5, 5)),
                 new DecisionModule.Limits(
-                        maxAttempts, maxOpen, slots, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
+                        maxAttempts,
+                        maxOpenMessages,
+                        slots,
+                        true,
+                        false,
+                        false,
+                        1,
+                        SECOND_MICROS,
+                        5 * SECOND_MICROS,
+                        true,
+                        2 * SECOND_MICROS),
                 new DecisionModule.Rules(
-                        20 * MILLISECOND, 10 * SECOND, SECOND, 0.2, 10 * SECOND, 2.5, 3 * SECOND, 100 * MILLISECOND));
+                        20 * MILLISECOND_MICROS,
+                        10 * SECOND_MICROS,
+                        SECOND_MICROS,
+                        0.2,
+                        10 * SECOND_MICROS,
+                        2.5,
+                        3 * SECOND_MICROS,
+                        100 * MILLISECOND_MICROS));
     }
 
     /** Replaces the module by a new one without any state; outcomes of earlier calls must not be reported any more. */
@@ -108,7 +139,7 @@
     DecisionModuleHarness runRoundsFor(long micros) {
         List<Action> allActions = new ArrayList<>();
         for (long endMicros = nowMicros + micros; nowMicros < endMicros; ) {
-            nowMicros += 5 * MILLISECOND;
+            nowMicros += 5 * MILLISECOND_MICROS;
             runRound();
             allActions.addAll(actions);
         }
@@ -123,25 +154,25 @@
 
     String submit(int messageClass, int destination, String key) {
         String id = "m" + messagesCreated++;
-        runRound(new Event.Submit(id, messageClass, destination, 0, key, false, false, 20 * SECOND));
+        runRound(new Event.Submit(id, messageClass, destination, 0, key, false, false, 20 * SECOND_MICROS));
         return id;
     }
 
-    DecisionModuleHarness reportOutcome(String id, String host, int attempt, AttemptResult ending) {
-        return reportOutcome(id, host, attempt, ending, 0);
+    DecisionModuleHarness reportOutcome(String id, String host, int attempt, AttemptResult result) {
+        return reportOutcome(id, host, attempt, result, 0);
     }
 
     DecisionModuleHarness reportOutcome(
-            String id, String host, int attempt, AttemptResult ending, long retryAfterMicros) {
+            String id, String host, int attempt, AttemptResult result, long retryAfterMicros) {
         return runRound(new Event.Outcome(
                 id,
                 host,
                 attempt,
-                ending,
-                100 * MILLISECOND,
+                result,
+                100 * MILLISECOND_MICROS,
                 retryAfterMicros,
                 false,
-                ending == AttemptResult.DELIVERED,
+                result == AttemptResult.DELIVERED,
                 null));
     }
 
--- a/src/test/java/lilaclever/DecisionSequence.java
+++ b/src/test/java/lilaclever/DecisionSequence.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -38,7 +38,7 @@
  * same seed and the same actions give the same events.
  */
 final class DecisionSequence {
-    private static final long DURATION_MICROS = 60 * SECOND;
+    private static final long DURATION_MICROS = 60 * SECOND_MICROS;
     private static final int[] FLEET_SIZES = {1, 2, 5, 16, 17, 40, 120, 1_500};
     private static final int[] MAX_ATTEMPTS = {2, 4, 6, 12};
     private static final int DESTINATIONS = 4;
@@ -51,14 +51,14 @@
         REFUSES_WITH_LONG_RETRY_AFTER,
         CONNECTS_FAIL,
         CONNECTS_TIME_OUT,
-        NO_ROOM_FOR_CONNECTIONS,
+        REJECTS_MOST_CONNECTIONS,
         ERRORS,
         HALF_OF_CALLS_FAIL,
         MOST_CALLS_FAIL,
         NEVER_ANSWERS,
         SLOW,
         RESETS,
-        RANDOM_ENDING
+        RANDOM_RESULT
     }
 
     /** A call in flight with its messages; it is answered at its planned end unless attempts are dropped before. */
@@ -66,7 +66,7 @@
         String host;
         long sentAtMicros;
         long endsAtMicros;
-        AttemptResult ending;
+        AttemptResult result;
         long retryAfterMicros;
         LimitReport report;
         final List<String> ids = new ArrayList<>();
@@ -95,7 +95,7 @@
     DecisionSequence(long seed) {
         this.seed = seed;
         // For some seeds the clock starts near 0, as it may in a process.
-        this.nowMicros = seed % 9 == 4 ? SECOND : 1000 * SECOND;
+        this.nowMicros = seed % 9 == 4 ? SECOND_MICROS : 1000 * SECOND_MICROS;
         this.random = new Random(seed);
         this.settings = settings();
         this.module = DecisionModule.create(settings, seed);
@@ -117,7 +117,7 @@
                 forwarders,
                 0,
                 2,
-                5 * MILLISECOND,
+                5 * MILLISECOND_MICROS,
                 seed % 3 == 0,
                 weights,
                 true,
@@ -131,49 +131,71 @@
                 List.of(new Tenant(0.5, 5), new Tenant(0.5, 2)),
                 limits,
                 new Rules(
-                        20 * MILLISECOND,
-                        seed % 2 == 0 ? 10 * SECOND : 20 * SECOND,
-                        SECOND,
+                        20 * MILLISECOND_MICROS,
+                        seed % 2 == 0 ? 10 * SECOND_MICROS : 20 * SECOND_MICROS,
+                        SECOND_MICROS,
                         0.2,
-                        (4 + random.nextInt(8)) * SECOND,
+                        (4 + random.nextInt(8)) * SECOND_MICROS,
                         2.5,
-                        3 * SECOND,
-                        100 * MILLISECOND));
+                        3 * SECOND_MICROS,
+                        100 * MILLISECOND_MICROS));
     }
 
-    private Limits limits(int maxAttempts, int slots, int maxOpen) {
+    private Limits limits(int maxAttempts, int slots, int maxOpenMessages) {
         return new Limits(
                 maxAttempts,
-                maxOpen,
+                maxOpenMessages,
                 slots,
                 seed % 5 != 0,
                 false,
                 false,
                 1,
-                SECOND / 2,
-                5 * SECOND,
+                SECOND_MICROS / 2,
+                5 * SECOND_MICROS,
                 seed % 7 != 0,
-                2 * SECOND);
+                2 * SECOND_MICROS);
     }
 
     private static List<MessageClass> classes(int factor) {
         return List.of(
                 new MessageClass(
-                        2 * SECOND, 20 * SECOND * factor, 1, RepeatSafety.SAFE, KeyScope.ALL, 0, false, 0.2, true),
-                new MessageClass(SECOND, 15 * SECOND * factor, 2, RepeatSafety.KEYED, KeyScope.ALL, 5 * SECOND, false),
-                new MessageClass(2 * SECOND, 20 * SECOND * factor, 3, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
+                        2 * SECOND_MICROS,
+                        20 * SECOND_MICROS * factor,
+                        1,
+                        RepeatSafety.SAFE,
+                        KeyScope.ALL,
+                        0,
+                        false,
+                        0.2,
+                        true),
+                new MessageClass(
+                        SECOND_MICROS,
+                        15 * SECOND_MICROS * factor,
+                        2,
+                        RepeatSafety.KEYED,
+                        KeyScope.ALL,
+                        5 * SECOND_MICROS,
+                        false),
+                new MessageClass(
+                        2 * SECOND_MICROS, 20 * SECOND_MICROS * factor, 3, RepeatSafety.UNSAFE, KeyScope.ALL, 0, true),
                 new MessageClass(
-                        2 * SECOND,
-                        12 * SECOND * factor,
+                        2 * SECOND_MICROS,
+                        12 * SECOND_MICROS * factor,
                         1,
                         RepeatSafety.KEYED,
                         KeyScope.ZONE,
-                        3 * SECOND,
+                        3 * SECOND_MICROS,
                         true,
                         0.1,
                         false),
                 new MessageClass(
-                        400 * MILLISECOND, 2 * SECOND * factor, 0.5, RepeatSafety.SAFE, KeyScope.ALL, 0, true));
+                        400 * MILLISECOND_MICROS,
+                        2 * SECOND_MICROS * factor,
+                        0.5,
+                        RepeatSafety.SAFE,
+                        KeyScope.ALL,
+                        0,
+                        true));
     }
 
     /** Runs the whole sequence and returns the digest of all actions with their times. */
@@ -181,7 +203,7 @@
         runRound(List.of(new Event.Listing(ListingKind.REMEMBERED, 1, entries(false))));
         long endMicros = nowMicros + DURATION_MICROS;
         while (nowMicros < endMicros) {
-            nowMicros += 5 * MILLISECOND;
+            nowMicros += 5 * MILLISECOND_MICROS;
             if (random.nextInt(400) == 0) {
                 changeBehaviours();
             }
@@ -240,16 +262,16 @@
         call.ids.add(send.id());
         call.attempts.add(attempt);
         // At times the host program reports a dropped attempt late.
-        call.dropAtMicros.add(send.dropAtMicros() + (random.nextInt(20) == 0 ? 700 * MILLISECOND : 0));
+        call.dropAtMicros.add(send.dropAtMicros() + (random.nextInt(20) == 0 ? 700 * MILLISECOND_MICROS : 0));
     }
 
     private void onCancel(Action.Cancel cancel) {
         for (CallInFlight call : callsInFlight) {
             int index = call.ids.indexOf(cancel.id());
             if (index >= 0 && call.attempts.get(index) == cancel.attempt()) {
-                call.ending = AttemptResult.CANCELED;
+                call.result = AttemptResult.CANCELED;
                 // The outcome of a cancelled call comes in the next round, or some rounds later.
-                call.endsAtMicros = nowMicros + (1 + random.nextInt(3) * 20) * 5 * MILLISECOND;
+                call.endsAtMicros = nowMicros + (1 + random.nextInt(3) * 20) * 5 * MILLISECOND_MICROS;
             }
         }
     }
@@ -257,60 +279,64 @@
     private void planAnswer(CallInFlight call) {
         HostBehaviour behaviour = behaviours.getOrDefault(call.host, HostBehaviour.HEALTHY);
         EndpointEntry entry = listedEntries.get(call.host);
-        long baseMicros = (15 + 40 * entry.destination()) * MILLISECOND;
+        long baseMicros = (15 + 40 * entry.destination()) * MILLISECOND_MICROS;
         call.endsAtMicros = nowMicros + baseMicros / 2 + (long) (baseMicros * random.nextDouble());
-        call.ending = AttemptResult.DELIVERED;
+        call.result = AttemptResult.DELIVERED;
         boolean reports = entry.destination() % 2 == 0;
         call.report = reports ? new LimitReport(random.nextInt(3) / 4.0, 4 + entry.destination()) : null;
         switch (behaviour) {
-            case REFUSES_WITHOUT_RETRY_AFTER -> setAnswer(call, AttemptResult.FULL, 10 * MILLISECOND, 0);
+            case REFUSES_WITHOUT_RETRY_AFTER -> setAnswer(call, AttemptResult.FULL, 10 * MILLISECOND_MICROS, 0);
             case REFUSES_WITH_SHORT_RETRY_AFTER ->
-                setAnswer(call, AttemptResult.FULL, 10 * MILLISECOND, 300 * MILLISECOND);
+                setAnswer(call, AttemptResult.FULL, 10 * MILLISECOND_MICROS, 300 * MILLISECOND_MICROS);
             case REFUSES_WITH_LONG_RETRY_AFTER ->
-                setAnswer(call, AttemptResult.FULL, 10 * MILLISECOND, 2 * SECOND + random.nextInt((int) (4 * SECOND)));
-            case CONNECTS_FAIL -> setAnswer(call, AttemptResult.NO_CONNECTION, 5 * MILLISECOND, 0);
-            case CONNECTS_TIME_OUT -> setAnswer(call, AttemptResult.NO_CONNECTION, SECOND / 2, 0);
-            case NO_ROOM_FOR_CONNECTIONS -> {
+                setAnswer(
+                        call,
+                        AttemptResult.FULL,
+                        10 * MILLISECOND_MICROS,
+                        2 * SECOND_MICROS + random.nextInt((int) (4 * SECOND_MICROS)));
+            case CONNECTS_FAIL -> setAnswer(call, AttemptResult.NO_CONNECTION, 5 * MILLISECOND_MICROS, 0);
+            case CONNECTS_TIME_OUT -> setAnswer(call, AttemptResult.NO_CONNECTION, SECOND_MICROS / 2, 0);
+            case REJECTS_MOST_CONNECTIONS -> {
                 if (random.nextInt(3) > 0) {
                     setAnswer(
                             call,
                             random.nextBoolean() ? AttemptResult.NO_ROOM : AttemptResult.NO_CONNECTION,
-                            5 * MILLISECOND,
+                            5 * MILLISECOND_MICROS,
                             0);
                 }
             }
-            case ERRORS -> setAnswer(call, AttemptResult.ERROR, 10 * MILLISECOND, 0);
+            case ERRORS -> setAnswer(call, AttemptResult.ERROR, 10 * MILLISECOND_MICROS, 0);
             case HALF_OF_CALLS_FAIL -> {
                 if (random.nextBoolean()) {
                     setAnswer(
                             call,
                             AttemptResult.ERROR,
-                            10 * MILLISECOND,
-                            random.nextInt(8) == 0 ? 200 * MILLISECOND : 0);
+                            10 * MILLISECOND_MICROS,
+                            random.nextInt(8) == 0 ? 200 * MILLISECOND_MICROS : 0);
                 }
             }
             case MOST_CALLS_FAIL -> {
                 if (random.nextInt(5) > 0) {
-                    setAnswer(call, AttemptResult.ERROR, 10 * MILLISECOND, 0);
+                    setAnswer(call, AttemptResult.ERROR, 10 * MILLISECOND_MICROS, 0);
                 }
             }
             case NEVER_ANSWERS -> call.endsAtMicros = Long.MAX_VALUE;
             case SLOW -> call.endsAtMicros = nowMicros + 8 * (call.endsAtMicros - nowMicros);
-            case RESETS -> setAnswer(call, AttemptResult.RESET, 30 * MILLISECOND, 0);
-            case RANDOM_ENDING -> {
-                AttemptResult randomEnding = AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
+            case RESETS -> setAnswer(call, AttemptResult.RESET, 30 * MILLISECOND_MICROS, 0);
+            case RANDOM_RESULT -> {
+                AttemptResult randomResult = AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
                 setAnswer(
                         call,
-                        randomEnding,
-                        20 * MILLISECOND,
-                        randomEnding == AttemptResult.FULL ? random.nextInt(3) * 900 * MILLISECOND : 0);
+                        randomResult,
+                        20 * MILLISECOND_MICROS,
+                        randomResult == AttemptResult.FULL ? random.nextInt(3) * 900 * MILLISECOND_MICROS : 0);
             }
             default -> limitRate(call, entry);
         }
     }
 
-    private void setAnswer(CallInFlight call, AttemptResult ending, long delayMicros, long retryAfterMicros) {
-        call.ending = ending;
+    private void setAnswer(CallInFlight call, AttemptResult result, long delayMicros, long retryAfterMicros) {
+        call.result = result;
         call.endsAtMicros = nowMicros + delayMicros;
         call.retryAfterMicros = retryAfterMicros;
     }
@@ -318,8 +344,8 @@
     /** A healthy destination accepts about one call in 50 ms, and refuses some calls that come closer together. */
     private void limitRate(CallInFlight call, EndpointEntry entry) {
         long gapMicros = nowMicros - lastAcceptedAtMicros.getOrDefault(entry.destination(), 0L);
-        if (gapMicros < 50 * MILLISECOND && seed % 2 == 0 && random.nextInt(4) == 0) {
-            setAnswer(call, AttemptResult.FULL, 5 * MILLISECOND, seed % 4 == 0 ? 200 * MILLISECOND : 0);
+        if (gapMicros < 50 * MILLISECOND_MICROS && seed % 2 == 0 && random.nextInt(4) == 0) {
+            setAnswer(call, AttemptResult.FULL, 5 * MILLISECOND_MICROS, seed % 4 == 0 ? 200 * MILLISECOND_MICROS : 0);
             call.report = new LimitReport(0, 6);
         } else {
             lastAcceptedAtMicros.put(entry.destination(), nowMicros);
@@ -331,7 +357,7 @@
             boolean answered = call.endsAtMicros <= nowMicros;
             for (int i = call.ids.size() - 1; i >= 0; i--) {
                 if (answered || call.dropAtMicros.get(i) <= nowMicros) {
-                    addAnswer(events, call, i, answered ? call.ending : AttemptResult.TIMED_OUT);
+                    addAnswer(events, call, i, answered ? call.result : AttemptResult.TIMED_OUT);
                     call.ids.remove(i);
                     call.attempts.remove(i);
                     call.dropAtMicros.remove(i);
@@ -343,39 +369,40 @@
         }
     }
 
-    private void addAnswer(List<Event> events, CallInFlight call, int index, AttemptResult ending) {
+    private void addAnswer(List<Event> events, CallInFlight call, int index, AttemptResult result) {
         String id = call.ids.get(index);
-        boolean finished = ending == AttemptResult.DELIVERED || random.nextInt(200) == 0;
+        boolean finished = result == AttemptResult.DELIVERED || random.nextInt(200) == 0;
         if (finished) {
             openMessageIds.remove(id);
         }
-        if (ending == AttemptResult.WITHHELD) {
+        if (result == AttemptResult.WITHHELD) {
             attempts.merge(id, -1, Integer::sum);
         }
         events.add(new Event.Outcome(
                 id,
                 call.host,
                 call.attempts.get(index),
-                ending,
+                result,
                 nowMicros - call.sentAtMicros,
-                ending == AttemptResult.TIMED_OUT ? 0 : call.retryAfterMicros,
-                ending == AttemptResult.NOT_SENT,
+                result == AttemptResult.TIMED_OUT ? 0 : call.retryAfterMicros,
+                result == AttemptResult.NOT_SENT,
                 finished,
-                ending == AttemptResult.TIMED_OUT ? null : call.report));
+                result == AttemptResult.TIMED_OUT ? null : call.report));
     }
 
     private void addArrivals(List<Event> events) {
         // Messages come one by one, and now and then in a burst for one destination.
         int burstSize = random.nextInt(2_000) == 0 ? 4 + random.nextInt(20) : 0;
         int destination = random.nextInt(DESTINATIONS);
-        boolean singleArrives = random.nextDouble() < arrivalsPerSecond * 5 * MILLISECOND / SECOND;
+        boolean singleArrives = random.nextDouble() < arrivalsPerSecond * 5 * MILLISECOND_MICROS / SECOND_MICROS;
         for (int i = 0; i < burstSize + (singleArrives ? 1 : 0); i++) {
             String id = "m" + messagesCreated++;
             int messageClass = random.nextInt(classes(1).size());
             String key = random.nextInt(3) == 0 ? null : "k" + destination + "-" + random.nextInt(3);
             long deadlineMicros = settings.classes().get(messageClass).deadlineMicros();
-            long budgetMicros =
-                    random.nextInt(6) == 0 ? 50 * MILLISECOND + random.nextInt((int) SECOND) : deadlineMicros;
+            long budgetMicros = random.nextInt(6) == 0
+                    ? 50 * MILLISECOND_MICROS + random.nextInt((int) SECOND_MICROS)
+                    : deadlineMicros;
             PriorAttempts prior = random.nextInt(25) == 0 ? prior() : null;
             attempts.put(id, prior == null ? 0 : prior.attempts());
             openMessageIds.add(id);
@@ -396,7 +423,11 @@
         boolean mayHaveRun = random.nextBoolean();
         int earlierAttempts = mayHaveRun ? 1 + random.nextInt(3) : random.nextInt(3);
         return new PriorAttempts(
-                earlierAttempts, mayHaveRun, "h0-0", random.nextInt(2), nowMicros - random.nextInt((int) (4 * SECOND)));
+                earlierAttempts,
+                mayHaveRun,
+                "h0-0",
+                random.nextInt(2),
+                nowMicros - random.nextInt((int) (4 * SECOND_MICROS)));
     }
 
     private void addRareEvents(List<Event> events, long endMicros) {
@@ -415,10 +446,10 @@
                     classes(1 + random.nextInt(2)), limits(maxAttempts, old.slots(), old.maxOpenMessages())));
         }
         if (random.nextInt(1_000) == 0) {
-            events.add(new Event.ProbeEnded("h0-0", AttemptResult.DELIVERED, MILLISECOND, null));
+            events.add(new Event.ProbeEnded("h0-0", AttemptResult.DELIVERED, MILLISECOND_MICROS, null));
             events.add(new Event.PeerMessage(1, new byte[0]));
         }
-        if (seed % 6 == 0 && nowMicros == endMicros - 4 * SECOND) {
+        if (seed % 6 == 0 && nowMicros == endMicros - 4 * SECOND_MICROS) {
             events.add(new Event.Stopping(endMicros));
         }
     }
--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.KEYED;
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static lilaclever.DecisionModuleHarness.ZONED;
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -44,7 +44,7 @@
     private long microsUntilSent(String id, long maxMicros) {
         long fromMicros = harness.nowMicros;
         while (harness.nowMicros < fromMicros + maxMicros) {
-            harness.runRoundsFor(5 * MILLISECOND);
+            harness.runRoundsFor(5 * MILLISECOND_MICROS);
             if (harness.wasSent(id)) {
                 return harness.nowMicros - fromMicros;
             }
@@ -61,15 +61,17 @@
 
     @Test
     void retryDelaysGrowInSteps() {
-        long[] stepsMicros = {200 * MILLISECOND, 600 * MILLISECOND, 2400 * MILLISECOND, 6 * SECOND};
+        long[] stepsMicros = {
+            200 * MILLISECOND_MICROS, 600 * MILLISECOND_MICROS, 2400 * MILLISECOND_MICROS, 6 * SECOND_MICROS
+        };
         String id = harness.submit(SAFE, 1);
         for (int i = 0; i < stepsMicros.length; i++) {
             harness.reportOutcome(id, "a1", i, AttemptResult.FULL);
-            long delayMicros = microsUntilSent(id, 16 * SECOND);
+            long delayMicros = microsUntilSent(id, 16 * SECOND_MICROS);
             assertTrue(delayMicros >= stepsMicros[i] / 2, "delay " + i + " was " + delayMicros);
             // From the second refusal in a row on, the lower rate of an outage may add to the step.
             assertTrue(
-                    delayMicros <= stepsMicros[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MILLISECOND,
+                    delayMicros <= stepsMicros[i] * 3 / 2 + (i == 0 ? 2500 : 6500) * MILLISECOND_MICROS,
                     "delay " + i + " was " + delayMicros);
         }
     }
@@ -83,9 +85,10 @@
                     0,
                     List.of(new Event.Listing(
                             ListingKind.ALL, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0)))));
-            module.decide(SECOND, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * SECOND)));
+            module.decide(
+                    SECOND_MICROS, List.of(new Event.Submit("m", SAFE, 1, 0, null, false, false, 20 * SECOND_MICROS)));
             for (Action a : module.decide(
-                    SECOND,
+                    SECOND_MICROS,
                     List.of(new Event.Outcome("m", "a1", 0, AttemptResult.NOT_SENT, 1, 0, true, false, null)))) {
                 if (a instanceof Action.Wake w) {
                     delaysMicros.add(w.afterMicros());
@@ -99,10 +102,10 @@
     void aRefusalLimitsCallsToTenASecond() {
         String first = harness.submit(SAFE, 1);
         harness.reportOutcome(first, "a1", 0, AttemptResult.FULL);
-        harness.runRoundsFor(SECOND);
+        harness.runRoundsFor(SECOND_MICROS);
         int sent = 0;
         for (int i = 0; i < 200; i++) {
-            harness.nowMicros += 5 * MILLISECOND;
+            harness.nowMicros += 5 * MILLISECOND_MICROS;
             String id = harness.submit(SAFE, 1);
             for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
@@ -119,11 +122,11 @@
     void throttlingEndsAfterFiveSecondsWithoutRefusalAndItsRateCeilingLater() {
         String first = harness.submit(SAFE, 1);
         harness.reportOutcome(first, "a1", 0, AttemptResult.FULL);
-        assertTrue(microsUntilSent(first, 4 * SECOND) > 0);
+        assertTrue(microsUntilSent(first, 4 * SECOND_MICROS) > 0);
         harness.reportOutcome(first, "a1", 1, AttemptResult.DELIVERED);
-        harness.runRoundsFor(6 * SECOND);
+        harness.runRoundsFor(6 * SECOND_MICROS);
         assertTrue(countSentAtOnceOfFive() < 5, "waiting messages must not all be sent at once");
-        harness.runRoundsFor(16 * SECOND);
+        harness.runRoundsFor(16 * SECOND_MICROS);
         assertEquals(5, countSentAtOnceOfFive(), "the rate ceiling ends as well");
     }
 
@@ -137,7 +140,7 @@
             }
         }
         sentAtOnce.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED));
-        answerAll(new HashMap<>(), SECOND, AttemptResult.DELIVERED);
+        answerAll(new HashMap<>(), SECOND_MICROS, AttemptResult.DELIVERED);
         return sentAtOnce.size();
     }
 
@@ -147,9 +150,9 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         String inFlight = harness.submit(SAFE, 1);
         String late = harness.submit(SAFE, 1);
-        harness.nowMicros += 6 * SECOND; // three times its aim
+        harness.nowMicros += 6 * SECOND_MICROS; // three times its aim
         String nearlyLate = harness.submit(SAFE, 1);
-        harness.nowMicros += 1900 * MILLISECOND; // nearly its aim of 2 s
+        harness.nowMicros += 1900 * MILLISECOND_MICROS; // nearly its aim of 2 s
         String onTime = harness.submit(SAFE, 1);
         List<String> order = new ArrayList<>();
         for (String id = inFlight; id != null; ) {
@@ -166,11 +169,11 @@
     @Test
     void aRetryAfterStopsEveryMessageToTheDestination() {
         String id = harness.submit(SAFE, 1);
-        harness.reportOutcome(id, "a1", 0, AttemptResult.FULL, 1500 * MILLISECOND);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.FULL, 1500 * MILLISECOND_MICROS);
         String other = harness.submit(SAFE, 1);
-        harness.runRoundsFor(1490 * MILLISECOND);
+        harness.runRoundsFor(1490 * MILLISECOND_MICROS);
         assertEquals(List.of(), harness.hostsSentTo());
-        harness.runRoundsFor(5 * SECOND);
+        harness.runRoundsFor(5 * SECOND_MICROS);
         assertTrue(harness.wasSent(other) || harness.wasSent(id));
     }
 
@@ -182,10 +185,10 @@
     void aWithheldCallIsNotCountedAndIsSentAfterTheRetryAfter() {
         String id = harness.submit(UNSAFE, 1);
         for (int i = 0; i < 8; i++) { // more than the attempts that a message may have
-            harness.reportOutcome(id, "a1", 0, AttemptResult.WITHHELD, 500 * MILLISECOND);
-            harness.runRoundsFor(490 * MILLISECOND);
+            harness.reportOutcome(id, "a1", 0, AttemptResult.WITHHELD, 500 * MILLISECOND_MICROS);
+            harness.runRoundsFor(490 * MILLISECOND_MICROS);
             assertEquals(List.of(), harness.hostsSentTo());
-            harness.runRoundsFor(600 * MILLISECOND);
+            harness.runRoundsFor(600 * MILLISECOND_MICROS);
             assertTrue(harness.wasSent(id));
         }
     }
@@ -195,10 +198,10 @@
     void aRetryAfterAppliesWhateverTheOutcome() {
         String id = harness.submit(SAFE, 1);
         String other = harness.submit(SAFE, 1);
-        harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED, 1500 * MILLISECOND);
+        harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED, 1500 * MILLISECOND_MICROS);
         harness.reportOutcome(other, "a1", 0, AttemptResult.ERROR, 0);
         harness.submit(SAFE, 1);
-        harness.runRoundsFor(1490 * MILLISECOND);
+        harness.runRoundsFor(1490 * MILLISECOND_MICROS);
         assertEquals(List.of(), harness.hostsSentTo());
     }
 
@@ -207,7 +210,7 @@
         harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("b2", 2, 0, 1));
         String id = harness.submit(SAFE, 2);
         String host = harness.hostsSentTo().get(0);
-        harness.reportOutcome(id, host, 0, AttemptResult.FULL, 2 * SECOND);
+        harness.reportOutcome(id, host, 0, AttemptResult.FULL, 2 * SECOND_MICROS);
         harness.submit(SAFE, 2);
         assertEquals(List.of(host.equals("b1") ? "b2" : "b1"), harness.hostsSentTo());
     }
@@ -215,10 +218,10 @@
     @Test
     void anEndpointRemovedAndListedAgainKeepsItsRetryAfter() {
         String id = harness.submit(SAFE, 2);
-        harness.reportOutcome(id, "b1", 0, AttemptResult.FULL, 3 * SECOND);
+        harness.reportOutcome(id, "b1", 0, AttemptResult.FULL, 3 * SECOND_MICROS);
         harness.applyListing(ListingKind.ALL);
         harness.applyListing(ListingKind.ALL, DecisionModuleHarness.entry("b1", 2, 0, 1));
-        harness.runRoundsFor(2900 * MILLISECOND);
+        harness.runRoundsFor(2900 * MILLISECOND_MICROS);
         assertEquals(List.of(), harness.hostsSentTo());
     }
 
@@ -228,7 +231,7 @@
         for (int i = 0; i < 6; i++) {
             harness.reportOutcome(id, "a1", i, AttemptResult.NOT_SENT);
             if (i < 5) {
-                assertTrue(microsUntilSent(id, 12 * SECOND) > 0 || harness.nowMicros > 1019 * SECOND);
+                assertTrue(microsUntilSent(id, 12 * SECOND_MICROS) > 0 || harness.nowMicros > 1019 * SECOND_MICROS);
             }
         }
         assertTrue(harness.checker.openMessages().isEmpty());
@@ -239,13 +242,13 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"FULL", "NO_CONNECTION", "NOT_SENT"})
-    void messagesThatNeverRanAreRetriedInEveryClass(AttemptResult ending) {
+    void messagesThatNeverRanAreRetriedInEveryClass(AttemptResult result) {
         for (int messageClass : new int[] {SAFE, KEYED, UNSAFE, ZONED}) {
             harness = DecisionModuleHarness.withTwoDestinations();
             String id = harness.submit(messageClass, 1, "k");
-            harness.reportOutcome(id, "a1", 0, ending);
+            harness.reportOutcome(id, "a1", 0, result);
             assertFalse(harness.wasRefused(id) || harness.hasFailed(id));
-            assertTrue(microsUntilSent(id, 5 * SECOND) > 0, ending + " of class " + messageClass);
+            assertTrue(microsUntilSent(id, 5 * SECOND_MICROS) > 0, result + " of class " + messageClass);
             assertEquals(List.of(), harness.checker.breaches());
         }
     }
@@ -254,18 +257,18 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"ERROR", "TIMED_OUT", "RESET", "CANCELED"})
-    void messagesThatMayHaveRunAreRetriedUnlessUnsafe(AttemptResult ending) {
+    void messagesThatMayHaveRunAreRetriedUnlessUnsafe(AttemptResult result) {
         for (int messageClass : new int[] {SAFE, KEYED, ZONED}) {
             harness = DecisionModuleHarness.withTwoDestinations();
             String id = harness.submit(messageClass, 1, "k");
-            harness.reportOutcome(id, "a1", 0, ending);
-            long delayMicros = microsUntilSent(id, 4900 * MILLISECOND);
-            assertTrue(delayMicros > 0, ending + " of class " + messageClass);
+            harness.reportOutcome(id, "a1", 0, result);
+            long delayMicros = microsUntilSent(id, 4900 * MILLISECOND_MICROS);
+            assertTrue(delayMicros > 0, result + " of class " + messageClass);
             assertEquals(List.of(), harness.checker.breaches());
         }
         harness = DecisionModuleHarness.withTwoDestinations();
         String id = harness.submit(UNSAFE, 1, "k");
-        harness.reportOutcome(id, "a1", 0, ending);
+        harness.reportOutcome(id, "a1", 0, result);
         assertTrue(harness.hasFailed(id));
     }
 
@@ -274,7 +277,7 @@
         String id = harness.submit(KEYED, 1);
         harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR);
         harness.runRound(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("b1", 2, 0, 1))));
-        harness.runRoundsFor(5100 * MILLISECOND);
+        harness.runRoundsFor(5100 * MILLISECOND_MICROS);
         assertTrue(harness.wasRefused(id), "every endpoint drops repeats, so a refusal is harmless");
     }
 
@@ -283,7 +286,7 @@
         String id = harness.submit(ZONED, 1);
         harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR);
         harness.runRound(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("a2", 1, 1, 0))));
-        harness.runRoundsFor(5100 * MILLISECOND);
+        harness.runRoundsFor(5100 * MILLISECOND_MICROS);
         assertTrue(harness.hasFailed(id));
     }
 
@@ -291,14 +294,14 @@
     @Test
     void aMessageWithNoEndpointIsRefusedBeforeItsDeadline() {
         String id = harness.submit(UNSAFE, 9, "k");
-        harness.runRoundsFor(19_990 * MILLISECOND);
+        harness.runRoundsFor(19_990 * MILLISECOND_MICROS);
         assertTrue(harness.wasRefused(id));
     }
 
     @Test
     void aMessageWithoutAnOutcomeAtItsDeadlineFails() {
         String id = harness.submit(UNSAFE, 1, "k");
-        harness.runRoundsFor(20 * SECOND + 15 * MILLISECOND);
+        harness.runRoundsFor(20 * SECOND_MICROS + 15 * MILLISECOND_MICROS);
         assertTrue(harness.hasFailed(id));
     }
 
@@ -322,7 +325,7 @@
         String id = harness.submit(SAFE, 1);
         harness.runRound(new Event.Withdrawn(id))
                 .reportOutcome(id, "a1", 0, AttemptResult.ERROR)
-                .runRoundsFor(SECOND);
+                .runRoundsFor(SECOND_MICROS);
         assertEquals(List.of(), harness.hostsSentTo());
         harness.runRound(new Event.Withdrawn("unknown"), new Event.Timer(5));
     }
@@ -350,15 +353,17 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         assertTrue(harness.actions.contains(new Action.Watch(true)));
         long requestedAfterMicros = 0;
-        for (long minDelayMicros : new long[] {200 * MILLISECOND, 400 * MILLISECOND, 800 * MILLISECOND}) {
+        for (long minDelayMicros :
+                new long[] {200 * MILLISECOND_MICROS, 400 * MILLISECOND_MICROS, 800 * MILLISECOND_MICROS}) {
             harness.applyListing(ListingKind.REFUSED);
             long fromMicros = harness.nowMicros;
             do {
-                harness.runRoundsFor(5 * MILLISECOND);
-            } while (!harness.actions.contains(new Action.Watch(true)) && harness.nowMicros < fromMicros + 10 * SECOND);
+                harness.runRoundsFor(5 * MILLISECOND_MICROS);
+            } while (!harness.actions.contains(new Action.Watch(true))
+                    && harness.nowMicros < fromMicros + 10 * SECOND_MICROS);
             requestedAfterMicros = harness.nowMicros - fromMicros;
             assertTrue(
-                    requestedAfterMicros >= minDelayMicros && requestedAfterMicros < 10 * SECOND,
+                    requestedAfterMicros >= minDelayMicros && requestedAfterMicros < 10 * SECOND_MICROS,
                     "requested after " + requestedAfterMicros);
         }
     }
@@ -371,11 +376,11 @@
         String other = harness.submit(UNSAFE, 1, "other");
         assertTrue(harness.wasSent(other));
         harness.reportOutcome(first, "a1", 0, AttemptResult.FULL);
-        harness.runRoundsFor(5 * MILLISECOND);
+        harness.runRoundsFor(5 * MILLISECOND_MICROS);
         assertFalse(harness.wasSent(second));
-        assertTrue(microsUntilSent(first, 5 * SECOND) > 0);
+        assertTrue(microsUntilSent(first, 5 * SECOND_MICROS) > 0);
         harness.reportOutcome(first, "a1", 1, AttemptResult.DELIVERED);
-        assertTrue(harness.wasSent(second) || microsUntilSent(second, 5 * SECOND) > 0);
+        assertTrue(harness.wasSent(second) || microsUntilSent(second, 5 * SECOND_MICROS) > 0);
     }
 
     @Test
@@ -383,7 +388,7 @@
         String first = harness.submit(UNSAFE, 1, "k");
         String second = harness.submit(UNSAFE, 1, "k");
         harness.reportOutcome(first, "a1", 0, AttemptResult.TIMED_OUT);
-        assertTrue(microsUntilSent(second, 5 * SECOND) >= 100 * MILLISECOND);
+        assertTrue(microsUntilSent(second, 5 * SECOND_MICROS) >= 100 * MILLISECOND_MICROS);
     }
 
     // Outages, slots and connections
@@ -405,14 +410,14 @@
         harness.applyListing(ListingKind.REMEMBERED, entries);
         for (int i = 0; i < 10; i++) {
             String id = harness.submit(SAFE, 9);
-            harness.nowMicros += 50 * MILLISECOND;
+            harness.nowMicros += 50 * MILLISECOND_MICROS;
             harness.reportOutcome(id, "h9", 0, AttemptResult.DELIVERED); // sets the usual answer time
         }
         List<String> ids = new ArrayList<>();
         Event[] submits = new Event[6];
         for (int d = 0; d < submits.length; d++) {
             ids.add("d" + d);
-            submits[d] = new Event.Submit("d" + d, messageClass, d, 0, null, false, false, 20 * SECOND);
+            submits[d] = new Event.Submit("d" + d, messageClass, d, 0, null, false, false, 20 * SECOND_MICROS);
         }
         harness.runRound(submits);
         return ids;
@@ -422,19 +427,19 @@
     void recoveryUsesTheUsualRateEvenIfItWasMeasuredOnlyBriefly() {
         for (int i = 0; i < 40; i++) {
             String id = harness.submit(SAFE, 1);
-            harness.nowMicros += 50 * MILLISECOND; // 20 calls a second for two seconds
+            harness.nowMicros += 50 * MILLISECOND_MICROS; // 20 calls a second for two seconds
             harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
         }
         String failing = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
             harness.reportOutcome(failing, "a1", i, AttemptResult.ERROR);
-            microsUntilSent(failing, 20 * SECOND);
+            microsUntilSent(failing, 20 * SECOND_MICROS);
         }
         harness.reportOutcome(failing, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
             harness.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * SECOND, AttemptResult.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * SECOND_MICROS, AttemptResult.DELIVERED);
         // At first 0.85 x 2.5 x 0.2 of 20 calls a second, then a little more as slow start goes on.
         assertTrue(sent >= 14 && sent <= 26, "sent " + sent + " in the first two seconds of recovery");
     }
@@ -443,19 +448,19 @@
     void recoveryOfADestinationWithoutAKnownRateUsesTheMeanOfAllDestinations() {
         for (int i = 0; i < 200; i++) {
             String id = harness.submit(SAFE, 2);
-            harness.nowMicros += 10 * MILLISECOND; // 100 calls a second to the other destination
+            harness.nowMicros += 10 * MILLISECOND_MICROS; // 100 calls a second to the other destination
             harness.reportOutcome(id, "b1", 0, AttemptResult.DELIVERED);
         }
         String failing = harness.submit(SAFE, 1);
         for (int i = 0; i < 4; i++) {
             harness.reportOutcome(failing, "a1", i, AttemptResult.ERROR);
-            microsUntilSent(failing, 20 * SECOND);
+            microsUntilSent(failing, 20 * SECOND_MICROS);
         }
         harness.reportOutcome(failing, "a1", 4, AttemptResult.DELIVERED);
         for (int i = 0; i < 40; i++) {
             harness.submit(SAFE, 1);
         }
-        int sent = answerAll(new HashMap<>(), 2 * SECOND, AttemptResult.DELIVERED);
+        int sent = answerAll(new HashMap<>(), 2 * SECOND_MICROS, AttemptResult.DELIVERED);
         // At first 0.85 x 2.5 x 0.2 of a quarter of 50 calls a second, then a little more as slow start goes on.
         assertTrue(sent >= 8 && sent <= 18, "sent " + sent + " in the first two seconds of recovery");
     }
@@ -465,7 +470,7 @@
         for (int messageClass : new int[] {SAFE, UNSAFE}) {
             submitToSeveralDestinations(5, messageClass);
             assertEquals(5, harness.hostsSentTo().size());
-            harness.runRoundsFor(5 * SECOND);
+            harness.runRoundsFor(5 * SECOND_MICROS);
             long cancelled = harness.actions.stream()
                     .filter(Action.Cancel.class::isInstance)
                     .count();
@@ -478,27 +483,28 @@
     void slowCallsAreNotCancelledWhereNoMessageNeedsTheirSlots() {
         submitToSeveralDestinations(10, UNSAFE);
         assertEquals(6, harness.hostsSentTo().size());
-        harness.runRoundsFor(1900 * MILLISECOND);
+        harness.runRoundsFor(1900 * MILLISECOND_MICROS);
         assertTrue(harness.actions.stream().noneMatch(Action.Cancel.class::isInstance));
     }
 
     @Test
     void theShareOfSlotsForUnresponsiveEndpointsHoldsWithinOneRound() {
         List<String> ids = submitToSeveralDestinations(20, SAFE);
-        harness.nowMicros += 2 * SECOND;
+        harness.nowMicros += 2 * SECOND_MICROS;
         Event[] outcomes = new Event[6];
         for (int d = 0; d < outcomes.length; d++) {
             outcomes[d] = new Event.Outcome(
-                    ids.get(d), "h" + d, 0, AttemptResult.TIMED_OUT, 2 * SECOND, 0, false, false, null);
+                    ids.get(d), "h" + d, 0, AttemptResult.TIMED_OUT, 2 * SECOND_MICROS, 0, false, false, null);
         }
         harness.runRound(outcomes);
-        harness.nowMicros += 400 * MILLISECOND; // all six may be sent again now, each to an endpoint that timed out
+        harness.nowMicros +=
+                400 * MILLISECOND_MICROS; // all six may be sent again now, each to an endpoint that timed out
         harness.runRound();
         assertEquals(6, harness.hostsSentTo().size(), "the share of 20 slots is enough for six");
         submitToSeveralDestinations(10, SAFE);
-        harness.nowMicros += 2 * SECOND;
+        harness.nowMicros += 2 * SECOND_MICROS;
         harness.runRound(outcomes);
-        harness.nowMicros += 400 * MILLISECOND;
+        harness.nowMicros += 400 * MILLISECOND_MICROS;
         harness.runRound();
         assertEquals(3, harness.hostsSentTo().size(), "three of ten slots, also where all are selected in one round");
     }
@@ -516,7 +522,7 @@
             for (int destination : new int[] {1, 4, 5}) {
                 harness.submit(SAFE, destination);
                 callsInFlight += harness.hostsSentTo().size();
-                harness.runRoundsFor(500 * MILLISECOND);
+                harness.runRoundsFor(500 * MILLISECOND_MICROS);
                 callsInFlight += harness.hostsSentTo().size();
             }
         }
@@ -527,26 +533,26 @@
     @Test
     void aLongRetryAfterIsTreatedAsAnOutageAndItsEndAsARecovery() {
         List<String> ids = List.of(harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
-        harness.reportOutcome(ids.get(0), "a1", 0, AttemptResult.FULL, 6 * SECOND);
-        harness.reportOutcome(ids.get(1), "a1", 0, AttemptResult.FULL, 6 * SECOND);
-        harness.reportOutcome(ids.get(2), "a1", 0, AttemptResult.FULL, 6 * SECOND);
-        harness.runRoundsFor(10 * SECOND);
+        harness.reportOutcome(ids.get(0), "a1", 0, AttemptResult.FULL, 6 * SECOND_MICROS);
+        harness.reportOutcome(ids.get(1), "a1", 0, AttemptResult.FULL, 6 * SECOND_MICROS);
+        harness.reportOutcome(ids.get(2), "a1", 0, AttemptResult.FULL, 6 * SECOND_MICROS);
+        harness.runRoundsFor(10 * SECOND_MICROS);
         assertEquals(1, harness.hostsSentTo().size(), "one trial call after the retry-after, not all waiting messages");
     }
 
     /** Runs rounds for a while; every send has this result after 5 ms. Returns the number of sends. */
-    private int answerAll(Map<String, Integer> attemptCounts, long micros, AttemptResult ending) {
+    private int answerAll(Map<String, Integer> attemptCounts, long micros, AttemptResult result) {
         int sent = 0;
         for (long untilMicros = harness.nowMicros + micros; harness.nowMicros < untilMicros; ) {
-            harness.nowMicros += 5 * MILLISECOND;
+            harness.nowMicros += 5 * MILLISECOND_MICROS;
             harness.runRound();
             // Sends that follow from an outcome are answered too.
             List<Action> actions = new ArrayList<>(harness.actions);
             for (int i = 0; i < actions.size(); i++) {
                 if (actions.get(i) instanceof Action.Send s) {
                     sent++;
-                    harness.nowMicros += 5 * MILLISECOND;
-                    harness.reportOutcome(s.id(), s.host(), attemptCounts.merge(s.id(), 1, Integer::sum) - 1, ending);
+                    harness.nowMicros += 5 * MILLISECOND_MICROS;
+                    harness.reportOutcome(s.id(), s.host(), attemptCounts.merge(s.id(), 1, Integer::sum) - 1, result);
                     actions.addAll(harness.actions);
                 }
             }
@@ -565,7 +571,7 @@
         ids.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.NO_CONNECTION));
         Map<String, Integer> attemptCounts = new HashMap<>();
         ids.forEach(id -> attemptCounts.put(id, 1));
-        int sent = answerAll(attemptCounts, 6 * SECOND, AttemptResult.DELIVERED);
+        int sent = answerAll(attemptCounts, 6 * SECOND_MICROS, AttemptResult.DELIVERED);
         assertEquals(5, sent, "one trial call and no slow start: once a call is accepted, all are sent");
         harness.submit(SAFE, 1);
         harness.reportOutcome(((Action.Send) harness.actions.get(0)).id(), "a1", 0, AttemptResult.DELIVERED);
@@ -586,7 +592,7 @@
                 DecisionModuleHarness.entry("b1", 2, 0, 1));
         for (int i = 0; i < 20; i++) {
             harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED)
-                    .runRoundsFor(100 * MILLISECOND);
+                    .runRoundsFor(100 * MILLISECOND_MICROS);
         }
         assertTrue(harness.actions.stream().noneMatch(Action.CloseIdle.class::isInstance), harness.actions.toString());
         harness.reportOutcome(harness.submit(SAFE, 3), "c1", 0, AttemptResult.NO_CONNECTION);
@@ -610,10 +616,13 @@
         String first = harness.submit(SAFE, 1);
         harness.reportOutcome(first, "a1", 0, AttemptResult.NO_CONNECTION);
         attemptCounts.put(first, 1);
-        answerAll(attemptCounts, 12 * SECOND, AttemptResult.NO_CONNECTION); // an outage, so no full connection table
-        harness.runRoundsFor(60 * SECOND);
+        answerAll(
+                attemptCounts,
+                12 * SECOND_MICROS,
+                AttemptResult.NO_CONNECTION); // an outage, so no full connection table
+        harness.runRoundsFor(60 * SECOND_MICROS);
         harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED)
-                .runRoundsFor(15 * SECOND); // recovered, and slow start is over
+                .runRoundsFor(15 * SECOND_MICROS); // recovered, and slow start is over
         List<String> ids = List.of(
                 harness.submit(SAFE, 1),
                 harness.submit(SAFE, 1),
@@ -624,7 +633,7 @@
         ids.forEach(id -> attemptCounts.put(id, 1));
         assertEquals(
                 5,
-                answerAll(attemptCounts, 3 * SECOND, AttemptResult.DELIVERED),
+                answerAll(attemptCounts, 3 * SECOND_MICROS, AttemptResult.DELIVERED),
                 "all are sent once connects are accepted");
     }
 
@@ -644,9 +653,9 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         String id = harness.submit(SAFE, 1);
         harness.reportOutcome(id, "a1", 0, AttemptResult.FULL);
-        harness.runRoundsFor(2 * SECOND);
+        harness.runRoundsFor(2 * SECOND_MICROS);
         assertTrue(!harness.wasSent(id), "not while the calls of other forwarders may still exceed the limit");
-        harness.runRoundsFor(6 * SECOND);
+        harness.runRoundsFor(6 * SECOND_MICROS);
         assertTrue(harness.wasSent(id), "five seconds without a refusal, times a random factor, are enough");
     }
 
@@ -660,16 +669,17 @@
             harness.reportOutcome(
                     harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED); // other messages are delivered
             while (!harness.wasSent(id) && harness.checker.openMessages().contains(id)) {
-                harness.runRoundsFor(5 * MILLISECOND);
+                harness.runRoundsFor(5 * MILLISECOND_MICROS);
             }
             for (Action action : harness.actions) {
                 assertTrue(
-                        !(action instanceof Action.Send s) || s.dropAtMicros() < firstSentMicros + 5 * SECOND,
+                        !(action instanceof Action.Send s) || s.dropAtMicros() < firstSentMicros + 5 * SECOND_MICROS,
                         action.toString());
             }
         }
         assertTrue(
-                harness.nowMicros > firstSentMicros + 3 * SECOND, "it was sent close to the end of its repeat window");
+                harness.nowMicros > firstSentMicros + 3 * SECOND_MICROS,
+                "it was sent close to the end of its repeat window");
     }
 
     @Test
@@ -688,8 +698,8 @@
             harness.reportOutcome(id, "a1", 0, AttemptResult.NO_CONNECTION);
             attemptCounts.merge(id, 1, Integer::sum);
         }
-        sent = answerAll(attemptCounts, 8 * SECOND, AttemptResult.NO_CONNECTION);
-        int later = answerAll(attemptCounts, 8 * SECOND, AttemptResult.NO_CONNECTION);
+        sent = answerAll(attemptCounts, 8 * SECOND_MICROS, AttemptResult.NO_CONNECTION);
+        int later = answerAll(attemptCounts, 8 * SECOND_MICROS, AttemptResult.NO_CONNECTION);
         assertTrue(later <= 8, "trial calls only: " + sent + " then " + later);
     }
 
@@ -702,8 +712,8 @@
             attemptCounts.put(harness.submit(SAFE, 1), 1);
         }
         attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR));
-        answerAll(attemptCounts, 5 * SECOND, AttemptResult.ERROR);
-        int later = answerAll(attemptCounts, 10 * SECOND, AttemptResult.ERROR);
+        answerAll(attemptCounts, 5 * SECOND_MICROS, AttemptResult.ERROR);
+        int later = answerAll(attemptCounts, 10 * SECOND_MICROS, AttemptResult.ERROR);
         assertTrue(later <= 2, "hundreds of forwarders may have seen it: " + later + " trial calls in ten seconds");
     }
 
@@ -717,10 +727,10 @@
         for (int i = 0; i < 6; i++) {
             String id = harness.submit(SAFE, 1);
             if (!harness.wasSent(id)) {
-                microsUntilSent(id, 30 * SECOND);
+                microsUntilSent(id, 30 * SECOND_MICROS);
             }
             harness.reportOutcome(id, "a1", 0, AttemptResult.TIMED_OUT);
-            assertTrue(microsUntilSent(id, 3 * SECOND) > 0);
+            assertTrue(microsUntilSent(id, 3 * SECOND_MICROS) > 0);
             harness.reportOutcome(id, "a1", 1, AttemptResult.DELIVERED);
         }
         String lost = harness.submit(SAFE, 3);
@@ -733,21 +743,22 @@
         harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 200));
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         String id = harness.submit(SAFE, 1);
-        harness.runRound(new Event.Outcome(id, "a1", 0, AttemptResult.NO_CONNECTION, SECOND, 0, false, false, null));
+        harness.runRound(
+                new Event.Outcome(id, "a1", 0, AttemptResult.NO_CONNECTION, SECOND_MICROS, 0, false, false, null));
         String other = harness.submit(SAFE, 1);
-        harness.runRoundsFor(300 * MILLISECOND);
+        harness.runRoundsFor(300 * MILLISECOND_MICROS);
         assertFalse(harness.wasSent(other) || harness.wasSent(id), "connects time out, so only trial calls are made");
     }
 
     @Test
     void messagesThatCannotBeSentInTimeAreRefusedAtOnce() {
         String first = harness.submit(SAFE, 1);
-        harness.reportOutcome(first, "a1", 0, AttemptResult.FULL, 30 * SECOND);
+        harness.reportOutcome(first, "a1", 0, AttemptResult.FULL, 30 * SECOND_MICROS);
         assertTrue(harness.wasRefused(first), "the retry-after is longer than its time");
         String next = harness.submit(SAFE, 1);
         assertTrue(harness.wasRefused(next), "so it is for a message that comes later");
         assertTrue(harness.actions.stream()
-                .anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * SECOND));
+                .anyMatch(a -> a instanceof Action.Refuse r && r.comeBackMicros() == 2 * SECOND_MICROS));
     }
 
     /** Counts calls in 4 s to a limit that refuses all, and reports 10 calls a second and this share left. */
@@ -756,9 +767,9 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         Map<String, Integer> attemptCounts = new HashMap<>();
         int sent = 0;
-        for (long endMicros = harness.nowMicros + 4 * SECOND;
+        for (long endMicros = harness.nowMicros + 4 * SECOND_MICROS;
                 harness.nowMicros < endMicros;
-                harness.nowMicros += 50 * MILLISECOND) {
+                harness.nowMicros += 50 * MILLISECOND_MICROS) {
             if (harness.checker.openMessages().size() < 10) {
                 harness.submit(SAFE, 1);
             } else {
@@ -767,14 +778,14 @@
             for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
                     sent++;
-                    harness.nowMicros += 5 * MILLISECOND;
+                    harness.nowMicros += 5 * MILLISECOND_MICROS;
                     harness.runRound(new Event.Outcome(
                             s.id(),
                             "a1",
                             attemptCounts.merge(s.id(), 1, Integer::sum) - 1,
                             AttemptResult.FULL,
-                            5 * MILLISECOND,
-                            300 * MILLISECOND,
+                            5 * MILLISECOND_MICROS,
+                            300 * MILLISECOND_MICROS,
                             false,
                             false,
                             new DecisionModule.LimitReport(allowanceLeft, 10)));
@@ -797,15 +808,16 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         for (int i = 0; i < 10; i++) {
             String id = harness.submit(SAFE, 1);
-            assertTrue(harness.wasSent(id) || microsUntilSent(id, 2 * SECOND) > 0, "call " + i);
+            assertTrue(harness.wasSent(id) || microsUntilSent(id, 2 * SECOND_MICROS) > 0, "call " + i);
             harness.reportOutcome(id, "a1", 0, AttemptResult.DELIVERED);
-            harness.runRoundsFor(500 * MILLISECOND);
+            harness.runRoundsFor(500 * MILLISECOND_MICROS);
         }
         String rejected = harness.submit(SAFE, 1);
         harness.runRound(new Event.Outcome(
-                rejected, "a1", 0, AttemptResult.NO_CONNECTION, 20 * MILLISECOND, 0, false, false, null));
+                rejected, "a1", 0, AttemptResult.NO_CONNECTION, 20 * MILLISECOND_MICROS, 0, false, false, null));
         assertTrue(
-                microsUntilSent(rejected, SECOND) > 0, "its connection table was full, as the deliveries before show");
+                microsUntilSent(rejected, SECOND_MICROS) > 0,
+                "its connection table was full, as the deliveries before show");
     }
 
     @Test
@@ -819,25 +831,27 @@
                 "a1",
                 0,
                 AttemptResult.FULL,
-                5 * MILLISECOND,
+                5 * MILLISECOND_MICROS,
                 0,
                 false,
                 false,
                 new DecisionModule.LimitReport(0, 10)));
-        assertTrue(microsUntilSent(id, 19 * SECOND) >= 100 / (0.7 * 10) * SECOND, "no more than 0.7 of the even share");
+        assertTrue(
+                microsUntilSent(id, 19 * SECOND_MICROS) >= 100 / (0.7 * 10) * SECOND_MICROS,
+                "no more than 0.7 of the even share");
     }
 
     @ParameterizedTest
     @CsvSource({"ERROR,ACTIVE", "NO_CONNECTION,ACTIVE", "NO_CONNECTION,LEFT", "ERROR,LEFT"})
-    void aNewHostDoesNotBypassTheOutageOfItsDestination(AttemptResult ending, Presence oldHostPresence) {
+    void aNewHostDoesNotBypassTheOutageOfItsDestination(AttemptResult result, Presence oldHostPresence) {
         harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 50));
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         Map<String, Integer> attemptCounts = new HashMap<>();
         for (int i = 0; i < 4; i++) {
             attemptCounts.put(harness.submit(SAFE, 1), 1);
         }
-        attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, ending));
-        answerAll(attemptCounts, 10 * SECOND, ending);
+        attemptCounts.keySet().forEach(id -> harness.reportOutcome(id, "a1", 0, result));
+        answerAll(attemptCounts, 10 * SECOND_MICROS, result);
         harness.applyListing(
                 ListingKind.CHANGES,
                 DecisionModuleHarness.entry("a2", 1, 0, 0),
@@ -869,11 +883,11 @@
             String id = harness.submit(SAFE, 1);
             if (harness.wasSent(id)) {
                 attemptCounts.put(id, 1);
-                harness.reportOutcome(id, "a1", 0, AttemptResult.FULL, i == 0 ? 0 : 300 * MILLISECOND);
+                harness.reportOutcome(id, "a1", 0, AttemptResult.FULL, i == 0 ? 0 : 300 * MILLISECOND_MICROS);
             }
         }
-        int first = answerAll(attemptCounts, 5 * SECOND, AttemptResult.FULL);
-        int later = answerAll(attemptCounts, 10 * SECOND, AttemptResult.FULL);
+        int first = answerAll(attemptCounts, 5 * SECOND_MICROS, AttemptResult.FULL);
+        int later = answerAll(attemptCounts, 10 * SECOND_MICROS, AttemptResult.FULL);
         assertTrue(later <= 2, "first " + first + ", later " + later);
     }
 
@@ -882,9 +896,9 @@
         List<String> ids = List.of(
                 harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1), harness.submit(SAFE, 1));
         ids.forEach(id -> harness.reportOutcome(id, "a1", 0, AttemptResult.ERROR));
-        harness.runRoundsFor(4 * SECOND);
+        harness.runRoundsFor(4 * SECOND_MICROS);
         assertEquals(1, harness.hostsSentTo().size(), "one trial call, whose outcome is still pending");
-        harness.nowMicros += MILLISECOND;
+        harness.nowMicros += MILLISECOND_MICROS;
         harness.reportOutcome(
                 ((Action.Send) harness.actions.stream()
                                 .filter(Action.Send.class::isInstance)
@@ -896,7 +910,7 @@
                 AttemptResult.DELIVERED);
         harness.checker.startRecovery("a1", harness.nowMicros, 4);
         for (int i = 0; i < 600; i++) {
-            harness.nowMicros += 5 * MILLISECOND;
+            harness.nowMicros += 5 * MILLISECOND_MICROS;
             if (i % 20 == 0) {
                 harness.submit(SAFE, 1);
             } else {
@@ -904,7 +918,7 @@
             }
             for (Action a : harness.actions) {
                 if (a instanceof Action.Send s) {
-                    harness.nowMicros += MILLISECOND;
+                    harness.nowMicros += MILLISECOND_MICROS;
                     for (int n = 0; n < 3; n++) {
                         harness.reportOutcome(s.id(), "a1", n, AttemptResult.DELIVERED);
                     }
@@ -918,7 +932,7 @@
         harness.applyListing(ListingKind.CHANGES, DecisionModuleHarness.entry("a2", 1, 0, 0));
         int delivered = 0;
         for (int i = 0; i < 400; i++) {
-            harness.nowMicros += 5 * MILLISECOND;
+            harness.nowMicros += 5 * MILLISECOND_MICROS;
             if (i % 20 == 0) {
                 harness.submit(SAFE, 1);
             } else {
@@ -949,7 +963,7 @@
             if (harness.wasSent(id)) {
                 harness.reportOutcome(id, "a1", 0, i % 5 < 2 ? AttemptResult.RESET : AttemptResult.DELIVERED);
             }
-            harness.runRoundsFor(300 * MILLISECOND);
+            harness.runRoundsFor(300 * MILLISECOND_MICROS);
             for (Action.Send s : harness.actions.stream()
                     .filter(Action.Send.class::isInstance)
                     .map(Action.Send.class::cast)
@@ -970,7 +984,7 @@
             harness.submit(SAFE, 3);
         }
         assertEquals(List.of(), harness.hostsSentTo());
-        harness.runRoundsFor(3 * SECOND);
+        harness.runRoundsFor(3 * SECOND_MICROS);
         assertEquals(5, harness.hostsSentTo().size());
     }
 
@@ -980,7 +994,7 @@
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("c1", 3, 0, 2));
         List<Event> events = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            events.add(new Event.Submit("x" + i, SAFE, 3, 0, null, false, false, 20 * SECOND));
+            events.add(new Event.Submit("x" + i, SAFE, 3, 0, null, false, false, 20 * SECOND_MICROS));
         }
         harness.runRound(events.toArray(new Event[0]));
         assertEquals(5, harness.hostsSentTo().size());
@@ -1001,7 +1015,7 @@
             assertEquals(0, ((Map<?, ?>) field(name)).size(), name);
         }
         assertEquals(2, ((Map<?, ?>) field("endpoints")).size());
-        harness.runRoundsFor(21 * SECOND);
+        harness.runRoundsFor(21 * SECOND_MICROS);
         assertTrue(((java.util.Collection<?>) field("dues")).isEmpty());
     }
 
@@ -1009,7 +1023,7 @@
     void aKeyIsRemovedFromMemoryAfterItsDelay() throws ReflectiveOperationException {
         String id = harness.submit(UNSAFE, 1, "k");
         harness.reportOutcome(id, "a1", 0, AttemptResult.TIMED_OUT);
-        harness.runRoundsFor(2 * SECOND);
+        harness.runRoundsFor(2 * SECOND_MICROS);
         assertEquals(0, ((Map<?, ?>) field("lines")).size());
     }
 
@@ -1039,14 +1053,15 @@
                 null,
                 false,
                 false,
-                20 * SECOND,
+                20 * SECOND_MICROS,
                 new DecisionModule.PriorAttempts(
                         attempts, mayHaveRun, "a1", 0, harness.nowMicros - mayHaveRunMicrosAgo));
     }
 
     @Test
     void anUnsafeMessageThatMayHaveRunBeforeARestartFailsAtOnce() {
-        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, true, SECOND)).hasFailed("r"));
+        assertTrue(harness.runRound(recoveredMessage(UNSAFE, 1, true, SECOND_MICROS))
+                .hasFailed("r"));
         assertTrue(
                 harness.runRound(recoveredMessage(UNSAFE, 1, false, 0)).wasSent("r"),
                 "a message that never ran is sent");
@@ -1054,10 +1069,10 @@
 
     @Test
     void aKeyedMessageKeepsItsRepeatWindowOverARestart() {
-        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 4 * SECOND))
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 4 * SECOND_MICROS))
                 .wasSent("r"));
         harness = DecisionModuleHarness.withTwoDestinations();
-        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 6 * SECOND))
+        assertTrue(harness.runRound(recoveredMessage(DecisionModuleHarness.KEYED, 1, true, 6 * SECOND_MICROS))
                 .wasRefused("r"));
     }
 
@@ -1078,7 +1093,7 @@
                     null,
                     false,
                     false,
-                    20 * SECOND,
+                    20 * SECOND_MICROS,
                     new DecisionModule.PriorAttempts(0, false, "", 0, 0)));
         }
         harness.runRound(recovered.toArray(Event[]::new));
@@ -1106,7 +1121,7 @@
 
     @Test
     void noCallIsStartedThatTheEndOfTheProgramCouldCutOff() {
-        harness.runRound(new Event.Stopping(harness.nowMicros + 2 * SECOND));
+        harness.runRound(new Event.Stopping(harness.nowMicros + 2 * SECOND_MICROS));
         assertTrue(!harness.wasSent(harness.submit(UNSAFE, 1)), "its call may take longer than the time left");
         assertTrue(harness.wasSent(harness.submit(SAFE, 1)), "its call times out before the end");
     }
--- a/src/test/java/lilaclever/DestinationLimitsTest.java
+++ b/src/test/java/lilaclever/DestinationLimitsTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -36,7 +36,7 @@
     /** Delivers calls at this rate for 30 s, so that it is both the recent and the usual rate. */
     private void deliverAtRate(double perSecond) {
         for (int i = 0; i < 30 * perSecond; i++) {
-            fixture.advanceClock((long) (SECOND / perSecond));
+            fixture.advanceClock((long) (SECOND_MICROS / perSecond));
             rates.onDelivered(limit, endpoint);
             limits.onDelivered(limit);
         }
@@ -50,10 +50,10 @@
 
     @Test
     void aRetryAfterIsHonouredAndNeverShortened() {
-        limits.onRetryAfter(limit, 2 * SECOND);
-        limits.onRetryAfter(limit, SECOND);
+        limits.onRetryAfter(limit, 2 * SECOND_MICROS);
+        limits.onRetryAfter(limit, SECOND_MICROS);
         limits.onRetryAfter(limit, 0);
-        assertEquals(fixture.state.nowMicros + 2 * SECOND, limits.readyAtMicros(limit));
+        assertEquals(fixture.state.nowMicros + 2 * SECOND_MICROS, limits.readyAtMicros(limit));
     }
 
     @Test
@@ -62,12 +62,12 @@
         refuse(0);
         assertEquals(10, limits.allowedRate(limit));
         limit.lastSentAtMicros = fixture.state.nowMicros;
-        assertEquals(fixture.state.nowMicros + 100 * MILLISECOND, limits.readyAtMicros(limit));
-        fixture.advanceClock(5 * SECOND - 1);
+        assertEquals(fixture.state.nowMicros + 100 * MILLISECOND_MICROS, limits.readyAtMicros(limit));
+        fixture.advanceClock(5 * SECOND_MICROS - 1);
         assertEquals(10, limits.allowedRate(limit));
         fixture.advanceClock(1);
         assertTrue(limits.allowedRate(limit) > 30, "the rate before the refusal is its ceiling now");
-        fixture.advanceClock(16 * SECOND);
+        fixture.advanceClock(16 * SECOND_MICROS);
         assertEquals(PolicyState.NEVER, limits.allowedRate(limit), "the ceiling ends as well");
     }
 
@@ -77,10 +77,10 @@
         refuse(0);
         double rateAfterOne = limits.allowedRate(limit);
         assertEquals(4, rateAfterOne, 0.4, "four fifths of the rate before");
-        fixture.advanceClock(400 * MILLISECOND);
+        fixture.advanceClock(400 * MILLISECOND_MICROS);
         refuse(0);
         assertEquals(rateAfterOne, limits.allowedRate(limit));
-        fixture.advanceClock(500 * MILLISECOND);
+        fixture.advanceClock(500 * MILLISECOND_MICROS);
         refuse(0);
         double rateAfterTwo = limits.allowedRate(limit);
         assertTrue(
@@ -118,18 +118,18 @@
 
     @Test
     void aLongRetryAfterIsAnOutageWhoseEndIsSpreadByChance() {
-        refuse(4 * SECOND);
+        refuse(4 * SECOND_MICROS);
         assertTrue(endpoint.inOutage);
         assertTrue(limit.resumeAtMicros >= limit.retryAfterUntilMicros
-                && limit.resumeAtMicros < limit.retryAfterUntilMicros + 20 * SECOND);
-        assertEquals(8 * SECOND, limit.failingForMicros, "the shortest assumed length of an outage");
+                && limit.resumeAtMicros < limit.retryAfterUntilMicros + 20 * SECOND_MICROS);
+        assertEquals(8 * SECOND_MICROS, limit.failingForMicros, "the shortest assumed length of an outage");
     }
 
     @Test
     void persistentRefusalsWithoutAShortRetryAfterAreAnOutage() {
         for (int i = 0; i < 3; i++) {
             refuse(0);
-            fixture.advanceClock(SECOND);
+            fixture.advanceClock(SECOND_MICROS);
         }
         assertFalse(endpoint.inOutage);
         refuse(0);
@@ -139,8 +139,8 @@
     @Test
     void refusalsWithAShortRetryAfterAreNoOutage() {
         for (int i = 0; i < 6; i++) {
-            refuse(200 * MILLISECOND);
-            fixture.advanceClock(SECOND);
+            refuse(200 * MILLISECOND_MICROS);
+            fixture.advanceClock(SECOND_MICROS);
         }
         assertFalse(endpoint.inOutage);
     }
@@ -148,9 +148,9 @@
     @Test
     void aRefusalInSlowStartHalvesItsAge() {
         slowStart.begin(endpoint);
-        fixture.advanceClock(4 * SECOND);
+        fixture.advanceClock(4 * SECOND_MICROS);
         refuse(0);
-        assertEquals(2 * SECOND, slowStart.ageMicros(endpoint));
+        assertEquals(2 * SECOND_MICROS, slowStart.ageMicros(endpoint));
     }
 
     @Test
@@ -161,11 +161,13 @@
         limit.lastSentAtMicros = fixture.state.nowMicros;
         assertEquals(2, limit.suspectedOutageRefusals);
         assertEquals(
-                fixture.state.nowMicros + 2 * SECOND, limits.readyAtMicros(limit), "throttled to half a call a second");
+                fixture.state.nowMicros + 2 * SECOND_MICROS,
+                limits.readyAtMicros(limit),
+                "throttled to half a call a second");
         limit.throttledUntilMicros = 0;
         limit.rateCeiling = 0;
         // An even share is 1 call a second; the rate in an outage is 0.425 of two calls a second.
-        assertEquals(fixture.state.nowMicros + (long) (SECOND / 0.7), limits.readyAtMicros(limit), 1);
+        assertEquals(fixture.state.nowMicros + (long) (SECOND_MICROS / 0.7), limits.readyAtMicros(limit), 1);
         limits.onDelivered(limit);
         assertFalse(limit.exhausted);
     }
@@ -180,9 +182,9 @@
         limitsInFleet.onRefused(fixtureOfLargeFleet.limit, endpointInFleet, 0, null);
         long throttledForMicros = fixtureOfLargeFleet.limit.throttledUntilMicros - fixtureOfLargeFleet.state.nowMicros;
         assertTrue(
-                throttledForMicros >= 2_500 * MILLISECOND && throttledForMicros <= 7_500 * MILLISECOND,
+                throttledForMicros >= 2_500 * MILLISECOND_MICROS && throttledForMicros <= 7_500 * MILLISECOND_MICROS,
                 "throttled for " + throttledForMicros);
-        fixtureOfLargeFleet.advanceClock(10 * SECOND);
+        fixtureOfLargeFleet.advanceClock(10 * SECOND_MICROS);
         limitsInFleet.onRefused(fixtureOfLargeFleet.limit, endpointInFleet, 0, null);
         fixtureOfLargeFleet.limit.lastSentAtMicros = fixtureOfLargeFleet.state.nowMicros;
         fixtureOfLargeFleet.limit.throttledUntilMicros = 0;
@@ -190,6 +192,7 @@
         long delayMicros = limitsInFleet.readyAtMicros(fixtureOfLargeFleet.limit) - fixtureOfLargeFleet.state.nowMicros;
         // A recovering destination's part, 0.425, of one call in the 10 s of the outage, divided by a factor of 1 to 2.
         assertTrue(
-                delayMicros >= 10 * SECOND / 0.425 - 1 && delayMicros <= 20 * SECOND / 0.425, "delay " + delayMicros);
+                delayMicros >= 10 * SECOND_MICROS / 0.425 - 1 && delayMicros <= 20 * SECOND_MICROS / 0.425,
+                "delay " + delayMicros);
     }
 }
--- a/src/test/java/lilaclever/EndpointAvailabilityTest.java
+++ b/src/test/java/lilaclever/EndpointAvailabilityTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -49,15 +49,15 @@
 
     @Test
     void aRetryAfterAndAvoidanceAreBothHonoured() {
-        parts.limits.onRetryAfter(fixture.limit, SECOND);
-        assertEquals(SECOND, microsUntilReady(endpoint));
-        endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * SECOND;
-        assertEquals(2 * SECOND, microsUntilReady(endpoint));
+        parts.limits.onRetryAfter(fixture.limit, SECOND_MICROS);
+        assertEquals(SECOND_MICROS, microsUntilReady(endpoint));
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 2 * SECOND_MICROS;
+        assertEquals(2 * SECOND_MICROS, microsUntilReady(endpoint));
     }
 
     @Test
     void inAnOutageOneTrialCallIsInFlightAtATime() {
-        endpoint.trialIntervalMicros = SECOND;
+        endpoint.trialIntervalMicros = SECOND_MICROS;
         endpoint.inOutage = true;
         assertTrue(isReady(endpoint));
         fixture.startCall(fixture.addMessage(SAFE), endpoint);
@@ -66,19 +66,19 @@
 
     @Test
     void trialCallsKeepToTheRateAndDelayOfTheOutage() {
-        endpoint.trialIntervalMicros = 500 * MILLISECOND;
+        endpoint.trialIntervalMicros = 500 * MILLISECOND_MICROS;
         endpoint.inOutage = true;
         endpoint.lastSentAtMicros = fixture.state.nowMicros;
         // A recovering destination's part, 0.425, of an even share of 0.75 calls a second.
         assertEquals(
-                SECOND / (0.425 * 2),
+                SECOND_MICROS / (0.425 * 2),
                 microsUntilReady(endpoint),
                 1,
                 "two calls a second where the outage has just begun");
-        fixture.limit.failingForMicros = 60 * SECOND;
-        assertEquals(SECOND / (0.425 * 0.75), microsUntilReady(endpoint), 1);
-        endpoint.trialIntervalMicros = 4 * SECOND;
-        assertEquals(4 * SECOND, microsUntilReady(endpoint), "the delay between trial calls");
+        fixture.limit.failingForMicros = 60 * SECOND_MICROS;
+        assertEquals(SECOND_MICROS / (0.425 * 0.75), microsUntilReady(endpoint), 1);
+        endpoint.trialIntervalMicros = 4 * SECOND_MICROS;
+        assertEquals(4 * SECOND_MICROS, microsUntilReady(endpoint), "the delay between trial calls");
     }
 
     @Test
@@ -86,11 +86,11 @@
         PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
         PolicyParts partsInFleet = new PolicyParts(fixtureOfLargeFleet.state);
         Endpoint recovering = fixtureOfLargeFleet.addEndpoint();
-        fixtureOfLargeFleet.limit.failingForMicros = 60 * SECOND;
+        fixtureOfLargeFleet.limit.failingForMicros = 60 * SECOND_MICROS;
         partsInFleet.slowStart.begin(recovering);
         recovering.lastSentAtMicros = fixtureOfLargeFleet.state.nowMicros;
         assertEquals(
-                10 * SECOND,
+                10 * SECOND_MICROS,
                 partsInFleet.availability.readyAtMicros(recovering) - fixtureOfLargeFleet.state.nowMicros,
                 "at the end of slow start, not after 141 s");
     }
@@ -121,21 +121,21 @@
 
     @Test
     void aLongCallMarksItsEndpointAsStalledUnlessLaterCallsWereDelivered() {
-        parts.timeouts.onDelivered(fixture.limit, 100 * MILLISECOND);
+        parts.timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
         fixture.startCall(fixture.addMessage(SAFE), endpoint);
-        fixture.advanceClock(400 * MILLISECOND);
+        fixture.advanceClock(400 * MILLISECOND_MICROS);
         assertTrue(isReady(endpoint));
         fixture.advanceClock(1);
         assertTrue(isNeverReady(endpoint), "over four times the usual answer time");
-        endpoint.lastDeliveredSentAtMicros = fixture.state.nowMicros - 100 * MILLISECOND;
+        endpoint.lastDeliveredSentAtMicros = fixture.state.nowMicros - 100 * MILLISECOND_MICROS;
         assertTrue(isReady(endpoint));
     }
 
     @Test
     void slowAnswersMarkAnEndpointAsStalled() {
         fixture.startCall(fixture.addMessage(SAFE), endpoint);
-        fixture.state.overallMeanResponseMicros = 100 * MILLISECOND;
-        fixture.limit.meanResponseMicros = 401 * MILLISECOND;
+        fixture.state.overallMeanResponseMicros = 100 * MILLISECOND_MICROS;
+        fixture.limit.meanResponseMicros = 401 * MILLISECOND_MICROS;
         assertTrue(isNeverReady(endpoint));
     }
 }
--- a/src/test/java/lilaclever/EndpointDirectoryTest.java
+++ b/src/test/java/lilaclever/EndpointDirectoryTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.entry;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -84,10 +84,10 @@
     @Test
     void anUnlistedEndpointIsRetainedUntilItsRetryAfterIsOver() {
         applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
-        endpoints.get("a").limit.retryAfterUntilMicros = fixture.state.nowMicros + SECOND;
+        endpoints.get("a").limit.retryAfterUntilMicros = fixture.state.nowMicros + SECOND_MICROS;
         applyListing(ListingKind.ALL);
         assertEquals(Set.of("a"), endpoints.keySet());
-        fixture.advanceClock(SECOND);
+        fixture.advanceClock(SECOND_MICROS);
         applyListing(ListingKind.ALL);
         assertEquals(Set.of(), endpoints.keySet());
     }
@@ -137,7 +137,7 @@
     @Test
     void inALargeFleetANewEndpointDoesNotBypassAnOutage() {
         useSettings(DecisionModuleHarness.settings(4, 50, 6, false, PolicyFixture.LARGE_FLEET_SIZE));
-        fixture.limit.failingSinceMicros = fixture.state.nowMicros - SECOND;
+        fixture.limit.failingSinceMicros = fixture.state.nowMicros - SECOND_MICROS;
         applyListing(ListingKind.ALL, entry("a", 1, 0, 0));
         assertTrue(endpoints.get("a").connectsFailing);
         assertEquals(fixture.state.nowMicros, endpoints.get("a").lastSentAtMicros);
@@ -168,23 +168,24 @@
         assertEquals(PolicyState.NEVER, directory.watchAtMicros());
         // Delays start at 0.4 s and double, up to a third of the 10 s within which the rules demand a request.
         for (long delayMicros : new long[] {
-            400 * MILLISECOND,
-            800 * MILLISECOND,
-            1_600 * MILLISECOND,
-            3_200 * MILLISECOND,
-            10 * SECOND / 3,
-            10 * SECOND / 3
+            400 * MILLISECOND_MICROS,
+            800 * MILLISECOND_MICROS,
+            1_600 * MILLISECOND_MICROS,
+            3_200 * MILLISECOND_MICROS,
+            10 * SECOND_MICROS / 3,
+            10 * SECOND_MICROS / 3
         }) {
             applyListing(ListingKind.REFUSED);
-            long askedAfterMicros = directory.watchAtMicros() - fixture.state.nowMicros;
+            long requestedAfterMicros = directory.watchAtMicros() - fixture.state.nowMicros;
             assertTrue(
-                    askedAfterMicros >= delayMicros / 2 && askedAfterMicros <= delayMicros * 3 / 2,
-                    askedAfterMicros + " instead of " + delayMicros);
+                    requestedAfterMicros >= delayMicros / 2 && requestedAfterMicros <= delayMicros * 3 / 2,
+                    requestedAfterMicros + " instead of " + delayMicros);
         }
         applyListing(ListingKind.CHANGES);
         applyListing(ListingKind.REFUSED);
         assertTrue(
-                directory.watchAtMicros() - fixture.state.nowMicros <= 600 * MILLISECOND, "a listing resets the delay");
+                directory.watchAtMicros() - fixture.state.nowMicros <= 600 * MILLISECOND_MICROS,
+                "a listing resets the delay");
     }
 
     @Test
--- a/src/test/java/lilaclever/EndpointSelectionTest.java
+++ b/src/test/java/lilaclever/EndpointSelectionTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.KEYED;
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
@@ -52,18 +52,18 @@
 
     @Test
     void messagesAboutToMissTheirAimGoFirst() {
-        aged(SAFE, 15 * SECOND);
-        aged(SAFE, SECOND);
-        Message nearlyLate = aged(SAFE, 1_900 * MILLISECOND);
+        aged(SAFE, 15 * SECOND_MICROS);
+        aged(SAFE, SECOND_MICROS);
+        Message nearlyLate = aged(SAFE, 1_900 * MILLISECOND_MICROS);
         fixture.addMessage(SAFE);
         assertEquals(nearlyLate, selected());
     }
 
     @Test
     void worthFallsLinearlyAfterTheAim() {
-        double worthAtAim = selection.rank(aged(SAFE, 2 * SECOND), endpoint);
-        assertEquals(worthAtAim / 2, selection.rank(aged(SAFE, 11 * SECOND), endpoint), worthAtAim / 1_000);
-        assertEquals(0, selection.rank(aged(SAFE, 20 * SECOND), endpoint), worthAtAim / 1_000);
+        double worthAtAim = selection.rank(aged(SAFE, 2 * SECOND_MICROS), endpoint);
+        assertEquals(worthAtAim / 2, selection.rank(aged(SAFE, 11 * SECOND_MICROS), endpoint), worthAtAim / 1_000);
+        assertEquals(0, selection.rank(aged(SAFE, 20 * SECOND_MICROS), endpoint), worthAtAim / 1_000);
     }
 
     @Test
@@ -77,7 +77,7 @@
 
     @Test
     void aFailingEndpointIsTriedWithMessagesThatCanBeRepeated() {
-        endpoint.trialIntervalMicros = SECOND;
+        endpoint.trialIntervalMicros = SECOND_MICROS;
         endpoint.inOutage = true;
         fixture.addMessage(UNSAFE);
         fixture.addMessage(KEYED);
@@ -90,9 +90,9 @@
     @Test
     void aShorterAnswerTimeRanksHigher() {
         Message message = fixture.addMessage(SAFE);
-        fixture.limit.meanResponseMicros = 100 * MILLISECOND;
+        fixture.limit.meanResponseMicros = 100 * MILLISECOND_MICROS;
         double promptRank = selection.rank(message, endpoint);
-        fixture.limit.meanResponseMicros = 200 * MILLISECOND;
+        fixture.limit.meanResponseMicros = 200 * MILLISECOND_MICROS;
         assertEquals(promptRank / 2, selection.rank(message, endpoint), promptRank / 1_000);
     }
 
@@ -106,14 +106,14 @@
         fixture.startCall(fixture.addMessage(SAFE), endpoint);
         fixture.startCall(fixture.addMessage(SAFE), endpoint);
         assertEquals(otherZone, chosen(message));
-        Endpoint warm = fixture.addEndpoint();
-        warm.callsInFlight = 1;
+        Endpoint connected = fixture.addEndpoint();
+        connected.callsInFlight = 1;
         assertEquals(otherZone, chosen(message), "both cost as much as one call; the first is chosen");
-        parts.connections.onCallEnded(warm, AttemptResult.DELIVERED);
-        assertEquals(warm, chosen(message));
-        message.lastEndpoint = warm;
-        assertEquals(warm, chosen(message), "having had the last attempt costs less than a new connection");
-        warm.callsInFlight = 2;
+        parts.connections.onCallEnded(connected, AttemptResult.DELIVERED);
+        assertEquals(connected, chosen(message));
+        message.lastEndpoint = connected;
+        assertEquals(connected, chosen(message), "having had the last attempt costs less than a new connection");
+        connected.callsInFlight = 2;
         assertEquals(otherZone, chosen(message));
     }
 
@@ -121,19 +121,19 @@
     void theQueueIsCheckedAgainWhenAMessageMayFirstBeSent() {
         fixture.queue.nextCheckAtMicros = PolicyState.NEVER;
         Message message = fixture.addMessage(SAFE);
-        message.notBeforeMicros = fixture.state.nowMicros + 300 * MILLISECOND;
+        message.notBeforeMicros = fixture.state.nowMicros + 300 * MILLISECOND_MICROS;
         assertNull(selection.select(fixture.queue));
         assertEquals(message.notBeforeMicros, fixture.queue.nextCheckAtMicros);
-        endpoint.avoidUntilMicros = fixture.state.nowMicros + 200 * MILLISECOND;
+        endpoint.avoidUntilMicros = fixture.state.nowMicros + 200 * MILLISECOND_MICROS;
         assertNull(selection.select(fixture.queue));
         assertEquals(endpoint.avoidUntilMicros, fixture.queue.nextCheckAtMicros);
     }
 
     @Test
     void messagesThatCannotGoInTimeAreUndeliverableUnlessACallIsInFlight() {
-        Message shortOfTime = aged(SAFE, 19 * SECOND);
+        Message shortOfTime = aged(SAFE, 19 * SECOND_MICROS);
         fixture.addMessage(SAFE);
-        parts.limits.onRetryAfter(fixture.limit, 2 * SECOND);
+        parts.limits.onRetryAfter(fixture.limit, 2 * SECOND_MICROS);
         assertNull(selection.select(fixture.queue));
         assertEquals(List.of(shortOfTime), selection.undeliverable());
         selection.clearUndeliverable();
--- a/src/test/java/lilaclever/FleetTest.java
+++ b/src/test/java/lilaclever/FleetTest.java
@@ -1,8 +1,8 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -28,7 +28,7 @@
 class FleetTest {
     private static final int FORWARDERS = 200;
     private static final double MESSAGES_PER_SECOND = 4;
-    private static final long TICK_MICROS = 20 * MILLISECOND;
+    private static final long TICK_MICROS = 20 * MILLISECOND_MICROS;
     /** A limit of 3 calls a second with most of its allowance left. */
     private static final LimitReport MUCH_ALLOWANCE_LEFT = new LimitReport(0.7, 3);
 
@@ -46,13 +46,13 @@
     private int callsByUninformed;
 
     private void simulate(
-            long fromMicros, long toMicros, AttemptResult ending, long acceptsFromMicros, boolean duringOutage) {
+            long fromMicros, long toMicros, AttemptResult result, long acceptsFromMicros, boolean duringOutage) {
         Random random = new Random(fromMicros + seed);
         for (long nowMicros = fromMicros; nowMicros < toMicros; nowMicros += TICK_MICROS) {
-            if (random.nextDouble() < MESSAGES_PER_SECOND * TICK_MICROS / SECOND) {
+            if (random.nextDouble() < MESSAGES_PER_SECOND * TICK_MICROS / SECOND_MICROS) {
                 pendingEvents
                         .get(random.nextInt(FORWARDERS))
-                        .add(new Event.Submit("m" + nowMicros, SAFE, 1, 0, null, false, false, 20 * SECOND));
+                        .add(new Event.Submit("m" + nowMicros, SAFE, 1, 0, null, false, false, 20 * SECOND_MICROS));
             }
             for (int forwarderIndex = 0; forwarderIndex < FORWARDERS; forwarderIndex++) {
                 if (pendingEvents.get(forwarderIndex).isEmpty()
@@ -77,19 +77,19 @@
                                         s.id(),
                                         s.host(),
                                         attempts.merge(s.id(), 1, Integer::sum) - 1,
-                                        ending,
-                                        20 * MILLISECOND,
-                                        ending == AttemptResult.FULL ? Math.max(0, acceptsFromMicros - nowMicros) : 0,
+                                        result,
+                                        20 * MILLISECOND_MICROS,
+                                        result == AttemptResult.FULL ? Math.max(0, acceptsFromMicros - nowMicros) : 0,
                                         false,
                                         false,
-                                        ending == AttemptResult.FULL ? MUCH_ALLOWANCE_LEFT : null));
+                                        result == AttemptResult.FULL ? MUCH_ALLOWANCE_LEFT : null));
                     }
                 }
             }
         }
     }
 
-    private void simulateOutage(AttemptResult ending, boolean sendsRetryAfter, int hosts, long lengthMicros) {
+    private void simulateOutage(AttemptResult result, boolean sendsRetryAfter, int hosts, long lengthMicros) {
         for (seed = 0; seed < 3; seed++) {
             forwarders.clear();
             pendingEvents.clear();
@@ -108,14 +108,14 @@
             int callsByInformedBefore = callsByInformed;
             int callsByUninformedBefore = callsByUninformed;
             simulate(
-                    1000 * SECOND,
-                    1000 * SECOND + lengthMicros,
-                    ending,
-                    sendsRetryAfter ? 1000 * SECOND + lengthMicros : 0,
+                    1000 * SECOND_MICROS,
+                    1000 * SECOND_MICROS + lengthMicros,
+                    result,
+                    sendsRetryAfter ? 1000 * SECOND_MICROS + lengthMicros : 0,
                     true);
             callsByInformed = callsByInformedBefore;
             callsByUninformed = callsByUninformedBefore;
-            simulate(1000 * SECOND + lengthMicros, 1002 * SECOND + lengthMicros, ending, 0, false);
+            simulate(1000 * SECOND_MICROS + lengthMicros, 1002 * SECOND_MICROS + lengthMicros, result, 0, false);
         }
         // The rule allows a factor of 2 (two thirds of the calls); 1.5 leaves a margin for chance.
         assertTrue(
@@ -132,20 +132,20 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"FULL", "NO_CONNECTION"})
-    void forwardersThatSawAnOutageDoNotOverloadTheRecoveringDestination(AttemptResult ending) {
-        simulateOutage(ending, false, 1, 20 * SECOND);
+    void forwardersThatSawAnOutageDoNotOverloadTheRecoveringDestination(AttemptResult result) {
+        simulateOutage(result, false, 1, 20 * SECOND_MICROS);
     }
 
     /** Guards against retries at a message's usual delays after failed connects at both hosts in a short outage. */
     @Test
     void forwardersThatSawAShortOutageOfAllHostsDoNotOverloadThemAfterIt() {
-        simulateOutage(AttemptResult.NO_CONNECTION, false, 2, 6 * SECOND);
+        simulateOutage(AttemptResult.NO_CONNECTION, false, 2, 6 * SECOND_MICROS);
     }
 
     /** After errors at both hosts without a delivery, no forwarder may try a third time within seconds. */
     @Test
     void errorsAtAllHostsAreAnOutageToEveryForwarder() {
-        simulateOutage(AttemptResult.ERROR, false, 2, 8 * SECOND);
+        simulateOutage(AttemptResult.ERROR, false, 2, 8 * SECOND_MICROS);
         assertTrue(
                 2 * callsByInformed < callsByUninformed,
                 callsByInformed + " calls by forwarders that saw the outage, " + callsByUninformed + " by others");
@@ -158,23 +158,23 @@
         for (int forwarderIndex = 0; forwarderIndex < 60; forwarderIndex++) {
             DecisionModule forwarder =
                     DecisionModule.create(DecisionModuleHarness.settings(4, 50, 12, false, FORWARDERS), forwarderIndex);
-            long nowMicros = 1000 * SECOND + forwarderIndex * 10 * MILLISECOND;
+            long nowMicros = 1000 * SECOND_MICROS + forwarderIndex * 10 * MILLISECOND_MICROS;
             String id = "m" + forwarderIndex;
             int attempt = 0;
             List<Event> events = List.of(
                     new Event.Listing(ListingKind.REMEMBERED, 1, List.of(DecisionModuleHarness.entry("a1", 1, 0, 0))),
-                    new Event.Submit(id, SAFE, 1, 0, null, false, false, 20 * SECOND));
-            for (; nowMicros < 1019 * SECOND; nowMicros += TICK_MICROS) {
+                    new Event.Submit(id, SAFE, 1, 0, null, false, false, 20 * SECOND_MICROS));
+            for (; nowMicros < 1019 * SECOND_MICROS; nowMicros += TICK_MICROS) {
                 List<Event> nextEvents = new ArrayList<>();
                 for (Action action : forwarder.decide(nowMicros, events)) {
                     if (action instanceof Action.Send s) {
-                        sendTimesMicros.add(nowMicros - 1000 * SECOND);
+                        sendTimesMicros.add(nowMicros - 1000 * SECOND_MICROS);
                         nextEvents.add(new Event.Outcome(
                                 id,
                                 s.host(),
                                 attempt++,
                                 AttemptResult.NO_CONNECTION,
-                                20 * MILLISECOND,
+                                20 * MILLISECOND_MICROS,
                                 0,
                                 false,
                                 false,
@@ -185,12 +185,12 @@
             }
         }
         long mostInOneSecond = 0;
-        for (long fromMicros = SECOND; fromMicros < 18 * SECOND; fromMicros += 100 * MILLISECOND) {
+        for (long fromMicros = SECOND_MICROS; fromMicros < 18 * SECOND_MICROS; fromMicros += 100 * MILLISECOND_MICROS) {
             long startMicros = fromMicros;
             mostInOneSecond = Math.max(
                     mostInOneSecond,
                     sendTimesMicros.stream()
-                            .filter(t -> t >= startMicros && t < startMicros + SECOND)
+                            .filter(t -> t >= startMicros && t < startMicros + SECOND_MICROS)
                             .count());
         }
         assertTrue(mostInOneSecond <= 30, mostInOneSecond + " of 60 are sent again in one second");
@@ -199,7 +199,7 @@
     /** A destination that refuses all calls gives each forwarder the same time to retry; not all may do so then. */
     @Test
     void forwardersDoNotAllRetryWhenARetryAfterEnds() {
-        simulateOutage(AttemptResult.FULL, true, 1, 20 * SECOND);
+        simulateOutage(AttemptResult.FULL, true, 1, 20 * SECOND_MICROS);
     }
 
     /**
@@ -212,9 +212,9 @@
     void aFleetStaysWithinTheBudgetOfARecoveringDestination(int fleetSize, int outageSeconds) {
         for (long seed = 1; seed <= 5; seed++) {
             RecoverySimulation simulation = new RecoverySimulation(fleetSize, seed);
-            simulation.run(1000 * SECOND, 1030 * SECOND, null);
-            simulation.run(1030 * SECOND, (1030 + outageSeconds) * SECOND, AttemptResult.NO_CONNECTION);
-            simulation.run((1030 + outageSeconds) * SECOND, (1045 + outageSeconds) * SECOND, null);
+            simulation.run(1000 * SECOND_MICROS, 1030 * SECOND_MICROS, null);
+            simulation.run(1030 * SECOND_MICROS, (1030 + outageSeconds) * SECOND_MICROS, AttemptResult.NO_CONNECTION);
+            simulation.run((1030 + outageSeconds) * SECOND_MICROS, (1045 + outageSeconds) * SECOND_MICROS, null);
             assertEquals(List.of(), simulation.breaches, "seed " + seed);
         }
     }
@@ -246,26 +246,26 @@
         }
 
         /** Runs a span of time; {@code outageResult}: the result of each call, null where the destination delivers. */
-        void run(long fromMicros, long toMicros, AttemptResult outageEnding) {
-            outageStartMicros = outageEnding != null ? fromMicros : outageStartMicros;
-            recoveryStartMicros = outageEnding == null && outageStartMicros > 0 ? fromMicros : Long.MAX_VALUE;
+        void run(long fromMicros, long toMicros, AttemptResult outageResult) {
+            outageStartMicros = outageResult != null ? fromMicros : outageStartMicros;
+            recoveryStartMicros = outageResult == null && outageStartMicros > 0 ? fromMicros : Long.MAX_VALUE;
             for (long nowMicros = fromMicros; nowMicros < toMicros; nowMicros += TICK_MICROS) {
-                if (random.nextDouble() < CAPACITY_PER_SECOND * LOAD_SHARE * TICK_MICROS / SECOND) {
+                if (random.nextDouble() < CAPACITY_PER_SECOND * LOAD_SHARE * TICK_MICROS / SECOND_MICROS) {
                     pendingEvents
                             .get(random.nextInt(forwarders.size()))
                             .add(new Event.Submit(
-                                    "m" + messagesCreated++, SAFE, 1, 0, null, false, false, 20 * SECOND));
+                                    "m" + messagesCreated++, SAFE, 1, 0, null, false, false, 20 * SECOND_MICROS));
                 }
                 for (int forwarderIndex = 0; forwarderIndex < forwarders.size(); forwarderIndex++) {
                     if (!pendingEvents.get(forwarderIndex).isEmpty()
                             || wakeAtMicros.getOrDefault(forwarderIndex, Long.MAX_VALUE) <= nowMicros) {
-                        runRound(forwarderIndex, nowMicros, outageEnding);
+                        runRound(forwarderIndex, nowMicros, outageResult);
                     }
                 }
             }
         }
 
-        private void runRound(int forwarderIndex, long nowMicros, AttemptResult outageEnding) {
+        private void runRound(int forwarderIndex, long nowMicros, AttemptResult outageResult) {
             wakeAtMicros.remove(forwarderIndex);
             List<Event> newEvents = List.copyOf(pendingEvents.get(forwarderIndex));
             pendingEvents.get(forwarderIndex).clear();
@@ -277,18 +277,18 @@
                 if (action instanceof Action.Wake w) {
                     wakeAtMicros.merge(forwarderIndex, nowMicros + w.afterMicros(), Math::min);
                 } else if (action instanceof Action.Send s) {
-                    AttemptResult ending = outageEnding == null ? AttemptResult.DELIVERED : outageEnding;
+                    AttemptResult result = outageResult == null ? AttemptResult.DELIVERED : outageResult;
                     pendingEvents
                             .get(forwarderIndex)
                             .add(new Event.Outcome(
                                     s.id(),
                                     s.host(),
                                     attempts.merge(s.id(), 1, Integer::sum) - 1,
-                                    ending,
-                                    20 * MILLISECOND,
+                                    result,
+                                    20 * MILLISECOND_MICROS,
                                     0,
                                     false,
-                                    ending == AttemptResult.DELIVERED,
+                                    result == AttemptResult.DELIVERED,
                                     null));
                     if (nowMicros >= recoveryStartMicros) {
                         checkBudget(forwarderIndex, nowMicros);
@@ -307,12 +307,12 @@
                     * CAPACITY_PER_SECOND
                     * capacityShare
                     * rules.overloadWindowMicros()
-                    / SECOND;
+                    / SECOND_MICROS;
             long byInformed = recentCalls.stream().filter(x -> x[1] == 1).count();
             if (recentCalls.size() > budget + 2 * Math.sqrt(budget) + 2 && byInformed >= 2 * recentCalls.size() / 3.0) {
                 breaches.add(recentCalls.size() + " calls, " + byInformed
                         + " by forwarders that saw the outage, for a budget of " + (int) budget + " after "
-                        + (nowMicros - recoveryStartMicros) / MILLISECOND + " ms");
+                        + (nowMicros - recoveryStartMicros) / MILLISECOND_MICROS + " ms");
             }
         }
     }
--- a/src/test/java/lilaclever/KeyOrderTest.java
+++ b/src/test/java/lilaclever/KeyOrderTest.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -44,7 +44,7 @@
         order.pause(first);
         assertTrue(order.permits(first));
         order.remove(first);
-        fixture.advanceClock(100 * MILLISECOND - 1);
+        fixture.advanceClock(100 * MILLISECOND_MICROS - 1);
         assertFalse(order.permits(second));
         fixture.advanceClock(1);
         assertTrue(order.permits(second));
@@ -56,7 +56,7 @@
         order.pause(message);
         order.remove(message);
         assertEquals(Set.of("a"), keys.keySet());
-        fixture.advanceClock(100 * MILLISECOND);
+        fixture.advanceClock(100 * MILLISECOND_MICROS);
         order.removeIfUnused(message);
         assertEquals(Set.of(), keys.keySet());
     }
--- a/src/test/java/lilaclever/OutageDetectionTest.java
+++ b/src/test/java/lilaclever/OutageDetectionTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -25,10 +25,10 @@
         return new OutageDetection(fixture.state, slowStart, failures, timeouts, new ConnectionReuse(fixture.state));
     }
 
-    private void fail(Endpoint target, AttemptResult ending, int times) {
+    private void fail(Endpoint target, AttemptResult result, int times) {
         for (int i = 0; i < times; i++) {
-            fixture.advanceClock(100 * MILLISECOND);
-            outages.onFailure(fixture.limit, target, ending, 10 * MILLISECOND);
+            fixture.advanceClock(100 * MILLISECOND_MICROS);
+            outages.onFailure(fixture.limit, target, result, 10 * MILLISECOND_MICROS);
         }
     }
 
@@ -41,10 +41,10 @@
     @EnumSource(
             value = AttemptResult.class,
             names = {"ERROR", "TIMED_OUT", "RESET", "CANCELED"})
-    void fourHardFailuresInARowAreAnOutage(AttemptResult ending) {
-        fail(endpoint, ending, 3);
+    void fourHardFailuresInARowAreAnOutage(AttemptResult result) {
+        fail(endpoint, result, 3);
         assertFalse(endpoint.inOutage);
-        fail(endpoint, ending, 1);
+        fail(endpoint, result, 1);
         assertTrue(endpoint.inOutage);
     }
 
@@ -94,20 +94,22 @@
     void delaysBetweenTrialCallsGrowToTwoSeconds() {
         endpoint.trialIntervalMicros = OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
         outages.beginOrContinueOutage(endpoint);
-        assertEquals(500 * MILLISECOND, endpoint.trialIntervalMicros);
+        assertEquals(500 * MILLISECOND_MICROS, endpoint.trialIntervalMicros);
         outages.beginOrContinueOutage(endpoint);
-        assertEquals(750 * MILLISECOND, endpoint.trialIntervalMicros);
+        assertEquals(750 * MILLISECOND_MICROS, endpoint.trialIntervalMicros);
         for (int i = 0; i < 5; i++) {
             outages.beginOrContinueOutage(endpoint);
         }
-        assertEquals(2 * SECOND, endpoint.trialIntervalMicros);
+        assertEquals(2 * SECOND_MICROS, endpoint.trialIntervalMicros);
     }
 
     @Test
     void fromTheSecondFailureOnAnEndpointIsAvoidedForAWhile() {
         fail(endpoint, AttemptResult.ERROR, 1);
         assertEquals(0, endpoint.avoidUntilMicros);
-        for (long maxAvoidMicros : new long[] {750 * MILLISECOND, 1_500 * MILLISECOND, 3 * SECOND, 3 * SECOND}) {
+        for (long maxAvoidMicros :
+                new long[] {750 * MILLISECOND_MICROS, 1_500 * MILLISECOND_MICROS, 3 * SECOND_MICROS, 3 * SECOND_MICROS
+                }) {
             fail(endpoint, AttemptResult.ERROR, 1);
             long avoidMicros = endpoint.avoidUntilMicros - fixture.state.nowMicros;
             assertTrue(
@@ -121,8 +123,8 @@
         fail(endpoint, AttemptResult.NO_ROOM, 10);
         assertFalse(endpoint.inOutage);
         for (int i = 0; i < 10; i++) {
-            fixture.advanceClock(SECOND);
-            outages.onFailure(fixture.limit, endpoint, AttemptResult.NO_ROOM, 10 * MILLISECOND);
+            fixture.advanceClock(SECOND_MICROS);
+            outages.onFailure(fixture.limit, endpoint, AttemptResult.NO_ROOM, 10 * MILLISECOND_MICROS);
         }
         assertTrue(endpoint.inOutage);
     }
@@ -130,7 +132,7 @@
     @Test
     void connectTimeoutsAreAnOutage() {
         for (int i = 0; i < 4; i++) {
-            outages.onFailure(fixture.limit, endpoint, AttemptResult.NO_CONNECTION, SECOND);
+            outages.onFailure(fixture.limit, endpoint, AttemptResult.NO_CONNECTION, SECOND_MICROS);
         }
         assertTrue(endpoint.inOutage);
     }
@@ -149,9 +151,9 @@
     @Test
     void slowStartBeginsAnewWhenHalfOfTheCallsFail() {
         slowStart.begin(endpoint);
-        fixture.advanceClock(5 * SECOND);
+        fixture.advanceClock(5 * SECOND_MICROS);
         endpoint.failureShare = 0.5;
-        outages.onFailure(fixture.limit, endpoint, AttemptResult.ERROR, 10 * MILLISECOND);
+        outages.onFailure(fixture.limit, endpoint, AttemptResult.ERROR, 10 * MILLISECOND_MICROS);
         assertEquals(0, slowStart.ageMicros(endpoint));
     }
 
@@ -160,17 +162,19 @@
         PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
         OutageDetection outagesInFleet = detection(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state));
         Endpoint first = fixtureOfLargeFleet.addEndpoint();
-        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, first, AttemptResult.ERROR, 10 * MILLISECOND);
+        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, first, AttemptResult.ERROR, 10 * MILLISECOND_MICROS);
         assertTrue(first.inOutage);
         assertTrue(
                 fixtureOfLargeFleet.limit.outageRateDivisor > 1 && fixtureOfLargeFleet.limit.outageRateDivisor < 2,
                 "the rate is spread by chance");
         Endpoint second = fixtureOfLargeFleet.addEndpoint();
-        second.lastDeliveredSentAtMicros = fixtureOfLargeFleet.state.nowMicros - SECOND;
-        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, second, AttemptResult.NO_CONNECTION, 10 * MILLISECOND);
+        second.lastDeliveredSentAtMicros = fixtureOfLargeFleet.state.nowMicros - SECOND_MICROS;
+        outagesInFleet.onFailure(
+                fixtureOfLargeFleet.limit, second, AttemptResult.NO_CONNECTION, 10 * MILLISECOND_MICROS);
         assertFalse(second.connectsFailing, "it accepted a call a second ago: it is busy");
-        fixtureOfLargeFleet.advanceClock(3 * SECOND);
-        outagesInFleet.onFailure(fixtureOfLargeFleet.limit, second, AttemptResult.NO_CONNECTION, 10 * MILLISECOND);
+        fixtureOfLargeFleet.advanceClock(3 * SECOND_MICROS);
+        outagesInFleet.onFailure(
+                fixtureOfLargeFleet.limit, second, AttemptResult.NO_CONNECTION, 10 * MILLISECOND_MICROS);
         assertTrue(second.connectsFailing);
     }
 }
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 
 import java.util.ArrayList;
 import lilaclever.DecisionModule.MessageClass;
@@ -32,7 +32,7 @@
 
     PolicyFixture(Settings settings) {
         state = new PolicyState(settings, 1);
-        state.nowMicros = 1000 * SECOND;
+        state.nowMicros = 1000 * SECOND_MICROS;
         queue = new DestinationQueue();
         limit = new DestinationLimit();
         queue.latestLimit = limit;
--- a/src/test/java/lilaclever/RandomSequenceTest.java
+++ b/src/test/java/lilaclever/RandomSequenceTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -40,7 +40,7 @@
         List<CallInFlight> callsInFlight = new ArrayList<>();
         Map<String, Integer> attempts = new LinkedHashMap<>();
         for (int i = 0; i < rounds; i++) {
-            harness.nowMicros += 5 * MILLISECOND;
+            harness.nowMicros += 5 * MILLISECOND_MICROS;
             if (random.nextInt(3_000) == 0) {
                 callsInFlight.clear();
                 harness.restart();
@@ -53,18 +53,18 @@
                 boolean answerLost = seed % 3 == 0 && Math.floorMod((call.id + call.attempt).hashCode(), 3) == 0;
                 if (timedOut || !answerLost && random.nextInt(12) == 0) {
                     callsInFlight.remove(call);
-                    AttemptResult ending = timedOut
+                    AttemptResult result = timedOut
                             ? AttemptResult.TIMED_OUT
                             : AttemptResult.values()[random.nextInt(AttemptResult.values().length)];
                     events.add(new Event.Outcome(
                             call.id,
                             call.host,
                             call.attempt,
-                            ending,
+                            result,
                             harness.nowMicros - call.sentAtMicros,
-                            ending == AttemptResult.FULL ? random.nextInt(3) * 700 * MILLISECOND : 0,
-                            ending == AttemptResult.NOT_SENT,
-                            ending == AttemptResult.DELIVERED,
+                            result == AttemptResult.FULL ? random.nextInt(3) * 700 * MILLISECOND_MICROS : 0,
+                            result == AttemptResult.NOT_SENT,
+                            result == AttemptResult.DELIVERED,
                             random.nextBoolean() ? new LimitReport(random.nextDouble(), random.nextInt(9)) : null));
                 }
             }
@@ -78,7 +78,7 @@
                         random.nextInt(4) == 0 ? null : "k" + random.nextInt(3),
                         false,
                         random.nextInt(20) == 0,
-                        random.nextInt(6) == 0 ? 50 * MILLISECOND : (1 + random.nextInt(20)) * SECOND));
+                        random.nextInt(6) == 0 ? 50 * MILLISECOND_MICROS : (1 + random.nextInt(20)) * SECOND_MICROS));
             }
             if (random.nextInt(300) == 0) {
                 ListingKind kind = ListingKind.values()[random.nextInt(4)];
@@ -118,7 +118,7 @@
     @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12})
     void randomEventsBreakNoRule(long seed) {
         DecisionModuleHarness harness = run(seed, ROUNDS);
-        harness.runRoundsFor(21 * SECOND);
+        harness.runRoundsFor(21 * SECOND_MICROS);
         assertEquals(List.of(), harness.checker.breaches());
         assertTrue(harness.checker.openMessages().isEmpty());
     }
--- a/src/test/java/lilaclever/RateEstimatesTest.java
+++ b/src/test/java/lilaclever/RateEstimatesTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -24,21 +24,21 @@
 
     @Test
     void aSteadyRateIsEstimated() {
-        deliver(200, 200 * MILLISECOND);
+        deliver(200, 200 * MILLISECOND_MICROS);
         assertEquals(5, rates.usual(fixture.limit), 0.6);
         assertEquals(5, fixture.limit.recentRate, 0.6);
     }
 
     @Test
     void theUsualRateIsTheMeanSoFarUntilItsMemoryIsFull() {
-        deliver(20, 200 * MILLISECOND);
+        deliver(20, 200 * MILLISECOND_MICROS);
         assertEquals(5, rates.usual(fixture.limit), 1, "after 4 s, with a memory of 15 s");
     }
 
     @Test
     void theRecentRateDecaysWithinSecondsAndTheUsualRateDoesNot() {
-        deliver(200, 200 * MILLISECOND);
-        fixture.advanceClock(6 * SECOND);
+        deliver(200, 200 * MILLISECOND_MICROS);
+        fixture.advanceClock(6 * SECOND_MICROS);
         rates.decay(fixture.limit, endpoint);
         assertTrue(fixture.limit.recentRate < 0.5, "recent " + fixture.limit.recentRate);
         assertTrue(rates.usual(fixture.limit) > 3, "usual " + rates.usual(fixture.limit));
@@ -46,15 +46,15 @@
 
     @Test
     void anOutageAndSlowStartLeaveTheUsualRateUnchanged() {
-        deliver(200, 200 * MILLISECOND);
+        deliver(200, 200 * MILLISECOND_MICROS);
         double usual = rates.usual(fixture.limit);
         endpoint.inOutage = true;
-        fixture.advanceClock(20 * SECOND);
+        fixture.advanceClock(20 * SECOND_MICROS);
         rates.decay(fixture.limit, endpoint);
         assertEquals(usual, rates.usual(fixture.limit));
         endpoint.inOutage = false;
         slowStart.begin(endpoint);
-        deliver(1, SECOND);
+        deliver(1, SECOND_MICROS);
         assertEquals(usual, rates.usual(fixture.limit));
     }
 
@@ -67,7 +67,7 @@
     @Test
     void withoutAKnownRateTheShareIsEstimatedFromAllDestinations() {
         assertEquals(0.75, rates.evenShare(fixture.limit), "at first 1.5 calls a second for both forwarders");
-        deliver(200, 100 * MILLISECOND);
+        deliver(200, 100 * MILLISECOND_MICROS);
         double estimate = rates.evenShare(fixture.limit);
         assertEquals(2.5, estimate, 0.3, "a quarter of the mean rate of all destinations");
         fixture.state.queues.put(2, new DestinationQueue());
--- a/src/test/java/lilaclever/RecoveryPaceTest.java
+++ b/src/test/java/lilaclever/RecoveryPaceTest.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import lilaclever.PolicyState.Endpoint;
@@ -30,7 +30,7 @@
     void anEndpointInAnOutageGetsItsPartOfARecoveringDestinationsBudget() {
         fixture.limit.announcedRate = 8;
         endpoint.inOutage = true;
-        endpoint.trialIntervalMicros = SECOND / 2;
+        endpoint.trialIntervalMicros = SECOND_MICROS / 2;
         assertEquals(
                 0.85 * 2.5 * 0.2 * 4, recoveryPace.callsPerSecond(endpoint), 1e-9, "of an even share of 4 a second");
         assertEquals(0.85 * 2.5 * 0.2 * 4, recoveryPace.outageRate(fixture.limit), 1e-9);
@@ -48,7 +48,7 @@
     void trialCallsKeepToTheirDelay() {
         fixture.limit.announcedRate = 8;
         endpoint.inOutage = true;
-        endpoint.trialIntervalMicros = 2 * SECOND;
+        endpoint.trialIntervalMicros = 2 * SECOND_MICROS;
         assertEquals(0.5, recoveryPace.callsPerSecond(endpoint), 1e-9);
     }
 
@@ -56,10 +56,11 @@
     void inSlowStartTheBudgetGrowsWithTheCapacity() {
         fixture.limit.announcedRate = 8;
         slowStart.begin(endpoint);
-        fixture.advanceClock(5 * SECOND);
+        fixture.advanceClock(5 * SECOND_MICROS);
         assertEquals(0.85 * 2.5 * 0.6 * 4, recoveryPace.callsPerSecond(endpoint), 1e-9);
-        assertEquals(recoveryPace.callsPerSecond(endpoint), recoveryPace.recoveryRate(fixture.limit, 5 * SECOND));
-        fixture.advanceClock(5 * SECOND);
+        assertEquals(
+                recoveryPace.callsPerSecond(endpoint), recoveryPace.recoveryRate(fixture.limit, 5 * SECOND_MICROS));
+        fixture.advanceClock(5 * SECOND_MICROS);
         assertEquals(PolicyState.NEVER, recoveryPace.callsPerSecond(endpoint), "slow start is over");
     }
 
@@ -68,10 +69,10 @@
         PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
         Endpoint endpointInOutage = fixtureOfLargeFleet.addEndpoint();
         endpointInOutage.inOutage = true;
-        endpointInOutage.trialIntervalMicros = SECOND / 2;
+        endpointInOutage.trialIntervalMicros = SECOND_MICROS / 2;
         RecoveryPace recoveryPaceInFleet =
                 recoveryPaceFor(fixtureOfLargeFleet, new SlowStart(fixtureOfLargeFleet.state));
-        fixtureOfLargeFleet.limit.failingForMicros = 10 * SECOND;
+        fixtureOfLargeFleet.limit.failingForMicros = 10 * SECOND_MICROS;
         assertEquals(0.425 / 10, recoveryPaceInFleet.callsPerSecond(endpointInOutage), 1e-9);
         fixtureOfLargeFleet.limit.failingForMicros = 0;
         assertEquals(
@@ -86,7 +87,7 @@
         PolicyFixture fixtureOfLargeFleet = new PolicyFixture(PolicyFixture.LARGE_FLEET_SIZE);
         Endpoint endpointInOutage = fixtureOfLargeFleet.addEndpoint();
         endpointInOutage.connectsFailing = true;
-        endpointInOutage.trialIntervalMicros = SECOND / 2;
+        endpointInOutage.trialIntervalMicros = SECOND_MICROS / 2;
         double firstDelaySeconds = 20 * 0.425 / (1 + 1 / 0.425);
         assertEquals(
                 0.425 / firstDelaySeconds,
--- a/src/test/java/lilaclever/RetryScheduleTest.java
+++ b/src/test/java/lilaclever/RetryScheduleTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.KEYED;
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -40,8 +40,8 @@
             shortestMicros = Math.min(shortestMicros, delayMicros);
             longestMicros = Math.max(longestMicros, delayMicros);
         }
-        assertEquals(stepMillis * 0.5, shortestMicros / (double) MILLISECOND, 0.05 * stepMillis);
-        assertEquals(stepMillis * 1.5, longestMicros / (double) MILLISECOND, 0.05 * stepMillis);
+        assertEquals(stepMillis * 0.5, shortestMicros / (double) MILLISECOND_MICROS, 0.05 * stepMillis);
+        assertEquals(stepMillis * 1.5, longestMicros / (double) MILLISECOND_MICROS, 0.05 * stepMillis);
     }
 
     @Test
@@ -76,7 +76,7 @@
         assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(fixture.addMessage(KEYED)));
         assertEquals(Long.MAX_VALUE, retries.repeatWindowEndMicros(messageThatMayHaveRun(SAFE)));
         assertEquals(
-                fixture.state.nowMicros + 5 * SECOND - 5 * MILLISECOND,
+                fixture.state.nowMicros + 5 * SECOND_MICROS - 5 * MILLISECOND_MICROS,
                 retries.repeatWindowEndMicros(messageThatMayHaveRun(KEYED)));
     }
 
@@ -84,11 +84,12 @@
     void aDelayLeavesTimeToConnectWithinTheRepeatWindow() {
         Message message = messageThatMayHaveRun(KEYED);
         message.attempts = 5;
-        fixture.advanceClock(3 * SECOND);
+        fixture.advanceClock(3 * SECOND_MICROS);
         retries.scheduleRetry(message);
-        assertEquals(message.uncertainSentAtMicros + 4 * SECOND - 5 * MILLISECOND, message.notBeforeMicros);
+        assertEquals(
+                message.uncertainSentAtMicros + 4 * SECOND_MICROS - 5 * MILLISECOND_MICROS, message.notBeforeMicros);
         assertTrue(retries.canRetry(message));
-        fixture.advanceClock(SECOND);
+        fixture.advanceClock(SECOND_MICROS);
         retries.scheduleRetry(message);
         assertFalse(retries.canRetry(message), "the step is longer than the rest of the repeat window");
     }
--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -33,7 +33,7 @@
     private final Map<String, TrackedMessage> keyDelayExempt = new HashMap<>();
     private final Map<String, Long> retryAfterUntilMicros = new HashMap<>();
     private final Map<String, Recovery> recoveries = new HashMap<>();
-    private int slots;
+    private int attemptsInFlight;
 
     private static final class TrackedMessage {
         private MessageClass messageClass;
@@ -111,8 +111,8 @@
             }
         }
         Set<String> limitsInRetryAfter = new LinkedHashSet<>();
-        retryAfterUntilMicros.forEach((limit, until) -> {
-            if (nowMicros < until) {
+        retryAfterUntilMicros.forEach((limit, untilMicros) -> {
+            if (nowMicros < untilMicros) {
                 limitsInRetryAfter.add(limit);
             }
         });
@@ -178,7 +178,7 @@
         if (message == null || message.inFlightTo == null || e.attempt() != message.attempts - 1) {
             return;
         }
-        slots--;
+        attemptsInFlight--;
         boolean mayHaveEffect = !e.result().neverRan();
         if (mayHaveEffect && e.result() != AttemptResult.DELIVERED && !message.mayHaveRun) {
             message.mayHaveRun = true;
@@ -240,7 +240,7 @@
         message.attempts++;
         message.inFlightTo = a.host();
         message.sentAtMicros = nowMicros;
-        slots++;
+        attemptsInFlight++;
         Recovery recovery = recoveries.get(limitOf(a.host()));
         if (recovery != null) {
             recovery.sendTimesMicros.add(nowMicros);
--- a/src/test/java/lilaclever/RuleCheckerTest.java
+++ b/src/test/java/lilaclever/RuleCheckerTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -17,7 +17,7 @@
 /** The checker must find each kind of breach, and none in an ordinary delivery. */
 class RuleCheckerTest {
     private final RuleChecker checker = new RuleChecker(DecisionModuleHarness.settings(10, 50, 2, false));
-    private long nowMicros = SECOND;
+    private long nowMicros = SECOND_MICROS;
 
     RuleCheckerTest() {
         checkEvents(new Event.Listing(
@@ -35,7 +35,7 @@
     }
 
     private void submit(String id, int messageClass) {
-        checkEvents(new Event.Submit(id, messageClass, 1, 0, "k", false, false, 20 * SECOND));
+        checkEvents(new Event.Submit(id, messageClass, 1, 0, "k", false, false, 20 * SECOND_MICROS));
     }
 
     private void checkActions(Action... actions) {
@@ -43,12 +43,12 @@
     }
 
     private void send(String id, String host) {
-        checkActions(new Action.Send(id, host, nowMicros + SECOND));
+        checkActions(new Action.Send(id, host, nowMicros + SECOND_MICROS));
     }
 
-    private void outcome(String id, int attempt, AttemptResult ending, long retryAfterMicros) {
+    private void outcome(String id, int attempt, AttemptResult result, long retryAfterMicros) {
         checkEvents(new Event.Outcome(
-                id, "a1", attempt, ending, 1, retryAfterMicros, false, ending == AttemptResult.DELIVERED, null));
+                id, "a1", attempt, result, 1, retryAfterMicros, false, result == AttemptResult.DELIVERED, null));
     }
 
     private void assertBreach(String rule) {
@@ -63,7 +63,7 @@
         submit("m", DecisionModuleHarness.UNSAFE);
         send("m", "a1");
         outcome("m", 0, AttemptResult.DELIVERED, 0);
-        nowMicros += 30 * SECOND;
+        nowMicros += 30 * SECOND_MICROS;
         checkActions();
         assertEquals(List.of(), checker.breaches());
     }
@@ -71,7 +71,7 @@
     @Test
     void findsAMessageWithoutAnAnswer() {
         submit("m", DecisionModuleHarness.SAFE);
-        nowMicros += 20 * SECOND + 21 * MILLISECOND;
+        nowMicros += 20 * SECOND_MICROS + 21 * MILLISECOND_MICROS;
         checkActions();
         assertBreach("lost");
     }
@@ -86,7 +86,7 @@
     @Test
     void findsASendOfAFinishedMessage() {
         submit("m", DecisionModuleHarness.SAFE);
-        checkActions(new Action.Refuse("m", 0), new Action.Send("m", "a1", nowMicros + SECOND));
+        checkActions(new Action.Refuse("m", 0), new Action.Send("m", "a1", nowMicros + SECOND_MICROS));
         assertBreach("lost");
     }
 
@@ -120,7 +120,7 @@
         submit("m", DecisionModuleHarness.KEYED);
         send("m", "a1");
         outcome("m", 0, AttemptResult.TIMED_OUT, 0);
-        nowMicros += 5 * SECOND + 1;
+        nowMicros += 5 * SECOND_MICROS + 1;
         send("m", "a1");
         assertBreach("effect");
     }
@@ -148,7 +148,7 @@
         submit("m", DecisionModuleHarness.SAFE);
         checkEvents(new Event.Listing(
                 ListingKind.CHANGES, 2, List.of(new EndpointEntry("a1", 1, 0, 0, Presence.LEAVING, 1, 0))));
-        nowMicros += SECOND + 1;
+        nowMicros += SECOND_MICROS + 1;
         send("m", "a1");
         assertBreach("drain");
     }
@@ -157,7 +157,7 @@
     void findsASendToAHostMissingFromAWholeList() {
         submit("m", DecisionModuleHarness.SAFE);
         checkEvents(new Event.Listing(ListingKind.ALL, 2, List.of(DecisionModuleHarness.entry("a2", 1, 0, 0))));
-        nowMicros += SECOND + 1;
+        nowMicros += SECOND_MICROS + 1;
         send("m", "a1");
         assertBreach("drain");
     }
@@ -167,8 +167,8 @@
         submit("m", DecisionModuleHarness.SAFE);
         submit("n", DecisionModuleHarness.SAFE);
         send("m", "a1");
-        outcome("m", 0, AttemptResult.FULL, 500 * MILLISECOND);
-        nowMicros += 499 * MILLISECOND;
+        outcome("m", 0, AttemptResult.FULL, 500 * MILLISECOND_MICROS);
+        nowMicros += 499 * MILLISECOND_MICROS;
         send("n", "a2");
         assertBreach("wait");
     }
@@ -188,7 +188,7 @@
         send("m", "a1");
         outcome("m", 0, AttemptResult.TIMED_OUT, 0);
         checkActions(new Action.Fail("m"));
-        nowMicros += 99 * MILLISECOND;
+        nowMicros += 99 * MILLISECOND_MICROS;
         send("n", "a1");
         assertBreach("order");
     }
@@ -207,8 +207,9 @@
     void findsAnOverloadOfARecoveringDestination() {
         checker.startRecovery("a1", nowMicros, 10);
         for (int i = 0; i < 19; i++) {
-            nowMicros += MILLISECOND;
-            checkEvents(new Event.Submit("m" + i, DecisionModuleHarness.SAFE, 1, 0, null, false, false, 20 * SECOND));
+            nowMicros += MILLISECOND_MICROS;
+            checkEvents(new Event.Submit(
+                    "m" + i, DecisionModuleHarness.SAFE, 1, 0, null, false, false, 20 * SECOND_MICROS));
             send("m" + i, "a1");
         }
         assertBreach("fail-back");
--- a/src/test/java/lilaclever/SendRulesTest.java
+++ b/src/test/java/lilaclever/SendRulesTest.java
@@ -1,9 +1,9 @@
 package lilaclever;
 
 import static lilaclever.DecisionModuleHarness.KEYED;
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.SAFE;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static lilaclever.DecisionModuleHarness.UNSAFE;
 import static lilaclever.DecisionModuleHarness.ZONED;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -49,7 +49,7 @@
     @Test
     void noMessageIsSentWithLessTimeLeftThanTheShortestCall() {
         Message message = fixture.addMessage(SAFE);
-        message.deadlineAtMicros = fixture.state.nowMicros + 60 * MILLISECOND;
+        message.deadlineAtMicros = fixture.state.nowMicros + 60 * MILLISECOND_MICROS;
         assertTrue(rules.permit(message, endpoint));
         fixture.advanceClock(1);
         assertFalse(rules.permit(message, endpoint));
@@ -76,9 +76,9 @@
     @Test
     void noMessageIsSentDuringARetryAfterOrToADrainingEndpoint() {
         Message message = fixture.addMessage(SAFE);
-        parts.limits.onRetryAfter(fixture.limit, SECOND);
+        parts.limits.onRetryAfter(fixture.limit, SECOND_MICROS);
         assertFalse(rules.permit(message, endpoint));
-        fixture.advanceClock(SECOND);
+        fixture.advanceClock(SECOND_MICROS);
         assertTrue(rules.permit(message, endpoint));
         endpoint.active = false;
         assertFalse(rules.permit(message, endpoint));
@@ -103,7 +103,7 @@
 
     @Test
     void noMessageIsSentWhoseCallTheEndOfTheProgramCouldCutOff() {
-        fixture.state.stopAtMicros = fixture.state.nowMicros + 2 * SECOND;
+        fixture.state.stopAtMicros = fixture.state.nowMicros + 2 * SECOND_MICROS;
         assertTrue(rules.permit(fixture.addMessage(SAFE), endpoint), "its call may take 2 s");
         assertFalse(rules.permit(fixture.addMessage(UNSAFE), endpoint), "its call may take 4 s");
     }
@@ -122,7 +122,7 @@
     @Test
     void aKeyedMessageIsRepeatedOnlyWithinItsRepeatWindow() {
         Message message = messageThatMayHaveRun(KEYED);
-        fixture.advanceClock(5 * SECOND - 5 * MILLISECOND - 1);
+        fixture.advanceClock(5 * SECOND_MICROS - 5 * MILLISECOND_MICROS - 1);
         assertTrue(rules.permit(message, endpoint));
         fixture.advanceClock(1);
         assertFalse(rules.permit(message, endpoint));
--- a/src/test/java/lilaclever/SlowStartTest.java
+++ b/src/test/java/lilaclever/SlowStartTest.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -22,8 +22,8 @@
     @Test
     void slowStartLastsAsLongAsTheRulesSay() {
         slowStart.begin(endpoint);
-        assertEquals(fixture.state.nowMicros + 10 * SECOND, slowStart.endsAtMicros(endpoint));
-        fixture.advanceClock(10 * SECOND - 1);
+        assertEquals(fixture.state.nowMicros + 10 * SECOND_MICROS, slowStart.endsAtMicros(endpoint));
+        fixture.advanceClock(10 * SECOND_MICROS - 1);
         assertTrue(slowStart.isActive(endpoint));
         fixture.advanceClock(1);
         assertFalse(slowStart.isActive(endpoint));
@@ -32,10 +32,10 @@
     @Test
     void settingSlowStartBackHalvesItsAge() {
         slowStart.begin(endpoint);
-        fixture.advanceClock(6 * SECOND);
+        fixture.advanceClock(6 * SECOND_MICROS);
         slowStart.halveAge(endpoint);
-        assertEquals(3 * SECOND, slowStart.ageMicros(endpoint));
-        fixture.advanceClock(5 * SECOND);
+        assertEquals(3 * SECOND_MICROS, slowStart.ageMicros(endpoint));
+        fixture.advanceClock(5 * SECOND_MICROS);
         assertTrue(slowStart.isActive(endpoint), "11 s after its beginning 2 s are left");
     }
 }
--- a/src/test/java/lilaclever/TransientFailuresTest.java
+++ b/src/test/java/lilaclever/TransientFailuresTest.java
@@ -1,7 +1,7 @@
 package lilaclever;
 
-import static lilaclever.DecisionModuleHarness.MILLISECOND;
-import static lilaclever.DecisionModuleHarness.SECOND;
+import static lilaclever.DecisionModuleHarness.MILLISECOND_MICROS;
+import static lilaclever.DecisionModuleHarness.SECOND_MICROS;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -30,27 +30,27 @@
 
     @Test
     void briefFailuresAreTransient() {
-        failAndRecover(false, 100 * MILLISECOND);
+        failAndRecover(false, 100 * MILLISECOND_MICROS);
         assertFalse(failures.callsOftenLost(), "one gives the bound of 0.3, which is not above it");
-        failAndRecover(false, 100 * MILLISECOND);
+        failAndRecover(false, 100 * MILLISECOND_MICROS);
         assertTrue(failures.callsOftenLost());
         assertFalse(failures.connectsRejectedMoreThanAssumed(endpoint), "no connect was rejected");
     }
 
     @Test
     void rejectedConnectsAreCountedSeparately() {
-        failAndRecover(true, 100 * MILLISECOND);
+        failAndRecover(true, 100 * MILLISECOND_MICROS);
         assertTrue(failures.connectsRejectedMoreThanAssumed(endpoint));
-        failAndRecover(true, 100 * MILLISECOND);
+        failAndRecover(true, 100 * MILLISECOND_MICROS);
         assertFalse(failures.callsOftenLost());
     }
 
     @Test
     void lastingFailuresAreNotTransient() {
-        failAndRecover(false, 4 * SECOND);
-        failAndRecover(false, 4 * SECOND);
+        failAndRecover(false, 4 * SECOND_MICROS);
+        failAndRecover(false, 4 * SECOND_MICROS);
         assertFalse(failures.callsOftenLost());
-        endpoint.failingSinceMicros = fixture.state.nowMicros - 3 * SECOND;
+        endpoint.failingSinceMicros = fixture.state.nowMicros - 3 * SECOND_MICROS;
         assertFalse(failures.isBrief(endpoint));
         failures.onFailure(endpoint, true);
         failures.onFailure(endpoint, true);
--- a/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -36,8 +36,8 @@
         }
 
         @Override
-        public void put(String identity, CompletedMessage<String> past) {
-            all.put(identity, past);
+        public void put(String identity, CompletedMessage<String> completed) {
+            all.put(identity, completed);
         }
 
         @Override
@@ -120,7 +120,7 @@
     }
 
     /** One step on one of a few identities. {@code action}: 0 submits, 1 completes, 2 removes the message. */
-    record Step(int action, int identity, boolean otherContent, int messageClass, int elapsed) {}
+    record Step(int action, int identity, boolean otherContent, int messageClass, int elapsedMicros) {}
 
     @Provide
     Arbitrary<List<Step>> steps() {
@@ -143,16 +143,16 @@
         DuplicateDetector<String, String> detector =
                 new DuplicateDetector<>(new IdempotencyWindows(List.of(100L, 10L), 50, 3), store);
         Map<String, Fingerprint> pending = new HashMap<>();
-        long now = 0;
+        long nowMicros = 0;
         for (Step step : steps) {
-            now += step.elapsed();
+            nowMicros += step.elapsedMicros();
             String id = new Identity("p", "k" + step.identity()).text().intern(); // also stands for the message
             Fingerprint content = step.otherContent() ? B : A;
             CompletedMessage<String> completed = store.all.get(id);
-            boolean known = completed != null && completed.untilWallMicros() > now;
+            boolean known = completed != null && completed.untilWallMicros() > nowMicros;
             switch (step.action()) {
                 case 0 -> {
-                    DuplicateCheckResult<String, String> actual = detector.check(id, content, now);
+                    DuplicateCheckResult<String, String> actual = detector.check(id, content, nowMicros);
                     DuplicateCheckResult<String, String> expected = pending.containsKey(id)
                             ? pending.get(id).equals(content)
                                     ? new DuplicateCheckResult.PendingDuplicate<>(id)
@@ -171,9 +171,10 @@
                 case 1 -> {
                     detector.removePending(id, id);
                     if (pending.containsKey(id)) {
-                        detector.addCompleted(id, pending.remove(id), step.messageClass(), "end at " + now, now);
+                        detector.addCompleted(
+                                id, pending.remove(id), step.messageClass(), "end at " + nowMicros, nowMicros);
                         assertEquals(
-                                now + (step.messageClass() == 0 ? 100 : 10),
+                                nowMicros + (step.messageClass() == 0 ? 100 : 10),
                                 store.all.get(id).untilWallMicros());
                     }
                 }
--- a/src/test/java/lilaclever/journal/BootClockTest.java
+++ b/src/test/java/lilaclever/journal/BootClockTest.java
@@ -19,27 +19,31 @@
     @Test
     void simulatedClocksShiftNothing() throws IOException {
         SimDisk disk = new SimDisk();
-        long[] walls = {1_000 * SECOND_MICROS, 1_002 * SECOND_MICROS},
-                monotonic = {500 * SECOND_MICROS, 502 * SECOND_MICROS},
-                uptimes = {800 * SECOND_MICROS, 809 * SECOND_MICROS};
+        long[] wallTimesMicros = {1_000 * SECOND_MICROS, 1_002 * SECOND_MICROS},
+                monotonicTimesMicros = {500 * SECOND_MICROS, 502 * SECOND_MICROS},
+                uptimesMicros = {800 * SECOND_MICROS, 809 * SECOND_MICROS};
         for (int run = 0; run < 2; run++) {
-            long wall = walls[run];
-            BootClock clock =
-                    BootClock.fromUptime(77, monotonic[run], uptimes[run], monotonic[run], wall - monotonic[run]);
+            long wallMicros = wallTimesMicros[run];
+            BootClock clock = BootClock.fromUptime(
+                    77,
+                    monotonicTimesMicros[run],
+                    uptimesMicros[run],
+                    monotonicTimesMicros[run],
+                    wallMicros - monotonicTimesMicros[run]);
             assertEquals(BootClock.UNKNOWN, clock);
             try (SegmentedJournal journal = new SegmentedJournal(
                     disk,
                     1 << 20,
                     Durability.NONE,
-                    new JournalClocks(() -> 0, () -> wall, clock),
+                    new JournalClocks(() -> 0, () -> wallMicros, clock),
                     new SplittableRandom(run))) {
                 if (run == 0) {
                     journal.recordAccepted(
                             "http",
                             new Submission("m", null, 0, 7, null, new byte[3], false, false, 5 * SECOND_MICROS),
-                            wall + 5 * SECOND_MICROS,
-                            wall);
-                    journal.recordAttempt("m", "a", 0, wall + SECOND_MICROS);
+                            wallMicros + 5 * SECOND_MICROS,
+                            wallMicros);
+                    journal.recordAttempt("m", "a", 0, wallMicros + SECOND_MICROS);
                 } else {
                     PendingMessage message =
                             journal.pendingMessages().iterator().next();
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -20,16 +20,17 @@
     private static final long QUOTA_BYTES = 160 * 1024;
 
     /** Checks the state recovered after a cut: that of the last acknowledged step, or of the next one. */
-    private static void check(RandomRun randomRun, int done, SimDisk disk, String description) throws IOException {
+    private static void check(RandomRun randomRun, int doneOperations, SimDisk disk, String description)
+            throws IOException {
         int checkpoint = 0;
         while (checkpoint + 1 < randomRun.checkpoints.size()
-                && randomRun.checkpoints.get(checkpoint + 1).operations() <= done) {
+                && randomRun.checkpoints.get(checkpoint + 1).operations() <= doneOperations) {
             checkpoint++;
         }
         try (SegmentedJournal recovered = RandomRun.open(disk, QUOTA_BYTES, Durability.NONE)) {
             String state = RandomRun.describe(recovered, 0);
             assertEquals(List.of(), recovered.recoveryReport().damages(), description);
-            boolean good = withoutRemembered(state)
+            boolean matches = withoutRemembered(state)
                             .equals(withoutRemembered(
                                     randomRun.checkpoints.get(checkpoint).state()))
                     || checkpoint + 1 < randomRun.checkpoints.size()
@@ -38,7 +39,7 @@
                                             .checkpoints
                                             .get(checkpoint + 1)
                                             .state()));
-            if (!good) {
+            if (!matches) {
                 assertEquals(randomRun.checkpoints.get(checkpoint).state(), state, description);
             }
             assertTrue(disk.totalBytes() <= QUOTA_BYTES, description + ": " + disk.totalBytes());
@@ -60,16 +61,21 @@
         randomRun.useJournal(journal);
         randomRun.run(1500, 3000, 60);
         assertTrue(journal.copiedBytes() > 5_000, "copied forward: " + journal.copiedBytes());
-        for (int done = 0; done <= disk.operations.size(); done++) {
-            check(randomRun, done, SimDisk.afterKill(disk.operations, done, 0), "after " + done);
-            if (done < disk.operations.size() && disk.operations.get(done).kind() == SimDisk.OperationKind.WRITE) {
-                int length = disk.operations.get(done).bytes().length;
+        for (int doneOperations = 0; doneOperations <= disk.operations.size(); doneOperations++) {
+            check(
+                    randomRun,
+                    doneOperations,
+                    SimDisk.afterKill(disk.operations, doneOperations, 0),
+                    "after " + doneOperations);
+            if (doneOperations < disk.operations.size()
+                    && disk.operations.get(doneOperations).kind() == SimDisk.OperationKind.WRITE) {
+                int length = disk.operations.get(doneOperations).bytes().length;
                 for (int part : new int[] {1, length / 2, length - 1}) {
                     check(
                             randomRun,
-                            done,
-                            SimDisk.afterKill(disk.operations, done, part),
-                            part + " bytes after " + done);
+                            doneOperations,
+                            SimDisk.afterKill(disk.operations, doneOperations, part),
+                            part + " bytes after " + doneOperations);
                 }
             }
         }
@@ -84,8 +90,8 @@
         randomRun.run(800, 3000, 60);
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
-            int done = random.nextInt(disk.operations.size());
-            List<SimDisk.Operation> ops = disk.operations.subList(0, done);
+            int doneOperations = random.nextInt(disk.operations.size());
+            List<SimDisk.Operation> ops = disk.operations.subList(0, doneOperations);
             for (int run = 0; run < 2; run++) {
                 SimDisk restarted = SimDisk.afterKill(ops, ops.size(), 0);
                 try (SegmentedJournal recovered = RandomRun.open(restarted, QUOTA_BYTES, Durability.NONE)) {
@@ -95,7 +101,11 @@
                 more.addAll(restarted.operations.subList(0, random.nextInt(restarted.operations.size() + 1)));
                 ops = more;
             }
-            check(randomRun, done, SimDisk.afterKill(ops, ops.size(), 0), "cut " + i + " after " + done);
+            check(
+                    randomRun,
+                    doneOperations,
+                    SimDisk.afterKill(ops, ops.size(), 0),
+                    "cut " + i + " after " + doneOperations);
         }
     }
 
@@ -132,8 +142,8 @@
         for (int turn = 0; turn < syncedAt.size(); turn++) {
             for (int cut = 0; cut < 4; cut++) {
                 int next = turn + 1 < syncedAt.size() ? syncedAt.get(turn + 1) : disk.operations.size();
-                int done = syncedAt.get(turn) + random.nextInt(next - syncedAt.get(turn) + 1);
-                SimDisk remains = SimDisk.afterPowerCut(disk.operations, done, random);
+                int doneOperations = syncedAt.get(turn) + random.nextInt(next - syncedAt.get(turn) + 1);
+                SimDisk remains = SimDisk.afterPowerCut(disk.operations, doneOperations, random);
                 try (SegmentedJournal recovered = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
                     List<String> recoveredIds = recovered.pendingMessages().stream()
                             .map(message -> message.submission().id())
@@ -142,7 +152,7 @@
                     for (String id : messagesThen.get(turn)) {
                         // A message that ended since then may be there or not; every other one must be.
                         boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
-                        assertTrue(!stays || recoveredIds.contains(id.split(" ")[0]), id + " cut at " + done);
+                        assertTrue(!stays || recoveredIds.contains(id.split(" ")[0]), id + " cut at " + doneOperations);
                     }
                     for (PendingMessage message : recovered.pendingMessages()) {
                         checkAttempts(message, messagesThen.get(turn));
@@ -153,12 +163,12 @@
     }
 
     private static void checkAttempts(PendingMessage message, List<String> messagesThen) {
-        for (String was : messagesThen) {
-            if (was.startsWith(message.submission().id() + " ")) {
-                int attempts = Integer.parseInt(was.split(" ")[1]);
+        for (String earlier : messagesThen) {
+            if (earlier.startsWith(message.submission().id() + " ")) {
+                int attempts = Integer.parseInt(earlier.split(" ")[1]);
                 assertTrue(
                         message.attempts() >= attempts || message.mayHaveRun(),
-                        was + " " + RandomRun.describe(message));
+                        earlier + " " + RandomRun.describe(message));
             }
         }
     }
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -173,7 +173,7 @@
         journal.close();
     }
 
-    /** A message that ended before a failed sync is not pending after a power cut: its final record is rewritten too. */
+    /** A message that ended before a failed sync is not pending after a power cut: its last record is rewritten too. */
     @Test
     void unsyncedEndIsWrittenAgain() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -294,13 +294,13 @@
             }
             SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), random);
             try (SegmentedJournal next = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
-                List<String> found = ids(next);
+                List<String> recovered = ids(next);
                 for (String id : confirmed) {
                     boolean stays = randomRun.pendingMessages().containsKey(id);
-                    assertTrue(!stays || found.contains(id), "phase " + phase + ": " + id + " is lost");
+                    assertTrue(!stays || recovered.contains(id), "phase " + phase + ": " + id + " is lost");
                 }
                 for (String id : ended) {
-                    assertFalse(found.contains(id), "phase " + phase + ": " + id + " is back");
+                    assertFalse(recovered.contains(id), "phase " + phase + ": " + id + " is back");
                 }
                 cuts++;
             }
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -17,7 +17,9 @@
  * Time spans that the journal stores, while the wall clock is set during a run, or between a kill and the next start.
  */
 class JournalClocksTest {
-    private static final long MS_MICROS = 1_000, SECOND_MICROS = 1_000_000, HOUR_MICROS = 3_600 * SECOND_MICROS;
+    private static final long MILLISECOND_MICROS = 1_000,
+            SECOND_MICROS = 1_000_000,
+            HOUR_MICROS = 3_600 * SECOND_MICROS;
     private static final long QUOTA_BYTES = 512 * 1024;
     /** The clocks of the first run at the moment of the kill; the second run starts 2 s later. */
     private static final long WALL_AT_KILL_MICROS = 50_000 * HOUR_MICROS,
@@ -51,16 +53,19 @@
                 "identity", FinalStatus.of(FinalStatus.Kind.DELIVERED), WALL_AT_KILL_MICROS + REMEMBERED_FOR_MICROS);
     }
 
-    private static void checkSpans(SegmentedJournal journal, long now, long error) {
+    private static void checkSpans(SegmentedJournal journal, long nowMicros, long errorMicros) {
         PendingMessage message = journal.pendingMessages().iterator().next();
-        assertEquals(TIME_LEFT_MICROS - DOWNTIME_MICROS + error, message.deadlineWallMicros() - now, "time left");
         assertEquals(
-                ATTEMPT_AGE_MICROS + DOWNTIME_MICROS - error,
-                now - message.lastAttemptWallMicros(),
+                TIME_LEFT_MICROS - DOWNTIME_MICROS + errorMicros,
+                message.deadlineWallMicros() - nowMicros,
+                "time left");
+        assertEquals(
+                ATTEMPT_AGE_MICROS + DOWNTIME_MICROS - errorMicros,
+                nowMicros - message.lastAttemptWallMicros(),
                 "age of the attempt, from which the window counts");
         assertEquals(
-                REMEMBERED_FOR_MICROS - DOWNTIME_MICROS + error,
-                journal.remembered("identity").untilWallMicros() - now,
+                REMEMBERED_FOR_MICROS - DOWNTIME_MICROS + errorMicros,
+                journal.remembered("identity").untilWallMicros() - nowMicros,
                 "remembered for");
     }
 
@@ -72,25 +77,25 @@
             longs = {
                 -HOUR_MICROS,
                 -5 * SECOND_MICROS,
-                -60 * MS_MICROS,
+                -60 * MILLISECOND_MICROS,
                 0,
-                60 * MS_MICROS,
+                60 * MILLISECOND_MICROS,
                 5 * SECOND_MICROS,
                 HOUR_MICROS
             })
-    void stepBetweenKillAndStartChangesNoSpan(long step) throws IOException {
+    void stepBetweenKillAndStartChangesNoSpan(long stepMicros) throws IOException {
         writeAndKill(
                 open(() -> WALL_AT_KILL_MICROS, new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS)));
-        long now = WALL_AT_KILL_MICROS + DOWNTIME_MICROS + step;
+        long nowMicros = WALL_AT_KILL_MICROS + DOWNTIME_MICROS + stepMicros;
         try (SegmentedJournal next =
-                open(() -> now, new BootClock(77, now - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
-            checkSpans(next, now, 0);
+                open(() -> nowMicros, new BootClock(77, nowMicros - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
+            checkSpans(next, nowMicros, 0);
         }
         // What the second run has copied is read by a third one, after the clock is set back to the time of the first.
-        long later = WALL_AT_KILL_MICROS + DOWNTIME_MICROS;
+        long laterMicros = WALL_AT_KILL_MICROS + DOWNTIME_MICROS;
         try (SegmentedJournal last =
-                open(() -> later, new BootClock(77, later - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
-            checkSpans(last, later, 0);
+                open(() -> laterMicros, new BootClock(77, laterMicros - MONOTONIC_AT_KILL_MICROS - DOWNTIME_MICROS))) {
+            checkSpans(last, laterMicros, 0);
         }
     }
 
@@ -100,7 +105,7 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
-    void stepDuringRunChangesNoSpan(long step) throws IOException {
+    void stepDuringRunChangesNoSpan(long stepMicros) throws IOException {
         long[] wallMicros = {WALL_AT_KILL_MICROS};
         SegmentedJournal journal =
                 open(() -> wallMicros[0], new BootClock(77, WALL_AT_KILL_MICROS - MONOTONIC_AT_KILL_MICROS));
@@ -109,7 +114,7 @@
                     "http", new Submission("x" + i, null, 0, 7, null, new byte[500], false, false, 1), 1, 0);
             journal.recordSettled("x" + i);
         }
-        wallMicros[0] += step; // the next files are created under the other clock
+        wallMicros[0] += stepMicros; // the next files are created under the other clock
         writeAndKill(journal);
         for (int i = 0; i < 60; i++) {
             journal.recordAccepted(
@@ -129,11 +134,11 @@
      */
     @ParameterizedTest
     @ValueSource(longs = {-HOUR_MICROS, -5 * SECOND_MICROS, 5 * SECOND_MICROS, HOUR_MICROS})
-    void stepChangesSpansWithoutBootClock(long step) throws IOException {
+    void stepChangesSpansWithoutBootClock(long stepMicros) throws IOException {
         writeAndKill(open(() -> WALL_AT_KILL_MICROS, BootClock.UNKNOWN));
-        long now = WALL_AT_KILL_MICROS + DOWNTIME_MICROS + step;
-        try (SegmentedJournal next = open(() -> now, BootClock.UNKNOWN)) {
-            checkSpans(next, now, -step);
+        long nowMicros = WALL_AT_KILL_MICROS + DOWNTIME_MICROS + stepMicros;
+        try (SegmentedJournal next = open(() -> nowMicros, BootClock.UNKNOWN)) {
+            checkSpans(next, nowMicros, -stepMicros);
         }
     }
 
@@ -141,19 +146,21 @@
     @Test
     void wallClockOfRunFollowsMonotonicClock() {
         long offset = BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros);
-        assertEquals(offset, BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros), MS_MICROS);
+        assertEquals(offset, BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros), MILLISECOND_MICROS);
     }
 
     /** A process that is delayed for 150 ms between its readings of the two clocks still determines their offset. */
     @Test
     void delayBetweenReadingsIsNoStep() {
-        long[] now = {0};
+        long[] nowMicros = {0};
         int[] readings = {0};
         LongSupplier monotonic = () -> {
-            now[0] += readings[0]++ == 0 ? 150 * MS_MICROS : 1;
-            return now[0];
+            nowMicros[0] += readings[0]++ == 0 ? 150 * MILLISECOND_MICROS : 1;
+            return nowMicros[0];
         };
         assertEquals(
-                9 * SECOND_MICROS, BootClock.wallOffsetMicros(monotonic, () -> now[0] + 9 * SECOND_MICROS), MS_MICROS);
+                9 * SECOND_MICROS,
+                BootClock.wallOffsetMicros(monotonic, () -> nowMicros[0] + 9 * SECOND_MICROS),
+                MILLISECOND_MICROS);
     }
 }
--- a/src/test/java/lilaclever/journal/RandomRun.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -125,10 +125,10 @@
             }
             case 1 -> {
                 if (!message.isInFlight()) {
-                    PendingMessage.Submitter claim = new PendingMessage.Submitter("other", "claim-" + nowMicros);
+                    PendingMessage.Submitter submitter = new PendingMessage.Submitter("other", "claim-" + nowMicros);
                     if (message.attachedSubmitters().size() < 3
-                            && journal.recordAttached(id, claim.front(), claim.id())) {
-                        message.attach(claim);
+                            && journal.recordAttached(id, submitter.front(), submitter.id())) {
+                        message.attach(submitter);
                     }
                 } else {
                     boolean neverRan = random.applyAsInt(2) == 0;
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -47,7 +47,7 @@
 
     private static PendingMessage pending(SegmentedJournal journal, String id) {
         return journal.pendingMessages().stream()
-                .filter(o -> o.submission().id().equals(id))
+                .filter(message -> message.submission().id().equals(id))
                 .findFirst()
                 .orElse(null);
     }
@@ -117,15 +117,17 @@
             try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
                 int recovered = journal.pendingMessages().size();
                 assertTrue(recovered >= 19, "bit at " + at + ": " + recovered);
-                for (PendingMessage o : journal.pendingMessages()) {
-                    assertTrue(o.isInFlight() || o.mayHaveRun(), "bit at " + at + ": " + RandomRun.describe(o));
+                for (PendingMessage message : journal.pendingMessages()) {
+                    assertTrue(
+                            message.isInFlight() || message.mayHaveRun(),
+                            "bit at " + at + ": " + RandomRun.describe(message));
                 }
             }
             // The recovered state is migrated: the next run has it without the damaged file.
             try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
                 assertTrue(journal.pendingMessages().size() >= 19
                         && journal.recoveryReport().damages().isEmpty());
-                journal.pendingMessages().forEach(o -> assertTrue(o.isInFlight() || o.mayHaveRun()));
+                journal.pendingMessages().forEach(message -> assertTrue(message.isInFlight() || message.mayHaveRun()));
             }
         }
     }
@@ -173,7 +175,7 @@
             assertEquals(
                     List.of("victim", "last"),
                     journal.pendingMessages().stream()
-                            .map(o -> o.submission().id())
+                            .map(message -> message.submission().id())
                             .toList());
         }
     }
@@ -227,7 +229,7 @@
                 .array();
     }
 
-    private static byte[] legacyTaken(String id) {
+    private static byte[] legacyAccepted(String id) {
         return legacy(out -> {
             try {
                 out.writeByte(0);
@@ -274,12 +276,12 @@
     /** The legacy file is migrated once, also if the process is killed during that. */
     @Test
     void legacyFileIsMigratedWhereverThatIsInterrupted() throws IOException {
-        byte[] torn = legacyTaken("torn");
+        byte[] torn = legacyAccepted("torn");
         disk.putFile(
                 "journal",
                 concatenate(
-                        legacyTaken("a"),
-                        legacyTaken("b"),
+                        legacyAccepted("a"),
+                        legacyAccepted("b"),
                         legacyAttempt("a"),
                         java.util.Arrays.copyOf(torn, torn.length - 2)));
         disk.putFile("journal.new", new byte[100]);
@@ -426,23 +428,23 @@
     @Test
     void storedTimesFollowWallClockStepBetweenRuns() throws IOException {
         long hourMicros = 3_600_000_000L;
-        long[] walls = {5 * hourMicros, 4 * hourMicros + 7_000_000, 4 * hourMicros + 9_000_000};
-        long[] uptimes = {hourMicros, hourMicros + 7_000_000, 1_000};
+        long[] wallTimesMicros = {5 * hourMicros, 4 * hourMicros + 7_000_000, 4 * hourMicros + 9_000_000};
+        long[] uptimesMicros = {hourMicros, hourMicros + 7_000_000, 1_000};
         long[] bootIds = {77, 77, 78};
         for (int run = 0; run < 3; run++) {
-            long wall = walls[run];
-            JournalClocks clocks =
-                    new JournalClocks(() -> 0, () -> wall, new BootClock(bootIds[run], wall - uptimes[run]));
+            long wallMicros = wallTimesMicros[run];
+            JournalClocks clocks = new JournalClocks(
+                    () -> 0, () -> wallMicros, new BootClock(bootIds[run], wallMicros - uptimesMicros[run]));
             try (SegmentedJournal journal =
                     new SegmentedJournal(disk, QUOTA_BYTES, Durability.NONE, clocks, new SplittableRandom(run))) {
                 if (run == 0) {
                     journal.recordAccepted(
                             "http",
                             new Submission("m", null, 2, 7, null, new byte[3], false, false, 28_000_000),
-                            wall + 28_000_000,
-                            wall);
-                    journal.recordAttempt("m", "a", 0, wall + 1_000_000);
-                    journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wall + hourMicros);
+                            wallMicros + 28_000_000,
+                            wallMicros);
+                    journal.recordAttempt("m", "a", 0, wallMicros + 1_000_000);
+                    journal.remember("i", FinalStatus.of(FinalStatus.Kind.DELIVERED), wallMicros + hourMicros);
                 } else {
                     // The second run starts 7 s later by the monotonic clock. The third one follows a reboot and has to
                     // trust the wall clock of the segment that it reads.
@@ -466,29 +468,29 @@
      */
     @ParameterizedTest
     @ValueSource(ints = {10, 3000, 20_000, 65_536})
-    void fullDiskHasSpaceForAttemptsWithinQuota(int large) throws IOException {
-        int small = 100;
+    void fullDiskHasSpaceForAttemptsWithinQuota(int largeBodyBytes) throws IOException {
+        int smallCount = 100;
         try (SegmentedJournal journal = open()) {
-            for (int i = 0; i < small; i++) {
+            for (int i = 0; i < smallCount; i++) {
                 assertTrue(accept(journal, "a-message-of-" + i, 10));
             }
-            for (int i = 0; accept(journal, "large" + i, large); i++) {
-                assertTrue(i < QUOTA_BYTES / large);
+            for (int i = 0; accept(journal, "large" + i, largeBodyBytes); i++) {
+                assertTrue(i < QUOTA_BYTES / largeBodyBytes);
             }
             int pendingCount = journal.pendingMessages().size();
             for (int attempt = 0; attempt < 16; attempt++) {
-                for (PendingMessage o : List.copyOf(journal.pendingMessages())) {
+                for (PendingMessage message : List.copyOf(journal.pendingMessages())) {
                     assertTrue(
-                            journal.recordAttempt(o.submission().id(), "an-endpoint", 0, 1),
-                            o.submission().id());
-                    journal.recordOutcome(o.submission().id(), true);
+                            journal.recordAttempt(message.submission().id(), "an-endpoint", 0, 1),
+                            message.submission().id());
+                    journal.recordOutcome(message.submission().id(), true);
                     journal.maintain(0);
                     assertTrue(disk.totalBytes() <= QUOTA_BYTES);
                 }
             }
-            assertFalse(accept(journal, "more", large));
+            assertFalse(accept(journal, "more", largeBodyBytes));
             assertEquals(0, journal.unwrittenCount());
-            for (int i = 0; i < small; i++) {
+            for (int i = 0; i < smallCount; i++) {
                 journal.recordFinalStatus(
                         "a-message-of-" + i, new FinalStatus(FinalStatus.Kind.REFUSED, 1, "x".repeat(1000)));
             }
@@ -517,7 +519,7 @@
             assertTrue(journal.copiedBytes() > 0 && disk.totalBytes() <= QUOTA_BYTES);
         }
         try (SegmentedJournal journal = open()) {
-            journal.pendingMessages().forEach(o -> assertEquals(16, o.attempts()));
+            journal.pendingMessages().forEach(message -> assertEquals(16, message.attempts()));
         }
     }
 
@@ -589,7 +591,7 @@
             assertEquals(
                     List.of("after", "fails", "stays"),
                     journal.pendingMessages().stream()
-                            .map(o -> o.submission().id())
+                            .map(message -> message.submission().id())
                             .sorted()
                             .toList());
             assertEquals(
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -138,13 +138,13 @@
         Set<Integer> existing = new HashSet<>();
         for (int i = 0; i < done; i++) {
             Operation operation = operations.get(i);
-            boolean ofNames = operation.kind() == OperationKind.CREATE
+            boolean changesNames = operation.kind() == OperationKind.CREATE
                     || operation.kind() == OperationKind.RENAME
                     || operation.kind() == OperationKind.DELETE;
-            if (ofNames && i < namesUntil) {
+            if (changesNames && i < namesUntil) {
                 disk.apply(operation);
                 existing.add(operation.file());
-            } else if (!ofNames && existing.contains(operation.file())) {
+            } else if (!changesNames && existing.contains(operation.file())) {
                 if (synced[i] || operation.kind() == OperationKind.TRUNCATE) {
                     disk.apply(operation);
                 } else if (operation.kind() == OperationKind.WRITE) {
@@ -259,18 +259,19 @@
                 throw failure.problem();
             }
             long length = contents.get(number).length;
-            long room = Math.min(maxFileBytes - position, bytes.remaining());
-            if (quotaBytes < Long.MAX_VALUE && position + room > length) {
-                room = Math.min(
-                        room, SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
+            long writableBytes = Math.min(maxFileBytes - position, bytes.remaining());
+            if (quotaBytes < Long.MAX_VALUE && position + writableBytes > length) {
+                writableBytes = Math.min(
+                        writableBytes,
+                        SpacePolicy.roundUpToBlocks(length) + Math.max(0, quotaBytes - totalBytes()) - position);
             }
-            byte[] all = new byte[(int) Math.max(0, room)];
-            int asked = bytes.remaining();
+            byte[] all = new byte[(int) Math.max(0, writableBytes)];
+            int requestedBytes = bytes.remaining();
             bytes.get(all);
             if (all.length > 0) {
                 add(OperationKind.WRITE, number, null, null, position, all);
             }
-            if (all.length < asked) {
+            if (all.length < requestedBytes) {
                 throw new IOException(
                         position + all.length >= maxFileBytes ? "File too large" : "No space left on device");
             }
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -67,16 +67,16 @@
     private static final Set<String> COVERED = new TreeSet<>();
 
     /** What must be known of a message after a restart, with the earliest time at which it may have run. */
-    private record KnownState(int attempts, long mayHaveRunSince) {
+    private record KnownState(int attempts, long mayHaveRunSinceMicros) {
         static KnownState of(PendingMessage m) {
-            long since = m.mayHaveRun()
+            long sinceMicros = m.mayHaveRun()
                     ? m.possibleRunWallMicros()
                     : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
-            return new KnownState(m.attempts(), since);
+            return new KnownState(m.attempts(), sinceMicros);
         }
 
-        boolean isCoveredBy(KnownState found) {
-            return found.attempts >= attempts && found.mayHaveRunSince <= mayHaveRunSince;
+        boolean isCoveredBy(KnownState recovered) {
+            return recovered.attempts >= attempts && recovered.mayHaveRunSinceMicros <= mayHaveRunSinceMicros;
         }
     }
 
@@ -170,7 +170,7 @@
     }
 
     private void runTurnsFor(long micros) throws InterruptedException {
-        for (long end = clockMicros + micros; clockMicros < end; ) {
+        for (long endMicros = clockMicros + micros; clockMicros < endMicros; ) {
             runTurn();
         }
     }
@@ -194,9 +194,9 @@
         assertEquals(0, journal.unwrittenCount(), description);
         checkFiles(description);
         endAllMessages();
-        int refused = randomRun.rejectedMessages;
+        int rejectedBefore = randomRun.rejectedMessages;
         runTurnsFor(50 * TURN_MICROS);
-        assertEquals(refused, randomRun.rejectedMessages, description + ": rejected although the disk works");
+        assertEquals(rejectedBefore, randomRun.rejectedMessages, description + ": rejected although the disk works");
         checkFiles(description);
         journal.close();
         try (SegmentedJournal next = RandomRun.open(disk, quotaBytes, Durability.NONE)) {
@@ -234,24 +234,24 @@
         Map<String, KnownState> stateAfter = checkpoint + 1 < checkpoints.size()
                 ? checkpoints.get(checkpoint + 1).messages()
                 : stateBefore;
-        Set<String> seen = new HashSet<>();
+        Set<String> submittedIds = new HashSet<>();
         checkpoints
                 .subList(0, Math.min(checkpoint + 2, checkpoints.size()))
-                .forEach(m -> seen.addAll(m.messages().keySet()));
+                .forEach(m -> submittedIds.addAll(m.messages().keySet()));
         SimDisk remains = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
         try (SegmentedJournal next = RandomRun.open(remains, quotaBytes, Durability.NONE)) {
-            Map<String, KnownState> found = new TreeMap<>();
-            next.pendingMessages().forEach(m -> found.put(m.submission().id(), KnownState.of(m)));
+            Map<String, KnownState> recovered = new TreeMap<>();
+            next.pendingMessages().forEach(m -> recovered.put(m.submission().id(), KnownState.of(m)));
             stateBefore.forEach((id, known) -> {
                 if (stateAfter.containsKey(id)) {
-                    assertNotNull(found.get(id), description + ": " + id + " is lost");
-                    boolean covered = known.isCoveredBy(found.get(id))
-                            || stateAfter.get(id).isCoveredBy(found.get(id));
-                    assertTrue(covered, description + ": " + id + " " + known + found.get(id));
+                    assertNotNull(recovered.get(id), description + ": " + id + " is lost");
+                    boolean covered = known.isCoveredBy(recovered.get(id))
+                            || stateAfter.get(id).isCoveredBy(recovered.get(id));
+                    assertTrue(covered, description + ": " + id + " " + known + recovered.get(id));
                 }
             });
-            Set<String> unknown = new TreeSet<>(found.keySet());
-            unknown.removeAll(seen);
+            Set<String> unknown = new TreeSet<>(recovered.keySet());
+            unknown.removeAll(submittedIds);
             assertEquals(Set.of(), unknown, description + ": messages that were rejected");
             assertEquals(List.of(), next.recoveryReport().damages(), description);
         }
@@ -270,7 +270,7 @@
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
             runTurn();
         }
-        int from = disk.operations.size();
+        int firstOperation = disk.operations.size();
         failOperations(target, error, duration, random);
         if (quotaBytes > QUOTA_BYTES) {
             endAllMessages();
@@ -289,7 +289,7 @@
         }
         if (kill) {
             for (int i = 0; i < 60; i++) {
-                int at = from + random.nextInt(disk.operations.size() - from + 1);
+                int at = firstOperation + random.nextInt(disk.operations.size() - firstOperation + 1);
                 checkKilled(at, random.nextInt(2) * random.nextInt(400), description + " after " + at);
             }
         }
--- a/src/test/java/lilaclever/placement/AssignmentTest.java
+++ b/src/test/java/lilaclever/placement/AssignmentTest.java
@@ -74,7 +74,7 @@
         int shards = 6000;
         int regions = 16;
         int[] membersOfZone = {100, 60, 40};
-        long[] heldByZone = new long[ZONES];
+        long[] totalHeldByZone = new long[ZONES];
         for (int number = 0; number < regions; number++) {
             TestRegion region =
                     new TestRegion(new ControllerSettings(number, shards, ZONES, 1.25, TestRegion.TIMING, HIGH_RATE));
@@ -82,11 +82,11 @@
             for (int zone = 0; zone < ZONES; zone++) {
                 double share = membersOfZone[zone] / 200.0;
                 assertEquals(shards * share, held[zone], 4 * Math.sqrt(shards * share * (1 - share)));
-                heldByZone[zone] += held[zone];
+                totalHeldByZone[zone] += held[zone];
             }
         }
         for (int zone = 0; zone < ZONES; zone++) {
-            double mean = heldByZone[zone] / (double) regions;
+            double mean = totalHeldByZone[zone] / (double) regions;
             assertEquals(30.0 * membersOfZone[zone], mean, 0.025 * 30 * membersOfZone[zone]);
         }
     }
--- a/src/test/java/lilaclever/placement/DistributionTreeTest.java
+++ b/src/test/java/lilaclever/placement/DistributionTreeTest.java
@@ -30,7 +30,7 @@
     }
 
     /** All receivers of a delta that the controller sends out; a member occurs as often as it gets the delta. */
-    private static List<MemberId> reached(DistributionTree tree, Set<MemberId> failed) {
+    private static List<MemberId> allReceivers(DistributionTree tree, Set<MemberId> failed) {
         List<MemberId> reached = new ArrayList<>();
         Queue<MemberId> senders = new ArrayDeque<>(tree.controllerReceivers(failed));
         while (!senders.isEmpty()) {
@@ -45,7 +45,7 @@
     @CsvSource({"1, 1, 1, 1", "5, 1, 1, 5", "2111, 3, 8, 5", "2111, 3, 16, 4", "100, 4, 200, 2", "2, 28, 3, 1"})
     void reachesEachForwarderOnceWithinItsDepth(int count, int zones, int degree, int depth) {
         DistributionTree tree = new DistributionTree(members(count, zones), 9, degree);
-        List<MemberId> reached = reached(tree, Set.of());
+        List<MemberId> reached = allReceivers(tree, Set.of());
         assertEquals(count, reached.size());
         assertEquals(count, new HashSet<>(reached).size());
         assertEquals(depth, tree.depth());
@@ -71,7 +71,7 @@
                 failed.add(new MemberId(random.nextInt(300)));
             }
             failed.add(tree.heads().get(round % 3));
-            List<MemberId> reached = reached(tree, failed);
+            List<MemberId> reached = allReceivers(tree, failed);
             assertEquals(300 - failed.size(), reached.size());
             assertTrue(Collections.disjoint(reached, failed));
         }
@@ -96,8 +96,8 @@
         DistributionTree tree = new DistributionTree(members(500, 3), 4, 8);
         DistributionTree same = new DistributionTree(shuffled, 4, 8);
         DistributionTree other = new DistributionTree(members(500, 3), 5, 8);
-        assertEquals(reached(tree, Set.of()), reached(same, Set.of()));
-        assertNotEquals(reached(tree, Set.of()), reached(other, Set.of()));
+        assertEquals(allReceivers(tree, Set.of()), allReceivers(same, Set.of()));
+        assertNotEquals(allReceivers(tree, Set.of()), allReceivers(other, Set.of()));
     }
 
     @Test
--- a/src/test/java/lilaclever/placement/PlacementControllerTest.java
+++ b/src/test/java/lilaclever/placement/PlacementControllerTest.java
@@ -54,9 +54,9 @@
     }
 
     private static <E> E singleEvent(Class<E> type, List<ControllerEvent> events) {
-        List<E> found = eventsOfType(type, events);
-        assertEquals(1, found.size(), () -> type.getSimpleName() + " in " + events);
-        return found.get(0);
+        List<E> matching = eventsOfType(type, events);
+        assertEquals(1, matching.size(), () -> type.getSimpleName() + " in " + events);
+        return matching.get(0);
     }
 
     private static void assertRejected(RejectionReason reason, List<ControllerEvent> events) {
@@ -64,11 +64,11 @@
     }
 
     private static AssignmentChanged assignmentOf(MemberId member, List<ControllerEvent> events) {
-        List<AssignmentChanged> found = eventsOfType(AssignmentChanged.class, events).stream()
+        List<AssignmentChanged> matching = eventsOfType(AssignmentChanged.class, events).stream()
                 .filter(change -> change.member().equals(member))
                 .toList();
-        assertEquals(1, found.size(), events::toString);
-        return found.get(0);
+        assertEquals(1, matching.size(), events::toString);
+        return matching.get(0);
     }
 
     private static List<ShardGrant> allShards(long epoch) {
