--- a/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
+++ b/src/test/java/lilaclever/routing/DrainBeforeStartTest.java
@@ -24,15 +24,15 @@
 
 /** If an endpoint drains before the attempt of a call to it is durable, the call goes to another endpoint. */
 class DrainBeforeStartTest {
-    private static final long SECOND = 1_000_000, ROUND = 5_000;
+    private static final long SECOND_MICROS = 1_000_000, ROUND_MICROS = 5_000;
     private static final int DESTINATION = 7;
 
     @TempDir
-    private Path state;
+    private Path folder;
 
     private final Queue<Runnable> awaitingSync = new ArrayDeque<>();
     private final List<String> started = new ArrayList<>();
-    private long nowMicros = SECOND;
+    private long nowMicros = SECOND_MICROS;
 
     /** Time that the test advances. */
     private final class VirtualClock implements Clock {
@@ -83,7 +83,7 @@
     }
 
     /** A front without clients to notify. */
-    private static final class SilentFront implements Front {
+    private static final class FrontWithoutClients implements Front {
         @Override
         public String name() {
             return "http";
@@ -93,12 +93,12 @@
         public void onAccepted(Message message) {}
 
         @Override
-        public void onRejected(Message message, FinalStatus verdict) {
-            throw new IllegalStateException(message.id() + " was rejected: " + verdict);
+        public void onRejected(Message message, FinalStatus status) {
+            throw new IllegalStateException(message.id() + " was rejected: " + status);
         }
 
         @Override
-        public void onFinalStatus(Message message, String id, FinalStatus verdict, Runnable settled) {
+        public void onFinalStatus(Message message, String id, FinalStatus status, Runnable settled) {
             settled.run();
         }
     }
@@ -113,13 +113,19 @@
 
     private static DecisionModule.Settings settings() {
         DecisionModule.MessageClass payment = new DecisionModule.MessageClass(
-                SECOND, 20 * SECOND, 1, DecisionModule.RepeatSafety.UNSAFE, DecisionModule.KeyScope.ALL, 0, false);
+                SECOND_MICROS,
+                20 * SECOND_MICROS,
+                1,
+                DecisionModule.RepeatSafety.UNSAFE,
+                DecisionModule.KeyScope.ALL,
+                0,
+                false);
         return new DecisionModule.Settings(
                 0,
                 1,
                 0,
                 1,
-                ROUND,
+                ROUND_MICROS,
                 false,
                 DecisionModule.WeightMeaning.NONE,
                 false,
@@ -127,15 +133,24 @@
                 List.of(payment),
                 List.of(new DecisionModule.EndpointKind(false, 1)),
                 List.of(),
-                new DecisionModule.Limits(8, 200, 20, true, false, false, 1, SECOND, 5 * SECOND, true, 2 * SECOND),
-                new DecisionModule.Rules(20_000, 10 * SECOND, SECOND / 2, 0.24, 9_500_000, 1.5, 3 * SECOND, 100_000));
+                new DecisionModule.Limits(
+                        8, 200, 20, true, false, false, 1, SECOND_MICROS, 5 * SECOND_MICROS, true, 2 * SECOND_MICROS),
+                new DecisionModule.Rules(
+                        20_000,
+                        10 * SECOND_MICROS,
+                        SECOND_MICROS / 2,
+                        0.24,
+                        9_500_000,
+                        1.5,
+                        3 * SECOND_MICROS,
+                        100_000));
     }
 
     /** The real journal, but its records become durable only when the test says so. */
     private Journal journal() throws Exception {
         VirtualClock clock = new VirtualClock();
         Journal real = new SegmentedJournal(
-                FolderDisk.lock(state),
+                FolderDisk.lock(folder),
                 3 << 20,
                 Durability.NONE,
                 new JournalClocks(clock::monotonicMicros, clock::wallMicros, BootClock.UNKNOWN),
@@ -154,8 +169,8 @@
                 });
     }
 
-    private void turn(Core core) {
-        nowMicros += ROUND;
+    private void runTurn(Core core) {
+        nowMicros += ROUND_MICROS;
         core.runTurn();
     }
 
@@ -169,21 +184,21 @@
     void callAwaitingTheJournalIsNotStartedOnceItsEndpointDrains() throws Exception {
         try (Journal journal = journal()) {
             Counters counters = new Counters();
-            IdempotencyWindows windows = new IdempotencyWindows(List.of(), SECOND, 1);
+            IdempotencyWindows windows = new IdempotencyWindows(List.of(), SECOND_MICROS, 1);
             Core core = new Core(settings(), 7, journal, counters, windows, new VirtualClock());
-            SilentFront front = new SilentFront();
+            FrontWithoutClients front = new FrontWithoutClients();
             core.add(front);
             core.runFirstTurn(List.of(listed("e1", Presence.ACTIVE)), 1);
             byte[] body = new byte[0];
-            core.submit(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND));
-            turn(core);
+            core.submit(front, new Submission("m", null, 0, DESTINATION, null, body, false, false, 20 * SECOND_MICROS));
+            runTurn(core);
             assertEquals(1, counters.get(Counters.Name.CALLS), "decided, and its attempt recorded");
 
             core.updateEndpoints(
                     DecisionModule.ListingKind.CHANGES,
                     2,
                     List.of(listed("e1", Presence.LEAVING), listed("e2", Presence.ACTIVE)));
-            turn(core);
+            runTurn(core);
             sync();
 
             assertEquals(List.of("m to e2"), started);
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -31,7 +31,7 @@
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
-    private static final long SECOND = 1_000_000, RETENTION = 60 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000, RETENTION_MICROS = 60 * SECOND_MICROS;
 
     @BeforeAll
     static void logErrorsOnly() {
@@ -74,20 +74,22 @@
         void change() {
             String name = "s" + random.nextInt(NAMES);
             Map<String, Core.ListedEndpoint> next = new TreeMap<>(versions.get(latest()));
-            Core.ListedEndpoint now = next.get(name);
-            if (now == null) {
+            Core.ListedEndpoint current = next.get(name);
+            if (current == null) {
                 next.put(name, listed(name, Presence.ACTIVE, freeAddress(next)));
-            } else if (now.entry().presence() == Presence.ACTIVE) {
+            } else if (current.entry().presence() == Presence.ACTIVE) {
                 int choice = random.nextInt(8);
                 if (choice == 0) {
                     next.put(name, listed(name, Presence.ACTIVE, freeAddress(next)));
                 } else if (choice == 1) {
                     next.remove(name);
                 } else {
-                    next.put(name, listed(name, Presence.LEAVING, now.endpoint().address()));
+                    next.put(
+                            name,
+                            listed(name, Presence.LEAVING, current.endpoint().address()));
                 }
             } else if (random.nextInt(4) == 0) {
-                next.put(name, listed(name, Presence.ACTIVE, now.endpoint().address()));
+                next.put(name, listed(name, Presence.ACTIVE, current.endpoint().address()));
             } else {
                 next.remove(name);
             }
@@ -129,8 +131,8 @@
             return indexOffset + knownVersion;
         }
 
-        void learn(int most) {
-            knownVersion = Math.min(actual.latest(), knownVersion + most);
+        void learn(int maxVersions) {
+            knownVersion = Math.min(actual.latest(), knownVersion + maxVersions);
         }
 
         /** Restarts with a low index, possibly with an older list. */
@@ -155,11 +157,13 @@
                 return whole();
             }
             Map<String, Core.ListedEndpoint> before = actual.versions.get((int) from);
-            Map<String, Core.ListedEndpoint> now = actual.versions.get(knownVersion);
+            Map<String, Core.ListedEndpoint> current = actual.versions.get(knownVersion);
             List<Core.ListedEndpoint> changed = new ArrayList<>();
-            now.values().stream().filter(x -> x != before.get(x.entry().host())).forEach(changed::add);
+            current.values().stream()
+                    .filter(x -> x != before.get(x.entry().host()))
+                    .forEach(changed::add);
             before.values().stream()
-                    .filter(x -> !now.containsKey(x.entry().host()))
+                    .filter(x -> !current.containsKey(x.entry().host()))
                     .map(x ->
                             listed(x.entry().host(), Presence.LEFT, x.endpoint().address()))
                     .forEach(changed::add);
@@ -171,10 +175,10 @@
     private record ReceivedStatement(
             String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
         /** Whether a list, with or without an index, may contradict it. */
-        boolean isContradictedBy(String byAgent, long byIndex, long now) {
+        boolean isContradictedBy(String byAgent, long byIndex, long nowMicros) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
-            return now - receivedMicros >= RETENTION
+            return nowMicros - receivedMicros >= RETENTION_MICROS
                     || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
         }
     }
@@ -196,7 +200,7 @@
         /** Names listed since the process started, or stored before. */
         private final Set<String> names = new HashSet<>();
         /** Name, agent and index of each entry that did not say that the endpoint had departed. */
-        private final Set<String> named = new HashSet<>();
+        private final Set<String> namedKeys = new HashSet<>();
         /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
         /** Departures of the initial list, until the first response, with which they are stored. */
@@ -209,7 +213,7 @@
             uncontradicted.values().forEach(all -> all.removeAll(ofInitialList));
             departures.values().forEach(all -> all.removeAll(ofInitialList));
             names.clear();
-            named.clear();
+            namedKeys.clear();
             lastIndex.clear();
             addresses.clear();
             uncontradicted.values().removeIf(List::isEmpty);
@@ -221,7 +225,7 @@
                     ofInitialList.add(new ReceivedStatement("known", version, nowMicros, false, true));
                     addDeparture(name, new ReceivedStatement("known", version, nowMicros, false, true));
                 } else {
-                    named.add(name + " known " + version);
+                    namedKeys.add(name + " known " + version);
                 }
             }
             assertEquals(ListingKind.REMEMBERED, update.kind());
@@ -239,13 +243,13 @@
             assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, update.kind());
             ofInitialList.clear();
             Map<String, ReportedState> states = reportedStates(list);
-            Set<String> due = new HashSet<>();
+            Set<String> expectedActive = new HashSet<>();
             Map<String, Core.ListedEndpoint> before = core;
             states.forEach((name, state) -> {
                 names.add(name);
                 if (state == ReportedState.ACTIVE) {
                     if (mustBeActive(name, list)) {
-                        due.add(name);
+                        expectedActive.add(name);
                     }
                     uncontradicted
                             .getOrDefault(name, new ArrayList<>())
@@ -263,12 +267,13 @@
             }
             states.forEach((name, state) -> {
                 if (state != ReportedState.DEPARTED) {
-                    named.add(key(name, list));
+                    namedKeys.add(key(name, list));
                 }
             });
             core = applied(isComplete ? new TreeMap<>() : new TreeMap<>(core), update);
             checkDeparted(list);
-            due.forEach(name -> assertEquals(Presence.ACTIVE, presence(name), () -> name + " after " + list));
+            expectedActive.forEach(
+                    name -> assertEquals(Presence.ACTIVE, presence(name), () -> name + " after " + list));
             checkAddresses(before, list, nowMicros);
             if (list.index() != EndpointMembership.NO_INDEX) {
                 lastIndex.put(list.agent(), list.index());
@@ -282,8 +287,8 @@
 
         private boolean isNamed(String name, ListUpdate list) {
             return list.index() == EndpointMembership.NO_INDEX
-                    || named.contains(key(name, list))
-                    || named.contains(name + " known " + list.index());
+                    || namedKeys.contains(key(name, list))
+                    || namedKeys.contains(name + " known " + list.index());
         }
 
         /** A list without an index counts as the last one of its agent. */
@@ -375,7 +380,7 @@
                             .getOrDefault(name, Map.of())
                             .getOrDefault(earlier.endpoint().address(), List.of())
                             .forEach(update -> assertTrue(
-                                    nowMicros - update.receivedMicros() >= RETENTION
+                                    nowMicros - update.receivedMicros() >= RETENTION_MICROS
                                             || !update.agent().equals(list.agent())
                                             || list.index() > update.index(),
                                     () -> name + " is at " + address + " after " + list + ", against " + update));
@@ -395,8 +400,8 @@
                     .computeIfAbsent(address, a -> new ArrayList<>());
             statements.removeIf(statement -> !statement.agent().equals(list.agent()));
             boolean isOvertaken = statements.stream()
-                    .anyMatch(statement ->
-                            statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
+                    .anyMatch(statement -> statement.index() > list.index()
+                            && nowMicros - statement.receivedMicros() < RETENTION_MICROS);
             if (!isOvertaken) { // an outdated list confirms nothing
                 statements.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
@@ -419,7 +424,7 @@
         private final SplittableRandom random;
         private final ActualEndpoints actual;
         private final List<Agent> agents;
-        private final boolean hasMoves, hasRestarts;
+        private final boolean hasAgentSwitches, hasRestarts;
         private final Auditor auditor = new Auditor();
         /** Delayed responses, and the step at which each arrives. */
         private final Map<ListUpdate, Integer> delayed = new LinkedHashMap<>();
@@ -429,14 +434,14 @@
         private EndpointMembership membership;
         private Agent current;
         private int step;
-        private long now = SECOND;
+        private long nowMicros = SECOND_MICROS;
         /** Offsets of the wall clock and of the event loop's clock from the simulated time. */
-        private long wallOffset = 1_700_000_000 * SECOND, loopOffset;
+        private long wallOffsetMicros = 1_700_000_000 * SECOND_MICROS, loopOffsetMicros;
 
         Schedule(long seed) {
             random = new SplittableRandom(seed);
             actual = new ActualEndpoints(random);
-            hasMoves = random.nextBoolean();
+            hasAgentSwitches = random.nextBoolean();
             hasRestarts = random.nextBoolean();
             agents = List.of(
                     new Agent("10.0.0.1:8500", actual, random.nextInt(50)),
@@ -447,15 +452,17 @@
         void run() {
             startProcess();
             for (step = 0; step < STEPS; step++) {
-                now += random.nextInt(30) == 0 ? random.nextLong(65 * SECOND) : random.nextLong(2 * SECOND);
-                disturb();
+                nowMicros += random.nextInt(30) == 0
+                        ? random.nextLong(65 * SECOND_MICROS)
+                        : random.nextLong(2 * SECOND_MICROS);
+                changeEnvironment();
                 poll();
                 deliverDelayed();
             }
             checkFinalState();
         }
 
-        private void disturb() {
+        private void changeEnvironment() {
             if (random.nextInt(2) == 0) {
                 actual.change();
             }
@@ -463,7 +470,7 @@
             if (random.nextInt(25) == 0) {
                 agents.get(random.nextInt(2)).restart(random);
             }
-            if (hasMoves && random.nextInt(12) == 0) {
+            if (hasAgentSwitches && random.nextInt(12) == 0) {
                 current = agents.get(random.nextInt(2));
             }
             if (hasRestarts && random.nextInt(20) == 0) {
@@ -473,15 +480,16 @@
 
         /** Starts a process with an initial list that may be outdated, and with clocks that may have been set. */
         private void startProcess() {
-            wallOffset += random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND, 3_600 * SECOND) : 0;
-            loopOffset = random.nextLong(100 * SECOND);
+            wallOffsetMicros +=
+                    random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND_MICROS, 3_600 * SECOND_MICROS) : 0;
+            loopOffsetMicros = random.nextLong(100 * SECOND_MICROS);
             delayed.clear();
             int version = Math.max((int) Math.max(0, -current.indexOffset), current.knownVersion - random.nextInt(8));
             long index = current.index() - current.knownVersion + version;
             List<Core.ListedEndpoint> known =
                     List.copyOf(actual.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
-            auditor.processStarted(index, known, membership.applyInitialList(index, known), now);
+            auditor.processStarted(index, known, membership.applyInitialList(index, known), nowMicros);
             lastIndexes.clear();
             lastIndexes.put(current.address, index);
         }
@@ -529,8 +537,8 @@
         }
 
         private void deliver(ListUpdate list) {
-            long loop = now + loopOffset;
-            auditor.updated(list, membership.update(list, loop, now + wallOffset), now);
+            long loopMicros = nowMicros + loopOffsetMicros;
+            auditor.updated(list, membership.update(list, loopMicros, nowMicros + wallOffsetMicros), nowMicros);
             if (list.index() != EndpointMembership.NO_INDEX) {
                 lastIndexes.put(list.agent(), list.index());
             }
@@ -539,13 +547,13 @@
         /** A valid, latest whole list yields the actual endpoints, after a minute at most. */
         private void checkFinalState() {
             deliver(validList());
-            if (!hasMoves) {
+            if (!hasAgentSwitches) {
                 auditor.checkExact(actual.versions.get(actual.latest()));
             }
-            now += RETENTION;
+            nowMicros += RETENTION_MICROS;
             deliver(validList());
             auditor.checkExact(actual.versions.get(actual.latest()));
-            assertTrue(!membership.needsWholeList(now + loopOffset), "no contradiction is left");
+            assertTrue(!membership.needsWholeList(nowMicros + loopOffsetMicros), "no contradiction is left");
             assertTrue(!membership.contradictsInitialList());
         }
 
--- a/src/test/java/lilaclever/routing/EndpointMembershipTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipTest.java
@@ -30,16 +30,18 @@
 /** Which statements of endpoint lists are trusted, rule by rule. */
 class EndpointMembershipTest {
     private static final String AGENT = "10.0.0.1:8500", OTHER_AGENT = "10.0.0.2:8500";
-    private static final long SECOND = 1_000_000, RETENTION = 60 * SECOND, WALL = 1_700_000_000 * SECOND;
-    private static final int GROUP = 3;
+    private static final long SECOND_MICROS = 1_000_000,
+            RETENTION_MICROS = 60 * SECOND_MICROS,
+            WALL_START_MICROS = 1_700_000_000 * SECOND_MICROS;
+    private static final int DESTINATION = 3;
 
     private final Store store = new Store();
     private EndpointMembership membership = new EndpointMembership(List.of(), store);
     /** The core's endpoints after all updates. */
     private Map<String, Core.ListedEndpoint> core = new TreeMap<>();
 
-    private long nowMicros = 5 * SECOND;
-    private long wallMicros = WALL;
+    private long nowMicros = 5 * SECOND_MICROS;
+    private long wallMicros = WALL_START_MICROS;
 
     /** Stores departures in memory, or fails. */
     private static final class Store implements EndpointMembership.DepartureStore {
@@ -61,14 +63,14 @@
         }
     }
 
-    private static Core.ListedEndpoint listed(String name, Presence presence, String address, int group) {
+    private static Core.ListedEndpoint listed(String name, Presence presence, String address, int destination) {
         return new Core.ListedEndpoint(
-                new DecisionModule.EndpointEntry(name, group, 0, 0, presence, 1, 0),
-                new Call.Endpoint(name, address, group, 0, 1, false, null));
+                new DecisionModule.EndpointEntry(name, destination, 0, 0, presence, 1, 0),
+                new Call.Endpoint(name, address, destination, 0, 1, false, null));
     }
 
     private static Core.ListedEndpoint listed(String name, Presence presence) {
-        return listed(name, presence, "10.1.0.1:" + name, GROUP);
+        return listed(name, presence, "10.1.0.1:" + name, DESTINATION);
     }
 
     private static Core.ListedEndpoint active(String name) {
@@ -130,7 +132,7 @@
     /** Simulates a restart of the process, with a new origin of the event loop's clock. */
     private void restart(long version, Core.ListedEndpoint... known) {
         membership = new EndpointMembership(store.stored, store);
-        nowMicros = SECOND;
+        nowMicros = SECOND_MICROS;
         core.clear();
         applyToCore(membership.applyInitialList(version, List.of(known)));
     }
@@ -192,7 +194,7 @@
     }
 
     @Test
-    void aListThatIsCutSaysNothingOfWhatItDoesNotName() {
+    void truncatedListLeavesEndpointsItDoesNotNameUnchanged() {
         whole(50, active("a"), active("b"));
         CoreUpdate cut = update(new ListUpdate(AGENT, 51, true, true, List.of(leaving("a")), Set.of()));
         assertEquals(ListingKind.CHANGES, cut.kind());
@@ -201,7 +203,7 @@
     }
 
     @Test
-    void anEntryThatCannotBeUsedTakesTheEndpointOut() {
+    void unusableEntryDeactivatesTheEndpoint() {
         whole(50, active("a"), active("b"));
         CoreUpdate change = unusable(51, false, "a");
         assertEquals(
@@ -216,7 +218,7 @@
     }
 
     @Test
-    void anEntryThatCannotBeUsedAddsNoEndpoint() {
+    void unusableEntryAddsNoEndpoint() {
         whole(50, active("a"));
         assertEquals(List.of(), unusable(51, false, "b").entries());
         assertActive("a");
@@ -227,7 +229,7 @@
     }
 
     @Test
-    void anEntryThatCannotBeUsedBesideOneThatCanTakesTheEndpointOut() {
+    void unusableEntryBesideAUsableOneDeactivatesTheEndpoint() {
         whole(50, active("a"), active("b"));
         unusable(51, false, "a", active("a"));
         assertActive("b");
@@ -238,7 +240,7 @@
     // Reactivation
 
     @Test
-    void outdatedListBringsNothingBack() {
+    void outdatedListReactivatesNoEndpoint() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
         changes(52, left("a"));
@@ -255,7 +257,7 @@
     }
 
     @Test
-    void anAbsenceHoldsBackTheListsBeforeItToo() {
+    void absenceOverridesEarlierListsToo() {
         whole(40, active("a"), active("b"));
         changes(41, left("a"));
         whole(50, active("b"));
@@ -266,7 +268,7 @@
     }
 
     @Test
-    void aDepartureThatIsRepeatedHoldsBackTheListsBeforeItToo() {
+    void repeatedDepartureOverridesEarlierListsToo() {
         whole(40, active("a"));
         changes(41, leaving("a"));
         changes(50, leaving("a"));
@@ -283,7 +285,7 @@
         changes(51, leaving("a"));
         whole(2, active("a"), active("b"));
         assertActive("b");
-        advance(RETENTION - 1);
+        advance(RETENTION_MICROS - 1);
         assertFalse(membership.needsWholeList(nowMicros));
         whole(3, active("a"), active("b"));
         assertActive("b");
@@ -295,12 +297,12 @@
     }
 
     @Test
-    void departureAfterIndexesRestartedHoldsBackOlderLists() {
+    void departureAfterIndexesRestartedOverridesOlderLists() {
         whole(50, active("a"));
         changes(51, left("a"));
-        advance(RETENTION - SECOND);
+        advance(RETENTION_MICROS - SECOND_MICROS);
         changes(5, leaving("a"));
-        advance(SECOND);
+        advance(SECOND_MICROS);
         changes(4, active("a"));
         assertActive();
         changes(6, active("a"));
@@ -308,14 +310,14 @@
     }
 
     @Test
-    void anotherAgentBringsNothingBackForAMinute() {
+    void anotherAgentReactivatesNoEndpointForAMinute() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
         whole(OTHER_AGENT, 48, active("a"), active("b"));
         assertActive("b");
         changes(OTHER_AGENT, 90, active("a"));
         assertActive("b");
-        advance(RETENTION);
+        advance(RETENTION_MICROS);
         whole(OTHER_AGENT, 90, active("a"), active("b"));
         assertActive("a", "b");
     }
@@ -329,7 +331,7 @@
         assertActive();
         changes(52, active("a"));
         assertActive();
-        advance(RETENTION);
+        advance(RETENTION_MICROS);
         changes(OTHER_AGENT, 6, left("a"));
         changes(OTHER_AGENT, 8, active("a"));
         assertActive("a");
@@ -357,7 +359,7 @@
         assertTrue(store.stored.size() <= 4, "positions: " + store.stored.size());
         changes("10.0.1.49", 8, active("a"));
         assertActive();
-        advance(RETENTION);
+        advance(RETENTION_MICROS);
         changes("10.0.1.3", 2, active("a"));
         assertActive("a");
     }
@@ -368,7 +370,7 @@
         changes(49, left("a"));
         unusable(OTHER_AGENT, 7, "a");
         whole(50);
-        advance(RETENTION - 1);
+        advance(RETENTION_MICROS - 1);
         changes(OTHER_AGENT, 7, active("a"));
         changes(50, active("a"));
         assertActive();
@@ -379,7 +381,7 @@
     }
 
     @Test
-    void aListWithoutAnIndexBringsNothingBack() {
+    void listWithoutAnIndexReactivatesNoEndpoint() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
         changes(53);
@@ -445,7 +447,7 @@
     }
 
     @Test
-    void validAbsenceHoldsBackListsOfTheSameIndex() {
+    void validAbsenceOverridesListsOfTheSameIndex() {
         whole(49, active("a"), active("b"));
         whole(50, active("a"));
         changes(50, active("b"));
@@ -471,10 +473,10 @@
     }
 
     @Test
-    void twoAddressesOrDestinationsTakeTheEndpointOut() {
+    void twoAddressesOrDestinationsDeactivateTheEndpoint() {
         whole(50, active("a"), active("b"), active("c"));
-        changes(51, active("a"), listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP));
-        changes(51, active("b"), listed("b", Presence.ACTIVE, "10.1.0.1:b", GROUP + 1));
+        changes(51, active("a"), listed("a", Presence.ACTIVE, "10.9.9.9:1", DESTINATION));
+        changes(51, active("b"), listed("b", Presence.ACTIVE, "10.1.0.1:b", DESTINATION + 1));
         assertActive("c");
         whole(51, active("a"), active("b"), active("c"));
         assertActive("a", "b", "c");
@@ -512,7 +514,10 @@
     @Test
     void newerAddressOrDestinationIsAccepted() {
         whole(50, active("a"), active("b"));
-        changes(51, listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP), listed("b", Presence.ACTIVE, "10.1.0.1:b", 8));
+        changes(
+                51,
+                listed("a", Presence.ACTIVE, "10.9.9.9:1", DESTINATION),
+                listed("b", Presence.ACTIVE, "10.1.0.1:b", 8));
         assertEquals("10.9.9.9:1", core.get("a").endpoint().address());
         assertEquals(8, core.get("b").entry().destination());
         assertActive("a", "b");
@@ -521,7 +526,7 @@
     @Test
     void outdatedListDoesNotRestoreAnAddress() {
         whole(50, active("a"));
-        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP + 1);
+        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", DESTINATION + 1);
         changes(51, moved);
         whole(50, active("a"));
         assertSame(moved, core.get("a"));
@@ -536,8 +541,8 @@
     }
 
     @Test
-    void confirmedAddressHoldsBackEarlierLists() {
-        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
+    void confirmedAddressOverridesEarlierLists() {
+        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", DESTINATION);
         whole(50, moved);
         whole(55, moved);
         whole(52, moved);
@@ -548,11 +553,11 @@
     @Test
     void addressFromAnotherAgentIsAcceptedAfterAMinute() {
         whole(50, active("a"));
-        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP);
+        Core.ListedEndpoint moved = listed("a", Presence.ACTIVE, "10.9.9.9:1", DESTINATION);
         whole(OTHER_AGENT, 4, moved);
         assertEquals("10.1.0.1:a", core.get("a").endpoint().address());
         assertFalse(membership.needsWholeList(nowMicros));
-        advance(RETENTION);
+        advance(RETENTION_MICROS);
         assertTrue(membership.needsWholeList(nowMicros));
         whole(OTHER_AGENT, 4, moved);
         assertSame(moved, core.get("a"));
@@ -561,10 +566,13 @@
     @Test
     void addressTakenOverByAnotherNameRemovesTheFirst() {
         whole(50, active("a"), active("b"));
-        changes(51, listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP));
+        changes(51, listed("c", Presence.ACTIVE, "10.1.0.1:a", DESTINATION));
         assertActive("b", "c");
         assertTrue(membership.needsWholeList(nowMicros));
-        whole(52, listed("d", Presence.ACTIVE, "10.1.0.1:b", GROUP), listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP));
+        whole(
+                52,
+                listed("d", Presence.ACTIVE, "10.1.0.1:b", DESTINATION),
+                listed("c", Presence.ACTIVE, "10.1.0.1:a", DESTINATION));
         assertActive("c", "d");
         assertEquals(Set.of("a", "b"), store.names());
     }
@@ -572,31 +580,31 @@
     @Test
     void outdatedListDoesNotTakeAnAddressFromAnotherName() {
         whole(50, active("a"));
-        changes(45, listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP));
+        changes(45, listed("c", Presence.ACTIVE, "10.1.0.1:a", DESTINATION));
         assertActive("a", "c");
         assertTrue(membership.needsWholeList(nowMicros));
     }
 
     @Test
     void namesSharingAnAddressInOneListStayActive() {
-        Core.ListedEndpoint shared = listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP);
+        Core.ListedEndpoint shared = listed("c", Presence.ACTIVE, "10.1.0.1:a", DESTINATION);
         whole(50, active("a"), shared);
         changes(51, shared);
         changes(52, active("a"));
         assertActive("a", "c");
-        changes(53, listed("e", Presence.ACTIVE, "10.1.0.1:a", GROUP), active("a"), shared);
+        changes(53, listed("e", Presence.ACTIVE, "10.1.0.1:a", DESTINATION), active("a"), shared);
         assertActive("a", "c", "e");
     }
 
     @Test
     void reusedAddressDoesNotAffectItsFormerName() {
         whole(50, active("a"), active("b"));
-        changes(51, listed("a", Presence.ACTIVE, "10.9.9.9:1", GROUP));
+        changes(51, listed("a", Presence.ACTIVE, "10.9.9.9:1", DESTINATION));
         changes(52, left("b"));
         changes(
                 53,
-                listed("c", Presence.ACTIVE, "10.1.0.1:a", GROUP),
-                listed("d", Presence.ACTIVE, "10.1.0.1:b", GROUP));
+                listed("c", Presence.ACTIVE, "10.1.0.1:a", DESTINATION),
+                listed("d", Presence.ACTIVE, "10.1.0.1:b", DESTINATION));
         assertActive("a", "c", "d");
     }
 
@@ -636,10 +644,10 @@
     // Restarts
 
     @Test
-    void staleInitialListBringsNothingBackAfterARestart() {
+    void staleInitialListReactivatesNoEndpointAfterARestart() {
         whole(50, active("a"), active("b"));
         changes(51, leaving("a"));
-        assertEquals(List.of(new Departure("a", AGENT, 51, WALL)), store.stored);
+        assertEquals(List.of(new Departure("a", AGENT, 51, WALL_START_MICROS)), store.stored);
         restart(50, active("a"), active("b"));
         assertActive("b");
         assertEquals(Presence.LEAVING, presence("a"));
@@ -667,13 +675,13 @@
 
     @Test
     void departureCountsForAMinuteAfterARestartWhateverTheWallClock() {
-        for (long step : new long[] {-3_600 * SECOND, 0, 3_600 * SECOND}) {
-            store.stored = List.of(new Departure("a", AGENT, 51, WALL));
-            wallMicros = WALL + step;
+        for (long stepMicros : new long[] {-3_600 * SECOND_MICROS, 0, 3_600 * SECOND_MICROS}) {
+            store.stored = List.of(new Departure("a", AGENT, 51, WALL_START_MICROS));
+            wallMicros = WALL_START_MICROS + stepMicros;
             restart(50, active("a"));
             whole(OTHER_AGENT, 50, active("a"));
             assertActive();
-            advance(RETENTION - 1);
+            advance(RETENTION_MICROS - 1);
             whole(OTHER_AGENT, 50, active("a"));
             assertActive();
             advance(1);
@@ -706,7 +714,7 @@
         assertEquals(0, store.calls);
         changes(51, leaving("a"));
         assertEquals(1, store.calls);
-        advance(SECOND);
+        advance(SECOND_MICROS);
         changes(51, leaving("a"));
         changes(52);
         changes(50, active("a"));
@@ -741,23 +749,24 @@
 
     @Test
     void departuresAreBoundedAndTheOldestAreEvicted() {
-        int most = 4_096;
-        for (int i = 0; i < most + 3; i++) {
+        int maxDepartures = 4_096;
+        for (int i = 0; i < maxDepartures + 3; i++) {
             changes(i, left("s" + i));
         }
-        assertEquals(most, membership.departureCount());
-        assertEquals(most, store.stored.size());
+        assertEquals(maxDepartures, membership.departureCount());
+        assertEquals(maxDepartures, store.stored.size());
         assertEquals("s3", store.stored.get(0).name());
-        assertEquals("s" + (most + 2), store.stored.get(most - 1).name());
+        assertEquals(
+                "s" + (maxDepartures + 2), store.stored.get(maxDepartures - 1).name());
     }
 
     // Many endpoints
 
     @Test
     void aChangeInALargeListTouchesNoOtherEndpoint() {
-        int many = 3_200;
+        int endpointCount = 3_200;
         Core.ListedEndpoint[] all =
-                IntStream.range(0, many).mapToObj(i -> active("s" + i)).toArray(Core.ListedEndpoint[]::new);
+                IntStream.range(0, endpointCount).mapToObj(i -> active("s" + i)).toArray(Core.ListedEndpoint[]::new);
         whole(1, all);
         Map<String, Core.ListedEndpoint> before = new HashMap<>(core);
         List<Core.ListedEndpoint> updates = new ArrayList<>();
@@ -765,7 +774,7 @@
             updates.addAll(changes(2 + i, leaving("s" + i)).entries());
         }
         assertEquals(100, updates.size());
-        for (int i = 100; i < many; i++) {
+        for (int i = 100; i < endpointCount; i++) {
             assertSame(before.get("s" + i), core.get("s" + i));
         }
     }
--- a/src/test/java/lilaclever/scale/ScaleTest.java
+++ b/src/test/java/lilaclever/scale/ScaleTest.java
@@ -42,9 +42,9 @@
                 Reference.reachabilityFence(forwarder);
             }
         }
-        LinearFit slope = LinearFit.fit(points);
-        assertTrue(slope.perUnit() < MAX_BYTES_PER_DESTINATION && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
+        LinearFit fit = LinearFit.fit(points);
+        assertTrue(fit.perUnit() < MAX_BYTES_PER_DESTINATION && fit.perUnit() > 0, fit + " through " + points);
+        assertTrue(fit.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, fit + " through " + points);
     }
 
     @Test
@@ -64,9 +64,9 @@
                 points.add(new LinearFit.Point(messages, ResourceUsage.liveHeapBytes() - heapBeforeBytes));
             }
         }
-        LinearFit slope = LinearFit.fit(points);
-        assertTrue(slope.perUnit() < MAX_BYTES_PER_MESSAGE && slope.perUnit() > 0, slope + " through " + points);
-        assertTrue(slope.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, slope + " through " + points);
+        LinearFit fit = LinearFit.fit(points);
+        assertTrue(fit.perUnit() < MAX_BYTES_PER_MESSAGE && fit.perUnit() > 0, fit + " through " + points);
+        assertTrue(fit.maxRelativeResidual() < MAX_RELATIVE_RESIDUAL, fit + " through " + points);
     }
 
     /** Otherwise the figures of delivered messages would be those of pending ones. */
--- a/src/test/java/lilaclever/simhost/MainTest.java
+++ b/src/test/java/lilaclever/simhost/MainTest.java
@@ -52,7 +52,7 @@
     }
 
     @Test
-    void crashedRelayIsForgottenAndMayBeRestarted() {
+    void crashedForwarderIsRemovedAndMayBeRestarted() {
         String out = run(START + "ROUND 6\nSUBMIT relay/3 t/a 0 - 5 0 - 20 0\nCRASH_NOW relay/3\n"
                 + START.substring(START.indexOf('\n') + 1)
                 + "ROUND 7\nREPLY relay/3 t/a 0.1 10.0.0.1:80 0 - 1 Ok -\nGO\n");
--- a/src/test/java/lilaclever/simulation/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/simulation/audit/AuditorTest.java
@@ -40,16 +40,16 @@
                         true));
     }
 
-    private void acceptMessage(int n, int messageClass, long at) {
-        auditor.messageArrived(n, messageClass, 7, 1000, at);
-        auditor.submitted(n, 0, at);
-        auditor.accepted(n, 0, at);
+    private void acceptMessage(int number, int messageClass, long atMicros) {
+        auditor.messageArrived(number, messageClass, 7, 1000, atMicros);
+        auditor.submitted(number, 0, atMicros);
+        auditor.accepted(number, 0, atMicros);
     }
 
-    private void attempt(int n, long at, String outcome, boolean knownNotRun) {
-        auditor.attemptStarted(n, 0, "e", 7, at);
+    private void attempt(int number, long atMicros, String outcome, boolean knownNotRun) {
+        auditor.attemptStarted(number, 0, "e", 7, atMicros);
         if (outcome != null) {
-            auditor.attemptEnded(n, outcome, knownNotRun, at + 1000);
+            auditor.attemptEnded(number, outcome, knownNotRun, atMicros + 1000);
         }
     }
 
--- a/src/test/java/lilaclever/simulation/model/PartnerTest.java
+++ b/src/test/java/lilaclever/simulation/model/PartnerTest.java
@@ -51,8 +51,8 @@
         return p;
     }
 
-    private static Answer call(Partner p, int forwarder, long at) {
-        return p.call("e", forwarder, new long[] {100_000}, at);
+    private static Answer call(Partner p, int forwarder, long atMicros) {
+        return p.call("e", forwarder, new long[] {100_000}, atMicros);
     }
 
     /**
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -25,22 +25,23 @@
     @Test
     void cancelledConnectFreesItsDescriptor() throws Exception {
         try (Transport transport = new Transport();
-                ServerSocket full = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-                Socket first = new Socket(full.getInetAddress(), full.getLocalPort());
-                Socket second = new Socket(full.getInetAddress(), full.getLocalPort())) {
-            InetSocketAddress address = new InetSocketAddress(full.getInetAddress(), full.getLocalPort());
-            long before = openDescriptors();
+                ServerSocket fullServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+                Socket first = new Socket(fullServer.getInetAddress(), fullServer.getLocalPort());
+                Socket second = new Socket(fullServer.getInetAddress(), fullServer.getLocalPort())) {
+            InetSocketAddress address = new InetSocketAddress(fullServer.getInetAddress(), fullServer.getLocalPort());
+            long descriptorsBefore = openDescriptors();
             for (int i = 0; i < 50; i++) {
                 transport
-                        .connect(address, Transport.chain(new BaseFilter() {}), up -> {}, problem -> {})
+                        .connect(address, Transport.chain(new BaseFilter() {}), established -> {}, problem -> {})
                         .run();
             }
-            for (long end = System.nanoTime() + 10_000_000_000L;
-                    openDescriptors() > before + 5 && System.nanoTime() < end; ) {
+            for (long endNanos = System.nanoTime() + 10_000_000_000L;
+                    openDescriptors() > descriptorsBefore + 5 && System.nanoTime() < endNanos; ) {
                 Thread.onSpinWait();
             }
             assertTrue(
-                    openDescriptors() <= before + 5, "of fifty, " + (openDescriptors() - before) + " are still open");
+                    openDescriptors() <= descriptorsBefore + 5,
+                    "of fifty, " + (openDescriptors() - descriptorsBefore) + " are still open");
             assertTrue(first.isConnected() && second.isConnected());
         }
     }
@@ -55,9 +56,9 @@
     @Test
     void receivedBytesAreReadBeforeTheTaskRuns() throws Exception {
         LinkedBlockingQueue<String> order = new LinkedBlockingQueue<>();
-        LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
-        CountDownLatch busy = new CountDownLatch(1);
-        CountDownLatch free = new CountDownLatch(1);
+        LinkedBlockingQueue<Connection<?>> established = new LinkedBlockingQueue<>();
+        CountDownLatch selectorBlocked = new CountDownLatch(1);
+        CountDownLatch unblockSelector = new CountDownLatch(1);
         try (Transport transport = new Transport();
                 ServerSocket server = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             var chain = Transport.chain(new BaseFilter() {
@@ -68,24 +69,24 @@
                 }
             });
             InetSocketAddress address = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-            transport.connect(address, chain, up::add, Throwable::printStackTrace);
-            Connection<?> answered = up.poll(20, TimeUnit.SECONDS);
-            transport.connect(address, chain, up::add, Throwable::printStackTrace);
-            Connection<?> other = up.poll(20, TimeUnit.SECONDS);
+            transport.connect(address, chain, established::add, Throwable::printStackTrace);
+            Connection<?> answered = established.poll(20, TimeUnit.SECONDS);
+            transport.connect(address, chain, established::add, Throwable::printStackTrace);
+            Connection<?> other = established.poll(20, TimeUnit.SECONDS);
             Transport.runOnSelector(other, () -> {
-                busy.countDown();
+                selectorBlocked.countDown();
                 try {
-                    free.await(20, TimeUnit.SECONDS);
+                    unblockSelector.await(20, TimeUnit.SECONDS);
                 } catch (InterruptedException e) {
                     order.add("interrupted");
                 }
             });
-            busy.await(20, TimeUnit.SECONDS);
+            selectorBlocked.await(20, TimeUnit.SECONDS);
             try (Socket peer = server.accept()) {
                 Transport.runAfterReading(other, () -> order.add("task"));
                 peer.getOutputStream().write("answer".getBytes());
                 peer.getOutputStream().flush();
-                free.countDown();
+                unblockSelector.countDown();
                 assertEquals("answer", order.poll(20, TimeUnit.SECONDS));
                 assertEquals("task", order.poll(20, TimeUnit.SECONDS));
             }
