--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -30,7 +30,9 @@
     private final Map<String, TrackedHost> hosts = new HashMap<>();
     private final Map<String, List<TrackedMessage>> messagesByKey = new HashMap<>();
     private final Map<String, Long> keyDelayedUntilMicros = new HashMap<>();
+    /** By key: the message with the abandoned attempt, which may be sent again during the delay of the key. */
     private final Map<String, TrackedMessage> keyDelayExempt = new HashMap<>();
+
     private final Map<String, Long> retryAfterUntilMicros = new HashMap<>();
     private final Map<String, Recovery> recoveries = new HashMap<>();
     private int attemptsInFlight;
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -68,11 +68,11 @@
 
     /** What must be known of a message after a restart, with the earliest time at which it may have run. */
     private record KnownState(int attempts, long mayHaveRunSinceMicros) {
-        static KnownState of(PendingMessage m) {
-            long sinceMicros = m.mayHaveRun()
-                    ? m.possibleRunWallMicros()
-                    : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
-            return new KnownState(m.attempts(), sinceMicros);
+        static KnownState of(PendingMessage message) {
+            long sinceMicros = message.mayHaveRun()
+                    ? message.possibleRunWallMicros()
+                    : message.isInFlight() ? message.lastAttemptWallMicros() : Long.MAX_VALUE;
+            return new KnownState(message.attempts(), sinceMicros);
         }
 
         boolean isCoveredBy(KnownState recovered) {
@@ -163,7 +163,7 @@
         journal.maintain(randomRun.nowMicros);
         clockMicros += TURN_MICROS;
         Map<String, KnownState> known = new TreeMap<>();
-        randomRun.pendingMessages().forEach((id, m) -> known.put(id, KnownState.of(m)));
+        randomRun.pendingMessages().forEach((id, message) -> known.put(id, KnownState.of(message)));
         checkpoints.add(new Checkpoint(disk.operations.size(), known));
         assertEquals(randomRun.describeModel(), describePending(journal));
         assertTrue(disk.totalBytes() <= quotaBytes, "bytes: " + disk.totalBytes());
@@ -177,7 +177,8 @@
 
     private static String describePending(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> all = new TreeMap<>();
-        journal.pendingMessages().forEach(m -> all.put(m.submission().id(), m));
+        journal.pendingMessages()
+                .forEach(message -> all.put(message.submission().id(), message));
         return RandomRun.describe(all, Map.of());
     }
 
@@ -237,11 +238,12 @@
         Set<String> submittedIds = new HashSet<>();
         checkpoints
                 .subList(0, Math.min(checkpoint + 2, checkpoints.size()))
-                .forEach(m -> submittedIds.addAll(m.messages().keySet()));
+                .forEach(earlier -> submittedIds.addAll(earlier.messages().keySet()));
         SimDisk remains = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
         try (SegmentedJournal next = RandomRun.open(remains, quotaBytes, Durability.NONE)) {
             Map<String, KnownState> recovered = new TreeMap<>();
-            next.pendingMessages().forEach(m -> recovered.put(m.submission().id(), KnownState.of(m)));
+            next.pendingMessages()
+                    .forEach(message -> recovered.put(message.submission().id(), KnownState.of(message)));
             stateBefore.forEach((id, known) -> {
                 if (stateAfter.containsKey(id)) {
                     assertNotNull(recovered.get(id), description + ": " + id + " is lost");
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -361,8 +361,8 @@
                 counts.shardsWithASender++;
                 Process other = senders[shard];
                 if (other != null) {
-                    breaches.add("at " + nowMicros + " both " + other.id + "/" + other.incarnation + " and "
-                            + process.id + "/" + process.incarnation + " may send for shard " + shard);
+                    breaches.add("at " + nowMicros + " shard " + shard + " has two senders, " + other.id + "/"
+                            + other.incarnation + " and " + process.id + "/" + process.incarnation);
                 }
                 senders[shard] = process;
             }
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -27,7 +27,7 @@
 /**
  * Random schedules in virtual time: endpoints come and go, two agents learn of it late and have separate indexes,
  * responses arrive out of order, truncated, contradictory or without an index, indexes restart, and the forwarder
- * switches agents and is restarted. An auditor that reads the same lists checks the updates of the core.
+ * switches agents and is restarted. An auditor that reads the same lists checks the updates sent to the core.
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
@@ -197,10 +197,12 @@
                 uncontradicted = new HashMap<>();
         /** By name and address: lists that stated the address, while the endpoint is active. */
         private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
-        /** Names listed since the process started, or stored before. */
-        private final Set<String> names = new HashSet<>();
-        /** Name, agent and index of each entry that did not say that the endpoint had departed. */
-        private final Set<String> namedKeys = new HashSet<>();
+        /**
+         * Names listed since the process started, or stored before; and a key of name, agent and index for each list
+         * that named an endpoint without saying that it had departed.
+         */
+        private final Set<String> names = new HashSet<>(), namedKeys = new HashSet<>();
+
         /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
         /** Departures of the initial list, until the first response, with which they are stored. */
--- a/src/test/java/lilaclever/simulation/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/simulation/audit/AuditorTest.java
@@ -177,12 +177,12 @@
             }
         }
         auditor.finish(300 * SECOND_MICROS);
-        Service s = auditor.service();
-        assertEquals(0.5, s.wholeRun(), 1e-9);
-        assertEquals(0, s.worstWindow(), 1e-9);
-        assertEquals(0.5, s.worstClass(), 1e-9);
-        assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
-        s.addConnection();
-        assertEquals(0.06 / 20, s.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
+        Service service = auditor.service();
+        assertEquals(0.5, service.wholeRun(), 1e-9);
+        assertEquals(0, service.worstWindow(), 1e-9);
+        assertEquals(0.5, service.worstClass(), 1e-9);
+        assertEquals(0.45 * 0.5 + 0.2 * 0.5, service.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
+        service.addConnection();
+        assertEquals(0.06 / 20, service.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
     }
 }
--- a/src/test/java/lilaclever/simulation/model/PartnerTest.java
+++ b/src/test/java/lilaclever/simulation/model/PartnerTest.java
@@ -39,7 +39,7 @@
     }
 
     private static Partner partner(Limit limit) {
-        Partner p = new Partner(
+        Partner partner = new Partner(
                 7,
                 kind(limit, 0),
                 1,
@@ -47,12 +47,12 @@
                 100_000,
                 new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS),
                 new RandomStream(1, "p"));
-        p.addEndpoint("e");
-        return p;
+        partner.addEndpoint("e");
+        return partner;
     }
 
-    private static Answer call(Partner p, int forwarder, long atMicros) {
-        return p.call("e", forwarder, new long[] {100_000}, atMicros);
+    private static Answer call(Partner partner, int forwarder, long atMicros) {
+        return partner.call("e", forwarder, new long[] {100_000}, atMicros);
     }
 
     /**
@@ -62,7 +62,7 @@
     @Test
     void capacityIsTheDrawnCapacity() {
         for (int i = 0; i < 50; i++) {
-            Partner p = new Partner(
+            Partner partner = new Partner(
                     7,
                     kind(Limit.NONE, 0),
                     2,
@@ -70,7 +70,7 @@
                     100_000,
                     new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS),
                     new RandomStream(i, "p"));
-            assertEquals(60 + i, p.capacity(), 1e-6);
+            assertEquals(60 + i, partner.capacity(), 1e-6);
         }
     }
 
@@ -78,11 +78,11 @@
     void streamsDependOnSeedAndName() {
         assertEquals(new RandomStream(1, "a").unit(), new RandomStream(1, "a").unit());
         assertTrue(new RandomStream(1, "a").unit() != new RandomStream(1, "b").unit());
-        RandomStream d = new RandomStream(5, "x");
+        RandomStream stream = new RandomStream(5, "x");
         assertEquals(
                 1,
                 IntStream.range(0, 100_000)
-                        .mapToDouble(i -> d.lognormal(0.5))
+                        .mapToDouble(i -> stream.lognormal(0.5))
                         .average()
                         .orElse(0),
                 0.01);
@@ -91,32 +91,34 @@
     /** Twenty calls in a window of two seconds, and none more until the next window begins, whose start it reports. */
     @Test
     void windowLimitsTheCallsInEachPeriod() {
-        CallLimiter a = new CallLimiter(Limit.WINDOW, 10, 2 * SECOND_MICROS, true);
+        CallLimiter limiter = new CallLimiter(Limit.WINDOW, 10, 2 * SECOND_MICROS, true);
         assertEquals(
                 20,
-                IntStream.range(0, 50).filter(i -> a.tryAcquire(i * 10_000L)).count());
-        assertEquals(2 * SECOND_MICROS, a.availableAtMicros(SECOND_MICROS));
-        assertTrue(a.tryAcquire(2 * SECOND_MICROS));
+                IntStream.range(0, 50)
+                        .filter(i -> limiter.tryAcquire(i * 10_000L))
+                        .count());
+        assertEquals(2 * SECOND_MICROS, limiter.availableAtMicros(SECOND_MICROS));
+        assertTrue(limiter.tryAcquire(2 * SECOND_MICROS));
     }
 
     /** Half of the limit applies for a time and the whole of it afterwards, for each kind of limit. */
     @Test
     void loweredLimitAppliesUntilItsEnd() {
         for (Limit limit : List.of(Limit.WINDOW, Limit.RATE)) {
-            CallLimiter a = new CallLimiter(limit, 10, 2 * SECOND_MICROS, false);
-            a.lower(0.5, 10 * SECOND_MICROS);
-            a.tryAcquire(0);
+            CallLimiter limiter = new CallLimiter(limit, 10, 2 * SECOND_MICROS, false);
+            limiter.lower(0.5, 10 * SECOND_MICROS);
+            limiter.tryAcquire(0);
             assertEquals(
                     40,
                     IntStream.range(0, 400)
-                            .filter(i -> a.tryAcquire(2 * SECOND_MICROS + i * 20_000L))
+                            .filter(i -> limiter.tryAcquire(2 * SECOND_MICROS + i * 20_000L))
                             .count(),
                     4,
                     limit + " lowered");
             assertEquals(
                     100,
                     IntStream.range(0, 500)
-                            .filter(i -> a.tryAcquire(10 * SECOND_MICROS + i * 20_000L))
+                            .filter(i -> limiter.tryAcquire(10 * SECOND_MICROS + i * 20_000L))
                             .count(),
                     4,
                     limit + " raised");
@@ -142,53 +144,53 @@
 
     @Test
     void partnerServesNoMoreThanItsCapacity() {
-        Partner p = partner(Limit.NONE);
+        Partner partner = partner(Limit.NONE);
         long done = IntStream.range(0, 10_000)
-                .mapToObj(i -> call(p, 0, i * 5000L)) // 200 a second for 50 s
+                .mapToObj(i -> call(partner, 0, i * 5000L)) // 200 a second for 50 s
                 .filter(a -> a.status() == Status.DELIVERED && a.atMicros() <= 50 * SECOND_MICROS)
                 .count();
-        assertEquals(p.capacity() * 50, done, p.capacity() * 2);
+        assertEquals(partner.capacity() * 50, done, partner.capacity() * 2);
     }
 
     /** Guards against partners that recover at full capacity at once: then no rehearsal would show an overload. */
     @Test
     void recoveringPartnerStartsSlowlyAndFailsUnderOverload() {
-        Partner p = partner(Limit.NONE);
-        p.startOutage(Outage.SHUT, 0, 10 * SECOND_MICROS);
-        assertEquals(Status.FULL, call(p, 3, 9 * SECOND_MICROS).status());
-        p.failureSeen(3, 9 * SECOND_MICROS);
-        assertTrue(p.isUnavailable(9 * SECOND_MICROS));
-        assertEquals(0.25, p.capacityShare(10 * SECOND_MICROS), 0.01);
-        assertEquals(0.625, p.capacityShare(14 * SECOND_MICROS), 0.01);
-        for (int i = 0; i < 400 && p.overloads() == 0; i++) {
-            call(p, 3, 10 * SECOND_MICROS + i * 10_000L);
+        Partner partner = partner(Limit.NONE);
+        partner.startOutage(Outage.SHUT, 0, 10 * SECOND_MICROS);
+        assertEquals(Status.FULL, call(partner, 3, 9 * SECOND_MICROS).status());
+        partner.failureSeen(3, 9 * SECOND_MICROS);
+        assertTrue(partner.isUnavailable(9 * SECOND_MICROS));
+        assertEquals(0.25, partner.capacityShare(10 * SECOND_MICROS), 0.01);
+        assertEquals(0.625, partner.capacityShare(14 * SECOND_MICROS), 0.01);
+        for (int i = 0; i < 400 && partner.overloads() == 0; i++) {
+            call(partner, 3, 10 * SECOND_MICROS + i * 10_000L);
         }
-        assertEquals(1, p.overloads());
-        assertEquals(1, p.overloadsByInformedForwarders()); // forwarder 3 had seen a refusal
-        assertTrue(p.isUnavailable(60 * SECOND_MICROS));
+        assertEquals(1, partner.overloads());
+        assertEquals(1, partner.overloadsByInformedForwarders()); // forwarder 3 had seen a refusal
+        assertTrue(partner.isUnavailable(60 * SECOND_MICROS));
     }
 
     @Test
     void overloadByUninformedForwardersIsCountedSeparately() {
-        Partner p = partner(Limit.NONE);
-        p.startOutage(Outage.DOWN, 0, 10 * SECOND_MICROS);
-        assertEquals(Status.NO_CONNECTION, call(p, 3, 9 * SECOND_MICROS).status());
-        p.failureSeen(3, 9 * SECOND_MICROS);
-        for (int i = 0; i < 400 && p.overloads() == 0; i++) {
-            call(p, 4, 10 * SECOND_MICROS + i * 10_000L);
+        Partner partner = partner(Limit.NONE);
+        partner.startOutage(Outage.DOWN, 0, 10 * SECOND_MICROS);
+        assertEquals(Status.NO_CONNECTION, call(partner, 3, 9 * SECOND_MICROS).status());
+        partner.failureSeen(3, 9 * SECOND_MICROS);
+        for (int i = 0; i < 400 && partner.overloads() == 0; i++) {
+            call(partner, 4, 10 * SECOND_MICROS + i * 10_000L);
         }
-        assertEquals(1, p.overloads());
-        assertEquals(0, p.overloadsByInformedForwarders());
+        assertEquals(1, partner.overloads());
+        assertEquals(0, partner.overloadsByInformedForwarders());
     }
 
     @Test
     void eachOutageAnswersInItsWay() {
-        Partner p = partner(Limit.NONE);
-        p.startOutage(Outage.SILENT, 0, SECOND_MICROS);
-        assertEquals(Status.NO_ANSWER, call(p, 0, 0).status());
-        assertFalse(p.canStillAnswer("e", SECOND_MICROS / 2));
-        p.startOutage(Outage.FAILING, 1, 2 * SECOND_MICROS);
-        assertEquals(Status.ERROR, call(p, 0, SECOND_MICROS).status());
+        Partner partner = partner(Limit.NONE);
+        partner.startOutage(Outage.SILENT, 0, SECOND_MICROS);
+        assertEquals(Status.NO_ANSWER, call(partner, 0, 0).status());
+        assertFalse(partner.canStillAnswer("e", SECOND_MICROS / 2));
+        partner.startOutage(Outage.FAILING, 1, 2 * SECOND_MICROS);
+        assertEquals(Status.ERROR, call(partner, 0, SECOND_MICROS).status());
         Partner slow = partner(Limit.NONE);
         long usual = call(slow, 0, 0).atMicros();
         slow.startOutage(Outage.SLOW, 4, 10 * SECOND_MICROS);
@@ -198,7 +200,7 @@
 
     @Test
     void connectionsAreLimited() {
-        Partner p = new Partner(
+        Partner partner = new Partner(
                 7,
                 kind(Limit.NONE, 1),
                 1,
@@ -206,11 +208,11 @@
                 1000,
                 new Partner.Recovery(0.25, 8 * SECOND_MICROS, 1.5, 3 * SECOND_MICROS),
                 new RandomStream(1, "p"));
-        p.addEndpoint("e");
-        assertTrue(p.connect("e", 0) && p.connect("e", 1));
-        assertFalse(p.connect("e", 1));
-        p.disconnectAll(0);
-        assertTrue(p.connect("e", 1));
+        partner.addEndpoint("e");
+        assertTrue(partner.connect("e", 0) && partner.connect("e", 1));
+        assertFalse(partner.connect("e", 1));
+        partner.disconnectAll(0);
+        assertTrue(partner.connect("e", 1));
     }
 
     /** The load follows its shape, and messages in bursts count as part of it. */
@@ -220,7 +222,7 @@
                 new MessageClass("a", 0.75, new long[] {1, 1}, null),
                 new MessageClass("b", 0.25, new long[] {1, 1}, null));
         for (double burstShare : new double[] {0, 0.3}) {
-            Traffic t = new Traffic(
+            Traffic traffic = new Traffic(
                     List.of(new Traffic.Point(0, 0.5), new Traffic.Point(100 * SECOND_MICROS, 1.5)),
                     50,
                     burstShare,
@@ -228,12 +230,15 @@
                     classes,
                     Traffic.zipf(2, 0),
                     List.of(partner(Limit.NONE), partner(Limit.NONE)));
-            List<Arrival> all = t.draw(200 * SECOND_MICROS, new RandomStream(3, "arrivals"));
-            assertEquals(50 * 100 + 75 * 100, all.size(), 12_500 * (burstShare == 0 ? 0.04 : 0.45));
-            assertEquals(0.25, all.stream().filter(a -> a.messageClass() == 1).count() / (double) all.size(), 0.02);
-            assertEquals(1.0, t.load(50 * SECOND_MICROS), 1e-9);
-            for (int i = 0; i < all.size(); i++) {
-                assertEquals(i, all.get(i).number());
+            List<Arrival> arrivals = traffic.draw(200 * SECOND_MICROS, new RandomStream(3, "arrivals"));
+            assertEquals(50 * 100 + 75 * 100, arrivals.size(), 12_500 * (burstShare == 0 ? 0.04 : 0.45));
+            assertEquals(
+                    0.25,
+                    arrivals.stream().filter(a -> a.messageClass() == 1).count() / (double) arrivals.size(),
+                    0.02);
+            assertEquals(1.0, traffic.load(50 * SECOND_MICROS), 1e-9);
+            for (int i = 0; i < arrivals.size(); i++) {
+                assertEquals(i, arrivals.get(i).number());
             }
         }
     }
--- a/src/test/java/lilaclever/simulation/scenario/ScenarioReaderTest.java
+++ b/src/test/java/lilaclever/simulation/scenario/ScenarioReaderTest.java
@@ -17,24 +17,24 @@
     void shippedScenariosAreValid() throws ConfigurationException {
         assertTrue(ScenarioReader.SHIPPED.size() >= 8);
         for (String name : ScenarioReader.SHIPPED) {
-            Scenario s = ScenarioReader.read(name);
-            assertEquals(name, s.name());
-            assertFalse(s.about().isEmpty(), name);
-            assertTrue(s.traffic().lengthMicros() <= 600_000_000, name + " ends within ten minutes");
+            Scenario scenario = ScenarioReader.read(name);
+            assertEquals(name, scenario.name());
+            assertFalse(scenario.about().isEmpty(), name);
+            assertTrue(scenario.traffic().lengthMicros() <= 600_000_000, name + " ends within ten minutes");
         }
     }
 
     @Test
     void emptyFileGivesTheDefaults() throws ConfigurationException {
-        Scenario s = ScenarioReader.parse("f", List.of());
+        Scenario scenario = ScenarioReader.parse("f", List.of());
         assertEquals(
                 List.of("lens-lab", "supplier"),
-                s.kinds().stream().map(k -> k.name()).toList());
+                scenario.kinds().stream().map(k -> k.name()).toList());
         assertEquals(
                 List.of("lens-order", "status-update", "payment"),
-                s.classes().stream().map(c -> c.name()).toList());
-        assertEquals(3, s.fleet().forwarders());
-        assertEquals(0.8, s.traffic().shape().get(0).load());
+                scenario.classes().stream().map(c -> c.name()).toList());
+        assertEquals(3, scenario.fleet().forwarders());
+        assertEquals(0.8, scenario.traffic().shape().get(0).load());
     }
 
     @ParameterizedTest
@@ -76,16 +76,16 @@
     /** Settings on the command line override those of the file, are checked in the same way and change nothing else. */
     @Test
     void settingsOverrideTheFile() throws ConfigurationException {
-        Scenario s = ScenarioReader.read(
+        Scenario scenario = ScenarioReader.read(
                 "month-end",
                 List.of(
                         Overrides.Setting.of("fleet.forwarders=8"),
                         Overrides.Setting.of("event one-restart.part=10%")));
-        assertEquals(8, s.fleet().forwarders());
-        assertEquals(0.1, s.events().get(0).share());
+        assertEquals(8, scenario.fleet().forwarders());
+        assertEquals(0.1, scenario.events().get(0).share());
         assertEquals(
                 ScenarioReader.read("month-end").traffic().lengthMicros(),
-                s.traffic().lengthMicros());
+                scenario.traffic().lengthMicros());
         assertTrue(assertThrows(
                         ConfigurationException.class,
                         () -> ScenarioReader.read("quiet", List.of(Overrides.Setting.of("fleet.forwarder=8"))))
--- a/src/test/java/lilaclever/simulation/virtual/WorldTest.java
+++ b/src/test/java/lilaclever/simulation/virtual/WorldTest.java
@@ -44,8 +44,9 @@
         try (Stream<Path> files = Files.list(folder.resolve("a"))) {
             List<Path> all = files.toList();
             assertEquals(7, all.size());
-            for (Path f : all) {
-                assertEquals(-1, Files.mismatch(f, folder.resolve("b").resolve(f.getFileName())), f.toString());
+            for (Path file : all) {
+                assertEquals(
+                        -1, Files.mismatch(file, folder.resolve("b").resolve(file.getFileName())), file.toString());
             }
         }
         assertTrue(Files.readString(folder.resolve("a/index.html")).contains("data:image/png;base64,"));
