--- a/src/test/java/lilaclever/CallTimeoutsTest.java
+++ b/src/test/java/lilaclever/CallTimeoutsTest.java
@@ -21,32 +21,32 @@
     private final CallTimeouts timeouts = new CallTimeouts(fixture.state, failures);
     private final Endpoint endpoint = fixture.addEndpoint();
 
-    private long timeout(int messageClass) {
+    private long timeoutMicros(int messageClass) {
         return timeouts.timeoutMicros(fixture.addMessage(messageClass), fixture.limit);
     }
 
     @Test
     void beforeAnyAnswerTheTimeoutIsTheAimAndTwiceThatForUnsafeMessages() {
-        assertEquals(2 * SECOND_MICROS, timeout(SAFE));
-        assertEquals(4 * SECOND_MICROS, timeout(UNSAFE));
+        assertEquals(2 * SECOND_MICROS, timeoutMicros(SAFE));
+        assertEquals(4 * SECOND_MICROS, timeoutMicros(UNSAFE));
     }
 
     @Test
     void theTimeoutIsSixTimesTheUsualAnswerTimeAndAtLeastHalfTheAim() {
         timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
-        assertEquals(SECOND_MICROS, timeout(SAFE));
+        assertEquals(SECOND_MICROS, timeoutMicros(SAFE));
         timeouts.onDelivered(fixture.limit, 10_100 * MILLISECOND_MICROS);
         assertEquals(
                 1_100 * MILLISECOND_MICROS,
                 (long) fixture.limit.meanResponseMicros,
                 "moved by a tenth towards the new answer time");
-        assertEquals(6_600 * MILLISECOND_MICROS, timeout(SAFE));
+        assertEquals(6_600 * MILLISECOND_MICROS, timeoutMicros(SAFE));
     }
 
     @Test
     void theFirstAttemptOfAKeyedMessageLeavesHalfItsRepeatWindow() {
         fixture.limit.meanResponseMicros = 2 * SECOND_MICROS;
-        assertEquals(2_500 * MILLISECOND_MICROS, timeout(KEYED));
+        assertEquals(2_500 * MILLISECOND_MICROS, timeoutMicros(KEYED));
         Message repeated = fixture.addMessage(KEYED);
         repeated.mayHaveRun = true;
         assertEquals(12 * SECOND_MICROS, timeouts.timeoutMicros(repeated, fixture.limit));
@@ -58,11 +58,11 @@
         for (int i = 0; i < 3; i++) {
             timeouts.lengthen(fixture.limit);
         }
-        assertEquals(4 * SECOND_MICROS, timeout(SAFE));
+        assertEquals(4 * SECOND_MICROS, timeoutMicros(SAFE));
         timeouts.onDelivered(fixture.limit, 400 * MILLISECOND_MICROS);
-        assertEquals(2_800 * MILLISECOND_MICROS, timeout(SAFE), "a slow answer takes 30 % off");
+        assertEquals(2_800 * MILLISECOND_MICROS, timeoutMicros(SAFE), "a slow answer takes 30 % off");
         timeouts.onDelivered(fixture.limit, 100 * MILLISECOND_MICROS);
-        assertEquals(SECOND_MICROS, timeout(SAFE));
+        assertEquals(SECOND_MICROS, timeoutMicros(SAFE));
     }
 
     @Test
@@ -81,10 +81,10 @@
             failures.onFailure(endpoint, false);
             failures.onDelivered(endpoint);
         }
-        assertEquals(2 * SECOND_MICROS, timeout(SAFE));
+        assertEquals(2 * SECOND_MICROS, timeoutMicros(SAFE));
         fixture.state.slotsInUse = 3;
-        assertEquals(1_200 * MILLISECOND_MICROS, timeout(SAFE));
-        assertEquals(4 * SECOND_MICROS, timeout(UNSAFE));
+        assertEquals(1_200 * MILLISECOND_MICROS, timeoutMicros(SAFE));
+        assertEquals(4 * SECOND_MICROS, timeoutMicros(UNSAFE));
     }
 
     @Test
--- a/src/test/java/lilaclever/journal/CrashTest.java
+++ b/src/test/java/lilaclever/journal/CrashTest.java
@@ -91,20 +91,21 @@
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 300; i++) {
             int doneOperations = random.nextInt(disk.operations.size());
-            List<SimDisk.Operation> ops = disk.operations.subList(0, doneOperations);
+            List<SimDisk.Operation> recordedOperations = disk.operations.subList(0, doneOperations);
             for (int run = 0; run < 2; run++) {
-                SimDisk restarted = SimDisk.afterKill(ops, ops.size(), 0);
+                SimDisk restarted = SimDisk.afterKill(recordedOperations, recordedOperations.size(), 0);
                 try (SegmentedJournal recovered = RandomRun.open(restarted, QUOTA_BYTES, Durability.NONE)) {
                     recovered.maintain(0);
                 }
-                List<SimDisk.Operation> more = new ArrayList<>(ops);
-                more.addAll(restarted.operations.subList(0, random.nextInt(restarted.operations.size() + 1)));
-                ops = more;
+                List<SimDisk.Operation> extendedOperations = new ArrayList<>(recordedOperations);
+                extendedOperations.addAll(
+                        restarted.operations.subList(0, random.nextInt(restarted.operations.size() + 1)));
+                recordedOperations = extendedOperations;
             }
             check(
                     randomRun,
                     doneOperations,
-                    SimDisk.afterKill(ops, ops.size(), 0),
+                    SimDisk.afterKill(recordedOperations, recordedOperations.size(), 0),
                     "cut " + i + " after " + doneOperations);
         }
     }
@@ -115,8 +116,8 @@
     void powerCutLosesNoSyncedChange(long seed) throws Exception {
         SimDisk disk = new SimDisk();
         SplittableRandom random = new SplittableRandom(seed);
-        List<Integer> syncedAt = new ArrayList<>();
-        List<List<String>> messagesThen = new ArrayList<>();
+        List<Integer> operationsAtSync = new ArrayList<>();
+        List<List<String>> messagesAtSync = new ArrayList<>();
         try (SegmentedJournal journal = RandomRun.open(disk, QUOTA_BYTES, new Durability(Durability.Mode.GROUP, 0))) {
             java.util.concurrent.LinkedBlockingQueue<Runnable> loop = new java.util.concurrent.LinkedBlockingQueue<>();
             journal.setLoop(loop::add);
@@ -135,35 +136,37 @@
                         loop.take().run();
                     }
                 }
-                syncedAt.add(disk.operations.size());
-                messagesThen.add(ids);
+                operationsAtSync.add(disk.operations.size());
+                messagesAtSync.add(ids);
             }
         }
-        for (int turn = 0; turn < syncedAt.size(); turn++) {
+        for (int turn = 0; turn < operationsAtSync.size(); turn++) {
             for (int cut = 0; cut < 4; cut++) {
-                int next = turn + 1 < syncedAt.size() ? syncedAt.get(turn + 1) : disk.operations.size();
-                int doneOperations = syncedAt.get(turn) + random.nextInt(next - syncedAt.get(turn) + 1);
+                int next = turn + 1 < operationsAtSync.size() ? operationsAtSync.get(turn + 1) : disk.operations.size();
+                int doneOperations = operationsAtSync.get(turn) + random.nextInt(next - operationsAtSync.get(turn) + 1);
                 SimDisk remains = SimDisk.afterPowerCut(disk.operations, doneOperations, random);
                 try (SegmentedJournal recovered = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
                     List<String> recoveredIds = recovered.pendingMessages().stream()
                             .map(message -> message.submission().id())
                             .toList();
-                    List<String> later = turn + 1 < messagesThen.size() ? messagesThen.get(turn + 1) : List.of();
-                    for (String id : messagesThen.get(turn)) {
+                    List<String> later = turn + 1 < messagesAtSync.size() ? messagesAtSync.get(turn + 1) : List.of();
+                    for (String id : messagesAtSync.get(turn)) {
                         // A message that ended since then may be there or not; every other one must be.
-                        boolean stays = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
-                        assertTrue(!stays || recoveredIds.contains(id.split(" ")[0]), id + " cut at " + doneOperations);
+                        boolean isStillPending = later.stream().anyMatch(l -> l.split(" ")[0].equals(id.split(" ")[0]));
+                        assertTrue(
+                                !isStillPending || recoveredIds.contains(id.split(" ")[0]),
+                                id + " cut at " + doneOperations);
                     }
                     for (PendingMessage message : recovered.pendingMessages()) {
-                        checkAttempts(message, messagesThen.get(turn));
+                        checkAttempts(message, messagesAtSync.get(turn));
                     }
                 }
             }
         }
     }
 
-    private static void checkAttempts(PendingMessage message, List<String> messagesThen) {
-        for (String earlier : messagesThen) {
+    private static void checkAttempts(PendingMessage message, List<String> messagesAtSync) {
+        for (String earlier : messagesAtSync) {
             if (earlier.startsWith(message.submission().id() + " ")) {
                 int attempts = Integer.parseInt(earlier.split(" ")[1]);
                 assertTrue(
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -296,8 +296,8 @@
             try (SegmentedJournal next = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
                 List<String> recovered = ids(next);
                 for (String id : confirmed) {
-                    boolean stays = randomRun.pendingMessages().containsKey(id);
-                    assertTrue(!stays || recovered.contains(id), "phase " + phase + ": " + id + " is lost");
+                    boolean isStillPending = randomRun.pendingMessages().containsKey(id);
+                    assertTrue(!isStillPending || recovered.contains(id), "phase " + phase + ": " + id + " is lost");
                 }
                 for (String id : ended) {
                     assertFalse(recovered.contains(id), "phase " + phase + ": " + id + " is back");
--- a/src/test/java/lilaclever/journal/JournalClocksTest.java
+++ b/src/test/java/lilaclever/journal/JournalClocksTest.java
@@ -145,8 +145,9 @@
     /** Guards the core's wall clock: its distance to the monotonic clock is constant for a whole run. */
     @Test
     void wallClockOfRunFollowsMonotonicClock() {
-        long offset = BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros);
-        assertEquals(offset, BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros), MILLISECOND_MICROS);
+        long offsetMicros = BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros);
+        assertEquals(
+                offsetMicros, BootClock.wallOffsetMicros(Core::monotonicMicros, Core::wallMicros), MILLISECOND_MICROS);
     }
 
     /** A process that is delayed for 150 ms between its readings of the two clocks still determines their offset. */
--- a/src/test/java/lilaclever/journal/JournalProperties.java
+++ b/src/test/java/lilaclever/journal/JournalProperties.java
@@ -126,18 +126,20 @@
     /** Space is never promised where there is none, and one more live record never makes space for a later one. */
     @Property(tries = 500, seed = "4711")
     void spaceShrinksWithLiveRecords(
-            @ForAll @IntRange(max = 4 << 20) int allocated,
-            @ForAll @IntRange(max = 4 << 20) int live,
-            @ForAll @IntRange(max = 1 << 20) int growth,
-            @ForAll @IntRange(max = 70_000) int record) {
+            @ForAll @IntRange(max = 4 << 20) int allocatedBytes,
+            @ForAll @IntRange(max = 4 << 20) int liveBytes,
+            @ForAll @IntRange(max = 1 << 20) int growthBytes,
+            @ForAll @IntRange(max = 70_000) int recordBytes) {
         SpacePolicy policy = new SpacePolicy(4 << 20);
-        SpacePolicy.SpaceUsage usage = new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live, growth, 300, 0);
+        SpacePolicy.SpaceUsage usage =
+                new SpacePolicy.SpaceUsage(4 << 20, allocatedBytes, 0, liveBytes, growthBytes, 300, 0);
         SpacePolicy.SpaceUsage fullerUsage =
-                new SpacePolicy.SpaceUsage(4 << 20, allocated, 0, live + 1000, growth, 300, 0);
-        assertTrue(!policy.hasSpace(usage, record, 640) || live + growth + record <= allocated);
-        assertTrue(!policy.hasSpace(fullerUsage, record, 640) || policy.hasSpace(usage, record, 640));
+                new SpacePolicy.SpaceUsage(4 << 20, allocatedBytes, 0, liveBytes + 1000, growthBytes, 300, 0);
+        assertTrue(
+                !policy.hasSpace(usage, recordBytes, 640) || liveBytes + growthBytes + recordBytes <= allocatedBytes);
+        assertTrue(!policy.hasSpace(fullerUsage, recordBytes, 640) || policy.hasSpace(usage, recordBytes, 640));
         List<Long> lengths = new ArrayList<>();
-        for (int r : new int[] {record, record + 1000, record + 100_000}) {
+        for (int r : new int[] {recordBytes, recordBytes + 1000, recordBytes + 100_000}) {
             lengths.add(policy.segmentBytesFor(r));
             assertTrue(policy.segmentBytesFor(r) >= r + SegmentFormat.OVERHEAD_BYTES
                     && policy.segmentBytesFor(r) % SegmentFormat.BLOCK_BYTES == 0);
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -103,15 +103,15 @@
                 journal.recordAttempt("m" + i, "a", 0, 5);
             }
         }
-        List<SimDisk.Operation> ops = List.copyOf(disk.operations);
+        List<SimDisk.Operation> recordedOperations = List.copyOf(disk.operations);
         String name = Segment.fileName(1);
-        int used = ops.stream()
+        int used = recordedOperations.stream()
                 .filter(operation -> operation.kind() == SimDisk.OperationKind.WRITE && operation.bytes().length < 1000)
                 .mapToInt(operation -> (int) operation.position() + operation.bytes().length)
                 .max()
                 .orElse(0);
         for (int at = 0; at < used; at += at < 700 ? 1 : 7) {
-            SimDisk damaged = SimDisk.afterKill(ops, ops.size(), 0);
+            SimDisk damaged = SimDisk.afterKill(recordedOperations, recordedOperations.size(), 0);
             byte[] content = damaged.content(name);
             content[at] ^= 4;
             try (SegmentedJournal journal = RandomRun.open(damaged, QUOTA_BYTES, Durability.NONE)) {
--- a/src/test/java/lilaclever/journal/SimDisk.java
+++ b/src/test/java/lilaclever/journal/SimDisk.java
@@ -64,15 +64,18 @@
                 nextFile = Math.max(nextFile, operation.file() + 1);
             }
             case WRITE -> {
-                byte[] old = contents.getOrDefault(operation.file(), new byte[0]);
-                long end = operation.position() + operation.bytes().length;
-                byte[] now = end <= old.length ? old : Arrays.copyOf(old, (int) end);
-                System.arraycopy(operation.bytes(), 0, now, (int) operation.position(), operation.bytes().length);
-                contents.put(operation.file(), now);
+                byte[] oldContent = contents.getOrDefault(operation.file(), new byte[0]);
+                long endPosition = operation.position() + operation.bytes().length;
+                byte[] newContent =
+                        endPosition <= oldContent.length ? oldContent : Arrays.copyOf(oldContent, (int) endPosition);
+                System.arraycopy(
+                        operation.bytes(), 0, newContent, (int) operation.position(), operation.bytes().length);
+                contents.put(operation.file(), newContent);
             }
             case TRUNCATE -> {
-                byte[] old = contents.get(operation.file());
-                contents.put(operation.file(), Arrays.copyOf(old, (int) Math.min(old.length, operation.position())));
+                byte[] oldContent = contents.get(operation.file());
+                contents.put(operation.file(), Arrays.copyOf(oldContent, (int)
+                        Math.min(oldContent.length, operation.position())));
             }
             case RENAME -> names.put(operation.to(), names.remove(operation.name()));
             case DELETE -> names.remove(operation.name());
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -58,7 +58,7 @@
     private static final class ActualEndpoints {
         private final List<Map<String, Core.ListedEndpoint>> versions = new ArrayList<>(List.of(Map.of()));
         private final SplittableRandom random;
-        private int addresses;
+        private int addressCount;
 
         ActualEndpoints(SplittableRandom random) {
             this.random = random;
@@ -98,10 +98,10 @@
 
         /** Usually a new address, else one that another endpoint may have had before. */
         private String freeAddress(Map<String, Core.ListedEndpoint> used) {
-            String old = "10.1.0.1:" + random.nextInt(addresses + 1);
+            String old = "10.1.0.1:" + random.nextInt(addressCount + 1);
             boolean isFree =
                     used.values().stream().noneMatch(x -> x.endpoint().address().equals(old));
-            return random.nextInt(3) == 0 && isFree ? old : "10.1.0.1:" + ++addresses;
+            return random.nextInt(3) == 0 && isFree ? old : "10.1.0.1:" + ++addressCount;
         }
     }
 
@@ -517,10 +517,12 @@
                         entries.remove(random.nextInt(entries.size())).entry().host());
             }
             if (!entries.isEmpty() && random.nextInt(10) == 0) {
-                Core.ListedEndpoint twice = entries.get(random.nextInt(entries.size()));
+                Core.ListedEndpoint duplicated = entries.get(random.nextInt(entries.size()));
                 Presence presence = Presence.values()[random.nextInt(3)];
-                String address = twice.endpoint().address() + (random.nextInt(3) == 0 ? "0" : "");
-                entries.add(random.nextInt(entries.size()), listed(twice.entry().host(), presence, address));
+                String address = duplicated.endpoint().address() + (random.nextInt(3) == 0 ? "0" : "");
+                entries.add(
+                        random.nextInt(entries.size()),
+                        listed(duplicated.entry().host(), presence, address));
             }
             if (isCut) {
                 entries = entries.subList(0, random.nextInt(entries.size() + 1));
--- a/src/test/java/lilaclever/scale/ResourceUsage.java
+++ b/src/test/java/lilaclever/scale/ResourceUsage.java
@@ -20,8 +20,8 @@
 
     /** CPU time of the task on this thread; garbage collection runs on others. */
     static double cpuSeconds(Runnable task) {
-        long before = THREADS.getCurrentThreadCpuTime();
+        long beforeNanos = THREADS.getCurrentThreadCpuTime();
         task.run();
-        return (THREADS.getCurrentThreadCpuTime() - before) / 1e9;
+        return (THREADS.getCurrentThreadCpuTime() - beforeNanos) / 1e9;
     }
 }
