--- a/src/test/java/lilaclever/RuleChecker.java
+++ b/src/test/java/lilaclever/RuleChecker.java
@@ -30,10 +30,12 @@
     private final Map<String, TrackedHost> hosts = new HashMap<>();
     private final Map<String, List<TrackedMessage>> messagesByKey = new HashMap<>();
     private final Map<String, Long> keyDelayedUntilMicros = new HashMap<>();
+    /** By key: the message with the abandoned attempt, which may be sent again during the delay of the key. */
     private final Map<String, TrackedMessage> keyDelayExempt = new HashMap<>();
+
     private final Map<String, Long> retryAfterUntilMicros = new HashMap<>();
     private final Map<String, Recovery> recoveries = new HashMap<>();
-    private int slots;
+    private int attemptsInFlight;
 
     private static final class TrackedMessage {
         private MessageClass messageClass;
@@ -111,8 +113,8 @@
             }
         }
         Set<String> limitsInRetryAfter = new LinkedHashSet<>();
-        retryAfterUntilMicros.forEach((limit, until) -> {
-            if (nowMicros < until) {
+        retryAfterUntilMicros.forEach((limit, untilMicros) -> {
+            if (nowMicros < untilMicros) {
                 limitsInRetryAfter.add(limit);
             }
         });
@@ -178,7 +180,7 @@
         if (message == null || message.inFlightTo == null || e.attempt() != message.attempts - 1) {
             return;
         }
-        slots--;
+        attemptsInFlight--;
         boolean mayHaveEffect = !e.result().neverRan();
         if (mayHaveEffect && e.result() != AttemptResult.DELIVERED && !message.mayHaveRun) {
             message.mayHaveRun = true;
@@ -240,7 +242,7 @@
         message.attempts++;
         message.inFlightTo = a.host();
         message.sentAtMicros = nowMicros;
-        slots++;
+        attemptsInFlight++;
         Recovery recovery = recoveries.get(limitOf(a.host()));
         if (recovery != null) {
             recovery.sendTimesMicros.add(nowMicros);
@@ -282,7 +284,7 @@
         message.finished = true;
     }
 
-    /** Calls sent in any window of a recovery must stay below multiple x present capacity x window. */
+    /** Calls sent in any window of a recovery must not exceed overload multiple x present capacity x window. */
     private void checkBudget(long nowMicros, String limit, Recovery recovery) {
         if (nowMicros < recovery.startMicros
                 || nowMicros > recovery.startMicros + settings.rules().rampMicros()) {
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -173,7 +173,7 @@
         journal.close();
     }
 
-    /** A message that ended before a failed sync stays ended: that record is written again too. */
+    /** A message that ended before a failed sync is not pending after a power cut: its last record is rewritten too. */
     @Test
     void unsyncedEndIsWrittenAgain() throws Exception {
         SegmentedJournal journal = open(GROUP);
@@ -284,7 +284,7 @@
                 Set<String> known = new java.util.HashSet<>(now);
                 boolean allWritten = journal.unwrittenCount() == 0;
                 journal.whenDurable(() -> {
-                    if (allWritten) { // a result that the disk did not accept may be reported all the same
+                    if (allWritten) { // a result that could not be written may be reported all the same
                         confirmed.stream().filter(id -> !known.contains(id)).forEach(ended::add);
                     }
                     confirmed.clear();
@@ -294,13 +294,13 @@
             }
             SimDisk remains = SimDisk.afterPowerCut(disk.operations, disk.operations.size(), random);
             try (SegmentedJournal next = RandomRun.open(remains, 4 * QUOTA_BYTES, Durability.NONE)) {
-                List<String> found = ids(next);
+                List<String> recovered = ids(next);
                 for (String id : confirmed) {
-                    boolean stays = randomRun.pendingMessages().containsKey(id);
-                    assertTrue(!stays || found.contains(id), "phase " + phase + ": " + id + " is lost");
+                    boolean isStillPending = randomRun.pendingMessages().containsKey(id);
+                    assertTrue(!isStillPending || recovered.contains(id), "phase " + phase + ": " + id + " is lost");
                 }
                 for (String id : ended) {
-                    assertFalse(found.contains(id), "phase " + phase + ": " + id + " is back");
+                    assertFalse(recovered.contains(id), "phase " + phase + ": " + id + " is back");
                 }
                 cuts++;
             }
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -67,16 +67,16 @@
     private static final Set<String> COVERED = new TreeSet<>();
 
     /** What must be known of a message after a restart, with the earliest time at which it may have run. */
-    private record KnownState(int attempts, long mayHaveRunSince) {
-        static KnownState of(PendingMessage m) {
-            long since = m.mayHaveRun()
-                    ? m.possibleRunWallMicros()
-                    : m.isInFlight() ? m.lastAttemptWallMicros() : Long.MAX_VALUE;
-            return new KnownState(m.attempts(), since);
+    private record KnownState(int attempts, long mayHaveRunSinceMicros) {
+        static KnownState of(PendingMessage message) {
+            long sinceMicros = message.mayHaveRun()
+                    ? message.possibleRunWallMicros()
+                    : message.isInFlight() ? message.lastAttemptWallMicros() : Long.MAX_VALUE;
+            return new KnownState(message.attempts(), sinceMicros);
         }
 
-        boolean isCoveredBy(KnownState found) {
-            return found.attempts >= attempts && found.mayHaveRunSince <= mayHaveRunSince;
+        boolean isCoveredBy(KnownState recovered) {
+            return recovered.attempts >= attempts && recovered.mayHaveRunSinceMicros <= mayHaveRunSinceMicros;
         }
     }
 
@@ -92,9 +92,9 @@
     private SegmentedJournal journal;
     private RandomRun randomRun;
     private long clockMicros;
-    /** Whether operations fail now, and how many have failed. */
+    /** Whether operations fail now. */
     private volatile boolean failing;
-
+    /** Number of operations that have failed since faults were last injected. */
     private volatile int failures;
 
     /** Each target and any operation at all, both errors, both durations, with and without a kill. */
@@ -163,21 +163,22 @@
         journal.maintain(randomRun.nowMicros);
         clockMicros += TURN_MICROS;
         Map<String, KnownState> known = new TreeMap<>();
-        randomRun.pendingMessages().forEach((id, m) -> known.put(id, KnownState.of(m)));
+        randomRun.pendingMessages().forEach((id, message) -> known.put(id, KnownState.of(message)));
         checkpoints.add(new Checkpoint(disk.operations.size(), known));
         assertEquals(randomRun.describeModel(), describePending(journal));
         assertTrue(disk.totalBytes() <= quotaBytes, "bytes: " + disk.totalBytes());
     }
 
     private void runTurnsFor(long micros) throws InterruptedException {
-        for (long end = clockMicros + micros; clockMicros < end; ) {
+        for (long endMicros = clockMicros + micros; clockMicros < endMicros; ) {
             runTurn();
         }
     }
 
     private static String describePending(SegmentedJournal journal) {
         TreeMap<String, PendingMessage> all = new TreeMap<>();
-        journal.pendingMessages().forEach(m -> all.put(m.submission().id(), m));
+        journal.pendingMessages()
+                .forEach(message -> all.put(message.submission().id(), message));
         return RandomRun.describe(all, Map.of());
     }
 
@@ -194,9 +195,9 @@
         assertEquals(0, journal.unwrittenCount(), description);
         checkFiles(description);
         endAllMessages();
-        int refused = randomRun.rejectedMessages;
+        int rejectedBefore = randomRun.rejectedMessages;
         runTurnsFor(50 * TURN_MICROS);
-        assertEquals(refused, randomRun.rejectedMessages, description + ": rejected although the disk works");
+        assertEquals(rejectedBefore, randomRun.rejectedMessages, description + ": rejected although the disk works");
         checkFiles(description);
         journal.close();
         try (SegmentedJournal next = RandomRun.open(disk, quotaBytes, Durability.NONE)) {
@@ -213,7 +214,7 @@
         }
     }
 
-    /** The journal must know every file in the folder: a forgotten one would take space until a restart. */
+    /** The journal must know every file in the folder: any other would take space until a restart. */
     private void checkFiles(String description) {
         assertEquals(journal.fileCount(), disk.fileNames().size(), description + ": files " + disk.fileNames());
         assertTrue(
@@ -234,24 +235,25 @@
         Map<String, KnownState> stateAfter = checkpoint + 1 < checkpoints.size()
                 ? checkpoints.get(checkpoint + 1).messages()
                 : stateBefore;
-        Set<String> seen = new HashSet<>();
+        Set<String> submittedIds = new HashSet<>();
         checkpoints
                 .subList(0, Math.min(checkpoint + 2, checkpoints.size()))
-                .forEach(m -> seen.addAll(m.messages().keySet()));
+                .forEach(earlier -> submittedIds.addAll(earlier.messages().keySet()));
         SimDisk remains = SimDisk.afterKill(disk.operations, operations, bytesOfNext);
         try (SegmentedJournal next = RandomRun.open(remains, quotaBytes, Durability.NONE)) {
-            Map<String, KnownState> found = new TreeMap<>();
-            next.pendingMessages().forEach(m -> found.put(m.submission().id(), KnownState.of(m)));
+            Map<String, KnownState> recovered = new TreeMap<>();
+            next.pendingMessages()
+                    .forEach(message -> recovered.put(message.submission().id(), KnownState.of(message)));
             stateBefore.forEach((id, known) -> {
                 if (stateAfter.containsKey(id)) {
-                    assertNotNull(found.get(id), description + ": " + id + " is lost");
-                    boolean covered = known.isCoveredBy(found.get(id))
-                            || stateAfter.get(id).isCoveredBy(found.get(id));
-                    assertTrue(covered, description + ": " + id + " " + known + found.get(id));
+                    assertNotNull(recovered.get(id), description + ": " + id + " is lost");
+                    boolean covered = known.isCoveredBy(recovered.get(id))
+                            || stateAfter.get(id).isCoveredBy(recovered.get(id));
+                    assertTrue(covered, description + ": " + id + " " + known + recovered.get(id));
                 }
             });
-            Set<String> unknown = new TreeSet<>(found.keySet());
-            unknown.removeAll(seen);
+            Set<String> unknown = new TreeSet<>(recovered.keySet());
+            unknown.removeAll(submittedIds);
             assertEquals(Set.of(), unknown, description + ": messages that were rejected");
             assertEquals(List.of(), next.recoveryReport().damages(), description);
         }
@@ -264,13 +266,13 @@
         quotaBytes = target != null && target.kind() == SimDisk.OperationKind.DELETE ? 4 * QUOTA_BYTES : QUOTA_BYTES;
         open(Durability.NONE, seed);
         if (quotaBytes > QUOTA_BYTES) {
-            // more files than the live records need after their messages have ended, so that some are deleted
+            // Creates more files than the live records need once their messages have ended, so that some are deleted.
             randomRun.runWithoutCheckpoints(1500, LARGEST_BODY_BYTES, 400);
         }
         for (int i = 0; i < 200 + random.nextInt(400); i++) {
             runTurn();
         }
-        int from = disk.operations.size();
+        int firstOperation = disk.operations.size();
         failOperations(target, error, duration, random);
         if (quotaBytes > QUOTA_BYTES) {
             endAllMessages();
@@ -289,7 +291,7 @@
         }
         if (kill) {
             for (int i = 0; i < 60; i++) {
-                int at = from + random.nextInt(disk.operations.size() - from + 1);
+                int at = firstOperation + random.nextInt(disk.operations.size() - firstOperation + 1);
                 checkKilled(at, random.nextInt(2) * random.nextInt(400), description + " after " + at);
             }
         }
--- a/src/test/java/lilaclever/placement/RandomSchedule.java
+++ b/src/test/java/lilaclever/placement/RandomSchedule.java
@@ -340,7 +340,7 @@
 
     private void checkMap(MapDelta delta) {
         if (map.apply(delta) != MapUpdate.APPLIED) {
-            breaches.add("delta " + delta + " does not follow on version " + map.version());
+            breaches.add("delta " + delta + " does not follow version " + map.version());
         }
         if (!map.snapshot().equals(controller.snapshot())) {
             breaches.add("map at " + map.version() + " is not the controller's");
@@ -361,7 +361,7 @@
                 counts.shardsWithASender++;
                 Process other = senders[shard];
                 if (other != null) {
-                    breaches.add("at " + nowMicros + " shard " + shard + " is sent for by " + other.id + "/"
+                    breaches.add("at " + nowMicros + " shard " + shard + " has two senders, " + other.id + "/"
                             + other.incarnation + " and " + process.id + "/" + process.incarnation);
                 }
                 senders[shard] = process;
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -27,11 +27,11 @@
 /**
  * Random schedules in virtual time: endpoints come and go, two agents learn of it late and have separate indexes,
  * responses arrive out of order, truncated, contradictory or without an index, indexes restart, and the forwarder
- * switches agents and is restarted. An auditor that reads the same lists checks what the core is told.
+ * switches agents and is restarted. An auditor that reads the same lists checks the updates sent to the core.
  */
 class EndpointMembershipScheduleTest {
     private static final int SCHEDULES = 6_000, STEPS = 50, NAMES = 6;
-    private static final long SECOND = 1_000_000, RETENTION = 60 * SECOND;
+    private static final long SECOND_MICROS = 1_000_000, RETENTION_MICROS = 60 * SECOND_MICROS;
 
     @BeforeAll
     static void logErrorsOnly() {
@@ -58,7 +58,7 @@
     private static final class ActualEndpoints {
         private final List<Map<String, Core.ListedEndpoint>> versions = new ArrayList<>(List.of(Map.of()));
         private final SplittableRandom random;
-        private int addresses;
+        private int addressCount;
 
         ActualEndpoints(SplittableRandom random) {
             this.random = random;
@@ -74,20 +74,22 @@
         void change() {
             String name = "s" + random.nextInt(NAMES);
             Map<String, Core.ListedEndpoint> next = new TreeMap<>(versions.get(latest()));
-            Core.ListedEndpoint now = next.get(name);
-            if (now == null) {
+            Core.ListedEndpoint current = next.get(name);
+            if (current == null) {
                 next.put(name, listed(name, Presence.ACTIVE, freeAddress(next)));
-            } else if (now.entry().presence() == Presence.ACTIVE) {
+            } else if (current.entry().presence() == Presence.ACTIVE) {
                 int choice = random.nextInt(8);
                 if (choice == 0) {
                     next.put(name, listed(name, Presence.ACTIVE, freeAddress(next)));
                 } else if (choice == 1) {
                     next.remove(name);
                 } else {
-                    next.put(name, listed(name, Presence.LEAVING, now.endpoint().address()));
+                    next.put(
+                            name,
+                            listed(name, Presence.LEAVING, current.endpoint().address()));
                 }
             } else if (random.nextInt(4) == 0) {
-                next.put(name, listed(name, Presence.ACTIVE, now.endpoint().address()));
+                next.put(name, listed(name, Presence.ACTIVE, current.endpoint().address()));
             } else {
                 next.remove(name);
             }
@@ -96,10 +98,10 @@
 
         /** Usually a new address, else one that another endpoint may have had before. */
         private String freeAddress(Map<String, Core.ListedEndpoint> used) {
-            String old = "10.1.0.1:" + random.nextInt(addresses + 1);
+            String old = "10.1.0.1:" + random.nextInt(addressCount + 1);
             boolean isFree =
                     used.values().stream().noneMatch(x -> x.endpoint().address().equals(old));
-            return random.nextInt(3) == 0 && isFree ? old : "10.1.0.1:" + ++addresses;
+            return random.nextInt(3) == 0 && isFree ? old : "10.1.0.1:" + ++addressCount;
         }
     }
 
@@ -129,8 +131,8 @@
             return indexOffset + knownVersion;
         }
 
-        void learn(int most) {
-            knownVersion = Math.min(actual.latest(), knownVersion + most);
+        void learn(int maxVersions) {
+            knownVersion = Math.min(actual.latest(), knownVersion + maxVersions);
         }
 
         /** Restarts with a low index, possibly with an older list. */
@@ -155,11 +157,13 @@
                 return whole();
             }
             Map<String, Core.ListedEndpoint> before = actual.versions.get((int) from);
-            Map<String, Core.ListedEndpoint> now = actual.versions.get(knownVersion);
+            Map<String, Core.ListedEndpoint> current = actual.versions.get(knownVersion);
             List<Core.ListedEndpoint> changed = new ArrayList<>();
-            now.values().stream().filter(x -> x != before.get(x.entry().host())).forEach(changed::add);
+            current.values().stream()
+                    .filter(x -> x != before.get(x.entry().host()))
+                    .forEach(changed::add);
             before.values().stream()
-                    .filter(x -> !now.containsKey(x.entry().host()))
+                    .filter(x -> !current.containsKey(x.entry().host()))
                     .map(x ->
                             listed(x.entry().host(), Presence.LEFT, x.endpoint().address()))
                     .forEach(changed::add);
@@ -171,10 +175,10 @@
     private record ReceivedStatement(
             String agent, long index, long receivedMicros, boolean isDisputed, boolean isIndexed) {
         /** Whether a list, with or without an index, may contradict it. */
-        boolean isContradictedBy(String byAgent, long byIndex, long now) {
+        boolean isContradictedBy(String byAgent, long byIndex, long nowMicros) {
             boolean isLater = byIndex > index || isDisputed && byIndex == index;
             boolean isComparable = agent.equals("known") || agent.equals(byAgent);
-            return now - receivedMicros >= RETENTION
+            return nowMicros - receivedMicros >= RETENTION_MICROS
                     || byIndex != EndpointMembership.NO_INDEX && isComparable && isLater;
         }
     }
@@ -186,7 +190,7 @@
         CONTRADICTORY
     }
 
-    /** Tracks the lists that the forwarder has received, and checks what it tells the core. */
+    /** Tracks the lists that the forwarder has received, and checks the updates that it sends to the core. */
     private static final class Auditor {
         /** All departures of each name, and those that no later list has contradicted. */
         private final Map<String, List<ReceivedStatement>> departures = new HashMap<>(),
@@ -194,10 +198,10 @@
         /** By name and address: lists that stated the address, while the endpoint is active. */
         private final Map<String, Map<String, List<ReceivedStatement>>> addresses = new HashMap<>();
         /**
-         * Names listed since the process started or stored before; keys of name, agent and index of the lists that had
-         * the name as other than departed.
+         * Names listed since the process started, or stored before; and a key of name, agent and index for each list
+         * that named an endpoint without saying that it had departed.
          */
-        private final Set<String> names = new HashSet<>(), named = new HashSet<>();
+        private final Set<String> names = new HashSet<>(), namedKeys = new HashSet<>();
 
         /** Names whose address was given to another name; their return is checked only at the end. */
         private final Set<String> replaced = new HashSet<>();
@@ -211,7 +215,7 @@
             uncontradicted.values().forEach(all -> all.removeAll(ofInitialList));
             departures.values().forEach(all -> all.removeAll(ofInitialList));
             names.clear();
-            named.clear();
+            namedKeys.clear();
             lastIndex.clear();
             addresses.clear();
             uncontradicted.values().removeIf(List::isEmpty);
@@ -223,7 +227,7 @@
                     ofInitialList.add(new ReceivedStatement("known", version, nowMicros, false, true));
                     addDeparture(name, new ReceivedStatement("known", version, nowMicros, false, true));
                 } else {
-                    named.add(name + " known " + version);
+                    namedKeys.add(name + " known " + version);
                 }
             }
             assertEquals(ListingKind.REMEMBERED, update.kind());
@@ -241,13 +245,13 @@
             assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, update.kind());
             ofInitialList.clear();
             Map<String, ReportedState> states = reportedStates(list);
-            Set<String> due = new HashSet<>();
+            Set<String> expectedActive = new HashSet<>();
             Map<String, Core.ListedEndpoint> before = core;
             states.forEach((name, state) -> {
                 names.add(name);
                 if (state == ReportedState.ACTIVE) {
                     if (mustBeActive(name, list)) {
-                        due.add(name);
+                        expectedActive.add(name);
                     }
                     uncontradicted
                             .getOrDefault(name, new ArrayList<>())
@@ -265,12 +269,13 @@
             }
             states.forEach((name, state) -> {
                 if (state != ReportedState.DEPARTED) {
-                    named.add(key(name, list));
+                    namedKeys.add(key(name, list));
                 }
             });
             core = applied(isComplete ? new TreeMap<>() : new TreeMap<>(core), update);
             checkDeparted(list);
-            due.forEach(name -> assertEquals(Presence.ACTIVE, presence(name), () -> name + " after " + list));
+            expectedActive.forEach(
+                    name -> assertEquals(Presence.ACTIVE, presence(name), () -> name + " after " + list));
             checkAddresses(before, list, nowMicros);
             if (list.index() != EndpointMembership.NO_INDEX) {
                 lastIndex.put(list.agent(), list.index());
@@ -284,8 +289,8 @@
 
         private boolean isNamed(String name, ListUpdate list) {
             return list.index() == EndpointMembership.NO_INDEX
-                    || named.contains(key(name, list))
-                    || named.contains(name + " known " + list.index());
+                    || namedKeys.contains(key(name, list))
+                    || namedKeys.contains(name + " known " + list.index());
         }
 
         /** A list without an index counts as the last one of its agent. */
@@ -377,7 +382,7 @@
                             .getOrDefault(name, Map.of())
                             .getOrDefault(earlier.endpoint().address(), List.of())
                             .forEach(update -> assertTrue(
-                                    nowMicros - update.receivedMicros() >= RETENTION
+                                    nowMicros - update.receivedMicros() >= RETENTION_MICROS
                                             || !update.agent().equals(list.agent())
                                             || list.index() > update.index(),
                                     () -> name + " is at " + address + " after " + list + ", against " + update));
@@ -397,8 +402,8 @@
                     .computeIfAbsent(address, a -> new ArrayList<>());
             statements.removeIf(statement -> !statement.agent().equals(list.agent()));
             boolean isOvertaken = statements.stream()
-                    .anyMatch(statement ->
-                            statement.index() > list.index() && nowMicros - statement.receivedMicros() < RETENTION);
+                    .anyMatch(statement -> statement.index() > list.index()
+                            && nowMicros - statement.receivedMicros() < RETENTION_MICROS);
             if (!isOvertaken) { // an outdated list confirms nothing
                 statements.add(new ReceivedStatement(list.agent(), list.index(), nowMicros, false, true));
             }
@@ -421,7 +426,7 @@
         private final SplittableRandom random;
         private final ActualEndpoints actual;
         private final List<Agent> agents;
-        private final boolean hasMoves, hasRestarts;
+        private final boolean hasAgentSwitches, hasRestarts;
         private final Auditor auditor = new Auditor();
         /** Delayed responses, and the step at which each arrives. */
         private final Map<ListUpdate, Integer> delayed = new LinkedHashMap<>();
@@ -431,14 +436,14 @@
         private EndpointMembership membership;
         private Agent current;
         private int step;
-        private long now = SECOND;
+        private long nowMicros = SECOND_MICROS;
         /** Offsets of the wall clock and of the event loop's clock from the simulated time. */
-        private long wallOffset = 1_700_000_000 * SECOND, loopOffset;
+        private long wallOffsetMicros = 1_700_000_000 * SECOND_MICROS, loopOffsetMicros;
 
         Schedule(long seed) {
             random = new SplittableRandom(seed);
             actual = new ActualEndpoints(random);
-            hasMoves = random.nextBoolean();
+            hasAgentSwitches = random.nextBoolean();
             hasRestarts = random.nextBoolean();
             agents = List.of(
                     new Agent("10.0.0.1:8500", actual, random.nextInt(50)),
@@ -449,15 +454,17 @@
         void run() {
             startProcess();
             for (step = 0; step < STEPS; step++) {
-                now += random.nextInt(30) == 0 ? random.nextLong(65 * SECOND) : random.nextLong(2 * SECOND);
-                disturb();
+                nowMicros += random.nextInt(30) == 0
+                        ? random.nextLong(65 * SECOND_MICROS)
+                        : random.nextLong(2 * SECOND_MICROS);
+                changeEnvironment();
                 poll();
                 deliverDelayed();
             }
             checkFinalState();
         }
 
-        private void disturb() {
+        private void changeEnvironment() {
             if (random.nextInt(2) == 0) {
                 actual.change();
             }
@@ -465,7 +472,7 @@
             if (random.nextInt(25) == 0) {
                 agents.get(random.nextInt(2)).restart(random);
             }
-            if (hasMoves && random.nextInt(12) == 0) {
+            if (hasAgentSwitches && random.nextInt(12) == 0) {
                 current = agents.get(random.nextInt(2));
             }
             if (hasRestarts && random.nextInt(20) == 0) {
@@ -475,15 +482,16 @@
 
         /** Starts a process with an initial list that may be outdated, and with clocks that may have been set. */
         private void startProcess() {
-            wallOffset += random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND, 3_600 * SECOND) : 0;
-            loopOffset = random.nextLong(100 * SECOND);
+            wallOffsetMicros +=
+                    random.nextInt(3) == 0 ? random.nextLong(-3_600 * SECOND_MICROS, 3_600 * SECOND_MICROS) : 0;
+            loopOffsetMicros = random.nextLong(100 * SECOND_MICROS);
             delayed.clear();
             int version = Math.max((int) Math.max(0, -current.indexOffset), current.knownVersion - random.nextInt(8));
             long index = current.index() - current.knownVersion + version;
             List<Core.ListedEndpoint> known =
                     List.copyOf(actual.versions.get(version).values());
             membership = new EndpointMembership(stored, departures -> stored = List.copyOf(departures));
-            auditor.processStarted(index, known, membership.applyInitialList(index, known), now);
+            auditor.processStarted(index, known, membership.applyInitialList(index, known), nowMicros);
             lastIndexes.clear();
             lastIndexes.put(current.address, index);
         }
@@ -509,10 +517,12 @@
                         entries.remove(random.nextInt(entries.size())).entry().host());
             }
             if (!entries.isEmpty() && random.nextInt(10) == 0) {
-                Core.ListedEndpoint twice = entries.get(random.nextInt(entries.size()));
+                Core.ListedEndpoint duplicated = entries.get(random.nextInt(entries.size()));
                 Presence presence = Presence.values()[random.nextInt(3)];
-                String address = twice.endpoint().address() + (random.nextInt(3) == 0 ? "0" : "");
-                entries.add(random.nextInt(entries.size()), listed(twice.entry().host(), presence, address));
+                String address = duplicated.endpoint().address() + (random.nextInt(3) == 0 ? "0" : "");
+                entries.add(
+                        random.nextInt(entries.size()),
+                        listed(duplicated.entry().host(), presence, address));
             }
             if (isCut) {
                 entries = entries.subList(0, random.nextInt(entries.size() + 1));
@@ -531,8 +541,8 @@
         }
 
         private void deliver(ListUpdate list) {
-            long loop = now + loopOffset;
-            auditor.updated(list, membership.update(list, loop, now + wallOffset), now);
+            long loopMicros = nowMicros + loopOffsetMicros;
+            auditor.updated(list, membership.update(list, loopMicros, nowMicros + wallOffsetMicros), nowMicros);
             if (list.index() != EndpointMembership.NO_INDEX) {
                 lastIndexes.put(list.agent(), list.index());
             }
@@ -541,13 +551,13 @@
         /** A valid, latest whole list yields the actual endpoints, after a minute at most. */
         private void checkFinalState() {
             deliver(validList());
-            if (!hasMoves) {
+            if (!hasAgentSwitches) {
                 auditor.checkExact(actual.versions.get(actual.latest()));
             }
-            now += RETENTION;
+            nowMicros += RETENTION_MICROS;
             deliver(validList());
             auditor.checkExact(actual.versions.get(actual.latest()));
-            assertTrue(!membership.needsWholeList(now + loopOffset), "no contradiction is left");
+            assertTrue(!membership.needsWholeList(nowMicros + loopOffsetMicros), "no contradiction is left");
             assertTrue(!membership.contradictsInitialList());
         }
 
--- a/src/test/java/lilaclever/simulation/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/simulation/audit/AuditorTest.java
@@ -40,16 +40,16 @@
                         true));
     }
 
-    private void acceptMessage(int n, int messageClass, long at) {
-        auditor.messageArrived(n, messageClass, 7, 1000, at);
-        auditor.submitted(n, 0, at);
-        auditor.accepted(n, 0, at);
+    private void acceptMessage(int number, int messageClass, long atMicros) {
+        auditor.messageArrived(number, messageClass, 7, 1000, atMicros);
+        auditor.submitted(number, 0, atMicros);
+        auditor.accepted(number, 0, atMicros);
     }
 
-    private void attempt(int n, long at, String outcome, boolean knownNotRun) {
-        auditor.attemptStarted(n, 0, "e", 7, at);
+    private void attempt(int number, long atMicros, String outcome, boolean knownNotRun) {
+        auditor.attemptStarted(number, 0, "e", 7, atMicros);
         if (outcome != null) {
-            auditor.attemptEnded(n, outcome, knownNotRun, at + 1000);
+            auditor.attemptEnded(number, outcome, knownNotRun, atMicros + 1000);
         }
     }
 
@@ -177,12 +177,12 @@
             }
         }
         auditor.finish(300 * SECOND_MICROS);
-        Service s = auditor.service();
-        assertEquals(0.5, s.wholeRun(), 1e-9);
-        assertEquals(0, s.worstWindow(), 1e-9);
-        assertEquals(0.5, s.worstClass(), 1e-9);
-        assertEquals(0.45 * 0.5 + 0.2 * 0.5, s.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
-        s.addConnection();
-        assertEquals(0.06 / 20, s.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
+        Service service = auditor.service();
+        assertEquals(0.5, service.wholeRun(), 1e-9);
+        assertEquals(0, service.worstWindow(), 1e-9);
+        assertEquals(0.5, service.worstClass(), 1e-9);
+        assertEquals(0.45 * 0.5 + 0.2 * 0.5, service.figure(new DeductionRates(0, 0, 0, 0)), 1e-9);
+        service.addConnection();
+        assertEquals(0.06 / 20, service.deductions(new DeductionRates(6, 3, 3, 1.4)), 1e-9);
     }
 }
