--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -45,20 +45,20 @@
     public static final class Entry {
         final String front;
         final Submission submission;
-        final long deadlineWall;
+        final long deadlineWallMicros;
         final int recordBytes;
         int attemptCount;
         boolean inProgress, mayHaveRun;
         String host = "", firstRunHost = "";
         int zone, firstRunZone;
-        long sentWall, firstRunWall;
+        long sentWallMicros, firstRunWallMicros;
         FinalStatus finalStatus;
 
-        Entry(String front, Submission submission, long deadlineWall, int recordBytes) {
+        Entry(String front, Submission submission, long deadlineWallMicros, int recordBytes) {
             this.recordBytes = recordBytes;
             this.front = front;
             this.submission = submission;
-            this.deadlineWall = deadlineWall;
+            this.deadlineWallMicros = deadlineWallMicros;
         }
 
         void markMayHaveRun() {
@@ -66,13 +66,13 @@
                 mayHaveRun = true;
                 firstRunHost = host;
                 firstRunZone = zone;
-                firstRunWall = sentWall;
+                firstRunWallMicros = sentWallMicros;
             }
         }
     }
 
     /** Final status that is returned for a resubmitted message, and when it expires. */
-    record Remembered(FinalStatus finalStatus, long untilWall) {}
+    record Remembered(FinalStatus finalStatus, long untilWallMicros) {}
 
     private interface RecordContent {
         void write(DataOutputStream out) throws IOException;
@@ -117,23 +117,23 @@
 
     // Writing
     /** Records an accepted message; false if there is no space for it, in which case nothing is written. */
-    boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
-        byte[] record = acceptedRecord(front, submission, deadlineWall);
-        if (!hasRoom(record.length) && !(tryCompact(nowWall) && hasRoom(record.length)) || !append(record)) {
+    boolean recordAccepted(String front, Submission submission, long deadlineWallMicros, long nowWallMicros) {
+        byte[] record = acceptedRecord(front, submission, deadlineWallMicros);
+        if (!hasSpace(record.length) && !(tryCompact(nowWallMicros) && hasSpace(record.length)) || !append(record)) {
             return false;
         }
         liveBytes += record.length;
-        pending.put(submission.id(), new Entry(front, submission, deadlineWall, record.length));
+        pending.put(submission.id(), new Entry(front, submission, deadlineWallMicros, record.length));
         return true;
     }
 
     /** Records that an attempt is about to start. */
-    boolean recordAttempt(String id, String host, int zone, long wall) {
+    boolean recordAttempt(String id, String host, int zone, long wallMicros) {
         return write(Type.ATTEMPT, out -> {
             out.writeUTF(id);
             out.writeUTF(host);
             out.writeInt(zone);
-            out.writeLong(wall);
+            out.writeLong(wallMicros);
         });
     }
 
@@ -159,8 +159,8 @@
     }
 
     /** Records a final status to be returned for a resubmitted message. */
-    void remember(String identity, FinalStatus finalStatus, long untilWall) {
-        write(Type.REMEMBERED, out -> writeRemembered(out, identity, new Remembered(finalStatus, untilWall)));
+    void remember(String identity, FinalStatus finalStatus, long untilWallMicros) {
+        write(Type.REMEMBERED, out -> writeRemembered(out, identity, new Remembered(finalStatus, untilWallMicros)));
     }
 
     private boolean write(Type type, RecordContent content) {
@@ -172,20 +172,20 @@
         return written;
     }
 
-    private static byte[] acceptedRecord(String front, Submission h, long deadlineWall) {
+    private static byte[] acceptedRecord(String front, Submission submission, long deadlineWallMicros) {
         return record(Type.ACCEPTED, out -> {
             out.writeUTF(front);
-            out.writeUTF(h.id());
-            out.writeUTF(h.identity() == null ? "" : h.identity());
-            out.writeInt(h.messageClass());
-            out.writeInt(h.destination());
-            out.writeUTF(h.key() == null ? "" : h.key());
-            out.writeBoolean(h.resubmitted());
-            out.writeBoolean(h.inherited());
-            out.writeLong(h.budgetMicros());
-            out.writeLong(deadlineWall);
-            out.writeInt(h.body().length);
-            out.write(h.body());
+            out.writeUTF(submission.id());
+            out.writeUTF(submission.identity() == null ? "" : submission.identity());
+            out.writeInt(submission.messageClass());
+            out.writeInt(submission.destination());
+            out.writeUTF(submission.key() == null ? "" : submission.key());
+            out.writeBoolean(submission.resubmitted());
+            out.writeBoolean(submission.inherited());
+            out.writeLong(submission.budgetMicros());
+            out.writeLong(deadlineWallMicros);
+            out.writeInt(submission.body().length);
+            out.write(submission.body());
         });
     }
 
@@ -198,7 +198,7 @@
     private static void writeRemembered(DataOutputStream out, String identity, Remembered r) throws IOException {
         out.writeUTF(identity);
         write(out, r.finalStatus());
-        out.writeLong(r.untilWall());
+        out.writeLong(r.untilWallMicros());
     }
 
     private static byte[] record(Type type, RecordContent content) {
@@ -225,11 +225,11 @@
         out.writeBoolean(e.inProgress);
         out.writeUTF(e.host);
         out.writeInt(e.zone);
-        out.writeLong(e.sentWall);
+        out.writeLong(e.sentWallMicros);
         out.writeBoolean(e.mayHaveRun);
         out.writeUTF(e.firstRunHost);
         out.writeInt(e.firstRunZone);
-        out.writeLong(e.firstRunWall);
+        out.writeLong(e.firstRunWallMicros);
     }
 
     private boolean append(byte[] record) {
@@ -257,21 +257,21 @@
 
     // Free space and compaction
     /** True while the file, one more record and the file of the next compaction fit into the limit together. */
-    private boolean hasRoom(long record) {
+    private boolean hasSpace(long record) {
         return fileBytes + liveBytes + 2 * record + RESERVED_BYTES + 2 * BLOCK_BYTES <= maxBytes;
     }
 
     /** Compacts the file if most of it is obsolete, or if the reserved space runs short; called once a turn. */
-    void compactIfNeeded(long nowWall) {
+    void compactIfNeeded(long nowWallMicros) {
         boolean scarce =
                 fileBytes + liveBytes + RESERVED_BYTES > maxBytes && fileBytes > liveBytes + RESERVED_BYTES / 4;
         if (fileBytes > MIN_COMPACTION_BYTES && fileBytes > 3 * liveBytes || scarce) {
-            tryCompact(nowWall);
+            tryCompact(nowWallMicros);
         }
     }
 
-    private boolean tryCompact(long nowWall) {
-        remembered.values().removeIf(r -> r.untilWall() <= nowWall);
+    private boolean tryCompact(long nowWallMicros) {
+        remembered.values().removeIf(r -> r.untilWallMicros() <= nowWallMicros);
         try {
             return compact();
         } catch (IOException e) {
@@ -289,7 +289,7 @@
         ByteArrayOutputStream all = new ByteArrayOutputStream();
         for (Entry e : pending.values()) {
             String id = e.submission.id();
-            all.write(acceptedRecord(e.front, e.submission, e.deadlineWall));
+            all.write(acceptedRecord(e.front, e.submission, e.deadlineWallMicros));
             if (e.attemptCount > 0) {
                 all.write(record(Type.PREVIOUS_ATTEMPTS, out -> writePreviousAttempts(out, e)));
             }
@@ -366,7 +366,7 @@
                     e.inProgress = true;
                     e.host = in.readUTF();
                     e.zone = in.readInt();
-                    e.sentWall = in.readLong();
+                    e.sentWallMicros = in.readLong();
                 }
                 case OUTCOME -> {
                     e.inProgress = false;
@@ -379,11 +379,11 @@
                     e.inProgress = in.readBoolean();
                     e.host = in.readUTF();
                     e.zone = in.readInt();
-                    e.sentWall = in.readLong();
+                    e.sentWallMicros = in.readLong();
                     e.mayHaveRun = in.readBoolean();
                     e.firstRunHost = in.readUTF();
                     e.firstRunZone = in.readInt();
-                    e.firstRunWall = in.readLong();
+                    e.firstRunWallMicros = in.readLong();
                 }
                 case FINAL_STATUS -> e.finalStatus = readFinalStatus(in);
                 default -> {
@@ -410,7 +410,7 @@
         boolean resubmitted = in.readBoolean();
         boolean inherited = in.readBoolean();
         long budgetMicros = in.readLong();
-        long deadlineWall = in.readLong();
+        long deadlineWallMicros = in.readLong();
         byte[] body = in.readNBytes(in.readInt());
         liveBytes += recordSize;
         pending.put(
@@ -427,7 +427,7 @@
                                 resubmitted,
                                 inherited,
                                 budgetMicros),
-                        deadlineWall,
+                        deadlineWallMicros,
                         recordSize));
     }
 
--- a/bench/java/lilaclever/journal/OpeningRun.java
+++ b/bench/java/lilaclever/journal/OpeningRun.java
@@ -6,9 +6,9 @@
 import java.util.Random;
 
 /**
- * Measures the time and memory that opening a journal folder takes, in a separate process. {@code fill KIND HELD
- * FOLDER} makes a folder with that many pending messages and three times as many settled ones, {@code remember HELD
- * FOLDER} one with that many remembered final statuses, and {@code open KIND FOLDER} opens it and prints the
+ * Measures the time and memory that opening a journal folder takes, in a separate process. {@code fill KIND PENDING
+ * FOLDER} makes a folder with that many pending messages and three times as many settled ones, {@code remember
+ * COUNT FOLDER} one with that many remembered final statuses, and {@code open KIND FOLDER} opens it and prints the
  * milliseconds and the peak memory of the process.
  */
 final class OpeningRun {
--- a/bench/java/lilaclever/journal/Store.java
+++ b/bench/java/lilaclever/journal/Store.java
@@ -59,7 +59,7 @@
         @Override
         public void recordAccepted(String id, byte[] body) {
             if (!journal.recordAccepted("http", submission(id, body), 99, 0)) {
-                throw new IllegalStateException("no room");
+                throw new IllegalStateException("no space left in the journal");
             }
         }
 
@@ -105,7 +105,7 @@
         @Override
         public void recordAccepted(String id, byte[] body) {
             if (!journal.recordAccepted("http", submission(id, body), 99, 0)) {
-                throw new IllegalStateException("no room");
+                throw new IllegalStateException("no space left in the journal");
             }
         }
 
--- a/bench/java/lilaclever/journal/TurnRun.java
+++ b/bench/java/lilaclever/journal/TurnRun.java
@@ -17,9 +17,9 @@
 
 /**
  * Measures turns of the journal and shows where the longest of them spent their time. Each disk operation is timed, to
- * separate the time of the operating system from that of the code. {@code TurnRun turns HELD TURNS} runs turns back to
- * back, without syncs. {@code TurnRun durability HOW RATE SECONDS} runs turns at a steady rate, as the event loop does,
- * and measures the duration of a turn and the delay until its records are durable.
+ * separate the time of the operating system from that of the code. {@code TurnRun turns PENDING TURNS} runs turns back
+ * to back, without syncs. {@code TurnRun durability MODE RATE SECONDS} runs turns at a steady rate, as the event loop
+ * does, and measures the duration of a turn and the delay until its records are durable.
  */
 public final class TurnRun {
     private static final int BODY_BYTES = 300, REPORTED_TURNS = 12;
@@ -90,7 +90,7 @@
         String id = "message-" + nextMessage;
         if (!journal.recordAccepted(
                 "http", new Submission(id, null, 1, 7, "k-" + id, body, false, false, 20_000_000), 99, 0)) {
-            throw new IllegalStateException("no room");
+            throw new IllegalStateException("no space left in the journal");
         }
     }
 
@@ -314,9 +314,9 @@
 
             @Override
             public void sync() throws IOException {
-                long began = System.nanoTime(); // on the sync thread
+                long startNanos = System.nanoTime(); // on the sync thread
                 file.sync();
-                syncNanos.add(System.nanoTime() - began);
+                syncNanos.add(System.nanoTime() - startNanos);
             }
 
             @Override
--- a/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
+++ b/bench/java/lilaclever/protocol/mllp/MllpFuzzer.java
@@ -9,8 +9,8 @@
 
 /**
  * Fuzz target for Jazzer: the bytes of a connection go through frames, batches, header, fields and answers as they do
- * in the program. Only {@link FrameReader.MalformedFrameException} and {@link Hl7Fault} may be thrown, and no answer may contain a byte
- * that ends a frame. {@code bench/fuzz} runs it.
+ * in the program. Only {@link FrameReader.MalformedFrameException} and {@link Hl7Fault} may be thrown, and no answer
+ * may contain a byte that ends a frame. {@code bench/fuzz} runs it.
  */
 public final class MllpFuzzer {
     private static final int MAX_FRAME_BYTES = 4096;
--- a/bench/java/lilaclever/scale/AgentStandIn.java
+++ b/bench/java/lilaclever/scale/AgentStandIn.java
@@ -9,7 +9,7 @@
 import java.util.regex.Pattern;
 import lilaclever.simulation.sockets.StandInConnection;
 
-/** Stand-in for the platform's agent towards an idle forwarder: it never reports a change, and may misbehave. */
+/** Stand-in for the discovery agent of an idle forwarder: it never reports a change, and may misbehave. */
 final class AgentStandIn implements AutoCloseable {
     /** How the agent answers calls. */
     enum Behaviour {
--- a/bench/java/lilaclever/scale/FitRun.java
+++ b/bench/java/lilaclever/scale/FitRun.java
@@ -52,7 +52,7 @@
             if (sizes < MIN_SIZES) {
                 continue; // measured at too few sizes, as the agent's behaviours are
             }
-            LinearFit slope = LinearFit.fit(samples.stream()
+            LinearFit fit = LinearFit.fit(samples.stream()
                     .map(s -> new LinearFit.Point(s.size(), s.value()))
                     .toList());
             lines.add(String.format(
@@ -62,13 +62,13 @@
                     samples.get(0).unit(),
                     sizes,
                     samples.size(),
-                    slope.perUnit(),
-                    slope.intercept(),
-                    slope.rSquared(),
-                    slope.rmsResidual(),
-                    slope.maxRelativeResidual()));
+                    fit.perUnit(),
+                    fit.intercept(),
+                    fit.rSquared(),
+                    fit.rmsResidual(),
+                    fit.maxRelativeResidual()));
             if (PLOTTED.contains(measure.getKey())) {
-                plot(folder.resolve(measure.getKey() + ".png"), measure.getKey(), samples, slope);
+                plot(folder.resolve(measure.getKey() + ".png"), measure.getKey(), samples, fit);
             }
         }
         Files.write(folder.resolve("fits.tsv"), lines);
@@ -91,12 +91,12 @@
         return measures;
     }
 
-    private static void plot(Path file, String name, List<Sample> samples, LinearFit slope) throws IOException {
+    private static void plot(Path file, String name, List<Sample> samples, LinearFit fit) throws IOException {
         XYSeries points = new XYSeries("measured");
         XYSeries line = new XYSeries("least squares");
         for (Sample sample : samples) {
             points.add(sample.size(), sample.value());
-            line.addOrUpdate(sample.size(), slope.valueAt(sample.size()));
+            line.addOrUpdate(sample.size(), fit.valueAt(sample.size()));
         }
         XYSeriesCollection data = new XYSeriesCollection(points);
         data.addSeries(line);
--- a/src/main/java/lilaclever/journal/Compactor.java
+++ b/src/main/java/lilaclever/journal/Compactor.java
@@ -57,7 +57,7 @@
         }
     }
 
-    /** Compacts segments where that can't wait for the slice of the current turn. */
+    /** Compacts segments at once, for a write that can't wait for the slice of the current turn. */
     @Override
     public void reclaim(long bytes) {
         try {
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -68,18 +68,18 @@
                         segment.damaged ? " damaged" : "");
             }
             for (String name : disk.fileNames()) {
-                if (name.startsWith(SegmentLog.SPARE_PREFIX) || name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
+                if (name.startsWith(SegmentLog.PREALLOCATED_PREFIX) || name.startsWith(SegmentLog.DAMAGED_PREFIX)) {
                     out.printf("%-26s %9d%n", name, disk.length(name));
                 }
             }
             long inFlight = state.pending.values().stream()
-                    .filter(segment -> segment.value.isInFlight())
+                    .filter(entry -> entry.value.isInFlight())
                     .count();
             long possiblyRun = state.pending.values().stream()
-                    .filter(segment -> segment.value.mayHaveRun())
+                    .filter(entry -> entry.value.mayHaveRun())
                     .count();
             long decided = state.pending.values().stream()
-                    .filter(segment -> segment.value.finalStatus() != null)
+                    .filter(entry -> entry.value.finalStatus() != null)
                     .count();
             out.println("owed " + state.pending.size() + ", of which out " + inFlight + ", possibly run " + possiblyRun
                     + ", end decided " + decided);
@@ -136,8 +136,8 @@
         try (FolderDisk disk = lockFolder()) {
             JournalState state = new JournalState();
             Recovery.Report report = new Recovery(disk, state, BootClock.UNKNOWN, System.err::println).scan();
-            for (JournalState.Entry<PendingMessage> slot : state.pending.values()) {
-                printLine(json -> pendingMessage(json, slot.value));
+            for (JournalState.Entry<PendingMessage> entry : state.pending.values()) {
+                printLine(json -> pendingMessage(json, entry.value));
             }
             for (Map.Entry<String, JournalState.Entry<CompletedMessage<FinalStatus>>> e : state.remembered.entrySet()) {
                 printLine(json -> {
@@ -185,8 +185,8 @@
         }
         if (!message.attachedSubmitters().isEmpty()) {
             json.name("owed_also_to").beginArray();
-            for (PendingMessage.Submitter claim : message.attachedSubmitters()) {
-                json.value(claim.front() + ' ' + claim.id());
+            for (PendingMessage.Submitter submitter : message.attachedSubmitters()) {
+                json.value(submitter.front() + ' ' + submitter.id());
             }
             json.endArray();
         }
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -51,10 +51,10 @@
     private long liveBytes, growthBytes;
 
     /** When a remembered result expires. */
-    private record Expiry(long untilWall, String identity) implements Comparable<Expiry> {
+    private record Expiry(long untilWallMicros, String identity) implements Comparable<Expiry> {
         @Override
         public int compareTo(Expiry other) {
-            int byTime = Long.compare(untilWall, other.untilWall);
+            int byTime = Long.compare(untilWallMicros, other.untilWallMicros);
             return byTime != 0 ? byTime : identity.compareTo(other.identity);
         }
     }
@@ -87,15 +87,15 @@
                 + (submission.identity() == null ? 0 : rememberedRecordBytes(submission.identity()));
     }
 
-    /** How many bytes another claim on a message's result adds to its record. */
-    static long growthBytes(PendingMessage.Submitter claim) {
-        return 3 * (long) (claim.front().length() + claim.id().length()) + 8;
+    /** How many bytes another submitter of a message adds to its record. */
+    static long growthBytes(PendingMessage.Submitter submitter) {
+        return 3 * (long) (submitter.front().length() + submitter.id().length()) + 8;
     }
 
     private static long growthBytes(PendingMessage message) {
         long total = growthBytes(message.submission());
-        for (PendingMessage.Submitter claim : message.attachedSubmitters()) {
-            total += growthBytes(claim);
+        for (PendingMessage.Submitter submitter : message.attachedSubmitters()) {
+            total += growthBytes(submitter);
         }
         return total;
     }
@@ -168,7 +168,7 @@
         moveRecord(entry, segment, size);
     }
 
-    /** Removes a message that has ended. */
+    /** Removes a settled message. */
     void removeMessage(String id) {
         Entry<PendingMessage> entry = pending.remove(id);
         if (entry != null) {
@@ -177,10 +177,10 @@
         }
     }
 
-    /** Adds another claim on the result of a message. */
-    void addClaim(PendingMessage message, PendingMessage.Submitter claim) {
+    /** Attaches another submitter to a pending message. */
+    void addSubmitter(PendingMessage message, PendingMessage.Submitter submitter) {
         growthBytes -= growthBytes(message);
-        message.attach(claim);
+        message.attach(submitter);
         growthBytes += growthBytes(message);
     }
 
@@ -217,9 +217,9 @@
     }
 
     /** Removes up to {@code limit} expired results and returns their number. */
-    int removeExpired(long nowWall, int limit) {
+    int removeExpired(long nowWallMicros, int limit) {
         int removed = 0;
-        while (removed < limit && !expiries.isEmpty() && expiries.first().untilWall() <= nowWall) {
+        while (removed < limit && !expiries.isEmpty() && expiries.first().untilWallMicros() <= nowWallMicros) {
             removeFirstToExpire();
             removed++;
         }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -101,10 +101,10 @@
         int messageClass = in.getInt();
         int destination = in.getInt();
         String key = readText(in);
-        boolean again = in.get() != 0;
+        boolean resubmitted = in.get() != 0;
         boolean inherited = in.get() != 0;
-        long budget = in.getLong();
-        long deadline = in.getLong();
+        long budgetMicros = in.getLong();
+        long deadlineWallMicros = in.getLong();
         byte[] body = new byte[in.getInt()];
         in.get(body);
         return new PendingMessage(
@@ -116,10 +116,10 @@
                         destination,
                         key.isEmpty() ? null : key,
                         body,
-                        again,
+                        resubmitted,
                         inherited,
-                        budget),
-                deadline);
+                        budgetMicros),
+                deadlineWallMicros);
     }
 
     private static FinalStatus readFinalStatus(ByteBuffer in) {
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -43,7 +43,7 @@
                 case REMEMBERED -> {
                     String identity = SegmentFormat.readText(in);
                     FinalStatus status = readFinalStatus(in);
-                    long untilWall = readWallMicros(in);
+                    long untilWallMicros = readWallMicros(in);
                     // Version 1 has no fingerprint.
                     boolean hasFingerprint = in.hasRemaining() && SegmentFormat.readFlag(in);
                     state.put(
@@ -51,7 +51,7 @@
                             new CompletedMessage<>(
                                     status,
                                     hasFingerprint ? new Fingerprint(in.getLong(), in.getLong()) : null,
-                                    untilWall),
+                                    untilWallMicros),
                             segment,
                             size);
                 }
@@ -68,13 +68,13 @@
     private void applyToMessage(RecordType type, ByteBuffer in) {
         JournalState.Entry<PendingMessage> entry = state.pending.get(SegmentFormat.readText(in));
         if (entry == null) {
-            return; // its message has ended, or a later snapshot covers it
+            return; // its message is settled, or a later snapshot covers it
         }
         switch (type) {
             case ATTEMPT -> entry.value.attemptStarted(SegmentFormat.readText(in), in.getInt(), readWallMicros(in));
             case OUTCOME -> entry.value.attemptEnded(SegmentFormat.readFlag(in));
             case JOINED ->
-                state.addClaim(
+                state.addSubmitter(
                         entry.value,
                         new PendingMessage.Submitter(SegmentFormat.readText(in), SegmentFormat.readText(in)));
             default -> entry.value.setFinalStatus(readFinalStatus(in));
@@ -88,10 +88,10 @@
         int messageClass = in.getInt();
         int destination = in.getInt();
         String key = SegmentFormat.readFlag(in) ? SegmentFormat.readText(in) : null;
-        boolean again = SegmentFormat.readFlag(in);
+        boolean resubmitted = SegmentFormat.readFlag(in);
         boolean inherited = SegmentFormat.readFlag(in);
-        long budget = in.getLong();
-        long deadlineWall = readWallMicros(in);
+        long budgetMicros = in.getLong();
+        long deadlineWallMicros = readWallMicros(in);
         return new PendingMessage(
                 front,
                 new Submission(
@@ -101,10 +101,10 @@
                         destination,
                         key,
                         SegmentFormat.readBytes(in),
-                        again,
+                        resubmitted,
                         inherited,
-                        budget),
-                deadlineWall);
+                        budgetMicros),
+                deadlineWallMicros);
     }
 
     private void readAttemptsAndStatus(ByteBuffer in, PendingMessage message) {
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -61,11 +61,11 @@
     }
 
     /** Another submission waits for the result of the message. */
-    static void joined(RecordWriter out, String id, PendingMessage.Submitter claim) {
+    static void joined(RecordWriter out, String id, PendingMessage.Submitter submitter) {
         out.beginRecord(RecordType.JOINED)
                 .putText(id)
-                .putText(claim.front())
-                .putText(claim.id())
+                .putText(submitter.front())
+                .putText(submitter.id())
                 .endRecord();
     }
 
@@ -87,7 +87,8 @@
             putFinalStatus(out, message.finalStatus());
         }
         out.putInt(message.attachedSubmitters().size());
-        message.attachedSubmitters().forEach(claim -> out.putText(claim.front()).putText(claim.id()));
+        message.attachedSubmitters()
+                .forEach(submitter -> out.putText(submitter.front()).putText(submitter.id()));
         out.endRecord();
     }
 
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -92,8 +92,8 @@
                 log.addQuarantined(name);
             } else if (name.equals(LegacyReader.UNFINISHED_FILE_NAME)) {
                 deleteIfPossible(name);
-            } else if (name.startsWith(SegmentLog.SPARE_PREFIX)) {
-                log.addRecoveredSpare(name);
+            } else if (name.startsWith(SegmentLog.PREALLOCATED_PREFIX)) {
+                log.addRecoveredPreallocated(name);
             }
         }
     }
--- a/src/main/java/lilaclever/journal/SegmentFormat.java
+++ b/src/main/java/lilaclever/journal/SegmentFormat.java
@@ -18,7 +18,7 @@
  */
 final class SegmentFormat {
     /**
-     * Since version 2 several requesters may wait for the result of a message, and remembered results hold the
+     * Since version 2 several submitters may wait for the result of a message, and remembered results hold the
      * fingerprint of their message.
      */
     static final int VERSION = 2;
@@ -47,8 +47,8 @@
     /**
      * The types of records; the codes are part of the format. A message is accepted (TAKEN), its attempts begin and
      * finish (ATTEMPT, OUTCOME), its final status is decided (VERDICT), and at last no result is pending (ENDED).
-     * JOINED adds a requester to a pending message, REMEMBERED stores a result for repeated submissions, SNAPSHOT holds
-     * the whole state of a message, and PREVIOUS says where the previous segment ended.
+     * JOINED attaches another submitter to a pending message, REMEMBERED stores a result for repeated submissions,
+     * SNAPSHOT holds the whole state of a message, and PREVIOUS says where the previous segment ended.
      */
     enum RecordType {
         TAKEN(1),
--- a/src/main/java/lilaclever/journal/SegmentLog.java
+++ b/src/main/java/lilaclever/journal/SegmentLog.java
@@ -18,7 +18,9 @@
  * at any moment leaves each file in exactly one role.
  */
 final class SegmentLog {
-    static final String SPARE_PREFIX = "spare-", DAMAGED_PREFIX = "damaged-";
+    /** File name prefixes of preallocated segments and of damaged files that are kept for inspection. */
+    static final String PREALLOCATED_PREFIX = "spare-", DAMAGED_PREFIX = "damaged-";
+
     private static final int ZERO_BUFFER_BYTES = 64 * 1024;
 
     /** A zero-filled file, ready for use. */
@@ -58,7 +60,7 @@
     private long salt;
     private long allocatedBytes;
     private long nextSequence = 1;
-    private long nextSpareNumber;
+    private long nextPreallocatedNumber;
     private long quarantinedBytes, unfilledBytes;
     private boolean allocationFailed;
 
@@ -90,8 +92,8 @@
     }
 
     /** Adds a preallocated file of an earlier run: it is filled with zeros again, or deleted. */
-    void addRecoveredSpare(String name) throws IOException {
-        nextSpareNumber = Math.max(nextSpareNumber, 1 + spareNumber(name));
+    void addRecoveredPreallocated(String name) throws IOException {
+        nextPreallocatedNumber = Math.max(nextPreallocatedNumber, 1 + preallocatedNumber(name));
         long length = disk.length(name);
         allocatedBytes += SpacePolicy.roundUpToBlocks(length);
         fillOrDefer(name, length);
@@ -104,9 +106,9 @@
         allocatedBytes += fileBytes;
     }
 
-    private static long spareNumber(String spare) {
+    private static long preallocatedNumber(String fileName) {
         try {
-            return Long.parseLong(spare.substring(SPARE_PREFIX.length()));
+            return Long.parseLong(fileName.substring(PREALLOCATED_PREFIX.length()));
         } catch (NumberFormatException e) {
             return 0;
         }
@@ -157,17 +159,18 @@
     }
 
     /**
-     * True if a segment for this number of bytes can be provided that leaves at least {@code minSparesLeft}
+     * True if a segment for this number of bytes can be provided that leaves at least {@code minPreallocatedLeft}
      * preallocated ones.
      */
-    boolean canProvide(long bytes, int minSparesLeft) {
+    boolean canProvide(long bytes, int minPreallocatedLeft) {
         long available = quotaBytes - allocatedBytes;
-        int sparesLeft = preallocated.size();
+        int preallocatedLeft = preallocated.size();
         for (PreallocatedFile file : preallocated) {
-            if (file.length() >= bytes + SegmentFormat.OVERHEAD_BYTES && preallocated.size() > minSparesLeft) {
+            if (file.length() >= bytes + SegmentFormat.OVERHEAD_BYTES && preallocated.size() > minPreallocatedLeft) {
                 return true;
             }
-            available += sparesLeft-- > minSparesLeft ? file.length() : 0; // could be deleted to allocate a longer one
+            // A file that is too short could be deleted to allocate a longer one.
+            available += preallocatedLeft-- > minPreallocatedLeft ? file.length() : 0;
         }
         return available >= policy.segmentBytesFor(bytes);
     }
@@ -216,7 +219,7 @@
             retireActive();
             return;
         }
-        String name = SPARE_PREFIX + nextSpareNumber++;
+        String name = PREALLOCATED_PREFIX + nextPreallocatedNumber++;
         try {
             disk.rename(active.name, name);
         } catch (IOException e) {
@@ -345,7 +348,7 @@
 
     /** Preallocates a further segment; false if the disk has no space for it. */
     boolean preallocate(long length) {
-        String name = SPARE_PREFIX + nextSpareNumber++;
+        String name = PREALLOCATED_PREFIX + nextPreallocatedNumber++;
         allocationFailed = true;
         try (Disk.DiskFile file = disk.open(name)) {
             writeZeros(file, 0, length);
@@ -403,7 +406,7 @@
             fullSegments.pollFirst();
             allocatedBytes -= oldest.lengthBytes;
         } else {
-            String name = SPARE_PREFIX + nextSpareNumber++;
+            String name = PREALLOCATED_PREFIX + nextPreallocatedNumber++;
             disk.rename(oldest.name, name);
             fullSegments.pollFirst();
             if (syncEnabled) {
@@ -514,9 +517,9 @@
 
     /** Deletes all files without content. */
     void deletePreallocated() throws IOException {
-        for (PreallocatedFile spare = preallocated.pollFirst(); spare != null; spare = preallocated.pollFirst()) {
-            disk.delete(spare.name());
-            allocatedBytes -= SpacePolicy.roundUpToBlocks(spare.length());
+        for (PreallocatedFile file = preallocated.pollFirst(); file != null; file = preallocated.pollFirst()) {
+            disk.delete(file.name());
+            allocatedBytes -= SpacePolicy.roundUpToBlocks(file.length());
         }
         for (UnfilledFile deferred = unfilled.pollFirst(); deferred != null; deferred = unfilled.pollFirst()) {
             disk.delete(deferred.name());
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -71,11 +71,11 @@
     // Records
 
     @Override
-    public boolean recordAccepted(String front, Submission submission, long deadlineWall, long nowWall) {
+    public boolean recordAccepted(String front, Submission submission, long deadlineWallMicros, long nowWallMicros) {
         if (unwrittenChanges.isRewriting()) {
             return false; // it could not be made durable
         }
-        PendingMessage message = new PendingMessage(front, submission, deadlineWall);
+        PendingMessage message = new PendingMessage(front, submission, deadlineWallMicros);
         RecordEncoder.accepted(writer.clear(), message);
         int recordBytes = writer.size();
         if (recordBytes > SegmentFormat.MAX_CONTENT_BYTES
@@ -89,19 +89,19 @@
     }
 
     @Override
-    public boolean recordAttempt(String id, String host, int zone, long wall) {
+    public boolean recordAttempt(String id, String host, int zone, long wallMicros) {
         // An earlier change is still unwritten. Behind it, this record would hide when the message may first have run.
         if (!unwrittenChanges.writeMessage(id)) {
             return false;
         }
-        RecordEncoder.attempt(writer.clear(), id, host, zone, wall);
+        RecordEncoder.attempt(writer.clear(), id, host, zone, wallMicros);
         if (!append()) {
             return false;
         }
         unwrittenChanges.messageWritten(id);
         JournalState.Entry<PendingMessage> entry = state.pending.get(id);
         if (entry != null) {
-            entry.value.attemptStarted(host, zone, wall);
+            entry.value.attemptStarted(host, zone, wallMicros);
         }
         return true;
     }
@@ -136,19 +136,19 @@
     }
 
     @Override
-    public boolean recordAttached(String id, String front, String claim) {
+    public boolean recordAttached(String id, String front, String submitterId) {
         JournalState.Entry<PendingMessage> entry = state.pending.get(id);
         if (entry == null) {
             return false;
         }
-        PendingMessage.Submitter newClaim = new PendingMessage.Submitter(front, claim);
-        RecordEncoder.joined(writer.clear(), id, newClaim);
+        PendingMessage.Submitter submitter = new PendingMessage.Submitter(front, submitterId);
+        RecordEncoder.joined(writer.clear(), id, submitter);
         if (unwrittenChanges.hasMessage(id)
-                || !appender.ensureSpace(writer.size(), JournalState.growthBytes(newClaim))
+                || !appender.ensureSpace(writer.size(), JournalState.growthBytes(submitter))
                 || !append()) {
             return false;
         }
-        state.addClaim(entry.value, newClaim);
+        state.addSubmitter(entry.value, submitter);
         unwrittenChanges.messageWritten(id);
         return true;
     }
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void maintain(long nowWall) {
+    public void maintain(long nowWallMicros) {
         long nowMicros = monotonicMicros.getAsLong();
         if (nowMicros >= allocateAgainAtMicros) {
             allocateAgainAtMicros = nowMicros + ALLOCATION_RETRY_MICROS;
@@ -219,7 +219,7 @@
                     syncer::hasSucceededAfter); // even if records can't be written: they may wait for these files
         }
         unwrittenChanges.write();
-        state.removeExpired(nowWall, MAX_EXPIRIES_PER_TURN);
+        state.removeExpired(nowWallMicros, MAX_EXPIRIES_PER_TURN);
         if (!appender.isBackingOffAt(nowMicros)) {
             compactSlice(nowMicros);
             if (log.active() != null
@@ -296,7 +296,7 @@
         syncer.whenDurable(consequence);
     }
 
-    // Figures
+    // Metrics
 
     /** The results of recovery. */
     public Recovery.Report recoveryReport() {
--- a/src/main/java/lilaclever/placement/PlacementController.java
+++ b/src/main/java/lilaclever/placement/PlacementController.java
@@ -43,7 +43,7 @@
     private final PriorityQueue<LeaseCheck> leaseChecks = new PriorityQueue<>(LeaseCheck.EARLIEST_FIRST);
 
     private long nowMicros = Long.MIN_VALUE;
-    /** Whether a reading was behind the latest one by more than the margin, and none has reached it since. */
+    /** Whether a clock reading was behind the latest one by more than the margin, and none has reached it since. */
     private boolean clockSetBack;
 
     /** Creates the controller of a region without members. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -181,7 +181,7 @@
     }
 
     private Submission toSubmission(Request request) {
-        long budget =
+        long budgetMicros =
                 Math.max(0, request.budgetMicros() - Math.max(0, Core.monotonicMicros() - request.arrivedMicros()));
         return new Submission(
                 messageId(request),
@@ -192,7 +192,7 @@
                 request.body(),
                 false,
                 false,
-                budget);
+                budgetMicros);
     }
 
     /** The control id, for readability, with a suffix that makes the id unique. */
--- a/src/main/java/lilaclever/simulation/audit/Auditor.java
+++ b/src/main/java/lilaclever/simulation/audit/Auditor.java
@@ -438,7 +438,7 @@
             close(history, nowMicros);
             i.remove();
         }
-        retryAfterPeriods.values().removeIf(w -> w[1] + RETENTION_MICROS < nowMicros);
+        retryAfterPeriods.values().removeIf(period -> period[1] + RETENTION_MICROS < nowMicros);
     }
 
     /** Closes all histories at the end of the run. */
--- a/src/main/java/lilaclever/simulation/fleet/ConfigurationLog.java
+++ b/src/main/java/lilaclever/simulation/fleet/ConfigurationLog.java
@@ -45,20 +45,20 @@
         return changes.get((int) (version - 1)).publishedMicros;
     }
 
-    /** Records that a process has gone from one version to a later one. */
+    /** Records that a process has advanced from one version to a later one. */
     void applied(ForwarderProcess process, long before, long after, long regionCutOffUntilMicros) {
         for (long version = before + 1; version <= after; version++) {
             Change change = changes.get((int) (version - 1));
             if (process.startedMicros >= change.publishedMicros) {
                 continue;
             }
-            long micros = queue.now() - change.publishedMicros;
+            long delayMicros = queue.now() - change.publishedMicros;
             boolean reachable = process.forwarder.cutOffUntilMicros < change.publishedMicros
                     && regionCutOffUntilMicros < change.publishedMicros;
-            (reachable ? reachableMillis : cutOffMillis).recordValue(micros / 1_000);
+            (reachable ? reachableMillis : cutOffMillis).recordValue(delayMicros / 1_000);
             if (reachable) {
                 change.forwarders++;
-                change.slowestMicros = Math.max(change.slowestMicros, micros);
+                change.slowestMicros = Math.max(change.slowestMicros, delayMicros);
             }
         }
     }
--- a/src/main/java/lilaclever/simulation/fleet/ConfigurationPublisher.java
+++ b/src/main/java/lilaclever/simulation/fleet/ConfigurationPublisher.java
@@ -71,13 +71,13 @@
 
     private void send(RegionControl region) {
         long version = log.latest();
-        long sent = queue.now();
+        long sentMicros = queue.now();
         if (isCutOff(region)) {
             return;
         }
         network.betweenRegions(() -> {
             if (!isCutOff(region)) {
-                region.configurationPublished(version, sent);
+                region.configurationPublished(version, sentMicros);
             }
         });
     }
@@ -88,19 +88,19 @@
 
     private void checkAge(long version) {
         checks.countCheck();
-        long published = log.publishedAtMicros(version);
+        long publishedMicros = log.publishedAtMicros(version);
         for (SimulatedForwarder forwarder : forwarders.all()) {
             ForwarderProcess process = forwarder.process;
             if (process == null || process.configurationFreshUntilMicros <= queue.now()) {
                 continue;
             }
-            long has = regions.get(forwarder.region).configurationOf(process);
-            if (has < version) {
+            long appliedVersion = regions.get(forwarder.region).configurationOf(process);
+            if (appliedVersion < version) {
                 checks.addBreach(new FleetBreach(
                         FleetBreach.Kind.STALE_CONFIGURATION,
                         queue.now(),
                         forwarder.region,
-                        forwarder.id + " has " + has + ", not " + version + " of " + published));
+                        forwarder.id + " has " + appliedVersion + ", not " + version + " of " + publishedMicros));
             }
         }
     }
--- a/src/main/java/lilaclever/simulation/fleet/ControlMemory.java
+++ b/src/main/java/lilaclever/simulation/fleet/ControlMemory.java
@@ -37,14 +37,14 @@
                 + " members\t" + bytesEach(1, this::controller));
     }
 
-    private static long bytesEach(int count, Supplier<Object> maker) {
-        long before = usedBytes();
-        List<Object> made = new ArrayList<>(count);
+    private static long bytesEach(int count, Supplier<Object> factory) {
+        long bytesBefore = usedBytes();
+        List<Object> created = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            made.add(maker.get());
+            created.add(factory.get());
         }
-        long bytes = usedBytes() - before;
-        return bytes / made.size();
+        long bytes = usedBytes() - bytesBefore;
+        return bytes / created.size();
     }
 
     private static long usedBytes() {
--- a/src/main/java/lilaclever/simulation/fleet/EventQueue.java
+++ b/src/main/java/lilaclever/simulation/fleet/EventQueue.java
@@ -5,7 +5,7 @@
 /** Event queue in virtual time, a binary heap. Events at the same time run in the order in which they were added. */
 final class EventQueue {
     private static final int INITIAL_CAPACITY = 1 << 12;
-    private long[] times = new long[INITIAL_CAPACITY];
+    private long[] timesMicros = new long[INITIAL_CAPACITY];
     private long[] numbers = new long[INITIAL_CAPACITY];
     private Runnable[] actions = new Runnable[INITIAL_CAPACITY];
     private int size;
@@ -24,27 +24,27 @@
 
     /** Schedules an action after a delay in microseconds; a negative delay counts as 0. */
     void schedule(long delayMicros, Runnable action) {
-        if (size == times.length) {
+        if (size == timesMicros.length) {
             grow();
         }
         int index = size++;
-        long time = nowMicros + Math.max(0, delayMicros);
+        long timeMicros = nowMicros + Math.max(0, delayMicros);
         long number = added++;
         while (index > 0) {
             int parent = (index - 1) >>> 1;
-            if (before(times[parent], numbers[parent], time, number)) {
+            if (before(timesMicros[parent], numbers[parent], timeMicros, number)) {
                 break;
             }
             move(parent, index);
             index = parent;
         }
-        set(index, time, number, action);
+        set(index, timeMicros, number, action);
     }
 
     /** Runs all actions due up to a time, and then advances to it. */
     void runUntil(long endMicros) {
-        while (size > 0 && times[0] <= endMicros) {
-            nowMicros = times[0];
+        while (size > 0 && timesMicros[0] <= endMicros) {
+            nowMicros = timesMicros[0];
             Runnable action = actions[0];
             removeFirst();
             action.run();
@@ -54,7 +54,7 @@
 
     private void removeFirst() {
         size--;
-        long time = times[size];
+        long timeMicros = timesMicros[size];
         long number = numbers[size];
         Runnable action = actions[size];
         actions[size] = null;
@@ -64,36 +64,37 @@
         int index = 0;
         int child = 1;
         while (child < size) {
-            if (child + 1 < size && before(times[child + 1], numbers[child + 1], times[child], numbers[child])) {
+            if (child + 1 < size
+                    && before(timesMicros[child + 1], numbers[child + 1], timesMicros[child], numbers[child])) {
                 child++;
             }
-            if (before(time, number, times[child], numbers[child])) {
+            if (before(timeMicros, number, timesMicros[child], numbers[child])) {
                 break;
             }
             move(child, index);
             index = child;
             child = 2 * index + 1;
         }
-        set(index, time, number, action);
+        set(index, timeMicros, number, action);
     }
 
     private void move(int from, int to) {
-        set(to, times[from], numbers[from], actions[from]);
+        set(to, timesMicros[from], numbers[from], actions[from]);
     }
 
-    private void set(int index, long time, long number, Runnable action) {
-        times[index] = time;
+    private void set(int index, long timeMicros, long number, Runnable action) {
+        timesMicros[index] = timeMicros;
         numbers[index] = number;
         actions[index] = action;
     }
 
     private void grow() {
-        times = Arrays.copyOf(times, 2 * size);
+        timesMicros = Arrays.copyOf(timesMicros, 2 * size);
         numbers = Arrays.copyOf(numbers, 2 * size);
         actions = Arrays.copyOf(actions, 2 * size);
     }
 
-    private static boolean before(long time, long number, long otherTime, long otherNumber) {
-        return time != otherTime ? time < otherTime : number < otherNumber;
+    private static boolean before(long timeMicros, long number, long otherTimeMicros, long otherNumber) {
+        return timeMicros != otherTimeMicros ? timeMicros < otherTimeMicros : number < otherNumber;
     }
 }
--- a/src/main/java/lilaclever/simulation/fleet/Failures.java
+++ b/src/main/java/lilaclever/simulation/fleet/Failures.java
@@ -119,8 +119,8 @@
             SimulatedForwarder other = order.set(random.nextInt(index + 1), order.get(index));
             order.set(index, other);
         }
-        long interval = (long) (SECONDS_PER_DAY * SECOND_MICROS / order.size());
-        restartNext(order, 0, interval, endMicros);
+        long intervalMicros = (long) (SECONDS_PER_DAY * SECOND_MICROS / order.size());
+        restartNext(order, 0, intervalMicros, endMicros);
     }
 
     private void restartNext(List<SimulatedForwarder> order, int index, long intervalMicros, long endMicros) {
--- a/src/main/java/lilaclever/simulation/fleet/MapDistribution.java
+++ b/src/main/java/lilaclever/simulation/fleet/MapDistribution.java
@@ -26,7 +26,7 @@
     private static final long FETCH_RETRY_MICROS = 1_000_000;
     /** Time for which map changes are collected into one batch. */
     private static final long BATCH_DELAY_MICROS = 100_000;
-    /** The tree is rebuilt after this many batches, so that the cost of relaying rotates among the forwarders. */
+    /** The tree is rebuilt after this many batches, so that the cost of inner nodes rotates among the forwarders. */
     private static final int VERSIONS_PER_TREE = 4;
 
     private final int region;
@@ -171,8 +171,8 @@
 
     private void answerFetch(ForwarderProcess process) {
         long version = history.latest();
-        long deltas = history.bytesBetween(process.mapVersion, version);
-        int bytes = MessageSizes.mapMessage((int) Math.min(deltas, snapshotBytes()));
+        long deltaBytes = history.bytesBetween(process.mapVersion, version);
+        int bytes = MessageSizes.mapMessage((int) Math.min(deltaBytes, snapshotBytes()));
         traffic.countRelayed(process.forwarder, bytes);
         if (process.forwarder.isCutOff(queue.now())) {
             return;
--- a/src/main/java/lilaclever/simulation/fleet/Network.java
+++ b/src/main/java/lilaclever/simulation/fleet/Network.java
@@ -61,7 +61,7 @@
     }
 
     private long regionDelayMicros(int hops) {
-        long delay = hops * MIN_HOP_MICROS + random.nextInt(hops * HOP_SPREAD_MICROS);
-        return random.nextDouble() < SLOW_SHARE ? delay + random.nextInt(SLOW_SPREAD_MICROS) : delay;
+        long delayMicros = hops * MIN_HOP_MICROS + random.nextInt(hops * HOP_SPREAD_MICROS);
+        return random.nextDouble() < SLOW_SHARE ? delayMicros + random.nextInt(SLOW_SPREAD_MICROS) : delayMicros;
     }
 }
--- a/src/main/java/lilaclever/simulation/model/Partner.java
+++ b/src/main/java/lilaclever/simulation/model/Partner.java
@@ -248,18 +248,18 @@
     }
 
     /**
-     * Decides the answer to a call whose last byte has arrived. {@code work} is the processing time of each message at
-     * a partner of average speed, microseconds.
+     * Decides the answer to a call whose last byte has arrived. {@code workMicros} is the processing time of each
+     * message at a partner of average speed.
      */
-    public Answer call(String host, int forwarder, long[] work, long nowMicros) {
+    public Answer call(String host, int forwarder, long[] workMicros, long nowMicros) {
         calls++;
         Outage current = currentOutage(nowMicros);
         Endpoint endpoint = endpoints.get(host);
         Answer answer = endpoint == null || current == Outage.DOWN
                 ? new Answer(Status.NO_CONNECTION, nowMicros, 0)
-                : answer(endpoint, work, current, nowMicros);
+                : answer(endpoint, workMicros, current, nowMicros);
         if (current == null) {
-            checkOverload(forwarder, 1 + (work.length - 1) * kind.extraMessageCost(), nowMicros);
+            checkOverload(forwarder, 1 + (workMicros.length - 1) * kind.extraMessageCost(), nowMicros);
         }
         return answer;
     }
@@ -271,7 +271,7 @@
         }
     }
 
-    private Answer answer(Endpoint endpoint, long[] work, Outage current, long nowMicros) {
+    private Answer answer(Endpoint endpoint, long[] workMicros, Outage current, long nowMicros) {
         if (current == Outage.SHUT) {
             return refuse(nowMicros);
         }
@@ -293,8 +293,8 @@
             return refuse(nowMicros);
         }
         double totalWork = 0;
-        for (int i = 0; i < work.length; i++) {
-            totalWork += work[i] * (i == 0 ? 1 : kind.extraMessageCost());
+        for (int i = 0; i < workMicros.length; i++) {
+            totalWork += workMicros[i] * (i == 0 ? 1 : kind.extraMessageCost());
         }
         double serviceMicros = totalWork
                 * workFactor
@@ -302,7 +302,7 @@
                 / capacityShare(nowMicros)
                 * (current == Outage.SLOW ? outageStrength : 1);
         endpoint.serverFreeAtMicros[soonest] = startMicros + (long) serviceMicros;
-        served += work.length;
+        served += workMicros.length;
         // An outage that begins before the answer is due suppresses it; canStillAnswer() checks that when it is due.
         return new Answer(Status.DELIVERED, startMicros + (long) serviceMicros, 0);
     }
@@ -351,7 +351,7 @@
         }
     }
 
-    // Figures
+    // Counters
     /** Calls received. */
     public long calls() {
         return calls;
--- a/src/main/java/lilaclever/simulation/scenario/Scenario.java
+++ b/src/main/java/lilaclever/simulation/scenario/Scenario.java
@@ -25,7 +25,7 @@
      * @param slotFactor ratio of a forwarder's slots to those that its part of the full load keeps busy
      * @param pendingSeconds limit of a forwarder's pending messages, in seconds of its part of the full load
      * @param directoryDelayMicros delay of changes in the directory
-     * @param frontMemoryMicros how long the load balancer goes on sending to a dead forwarder
+     * @param failureDetectionMicros how long the load balancer goes on sending to a dead forwarder
      * @param resubmitDelayMicros how long a client waits before it submits a rejected message again, or one that a dead
      * forwarder had
      */
@@ -46,7 +46,7 @@
             long networkMicros,
             long handshakeMicros,
             long[] directoryDelayMicros,
-            long[] frontMemoryMicros,
+            long[] failureDetectionMicros,
             int clientRetries,
             long[] resubmitDelayMicros,
             Partner.Recovery partnerRecovery,
--- a/src/main/java/lilaclever/simulation/scenario/ScenarioReader.java
+++ b/src/main/java/lilaclever/simulation/scenario/ScenarioReader.java
@@ -150,7 +150,7 @@
     }
 
     private TrafficPlan traffic(Section s) throws ConfigurationException {
-        long length = s.durationMicros("length", 60 * SECOND_MICROS, SECOND_MICROS, 48 * HOUR_MICROS);
+        long lengthMicros = s.durationMicros("length", 60 * SECOND_MICROS, SECOND_MICROS, 48 * HOUR_MICROS);
         List<Traffic.Point> shape = new ArrayList<>();
         List<String> words = s.words("load");
         if (words.isEmpty()) {
@@ -172,7 +172,7 @@
             throw s.error("load", "one share, or times and shares in turn from 0s on, such as 0s 45% 30s 110%");
         }
         return new TrafficPlan(
-                length,
+                lengthMicros,
                 shape,
                 s.share("clumps", 0.1, 1),
                 s.range("clump-seconds", 1.7, 3.5, 0.1, 1000),
@@ -287,10 +287,10 @@
             double worth,
             DecisionModule.RepeatSafety repeat)
             throws ConfigurationException {
-        long aim = s.durationMicros("aim", aimMillis * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS);
-        long deadline =
+        long aimMicros = s.durationMicros("aim", aimMillis * MILLISECOND_MICROS, MILLISECOND_MICROS, HOUR_MICROS);
+        long deadlineMicros =
                 s.durationMicros("deadline", deadlineSeconds * SECOND_MICROS, 10 * MILLISECOND_MICROS, HOUR_MICROS);
-        if (aim > deadline) {
+        if (aimMicros > deadlineMicros) {
             throw s.error("aim", "is after the deadline");
         }
         return new MessageClass(
@@ -299,8 +299,8 @@
                 s.durationRangeMicros(
                         "work", minWorkMillis * MILLISECOND_MICROS, maxWorkMillis * MILLISECOND_MICROS, 1, HOUR_MICROS),
                 new DecisionModule.MessageClass(
-                        aim,
-                        deadline,
+                        aimMicros,
+                        deadlineMicros,
                         s.decimal("worth", worth, 0, MAX_REAL),
                         s.choice("repeat", DecisionModule.RepeatSafety.class, repeat),
                         DecisionModule.KeyScope.ALL,
--- a/src/main/java/lilaclever/simulation/sockets/RealTimeline.java
+++ b/src/main/java/lilaclever/simulation/sockets/RealTimeline.java
@@ -41,8 +41,8 @@
     }
 
     @Override
-    public void at(long micros, Runnable action) {
-        scheduled.add(new ScheduledAction(micros, nextSequence++, action));
+    public void at(long atMicros, Runnable action) {
+        scheduled.add(new ScheduledAction(atMicros, nextSequence++, action));
     }
 
     /** Queues the action for the timeline's thread. May be called on any thread. */
--- a/src/main/java/lilaclever/simulation/sockets/SocketForwarder.java
+++ b/src/main/java/lilaclever/simulation/sockets/SocketForwarder.java
@@ -79,12 +79,12 @@
 
     private Hl7Submitter createHl7Submitter() {
         try {
-            InetSocketAddress port = LoopbackPorts.unusedAddress();
+            InetSocketAddress hl7Address = LoopbackPorts.unusedAddress();
             Path conf = Files.writeString(
                     folder.resolve("operator-" + number + ".conf"),
-                    OperatorFile.text(world.scenario(), "127.0.0.1:" + port.getPort()));
+                    OperatorFile.text(world.scenario(), "127.0.0.1:" + hl7Address.getPort()));
             command.addAll(List.of("--conf", conf.toString()));
-            return new Hl7Submitter(world, timeline, port);
+            return new Hl7Submitter(world, timeline, hl7Address);
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
--- a/src/main/java/lilaclever/simulation/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualDeliverer.java
@@ -166,10 +166,15 @@
                                         world.nowMicros(),
                                         answer.retryAfterMicros());
                     }
-                    boolean deaf = world.fault() == Fault.IGNORES_WAITS;
+                    boolean ignoresRetryAfter = world.fault() == Fault.IGNORES_WAITS;
                     runUnlessKilled(
                             world.nowMicros() + world.networkDelayMicros(),
-                            () -> endCall(call, state, AttemptResult.FULL, deaf ? 0 : answer.retryAfterMicros(), true));
+                            () -> endCall(
+                                    call,
+                                    state,
+                                    AttemptResult.FULL,
+                                    ignoresRetryAfter ? 0 : answer.retryAfterMicros(),
+                                    true));
                 });
             }
             case ERROR -> {
--- a/src/main/java/lilaclever/simulation/virtual/VirtualRehearsal.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualRehearsal.java
@@ -29,11 +29,11 @@
      */
     public static RehearsalResult run(
             Scenario scenario, long seed, Fault fault, LongConsumer progress, BooleanSupplier stopped) {
-        VirtualTimeline scheduler = new VirtualTimeline();
-        World world = new World(scenario, seed, fault, scheduler, VirtualForwarder::new);
+        VirtualTimeline timeline = new VirtualTimeline();
+        World world = new World(scenario, seed, fault, timeline, VirtualForwarder::new);
         world.start();
         world.begin(progress);
-        scheduler.runUntil(world.lengthMicros(), stopped);
-        return world.finish(scheduler.actionCount(), null);
+        timeline.runUntil(world.lengthMicros(), stopped);
+        return world.finish(timeline.actionCount(), null);
     }
 }
--- a/src/main/java/lilaclever/simulation/virtual/VirtualTimeline.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualTimeline.java
@@ -21,8 +21,8 @@
     }
 
     @Override
-    public void at(long micros, Runnable action) {
-        scheduled.add(new ScheduledAction(Math.max(nowMicros, micros), nextSequence++, action));
+    public void at(long atMicros, Runnable action) {
+        scheduled.add(new ScheduledAction(Math.max(nowMicros, atMicros), nextSequence++, action));
     }
 
     /** Runs all actions up to the time, or until {@code stopped} returns true. */
--- a/src/main/java/lilaclever/simulation/world/ForwarderHandle.java
+++ b/src/main/java/lilaclever/simulation/world/ForwarderHandle.java
@@ -28,7 +28,7 @@
     long brokenInvariants();
 
     /**
-     * Starts it with the directory's list; {@code first} is true for its first process run. It calls {@link
+     * Starts it with the directory's list; {@code isFirstRun} is true for its first process run. It calls {@link
      * World#onReady} once it is ready.
      */
     void start(List<DecisionModule.EndpointEntry> knownEndpoints, long version, boolean isFirstRun);
--- a/src/main/java/lilaclever/simulation/world/LoadBalancer.java
+++ b/src/main/java/lilaclever/simulation/world/LoadBalancer.java
@@ -11,16 +11,16 @@
     private final Timeline timeline;
     private final RandomStream random;
     /** The shortest and the longest time for which messages still go to a forwarder that is down. */
-    private final long[] detectionDelayMicros;
+    private final long[] failureDetectionMicros;
 
     private final double[] weights;
     /** Forwarders that are down, with the time at which this is detected. */
     private final Map<Integer, Long> detectedDownMicros = new HashMap<>();
 
-    LoadBalancer(Timeline timeline, RandomStream random, int forwarders, long[] detectionDelayMicros) {
+    LoadBalancer(Timeline timeline, RandomStream random, int forwarders, long[] failureDetectionMicros) {
         this.timeline = timeline;
         this.random = random;
-        this.detectionDelayMicros = detectionDelayMicros;
+        this.failureDetectionMicros = failureDetectionMicros;
         weights = new double[forwarders];
         Arrays.fill(weights, 1);
     }
@@ -45,7 +45,7 @@
 
     /** A forwarder's process has ended, which is detected after a random delay. */
     void onExit(int forwarder) {
-        detectedDownMicros.put(forwarder, timeline.nowMicros() + random.in(detectionDelayMicros));
+        detectedDownMicros.put(forwarder, timeline.nowMicros() + random.in(failureDetectionMicros));
     }
 
     /** A forwarder is known to be ready. */
--- a/src/main/java/lilaclever/simulation/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/simulation/world/SimulatedClients.java
@@ -200,21 +200,21 @@
      * A message that may have taken effect is not repeated, or with an idempotency key only inside its repeat window.
      */
     private boolean mayRetry(int number, long atMicros) {
-        long riskAtMicros = auditor.firstPossibleEffectMicros(number);
-        if (riskAtMicros < 0) {
+        long possibleEffectMicros = auditor.firstPossibleEffectMicros(number);
+        if (possibleEffectMicros < 0) {
             return true;
         }
         DecisionModule.MessageClass terms = terms(arrivals.get(number));
         return switch (terms.repeat()) {
             case SAFE -> true;
-            case KEYED -> atMicros <= riskAtMicros + terms.repeatWindowMicros();
+            case KEYED -> atMicros <= possibleEffectMicros + terms.repeatWindowMicros();
             case UNSAFE -> false;
         };
     }
 
     /** Forgets messages that arrived before that time. */
-    void forgetBefore(long micros) {
-        arrivals.keySet().removeIf(n -> arrivals.get(n).atMicros() < micros);
+    void forgetBefore(long beforeMicros) {
+        arrivals.keySet().removeIf(n -> arrivals.get(n).atMicros() < beforeMicros);
         retriesLeft.keySet().retainAll(arrivals.keySet());
         currentIds.keySet().retainAll(arrivals.keySet());
     }
--- a/src/main/java/lilaclever/simulation/world/Timeline.java
+++ b/src/main/java/lilaclever/simulation/world/Timeline.java
@@ -6,10 +6,10 @@
     long nowMicros();
 
     /** Runs the action at the time, or as soon as possible if that is past. */
-    void at(long micros, Runnable action);
+    void at(long atMicros, Runnable action);
 
     /** Runs the action after the delay. */
-    default void after(long micros, Runnable action) {
-        at(nowMicros() + micros, action);
+    default void after(long delayMicros, Runnable action) {
+        at(nowMicros() + delayMicros, action);
     }
 }
--- a/src/main/java/lilaclever/simulation/world/World.java
+++ b/src/main/java/lilaclever/simulation/world/World.java
@@ -59,7 +59,7 @@
                 new EndpointDirectory(scenario, fault, timeline, auditor, new RandomStream(seed, "directory"), members);
         partners = new PartnerFactory(scenario, seed).create(weights, directory);
         LoadBalancer loadBalancer = new LoadBalancer(
-                timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.frontMemoryMicros());
+                timeline, new RandomStream(seed, "front"), fleet.forwarders(), fleet.failureDetectionMicros());
         clients = new SimulatedClients(
                 scenario, timeline, auditor, series, loadBalancer, members, new RandomStream(seed, "clients"));
         forwarders = new ForwarderFleet(members, partners, directory, loadBalancer, clients, timeline, auditor);
@@ -106,13 +106,13 @@
     }
 
     /** Runs the action at the time, or as soon as possible if that is past. */
-    public void at(long micros, Runnable action) {
-        timeline.at(micros, action);
+    public void at(long atMicros, Runnable action) {
+        timeline.at(atMicros, action);
     }
 
     /** Runs the action after the delay. */
-    public void after(long micros, Runnable action) {
-        timeline.after(micros, action);
+    public void after(long delayMicros, Runnable action) {
+        timeline.after(delayMicros, action);
     }
 
     /** All partners, by destination. */
@@ -328,8 +328,8 @@
     private void reportFailBacks(Partner partner) {
         int overloads = partner.overloadsByInformedForwarders();
         if (overloads > 0) {
-            String description = "destination " + partner.destination() + " was pushed over " + overloads
-                    + " times by forwarders that saw it fail";
+            String description = "destination " + partner.destination() + " failed " + overloads
+                    + " times under the load of forwarders that had seen it fail";
             auditor.addBreach(Rule.FAIL_BACK, nowMicros(), description);
         }
     }
