--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -71,19 +71,19 @@
         withTemporaryFolder(folder -> {
             long heapBytesBefore = ResourceUsage.liveHeapBytes();
             SocketlessForwarder[] started = new SocketlessForwarder[1];
-            double start = ResourceUsage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
+            double startSeconds = ResourceUsage.cpuSeconds(() -> started[0] = open(folder, size, size, 100));
             try (SocketlessForwarder forwarder = started[0]) {
                 Sample.print("destination_heap", size, ResourceUsage.liveHeapBytes() - heapBytesBefore, "bytes");
-                Sample.print("destination_start_cpu", size, start, "s");
-                double changes = ResourceUsage.cpuSeconds(() -> {
+                Sample.print("destination_start_cpu", size, startSeconds, "s");
+                double changeSeconds = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < CHANGES; i++) {
                         forwarder.updateEndpoint(i, 2 + i);
                     }
                 });
-                Sample.print("change_cpu", size, changes / CHANGES, "s");
-                double idle = ResourceUsage.cpuSeconds(
+                Sample.print("change_cpu", size, changeSeconds / CHANGES, "s");
+                double idleCpuSeconds = ResourceUsage.cpuSeconds(
                         () -> forwarder.advance(IDLE_SECONDS * SocketlessForwarder.SECOND_MICROS));
-                Sample.print("idle_second_cpu", size, idle / IDLE_SECONDS, "s");
+                Sample.print("idle_second_cpu", size, idleCpuSeconds / IDLE_SECONDS, "s");
             }
         });
         measureEvents("event_by_destinations", size, EVENTS_BY_DESTINATIONS);
@@ -111,19 +111,19 @@
                 requirePending(forwarder, size);
                 Sample.print("held_heap", size, ResourceUsage.liveHeapBytes() - heapBytesBefore, "bytes");
                 Sample.print("held_disk", size, forwarder.diskBytes(), "bytes");
-                double waiting = ResourceUsage.cpuSeconds(
+                double waitingCpuSeconds = ResourceUsage.cpuSeconds(
                         () -> forwarder.advance(WAITING_SECONDS * SocketlessForwarder.SECOND_MICROS));
-                Sample.print("held_second_cpu", size, waiting / WAITING_SECONDS, "s");
+                Sample.print("held_second_cpu", size, waitingCpuSeconds / WAITING_SECONDS, "s");
                 Histogram turns = busyTurns(forwarder);
                 Sample.print("held_busy_turn_cpu", size, turns.getValueAtPercentile(50) / NANOS_PER_SECOND, "s");
                 Sample.print("held_busy_turn_p99_cpu", size, turns.getValueAtPercentile(99) / NANOS_PER_SECOND, "s");
             }
             SocketlessForwarder[] reopened = new SocketlessForwarder[1];
-            double recovery =
+            double recoverySeconds =
                     ResourceUsage.cpuSeconds(() -> reopened[0] = open(folder, 1 + DOWN_DESTINATIONS, 1, 2 * size));
             try (SocketlessForwarder forwarder = reopened[0]) {
                 requirePending(forwarder, size);
-                Sample.print("held_recovery_cpu", size, recovery, "s");
+                Sample.print("held_recovery_cpu", size, recoverySeconds, "s");
             }
         });
     }
@@ -151,7 +151,7 @@
             CountingDisk disk = new CountingDisk(FolderDisk.lock(folder));
             UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(11);
             try (SocketlessForwarder forwarder = new SocketlessForwarder(disk, destinations, destinations, 10_000)) {
-                double cpu = ResourceUsage.cpuSeconds(() -> {
+                double cpuSeconds = ResourceUsage.cpuSeconds(() -> {
                     for (int i = 0; i < events; i++) {
                         forwarder.submit(random.nextInt(destinations), new byte[BODY_BYTES]);
                         if (i % EVENTS_PER_TURN == 0) {
@@ -165,10 +165,10 @@
                             "delivered " + forwarder.counter(Counters.Name.DELIVERED) + " of " + events);
                 }
                 if (measure.equals("event")) {
-                    Sample.print("event_cpu", events, cpu, "s");
+                    Sample.print("event_cpu", events, cpuSeconds, "s");
                     Sample.print("event_journal_written", events, disk.writtenBytes(), "bytes");
                 } else if (!measure.isEmpty()) {
-                    Sample.print(measure + "_cpu", destinations, cpu / events, "s");
+                    Sample.print(measure + "_cpu", destinations, cpuSeconds / events, "s");
                 }
             }
         });
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -22,8 +22,8 @@
      * Sets the shift of wall times for the following records: by how much the wall clock was set since they were
      * written.
      */
-    void setWallShift(long micros) {
-        wallShiftMicros = micros;
+    void setWallShift(long shiftMicros) {
+        wallShiftMicros = shiftMicros;
     }
 
     private long readWallMicros(ByteBuffer in) {
--- a/src/main/java/lilaclever/simulation/audit/Service.java
+++ b/src/main/java/lilaclever/simulation/audit/Service.java
@@ -22,8 +22,8 @@
         deliveredByClass = new double[classes];
     }
 
-    private double[] totalsOfSecond(long micros) {
-        int s = (int) (micros / 1_000_000);
+    private double[] totalsOfSecond(long atMicros) {
+        int s = (int) (atMicros / 1_000_000);
         while (totalsBySecond.size() <= s) {
             totalsBySecond.add(new double[2]);
         }
@@ -57,13 +57,13 @@
     }
 
     /** Adds work of a partner, microseconds; it is wasted if it led to no delivery. */
-    public void addWork(long micros, boolean wasted) {
-        wastedWorkMicros += wasted ? micros : 0;
+    public void addWork(long workMicros, boolean wasted) {
+        wastedWorkMicros += wasted ? workMicros : 0;
     }
 
     /** Adds the work of a new message. */
-    void addOfferedWork(long micros) {
-        offeredWorkMicros += micros;
+    void addOfferedWork(long workMicros) {
+        offeredWorkMicros += workMicros;
     }
 
     /** Delivered share of the whole run. */
--- a/src/main/java/lilaclever/simulation/fleet/FleetSimulation.java
+++ b/src/main/java/lilaclever/simulation/fleet/FleetSimulation.java
@@ -205,8 +205,8 @@
         List<Figure> figures = new ArrayList<>();
         figures.add(new Figure("virtual_seconds", seconds));
         figures.add(new Figure("events", queue.addedCount()));
-        figures.add(new Figure("messages", network.messages()));
-        figures.add(new Figure("messages_lost", network.lost()));
+        figures.add(new Figure("messages", network.messageCount()));
+        figures.add(new Figure("messages_lost", network.lostCount()));
         figures.add(new Figure(
                 "map_batches",
                 regions.stream().mapToLong(RegionControl::mapBatches).sum()));
--- a/src/main/java/lilaclever/simulation/fleet/Network.java
+++ b/src/main/java/lilaclever/simulation/fleet/Network.java
@@ -43,11 +43,11 @@
         }
     }
 
-    long messages() {
+    long messageCount() {
         return messages;
     }
 
-    long lost() {
+    long lostCount() {
         return lost;
     }
 
