--- a/src/main/java/lilaclever/simulation/fleet/Network.java
+++ b/src/main/java/lilaclever/simulation/fleet/Network.java
@@ -43,11 +43,11 @@
         }
     }
 
-    long messages() {
+    long messageCount() {
         return messages;
     }
 
-    long lost() {
+    long lostCount() {
         return lost;
     }
 
@@ -61,7 +61,7 @@
     }
 
     private long regionDelayMicros(int hops) {
-        long delay = hops * MIN_HOP_MICROS + random.nextInt(hops * HOP_SPREAD_MICROS);
-        return random.nextDouble() < SLOW_SHARE ? delay + random.nextInt(SLOW_SPREAD_MICROS) : delay;
+        long delayMicros = hops * MIN_HOP_MICROS + random.nextInt(hops * HOP_SPREAD_MICROS);
+        return random.nextDouble() < SLOW_SHARE ? delayMicros + random.nextInt(SLOW_SPREAD_MICROS) : delayMicros;
     }
 }
