--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -1,6 +1,6 @@
 package lilaclever;
 
-import static lilaclever.PolicyState.LONG_AGO;
+import static lilaclever.PolicyState.LONG_AGO_MICROS;
 import static lilaclever.PolicyState.MICROS_PER_SECOND;
 import static lilaclever.PolicyState.NEVER;
 
@@ -136,16 +136,16 @@
 
     /** Whether there were only refusals for some time, none with a short retry-after, or the retry-after is long. */
     private boolean isUnavailable(DestinationLimit limit, long retryAfterMicros) {
-        boolean forLong = limit.recentRefusals >= UNAVAILABLE_REFUSALS
+        boolean refusesForLong = limit.recentRefusals >= UNAVAILABLE_REFUSALS
                 && state.nowMicros - limit.failingSinceMicros >= UNAVAILABLE_MICROS;
         return retryAfterMicros >= LONG_RETRY_AFTER_MICROS
-                || forLong && limit.shortRetryAfterAtMicros < limit.failingSinceMicros;
+                || refusesForLong && limit.shortRetryAfterAtMicros < limit.failingSinceMicros;
     }
 
     /**
-     * The destination told all forwarders when it will be available again, and they must not all call it at that time.
-     * What one forwarder has seen of the outage is shorter than its length. Applies to fleets of any size; a single
-     * forwarder hardly waits.
+     * The destination has announced to all forwarders when it will be available again, and they must not all call it at
+     * that time. What one forwarder has seen of the outage is shorter than its length. Applies to fleets of any size; a
+     * single forwarder hardly waits.
      */
     private void spreadResumption(DestinationLimit limit) {
         limit.failingForMicros = Math.max(MIN_OUTAGE_MICROS, limit.retryAfterUntilMicros - limit.failingSinceMicros);
@@ -217,7 +217,7 @@
     private long readyAfterThrottlingMicros(DestinationLimit limit) {
         double rate = allowedRate(limit);
         if (rate >= NEVER) {
-            return LONG_AGO;
+            return LONG_AGO_MICROS;
         }
         long unthrottledMicros = state.nowMicros < limit.throttledUntilMicros ? limit.throttledUntilMicros : NEVER;
         return Math.min(unthrottledMicros, limit.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate));
@@ -231,6 +231,6 @@
         if (limit.exhausted) {
             rate = Math.min(rate, EXHAUSTED_RATE_FACTOR * rates.evenShare(limit));
         }
-        return rate >= NEVER ? LONG_AGO : limit.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate);
+        return rate >= NEVER ? LONG_AGO_MICROS : limit.lastSentAtMicros + (long) (MICROS_PER_SECOND / rate);
     }
 }
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -20,7 +20,7 @@
     /** As an instant in microseconds: never; as a rate: unlimited. */
     static final long NEVER = Long.MAX_VALUE / 4;
     /** An instant before all others, microseconds. */
-    static final long LONG_AGO = Long.MIN_VALUE / 4;
+    static final long LONG_AGO_MICROS = Long.MIN_VALUE / 4;
 
     static final double MICROS_PER_SECOND = 1_000_000;
     /** A fleet with more forwarders than this is large. */
@@ -88,7 +88,7 @@
     static final class Call {
         final List<Message> messages = new ArrayList<>(1);
         Endpoint endpoint;
-        /** The host program was told to give it up. */
+        /** The host program was asked to give it up. */
         boolean cancelRequested;
         /** Number of its messages whose outcome hasn't been reported yet. */
         int pendingOutcomes;
@@ -173,9 +173,9 @@
         boolean connectsFailing;
 
         int callsInFlight;
-        long lastSentAtMicros = LONG_AGO;
+        long lastSentAtMicros = LONG_AGO_MICROS;
         /** Latest time at which a call was sent that was later delivered. */
-        long lastDeliveredSentAtMicros = LONG_AGO;
+        long lastDeliveredSentAtMicros = LONG_AGO_MICROS;
 
         int consecutiveFailures;
         /** Moving average share of hard failures among outcomes, 0 to 1. */
@@ -213,7 +213,7 @@
     static final class DestinationLimit {
         final List<Endpoint> endpoints = new ArrayList<>();
         int callsInFlight;
-        long lastSentAtMicros = LONG_AGO;
+        long lastSentAtMicros = LONG_AGO_MICROS;
         /** End of the retry-after period; nothing is sent before. */
         long retryAfterUntilMicros;
         /** A random time after a long retry-after period; nothing is sent before. */
@@ -225,9 +225,9 @@
         /** Initial value of a growing rate limit for some time after it was throttled; 0 if it never was. */
         double rateCeiling;
         /** When it last sent a retry-after that is too short to mean that it is unavailable. */
-        long shortRetryAfterAtMicros = LONG_AGO;
+        long shortRetryAfterAtMicros = LONG_AGO_MICROS;
         /** When a refusal last reduced its throttled rate. */
-        long rateReducedAtMicros = LONG_AGO;
+        long rateReducedAtMicros = LONG_AGO_MICROS;
         /** Random divisor of the rate in an outage, so that forwarders call at different times. */
         double outageRateDivisor = 1;
         /** Rate that it accepts from all forwarders, by the endpoint list or its own report; 0 if unknown. */
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -32,13 +32,13 @@
     /** Calls a second that an endpoint may get in an outage or in slow start; {@link PolicyState#NEVER} otherwise. */
     double callsPerSecond(Endpoint endpoint) {
         DestinationLimit limit = endpoint.limit;
-        long active =
+        long activeCount =
                 Math.max(1, limit.endpoints.stream().filter(each -> each.active).count());
         if (endpoint.inOutage || endpoint.connectsFailing) {
-            double rate = budget(limit, 0, isCertainlyInOutage(endpoint)) / active;
+            double rate = budget(limit, 0, isCertainlyInOutage(endpoint)) / activeCount;
             return Math.min(MICROS_PER_SECOND / endpoint.trialIntervalMicros, rate) / limit.outageRateDivisor;
         }
-        return slowStart.isActive(endpoint) ? budget(limit, slowStart.ageMicros(endpoint), false) / active : NEVER;
+        return slowStart.isActive(endpoint) ? budget(limit, slowStart.ageMicros(endpoint), false) / activeCount : NEVER;
     }
 
     private boolean isCertainlyInOutage(Endpoint endpoint) {
--- a/src/main/java/lilaclever/log/StderrHandler.java
+++ b/src/main/java/lilaclever/log/StderrHandler.java
@@ -44,9 +44,9 @@
             case DEBUG -> Level.FINE;
         };
         root.setLevel(settings.level() == Logs.Level.DEBUG ? Level.INFO : level); // no debug lines of libraries
-        Logger own = Logger.getLogger(PROGRAM);
-        own.setLevel(level);
-        RETAINED_LOGGER[0] = own; // java.util.logging drops an unreferenced logger with its level
+        Logger programLogger = Logger.getLogger(PROGRAM);
+        programLogger.setLevel(level);
+        RETAINED_LOGGER[0] = programLogger; // java.util.logging drops an unreferenced logger with its level
         root.addHandler(new StderrHandler(settings));
     }
 
--- a/src/main/java/lilaclever/program/Config.java
+++ b/src/main/java/lilaclever/program/Config.java
@@ -48,7 +48,7 @@
         List<String> zones,
         EndpointList known,
         Set<String> keys) {
-    private static final long MEGABYTE = 1024 * 1024;
+    private static final long BYTES_PER_MEGABYTE = 1024 * 1024;
     private static final double DEFAULT_DISK_MB = 3;
     private static final int DEFAULT_SOCKETS = 1024, MIN_SOCKETS = 64;
     private static final String DISCOVERY_FILE = "discovery";
@@ -257,16 +257,16 @@
 
     /** Returns the paths of all keys; of objects in a list, those that all of them have. */
     private static Set<String> keys(JsonObject in, String path) {
-        Set<String> all = new LinkedHashSet<>();
+        Set<String> paths = new LinkedHashSet<>();
         in.entrySet().forEach(e -> {
-            all.add(path + e.getKey());
+            paths.add(path + e.getKey());
             if (e.getValue().isJsonObject()) {
-                all.addAll(keys(e.getValue().getAsJsonObject(), path + e.getKey() + '.'));
+                paths.addAll(keys(e.getValue().getAsJsonObject(), path + e.getKey() + '.'));
             } else if (e.getValue().isJsonArray()) {
-                all.addAll(commonKeys(e.getValue().getAsJsonArray(), path + e.getKey() + '.'));
+                paths.addAll(commonKeys(e.getValue().getAsJsonArray(), path + e.getKey() + '.'));
             }
         });
-        return all;
+        return paths;
     }
 
     private static Set<String> commonKeys(JsonArray elements, String path) {
@@ -298,12 +298,12 @@
      * fronts.
      */
     int maxClients(boolean mail, int otherConnections) {
-        int operators = operator == null ? 0 : OperatorPort.MAX_CONNECTIONS + 1;
+        int operatorConnections = operator == null ? 0 : OperatorPort.MAX_CONNECTIONS + 1;
         return Math.max(
                 1,
                 sockets
                         - RESERVED_SOCKETS
-                        - operators
+                        - operatorConnections
                         - settings.limits().slots()
                         - maxIdle()
                         - (mail ? 3 * maxMail() : 0)
@@ -320,31 +320,31 @@
      * discovery, classes and attempts.
      */
     List<String> keysNeedingRestart(Config current) {
-        List<String> keys = new ArrayList<>();
+        List<String> changedKeys = new ArrayList<>();
         if (!name.equals(current.name)) {
-            keys.add("name");
+            changedKeys.add("name");
         }
         if (!listen.equals(current.listen)) {
-            keys.add("listen");
+            changedKeys.add("listen");
         }
         if (!Objects.equals(operator, current.operator)) {
-            keys.add("operator");
+            changedKeys.add("operator");
         }
         if (!state.equals(current.state)) {
-            keys.add("state");
+            changedKeys.add("state");
         }
         if (diskBytes != current.diskBytes) {
-            keys.add("limits.disk_mb");
+            changedKeys.add("limits.disk_mb");
         }
         if (sockets != current.sockets) {
-            keys.add("limits.sockets");
+            changedKeys.add("limits.sockets");
         }
         if (!with(current.classTable(), current.maxAttempts()).settings.equals(current.settings)
                 || !kinds.equals(current.kinds)
                 || !zones.equals(current.zones)) {
-            keys.add("settings");
+            changedKeys.add("settings");
         }
-        return keys;
+        return changedKeys;
     }
 
     static Config parse(String text, Map<String, String> variables) throws ConfigurationException {
@@ -409,7 +409,7 @@
                 address(discovery(variables, root, state), "discovery"),
                 state,
                 seed(text("seed", root, "seed", "0")),
-                (long) (diskMegabytes * MEGABYTE),
+                (long) (diskMegabytes * BYTES_PER_MEGABYTE),
                 sockets,
                 read,
                 classNames,
@@ -422,8 +422,8 @@
     private static String value(
             Map<String, String> variables, String variable, JsonObject root, String key, String defaultValue)
             throws ConfigurationException {
-        String set = variables.get(variable);
-        return set != null && !set.isEmpty() ? set : text(key, root, key, defaultValue);
+        String variableValue = variables.get(variable);
+        return variableValue != null && !variableValue.isEmpty() ? variableValue : text(key, root, key, defaultValue);
     }
 
     private static String address(String value, String key) throws ConfigurationException {
@@ -585,14 +585,14 @@
     }
 
     static List<String> strings(String path, JsonObject in, String key) throws ConfigurationException {
-        List<String> all = new ArrayList<>();
+        List<String> values = new ArrayList<>();
         for (JsonElement e : list(path, in, key)) {
             if (!e.isJsonPrimitive()) {
                 throw new ConfigurationException(path, "contains an element that is not a string");
             }
-            all.add(e.getAsString());
+            values.add(e.getAsString());
         }
-        return all;
+        return values;
     }
 
     static String text(String path, JsonObject in, String key, String defaultValue) throws ConfigurationException {
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -75,8 +75,7 @@
         core = new Core(
                 settings, config.seed(), journal, counters, operator.identity().windows());
         Path state = config.state(); // lambdas must not retain the configuration with its endpoint list
-        ManualDrains manualDrains =
-                new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
+        ManualDrains drains = new ManualDrains(core, config.readSuspended(), ids -> Config.saveSuspended(state, ids));
         HttpDeliverer deliverer = new HttpDeliverer(core, transport, connect, keepAlive, config.maxIdle());
         notices = new NoticeSender(core, transport, config.discovery(), connect, keepAlive);
         long departureFileBytes = config.departuresReservedBytes() / 2; // the new file is written beside the old one
@@ -92,7 +91,7 @@
                 connect,
                 keepAlive,
                 membership,
-                manualDrains::updateEndpoints);
+                drains::updateEndpoints);
         httpFront = new HttpFront(
                 core,
                 config.classNames(),
@@ -119,15 +118,14 @@
         directory.start(known == null ? -1 : known.version(), listed);
         long version = known == null ? 0 : known.version();
         core.start(
-                manualDrains.withSuspensions(
+                drains.withSuspensions(
                         DecisionModule.ListingKind.REMEMBERED,
                         version,
                         listed.stream().map(Forwarder::withoutNewMessages).toList()),
                 version);
         addresses.add(httpFront.listen(transport, Transport.parseAddress(config.listen())));
         if (config.operator() != null) {
-            addresses.add(
-                    new OperatorPort(core, manualDrains).listen(transport, Transport.parseAddress(config.operator())));
+            addresses.add(new OperatorPort(core, drains).listen(transport, Transport.parseAddress(config.operator())));
         }
         for (MailFront each : mailFronts) {
             addresses.addAll(each.listen(transport));
--- a/src/main/java/lilaclever/program/Help.java
+++ b/src/main/java/lilaclever/program/Help.java
@@ -101,8 +101,8 @@
             parser.printSingleLineUsage(out);
             out.println();
             parser.printUsage(out);
-        } catch (ReflectiveOperationException example) {
-            throw new IllegalStateException("sub-command without a public no-argument constructor", example);
+        } catch (ReflectiveOperationException e) {
+            throw new IllegalStateException("sub-command without a public no-argument constructor", e);
         }
         out.println(description.examples().size() == 1 ? "example:" : "examples:");
         description.examples().forEach(example -> out.println("  " + example));
--- a/src/main/java/lilaclever/program/JournalCommand.java
+++ b/src/main/java/lilaclever/program/JournalCommand.java
@@ -13,7 +13,7 @@
 
 /** {@code journal inspect|verify|compact|export FOLDER}: works on the state folder of a stopped program. */
 public final class JournalCommand implements Main.Command {
-    private static final long MEGABYTE = 1024 * 1024;
+    private static final long BYTES_PER_MEGABYTE = 1024 * 1024;
 
     /** Names are values of the command-line argument. */
     enum Action {
@@ -43,7 +43,7 @@
             return switch (action) {
                 case INSPECT -> inspection.inspect();
                 case VERIFY -> inspection.verify();
-                case COMPACT -> inspection.compact(diskMegabytes * MEGABYTE);
+                case COMPACT -> inspection.compact(diskMegabytes * BYTES_PER_MEGABYTE);
                 case EXPORT -> inspection.export();
             };
         } catch (IOException e) {
--- a/src/main/java/lilaclever/program/RehearseCommand.java
+++ b/src/main/java/lilaclever/program/RehearseCommand.java
@@ -61,7 +61,7 @@
     private int runs;
 
     @Option(name = "--out", metaVar = "FOLDER", usage = "where reports go (default: rehearsals/NAME)")
-    private Path out;
+    private Path outFolder;
 
     @Option(name = "--load", metaVar = "FROM:TO:STEP", usage = "with sweep: loads in percent (default 40:160:10)")
     private String loadRange = "40:160:10";
@@ -141,7 +141,7 @@
     }
 
     private Path outputFolder(Scenario s) {
-        return out != null ? out : Path.of("rehearsals", s.name());
+        return outFolder != null ? outFolder : Path.of("rehearsals", s.name());
     }
 
     private Scenario scenario() throws ConfigurationException {
@@ -205,15 +205,15 @@
         }
         double[] interval = Comparison.interval(services);
         if (interval != null) {
-            DoubleSummaryStatistics all =
+            DoubleSummaryStatistics statistics =
                     services.stream().mapToDouble(Double::doubleValue).summaryStatistics();
             System.out.printf(
                     Locale.ROOT,
                     "%d runs: service %.3f (%.3f to %.3f), 95%% of chance %.3f to %.3f; rules broken in %d%n",
                     runCount,
-                    all.getAverage(),
-                    all.getMin(),
-                    all.getMax(),
+                    statistics.getAverage(),
+                    statistics.getMin(),
+                    statistics.getMax(),
                     interval[0],
                     interval[1],
                     broken.get());
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -186,7 +186,7 @@
         void onBytes(byte[] in) {
             Exchange exchange = currentExchange;
             if (exchange == null) {
-                discard(); // unsolicited bytes: what follows can't be told apart from a response
+                discard(); // unsolicited bytes: what follows can't be distinguished from a response
                 return;
             }
             try {
@@ -284,7 +284,7 @@
         /** Runs once the connection is closed after {@link #giveUp}. */
         private Runnable onGivenUp;
         /**
-         * Guarded by this: a request that was given up is not written, and one that is being written is not taken back.
+         * Guarded by this: a request that was given up is not written, and one that is being written is not withdrawn.
          */
         private boolean isGivenUp;
 
@@ -510,11 +510,11 @@
 
         /**
          * The same, after reading what the endpoint has sent so far, which may be a retry-after. A response that
-         * crosses this is ignored: it arrives after the time that the endpoint was given. {@code closed} runs on the
-         * loop thread; from then on {@link #isWritten} does not change.
+         * crosses this is ignored: it arrives after the time that the endpoint was given. {@code whenClosed} runs on
+         * the loop thread; from then on {@link #isWritten} does not change.
          */
-        void giveUp(Runnable closed) {
-            onGivenUp = closed;
+        void giveUp(Runnable whenClosed) {
+            onGivenUp = whenClosed;
             ConnectionState state = finish();
             if (state == null) {
                 core.post(this::reportGivenUp);
@@ -530,10 +530,10 @@
         }
 
         private void reportGivenUp() {
-            Runnable closed = onGivenUp;
+            Runnable whenClosed = onGivenUp;
             onGivenUp = null;
-            if (closed != null) {
-                closed.run();
+            if (whenClosed != null) {
+                whenClosed.run();
             }
         }
 
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -262,12 +262,12 @@
                     Math.max(longestMicros, HeaderValues.shiftedDecimalUpTo(value.strip(), 3, MAX_RETRY_AFTER_MICROS));
         }
         if (longestMicros > 0) {
-            long now = Core.monotonicMicros() + 1; // the clock is truncated to whole microseconds
-            retryAfterTable.recordRetryAfter(endpoint, now + longestMicros);
+            long nowMicros = Core.monotonicMicros() + 1; // the clock is truncated to whole microseconds
+            retryAfterTable.recordRetryAfter(endpoint, nowMicros + longestMicros);
             Logs.debug(
                     "",
                     "wait",
-                    "retry-after until " + (now + longestMicros),
+                    "retry-after until " + (nowMicros + longestMicros),
                     "partner",
                     endpoint.destination(),
                     "endpoint",
@@ -355,7 +355,7 @@
                 new EndpointListener(endpoint) {
                     @Override
                     public void onResponse(int status, Map<String, String> headers, byte[] body) {
-                        end(
+                        finishProbe(
                                 status == 200
                                         ? AttemptResult.DELIVERED
                                         : status == 503 ? AttemptResult.FULL : AttemptResult.ERROR);
@@ -363,15 +363,15 @@
 
                     @Override
                     public void onFailure(boolean written, int status) {
-                        end(written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION);
+                        finishProbe(written ? AttemptResult.RESET : AttemptResult.NO_CONNECTION);
                     }
 
                     @Override
                     public void onWithheld() {
-                        end(AttemptResult.WITHHELD);
+                        finishProbe(AttemptResult.WITHHELD);
                     }
 
-                    private void end(AttemptResult outcome) {
+                    private void finishProbe(AttemptResult outcome) {
                         core.deadlines().cancel(timeout);
                         reportProbe(endpoint, outcome, startedAtMicros);
                     }
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -74,7 +74,7 @@
     }
 
     /** Message classes by number, and the names of those that clients may submit. */
-    private record MessageClasses(List<String> names, List<DecisionModule.MessageClass> all) {}
+    private record MessageClasses(List<String> names, List<DecisionModule.MessageClass> classes) {}
 
     /** Replaces the classes that clients may submit. Loop thread, once the module knows the new ones. */
     public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> allClasses) {
@@ -158,7 +158,7 @@
 
     private void submit(HttpServerFilter.Request request, Submission submission) {
         HttpServerFilter.Exchange exchange = request.exchange();
-        if (exchange.isClientGone()) {
+        if (exchange.isClientDisconnected()) {
             return; // the client has stopped waiting and will resubmit the message
         }
         if (!core.isKnownDestination(submission.destination())) {
@@ -205,7 +205,7 @@
         // In a call of several messages '-' stands for a missing key.
         require(
                 key == null
-                        ? knownClasses.all().get(classNumber).repeat() != DecisionModule.RepeatSafety.KEYED
+                        ? knownClasses.classes().get(classNumber).repeat() != DecisionModule.RepeatSafety.KEYED
                         : HeaderValues.isIdentifier(key) && !key.equals("-"),
                 "Idempotency-Key: " + (key == null ? "missing" : "not a key"));
         String retry = headers.getOrDefault("req-retry", "");
--- a/src/main/java/lilaclever/protocol/http/HttpMessageWriter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpMessageWriter.java
@@ -60,9 +60,9 @@
                 .append("\r\n\r\n")
                 .toString()
                 .getBytes(StandardCharsets.ISO_8859_1);
-        byte[] all = new byte[head.length + body.length];
-        System.arraycopy(head, 0, all, 0, head.length);
-        System.arraycopy(body, 0, all, head.length, body.length);
-        return all;
+        byte[] message = new byte[head.length + body.length];
+        System.arraycopy(head, 0, message, 0, head.length);
+        System.arraycopy(body, 0, message, head.length, body.length);
+        return message;
     }
 }
--- a/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
@@ -47,7 +47,7 @@
     /** Time for a new connection to send its first byte, and for a request to be complete. */
     private static final long FIRST_BYTE_TIMEOUT_MICROS = 2_000_000, REQUEST_TIMEOUT_MICROS = 2_000_000;
     /** Time that an idle connection stays open, and the shorter one above {@code keepAliveLimit}. */
-    private static final long IDLE_TIMEOUT_MICROS = 15_000_000, CROWDED_IDLE_TIMEOUT_MICROS = 2_200_000;
+    private static final long IDLE_TIMEOUT_MICROS = 15_000_000, SHORT_IDLE_TIMEOUT_MICROS = 2_200_000;
 
     private static final long MAX_CHECK_INTERVAL_MICROS = 500_000, MIN_CHECK_INTERVAL_MICROS = 20_000;
     /** Time for a new connection's first request to arrive before it is evicted in preference to an idle one. */
@@ -60,7 +60,7 @@
      */
     private static final long LINGER_MICROS = 1_000_000, MAX_LINGER_BYTES = 1 << 20;
     /**
-     * One in this many connections is reserved for those that linger, and for new ones that are told to retry later.
+     * One in this many connections is reserved for those that linger, and for new ones that are asked to retry later.
      */
     private static final int CLOSING_RESERVE_DIVISOR = 8;
 
@@ -128,7 +128,7 @@
         /** Writes that are not wholly in the socket's buffer yet. */
         private int pendingWrites;
 
-        /** It arrived while all capacity was taken by clients waiting for a response, and is told to retry later. */
+        /** It arrived while all capacity was taken by clients waiting for a response, and is asked to retry later. */
         private volatile boolean isOverLimit;
 
         private long droppedBytes;
@@ -150,9 +150,10 @@
         }
 
         /**
-         * Handles the end of the input. The client has either half-closed or closed the connection, which can't be told
-         * apart before something is written: a closed one answers that with a reset. An interim response, which any
-         * HTTP/1.1 client has to ignore, shows it in time. Returns whether the connection stays open for a response.
+         * Handles the end of the input. The client has either half-closed or closed the connection, which can't be
+         * distinguished before something is written: a closed one answers that with a reset. An interim response, which
+         * any HTTP/1.1 client has to ignore, shows it in time. Returns whether the connection stays open for a
+         * response.
          */
         synchronized boolean onEndOfInput() {
             boolean isBeingWritten = pendingWrites > 0 && (isFinished || !hasOpenRequest) && !isLingering;
@@ -172,8 +173,8 @@
             }
         }
 
-        /** Whether the client has gone, as far as is known, so that nothing would read a response. */
-        boolean isGone() {
+        /** Whether the client has disconnected, as far as is known, so that nothing would read a response. */
+        boolean isDisconnected() {
             if (isInputEnded && connection.isOpen()) {
                 sendProbe();
             }
@@ -255,7 +256,7 @@
             }
         }
 
-        /** Responds with an error and closes: what follows can't be told apart from the rest of this request. */
+        /** Responds with an error and closes: what follows can't be distinguished from the rest of this request. */
         private synchronized void reject(int status) {
             if (!isFinished) {
                 core.counters().add(Name.BAD_REQUESTS);
@@ -346,7 +347,7 @@
                     ? REQUEST_TIMEOUT_MICROS
                     : !hasRequested
                             ? FIRST_BYTE_TIMEOUT_MICROS
-                            : connectionCount() > keepAliveLimit ? CROWDED_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS;
+                            : connectionCount() > keepAliveLimit ? SHORT_IDLE_TIMEOUT_MICROS : IDLE_TIMEOUT_MICROS;
             return stateSinceMicros + timeoutMicros;
         }
 
@@ -404,16 +405,16 @@
             if (!connection.isOpen()) {
                 return;
             }
-            long now = core.nowMicros();
-            if (now >= expiresAtMicros()) {
+            long nowMicros = core.nowMicros();
+            if (nowMicros >= expiresAtMicros()) {
                 Transport.runAfterReading(connection, this::closeIfExpired);
             }
             core.deadlines()
                     .schedule(
-                            now
+                            nowMicros
                                     + Math.max(
                                             MIN_CHECK_INTERVAL_MICROS,
-                                            Math.min(MAX_CHECK_INTERVAL_MICROS, expiresAtMicros() - now)),
+                                            Math.min(MAX_CHECK_INTERVAL_MICROS, expiresAtMicros() - nowMicros)),
                             this::checkExpiry);
         }
     }
@@ -430,8 +431,8 @@
             this.keepAlive = keepAlive;
         }
 
-        boolean isClientGone() {
-            return client.isGone();
+        boolean isClientDisconnected() {
+            return client.isDisconnected();
         }
 
         /**
@@ -525,26 +526,28 @@
      * all others wait for a response: its request would have failed.
      */
     private Client evictionCandidate(Client newest) {
-        long now = Core.monotonicMicros();
-        Client silent = null, idle = null;
+        long nowMicros = Core.monotonicMicros();
+        Client withoutRequest = null, idle = null;
         for (Client c : clients) {
             if (closingClients.contains(c)) {
                 continue;
             }
-            if (!c.hasRequested && c != newest && silent == null) {
-                silent = c; // in the order of opening: the first is the oldest
+            if (!c.hasRequested && c != newest && withoutRequest == null) {
+                withoutRequest = c; // in the order of opening: the first is the oldest
             }
             if (c.hasRequested && c.isIdle() && (idle == null || c.stateSinceMicros < idle.stateSinceMicros)) {
                 idle = c;
             }
         }
-        return silent != null && (now - silent.stateSinceMicros > NEW_CONNECTION_GRACE_MICROS || idle == null)
-                ? silent
+        return withoutRequest != null
+                        && (nowMicros - withoutRequest.stateSinceMicros > NEW_CONNECTION_GRACE_MICROS || idle == null)
+                ? withoutRequest
                 : idle != null ? idle : newest;
     }
 
     /**
-     * Makes room for a new connection: one of the others is evicted, and where all room is taken, one is closed now.
+     * Makes room for a new connection: another one is evicted, and above the limit of connections one is closed at
+     * once.
      */
     private void evictFor(Client newest) {
         Client evicted = null;
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -60,7 +60,7 @@
         pending.add(new Notice(line.toString() + '\n', settled));
         if (!isSending) {
             isSending = true;
-            timer = core.deadlines().schedule(core.nowMicros() + 1, this::send); // batches what ends in this turn
+            timer = core.deadlines().schedule(core.nowMicros() + 1, this::send); // batches all notices of this turn
         }
     }
 
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -26,7 +26,7 @@
  * one batch and executes the resulting actions in order. Other threads use only {@link #post}.
  */
 public final class Core {
-    /** Retry advice for submissions rejected without asking the decision module: no room, or shutting down. */
+    /** Retry advice for submissions rejected without asking the decision module: no capacity, or shutting down. */
     private static final long REJECTED_RETRY_AFTER_MICROS = 1_000_000;
 
     private static final long MAX_SLEEP_MICROS = 1_000_000;
@@ -322,16 +322,16 @@
     public void updateEndpoints(DecisionModule.ListingKind kind, long version, List<ListedEndpoint> listed) {
         counters.add(Name.LISTINGS);
         boolean isWhole = kind == DecisionModule.ListingKind.ALL || kind == DecisionModule.ListingKind.REMEMBERED;
-        List<ListedEndpoint> all = new ArrayList<>(listed);
+        List<ListedEndpoint> allListed = new ArrayList<>(listed);
         if (isWhole) {
-            all.addAll(configuredEndpoints);
+            allListed.addAll(configuredEndpoints);
             Map<String, Call.Endpoint> absent = new HashMap<>(endpoints);
             endpoints.clear();
-            all.forEach(item -> absent.remove(item.entry().host()));
+            allListed.forEach(item -> absent.remove(item.entry().host()));
             absent.values().forEach(item -> item.deliverer().closeIdle(item));
         }
         List<DecisionModule.EndpointEntry> entries = new ArrayList<>();
-        for (ListedEndpoint item : all) {
+        for (ListedEndpoint item : allListed) {
             entries.add(item.entry());
             Call.Endpoint before = endpoints.put(item.entry().host(), item.endpoint());
             boolean isActive = item.entry().presence() == DecisionModule.Presence.ACTIVE;
@@ -345,8 +345,8 @@
                 endpoints.remove(item.entry().host());
             }
         }
-        updateActiveEndpoints(all, isWhole);
-        all.forEach(item -> destinationsLastListed.put(item.entry().destination(), nowMicros));
+        updateActiveEndpoints(allListed, isWhole);
+        allListed.forEach(item -> destinationsLastListed.put(item.entry().destination(), nowMicros));
         Set<Integer> servedDestinations = new HashSet<>();
         endpoints.values().forEach(item -> servedDestinations.add(item.destination()));
         destinationsLastListed
@@ -403,10 +403,15 @@
      *
      * @param retryAfterMicros retry-after period for the destination; 0: none
      * @param noSlot it was not sent for want of a free slot
-     * @param over the endpoint reports that the message needs no further attempt and no result
+     * @param isSettled the endpoint reports that the message needs no further attempt and no result
      */
     public void attemptEnded(
-            Call call, Message message, AttemptResult ending, long retryAfterMicros, boolean noSlot, boolean over) {
+            Call call,
+            Message message,
+            AttemptResult result,
+            long retryAfterMicros,
+            boolean noSlot,
+            boolean isSettled) {
         if (message.currentCall != call) {
             return;
         }
@@ -415,49 +420,49 @@
             deadlines.cancel(call.deadline);
             calls.remove(call);
         }
-        counters.addEnding(ending.name());
-        trace(message, "outcome", ending, call);
-        if (!ending.neverRan()) {
+        counters.addAttemptResult(result.name());
+        trace(message, "outcome", result, call);
+        if (!result.neverRan()) {
             message.markPossiblyRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
         }
         events.add(new Event.Outcome(
                 message.id(),
                 call.endpoint.host(),
                 message.attemptCount - 1,
-                ending,
+                result,
                 nowMicros - call.startedAtMicros,
                 retryAfterMicros,
                 noSlot,
-                over || ending == AttemptResult.DELIVERED,
+                isSettled || result == AttemptResult.DELIVERED,
                 null));
-        message.attemptCount -= ending == AttemptResult.WITHHELD ? 1 : 0;
+        message.attemptCount -= result == AttemptResult.WITHHELD ? 1 : 0;
         if (message.isFinished) {
             return;
         }
-        if (ending == AttemptResult.DELIVERED) {
+        if (result == AttemptResult.DELIVERED) {
             counters.add(Name.DELIVERED);
             finish(message, FinalStatus.of(Kind.DELIVERED));
-        } else if (over) {
+        } else if (isSettled) {
             finish(message, FinalStatus.of(Kind.GONE));
         } else {
-            journal.recordOutcome(message.id(), ending.neverRan());
+            journal.recordOutcome(message.id(), result.neverRan());
         }
     }
 
     /** Reports the end of a probe. Event loop. */
-    public void probeEnded(String host, AttemptResult ending, long elapsedMicros) {
-        events.add(new Event.ProbeEnded(host, ending, elapsedMicros, null));
+    public void probeEnded(String host, AttemptResult result, long elapsedMicros) {
+        events.add(new Event.ProbeEnded(host, result, elapsedMicros, null));
     }
 
     /** Applies new message classes and attempt limits to messages submitted from now on. Event loop. */
-    public void updateSettings(DecisionModule.Settings renewed) {
-        events.add(new Event.SettingsChanged(renewed));
+    public void updateSettings(DecisionModule.Settings newSettings) {
+        events.add(new Event.SettingsChanged(newSettings));
     }
 
     /** Accepts no new messages, and starts no call that could still be in flight at the given time. Event loop. */
-    public void beginShutdown(long atMicros) {
+    public void beginShutdown(long callDeadlineMicros) {
         isShuttingDown = true;
-        events.add(new Event.Stopping(atMicros));
+        events.add(new Event.Stopping(callDeadlineMicros));
     }
 
     /**
@@ -539,7 +544,7 @@
         starting.values().forEach(this::startCall);
     }
 
-    /** Records this turn's new messages, except those that end in the same turn, and reports their acceptance. */
+    /** Records this turn's new messages, except those refused or failed in it, and reports their acceptance. */
     private void acceptNewMessages(List<Action> actions) {
         if (newMessages.isEmpty()) {
             return;
@@ -588,9 +593,9 @@
     }
 
     private static Set<Front> submitterFronts(Message message) {
-        Set<Front> all = new LinkedHashSet<>();
-        message.submitters.forEach(submitter -> all.add(submitter.front()));
-        return all;
+        Set<Front> distinctFronts = new LinkedHashSet<>();
+        message.submitters.forEach(submitter -> distinctFronts.add(submitter.front()));
+        return distinctFronts;
     }
 
     private void execute(Action action) {
@@ -634,10 +639,10 @@
         }
     }
 
-    /** Writes a debug line for a message; {@code what} is converted to text only if debug lines are enabled. */
-    private static void trace(Message message, String event, Object what, Call call) {
+    /** Writes a debug line for a message; {@code detail} is converted to text only if debug lines are enabled. */
+    private static void trace(Message message, String event, Object detail, Call call) {
         if (Logs.isDebug()) {
-            String text = what.toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
+            String text = detail.toString().toLowerCase(java.util.Locale.ROOT).replace('_', ' ');
             Logs.debug(
                     "",
                     event,
--- a/src/main/java/lilaclever/routing/Counters.java
+++ b/src/main/java/lilaclever/routing/Counters.java
@@ -38,7 +38,7 @@
     }
 
     private final Map<Name, LongAdder> values = new EnumMap<>(Name.class);
-    private final Map<String, LongAdder> attemptEndings = new TreeMap<>();
+    private final Map<String, LongAdder> attemptsByResult = new TreeMap<>();
     private final Map<String, IntSupplier> entryGauges = new TreeMap<>();
     private final Map<String, LongSupplier> valueGauges = new TreeMap<>();
 
@@ -54,9 +54,9 @@
         values.get(name).increment();
     }
 
-    /** Counts an attempt that ended this way. */
-    synchronized void addEnding(String ending) {
-        attemptEndings.computeIfAbsent(ending, e -> new LongAdder()).increment();
+    /** Counts an attempt with this result. */
+    synchronized void addAttemptResult(String result) {
+        attemptsByResult.computeIfAbsent(result, e -> new LongAdder()).increment();
     }
 
     /** Registers a gauge for the size of a collection, printed as entries_NAME, so that unbounded growth shows up. */
@@ -75,11 +75,11 @@
     }
 
     /** Checks an invariant: an assertion error where assertions are enabled, else counted and logged. */
-    public void checkInvariant(boolean holds, String what) {
-        assert holds : what;
+    public void checkInvariant(boolean holds, String description) {
+        assert holds : description;
         if (!holds) {
             add(Name.BROKEN_INVARIANTS);
-            Logs.error("", "invariant", "does not hold: " + what);
+            Logs.error("", "invariant", "does not hold: " + description);
         }
     }
 
@@ -88,23 +88,23 @@
      * gauges, or after it has ended.
      */
     public synchronized String toText() {
-        StringBuilder all = new StringBuilder();
-        values.forEach((name, value) -> all.append(name.name().toLowerCase())
+        StringBuilder text = new StringBuilder();
+        values.forEach((name, value) -> text.append(name.name().toLowerCase())
                 .append(' ')
                 .append(value.sum())
                 .append('\n'));
-        attemptEndings.forEach((name, value) -> all.append("ending_")
+        attemptsByResult.forEach((name, value) -> text.append("ending_")
                 .append(name.toLowerCase())
                 .append(' ')
                 .append(value.sum())
                 .append('\n'));
-        entryGauges.forEach((name, entries) -> all.append("entries_")
+        entryGauges.forEach((name, entries) -> text.append("entries_")
                 .append(name)
                 .append(' ')
                 .append(entries.getAsInt())
                 .append('\n'));
         valueGauges.forEach((name, value) ->
-                all.append(name).append(' ').append(value.getAsLong()).append('\n'));
-        return all.toString();
+                text.append(name).append(' ').append(value.getAsLong()).append('\n'));
+        return text.toString();
     }
 }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -16,7 +16,10 @@
  * it in the journal. Event loop.
  */
 final class DeduplicationTable {
-    /** Submitters attached to a message beside the first; further ones are told to retry, to bound its record. */
+    /**
+     * Submitters attached to a message beside the first; further ones are asked to retry later, which bounds the size
+     * of its record.
+     */
     static final int MAX_ATTACHED = 8;
 
     /** A front to be notified of the final status, and the id under which it submitted the message. */
@@ -91,7 +94,7 @@
         }
     }
 
-    /** The result that an earlier run remembered for a message without recording its end, or null. */
+    /** The result that an earlier run remembered for a message without recording its final status, or null. */
     FinalStatus finalStatusOfEarlierRun(Message message) {
         return check(message, Long.MIN_VALUE)
                         instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed
--- a/src/main/java/lilaclever/routing/DepartureTable.java
+++ b/src/main/java/lilaclever/routing/DepartureTable.java
@@ -53,7 +53,7 @@
         disputed.remove(name);
         List<ListPosition> previous = positions.get(name);
         List<ListPosition> updated = previous == null ? List.of(position) : added(previous, position);
-        isChanged |= previous == null || !areSamePlaces(previous, updated);
+        isChanged |= previous == null || !haveSameAgentsAndIndexes(previous, updated);
         positions.put(name, updated);
         removeOldest();
     }
@@ -83,7 +83,7 @@
     /** Whether an earlier list of the same index was contradictory about the endpoint. */
     private boolean isDisputed(String name, ListPosition position) {
         ListPosition dispute = disputed.get(name);
-        return dispute != null && dispute.isSamePlace(position);
+        return dispute != null && dispute.hasSameAgentAndIndex(position);
     }
 
     /** Adds a position and drops those that are expired or covered by it. */
@@ -108,12 +108,12 @@
                 : List.of(newest.laterThanAny());
     }
 
-    private static boolean areSamePlaces(List<ListPosition> one, List<ListPosition> other) {
-        if (one.size() != other.size()) {
+    private static boolean haveSameAgentsAndIndexes(List<ListPosition> first, List<ListPosition> second) {
+        if (first.size() != second.size()) {
             return false;
         }
-        for (int i = 0; i < one.size(); i++) {
-            if (!one.get(i).isSamePlace(other.get(i))) {
+        for (int i = 0; i < first.size(); i++) {
+            if (!first.get(i).hasSameAgentAndIndex(second.get(i))) {
                 return false;
             }
         }
@@ -157,7 +157,7 @@
     /** All departures, oldest name first, with times on the wall clock. */
     List<Departure> all(long nowMicros, long wallMicros) {
         List<Departure> all = new ArrayList<>(positions.size());
-        positions.forEach((name, at) -> at.forEach(p ->
+        positions.forEach((name, positionsOfName) -> positionsOfName.forEach(p ->
                 all.add(new Departure(name, p.agent(), p.index(), wallMicros - (nowMicros - p.receivedMicros())))));
         return all;
     }
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -282,14 +282,14 @@
     }
 
     /** Merges two entries of an endpoint: the more cautious presence, never active if their targets differ. */
-    private Statement merged(Statement one, Core.ListedEndpoint other) {
-        Presence presence = other.entry().presence();
-        if (isSameTarget(one.listed(), other)) {
-            boolean isSame = one.presence() == presence;
-            boolean isCautious = one.presence().compareTo(presence) >= 0;
-            return new Statement(isCautious ? one.listed() : other, one.isDisputed() || !isSame);
-        }
-        Core.ListedEndpoint cautious = one.presence().compareTo(presence) >= 0 ? one.listed() : other;
+    private Statement merged(Statement first, Core.ListedEndpoint second) {
+        Presence presence = second.entry().presence();
+        if (isSameTarget(first.listed(), second)) {
+            boolean isSame = first.presence() == presence;
+            boolean isCautious = first.presence().compareTo(presence) >= 0;
+            return new Statement(isCautious ? first.listed() : second, first.isDisputed() || !isSame);
+        }
+        Core.ListedEndpoint cautious = first.presence().compareTo(presence) >= 0 ? first.listed() : second;
         return new Statement(atLeastLeaving(cautious), true);
     }
 
@@ -391,9 +391,9 @@
     }
 
     /** Whether it is out of order with an unexpired position of the same agent, or has no index. */
-    private static boolean isOlder(ListPosition position, ListPosition than) {
-        boolean isOutOfOrder = position.agent().equals(than.agent()) && position.index() < than.index();
-        return (isOutOfOrder || !position.isExact()) && !than.isExpired(position.receivedMicros());
+    private static boolean isOlder(ListPosition position, ListPosition reference) {
+        boolean isOutOfOrder = position.agent().equals(reference.agent()) && position.index() < reference.index();
+        return (isOutOfOrder || !position.isExact()) && !reference.isExpired(position.receivedMicros());
     }
 
     private Core.ListedEndpoint recordActive(Core.ListedEndpoint listed, ListPosition position) {
@@ -482,8 +482,8 @@
         return listed.endpoint().address();
     }
 
-    private static boolean isSameTarget(Core.ListedEndpoint one, Core.ListedEndpoint other) {
-        return one.entry().destination() == other.entry().destination()
-                && address(one).equals(address(other));
+    private static boolean isSameTarget(Core.ListedEndpoint first, Core.ListedEndpoint second) {
+        return first.entry().destination() == second.entry().destination()
+                && address(first).equals(address(second));
     }
 }
--- a/src/main/java/lilaclever/routing/ListPosition.java
+++ b/src/main/java/lilaclever/routing/ListPosition.java
@@ -1,7 +1,7 @@
 package lilaclever.routing;
 
 /**
- * The position of a list in the sequence of lists: tells whether another list is later.
+ * The position of a list in the sequence of lists, to decide whether another list is later.
  *
  * @param agent address of the discovery agent; indexes of different agents are not comparable
  * @param index version of the list
@@ -35,7 +35,7 @@
         return other.agent.equals(agent) || other.agent.equals(INITIAL_LIST);
     }
 
-    boolean isSamePlace(ListPosition other) {
+    boolean hasSameAgentAndIndex(ListPosition other) {
         return index == other.index && agent.equals(other.agent);
     }
 
--- a/src/main/java/lilaclever/routing/ManualDrains.java
+++ b/src/main/java/lilaclever/routing/ManualDrains.java
@@ -11,8 +11,8 @@
 import lilaclever.log.Logs;
 
 /**
- * Endpoints suspended manually by operators. While the directory lists such an endpoint as active, the core is told
- * that it is leaving; once it is restored, the core gets its listed state again. The suspended ids are stored before
+ * Endpoints suspended manually by operators. While the directory lists such an endpoint as active, the core gets it
+ * as leaving; once it is restored, the core gets its listed state again. The suspended ids are stored before
  * the operator gets the answer, as they persist across restarts. Sits between the directory and the core; event loop.
  */
 public final class ManualDrains {
--- a/src/main/java/lilaclever/simhost/Main.java
+++ b/src/main/java/lilaclever/simhost/Main.java
@@ -42,16 +42,16 @@
     }
 
     private static void serve(WireReader reader, WireWriter writer) throws IOException, WireException {
-        Map<String, DecisionModule> relays = new LinkedHashMap<>();
+        Map<String, DecisionModule> modules = new LinkedHashMap<>();
         WireReader.Batch batch;
-        while ((batch = reader.next(relays)) != null) {
-            for (Map.Entry<String, WireReader.RelayEvents> entry :
-                    batch.relays().entrySet()) {
+        while ((batch = reader.next(modules)) != null) {
+            for (Map.Entry<String, WireReader.ModuleEvents> entry :
+                    batch.modules().entrySet()) {
                 try {
                     writer.actions(
                             entry.getKey(),
                             entry.getValue()
-                                    .relay()
+                                    .module()
                                     .decide(batch.nowMicros(), entry.getValue().events()));
                 } catch (RuntimeException e) {
                     StackTraceElement[] trace = e.getStackTrace();
--- a/src/main/java/lilaclever/simhost/SettingsReader.java
+++ b/src/main/java/lilaclever/simhost/SettingsReader.java
@@ -21,32 +21,32 @@
 
     private final JsonObject object;
     private final String path;
-    private final long line;
+    private final long lineNumber;
 
-    private SettingsReader(JsonObject object, String path, long line) {
+    private SettingsReader(JsonObject object, String path, long lineNumber) {
         this.object = object;
         this.path = path;
-        this.line = line;
+        this.lineNumber = lineNumber;
     }
 
-    static DecisionModule createModule(String json, long seed, long line) throws WireException {
-        return DecisionModule.create(read(json, line), seed);
+    static DecisionModule createModule(String json, long seed, long lineNumber) throws WireException {
+        return DecisionModule.create(read(json, lineNumber), seed);
     }
 
     /** Reads the settings from a JSON text; errors name the given line. */
-    public static DecisionModule.Settings read(String json, long line) throws WireException {
+    public static DecisionModule.Settings read(String json, long lineNumber) throws WireException {
         try {
             JsonElement root = JsonParser.parseString(json);
             if (!root.isJsonObject()) {
-                throw new WireException(line, FIELD, "the settings are no JSON object");
+                throw new WireException(lineNumber, FIELD, "the settings are no JSON object");
             }
-            return new SettingsReader(root.getAsJsonObject(), "", line).settings();
+            return new SettingsReader(root.getAsJsonObject(), "", lineNumber).settings();
         } catch (JsonParseException e) {
-            throw new WireException(line, FIELD, "the settings are no JSON");
+            throw new WireException(lineNumber, FIELD, "the settings are no JSON");
         } catch (IllegalStateException | UnsupportedOperationException e) {
-            throw new WireException(line, FIELD, "a list holds a value of the wrong type: " + e.getMessage());
+            throw new WireException(lineNumber, FIELD, "a list holds a value of the wrong type: " + e.getMessage());
         } catch (IllegalArgumentException e) {
-            throw new WireException(line, FIELD, e.getMessage());
+            throw new WireException(lineNumber, FIELD, e.getMessage());
         }
     }
 
@@ -116,11 +116,11 @@
 
     private static List<DecisionModule.EndpointKind> kinds(SettingsReader family) throws WireException {
         List<DecisionModule.EndpointKind> kinds = new ArrayList<>();
-        JsonArray own = family.array("ownLimits");
+        JsonArray ownLimits = family.array("ownLimits");
         JsonArray batch = family.array("kindBatch");
-        for (int i = 0; i < Math.max(own.size(), batch.size()); i++) {
+        for (int i = 0; i < Math.max(ownLimits.size(), batch.size()); i++) {
             kinds.add(new DecisionModule.EndpointKind(
-                    i < own.size() && own.get(i).getAsBoolean(),
+                    i < ownLimits.size() && ownLimits.get(i).getAsBoolean(),
                     i < batch.size() ? batch.get(i).getAsInt() : 1));
         }
         return kinds;
@@ -156,7 +156,7 @@
     }
 
     private WireException invalid(String key, String problem) {
-        return new WireException(line, FIELD + "." + path + key, problem);
+        return new WireException(lineNumber, FIELD + "." + path + key, problem);
     }
 
     private JsonElement get(String key) {
@@ -169,7 +169,8 @@
         if (value != null && !value.isJsonObject()) {
             throw invalid(key, "not an object");
         }
-        return new SettingsReader(value == null ? new JsonObject() : value.getAsJsonObject(), path + key + ".", line);
+        return new SettingsReader(
+                value == null ? new JsonObject() : value.getAsJsonObject(), path + key + ".", lineNumber);
     }
 
     private JsonArray array(String key) throws WireException {
@@ -181,14 +182,14 @@
     }
 
     private List<SettingsReader> children(String key) throws WireException {
-        List<SettingsReader> all = new ArrayList<>();
+        List<SettingsReader> readers = new ArrayList<>();
         for (JsonElement value : array(key)) {
             if (!value.isJsonObject()) {
                 throw invalid(key, "holds something that is no object");
             }
-            all.add(new SettingsReader(value.getAsJsonObject(), path + key + ".", line));
+            readers.add(new SettingsReader(value.getAsJsonObject(), path + key + ".", lineNumber));
         }
-        return all;
+        return readers;
     }
 
     private String text(String key, String defaultValue) throws WireException {
--- a/src/main/java/lilaclever/simhost/WireException.java
+++ b/src/main/java/lilaclever/simhost/WireException.java
@@ -7,8 +7,8 @@
     private final String field;
     private final String problem;
 
-    WireException(long line, String field, String problem) {
-        super("line " + line + ", field " + field + ": " + problem);
+    WireException(long lineNumber, String field, String problem) {
+        super("line " + lineNumber + ", field " + field + ": " + problem);
         this.field = field;
         this.problem = problem;
     }
--- a/src/main/java/lilaclever/simhost/WireReader.java
+++ b/src/main/java/lilaclever/simhost/WireReader.java
@@ -26,17 +26,17 @@
     private long lineNumber;
 
     /** A decision module and its events of the current batch, since its latest start. */
-    record RelayEvents(DecisionModule relay, List<Event> events) {}
+    record ModuleEvents(DecisionModule module, List<Event> events) {}
 
-    /** One batch: its time, and the modules with events by relay name, in order of their first event. */
-    record Batch(long nowMicros, Map<String, RelayEvents> relays) {}
+    /** One batch: its time, and the modules with events by name, in order of their first event. */
+    record Batch(long nowMicros, Map<String, ModuleEvents> modules) {}
 
     WireReader(BufferedReader in) {
         this.in = in;
     }
 
     /** The next batch, or null at the end of the input. Adds and removes modules in the map as they start and crash. */
-    Batch next(Map<String, DecisionModule> relays) throws IOException, WireException {
+    Batch next(Map<String, DecisionModule> modules) throws IOException, WireException {
         String first;
         do {
             first = line();
@@ -57,11 +57,11 @@
             if (word.equals("GO")) {
                 return batch;
             }
-            event(word, fields, relays, batch);
+            event(word, fields, modules, batch);
         }
     }
 
-    private void event(String word, Fields fields, Map<String, DecisionModule> relays, Batch batch)
+    private void event(String word, Fields fields, Map<String, DecisionModule> modules, Batch batch)
             throws IOException, WireException {
         if (word.equals("MANIFEST")) {
             manifest(fields);
@@ -84,18 +84,18 @@
         String name = fields.text("relay");
         if (word.equals("HELLO")) {
             long seed = fields.seed("initSeed");
-            DecisionModule relay = SettingsReader.createModule(fields.rest("conf"), seed, lineNumber);
-            relays.put(name, relay);
-            batch.relays().put(name, new RelayEvents(relay, new ArrayList<>()));
+            DecisionModule module = SettingsReader.createModule(fields.rest("conf"), seed, lineNumber);
+            modules.put(name, module);
+            batch.modules().put(name, new ModuleEvents(module, new ArrayList<>()));
             return;
         }
-        DecisionModule relay = relays.get(name);
-        if (relay == null) {
+        DecisionModule module = modules.get(name);
+        if (module == null) {
             throw new WireException(lineNumber, "relay", "no HELLO came for " + name);
         }
         if (word.equals("CRASH_NOW")) {
-            relays.remove(name);
-            batch.relays().remove(name);
+            modules.remove(name);
+            batch.modules().remove(name);
             return;
         }
         Event event = switch (word) {
@@ -108,9 +108,10 @@
             case "HEARD" -> new Event.PeerMessage(fields.integer("from"), fields.bytes("content"));
             default -> null; // STARTED concerns streams only, which none of the supported message classes uses
         };
-        RelayEvents relayEvents = batch.relays().computeIfAbsent(name, n -> new RelayEvents(relay, new ArrayList<>()));
+        ModuleEvents moduleEvents =
+                batch.modules().computeIfAbsent(name, n -> new ModuleEvents(module, new ArrayList<>()));
         if (event != null) {
-            relayEvents.events().add(event);
+            moduleEvents.events().add(event);
         }
     }
 
@@ -195,18 +196,18 @@
         String host = fields.text("host");
         int attempt = fields.integer("n");
         long note = fields.wholeNumber("note");
-        boolean over = fields.bool("terminal");
-        AttemptResult ending = fields.choice("status", ENDINGS_BY_STATUS);
-        long retryAfterMicros = ending == AttemptResult.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
+        boolean isFinished = fields.bool("terminal");
+        AttemptResult result = fields.choice("status", RESULTS_BY_STATUS);
+        long retryAfterMicros = result == AttemptResult.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
         return new Event.Outcome(
                 id,
                 host,
                 attempt,
-                ending,
+                result,
                 elapsedMicros,
                 retryAfterMicros,
-                ending == AttemptResult.NOT_SENT && note == 1,
-                over,
+                result == AttemptResult.NOT_SENT && note == 1,
+                isFinished,
                 fields.report("serverStats"));
     }
 
@@ -214,10 +215,10 @@
         String host = fields.text("host");
         long elapsedMicros = fields.timeMicros("elapsedS");
         return new Event.ProbeEnded(
-                host, fields.choice("status", ENDINGS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
+                host, fields.choice("status", RESULTS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
     }
 
-    private static final Map<String, AttemptResult> ENDINGS_BY_STATUS = Map.of(
+    private static final Map<String, AttemptResult> RESULTS_BY_STATUS = Map.of(
             "Ok",
             AttemptResult.DELIVERED,
             "Failed",
@@ -246,16 +247,16 @@
     /** The fields of one line, read in order. */
     private static final class Fields {
         private final String text;
-        private final long line;
+        private final long lineNumber;
         private int offset;
 
-        Fields(String text, long line) {
+        Fields(String text, long lineNumber) {
             this.text = text;
-            this.line = line;
+            this.lineNumber = lineNumber;
         }
 
         WireException invalid(String field, String problem) {
-            return new WireException(line, field, problem);
+            return new WireException(lineNumber, field, problem);
         }
 
         void expect(String word) throws WireException {
--- a/src/main/java/lilaclever/simhost/WireWriter.java
+++ b/src/main/java/lilaclever/simhost/WireWriter.java
@@ -15,15 +15,15 @@
         this.out = out;
     }
 
-    void actions(String relay, List<Action> actions) throws IOException {
+    void actions(String moduleName, List<Action> actions) throws IOException {
         for (Action action : actions) {
-            out.write(line(relay, action));
+            out.write(line(moduleName, action));
             out.write('\n');
         }
     }
 
-    void panic(String relay, String reason) throws IOException {
-        out.write("PANIC " + relay + ' ' + oneLine(reason) + '\n');
+    void panic(String moduleName, String reason) throws IOException {
+        out.write("PANIC " + moduleName + ' ' + oneLine(reason) + '\n');
     }
 
     void finish() throws IOException {
@@ -31,30 +31,30 @@
         out.flush();
     }
 
-    private static String line(String relay, Action action) {
+    private static String line(String moduleName, Action action) {
         if (action instanceof Action.Send a) {
-            return "TRY " + relay + ' ' + a.id() + ' ' + a.host() + ' ' + seconds(a.dropAtMicros());
+            return "TRY " + moduleName + ' ' + a.id() + ' ' + a.host() + ' ' + seconds(a.dropAtMicros());
         } else if (action instanceof Action.Wake a) {
-            return "WAKE_AT " + relay + ' ' + seconds(a.afterMicros()) + ' ' + a.token();
+            return "WAKE_AT " + moduleName + ' ' + seconds(a.afterMicros()) + ' ' + a.token();
         } else if (action instanceof Action.Refuse a) {
-            return "SHED " + relay + ' ' + a.id() + ' ' + seconds(a.comeBackMicros());
+            return "SHED " + moduleName + ' ' + a.id() + ' ' + seconds(a.comeBackMicros());
         } else if (action instanceof Action.Fail a) {
-            return "REPORT_FAILURE " + relay + ' ' + a.id();
+            return "REPORT_FAILURE " + moduleName + ' ' + a.id();
         } else if (action instanceof Action.Cancel a) {
-            return "STOP_ATTEMPT " + relay + ' ' + a.id() + ' ' + a.attempt();
+            return "STOP_ATTEMPT " + moduleName + ' ' + a.id() + ' ' + a.attempt();
         } else if (action instanceof Action.CloseIdle a) {
-            return "DROP_CONNS " + relay + ' ' + a.host();
+            return "DROP_CONNS " + moduleName + ' ' + a.host();
         } else if (action instanceof Action.Watch a) {
-            return "WATCH " + relay + ' ' + (a.on() ? 1 : 0);
+            return "WATCH " + moduleName + ' ' + (a.on() ? 1 : 0);
         } else if (action instanceof Action.FetchList) {
-            return "LIST_ALL " + relay;
+            return "LIST_ALL " + moduleName;
         } else if (action instanceof Action.Probe a) {
-            return "TOUCH " + relay + ' ' + a.host();
+            return "TOUCH " + moduleName + ' ' + a.host();
         } else if (action instanceof Action.Tell a) {
             String hex = HexFormat.of().formatHex(a.content());
-            return "PUBLISH " + relay + ' ' + a.to() + ' ' + (hex.isEmpty() ? "-" : hex);
+            return "PUBLISH " + moduleName + ' ' + a.to() + ' ' + (hex.isEmpty() ? "-" : hex);
         } else if (action instanceof Action.Log a) {
-            return "RECORD " + relay + ' ' + oneLine(a.text());
+            return "RECORD " + moduleName + ' ' + oneLine(a.text());
         }
         throw new IllegalStateException("no line for " + action);
     }
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -362,6 +362,6 @@
         HttpServerFilter.Request first = nextRequest();
         client.close();
         awaitSelections(1); // the end of its input has been read
-        assertTrue(first.exchange().isClientGone());
+        assertTrue(first.exchange().isClientDisconnected());
     }
 }
