--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -9,11 +9,11 @@
 import lilaclever.PolicyState.Message;
 
 /**
- * Time-outs of calls, from the mean response time at their limit and the aim of their message; and which calls are
+ * Timeouts of calls, from the mean response time at their limit and the aim of their message; and which calls are
  * given up earlier because all slots are in use.
  */
 final class CallTimeouts {
-    /** Shortest time-out; a message with less time left is given up, as no call would end in time. */
+    /** Shortest timeout; a message with less time left is given up, as no call would end in time. */
     static final long MIN_TIMEOUT_MICROS = 60_000;
 
     /** Weight of one call in the mean response time of a limit. */
@@ -22,17 +22,17 @@
     private static final double OVERALL_RESPONSE_WEIGHT = RESPONSE_WEIGHT / 4;
     /** A response time is slow from this multiple of the mean over all destinations. */
     private static final double SLOW_MULTIPLE = 4;
-    /** A call within this multiple of the mean resets the time-out factor; a slower one multiplies it by the second. */
+    /** A call within this multiple of the mean resets the timeout factor; a slower one multiplies it by the second. */
     private static final double PROMPT_MULTIPLE = 2, SHORTENING_FACTOR = 0.7;
-    /** Time-out of a call, as a multiple of the mean response time at its limit. */
+    /** Timeout of a call, as a multiple of the mean response time at its limit. */
     private static final double TIMEOUT_MULTIPLE = 6;
-    /** Shortest time-out, as a share of the aim. */
+    /** Shortest timeout, as a share of the aim. */
     private static final double MIN_SHARE_OF_AIM = 0.5;
-    /** Consecutive time-outs double the next one, up to this factor. */
+    /** Consecutive timeouts double the next one, up to this factor. */
     private static final double MAX_TIMEOUT_FACTOR = 4;
-    /** Factor on the time-out of unsafe messages, as a time-out makes them fail. */
+    /** Factor on the timeout of unsafe messages, as a timeout makes them fail. */
     private static final double UNSAFE_FACTOR = 2;
-    /** Factor on the time-out of a call in the last slot, where calls are often lost at all destinations. */
+    /** Factor on the timeout of a call in the last slot, where calls are often lost at all destinations. */
     private static final double LAST_SLOT_FACTOR = 0.6;
     /** Share of the repeat window that a keyed message's first attempt may take, so that a repeat fits in. */
     private static final double MAX_SHARE_OF_WINDOW = 0.5;
@@ -49,7 +49,7 @@
         this.transientFailures = transientFailures;
     }
 
-    /** Updates the means and the time-out factor with the response time of a delivered call. */
+    /** Updates the means and the timeout factor with the response time of a delivered call. */
     void onDelivered(DestinationLimit limit, long elapsedMicros) {
         limit.meanResponseMicros = limit.meanResponseMicros == 0
                 ? elapsedMicros
@@ -62,7 +62,7 @@
         limit.timeoutFactor = isPrompt ? 1 : Math.max(1, limit.timeoutFactor * SHORTENING_FACTOR);
     }
 
-    /** Doubles the time-out of a limit's calls, up to a maximum. */
+    /** Doubles the timeout of a limit's calls, up to a maximum. */
     void lengthen(DestinationLimit limit) {
         limit.timeoutFactor = Math.min(MAX_TIMEOUT_FACTOR, limit.timeoutFactor * 2);
     }
@@ -72,7 +72,7 @@
         return SLOW_MULTIPLE * state.overallMeanResponseMicros;
     }
 
-    /** Time-out of a call with the message if it is sent now, microseconds. */
+    /** Timeout of a call with the message if it is sent now, microseconds. */
     long timeoutMicros(Message message, DestinationLimit limit) {
         long aimMicros = message.messageClass.aimMicros();
         double usualMicros = limit.meanResponseMicros > 0 ? TIMEOUT_MULTIPLE * limit.meanResponseMicros : aimMicros;
@@ -93,7 +93,7 @@
     /**
      * Gives up calls in flight for far longer than usual, because all slots are in use; at most as many as messages
      * that could be sent instead, {@code wanted}. Otherwise endpoints that hang at several destinations at once would
-     * each occupy a slot for a whole time-out, a hundred times what another message needs. An unsafe message whose call
+     * each occupy a slot for a whole timeout, a hundred times what another message needs. An unsafe message whose call
      * is merely slow may fail by it. Returns when to check again, in microseconds.
      */
     long cancelOverdue(int wanted) {
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -39,7 +39,7 @@
      * Which endpoints remember the idempotency key of a {@link RepeatSafety#KEYED} message, and so drop its repeats.
      */
     enum KeyScope {
-        /** All endpoints; a message that the client submits again is recognised too. */
+        /** All endpoints; a message that the client submits again is recognized too. */
         ALL,
         /** Endpoints of the destination in the zone that the first attempt was sent to. */
         ZONE,
@@ -185,11 +185,11 @@
      * @param maxAttempts most attempts per message
      * @param maxOpenMessages most messages without a final status
      * @param slots most calls in flight
-     * @param mayCancel whether calls may be given up before their time-out
+     * @param mayCancel whether calls may be given up before their timeout
      * @param mayProbe whether {@link Action.Probe} is allowed
      * @param mayMessagePeers whether {@link Action.Tell} is allowed
      * @param callsPerConnection most concurrent calls on one connection
-     * @param connectTimeoutMicros time-out of a connect
+     * @param connectTimeoutMicros timeout of a connect
      * @param keepAliveMicros time after which an idle connection is closed
      * @param sendsRetryAfter whether refusals give clients a retry-after period
      * @param maxRetryAfterMicros longest retry-after period given to clients
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -30,7 +30,7 @@
  *   <li>{@link EndpointAvailability}: when an endpoint may get a call, from {@link DestinationLimits} (rate limits and
  *       retry-after periods), {@link OutageDetection}, {@link TransientFailures}, {@link RecoveryPace} and
  *       {@link SlowStart};
- *   <li>{@link CallTimeouts}, {@link ConnectionReuse}, {@link RateEstimates}: time-outs, connections and rates.
+ *   <li>{@link CallTimeouts}, {@link ConnectionReuse}, {@link RateEstimates}: timeouts, connections and rates.
  * </ul>
  *
  * <p>They share one {@link PolicyState}. A message waits in the queue of its destination. Every send is checked by
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -24,7 +24,7 @@
     private static final double OUTAGE_FAILURE_SHARE = 0.65;
     /** Share of failures from which slow start begins again, and the highest one retained after an outage. */
     private static final double UNHEALTHY_FAILURE_SHARE = 0.5;
-    /** A connect that fails before this share of its time-out was rejected by the host; later, there was no host. */
+    /** A connect that fails before this share of its timeout was rejected by the host; later, there was no host. */
     private static final double REJECTION_SHARE_OF_TIMEOUT = 0.9;
     /** How long an endpoint gets no calls after the second consecutive hard failure; each further one doubles it. */
     private static final long FIRST_AVOIDANCE_MICROS = 500_000;
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -246,7 +246,7 @@
         long ratesUpdatedAtMicros;
         /** Mean response time of delivered calls; 0 before the first. */
         double meanResponseMicros;
-        /** Factor on the time-out of calls, at least 1. */
+        /** Factor on the timeout of calls, at least 1. */
         double timeoutFactor = 1;
 
         int consecutiveFailures;
--- a/src/main/java/lilaclever/RetrySchedule.java
+++ b/src/main/java/lilaclever/RetrySchedule.java
@@ -23,7 +23,7 @@
     }
 
     /**
-     * Until when endpoints recognise a repeat of the first uncertain attempt, less one round, in microseconds on the
+     * Until when endpoints recognize a repeat of the first uncertain attempt, less one round, in microseconds on the
      * module's clock; {@link Long#MAX_VALUE} if repeats aren't restricted.
      */
     long repeatWindowEndMicros(Message message) {
--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -338,35 +338,39 @@
         }
 
         /** Reads two durations, minimum and maximum; a single one counts for both. */
-        public long[] durationRangeMicros(String key, long defaultMin, long defaultMax, long min, long max)
+        public long[] durationRangeMicros(
+                String key, long defaultMinMicros, long defaultMaxMicros, long minMicros, long maxMicros)
                 throws ConfigurationException {
             List<String> words = words(key);
             if (words.isEmpty()) {
-                return new long[] {defaultMin, defaultMax};
+                return new long[] {defaultMinMicros, defaultMaxMicros};
             }
-            long[] range = {
-                durationMicros(key, words.get(0), min, max), durationMicros(key, words.get(words.size() - 1), min, max)
+            long[] rangeMicros = {
+                durationMicros(key, words.get(0), minMicros, maxMicros),
+                durationMicros(key, words.get(words.size() - 1), minMicros, maxMicros)
             };
-            if (words.size() > 2 || range[0] > range[1]) {
+            if (words.size() > 2 || rangeMicros[0] > rangeMicros[1]) {
                 throw error(key, "one time, or the least and the most, not " + String.join(" ", words));
             }
-            return range;
+            return rangeMicros;
         }
 
         /** Reads a duration with its unit (us, ms, s, m, h, d), in microseconds, within bounds. */
-        public long durationMicros(String key, long defaultValue, long min, long max) throws ConfigurationException {
+        public long durationMicros(String key, long defaultMicros, long minMicros, long maxMicros)
+                throws ConfigurationException {
             String value = value(key);
-            return value == null ? defaultValue : durationMicros(key, value, min, max);
+            return value == null ? defaultMicros : durationMicros(key, value, minMicros, maxMicros);
         }
 
         /** Parses one word of a value as {@link #durationMicros(String, long, long, long)} does. */
-        public long durationMicros(String key, String value, long min, long max) throws ConfigurationException {
+        public long durationMicros(String key, String value, long minMicros, long maxMicros)
+                throws ConfigurationException {
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(us|ms|s|m|h|d)")
                     .matcher(value);
             if (!m.matches()) {
                 throw error(key, "a time with its unit (us, ms, s, m, h or d), not " + value);
             }
-            double unit = switch (m.group(2)) {
+            double unitMicros = switch (m.group(2)) {
                 case "us" -> 1;
                 case "ms" -> 1e3;
                 case "s" -> 1e6;
@@ -374,28 +378,29 @@
                 case "h" -> 3600e6;
                 default -> 86_400e6;
             };
-            double micros = Double.parseDouble(m.group(1)) * unit;
-            if (micros < min || micros > max) {
-                throw error(key, "from " + min / 1000.0 + " ms to " + max / 1000.0 + " ms, not " + value);
+            double micros = Double.parseDouble(m.group(1)) * unitMicros;
+            if (micros < minMicros || micros > maxMicros) {
+                throw error(key, "from " + minMicros / 1000.0 + " ms to " + maxMicros / 1000.0 + " ms, not " + value);
             }
             return (long) micros;
         }
 
         /** Reads a size with its unit (B, KiB, MiB, GiB), in bytes, within bounds. */
-        public long sizeBytes(String key, long defaultValue, long min, long max) throws ConfigurationException {
+        public long sizeBytes(String key, long defaultBytes, long minBytes, long maxBytes)
+                throws ConfigurationException {
             String value = value(key);
             if (value == null) {
-                return defaultValue;
+                return defaultBytes;
             }
             java.util.regex.Matcher m = java.util.regex.Pattern.compile("(\\d{1,12}(?:\\.\\d{1,6})?) ?(B|KiB|MiB|GiB)")
                     .matcher(value);
             if (!m.matches()) {
                 throw error(key, "a size with its unit (B, KiB, MiB or GiB), not " + value);
             }
-            double unit = Math.pow(1024, List.of("B", "KiB", "MiB", "GiB").indexOf(m.group(2)));
-            double bytes = Double.parseDouble(m.group(1)) * unit;
-            if (bytes < min || bytes > max) {
-                throw error(key, "from " + min + " B to " + max + " B, not " + value);
+            double unitBytes = Math.pow(1024, List.of("B", "KiB", "MiB", "GiB").indexOf(m.group(2)));
+            double bytes = Double.parseDouble(m.group(1)) * unitBytes;
+            if (bytes < minBytes || bytes > maxBytes) {
+                throw error(key, "from " + minBytes + " B to " + maxBytes + " B, not " + value);
             }
             return (long) bytes;
         }
--- a/src/main/java/lilaclever/identity/IdempotencyWindows.java
+++ b/src/main/java/lilaclever/identity/IdempotencyWindows.java
@@ -5,7 +5,7 @@
 /**
  * How long results of completed messages are remembered, and how many.
  *
- * @param classMicros by class number, how long after completion a duplicate is recognised, microseconds
+ * @param classMicros by class number, how long after completion a duplicate is recognized, microseconds
  * @param defaultMicros the same for identities that are not shared between fronts (those of mails)
  * @param maxEntries results remembered in all
  */
--- a/src/main/java/lilaclever/program/FileWatch.java
+++ b/src/main/java/lilaclever/program/FileWatch.java
@@ -51,11 +51,11 @@
     }
 
     private void poll() {
-        Version now = version();
-        if (now == null || Objects.equals(now, lastVersion)) {
+        Version currentVersion = version();
+        if (currentVersion == null || Objects.equals(currentVersion, lastVersion)) {
             return;
         }
-        lastVersion = now;
+        lastVersion = currentVersion;
         try {
             onChange.run();
         } catch (RuntimeException e) {
@@ -66,8 +66,8 @@
     /** Returns null while there is no such file. */
     private Version version() {
         try {
-            BasicFileAttributes now = Files.readAttributes(file, BasicFileAttributes.class);
-            return new Version(now.lastModifiedTime(), now.size(), now.fileKey());
+            BasicFileAttributes attributes = Files.readAttributes(file, BasicFileAttributes.class);
+            return new Version(attributes.lastModifiedTime(), attributes.size(), attributes.fileKey());
         } catch (IOException e) {
             return null;
         }
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -33,7 +33,10 @@
 
 /** Assembles, starts and stops the components of the forwarder. */
 final class Forwarder {
-    /** Since the signal: clients are accepted until the first, calls run until the second, all ends at the third. */
+    /**
+     * Times since the signal: clients are accepted until the first, calls may run until the second, and shutdown is
+     * complete by the third.
+     */
     private static final long ACCEPT_PERIOD_MICROS = 500_000,
             CALL_DEADLINE_MICROS = 3_200_000,
             SHUTDOWN_DEADLINE_MICROS = 3_400_000;
--- a/src/main/java/lilaclever/program/Interrupt.java
+++ b/src/main/java/lilaclever/program/Interrupt.java
@@ -2,10 +2,11 @@
 
 /**
  * Handles Ctrl-C (SIGINT) and SIGTERM during long work: the first signal asks the work to stop and write its results,
- * the second ends the process at once. A shutdown hook would not do: plots can't be drawn while the JVM shuts down.
+ * the second ends the process at once. A shutdown hook can't replace this, since plots can't be drawn while the JVM
+ * shuts down.
  */
 final class Interrupt {
-    /** Exit code of a program that SIGINT ended, as shells report it. */
+    /** Exit code of a program that was terminated by SIGINT, as shells report it. */
     static final int EXIT_CODE = 130;
 
     private volatile boolean requested, finished;
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -17,7 +17,7 @@
  */
 public final class DirectoryClient {
     /**
-     * The agent's data counts as known from the first moment of a new process, so the known list alone, which may name
+     * A new process counts as knowing the agent's data from its first moment, so the known list alone, which may name
      * endpoints that have left since, must not be used while the agent may still answer. An agent answers at once; one
      * that has not answered after this time is slow or down, and messages can't wait for it much longer.
      */
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -15,16 +15,16 @@
  */
 final class DiscoveryWatch {
     /**
-     * A change counts as known 6 s after discovery has it, even where the watch that should report it has become
-     * unresponsive. A long poll of a third of that time leaves time to detect the failure and to retry several times. A
-     * poll that brings no change costs nothing.
+     * A forwarder counts as knowing a change 6 s after discovery has it, even where the watch that should report it has
+     * become unresponsive. A long poll of a third of that time leaves time to detect the failure and to retry several
+     * times. A poll that brings no change costs nothing.
      */
     private static final long LONG_POLL_WAIT_MICROS = 2_000_000;
     /** A long poll without a response this long after its wait has timed out. */
     private static final long LONG_POLL_MARGIN_MICROS = 400_000;
     /**
-     * A request with this wait is answered at once or, while discovery is down, not at all; a recovery of discovery
-     * counts as known at once.
+     * A request with this wait is answered at once or, while discovery is down, not at all; once discovery has
+     * recovered, a forwarder counts as knowing its list at once.
      */
     private static final long SHORT_POLL_WAIT_MICROS = 1_000;
 
@@ -187,7 +187,7 @@
                 : delayMicros;
     }
 
-    /** Has the whole list requested, at growing intervals while requests repeat. */
+    /** Schedules a request for the whole list; repeated calls lead to requests at growing intervals. */
     void requestWholeList() {
         needWholeList();
     }
--- a/src/main/java/lilaclever/protocol/http/EndpointList.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointList.java
@@ -15,7 +15,7 @@
  * @param isTruncated whether entries may be missing after the last one, so that absence from the list proves nothing
  * @param endpoints the usable entries, in the list's order; a name that is listed twice is here twice
  * @param unusable names of the entries that can't be used
- * @param faults what could not be read; empty for a list in order
+ * @param faults what could not be read; empty for a list without faults
  */
 public record EndpointList(
         long version,
@@ -32,7 +32,7 @@
      *
      * @param type name of its kind in the settings
      * @param zone name of its zone in the settings
-     * @param sinceMillis when it took on this presence, wall clock, milliseconds since 1970; 0 where that is unknown
+     * @param sinceMillis when it got this presence, wall clock, milliseconds since 1970; 0 where that is unknown
      */
     public record Endpoint(
             String name,
--- a/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
@@ -285,10 +285,10 @@
         private synchronized void onResponded() {
             stateSinceMicros = Core.monotonicMicros();
             hasOpenRequest = false;
-            byte[] waiting = pipelined.toByteArray();
+            byte[] pipelinedBytes = pipelined.toByteArray();
             pipelined.reset();
-            if (waiting.length > 0) {
-                process(waiting);
+            if (pipelinedBytes.length > 0) {
+                process(pipelinedBytes);
             }
             if (isTruncated && !hasOpenRequest && unprocessedBytes == 0) {
                 reject(503); // the rest of the pipelined data is lost
--- a/src/main/java/lilaclever/simhost/Main.java
+++ b/src/main/java/lilaclever/simhost/Main.java
@@ -28,7 +28,7 @@
     /** Processes batches until the input ends; returns the exit code. */
     static int run(InputStream in, OutputStream out, PrintStream err) {
         try {
-            serve(
+            processBatches(
                     new WireReader(new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16)),
                     new WireWriter(new BufferedWriter(new OutputStreamWriter(out, StandardCharsets.UTF_8), 1 << 16)));
             return 0;
@@ -41,24 +41,24 @@
         }
     }
 
-    private static void serve(WireReader reader, WireWriter writer) throws IOException, WireException {
+    private static void processBatches(WireReader reader, WireWriter writer) throws IOException, WireException {
         Map<String, DecisionModule> modules = new LinkedHashMap<>();
         WireReader.Batch batch;
         while ((batch = reader.next(modules)) != null) {
             for (Map.Entry<String, WireReader.ModuleEvents> entry :
                     batch.modules().entrySet()) {
                 try {
-                    writer.actions(
+                    writer.writeActions(
                             entry.getKey(),
                             entry.getValue()
                                     .module()
                                     .decide(batch.nowMicros(), entry.getValue().events()));
                 } catch (RuntimeException e) {
                     StackTraceElement[] trace = e.getStackTrace();
-                    writer.panic(entry.getKey(), e + (trace.length > 0 ? " at " + trace[0] : ""));
+                    writer.writePanic(entry.getKey(), e + (trace.length > 0 ? " at " + trace[0] : ""));
                 }
             }
-            writer.finish();
+            writer.finishBatch();
         }
     }
 }
--- a/src/main/java/lilaclever/simhost/WireReader.java
+++ b/src/main/java/lilaclever/simhost/WireReader.java
@@ -39,7 +39,7 @@
     Batch next(Map<String, DecisionModule> modules) throws IOException, WireException {
         String first;
         do {
-            first = line();
+            first = readLine();
             if (first == null) {
                 return null;
             }
@@ -48,7 +48,7 @@
         round.expect("ROUND");
         Batch batch = new Batch(round.timeMicros("clock"), new LinkedHashMap<>());
         while (true) {
-            String text = line();
+            String text = readLine();
             if (text == null) {
                 throw new WireException(lineNumber, "GO", "the input ended inside a batch");
             }
@@ -57,14 +57,14 @@
             if (word.equals("GO")) {
                 return batch;
             }
-            event(word, fields, modules, batch);
+            readEvent(word, fields, modules, batch);
         }
     }
 
-    private void event(String word, Fields fields, Map<String, DecisionModule> modules, Batch batch)
+    private void readEvent(String word, Fields fields, Map<String, DecisionModule> modules, Batch batch)
             throws IOException, WireException {
         if (word.equals("MANIFEST")) {
-            manifest(fields);
+            readManifest(fields);
             return;
         }
         if (!List.of(
@@ -99,12 +99,12 @@
             return;
         }
         Event event = switch (word) {
-            case "BACKENDS_CHANGED" -> listing(fields);
-            case "SUBMIT" -> submit(fields);
-            case "REPLY" -> reply(fields);
+            case "BACKENDS_CHANGED" -> toListing(fields);
+            case "SUBMIT" -> toSubmit(fields);
+            case "REPLY" -> toOutcome(fields);
             case "REMINDER" -> new Event.Timer(fields.wholeNumber("ctx"));
             case "ABORTED" -> new Event.Withdrawn(fields.text("msgId"));
-            case "PROBED" -> probed(fields);
+            case "PROBED" -> toProbeEnded(fields);
             case "HEARD" -> new Event.PeerMessage(fields.integer("from"), fields.bytes("content"));
             default -> null; // STARTED concerns streams only, which none of the supported message classes uses
         };
@@ -115,7 +115,7 @@
         }
     }
 
-    private void manifest(Fields fields) throws IOException, WireException {
+    private void readManifest(Fields fields) throws IOException, WireException {
         int slot = fields.integer("slot");
         if (slot < 0 || slot >= MAX_LISTS) {
             throw new WireException(lineNumber, "slot", "not from 0 to " + (MAX_LISTS - 1));
@@ -123,7 +123,7 @@
         int count = fields.integer("members");
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String text = line();
+            String text = readLine();
             if (text == null) {
                 throw new WireException(lineNumber, "members", "the input ended inside a list");
             }
@@ -142,7 +142,7 @@
         lists.put(slot, List.copyOf(entries));
     }
 
-    private Event listing(Fields fields) throws WireException {
+    private Event toListing(Fields fields) throws WireException {
         long version = fields.wholeNumber("version");
         String slot = fields.text("slot");
         ListingKind kind = fields.choice(
@@ -171,7 +171,7 @@
         return new Event.Listing(kind, version, entries);
     }
 
-    private static Event submit(Fields fields) throws WireException {
+    private static Event toSubmit(Fields fields) throws WireException {
         String id = fields.text("msgId");
         int marks = fields.integer("marks");
         String key = fields.optional("key");
@@ -190,7 +190,7 @@
                 budgetMicros);
     }
 
-    private static Event reply(Fields fields) throws WireException {
+    private static Event toOutcome(Fields fields) throws WireException {
         String id = fields.text("msgId");
         long elapsedMicros = fields.timeMicros("elapsedS");
         String host = fields.text("host");
@@ -211,7 +211,7 @@
                 fields.report("serverStats"));
     }
 
-    private static Event probed(Fields fields) throws WireException {
+    private static Event toProbeEnded(Fields fields) throws WireException {
         String host = fields.text("host");
         long elapsedMicros = fields.timeMicros("elapsedS");
         return new Event.ProbeEnded(
@@ -236,7 +236,7 @@
             "Ignored",
             AttemptResult.NOT_SENT);
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         String text = in.readLine();
         if (text != null) {
             lineNumber++;
--- a/src/main/java/lilaclever/simhost/WireWriter.java
+++ b/src/main/java/lilaclever/simhost/WireWriter.java
@@ -15,18 +15,18 @@
         this.out = out;
     }
 
-    void actions(String moduleName, List<Action> actions) throws IOException {
+    void writeActions(String moduleName, List<Action> actions) throws IOException {
         for (Action action : actions) {
             out.write(line(moduleName, action));
             out.write('\n');
         }
     }
 
-    void panic(String moduleName, String reason) throws IOException {
+    void writePanic(String moduleName, String reason) throws IOException {
         out.write("PANIC " + moduleName + ' ' + oneLine(reason) + '\n');
     }
 
-    void finish() throws IOException {
+    void finishBatch() throws IOException {
         out.write("FINISHED\n");
         out.flush();
     }
