--- a/src/main/java/lilaclever/simhost/WireReader.java
+++ b/src/main/java/lilaclever/simhost/WireReader.java
@@ -26,20 +26,20 @@
     private long lineNumber;
 
     /** A decision module and its events of the current batch, since its latest start. */
-    record RelayEvents(DecisionModule relay, List<Event> events) {}
+    record ModuleEvents(DecisionModule module, List<Event> events) {}
 
-    /** One batch: its time, and the modules with events by relay name, in order of their first event. */
-    record Batch(long nowMicros, Map<String, RelayEvents> relays) {}
+    /** One batch: its time, and the modules with events by name, in order of their first event. */
+    record Batch(long nowMicros, Map<String, ModuleEvents> modules) {}
 
     WireReader(BufferedReader in) {
         this.in = in;
     }
 
     /** The next batch, or null at the end of the input. Adds and removes modules in the map as they start and crash. */
-    Batch next(Map<String, DecisionModule> relays) throws IOException, WireException {
+    Batch next(Map<String, DecisionModule> modules) throws IOException, WireException {
         String first;
         do {
-            first = line();
+            first = readLine();
             if (first == null) {
                 return null;
             }
@@ -48,7 +48,7 @@
         round.expect("ROUND");
         Batch batch = new Batch(round.timeMicros("clock"), new LinkedHashMap<>());
         while (true) {
-            String text = line();
+            String text = readLine();
             if (text == null) {
                 throw new WireException(lineNumber, "GO", "the input ended inside a batch");
             }
@@ -57,14 +57,14 @@
             if (word.equals("GO")) {
                 return batch;
             }
-            event(word, fields, relays, batch);
+            readEvent(word, fields, modules, batch);
         }
     }
 
-    private void event(String word, Fields fields, Map<String, DecisionModule> relays, Batch batch)
+    private void readEvent(String word, Fields fields, Map<String, DecisionModule> modules, Batch batch)
             throws IOException, WireException {
         if (word.equals("MANIFEST")) {
-            manifest(fields);
+            readManifest(fields);
             return;
         }
         if (!List.of(
@@ -84,37 +84,38 @@
         String name = fields.text("relay");
         if (word.equals("HELLO")) {
             long seed = fields.seed("initSeed");
-            DecisionModule relay = SettingsReader.createModule(fields.rest("conf"), seed, lineNumber);
-            relays.put(name, relay);
-            batch.relays().put(name, new RelayEvents(relay, new ArrayList<>()));
+            DecisionModule module = SettingsReader.createModule(fields.rest("conf"), seed, lineNumber);
+            modules.put(name, module);
+            batch.modules().put(name, new ModuleEvents(module, new ArrayList<>()));
             return;
         }
-        DecisionModule relay = relays.get(name);
-        if (relay == null) {
+        DecisionModule module = modules.get(name);
+        if (module == null) {
             throw new WireException(lineNumber, "relay", "no HELLO came for " + name);
         }
         if (word.equals("CRASH_NOW")) {
-            relays.remove(name);
-            batch.relays().remove(name);
+            modules.remove(name);
+            batch.modules().remove(name);
             return;
         }
         Event event = switch (word) {
-            case "BACKENDS_CHANGED" -> listing(fields);
-            case "SUBMIT" -> submit(fields);
-            case "REPLY" -> reply(fields);
+            case "BACKENDS_CHANGED" -> toListing(fields);
+            case "SUBMIT" -> toSubmit(fields);
+            case "REPLY" -> toOutcome(fields);
             case "REMINDER" -> new Event.Timer(fields.wholeNumber("ctx"));
             case "ABORTED" -> new Event.Withdrawn(fields.text("msgId"));
-            case "PROBED" -> probed(fields);
+            case "PROBED" -> toProbeEnded(fields);
             case "HEARD" -> new Event.PeerMessage(fields.integer("from"), fields.bytes("content"));
             default -> null; // STARTED concerns streams only, which none of the supported message classes uses
         };
-        RelayEvents relayEvents = batch.relays().computeIfAbsent(name, n -> new RelayEvents(relay, new ArrayList<>()));
+        ModuleEvents moduleEvents =
+                batch.modules().computeIfAbsent(name, n -> new ModuleEvents(module, new ArrayList<>()));
         if (event != null) {
-            relayEvents.events().add(event);
+            moduleEvents.events().add(event);
         }
     }
 
-    private void manifest(Fields fields) throws IOException, WireException {
+    private void readManifest(Fields fields) throws IOException, WireException {
         int slot = fields.integer("slot");
         if (slot < 0 || slot >= MAX_LISTS) {
             throw new WireException(lineNumber, "slot", "not from 0 to " + (MAX_LISTS - 1));
@@ -122,7 +123,7 @@
         int count = fields.integer("members");
         List<EndpointEntry> entries = new ArrayList<>();
         for (int i = 0; i < count; i++) {
-            String text = line();
+            String text = readLine();
             if (text == null) {
                 throw new WireException(lineNumber, "members", "the input ended inside a list");
             }
@@ -141,7 +142,7 @@
         lists.put(slot, List.copyOf(entries));
     }
 
-    private Event listing(Fields fields) throws WireException {
+    private Event toListing(Fields fields) throws WireException {
         long version = fields.wholeNumber("version");
         String slot = fields.text("slot");
         ListingKind kind = fields.choice(
@@ -170,7 +171,7 @@
         return new Event.Listing(kind, version, entries);
     }
 
-    private static Event submit(Fields fields) throws WireException {
+    private static Event toSubmit(Fields fields) throws WireException {
         String id = fields.text("msgId");
         int marks = fields.integer("marks");
         String key = fields.optional("key");
@@ -189,35 +190,35 @@
                 budgetMicros);
     }
 
-    private static Event reply(Fields fields) throws WireException {
+    private static Event toOutcome(Fields fields) throws WireException {
         String id = fields.text("msgId");
         long elapsedMicros = fields.timeMicros("elapsedS");
         String host = fields.text("host");
         int attempt = fields.integer("n");
         long note = fields.wholeNumber("note");
-        boolean over = fields.bool("terminal");
-        AttemptResult ending = fields.choice("status", ENDINGS_BY_STATUS);
-        long retryAfterMicros = ending == AttemptResult.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
+        boolean isFinished = fields.bool("terminal");
+        AttemptResult result = fields.choice("status", RESULTS_BY_STATUS);
+        long retryAfterMicros = result == AttemptResult.FULL ? Math.multiplyExact(Math.max(0, note), 1000L) : 0;
         return new Event.Outcome(
                 id,
                 host,
                 attempt,
-                ending,
+                result,
                 elapsedMicros,
                 retryAfterMicros,
-                ending == AttemptResult.NOT_SENT && note == 1,
-                over,
+                result == AttemptResult.NOT_SENT && note == 1,
+                isFinished,
                 fields.report("serverStats"));
     }
 
-    private static Event probed(Fields fields) throws WireException {
+    private static Event toProbeEnded(Fields fields) throws WireException {
         String host = fields.text("host");
         long elapsedMicros = fields.timeMicros("elapsedS");
         return new Event.ProbeEnded(
-                host, fields.choice("status", ENDINGS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
+                host, fields.choice("status", RESULTS_BY_STATUS), elapsedMicros, fields.report("serverStats"));
     }
 
-    private static final Map<String, AttemptResult> ENDINGS_BY_STATUS = Map.of(
+    private static final Map<String, AttemptResult> RESULTS_BY_STATUS = Map.of(
             "Ok",
             AttemptResult.DELIVERED,
             "Failed",
@@ -235,7 +236,7 @@
             "Ignored",
             AttemptResult.NOT_SENT);
 
-    private String line() throws IOException {
+    private String readLine() throws IOException {
         String text = in.readLine();
         if (text != null) {
             lineNumber++;
@@ -246,16 +247,16 @@
     /** The fields of one line, read in order. */
     private static final class Fields {
         private final String text;
-        private final long line;
+        private final long lineNumber;
         private int offset;
 
-        Fields(String text, long line) {
+        Fields(String text, long lineNumber) {
             this.text = text;
-            this.line = line;
+            this.lineNumber = lineNumber;
         }
 
         WireException invalid(String field, String problem) {
-            return new WireException(line, field, problem);
+            return new WireException(lineNumber, field, problem);
         }
 
         void expect(String word) throws WireException {
