--- a/src/test/java/lilaclever/program/ConnectionRacesTest.java
+++ b/src/test/java/lilaclever/program/ConnectionRacesTest.java
@@ -138,11 +138,11 @@
     void connectionIsReleasedWhereTheClientDoesNotClose() throws Exception {
         try (Peer platform = Peer.platform("", notices)) {
             serve(ForwarderSetup.configText(platform.address(), state, null, 3));
-            try (Wire stays = Wire.connect(address);
+            try (Wire neverClosing = Wire.connect(address);
                     Wire client = Wire.connect(address)) {
-                stays.writeText("nonsense\r\n\r\n");
-                assertEquals("400", stays.readRequest().path());
-                assertNull(stays.readRequest());
+                neverClosing.writeText("nonsense\r\n\r\n");
+                assertEquals("400", neverClosing.readRequest().path());
+                assertNull(neverClosing.readRequest());
                 awaitCounter(client, "\nentries_clients 1\n");
             }
         }
@@ -259,7 +259,7 @@
     /** A notice whose connection is unresponsive or breaks is repeated while its result still counts as in time. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void noticeOnAnUnresponsiveConnectionIsRepeatedInTime(boolean silent) throws Exception {
+    void noticeOnAnUnresponsiveConnectionIsRepeatedInTime(boolean unresponsive) throws Exception {
         LinkedBlockingQueue<Long> noticeTimes = new LinkedBlockingQueue<>();
         try (Peer platform = new Peer(wire -> {
                     for (Request r = wire.readRequest(); r != null && noticeTimes.size() < 2; r = wire.readRequest()) {
@@ -269,7 +269,7 @@
                         noticeTimes.add(System.nanoTime());
                         if (noticeTimes.size() > 1) {
                             wire.writeResponse("204 No Content", "");
-                        } else if (silent) {
+                        } else if (unresponsive) {
                             wire.readWithoutAnswering();
                         } else {
                             return;
--- a/src/test/java/lilaclever/program/DepartureNoteTest.java
+++ b/src/test/java/lilaclever/program/DepartureFileTest.java
@@ -20,8 +20,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The file of endpoints that left the list. */
-class DepartureNoteTest {
+/** The file that stores which endpoints have left the list. */
+class DepartureFileTest {
     private static final Departure FIRST = new Departure("s-1", "10.1.0.1:8500", 41, 1_700_000_000_000_000L);
     private static final Departure SECOND = new Departure("s-2", "10.1.0.1:8500", -2, 1_700_000_000_000_001L);
 
--- a/src/test/java/lilaclever/program/DrainAuditor.java
+++ b/src/test/java/lilaclever/program/DrainAuditor.java
@@ -11,7 +11,8 @@
  * Checks that no call is written to a draining or removed endpoint after the grace. It records what discovery, its
  * agents, the forwarder and the endpoints did and when, on one clock in nanoseconds, and evaluates it afterwards.
  *
- * <p>When a change counts as notified ("told") to a forwarder, with the sentences of the specification:
+ * <p>When a forwarder counts as notified of a change ("told" in the specification), with quotations from its pages
+ * STANDING and PROTOCOL:
  *
  * <ul>
  *   <li>An agent that answers: from the moment it has the change. "Where lists are pushed, what the agent has counts as
@@ -157,7 +158,7 @@
                 continue;
             }
             long lateNanos = each.firstByte()
-                    - (notifiedAt(excluding.change(), processRunAt(each.firstByte()))
+                    - (notifiedAt(excluding.change(), runNumberAt(each.firstByte()))
                             + GRACE_NANOS
                             + SOCKET_TOLERANCE_NANOS);
             if (lateNanos > 0) {
@@ -186,8 +187,8 @@
             if (change.at() > call.firstByte()) {
                 break;
             }
-            boolean here = change.change().target().equals(call.target());
-            if (here && change.change().isActive()) {
+            boolean isSameTarget = change.change().target().equals(call.target());
+            if (isSameTarget && change.change().isActive()) {
                 listed = change;
                 excluding = null;
             } else if (listed != null
@@ -199,7 +200,7 @@
         return excluding;
     }
 
-    private int processRunAt(long at) {
+    private int runNumberAt(long at) {
         int last = 0;
         for (int i = 0; i < processRuns.size(); i++) {
             last = processRuns.get(i).start <= at ? i : last;
@@ -238,9 +239,9 @@
         } else if (period.answerQuality() == AnswerQuality.SILENT) {
             notified = Math.max(notified, endOf(period));
         }
-        Long silent = watchesSilentSince.get(watch.agent());
-        if (silent != null && silent >= watch.from() && silent <= receivedAt) {
-            notified = Math.max(notified, silent + MAX_NOTIFICATION_DELAY_NANOS);
+        Long silentSince = watchesSilentSince.get(watch.agent());
+        if (silentSince != null && silentSince >= watch.from() && silentSince <= receivedAt) {
+            notified = Math.max(notified, silentSince + MAX_NOTIFICATION_DELAY_NANOS);
         }
         return notified;
     }
--- a/src/test/java/lilaclever/program/DrainEndpoint.java
+++ b/src/test/java/lilaclever/program/DrainEndpoint.java
@@ -27,7 +27,7 @@
     /** How the endpoint answers a call. */
     enum EndpointBehaviour {
         DELIVERS("200 OK"),
-        TURNS_AWAY("503 full"),
+        REPORTS_FULL("503 full"),
         FAILS("500 failed"),
         /** Closes each connection after one answer, without announcing it. */
         CLOSES_IDLE("200 OK");
--- a/src/test/java/lilaclever/program/DrainFaultRun.java
+++ b/src/test/java/lilaclever/program/DrainFaultRun.java
@@ -61,7 +61,7 @@
         return knownList(testBed, AGENT_INDEX + testBed.version());
     }
 
-    /** Lists the staying endpoint again and again, so that the index grows. */
+    /** Publishes the unchanged entry of the staying endpoint many times, so that the index grows. */
     private static void publishManyChanges(DrainTestBed testBed) {
         for (int i = 0; i < CHANGE_COUNT; i++) {
             testBed.setStatus(STAYING_ENDPOINT, Status.ACTIVE);
@@ -296,10 +296,10 @@
             pause(1_000);
         });
         all.put("drain while the process ends", underLoad((testBed, agent) -> {
-            Thread ending = StandInThreads.start("end", testBed::stop);
+            Thread stopThread = StandInThreads.start("end", testBed::stop);
             pause(200);
             testBed.setStatus(DRAINED_ENDPOINT, Status.LEAVING);
-            ending.join();
+            stopThread.join();
             testBed.start(agent, knownList(testBed));
             pause(1_500);
         }));
@@ -317,7 +317,10 @@
         void apply(DrainTestBed testBed) throws Exception;
     }
 
-    /** No connection to the endpoint is established until the change has been made; then the pending ones are, late. */
+    /**
+     * No connection to the endpoint is established until the change has been made; connections pending meanwhile are
+     * established afterwards.
+     */
     private static FaultScenario lateConnection(MembershipStep change) {
         return testBed -> {
             DrainAgent agent = testBed.agent(AGENT_INDEX);
@@ -383,7 +386,7 @@
             pause(2_500);
         }));
         all.put("stale connections", drainWithEndpointBehaviour(DrainEndpoint.EndpointBehaviour.CLOSES_IDLE));
-        all.put("endpoint turns away", drainWithEndpointBehaviour(DrainEndpoint.EndpointBehaviour.TURNS_AWAY));
+        all.put("endpoint turns away", drainWithEndpointBehaviour(DrainEndpoint.EndpointBehaviour.REPORTS_FULL));
         all.put("endpoint fails", drainWithEndpointBehaviour(DrainEndpoint.EndpointBehaviour.FAILS));
         all.put("an id gets another group", underLoad((testBed, agent) -> {
             testBed.add(OTHER_GROUP);
--- a/src/test/java/lilaclever/program/DrainSchedule.java
+++ b/src/test/java/lilaclever/program/DrainSchedule.java
@@ -202,7 +202,7 @@
 
     private void relist() {
         int endpoint = randomEndpoint();
-        logStep("bring back e" + endpoint);
+        logStep("relist e" + endpoint);
         if (!testBed.current(endpoint).isActive()) {
             testBed.setStatus(endpoint, Status.ACTIVE);
         }
--- a/src/test/java/lilaclever/program/DrainSweep.java
+++ b/src/test/java/lilaclever/program/DrainSweep.java
@@ -12,9 +12,9 @@
 
     public static void main(String[] arguments) throws Exception {
         long firstSeed = Long.parseLong(arguments[0]);
-        int seeds = Integer.parseInt(arguments[1]);
+        int seedCount = Integer.parseInt(arguments[1]);
         for (Fault fault : Fault.values()) {
-            for (long seed = firstSeed; seed < firstSeed + seeds && isSelected(arguments, fault); seed++) {
+            for (long seed = firstSeed; seed < firstSeed + seedCount && isSelected(arguments, fault); seed++) {
                 DrainSchedule schedule = new DrainSchedule(fault, seed, Files.createTempDirectory("drain"));
                 System.out.println(schedule.run());
                 if (Boolean.getBoolean("drain.schedule")) {
--- a/src/test/java/lilaclever/program/DrainTestBed.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -209,7 +209,7 @@
                         Thread.sleep(SUBMIT_INTERVAL_MILLIS); // limits the rate of the load
                     }
                 } catch (IOException e) {
-                    // the forwarder is ending; the next one is tried
+                    // the forwarder is stopping; the next one is tried
                 }
             }
             Thread.sleep(SUBMIT_INTERVAL_MILLIS);
--- a/src/test/java/lilaclever/program/ForwarderTest.java
+++ b/src/test/java/lilaclever/program/ForwarderTest.java
@@ -146,8 +146,8 @@
     }
 
     /**
-     * Under group commit each record is synced before its consequence; every message is still delivered, and a client
-     * that left is forgotten.
+     * Under group commit each record is synced before the action that depends on it; every message is still delivered,
+     * and no result stays pending.
      */
     @Test
     void groupCommitDelaysNoCallOrResultIndefinitely() throws Exception {
@@ -320,7 +320,7 @@
     }
 
     /**
-     * Guards against sending a message that ended while the connection for its call was being established: its client
+     * Guards against sending a message that expired while the connection for its call was being established: its client
      * may already have resubmitted it.
      */
     @Test
@@ -372,13 +372,14 @@
                     "/receive-many null null a k-a 6\r\nbody-a\r\nb k-b 6\r\nbody-b\r\nc k-c 6\r\nbody-c\r\n",
                     Peer.take(calls));
             assertTrue(Peer.take(notices).contains("{\"id\":\"b\",\"status\":\"undeliverable\"}"));
-            assertTrue(Peer.take(calls).startsWith("/receive c "), "only what never ran comes again");
+            assertTrue(Peer.take(calls).startsWith("/receive c "), "only the message that never ran is retried");
         }
     }
 
     /**
      * None of several messages in a call counts as delivered unless the whole answer has arrived, with a complete line
-     * for each message: those that may have run end with a notice where their class does not allow a repeat.
+     * for each message: those that may have run are reported as undeliverable where their class does not allow a
+     * repeat.
      */
     @ParameterizedTest
     @ValueSource(
@@ -410,14 +411,14 @@
                 assertEquals("/receive-many", call.readHttp().target());
                 call.writeText("HTTP/1.1 200 OK\r\n" + answer.replace("~", "\r\n"));
             }
-            Set<String> ended = new TreeSet<>();
+            Set<String> receivedNotices = new TreeSet<>();
             for (int i = 0; i < 3; i++) {
-                ended.add(Peer.take(notices));
+                receivedNotices.add(Peer.take(notices));
             }
             assertEquals(
                     "[{\"id\":\"a\",\"status\":\"undeliverable\"}, {\"id\":\"b\",\"status\":\"undeliverable\"}, "
                             + "{\"id\":\"c\",\"status\":\"undeliverable\"}]",
-                    ended.toString());
+                    receivedNotices.toString());
         }
     }
 
@@ -437,18 +438,18 @@
                 assertTrue(client.submit("b", "payment", 1.5, "").startsWith("202"));
             }
             listed.countDown();
-            Set<String> ended = new TreeSet<>();
+            Set<String> receivedNotices = new TreeSet<>();
             try (var call = new lilaclever.simulation.sockets.StandInConnection(endpoint.accept())) {
                 var request = call.readHttp();
                 assertEquals("/receive-many", request.target());
                 assertTrue(Double.parseDouble(request.header("Req-Deadline", "")) < 1.5);
-                ended.add(Peer.take(notices));
+                receivedNotices.add(Peer.take(notices));
                 answerLate(call, "a accepted\r\nb accepted\r\n");
             }
-            ended.add(Peer.take(notices));
+            receivedNotices.add(Peer.take(notices));
             assertEquals(
                     "[{\"id\":\"a\",\"status\":\"undeliverable\"}, {\"id\":\"b\",\"status\":\"undeliverable\"}]",
-                    ended.toString());
+                    receivedNotices.toString());
         }
     }
 
@@ -623,16 +624,16 @@
                 Peer endpoint = recordingEndpoint(Wire::readWithoutAnswering)) {
             serve(platform.address(), endpoint.address());
             long began = System.nanoTime();
-            try (Wire silent = Wire.connect(address);
-                    Wire half = Wire.connect(address);
+            try (Wire idle = Wire.connect(address);
+                    Wire incomplete = Wire.connect(address);
                     Wire client = Wire.connect(address);
                     Wire other = Wire.connect(address)) {
-                half.writeText("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
+                incomplete.writeText("POST /api HTTP/1.1\r\nContent-Length: 5\r\n\r\nab");
                 assertTrue(client.submit("a", "payment", 20, "mine").startsWith("202"));
                 assertTrue(other.submit("a", "payment", 20, "another's").startsWith("202"));
-                assertEquals("408", half.readRequest().path());
-                assertEquals(null, half.readRequest());
-                assertEquals(null, silent.readRequest());
+                assertEquals("408", incomplete.readRequest().path());
+                assertEquals(null, incomplete.readRequest());
+                assertEquals(null, idle.readRequest());
                 assertTrue(System.nanoTime() - began < 3_000_000_000L, "within 3 s");
                 assertEquals("/receive a k-a mine", Peer.take(calls));
                 assertEquals(0, calls.size());
@@ -642,8 +643,8 @@
     }
 
     /**
-     * Neither silent connections nor connections that stay open after one request exhaust the descriptors needed for
-     * new clients.
+     * Neither connections without a request nor connections that stay open after one request exhaust the descriptors
+     * needed for new clients.
      */
     @ParameterizedTest
     @CsvSource({"false", "true"})
@@ -784,7 +785,7 @@
                 }
                 assertTrue(answer.startsWith("503") && answer.toLowerCase().contains("retry-after"), answer);
             }
-            assertTrue(accepted > 2 && accepted < 14, accepted + " taken");
+            assertTrue(accepted > 2 && accepted < 14, accepted + " accepted");
             try (Stream<Path> files = Files.list(state)) {
                 assertTrue(files.mapToLong(f -> f.toFile().length()).sum() <= 0.4 * 1024 * 1024);
             }
--- a/src/test/java/lilaclever/program/MailTest.java
+++ b/src/test/java/lilaclever/program/MailTest.java
@@ -115,11 +115,11 @@
 
     /** Sends one mail with its commands pipelined, and returns the first reply to its content. */
     private static List<String> send(Wire wire, String from, String content, String... to) throws IOException {
-        StringBuilder group = new StringBuilder("MAIL FROM:<" + from + ">\r\n");
+        StringBuilder commands = new StringBuilder("MAIL FROM:<" + from + ">\r\n");
         for (String each : to) {
-            group.append("RCPT TO:<").append(each).append(">\r\n");
+            commands.append("RCPT TO:<").append(each).append(">\r\n");
         }
-        wire.writeText(group + "DATA\r\n");
+        wire.writeText(commands + "DATA\r\n");
         for (int i = 0; i <= to.length; i++) {
             assertTrue(wire.readReply().startsWith("250"));
         }
--- a/src/test/java/lilaclever/program/ManyEndpointsTest.java
+++ b/src/test/java/lilaclever/program/ManyEndpointsTest.java
@@ -35,30 +35,30 @@
     }
 
     /**
-     * The list arrives in parts with repeated names; each endpoint gets a message, and all but a few are suspended by
-     * operator command.
+     * The list arrives in parts that repeat some names; each endpoint gets a message, and all but a few endpoints are
+     * suspended by operator command.
      */
     @Test
     void aThousandEndpointsGetMessagesAndCanBeSuspended() throws Exception {
         Set<String> calledIds = ConcurrentHashMap.newKeySet();
         LinkedBlockingQueue<String> calls = new LinkedBlockingQueue<>();
-        try (ServerSocket all = new ServerSocket()) {
-            all.bind(new InetSocketAddress("0.0.0.0", 0), 512);
-            Thread accepts = new Thread(() -> {
+        try (ServerSocket server = new ServerSocket()) {
+            server.bind(new InetSocketAddress("0.0.0.0", 0), 512);
+            Thread acceptThread = new Thread(() -> {
                 try {
                     while (true) {
-                        Wire wire = new Wire(all.accept());
-                        Thread serves = new Thread(() -> serve(wire, calls));
-                        serves.setDaemon(true);
-                        serves.start();
+                        Wire wire = new Wire(server.accept());
+                        Thread serveThread = new Thread(() -> serve(wire, calls));
+                        serveThread.setDaemon(true);
+                        serveThread.start();
                     }
                 } catch (java.io.IOException e) {
                     // the server socket is closed at the end of the test
                 }
             });
-            accepts.setDaemon(true);
-            accepts.start();
-            int port = all.getLocalPort();
+            acceptThread.setDaemon(true);
+            acceptThread.start();
+            int port = server.getLocalPort();
             try (Peer platform = new Peer(wire -> {
                 for (Request r = wire.readRequest(); r != null; r = wire.readRequest()) {
                     if (r.path().equals("/status")) {
--- a/src/test/java/lilaclever/program/MixedRun.java
+++ b/src/test/java/lilaclever/program/MixedRun.java
@@ -59,7 +59,7 @@
                 httpAccepted = new AtomicInteger(),
                 hl7Accepted = new AtomicInteger(),
                 hl7Submissions = new AtomicInteger();
-        volatile boolean mayHaveRun, refusedAtOnce, told, submittedBeforeKill;
+        volatile boolean mayHaveRun, refusedAtOnce, notified, submittedBeforeKill;
         volatile String finalStatuses = "";
 
         MessageHistory(int classIndex) {
@@ -105,11 +105,11 @@
             int randomPercent = random.nextInt(100);
             int classIndex = randomPercent < 57 ? 0 : randomPercent < 80 ? 1 : 2;
             int destination = FIRST_DESTINATION + random.nextInt(DESTINATIONS);
-            boolean onHl7 = random.nextBoolean(), twice = random.nextInt(20) == 0;
+            boolean onHl7 = random.nextBoolean(), isResubmitted = random.nextInt(20) == 0;
             long later = (long) ((t + 0.9 * random.nextDouble()) * 1e9);
             histories.put(n, new MessageHistory(classIndex));
             all.add(new Arrival((long) (t * 1e9), n, classIndex, destination, mixed && onHl7, false));
-            if (twice) {
+            if (isResubmitted) {
                 all.add(new Arrival(later, n, classIndex, destination, mixed && !onHl7, true));
             }
         }
@@ -162,7 +162,7 @@
                         if (!notifiedIds.add(id)) {
                             count("notices told once more after the kill, over HTTP");
                         }
-                        if (n != null) { // else notified before: the platform ignores a second notice
+                        if (n != null) { // otherwise this is a second notice, which the platform ignores
                             histories.get(n).notices.incrementAndGet();
                             histories
                                     .get(n)
@@ -178,7 +178,7 @@
     }
 
     // Clients
-    private final ThreadLocal<Wire> keptConnection = new ThreadLocal<>();
+    private final ThreadLocal<Wire> persistentConnection = new ThreadLocal<>();
 
     /** Submits over HTTP; a submission without an answer is repeated, as after a crash of the forwarder. */
     private void submitOverHttp(Arrival arrival, long due) {
@@ -188,11 +188,11 @@
             String id = "h" + ids.getAndIncrement();
             httpIds.put(id, arrival.number());
             try {
-                if (keptConnection.get() == null) {
-                    keptConnection.set(Wire.connect(http));
+                if (persistentConnection.get() == null) {
+                    persistentConnection.set(Wire.connect(http));
                 }
                 String body = body(arrival);
-                keptConnection
+                persistentConnection
                         .get()
                         .writeText("POST /api HTTP/1.1\r\nHost: a\r\nReq-Id: " + id + "\r\nReq-Kind: "
                                 + CLASSES[arrival.classIndex()]
@@ -201,7 +201,7 @@
                                 + "\r\nX-Envelope: dest=" + arrival.destination() + "\r\nContent-Length: "
                                 + body.length()
                                 + "\r\n\r\n" + body);
-                Request answer = keptConnection.get().readRequest();
+                Request answer = persistentConnection.get().readRequest();
                 if (answer != null) {
                     if (i == 0) {
                         httpAcceptMillis.add((System.nanoTime() - due) / NANOS_PER_MILLI);
@@ -218,7 +218,7 @@
                 // submitted again below
             }
             httpIds.remove(id);
-            keptConnection.remove();
+            persistentConnection.remove();
             pause(100);
         }
     }
--- a/src/test/java/lilaclever/program/OperatorTest.java
+++ b/src/test/java/lilaclever/program/OperatorSettingsTest.java
@@ -14,18 +14,18 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The operator's file: every error names file, line and key. */
-class OperatorTest {
+class OperatorSettingsTest {
     private static Config config() throws ConfigurationException {
         return ForwarderSetup.config("127.0.0.1:9", Path.of("nowhere"), null);
     }
 
-    private static OperatorSettings of(String text) throws ConfigurationException {
+    private static OperatorSettings parse(String text) throws ConfigurationException {
         return OperatorSettings.of(ConfFile.parse("f", text.lines().toList()), config());
     }
 
     @Test
     void missingSettingsHaveDefaults() throws ConfigurationException {
-        assertEquals(OperatorSettings.defaults(config()), of("# nothing\n\n[journal]\n"));
+        assertEquals(OperatorSettings.defaults(config()), parse("# nothing\n\n[journal]\n"));
         assertEquals(
                 Durability.NONE.mode(),
                 OperatorSettings.defaults(config()).journal().durability().mode());
@@ -42,7 +42,7 @@
     @Test
     void valuesMayContinueOnTheNextLine() throws ConfigurationException {
         OperatorSettings read =
-                of("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
+                parse("[journal]\ndurability\tinterval # no: a comment has its own line".replaceAll(" #.*", "")
                         + "\ninterval 250\n  ms\nremember 90s\n");
         assertEquals(
                 new Durability(Durability.Mode.INTERVAL, 250_000),
@@ -74,7 +74,8 @@
             })
     void errorsNameFileLineAndKey(String text, String message) {
         ConfigurationException e = assertThrows(
-                ConfigurationException.class, () -> of(text.replace('/', '\n').replace('~', ' ')));
+                ConfigurationException.class,
+                () -> parse(text.replace('/', '\n').replace('~', ' ')));
         assertEquals(message, e.getMessage());
     }
 
--- a/src/test/java/lilaclever/program/RealSocketsTest.java
+++ b/src/test/java/lilaclever/program/RealSocketsTest.java
@@ -111,8 +111,8 @@
     }
 
     /**
-     * A forwarder process that cannot start, for example because its port is in use, ends the rehearsal with its last
-     * log line.
+     * A forwarder process that cannot start, for example because its port is in use, ends the rehearsal with an error
+     * that contains its last log line.
      */
     @Test
     void forwarderProcessThatCannotStartEndsTheRehearsal() throws Exception {
@@ -135,8 +135,9 @@
      */
     @Test
     void forwarderWhosePortIsInUseReportsItAndExits() throws Exception {
-        try (java.net.ServerSocket taken = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-            String address = "127.0.0.1:" + taken.getLocalPort();
+        try (java.net.ServerSocket portHolder =
+                new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+            String address = "127.0.0.1:" + portHolder.getLocalPort();
             Process p = ForwarderSetup.startProcess(
                     folder,
                     ForwarderSetup.configText("127.0.0.1:1", folder.resolve("state"), null, 3)
--- a/src/test/java/lilaclever/program/RetryAfterTest.java
+++ b/src/test/java/lilaclever/program/RetryAfterTest.java
@@ -219,11 +219,11 @@
             endpoint.setReceiveBufferSize(4096);
             endpoint.bind(null);
             endpoint.setSoTimeout(20_000);
-            String where = "127.0.0.1:" + endpoint.getLocalPort();
+            String endpointAddress = "127.0.0.1:" + endpoint.getLocalPort();
             try (Peer platform = Peer.platform(
                     () -> {
                         listed.await(20, TimeUnit.SECONDS); // to whichever request is open: earlier ones have timed out
-                        return ForwarderSetup.endpointList(where);
+                        return ForwarderSetup.endpointList(endpointAddress);
                     },
                     notices)) {
                 forwarder = Forwarder.start(
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -92,7 +92,6 @@
     private SegmentedJournal journal;
     private Transport transport;
     private Core core;
-    /** Number of lists reported. */
     private int listsReported;
 
     @BeforeEach
@@ -115,7 +114,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         transport.close();
         journal.close();
     }
@@ -137,7 +136,7 @@
     }
 
     /**
-     * Waits for the first request to end, and lets the time pass after which the known list is reported without a
+     * Waits for the first request to end, and advances the clock to where the known list is reported without a
      * response.
      */
     private void passFirstResponseWait() throws InterruptedException {
@@ -162,7 +161,7 @@
         return delayMicros;
     }
 
-    /** The same; then the next request is sent. */
+    /** Like {@link #awaitRequestEnd}; then advances the clock to the next request and sends it. */
     private long advanceToNextRequest(long limitMicros) throws InterruptedException {
         long delayMicros = awaitRequestEnd(limitMicros);
         clock.micros += delayMicros;
@@ -171,15 +170,15 @@
     }
 
     /** An address that refuses connections: it is bound, and nothing listens. */
-    private static Socket refusing() throws IOException {
-        Socket taken = new Socket();
-        taken.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        return taken;
+    private static Socket refusingSocket() throws IOException {
+        Socket socket = new Socket();
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        return socket;
     }
 
     @Test
     void refusedConnectionsAreRetriedWithBoundedBackoff() throws Exception {
-        try (Socket refusing = refusing()) {
+        try (Socket refusing = refusingSocket()) {
             watch("127.0.0.1:" + refusing.getLocalPort());
             int requestCount = 1;
             List<Long> delaysMicros = new ArrayList<>();
@@ -195,7 +194,7 @@
 
     @Test
     void unreadableResponsesAreRetriedInTime() throws Exception {
-        try (Socket refusing = refusing();
+        try (Socket refusing = refusingSocket();
                 ServerSocket answering = new ServerSocket(0, 10, InetAddress.getLoopbackAddress())) {
             DirectoryClient directory = watch("127.0.0.1:" + refusing.getLocalPort());
             for (int i = 0; i < 5; i++) {
--- a/src/test/java/lilaclever/protocol/http/HttpClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpClientTest.java
@@ -57,8 +57,8 @@
     }
 
     /**
-     * A response that arrives while its call is given up comes after the time that the endpoint was given: it is
-     * ignored.
+     * A response that arrives while its call is being aborted is ignored: the time that the endpoint had for it is
+     * over.
      */
     @Test
     void aResponseThatCrossesGiveUpIsIgnored() throws Exception {
@@ -77,8 +77,8 @@
     }
 
     /**
-     * The caller that closes a request during {@code giveUp} has moved on: a later report would be taken for one on its
-     * next request.
+     * A caller that closes a request during {@code giveUp} no longer expects a report: it would mistake a later one for
+     * the result of its next request.
      */
     @Test
     void nothingIsReportedAfterAClose() throws Exception {
@@ -98,7 +98,7 @@
     }
 
     /**
-     * A connection is established just as its request is given up: the selector thread reports whether the request was
+     * A connection is established just as its request is aborted: the selector thread reports whether the request was
      * written.
      */
     @Test
@@ -120,7 +120,7 @@
         }
     }
 
-    /** An expired request is not written, even if the loop has not yet given it up. */
+    /** An expired request is not written, even if the event loop has not aborted it yet. */
     @Test
     void anExpiredRequestIsNotWritten() throws Exception {
         send(client(), true);
--- a/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpFrontTest.java
@@ -16,7 +16,7 @@
 
 /** The HTTP front when the layers below it fail. */
 class HttpFrontTest extends TwoThreadFixture {
-    /** A journal that fails on the look-up of messages that ended before. */
+    /** A journal that fails when a finished message is looked up. */
     private static Journal failingJournal() {
         return (Journal) Proxy.newProxyInstance(
                 Journal.class.getClassLoader(), new Class<?>[] {Journal.class}, (proxy, method, arguments) -> {
--- a/src/test/java/lilaclever/protocol/http/HttpMessageReaderTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpMessageReaderTest.java
@@ -28,7 +28,7 @@
                         + (in.length - at);
     }
 
-    private static void expect(String expected, boolean readsResponses, String text) {
+    private static void assertRead(String expected, boolean readsResponses, String text) {
         String bytes = text.replace("~", "\r\n").replace("^", "\n").replace("#", "\0");
         for (int pieceSize : new int[] {1, 2, 3, 7, bytes.length()}) {
             assertEquals(expected, read(readsResponses, bytes, pieceSize), text + " in pieces of " + pieceSize);
@@ -61,8 +61,8 @@
                 "what is this~~ | invalid 400",
                 "POST /a HTTP/1.1~Content-Length: 3~~ab | more"
             })
-    void requests(String text, String expected) {
-        expect(expected, false, text);
+    void requestsAreReadOrRejected(String text, String expected) {
+        assertRead(expected, false, text);
     }
 
     @ParameterizedTest
@@ -81,8 +81,8 @@
                 "HTTP/1.1 200 OK~~what | more",
                 "HTTP/1.1 200 OK | more"
             })
-    void responses(String text, String expected) {
-        expect(expected, true, text);
+    void responsesAreReadOrRejected(String text, String expected) {
+        assertRead(expected, true, text);
     }
 
     @ParameterizedTest
@@ -93,8 +93,8 @@
         "GET /, x, 431",
         "POST /a HTTP/1.1~Transfer-Encoding: chunked~~, 1~a~, 413"
     })
-    void endlessInputIsRejected(String begin, String again, int status) {
-        assertEquals("invalid " + status, read(false, (begin + again.repeat(9_000)).replace("~", "\r\n"), 1000));
+    void endlessInputIsRejected(String begin, String repeated, int status) {
+        assertEquals("invalid " + status, read(false, (begin + repeated.repeat(9_000)).replace("~", "\r\n"), 1000));
     }
 
     @ParameterizedTest
--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -99,7 +99,10 @@
         }
     }
 
-    /** Guards against a large request right after a response being taken for a pipelined one without room, and lost. */
+    /**
+     * Guards against losing a large request sent right after a response, which was mistaken for a pipelined request that
+     * exceeds the buffer.
+     */
     @Test
     void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
@@ -165,10 +168,10 @@
 
     /** Waits until the selector thread has read pending input the given number of times. */
     private void awaitSelections(int times) throws InterruptedException {
-        LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<Connection<?>> opened = new LinkedBlockingQueue<>();
         InetSocketAddress anywhere = new InetSocketAddress(server.getInetAddress(), server.getLocalPort());
-        transport.connect(anywhere, Transport.chain(new BaseFilter() {}), up::add, Throwable::printStackTrace);
-        Connection<?> connection = up.poll(20, TimeUnit.SECONDS);
+        transport.connect(anywhere, Transport.chain(new BaseFilter() {}), opened::add, Throwable::printStackTrace);
+        Connection<?> connection = opened.poll(20, TimeUnit.SECONDS);
         for (int i = 0; i < times; i++) {
             CountDownLatch read = new CountDownLatch(1);
             Transport.runAfterReading(connection, read::countDown);
@@ -176,7 +179,6 @@
         }
     }
 
-    // Requests that were read
     private StandInConnection connectAndCompleteRequest(InetSocketAddress address, int number) throws Exception {
         StandInConnection wire = connect(address);
         wire.writeText(requestText("/first" + number, 0));
@@ -311,6 +313,7 @@
             assertNull(client.readHttp());
         }
     }
+
     /** A client that half-closes after a request still reads, and gets its response. */
     @Test
     void aHalfClosedClientIsAnswered() throws Exception {
@@ -352,7 +355,10 @@
         }
     }
 
-    /** A client that has closed its connection is gone: its message is not accepted, as it will be submitted again. */
+    /**
+     * A client that has closed its connection is reported as gone: its message is not accepted, as the client will
+     * submit it again.
+     */
     @Test
     void aClientThatHasClosedIsGone() throws Exception {
         serverFilter = new HttpServerFilter(core, 10, 10, requests::add);
--- a/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
@@ -64,7 +64,7 @@
     }
 
     @AfterEach
-    void end() throws Exception {
+    void stop() throws Exception {
         core.stop();
         journal.close();
         transport.close();
@@ -93,13 +93,13 @@
 
     /** Blocks the selector thread until the returned latch is released. */
     final CountDownLatch blockSelector() throws InterruptedException {
-        LinkedBlockingQueue<Connection<?>> up = new LinkedBlockingQueue<>();
+        LinkedBlockingQueue<Connection<?>> opened = new LinkedBlockingQueue<>();
         transport.connect(
                 new InetSocketAddress(server.getInetAddress(), server.getLocalPort()),
                 Transport.chain(new BaseFilter() {}),
-                up::add,
+                opened::add,
                 Throwable::printStackTrace);
-        Connection<?> connection = up.poll(20, TimeUnit.SECONDS);
+        Connection<?> connection = opened.poll(20, TimeUnit.SECONDS);
         CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         Transport.runOnSelector(connection, () -> {
