--- a/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
+++ b/src/test/java/lilaclever/protocol/http/HttpServerFilterTest.java
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Guards against losing a large request sent right after a response, which was mistaken for a pipelined request that
-     * exceeds the buffer.
+     * Guards against losing a large request sent right after a response because it is mistaken for a pipelined request
+     * that exceeds the buffer.
      */
     @Test
     void aLargeRequestMayArriveBeforeTheLastWriteCompletes() throws Exception {
