--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -49,9 +49,9 @@
         final int recordBytes;
         int attemptCount;
         boolean inProgress, mayHaveRun;
-        String host = "", firstRunHost = "";
-        int zone, firstRunZone;
-        long sentWallMicros, firstRunWallMicros;
+        String host = "", uncertainHost = "";
+        int zone, uncertainZone;
+        long sentWallMicros, uncertainSentWallMicros;
         FinalStatus finalStatus;
 
         Entry(String front, Submission submission, long deadlineWallMicros, int recordBytes) {
@@ -64,9 +64,9 @@
         void markMayHaveRun() {
             if (!mayHaveRun) {
                 mayHaveRun = true;
-                firstRunHost = host;
-                firstRunZone = zone;
-                firstRunWallMicros = sentWallMicros;
+                uncertainHost = host;
+                uncertainZone = zone;
+                uncertainSentWallMicros = sentWallMicros;
             }
         }
     }
@@ -227,9 +227,9 @@
         out.writeInt(e.zone);
         out.writeLong(e.sentWallMicros);
         out.writeBoolean(e.mayHaveRun);
-        out.writeUTF(e.firstRunHost);
-        out.writeInt(e.firstRunZone);
-        out.writeLong(e.firstRunWallMicros);
+        out.writeUTF(e.uncertainHost);
+        out.writeInt(e.uncertainZone);
+        out.writeLong(e.uncertainSentWallMicros);
     }
 
     private boolean append(byte[] record) {
@@ -381,9 +381,9 @@
                     e.zone = in.readInt();
                     e.sentWallMicros = in.readLong();
                     e.mayHaveRun = in.readBoolean();
-                    e.firstRunHost = in.readUTF();
-                    e.firstRunZone = in.readInt();
-                    e.firstRunWallMicros = in.readLong();
+                    e.uncertainHost = in.readUTF();
+                    e.uncertainZone = in.readInt();
+                    e.uncertainSentWallMicros = in.readLong();
                 }
                 case FINAL_STATUS -> e.finalStatus = readFinalStatus(in);
                 default -> {
--- a/src/main/java/lilaclever/identity/CompletedMessage.java
+++ b/src/main/java/lilaclever/identity/CompletedMessage.java
@@ -1,10 +1,10 @@
 package lilaclever.identity;
 
 /**
- * The remembered result of a completed message.
+ * The remembered final status of a completed message.
  *
- * @param result the result
+ * @param finalStatus the message's final status
  * @param fingerprint fingerprint of the message; null if duplicates are not compared by content
  * @param untilWallMicros when it expires, on the wall clock, microseconds
  */
-public record CompletedMessage<E>(E result, Fingerprint fingerprint, long untilWallMicros) {}
+public record CompletedMessage<E>(E finalStatus, Fingerprint fingerprint, long untilWallMicros) {}
--- a/src/main/java/lilaclever/identity/DuplicateCheckResult.java
+++ b/src/main/java/lilaclever/identity/DuplicateCheckResult.java
@@ -4,7 +4,7 @@
  * Result of checking a submission for duplicates by its identity.
  *
  * @param <M> a pending message
- * @param <E> the result of a completed message
+ * @param <E> the final status of a completed message
  */
 public sealed interface DuplicateCheckResult<M, E> {
     /** No message with this identity is known. */
@@ -13,8 +13,8 @@
     /** The message is pending: its final status answers this submission as well. */
     record PendingDuplicate<M, E>(M pending) implements DuplicateCheckResult<M, E> {}
 
-    /** The message is completed, with this result. */
-    record CompletedDuplicate<M, E>(E result) implements DuplicateCheckResult<M, E> {}
+    /** The message is completed, with this final status. */
+    record CompletedDuplicate<M, E>(E finalStatus) implements DuplicateCheckResult<M, E> {}
 
     /** The identity belongs to a message with other content, which is pending or completed. */
     record Conflict<M, E>(boolean isPending) implements DuplicateCheckResult<M, E> {}
--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -52,7 +52,7 @@
         }
         return differs(fingerprint, earlier.fingerprint())
                 ? new DuplicateCheckResult.Conflict<>(false)
-                : new DuplicateCheckResult.CompletedDuplicate<>(earlier.result());
+                : new DuplicateCheckResult.CompletedDuplicate<>(earlier.finalStatus());
     }
 
     private static boolean differs(Fingerprint a, Fingerprint b) {
--- a/src/main/java/lilaclever/journal/Inspection.java
+++ b/src/main/java/lilaclever/journal/Inspection.java
@@ -143,7 +143,7 @@
                 printLine(json -> {
                     json.name("remembered").value(e.getKey());
                     json.name("until").value(instant(e.getValue().value.untilWallMicros()));
-                    finalStatus(json, e.getValue().value.result());
+                    finalStatus(json, e.getValue().value.finalStatus());
                 });
             }
             return report.damages().isEmpty() && report.missingSegments() == 0 ? GOOD : DAMAGED;
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -227,7 +227,7 @@
     }
 
     /** Records were lost: any attempt of the messages known so far may have run without its record. */
-    void markPossiblyRun() {
+    void assumeLostAttempts() {
         pending.values().forEach(entry -> entry.value.assumeLostAttempt());
     }
 }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -86,7 +86,7 @@
                 int zone = in.getInt();
                 long wallMicros = in.getLong();
                 if (mayHaveRun) {
-                    message.markPossiblyRun(host, zone, wallMicros);
+                    message.markMayHaveRun(host, zone, wallMicros);
                 }
             }
             case VERDICT -> message.setFinalStatus(readFinalStatus(in));
--- a/src/main/java/lilaclever/journal/RecordDecoder.java
+++ b/src/main/java/lilaclever/journal/RecordDecoder.java
@@ -115,7 +115,7 @@
         int zone = in.getInt();
         long wallMicros = readWallMicros(in);
         if (mayHaveRun) {
-            message.markPossiblyRun(host, zone, wallMicros);
+            message.markMayHaveRun(host, zone, wallMicros);
         }
         if (SegmentFormat.readFlag(in)) {
             message.setFinalStatus(readFinalStatus(in));
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -51,7 +51,7 @@
     /** The result remembered under an identity. */
     static void remembered(RecordWriter out, String identity, CompletedMessage<FinalStatus> result) {
         out.beginRecord(RecordType.REMEMBERED).putText(identity);
-        putFinalStatus(out, result.result());
+        putFinalStatus(out, result.finalStatus());
         out.putLong(result.untilWallMicros()).putFlag(result.fingerprint() != null);
         if (result.fingerprint() != null) {
             out.putLong(result.fingerprint().high())
@@ -79,9 +79,9 @@
                 .putInt(message.lastZone())
                 .putLong(message.lastAttemptWallMicros());
         out.putFlag(message.mayHaveRun())
-                .putText(message.possibleRunHost())
-                .putInt(message.possibleRunZone())
-                .putLong(message.possibleRunWallMicros());
+                .putText(message.uncertainHost())
+                .putInt(message.uncertainZone())
+                .putLong(message.uncertainSentWallMicros());
         out.putFlag(message.finalStatus() != null);
         if (message.finalStatus() != null) {
             putFinalStatus(out, message.finalStatus());
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -144,7 +144,7 @@
                 missingSegments += (int) gap;
                 faultLog.accept(gap + " files missing before "
                         + entry.getValue().name() + "; earlier attempts in flight count as possibly run");
-                state.markPossiblyRun();
+                state.assumeLostAttempts();
             }
             SegmentStart next = segments.get(entry.getKey() + 1);
             readSegment(entry.getKey(), entry.getValue().name(), next == null ? -1 : next.previousSegmentEnd());
@@ -186,6 +186,6 @@
         damages.add(new Damage(segment.name, from, to));
         faultLog.accept(segment.name + " can't be read from byte " + from + " to " + to
                 + "; later records are read, and earlier attempts in flight count as possibly run");
-        state.markPossiblyRun();
+        state.assumeLostAttempts();
     }
 }
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -26,16 +26,17 @@
      *
      * @param host the endpoint's unique name in the list
      * @param address where to connect
-     * @param maxMessagesPerCall how many messages a call may carry
-     * @param hasOwnLimits true if limits and retry-after periods apply to this endpoint, not to its whole destination
+     * @param maxBatchSize the most messages that a call may carry
+     * @param limitPerEndpoint true if limits and retry-after periods apply to this endpoint, not to its whole
+     *     destination
      */
     public record Endpoint(
             String host,
             String address,
             int destination,
             int zone,
-            int maxMessagesPerCall,
-            boolean hasOwnLimits,
+            int maxBatchSize,
+            boolean limitPerEndpoint,
             Deliverer deliverer) {}
 
     Call(Endpoint endpoint, long startedAtMicros) {
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -236,8 +236,7 @@
         }
         message.attemptCount = pending.attempts();
         if (pending.mayHaveRun()) {
-            message.markPossiblyRun(
-                    pending.possibleRunHost(), pending.possibleRunZone(), pending.possibleRunWallMicros());
+            message.markMayHaveRun(pending.uncertainHost(), pending.uncertainZone(), pending.uncertainSentWallMicros());
         }
         addPending(message);
         events.add(message.toSubmitEvent(nowMicros, wallMicros));
@@ -264,7 +263,7 @@
         }
         if (check instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed) {
             counters.add(Name.TOLD_AGAIN);
-            return answerWithoutAccepting(message, completed.result());
+            return answerWithoutAccepting(message, completed.finalStatus());
         }
         if (check instanceof DuplicateCheckResult.Conflict<Message, FinalStatus>) {
             return rejectConflict(message);
@@ -423,7 +422,7 @@
         counters.addAttemptResult(result.name());
         trace(message, "outcome", result, call);
         if (!result.neverRan()) {
-            message.markPossiblyRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
+            message.markMayHaveRun(call.endpoint.host(), call.endpoint.zone(), clock.wallMicros());
         }
         events.add(new Event.Outcome(
                 message.id(),
@@ -672,7 +671,7 @@
             return;
         }
         Call call = starting.get(a.host());
-        if (call != null && call.messages.size() >= endpoint.maxMessagesPerCall()) {
+        if (call != null && call.messages.size() >= endpoint.maxBatchSize()) {
             startCall(call);
             call = null;
         }
@@ -683,7 +682,7 @@
         counters.checkInvariant(endpoint.equals(call.endpoint), a.id() + " has the same endpoint as its call");
         message.attemptCount++;
         call.addMessage(message, a.dropAtMicros(), nowMicros + message.deadlineWallMicros - clock.wallMicros());
-        if (endpoint.maxMessagesPerCall() > 1) {
+        if (endpoint.maxBatchSize() > 1) {
             Call shared = call;
             deadlines.schedule(a.dropAtMicros(), () -> removeFromCall(message, shared));
         }
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -98,7 +98,7 @@
     FinalStatus finalStatusOfEarlierRun(Message message) {
         return check(message, Long.MIN_VALUE)
                         instanceof DuplicateCheckResult.CompletedDuplicate<Message, FinalStatus> completed
-                ? completed.result()
+                ? completed.finalStatus()
                 : null;
     }
 
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -48,7 +48,7 @@
      * @param agent its address
      * @param index version of the list; {@link #NO_INDEX} where it could not be read
      * @param isWhole it lists every endpoint, not only changes
-     * @param isCut it is truncated, so that the absence of a name has no meaning
+     * @param isTruncated it is truncated, so that the absence of a name has no meaning
      * @param entries the usable entries
      * @param unusable names with an unusable entry: no address, no group or an unknown status
      */
@@ -56,12 +56,12 @@
             String agent,
             long index,
             boolean isWhole,
-            boolean isCut,
+            boolean isTruncated,
             List<Core.ListedEndpoint> entries,
             Set<String> unusable) {
         /** True if an endpoint that is not in it has left. */
         boolean isComplete() {
-            return isWhole && !isCut;
+            return isWhole && !isTruncated;
         }
     }
 
@@ -197,7 +197,7 @@
     public CoreUpdate update(ListUpdate update, long nowMicros, long wallMicros) {
         startClock(nowMicros);
         ListPosition position = position(update, nowMicros);
-        updateLeavesDoubt = update.isCut() || !update.unusable().isEmpty() || isOlderChange(update, position);
+        updateLeavesDoubt = update.isTruncated() || !update.unusable().isEmpty() || isOlderChange(update, position);
         Map<String, Statement> statements = statements(update.entries(), update.unusable());
         List<Core.ListedEndpoint> updates = new ArrayList<>(statements.size());
         for (Map.Entry<String, Statement> statement : statements.entrySet()) {
--- a/src/main/java/lilaclever/routing/Message.java
+++ b/src/main/java/lilaclever/routing/Message.java
@@ -35,9 +35,9 @@
     /** Whether some endpoint may have processed it; the fields below describe the first such attempt. */
     boolean mayHaveRun;
 
-    String possibleRunHost = "";
-    int possibleRunZone;
-    long possibleRunWallMicros;
+    String uncertainHost = "";
+    int uncertainZone;
+    long uncertainSentWallMicros;
     FinalStatus finalStatus;
     /** Human-readable response of the last endpoint. */
     public String lastResponseText = "";
@@ -77,22 +77,22 @@
         return finalStatus;
     }
 
-    void markPossiblyRun(String host, int zone, long wallMicros) {
+    void markMayHaveRun(String host, int zone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
-            possibleRunHost = host;
-            possibleRunZone = zone;
-            possibleRunWallMicros = wallMicros;
+            uncertainHost = host;
+            uncertainZone = zone;
+            uncertainSentWallMicros = wallMicros;
         }
     }
 
     DecisionModule.Event.Submit toSubmitEvent(long nowMicros, long nowWallMicros) {
         // An attempt in the future means that the clock was set back, so its age is not known.
         long ageMicros =
-                nowWallMicros < possibleRunWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - possibleRunWallMicros;
+                nowWallMicros < uncertainSentWallMicros ? UNKNOWN_AGE_MICROS : nowWallMicros - uncertainSentWallMicros;
         DecisionModule.PriorAttempts prior = isResumed
                 ? new DecisionModule.PriorAttempts(
-                        attemptCount, mayHaveRun, possibleRunHost, possibleRunZone, nowMicros - ageMicros)
+                        attemptCount, mayHaveRun, uncertainHost, uncertainZone, nowMicros - ageMicros)
                 : null;
         return new DecisionModule.Event.Submit(
                 id(),
--- a/src/main/java/lilaclever/routing/PendingMessage.java
+++ b/src/main/java/lilaclever/routing/PendingMessage.java
@@ -18,9 +18,9 @@
     private int lastZone;
     private long lastAttemptWallMicros;
     private boolean mayHaveRun;
-    private String possibleRunHost = "";
-    private int possibleRunZone;
-    private long possibleRunWallMicros;
+    private String uncertainHost = "";
+    private int uncertainZone;
+    private long uncertainSentWallMicros;
     private FinalStatus finalStatus;
     private List<Submitter> attachedSubmitters = List.of();
 
@@ -77,18 +77,18 @@
     }
 
     /** The endpoint of the first attempt that may have been processed; empty if not known. */
-    public String possibleRunHost() {
-        return possibleRunHost;
+    public String uncertainHost() {
+        return uncertainHost;
     }
 
     /** The zone of that attempt. */
-    public int possibleRunZone() {
-        return possibleRunZone;
+    public int uncertainZone() {
+        return uncertainZone;
     }
 
     /** When that attempt was made, wall clock, microseconds. */
-    public long possibleRunWallMicros() {
-        return possibleRunWallMicros;
+    public long uncertainSentWallMicros() {
+        return uncertainSentWallMicros;
     }
 
     /** The final status of which not all submitters are notified yet, or null. */
@@ -124,17 +124,17 @@
     public void attemptEnded(boolean neverRan) {
         isInFlight = false;
         if (!neverRan) {
-            markPossiblyRun(lastHost, lastZone, lastAttemptWallMicros);
+            markMayHaveRun(lastHost, lastZone, lastAttemptWallMicros);
         }
     }
 
     /** Notes an attempt that may have been processed; only the first one is kept. */
-    public void markPossiblyRun(String atHost, int atZone, long wallMicros) {
+    public void markMayHaveRun(String atHost, int atZone, long wallMicros) {
         if (!mayHaveRun) {
             mayHaveRun = true;
-            possibleRunHost = atHost;
-            possibleRunZone = atZone;
-            possibleRunWallMicros = wallMicros;
+            uncertainHost = atHost;
+            uncertainZone = atZone;
+            uncertainSentWallMicros = wallMicros;
         }
     }
 
@@ -144,7 +144,7 @@
      */
     public void assumeLostAttempt() {
         attempts = Math.max(1, attempts);
-        markPossiblyRun(lastHost, lastZone, deadlineWallMicros - submission.budgetMicros());
+        markMayHaveRun(lastHost, lastZone, deadlineWallMicros - submission.budgetMicros());
     }
 
     public void setFinalStatus(FinalStatus status) {
--- a/src/main/java/lilaclever/routing/RetryAfterTable.java
+++ b/src/main/java/lilaclever/routing/RetryAfterTable.java
@@ -14,7 +14,7 @@
 
     /** What a retry-after of this endpoint applies to. */
     private static Object keyOf(Call.Endpoint endpoint) {
-        return endpoint.hasOwnLimits() ? endpoint.host() : (Object) endpoint.destination();
+        return endpoint.limitPerEndpoint() ? endpoint.host() : (Object) endpoint.destination();
     }
 
     /** Records a retry-after of the endpoint; a shorter period does not cut a longer one short. */
--- a/src/main/java/lilaclever/simulation/model/Partner.java
+++ b/src/main/java/lilaclever/simulation/model/Partner.java
@@ -48,9 +48,10 @@
     /**
      * How partners recover from an outage, common to all partners of a scenario: the capacity share right after the
      * outage, the duration of the linear ramp to full capacity, and the multiple of the present capacity that, over
-     * {@code overloadMicros}, makes a recovering partner fail.
+     * {@code overloadWindowMicros}, makes a recovering partner fail.
      */
-    public record Recovery(double initialCapacity, long rampMicros, double overloadFactor, long overloadMicros) {}
+    public record Recovery(
+            double initialCapacityShare, long rampMicros, double overloadMultiple, long overloadWindowMicros) {}
 
     /** A call during recovery; {@code work} is measured in single-message calls. */
     private record RecentCall(long atMicros, int forwarder, double work) {}
@@ -81,7 +82,8 @@
     private final CallLimiter limiter;
     private final Map<String, Endpoint> endpoints = new LinkedHashMap<>();
     /**
-     * Calls of the last {@link Recovery#overloadMicros} during recovery, which decide whether it fails under overload.
+     * Calls of the last {@link Recovery#overloadWindowMicros} during recovery, which decide whether it fails under
+     * overload.
      */
     private final ArrayDeque<RecentCall> recentCalls = new ArrayDeque<>();
 
@@ -203,8 +205,8 @@
         if (recoveringSinceMicros == Long.MIN_VALUE || nowMicros - recoveringSinceMicros >= recovery.rampMicros()) {
             return 1;
         }
-        return recovery.initialCapacity()
-                + (1 - recovery.initialCapacity()) * (nowMicros - recoveringSinceMicros) / recovery.rampMicros();
+        return recovery.initialCapacityShare()
+                + (1 - recovery.initialCapacityShare()) * (nowMicros - recoveringSinceMicros) / recovery.rampMicros();
     }
 
     /** True during an outage or after a failure under overload; slowness alone does not count. */
@@ -323,22 +325,22 @@
 
     private void checkOverload(int forwarder, double work, long nowMicros) {
         if (recoveringSinceMicros == Long.MIN_VALUE
-                || nowMicros - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadMicros()) {
+                || nowMicros - recoveringSinceMicros >= recovery.rampMicros() + recovery.overloadWindowMicros()) {
             recentCalls.clear();
             return;
         }
         recentCalls.addLast(new RecentCall(nowMicros, forwarder, work));
-        while (recentCalls.peekFirst().atMicros() < nowMicros - recovery.overloadMicros()) {
+        while (recentCalls.peekFirst().atMicros() < nowMicros - recovery.overloadWindowMicros()) {
             recentCalls.removeFirst();
         }
         double totalWork = recentCalls.stream().mapToDouble(RecentCall::work).sum();
         // The constant tolerates a few calls at low rates, which are no overload.
         if (totalWork
                 > 3
-                        + recovery.overloadFactor()
+                        + recovery.overloadMultiple()
                                 * messagesPerSecond
                                 * capacityShare(nowMicros)
-                                * recovery.overloadMicros()
+                                * recovery.overloadWindowMicros()
                                 / 1e6) {
             double informedWork = recentCalls.stream()
                     .filter(a -> forwardersThatSawFailure.contains(a.forwarder()))
--- a/src/main/java/lilaclever/simulation/model/PartnerKind.java
+++ b/src/main/java/lilaclever/simulation/model/PartnerKind.java
@@ -12,7 +12,7 @@
  * @param retryAfterShare share of partners whose refusals carry a retry-after period
  * @param countsRefusedShare share of partners where refused calls count against the limit
  * @param connectionsPerServer connection limit per call served at once; 0: unlimited
- * @param maxBatch most messages in a call
+ * @param maxBatchSize most messages in a call
  * @param extraMessageCost processing cost of each further message in a call, relative to the first
  */
 public record PartnerKind(
@@ -31,7 +31,7 @@
         double[] connectionsPerServer,
         double[] minConnections,
         double workVariation,
-        int maxBatch,
+        int maxBatchSize,
         double extraMessageCost) {
     /** Calls are unlimited, limited by a plain rate, or limited by a count in each fixed window. */
     public enum Limit {
--- a/src/main/java/lilaclever/simulation/sockets/ForwarderConfigJson.java
+++ b/src/main/java/lilaclever/simulation/sockets/ForwarderConfigJson.java
@@ -51,7 +51,7 @@
                 ownLimits = new JsonArray();
         for (PartnerKind k : scenario.kinds()) {
             kindNames.add(k.name());
-            batchSizes.add(k.maxBatch());
+            batchSizes.add(k.maxBatchSize());
             ownLimits.add(false);
         }
         zones.add(ZONE);
--- a/src/main/java/lilaclever/simulation/world/ForwarderSettings.java
+++ b/src/main/java/lilaclever/simulation/world/ForwarderSettings.java
@@ -34,7 +34,7 @@
     /** The settings of the forwarder with that number. */
     DecisionModule.Settings forForwarder(int number) {
         List<DecisionModule.EndpointKind> kinds = scenario.kinds().stream()
-                .map(k -> new DecisionModule.EndpointKind(false, k.maxBatch()))
+                .map(k -> new DecisionModule.EndpointKind(false, k.maxBatchSize()))
                 .toList();
         List<DecisionModule.MessageClass> classes =
                 scenario.classes().stream().map(MessageClass::terms).toList();
@@ -75,10 +75,10 @@
                 ANSWER_SLACK_MICROS,
                 WATCH_WITHIN_MICROS,
                 fleet.drainGraceMicros(),
-                fleet.partnerRecovery().initialCapacity(),
+                fleet.partnerRecovery().initialCapacityShare(),
                 fleet.partnerRecovery().rampMicros(),
-                fleet.partnerRecovery().overloadFactor(),
-                fleet.partnerRecovery().overloadMicros(),
+                fleet.partnerRecovery().overloadMultiple(),
+                fleet.partnerRecovery().overloadWindowMicros(),
                 0);
     }
 }
--- a/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -160,7 +160,7 @@
                             : !known
                                     ? new DuplicateCheckResult.NewMessage<>()
                                     : completed.fingerprint().equals(content)
-                                            ? new DuplicateCheckResult.CompletedDuplicate<>(completed.result())
+                                            ? new DuplicateCheckResult.CompletedDuplicate<>(completed.finalStatus())
                                             : new DuplicateCheckResult.Conflict<>(false);
                     assertEquals(expected, actual);
                     if (actual instanceof DuplicateCheckResult.NewMessage<String, String>) {
--- a/src/test/java/lilaclever/journal/DiskFailureTest.java
+++ b/src/test/java/lilaclever/journal/DiskFailureTest.java
@@ -102,8 +102,8 @@
             PendingMessage message = next.pendingMessages().iterator().next();
             assertEquals(
                     "2 true a 100",
-                    message.attempts() + " " + message.mayHaveRun() + " " + message.possibleRunHost() + " "
-                            + message.possibleRunWallMicros());
+                    message.attempts() + " " + message.mayHaveRun() + " " + message.uncertainHost() + " "
+                            + message.uncertainSentWallMicros());
         }
         journal.close();
     }
--- a/src/test/java/lilaclever/journal/RandomRun.java
+++ b/src/test/java/lilaclever/journal/RandomRun.java
@@ -207,8 +207,8 @@
                         + (message.isInFlight() ? " in flight" : "")
                         + (message.attempts() > 0 ? " " + message.lastHost() + message.lastAttemptWallMicros() : ""),
                 message.mayHaveRun()
-                        ? "may have run at " + message.possibleRunHost() + message.possibleRunZone() + "@"
-                                + message.possibleRunWallMicros()
+                        ? "may have run at " + message.uncertainHost() + message.uncertainZone() + "@"
+                                + message.uncertainSentWallMicros()
                         : "",
                 String.valueOf(message.finalStatus()),
                 message.attachedSubmitters().toString());
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -68,8 +68,8 @@
                 assertEquals(
                         "3 true true b 2 200 99",
                         message.attempts() + " " + message.isInFlight() + " " + message.mayHaveRun() + " "
-                                + message.possibleRunHost() + " " + message.possibleRunZone() + " "
-                                + message.possibleRunWallMicros() + " "
+                                + message.uncertainHost() + " " + message.uncertainZone() + " "
+                                + message.uncertainSentWallMicros() + " "
                                 + message.deadlineWallMicros());
                 assertEquals(
                         "http key 7 2 10",
@@ -601,7 +601,7 @@
                     && !pending(journal, "stays").isInFlight());
             assertEquals(
                     FinalStatus.Kind.DELIVERED,
-                    journal.remembered("identity").result().kind());
+                    journal.remembered("identity").finalStatus().kind());
         }
     }
 
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -70,7 +70,7 @@
     private record KnownState(int attempts, long mayHaveRunSinceMicros) {
         static KnownState of(PendingMessage message) {
             long sinceMicros = message.mayHaveRun()
-                    ? message.possibleRunWallMicros()
+                    ? message.uncertainSentWallMicros()
                     : message.isInFlight() ? message.lastAttemptWallMicros() : Long.MAX_VALUE;
             return new KnownState(message.attempts(), sinceMicros);
         }
--- a/src/test/java/lilaclever/program/DrainTestBed.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -27,7 +27,7 @@
 
     final DrainAuditor auditor = new DrainAuditor();
     private final Path state;
-    private final int maxMessagesPerCall;
+    private final int maxBatchSize;
     private final List<DrainEndpoint> endpoints = new ArrayList<>();
     private final List<DrainAgent> agents = new ArrayList<>();
     private final Map<String, DrainChange> membership = new LinkedHashMap<>();
@@ -42,9 +42,9 @@
     private DrainAgent watchedAgent;
 
     /** A test bed whose forwarders keep their state in the folder and send at most this many messages in a call. */
-    DrainTestBed(Path state, int maxMessagesPerCall) {
+    DrainTestBed(Path state, int maxBatchSize) {
         this.state = state;
-        this.maxMessagesPerCall = maxMessagesPerCall;
+        this.maxBatchSize = maxBatchSize;
     }
 
     // Membership
@@ -129,7 +129,7 @@
     private String configText(DrainAgent agent, String knownList) {
         return ForwarderSetup.configText(agent.address(), state, null, 3)
                 .replace("\"aimS\": 1, \"deadlineS\": 28", "\"aimS\": 3, \"deadlineS\": 28")
-                .replace("\"kindBatch\": [20]", "\"kindBatch\": [" + maxMessagesPerCall + "]")
+                .replace("\"kindBatch\": [20]", "\"kindBatch\": [" + maxBatchSize + "]")
                 .replace("\"known\": null", "\"known\": " + knownList);
     }
 
--- a/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
+++ b/src/test/java/lilaclever/routing/EndpointMembershipScheduleTest.java
@@ -241,7 +241,7 @@
         }
 
         void updated(ListUpdate list, CoreUpdate update, long nowMicros) {
-            boolean isComplete = list.isWhole() && !list.isCut();
+            boolean isComplete = list.isWhole() && !list.isTruncated();
             assertEquals(isComplete ? ListingKind.ALL : ListingKind.CHANGES, update.kind());
             ofInitialList.clear();
             Map<String, ReportedState> states = reportedStates(list);
@@ -510,7 +510,7 @@
         private ListUpdate corrupted(ListUpdate list) {
             List<Core.ListedEndpoint> entries = new ArrayList<>(list.entries());
             Set<String> unusable = new HashSet<>();
-            boolean isCut = random.nextInt(12) == 0;
+            boolean isTruncated = random.nextInt(12) == 0;
             long index = random.nextInt(25) == 0 ? EndpointMembership.NO_INDEX : list.index();
             if (!entries.isEmpty() && random.nextInt(10) == 0) {
                 unusable.add(
@@ -524,10 +524,10 @@
                         random.nextInt(entries.size()),
                         listed(duplicated.entry().host(), presence, address));
             }
-            if (isCut) {
+            if (isTruncated) {
                 entries = entries.subList(0, random.nextInt(entries.size() + 1));
             }
-            return new ListUpdate(list.agent(), index, list.isWhole(), isCut, List.copyOf(entries), unusable);
+            return new ListUpdate(list.agent(), index, list.isWhole(), isTruncated, List.copyOf(entries), unusable);
         }
 
         private void deliverDelayed() {
