--- a/src/main/java/lilaclever/Admission.java
+++ b/src/main/java/lilaclever/Admission.java
@@ -13,7 +13,10 @@
  * retry-after period of refused messages.
  */
 final class Admission {
-    /** Share of the most open messages above which one is refused, before the host program rejects new ones unseen. */
+    /**
+     * Share of the maximum of open messages above which one is refused. Below 1, since at the maximum the host program
+     * rejects new messages without regard to their worth.
+     */
     private static final double NEARLY_FULL_SHARE = 0.95;
     /** Size of a tenant's token bucket, in seconds of its quota. */
     private static final double BURST_SECONDS = 3;
--- a/src/main/java/lilaclever/CallDispatch.java
+++ b/src/main/java/lilaclever/CallDispatch.java
@@ -99,7 +99,8 @@
     }
 
     /**
-     * Adds waiting messages to the call, which is free as limits count calls. Trial calls, which often fail, get none.
+     * Adds waiting messages to the call, which is free as limits count calls. Trial calls get none, as their failure
+     * would fail all messages in them.
      */
     private void fillBatch(Call call) {
         for (Message message : List.copyOf(call.endpoint.queue.waiting)) {
--- a/src/main/java/lilaclever/CallTimeouts.java
+++ b/src/main/java/lilaclever/CallTimeouts.java
@@ -22,11 +22,14 @@
     private static final double OVERALL_RESPONSE_WEIGHT = RESPONSE_WEIGHT / 4;
     /** A response time is slow from this multiple of the mean over all destinations. */
     private static final double SLOW_MULTIPLE = 4;
-    /** A call within this multiple of the mean resets the timeout factor; a slower one multiplies it by the second. */
+    /**
+     * A call within PROMPT_MULTIPLE times the mean resets the timeout factor to 1; a slower one multiplies it by
+     * SHORTENING_FACTOR.
+     */
     private static final double PROMPT_MULTIPLE = 2, SHORTENING_FACTOR = 0.7;
     /** Timeout of a call, as a multiple of the mean response time at its limit. */
     private static final double TIMEOUT_MULTIPLE = 6;
-    /** Shortest timeout, as a share of the aim. */
+    /** Lower bound of the timeout before the factors below, as a share of the aim. */
     private static final double MIN_SHARE_OF_AIM = 0.5;
     /** Consecutive timeouts double the next one, up to this factor. */
     private static final double MAX_TIMEOUT_FACTOR = 4;
@@ -91,10 +94,10 @@
     }
 
     /**
-     * Gives up calls in flight for far longer than usual, because all slots are in use; at most as many as messages
-     * that could be sent instead, {@code wanted}. Otherwise endpoints that hang at several destinations at once would
-     * each occupy a slot for a whole timeout, a hundred times what another message needs. An unsafe message whose call
-     * is merely slow may fail by it. Returns when to check again, in microseconds.
+     * Gives up calls in flight for far longer than usual, because all slots are in use: at most {@code wanted}, the
+     * number of messages that could be sent instead. Otherwise endpoints that hang at several destinations at once
+     * would each occupy a slot for a whole timeout, a hundred times what another message needs. An unsafe message whose
+     * call is merely slow may fail as a result. Returns when to check again, in microseconds.
      */
     long cancelOverdue(int wanted) {
         long nextCheckAtMicros = NEVER;
--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -122,7 +122,7 @@
      *
      * @param aimMicros age up to which a message keeps its full worth
      * @param deadlineMicros age at which a message must have its final status
-     * @param worth worth of a message up to that age
+     * @param worth worth of a message up to the aim
      * @param repeat whether a message may be sent again
      * @param group which endpoints remember a message's idempotency key
      * @param repeatWindowMicros how long endpoints remember a message's idempotency key, from its first attempt
@@ -175,7 +175,7 @@
      * A client organisation with a quota.
      *
      * @param share its share of the whole load, 0 to 1; not used by the module
-     * @param quotaPerSecond messages a second within its quota
+     * @param quotaPerSecond messages a second within its quota, over all forwarders together
      */
     record Tenant(double share, double quotaPerSecond) {}
 
--- a/src/main/java/lilaclever/DeliveryPolicy.java
+++ b/src/main/java/lilaclever/DeliveryPolicy.java
@@ -127,7 +127,7 @@
         }
     }
 
-    /** Requests a timer at the given time, but not within one round, unless one is due before. */
+    /** Requests a timer at the given time, but at least one round from now, unless one is due before. */
     private void requestTimer(long timeMicros) {
         long timerAtMicros = Math.max(timeMicros, state.nowMicros + state.settings.roundMicros());
         if (timerAtMicros < NEVER && (timerAtMicros < wakeAtMicros || wakeAtMicros <= state.nowMicros)) {
@@ -328,7 +328,7 @@
         finish(message);
     }
 
-    /** Whether the client may submit the message again: no attempt may have taken effect, or a repeat is harmless. */
+    /** Whether the client may submit the message again: no attempt can have taken effect, or a repeat is harmless. */
     private static boolean isSafeToRefuse(Message message) {
         boolean mayHaveEffect = message.mayHaveRun || message.inFlightEndpoint != null;
         RepeatSafety repeat = message.messageClass.repeat();
--- a/src/main/java/lilaclever/DestinationLimits.java
+++ b/src/main/java/lilaclever/DestinationLimits.java
@@ -32,7 +32,7 @@
     private static final double MIN_SHARE_OF_USUAL_RATE = 0.5;
     /** A refusal lowers the throttled rate to this share of the recent rate ... */
     private static final double REDUCED_SHARE_OF_RECENT_RATE = 0.8;
-    /** ... or to this share of the throttled rate, if that wasn't used up. */
+    /** ... or to this share of the throttled rate, if that is more because the rate wasn't used up. */
     private static final double REDUCED_SHARE_OF_THROTTLED_RATE = 0.6;
     /** Increase of the throttled rate by each delivered call, calls a second: recovers lost rate in a few seconds. */
     private static final double RATE_GAIN_PER_DELIVERY = 0.2;
@@ -44,11 +44,11 @@
     private static final long MIN_REDUCTION_INTERVAL_MICROS = 500_000;
     /** A retry-after from this length means unavailable; limits are per second, so their capacity returns sooner. */
     private static final long LONG_RETRY_AFTER_MICROS = 2_500_000;
-    /** So many refusals, over at least this time, mean unavailable rather than over the limit. */
+    /** So many refusals, over at least this time without a delivery, mean unavailable rather than over the limit. */
     private static final long UNAVAILABLE_REFUSALS = 4, UNAVAILABLE_MICROS = 2_000_000;
     /** Assumed least length of an outage whose length this forwarder can't know. */
     private static final long MIN_OUTAGE_MICROS = 8_000_000;
-    /** Refusals counted as due to an outage from which calls are limited to the rate of an outage. */
+    /** From this many refusals that may be due to an outage, calls are limited to the rate of an outage. */
     private static final int SUSPECTED_OUTAGE_REFUSALS = 2;
 
     private final PolicyState state;
@@ -134,7 +134,10 @@
         }
     }
 
-    /** Whether there were only refusals for some time, none with a short retry-after, or the retry-after is long. */
+    /**
+     * Whether it is unavailable rather than over its limit: there were only refusals for some time, none with a short
+     * retry-after, or the retry-after is longer than any rate limit needs.
+     */
     private boolean isUnavailable(DestinationLimit limit, long retryAfterMicros) {
         boolean refusesForLong = limit.recentRefusals >= UNAVAILABLE_REFUSALS
                 && state.nowMicros - limit.failingSinceMicros >= UNAVAILABLE_MICROS;
--- a/src/main/java/lilaclever/EndpointDirectory.java
+++ b/src/main/java/lilaclever/EndpointDirectory.java
@@ -132,8 +132,9 @@
             endpoint.lastSentAtMicros = Math.max(endpoint.lastSentAtMicros, other.lastSentAtMicros);
         }
         if (state.largeFleet && endpoint.limit.failingSinceMicros > 0) {
-            // A new host doesn't end an outage of the destination, even if the old one has left the list: all
-            // forwarders learn of it at once, and would send all pending messages.
+            // A new host doesn't end an outage of the destination, whether that showed as refusals or failures and even
+            // if the old host has left the list: all forwarders learn of it at once, and would send all pending
+            // messages.
             endpoint.connectsFailing = true;
             endpoint.lastSentAtMicros = state.nowMicros;
         }
--- a/src/main/java/lilaclever/OutageDetection.java
+++ b/src/main/java/lilaclever/OutageDetection.java
@@ -80,7 +80,10 @@
         limit.outageRateDivisor = state.largeFleet ? 1 + state.random.nextDouble() : 1;
     }
 
-    /** A call failed hard, the given time after it was sent. */
+    /**
+     * A call ended with a hard failure, the given time after it was sent: an error, a timeout, a failed connect or a
+     * lost connection, but not a refusal as full.
+     */
     void onFailure(DestinationLimit limit, Endpoint endpoint, AttemptResult reported, long elapsedMicros) {
         // A call that was cancelled because no answer came has timed out as well.
         AttemptResult result = reported == AttemptResult.CANCELED ? AttemptResult.TIMED_OUT : reported;
--- a/src/main/java/lilaclever/PolicyState.java
+++ b/src/main/java/lilaclever/PolicyState.java
@@ -34,7 +34,7 @@
     final SplittableRandom random;
     /** By destination, in the order in which destinations became known. */
     final Map<Integer, DestinationQueue> queues = new LinkedHashMap<>();
-    /** Queues with waiting messages; a round works through these, not through all destinations. */
+    /** Queues with waiting messages; a round works through these and {@link #calls}, not through all destinations. */
     final LinkedHashSet<DestinationQueue> nonEmptyQueues = new LinkedHashSet<>();
     /** Calls in flight. */
     final LinkedHashSet<Call> calls = new LinkedHashSet<>();
--- a/src/main/java/lilaclever/RecoveryPace.java
+++ b/src/main/java/lilaclever/RecoveryPace.java
@@ -12,7 +12,7 @@
  * rules in the settings allow for a recovering destination.
  */
 final class RecoveryPace {
-    /** Share of the budget that is used; the rest is for random variation and for other forwarders' calls. */
+    /** Share of the allowed rate that is used; the rest is for random variation and for other forwarders' calls. */
     private static final double BUDGET_SHARE = 0.85;
     /** Assumed length of an outage whose length this forwarder can't know; all but few are shorter. */
     private static final long LONG_OUTAGE_MICROS = 20_000_000;
@@ -68,8 +68,9 @@
         double rampShare = Math.min(1.0, ageMicros / (double) Math.max(1, rules.rampMicros()));
         double capacityShare = rules.initialCapacityShare() + (1 - rules.initialCapacityShare()) * rampShare;
         double budgetFactor = BUDGET_SHARE * rules.overloadMultiple() * capacityShare;
-        // The interval between trials is the length of the outage so far divided by budgetFactor; a first one of this
-        // length makes the third trial come after the end of a long outage.
+        // The interval between trials is 1 / budgetFactor times the length of the outage so far. With this minimum
+        // length, the first interval is LONG_OUTAGE_MICROS / (1 + 1 / budgetFactor), so that the third call, counting
+        // the one that failed first, comes after the end of a long outage.
         double minLengthMicros = certainlyInOutage
                 ? LONG_OUTAGE_MICROS * budgetFactor / (1 + 1 / budgetFactor)
                 : OutageDetection.FIRST_TRIAL_INTERVAL_MICROS;
--- a/src/main/java/lilaclever/TransientFailures.java
+++ b/src/main/java/lilaclever/TransientFailures.java
@@ -45,7 +45,10 @@
         }
     }
 
-    /** Counts a failure of the endpoint's current series; {@code connectRejected}: a connect that the host rejected. */
+    /**
+     * Counts a failure; must be called after {@link Endpoint#failingSinceMicros} is set. {@code connectRejected}: the
+     * failure is a connect that the host rejected.
+     */
     void onFailure(Endpoint endpoint, boolean connectRejected) {
         endpoint.lastFailureCategory = connectRejected ? endpoint.kindIndex : shares.length - 1;
         shares[endpoint.lastFailureCategory] *= isBrief(endpoint) ? 1 : 1 - SERIES_WEIGHT;
--- a/src/main/java/lilaclever/routing/Call.java
+++ b/src/main/java/lilaclever/routing/Call.java
@@ -46,7 +46,8 @@
     /**
      * Adds a message. All times are on the event loop's clock, microseconds.
      *
-     * @param writeByMicros when the attempt is dropped: the message must not be sent from then on, and needs no answer
+     * @param writeByMicros when the attempt is dropped: from then on the message must not be sent, and the call isn't
+     *     kept open for it
      * @param deadlineMicros the message's deadline
      */
     void addMessage(Message message, long writeByMicros, long deadlineMicros) {
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -243,7 +243,7 @@
         events.add(message.toSubmitEvent(nowMicros, wallMicros));
     }
 
-    /** False if the destination has not been listed for long; true as long as none was ever listed. Event loop. */
+    /** False if the destination has not been listed for long; true as long as no destination is known. Event loop. */
     public boolean isKnownDestination(int destination) {
         return destinationsLastListed.isEmpty() || destinationsLastListed.containsKey(destination);
     }
@@ -401,7 +401,8 @@
     /**
      * Reports the end of a message's attempt. Event loop.
      *
-     * @param retryAfterMicros retry-after period for the destination; 0: none
+     * @param retryAfterMicros retry-after period for the destination, or for the endpoint if it has its own limits; 0:
+     *     none
      * @param noSlot it was not sent for want of a free slot
      * @param isSettled the endpoint reports that the message needs no further attempt and no result
      */
@@ -454,7 +455,10 @@
         events.add(new Event.ProbeEnded(host, result, elapsedMicros, null));
     }
 
-    /** Applies new message classes and attempt limits to messages submitted from now on. Event loop. */
+    /**
+     * Applies new settings: message classes to messages submitted from now on, the maximum number of attempts to all
+     * messages. Event loop.
+     */
     public void updateSettings(DecisionModule.Settings newSettings) {
         events.add(new Event.SettingsChanged(newSettings));
     }
@@ -509,7 +513,7 @@
                 task.run();
             }
         } catch (AssertionError e) {
-            throw e; // a broken invariant ends the loop where assertions are enabled
+            throw e; // a broken invariant ends the event loop where assertions are enabled
         } catch (RuntimeException | Error e) {
             // A failure with one message, including an OutOfMemoryError, must not affect the others.
             counters.add(Name.TASKS_FAILED);
--- a/src/main/java/lilaclever/routing/EndpointMembership.java
+++ b/src/main/java/lilaclever/routing/EndpointMembership.java
@@ -48,7 +48,7 @@
      * @param agent its address
      * @param index version of the list; {@link #NO_INDEX} where it could not be read
      * @param isWhole it lists every endpoint, not only changes
-     * @param isCut it is truncated, so that the absence of a name has no meaning
+     * @param isCut it ended early or was too large, so that the absence of a name has no meaning
      * @param entries the usable entries
      * @param unusable names with an unusable entry: no address, no group or an unknown status
      */
