--- a/src/main/java/lilaclever/conf/ConfFile.java
+++ b/src/main/java/lilaclever/conf/ConfFile.java
@@ -307,7 +307,7 @@
             return range;
         }
 
-        /** Reads a percentage such as 25% as a fraction, from 0 to {@code max}. */
+        /** Reads a percentage such as 25% as a fraction, from 0 to {@code max}; 1 is 100%. */
         public double share(String key, double defaultValue, double max) throws ConfigurationException {
             String value = value(key);
             return value == null ? defaultValue : share(key, value, max);
--- a/src/main/java/lilaclever/conf/ConfigurationException.java
+++ b/src/main/java/lilaclever/conf/ConfigurationException.java
@@ -1,6 +1,6 @@
 package lilaclever.conf;
 
-/** An invalid or missing setting. The message names its key and, if it comes from a file, the line. */
+/** An invalid or missing setting. The message names its key and, if it comes from a file, file and line. */
 public final class ConfigurationException extends Exception {
     private static final long serialVersionUID = 1L;
 
--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -14,7 +14,8 @@
  * <li>A result is returned to duplicates for the window of its class, counted from completion; then the identity is
  * free.
  * <li>A refusal is not remembered, since it asks the client to submit again.
- * <li>Other content under an identity is a conflict as long as that is pending or remembered. Neither message changes.
+ * <li>Other content under an identity is a conflict as long as the first message is pending or remembered. Neither
+ * message changes.
  * <li>If the results exceed the capacity, the one that expires first is removed. Pending messages are never removed.
  * </ul>
  *
--- a/src/main/java/lilaclever/identity/Identity.java
+++ b/src/main/java/lilaclever/identity/Identity.java
@@ -45,7 +45,7 @@
         return new Identity(text.substring(PREFIX.length(), end), text.substring(end + 1));
     }
 
-    /** True for the text form of such an identity, which is shared by all fronts and requires equal content. */
+    /** True for the text form of an identity of this class, which all fronts share and which requires equal content. */
     public static boolean isShared(String text) {
         return text != null && text.startsWith(PREFIX);
     }
--- a/src/main/java/lilaclever/journal/BootClock.java
+++ b/src/main/java/lilaclever/journal/BootClock.java
@@ -7,9 +7,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Corrects wall-clock times that an earlier process run wrote, by means of the monotonic clock, which nobody can set
- * and which counts from the start of the machine. All wall times in a journal are those of the clock of the run that
- * wrote them; if the wall clock was set between two runs of the same boot, they are shifted by the same amount.
+ * Corrects wall-clock times that an earlier process run wrote, by means of the monotonic clock, which cannot be set,
+ * where that clock counts from the start of the machine. All wall times in a journal are those of the clock of the run
+ * that wrote them; if the wall clock was set between two runs of the same boot, they are shifted by the same amount.
  *
  * <p>The origin of the monotonic clock is unspecified, and the clock may stand still while the machine is suspended. So
  * it is trusted only where it agrees with the uptime that the system reports. In a process whose clocks are simulated
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -43,7 +43,7 @@
 
     final Map<String, Entry<PendingMessage>> pending = new LinkedHashMap<>();
     final Map<String, Entry<CompletedMessage<FinalStatus>>> remembered = new LinkedHashMap<>();
-    /** Remembered results by expiry time: repeat windows differ, so the order of writing does not show it. */
+    /** Remembered results by expiry time: repeat windows differ, so the order of writing is not that of expiry. */
     private final TreeSet<Expiry> expiries = new TreeSet<>();
     /** Number of live records by the bit length of their size, which bounds the largest without a sorted map. */
     private final int[] recordsByBitLength = new int[Integer.SIZE];
@@ -149,7 +149,8 @@
     // Changes
 
     /**
-     * Adds an accepted message. A result remembered under its identity has expired and does not belong to this message.
+     * Adds an accepted message. A result remembered under its identity has expired and is removed: it does not belong
+     * to this message.
      */
     void addAccepted(PendingMessage message, Segment segment, int size) {
         if (message.submission().identity() != null) {
@@ -226,7 +227,7 @@
         return removed;
     }
 
-    /** Records were lost: any attempt of the messages known so far may have run without its record. */
+    /** Records were lost: each message that is pending so far may have had an attempt that is not recorded. */
     void markPossiblyRun() {
         pending.values().forEach(entry -> entry.value.assumeLostAttempt());
     }
--- a/src/main/java/lilaclever/journal/LegacyReader.java
+++ b/src/main/java/lilaclever/journal/LegacyReader.java
@@ -10,7 +10,7 @@
 import lilaclever.routing.Submission;
 
 /**
- * Reads the single file of the original format: length, CRC32, content. It has no version and no record markers, so
+ * Reads the single file of the legacy format: length, CRC32, content. It has no version and no record markers, so
  * nothing after the first bad record can be read. The file is only ever read: its live records are copied forward like
  * those of a segment.
  */
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -60,7 +60,7 @@
         out.endRecord();
     }
 
-    /** Another submission waits for the result of the message. */
+    /** Another submitter waits for the result of the message. */
     static void joined(RecordWriter out, String id, PendingMessage.Submitter submitter) {
         out.beginRecord(RecordType.JOINED)
                 .putText(id)
--- a/src/main/java/lilaclever/journal/Recovery.java
+++ b/src/main/java/lilaclever/journal/Recovery.java
@@ -51,7 +51,7 @@
     private boolean legacyFileFound;
     private long lastToMigrate = -1;
 
-    /** Receives one line per fault in {@code faultLog}. */
+    /** {@code faultLog} receives one line per fault. */
     Recovery(Disk disk, JournalState state, BootClock bootClock, Consumer<String> faultLog) {
         this.disk = disk;
         this.state = state;
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -90,7 +90,8 @@
 
     @Override
     public boolean recordAttempt(String id, String host, int zone, long wallMicros) {
-        // An earlier change is still unwritten. Behind it, this record would hide when the message may first have run.
+        // An earlier change that is still unwritten goes first: without it, this record would hide when the message may
+        // first have run.
         if (!unwrittenChanges.writeMessage(id)) {
             return false;
         }
@@ -284,7 +285,8 @@
     // Durability
 
     /**
-     * Sets the executor of the event loop for tasks of other threads. Must be called before the loop writes anything.
+     * Sets the executor of the event loop, to which the sync thread reports. Must be called before the event loop
+     * writes anything.
      */
     @Override
     public void setLoop(Executor loop) {
--- a/src/main/java/lilaclever/journal/Syncer.java
+++ b/src/main/java/lilaclever/journal/Syncer.java
@@ -9,8 +9,8 @@
 import lilaclever.log.Logs;
 
 /**
- * Syncs records to the disk on its own thread, all pending ones together, and then runs the tasks on the event loop
- * that waited for it. Everything but the sync itself runs on the loop thread.
+ * Syncs records to the disk on its own thread, all pending ones together. The tasks that waited for a sync then run on
+ * the event loop, as does everything but the sync itself.
  */
 final class Syncer {
     private final Durability durability;
@@ -33,7 +33,7 @@
     private long lastStartedMicros;
     private long failureCount;
 
-    /** Receives the progress of syncs, on the loop thread. */
+    /** Receives the progress of syncs, on the event loop. */
     interface Listener {
         /** A sync of everything written so far starts. */
         void syncStarted();
@@ -42,12 +42,12 @@
         void syncSucceeded();
 
         /**
-         * The first sync failed: everything written since the last successful one must be written again, to another
-         * segment.
+         * A sync failed, and the one before it had not: everything written since the last successful one must be
+         * written again, to another segment.
          */
         void syncFailed();
 
-        /** A further sync failed: nothing is written again until a probe sync succeeds. */
+        /** The next sync failed too: nothing is written again until a probe sync succeeds. */
         void syncFailedAgain();
 
         /** A probe is about to start and needs something to sync. */
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -11,7 +11,7 @@
 
 /**
  * Changes in memory that are not on disk because the disk failed: the messages and remembered results whose last change
- * is unwritten. The state that each has then is written later.
+ * is unwritten. Each is written later, in its state at that time.
  */
 final class UnwrittenChanges {
     private final JournalState state;
--- a/src/main/java/lilaclever/placement/DistributionTree.java
+++ b/src/main/java/lilaclever/placement/DistributionTree.java
@@ -105,7 +105,9 @@
         return replaceFailed(childrenOf(member), failed);
     }
 
-    /** The forwarders that the controller sends to while some have failed: its children replace a failed head. */
+    /**
+     * The forwarders that the controller sends to while some have failed: a failed head is replaced by its children.
+     */
     public List<MemberId> controllerReceivers(Set<MemberId> failed) {
         return replaceFailed(heads, failed);
     }
--- a/src/main/java/lilaclever/placement/HolderResult.java
+++ b/src/main/java/lilaclever/placement/HolderResult.java
@@ -18,7 +18,7 @@
     UNKNOWN_HEARTBEAT,
     /** The renewal came so late that its lease has already expired. */
     LEASE_EXPIRED,
-    /** A call was started without permission: the shard is not assigned, not covered, or its lease has expired. */
+    /** The call may not start: the shard is not assigned, not covered, or its lease has expired. */
     NOT_PERMITTED,
     /** The call that ended is not in flight. */
     UNKNOWN_CALL
--- a/src/main/java/lilaclever/placement/LeaseGuards.java
+++ b/src/main/java/lilaclever/placement/LeaseGuards.java
@@ -11,7 +11,7 @@
         this.timing = timing;
     }
 
-    /** Length of a lease by the holder's clock, shortened by its possible lag behind the controller's. */
+    /** Length of a lease by the holder's clock, shortened because that clock may run slower than the controller's. */
     long driftAdjustedMicros(long leaseMicros) {
         return (long) (leaseMicros * (1 - timing.maxDrift()));
     }
--- a/src/main/java/lilaclever/placement/LeaseHolder.java
+++ b/src/main/java/lilaclever/placement/LeaseHolder.java
@@ -14,10 +14,11 @@
  * The forwarder's side of ownership by lease: tracks which shards one process run of a forwarder may send for. It does
  * no I/O and reads no clock; every {@code nowMicros} is a reading of one monotonic clock of the process.
  *
- * <p>A lease runs from the moment at which the renewed heartbeat was sent, and covers the shards of one revision of
- * the assignment. A holder that is cut off therefore stops by itself before the controller grants its shards again.
- * Messages may be lost, duplicated, delayed and reordered. A clock reading that goes backward ends all leases at once,
- * as the time since the heartbeats is then unknown; a backward step hidden between two readings counts as drift.
+ * <p>A lease runs from the moment at which the heartbeat that renewed it was sent, and covers the shards of one
+ * revision of the assignment. A holder that is cut off therefore stops by itself before the controller grants its
+ * shards again. Messages may be lost, duplicated, delayed and reordered. A clock reading that goes backward ends all
+ * leases at once, as the time since the heartbeats is then unknown; a backward step hidden between two readings counts
+ * as drift.
  *
  * <p>Not thread-safe.
  */
--- a/src/main/java/lilaclever/placement/MemberState.java
+++ b/src/main/java/lilaclever/placement/MemberState.java
@@ -25,7 +25,7 @@
     final ShardSet held = new ShardSet();
     /** Shards that the member has or is to get. */
     final ShardSet targeted = new ShardSet();
-    /** Number of shards in both sets. */
+    /** Number of shards that are in {@link #held} and also in {@link #targeted}. */
     int heldAndTargeted;
 
     /** Changes of the assignment by the current command. */
--- a/src/main/java/lilaclever/placement/PlacementController.java
+++ b/src/main/java/lilaclever/placement/PlacementController.java
@@ -226,7 +226,10 @@
         }
     }
 
-    /** Whether the member still holds revoked shards. Renewals don't cover these; they are revoked again instead. */
+    /**
+     * Whether the member still holds revoked shards. These are in no assignment any more, so renewals don't cover them;
+     * the full assignment revokes them again.
+     */
     private boolean hasUnreleasedShards(MemberState member) {
         for (int i = 0; i < member.held.size(); i++) {
             if (table.isRevoking(member.held.get(i))) {
--- a/src/main/java/lilaclever/placement/ShardAssignment.java
+++ b/src/main/java/lilaclever/placement/ShardAssignment.java
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Targets to a member the shards for which it ranks before their current target, up to its capacity.
+     * Makes a member the target of the shards for which it ranks before their current target, up to its capacity.
      *
      * @return the shards in ascending order
      */
--- a/src/main/java/lilaclever/transport/Transport.java
+++ b/src/main/java/lilaclever/transport/Transport.java
@@ -38,8 +38,8 @@
     /** Far below the 100 ms within which a received response has to take effect. */
     private static final long MAX_SELECTION_NANOS = 20_000_000;
     /**
-     * Selections to wait for, even if each takes longer than that, before the task runs anyway: on a machine that is
-     * always busy none is short.
+     * Selections to wait for, if each takes longer than {@link #MAX_SELECTION_NANOS}, before the task runs anyway: on a
+     * machine that is always busy none is short.
      */
     private static final int MAX_SELECTIONS = 5;
 
@@ -89,8 +89,8 @@
 
     /**
      * Opens a connection; one of the two callbacks is called, on any thread. The returned task cancels the attempt
-     * while it is in progress, and then neither is called. Otherwise a connection that is never established would hold
-     * its file descriptor for as long as the system keeps trying.
+     * while it is in progress, and then neither is called. Without cancellation, a connection that is never established
+     * holds its file descriptor for as long as the system keeps trying.
      */
     @SuppressWarnings("rawtypes")
     public Runnable connect(
@@ -132,9 +132,9 @@
     }
 
     /**
-     * Runs the task on the selector thread right after a selection that began after this call and did not take long, so
-     * that everything received on any connection until then has been read. The number of selections to wait for is
-     * bounded, in case all of them take long.
+     * Runs the task on the selector thread right after a selection that began after this call and did not take long:
+     * everything received on any connection before that selection began has been read then. The number of selections to
+     * wait for is bounded, in case all of them take long.
      */
     public static void runAfterReading(Connection<?> connection, Runnable task) {
         runOnSelector(connection, () -> runAfterSelection(connection, task, MAX_SELECTIONS));
