--- a/src/main/java/lilaclever/program/ChildProcessCommand.java
+++ b/src/main/java/lilaclever/program/ChildProcessCommand.java
@@ -6,7 +6,7 @@
 
 /** Builds the command line that starts this program as a child process. */
 final class ChildProcessCommand {
-    /** The flags of a production start, with memory limits for a child process. */
+    /** The flags of the platform's start command, except that its memory limits depend on its machine. */
     private static final List<String> FLAGS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
--- a/src/main/java/lilaclever/program/Forwarder.java
+++ b/src/main/java/lilaclever/program/Forwarder.java
@@ -138,7 +138,10 @@
         }
     }
 
-    /** Marks an active endpoint as leaving: before discovery has answered it gets no new messages. */
+    /**
+     * Marks an active endpoint of the initial list as leaving, so that it gets no new messages until discovery has
+     * answered.
+     */
     private static Core.ListedEndpoint withoutNewMessages(Core.ListedEndpoint listed) {
         return listed.entry().presence() == DecisionModule.Presence.ACTIVE
                 ? listed.withPresence(DecisionModule.Presence.LEAVING)
@@ -184,7 +187,10 @@
         return addresses;
     }
 
-    /** Reloads the configuration file; an invalid one changes nothing. May be called on any thread. */
+    /**
+     * Reloads the configuration file; an invalid one changes nothing. Any thread; concurrent calls run one after
+     * the other.
+     */
     synchronized void reload(Map<String, String> variables) {
         try {
             Config read = Config.reread(variables, config);
@@ -243,7 +249,10 @@
                         + next.settings().limits().maxAttempts() + " attempts");
     }
 
-    /** Shuts down gracefully, before the supervisor kills the process; what is pending then stays in the journal. */
+    /**
+     * Shuts down gracefully, before the supervisor kills the process: starts no call that the kill could
+     * interrupt, and leaves what is pending in the journal.
+     */
     void stop() {
         try {
             core.post(this::beginShutdown);
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -13,7 +13,7 @@
 
 /**
  * Watches the platform's endpoint list and reports its changes. {@link DiscoveryWatch} polls the discovery agents;
- * {@link EndpointMembership} decides which parts of their responses are accepted. Loop thread.
+ * {@link EndpointMembership} decides which parts of their responses are accepted. Event loop.
  */
 public final class DirectoryClient {
     /**
@@ -45,7 +45,7 @@
     private DiscoveryWatch current;
     /** The watch at an earlier address whose agent has answered, until the current one has; else null. */
     private DiscoveryWatch previous;
-    /** Whether the current agent has answered; where no version was known, with its whole list. */
+    /** Whether the current agent has answered, and with its whole list if no version was known. */
     private boolean hasCurrentResponded;
     /** Changes that are reported once the first response arrives or is no longer waited for; null from then on. */
     private List<EndpointMembership.CoreUpdate> pendingChanges = new ArrayList<>();
@@ -212,7 +212,7 @@
                         deliverer));
     }
 
-    /** Converts a wall clock time to the loop's clock; 0, which means unknown, stays 0. */
+    /** Converts a wall clock time to the event loop's clock; 0, which means unknown, stays 0. */
     private long toLoopMicros(long sinceMillis) {
         return sinceMillis == 0 ? 0 : Math.max(1, core.nowMicros() - (System.currentTimeMillis() - sinceMillis) * 1000);
     }
--- a/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
+++ b/src/main/java/lilaclever/protocol/http/DiscoveryWatch.java
@@ -11,7 +11,7 @@
  * Watches the endpoint list at one agent's address with a chain of requests: each is sent once its predecessor is
  * answered or has timed out. A request that has timed out stays open beside its successor, one at a time, since a slow
  * agent answers it in the end ({@code docs/discovery.md} has the arithmetic). The effect of a response on the endpoints
- * is decided elsewhere. All times in microseconds. Loop thread.
+ * is decided elsewhere. All times in microseconds. Event loop.
  */
 final class DiscoveryWatch {
     /**
@@ -33,7 +33,7 @@
      * Limit from sending a request to the end of its response, whether or not it has timed out or arrives in pieces.
      */
     private static final long MAX_REQUEST_MICROS = 3_000_000;
-    /** Retry delays after an unusable response; the next request within 200 ms belongs to the same watch. */
+    /** Retry delays after an unusable response; a request that follows within 200 ms counts as the same watch. */
     private static final long INITIAL_RETRY_DELAY_MICROS = 50_000, MAX_RESPONSE_RETRY_DELAY_MICROS = 150_000;
     /**
      * Longest retry delay where connecting fails or the connection is closed without a response. Requests cost
@@ -312,7 +312,7 @@
         if (list.isWhole()) {
             needsWholeList = false;
         } else if (!needsWholeList && !request.asksWholeList) {
-            // Only now: faults that follow a valid whole list must not trigger an immediate request.
+            // Only now: faults that follow a valid whole list must not cause it to be requested again at once.
             wholeListBackoff.reset();
         }
     }
--- a/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListBuilder.java
@@ -16,7 +16,9 @@
  * read. A value is passed as its text, or as null if it is not a string, number or boolean. Used from one thread.
  */
 final class EndpointListBuilder {
+    /** JSON keys of the list. */
     static final String VERSION = "index", WHOLE = "snapshot", ENTRIES = "endpoints";
+    /** JSON keys of an entry. */
     private static final String NAME = "name",
             ADDRESS = "address",
             DESTINATION = "group",
@@ -54,7 +56,7 @@
     private Members entryMembers;
     private boolean entryIsUsable;
 
-    /** The members of one JSON object; a key that occurs twice with different values has none. */
+    /** The members of one JSON object; a key that occurs twice with different values counts as having no value. */
     private static final class Members {
         private final Set<String> keys;
         private final Map<String, String> values = new HashMap<>();
@@ -77,7 +79,7 @@
             }
         }
 
-        /** The value's text, or null without a usable value. */
+        /** Returns the value's text, or null if there is no usable value. */
         String text(String key) {
             return problems.containsKey(key) ? null : values.get(key);
         }
@@ -136,7 +138,7 @@
         }
     }
 
-    /** Records a value in place of an entry that is not an entry. */
+    /** Records a value that stands in place of an entry but is not one. */
     void invalidEntry() {
         entryNumber++;
         fault(null, null, "not an object");
--- a/src/main/java/lilaclever/protocol/http/EndpointListReader.java
+++ b/src/main/java/lilaclever/protocol/http/EndpointListReader.java
@@ -112,8 +112,8 @@
     }
 
     /**
-     * Skips a value as {@link JsonReader#skipValue} does, which allocates memory for each level of nesting without a
-     * limit.
+     * Skips a value of at most {@link #MAX_NESTING} levels. {@link JsonReader#skipValue} has no such limit and
+     * allocates memory for each level.
      */
     private void skipValue() throws IOException {
         int depth = 0;
--- a/src/main/java/lilaclever/protocol/http/HttpClient.java
+++ b/src/main/java/lilaclever/protocol/http/HttpClient.java
@@ -20,7 +20,7 @@
 
 /**
  * HTTP/1.1 client with one request at a time on a connection. Requests are never resent: a failed request is reported
- * to its caller. Used from the loop thread; requests are written and responses read on the selector thread.
+ * to its caller. Used on the event loop; requests are written and responses read on the selector thread.
  */
 final class HttpClient {
     private static final long SWEEP_INTERVAL_MICROS = 500_000;
@@ -31,7 +31,7 @@
 
     private static final int CONTENT_TOO_LARGE = 413;
 
-    /** Receives the outcome of a request. Exactly one of the outcome methods is called, once, on the loop thread. */
+    /** Receives the outcome of a request. Exactly one of the outcome methods is called, once, on the event loop. */
     interface Listener {
         /** The whole response has arrived. */
         void onResponse(int status, Map<String, String> headers, byte[] body);
@@ -48,7 +48,7 @@
          */
         default void onHead(Map<String, String> headers) {}
 
-        /** Whether the server may get no new request and keep no connection. Selector thread and loop thread. */
+        /** Whether the server may get no new request and keep no connection. Selector thread and event loop. */
         default boolean isServerDraining() {
             return false;
         }
@@ -158,7 +158,7 @@
         private final Connection<?> connection;
         private final HttpMessageReader reader = new HttpMessageReader(true, maxResponseBytes, keepsPartialResponses);
         private volatile Exchange currentExchange;
-        /** Unsolicited bytes have arrived: no further request may use this connection. */
+        /** No further request may use this connection: it is to close or has received unsolicited bytes. */
         private volatile boolean isUnusable;
 
         private boolean isHeadReported;
@@ -237,7 +237,7 @@
         }
 
         private void complete(Exchange exchange, boolean keepAlive) {
-            // Any further bytes are unsolicited from now on, even before the loop has processed this response.
+            // Any further bytes are unsolicited from now on, even before the event loop has processed this response.
             currentExchange = null;
             isHeadReported = false;
             isUnusable |= !keepAlive;
@@ -355,7 +355,8 @@
         }
 
         /**
-         * The endpoint list, a retry-after period or the request's own time may have changed since the loop started it.
+         * The endpoint list, a retry-after period or the request's own time may have changed since the event loop
+         * started it.
          */
         private boolean mayStart() {
             return !listener.isServerDraining() && listener.maySend() && !listener.isExpired();
@@ -494,7 +495,7 @@
             return partialResponse;
         }
 
-        /** The status of the response received so far; else 0. */
+        /** The status from the response's status line; 0 before that. */
         int status() {
             return status;
         }
@@ -509,9 +510,9 @@
         }
 
         /**
-         * The same, after reading what the endpoint has sent so far, which may be a retry-after. A response that
-         * crosses this is ignored: it arrives after the time that the endpoint was given. {@code whenClosed} runs on
-         * the loop thread; from then on {@link #isWritten} does not change.
+         * Cancels the request as {@link #close} does, but first reads what the endpoint has sent so far, which may
+         * include a retry-after. A response that crosses this is ignored: it arrives after the time that the endpoint
+         * was given. {@code whenClosed} runs on the event loop; from then on {@link #isWritten} does not change.
          */
         void giveUp(Runnable whenClosed) {
             onGivenUp = whenClosed;
@@ -549,6 +550,7 @@
             return true;
         }
 
+        /** Whether the request's last byte has been written. */
         boolean isWritten() {
             return isWritten;
         }
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -104,7 +104,7 @@
             @Override
             public void onFailure(boolean written, int status) {
                 // Before its last byte is written the endpoint has not begun. After that the outcome is unknown, except
-                // that a status line confirms the delivery of a call of one message.
+                // that a status of 200 confirms the delivery of a call of one message.
                 if (status != 0) {
                     core.counters().add(Counters.Name.SPOILT_ANSWERS);
                 }
@@ -220,8 +220,8 @@
 
     /**
      * Whether the endpoint has reached its limit of connections: it closes a connection that was just opened. An
-     * endpoint over its call limit keeps the connection. Mistaking the first for the second would slow all calls there
-     * to no effect.
+     * endpoint over its call limit keeps the connection. Mistaking the first for the second would slow down all
+     * calls there without any benefit.
      */
     private static boolean isConnectionLimit(Call call, int status, Map<String, String> headers) {
         return status == 503
--- a/src/main/java/lilaclever/protocol/http/HttpFront.java
+++ b/src/main/java/lilaclever/protocol/http/HttpFront.java
@@ -76,7 +76,7 @@
     /** Message classes by number, and the names of those that clients may submit. */
     private record MessageClasses(List<String> names, List<DecisionModule.MessageClass> classes) {}
 
-    /** Replaces the classes that clients may submit. Loop thread, once the module knows the new ones. */
+    /** Replaces the classes that clients may submit. Event loop, once the module knows the new ones. */
     public void updateClasses(List<String> classNames, List<DecisionModule.MessageClass> allClasses) {
         classes = new MessageClasses(List.copyOf(classNames), List.copyOf(allClasses));
     }
@@ -116,7 +116,7 @@
         return (listener == null || !listener.isOpen()) && serverFilter.isClosed();
     }
 
-    // Requests: on the selector thread until they are posted to the loop
+    // Requests: on the selector thread until they are posted to the event loop
     private void handle(HttpServerFilter.Request request) {
         switch (request.method() + ' ' + request.path()) {
             case "POST /api" -> parseAndPost(request);
@@ -152,7 +152,7 @@
             submit(request, submission);
         } catch (RuntimeException e) {
             respond(request.exchange(), 500, Map.of(), "");
-            throw e; // the loop counts and logs it
+            throw e; // the event loop counts and logs it
         }
     }
 
@@ -259,7 +259,7 @@
         return value;
     }
 
-    // Responses: on the loop thread
+    // Responses: on the event loop
     @Override
     public void onAccepted(Message message) {
         List<WaitingRequest> requests = waitingRequests.remove(message);
@@ -310,7 +310,7 @@
             }
             respond(exchange, 503, headers, "");
         } else if (finalStatus.kind() == FinalStatus.Kind.DELIVERED) {
-            respond(exchange, 200, Map.of(), ""); // it was delivered before, and no further notification is pending
+            respond(exchange, 200, Map.of(), ""); // it was delivered before, and no notice follows
         } else if (finalStatus.kind() == FinalStatus.Kind.CLASH) {
             respond(exchange, 409, Map.of(), "Idempotency-Key: another message has it\n");
         } else {
--- a/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
+++ b/src/main/java/lilaclever/protocol/http/HttpServerFilter.java
@@ -103,7 +103,7 @@
     }
 
     /**
-     * One connection. Bytes arrive on the selector thread and responses are written on the loop thread; a lock admits
+     * One connection. Bytes arrive on the selector thread and responses are written on the event loop; a lock admits
      * one at a time.
      */
     private final class Client {
@@ -115,7 +115,7 @@
         private volatile long stateSinceMicros = Core.monotonicMicros();
 
         private volatile boolean hasRequested, isPartlyRead, hasOpenRequest, isLingering;
-        /** The last response has been passed on: further input is dropped. */
+        /** The last response has been queued for writing: further input is dropped. */
         private volatile boolean isFinished;
         /** The client has closed its sending direction, and may still read. */
         private volatile boolean isInputEnded;
@@ -304,7 +304,7 @@
             return pipelined.size() > 0 || isTruncated || unprocessedBytes > 0;
         }
 
-        /** Marks the last response as passed on: input is dropped from now on until the client closes. */
+        /** Marks the last response as queued for writing: input is dropped from now on until the client closes. */
         private synchronized void closeOnceWritten() {
             if (!isFinished) {
                 isFinished = true;
@@ -400,7 +400,7 @@
             return isFree;
         }
 
-        /** Checks the connection for expiry until it is closed. Loop thread. */
+        /** Checks the connection for expiry until it is closed. Event loop. */
         private void checkExpiry() {
             if (!connection.isOpen()) {
                 return;
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -12,8 +12,8 @@
 import lilaclever.transport.Transport;
 
 /**
- * Notifies the platform of the final status of messages, and repeats each notice until the platform confirms it. Loop
- * thread.
+ * Notifies the platform of the final status of messages, and repeats each notice until the platform confirms it. Event
+ * loop.
  */
 public final class NoticeSender {
     /**
@@ -39,7 +39,7 @@
     private int consecutiveFailures;
     /** The batch in flight. */
     private HttpClient.Exchange inFlight;
-
+    /** The start of the next batch, or the timeout of the one in flight. */
     private Deadlines.Key timer;
 
     /** Sends notices to the address. */
--- a/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
+++ b/src/main/java/lilaclever/protocol/mail/MailDeliverer.java
@@ -150,13 +150,13 @@
                         core.probeEnded(endpoint.host(), AttemptResult.NO_CONNECTION, core.nowMicros() - startMicros)));
     }
 
-    /** One connection to a server and the transaction on it. Loop thread, except {@link #contentWritten}. */
+    /** One connection to a server and the transaction on it. Event loop, except {@link #contentWritten}. */
     private final class ClientSession {
         private final Call.Endpoint endpoint;
         private final boolean lmtp;
         private final ArrayDeque<Step> expectedReplies = new ArrayDeque<>();
         private final Set<String> extensions = new HashSet<>();
-        /** Lines received before the loop thread has learned that the connection is open. */
+        /** Lines received before the event loop has learned that the connection is open. */
         private final ArrayDeque<String> earlyLines = new ArrayDeque<>();
 
         private Connection<?> connection;
--- a/src/main/java/lilaclever/protocol/mail/MailFront.java
+++ b/src/main/java/lilaclever/protocol/mail/MailFront.java
@@ -33,7 +33,7 @@
 /**
  * The front for SMTP or LMTP. A mail for several recipients becomes one core message per recipient. With SMTP the
  * client gets 250 once these are in the journal, and a later failure is reported to the reverse path. With LMTP the
- * client gets each recipient's final status, in the order of its RCPT commands. Loop thread, except the filter.
+ * client gets each recipient's final status, in the order of its RCPT commands. Event loop, except the filter.
  */
 public final class MailFront implements Front {
     private static final long REPORT_RETRY_DELAY_MICROS = 1_000_000;
--- a/src/main/java/lilaclever/protocol/mail/ServerSession.java
+++ b/src/main/java/lilaclever/protocol/mail/ServerSession.java
@@ -12,7 +12,7 @@
 import lilaclever.transport.Transport;
 import org.glassfish.grizzly.Connection;
 
-/** The server side of one client connection: SMTP or LMTP commands, one transaction at a time. Loop thread. */
+/** The server side of one client connection: SMTP or LMTP commands, one transaction at a time. Event loop. */
 final class ServerSession {
     private static final Pattern PATH = Pattern.compile("(?i)(?:FROM|TO):\\s*<(?:@[^:>]*:)?([^<>\\s]*)>(.*)");
     /** Limit of received bytes that are not processed yet, in addition to the size of one mail. */
@@ -244,7 +244,8 @@
             tooLarge = false;
             bareLineEnding = false;
             contentBytesReceived = 0;
-            // A slow trickle of lines never triggers the idle timeout, so the content as a whole has one too.
+            // A slow trickle of lines never triggers the idle timeout, so the content as a whole has a time limit
+            // as well.
             contentTimeout = front.core()
                     .deadlines()
                     .schedule(
@@ -350,7 +351,7 @@
         if (front.isClosing()) {
             closeForShutdown();
         } else {
-            front.core().post(this::processQueuedLines); // not called directly: this may run inside it
+            front.core().post(this::processQueuedLines); // posted, since this may run inside processQueuedLines
         }
     }
 
--- a/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/FinalAnswers.java
@@ -7,8 +7,8 @@
 
 /**
  * Sends the final status of messages to clients: on the connection that waits for it, on another one of the practice
- * or, if there is none, on the next one that it opens. Answers that are not collected in time are discarded. Loop
- * thread.
+ * or, if there is none, on the next one that it opens. Answers that are not collected in time are discarded. Event
+ * loop.
  */
 final class FinalAnswers {
     private static final long EXPIRY_CHECK_INTERVAL_MICROS = 1_000_000;
--- a/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpConnections.java
@@ -21,8 +21,8 @@
 import org.glassfish.grizzly.filterchain.NextAction;
 
 /**
- * The listeners of the front and their connections; enforces which networks may connect and how many connections. Loop
- * thread, except the filter, which runs on the selector thread.
+ * The listeners of the front and their connections; enforces which networks may connect and how many connections. Event
+ * loop, except the filter, which runs on the selector thread.
  */
 final class MllpConnections {
     private final MllpFront front;
--- a/src/main/java/lilaclever/protocol/mllp/MllpFront.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpFront.java
@@ -21,14 +21,17 @@
  * The front for HL7 v2 over MLLP. In enhanced mode the accept acknowledgement says that a message is in the journal,
  * and the application acknowledgement reports its final status: on the connection that it came on, on another one of
  * its practice, or on the next one. In original mode there is one acknowledgement, for the final status. A client that
- * sends the same message again is attached to the pending one, or gets the remembered final status. Loop thread.
+ * sends the same message again is attached to the pending one, or gets the remembered final status. Event loop.
  */
 public final class MllpFront implements Front {
     /** The retry delay given to clients that are rejected for lack of capacity. */
     private static final long BUSY_RETRY_AFTER_MICROS = 1_000_000;
     /** Number of characters of the client's control id that become part of the message id. */
     private static final int MAX_CONTROL_ID_LENGTH = 40;
-    /** Only one in this many connections closed for bad input is logged, which bounds the log. */
+    /**
+     * Of the connections closed for bad input the first and then one in this many are logged, which bounds the
+     * log.
+     */
     private static final int LOG_ONE_IN = 100;
 
     /** The session that waits for the answers to a message: the last one that sent it. */
--- a/src/main/java/lilaclever/protocol/mllp/MllpSession.java
+++ b/src/main/java/lilaclever/protocol/mllp/MllpSession.java
@@ -8,7 +8,7 @@
 import org.glassfish.grizzly.Connection;
 
 /**
- * One client connection. Bytes are read on the selector thread, messages are handled and answered on the loop thread;
+ * One client connection. Bytes are read on the selector thread, messages are handled and answered on the event loop;
  * fields used by both are volatile or atomic.
  */
 final class MllpSession {
@@ -32,7 +32,7 @@
     private volatile boolean partialFrame, closed;
     /** Used by the selector thread only. */
     private int consecutiveBadMessages;
-    /** The practice of the last request, null before the first one; used by the loop thread only. */
+    /** The practice of the last request, null before the first one; used by the event loop only. */
     String practice;
 
     MllpSession(MllpFront front, MllpSettings.Listener listener, Connection<?> connection, String address) {
@@ -76,7 +76,7 @@
         }
         if (consecutiveBadMessages > MAX_CONSECUTIVE_BAD_MESSAGES) {
             front.recordBadClient(address, "too many bad messages in a row");
-            // The last answer is already posted to the loop and is written before the close.
+            // The last answer is already posted to the event loop and is written before the close.
             front.core().post(() -> Transport.write(connection, new byte[0], this::close, this::close));
         }
     }
@@ -113,7 +113,7 @@
         return !closed && connection.isOpen();
     }
 
-    // Loop thread
+    // Event loop
     /** A message of this session has got its first answer. */
     void onAnswered() {
         unansweredMessages.decrementAndGet();
--- a/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
+++ b/src/main/java/lilaclever/protocol/mllp/PendingAnswers.java
@@ -63,7 +63,7 @@
         return removed;
     }
 
-    /** Removes and returns the oldest answers for a practice that has connected. */
+    /** Removes and returns the answers for a practice that has connected: at most {@code maxCount}, oldest first. */
     List<T> take(String practice, int maxCount) {
         List<T> removed = new ArrayList<>();
         Iterator<Entry<T>> iterator = entries.values().iterator();
--- a/src/main/java/lilaclever/protocol/mllp/Replies.java
+++ b/src/main/java/lilaclever/protocol/mllp/Replies.java
@@ -9,7 +9,7 @@
 
 /**
  * Chooses the acknowledgement for the outcome of a message, by the client's mode and the acknowledgement conditions in
- * its header (MSH-15 and MSH-16). Loop thread.
+ * its header (MSH-15 and MSH-16). Event loop.
  */
 final class Replies {
     private final Acknowledgements acknowledgements;
--- a/src/main/java/lilaclever/protocol/operator/OperatorPort.java
+++ b/src/main/java/lilaclever/protocol/operator/OperatorPort.java
@@ -31,7 +31,7 @@
     private final Attribute<Caller> callerAttribute =
             Grizzly.DEFAULT_ATTRIBUTE_BUILDER.createAttribute("OperatorPort.caller");
 
-    /** Creates a port whose commands are executed on the loop thread. */
+    /** Creates a port whose commands are executed on the event loop. */
     public OperatorPort(Core core, ManualDrains manualDrains) {
         this.core = core;
         this.manualDrains = manualDrains;
@@ -119,7 +119,7 @@
         context.getConnection().closeSilently();
     }
 
-    /** Executes a command. Loop thread. */
+    /** Executes a command. Event loop. */
     private String execute(String line) {
         String[] words = line.split(" +");
         try {
