--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -41,7 +41,7 @@
         PREVIOUS_ATTEMPTS
     }
 
-    /** State of one pending message as recovered from the file. */
+    /** State of one pending message as recovered from the file; its fields mirror those of the core's message. */
     public static final class Entry {
         final String front;
         final Submission submission;
--- a/bench/java/lilaclever/scale/HollowRun.java
+++ b/bench/java/lilaclever/scale/HollowRun.java
@@ -18,7 +18,7 @@
  * output is a {@link Sample}. CPU time is that of the event loop alone; garbage collections run on other threads.
  */
 final class HollowRun {
-    /** Destinations of one owner at the planned size of the fleet. */
+    /** Destinations of one owner at the planned size of the fleet, and those of them that are down. */
     private static final int OWNED_DESTINATIONS = 374, DOWN_DESTINATIONS = 4;
 
     private static final int BODY_BYTES = 300;
--- a/src/main/java/lilaclever/simulation/audit/Auditor.java
+++ b/src/main/java/lilaclever/simulation/audit/Auditor.java
@@ -15,8 +15,8 @@
 
 /**
  * Observes a run from outside the forwarders, as clients, partners, directory and platform see it. It checks the rules,
- * computes the service figure and keeps the history of each message until some time after its final status. The host of
- * the run, virtual or on sockets, reports every event; times are in microseconds since the start of the run. Not
+ * computes the service figure and keeps the history of each message until some time after its deadline. The host of the
+ * run, virtual or on sockets, reports every event; times are in microseconds since the start of the run. Not
  * thread-safe.
  */
 public final class Auditor {
@@ -263,8 +263,8 @@
     }
 
     /**
-     * The last byte of a call with this message arrives, if that is later than its start. No retry-after period may be
-     * in force at that time either.
+     * The last byte of a call with this message arrives; not reported if it arrives at the start of the attempt. No
+     * retry-after period may be in force at that time either.
      */
     public void callArrived(int number, int forwarder, int destination, long atMicros) {
         checkRetryAfter(forwarder, destination, atMicros, histories.get(number));
--- a/src/main/java/lilaclever/simulation/audit/DeductionRates.java
+++ b/src/main/java/lilaclever/simulation/audit/DeductionRates.java
@@ -2,7 +2,8 @@
 
 /**
  * Deductions from the service figure, in percentage points, each multiplied by its rate: new connections and probes per
- * message, the share of wasted work, and the share of worth of messages that got a final status without delivery.
+ * message, the share of wasted work, and the share of the offered worth whose messages got a final status and no
+ * delivery of any worth.
  */
 public record DeductionRates(double connection, double wastedWork, double lateFailure, double probe) {
     /** Rates of the exchange for which the forwarder was built. */
--- a/src/main/java/lilaclever/simulation/audit/Service.java
+++ b/src/main/java/lilaclever/simulation/audit/Service.java
@@ -30,7 +30,9 @@
         return totalsBySecond.get(s);
     }
 
-    /** Adds a message whose history is complete; {@code lateFailure}: it got a final status without delivery. */
+    /**
+     * Adds a message with a complete history; {@code lateFailure}: it got a final status, but no delivery of any worth.
+     */
     void addMessage(
             int messageClass,
             long firstSubmittedMicros,
--- a/src/main/java/lilaclever/simulation/fleet/ConfigurationLog.java
+++ b/src/main/java/lilaclever/simulation/fleet/ConfigurationLog.java
@@ -68,12 +68,12 @@
         return reachableMillis;
     }
 
-    /** Delay of changes at forwarders that were cut off when they were published, or later, milliseconds. */
+    /** Delay of changes at forwarders that were cut off at the time of the publication or after it, milliseconds. */
     Histogram cutOffMillis() {
         return cutOffMillis;
     }
 
-    /** Delay until the last reachable forwarder of the changes published in an interval, milliseconds. */
+    /** For each change published in an interval, its delay at the last reachable forwarder, milliseconds. */
     Histogram everywhereMillis(long fromMicros, long toMicros) {
         Histogram millis = new Histogram(3);
         for (Change change : changes) {
--- a/src/main/java/lilaclever/simulation/fleet/ConfigurationPublisher.java
+++ b/src/main/java/lilaclever/simulation/fleet/ConfigurationPublisher.java
@@ -4,7 +4,10 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.sampling.distribution.ZigguratSampler;
 
-/** Publishes configuration changes to the controllers of all regions, and sends them the latest version each second. */
+/**
+ * Publishes configuration changes to the controllers of all regions, and sends each controller the latest version every
+ * second.
+ */
 final class ConfigurationPublisher {
     private static final long SECOND_MICROS = 1_000_000;
     private static final long RETRY_MICROS = 300_000;
--- a/src/main/java/lilaclever/simulation/fleet/Failures.java
+++ b/src/main/java/lilaclever/simulation/fleet/Failures.java
@@ -43,7 +43,7 @@
         this.exponential = ZigguratSampler.Exponential.of(random);
     }
 
-    /** Starts a phase and returns the forwarders that it stops or brings back. */
+    /** Starts a phase and returns the forwarders that it stops, cuts off or brings back. */
     List<SimulatedForwarder> startPhase(Phase phase) {
         SimulatedForwarder chosen = anyForwarder();
         leastMoves = 0;
--- a/src/main/java/lilaclever/simulation/fleet/FleetForwarders.java
+++ b/src/main/java/lilaclever/simulation/fleet/FleetForwarders.java
@@ -63,7 +63,7 @@
         byRegion.get(region).add(forwarder);
     }
 
-    /** Returns a clock within the drift bound: the rates of any two of them differ by the bound at most. */
+    /** Returns a clock within the drift bound: the rates of any two such clocks differ by the bound at most. */
     static SimulatedClock clockOf(UniformRandomProvider random, FleetSettings settings, EventQueue queue) {
         double drift = settings.timing().maxDrift() * (random.nextDouble() - 0.5);
         return new SimulatedClock(queue, 1 + drift, random.nextInt(Integer.MAX_VALUE));
--- a/src/main/java/lilaclever/simulation/model/CallLimiter.java
+++ b/src/main/java/lilaclever/simulation/model/CallLimiter.java
@@ -42,7 +42,10 @@
                 : Math.max(1, Math.floor(callsPerSecond(nowMicros) * windowMicros / 1e6));
     }
 
-    /** Returns whether a call at this time is within the limit, and counts it if so. */
+    /**
+     * Returns whether a call at this time is within the limit, and counts it if so. With a plain rate, refused calls
+     * count as well if {@code countsRefusedCalls} is set.
+     */
     boolean tryAcquire(long nowMicros) {
         if (limit == PartnerKind.Limit.NONE) {
             return true;
--- a/src/main/java/lilaclever/simulation/model/Partner.java
+++ b/src/main/java/lilaclever/simulation/model/Partner.java
@@ -303,7 +303,8 @@
                 * (current == Outage.SLOW ? outageStrength : 1);
         endpoint.serverFreeAtMicros[soonest] = startMicros + (long) serviceMicros;
         served += workMicros.length;
-        // An outage that begins before the answer is due suppresses it; canStillAnswer() checks that when it is due.
+        // A partner that is silent or down by the time the answer is due does not send it; canStillAnswer() checks
+        // this.
         return new Answer(Status.DELIVERED, startMicros + (long) serviceMicros, 0);
     }
 
--- a/src/main/java/lilaclever/simulation/model/PartnerKind.java
+++ b/src/main/java/lilaclever/simulation/model/PartnerKind.java
@@ -10,7 +10,7 @@
  * @param minRate least call limit, calls a second
  * @param windowMicros length of the window of {@link Limit#WINDOW}
  * @param retryAfterShare share of partners whose refusals carry a retry-after period
- * @param countsRefusedShare share of partners where refused calls count against the limit
+ * @param countsRefusedShare share of partners where refused calls count against the limit, if it is a plain rate
  * @param connectionsPerServer connection limit per call served at once; 0: unlimited
  * @param maxBatch most messages in a call
  * @param extraMessageCost processing cost of each further message in a call, relative to the first
--- a/src/main/java/lilaclever/simulation/scenario/Scenario.java
+++ b/src/main/java/lilaclever/simulation/scenario/Scenario.java
@@ -26,8 +26,8 @@
      * @param pendingSeconds limit of a forwarder's pending messages, in seconds of its part of the full load
      * @param directoryDelayMicros delay of changes in the directory
      * @param failureDetectionMicros how long the load balancer goes on sending to a dead forwarder
-     * @param resubmitDelayMicros how long a client waits before it submits a rejected message again, or one that a dead
-     * forwarder had
+     * @param resubmitDelayMicros how long a client waits before it submits a message again that was rejected or got no
+     * answer
      */
     public record Fleet(
             int forwarders,
--- a/src/main/java/lilaclever/simulation/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/simulation/sockets/PartnerConnection.java
@@ -19,8 +19,9 @@
  */
 final class PartnerConnection {
     /**
-     * A message may seem to have two attempts in flight, since the reading threads can overtake each other. A call is
-     * therefore checked again after the first delay, up to the second one, for the end of the earlier attempt.
+     * A message may seem to have two attempts in progress, since the reading threads can overtake each other. A call
+     * with such a message is checked again at the first interval, and processed once the earlier attempt has ended or
+     * the second interval has passed.
      */
     private static final long ATTEMPT_END_RECHECK_MICROS = 5_000, MAX_ATTEMPT_END_DELAY_MICROS = 50_000;
 
@@ -42,7 +43,7 @@
     private final Partner partner;
     private final String host;
     private final int forwarder;
-    /** False if the partner already has as many connections as it accepts. */
+    /** False if the partner already had as many connections as it accepts when this one was opened. */
     private final boolean hasCapacity;
 
     private final Consumer<PartnerConnection> onClosed;
--- a/src/main/java/lilaclever/simulation/sockets/PartnerListeners.java
+++ b/src/main/java/lilaclever/simulation/sockets/PartnerListeners.java
@@ -124,7 +124,7 @@
         return "127.0.0.1:" + listener.port;
     }
 
-    /** Closes the listener of an endpoint that left the directory. */
+    /** Closes the listener of an endpoint that left the directory, and resets its connections. */
     void remove(String host, int forwarder) {
         Listener listener = listeners.remove(host + ' ' + forwarder);
         if (listener != null && listener.server != null) {
--- a/src/main/java/lilaclever/simulation/virtual/VirtualTimeline.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualTimeline.java
@@ -5,7 +5,10 @@
 import lilaclever.simulation.world.ScheduledAction;
 import lilaclever.simulation.world.Timeline;
 
-/** A timeline in virtual time: actions run on one thread in the order of their times; equal times, as scheduled. */
+/**
+ * A timeline in virtual time. Actions run on one thread in the order of their times, and in the order of scheduling
+ * where times are equal.
+ */
 final class VirtualTimeline implements Timeline {
     private final PriorityQueue<ScheduledAction> scheduled = new PriorityQueue<>();
     private long nowMicros, nextSequence, actionCount;
--- a/src/main/java/lilaclever/simulation/world/EndpointDirectory.java
+++ b/src/main/java/lilaclever/simulation/world/EndpointDirectory.java
@@ -79,8 +79,8 @@
     }
 
     /**
-     * Drains an endpoint and adds another one in its place. The draining endpoint is removed {@code drainsForMicros}
-     * after every forwarder can have been notified. It must not be draining already.
+     * Drains an endpoint, which must be active, and adds another one in its place. The draining endpoint is removed
+     * {@code drainsForMicros} after the longest directory delay and the drain grace have passed, plus a margin.
      */
     void replaceEndpoint(String host, Partner partner, long drainsForMicros) {
         notifyForwarders(List.of(addEndpoint(partner), change(host, Presence.LEAVING)));
--- a/src/main/java/lilaclever/simulation/world/ForwarderFleet.java
+++ b/src/main/java/lilaclever/simulation/world/ForwarderFleet.java
@@ -7,7 +7,7 @@
 import lilaclever.simulation.audit.Breach.Rule;
 import lilaclever.simulation.model.Partner;
 
-/** Starts and kills the forwarders, and notifies directory, load balancer, clients and partners of both. */
+/** Starts and kills the forwarders, and reports their readiness and their exits to the models that depend on them. */
 final class ForwarderFleet {
     private static final long SECOND_MICROS = 1_000_000;
     /** How long a forwarder is ready before the load balancer detects it. */
@@ -90,7 +90,7 @@
         return everReady.size();
     }
 
-    /** Pending messages of all forwarders together; negative if the number is not known. */
+    /** Pending messages of all forwarders together; below 0 if the number is not known. */
     int pendingCount() {
         return forwarders.stream().mapToInt(ForwarderHandle::pendingCount).sum();
     }
--- a/src/main/java/lilaclever/simulation/world/PartnerFactory.java
+++ b/src/main/java/lilaclever/simulation/world/PartnerFactory.java
@@ -12,7 +12,7 @@
 
 /** Creates a scenario's partners and their endpoints, the same ones for the same seed. */
 final class PartnerFactory {
-    /** Partners of large kinds are placed within this share of the ranks, beginning with the highest. */
+    /** Partners of large kinds are placed within this share of the ranks, beginning with the one with most traffic. */
     private static final double LARGE_KINDS_RANK_SHARE = 0.6;
     /** The first quarter of the partners has as many endpoints as drawn; the others have this share of them. */
     private static final double REDUCED_ENDPOINT_SHARE = 0.6;
--- a/src/main/java/lilaclever/simulation/world/SimulatedClients.java
+++ b/src/main/java/lilaclever/simulation/world/SimulatedClients.java
@@ -197,7 +197,8 @@
     }
 
     /**
-     * A message that may have taken effect is not repeated, or with an idempotency key only inside its repeat window.
+     * A message that may have taken effect is submitted again only as its class allows: always if it is safe to repeat,
+     * with an idempotency key inside the repeat window, otherwise never.
      */
     private boolean mayRetry(int number, long atMicros) {
         long possibleEffectMicros = auditor.firstPossibleEffectMicros(number);
