--- a/src/test/java/lilaclever/DeliveryPolicyTest.java
+++ b/src/test/java/lilaclever/DeliveryPolicyTest.java
@@ -619,7 +619,7 @@
         answerAll(
                 attemptCounts,
                 12 * SECOND_MICROS,
-                AttemptResult.NO_CONNECTION); // an outage, so no full connection table
+                AttemptResult.NO_CONNECTION); // an outage: a failed connect no longer means a full table
         harness.runRoundsFor(60 * SECOND_MICROS);
         harness.reportOutcome(harness.submit(SAFE, 1), "a1", 0, AttemptResult.DELIVERED)
                 .runRoundsFor(15 * SECOND_MICROS); // recovered, and slow start is over
@@ -822,7 +822,8 @@
 
     @Test
     void aLargeFleetLetsAUsedUpAllowanceRefill() {
-        // 100 forwarders share 10 calls a second: at the throttled rate they would keep it used up for good.
+        // 100 forwarders share 10 calls a second: at the throttled rate their waiting messages would keep the allowance
+        // used up for good.
         harness = new DecisionModuleHarness(DecisionModuleHarness.settings(10, 50, 12, false, 100));
         harness.applyListing(ListingKind.REMEMBERED, DecisionModuleHarness.entry("a1", 1, 0, 0));
         String id = harness.submit(SAFE, 1);
--- a/src/test/java/lilaclever/PolicyFixture.java
+++ b/src/test/java/lilaclever/PolicyFixture.java
@@ -82,7 +82,7 @@
         return call;
     }
 
-    /** Starts a round so many microseconds later, with no actions yet. */
+    /** Starts a round {@code micros} later, with no actions yet. */
     void advanceClock(long micros) {
         state.nowMicros += micros;
         state.actions = new ArrayList<>();
--- a/src/test/java/lilaclever/journal/StorageFaultTest.java
+++ b/src/test/java/lilaclever/journal/StorageFaultTest.java
@@ -152,7 +152,8 @@
     }
 
     /**
-     * Runs one step and one turn of the loop. The model and the state in memory must agree, and the quota must hold.
+     * Runs one step and one turn of the event loop. The model and the state in memory must agree, and the quota must
+     * hold.
      */
     private void runTurn() throws InterruptedException {
         randomRun.runWithoutCheckpoints(1, LARGEST_BODY_BYTES, PENDING_MESSAGES);
--- a/src/test/java/lilaclever/placement/AssignmentTest.java
+++ b/src/test/java/lilaclever/placement/AssignmentTest.java
@@ -137,7 +137,7 @@
         }
     }
 
-    /** Shards above their new capacity that members lost to others than the new member. */
+    /** Shards that members had above their new capacity and did not give to the new member. */
     private static int evictedOverCapacity(int[] before, TestRegion region, int joined) {
         int[] now = region.owners();
         int evictions = 0;
--- a/src/test/java/lilaclever/program/ConnectionRacesTest.java
+++ b/src/test/java/lilaclever/program/ConnectionRacesTest.java
@@ -197,7 +197,7 @@
     }
 
     // Discovery and notices
-    /** A change missed by an unresponsive watch is received within the 6 s after which discovery counts it as sent. */
+    /** A change missed by an unresponsive watch is received within the 6 s after which it counts as notified. */
     @Test
     void unresponsiveWatchIsReopenedInTime() throws Exception {
         LinkedBlockingQueue<Long> silentSince = new LinkedBlockingQueue<>();
@@ -233,8 +233,8 @@
     }
 
     /**
-     * Discovery that does not answer is polled repeatedly, as a change that it has when it recovers counts as sent at
-     * once.
+     * Discovery that does not answer is polled repeatedly, as a change that it has when it recovers counts as
+     * notified at once.
      */
     @Test
     void unresponsiveDiscoveryIsPolledWithinTheDrainGrace() throws Exception {
--- a/src/test/java/lilaclever/program/DiscoveryOrderTest.java
+++ b/src/test/java/lilaclever/program/DiscoveryOrderTest.java
@@ -40,7 +40,10 @@
         assertEquals(0, calls.size());
     }
 
-    /** Removals in an older list are applied at once, which is safe whichever list is newer. */
+    /**
+     * An endpoint that an older list names as left, or that an older whole list omits, is removed at once: that is safe
+     * whatever newer lists contain.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void removalsInAnOlderListAreAppliedAtOnce(boolean isWhole) throws Exception {
--- a/src/test/java/lilaclever/program/DrainTestBed.java
+++ b/src/test/java/lilaclever/program/DrainTestBed.java
@@ -95,7 +95,7 @@
         return agent(firstIndex, version());
     }
 
-    /** An agent that has the first changes only, and gets no more until it catches up. */
+    /** An agent that has the first {@code changes} changes, and gets no more until it catches up. */
     DrainAgent agentBehind(long firstIndex, int changes) throws IOException {
         DrainAgent agent = agent(firstIndex, changes);
         agent.fallBehind();
--- a/src/test/java/lilaclever/program/MllpTest.java
+++ b/src/test/java/lilaclever/program/MllpTest.java
@@ -207,8 +207,8 @@
     }
 
     /**
-     * In original mode an acknowledgement that arrives after its client has left could be taken for that of another
-     * message, so it goes to its own connection only.
+     * Guards against sending an acknowledgement whose connection has closed on another connection: in original mode the
+     * client there would take it for the acknowledgement of its own message.
      */
     @Test
     void finalAcknowledgementInOriginalModeGoesToItsOwnConnectionOnly() throws Exception {
@@ -549,7 +549,8 @@
     }
 
     /**
-     * Guards against taking a new message for an old one whose window is over: its control id may be used again then.
+     * Guards against taking a new message for an old one with the same control id, which may be used again once the
+     * window of the old message is over.
      */
     @Test
     void controlIdCanBeReusedAfterItsWindow() throws Exception {
--- a/src/test/java/lilaclever/program/RetryAfterTest.java
+++ b/src/test/java/lilaclever/program/RetryAfterTest.java
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Guards against writing a call during a retry-after period that another call's answer announced after this call
-     * was decided, and before its connection was established.
+     * Guards against writing a call during a retry-after period. After the call was decided, the answer to another call
+     * announced the period, and only then the connection for the first call was established.
      */
     @Test
     void callWhoseConnectionIsEstablishedDuringRetryAfterIsNotWritten() throws Exception {
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -53,7 +53,7 @@
              "rules": {"answerSlackS": 0.02, "coldFrom": 0.5, "tipMultiple": 1.5, "rampTimeS": 0.1,
               "overloadForS": 3, "drainGraceS": 0.5, "askWithinS": 10}}""";
 
-    /** A clock that stands still until it is set, and signals that a task was posted to the loop. */
+    /** A clock that stands still until it is set, and signals that a task was posted to the event loop. */
     private static final class ManualClock implements Clock {
         private final Semaphore posted = new Semaphore(0);
         private long micros = SECOND_MICROS;
@@ -148,7 +148,7 @@
 
     /**
      * Waits for the request in flight to end; returns the delay until the next one, which must be at most the limit.
-     * One request may post several tasks to the loop.
+     * One request may post several tasks to the event loop.
      */
     private long awaitRequestEnd(long limitMicros) throws InterruptedException {
         long delayMicros;
--- a/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
+++ b/src/test/java/lilaclever/protocol/http/TwoThreadFixture.java
@@ -81,7 +81,7 @@
         return wire;
     }
 
-    /** Runs the task on the loop and waits for it. */
+    /** Runs the task on the event loop and waits for it. */
     final void runOnLoop(Runnable task) throws InterruptedException {
         CountDownLatch ran = new CountDownLatch(1);
         core.post(() -> {
--- a/src/test/java/lilaclever/transport/TransportTest.java
+++ b/src/test/java/lilaclever/transport/TransportTest.java
@@ -52,7 +52,10 @@
         }
     }
 
-    /** A response (such as a retry-after) that has arrived but is still unread takes effect before a call is sent. */
+    /**
+     * Guards against a call during a retry-after period on a busy machine: a response that has arrived, but is still
+     * unread, takes effect before a call is sent.
+     */
     @Test
     void receivedBytesAreReadBeforeTheTaskRuns() throws Exception {
         LinkedBlockingQueue<String> order = new LinkedBlockingQueue<>();
