--- a/src/main/java/lilaclever/DecisionModule.java
+++ b/src/main/java/lilaclever/DecisionModule.java
@@ -167,7 +167,7 @@
      */
     record EndpointKind(boolean limitPerEndpoint, int maxBatchSize) {
         public EndpointKind {
-            require(maxBatchSize > 0, "kinds.maxBatchSize must be above 0");
+            require(maxBatchSize > 0, "kinds.batch must be above 0");
         }
     }
 
@@ -208,7 +208,7 @@
             long maxRetryAfterMicros) {
         public Limits {
             require(slots > 0, "limits.slots must be above 0");
-            require(maxOpenMessages > 0, "limits.maxOpenMessages must be above 0");
+            require(maxOpenMessages > 0, "limits.maxOpen must be above 0");
             require(maxAttempts > 0, "limits.maxAttempts must be above 0");
         }
     }
@@ -281,7 +281,7 @@
             Rules rules) {
         public Settings {
             require(!classes.isEmpty(), "classes must not be empty");
-            require(forwarders > 0, "forwarders must be above 0");
+            require(forwarders > 0, "relays must be above 0");
         }
     }
 
