--- a/bench/java/lilaclever/journal/OneFileJournal.java
+++ b/bench/java/lilaclever/journal/OneFileJournal.java
@@ -138,10 +138,10 @@
     }
 
     /** Records the end of an attempt. */
-    boolean recordOutcome(String id, boolean knownNotRun) {
+    boolean recordOutcome(String id, boolean neverRan) {
         return write(Type.OUTCOME, out -> {
             out.writeUTF(id);
-            out.writeBoolean(knownNotRun);
+            out.writeBoolean(neverRan);
         });
     }
 
--- a/src/main/java/lilaclever/identity/DuplicateDetector.java
+++ b/src/main/java/lilaclever/identity/DuplicateDetector.java
@@ -28,7 +28,7 @@
     private final IdempotencyWindows windows;
     private final CompletedMessageStore<E> completed;
     private final Map<String, Pending<M>> pending = new HashMap<>();
-    private long forgottenEarly;
+    private long removedEarly;
 
     public DuplicateDetector(IdempotencyWindows windows, CompletedMessageStore<E> completed) {
         this.windows = windows;
@@ -80,7 +80,7 @@
         if (previous == null) {
             while (completed.size() >= windows.maxEntries()) {
                 completed.removeSoonestExpiring();
-                forgottenEarly++;
+                removedEarly++;
             }
         }
         completed.put(
@@ -101,7 +101,7 @@
     }
 
     /** How many results were removed before they expired, for lack of capacity. */
-    public long forgottenEarly() {
-        return forgottenEarly;
+    public long removedEarly() {
+        return removedEarly;
     }
 }
--- a/src/main/java/lilaclever/journal/JournalState.java
+++ b/src/main/java/lilaclever/journal/JournalState.java
@@ -204,7 +204,7 @@
     }
 
     /** Removes the remembered result that expires first. */
-    void removeFirstToExpire() {
+    void removeSoonestExpiring() {
         if (!expiries.isEmpty()) {
             removeRemembered(expiries.first().identity());
         }
@@ -221,7 +221,7 @@
     int removeExpired(long nowWallMicros, int limit) {
         int removed = 0;
         while (removed < limit && !expiries.isEmpty() && expiries.first().untilWallMicros() <= nowWallMicros) {
-            removeFirstToExpire();
+            removeSoonestExpiring();
             removed++;
         }
         return removed;
--- a/src/main/java/lilaclever/journal/RecordEncoder.java
+++ b/src/main/java/lilaclever/journal/RecordEncoder.java
@@ -44,7 +44,7 @@
     }
 
     /** The message is finished: no result is pending any more. */
-    static void ended(RecordWriter out, String id) {
+    static void settled(RecordWriter out, String id) {
         out.beginRecord(RecordType.ENDED).putText(id).endRecord();
     }
 
@@ -61,7 +61,7 @@
     }
 
     /** Another submitter waits for the result of the message. */
-    static void joined(RecordWriter out, String id, PendingMessage.Submitter submitter) {
+    static void attached(RecordWriter out, String id, PendingMessage.Submitter submitter) {
         out.beginRecord(RecordType.JOINED)
                 .putText(id)
                 .putText(submitter.front())
--- a/src/main/java/lilaclever/journal/SegmentedJournal.java
+++ b/src/main/java/lilaclever/journal/SegmentedJournal.java
@@ -131,7 +131,7 @@
     public void recordSettled(String id) {
         if (state.pending.containsKey(id)) {
             state.removeMessage(id);
-            RecordEncoder.ended(writer.clear(), id);
+            RecordEncoder.settled(writer.clear(), id);
             appendOrDefer(id);
         }
     }
@@ -143,7 +143,7 @@
             return false;
         }
         PendingMessage.Submitter submitter = new PendingMessage.Submitter(front, submitterId);
-        RecordEncoder.joined(writer.clear(), id, submitter);
+        RecordEncoder.attached(writer.clear(), id, submitter);
         if (unwrittenChanges.hasMessage(id)
                 || !appender.ensureSpace(writer.size(), JournalState.growthBytes(submitter))
                 || !append()) {
@@ -168,8 +168,8 @@
     }
 
     @Override
-    public void forgetSoonestExpiring() {
-        state.removeFirstToExpire();
+    public void removeSoonestExpiring() {
+        state.removeSoonestExpiring();
     }
 
     @Override
--- a/src/main/java/lilaclever/journal/UnwrittenChanges.java
+++ b/src/main/java/lilaclever/journal/UnwrittenChanges.java
@@ -148,7 +148,7 @@
         if (hasMessage(id)) {
             JournalState.Entry<PendingMessage> entry = state.pending.get(id);
             if (entry == null) {
-                RecordEncoder.ended(writer.clear(), id);
+                RecordEncoder.settled(writer.clear(), id);
             } else {
                 RecordEncoder.snapshot(writer.clear(), entry.value);
             }
--- a/src/main/java/lilaclever/protocol/http/DirectoryClient.java
+++ b/src/main/java/lilaclever/protocol/http/DirectoryClient.java
@@ -69,7 +69,7 @@
             String address,
             Deliverer deliverer,
             KindsAndZones kindsAndZones,
-            long connectMicros,
+            long connectTimeoutMicros,
             long keepAliveMicros,
             EndpointMembership membership,
             Listener listener) {
@@ -79,7 +79,7 @@
                 core,
                 transport,
                 "directory",
-                connectMicros,
+                connectTimeoutMicros,
                 keepAliveMicros,
                 MAX_IDLE_CONNECTIONS,
                 DiscoveryWatch.MAX_RESPONSE_BYTES,
--- a/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
+++ b/src/main/java/lilaclever/protocol/http/HttpDeliverer.java
@@ -70,11 +70,11 @@
     private final RetryAfterTable retryAfterTable = new RetryAfterTable();
 
     /** Creates a deliverer with its own connections. */
-    public HttpDeliverer(Core core, Transport transport, long connectMicros, long keepAliveMicros, int maxIdle) {
+    public HttpDeliverer(Core core, Transport transport, long connectTimeoutMicros, long keepAliveMicros, int maxIdle) {
         this.core = core;
-        this.probeTimeoutMicros = connectMicros;
-        this.client =
-                new HttpClient(core, transport, "calls", connectMicros, keepAliveMicros, maxIdle, MAX_RESPONSE_BYTES);
+        this.probeTimeoutMicros = connectTimeoutMicros;
+        this.client = new HttpClient(
+                core, transport, "calls", connectTimeoutMicros, keepAliveMicros, maxIdle, MAX_RESPONSE_BYTES);
     }
 
     /** Starts the periodic cleanup. */
@@ -275,16 +275,16 @@
         }
     }
 
-    private void reportAll(Call call, AttemptResult outcome, boolean noSlot, boolean isSettled) {
-        List.copyOf(call.messages).forEach(m -> report(call, m, outcome, noSlot, isSettled));
+    private void reportAll(Call call, AttemptResult outcome, boolean noSlot, boolean finished) {
+        List.copyOf(call.messages).forEach(m -> report(call, m, outcome, noSlot, finished));
     }
 
     /**
      * Each outcome carries the current retry-after, which may stem from a response that nothing waited for any more.
      */
-    private void report(Call call, Message m, AttemptResult outcome, boolean noSlot, boolean isSettled) {
+    private void report(Call call, Message m, AttemptResult outcome, boolean noSlot, boolean finished) {
         core.attemptEnded(
-                call, m, outcome, retryAfterTable.remainingMicros(call.endpoint, core.nowMicros()), noSlot, isSettled);
+                call, m, outcome, retryAfterTable.remainingMicros(call.endpoint, core.nowMicros()), noSlot, finished);
     }
 
     /** Formats seconds with decimals, as the protocol writes them. */
--- a/src/main/java/lilaclever/protocol/http/NoticeSender.java
+++ b/src/main/java/lilaclever/protocol/http/NoticeSender.java
@@ -43,9 +43,11 @@
     private Deadlines.Key timer;
 
     /** Sends notices to the address. */
-    public NoticeSender(Core core, Transport transport, String address, long connectMicros, long keepAliveMicros) {
+    public NoticeSender(
+            Core core, Transport transport, String address, long connectTimeoutMicros, long keepAliveMicros) {
         this.core = core;
-        this.client = new HttpClient(core, transport, "notices", connectMicros, keepAliveMicros, 1, MAX_RESPONSE_BYTES);
+        this.client = new HttpClient(
+                core, transport, "notices", connectTimeoutMicros, keepAliveMicros, 1, MAX_RESPONSE_BYTES);
         this.address = address;
         core.counters().entryGauge("notices", pending::size);
     }
--- a/src/main/java/lilaclever/routing/Core.java
+++ b/src/main/java/lilaclever/routing/Core.java
@@ -403,15 +403,10 @@
      * @param retryAfterMicros retry-after period for the destination, or for the endpoint if it has its own limits; 0:
      *     none
      * @param noSlot it was not sent for want of a free slot
-     * @param isSettled the endpoint reports that the message needs no further attempt and no result
+     * @param finished the endpoint reports that the message needs no further attempt and no result
      */
     public void attemptEnded(
-            Call call,
-            Message message,
-            AttemptResult result,
-            long retryAfterMicros,
-            boolean noSlot,
-            boolean isSettled) {
+            Call call, Message message, AttemptResult result, long retryAfterMicros, boolean noSlot, boolean finished) {
         if (message.currentCall != call) {
             return;
         }
@@ -433,7 +428,7 @@
                 nowMicros - call.startedAtMicros,
                 retryAfterMicros,
                 noSlot,
-                isSettled || result == AttemptResult.DELIVERED,
+                finished || result == AttemptResult.DELIVERED,
                 null));
         message.attemptCount -= result == AttemptResult.WITHHELD ? 1 : 0;
         if (message.isFinished) {
@@ -442,7 +437,7 @@
         if (result == AttemptResult.DELIVERED) {
             counters.add(Name.DELIVERED);
             finish(message, FinalStatus.of(Kind.DELIVERED));
-        } else if (isSettled) {
+        } else if (finished) {
             finish(message, FinalStatus.of(Kind.GONE));
         } else {
             journal.recordOutcome(message.id(), result.neverRan());
--- a/src/main/java/lilaclever/routing/DeduplicationTable.java
+++ b/src/main/java/lilaclever/routing/DeduplicationTable.java
@@ -50,14 +50,14 @@
 
             @Override
             public void removeSoonestExpiring() {
-                journal.forgetSoonestExpiring();
+                journal.removeSoonestExpiring();
             }
         });
         while (journal.rememberedCount() > windows.maxEntries()) {
-            journal.forgetSoonestExpiring(); // an earlier run had a higher limit
+            journal.removeSoonestExpiring(); // an earlier run had a higher limit
         }
         counters.entryGauge("identities", detector::pendingCount);
-        counters.valueGauge("identities_forgotten_early", detector::forgottenEarly);
+        counters.valueGauge("identities_forgotten_early", detector::removedEarly);
     }
 
     /** Checks whether the submission is a new message or a duplicate. */
--- a/src/main/java/lilaclever/routing/Journal.java
+++ b/src/main/java/lilaclever/routing/Journal.java
@@ -48,7 +48,7 @@
     CompletedMessage<FinalStatus> remembered(String identity);
 
     /** Forgets the remembered final status that expires first. */
-    void forgetSoonestExpiring();
+    void removeSoonestExpiring();
 
     /** Messages that were accepted and are not settled, in order of acceptance or later. */
     Collection<PendingMessage> pendingMessages();
--- a/src/main/java/lilaclever/simulation/audit/Auditor.java
+++ b/src/main/java/lilaclever/simulation/audit/Auditor.java
@@ -33,7 +33,7 @@
         final String host;
         boolean inProgress = true;
         /** Whether the partner is known not to have processed it. */
-        boolean knownNotRun;
+        boolean neverRan;
 
         Attempt(long sentAtMicros, String host) {
             this.sentAtMicros = sentAtMicros;
@@ -293,7 +293,7 @@
                         "message " + history.number + " is sent while an attempt is in progress",
                         history);
             }
-            possibleEffectMicros = i >= history.earlierAttempts && !a.knownNotRun && possibleEffectMicros < 0
+            possibleEffectMicros = i >= history.earlierAttempts && !a.neverRan && possibleEffectMicros < 0
                     ? a.sentAtMicros
                     : possibleEffectMicros;
         }
@@ -333,7 +333,7 @@
         MessageHistory history = histories.get(number);
         if (history != null) {
             for (Attempt a : history.attempts) {
-                if (!a.knownNotRun) {
+                if (!a.neverRan) {
                     return a.sentAtMicros;
                 }
             }
@@ -342,7 +342,7 @@
     }
 
     /** The last attempt of a message has ended, as seen by the partner. */
-    public void attemptEnded(int number, String outcome, boolean knownNotRun, long atMicros) {
+    public void attemptEnded(int number, String outcome, boolean neverRan, long atMicros) {
         MessageHistory history = histories.get(number);
         if (history == null || history.attempts.isEmpty()) {
             return;
@@ -351,7 +351,7 @@
             Attempt a = history.attempts.get(i);
             if (a.inProgress) {
                 a.inProgress = false;
-                a.knownNotRun = knownNotRun;
+                a.neverRan = neverRan;
                 history.addLine(atMicros, outcome);
                 count("ended_" + outcome.replace(' ', '_'));
                 return;
--- a/src/main/java/lilaclever/simulation/sockets/PartnerConnection.java
+++ b/src/main/java/lilaclever/simulation/sockets/PartnerConnection.java
@@ -91,7 +91,7 @@
     /** The forwarder has closed the connection: a call in flight is given up. */
     private void onPeerClosed() {
         if (!isClosed) {
-            attemptsOver(inFlightIds, "given up", false);
+            attemptsEnded(inFlightIds, "given up", false);
             if (!inFlightIds.isEmpty()) {
                 partner.failureSeen(forwarder, timeline.nowMicros());
             }
@@ -102,7 +102,7 @@
     /** Resets the connection, as the failure of the partner's machine does. */
     void reset() {
         if (!isClosed) {
-            attemptsOver(inFlightIds, "reset", false);
+            attemptsEnded(inFlightIds, "reset", false);
             partner.failureSeen(forwarder, timeline.nowMicros());
             connection.reset();
             close();
@@ -191,7 +191,7 @@
             return;
         }
         if (!hasCapacity) {
-            attemptsOver(ids, "full", true);
+            attemptsEnded(ids, "full", true);
             partner.failureSeen(forwarder, timeline.nowMicros());
             respond("503 Service Unavailable", "", "Connection: close");
             close();
@@ -208,7 +208,7 @@
                 timeline.at(
                         answer.atMicros(),
                         () -> answerIfInFlight(ids, () -> {
-                            attemptsOver(ids, "error", false);
+                            attemptsEnded(ids, "error", false);
                             partner.failureSeen(forwarder, timeline.nowMicros());
                             respond("500 Internal Server Error", "");
                         }));
@@ -225,7 +225,7 @@
     }
 
     private void answerFull(List<String> ids, long retryAfterMicros) {
-        attemptsOver(ids, "full", true);
+        attemptsEnded(ids, "full", true);
         partner.failureSeen(forwarder, timeline.nowMicros());
         if (retryAfterMicros > 0) {
             world.auditor()
@@ -279,8 +279,8 @@
         }
     }
 
-    private void attemptsOver(List<String> ids, String result, boolean neverRan) {
-        ids.forEach(id -> world.onAttemptOver(id, result, neverRan));
+    private void attemptsEnded(List<String> ids, String result, boolean neverRan) {
+        ids.forEach(id -> world.onAttemptEnded(id, result, neverRan));
     }
 
     /** The messages in the body of a batch call; none if it is malformed. */
--- a/src/main/java/lilaclever/simulation/virtual/VirtualDeliverer.java
+++ b/src/main/java/lilaclever/simulation/virtual/VirtualDeliverer.java
@@ -72,7 +72,7 @@
         for (Call call : callsInFlight) {
             CallState state = (CallState) call.attachment;
             state.closed = true;
-            attemptsOver(call, "cut by the forwarder's death", !state.arrived);
+            attemptsEnded(call, "cut by the forwarder's death", !state.arrived);
         }
         callsInFlight.clear();
         isKilled = true;
@@ -123,7 +123,7 @@
                     world.nowMicros() + world.networkDelayMicros(),
                     () -> requestArrived(call, state, partner, connected));
         } else if (!state.closed) {
-            attemptsOver(call, "withheld", true);
+            attemptsEnded(call, "withheld", true);
             endCall(call, state, AttemptResult.WITHHELD, waitMicros, connected);
         }
     }
@@ -133,14 +133,14 @@
             return;
         }
         state.arrived = true;
-        call.messages.forEach(m -> world.onRequestReceived(m.id(), forwarderNumber, call.endpoint.destination()));
+        call.messages.forEach(m -> world.onCallArrived(m.id(), forwarderNumber, call.endpoint.destination()));
         String host = call.endpoint.host();
         if (!connected && partner.hosts().contains(host) && !partner.isUnavailable(world.nowMicros())) {
             // Too many connections: the partner answers that it has no capacity, and closes the connection.
             runUnlessKilled(
                     world.nowMicros() + world.networkDelayMicros(),
                     () -> endCall(call, state, AttemptResult.NO_ROOM, 0, false));
-            attemptsOver(call, "full", true);
+            attemptsEnded(call, "full", true);
             return;
         }
         Answer answer = world.callPartner(
@@ -150,13 +150,13 @@
                 call.messages.stream().map(Message::id).toList());
         switch (answer.status()) {
             case NO_CONNECTION -> {
-                attemptsOver(call, "no connection", true);
+                attemptsEnded(call, "no connection", true);
                 runUnlessKilled(
                         world.nowMicros() + world.networkDelayMicros(),
                         () -> endCall(call, state, AttemptResult.NO_CONNECTION, 0, false));
             }
             case FULL -> {
-                attemptsOver(call, "full", true);
+                attemptsEnded(call, "full", true);
                 runUnlessKilled(answer.atMicros(), () -> {
                     if (answer.retryAfterMicros() > 0 && !state.closed) {
                         world.auditor()
@@ -178,7 +178,7 @@
                 });
             }
             case ERROR -> {
-                attemptsOver(call, "error", false);
+                attemptsEnded(call, "error", false);
                 runUnlessKilled(
                         answer.atMicros() + world.networkDelayMicros(),
                         () -> endCall(call, state, AttemptResult.ERROR, 0, true));
@@ -200,8 +200,8 @@
                 () -> endCall(call, state, AttemptResult.DELIVERED, 0, true));
     }
 
-    private void attemptsOver(Call call, String result, boolean neverRan) {
-        call.messages.forEach(m -> world.onAttemptOver(m.id(), result, neverRan));
+    private void attemptsEnded(Call call, String result, boolean neverRan) {
+        call.messages.forEach(m -> world.onAttemptEnded(m.id(), result, neverRan));
     }
 
     /** Ends a call that is not closed yet and reports the result to the core. */
@@ -241,7 +241,7 @@
         callsInFlight.remove(call);
         world.partner(call.endpoint.destination()).failureSeen(forwarderNumber, world.nowMicros());
         world.partner(call.endpoint.destination()).disconnect(call.endpoint.host(), forwarderNumber);
-        attemptsOver(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
+        attemptsEnded(call, state.arrived ? "given up" : "given up before it came", !state.arrived);
         AttemptResult result =
                 state.arrived && world.fault() != Fault.RESENDS ? AttemptResult.TIMED_OUT : AttemptResult.NO_CONNECTION;
         List<Message> messages = List.copyOf(call.messages);
@@ -252,7 +252,7 @@
     public void cancelUnsent(Call call) {
         CallState state = (CallState) call.attachment;
         if (!state.closed && !state.written) {
-            attemptsOver(call, "withheld", true);
+            attemptsEnded(call, "withheld", true);
             endCall(call, state, AttemptResult.WITHHELD, 0, false);
         }
     }
--- a/src/main/java/lilaclever/simulation/world/World.java
+++ b/src/main/java/lilaclever/simulation/world/World.java
@@ -153,7 +153,7 @@
     }
 
     /** A partner has received the last byte of a message's call. */
-    public void onRequestReceived(String id, int forwarder, int destination) {
+    public void onCallArrived(String id, int forwarder, int destination) {
         auditor.callArrived(messageNumber(id), forwarder, destination, nowMicros());
     }
 
@@ -174,7 +174,7 @@
     }
 
     /** An attempt has ended on the partner's side. */
-    public void onAttemptOver(String id, String result, boolean neverRan) {
+    public void onAttemptEnded(String id, String result, boolean neverRan) {
         auditor.attemptEnded(messageNumber(id), result, neverRan, nowMicros());
     }
 
--- a/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
+++ b/src/test/java/lilaclever/identity/DuplicateDetectorTest.java
@@ -100,10 +100,10 @@
         detector.addCompleted(TWO, A, 1, "3", 0);
         detector.addCompleted("b", null, 0, "4", 0);
         assertEquals(3, store.size());
-        assertEquals(1, detector.forgottenEarly());
+        assertEquals(1, detector.removedEarly());
         assertFalse(store.all.containsKey(TWO)); // the window of its class is the shortest
         detector.addCompleted("b", null, 0, "5", 1);
-        assertEquals(1, detector.forgottenEarly()); // replacing a result needs no further capacity
+        assertEquals(1, detector.removedEarly()); // replacing a result needs no further capacity
     }
 
     @Test
--- a/src/test/java/lilaclever/journal/SegmentedJournalTest.java
+++ b/src/test/java/lilaclever/journal/SegmentedJournalTest.java
@@ -155,7 +155,7 @@
     @Test
     void recordInsideBodyIsNeverRead() throws IOException {
         SegmentFormat.RecordWriter forged = new SegmentFormat.RecordWriter();
-        RecordEncoder.ended(forged, "victim");
+        RecordEncoder.settled(forged, "victim");
         ByteBuffer bytes = forged.withChecksums(0);
         byte[] body = new byte[bytes.remaining()];
         bytes.get(body);
@@ -388,7 +388,7 @@
             journal.remember("middle", FinalStatus.of(FinalStatus.Kind.DELIVERED), 500);
             journal.maintain(10);
             assertNull(journal.remembered("short"));
-            journal.forgetSoonestExpiring();
+            journal.removeSoonestExpiring();
             assertNull(journal.remembered("middle"));
             assertEquals(1, journal.rememberedCount());
         }
--- a/src/test/java/lilaclever/program/ConnectionRacesTest.java
+++ b/src/test/java/lilaclever/program/ConnectionRacesTest.java
@@ -223,7 +223,7 @@
             serve(ForwarderSetup.configText(platform.address(), state, "127.0.0.1:9", 3));
             assertTrue(
                     -take(silentSince) + take(polledAt) < 5_000 * NANOS_PER_MILLI,
-                    "a second before the change counts as sent");
+                    "a second before the change counts as notified");
             try (Wire client = Wire.connect(address)) {
                 awaitCounter(client, "\nentries_listed 2\n"); // the known one, and the one that the watch missed
                 assertTrue(client.submit("a", "payment", 20, "").startsWith("202"));
--- a/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
+++ b/src/test/java/lilaclever/protocol/http/DirectoryClientTest.java
@@ -70,12 +70,12 @@
 
         @Override
         public Runnable awaitTask(BlockingQueue<Runnable> ready, long untilMicros) {
-            throw new IllegalStateException("the test drives the loop");
+            throw new IllegalStateException("the test drives the event loop");
         }
 
         @Override
         public void sleep(long micros) {
-            throw new IllegalStateException("the test drives the loop");
+            throw new IllegalStateException("the test drives the event loop");
         }
 
         @Override
--- a/src/test/java/lilaclever/simulation/audit/AuditorTest.java
+++ b/src/test/java/lilaclever/simulation/audit/AuditorTest.java
@@ -46,10 +46,10 @@
         auditor.accepted(number, 0, atMicros);
     }
 
-    private void attempt(int number, long atMicros, String outcome, boolean knownNotRun) {
+    private void attempt(int number, long atMicros, String outcome, boolean neverRan) {
         auditor.attemptStarted(number, 0, "e", 7, atMicros);
         if (outcome != null) {
-            auditor.attemptEnded(number, outcome, knownNotRun, atMicros + 1000);
+            auditor.attemptEnded(number, outcome, neverRan, atMicros + 1000);
         }
     }
 
